--- a/internal/network/arrival.go
+++ b/internal/network/arrival.go
@@ -10,29 +10,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// arrival tells when bytes came to this machine: they may have waited in the accept queue or the receive buffer while accepts
-// failed, the process did not run, or a core was busy, and the client's time ran meanwhile. Linux tells how long ago the last
-// data of a connection came (TCP_INFO, tcpi_last_data_recv, in milliseconds). Where it does not, the first bytes of a
-// connection count from when accepts began to fail before it was accepted.
+// arrivalClock determines when bytes reached this machine. They may have waited in the accept queue or the receive buffer
+// while accepts failed, the process was not scheduled, or a core was busy, and the client's time ran meanwhile. Linux reports
+// how long ago a connection last received data (TCP_INFO, tcpi_last_data_recv, in milliseconds). Where it does not, the first
+// bytes of a connection count from when accepts began to fail before it was accepted.
 //
 // It is used by the goroutine that reads the connection.
 type arrival struct {
-	raw    syscall.RawConn // nil where the system tells nothing
-	queued time.Time       // it may have waited to be accepted since then; zero: it did not
-	last   time.Duration   // scratch of ask
-	info   tcpInfo         // scratch of ask
+	raw    syscall.RawConn // nil if the system gives no such information
+	queued time.Time       // the connection may have been queued for accept since then; zero if it was not
+	last   time.Duration   // scratch of queryTCPInfo
+	info   tcpInfo         // scratch of queryTCPInfo
 	ask    func(fd uintptr)
 }
 
-// tcpInfo is the beginning of the kernel's struct tcp_info, as far as it is used (linux/tcp.h): the whole of it would cost half
-// as much again for each read.
+// tcpInfo is the beginning of the kernel's struct tcp_info (linux/tcp.h), up to the field that is used: fetching the whole
+// struct would make each read cost half as much again.
 type tcpInfo struct {
 	_            [8]uint8
 	_            [11]uint32 // rto to last_data_sent, last_ack_sent
 	LastDataRecv uint32
 }
 
-// newArrival is for a connection that was just accepted.
+// newArrivalClock returns the clock of a connection that was just accepted.
 func newArrival(conn net.Conn, queued time.Time) *arrival {
 	a := &arrival{queued: queued}
 	if c, ok := conn.(syscall.Conn); ok {
@@ -50,13 +50,13 @@
 	return a
 }
 
-// at is when the bytes came that a read has just returned, at a time: no later than now.
+// timeOf returns when the bytes arrived that a read has just returned: no later than now.
 func (a *arrival) at(now time.Time) time.Time {
-	if a == nil { // in tests of what stands behind it
+	if a == nil { // in tests without a socket
 		return now
 	}
 	queued := a.queued
-	a.queued = time.Time{} // the first bytes alone were there before the accept
+	a.queued = time.Time{} // only the first bytes can have arrived before the accept
 	if a.raw != nil {
 		if a.raw.Control(a.ask) == nil && a.last >= 0 {
 			return now.Add(-a.last)
@@ -69,17 +69,17 @@
 	return now
 }
 
-// acceptQueue is since when connections may have waited to be accepted. Accepting goroutines write it, and read it for what
-// they accept.
+// acceptQueue records since when connections may have been waiting for accept. Accepting goroutines write it, and read it for
+// the connections that they accept.
 type acceptQueue struct{ since atomic.Pointer[time.Time] }
 
-// failed tells that an accept failed.
+// acceptFailed reports that an accept failed.
 func (q *acceptQueue) failed(now time.Time) { q.since.CompareAndSwap(nil, &now) }
 
-// empty tells that an accept had to wait: nobody was in the queue.
+// emptied reports that an accept had to wait, so that the queue was empty.
 func (q *acceptQueue) empty() { q.since.Store(nil) }
 
-// from is since when a connection that was just accepted may have waited; zero: it did not.
+// queuedSince returns since when a connection that was just accepted may have been waiting; zero if it was not.
 func (q *acceptQueue) from() time.Time {
 	if at := q.since.Load(); at != nil {
 		return *at
--- a/internal/network/await.go
+++ b/internal/network/await.go
@@ -11,27 +11,27 @@
 	"tinsail/internal/platform"
 )
 
-// What a client may send behind a req that waits for its answer, and what it may still send once it has had its last
-// one. It is read all the same: only who reads sees the end of a connection, and a close over unread bytes
-// resets it, which takes an answer that is not read yet with it.
+// Limits on what a client may send after a request that waits for its answer, and after its last answer. All of it is read: only
+// a read notices the end of a connection, and closing a connection with unread bytes resets it, which destroys an answer that
+// the client has not read yet.
 const (
-	aheadMost    = platform.MaxHead + platform.MaxBody // kept: one more req, as long as any may be
-	dropPiece    = 16 << 10                            // read at a time of what is not kept
-	dropFree     = 256 << 10                           // of what is not kept, before it is read with pauses
-	dropPause    = time.Millisecond                    // after each piece: a flood must not use up the processor
-	lingerMost   = 1 << 20                             // bytes after the last answer
-	lingerWait   = 500 * time.Millisecond              // for a client to read its last answer and to close
-	drainWait    = 150 * time.Millisecond              // the same where the process is about to end: some round trips
-	hereLook     = 200 * time.Microsecond              // for what has come already to be read, where a descriptor is waited for
-	lateReadWait = 30 * time.Millisecond               // for one of those to go, once a newcomer has waited for roomWait
-	lateReadMost = 100 * time.Millisecond              // for a client that sends on to end, where its descriptor is wanted and nobody waits for it in vain
+	aheadMost    = platform.MaxHead + platform.MaxBody // buffered: one more request of the longest size allowed
+	dropPiece    = 16 << 10                            // read at a time when discarding
+	dropFree     = 256 << 10                           // discarded bytes before reads are slowed down
+	dropPause    = time.Millisecond                    // after each chunk, so that a flood does not use up the processor
+	lingerMost   = 1 << 20                             // bytes read after the last answer
+	lingerWait   = 500 * time.Millisecond              // for a client to read its last answer and close
+	drainWait    = 150 * time.Millisecond              // the same while the process is about to end: a few round trips
+	hereLook     = 200 * time.Microsecond              // for bytes already received to be read, when the descriptor is needed
+	lateReadWait = 30 * time.Millisecond               // for an extended read to end by itself, once a new client has waited for closeWait
+	lateReadMost = 100 * time.Millisecond              // for a client that still sends, if its descriptor is needed but no new client has waited in vain
 )
 
-// waste is space for bytes that nobody will read.
+// discardBuffers are buffers for bytes that are read and discarded.
 var waste = sync.Pool{New: func() any { return new([dropPiece]byte) }}
 
-// await waits for the answer to be written, and for the client to send its next req or to
-// go away.
+// awaitAnswer waits until the answer is written, or the client closes the connection. Meanwhile it reads what the client
+// sends for its next request.
 func (s *session) await(t core.Ticket, closing bool) (core.Ending, bool) {
 	gone, done := make(chan struct{}), make(chan written, 1)
 	a := &ahead{session: s}
@@ -40,9 +40,9 @@
 	if !here {
 		t.Abandon(false, nil)
 		close(gone)
-		s.conn.Close() // an answer that is just being written ends by that
+		s.conn.Close() // interrupts a write of the answer that is under way
 	}
-	// The writer is done with the session's state before that leaves the table, or it would be put back into the table.
+	// Wait for the writer before the session leaves the table: a later update by the writer would put it back.
 	w := <-done
 	a.release()
 	s.done(w.free)
@@ -62,19 +62,19 @@
 	return 0, false
 }
 
-// ahead is what comes on a session behind the req that waits.
+// pipelineReader reads what a client sends while its request waits for the answer.
 type ahead struct {
 	*session
-	kept    int  // taken out of the bytes that all sessions together may hold
-	dropped int  // bytes that were read and not kept: nothing of the session can be read any more
-	flooded bool // under the table's lock: something was dropped
+	kept    int  // bytes reserved of the total for all sessions
+	dropped int  // bytes read and not buffered; if any, nothing further of the session can be parsed
+	flooded bool // guarded by the table's lock: bytes were discarded
 }
 
-// watch reads on until the answer is written, and returns false if the client goes first. What comes is kept for the
-// next req, up to a bound; what is beyond is dropped, and the session ends with its answer.
+// readUntilAnswered reads until the answer is written. It returns false if the client closes the connection first. Bytes are
+// buffered for the next request up to a bound; bytes beyond it are discarded, and then the session ends with its answer.
 func (a *ahead) watch() (here bool) {
 	t := &a.clients.table
-	if a.in.Ahead() > 0 { // sent with the req, and nothing wakes a read for it
+	if a.in.Ahead() > 0 { // received together with the request: no further read would report them
 		a.came = a.session.read
 		if !t.sentAhead(&a.sessionState) {
 			return true
@@ -91,13 +91,13 @@
 			if !t.stillOwed(&a.sessionState) {
 				return true
 			}
-		default: // what it sent ahead is not for anybody any more
+		default: // the client is gone, and its pipelined bytes are dropped
 			return false
 		}
 	}
 }
 
-// take takes in what the client sends.
+// readOnce reads once, into the buffer or to discard.
 func (a *ahead) take() (int, error) {
 	if a.dropped == 0 && a.room() {
 		first := a.in.Ahead() == 0
@@ -126,7 +126,7 @@
 	return n, err
 }
 
-// room says whether more is kept.
+// canBuffer reports whether more bytes may be buffered, and reserves space for a whole request when it is needed.
 func (a *ahead) room() bool {
 	n := a.in.Ahead()
 	if n >= smallBody && a.kept == 0 && a.clients.hold(aheadMost) {
@@ -137,7 +137,7 @@
 
 func (a *ahead) release() { a.clients.held.Add(-int64(a.kept)) }
 
-// lies says whether there is something behind the req that waits, and whether it is past reading.
+// status reports whether bytes follow the request that waits, and whether some of them were discarded.
 func (a *ahead) lies() (some, flooded bool) {
 	t := &a.clients.table
 	t.mu.Lock()
@@ -147,13 +147,13 @@
 
 func (s *session) done(free bool) {
 	s.in.Done(free)
-	s.request = "" // a slice of its head, which is not to be held while the session rests
+	s.request = "" // a slice of the request's head, which would keep the head in memory while the session is idle
 	s.release()
 }
 
-// reply writes the answer once it is there. long says that the req's body is to be given up
-// at once; it is told, since the reading goroutine may have ended meanwhile. What the client has sent ahead
-// is answered before an end of the service closes the session: it has been read.
+// writeAnswer writes the answer once it is decided. wake says that the rest of the request's body is to be given up at once; it is
+// an argument because the reading goroutine may have ended meanwhile. A pipelined request that was read already is answered before
+// a shutdown closes the session.
 func (s *session) reply(closing, long bool, behind *ahead, gone chan struct{}, done chan written) {
 	var a core.Answer
 	select {
@@ -174,9 +174,9 @@
 	done <- written{a.Free, closing, err}
 }
 
-// linger lets the client read its last answer: our side ends, and what the client still sends is read and not taken up,
-// for a while and up to a bound. Many sessions may end at once, in a shutdown say; those that linger hold no more
-// descriptors than all sessions may, and are the first to go for others.
+// linger lets the client read its last answer: it closes the sending side, then reads and discards what the client still
+// sends, for a limited time and up to a number of bytes. Many sessions may end at once, for example in a shutdown: lingering
+// ones hold no more descriptors than all sessions may, and are the first to be closed for new ones.
 func (s *session) linger() {
 	c := s.clients
 	end, ok := s.conn.(interface{ CloseWrite() error })
@@ -199,9 +199,9 @@
 	s.readLate(left)
 }
 
-// readLate reads on where the descriptor of a session that has had its last answer is wanted, before the close: what has come by
-// now, and what comes of a client that has sent on behind its last req, until that has read the answer and ends too. A
-// close while its bytes come would reset the connection, and the answer with it.
+// readBeforeClose reads on when the descriptor of a session that had its last answer is needed. It reads what has been
+// received by now. If the client has sent more after its last request, it reads on until the client has read the answer and
+// closes, as a close while bytes arrive would reset the connection and destroy the answer.
 func (s *session) readLate(left int) {
 	if left == lingerMost && !s.in.Partial() {
 		s.conn.SetReadDeadline(time.Now().Add(hereLook))
@@ -214,14 +214,14 @@
 	s.dropUntil(left)
 }
 
-// drop reads and drops what comes, for a time and up to a bound, until the client's end.
+// discardFor reads and discards what arrives, for a time and up to a number of bytes, until the client closes.
 func (s *session) drop(wait time.Duration) {
 	s.conn.SetReadDeadline(time.Now().Add(wait))
 	s.dropUntil(lingerMost)
 }
 
-// dropUntil reads and drops up to so many bytes, until the deadline that is set. left is how many it did not read, over whether
-// no more is to be read: the connection has ended, or nothing is left.
+// discard reads and discards up to limit bytes, until the deadline that is set. left is how many it did not read. over reports
+// that there is nothing more to read: the connection has ended, or limit is reached.
 func (s *session) dropUntil(most int) (left int, over bool) {
 	piece := waste.Get().(*[dropPiece]byte)
 	defer waste.Put(piece)
--- a/internal/network/await_test.go
+++ b/internal/network/await_test.go
@@ -19,7 +19,7 @@
 	"tinsail/internal/service"
 )
 
-// patient are backends that serve nothing before they are told to. They tell of each attempt that comes.
+// manualBackends serve an attempt only when the test does so. They report each attempt that arrives.
 type patient struct {
 	instant
 	sent chan *core.Attempt
@@ -32,7 +32,7 @@
 	return func() {}
 }
 
-// next is the next attempt that comes.
+// nextAttempt returns the next attempt that arrives.
 func (b patient) next(t *testing.T) *core.Attempt {
 	t.Helper()
 	select {
@@ -53,7 +53,7 @@
 	return fmt.Sprintf("POST /photo/1 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", id, more, len(body), body)
 }
 
-// visitor is a client on a real socket.
+// rawClient is a client on a real socket.
 type visitor struct {
 	*net.TCPConn
 	in *bufio.Reader
@@ -77,15 +77,15 @@
 	return a.StatusCode, string(b), a.Close
 }
 
-// none waits until the dispatcher has no client session.
+// waitNoSessions waits until the dispatcher has no client session.
 func (s *served) none(t *testing.T) {
 	t.Helper()
 	require.Eventually(t, func() bool { return s.clients.Open() == 0 }, 20*time.Second, time.Millisecond)
 }
 
-// TestGoneIsSeen: a client that goes while its req waits is seen whatever it sent behind the req, also where that is
-// more than is kept or than the sockets hold. The backends answer nothing: without a look at the connection the session
-// would stay for the req's whole time.
+// TestClientCloseDetectedWhileWaiting: a client that closes while its request waits is noticed whatever it sent after the
+// request, even more than is buffered or than the sockets hold. The backends answer nothing: if the connection were not read,
+// the session would stay for the request's whole time.
 func TestGoneIsSeen(t *testing.T) {
 	flood := strings.Repeat("x", 12<<20)
 	for name, c := range map[string]struct {
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestAheadIsAnswered: reqs that come while one waits are answered in turn: sent with it, one by one, in pieces, or while
-// its answer is due.
+// TestPipelinedReqsAnsweredInOrder: requests that arrive while one waits are answered in order, whether they are sent together
+// with it, one by one, in pieces, or while its answer is due.
 func TestAheadIsAnswered(t *testing.T) {
 	for _, piece := range []int{1, 100, 1 << 20} {
 		for _, with := range []bool{true, false} {
@@ -174,7 +174,7 @@
 	}
 }
 
-// TestReadIsAnswered: a req that was read before the answer that would close its session is answered before that is closed.
+// TestPipelinedReqAnsweredBeforeClose: a request that was read before the answer that would close its session is still answered.
 func TestReadIsAnswered(t *testing.T) {
 	b := newPatient()
 	s := serveReal(t, b)
@@ -195,14 +195,14 @@
 	assert.Equal(t, io.EOF, err)
 }
 
-// TestLastAnswerIsRead: a client that still sends when it gets its last answer reads that and then the end, not a reset: it
-// looks only when the dispatcher has done with the connection. None of what it sent is taken up.
+// TestLastAnswerIsRead: a client that still sends when it gets its last answer reads that answer and then the end, not a reset.
+// It reads only after the dispatcher has closed the connection. Nothing that it sent afterwards is handled.
 func TestLastAnswerIsRead(t *testing.T) {
 	more := strings.Repeat("x", 64<<10)
 	body := strings.Repeat("z", 1000)
 	for name, c := range map[string]struct {
 		send   string
-		after  string // sent when the answer has come
+		after  string // sent when the answer has arrived
 		served bool
 		orders *service.Orders
 		excess bool
@@ -251,8 +251,8 @@
 	}
 }
 
-// TestLingeringGoesForOthers: sessions that have had their last answer and whose clients neither read nor go hold no more
-// descriptors than all may, and go at once for others that need theirs.
+// TestLingeringSessionsBounded: sessions that had their last answer, and whose clients neither read nor close, hold no more
+// descriptors than all sessions may, and are closed at once for others that need theirs.
 func TestLingeringGoesForOthers(t *testing.T) {
 	const most = 20
 	s := serveReal(t, instant{"r"}, func(cl *Clients) { cl.Most = most })
@@ -273,8 +273,8 @@
 	assert.Zero(t, s.clients.table.lingers)
 }
 
-// stuck is a connection whose first write waits until it was closed, and then until the dispatcher has given the session up,
-// if it does that before the write is over.
+// blockedConn is a connection whose first write waits until the connection is closed, and then until the dispatcher has
+// removed the session, if it does that before the write returns.
 type stuck struct {
 	net.Conn
 	writes chan struct{} // a write has begun
@@ -300,8 +300,8 @@
 	return c.Conn.Close()
 }
 
-// TestGoneWhileAnswered: a client that goes in the instant in which its answer is written leaves nothing in the table. A state
-// that came back would be taken for a session that can be shed.
+// TestClientCloseDuringAnswerWrite: a client that closes just as its answer is written leaves nothing in the table. A session
+// put back into the table then would be taken for one that can be shed.
 func TestGoneWhileAnswered(t *testing.T) {
 	s := serveReal(t, instant{"r"})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -320,7 +320,7 @@
 	<-held.writes
 	client.Close()
 	table := &s.clients.table
-	require.Eventually(t, func() bool { // the session is over, and its writer too
+	require.Eventually(t, func() bool { // the session has ended, and its writer too
 		table.mu.Lock()
 		defer table.mu.Unlock()
 		return table.count == 0 && one.job
@@ -332,8 +332,8 @@
 	}
 }
 
-// TestOwedUntilWritten: an answer that is decided and not yet written counts as owed in a shutdown, in whatever row its session
-// is: one that was told to close took a req that crossed that.
+// TestAnswerPendingUntilWritten: an answer that is decided and not yet written counts as pending in a shutdown, whatever the
+// rank of its session: one that was told to close may have taken a request that was already on its way.
 func TestOwedUntilWritten(t *testing.T) {
 	for name, end := range map[string]func(*table, *sessionState){
 		"answered": func(t *table, s *sessionState) { t.answered(s, true, false, false) },
--- a/internal/network/budget.go
+++ b/internal/network/budget.go
@@ -1,22 +1,22 @@
-// Package network holds the thin drivers between sockets and the protocol's state machines:
-// client sessions, the pool of connections to backends, and the director's watch.
+// Package network connects sockets to the protocol's state machines: client sessions, the pool of connections to backends,
+// and the watch of the director's list. It does the I/O and leaves the decisions to those state machines.
 package network
 
 import "syscall"
 
-// Budget shares out the file descriptors that the process may hold.
+// DescriptorLimits divides the file descriptors of the process among their uses.
 type Budget struct {
 	Clients  int // client sessions
-	Usual    int // of those that have had a job answered, or have one: beyond it idle ones are closed
-	Backends int // connections to backends, those being made among them
+	Usual    int // client sessions that have had a job answered or have one now; idle ones beyond it are closed
+	Backends int // connections to backends, including those being established
 }
 
-// kept is how many descriptors are left for the runtime, the listener, the director and the
-// log, a dozen or so in all, and for the clients beyond the budget that are told to come back.
+// reservedDescriptors are left for the runtime, the listener, the director and the log (a dozen or so in all), and for the
+// clients beyond the limit that are only told to come back.
 const kept = 16 + excessMost
 
-// Allowed is how many descriptors the process may hold: what the configuration says, or the system's own limit where that is
-// lower. Past it no connection to discovery, to a backend or from an operator could be made.
+// MaxDescriptors returns how many descriptors the process may hold: the configured number, or the system's limit if that is
+// lower. Beyond the system's limit no connection to discovery, to a backend or from an operator could be made.
 func Allowed(configured int) int {
 	var system syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &system); err != nil {
@@ -25,10 +25,10 @@
 	return int(min(uint64(configured), system.Cur))
 }
 
-// Share divides a limit. A req takes one descriptor on each side, a second copy one more at
-// the backends, and idle connections there save handshakes: backends get the larger part.
-// Usual clients hold a third of the limit at most, idle sessions among them: one that is at
-// its end cannot send a req, however idle this dispatcher is. Usual stays below that.
+// SplitDescriptors divides a limit. A request takes one descriptor on each side, a second copy takes one more at the backends, and
+// idle connections to backends save handshakes: backends get the larger part. Clients that send jobs hold a third of the
+// limit at most, including idle sessions: a client at its limit cannot send a request, however idle this dispatcher is.
+// JobSessions stays below that.
 func Share(limit int) Budget {
 	free := max(limit-kept, 2)
 	return Budget{Clients: free * 9 / 20, Usual: limit / 5, Backends: free - free*9/20}
--- a/internal/network/clients.go
+++ b/internal/network/clients.go
@@ -17,42 +17,42 @@
 	"tinsail/internal/service"
 )
 
-// Times of a client session.
+// Timeouts of a client session.
 const (
-	firstWait = 2500 * time.Millisecond // for the first req to be whole, from connecting
-	reqWait   = 2500 * time.Millisecond // for the rest of a later req that has begun
-	idleWait  = 3 * time.Minute         // between reqs
-	writeWait = 5 * time.Second         // for an answer to be taken
-	shedPause = 500 * time.Millisecond  // advice to a client that there is no descriptor for
-	lastLook  = 5 * time.Millisecond    // for a req that came as its session was to be closed
-	roomWait  = 20 * time.Millisecond   // for a session that is being shed to be gone
+	firstWait = 2500 * time.Millisecond // from connecting until the first request is complete
+	reqWait   = 2500 * time.Millisecond // for the rest of a later request that has begun
+	idleWait  = 3 * time.Minute         // between requests
+	writeWait = 5 * time.Second         // for an answer to be written
+	shedPause = 500 * time.Millisecond  // advice to a client that is refused for lack of descriptors
+	lastLook  = 5 * time.Millisecond    // for a request that arrives as its session is about to be closed
+	roomWait  = 20 * time.Millisecond   // for sessions that were told to close to be gone
 )
 
-// Clients takes in client sessions.
+// Clients serves client sessions over HTTP/1.1, and keeps the table of the sessions of both fronts.
 type Clients struct {
 	Names   *platform.Names
 	Count   *counters.Set
 	Core    *core.Core
-	Most    int   // sessions, until Resize; beyond it one that asks for nothing goes, and if there is none a few are told to come back
-	Usual   int   // sessions that serve jobs, until Resize; beyond it the one that has been idle longest goes
-	Held    int64 // bytes of bodies that may be held for all sessions together
+	Most    int   // sessions, until Resize; beyond it an idle one is closed, and if there is none a few clients are told to come back
+	Usual   int   // sessions that serve jobs, until Resize; beyond it the one idle for longest is closed
+	Held    int64 // bytes of bodies and answers that may be buffered for all sessions together
 	Longest time.Duration
 	Stats   func() string
-	Members func() string // the list of backends for people; may be nil
+	Members func() string // the list of backends in a readable form; may be nil
 	Log     zerolog.Logger
 	Guard   *guard.Recorder // checks the rules at run time and keeps the trace; may be nil
 
-	orders atomic.Pointer[service.Orders] // nil stands for a dispatcher in service
+	orders atomic.Pointer[service.Orders] // nil for a dispatcher in service
 	gate   gate
 	queue  acceptQueue
-	size   atomic.Pointer[Budget] // by Resize; nil for Most and Usual
+	size   atomic.Pointer[Budget] // set by Resize; nil for MaxSessions and MaxJobSessions
 	held   atomic.Int64
-	turned atomic.Int32 // clients of both fronts that were turned away unread, and still linger
+	turned atomic.Int32 // clients of both fronts that were rejected for lack of a descriptor and still linger
 	away   turnedAway
 	table  table
 }
 
-// told is what the state of service asks for now.
+// currentOrders returns what the service state asks for now.
 func (c *Clients) told() *service.Orders {
 	if o := c.orders.Load(); o != nil {
 		return o
@@ -60,14 +60,14 @@
 	return &inService
 }
 
-// Resize sets how many sessions there may be from now on. Idle ones beyond it are closed; those that are
-// owed an answer go on.
+// Resize sets how many sessions there may be from now on. Idle ones beyond it are closed; sessions with an unanswered request
+// go on.
 func (c *Clients) Resize(b Budget) {
 	c.size.Store(&b)
 	c.table.shrink(b.Clients)
 }
 
-// Open is how many sessions there are.
+// OpenSessions returns how many sessions there are.
 func (c *Clients) Open() int {
 	n, _ := c.table.open(time.Time{})
 	return n
@@ -89,43 +89,44 @@
 
 var inService = service.Orders{Ready: true, Accept: true}
 
-// session is one client's connection. Its goroutine reads; the answer of a req is written by
-// another, so that a client that goes away meanwhile is noticed.
+// session is one client's HTTP/1.1 connection. Its goroutine reads. The answer to a request is written by another goroutine,
+// so that a client that closes the connection meanwhile is noticed.
 type session struct {
 	sessionState
 	clients *Clients
 	arrival *arrival
-	excess  bool   // beyond the budget: turned away at its first req
-	request string // the last that was taken, for the trace
-	// endsItself says that its client asked for the close or sent more than is kept: nothing behind the last answer counts.
+	excess  bool   // beyond the limit: refused at its first request
+	request string // id of the last request that was taken, for the trace
+	// clientEnds says that the client asked for the close or sent more than is buffered: what follows the last answer is not handled.
 	endsItself bool
 	answer     chan core.Answer
 
-	// Touched by the reading goroutine alone.
+	// Used by the reading goroutine only.
 	in     platform.Requests
-	came   time.Time // when the first byte came to this machine of what is being read
-	read   time.Time // when the last byte came
-	turn   time.Time // when what was sent ahead had its turn: the rest of it is due from then on
-	looked bool      // its time is up, and this is the last look for a req
+	came   time.Time // when the first byte of what is being read reached this machine
+	read   time.Time // when the last byte did
+	turn   time.Time // when handling of the pipelined bytes began: the rest of their request is due from then on
+	looked bool      // its time is over, and this is the last read for a request
 	held   int64     // of the body that is being read or answered
-	until  time.Time // the client of the req that is answered waits so long
+	until  time.Time // until then the client of the current request waits for its answer
 }
 
-// written tells the reading goroutine that the answer has gone out.
+// writeResult tells the reading goroutine that the answer was written.
 type written struct {
 	free, closing bool
 	err           error
 }
 
-// excessMost is how many sessions beyond the budget are taken on to be told so.
+// maxExcessSessions is how many sessions beyond the limit are accepted in order to be refused.
 const excessMost = 16
 
-// lingerRoom is how many sessions beyond the budget there may be before those that linger go for whoever comes: the rest of
-// excessMost is for newcomers while they go, so that a crowd of them is gone together and not one after the other.
+// lingerHeadroom is how many sessions beyond the limit there may be before lingering sessions are closed for new ones. The
+// rest of maxExcessSessions is for new clients while those close, so that many of them close together and not one after the
+// other.
 const lingerRoom = excessMost / 2
 
-// Serve accepts eagerly until the listener is closed: a req counts as taken as soon as the
-// kernel has it.
+// Serve accepts connections until the listener is closed. It accepts without delay, as a request counts as taken as soon as
+// the kernel has it.
 func (c *Clients) Serve(l net.Listener) { c.accept(l, c.admit) }
 
 func (c *Clients) accept(l net.Listener, admit func(net.Conn)) {
@@ -138,9 +139,9 @@
 	loop.Run(l)
 }
 
-// admit begins a session. The budget is kept by closing one that asks for nothing; where all
-// ask, a few are read so that they can be told, and the rest is told unread: to wait for them
-// would leave the usual clients in the kernel's queue behind those who fill it.
+// admit begins a session. The limit is kept by closing an idle session. If all sessions are busy, a few new clients are read
+// so that they can be refused, and further ones are rejected unread: waiting for them would leave regular clients in the
+// kernel's queue behind those who fill it.
 func (c *Clients) admit(conn net.Conn) {
 	s := &session{sessionState: sessionState{conn: conn}, clients: c, arrival: newArrival(conn, c.queue.from()), answer: make(chan core.Answer, 1)}
 	s.in.Admit = s.hold
@@ -152,8 +153,8 @@
 	go s.run()
 }
 
-// enter seats a session of either front. excess says that it is beyond the budget and all others
-// are owed an answer, room whether it can be read to be told so.
+// register adds a session of either front to the table. excess reports that it is beyond the limit and no other could be
+// closed for it, room whether it can be read in order to be refused.
 func (c *Clients) enter(s *sessionState) (excess, room bool) {
 	c.Count.ClientSessions.Add(1)
 	most := c.most()
@@ -165,8 +166,8 @@
 	return n > most && !shed, true
 }
 
-// waitRoom waits until there are no more than n sessions. Those whose clients' bytes come are given longer to go by themselves;
-// one of them is cut short only where none did.
+// waitForRoom waits until there are no more than n sessions. Sessions whose clients still send get longer to end by
+// themselves; one of them is cut only if none did.
 func (c *Clients) waitRoom(n int) bool {
 	t := &c.table
 	if t.waitBelow(n, roomWait) {
@@ -188,7 +189,7 @@
 	s.note(guard.SessionClosed, e)
 }
 
-// serve reads reqs and has them answered, one at a time.
+// serve reads requests and has them answered, one at a time.
 func (s *session) serve() core.Ending {
 	for {
 		q, err := s.in.Next()
@@ -208,7 +209,7 @@
 		s.wait(partial)
 		n, err := s.conn.Read(s.in.Space())
 		if n == 0 && err != nil {
-			// A read whose time is up does not look whether bytes are there. One more does.
+			// A read after its deadline returns without checking for bytes. One more read does check.
 			if !partial && !s.looked && errors.Is(err, os.ErrDeadlineExceeded) {
 				s.looked = true
 				continue
@@ -219,12 +220,11 @@
 	}
 }
 
-// smallBody is the longest that a session has space for anyhow.
+// smallBody is the longest body that is not counted against the total, as each session has a buffer of that size anyway.
 const smallBody = 4 << 10
 
-// hold takes the body of the req that is coming in out of the bytes that all sessions
-// together may hold: all of it where its head tells the length, else more as it grows. What cannot
-// be held is not read.
+// reserveBody reserves space for the body of the incoming request in the total for all sessions: all of it if its head tells
+// the length, else more as it grows. A body that does not fit is not read.
 func (s *session) hold(n int) error {
 	if n <= smallBody {
 		return nil
@@ -236,7 +236,7 @@
 	return nil
 }
 
-// hold takes n bytes of a body out of what all sessions may hold, if they are there.
+// reserveBytes reserves n bytes in the total for all sessions, if they are free.
 func (c *Clients) hold(n int) bool {
 	if c.held.Add(int64(n)) > c.Held {
 		c.held.Add(-int64(n))
@@ -251,7 +251,7 @@
 	s.held = 0
 }
 
-// filled takes in bytes. A req is there from its first byte on.
+// received takes in n bytes that were read. A request begins with its first byte.
 func (s *session) filled(n int, partial bool) {
 	s.read = s.arrival.at(time.Now())
 	if !partial {
@@ -262,8 +262,8 @@
 	s.clients.table.begun(&s.sessionState)
 }
 
-// wait sets the time to wait for bytes. The first req has its time from connecting on, however
-// few its bytes: who says nothing, or not all, must not keep a descriptor.
+// setReadDeadline sets how long to wait for bytes. The first request has a fixed time from connecting, whatever arrives: a
+// client that sends nothing, or an incomplete request, must not keep a descriptor.
 func (s *session) wait(partial bool) {
 	t := &s.clients.table
 	t.mu.Lock()
@@ -286,8 +286,7 @@
 	}
 }
 
-// readEnding ends a session from which nothing more came. A client that has sent half a req
-// is told why.
+// readEnding ends a session from which nothing more arrived. A client that has sent part of a request is told why.
 func (s *session) readEnding(err error, partial bool) core.Ending {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return core.ClientClosed
@@ -309,7 +308,7 @@
 	return e
 }
 
-// refuse tells a client what is wrong with what it sent. Nothing more of it is taken up.
+// refuse answers an invalid request, or one that is not taken, with the reason. Nothing further is read from the client.
 func (s *session) refuse(err error) core.Ending {
 	c := s.clients
 	bad, e := &platform.Bad{Status: 400}, core.ClientBad
@@ -327,7 +326,7 @@
 }
 
 func (s *session) write(b []byte) error {
-	// No shorter than the client of a req waits: an answer that it has begun to read must not be cut before.
+	// Not shorter than the client's own deadline: an answer that it has begun to read must not be cut off before.
 	by := time.Now().Add(writeWait)
 	if s.until.After(by) {
 		by = s.until
@@ -337,7 +336,7 @@
 	return err
 }
 
-// handle answers one request. ends is true where the session is over by it.
+// handle answers one request. ends reports that the session ends with it.
 func (s *session) handle(q *platform.Request) (e core.Ending, ends bool) {
 	if q.Method != "POST" {
 		return s.plain(q)
@@ -354,7 +353,7 @@
 	s.until = s.came.Add(left)
 	c.table.taken(&s.sessionState)
 	s.request = w.ID
-	c.table.trim(c.usual()) // as soon as more are busy: the next client may find no connection left
+	c.table.trim(c.usual()) // now that one more is busy, as the next client may find no connection left
 	job := &core.Job{Method: q.Method, Target: q.Target, ID: w.ID, IdempotencyKey: w.IdempotencyKey, Body: q.Body}
 	ticket, fresh := c.Core.Take(w.Ask, job, s.came, left, s)
 	if !fresh {
@@ -365,7 +364,7 @@
 	return s.await(ticket, q.Close)
 }
 
-// patience is how long a req that came at a time may take: in a shutdown, not past its end.
+// timeLeft returns how long a request that arrived at a time may take: in a shutdown, no longer than the shutdown lasts.
 func (c *Clients) patience(left time.Duration, came time.Time) time.Duration {
 	if until := c.told().Until; !until.IsZero() {
 		left = max(min(left, until.Sub(came)), 0)
@@ -373,7 +372,7 @@
 	return left
 }
 
-// plain answers what is not a job.
+// answerDirectly answers a request that is not a job.
 func (s *session) plain(q *platform.Request) (core.Ending, bool) {
 	c := s.clients
 	status, body := c.look(q.Method, q.Path())
@@ -385,7 +384,7 @@
 	return core.SessionDone, c.table.answered(&s.sessionState, false, closing, false)
 }
 
-// look answers what asks how things are.
+// statusResponse answers the read-only requests about the dispatcher's state.
 func (c *Clients) look(method, path string) (status int, body string) {
 	switch {
 	case method != "GET":
@@ -394,7 +393,7 @@
 		if !c.told().Ready || c.Core.Ready() == 0 || !c.Core.Serves() {
 			return 503, ""
 		}
-		if !c.Guard.Ended().IsZero() && !c.told().Handed { // else another process serves in the dispatcher's name
+		if !c.Guard.Ended().IsZero() && !c.told().Handed { // if handed over, another process serves in the dispatcher's name
 			c.Guard.Violated(guard.ServeNotReady, 0, "", "ready after the process had decided to end")
 		}
 		return 200, ""
@@ -408,5 +407,5 @@
 	return 404, ""
 }
 
-// Answer takes the final answer of the req; the session's own goroutines write it.
+// Answer delivers the final answer of the request; the session's own goroutines write it.
 func (s *session) Answer(a core.Answer) { s.answer <- a }
--- a/internal/network/hard_test.go
+++ b/internal/network/hard_test.go
@@ -20,8 +20,8 @@
 	standin "tinsail/internal/standin/platform"
 )
 
-// watched is the driver of the director alone, on the fake clock, between a stand-in and a recorder
-// of what it tells.
+// directorFixture runs the director's driver alone, on the fake clock, between a stand-in of discovery and a recorder of what
+// the driver reports.
 type watched struct {
 	d     *standin.Director
 	seat  *standin.Seat
@@ -30,11 +30,11 @@
 	mu     sync.Mutex
 	refuse bool
 	dials  map[int64]int        // by second
-	heard  map[string]time.Time // NAME/STATE, when it was told first
+	heard  map[string]time.Time // NAME/STATE, when it was first reported
 }
 
-// watching plays with a watch of a stand-in, that of an agent where lists are pushed: no AskEvery is
-// given there.
+// runDirector runs play with a watch of a stand-in. With pushed it is that of an agent that pushes lists; no AskEvery is
+// configured there.
 func watching(t *testing.T, pushed bool, play func(w *watched)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -71,15 +71,15 @@
 		play(w)
 		close(stop)
 		w.d.Close()
-		time.Sleep(time.Minute) // what waits for something gives up
+		time.Sleep(time.Minute) // everything that waits gives up
 	})
 }
 
-// hotMost is how many connections in a second stop the clock for nobody: a loop without a pause would
-// stand still on the fake one.
+// maxUnthrottledDials is how many connections in a second are made without a sleep: a loop without a pause would never let the
+// fake clock advance.
 const hotMost = 200
 
-// dialled counts a connection, and says whether it is refused.
+// countDial counts a connection, and reports whether it is refused.
 func (w *watched) dialled() bool {
 	w.mu.Lock()
 	second := time.Now().Unix()
@@ -97,8 +97,8 @@
 	return w.d.Set(standin.Entry{Name: name, Address: name, Status: status, Weight: 4})
 }
 
-// late is by how much a change came later than a drain may be acted on; a change that never came is
-// an hour late.
+// lateness returns how much later a change arrived than a drain may take effect; a change that never arrived counts as an hour
+// late.
 func (w *watched) late(c standin.Change) time.Duration {
 	state := balance.Ready
 	if c.Status == "Terminating" {
@@ -113,7 +113,7 @@
 	return at.Sub(w.seat.Told(c, w.terms)) - 500*time.Millisecond
 }
 
-// out begins or ends an outage.
+// setOutage begins or ends an outage.
 func (w *watched) out(on, refused bool) {
 	w.seat.Outage(on)
 	w.mu.Lock()
@@ -121,7 +121,7 @@
 	w.mu.Unlock()
 }
 
-// TestIndentedList: a list that comes indented is read like any other.
+// TestIndentedList: an indented list is read like any other.
 func TestIndentedList(t *testing.T) {
 	watching(t, false, func(w *watched) {
 		time.Sleep(time.Second)
--- a/internal/network/http2.go
+++ b/internal/network/http2.go
@@ -14,70 +14,68 @@
 	"tinsail/internal/platform"
 )
 
-// HTTP2 is the second front for clients: HTTP/2 in cleartext, through the same table of
-// sessions, budgets, core and drain as Clients. Set may be called at any time and holds for new
-// connections.
+// HTTP2 is the second front for clients: HTTP/2 in cleartext. It shares the table of sessions, the limits, the core and the
+// drain with Clients. SetLimits may be called at any time and applies to new connections.
 type HTTP2 struct {
 	Clients *Clients
 	limits  atomic.Pointer[HTTP2Limits]
-	open    sync.Map // *streams of this front, for hint
+	open    sync.Map // *http2Session of this front, for announceDrain
 	ends    atomic.Pointer[net.Listener]
 }
 
-// HTTP2Limits are what a new connection is told, and what becomes of reqs that are reset.
+// HTTP2Limits are the limits announced to a new connection, and what becomes of requests that are reset.
 type HTTP2Limits struct {
 	Streams, HeaderBytes, FrameBytes int
 	Stall, DrainWait                 time.Duration
-	Stop                             bool // a reset calls off what is out at backends
+	Stop                             bool // a reset cancels the request's attempts at backends
 }
 
-// Set changes the limits for connections from now on.
+// SetLimits sets the limits of connections from now on.
 func (f *HTTP2) Set(l HTTP2Limits) { f.limits.Store(&l) }
 
-// Serve accepts until the listener is closed. Set must have been called.
+// Serve accepts connections until the listener is closed. SetLimits must have been called.
 func (f *HTTP2) Serve(l net.Listener) {
 	f.ends.Store(&l)
 	f.Clients.accept(l, f.admit)
 }
 
-// Windows and queues of a connection, by the memory that all bodies may take.
+// Bounds of a connection's receive window, which is derived from the memory for all bodies.
 const (
 	windowLeast = 64 << 10
 	windowMost  = 1 << 20
 )
 
-// streams is one client's connection. A goroutine reads and one writes; the machine is under
-// mu, which is never held while either waits. The core's goroutine only leaves its answers in
-// the mail.
+// http2Session is one client's HTTP/2 connection. One goroutine reads and one writes; the state machine is guarded by mu,
+// which is never held while either waits. The core's goroutine only leaves its answers in the inbox.
 type streams struct {
 	sessionState
 	front  *HTTP2
 	limits *HTTP2Limits
 	excess bool
 
-	arrival *arrival // of the reading goroutine
+	arrival *arrival // used by the reading goroutine
 
 	mu     sync.Mutex
 	m      *http2.Conn
-	came   time.Time // when the last bytes that were read came to this machine
-	busy   bool      // the table knows that there are streams
+	came   time.Time // when the bytes of the last read reached this machine
+	busy   bool      // the table counts the session as having open streams
 	over   bool
-	ending core.Ending // once over
+	ending core.Ending // set when the connection has ended
 	out    bool        // the last byte is written, and the sending side closed
-	armed  time.Time   // that the writer wakes by itself; zero if it does not
+	armed  time.Time   // when the writer wakes by itself; zero if it does not
 
 	mail struct {
 		sync.Mutex
 		list, spare []letter
-		held        int  // bytes of answers that Clients holds for them
+		held        int  // bytes of answers reserved in the total of Clients
 		closed      bool // nobody reads it any more
 	}
 	wake    chan struct{} // to the writer
-	flushed chan struct{} // closed by the writer, after the last byte
-	quit    chan struct{} // closed by the reader, when the connection is gone
+	flushed chan struct{} // closed by the writer after the last byte
+	quit    chan struct{} // closed by the reader when the connection is closed
 }
 
-// streamReq is a stream that carries a req, and the req's Client.
+// streamReq is a stream that carries a request, and the request's core.Client.
 type streamReq struct {
 	s      *streams
 	id     uint32
@@ -88,7 +86,7 @@
 	ticket core.Ticket
 }
 
-// Answer leaves the final answer in the mail.
+// Answer leaves the final answer in the inbox.
 func (r *streamReq) Answer(a core.Answer) { r.s.post(letter{id: r.id, answer: a}) }
 
 func (r *streamReq) abandon() {
@@ -158,12 +156,12 @@
 	s.note(guard.SessionClosed, e)
 }
 
-// read feeds the machine until the connection is over, or ends otherwise.
+// read passes bytes to the state machine until it ends the connection (over), or the connection ends otherwise.
 func (s *streams) read() (e core.Ending, over bool) {
 	for {
 		s.mu.Lock()
 		space, over, begun := s.m.Space(), s.over, s.m.Begun()
-		if !over { // under the lock: the writer's wake-up, at the end, must not be undone
+		if !over { // under the lock, so that the writer's wake-up at the end is not undone
 			s.wait(begun, s.m.Live())
 		}
 		s.mu.Unlock()
@@ -184,13 +182,13 @@
 		came := s.arrival.at(now)
 		s.mu.Lock()
 		s.came = came
-		s.sort() // what was decided before these bytes were read is not lost by what they say
+		s.sort() // answers decided before these bytes were read must not be lost by what the bytes say
 		s.m.Filled(n, now)
-		if !begun { // bytes that make no preface are no reason to be kept longer than silence
+		if !begun { // bytes that are no complete preface don't protect a session any longer than silence
 			s.front.Clients.table.begun(&s.sessionState)
 		}
 		s.events()
-		if s.front.Clients.told().Hint && s.m.Begun() { // it came too late for hint to find it
+		if s.front.Clients.told().Hint && s.m.Begun() { // it began after announceDrain had run
 			s.m.Drain(time.Now())
 			s.events()
 		}
@@ -203,15 +201,14 @@
 	}
 }
 
-// wait sets the time to wait for bytes: for the preface from connecting on, between reqs as
-// long as HTTP/1.1 does, and without end while streams are open, which have times of their own.
-// s.mu is held.
+// setReadDeadline sets how long to wait for bytes: for the preface from connecting on, between requests as long as HTTP/1.1
+// does, and without limit while streams are open, which have timeouts of their own. s.mu is held.
 func (s *streams) wait(begun bool, live int) {
 	t := &s.front.Clients.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
-	case s.shed && s.ending == 0: // else it has had its last look, and serves what it has
+	case s.shed && s.ending == 0: // otherwise it has had its last read, and only finishes its open streams
 		s.conn.SetReadDeadline(time.Now().Add(lastLook))
 	case !begun:
 		s.conn.SetReadDeadline(s.since.Add(firstWait))
@@ -222,8 +219,8 @@
 	}
 }
 
-// late finds out why a read ended without bytes: the writer has ended the connection, the
-// session is shed, or its client was silent for too long.
+// readTimedOut handles a read that ended without bytes: the writer has ended the connection, the session was told to close,
+// or its client was silent for too long.
 func (s *streams) late() (core.Ending, bool) {
 	t := &s.front.Clients.table
 	shed := t.isShed(&s.sessionState)
@@ -250,12 +247,12 @@
 	return 0, false
 }
 
-// write writes what the machine has, whenever there is something, and minds the machine's times.
+// write writes what the state machine has to send, and wakes for its timeouts.
 func (s *streams) write() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	var spare []byte
-	var last time.Time // for the rest, once the connection is over
+	var last time.Time // deadline for all remaining bytes, once the connection has ended
 	for {
 		select {
 		case <-s.wake:
@@ -272,7 +269,7 @@
 			next := s.m.Expire(time.Now())
 			s.events()
 			s.m.Pending()
-			s.events() // the last answer of a connection that drains has been framed
+			s.events() // a connection that drains ends when its last answer has been framed
 			b := s.m.Take(spare)
 			over := s.over
 			if next != s.armed {
@@ -293,8 +290,8 @@
 				s.conn.SetWriteDeadline(until)
 				if _, err := s.conn.Write(b); err != nil {
 					s.stalled(err)
-					s.conn.Close()   // the reader sees that,
-					close(s.flushed) // or waits for it already
+					s.conn.Close()   // the reader notices this,
+					close(s.flushed) // or waits for flushed already
 					return
 				}
 			}
@@ -313,15 +310,15 @@
 	}
 }
 
-// keepMost is the largest buffer that an idle connection keeps for output.
+// maxIdleWriteBuffer is the largest output buffer that an idle connection keeps.
 const keepMost = 16 << 10
 
-// settle tells the table when the last stream has ended. s.mu is held.
+// noteIdle tells the table when the last stream has ended. s.mu is held.
 func (s *streams) settle() {
 	if !s.busy || s.m.Live() > 0 || s.over {
 		return
 	}
-	s.m.Pending() // frames what is to go out: a stream ends with that
+	s.m.Pending() // frames the pending output: a stream ends with that
 	if s.m.Live() > 0 {
 		return
 	}
@@ -334,14 +331,14 @@
 	t.trim(s.front.Clients.usual())
 }
 
-// hint has all connections go away without loss; new ones are told as soon as they have begun. The
-// sessions themselves are in Clients' table.
+// announceDrain tells all connections to drain, without loss of requests; new ones are told as soon as they have begun. The
+// sessions themselves are in the table of Clients.
 func (f *HTTP2) hint() {
 	f.open.Range(func(key, _ any) bool {
 		s := key.(*streams)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.m.Begun() { // one whose first bytes are on their way is told by its reader
+		if s.m.Begun() { // a connection whose first bytes are still on their way is told by its reader
 			s.m.Drain(time.Now())
 			s.events()
 			s.nudge()
@@ -350,7 +347,7 @@
 	})
 }
 
-// shut accepts nobody any more.
+// closeListener stops accepting for good.
 func (f *HTTP2) shut() {
 	if l := f.ends.Load(); l != nil {
 		(*l).Close()
--- a/internal/network/http2_bench_test.go
+++ b/internal/network/http2_bench_test.go
@@ -19,11 +19,10 @@
 	"golang.org/x/net/http2"
 )
 
-// The measurements of docs/design/http2.md. All that is compared runs in one process, one after
-// another, with one client that does as little as it can: what differs is the server.
+// The measurements of docs/design/http2.md. All variants run in one process, one after another, with one minimal client, so
+// that only the server differs.
 
-// xnet is x/net's server with a trivial handler, or with one that goes through a core as our
-// front does.
+// startXNet starts x/net's server with a trivial handler, or with one that goes through a core as our front does.
 func xnet(t testing.TB, h http.Handler) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -48,7 +47,7 @@
 
 var nextID atomic.Uint64
 
-// literal is a field as HPACK writes it without tables (RFC 7541 section 6.2.2).
+// hpackLiteral appends a field as HPACK writes it without tables (RFC 7541 section 6.2.2).
 func literal(b []byte, name, value string) []byte {
 	b = append(b, 0, byte(len(name)))
 	b = append(b, name...)
@@ -56,15 +55,15 @@
 	return append(b, value...)
 }
 
-// phone is an HTTP/2 client that does as little as it can.
+// benchClient is a minimal HTTP/2 client.
 type phone struct {
 	conn  net.Conn
 	r     *bufio.Reader
-	head  []byte // a whole HEADERS frame, its stream and id to be put in
+	head  []byte // a whole HEADERS frame, into which stream and id are written
 	idAt  int
 	body  []byte // a whole DATA frame
 	next  uint32
-	spare int // answers' bytes since the last WINDOW_UPDATE
+	spare int // bytes of answers since the last WINDOW_UPDATE
 }
 
 func dialPhone(t testing.TB, address string) *phone {
@@ -84,7 +83,7 @@
 	return p
 }
 
-// ask writes the frames of a req with a body of 512 bytes.
+// appendReq appends the frames of a request with a body of 512 bytes.
 func (p *phone) ask(b []byte) []byte {
 	binary.BigEndian.PutUint32(p.head[5:], p.next)
 	binary.BigEndian.PutUint32(p.body[5:], p.next)
@@ -96,7 +95,7 @@
 	return append(append(b, p.head...), p.body...)
 }
 
-// answers reads frames until n streams have ended, and says how many ended well.
+// readAnswers reads frames until n streams have ended, and returns how many ended normally.
 func (p *phone) answers(n int) (ended int, err error) {
 	var h [9]byte
 	for ended < n {
@@ -131,7 +130,7 @@
 	return ended, nil
 }
 
-// load sends n reqs, width of them open at a time: as many again as answers have come.
+// load sends n requests, keeping width of them open at a time.
 func (p *phone) load(n, width int) error {
 	out, sent := make([]byte, 0, 64<<10), 0
 	for done, room := 0, width; done < n; {
@@ -157,7 +156,7 @@
 	return nil
 }
 
-// loadPlain sends n reqs over HTTP/1.1, over so many connections at once.
+// loadHTTP1 sends n requests over HTTP/1.1, on width connections at once.
 func loadPlain(t testing.TB, address string, n, width int) error {
 	var all sync.WaitGroup
 	errs := make(chan error, width)
@@ -205,8 +204,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkFronts compares our two fronts with x/net's server: reqs a second, processor time and
-// bytes for a req. The client's part, which is the same for all that speak HTTP/2, is included.
+// BenchmarkFronts compares our two fronts with x/net's server: requests a second, processor time and bytes per request. The
+// client's part is included; it is the same for all variants of HTTP/2.
 func BenchmarkFronts(b *testing.B) {
 	s := serveReal(b, instant{"done"})
 	through := xnet(b, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.pass(w, r) }))
@@ -234,7 +233,7 @@
 	}
 }
 
-// pass is what a handler on x/net's server has to do to go through the same core.
+// handleThroughCore is what a handler on x/net's server has to do to use the same core.
 func (s *served) pass(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -256,7 +255,7 @@
 	_, _ = io.WriteString(w, a.Result)
 }
 
-// BenchmarkIdle measures what an idle connection holds that has served one req: heap and stacks.
+// BenchmarkIdle measures the memory of an idle connection that has served one request: heap and stacks.
 func BenchmarkIdle(b *testing.B) {
 	const conns = 200
 	for _, name := range []string{"http1", "http2", "xnet-trivial"} {
@@ -304,9 +303,8 @@
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// BenchmarkAbuse measures what usual clients keep while two connections, opened again as soon as
-// they are closed, abuse the HTTP/2 front at full speed: the part of 400 reqs a second, half by
-// each front, that is served within 120 ms.
+// BenchmarkAbuse measures how regular clients are served while two connections, reopened as soon as they are closed, abuse the
+// HTTP/2 front at full speed: the part of 400 requests a second, half by each front, that is served within 120 ms.
 func BenchmarkAbuse(b *testing.B) {
 	raw := func(kind, flags byte, id uint32, payload string) string {
 		n := len(payload)
@@ -365,7 +363,7 @@
 	}
 }
 
-// abuse sends frames until it is stopped, over one connection after another.
+// abuse sends frames until it is stopped, on one connection after another.
 func abuse(address, first string, frame func(uint32) string, stop <-chan struct{}) {
 	for {
 		conn, err := net.Dial("tcp", address)
@@ -385,7 +383,7 @@
 			for k := uint32(0); k < 200; k += 2 {
 				batch.WriteString(frame(id + k))
 			}
-			if batch.Len() == 0 { // one who only connects
+			if batch.Len() == 0 { // a client that only connects
 				time.Sleep(time.Millisecond)
 				break
 			}
@@ -395,8 +393,7 @@
 	}
 }
 
-// usual sends so many reqs a second, whether answered or not, and returns the part that was
-// served within 120 ms.
+// regularTraffic sends perSec requests a second, whether answered or not, and returns the part that was served within 120 ms.
 func usual(b *testing.B, s *served, perSec int, long time.Duration) float64 {
 	clients := [2]*http.Client{}
 	for i := range clients {
--- a/internal/network/http2_caller_test.go
+++ b/internal/network/http2_caller_test.go
@@ -22,18 +22,18 @@
 	"tinsail/internal/platform"
 )
 
-// Events that cross each other on an HTTP/2 connection, over loopback sockets. What comes first is
-// forced by who holds what: a backend its attempt, a client its bytes, a socket that a test wraps a call.
-// Times only bound how long a test that fails waits.
+// Helpers for tests of events that cross each other on an HTTP/2 connection, over loopback sockets. Which comes first is forced:
+// a backend holds its attempt, a client its bytes, or a wrapped socket a call. Time limits only bound how long a failing test
+// waits.
 const patience = 20 * time.Second
 
-// soon waits for what is to come, however loaded the machine is.
+// eventually waits for a condition, however loaded the machine is.
 func soon(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	require.Eventually(t, is, patience, time.Millisecond, what)
 }
 
-// came waits for an event.
+// receive waits for an event.
 func came[T any](t *testing.T, what string, c <-chan T) (v T) {
 	t.Helper()
 	select {
@@ -44,7 +44,7 @@
 	return v
 }
 
-// holding are backends that begin each attempt and leave the rest to the test.
+// holdingBackends start each attempt and leave the rest to the test.
 type holding struct {
 	instant
 	out chan *core.Attempt
@@ -58,7 +58,7 @@
 	return func() {}
 }
 
-// wrapped is a listener whose connections a test wraps.
+// wrappingListener is a listener whose connections a test wraps.
 type wrapped struct {
 	*net.TCPListener
 	wrap func(*net.TCPConn) net.Conn
@@ -72,7 +72,7 @@
 	return w.wrap(conn), nil
 }
 
-// listen opens one more port of the front, with connections that are wrapped.
+// listenHTTP2 opens one more port of the front, whose connections are wrapped.
 func (s *served) listen(t *testing.T, wrap func(*net.TCPConn) net.Conn) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -81,20 +81,20 @@
 	return l.Addr().String()
 }
 
-// narrow keeps little of what is written to a connection in the kernel.
+// smallWriteBuffer has the kernel hold little of what is written to a connection.
 func narrow(conn *net.TCPConn) net.Conn {
 	conn.SetWriteBuffer(4 << 10)
 	return conn
 }
 
-// limits changes what connections are told from now on.
+// changeLimits changes the limits of connections from now on.
 func (s *served) limits(change func(*HTTP2Limits)) {
 	l := *s.http2.limits.Load()
 	change(&l)
 	s.http2.Set(l)
 }
 
-// streamsNow are the front's connections.
+// sessions returns the front's connections.
 func (s *served) streamsNow() (all []*streams) {
 	s.http2.open.Range(func(key, _ any) bool {
 		all = append(all, key.(*streams))
@@ -103,7 +103,7 @@
 	return all
 }
 
-// caller is an HTTP/2 client of x/net's Framer. What it sends is gathered, and goes out in one write.
+// http2Client is an HTTP/2 client that uses x/net's Framer. What it sends is collected and goes out in one write.
 type caller struct {
 	t    *testing.T
 	conn *net.TCPConn
@@ -112,8 +112,8 @@
 	dec  *hpack.Decoder
 }
 
-// phoneUp connects, and says hello with windows that are wide open. read is its receive buffer; 0 for
-// the usual one.
+// connectHTTP2 connects and sends the preface with windows that are wide open. read is the size of its receive buffer; 0 for
+// the default.
 func phoneUp(t *testing.T, address string, read int) *caller {
 	c := connect(t, address, read)
 	c.hello()
@@ -140,7 +140,7 @@
 	c.fr.WriteWindowUpdate(0, 1<<30)
 }
 
-// ask gathers a req without a body.
+// appendReq collects a request without a body.
 func (c *caller) ask(stream uint32, fields ...string) {
 	var block bytes.Buffer
 	enc := hpack.NewEncoder(&block)
@@ -160,17 +160,17 @@
 	c.ask(stream, ":method", "GET", ":scheme", "http", ":path", path)
 }
 
-// bad gathers what ends a connection: DATA on a stream that was never opened.
+// appendInvalid collects a frame that ends a connection: DATA on a stream that was never opened.
 func (c *caller) bad() { c.fr.WriteRawFrame(http2.FrameData, 0, 99999, []byte("x")) }
 
-// send writes what is gathered.
+// flush writes what is collected.
 func (c *caller) send() {
 	_, err := c.conn.Write(c.out.Bytes())
 	require.NoError(c.t, err)
 	c.out.Reset()
 }
 
-// next is the next frame in short; "end" once the peer has closed, "reset" if it broke off.
+// nextFrame returns the next frame and a short text of it: "end" once the peer has closed, "reset" if the connection broke.
 func (c *caller) next() (word string, f http2.Frame) {
 	c.conn.SetReadDeadline(time.Now().Add(patience))
 	f, err := c.fr.ReadFrame()
@@ -197,7 +197,7 @@
 	return strings.ToLower(f.Header().Type.String()), f
 }
 
-// until reads up to a frame.
+// readUntil reads up to a frame.
 func (c *caller) until(want string) {
 	c.t.Helper()
 	for {
@@ -209,8 +209,8 @@
 	}
 }
 
-// answers reads to the end and counts the bytes of each stream that had its answer whole. last is how
-// the connection ended.
+// readAnswers reads to the end and counts the bytes of each stream that had its complete answer. last is how the connection
+// ended.
 func (c *caller) answers() (whole map[uint32]int, last string) {
 	got := map[uint32]int{}
 	whole = map[uint32]int{}
@@ -232,14 +232,14 @@
 	}
 }
 
-// open waits for so many reqs to be owed an answer.
+// waitOpenReqs waits until n requests are open.
 func (s *served) owes(t *testing.T, n int) {
 	t.Helper()
 	soon(t, fmt.Sprint(n, " reqs are owed an answer"), func() bool { return s.clients.Core.Open() == n })
 }
 
-// gone waits until nothing is owed any more, and checks that the reqs were abandoned: not that they had an
-// answer that nobody heard, at their deadline at the latest.
+// waitAbandoned waits until no request is open, and checks that the requests were abandoned rather than answered, at the latest
+// at their deadline, with nobody to read the answer.
 func (s *served) gone(t *testing.T) {
 	t.Helper()
 	s.owes(t, 0)
@@ -247,15 +247,15 @@
 	assert.Zero(t, n.AnswersServed.Load()+n.AnswersRefused.Load()+n.AnswersFailed.Load(), "answered, not abandoned")
 }
 
-// empty checks that nothing is left of the sessions.
+// checkNoSessions checks that nothing is left of the sessions.
 func (s *served) empty(t *testing.T) {
 	t.Helper()
 	soon(t, "no session", func() bool { return s.clients.Open() == 0 && len(s.streamsNow()) == 0 })
 	assert.Zero(t, s.clients.held.Load(), "bytes are held for nobody")
 }
 
-// full is a client that has a req out and then reads nothing, so that the front's writer waits for it.
-// What the front writes is of /counters, a megabyte.
+// blockWriter connects a client that has a request open and then reads nothing, so that the front's writer waits for it. What
+// the front writes is the reply to /counters, a megabyte.
 func (s *served) full(t *testing.T, out chan *core.Attempt) (*caller, *core.Attempt) {
 	c := phoneUp(t, s.listen(t, narrow), 4<<10)
 	c.post(1)
@@ -267,7 +267,7 @@
 	return c, a
 }
 
-// lateWriter is the front's end of a connection whose first long write waits until goOn is closed.
+// pausedWriter is the front's end of a connection whose first long write waits until resume is closed.
 type lateWriter struct {
 	*net.TCPConn
 	once    sync.Once
@@ -285,7 +285,7 @@
 	return l.TCPConn.Write(b)
 }
 
-// late is full, for a client that reads after all once goOn is closed.
+// pauseWriter is like blockWriter, for a client that reads after all once resume is closed.
 func (s *served) late(t *testing.T, out chan *core.Attempt) (*caller, *core.Attempt, *lateWriter) {
 	l := &lateWriter{writing: make(chan struct{}), goOn: make(chan struct{})}
 	c := phoneUp(t, s.listen(t, func(conn *net.TCPConn) net.Conn {
@@ -301,7 +301,7 @@
 	return c, a, l
 }
 
-// serveLong is a dispatcher whose reqs have an hour: what ends one here is not its deadline.
+// startWithLongDeadlines starts a dispatcher whose requests have an hour, so that no deadline ends them in a test.
 func serveLong(t *testing.T, b core.Backends, change ...func(*Clients)) *served {
 	long := func(c *Clients) { c.Names.Limits, c.Longest = []time.Duration{time.Hour}, time.Hour }
 	return serveReal(t, b, append([]func(*Clients){long}, change...)...)
@@ -315,7 +315,7 @@
 	return s
 }
 
-// dialing is a pool of backends whose connections come up when the test says so.
+// heldDials is a pool of backends whose connections come up when the test says so.
 type dialing struct {
 	pool  *Pool
 	asked chan struct{}
--- a/internal/network/http2_crossing_test.go
+++ b/internal/network/http2_crossing_test.go
@@ -15,7 +15,7 @@
 	"tinsail/internal/core"
 )
 
-// ends are ways in which a client takes its reqs back.
+// cancellations are the ways in which a client cancels its requests.
 var ends = map[string]func(*caller){
 	"RST_STREAM": func(c *caller) { c.fr.WriteRSTStream(1, http2.ErrCodeCancel); c.send() },
 	"FIN":        func(c *caller) { c.conn.CloseWrite() },
@@ -41,15 +41,15 @@
 		c.send()
 	},
 	"a flood that is too much": func(c *caller) {
-		for range 12000 { // more than what the answer that waits makes up for
+		for range 12000 { // more than the allowance that the waiting answer gives
 			c.fr.WriteWindowUpdate(0, 1)
 		}
 		c.send()
 	},
 }
 
-// TestHTTP2Gone: however a client takes its req back, the core hears of it at once, whether the front's
-// writer is free or waits for that client.
+// TestHTTP2ClientCancels: however a client cancels its request, the core learns of it at once, whether the front's writer is
+// idle or waits for that client.
 func TestHTTP2Gone(t *testing.T) {
 	for name, end := range ends {
 		t.Run(name+"/writer free", func(t *testing.T) {
@@ -72,14 +72,14 @@
 			s.owes(t, 1)
 			end(c)
 			s.gone(t)
-			c.conn.Close() // with bytes unread, which resets it
+			c.conn.Close() // resets the connection, as bytes are unread
 			s.empty(t)
 		})
 	}
 }
 
-// TestHTTP2GoneWhileDialing: nothing is begun for a client that took its req back while the connection
-// to the backend was being made.
+// TestHTTP2ClientCancelsWhileDialing: no attempt begins for a client that cancelled its request while the connection to the
+// backend was being made.
 func TestHTTP2GoneWhileDialing(t *testing.T) {
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestHTTP2ClientGoAway: a client that only says that it opens no more streams has not gone, and nor has
-// one that says so while its connection to a backend is being made.
+// TestHTTP2ClientGoAway: a GOAWAY from the client says only that it opens no more streams. It does not cancel a request, even
+// while its connection to a backend is being made.
 func TestHTTP2ClientGoAway(t *testing.T) {
 	d := newDialing(t)
 	s := serveLong(t, d.pool)
@@ -119,24 +119,24 @@
 	soon(t, "the req's bytes", func() bool { return d.bytes() > 0 })
 }
 
-// lastConn is the front's end of a connection that ends with an answer which its client has not read.
+// lingeringConn is the front's end of a connection that ends with an answer which its client has not read.
 type lastConn struct {
 	*net.TCPConn
-	out     func() bool   // the front has written its last byte
-	stays   chan struct{} // it has set how long its client may read
-	woken   chan struct{} // ... and its writer has woken its reader for the end
-	reads   chan struct{} // it is to read what its client goes on sending, which waits for goOn
+	out     func() bool   // reports whether the front has written its last byte
+	stays   chan struct{} // the front has set how long its client may read
+	woken   chan struct{} // its writer has woken its reader for the end
+	reads   chan struct{} // it is about to read what its client still sends, and waits for resume
 	goOn    chan struct{}
 	again   chan struct{} // it reads once more after bytes that crossed the end
-	crossed chan struct{} // these were sent; no close comes before
+	crossed chan struct{} // these bytes were sent; the connection is not closed before
 	closed  chan struct{}
 	onces   [4]sync.Once
 	count   int
-	halved  atomic.Bool // its side is closed
-	waits   atomic.Bool // in a Read that began before the end, for which the wake-up is
+	halved  atomic.Bool // the front's sending side is closed
+	waits   atomic.Bool // in a Read that began before the end, for which the wake-up is meant
 }
 
-// big is more than a client with a small receive buffer takes by itself: the rest stays with the front.
+// bigResult is more than a client with a small receive buffer takes without reading: the rest stays with the front.
 var big = strings.Repeat("b", 700<<10)
 
 func (l *lastConn) once(i int, c chan struct{}) { l.onces[i].Do(func() { close(c) }) }
@@ -144,10 +144,10 @@
 func (l *lastConn) SetReadDeadline(until time.Time) error {
 	now := time.Now()
 	wakes := !until.IsZero() && !until.After(now)
-	if !wakes && until.Before(now.Add(lastLook+time.Millisecond)) && !until.IsZero() { // a look, on a loaded machine
+	if !wakes && until.Before(now.Add(lastLook+time.Millisecond)) && !until.IsZero() { // a final read, made longer for a loaded machine
 		until = now.Add(time.Second)
 	}
-	if wakes && l.out() && !l.waits.Load() { // after flushed was closed: this can undo what the reader sets
+	if wakes && l.out() && !l.waits.Load() { // after flushed was closed: this could undo what the reader sets
 		<-l.stays
 	}
 	err := l.TCPConn.SetReadDeadline(until)
@@ -192,9 +192,9 @@
 	return err
 }
 
-// TestHTTP2Linger: a client reads an answer that was written before its connection ended, although it
-// goes on sending: the writer's wake-up at the end does not undo the time that it has for that, and nor
-// does the table when it ends all sessions in a shutdown.
+// TestHTTP2Linger: a client reads an answer that was written before its connection ended, although it still sends. The time
+// that it has for that is not undone by the writer's wake-up at the end, nor by the table when it closes all sessions in a
+// shutdown.
 func TestHTTP2Linger(t *testing.T) {
 	for name, end := range map[string]func(s *served, c *caller, a *core.Attempt){
 		"an error of the client's": func(_ *served, c *caller, a *core.Attempt) {
--- a/internal/network/http2_end.go
+++ b/internal/network/http2_end.go
@@ -10,18 +10,18 @@
 	"tinsail/internal/platform"
 )
 
-// shedLinger is how long a session that is shed stays for its client to read what it was sent
-// last: streams that cross the GOAWAY would turn a close at once into a reset.
+// shedLingerTimeout is how long a session that was told to close waits for its client to read what was sent last: an immediate
+// close would reset the connection if streams cross the GOAWAY.
 const shedLinger = 100 * time.Millisecond
 
-// lingerBytes is how much of what a client goes on sending is read and dropped after the end.
+// maxHTTP2LingerBytes is how much of what a client sends after the end is read and discarded.
 const lingerBytes = 4 * platform.MaxBody
 
-// halfCloser is a connection that can say that no more bytes follow, and still be read.
+// halfCloser is a connection whose sending side can be closed while it is still read.
 type halfCloser interface{ CloseWrite() error }
 
-// giveUp calls off the reqs that can have no answer any more, as soon as the connection is over: their
-// client is not waited for to read what was sent last. s.mu is held.
+// abandonLost abandons the requests that can have no answer any more, as soon as the connection has ended. It does not wait
+// for the client to read what was sent last. s.mu is held.
 func (s *streams) giveUp() {
 	for _, st := range s.m.Lost() {
 		if r, ok := st.Data.(*streamReq); ok {
@@ -31,8 +31,8 @@
 	}
 }
 
-// finish tells the client, and the reader, that the last byte is written. The reader is woken before
-// flushed is closed and under the lock: what it sets from then on for its client to read must not be undone.
+// closeSend closes the sending side after the last byte and wakes the reader. The reader is woken under the lock and before
+// flushed is closed: a read deadline that it sets for its client from then on must not be undone.
 func (s *streams) finish() {
 	s.mu.Lock()
 	s.out = true
@@ -44,13 +44,13 @@
 	close(s.flushed)
 }
 
-// linger reads on and drops what comes, while the last bytes are written and until the client has had
-// time to read them: a close with unread bytes would destroy them on their way, and a client that
-// writes before it reads would never come to read.
+// linger reads on and discards what arrives, while the last bytes are written and until the client has had time to read them.
+// A close with unread bytes would destroy the last bytes on their way, and a client that writes before it reads would never
+// come to read them.
 func (s *streams) linger() {
 	if _, ok := s.conn.(halfCloser); ok {
 		waste := make([]byte, 4<<10)
-		var until time.Time // once all is written
+		var until time.Time // set once all is written
 		for left, stays := lingerBytes, true; left > 0 && stays; {
 			stays = s.stays(&until)
 			n, err := s.conn.Read(waste)
@@ -60,12 +60,12 @@
 			}
 		}
 	}
-	<-s.flushed // within the time that an answer may wait for its client
+	<-s.flushed // within the stall timeout of a write
 }
 
-// stays says whether the session is to stay for its client beyond the next read, and sets how long that may wait. The
-// table may wake that read at any time, to have the session end. For a shutdown it does so with every
-// session, and this one ends in time anyhow; else the descriptor is wanted.
+// keepLingering reports whether to read once more for the client, and sets how long that read may wait. The table may wake the
+// read at any time so that the session ends. In a shutdown it wakes every session, and this one ends in time anyhow; at other
+// times its descriptor is needed.
 func (s *streams) stays(until *time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,30 +85,30 @@
 		s.conn.SetReadDeadline(*until)
 		return true
 	}
-	s.conn.SetReadDeadline(now.Add(lastLook)) // a read whose time is up does not look whether bytes are there
+	s.conn.SetReadDeadline(now.Add(lastLook)) // a read after its deadline returns without checking for bytes
 	return false
 }
 
-// lingers is for how long the client may read what was sent last.
+// lingerDuration returns how long the client may take to read what was sent last.
 func (s *streams) lingers(now time.Time) time.Duration {
 	c := s.front.Clients
 	stay := lingerWait
 	switch s.ending {
-	case core.SessionShed: // its descriptor is wanted
+	case core.SessionShed: // its descriptor is needed
 		stay = shedLinger
 	case core.ClientBad:
 		if !c.table.linger(&s.sessionState, c.most()/8+1) {
 			stay = lastLook
 		}
 	}
-	// In a shutdown sessions have to be gone before the kill.
+	// In a shutdown sessions must be closed before the process is killed.
 	if end := c.told().Until; !end.IsZero() {
 		stay = max(min(stay, end.Sub(now)), lastLook)
 	}
 	return stay
 }
 
-// stalled ends a connection whose client took no byte for the whole time that a write may last.
+// writeFailed ends a connection whose client took no byte for the whole time that a write may last.
 func (s *streams) stalled(err error) {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return
@@ -121,14 +121,14 @@
 	}
 }
 
-// turnAway ends a connection that there was no room for, which has been told so. It is not waited for
-// here, is not in the table any more, and lingers for its client only while few do.
+// reject ends a connection that there is no descriptor for, after the client was told so. It does not wait for the client.
+// The session is not in the table any more, and lingers only while few rejected ones do.
 func (s *streams) turnAway() {
 	s.over, s.ending = true, core.SessionShed
 	c := s.front.Clients
 	c.Count.Endings[s.ending].Add(1)
 	s.finish()
-	if c.turned.Add(1) > turnedMost { // their descriptors are among the few that Share keeps back
+	if c.turned.Add(1) > turnedMost { // their descriptors are among the few that SplitDescriptors reserves
 		c.turned.Add(-1)
 		s.conn.Close()
 		return
--- a/internal/network/http2_flood_test.go
+++ b/internal/network/http2_flood_test.go
@@ -14,7 +14,7 @@
 	ours "tinsail/internal/http2"
 )
 
-// open gathers the head of a req whose body is to come.
+// appendHead collects the head of a request whose body follows.
 func (c *caller) open(stream uint32, ends bool) {
 	var block bytes.Buffer
 	enc := hpack.NewEncoder(&block)
@@ -25,8 +25,8 @@
 	c.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, BlockFragment: block.Bytes(), EndHeaders: ends})
 }
 
-// TestHTTP2FloodAndGo: clients that flood and close at once leave nothing behind, each end is counted once and
-// for what it was, and a client beside them is served.
+// TestHTTP2FloodThenClose: clients that flood and close at once leave nothing behind, each is counted once and by its kind, and
+// another client is served meanwhile.
 func TestHTTP2FloodAndGo(t *testing.T) {
 	floods := map[ours.Abuse]func(*caller){
 		ours.Ping: func(c *caller) {
@@ -90,7 +90,7 @@
 			c := connect(t, s.address[1], 0)
 			c.hello()
 			flood(c)
-			c.conn.Write(c.out.Bytes()) // the front may have ended it before all is written
+			c.conn.Write(c.out.Bytes()) // the front may have closed before all is written
 			c.conn.CloseWrite()
 			serve()
 		}
--- a/internal/network/http2_mail.go
+++ b/internal/network/http2_mail.go
@@ -7,23 +7,23 @@
 	"tinsail/internal/http2"
 )
 
-// letter is news of a stream from the core: its final answer, or that nothing of it is out any
-// more after it was abandoned.
+// inboxItem is an event of a stream from the core: its final answer, or that nothing of it is at a backend any more after it
+// was abandoned.
 type letter struct {
 	id     uint32
 	free   bool
-	lost   bool // there was no room for the answer
-	held   int  // bytes of it that Clients holds
+	lost   bool // there was no memory for the answer
+	held   int  // bytes of it that are reserved in the total of Clients
 	answer core.Answer
 }
 
-// smallLetter is the longest answer, in bytes, that waits in the mail without being asked for: no longer than what
-// the machine holds so.
+// smallAnswer is the longest answer, in bytes, that waits in the inbox without a reservation; the state machine uses the same
+// bound.
 const smallLetter = 1 << 10
 
-// post leaves news in the mail. Called from the core's goroutine, which waits for no connection. Answers wait
-// here while a client reads nothing, and are held like any other bytes for clients: no connection has
-// more of them than of answers that wait for its windows.
+// post puts an item into the inbox. It is called from the core's goroutine, which must not wait for a connection. Answers
+// stay here while a client reads nothing, and are counted like any other bytes buffered for clients. One connection may hold
+// no more of them than of answers that wait for its flow-control windows.
 func (s *streams) post(l letter) {
 	c := s.front.Clients
 	s.mail.Lock()
@@ -44,7 +44,7 @@
 	s.nudge()
 }
 
-// shutMail gives back what is held for the mail of a connection that is gone.
+// closeInbox releases what is reserved for the inbox of a connection that is closed.
 func (s *streams) shutMail() {
 	s.mail.Lock()
 	defer s.mail.Unlock()
@@ -52,7 +52,7 @@
 	s.mail.closed, s.mail.held, s.mail.list, s.mail.spare = true, 0, nil, nil
 }
 
-// sort takes what is in the mail to the machine. s.mu is held.
+// processInbox passes the items of the inbox to the state machine. s.mu is held.
 func (s *streams) sort() {
 	c := s.front.Clients
 	s.mail.Lock()
@@ -62,7 +62,7 @@
 		return
 	}
 	s.mail.list = s.mail.spare[:0]
-	c.held.Add(-int64(s.mail.held)) // the machine asks for what it keeps
+	c.held.Add(-int64(s.mail.held)) // the state machine reserves what it keeps
 	s.mail.held = 0
 	s.mail.Unlock()
 	now := time.Now()
--- a/internal/network/http2_real_test.go
+++ b/internal/network/http2_real_test.go
@@ -28,8 +28,7 @@
 	"tinsail/internal/platform"
 )
 
-// instant are backends that serve every job at once: what is measured or tested then is all
-// before them.
+// instantBackends serve every job at once, so that only what lies in front of the backends is measured or tested.
 type instant struct{ result string }
 
 func (b instant) Send(a *core.Attempt) func() {
@@ -41,7 +40,7 @@
 func (instant) HangUp(*core.Backend)                                     {}
 func (instant) Subscribe()                                               {}
 
-// served is a dispatcher with both fronts on real sockets.
+// testServer is a dispatcher with both fronts on real sockets.
 type served struct {
 	clients *Clients
 	http2   *HTTP2
@@ -81,8 +80,7 @@
 	return s
 }
 
-// TestConformance plays the public cases of h2spec: RFC 9113 (there still by its older number)
-// sections 3 to 8 and RFC 7541.
+// TestConformance runs the public cases of h2spec: RFC 9113 sections 3 to 8 (h2spec still uses its older number) and RFC 7541.
 func TestConformance(t *testing.T) {
 	s := serveReal(t, instant{"done"})
 	_, port, err := net.SplitHostPort(s.address[1])
@@ -115,7 +113,7 @@
 	}
 }
 
-// platformRequest and jobOf are what a handler on another server would have to do.
+// platformRequest and jobOf do what a handler on another server would have to do.
 func platformRequest(r *http.Request, body []byte) platform.Request {
 	q := platform.Request{Method: r.Method, Target: r.URL.RequestURI(), Body: body}
 	for f, name := range platform.FieldNames {
@@ -130,12 +128,12 @@
 	return &core.Job{Method: q.Method, Target: q.Target, ID: w.ID, IdempotencyKey: w.IdempotencyKey, Body: q.Body}
 }
 
-// waiter is a Client that waits.
+// answerChan is a core.Client that passes its answer on.
 type waiter chan core.Answer
 
 func (w waiter) Answer(a core.Answer) { w <- a }
 
-// TestGoClient sends reqs by Go's own client, many at once over one connection.
+// TestGoClient sends requests with Go's own client, many at once on one connection.
 func TestGoClient(t *testing.T) {
 	s := serveReal(t, instant{strings.Repeat("r", 40_000)})
 	tr := &http.Transport{Protocols: new(http.Protocols)}
@@ -150,7 +148,7 @@
 				return
 			}
 			r.Header.Set("X-Correlation-Id", fmt.Sprint("go-", i))
-			if i%3 == 0 { // no length, and trailers
+			if i%3 == 0 { // no length, but trailers
 				r.ContentLength = -1
 				r.Trailer = http.Header{"X-Sum": {"1"}}
 			}
@@ -173,7 +171,7 @@
 	assert.Zero(t, s.clients.held.Load())
 }
 
-// TestCurl sends reqs by curl, another well-known client.
+// TestCurl sends requests with curl, another well-known client.
 func TestCurl(t *testing.T) {
 	curl, err := exec.LookPath("curl")
 	if err != nil && os.Getenv("CI") == "" {
@@ -199,10 +197,10 @@
 	assert.Equal(t, "505: this port speaks HTTP/2 with prior knowledge only\n505", string(out))
 }
 
-// TestShutdownUnderLoad: of all that clients send while a shutdown goes on, what was taken is
-// answered, and a client that heeds GOAWAY loses nothing that it need ask for twice.
+// TestShutdownUnderLoad: of all requests sent during a shutdown, those taken are answered, and a client that obeys GOAWAY has
+// to repeat none that was taken.
 func TestShutdownUnderLoad(t *testing.T) {
-	s := serveReal(t, instant{"done"}, func(c *Clients) { c.Longest = time.Millisecond }) // no front is to be waited for
+	s := serveReal(t, instant{"done"}, func(c *Clients) { c.Longest = time.Millisecond }) // the shutdown waits for no load balancer
 	var all sync.WaitGroup
 	var asked, answered, untaken atomic.Int64
 	begin, stop := make(chan struct{}), make(chan struct{})
@@ -224,11 +222,11 @@
 					if !assert.NoError(t, err) {
 						return
 					}
-					r.GetBody = nil // the client must not send it again by itself
+					r.GetBody = nil // keeps the client from sending it again by itself
 					r.Header.Set("X-Correlation-Id", fmt.Sprintf("d-%d-%d-%d", c, k, i))
 					asked.Add(1)
 					answer, err := client.Do(r)
-					if err != nil { // told by GOAWAY that it was not taken
+					if err != nil { // GOAWAY said that it was not taken
 						untaken.Add(1)
 						continue
 					}
--- a/internal/network/http2_reqs.go
+++ b/internal/network/http2_reqs.go
@@ -11,7 +11,7 @@
 	"tinsail/internal/platform"
 )
 
-// events does what the machine tells. s.mu is held.
+// handleEvents carries out the events of the state machine. s.mu is held.
 func (s *streams) events() {
 	c := s.front.Clients
 	for e, ok := s.m.Next(); ok; e, ok = s.m.Next() {
@@ -48,7 +48,7 @@
 	s.settle()
 }
 
-// names finds the fields of a req by their names in HTTP/2.
+// fieldsByHTTP2Name maps the field names of HTTP/2, which are lower case, to the fields of a request.
 var names = func() map[string]platform.Field {
 	m := map[string]platform.Field{}
 	for f, name := range platform.FieldNames {
@@ -72,9 +72,9 @@
 	return f
 }
 
-// opened reads a head. What is answered without the core is known by then; its body is counted
-// and not kept, and the answer given once all is here: a client's fault that shows only at its
-// end is told before any other.
+// streamOpened handles the head of a request. Whether it is answered without the core is known by then. In that case its body
+// is counted but not kept, and the answer is given once the body is complete: an error of the client that shows only at the
+// end of the body is reported before any other.
 func (s *streams) opened(st *http2.Stream) {
 	c := s.front.Clients
 	st.Data = nil
@@ -98,7 +98,7 @@
 		st.Data, st.Discard = err, true
 		return
 	}
-	if s.excess { // the module has not seen it: another dispatcher may
+	if s.excess { // the dispatch module has not seen it, so another dispatcher may take it
 		c.Count.ReqsShed.Add(1)
 		s.m.Reset(st.ID, http2.Refused)
 		return
@@ -108,10 +108,10 @@
 	st.Data = r
 }
 
-// look is a stream that asks how things are.
+// statusQuery is a stream that asks for the dispatcher's state.
 type look struct{ path string }
 
-// whole hands a req to the core.
+// reqComplete passes a complete request to the core.
 func (s *streams) whole(st *http2.Stream) {
 	c := s.front.Clients
 	var r *streamReq
--- a/internal/network/http2_slow_test.go
+++ b/internal/network/http2_slow_test.go
@@ -14,8 +14,8 @@
 	ours "tinsail/internal/http2"
 )
 
-// TestHTTP2DecidedThenBad: an answer that was decided before a client's error is read goes out with what
-// was written before, although the writer waited for that client.
+// TestHTTP2AnswerSentBeforeClientError: an answer that was decided before a client's error is read is sent with what was written
+// before, although the writer waited for that client.
 func TestHTTP2DecidedThenBad(t *testing.T) {
 	h := newHolding()
 	s := serveFull(t, h, time.Hour)
@@ -43,8 +43,8 @@
 	assert.Equal(t, int64(1), s.count.Endings[core.ClientBad].Load())
 }
 
-// TestHTTP2UnreadAnswers: answers for a client that reads nothing are counted among the bytes that are
-// held for all clients, from the core on, and bounded for one connection.
+// TestHTTP2UnreadAnswers: answers for a client that reads nothing count, from the core on, among the bytes buffered for all
+// clients, and are bounded for one connection.
 func TestHTTP2UnreadAnswers(t *testing.T) {
 	h := newHolding()
 	s := serveFull(t, h, time.Hour)
@@ -92,7 +92,7 @@
 	s.empty(t)
 }
 
-// TestHTTP2UnreadThenGone: nothing is held for a client that went while its answers waited.
+// TestHTTP2CloseWithUnreadAnswers: nothing stays reserved for a client that closed while its answers waited.
 func TestHTTP2UnreadThenGone(t *testing.T) {
 	h := newHolding()
 	s := serveFull(t, h, time.Hour)
@@ -100,12 +100,12 @@
 	a.Ended(core.Served, strings.Repeat("r", 100<<10), nil)
 	soon(t, "the answer is held", func() bool { return s.clients.held.Load() == 1<<20+100<<10 })
 	c.conn.Close()
-	s.empty(t) // the writer waits still
+	s.empty(t) // the writer still waits
 	close(l.goOn)
 }
 
-// TestHTTP2Stalled: a client that takes no byte is the one that ends its connection for what it does, and is
-// not counted as one that closed it.
+// TestHTTP2StalledWrite: a connection whose client takes no byte is ended and counted as the client's fault, not as one that
+// the client closed.
 func TestHTTP2Stalled(t *testing.T) {
 	h := newHolding()
 	s := serveFull(t, h, 50*time.Millisecond)
@@ -122,7 +122,7 @@
 	assert.Equal(t, int64(1), s.count.HTTP2Abuse[ours.Stalled].Load())
 }
 
-// TestHTTP2BesideOthers: while one client reads nothing, another is served.
+// TestHTTP2StalledClientDoesNotBlockOthers: while one client reads nothing, another is served.
 func TestHTTP2BesideOthers(t *testing.T) {
 	h := newHolding()
 	s := serveFull(t, h, time.Hour)
@@ -138,10 +138,10 @@
 	}
 }
 
-// TestHTTP2TurnedAway: a client that there is no room for reads why, although what it sent is not read.
+// TestHTTP2RejectedUnread: a client that there is no descriptor for reads the reason, although what it sent is not handled.
 func TestHTTP2TurnedAway(t *testing.T) {
 	s := serveLong(t, newHolding(), func(c *Clients) { c.Most = 1 })
-	for range s.clients.Most + excessMost { // sessions that are owed an answer
+	for range s.clients.Most + excessMost { // sessions with a pending answer
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
 		busy := &sessionState{conn: near}
--- a/internal/network/http2_stop_test.go
+++ b/internal/network/http2_stop_test.go
@@ -14,13 +14,13 @@
 	"tinsail/internal/core"
 )
 
-// mark acknowledges the PING that goes with the first GOAWAY.
+// ackDrainPing acknowledges the PING that goes with the first GOAWAY.
 func (c *caller) mark() { c.fr.WritePing(true, [8]byte{0x74, 0x61, 0x69, 0x6c}) }
 
-// TestHTTP2HintBeforeHello: a client that has connected, and whose first bytes are on their way when the
-// shutdown begins, is told to go as others are, and what it sent is answered.
+// TestHTTP2DrainBeforePreface: a client that has connected, and whose first bytes are still on their way when the shutdown
+// begins, is told to drain as others are, and what it sent is answered.
 func TestHTTP2HintBeforeHello(t *testing.T) {
-	for _, early := range []int{0, 10, len(http2.ClientPreface)} { // bytes that are here before
+	for _, early := range []int{0, 10, len(http2.ClientPreface)} { // bytes that arrive before the shutdown
 		t.Run(fmt.Sprint(early), func(t *testing.T) {
 			t.Parallel()
 			h := newHolding()
@@ -61,13 +61,13 @@
 	}
 }
 
-// TestHTTP2StopAtOnce: streams, both GOAWAYs and the shutdown at the same instant. What was opened up to
-// the last stream named is answered in full, and what came later is never sent on.
+// TestHTTP2StreamsDuringShutdown: new streams, both GOAWAYs and the shutdown at the same time. Streams up to the last one named
+// by GOAWAY are answered in full, and later ones are never sent to a backend.
 func TestHTTP2StopAtOnce(t *testing.T) {
 	for round := range 20 {
 		h := newHolding()
 		s := serveLong(t, h)
-		s.limits(func(l *HTTP2Limits) { l.DrainWait = time.Hour }) // the client's word alone brings the second GOAWAY
+		s.limits(func(l *HTTP2Limits) { l.DrainWait = time.Hour }) // only the client's acknowledgement brings the second GOAWAY
 		c := phoneUp(t, s.address[1], 0)
 		c.until("settings")
 		begin := make(chan struct{})
@@ -92,7 +92,7 @@
 			switch word, f = c.next(); f := f.(type) {
 			case *http2.PingFrame:
 				c.mark()
-				c.post(17) // crosses the second GOAWAY, or does not
+				c.post(17) // may or may not cross the second GOAWAY
 				c.send()
 			case *http2.GoAwayFrame:
 				if f.LastStreamID < 1<<31-1 {
@@ -123,8 +123,7 @@
 	}
 }
 
-// TestHTTP2StopWhileUnread: the process does not end while an answer is decided and its client has yet to
-// read it.
+// TestHTTP2ShutdownWaitsForUnreadAnswer: the process does not end while an answer is decided and its client has yet to read it.
 func TestHTTP2StopWhileUnread(t *testing.T) {
 	t.Parallel()
 	h := newHolding()
@@ -134,9 +133,9 @@
 	end.Term()
 	a.Ended(core.Served, "decided", nil)
 	s.owes(t, 0)
-	// Nothing is owed any more, and the session's time to be closed has come.
+	// No request is open any more, and the shutdown has begun to close sessions.
 	soon(t, "the shutdown closes sessions", func() bool { return s.clients.told().Close })
-	for range 2 * 5 { // looks, more than it takes without a session
+	for range 2 * 5 { // more updates than the end would take without a session
 		end.look()
 		select {
 		case <-end.Ended():
@@ -161,11 +160,11 @@
 	came(t, "the process's end", end.Ended())
 }
 
-// heldRead is the front's end of a connection of which a test holds a read that brought bytes.
+// heldRead is the front's end of a connection on which a test holds a read that returned bytes.
 type heldRead struct {
 	*net.TCPConn
 	read  func()
-	quiet func() // the next read is to wait without end
+	quiet func() // the next read is to wait without limit
 }
 
 func (h *heldRead) Read(b []byte) (int, error) {
@@ -183,8 +182,8 @@
 	return h.TCPConn.SetReadDeadline(t)
 }
 
-// TestHTTP2ShedAsReqComes: a req that is read in the instant in which its idle session is shed is answered,
-// the client told to go, and the session does not poll meanwhile.
+// TestHTTP2ReqDuringShed: a request that is read just as its idle session is shed is answered, the client is told to close, and
+// the session does not poll meanwhile.
 func TestHTTP2ShedAsReqComes(t *testing.T) {
 	h := newHolding()
 	s := serveLong(t, h)
@@ -217,7 +216,7 @@
 	c.post(3)
 	c.send()
 	came(t, "the req's bytes", came1)
-	s.clients.Resize(Budget{}) // no session may stay that nothing is owed to
+	s.clients.Resize(Budget{}) // no idle session may stay
 	shed.Store(true)
 	close(goOn)
 	a := came(t, "an attempt", h.out)
--- a/internal/network/http2_test.go
+++ b/internal/network/http2_test.go
@@ -13,7 +13,7 @@
 	"tinsail/internal/http2"
 )
 
-// hello begins a connection of an HTTP/2 client.
+// helloScript begins a connection of an HTTP/2 client.
 const hello = `
 	h1 send {hello}{ack}
 	h1 expect settings
@@ -123,7 +123,7 @@
 	}
 }
 
-// TestHTTP2Finish: where a reset is not to stop a job, it keeps its place until the job is over.
+// TestHTTP2ResetLetsJobFinish: where a reset does not cancel a job, its stream slot stays taken until the job ends.
 func TestHTTP2Finish(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 9, func(w *world) {
 		w.http2.Set(HTTP2Limits{Streams: 1, HeaderBytes: 4096, FrameBytes: 16384, Stall: time.Second, DrainWait: time.Second})
@@ -142,7 +142,7 @@
 		func(w *world) { assert.Equal(t, int64(1), w.count.Endings[core.StreamReset].Load()) })
 }
 
-// hundred is a hundred streams at once, the first numbered 1.
+// hundredPosts opens a hundred streams at once, the first numbered 1.
 func hundred() string {
 	var b strings.Builder
 	for i := range 100 {
@@ -156,14 +156,14 @@
 	w.pool.Most = 200
 }
 
-// strong is a backend that the module lets run a hundred jobs at once.
+// heavyBackend is a backend that the dispatch module lets run a hundred jobs at once.
 func strong() []core.Entry {
 	l := list(balance.Ready, "s1")
 	l[0].Weight = 400
 	return l
 }
 
-// TestHTTP2Killed: a connection that breaks with a hundred streams running leaves nothing behind.
+// TestHTTP2ConnectionLost: a connection that breaks with a hundred streams running leaves nothing behind.
 func TestHTTP2Killed(t *testing.T) {
 	run(t, strong(), 9, wide, hello+"h1 send "+hundred(),
 		func(w *world) {
@@ -182,15 +182,15 @@
 		})
 }
 
-// TestHTTP2Shut: a client that keeps its window shut while a hundred answers wait loses its own
-// streams after the stated time, and another client notices nothing.
+// TestHTTP2ClosedWindow: a client that keeps its window closed while a hundred answers wait loses its own streams after the
+// stall timeout, and another client is not affected.
 func TestHTTP2Shut(t *testing.T) {
 	run(t, strong(), 300, wide, `
 		c1 send {req 9b x}
 		s1/1 expect POST /ingest?v=1 9b k9b 2000 x
 		s1/1 send {started 9b}`, hello+"h1 send {set 4 0}\nh1 expect ack\nh1 send "+hundred(),
 		func(w *world) {
-			for k := range 100 { // which req went out on which connection is chance
+			for k := range 100 { // which request went out on which connection is random
 				conn := fmt.Sprintf("s1/%d", k+2)
 				id := strings.Fields(w.peers[conn].next(false))[2]
 				w.play(fmt.Sprintf("%s send {started %s}{done %s small}", conn, id, id))
@@ -219,8 +219,8 @@
 		c2 expect 200`)
 }
 
-// TestHTTP2Drain: at a shutdown a client is told before it is cut off, what crosses that is
-// served, and the shutdown ends as soon as all is.
+// TestHTTP2Drain: at a shutdown a client is told to drain before its connection is closed, requests that cross that are served,
+// and the shutdown ends as soon as everything is answered.
 func TestHTTP2Drain(t *testing.T) {
 	ended := false
 	run(t, list(balance.Ready, "s1"), 9, hello+`
@@ -268,8 +268,8 @@
 		})
 }
 
-// TestHTTP2OutOfService: a drain by a call has this front's clients go too, and loses none of their
-// streams; taken back, the dispatcher keeps new connections.
+// TestHTTP2OutOfService: taking the dispatcher out of service also drains this front's connections, and loses none of their
+// streams. Back in service, the dispatcher keeps new connections open.
 func TestHTTP2OutOfService(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 9, hello+`
 		h1 send {post 1 e}
@@ -296,8 +296,8 @@
 		h2 expect nothing`)
 }
 
-// TestHTTP2Budget: idle connections of this front make room for clients of the other, and where
-// all are busy, streams are refused unprocessed.
+// TestHTTP2SessionLimit: idle connections of this front are closed for clients of the other. Where all are busy, streams are
+// refused unprocessed.
 func TestHTTP2Budget(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 1, func(w *world) { w.pool.Most = 9 }, hello+`
 		h1 send {post 1 e}
--- a/internal/network/linger_crossing_test.go
+++ b/internal/network/linger_crossing_test.go
@@ -15,14 +15,14 @@
 	"tinsail/internal/balance"
 )
 
-// halved is a pipe of which a side may end its sending; the far side is not told.
+// halfClosablePipe is a pipe with a CloseWrite that has no effect: the far side is not told.
 type halved struct{ net.Conn }
 
 func (halved) CloseWrite() error { return nil }
 
-// come has a client connect that can be lingered for, and returns its end.
+// connectClient connects a client whose session can linger, and returns the client's end.
 func (w *world) come(name string) net.Conn {
-	w.mu.Lock() // the dispatcher connects elsewhere meanwhile
+	w.mu.Lock() // the dispatcher may be dialing meanwhile
 	near := w.pipe(name)
 	w.mu.Unlock()
 	go w.clients.admit(halved{near})
@@ -36,7 +36,7 @@
 	return w.peers[name]
 }
 
-// says has a client send what must be read.
+// clientWrite writes as a client; the dispatcher must read it.
 func (w *world) says(c net.Conn, text string) {
 	require.NoError(w.t, c.SetWriteDeadline(time.Now().Add(time.Minute)))
 	_, err := io.WriteString(c, text)
@@ -44,7 +44,7 @@
 	synctest.Wait()
 }
 
-// lives says whether a client's connection is still read.
+// isOpen reports whether a client's connection is still read.
 func (w *world) lives(name string) bool {
 	p := w.peer(name)
 	p.mu.Lock()
@@ -52,7 +52,7 @@
 	return !p.over
 }
 
-// crowd has so many clients connect that say nothing.
+// connectSilent connects clients from (included) to to (excluded) that send nothing.
 func (w *world) crowd(from, to int) {
 	for i := from; i < to; i++ {
 		w.play(fmt.Sprintf("cx%d send", i))
@@ -60,15 +60,15 @@
 	}
 }
 
-// TestLingeringIsWanted: the descriptor of a client that has had its last answer is wanted for another's. As long as there is
-// room beyond the budget it stays. Then a client whose bytes still come is read until it goes, for a bounded time; one
-// that sent nothing more goes at once.
+// TestLingeringSessionDescriptorNeeded: the descriptor of a client that had its last answer is needed for another one. While
+// lingerHeadroom beyond the limit has room, it stays. Then a client that still sends is read until it closes, for a bounded time;
+// one that sent nothing more is closed at once.
 func TestLingeringIsWanted(t *testing.T) {
 	piece := strings.Repeat("x", 8<<10)
 	for name, c := range map[string]struct {
-		behind string                     // its req
-		then   func(w *world, c net.Conn) // once its descriptor is wanted
-		least  time.Duration              // that it stays from then on
+		behind string                     // sent after its request
+		then   func(w *world, c net.Conn) // once its descriptor is needed
+		least  time.Duration              // minimum for which it stays from then on
 		most   time.Duration
 	}{
 		"sent nothing more": {then: func(*world, net.Conn) {}, most: hereLook},
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestWantedAsItSends: a session is told that its descriptor is wanted in the instant in which its client sends on, and what it
-// sends has to be refused: the client is read until it goes.
+// TestDescriptorNeededWhileClientSends: a session is told that its descriptor is needed just as its client sends more, and that
+// has to be refused. The client is read until it closes.
 func TestWantedAsItSends(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 1, func(w *world) {
 		one := w.come("c1")
@@ -142,8 +142,8 @@
 		c1 expect 400 close 400: a bad request line`)
 }
 
-// TestLingeringMakesNoRoom: where all sessions are owed an answer, a client that is let go makes no room for another's req beyond
-// the budget.
+// TestLingeringAddsNoReqCapacity: where all sessions have a request open, a client that was refused and lingers makes no room for
+// another request beyond the limit.
 func TestLingeringMakesNoRoom(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *world) {
 		w.says(w.come("c2"), "NONSENSE\r\n\r\n")
@@ -154,8 +154,8 @@
 		c1 expect 200 r`)
 }
 
-// TestNobodyWaitsForThoseWhoSendOn: clients that had their last answer go on sending and never go. Whoever connects is told to come
-// back, or served, and is kept waiting for a bounded time; there are never more sessions than descriptors.
+// TestSendingClientsDelayNewOnesBoundedly: clients that had their last answer go on sending and never close. A new client is
+// refused or served within a bounded time, and there are never more sessions than descriptors.
 func TestNobodyWaitsForThoseWhoSendOn(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *world) {
 		begun := time.Now()
@@ -187,8 +187,8 @@
 		c1 expect 200 r`)
 }
 
-// TestTurnedAwayInTurn: clients that there is no descriptor for at all, and that never go, are each turned away in a bounded time. Two at
-// a time linger, and each may send on until two others that came after it need their place.
+// TestRejectedClientsBounded: clients that there is no descriptor for, and that never close, are each rejected in a bounded time.
+// Two at a time linger, and each may send on until later ones need its slot.
 func TestTurnedAwayInTurn(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *world) {
 		w.crowd(0, excessMost)
@@ -196,7 +196,7 @@
 		begun := time.Now()
 		for i := range 8 {
 			w.come(fmt.Sprint("away", i))
-			time.Sleep(each + time.Millisecond) // whoever connects next has waited so long at most
+			time.Sleep(each + time.Millisecond) // the longest that the next client has to wait
 			synctest.Wait()
 			lives := 0
 			for k := range i + 1 {
--- a/internal/network/mutate_test.go
+++ b/internal/network/mutate_test.go
@@ -21,32 +21,32 @@
 	"tinsail/internal/platform"
 )
 
-// deal is a dispatcher without its front, on pipes: the real core and module, pool, links and
-// director's watch. What its peers write is messages: To is the connection, s1/2 the second made to
-// backend s1. Reqs are of a class that must never run twice, unless safe.
+// mutationWorld is a dispatcher without its fronts, on pipes: the real core and dispatch module, pool, links and director's
+// watch. What its peers write are the messages to mutate. A message's To is the connection, for example s1/2 for the second one
+// made to backend s1. Reqs are of a class that must never run twice, unless safe.
 type deal struct {
 	*world
 	reqs    int  // how many
-	safe    bool // they may run twice, and copies may be out together
+	safe    bool // requests may run twice, and two attempts may be out together
 	watched bool // the list of backends must be right in the end
 	start   time.Time
 	stop    chan struct{}
 	begun   int
-	seen    map[string]int // whole reqs that came to backends, by id
-	calls   map[string]int // of the director, on each of its connections
-	waiting map[string]int // connections of the director on which a watch waits, and for what
+	seen    map[string]int // complete requests that reached backends, by id
+	calls   map[string]int // to the director, on each of its connections
+	waiting map[string]int // connections of the director on which a watch waits, and the version it has
 	mu      sync.Mutex
 	answers map[string][]core.Answer
 	wrong   error
 }
 
-// kinds of reqs, by turns; each is what backends make of it.
+// reqScripts are the kinds of requests, used in turn; each says what backends do with it.
 var dealt = []string{"started running done", "done", "unprocessed", "failed", "returned", "lost", "broken", "500", "silent", "done load", "slow done"}
 
 const (
-	dealReqs  = 30 // where not said otherwise
+	dealReqs  = 30 // unless stated otherwise
 	dealEvery = 20 * time.Millisecond
-	dealStart = 100 * time.Millisecond // the first req
+	dealStart = 100 * time.Millisecond // the first request
 	dealTick  = 10 * time.Millisecond
 )
 
@@ -80,7 +80,7 @@
 	return w
 }
 
-// over ends all that the play began.
+// shutdown ends everything that the run began.
 func (w *deal) over() {
 	w.world.mu.Lock()
 	for _, n := range w.Nodes() {
@@ -100,7 +100,7 @@
 	return []string{"us", "s1/1", "s1/2", "s2/1", "s2/2", "s2/3", "d/1"}
 }
 
-// at moves the clock on to a time of the play, and lets all come to rest.
+// advance moves the clock on to a time of the run, and waits until all goroutines wait.
 func (w *deal) at(now time.Duration) {
 	time.Sleep(time.Until(w.start.Add(now)))
 	synctest.Wait()
@@ -154,7 +154,7 @@
 	id string
 }
 
-// Answer judges each req's answers: one, and no result but its own.
+// Answer checks a request's answers: one only, and no result but its own.
 func (c dealClient) Answer(a core.Answer) {
 	w := c.w
 	w.mu.Lock()
@@ -168,15 +168,15 @@
 	}
 }
 
-// dealServed says whether any backend ever says "done" of a req.
+// scriptServes reports whether any backend ever says "done" for a request.
 func dealServed(id string) bool {
 	return strings.Contains(dealKind(id), "done") || dealUnrun(id)
 }
 
-// dealUnrun says whether a backend first hands it back: only then may another see it.
+// scriptReturns reports whether the first backend hands the request back: only then may another see it.
 func dealUnrun(id string) bool { return dealKind(id) == "unprocessed" || dealKind(id) == "returned" }
 
-// ask is the next whole request that has come on a connection, or nil.
+// nextReq returns the next complete request that has arrived on a connection, or nil.
 func (w *deal) ask(conn string) *http.Request {
 	w.world.mu.Lock()
 	p := w.peers[conn]
@@ -200,7 +200,7 @@
 	return q
 }
 
-// work is what a backend writes for a req.
+// backendReplies returns what a backend writes for a request.
 func (w *deal) work(conn string, q *http.Request) (out []mutate.Message) {
 	id := q.Header.Get("X-Correlation-Id")
 	w.seen[id]++
@@ -211,7 +211,7 @@
 		}
 		if kind = "done"; dealKind(id) == "slow done" {
 			kind = dealKind(id)
-		} else if !dealServed(id) { // a copy fares no better
+		} else if !dealServed(id) { // a repeat fares no better
 			kind = "failed"
 		}
 	}
@@ -260,11 +260,11 @@
 	return out
 }
 
-// hangUp is the message by which a peer ends its connection.
+// closeMarker is the message by which a peer closes its connection.
 const hangUp = "(hang up)"
 
-// index is the version of the list: s3 is there at first and gone later; s2 drains for a while. The
-// module asks half a second after its start.
+// listVersion returns the version of the list: s3 is in it at first and removed later; s2 drains for a while. The dispatch
+// module subscribes half a second after its start.
 func (w *deal) index(now time.Duration) int {
 	switch {
 	case now < 800*time.Millisecond:
@@ -275,14 +275,14 @@
 	return 44
 }
 
-// call is what version a call of the director has, -1 for one that asks for the whole list.
+// parseWatch returns the version that a call to the director has, -1 if it asks for the whole list.
 func (w *deal) call(q *http.Request) int {
 	since := -1
 	fmt.Sscan(q.URL.Query().Get("since"), &since)
 	return since
 }
 
-// tell answers a call.
+// directorReply answers a call.
 func (w *deal) tell(conn string, since int, now time.Duration) []mutate.Message {
 	index := w.index(now)
 	entry := func(name, status string) string {
@@ -296,7 +296,7 @@
 	if w.watched {
 		s3 = "Ready"
 	}
-	full := since < index-1 // what a later one changed is not kept
+	full := since < index-1 // only changes of the version before are kept
 	body := entry("s1", "Ready") + "," + entry("s2", s2)
 	if index == 42 {
 		body += "," + entry("s3", s3)
@@ -319,7 +319,7 @@
 	if string(m.Bytes) == hangUp {
 		p.conn.Close()
 	} else if len(m.Bytes) > 0 {
-		p.conn.SetWriteDeadline(time.Now().Add(time.Microsecond)) // nobody may read what comes unasked
+		p.conn.SetWriteDeadline(time.Now().Add(time.Microsecond)) // unrequested bytes may have no reader
 		p.conn.Write(m.Bytes)
 	}
 	synctest.Wait()
@@ -335,7 +335,7 @@
 	return w.wrong
 }
 
-// End: each req has had its answer, nothing of any is kept, and the last reqs that can be were served.
+// End checks that each request had its answer, nothing of any is kept, and the last requests that can be served were.
 func (w *deal) End(now time.Duration) error {
 	w.at(now)
 	w.mu.Lock()
@@ -382,9 +382,8 @@
 		Around: func(play func()) { synctest.Test(t, func(*testing.T) { play(); now.over() }) }}
 }
 
-// TestDealUnderMutation: whatever becomes of one write of a backend or of the director, each req has
-// exactly one final answer, no result but its own, and is sent again only where it was proven never to
-// have run; and reqs that come later are served.
+// TestAttemptsUnderMutation: whatever is mutated in one write of a backend or of the director, each request has exactly one final
+// answer, no result but its own, and is sent again only where it is proven never to have run. Later requests are served.
 func TestDealUnderMutation(t *testing.T) {
 	s := dealSetup(t, "unsafe", dealReqs, false, false)
 	s.Plays = 150
@@ -394,8 +393,8 @@
 	assert.Positive(t, mutate.Test(t, s).Played)
 }
 
-// TestWatchUnderMutation: whatever becomes of one write of the director, the list is right in the end:
-// within a call that is never answered, and the next.
+// TestWatchUnderMutation: whatever is mutated in one write of the director, the list is right in the end: after at most one call
+// that is never answered and the call after it.
 func TestWatchUnderMutation(t *testing.T) {
 	s := dealSetup(t, "watch", 0, false, true)
 	s.Faults, s.Length, s.Tick = 2*time.Second, 20*time.Second, 50*time.Millisecond
--- a/internal/network/network_test.go
+++ b/internal/network/network_test.go
@@ -208,8 +208,8 @@
 	}
 }
 
-// TestDrainedWhileConnecting: a backend that drains while a connection to it is being made
-// gets nothing, not even what was decided before.
+// TestDrainedWhileConnecting: a backend that begins to drain while a connection to it is being made gets nothing, not even
+// attempts that were decided before.
 func TestDrainedWhileConnecting(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 9, "s1 wait 100ms\nc1 send {req 9b x}\nwait 50ms",
 		func(w *world) { w.core.Listed(balance.ListDelta, list(balance.Draining, "s1")) }, `
@@ -221,14 +221,14 @@
 		c1 expect 503 after 0.120`)
 }
 
-// TestAbandoned: a client that goes away while its attempt is out is owed nothing any more.
+// TestClientCloseAbandonsReq: after a client closes while its attempt is out, its request is no longer open.
 func TestAbandoned(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 9, "c1 send {req 9b x}",
 		func(w *world) { assert.Equal(t, 1, w.core.Open()) }, "c1 close",
 		func(w *world) { assert.Equal(t, 0, w.core.Open()) })
 }
 
-// brittle breaks after it has taken so many bytes.
+// breakingConn breaks after it has taken room bytes.
 type brittle struct {
 	net.Conn
 	room int
@@ -243,8 +243,7 @@
 	return n, nil
 }
 
-// TestBreakWhileWriting: only before a req's last byte is written does a break prove that it
-// never ran.
+// TestConnectionBreakWhileWriting: only a break before a request's last byte is written proves that it never ran.
 func TestBreakWhileWriting(t *testing.T) {
 	job := &core.Job{Method: "POST", Target: "/ingest", ID: "9b", Body: []byte("photo")}
 	whole := len(platform.AppendJob(nil, job, "s1", time.Minute, nil)) + len(job.Body)
@@ -267,7 +266,7 @@
 	}
 }
 
-// TestProbe: a probe brings a load report, and silence has an end.
+// TestProbe: a probe brings a load report, and a probe without reply times out.
 func TestProbe(t *testing.T) {
 	type found struct {
 		ending core.Ending
@@ -289,7 +288,7 @@
 	assert.Equal(t, []found{{core.Served, []float32{2.5}}, {core.Failed, nil}, {core.Overdue, nil}}, got)
 }
 
-// TestMovedBackend: nothing goes to an address that the list no longer gives.
+// TestBackendAddressChange: nothing is sent to an address that the list no longer names.
 func TestMovedBackend(t *testing.T) {
 	moved := list(balance.Ready, "s1")
 	moved[0].Address = "s2"
@@ -310,8 +309,8 @@
 		s2/1 expect POST /ingest?v=1 9c k9c 2000 x`)
 }
 
-// TestRejected: a req that a backend finds at fault is failed at once and not sent to another
-// of its cell, and the backend is as good as before: it gets its half of the next reqs.
+// TestBackendRejectsReq: a request that a backend rejects as invalid fails at once and is not sent to another backend of the cell.
+// The backend's rating is unchanged: it gets its half of the next requests.
 func TestRejected(t *testing.T) {
 	pair := list(balance.Ready, "s1", "s2")
 	pair[1].Cell = pair[0].Cell
--- a/internal/network/scenario_test.go
+++ b/internal/network/scenario_test.go
@@ -25,10 +25,10 @@
 	"tinsail/internal/scenario"
 )
 
-// world is a whole dispatcher on pipes, under a clock that moves only when all is at rest.
-// Its peers are named in scenarios: clients c1, c2 and so on; s1/2 is the second connection
-// made to backend s1, d/1 the first to the director; s1 or d alone is all that is to come. h1
-// and so on are clients of the HTTP/2 front; they send and expect frames, one at a time.
+// fixture is a whole dispatcher on pipes, with a fake clock that advances only when all goroutines wait. Its peers are named in
+// scenarios: clients are c1, c2 and so on; s1/2 is the second connection made to backend s1, d/1 the first to the director; s1
+// or d alone stands for all connections still to be made there. h1 and so on are clients of the HTTP/2 front; they send and
+// expect frames, one at a time.
 type world struct {
 	t       *testing.T
 	core    *core.Core
@@ -79,7 +79,7 @@
 	w.mu.Lock()
 	slow := w.slow[name]
 	w.mu.Unlock()
-	if slow > 0 { // a timer of no time at all, a hundred at once, crashes the runtime under synctest
+	if slow > 0 { // a hundred timers of zero duration at once crash the runtime under synctest
 		select {
 		case <-time.After(slow):
 		case <-ctx.Done():
@@ -95,7 +95,7 @@
 	return w.pipe(fmt.Sprint(name, "/", w.made[name])), nil
 }
 
-// list names backends: s1 is of cell 1 and so on.
+// newEntries lists backends by name: s1 is of cell 1 and so on.
 func list(state balance.State, names ...string) (list []core.Entry) {
 	for i, n := range names {
 		list = append(list, core.Entry{Name: n, Address: n, Worker: balance.Worker{
@@ -104,7 +104,7 @@
 	return list
 }
 
-// run plays scenarios and functions in turn, in a world with these backends.
+// runScenario plays scenarios and functions in turn, on a fixture with these backends.
 func run(t *testing.T, backends []core.Entry, most int, parts ...any) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -137,7 +137,7 @@
 				p.conn.Close()
 			}
 			w.mu.Unlock()
-			time.Sleep(10 * time.Second) // all that waits for something gives up
+			time.Sleep(10 * time.Second) // everything that waits gives up
 			close(stop)
 		}()
 		for _, p := range parts {
@@ -154,8 +154,8 @@
 
 var macro = regexp.MustCompile(`\{(\w+) ?([^\s}]*) ?([^}]*)\}`)
 
-// expand writes out what peers say again and again: {req ID BODY} of a client, {started ID},
-// {done ID RESULT} and {failed ID} of a backend, {last ID RESULT} without the reply's end.
+// expand replaces the macros for frequent messages: {request ID BODY} of a client, {started ID}, {done ID RESULT} and {failed ID} of
+// a backend, {last ID RESULT} without the end of the reply.
 func expand(s string) string {
 	return macro.ReplaceAllStringFunc(s, func(m string) string {
 		p := macro.FindStringSubmatch(m)
@@ -202,7 +202,7 @@
 		case s.Verb == "wait":
 			d, err := time.ParseDuration(s.Arg)
 			require.NoError(w.t, err, s.Line)
-			if s.Who != "" { // its connections take so long
+			if s.Who != "" { // its connections take that long to come up
 				w.mu.Lock()
 				w.slow[s.Who] = d
 				w.mu.Unlock()
@@ -231,7 +231,7 @@
 	}
 }
 
-// word reads the next frame that has come.
+// nextFrame returns the text of the next frame that has arrived.
 func (p *peer) word() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -248,7 +248,7 @@
 	return first
 }
 
-// next reads the next message that has come, by the standard library's word of it.
+// nextMessage returns the next HTTP/1.1 message that has arrived, as the standard library parses it.
 func (p *peer) next(client bool) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/network/service.go
+++ b/internal/network/service.go
@@ -9,15 +9,15 @@
 	"tinsail/internal/service"
 )
 
-// gate holds the listeners of all fronts. While it is shut nobody is accepted, and what waits in a listener's
-// queue goes on waiting there, for us or for another process that holds the same listener.
+// acceptGate pauses the accept loops of all fronts. While it is closed nothing is accepted: new connections stay in the
+// listeners' queues, for this process or for another one that holds the same listening sockets.
 type gate struct {
 	mu   sync.Mutex
 	list []net.Listener
-	shut chan struct{} // nil while open; closed when it opens again
+	shut chan struct{} // nil while the gate is open; closed when it opens again
 }
 
-// deadliner is a listener whose Accept can be woken without closing it.
+// deadlineListener is a listener whose Accept can be interrupted without closing it.
 type deadliner interface{ SetDeadline(time.Time) error }
 
 func (g *gate) add(l net.Listener) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// set opens or shuts.
+// setOpen opens or closes the gate.
 func (g *gate) set(open bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// wait returns once the gate is open.
+// waitOpen blocks until the gate is open.
 func (g *gate) wait() {
 	g.mu.Lock()
 	shut := g.shut
@@ -61,20 +61,20 @@
 	}
 }
 
-// answering is how many sessions have a req that is read or answered now. The core counts a req no more once its answer is
-// decided; the session that writes it is here until its last byte is out, also one that is told to close and took a req that
-// crossed that. closing is how many are told to close.
+// unfinished returns how many sessions are reading or answering a request, and how many were told to close (closing). The core
+// stops counting a request once its answer is decided; the session that writes the answer counts here until the last byte is
+// written. This includes a session that was told to close while a request was already on its way.
 func (t *table) answering() (answering, closing int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return max(t.rows[working].Len(), t.owed), t.rows[leaving].Len()
 }
 
-// Service has the fronts follow what package service decides. Its methods may be called from any
-// goroutine; what they say holds when they return.
+// Service applies the state decided by package service to the fronts. Its methods may be called from any goroutine, and
+// their effect is in place when they return.
 type Service struct {
 	Clients *Clients
-	HTTP2   *HTTP2                       // nil where it is off
+	HTTP2   *HTTP2                       // nil if HTTP/2 is off
 	Changed func(old, now service.State) // may be nil; must not block
 
 	mu    sync.Mutex
@@ -85,49 +85,49 @@
 	ended chan struct{}
 }
 
-// NewService makes the state of a process in service.
+// NewService returns a Service whose process is in service.
 func NewService(c *Clients, h *HTTP2) *Service {
 	return &Service{Clients: c, HTTP2: h, m: service.Machine{Longest: c.Longest}, last: inService, ended: make(chan struct{})}
 }
 
-// Ended is closed when the process is to end: all is answered after a SIGTERM or a hand-over.
+// Ended is closed when the process has to end: everything is answered after a SIGTERM or a hand-over.
 func (s *Service) Ended() <-chan struct{} { return s.ended }
 
-// State is where the process stands.
+// State returns the current state of the process.
 func (s *Service) State() service.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.last.State
 }
 
-// IsOut says whether the dispatcher was taken out of service.
+// IsOutOfService reports whether the dispatcher was taken out of service.
 func (s *Service) IsOut() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.m.IsOut()
 }
 
-// Out takes the dispatcher out of service.
+// TakeOutOfService starts to take the dispatcher out of service.
 func (s *Service) Out() { s.do(func(now time.Time) { s.m.Out(now) }) }
 
-// In takes it back; false says that the process is shutting down.
+// ReturnToService puts the dispatcher back in service. It returns false if the process is shutting down.
 func (s *Service) In() (ok bool) {
 	s.do(func(time.Time) { ok = s.m.In() })
 	return ok
 }
 
-// Term begins the shutdown.
+// BeginShutdown starts the shutdown, as on SIGTERM.
 func (s *Service) Term() { s.do(func(now time.Time) { s.m.Term(now) }) }
 
-// HandOver tells that another process accepts in this one's place, TakeBack that it is gone.
+// HandOver reports that another process accepts connections in place of this one.
 func (s *Service) HandOver() { s.do(func(now time.Time) { s.m.HandOver(now) }) }
 
-// TakeBack serves again.
+// ResumeAfterHandOver reports that the process that had taken over is gone; this one serves again.
 func (s *Service) TakeBack() { s.do(func(time.Time) { s.m.TakeBack() }) }
 
 func (s *Service) look() { s.do(func(time.Time) {}) }
 
-// closeReason is why sessions close by these orders.
+// closeReason returns the reason for closing sessions under these orders.
 func closeReason(o service.Orders) guard.Reason {
 	if o.Handed {
 		return guard.HandedOver
@@ -135,7 +135,7 @@
 	return guard.ServiceEnds
 }
 
-// do lets something happen and has the fronts follow.
+// update applies an event to the state machine and carries out the resulting orders.
 func (s *Service) do(f func(now time.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,19 +146,19 @@
 	f(now)
 	c := s.Clients
 	all, early := c.table.open(s.m.FrontStops())
-	owed := c.Core.Open() // first: an answer that is decided from now on has its session among those counted next
+	owed := c.Core.Open() // read first: an answer decided after this is covered by the session counts below
 	answering, closing := c.table.answering()
 	o := s.m.Look(now, service.Load{Sessions: all, Early: early, Owed: max(owed, answering), Closing: closing})
 	old := s.last
 	s.last = o
 	c.orders.Store(&o)
-	c.gate.set(o.Accept && !o.End) // who waits in a listener that another process has too is left to that one
+	c.gate.set(o.Accept && !o.End) // connections queued in a listener that another process shares are left to that process
 	if s.HTTP2 != nil {
 		if o.Hint && !old.Hint {
 			s.HTTP2.hint()
 		}
-		// Clients that come straight back would keep the shutdown from ending, and its end would
-		// find their reqs open.
+		// Clients that reconnect at once would prolong the shutdown, and their requests would still be open
+		// when it ends.
 		if o.State == service.ShuttingDown && !o.Until.IsZero() {
 			s.HTTP2.shut()
 		}
--- a/internal/network/service_test.go
+++ b/internal/network/service_test.go
@@ -9,7 +9,7 @@
 	"tinsail/internal/balance"
 )
 
-// TestNotReadyWithoutBackends: the front must not admit a dispatcher that cannot serve.
+// TestNotReadyWithoutBackends: a load balancer must not use a dispatcher that cannot serve.
 func TestNotReadyWithoutBackends(t *testing.T) {
 	run(t, nil, 9, `
 		c1 send GET /health/ready HTTP/1.1\r\n\r\n
@@ -18,9 +18,9 @@
 		c1 expect 200`)
 }
 
-// TestDrain: after SIGTERM new connections and reqs are still answered, and sessions stay, for
-// as long as reqs can be answered before the kill. Then answers say Connection: close, sessions
-// between reqs are closed, and no req that came late outlasts the kill.
+// TestDrain: after SIGTERM new connections and requests are still answered, and sessions stay open, as long as a request can be answered
+// before the process is killed. Then answers say Connection: close, idle sessions are closed, and no late request runs past the
+// kill.
 func TestDrain(t *testing.T) {
 	done := make(chan time.Duration, 1)
 	run(t, list(balance.Ready, "s1"), 9, `
@@ -69,8 +69,8 @@
 		func(*world) { assert.InDelta(t, 3650*time.Millisecond, <-done, float64(50*time.Millisecond)) })
 }
 
-// TestDrainInACrowd: slow writers of a req are not cut off as long as they go on, those who stalled are, and
-// the shutdown does not wait for strangers who connect late.
+// TestDrainWithSlowWriters: clients that write a request slowly are not cut off while they go on, stalled ones are, and the shutdown
+// does not wait for clients that connect late.
 func TestDrainInACrowd(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 9, `
 		c1 send {req 9a x}
@@ -103,8 +103,8 @@
 		})
 }
 
-// TestOutOfService: a drain by a call serves what comes, new connections too, closes sessions in
-// time, and ends nothing; taken back in its middle or after it, the dispatcher serves as before.
+// TestOutOfService: a drain by an operator's call serves whatever arrives, new connections too, closes sessions in time, and
+// does not end the process. Back in service, during the drain or after it, the dispatcher serves as before.
 func TestOutOfService(t *testing.T) {
 	const health = `GET /health/ready HTTP/1.1\r\n\r\n`
 	run(t, list(balance.Ready, "s1"), 9, `
--- a/internal/network/shutdown_test.go
+++ b/internal/network/shutdown_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestSlowReader: an answer of which a client has taken a byte when all else is over is written to its last byte before the
-// process ends, whenever the client connected. The pipe holds nothing: a write is done when it is read.
+// TestSlowReader: an answer of which a client has read one byte when everything else has ended is written to its last byte
+// before the process ends, whenever the client connected. The pipe buffers nothing: a write returns when it is read.
 func TestSlowReader(t *testing.T) {
 	for name, c := range map[string]struct {
 		connects, answered, reads time.Duration
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestCrossedClose: a req that crosses the closing of its session, 1 ms after that was told to go, is taken; the process does not end
+// TestReqDuringSessionClose: a request that arrives 1 ms after its session was told to close is taken. The process does not end
 // before its answer is written, however slowly that is read.
 func TestCrossedClose(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 9, func(w *world) {
@@ -91,7 +91,7 @@
 		require.Equal(t, "r", answer())
 		begun := time.Now()
 		w.service.Term()
-		time.Sleep(3101 * time.Millisecond) // the look at 3.1 s has told it to go
+		time.Sleep(3101 * time.Millisecond) // the update at 3.1 s has told it to close
 		_, err = io.WriteString(far, expand("{req 9b x}"))
 		require.NoError(t, err)
 		synctest.Wait()
@@ -106,8 +106,8 @@
 	})
 }
 
-// TestReadAtTheEnd: what is read when the process has decided to end is refused, and never sent on; who connects then is left in
-// the listener.
+// TestReqAfterDecisionToEnd: a request that is read when the process has decided to end is refused, and never sent to a backend. New
+// connections stay in the listener's queue.
 func TestReadAtTheEnd(t *testing.T) {
 	l := &timed{}
 	run(t, list(balance.Ready, "s1"), 9, func(w *world) {
@@ -116,7 +116,7 @@
 	}, `
 		wait 3050ms
 		c1 send POST /ingest HTTP/1.1\r\nX-Correlation-Id: 9a\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\n
-		wait 170ms`, // a stranger with half a req: nobody waits for it
+		wait 170ms`, // a late client with an incomplete request: nobody waits for it
 		func(w *world) {
 			require.True(t, w.service.hasEnded())
 			assert.False(t, l.until.IsZero(), "the listener is shut")
@@ -129,7 +129,7 @@
 		s1/1 expect no connection`)
 }
 
-// timed is a listener that notes until when it waits.
+// deadlineRecorder is a listener that records its deadline.
 type timed struct {
 	net.Listener
 	until time.Time
@@ -137,9 +137,9 @@
 
 func (l *timed) SetDeadline(t time.Time) error { l.until = t; return nil }
 
-// TestSendsOnAfterItsAnswer: a client has an answer that leaves its connection open a moment before idle sessions are closed, and
-// sends on a round trip later. Its req is read and answered: what an answer has promised is not taken back before the client can
-// have made use of it.
+// TestNextReqBeforeIdleClose: a client gets an answer that leaves its connection open just before idle sessions are closed, and
+// sends its next request a round trip later. That request is read and answered: the connection must stay open long enough for the client
+// to use it.
 func TestSendsOnAfterItsAnswer(t *testing.T) {
 	const closing = 3100 * time.Millisecond // after SIGTERM, with a longest deadline of 3 s or more
 	for _, trip := range []time.Duration{time.Millisecond, 10 * time.Millisecond, 40 * time.Millisecond, 90 * time.Millisecond} {
--- a/internal/network/slow_reader_test.go
+++ b/internal/network/slow_reader_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOtherSitesSlowReader: a client that waits up to 40 s and begins to read 6 s after its answer is there has it whole.
+// TestSlowReaderLongDeadline: a client that waits up to 40 s, and begins to read 6 s after its answer is ready, gets all of it.
 func TestOtherSitesSlowReader(t *testing.T) {
 	at(t, "long.json", nil, func(s *elsewhere) {
-		near, far := net.Pipe() // which holds no byte: the answer's write waits for the reader
+		near, far := net.Pipe() // buffers no byte: the write of the answer waits for the reader
 		defer far.Close()
 		go s.clients.admit(near)
 		_, err := fmt.Fprint(far, "POST /route-survey HTTP/1.1\r\nX-Correlation-Id: slow\r\nX-Time-Left-Ms: 40000\r\nContent-Length: 0\r\n\r\n")
--- a/internal/network/table.go
+++ b/internal/network/table.go
@@ -9,68 +9,68 @@
 	"tinsail/internal/guard"
 )
 
-// shedRank says what a session is good for, from the first to be shed when descriptors are short
-// to the last. A session that is owed an answer has none of these shedRanks and is never shed.
+// shedRank is the order in which sessions are closed when descriptors are short: the lowest rank first. Only ranks below
+// rankBusy are shed. A session with an unanswered request is never shed.
 type shedRank uint8
 
 const (
-	lingering shedRank = iota // refused, and only kept so that the refusal is read
-	asked                     // idle, and has never sent a job: a check of health, or one who only connects
+	lingering shedRank = iota // had its last answer, such as a refusal; kept open only so that the client can read it
+	asked                     // idle, never sent a job: a health check or a client that only connected
 	silent                    // has not sent a byte
-	half                      // has not sent the whole of its first req
-	resting                   // idle after a job: a usual client's, that will send another
-	working                   // a req is being read or answered
+	half                      // has sent part of its first request
+	resting                   // idle after a job; its client will probably send another
+	working                   // a request is being read or answered
 	leaving                   // told to close
 	shedRanks
 )
 
-// sparedFor is how long a session of a shedRank is kept at least. The first req of a client that
-// has just connected is on its way, and a client does not repeat it by itself as it does one
-// that crosses the closing of a session in use. One that sends slowly gets longer, counted from its
-// last byte: one that goes on sending is no stalled one, and has its time from connecting.
+// shedProtection is the minimum time for which a session of a rank is kept. The first request of a client that has just connected
+// is on its way, and a client does not repeat it by itself, unlike a request that crosses the close of a session in use. A client
+// that sends slowly gets longer, counted from its last byte: it is not stalled while bytes arrive, and its total time is
+// bounded from connecting anyhow.
 var sparedFor = [working]time.Duration{silent: 250 * time.Millisecond, half: 750 * time.Millisecond}
 
-// restedFor is how long a session is idle at least before others' number is a ground to close it.
+// trimMinIdle is how long a session must have been idle before trimJobSessions may close it.
 const restedFor = 100 * time.Millisecond
 
-// sessionState is what the table knows of a session, of either front. The table's lock guards it, but
-// for conn, which stays as it is.
+// sessionState is what the table knows of a session of either front. The table's lock guards all fields but conn, guard and
+// id, which do not change after add.
 type sessionState struct {
 	conn      net.Conn
-	guard     *guard.Recorder // may be nil; stays as it is from the entry on
-	id        uint64          // in the trace; stays too
+	guard     *guard.Recorder // may be nil
+	id        uint64          // identifies the session in the trace
 	shedRank  shedRank
 	place     *linked.Element
-	born      time.Time // of connecting
-	since     time.Time // of connecting until the first answer, of the last answer from then on
-	byte      time.Time // the last one of a first req that is not whole
-	used      bool      // it has had an answer
-	job       bool      // ... to a job
+	born      time.Time
+	since     time.Time // time of the last answer; before the first answer, time of connecting
+	byte      time.Time // arrival of the last byte of an incomplete first request
+	used      bool      // at least one request was answered
+	job       bool      // a job was answered
 	shed      bool      // told to close
-	room      bool      // ... because its descriptor is needed: nothing more is waited for
-	owed      bool      // reqs of it are whole, and the last answer to them is not written yet
-	ahead     bool      // bytes have come behind that req
-	stays     bool      // it lingers
-	readsLate bool      // ... though its descriptor is wanted: its client's bytes come
+	room      bool      // told to close because its descriptor is needed; waits for nothing more
+	owed      bool      // a complete request has no answer yet, or the answer is not fully written
+	ahead     bool      // bytes were received after that request
+	stays     bool      // counted in table.lingering
+	readsLate bool      // its descriptor is needed, but it keeps reading because its client still sends
 }
 
-// table holds all sessions by shedRank, and within a shedRank by since, so that the one to shed is at
-// the front of a list however many there are.
+// table holds all sessions by rank, and within a rank ordered by idleSince, so that the next session to shed is always at the
+// front of a list.
 type table struct {
 	mu    sync.Mutex
-	last  uint64 // id given to a session
+	last  uint64 // last id given to a session
 	rows  [shedRanks]linked.List
 	count int
-	// lingers is how many sessions stay for their last answer to be read, in whatever row.
+	// lingering counts sessions of any rank that stay open for their last answer to be read.
 	lingers int
-	// owed is how many sessions have an answer to come, or one that is decided and not written yet, in whatever row.
+	// pendingAnswers counts sessions of any rank with an answer that is still to come or not fully written.
 	owed int
-	left chan struct{} // a session has ended
+	left chan struct{} // signals that a session has ended
 }
 
-// enter seats a new session. Beyond most, one is shed if any may be: those that linger are not counted, as long as there is
-// room for them beyond most. They are the first to go for the new one's descriptor, and only then: their clients' bytes
-// may still be on their way.
+// add registers a new session. If there are more than limit, one is shed where that is allowed. Lingering sessions don't count
+// towards limit as long as they fit into lingerHeadroom beyond it. Beyond that they are the first to be closed for a new
+// session, and not before: bytes of their clients may still be on their way.
 func (t *table) enter(s *sessionState, most int, trace *guard.Recorder) (n, all int, shed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,8 +109,8 @@
 	}
 }
 
-// waitBelow waits until there are no more than n sessions, for a while at most, and only
-// while some are about to close.
+// waitForCount waits until there are no more than n sessions. It gives up after maxWait, and at once if no session is about
+// to close.
 func (t *table) waitBelow(n int, most time.Duration) bool {
 	timer := time.NewTimer(most)
 	defer timer.Stop()
@@ -129,7 +129,7 @@
 	}
 }
 
-// move puts a session at the end of a row, unless it is on its way out. t.mu is held.
+// move puts a session at the end of the list of a rank, unless it was told to close. t.mu is held.
 func (t *table) move(s *sessionState, to shedRank) {
 	if s.shedRank == leaving {
 		return
@@ -138,12 +138,12 @@
 	s.shedRank, s.place = to, t.rows[to].PushBack(s)
 }
 
-// begun tells that bytes of a req have come.
+// reqStarted reports that bytes of a request have been received.
 func (t *table) begun(s *sessionState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch s.shedRank {
-	case silent, half: // rows are in the order of what spares their sessions
+	case silent, half: // the order within a rank is that in which its sessions lose their protection
 		s.byte = time.Now()
 		t.move(s, half)
 	case asked, resting:
@@ -151,7 +151,7 @@
 	}
 }
 
-// taken tells that a req is whole.
+// reqReceived reports that a request has been received completely.
 func (t *table) taken(s *sessionState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -162,7 +162,7 @@
 	s.owed, s.ahead = true, false
 }
 
-// paid tells that nothing is owed on a session any more. t.mu is held.
+// clearPending marks that no answer is pending on a session. t.mu is held.
 func (t *table) paid(s *sessionState) {
 	if s.owed {
 		t.owed--
@@ -170,8 +170,8 @@
 	s.owed = false
 }
 
-// sentAhead tells that bytes came behind the req that is owed its answer, so that the answer wakes the
-// session's goroutine for them. It returns false, and nothing is to come, where the answer is out.
+// notePipelined records that bytes were received after the request that waits for its answer, so that the answer wakes the
+// session's goroutine for them. It returns false, and records nothing, if the answer has been written.
 func (t *table) sentAhead(s *sessionState) (owed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -179,8 +179,8 @@
 	return s.owed
 }
 
-// stillOwed says whether the req has no answer yet. Then nothing has set the session a time to read by
-// that counts, and it reads on without one.
+// awaitingAnswer reports whether the request has no answer yet. In that case the read deadline that has passed is stale, and it is
+// cleared so that the session reads on.
 func (t *table) stillOwed(s *sessionState) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -190,10 +190,10 @@
 	return s.owed
 }
 
-// answered tells that a req was answered, and returns whether the session is to close: not one that is
-// shed while more of its client's has been read, which is answered first. Its
-// goroutine is woken for that, for what was sent ahead, or where it is to give up a long body. What wakes it is set
-// under the lock: it must not undo what shut has set.
+// reqAnswered reports that a request was answered, and returns whether the session has to close. A session that was told to close
+// stays open if more of its client's bytes have been read, as those are answered first. The session's goroutine is woken to
+// close, to handle pipelined bytes, or to give up a long body (wake). The deadline that wakes it is set under the lock, so
+// that it does not undo the one set by requestClose.
 func (t *table) answered(s *sessionState, job, closing, wake bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -214,8 +214,8 @@
 	return closing
 }
 
-// linger lets a session that has had its last answer stay until its client has read that, if no more than most
-// do. One whose descriptor is needed already stays among those that leave.
+// startLingering keeps a session open after its last answer until the client has read it, if no more than limit sessions do
+// so. A session whose descriptor is needed stays at rankClosing.
 func (t *table) linger(s *sessionState, most int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -228,8 +228,7 @@
 	return true
 }
 
-// lingerUntil sets how long a session that lingers goes on reading, unless it was told meanwhile that its descriptor
-// is needed.
+// setLingerDeadline sets until when a lingering session reads, unless its descriptor has become needed meanwhile.
 func (t *table) lingerUntil(s *sessionState, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -238,7 +237,7 @@
 	}
 }
 
-// readLate lets a session whose descriptor is wanted read on until a time, or until somebody has waited in vain for a descriptor.
+// extendRead lets a session whose descriptor is needed read on until a deadline, or until cutExtendedRead ends it.
 func (t *table) readLate(s *sessionState, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -246,7 +245,7 @@
 	s.conn.SetReadDeadline(until)
 }
 
-// lateReader is the session that has been reading on so for longest, if there is one.
+// oldestExtendedRead returns the session that has been reading under extendRead for longest, or nil.
 func (t *table) lateReader() *sessionState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -258,7 +257,7 @@
 	return nil
 }
 
-// cutLateReader ends it.
+// cutExtendedRead ends the read of that session.
 func (t *table) cutLateReader() bool {
 	s := t.lateReader()
 	if s == nil {
@@ -271,7 +270,7 @@
 	return true
 }
 
-// over says whether the session is to end for want of another req.
+// closeDue reports whether the session has to end because no further request came.
 func (t *table) over(s *sessionState) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -284,7 +283,7 @@
 	return s.shed
 }
 
-// spared says whether a session is to be kept for now, or has not been idle for so long.
+// shedProtected reports whether a session is still within its minimum time, or has been idle for less than minIdle.
 func (s *sessionState) spared(rest time.Duration) bool {
 	from := s.since
 	if s.shedRank == half {
@@ -293,7 +292,7 @@
 	return time.Since(from) < max(sparedFor[s.shedRank], rest)
 }
 
-// shedOne tells the first session that may go, of a shedRank or later ones, to close. t.mu is held.
+// shedOne tells the first session of rank from or a later one that may be shed to close. t.mu is held.
 func (t *table) shedOne(from shedRank) bool {
 	for r := from; r < working; r++ {
 		if e := t.rows[r].Front(); e != nil && !e.Value.(*sessionState).spared(0) {
@@ -304,7 +303,7 @@
 	return false
 }
 
-// shrink sheds those who may go until there are no more than most, or none may.
+// shrinkTo sheds sessions until there are no more than limit, or no other may be shed.
 func (t *table) shrink(most int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -312,8 +311,8 @@
 	}
 }
 
-// trim keeps the sessions that serve jobs to a number, as far as some are idle and will
-// hardly be used again at once.
+// trimJobSessions closes an idle session if more than limit sessions serve jobs. A session idle for less than trimMinIdle is
+// left, since it is likely to be used again at once.
 func (t *table) trim(most int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -325,7 +324,7 @@
 	}
 }
 
-// shut wakes a session's goroutine, which looks whether a req came after all, and closes.
+// requestClose wakes a session's goroutine, which checks whether a request came after all, and closes. t.mu is held.
 func (t *table) shut(s *sessionState, why guard.Reason) {
 	t.move(s, leaving)
 	s.note(guard.SessionTold, why)
@@ -333,8 +332,7 @@
 	s.conn.SetReadDeadline(time.Now())
 }
 
-// shutIdle tells sessions to close that have been between reqs for so long, and new ones after a
-// while.
+// closeIdle tells sessions to close that have been idle for minIdle. New sessions keep their minimum time.
 func (t *table) shutIdle(rest time.Duration, why guard.Reason) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -345,8 +343,8 @@
 	}
 }
 
-// open is how many sessions there are, and how many of them connected before a time; none if it
-// is zero, which costs nothing.
+// sessionCounts returns how many sessions there are, and how many of them connected before a time. The zero time costs
+// nothing and gives 0.
 func (t *table) open(before time.Time) (all, early int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/network/table_test.go
+++ b/internal/network/table_test.go
@@ -11,8 +11,8 @@
 	"tinsail/internal/balance"
 )
 
-// TestBudgets: the idlest session makes room for a new one. Where all are busy, a client is
-// told to come back; where all connections to backends are, its req is refused.
+// TestSessionLimits: the session idle for longest is closed for a new one. Where all are busy, a client is told to come back;
+// where all connections to backends are, its request is refused.
 func TestBudgets(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 1, `
 		c1 send GET /health/live HTTP/1.1\r\n\r\n
@@ -27,7 +27,7 @@
 		c2 expect 200 r`)
 }
 
-// TestShare: under any limit that the configuration lets pass, all budgets fit.
+// TestSplitDescriptors: the limits fit together under any number of descriptors that the configuration allows.
 func TestShare(t *testing.T) {
 	for _, limit := range []int{64, 160, 1024} {
 		b := Share(limit)
@@ -38,9 +38,8 @@
 	}
 }
 
-// TestWhoGoesFirst: beyond the budget those go that ask for nothing, and a usual client's
-// session last. One that has just connected is not silent yet; its first req, which no client
-// repeats by itself, is on its way.
+// TestShedOrder: beyond the limit sessions without an open request are shed, and idle ones that served a job last. A session that has
+// just connected is not shed yet: its first request, which a client does not repeat by itself, is on its way.
 func TestWhoGoesFirst(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 4, `
 		c1 send {req 9a x}
@@ -80,8 +79,8 @@
 		c7 expect nothing`)
 }
 
-// TestUsualSessionsStayFew: usual clients can hold only so many sessions. Where their idle ones
-// add up, the one idle for longest is closed before they run out, but none that was just used.
+// TestJobSessionLimit: sessions that served jobs are limited in number. Beyond the limit the one idle for longest is closed, but
+// none that was used just before.
 func TestUsualSessionsStayFew(t *testing.T) {
 	serve := func(c, id, conn string) string {
 		return fmt.Sprintf("%s send {req %s x}\n%s send {started %s}{done %s r}\n%s expect 200 r\n", c, id, conn, id, id, c)
@@ -103,8 +102,7 @@
 		c4 expect nothing`)
 }
 
-// TestFull: where all sessions are owed an answer, new ones are told at once, and accepting
-// goes on.
+// TestAllSessionsBusy: where all sessions have an open request, new clients are refused at once, and accepting goes on.
 func TestFull(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *world) {
 		for i := range excessMost + 1 {
@@ -121,7 +119,7 @@
 		func(w *world) { assert.Equal(t, int64(1), w.count.SessionsRefused.Load()) })
 }
 
-// late is a connection whose bytes lie there when the time to read is up.
+// lateConn is a connection whose bytes have arrived when the read deadline passes.
 type late struct {
 	net.Conn
 	up bool
@@ -135,7 +133,7 @@
 	return l.Conn.Read(p)
 }
 
-// TestLastLook: a req that is there when its session is to be closed is answered first.
+// TestFinalRead: a request that has arrived when its session is to be closed is answered first.
 func TestLastLook(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 9, func(w *world) {
 		go w.clients.admit(&late{Conn: w.pipe("c1")})
--- a/internal/network/trace.go
+++ b/internal/network/trace.go
@@ -8,7 +8,7 @@
 	"tinsail/internal/guard"
 )
 
-// This file hands what happens to sessions to package guard, for its trace and its check of what a close leaves unanswered.
+// This file passes session events to package guard, for its trace and its check of requests that a close leaves unanswered.
 
 // note adds an event of the session to the trace.
 func (s *sessionState) note(step guard.Step, why fmt.Stringer) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// closes is why a session ends with the answer that was written; nil where it goes on.
+// closeCause returns why a session ends with the answer that was written, or nil if it goes on.
 func (s *session) closes(closing, flooded bool, err error) fmt.Stringer {
 	switch o := s.clients.told(); {
 	case err != nil:
@@ -40,8 +40,9 @@
 	return guard.ClientAsked
 }
 
-// checkOwed counts a session that is closed from here although a request that was read has no answer. The client that
-// went, asked for the close, sent what is no request or more than is kept, is owed nothing for what lies behind.
+// checkUnanswered counts a violation if this side closes a session although a request that was read has no answer. A client that
+// closed the connection, asked for the close, sent an invalid request or sent more than is buffered is excepted: what follows
+// its last answer need not be answered.
 func (s *session) checkOwed(e core.Ending) {
 	if s.sessionState.guard == nil {
 		return
@@ -61,8 +62,8 @@
 	}
 }
 
-// checkOwed counts a connection that is closed from here, for no fault of its client's, with a request that was taken and
-// not answered.
+// checkUnanswered counts a violation if this side closes a connection, for no fault of its client, with a request that was taken
+// and not answered.
 func (s *streams) checkOwed(r *streamReq, e core.Ending) {
 	if s.guard != nil && r.taken && e != core.ClientClosed && e != core.ClientBad {
 		s.guard.Violated(guard.CloseOwed, s.id, r.job.ID, "its connection was closed before its answer")
--- a/internal/network/trace_test.go
+++ b/internal/network/trace_test.go
@@ -11,8 +11,8 @@
 	"tinsail/internal/guard"
 )
 
-// TestCloseGuardSaysNo: a session that is closed from here with a request that was read and not answered is counted; one
-// whose client went, or asked for it, is not.
+// TestCloseUnansweredCounted: a session that this side closes with a request that was read and not answered is counted. One
+// whose client closed it, or asked for the close, is not.
 func TestCloseGuardSaysNo(t *testing.T) {
 	whole := "POST /photo/1 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: a\r\nContent-Length: 1\r\n\r\nb"
 	for name, c := range map[string]struct {
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestServeGuardSaysNo: a check of health that is answered by yes after the process had decided to end is counted.
+// TestReadyAfterEndCounted: a health check answered with "ready" after the process decided to end is counted.
 func TestServeGuardSaysNo(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 9, func(w *world) {
 		r := &guard.Recorder{}
@@ -47,7 +47,7 @@
 		status, _ := w.clients.look("GET", "/health/ready")
 		assert.Equal(t, 200, status)
 		assert.Zero(t, r.Violations(guard.ServeNotReady))
-		r.End(time.Now()) // and its orders do not say so
+		r.End(time.Now()) // while its orders do not say so
 		_, _ = w.clients.look("GET", "/health/ready")
 		assert.EqualValues(t, 1, r.Violations(guard.ServeNotReady))
 	})
--- a/internal/network/turned.go
+++ b/internal/network/turned.go
@@ -7,15 +7,16 @@
 	"tinsail/internal/platform"
 )
 
-// Clients that are turned away unread. Whoever connects next waits while one is, so that a crowd that never goes by itself
-// is let go at a pace: turnedLook and lastLook for each.
+// Limits for clients that are rejected before anything of them is handled, as there is no descriptor for them. New clients
+// wait while one is rejected, so clients that never close are processed at a fixed pace: rejectedReadWait plus finalReadWait
+// for each.
 const (
-	turnedMost = 2                     // that linger at a time, of both fronts: within what Share keeps
-	turnedLook = 2 * time.Millisecond  // for what such a one sends to have come
-	turnedWait = 50 * time.Millisecond // for such a one to read so, if no other is turned away meanwhile
+	turnedMost = 2                     // that linger at a time, of both fronts: within the descriptors that SplitDescriptors reserves
+	turnedLook = 2 * time.Millisecond  // for the bytes that such a client sent to arrive
+	turnedWait = 50 * time.Millisecond // for such a client to read its answer, if no other is rejected meanwhile
 )
 
-// turnedAway are the clients of HTTP/1.1 that linger so, the first that came first.
+// rejectedSessions are the rejected HTTP/1.1 clients that linger, oldest first.
 type turnedAway struct {
 	mu   sync.Mutex
 	list []*turned
@@ -26,8 +27,8 @@
 	gone chan struct{} // closed once its descriptor is free
 }
 
-// turnAway tells a client that there is no descriptor for it, unread. The close must not reset the connection over what it
-// sent: that is read and dropped, until the client goes or others that come after it need its place.
+// reject answers 503 to a client that there is no descriptor for, without parsing its request. Its bytes are read and discarded,
+// so that the close does not reset the connection, until it closes or later rejected clients need its slot.
 func (c *Clients) turnAway(s *session) {
 	gone := func() {
 		s.conn.Close()
@@ -48,7 +49,7 @@
 		return
 	}
 	t := &turned{s, make(chan struct{})}
-	s.conn.SetReadDeadline(time.Now().Add(turnedWait)) // before another can take its place
+	s.conn.SetReadDeadline(time.Now().Add(turnedWait)) // before another client can take its slot
 	a := &c.away
 	a.mu.Lock()
 	a.list = append(a.list, t)
@@ -62,8 +63,8 @@
 	}()
 }
 
-// turnedPlace takes one of the places, if need be that of the client that has had it for longest, and at once only after
-// lastLook. It returns false where the other front's clients have all.
+// reserveRejectedSlot takes a slot for a lingering rejected client. If all are taken it frees that of the oldest one, which
+// gets finalReadWait first. It returns false if clients of the HTTP/2 front hold all slots.
 func (c *Clients) turnedPlace() bool {
 	for range 2 {
 		if c.turned.Add(1) <= turnedMost {
@@ -88,7 +89,7 @@
 	}
 }
 
-// cut waits for the first that came to be gone, and ends it if it stays; false says that there is none.
+// evictOldest waits for the oldest one to close, and ends it after finalReadWait. It returns false if there is none.
 func (a *turnedAway) cut() bool {
 	a.mu.Lock()
 	if len(a.list) == 0 {
@@ -103,7 +104,7 @@
 	case <-first.gone:
 	case <-timer.C:
 		first.conn.SetReadDeadline(time.Now())
-		<-first.gone // it reads no more, and writes nothing
+		<-first.gone // its read has ended, and it writes nothing
 	}
 	return true
 }
--- a/internal/network/versions_bench_test.go
+++ b/internal/network/versions_bench_test.go
@@ -13,7 +13,7 @@
 	"tinsail/internal/platform"
 )
 
-// begun is backends that do what the pool does before the first byte, and answer at once.
+// stampingBackends do what the pool does before the first byte, and answer at once.
 type begun struct {
 	instant
 	by string
@@ -32,9 +32,9 @@
 	return x.instant.Send(a)
 }
 
-// BenchmarkVersion is what a req costs more where the fleet agrees on a policy: the same reqs over HTTP/1.1
-// in blocks, with an accord and without, by turns in one process. It prints the median of the blocks'
-// processor times for a req, each way, and the median of the differences of neighbours.
+// BenchmarkVersion measures the additional cost of a request where the fleet agrees on a policy. It sends the same requests over
+// HTTP/1.1 in blocks, alternating with and without an accord, in one process. It reports the median processor time per request of
+// the blocks, each way, and the median difference of neighbouring blocks.
 func BenchmarkVersion(b *testing.B) {
 	a, err := accord.New(accord.Config{Plan: leases.Plan{Lease: 3 * time.Second}, Name: "n0", Epoch: 1,
 		Voters: []accord.Peer{{Name: "n0", Address: "127.0.0.1:39401"}}, Data: b.TempDir(), First: []byte("x"),
@@ -59,7 +59,7 @@
 			} else {
 				y, x = spend(on), spend(off)
 			}
-			if i >= 2 { // the first warm up
+			if i >= 2 { // the first two warm up
 				without, with, more = append(without, x), append(with, y), append(more, (y-x)/x*100)
 			}
 		}
