--- a/cmd/tinsail/door.go
+++ b/cmd/tinsail/door.go
@@ -67,11 +67,11 @@
 			return yes("serves, " + state.String())
 		}
 	case door.OutOfService:
-		d.service.Out()
+		d.service.TakeOutOfService()
 		d.handover.tellOut(true)
 		return kept(d.bans.SetOut(true), "goes out of service: not ready, drains, and runs on")
 	case door.InService:
-		if !d.service.In() {
+		if !d.service.ReturnToService() {
 			return no(503, "shutting down")
 		}
 		d.handover.tellOut(false)
--- a/cmd/tinsail/handover.go
+++ b/cmd/tinsail/handover.go
@@ -133,7 +133,7 @@
 func (d *dispatcher) inherit() (list []core.Entry) {
 	s := &d.handover.from.state
 	if s.Out {
-		d.service.Out()
+		d.service.TakeOutOfService()
 	}
 	if err := d.bans.SetOut(s.Out); err != nil {
 		d.log.Error().Err(err).Msg("bans not kept")
@@ -237,9 +237,9 @@
 // setOut follows a call that the other process had.
 func (d *dispatcher) setOut(out bool) {
 	if out {
-		d.service.Out()
+		d.service.TakeOutOfService()
 	} else {
-		d.service.In()
+		d.service.ReturnToService()
 	}
 	if err := d.bans.SetOut(out); err != nil {
 		d.log.Error().Err(err).Msg("bans not kept")
@@ -290,7 +290,7 @@
 // spare is what a process needs of descriptors beside sessions and connections to backends.
 func (t *takeover) spare() int { return 32 + doorSockets(t.d.cfg) }
 
-func (t *takeover) used() int { return t.d.clients.Open() + t.d.pool.Open() }
+func (t *takeover) used() int { return t.d.clients.OpenSessions() + t.d.pool.Open() }
 
 // give gives room up and tells all that this process knows.
 func (t *takeover) give() (handover.State, []syscall.Conn) {
@@ -303,7 +303,7 @@
 	t.mu.Unlock()
 	d.resize(keep, memory)
 	d.core.Retire(true)
-	s := handover.State{Sockets: give, Memory: memory, Out: d.service.IsOut()}
+	s := handover.State{Sockets: give, Memory: memory, Out: d.service.IsOutOfService()}
 	list, marks := d.bans.State()
 	s.Marks = marks
 	for _, b := range list {
@@ -365,6 +365,6 @@
 	t.d.core.Retire(false)
 	t.failed.Add(1)
 	if accept {
-		t.d.service.TakeBack()
+		t.d.service.ResumeAfterHandOver()
 	}
 }
--- a/cmd/tinsail/serve.go
+++ b/cmd/tinsail/serve.go
@@ -118,8 +118,8 @@
 }
 
 func limits(h *settings.HTTP2) network.HTTP2Limits {
-	return network.HTTP2Limits{Streams: h.MaxStreams, HeaderBytes: h.MaxHeaderBytes, FrameBytes: h.MaxFrameBytes,
-		Stall: h.Stall(), DrainWait: h.Drain(), Stop: h.Stop()}
+	return network.HTTP2Limits{MaxStreams: h.MaxStreams, MaxHeaderBytes: h.MaxHeaderBytes, MaxFrameBytes: h.MaxFrameBytes,
+		StallTimeout: h.Stall(), DrainTimeout: h.Drain(), CancelOnReset: h.Stop()}
 }
 
 // assemble makes the parts and opens the listeners; nothing runs yet.
@@ -127,7 +127,7 @@
 func assemble(cfg *config.Config, set *settings.Settings, log zerolog.Logger, from handed) (*dispatcher, error) {
 	d := &dispatcher{cfg: cfg, log: log, count: &counters.Set{}, guard: &guard.Recorder{Log: log}}
 	d.ready.begun = time.Now()
-	share := network.Share(network.Allowed(cfg.Sockets) - doorSockets(cfg))
+	share := network.SplitDescriptors(network.MaxDescriptors(cfg.Sockets) - doorSockets(cfg))
 	d.pool = &network.Pool{Names: &cfg.Names, Count: d.count, Most: share.Backends, Dial: system.dial, Idle: cfg.ConnIdle * 7 / 10,
 		Connect: time.Duration(cfg.Settings.ConnectTimeout * float64(time.Millisecond))}
 	d.director = &network.Director{Names: &cfg.Names, Count: d.count, Address: cfg.Discovery, Dial: system.dial}
@@ -151,14 +151,14 @@
 		d.listed = d.bans.Listed
 	}
 	d.director.Told, d.director.Heard = d.listed, d.core.Heard
-	d.clients = &network.Clients{Names: &cfg.Names, Count: d.count, Core: d.core, Most: share.Clients, Usual: share.Usual,
-		Held: cfg.Memory / 8, Longest: cfg.Longest(), Stats: d.stats, Log: log, Guard: d.guard}
+	d.clients = &network.Clients{Names: &cfg.Names, Count: d.count, Core: d.core, MaxSessions: share.Clients, MaxJobSessions: share.JobSessions,
+		MaxBufferedBytes: cfg.Memory / 8, LongestDeadline: cfg.Longest(), Stats: d.stats, Log: log, Guard: d.guard}
 	if d.listener, err = from.listen(cfg, "http1", cfg.Listen); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	if set.HTTP2 != nil {
 		d.http2 = &network.HTTP2{Clients: d.clients}
-		d.http2.Set(limits(set.HTTP2))
+		d.http2.SetLimits(limits(set.HTTP2))
 		if d.listener2, err = from.listen(cfg, "http2", set.HTTP2.Listen); err != nil {
 			d.listener.Close()
 			return nil, fmt.Errorf("http2.listen: %w", err)
@@ -173,7 +173,7 @@
 		return nil, err
 	}
 	d.service = network.NewService(d.clients, d.http2)
-	d.service.Changed = func(old, now service.State) {
+	d.service.OnStateChange = func(old, now service.State) {
 		d.log.Info().Stringer("from", old).Stringer("to", now).Msg("service")
 	}
 	if err := d.addDoor(); err != nil {
@@ -201,7 +201,7 @@
 // start has all parts run, in the background.
 func (d *dispatcher) start() {
 	if d.bans != nil && d.bans.Load() && d.handover.from.link == nil {
-		d.service.Out()
+		d.service.TakeOutOfService()
 	}
 	known := d.cfg.Known.Entries
 	if d.handover != nil && d.handover.from.link != nil {
@@ -248,8 +248,8 @@
 // resize sets how many descriptors and how much memory (bytes) this process may hold: all that the
 // dispatcher has, or its part while there are two processes.
 func (d *dispatcher) resize(sockets int, memory int64) {
-	share, all := network.Share(network.Allowed(sockets)-doorSockets(d.cfg)), network.Share(network.Allowed(d.cfg.Sockets)-doorSockets(d.cfg))
-	share.Usual = min(all.Usual, share.Clients)
+	share, all := network.SplitDescriptors(network.MaxDescriptors(sockets)-doorSockets(d.cfg)), network.SplitDescriptors(network.MaxDescriptors(d.cfg.Sockets)-doorSockets(d.cfg))
+	share.JobSessions = min(all.JobSessions, share.Clients)
 	d.clients.Resize(share)
 	d.pool.Resize(share.Backends)
 	debug.SetMemoryLimit(memory * 3 / 4)
@@ -257,7 +257,7 @@
 
 // drain begins the shutdown; d.service says when it is over.
 func (d *dispatcher) drain() {
-	d.service.Term() // at once: checks of health turn, and the kill's clock runs, whatever the catalogue's agent takes
+	d.service.BeginShutdown() // at once: checks of health turn, and the kill's clock runs, whatever the catalogue's agent takes
 	if d.sources != nil && d.sources.self != nil {
 		d.sources.self.Drain()
 	}
@@ -365,7 +365,7 @@
 	d.director.Redirect(next.Discovery)
 	now, later := set.Change(nextSet)
 	if d.http2 != nil && nextSet.HTTP2 != nil {
-		d.http2.Set(limits(nextSet.HTTP2))
+		d.http2.SetLimits(limits(nextSet.HTTP2))
 	}
 	d.reloadSources(set, nextSet)
 	if err := d.reloadBudgets(set, nextSet); err != nil {
--- a/internal/network/await_test.go
+++ b/internal/network/await_test.go
@@ -80,7 +80,7 @@
 // waitNoSessions waits until the dispatcher has no client session.
 func (s *served) none(t *testing.T) {
 	t.Helper()
-	require.Eventually(t, func() bool { return s.clients.Open() == 0 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return s.clients.OpenSessions() == 0 }, 20*time.Second, time.Millisecond)
 }
 
 // TestClientCloseDetectedWhileWaiting: a client that closes while its request waits is noticed whatever it sent after the
@@ -224,7 +224,7 @@
 			b := newPatient()
 			s := serveReal(t, b, func(cl *Clients) {
 				if c.excess {
-					cl.Most = -excessMost
+					cl.MaxSessions = -excessMost
 				}
 			})
 			if c.orders != nil {
@@ -255,7 +255,7 @@
 // descriptors than all sessions may, and are closed at once for others that need theirs.
 func TestLingeringGoesForOthers(t *testing.T) {
 	const most = 20
-	s := serveReal(t, instant{"r"}, func(cl *Clients) { cl.Most = most })
+	s := serveReal(t, instant{"r"}, func(cl *Clients) { cl.MaxSessions = most })
 	for i := range 5 * most {
 		conn := ring(t, s)
 		_, err := io.WriteString(conn, photo(fmt.Sprint("a", i), "Connection: close\r\n", "z"))
@@ -311,7 +311,7 @@
 	require.NoError(t, err)
 	conn, err := l.Accept()
 	require.NoError(t, err)
-	held := &stuck{Conn: conn, writes: make(chan struct{}), closed: make(chan struct{}), given: func() bool { return s.clients.Open() == 0 }}
+	held := &stuck{Conn: conn, writes: make(chan struct{}), closed: make(chan struct{}), given: func() bool { return s.clients.OpenSessions() == 0 }}
 	one := &session{sessionState: sessionState{conn: held}, clients: s.clients, answer: make(chan core.Answer, 1)}
 	s.clients.enter(&one.sessionState)
 	go one.run()
--- a/internal/network/budget.go
+++ b/internal/network/budget.go
@@ -5,10 +5,10 @@
 import "syscall"
 
 // DescriptorLimits divides the file descriptors of the process among their uses.
-type Budget struct {
-	Clients  int // client sessions
-	Usual    int // client sessions that have had a job answered or have one now; idle ones beyond it are closed
-	Backends int // connections to backends, including those being established
+type DescriptorLimits struct {
+	Clients     int // client sessions
+	JobSessions int // client sessions that have had a job answered or have one now; idle ones beyond it are closed
+	Backends    int // connections to backends, including those being established
 }
 
 // reservedDescriptors are left for the runtime, the listener, the director and the log (a dozen or so in all), and for the
@@ -17,7 +17,7 @@
 
 // MaxDescriptors returns how many descriptors the process may hold: the configured number, or the system's limit if that is
 // lower. Beyond the system's limit no connection to discovery, to a backend or from an operator could be made.
-func Allowed(configured int) int {
+func MaxDescriptors(configured int) int {
 	var system syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &system); err != nil {
 		return configured
@@ -29,7 +29,7 @@
 // idle connections to backends save handshakes: backends get the larger part. Clients that send jobs hold a third of the
 // limit at most, including idle sessions: a client at its limit cannot send a request, however idle this dispatcher is.
 // JobSessions stays below that.
-func Share(limit int) Budget {
+func SplitDescriptors(limit int) DescriptorLimits {
 	free := max(limit-kept, 2)
-	return Budget{Clients: free * 9 / 20, Usual: limit / 5, Backends: free - free*9/20}
+	return DescriptorLimits{Clients: free * 9 / 20, JobSessions: limit / 5, Backends: free - free*9/20}
 }
--- a/internal/network/clients.go
+++ b/internal/network/clients.go
@@ -30,22 +30,22 @@
 
 // Clients serves client sessions over HTTP/1.1, and keeps the table of the sessions of both fronts.
 type Clients struct {
-	Names   *platform.Names
-	Count   *counters.Set
-	Core    *core.Core
-	Most    int   // sessions, until Resize; beyond it an idle one is closed, and if there is none a few clients are told to come back
-	Usual   int   // sessions that serve jobs, until Resize; beyond it the one idle for longest is closed
-	Held    int64 // bytes of bodies and answers that may be buffered for all sessions together
-	Longest time.Duration
-	Stats   func() string
-	Members func() string // the list of backends in a readable form; may be nil
-	Log     zerolog.Logger
-	Guard   *guard.Recorder // checks the rules at run time and keeps the trace; may be nil
+	Names            *platform.Names
+	Count            *counters.Set
+	Core             *core.Core
+	MaxSessions      int   // sessions, until Resize; beyond it an idle one is closed, and if there is none a few clients are told to come back
+	MaxJobSessions   int   // sessions that serve jobs, until Resize; beyond it the one idle for longest is closed
+	MaxBufferedBytes int64 // bytes of bodies and answers that may be buffered for all sessions together
+	LongestDeadline  time.Duration
+	Stats            func() string
+	Members          func() string // the list of backends in a readable form; may be nil
+	Log              zerolog.Logger
+	Guard            *guard.Recorder // checks the rules at run time and keeps the trace; may be nil
 
 	orders atomic.Pointer[service.Orders] // nil for a dispatcher in service
 	gate   gate
 	queue  acceptQueue
-	size   atomic.Pointer[Budget] // set by Resize; nil for MaxSessions and MaxJobSessions
+	size   atomic.Pointer[DescriptorLimits] // set by Resize; nil for MaxSessions and MaxJobSessions
 	held   atomic.Int64
 	turned atomic.Int32 // clients of both fronts that were rejected for lack of a descriptor and still linger
 	away   turnedAway
@@ -62,13 +62,13 @@
 
 // Resize sets how many sessions there may be from now on. Idle ones beyond it are closed; sessions with an unanswered request
 // go on.
-func (c *Clients) Resize(b Budget) {
+func (c *Clients) Resize(b DescriptorLimits) {
 	c.size.Store(&b)
 	c.table.shrink(b.Clients)
 }
 
 // OpenSessions returns how many sessions there are.
-func (c *Clients) Open() int {
+func (c *Clients) OpenSessions() int {
 	n, _ := c.table.open(time.Time{})
 	return n
 }
@@ -77,14 +77,14 @@
 	if b := c.size.Load(); b != nil {
 		return b.Clients
 	}
-	return c.Most
+	return c.MaxSessions
 }
 
 func (c *Clients) usual() int {
 	if b := c.size.Load(); b != nil {
-		return b.Usual
+		return b.JobSessions
 	}
-	return c.Usual
+	return c.MaxJobSessions
 }
 
 var inService = service.Orders{Ready: true, Accept: true}
@@ -238,7 +238,7 @@
 
 // reserveBytes reserves n bytes in the total for all sessions, if they are free.
 func (c *Clients) hold(n int) bool {
-	if c.held.Add(int64(n)) > c.Held {
+	if c.held.Add(int64(n)) > c.MaxBufferedBytes {
 		c.held.Add(-int64(n))
 		c.Count.BodiesShed.Add(1)
 		return false
--- a/internal/network/http2.go
+++ b/internal/network/http2.go
@@ -25,13 +25,13 @@
 
 // HTTP2Limits are the limits announced to a new connection, and what becomes of requests that are reset.
 type HTTP2Limits struct {
-	Streams, HeaderBytes, FrameBytes int
-	Stall, DrainWait                 time.Duration
-	Stop                             bool // a reset cancels the request's attempts at backends
+	MaxStreams, MaxHeaderBytes, MaxFrameBytes int
+	StallTimeout, DrainTimeout                time.Duration
+	CancelOnReset                             bool // a reset cancels the request's attempts at backends
 }
 
 // SetLimits sets the limits of connections from now on.
-func (f *HTTP2) Set(l HTTP2Limits) { f.limits.Store(&l) }
+func (f *HTTP2) SetLimits(l HTTP2Limits) { f.limits.Store(&l) }
 
 // Serve accepts connections until the listener is closed. SetLimits must have been called.
 func (f *HTTP2) Serve(l net.Listener) {
@@ -91,7 +91,7 @@
 
 func (r *streamReq) abandon() {
 	if r.taken {
-		r.ticket.Abandon(r.s.limits.Stop, func() { r.s.post(letter{id: r.id, free: true}) })
+		r.ticket.Abandon(r.s.limits.CancelOnReset, func() { r.s.post(letter{id: r.id, free: true}) })
 	}
 }
 
@@ -106,17 +106,17 @@
 	c, l := f.Clients, f.limits.Load()
 	s := &streams{sessionState: sessionState{conn: conn}, front: f, limits: l, wake: make(chan struct{}, 1),
 		flushed: make(chan struct{}), quit: make(chan struct{}), arrival: newArrival(conn, c.queue.from())}
-	window := int(min(max(c.Held/8, windowLeast), windowMost))
-	s.m = http2.New(http2.Config{Streams: l.Streams, HeaderBytes: l.HeaderBytes, FrameBytes: l.FrameBytes,
-		BodyBytes: platform.MaxBody, Window: window, Queue: int(c.Held / 4), BodyWait: reqWait, WholeWait: max(c.Longest, reqWait),
-		Stall: l.Stall, DrainWait: l.DrainWait,
+	window := int(min(max(c.MaxBufferedBytes/8, windowLeast), windowMost))
+	s.m = http2.New(http2.Config{Streams: l.MaxStreams, HeaderBytes: l.MaxHeaderBytes, FrameBytes: l.MaxFrameBytes,
+		BodyBytes: platform.MaxBody, Window: window, Queue: int(c.MaxBufferedBytes / 4), BodyWait: reqWait, WholeWait: max(c.LongestDeadline, reqWait),
+		Stall: l.StallTimeout, DrainWait: l.DrainTimeout,
 		Admit: c.hold, Release: func(n int) { c.held.Add(-int64(n)) },
 		Count: func(a http2.Abuse) { c.Count.HTTP2Abuse[a].Add(1) }}, time.Now())
 	c.Count.HTTP2Sessions.Add(1)
 	excess, room := c.enter(&s.sessionState)
 	if s.excess = excess; !room {
 		s.m.End(http2.EnhanceYou, "too many clients")
-		s.conn.SetWriteDeadline(time.Now().Add(l.Stall))
+		s.conn.SetWriteDeadline(time.Now().Add(l.StallTimeout))
 		s.conn.Write(s.m.Take(nil))
 		c.table.leave(&s.sessionState)
 		s.turnAway()
@@ -281,7 +281,7 @@
 			}
 			s.mu.Unlock()
 			if len(b) > 0 {
-				until := time.Now().Add(s.limits.Stall)
+				until := time.Now().Add(s.limits.StallTimeout)
 				if over && last.IsZero() {
 					last = until
 				} else if over {
--- a/internal/network/http2_caller_test.go
+++ b/internal/network/http2_caller_test.go
@@ -91,7 +91,7 @@
 func (s *served) limits(change func(*HTTP2Limits)) {
 	l := *s.http2.limits.Load()
 	change(&l)
-	s.http2.Set(l)
+	s.http2.SetLimits(l)
 }
 
 // sessions returns the front's connections.
@@ -250,7 +250,7 @@
 // checkNoSessions checks that nothing is left of the sessions.
 func (s *served) empty(t *testing.T) {
 	t.Helper()
-	soon(t, "no session", func() bool { return s.clients.Open() == 0 && len(s.streamsNow()) == 0 })
+	soon(t, "no session", func() bool { return s.clients.OpenSessions() == 0 && len(s.streamsNow()) == 0 })
 	assert.Zero(t, s.clients.held.Load(), "bytes are held for nobody")
 }
 
@@ -303,15 +303,15 @@
 
 // startWithLongDeadlines starts a dispatcher whose requests have an hour, so that no deadline ends them in a test.
 func serveLong(t *testing.T, b core.Backends, change ...func(*Clients)) *served {
-	long := func(c *Clients) { c.Names.Limits, c.Longest = []time.Duration{time.Hour}, time.Hour }
+	long := func(c *Clients) { c.Names.Limits, c.LongestDeadline = []time.Duration{time.Hour}, time.Hour }
 	return serveReal(t, b, append([]func(*Clients){long}, change...)...)
 }
 
 func serveFull(t *testing.T, b core.Backends, stall time.Duration) *served {
 	s := serveLong(t, b, func(c *Clients) {
-		c.Held, c.Stats = 4<<20, func() string { return strings.Repeat("s", 1<<20) }
+		c.MaxBufferedBytes, c.Stats = 4<<20, func() string { return strings.Repeat("s", 1<<20) }
 	})
-	s.limits(func(l *HTTP2Limits) { l.Stall = stall })
+	s.limits(func(l *HTTP2Limits) { l.StallTimeout = stall })
 	return s
 }
 
--- a/internal/network/http2_crossing_test.go
+++ b/internal/network/http2_crossing_test.go
@@ -216,7 +216,7 @@
 			t.Run(name+when, func(t *testing.T) {
 				t.Parallel()
 				h := newHolding()
-				s := serveLong(t, h, func(c *Clients) { c.Longest = -100 * time.Millisecond }) // a shutdown closes at once
+				s := serveLong(t, h, func(c *Clients) { c.LongestDeadline = -100 * time.Millisecond }) // a shutdown closes at once
 				made := make(chan *lastConn, 1)
 				address := s.listen(t, func(conn *net.TCPConn) net.Conn {
 					conn.SetWriteBuffer(2 << 20)
@@ -243,7 +243,7 @@
 				came(t, "the reading after the end", l.reads)
 				switch when {
 				case "/in a shutdown":
-					NewService(s.clients, s.http2).Term()
+					NewService(s.clients, s.http2).BeginShutdown()
 				case "/when its time is up":
 					time.Sleep(lingerWait)
 				}
--- a/internal/network/http2_flood_test.go
+++ b/internal/network/http2_flood_test.go
@@ -95,7 +95,7 @@
 			serve()
 		}
 	}
-	soon(t, "only the client beside them is left", func() bool { return s.clients.Open() == 1 })
+	soon(t, "only the client beside them is left", func() bool { return s.clients.OpenSessions() == 1 })
 	assert.Equal(t, int64(each*len(floods)), s.count.Endings[core.ClientBad].Load())
 	assert.Equal(t, int64(1+each*len(floods)), s.count.HTTP2Sessions.Load())
 	assert.Zero(t, s.count.Endings[core.ClientClosed].Load())
--- a/internal/network/http2_mail.go
+++ b/internal/network/http2_mail.go
@@ -32,7 +32,7 @@
 		return
 	}
 	if n := len(l.answer.Result); n > smallLetter {
-		if s.mail.held+n > int(c.Held/4) || !c.hold(n) {
+		if s.mail.held+n > int(c.MaxBufferedBytes/4) || !c.hold(n) {
 			l.lost, l.answer.Result = true, ""
 		} else {
 			l.held = n
--- a/internal/network/http2_real_test.go
+++ b/internal/network/http2_real_test.go
@@ -58,12 +58,12 @@
 	stop := make(chan struct{})
 	go c.Run(stop)
 	names := &platform.Names{Classes: []string{"photo"}, Keyed: []bool{false}, Limits: []time.Duration{5 * time.Second}}
-	s.clients = &Clients{Names: names, Count: s.count, Core: c, Most: 400, Usual: 400, Held: 24 << 20, Longest: 5 * time.Second, Stats: func() string { return "counters\n" }}
+	s.clients = &Clients{Names: names, Count: s.count, Core: c, MaxSessions: 400, MaxJobSessions: 400, MaxBufferedBytes: 24 << 20, LongestDeadline: 5 * time.Second, Stats: func() string { return "counters\n" }}
 	for _, f := range change {
 		f(s.clients)
 	}
 	s.http2 = &HTTP2{Clients: s.clients}
-	s.http2.Set(HTTP2Limits{Streams: 128, HeaderBytes: 16 << 10, FrameBytes: 16 << 10, Stall: 5 * time.Second, DrainWait: 300 * time.Millisecond, Stop: true})
+	s.http2.SetLimits(HTTP2Limits{MaxStreams: 128, MaxHeaderBytes: 16 << 10, MaxFrameBytes: 16 << 10, StallTimeout: 5 * time.Second, DrainTimeout: 300 * time.Millisecond, CancelOnReset: true})
 	var listeners [2]net.Listener
 	for i := range listeners {
 		listeners[i], err = net.Listen("tcp", "127.0.0.1:0")
@@ -200,7 +200,7 @@
 // TestShutdownUnderLoad: of all requests sent during a shutdown, those taken are answered, and a client that obeys GOAWAY has
 // to repeat none that was taken.
 func TestShutdownUnderLoad(t *testing.T) {
-	s := serveReal(t, instant{"done"}, func(c *Clients) { c.Longest = time.Millisecond }) // the shutdown waits for no load balancer
+	s := serveReal(t, instant{"done"}, func(c *Clients) { c.LongestDeadline = time.Millisecond }) // the shutdown waits for no load balancer
 	var all sync.WaitGroup
 	var asked, answered, untaken atomic.Int64
 	begin, stop := make(chan struct{}), make(chan struct{})
@@ -241,7 +241,7 @@
 	}
 	<-begin
 	end := NewService(s.clients, s.http2)
-	end.Term()
+	end.BeginShutdown()
 	<-end.Ended()
 	close(stop)
 	all.Wait()
--- a/internal/network/http2_slow_test.go
+++ b/internal/network/http2_slow_test.go
@@ -65,7 +65,7 @@
 		a.Ended(core.Served, strings.Repeat("r", size), nil)
 	}
 	s.owes(t, 0)
-	fit := s.clients.Held / 4 / size
+	fit := s.clients.MaxBufferedBytes / 4 / size
 	soon(t, "the answers are held", func() bool { return s.clients.held.Load() == 1<<20+fit*size })
 	close(l.goOn)
 	whole, reset := map[uint32]bool{}, 0
@@ -140,12 +140,12 @@
 
 // TestHTTP2RejectedUnread: a client that there is no descriptor for reads the reason, although what it sent is not handled.
 func TestHTTP2TurnedAway(t *testing.T) {
-	s := serveLong(t, newHolding(), func(c *Clients) { c.Most = 1 })
-	for range s.clients.Most + excessMost { // sessions with a pending answer
+	s := serveLong(t, newHolding(), func(c *Clients) { c.MaxSessions = 1 })
+	for range s.clients.MaxSessions + excessMost { // sessions with a pending answer
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
 		busy := &sessionState{conn: near}
-		s.clients.table.enter(busy, s.clients.Most+excessMost, nil)
+		s.clients.table.enter(busy, s.clients.MaxSessions+excessMost, nil)
 		s.clients.table.taken(busy)
 	}
 	sent := make(chan struct{})
@@ -163,6 +163,6 @@
 	c.conn.Close()
 	soon(t, "it is gone", func() bool { return s.clients.turned.Load() == 0 })
 	assert.Equal(t, int64(1), s.count.Endings[core.SessionShed].Load())
-	assert.Equal(t, s.clients.Most+excessMost, s.clients.Open())
+	assert.Equal(t, s.clients.MaxSessions+excessMost, s.clients.OpenSessions())
 	assert.Zero(t, s.count.ReqsTaken.Load())
 }
--- a/internal/network/http2_stop_test.go
+++ b/internal/network/http2_stop_test.go
@@ -42,7 +42,7 @@
 				return early == 0 || f.m.Partial() && f.shedRank == half
 			})
 			end := NewService(s.clients, s.http2)
-			end.Term()
+			end.BeginShutdown()
 			c.out.Write(all[early:])
 			c.send()
 			c.until("goaway 2147483647 NO_ERROR")
@@ -67,13 +67,13 @@
 	for round := range 20 {
 		h := newHolding()
 		s := serveLong(t, h)
-		s.limits(func(l *HTTP2Limits) { l.DrainWait = time.Hour }) // only the client's acknowledgement brings the second GOAWAY
+		s.limits(func(l *HTTP2Limits) { l.DrainTimeout = time.Hour }) // only the client's acknowledgement brings the second GOAWAY
 		c := phoneUp(t, s.address[1], 0)
 		c.until("settings")
 		begin := make(chan struct{})
 		var all sync.WaitGroup
 		end := NewService(s.clients, s.http2)
-		all.Go(func() { <-begin; end.Term() })
+		all.Go(func() { <-begin; end.BeginShutdown() })
 		all.Go(func() {
 			<-begin
 			for i := range uint32(8) {
@@ -130,7 +130,7 @@
 	s := serveFull(t, h, time.Hour)
 	c, a, l := s.late(t, h.out)
 	end := NewService(s.clients, s.http2)
-	end.Term()
+	end.BeginShutdown()
 	a.Ended(core.Served, "decided", nil)
 	s.owes(t, 0)
 	// No request is open any more, and the shutdown has begun to close sessions.
@@ -216,7 +216,7 @@
 	c.post(3)
 	c.send()
 	came(t, "the req's bytes", came1)
-	s.clients.Resize(Budget{}) // no idle session may stay
+	s.clients.Resize(DescriptorLimits{}) // no idle session may stay
 	shed.Store(true)
 	close(goOn)
 	a := came(t, "an attempt", h.out)
--- a/internal/network/http2_test.go
+++ b/internal/network/http2_test.go
@@ -126,7 +126,7 @@
 // TestHTTP2ResetLetsJobFinish: where a reset does not cancel a job, its stream slot stays taken until the job ends.
 func TestHTTP2Finish(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 9, func(w *world) {
-		w.http2.Set(HTTP2Limits{Streams: 1, HeaderBytes: 4096, FrameBytes: 16384, Stall: time.Second, DrainWait: time.Second})
+		w.http2.SetLimits(HTTP2Limits{MaxStreams: 1, MaxHeaderBytes: 4096, MaxFrameBytes: 16384, StallTimeout: time.Second, DrainTimeout: time.Second})
 	}, hello+`
 		h1 send {post 1 e}
 		s1/1 expect POST /ingest r1 k1 2000
@@ -152,7 +152,7 @@
 }
 
 func wide(w *world) {
-	w.http2.Set(HTTP2Limits{Streams: 200, HeaderBytes: 4096, FrameBytes: 16384, Stall: 5 * time.Second, DrainWait: 300 * time.Millisecond, Stop: true})
+	w.http2.SetLimits(HTTP2Limits{MaxStreams: 200, MaxHeaderBytes: 4096, MaxFrameBytes: 16384, StallTimeout: 5 * time.Second, DrainTimeout: 300 * time.Millisecond, CancelOnReset: true})
 	w.pool.Most = 200
 }
 
@@ -228,7 +228,7 @@
 		s1/1 expect POST /ingest r1 k1 2000`,
 		func(w *world) {
 			go func() {
-				w.service.Term()
+				w.service.BeginShutdown()
 				<-w.service.Ended()
 				ended = true
 			}()
@@ -274,7 +274,7 @@
 	run(t, list(balance.Ready, "s1"), 9, hello+`
 		h1 send {post 1 e}
 		s1/1 expect POST /ingest r1 k1 2000`,
-		func(w *world) { w.service.Out() }, `
+		func(w *world) { w.service.TakeOutOfService() }, `
 		h1 expect goaway open NO_ERROR
 		h1 expect ping
 		h1 send {ping 0x7461696c ack}
@@ -284,7 +284,7 @@
 		h1 expect data 1 a end
 		h1 expect closed
 		wait 5s`,
-		func(w *world) { assert.True(t, w.service.In()) }, `
+		func(w *world) { assert.True(t, w.service.ReturnToService()) }, `
 		h2 send {hello}{head 1 e :method=POST :scheme=http :path=/ingest x-correlation-id=r7 idempotency-key=k7}
 		h2 expect settings
 		h2 expect window 0 1
--- a/internal/network/linger_crossing_test.go
+++ b/internal/network/linger_crossing_test.go
@@ -136,7 +136,7 @@
 		}
 		one.Close()
 		synctest.Wait()
-		assert.Equal(t, 1, w.clients.Open())
+		assert.Equal(t, 1, w.clients.OpenSessions())
 	}, `
 		c1 expect 200
 		c1 expect 400 close 400: a bad request line`)
@@ -176,7 +176,7 @@
 				p.mu.Unlock()
 			}
 			assert.LessOrEqual(t, time.Since(from), roomWait+lateReadWait+2*time.Millisecond)
-			assert.LessOrEqual(t, w.clients.Open(), 1+excessMost)
+			assert.LessOrEqual(t, w.clients.OpenSessions(), 1+excessMost)
 		}
 		assert.LessOrEqual(t, time.Since(begun), 100*lateReadMost/8)
 		assert.Zero(t, w.count.SessionsRefused.Load())
@@ -208,12 +208,12 @@
 				}
 			}
 			assert.Equal(t, min(i+1, turnedMost), lives)
-			assert.Equal(t, 1+excessMost+lives, w.clients.Open())
+			assert.Equal(t, 1+excessMost+lives, w.clients.OpenSessions())
 		}
 		assert.Less(t, time.Since(begun), 100*time.Millisecond)
 		time.Sleep(turnedWait)
 		synctest.Wait()
-		assert.Equal(t, 1+excessMost, w.clients.Open())
+		assert.Equal(t, 1+excessMost, w.clients.OpenSessions())
 		assert.Zero(t, w.clients.turned.Load())
 		assert.EqualValues(t, 8, w.count.SessionsRefused.Load())
 	}, `
--- a/internal/network/long_quiet_test.go
+++ b/internal/network/long_quiet_test.go
@@ -19,7 +19,7 @@
 		time.Sleep(10 * time.Minute)
 		synctest.Wait()
 		assert.Zero(t, w.pool.Open(), "no connection is left to be found forgotten")
-		assert.Zero(t, w.clients.Open())
+		assert.Zero(t, w.clients.OpenSessions())
 		begun := time.Now()
 		w.play("c2 send {req 9b x}\ns1/2 send {started 9b}{done 9b q}\nc2 expect 200 q")
 		assert.Less(t, time.Since(begun), 10*time.Millisecond)
--- a/internal/network/scenario_test.go
+++ b/internal/network/scenario_test.go
@@ -126,9 +126,9 @@
 		d.Start(41)
 		w.core.Listed(balance.ListCached, backends)
 		go w.core.Run(stop)
-		w.clients = &Clients{Names: names, Count: w.count, Core: w.core, Most: most, Usual: 9, Held: 8 << 10, Longest: 5 * time.Second, Stats: func() string { return "counters" }}
+		w.clients = &Clients{Names: names, Count: w.count, Core: w.core, MaxSessions: most, MaxJobSessions: 9, MaxBufferedBytes: 8 << 10, LongestDeadline: 5 * time.Second, Stats: func() string { return "counters" }}
 		w.http2 = &HTTP2{Clients: w.clients}
-		w.http2.Set(HTTP2Limits{Streams: 4, HeaderBytes: 4096, FrameBytes: 16384, Stall: 5 * time.Second, DrainWait: 300 * time.Millisecond, Stop: true})
+		w.http2.SetLimits(HTTP2Limits{MaxStreams: 4, MaxHeaderBytes: 4096, MaxFrameBytes: 16384, StallTimeout: 5 * time.Second, DrainTimeout: 300 * time.Millisecond, CancelOnReset: true})
 		w.service = NewService(w.clients, w.http2)
 		defer func() {
 			w.mu.Lock()
--- a/internal/network/service.go
+++ b/internal/network/service.go
@@ -73,9 +73,9 @@
 // Service applies the state decided by package service to the fronts. Its methods may be called from any goroutine, and
 // their effect is in place when they return.
 type Service struct {
-	Clients *Clients
-	HTTP2   *HTTP2                       // nil if HTTP/2 is off
-	Changed func(old, now service.State) // may be nil; must not block
+	Clients       *Clients
+	HTTP2         *HTTP2                       // nil if HTTP/2 is off
+	OnStateChange func(old, now service.State) // may be nil; must not block
 
 	mu    sync.Mutex
 	m     service.Machine
@@ -87,7 +87,7 @@
 
 // NewService returns a Service whose process is in service.
 func NewService(c *Clients, h *HTTP2) *Service {
-	return &Service{Clients: c, HTTP2: h, m: service.Machine{Longest: c.Longest}, last: inService, ended: make(chan struct{})}
+	return &Service{Clients: c, HTTP2: h, m: service.Machine{Longest: c.LongestDeadline}, last: inService, ended: make(chan struct{})}
 }
 
 // Ended is closed when the process has to end: everything is answered after a SIGTERM or a hand-over.
@@ -101,29 +101,29 @@
 }
 
 // IsOutOfService reports whether the dispatcher was taken out of service.
-func (s *Service) IsOut() bool {
+func (s *Service) IsOutOfService() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.m.IsOut()
 }
 
 // TakeOutOfService starts to take the dispatcher out of service.
-func (s *Service) Out() { s.do(func(now time.Time) { s.m.Out(now) }) }
+func (s *Service) TakeOutOfService() { s.do(func(now time.Time) { s.m.Out(now) }) }
 
 // ReturnToService puts the dispatcher back in service. It returns false if the process is shutting down.
-func (s *Service) In() (ok bool) {
+func (s *Service) ReturnToService() (ok bool) {
 	s.do(func(time.Time) { ok = s.m.In() })
 	return ok
 }
 
 // BeginShutdown starts the shutdown, as on SIGTERM.
-func (s *Service) Term() { s.do(func(now time.Time) { s.m.Term(now) }) }
+func (s *Service) BeginShutdown() { s.do(func(now time.Time) { s.m.Term(now) }) }
 
 // HandOver reports that another process accepts connections in place of this one.
 func (s *Service) HandOver() { s.do(func(now time.Time) { s.m.HandOver(now) }) }
 
 // ResumeAfterHandOver reports that the process that had taken over is gone; this one serves again.
-func (s *Service) TakeBack() { s.do(func(time.Time) { s.m.TakeBack() }) }
+func (s *Service) ResumeAfterHandOver() { s.do(func(time.Time) { s.m.TakeBack() }) }
 
 func (s *Service) look() { s.do(func(time.Time) {}) }
 
@@ -169,8 +169,8 @@
 	if o.State != old.State {
 		c.Guard.Note(guard.Event{At: now, Step: guard.ServiceState, Why: o.State})
 	}
-	if o.State != old.State && s.Changed != nil {
-		s.Changed(old.State, o.State)
+	if o.State != old.State && s.OnStateChange != nil {
+		s.OnStateChange(old.State, o.State)
 	}
 	switch {
 	case o.End:
--- a/internal/network/service_test.go
+++ b/internal/network/service_test.go
@@ -29,7 +29,7 @@
 		func(w *world) {
 			go func() {
 				begun := time.Now()
-				w.service.Term()
+				w.service.BeginShutdown()
 				<-w.service.Ended()
 				done <- time.Since(begun)
 			}()
@@ -77,7 +77,7 @@
 		s1/1 expect POST /ingest?v=1 9a k9a 2000 x
 		s1/1 send {started 9a}{done 9a r}
 		c1 expect 200 r`,
-		func(w *world) { w.service.Term() }, `
+		func(w *world) { w.service.BeginShutdown() }, `
 		wait 1900ms
 		c2 send POST /ingest HTTP/1.1\r\n
 		c3 send POST /ingest HTTP/1.1\r\nX-Correlation-Id: 9c\r\n
@@ -112,7 +112,7 @@
 		s1/1 expect POST /ingest?v=1 9a k9a 2000 x
 		s1/1 send {started 9a}{done 9a r}
 		c1 expect 200 r`,
-		func(w *world) { w.service.Out(); w.service.Out() }, `
+		func(w *world) { w.service.TakeOutOfService(); w.service.TakeOutOfService() }, `
 		c2 send `+health+`
 		c2 expect 503
 		wait 150ms
@@ -121,7 +121,7 @@
 		s1/1 send {started 9b}{done 9b r}
 		c3 expect 200 r
 		wait 2s`,
-		func(w *world) { assert.True(t, w.service.In()) }, `
+		func(w *world) { assert.True(t, w.service.ReturnToService()) }, `
 		c2 send `+health+`
 		c2 expect 200
 		wait 10s
@@ -129,7 +129,7 @@
 		s1/2 expect POST /ingest?v=1 9c k9c 2000 x
 		s1/2 send {started 9c}{done 9c r}
 		c1 expect 200 r`,
-		func(w *world) { w.service.Out() }, `
+		func(w *world) { w.service.TakeOutOfService() }, `
 		wait 3050ms
 		c1 expect nothing
 		wait 70ms
@@ -144,14 +144,14 @@
 		s1/3 expect POST /ingest?v=1 9d k9d 2000 x
 		s1/3 send {started 9d}{done 9d r}
 		c5 expect 200 close r`,
-		func(w *world) { assert.True(t, w.service.In()) }, `
+		func(w *world) { assert.True(t, w.service.ReturnToService()) }, `
 		c6 send `+health+`
 		c6 expect 200
 		c6 send {req 9e x}
 		s1/3 expect POST /ingest?v=1 9e k9e 2000 x
 		s1/3 send {started 9e}{done 9e r}
 		c6 expect 200 r`,
-		func(w *world) { w.service.Out(); time.Sleep(time.Minute); w.service.Term() }, `
+		func(w *world) { w.service.TakeOutOfService(); time.Sleep(time.Minute); w.service.BeginShutdown() }, `
 		wait 120ms`,
 		func(w *world) { <-w.service.Ended() })
 }
--- a/internal/network/shutdown_test.go
+++ b/internal/network/shutdown_test.go
@@ -41,7 +41,7 @@
 			run(t, list(balance.Ready, "s1"), 9, func(w *world) {
 				begun := time.Now()
 				till := func(at time.Duration) { time.Sleep(at - time.Since(begun)); synctest.Wait() }
-				w.service.Term()
+				w.service.BeginShutdown()
 				till(c.connects)
 				near, far := net.Pipe()
 				defer far.Close()
@@ -90,7 +90,7 @@
 		w.play("s1/1 expect POST /ingest?v=1 9a k9a 2000 x\ns1/1 send {started 9a}{done 9a r}")
 		require.Equal(t, "r", answer())
 		begun := time.Now()
-		w.service.Term()
+		w.service.BeginShutdown()
 		time.Sleep(3101 * time.Millisecond) // the update at 3.1 s has told it to close
 		_, err = io.WriteString(far, expand("{req 9b x}"))
 		require.NoError(t, err)
@@ -112,7 +112,7 @@
 	l := &timed{}
 	run(t, list(balance.Ready, "s1"), 9, func(w *world) {
 		w.clients.gate.add(l)
-		w.service.Term()
+		w.service.BeginShutdown()
 	}, `
 		wait 3050ms
 		c1 send POST /ingest HTTP/1.1\r\nX-Correlation-Id: 9a\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\n
@@ -146,7 +146,7 @@
 		t.Run(trip.String(), func(t *testing.T) {
 			run(t, list(balance.Ready, "s1"), 9, func(w *world) {
 				begun := time.Now()
-				w.service.Term()
+				w.service.BeginShutdown()
 				near, far := net.Pipe()
 				defer far.Close()
 				in := bufio.NewReader(far)
--- a/internal/network/site_test.go
+++ b/internal/network/site_test.go
@@ -71,7 +71,7 @@
 		dir.Told = c.Listed
 		go c.Run(stop)
 		dir.Subscribe()
-		s.clients = &Clients{Names: names, Count: count, Core: c, Most: 64, Usual: 64, Held: 1 << 20, Longest: 5 * time.Second, Stats: func() string { return "" }}
+		s.clients = &Clients{Names: names, Count: count, Core: c, MaxSessions: 64, MaxJobSessions: 64, MaxBufferedBytes: 1 << 20, LongestDeadline: 5 * time.Second, Stats: func() string { return "" }}
 		synctest.Wait()
 		require.Equal(t, 3, c.Ready())
 		play(s)
--- a/internal/network/site_variants_test.go
+++ b/internal/network/site_variants_test.go
@@ -70,7 +70,7 @@
 		dir.Told = c.Listed
 		go c.Run(stop)
 		dir.Subscribe()
-		s.clients = &Clients{Names: &cfg.Names, Count: count, Core: c, Most: 64, Usual: 64, Held: 1 << 20, Longest: cfg.Longest(), Stats: func() string { return "" }}
+		s.clients = &Clients{Names: &cfg.Names, Count: count, Core: c, MaxSessions: 64, MaxJobSessions: 64, MaxBufferedBytes: 1 << 20, LongestDeadline: cfg.Longest(), Stats: func() string { return "" }}
 		synctest.Wait()
 		require.Equal(t, len(s.backends), c.Ready())
 		play(s)
--- a/internal/network/table_test.go
+++ b/internal/network/table_test.go
@@ -30,11 +30,11 @@
 // TestSplitDescriptors: the limits fit together under any number of descriptors that the configuration allows.
 func TestShare(t *testing.T) {
 	for _, limit := range []int{64, 160, 1024} {
-		b := Share(limit)
+		b := SplitDescriptors(limit)
 		assert.LessOrEqual(t, b.Clients+b.Backends+kept, limit)
 		assert.GreaterOrEqual(t, b.Backends, b.Clients)
 		assert.Positive(t, b.Clients)
-		assert.Less(t, b.Usual, limit/3)
+		assert.Less(t, b.JobSessions, limit/3)
 	}
 }
 
@@ -85,7 +85,7 @@
 	serve := func(c, id, conn string) string {
 		return fmt.Sprintf("%s send {req %s x}\n%s send {started %s}{done %s r}\n%s expect 200 r\n", c, id, conn, id, id, c)
 	}
-	run(t, list(balance.Ready, "s1"), 9, func(w *world) { w.clients.Usual = 2 },
+	run(t, list(balance.Ready, "s1"), 9, func(w *world) { w.clients.MaxJobSessions = 2 },
 		serve("c1", "9a", "s1/1")+"wait 50ms\n"+serve("c2", "9b", "s1/1")+serve("c3", "9c", "s1/1")+`
 		wait 6ms
 		c1 expect nothing
