--- a/cmd/drill/host.go
+++ b/cmd/drill/host.go
@@ -123,7 +123,7 @@
 		if err != nil {
 			return err
 		}
-		d.Answer(now, o)
+		d.AttemptEnded(now, o)
 	case wire.EvProgress:
 		p := balance.Progress{ID: balance.RequestID(f.U32()), Attempt: int(f.U8())}
 		p.Started = f.U8() == 1
@@ -262,7 +262,7 @@
 func (in *instance) Cancel(id balance.RequestID, attempt int) {
 	in.say().Cancel(uint32(id), uint8(attempt))
 }
-func (in *instance) HangUp(to balance.WorkerID)       { in.say().HangUp(uint64(to)) }
+func (in *instance) CloseIdle(to balance.WorkerID)    { in.say().HangUp(uint64(to)) }
 func (in *instance) Probe(to balance.WorkerID)        { in.say().Probe(uint64(to)) }
 func (in *instance) Wake(after float64, token uint64) { in.say().Wake(after, token) }
 func (in *instance) Subscribe()                       { in.say().Subscribe() }
--- a/internal/balance/api.go
+++ b/internal/balance/api.go
@@ -13,13 +13,13 @@
 // start anywhere but never goes back.
 type Millis = float64
 
-// HoldUp is for how long a process may be held up between reading its clock and writing (the standing test, "More than these
+// MaxProcessPause is for how long a process may be held up between reading its clock and writing (the standing test, "More than these
 // days"): what is decided must still be right so much later.
-const HoldUp Millis = 150
+const MaxProcessPause Millis = 150
 
-// RepeatWithin is how long after an attempt another may be decided on, of a class whose repeats are dropped for a window: a
+// EffectiveRepeatWindow is how long after an attempt another may be decided on, of a class whose repeats are dropped for a window: a
 // tenth of it, and HoldUp at the least, is for what lies between the decision and the arrival at a worker.
-func RepeatWithin(window Millis) Millis { return min(0.9*window, window-HoldUp) }
+func EffectiveRepeatWindow(window Millis) Millis { return min(0.9*window, window-MaxProcessPause) }
 
 // WorkerID names a worker for as long as its machine lives, across restarts.
 type WorkerID uint64
@@ -246,8 +246,8 @@
 	Cancel(id RequestID, attempt int)
 	// Probe asks a worker for its load report.
 	Probe(to WorkerID)
-	// HangUp closes the idle connections to a worker.
-	HangUp(to WorkerID)
+	// CloseIdle closes the idle connections to a worker.
+	CloseIdle(to WorkerID)
 	// Wake asks for a Wake event with this token, after in.
 	Wake(in Millis, token uint64)
 	// Subscribe asks for the list of workers and its changes from now on.
@@ -264,8 +264,8 @@
 	Arrive(now Millis, r Request)
 	// Abandoned tells that a request is closed and nothing is owed any more.
 	Abandoned(now Millis, id RequestID)
-	// Answer tells how an attempt ended; there is one for each Dispatch.
-	Answer(now Millis, o Outcome)
+	// AttemptEnded tells how an attempt ended; there is one for each Dispatch.
+	AttemptEnded(now Millis, o Outcome)
 	// Progressed brings news of an attempt in flight.
 	Progressed(now Millis, p Progress)
 	// Probed brings the result of a probe.
--- a/internal/balance/cost_test.go
+++ b/internal/balance/cost_test.go
@@ -43,7 +43,7 @@
 		d.Progressed(now+2, Progress{ID: RequestID(i), Attempt: k, Worker: to, Started: true})
 	}
 	if to, k := lastTo(d, RequestID(i-40)); k >= 0 {
-		d.Answer(now+4, Outcome{ID: RequestID(i - 40), Attempt: k, Worker: to, Took: 200 + float64(i%7), Closed: true, Report: report})
+		d.AttemptEnded(now+4, Outcome{ID: RequestID(i - 40), Attempt: k, Worker: to, Took: 200 + float64(i%7), Closed: true, Report: report})
 	}
 }
 
@@ -95,7 +95,7 @@
 					d.Arrive(now, q)
 					b.StopTimer()
 					if to, k := lastTo(d, q.ID); k >= 0 {
-						d.Answer(now, Outcome{ID: q.ID, Attempt: k, Worker: to, Took: 200, Closed: true})
+						d.AttemptEnded(now, Outcome{ID: q.ID, Attempt: k, Worker: to, Took: 200, Closed: true})
 					}
 					d.newTickets(now)
 					b.StartTimer()
@@ -124,7 +124,7 @@
 				to, k := lastTo(d, q.ID)
 				d.newTickets(now)
 				b.StartTimer()
-				d.Answer(now, Outcome{ID: q.ID, Attempt: k, Worker: to, Took: 200, Closed: true, Report: []float32{2}})
+				d.AttemptEnded(now, Outcome{ID: q.ID, Attempt: k, Worker: to, Took: 200, Closed: true, Report: []float32{2}})
 			}
 		})
 		b.Run("delta", func(b *testing.B) {
@@ -222,7 +222,7 @@
 						if class > 0 {
 							o.Result = Error
 						}
-						d.Answer(now, o)
+						d.AttemptEnded(now, o)
 						if name == "unsafeFailed" {
 							d.workers[d.index[to]].until, d.workers[d.index[to]].strikes = 0, 0
 						}
--- a/internal/balance/course_test.go
+++ b/internal/balance/course_test.go
@@ -114,7 +114,7 @@
 		if o.Closed = o.Result == OK; p.rng.IntN(2) == 0 {
 			o.Report = []float32{float32(p.rng.IntN(5))}
 		}
-		p.d.Answer(p.now, o)
+		p.d.AttemptEnded(p.now, o)
 	case dice < 930 && k >= 0:
 		o := p.open[k]
 		p.d.Progressed(p.now, Progress{ID: o.ID, Attempt: o.Attempt, Worker: o.Worker, Started: p.rng.IntN(2) == 0})
--- a/internal/balance/dispatcher.go
+++ b/internal/balance/dispatcher.go
@@ -395,7 +395,7 @@
 		}
 		group := c.Scope == ScopeAll || c.Scope == ScopeZone && a.zone == w.Zone ||
 			c.Scope == ScopeCell && a.cell == w.Cell
-		if c.Effect == Unsafe || !group || now-a.sent >= RepeatWithin(c.RepeatWindow) {
+		if c.Effect == Unsafe || !group || now-a.sent >= EffectiveRepeatWindow(c.RepeatWindow) {
 			return false
 		}
 	}
@@ -408,7 +408,7 @@
 	c := &d.set.Classes[r.Class]
 	for k := range r.attempts {
 		a := &r.attempts[k]
-		known := c.Effect == Deduped && c.Scope == ScopeAll && now-a.sent < RepeatWithin(c.RepeatWindow)
+		known := c.Effect == Deduped && c.Scope == ScopeAll && now-a.sent < EffectiveRepeatWindow(c.RepeatWindow)
 		if !a.never && c.Effect != Safe && !known {
 			return false
 		}
@@ -453,8 +453,8 @@
 	return w.own+trust*d.crowd(now, w)+r.Slots <= d.slots(w)*d.warmth(now, w)
 }
 
-// Answer takes an attempt's outcome, learns from it and goes on with the request.
-func (d *Dispatcher) Answer(now Millis, o Outcome) {
+// AttemptEnded takes an attempt's outcome, learns from it and goes on with the request.
+func (d *Dispatcher) AttemptEnded(now Millis, o Outcome) {
 	r, a := d.find(o.ID, o.Attempt)
 	if a == nil {
 		return
@@ -493,7 +493,7 @@
 		d.strike(now, w, "failed attempts")
 	}
 	if w.out == 0 && d.set.Instances > len(d.ready) { // so many would fill its table
-		d.act.HangUp(w.ID)
+		d.act.CloseIdle(w.ID)
 	}
 	d.report(now, w, o.Report)
 	d.release(a.worker)
--- a/internal/balance/dispatcher_test.go
+++ b/internal/balance/dispatcher_test.go
@@ -78,7 +78,7 @@
 		}
 		d.Progressed(now, Progress{ID: RequestID(i), Worker: w, Started: true})
 		now += took
-		d.Answer(now, Outcome{ID: RequestID(i), Worker: w, Took: took, Closed: true})
+		d.AttemptEnded(now, Outcome{ID: RequestID(i), Worker: w, Took: took, Closed: true})
 	}
 	if fast < 140 || fast == 200 {
 		t.Errorf("the faster kind won %d of 200 ties, want most but not all", fast)
@@ -103,7 +103,7 @@
 		q.Key = 77
 		w := sent(d, rec, float64(10+i*1000), withDeadline(q, 1e6))
 		used[w] = true
-		d.Answer(float64(10+i*1000+100), Outcome{ID: q.ID, Worker: w, Took: 100, Closed: true})
+		d.AttemptEnded(float64(10+i*1000+100), Outcome{ID: q.ID, Worker: w, Took: 100, Closed: true})
 	}
 	if len(used) > 15 {
 		t.Errorf("one key went to %d of 60 workers, want its few links", len(used))
@@ -134,7 +134,7 @@
 			at[n] = sent(d, rec, Millis(n), withDeadline(req(n, 0), 1e6))
 		}
 		for n := 1; n <= 60; n++ {
-			d.Answer(100, Outcome{ID: RequestID(n), Worker: at[n], Took: 100, Closed: true})
+			d.AttemptEnded(100, Outcome{ID: RequestID(n), Worker: at[n], Took: 100, Closed: true})
 			for _, a := range rec.only("hang up") {
 				closed++
 				if w := d.workers[d.index[a.worker]]; w.out > 0 {
@@ -242,7 +242,7 @@
 		d.Arrive(now, q)
 		w := d.workers[d.reqs[q.ID].attempts[0].worker].ID
 		d.Progressed(now+1, Progress{ID: q.ID, Worker: w, Started: true})
-		d.Answer(now+4, Outcome{ID: q.ID, Worker: w, Took: 4, Closed: true})
+		d.AttemptEnded(now+4, Outcome{ID: q.ID, Worker: w, Took: 4, Closed: true})
 	}
 	for i := 0; i < 1000; i++ {
 		one()
@@ -262,7 +262,7 @@
 
 func (nothing) Probe(WorkerID) {}
 
-func (nothing) HangUp(WorkerID) {}
+func (nothing) CloseIdle(WorkerID) {}
 
 func (nothing) Wake(Millis, uint64) {}
 
@@ -300,7 +300,7 @@
 	}
 	d.Workers(0, ListFull, []Worker{{ID: 1, State: Ready, Weight: 4}, {ID: 2, State: Draining, Weight: 4}})
 	d.Arrive(10, Request{ID: 100, Deadline: 1010, Slots: 1})
-	d.Answer(60, Outcome{ID: 100, Attempt: 0, Worker: 1, Result: OK, Took: 50, Closed: true})
+	d.AttemptEnded(60, Outcome{ID: 100, Attempt: 0, Worker: 1, Result: OK, Took: 50, Closed: true})
 	// Output: send request 100 to worker 1
 }
 
--- a/internal/balance/fall_test.go
+++ b/internal/balance/fall_test.go
@@ -92,7 +92,7 @@
 func (*fallNode) Fail(RequestID)                 {}
 func (*fallNode) Cancel(RequestID, int)          {}
 func (*fallNode) Probe(WorkerID)                 {}
-func (*fallNode) HangUp(WorkerID)                {}
+func (*fallNode) CloseIdle(WorkerID)             {}
 func (*fallNode) Subscribe()                     {}
 func (*fallNode) Log(string)                     {}
 
@@ -131,7 +131,7 @@
 
 func (w *fallWorld) answer(b *fallBackend, j fallJob, r Result) {
 	w.after(fallWay, func() {
-		j.by.d.Answer(w.now, Outcome{ID: j.id, Attempt: j.attempt, Worker: b.ID, Result: r, Took: w.now - j.sent, Closed: r == OK})
+		j.by.d.AttemptEnded(w.now, Outcome{ID: j.id, Attempt: j.attempt, Worker: b.ID, Result: r, Took: w.now - j.sent, Closed: r == OK})
 	})
 }
 
--- a/internal/balance/fleetcold_test.go
+++ b/internal/balance/fleetcold_test.go
@@ -161,7 +161,7 @@
 func (*coldNode) Fail(RequestID)           {}
 func (*coldNode) Cancel(RequestID, int)    {}
 func (*coldNode) Probe(WorkerID)           {}
-func (*coldNode) HangUp(WorkerID)          {}
+func (*coldNode) CloseIdle(WorkerID)       {}
 func (*coldNode) Subscribe()               {}
 func (*coldNode) Log(string)               {}
 
@@ -266,7 +266,7 @@
 func (w *coldWorld) answer(b *coldBackend, j coldJob, r Result) {
 	w.after(fallWay, func() {
 		if j.by.gen == j.gen {
-			j.by.d.Answer(w.now, Outcome{ID: j.id, Attempt: j.attempt, Worker: b.ID, Result: r, Took: w.now - j.sent, Closed: r == OK})
+			j.by.d.AttemptEnded(w.now, Outcome{ID: j.id, Attempt: j.attempt, Worker: b.ID, Result: r, Took: w.now - j.sent, Closed: r == OK})
 		}
 	})
 }
--- a/internal/balance/further_attempts_test.go
+++ b/internal/balance/further_attempts_test.go
@@ -56,7 +56,7 @@
 	d, rec := start(t, s, []Worker{{ID: 1, Zone: 1, Cell: 1, State: Ready, Weight: 1}})
 	d.Arrive(10, req(1, 3))
 	d.Workers(20, ListFull, nil)
-	d.Answer(30, Outcome{ID: 1, Worker: 1, Result: Reset})
+	d.AttemptEnded(30, Outcome{ID: 1, Worker: 1, Result: Reset})
 	d.Workers(40, ListFull, []Worker{{ID: 2, Zone: 1, Cell: 2, State: Ready, Weight: 1}})
 	for _, a := range rec.only("dispatch") {
 		if a.worker == 2 {
@@ -141,7 +141,7 @@
 		w := sent(d, rec, 10, req(1, 0))
 		d.Wake(5000, 1<<8)
 		rec.acts = rec.acts[:0]
-		d.Answer(5010, Outcome{ID: 1, Worker: w, Took: 5000, Closed: true})
+		d.AttemptEnded(5010, Outcome{ID: 1, Worker: w, Took: 5000, Closed: true})
 		if a := rec.only("cancel"); (len(a) == 0) != tells {
 			t.Errorf("starts told %v: %d cancels", tells, len(a))
 		}
--- a/internal/balance/health_test.go
+++ b/internal/balance/health_test.go
@@ -11,7 +11,7 @@
 	other := WorkerID(2001) - first // the ids are 1000 and 1001
 	d.Workers(20, ListDelta, []Worker{{ID: other, State: Draining}})
 	rec.acts = rec.acts[:0]
-	d.Answer(30, Outcome{ID: 1, Worker: first, Result: Full})
+	d.AttemptEnded(30, Outcome{ID: 1, Worker: first, Result: Full})
 	for i := 2; i < 10; i++ {
 		d.Arrive(40, req(i, 0))
 	}
@@ -30,7 +30,7 @@
 	d, rec := start(t, testSettings(), fleet(1))
 	for i := 0; i < 3; i++ {
 		if w := sent(d, rec, float64(10+i*20000), withDeadline(req(i, 0), 1e6)); w != 0 {
-			d.Answer(float64(10+i*20000), Outcome{ID: RequestID(i), Worker: w, Result: ConnectFailed})
+			d.AttemptEnded(float64(10+i*20000), Outcome{ID: RequestID(i), Worker: w, Result: ConnectFailed})
 		}
 	}
 	w := &d.workers[0]
@@ -82,7 +82,7 @@
 				at = append(at, now)
 			}
 			if w != 0 {
-				ds[k].Answer(now+400, Outcome{ID: RequestID(id), Worker: w, Took: 400, Closed: true})
+				ds[k].AttemptEnded(now+400, Outcome{ID: RequestID(id), Worker: w, Took: 400, Closed: true})
 			}
 		}
 		for i, from := range at {
@@ -128,7 +128,7 @@
 		id++
 		w := sent(ds[k], recs[k], now, Request{ID: RequestID(id), Deadline: now + 9000, Slots: 1})
 		if w != 0 {
-			ds[k].Answer(now+400, Outcome{ID: RequestID(id), Worker: w, Took: 400, Closed: true})
+			ds[k].AttemptEnded(now+400, Outcome{ID: RequestID(id), Worker: w, Took: 400, Closed: true})
 			cold += float64(1 - w%2)
 		}
 	}
@@ -148,7 +148,7 @@
 			w := sent(d, rec, now, req(i, 0))
 			if w == bad {
 				hits++
-				d.Answer(now+1, Outcome{ID: RequestID(i), Worker: w, Result: result})
+				d.AttemptEnded(now+1, Outcome{ID: RequestID(i), Worker: w, Result: result})
 			}
 		}
 		if hits > 20 {
@@ -174,7 +174,7 @@
 				failed++
 			}
 			rec.acts = rec.acts[:0]
-			d.Answer(Millis(n), o)
+			d.AttemptEnded(Millis(n), o)
 			if a := rec.only("dispatch"); len(a) == 1 {
 				id = a[0].worker
 			}
@@ -213,7 +213,7 @@
 	for id := 1; id <= 40; id++ {
 		sent(d, rec, now, Request{ID: RequestID(id), Deadline: now + 9000, Slots: 1})
 		d.Progressed(now, Progress{ID: RequestID(id), Worker: w.ID, Started: true})
-		d.Answer(now+400, Outcome{ID: RequestID(id), Worker: w.ID, Took: 400, Closed: true})
+		d.AttemptEnded(now+400, Outcome{ID: RequestID(id), Worker: w.ID, Took: 400, Closed: true})
 		if rests := w.until > now+400; rests != (w.pace >= ill) {
 			t.Errorf("job %d, pace %v: rests %v", id, w.pace, rests)
 		}
--- a/internal/balance/heir_test.go
+++ b/internal/balance/heir_test.go
@@ -32,7 +32,7 @@
 			p.Arrive(now, Request{ID: p.last, Deadline: now + 5000})
 			for _, x := range p.rec.only("dispatch") {
 				p.sent[int64(now/set.Rules.FallWindow)]++
-				p.Answer(now, Outcome{ID: x.id, Worker: x.worker, Result: OK, Took: 400, Closed: true})
+				p.AttemptEnded(now, Outcome{ID: x.id, Worker: x.worker, Result: OK, Took: 400, Closed: true})
 			}
 		}
 	}
--- a/internal/balance/limits_test.go
+++ b/internal/balance/limits_test.go
@@ -46,7 +46,7 @@
 func TestDeadlineTimeOutIsAnswered(t *testing.T) {
 	d, rec := start(t, testSettings(), fleet(3))
 	w := sent(d, rec, 10, req(1, 1))
-	d.Answer(9000, Outcome{ID: 1, Worker: w, Result: TimedOut, Took: 8990})
+	d.AttemptEnded(9000, Outcome{ID: 1, Worker: w, Result: TimedOut, Took: 8990})
 	if a := rec.only("fail"); len(a) != 1 {
 		t.Errorf("got %d failures after the time-out at the deadline, want 1", len(a))
 	}
@@ -59,12 +59,12 @@
 	d, rec := start(t, testSettings(), fleet(3))
 	w := sent(d, rec, 10, req(1, 0))
 	d.Abandoned(20, 1)
-	d.Answer(30, Outcome{ID: 1, Worker: w, Result: Error, Closed: true})
+	d.AttemptEnded(30, Outcome{ID: 1, Worker: w, Result: Error, Closed: true})
 	d.Wake(40, 1<<8)
 	if a := rec.only("dispatch"); len(a) != 0 {
 		t.Errorf("%d dispatches after the client left", len(a))
 	}
-	d.Answer(50, Outcome{ID: 1, Worker: w, Result: Error}) // late and unknown: ignored
+	d.AttemptEnded(50, Outcome{ID: 1, Worker: w, Result: Error}) // late and unknown: ignored
 	d.Abandoned(60, 1)
 }
 
@@ -188,7 +188,7 @@
 			}
 		}
 		if len(out) > 20 { // 20 slots at a time, and whoever waits meets a crowd
-			d.Answer(now, Outcome{ID: out[0].id, Worker: out[0].worker, Took: 100, Closed: true})
+			d.AttemptEnded(now, Outcome{ID: out[0].id, Worker: out[0].worker, Took: 100, Closed: true})
 			d.learnCrowd(now, &d.workers[0], 4, true)
 			out = out[1:]
 		}
--- a/internal/balance/random_days_test.go
+++ b/internal/balance/random_days_test.go
@@ -191,7 +191,7 @@
 					r.answered++
 					r.closed = true
 				}
-				d.Answer(c.now, Outcome{ID: r.q.ID, Attempt: k, Worker: a.to, Result: a.res,
+				d.AttemptEnded(c.now, Outcome{ID: r.q.ID, Attempt: k, Worker: a.to, Result: a.res,
 					Took: c.now - a.sent, Closed: r.closed})
 				settle()
 			}
--- a/internal/balance/rig_test.go
+++ b/internal/balance/rig_test.go
@@ -31,7 +31,7 @@
 	r.acts = append(r.acts, act{verb: "cancel", id: id, n: k})
 }
 
-func (r *recorder) HangUp(to WorkerID) { r.acts = append(r.acts, act{verb: "hang up", worker: to}) }
+func (r *recorder) CloseIdle(to WorkerID) { r.acts = append(r.acts, act{verb: "hang up", worker: to}) }
 
 func (r *recorder) Probe(to WorkerID) { r.acts = append(r.acts, act{verb: "probe", worker: to}) }
 
--- a/internal/balance/untold_test.go
+++ b/internal/balance/untold_test.go
@@ -51,7 +51,7 @@
 	}
 	assert.Equal(t, []float64{float64(most[0]), float64(most[1])}, d.wide)
 	for i := range 32 {
-		d.Answer(30, Outcome{ID: RequestID(i), Worker: d.workers[d.reqs[RequestID(i)].attempts[0].worker].ID, Took: 10, Closed: true})
+		d.AttemptEnded(30, Outcome{ID: RequestID(i), Worker: d.workers[d.reqs[RequestID(i)].attempts[0].worker].ID, Took: 10, Closed: true})
 	}
 	for i := range d.workers {
 		assert.Zero(t, d.workers[i].running)
@@ -99,7 +99,7 @@
 	for i := range 40 { // all have one: a finer count would send each of these to the faster kind
 		d.rng = rand.New(rand.NewPCG(uint64(i), 2))
 		slow += int(sent(d, rec, 11, req(100+i, 0))) % 2
-		d.Answer(12, Outcome{ID: RequestID(100 + i), Worker: d.workers[d.reqs[RequestID(100+i)].attempts[0].worker].ID, Result: Reset, Closed: true})
+		d.AttemptEnded(12, Outcome{ID: RequestID(100 + i), Worker: d.workers[d.reqs[RequestID(100+i)].attempts[0].worker].ID, Result: Reset, Closed: true})
 		for k := range d.workers {
 			d.workers[k].strikes, d.workers[k].until = 0, 0
 		}
@@ -119,7 +119,7 @@
 		var again []act
 		for k := range 3 {
 			rec.acts = rec.acts[:0]
-			d.Answer(12+Millis(k), Outcome{ID: 2, Attempt: k, Worker: w, Result: Full, Took: 1})
+			d.AttemptEnded(12+Millis(k), Outcome{ID: 2, Attempt: k, Worker: w, Result: Full, Took: 1})
 			if again = rec.only("dispatch"); k < 2 {
 				require.Len(t, again, 1)
 				w = again[0].worker
@@ -130,7 +130,7 @@
 			continue
 		}
 		assert.Empty(t, again, "after the third")
-		d.Answer(60, Outcome{ID: 1, Worker: own, Took: 50, Closed: true})
+		d.AttemptEnded(60, Outcome{ID: 1, Worker: own, Took: 50, Closed: true})
 		if again = rec.only("dispatch"); assert.Len(t, again, 1, "a slot is free") {
 			assert.Equal(t, RequestID(2), again[0].id)
 		}
@@ -167,7 +167,7 @@
 	fill(3)
 	assert.EqualValues(t, 3, d.wide[0])
 	for i := range 6 {
-		d.Answer(2e5, Outcome{ID: RequestID(i), Worker: 9, Result: Reset, Closed: true})
+		d.AttemptEnded(2e5, Outcome{ID: RequestID(i), Worker: 9, Result: Reset, Closed: true})
 	}
 	assert.Zero(t, d.workers[d.index[9]].running)
 }
--- a/internal/balance/work_test.go
+++ b/internal/balance/work_test.go
@@ -81,8 +81,8 @@
 // TestMarginOfAHoldUp: a repeat is decided on so early that a process held up for 0.15 s still sends it within the window, and
 // with a tenth of it to spare where that is more.
 func TestMarginOfAHoldUp(t *testing.T) {
-	assert.Equal(t, 6750.0, RepeatWithin(7500))
-	assert.Equal(t, 850.0, RepeatWithin(1000))
-	assert.Equal(t, 0.0, RepeatWithin(HoldUp))
-	assert.Negative(t, RepeatWithin(100), "never")
+	assert.Equal(t, 6750.0, EffectiveRepeatWindow(7500))
+	assert.Equal(t, 850.0, EffectiveRepeatWindow(1000))
+	assert.Equal(t, 0.0, EffectiveRepeatWindow(MaxProcessPause))
+	assert.Negative(t, EffectiveRepeatWindow(100), "never")
 }
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -80,7 +80,7 @@
 	c.backends.Probe(b, done)
 }
 
-func (x actions) HangUp(to balance.WorkerID) {
+func (x actions) CloseIdle(to balance.WorkerID) {
 	if b := x.c.listed[to]; b != nil {
 		x.c.backends.HangUp(b)
 	}
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -63,7 +63,7 @@
 			return false
 		}
 		begun := o.begun.Load()
-		if begun != 0 && a.core.clock.stamp(now)-begun >= int64(balance.RepeatWithin(r.window)*float64(time.Millisecond)) {
+		if begun != 0 && a.core.clock.stamp(now)-begun >= int64(balance.EffectiveRepeatWindow(r.window)*float64(time.Millisecond)) {
 			return false
 		}
 	}
--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -17,7 +17,7 @@
 func (mute) Arrive(balance.Millis, balance.Request)                     {}
 func (mute) Workers(balance.Millis, balance.ListKind, []balance.Worker) {}
 func (mute) Abandoned(balance.Millis, balance.RequestID)                {}
-func (mute) Answer(balance.Millis, balance.Outcome)                     {}
+func (mute) AttemptEnded(balance.Millis, balance.Outcome)               {}
 func (mute) Progressed(balance.Millis, balance.Progress)                {}
 
 // trial is a bench on a clock that the test moves, with a req of one class whose attempts the test decides on itself.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -403,7 +403,7 @@
 		}
 	}
 	now := c.clock.now()
-	c.mod.Answer(now, balance.Outcome{ID: a.req.id, Attempt: a.number, Worker: a.Backend.ID,
+	c.mod.AttemptEnded(now, balance.Outcome{ID: a.req.id, Attempt: a.number, Worker: a.Backend.ID,
 		Result: res, Took: now - a.sent, Closed: !a.req.open, Report: report})
 	c.forget(a.req)
 }
--- a/internal/lab/capacity/measure/module.go
+++ b/internal/lab/capacity/measure/module.go
@@ -34,7 +34,7 @@
 func (s *sent) Fail(balance.RequestID)                                               {}
 func (s *sent) Cancel(balance.RequestID, int)                                        {}
 func (s *sent) Probe(balance.WorkerID)                                               {}
-func (s *sent) HangUp(balance.WorkerID)                                              {}
+func (s *sent) CloseIdle(balance.WorkerID)                                           {}
 func (s *sent) Wake(balance.Millis, uint64)                                          {}
 func (s *sent) Subscribe()                                                           {}
 func (s *sent) Log(string)                                                           {}
@@ -108,7 +108,7 @@
 		}
 		id := balance.RequestID(oldest)
 		oldest++
-		d.Answer(now+4, balance.Outcome{ID: id, Worker: *s.of(id), Took: 200, Closed: true, Report: report})
+		d.AttemptEnded(now+4, balance.Outcome{ID: id, Worker: *s.of(id), Took: 200, Closed: true, Report: report})
 		now += 10
 		return nil
 	}
--- a/internal/lab/experiment/random.go
+++ b/internal/lab/experiment/random.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// Answer goes on where the attempt never ran, and fails the req otherwise.
-func (d *random) Answer(_ balance.Millis, o balance.Outcome) {
+// AttemptEnded goes on where the attempt never ran, and fails the req otherwise.
+func (d *random) AttemptEnded(_ balance.Millis, o balance.Outcome) {
 	r := d.reqs[o.ID]
 	if r == nil {
 		return
