--- a/internal/network/backends.go
+++ b/internal/network/backends.go
@@ -13,67 +13,66 @@
 	"tinsail/internal/platform"
 )
 
-// Dial makes a connection.
+// Dial opens a connection to an address.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// TCP is the Dial of the real program.
+// DialTCP is the Dial that the program uses.
 func TCP(ctx context.Context, address string) (net.Conn, error) {
 	var d net.Dialer
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// Pool keeps connections to backends and carries out attempts on them.
+// Pool keeps connections to backends and sends attempts over them.
 type Pool struct {
 	Names   *platform.Names
 	Count   *counters.Set
-	Connect time.Duration // a connection that is not up by then is given up
-	Idle    time.Duration // an idle connection is closed by us after this, before the backend does
-	Most    int           // connections open or being made
+	Connect time.Duration // limit for establishing a connection
+	Idle    time.Duration // an idle connection is closed after this, before the backend closes it
+	Most    int           // limit of connections that are open or being established
 	Dial    Dial
-	// Gate, where set, is waited on before each new connection, within the connect time: a share of
-	// a fleet-wide budget of new connections. An attempt that finds no room ends unsent.
+	// Limiter, if set, is waited on before each new connection, for ConnectTimeout at most: this dispatcher's share of
+	// a fleet-wide budget of new connections. An attempt that gets no connection in time ends as core.Unsent.
 	Gate interface{ Wait(context.Context) error }
-	// Stamp, where set, is this dispatcher's name, which attempts carry to backends with the version
-	// of the fleet's policy that their req was taken by.
+	// DispatcherName, if set, is sent to backends with each attempt, together with the version of the fleet's policy
+	// under which the request was accepted.
 	Stamp string
 
-	connected atomic.Pointer[time.Time] // when the last connection came up
+	connected atomic.Pointer[time.Time] // when the last connection was established
 
 	mu   sync.Mutex
-	idle map[balance.WorkerID][]*link // the last used is last
+	idle map[balance.WorkerID][]*link // most recently used last
 	open int
 }
 
-// exchange is one request on a connection and what its reply tells. Its callbacks come from
-// the connection's goroutines.
+// exchange is one request to a backend and its reply. Its callbacks are called from the connection's goroutines.
 type exchange struct {
 	backend *core.Backend
 	ctx     context.Context
 	cancel  context.CancelFunc
-	unhook  func() bool // from cancel
+	unhook  func() bool // stops the abort that follows a cancel of ctx
 	head    func(left time.Duration) []byte
 	body    []byte
 	until   time.Time
-	probe   bool // the body is a load report, not lines
+	probe   bool // the reply's body is a load report, not lines
 	id      string
 	may     func() bool
-	wanted  func() bool                            // no answer, no end of its client and no stop makes a connection needless
-	began   func(at time.Time, told time.Duration) // its first byte was written; nil for a probe
+	wanted  func() bool                            // false once the request was answered, its client has gone or the attempt was stopped
+	began   func(at time.Time, told time.Duration) // the first byte was written; nil for a probe
 	started func()
 	share   func(float64)
 	ended   func(core.Ending, string, []float32)
 }
 
-// verdict is how an exchange ended.
+// outcome is how an exchange ended.
 type verdict struct {
 	ending core.Ending
 	result string
 	report []float32
-	whole  bool // the reply is all here, and the connection may carry another
-	due    bool // the end of the reply is still to come
+	whole  bool // the reply was read to its end, and the connection may carry another request
+	due    bool // the outcome is known, and the end of the reply is still to come
 }
 
-// Send begins an attempt.
+// Send starts an attempt and returns the function that stops it.
 func (p *Pool) Send(a *core.Attempt) func() {
 	x := &exchange{backend: a.Backend, body: a.Job.Body, until: a.Until, id: a.Job.ID, may: a.MayBegin, wanted: a.Wanted, began: a.Began,
 		started: a.Started, share: a.Progress, ended: a.Ended}
@@ -87,10 +86,10 @@
 	return p.begin(x)
 }
 
-// probeWait is how long a probe may take: longer ones say nothing that an attempt would not.
+// probeTimeout limits a probe: a slower one tells nothing that an attempt would not.
 const probeWait = 2 * time.Second
 
-// Probe asks a backend for its load.
+// Probe asks a backend for its load report and calls done once.
 func (p *Pool) Probe(b *core.Backend, done func(core.Ending, []float32)) {
 	x := &exchange{backend: b, until: time.Now().Add(probeWait), probe: true, may: func() bool { return !b.Withheld() },
 		wanted: func() bool { return !b.Withheld() }}
@@ -102,8 +101,8 @@
 	time.AfterFunc(probeWait, func() { stop(); end(core.Overdue, nil) })
 }
 
-// begin finds or makes a connection in the background. The function it returns gives the
-// exchange up by closing whatever it is on.
+// startExchange finds or establishes a connection in the background. The function it returns aborts the exchange by
+// closing the connection that carries it.
 func (p *Pool) begin(x *exchange) func() {
 	x.ctx, x.cancel = context.WithCancel(context.Background())
 	go p.run(x)
@@ -140,7 +139,7 @@
 	l.send(x, true)
 }
 
-// pass waits for the budget of new connections.
+// waitForLimiter waits until the budget of new connections allows one more, and says whether it did in time.
 func (p *Pool) pass(ctx context.Context) bool {
 	if p.Gate == nil {
 		return true
@@ -150,12 +149,13 @@
 	return p.Gate.Wait(ctx) == nil
 }
 
-// connect makes a connection for an exchange, past the faults of this machine: those count against no backend. Where a
-// connection to the backend comes to rest meanwhile, that one is claimed and returned. Where there is none, e is the ending.
+// connect establishes a connection for an exchange. It retries after faults of this machine, which do not count against
+// the backend. If a connection to the backend becomes idle meanwhile, that one is claimed and returned as reuse. If there
+// is neither, e is the ending of the exchange.
 func (p *Pool) connect(x *exchange) (conn net.Conn, rested *link, e core.Ending) {
 	begun, elsewhere := time.Now(), false
 	d := dialling{dial: p.Dial, address: x.backend.Address, each: p.Connect, count: p.Count, between: func(kind localFault) bool {
-		if kind == descriptors { // one of ours that nobody uses is better used so
+		if kind == descriptors { // an idle connection's descriptor serves better for the new one
 			p.closeOldest()
 		}
 		rested = p.take(x.backend)
@@ -174,13 +174,13 @@
 	return nil, rested, core.Unreached
 }
 
-// connectedSince says whether some connection came up since then.
+// connectedSince says whether any connection was established since then.
 func (p *Pool) connectedSince(then time.Time) bool {
 	at := p.connected.Load()
 	return at != nil && !at.Before(then)
 }
 
-// closeOldest closes the connection that has been idle for the longest time, if there is one.
+// closeOldestIdle closes the connection that has been idle longest, if there is one.
 func (p *Pool) closeOldest() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -198,7 +198,7 @@
 	x.ended(v.ending, v.result, v.report)
 }
 
-// take claims the connection that was idle for the shortest time, or returns nil.
+// takeIdle claims the most recently used idle connection to a backend, or returns nil.
 func (p *Pool) take(b *core.Backend) *link {
 	for {
 		p.mu.Lock()
@@ -213,12 +213,12 @@
 		if l.backend == b && l.claim() {
 			return l
 		}
-		l.conn.Close() // it leads to an address that the backend had before, or its time is up
+		l.conn.Close() // it leads to the backend's former address, or its idle timeout has passed
 	}
 }
 
-// reserve makes room for one more connection, if need be by closing the one that has been
-// idle for the longest time.
+// reserve counts one more connection, if need be by closing the one that has been idle longest. It returns false where
+// the limit is reached and none is idle.
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -228,14 +228,13 @@
 			return false
 		}
 		p.drop(oldest)
-		oldest.conn.Close() // its reader sees that, and counts it as closed a moment later
+		oldest.conn.Close() // its reader sees that, and lowers p.open a moment later
 	}
 	p.open++
 	return true
 }
 
-// Resize sets how many connections there may be from now on. Idle ones beyond it are closed; those
-// that carry a req go on.
+// Resize changes the limit of connections. Idle ones beyond it are closed; those that carry a request go on.
 func (p *Pool) Resize(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -246,18 +245,18 @@
 			return
 		}
 		p.drop(l)
-		l.conn.Close() // its reader counts it a moment later
+		l.conn.Close() // its reader lowers p.open a moment later
 	}
 }
 
-// Open is how many connections are open or being made.
+// Open returns how many connections are open or being established.
 func (p *Pool) Open() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// oldest is the connection that has been idle for the longest time, or nil. p.mu is held.
+// oldestIdle returns the connection that has been idle longest, or nil. p.mu is held.
 func (p *Pool) oldest() (oldest *link) {
 	for _, list := range p.idle {
 		if len(list) > 0 && (oldest == nil || list[0].since.Before(oldest.since)) {
@@ -273,7 +272,7 @@
 	p.mu.Unlock()
 }
 
-// drop takes a connection out of the idle ones. p.mu is held.
+// removeIdle takes a connection out of the idle ones. p.mu is held.
 func (p *Pool) drop(l *link) {
 	list := p.idle[l.backend.ID]
 	for i := range list {
@@ -287,7 +286,7 @@
 // HangUp closes the idle connections to a backend.
 func (p *Pool) HangUp(b *core.Backend) { p.HangUpOn(b.ID) }
 
-// HangUpOn closes the idle connections to the backend with an id.
+// CloseIdleByID closes the idle connections to the backend with that id.
 func (p *Pool) HangUpOn(id balance.WorkerID) {
 	p.mu.Lock()
 	list := p.idle[id]
--- a/internal/network/director.go
+++ b/internal/network/director.go
@@ -17,55 +17,59 @@
 	"tinsail/internal/platform"
 )
 
-// Pace is how patient the watch of a list is. A call that may wait says so; one that has not been answered
-// some time after that is held for silent, and another is made beside it: what a silent watch misses counts as told
-// 6 s after it fell silent (2 s after its wait, if that is later), and the drain rule leaves 500 ms from there.
+// WatchTimings are the times of the watch of a list of backends. The watch is a sequence of long polls. A call that has
+// no answer some time after its long poll ended counts as silent, and a backup call is made beside it: a change that a
+// silent watch misses counts as published 6 s after the watch fell silent (2 s after the long poll's end, if that is
+// later), and the drain rule allows 500 ms from then on.
 type Pace struct {
-	Wait  time.Duration // for news; short, so that a director gone silent is noticed
-	Slack time.Duration // longer for the answer, before the call is held for silent: calls queue there
-	Grace time.Duration // longer than Wait before the call is given up
-	Look  time.Duration // wait of the calls that are made beside a silent one; 0: Wait
+	Wait  time.Duration // of a long poll; short, so that a director that falls silent is noticed
+	Slack time.Duration // beyond PollWait until the call counts as silent: calls queue at the director
+	Grace time.Duration // beyond PollWait until the call fails
+	Look  time.Duration // long poll of a backup call; 0 stands for PollWait
 
-	// A connection that is not up by then never comes up: the machine is cut off, and waiting
-	// for it would use up the time in which we must have asked.
+	// A connection that is not established by then counts as failed: the director's machine is cut off, and waiting
+	// longer would use up the time within which the next call is due.
 	Connect time.Duration
-	Pause   time.Duration // most to stay away after failures in a row
+	Pause   time.Duration // limit of the delay after consecutive failures
 }
 
-// toldAnyhow is when a change counts as told at the latest, from when discovery had it and could be reached,
-// whatever calls failed, were refused or were given up before.
+// publishedWithin is when a change counts as published at the latest, counted from when discovery had it and could be
+// reached, whatever calls failed, were refused or were given up before.
 const toldAnyhow = 6 * time.Second
 
-// Asked is for one service that works through the calls of all dispatchers in turn. ask is the settings' time
-// for asking; it may be long, and bounds nothing by itself.
+// PollTimings are for a discovery service that handles the calls of all dispatchers in turn. askEvery is the settings'
+// interval of asking; it may be long, and is no bound by itself.
 //
-// At the worst a call falls silent as a change is made, and is held for silent after Wait + Slack. The next one fails,
-// in no more than Connect where no connection comes up, and a pause follows. What is left then of toldAnyhow has
-// to be no less than nothing, as the call after the pause needs the grace of a drain for its answer:
+// In the worst case a call falls silent as a change is made, and counts as silent after PollWait + SilenceSlack. The
+// backup call fails, within ConnectTimeout if no connection is established, and a delay follows. All of this has to fit
+// into publishedWithin, as the call after the delay needs the grace period of a drain for its answer:
 //
-//	Wait + Slack + Connect + Pause <= toldAnyhow
+//	PollWait + SilenceSlack + ConnectTimeout + MaxBackoff <= publishedWithin
 //
-// Pause takes all that this leaves, and half of it by chance (see backoff): a fleet that finds discovery
-// with too many callers spreads its calls over that. A call that breaks off only after Connect has
-// been silent till then, and is taken for a silence of its own.
+// MaxBackoff takes all the time that this leaves, and half of each delay is random (see backoff), so that a fleet whose
+// calls overload discovery spreads them. A call whose connection fails only after ConnectTimeout
+// was silent until then, and counts as a silence of its own.
 func Asked(ask time.Duration) Pace {
 	p := Pace{Wait: 2500 * time.Millisecond, Slack: 1500 * time.Millisecond, Grace: 3500 * time.Millisecond, Connect: time.Second}
 	p.Pause = min(max(ask/5, 100*time.Millisecond), toldAnyhow-p.Wait-p.Slack-p.Connect)
 	return p
 }
 
-// Pushed is for an agent on this machine, which answers at once what it has been sent, and is silent in an outage.
-// What it has counts as told at once, so that it is looked at several times a second until it speaks again.
+// AgentTimings are for an agent on this machine, which is sent lists, answers at once from what it has, and is silent in
+// an outage. A list counts as published as soon as the agent has it, so a silent agent is called several times a second
+// until it answers again.
 func Pushed() Pace {
 	return Pace{Wait: time.Second, Slack: 200 * time.Millisecond, Grace: 1500 * time.Millisecond,
 		Look: 100 * time.Millisecond, Connect: 200 * time.Millisecond, Pause: 200 * time.Millisecond}
 }
 
-// leastGrace bounds Within: a shorter one would have an agent's outage call without end.
+// minGrace is the shortest grace that Within uses: with a shorter one, calls during an agent's outage would follow each
+// other without a delay.
 const leastGrace = 50 * time.Millisecond
 
-// Within fits the pace of Pushed to the settings' grace, in which sends to a drained backend have to end. An agent that
-// speaks again is asked a look and its slack later, or a connection and a pause: four fifths of the grace at most.
+// Within fits AgentTimings to the settings' grace period, within which sends to a drained backend have to end. An agent
+// that answers again is called after BackupWait and SilenceSlack, or after ConnectTimeout and MaxBackoff: within four
+// fifths of the grace period in either case.
 func (p Pace) Within(grace time.Duration) Pace {
 	fifth := max(grace, leastGrace) / 5
 	p.Look, p.Slack = min(p.Look, fifth), min(p.Slack, 2*fifth)
@@ -73,8 +77,8 @@
 	return p
 }
 
-// Director watches the director's list. Each answer is followed at once by the next call,
-// which keeps the watch one and the same.
+// Director watches the director's list of backends by long polls. Each answer is followed at once by the next call,
+// so that the watch has no gap.
 type Director struct {
 	Names   *platform.Names
 	Count   *counters.Set
@@ -83,30 +87,30 @@
 	Dial    Dial
 	Stop    <-chan struct{} // ends the watch; may be nil
 	Told    func(balance.ListKind, []core.Entry)
-	Heard   func() // an answer was taken, after what it told; may be nil
+	Heard   func() // called after each good answer, once its list was passed on; may be nil
 
-	// Touched by the watching goroutine alone.
+	// Used by the watching goroutine alone.
 	index uint64
-	whole bool    // the next call asks for the whole list
-	out   []*call // calls under way, oldest first: one, or two where the first is held for silent
-	begun int     // calls so far
-	taken int     // number of the newest call whose answer was taken
-	spare *line   // left open by the last answer
+	whole bool    // the next call asks for the full list
+	out   []*call // calls under way, oldest first: one, or two if the first counts as silent
+	begun int     // number of calls so far
+	taken int     // number of the newest call whose answer was used
+	spare *line   // connection left open by the last answer
 	ended chan *call
 
 	on    atomic.Bool
-	off   atomic.Bool // Off was called, and the watch never began
+	off   atomic.Bool // Disable was called, and the watch has not been started since
 	mu    sync.Mutex
-	place *place // where calls go now; nil until the first
+	place *place // where calls go now; nil until the first one
 }
 
-// line is a connection to the director.
+// directorConn is a connection to the director.
 type line struct {
 	conn net.Conn
 	in   *platform.Replies
 }
 
-// call is one call to the director, carried by a goroutine of its own.
+// call is one call to the director, made by a goroutine of its own.
 type call struct {
 	number int
 	target string
@@ -115,36 +119,36 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	// Set by its goroutine before it is told as ended.
-	line   *line // open still, and may carry another; else nil
+	// Set by the call's goroutine before it reports the end of the call.
+	line   *line // still open, and may carry another call; else nil
 	list   platform.List
 	ending core.Ending
 }
 
-// place is one address of the director for as long as it stands. Its context ends with it,
-// and what is under way there: a call, the making of a connection, a pause after a failure.
+// destination is one address of the director for as long as it is the current one. Its context ends then, and with it
+// what is under way there: a call, a connection attempt, a delay after a failure.
 type place struct {
 	address string
-	moved   bool // another address stood before it
+	moved   bool // it replaced another address
 	ctx     context.Context
 	leave   context.CancelFunc
 }
 
-// Subscribe starts the watch. Once it runs, it goes on by itself through all failures.
+// Subscribe starts the watch unless it runs already. It goes on by itself through all failures.
 func (d *Director) Subscribe() {
 	if d.on.CompareAndSwap(false, true) {
 		go d.watch()
 	}
 }
 
-// Off has Subscribe do nothing: backends come from elsewhere.
+// Disable makes Subscribe do nothing: backends come from another source.
 func (d *Director) Off() {
 	d.off.Store(true)
 	d.on.Store(true)
 }
 
-// On asks after all, for the whole list first: what was known at the start may be long past. It does
-// nothing where the watch runs, and must not be called before Start.
+// Enable undoes Disable and starts the watch. The first call asks for the full list, as what was known at the start may
+// be out of date. Enable does nothing while the watch runs, and must not be called before SetIndex.
 func (d *Director) On() {
 	if d.off.CompareAndSwap(true, false) {
 		d.whole = true
@@ -153,18 +157,18 @@
 	}
 }
 
-// Start tells which version is known.
+// SetIndex sets the version of the list that is known already. It must be called before Subscribe.
 func (d *Director) Start(index uint64) { d.index = index }
 
-// Afresh has the first call ask for the whole list. It must be called before Subscribe.
+// RequestFullList makes the first call ask for the full list. It must be called before Subscribe.
 func (d *Director) Afresh() {
-	d.mu.Lock() // which the watch takes before it looks
+	d.mu.Lock() // the watch takes it before it reads the field
 	d.whole = true
 	d.mu.Unlock()
 }
 
-// Redirect sends the watch to another address, from now on. What is under way at the old
-// one is cut, and nothing that it still says is believed.
+// Redirect moves the watch to another address. Calls under way at the old one are cancelled, and answers that still come
+// from it are ignored.
 func (d *Director) Redirect(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -184,7 +188,7 @@
 	return p
 }
 
-// here is where the next call goes.
+// currentDestination returns where the next call goes.
 func (d *Director) here() *place {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -197,12 +201,12 @@
 func (d *Director) watch() {
 	d.ended = make(chan *call)
 	var last *place
-	var due time.Time // of the next call: after a pause, or when the newest is held for silent
+	var due time.Time // when the next call is due: after a delay, or when the newest call counts as silent
 	for failed := 0; ; {
 		at := d.here()
 		if at != last && at.moved {
-			// Versions count anew at each address: what is newer than one of the old address's
-			// may miss changes at the new one. The whole list is asked for until it has come.
+			// Versions are counted per address: changes since a version of the old address may leave out
+			// changes at the new one. The full list is asked for until it has come.
 			d.forget(len(d.out))
 			d.hangUp()
 			d.whole, failed, due = true, 0, time.Time{}
@@ -215,9 +219,9 @@
 		select {
 		case c := <-d.ended:
 			switch i := slices.Index(d.out, c); {
-			case at.ctx.Err() != nil: // moved meanwhile: an old list must not overwrite a newer one
+			case at.ctx.Err() != nil: // redirected meanwhile: an old list must not overwrite a newer one
 				c.close()
-			case i < 0: // given up meanwhile: it says nothing of how discovery is now
+			case i < 0: // given up meanwhile: it says nothing about the present state of discovery
 				c.close()
 			case d.took(c, i):
 				if failed = 0; len(d.out) == 0 {
@@ -227,14 +231,14 @@
 				due = time.Now().Add(d.backoff(failed))
 				failed++
 				d.broke()
-			default: // one that was held for silent: what was made beside it, or is due, stands
+			default: // a call that counted as silent: its backup call, or the time when that is due, stands
 				d.broke()
 			}
 		case <-timer.C:
 			if len(d.out) == 0 {
 				break
 			}
-			// Not given up at once: a director that is late, not silent, would have to begin anew with it.
+			// The newest call is kept: if the director is merely late, giving the call up would cost the time that it waited.
 			d.forget(len(d.out) - 1)
 			d.Count.DirectorSilent.Add(1)
 			due = d.begin(at, d.wait(true))
@@ -249,15 +253,15 @@
 	}
 }
 
-// broke tells the core that no call is left that may bring news.
+// reportFailure tells the core if no call is left that may bring a list.
 func (d *Director) broke() {
 	if len(d.out) == 0 {
 		d.Told(balance.ListFailed, nil)
 	}
 }
 
-// wait is for how long the next call may wait. One that may meet a director that says nothing yet is to look
-// again soon, where the pace has it.
+// pollWait returns how long the next call may wait at the director. doubt says that the director may still be silent:
+// then the call is to end soon, if the timings say so.
 func (d *Director) wait(doubt bool) time.Duration {
 	if doubt && d.Pace.Look > 0 {
 		return d.Pace.Look
@@ -265,10 +269,10 @@
 	return d.Pace.Wait
 }
 
-// took takes the answer of the i-th call under way; false if there was none of use.
+// handleEnded handles the end of the i-th call under way. It returns false if the call brought no usable answer.
 func (d *Director) took(c *call, i int) bool {
 	d.out = slices.Delete(d.out, i, i+1)
-	if c.ending == core.ListTold && c.whole && !c.list.Full { // changes say nothing without what they change
+	if c.ending == core.ListTold && c.whole && !c.list.Full { // changes are of no use without the list that they change
 		c.ending = core.ListUnread
 	}
 	d.Count.Endings[c.ending].Add(1)
@@ -276,10 +280,10 @@
 		c.close()
 		return false
 	}
-	d.forget(i) // what was asked earlier and has said nothing yet is silent
+	d.forget(i) // calls that were made earlier and have no answer yet are silent
 	d.hangUp()
 	d.spare = c.line
-	// The answer of an earlier call than the last one taken may be older than what is known.
+	// The answer of a call that was made before the last one used may be older than what is known.
 	if c.number > d.taken || c.list.Index > d.index {
 		d.take(c.list)
 	}
@@ -287,15 +291,15 @@
 	if d.Heard != nil {
 		d.Heard()
 	}
-	// One that asks for the whole list asks for what has just come, and is no watch. One that asks for changes
-	// where versions began anew may wait long for a version that is far off.
+	// Other calls are given up if they no longer fit. One that asks for the full list asks for what has just come, and
+	// waits for no change. One that asks for changes after versions restarted may wait long for a version far ahead.
 	if len(d.out) > 0 && d.out[0].whole != d.whole {
 		d.forget(len(d.out))
 	}
 	return true
 }
 
-// forget gives the oldest calls up, as many as n.
+// giveUp cancels the n oldest calls.
 func (d *Director) forget(n int) {
 	for _, c := range d.out[:n] {
 		c.cancel()
@@ -304,19 +308,20 @@
 	d.out = slices.Delete(d.out, 0, n)
 }
 
-// backoff is how long to stay away after some failures in a row: longer each time, so that
-// dispatchers do not add to a jam, but within the time we may go without asking.
+// backoff returns the delay after a number of consecutive failures: longer each time, so that
+// dispatchers do not add to an overload, but within the time that may pass without a call.
 func (d *Director) backoff(failed int) time.Duration {
 	most := min(100*time.Millisecond<<min(failed, 8), d.Pace.Pause)
 	return most/2 + rand.N(most/2+1)
 }
 
+// apply passes a list on, unless it shows that the versions have restarted.
 func (d *Director) take(list platform.List) {
 	switch {
 	case list.Full:
 		d.index, d.whole = list.Index, false
 		d.Told(balance.ListFull, list.Entries)
-	case list.Index < d.index: // its versions began anew: changes would not apply
+	case list.Index < d.index: // versions have restarted: changes would not apply
 		d.whole = true
 	default:
 		d.index = list.Index
@@ -326,7 +331,7 @@
 	}
 }
 
-// hangUp closes the connection that the last answer left open.
+// closeIdle closes the connection that the last answer left open.
 func (d *Director) hangUp() {
 	if d.spare != nil {
 		d.spare.conn.Close()
@@ -334,8 +339,8 @@
 	}
 }
 
-// begin makes a call, on the connection that the last answer left open if there is one, and returns when it is
-// held for silent.
+// startCall makes a call, on the connection that the last answer left open if there is one, and returns when the call
+// will count as silent.
 func (d *Director) begin(at *place, wait time.Duration) time.Time {
 	d.Count.DirectorCalls.Add(1)
 	d.begun++
@@ -357,7 +362,7 @@
 	return time.Now().Add(c.wait + d.Pace.Slack)
 }
 
-// close ends the call and its connection.
+// close cancels the call and closes its connection.
 func (c *call) close() {
 	c.cancel()
 	if c.line != nil {
@@ -365,7 +370,7 @@
 	}
 }
 
-// call carries a call out. It runs in the call's goroutine.
+// perform makes a call. It runs in the call's goroutine.
 func (d *Director) call(c *call, address string) (platform.List, core.Ending) {
 	if c.line == nil {
 		ctx, cancel := context.WithTimeout(c.ctx, d.Pace.Connect)
@@ -386,14 +391,14 @@
 	}
 	list, e := c.line.read(d.Names)
 	stop()
-	if e != core.ListTold || !c.line.in.Keep || c.line.in.Partial() { // what nobody asked for must not pass for the next answer
+	if e != core.ListTold || !c.line.in.Keep || c.line.in.Partial() { // unsolicited bytes must not pass for the next answer
 		conn.Close()
 		c.line = nil
 	}
 	return list, e
 }
 
-// read takes the answer of the call that was written to the line.
+// read reads the answer of the call that was written to the connection.
 func (l *line) read(names *platform.Names) (list platform.List, e core.Ending) {
 	e = core.ListUnread
 	var closed error
--- a/internal/network/link.go
+++ b/internal/network/link.go
@@ -14,27 +14,27 @@
 	"tinsail/internal/platform"
 )
 
-// link is a connection to a backend. One goroutine reads it for as long as it lives, so that
-// the end of an idle connection is seen at once and no req is written to it any more.
+// backendConn is a connection to a backend. One goroutine reads it until it is closed, so that
+// the end of an idle connection is seen at once and no request is written to it any more.
 type link struct {
 	pool    *Pool
 	conn    net.Conn
-	raw     syscall.RawConn // of conn; nil where it has none, as a pipe
+	raw     syscall.RawConn // of conn; nil if it has none, such as a pipe
 	backend *core.Backend
-	in      *platform.Replies // touched by the reading goroutine alone
-	since   time.Time         // idle since; under the pool's lock
-	gone    bool              // its reader has ended; under the pool's lock
+	in      *platform.Replies // used by the reading goroutine alone
+	since   time.Time         // since when it is idle; guarded by the pool's lock
+	gone    bool              // the reading goroutine has ended; guarded by the pool's lock
 
 	mu      sync.Mutex
 	state   linkState
 	cur     *exchange
 	writing bool
-	early   *verdict  // came while the request was still being written
-	owed    bool      // a request went out, and the reply is not all here: bytes may come
-	used    time.Time // when it was made, or the last reply ended: the backend's time for idle connections runs from there
+	early   *verdict  // outcome that was found while the request was still being written
+	owed    bool      // a request was sent and its reply is not complete: bytes may come
+	used    time.Time // when it was established, or the last reply ended: the backend's idle timeout counts from then
 
-	// For reads through raw, and what one found; touched by the reading goroutine alone.
-	look  func(fd uintptr) bool // try
+	// For reads through raw, and the result of one; used by the reading goroutine alone.
+	look  func(fd uintptr) bool // tryRead
 	into  []byte
 	n     int
 	fault error
@@ -43,21 +43,21 @@
 type linkState uint8
 
 const (
-	taken  linkState = iota // claimed for a request that is not written yet
-	busy                    // a request is out
-	ending                  // its outcome is known, the reply's end is still due
+	taken  linkState = iota // for a request that is not written yet
+	busy                    // a request was sent, or is being sent
+	ending                  // the outcome is known, and the end of the reply is still to come
 	idle
 	dead
 )
 
-// lastChunkWait is how long a backend may take to end a reply after its last line.
+// replyEndTimeout is how long a backend may take to end a reply after its last line.
 const lastChunkWait = 2 * time.Second
 
-// mostReply bounds the bytes of one reply with its framing. The protocol knows no body beyond platform.MaxBody; chunks of
-// few bytes make it some times longer on the connection.
+// maxReplyBytes limits the bytes of one reply with its framing. The protocol has no body longer than platform.MaxBody, but
+// chunks of a few bytes make it several times longer on the connection.
 const mostReply = 4 * platform.MaxLine
 
-// newLink makes a link of a connection that is to carry a request at once. Its reader is not yet started.
+// newBackendConn wraps a connection that is to carry a request at once. The caller starts its reading goroutine.
 func newLink(p *Pool, conn net.Conn, b *core.Backend) *link {
 	l := &link{pool: p, conn: conn, backend: b, in: platform.NewReplies(false, platform.MaxLine), state: taken, used: time.Now()}
 	if c, ok := conn.(syscall.Conn); ok {
@@ -68,7 +68,8 @@
 	return l
 }
 
-// claim takes an idle connection for a request. One whose time is up is none, though its reader may not have woken yet.
+// claim takes the connection for a request if it is idle. One whose idle timeout has passed counts as closed, though its
+// reader may not have woken yet.
 func (l *link) claim() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,8 +80,8 @@
 	return true
 }
 
-// rest puts the connection among the idle ones. Called by the goroutine that ended an exchange on it, or that claimed it
-// and wrote nothing: then its time goes on from before, as the backend's does.
+// putIdle puts the connection among the idle ones. It is called by the goroutine that ended an exchange on the connection,
+// or that claimed it and wrote nothing. In the second case the idle timeout goes on from before, as it does at the backend.
 func (l *link) rest() {
 	l.mu.Lock()
 	if l.state == dead {
@@ -91,13 +92,13 @@
 	used := l.used
 	l.mu.Unlock()
 	p := l.pool
-	l.conn.SetReadDeadline(used.Add(p.Idle)) // nobody can claim it yet, and clear what is set here
+	l.conn.SetReadDeadline(used.Add(p.Idle)) // before it can be claimed: a request that claims it must not lose its own deadline to this one
 	p.mu.Lock()
-	// Looked at under the lock that HangUpOn takes after a ban holds: this connection is seen here or there. A reader
-	// that has ended has taken it out of the list before it was in: it must not come in any more.
+	// Checked under the lock that CloseIdleByID takes once a ban is in force: the connection is closed either here or there.
+	// A reading goroutine that has ended took the connection off the list before it was on it: it must not be added any more.
 	if l.gone || l.backend.Withheld() {
 		p.mu.Unlock()
-		l.conn.Close() // its reader does the rest
+		l.conn.Close() // its reader cleans up
 		return
 	}
 	l.since = time.Now()
@@ -108,8 +109,8 @@
 	p.mu.Unlock()
 }
 
-// send writes the exchange's request. Only before its last byte is written does a break
-// prove that the req cannot have run. fresh says that the connection was made for it.
+// send writes the exchange's request. A connection error proves that the request cannot have run only if it comes before
+// the last byte was written. fresh says that the connection was established for this exchange.
 func (l *link) send(x *exchange, fresh bool) {
 	l.mu.Lock()
 	if l.state != dead && !x.may() {
@@ -118,11 +119,11 @@
 		x.end(verdict{ending: core.Unsent})
 		return
 	}
-	if l.state == dead || l.spoilt() { // and not a byte of this req was written
+	if l.state == dead || l.spoilt() { // and no byte of this request was written
 		l.state = dead
 		l.mu.Unlock()
 		l.conn.Close()
-		if fresh { // the next one would fare no better: a backend that hangs up at once is not dialled without end
+		if fresh { // no further try: a backend that closes each new connection at once must not be dialled in a loop
 			x.end(verdict{ending: core.Unreached})
 		} else {
 			l.pool.run(x)
@@ -143,7 +144,7 @@
 	}
 	n, err := parts.WriteTo(l.conn)
 	if n > 0 && x.began != nil {
-		if len(x.body) <= smallBody { // a longer one may have waited for the backend to take it
+		if len(x.body) <= smallBody { // a longer one may have waited for the backend to read it
 			wrote = time.Now()
 		}
 		x.began(wrote, left)
@@ -151,15 +152,15 @@
 
 	l.mu.Lock()
 	l.writing = false
-	if l.cur != x { // given up meanwhile
+	if l.cur != x { // aborted meanwhile
 		l.mu.Unlock()
 		return
 	}
 	v := l.early
 	if err != nil {
-		// Taken off under the lock: the reader, which sees the same break a moment later, knows nothing of the last
-		// byte and would call it one after which the req may have run. Half a request is on the connection: whatever
-		// the reply says, it carries no other.
+		// The exchange ends under this lock: the reader sees the same error a moment later, does not know whether the last
+		// byte was written, and would report that the request may have run. Half a request is on the connection: whatever
+		// the reply says, the connection carries no other request.
 		if v == nil || v.ending == core.Broken {
 			v = &verdict{ending: core.Unreached}
 		}
@@ -172,9 +173,10 @@
 	l.settle(x, *v)
 }
 
-// spoilt says whether bytes or the connection's end are here before a request is written: they cannot be its reply, and
-// a reply that another left unread must not be taken for one. It asks the kernel and takes nothing, since the reader may
-// not have woken yet; what the reader has taken, it has noted under the lock. l.mu is held.
+// hasUnsolicitedInput says whether bytes or the connection's end have arrived before a request is written. They cannot be
+// its reply, and a reply to an earlier request that was left unread must not be taken for it. It peeks at the kernel's
+// buffer without consuming, since the reader may not have woken yet; what the reader consumed, it recorded under the lock.
+// l.mu is held.
 func (l *link) spoilt() bool {
 	if l.raw == nil {
 		return false
@@ -186,16 +188,16 @@
 			_, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		}
 	}) != nil {
-		return true // closed from here
+		return true // closed by this side
 	}
 	switch err {
-	case syscall.EAGAIN, syscall.ENOSYS, syscall.EINVAL, syscall.EOPNOTSUPP, syscall.ENOTSOCK: // nothing, or no way to know
+	case syscall.EAGAIN, syscall.ENOSYS, syscall.EINVAL, syscall.EOPNOTSUPP, syscall.ENOTSOCK: // nothing arrived, or there is no way to know
 		return false
 	}
-	return true // a byte, the end or a break
+	return true // a byte, the end or an error
 }
 
-// abort gives an exchange up by closing the connection, which tells the backend.
+// abort ends an exchange by closing the connection, which tells the backend.
 func (l *link) abort(x *exchange) {
 	l.mu.Lock()
 	mine := l.cur == x
@@ -208,19 +210,19 @@
 	}
 }
 
-// finish ends an exchange, if it is still out. While the request is still being written that is left to the writer,
-// which knows whether its last byte went out; what is not written by then need not be.
+// finish ends an exchange if it is still under way. While the request is being written this is left to the writer, which
+// knows whether the last byte was sent; it is stopped, as the rest of the request need not be written.
 func (l *link) finish(x *exchange, v verdict) {
 	l.mu.Lock()
 	switch e := l.early; {
-	case l.cur != x || x == nil: // it was ended meanwhile, and the connection may carry another
+	case l.cur != x || x == nil: // it has ended meanwhile, and the connection may carry another one
 		l.mu.Unlock()
 	case !l.writing:
 		l.settle(x, v)
 	default:
 		if e == nil {
 			l.early = &v
-		} else { // the end of the same reply, or of the connection: what the reply said first holds
+		} else { // the end of the same reply, or of the connection: the outcome that was found first holds
 			e.due, e.whole = v.due, v.whole && v.ending == e.ending
 		}
 		l.conn.SetWriteDeadline(time.Unix(1, 0))
@@ -228,7 +230,7 @@
 	}
 }
 
-// settle ends the exchange that is out, of which nothing is being written. l.mu is held, and let go.
+// endExchange ends the exchange that is under way and has no write in progress. l.mu is held, and released here.
 func (l *link) settle(x *exchange, v verdict) {
 	l.cur = nil
 	switch {
@@ -238,7 +240,7 @@
 	case v.whole:
 		l.used = time.Now()
 		l.mu.Unlock()
-		l.rest() // before the outcome is told: the next attempt may want this connection
+		l.rest() // before the outcome is reported: the next attempt may use this connection
 	case v.due:
 		l.state = ending
 		l.conn.SetReadDeadline(time.Now().Add(lastChunkWait))
@@ -251,15 +253,15 @@
 	x.end(v)
 }
 
-// reply is what the reader knows of the reply that is coming in.
+// reply is what the reader knows of the reply that is being read.
 type reply struct {
 	got   verdict
-	last  bool // nothing that matters is due any more
+	last  bool // the outcome is known: nothing that still comes changes it
 	probe bool
 	bytes int
 }
 
-// read feeds the machine until the connection ends.
+// read passes the bytes of the connection to the parser until the connection ends.
 func (l *link) read() {
 	defer func() {
 		l.conn.Close()
@@ -296,11 +298,12 @@
 	}
 }
 
-// errUnasked is for bytes, or the connection's end, that came while no reply was due.
-var errUnasked = errors.New("nothing was asked")
+// errUnsolicited is for bytes, or the connection's end, that came while no reply was due.
+var errUnasked = errors.New("unsolicited input from the backend")
 
-// receive reads once. What comes while no reply is due makes the connection dead in the same step in which it is taken
-// from the kernel: a request that is about to be written finds it there or here, never in between.
+// receive reads once. Input that comes while no reply is due marks the connection as closed in the same step in which it
+// is taken from the kernel: a request that is about to be written finds it in the kernel or sees the mark, and misses
+// neither.
 func (l *link) receive(p []byte) (n int, err error) {
 	if l.raw == nil {
 		n, err = l.conn.Read(p)
@@ -309,13 +312,13 @@
 		return n, l.note(n, err)
 	}
 	l.into = p
-	if err = l.raw.Read(l.look); err != nil { // its deadline, or closed from here
+	if err = l.raw.Read(l.look); err != nil { // the deadline passed, or this side closed the connection
 		return 0, err
 	}
 	return l.n, l.fault
 }
 
-// try reads without waiting, and returns whether that is all for now.
+// tryRead reads without blocking. It returns false if there is nothing to read yet.
 func (l *link) try(fd uintptr) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -333,9 +336,9 @@
 	return true
 }
 
-var errEnded = errors.New("the backend ended the connection")
+var errEnded = errors.New("the backend closed the connection")
 
-// note judges what a read brought. l.mu is held.
+// checkSolicited marks the connection as closed if a read brought input while no reply was due. l.mu is held.
 func (l *link) note(n int, err error) error {
 	if l.owed || n == 0 && (err == nil || errors.Is(err, os.ErrDeadlineExceeded)) {
 		return err
@@ -344,7 +347,7 @@
 	return errUnasked
 }
 
-// retire closes a connection whose time is up, unless a request has just claimed it.
+// retire marks a connection whose deadline has passed as closed, unless a request has just claimed it.
 func (l *link) retire() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -366,8 +369,8 @@
 	l.finish(x, verdict{ending: e})
 }
 
-// parts takes what the machine finds. It returns true where the connection is to be closed: for what the protocol does
-// not know, for what is beyond a reply, and after a reply that is its last.
+// handleParts handles what the parser found. It returns true if the connection is to be closed: after a protocol error,
+// after input beyond a reply, and after the last reply that the connection carries.
 func (l *link) parts(r *reply) (bad bool) {
 	for {
 		part, line, err := l.in.Next()
@@ -379,7 +382,7 @@
 		l.mu.Unlock()
 		switch part {
 		case platform.More:
-			if r.last && x != nil { // nobody need wait for the end of the reply
+			if r.last && x != nil { // the outcome need not wait for the end of the reply
 				v := r.got
 				v.due = true
 				l.finish(x, v)
@@ -405,7 +408,7 @@
 	}
 }
 
-// line takes a line of a reply's body.
+// handleLine handles a line of a reply's body.
 func (l *link) line(r *reply, x *exchange, line []byte) (bad bool) {
 	switch {
 	case l.in.Status != 200 || r.probe && x == nil:
@@ -413,10 +416,10 @@
 	case r.probe:
 		r.got.ending, r.got.report, r.last = core.Served, l.pool.Names.ReadLoad(string(line)), true
 		return false
-	case r.last: // a surplus line; the answer before it holds
+	case r.last: // a line after the last one; the outcome that is known holds
 		l.finish(x, r.got)
 		return true
-	case x == nil: // given up, and closed
+	case x == nil: // aborted, and closed
 		return true
 	}
 	news, err := l.pool.Names.ReadLine(line, x.id)
@@ -436,19 +439,19 @@
 	return false
 }
 
-// whole takes the end of a reply. It returns true where the connection carries no other: the backend closes it, bytes
-// that nobody asked for came with the end, or the reply said nothing that counts.
+// handleEnd handles the end of a reply. It returns true if the connection carries no further request: the backend closes
+// it, unsolicited bytes came with the end, or the reply had no outcome.
 func (l *link) whole(r *reply, x *exchange) (over bool) {
 	if r.probe && l.in.Status == 200 {
 		r.got.ending, r.last = core.Served, true
 	}
 	v := r.got
 	v.whole = l.in.Keep && r.last && !l.in.Partial()
-	// What this reply said is over with it. Left standing, it would be taken for the answer
-	// to the connection's next req as soon as that breaks, or before its head is whole.
+	// The outcome ends with this reply. If it were kept, it would be reported for the connection's
+	// next request as soon as that one fails, or before the head of its reply is complete.
 	*r = reply{got: verdict{ending: core.Broken}}
 	l.mu.Lock()
-	l.owed = false // from here on, what comes is noted as unasked
+	l.owed = false // from here on, input is unsolicited
 	ended := l.state == ending
 	if ended {
 		l.used = time.Now()
--- a/internal/network/localfault.go
+++ b/internal/network/localfault.go
@@ -11,29 +11,29 @@
 	"tinsail/internal/counters"
 )
 
-// A connection may fail to be made for a reason that says nothing of who was to be reached: this process or its machine is
-// short of something for a moment, or was not run while its own time-out passed. Such a failure counts against no backend, and
-// is tried again while there is time (connect(2), socket(2): which errors there are).
+// A connection attempt may fail for a reason that says nothing about the remote side: this process or its machine is
+// briefly short of a resource, or the process was not scheduled while its own timeout passed. Such a failure counts
+// against no backend, and the attempt is retried while there is time (connect(2) and socket(2) list the errors).
 
-// localFault is what this machine was short of.
+// localFault is the kind of a connection failure that was caused by this machine.
 type localFault uint8
 
 const (
 	noFault         localFault = iota
 	descriptors                // EMFILE, ENFILE
 	memory                     // ENOBUFS, ENOMEM
-	ports                      // EADDRNOTAVAIL, EAGAIN: no local port is free
+	ports                      // EADDRNOTAVAIL, EAGAIN: no free local port
 	route                      // ENETUNREACH, ENETDOWN
-	denied                     // EACCES, EPERM: a filter of this machine's
-	heldUp                     // the process was not run while a time-out passed
-	localFaultCount            // of the kinds
+	denied                     // EACCES, EPERM: a packet filter of this machine
+	heldUp                     // the process was not scheduled while a timeout passed
+	localFaultCount            // number of kinds
 )
 
 var localFaultNames = [localFaultCount]string{"none", "descriptors", "memory", "ports", "route", "denied", "held_up"}
 
 func (f localFault) String() string { return localFaultNames[f] }
 
-// LocalFaults lists every kind, for counters.
+// LocalFaults lists every kind, for the names of counters.
 func LocalFaults() []fmt.Stringer {
 	all := make([]fmt.Stringer, localFaultCount)
 	for i := range all {
@@ -42,7 +42,8 @@
 	return all
 }
 
-// ofOnePeer says that the fault may be on the way to one address alone: where others can be reached meanwhile, it is.
+// mayBeOfOneAddress says whether the fault may concern the route to one address alone. If other addresses can be reached
+// meanwhile, it does.
 func (f localFault) ofOnePeer() bool { return f == ports || f == route || f == denied }
 
 var localErrors = map[syscall.Errno]localFault{
@@ -53,11 +54,11 @@
 	syscall.EACCES: denied, syscall.EPERM: denied,
 }
 
-// localFaultOf says whether a connection failed for a reason of this machine's. due is when the attempt's own time-out was
-// over, now when it was heard of.
+// localFaultOf returns which fault of this machine made a connection attempt fail, or noFault. due is when the attempt's
+// own timeout ended, now is when its failure was noticed.
 func localFaultOf(err error, due, now time.Time) localFault {
 	var errno syscall.Errno
-	if errors.As(err, &errno) { // the system's own word; ETIMEDOUT is the far side's silence
+	if errors.As(err, &errno) { // the system's verdict; ETIMEDOUT means that the remote side was silent
 		return localErrors[errno]
 	}
 	var ours net.Error
@@ -67,31 +68,31 @@
 	return noFault
 }
 
-// heldUpAfter is how much later than it was due a time-out comes of a process that was not run meanwhile; timers of one
-// that runs come within some milliseconds.
+// notScheduledAfter is how late a timeout must be noticed to count as a fault of scheduling. In a process that is
+// scheduled, timers fire within a few milliseconds.
 const heldUpAfter = 50 * time.Millisecond
 
-// Pauses between tries while this machine is short of something, doubled from the first to the last.
+// Delays between retries while the local fault lasts, doubled from the first to the last.
 const (
 	leastFaultPause = 2 * time.Millisecond
 	mostFaultPause  = 20 * time.Millisecond
 )
 
-// dialling makes a connection past the faults of this machine.
+// retryDialer establishes one connection and retries after faults of this machine.
 type dialling struct {
 	dial    Dial
 	address string
-	each    time.Duration // a connection that is not up by then is given up
+	each    time.Duration // limit for one try
 	count   *counters.Set
-	// between, where set, is called before each further try; true ends the dialling, as there is no need any more.
+	// between, if set, is called before each retry; true ends the attempt, as the connection is not needed any more.
 	between func(localFault) (over bool)
 }
 
-// errNoNeed is returned where between ended the dialling.
+// errNotNeeded is returned if between ended the attempt.
 var errNoNeed = errors.New("no connection is needed any more")
 
-// do makes the connection. The error is the far side's or its silence, errNoNeed, or, once ctx is done, the last one.
-// tried says whether the last failure was this machine's.
+// connect establishes the connection. The error is a failure or timeout of the remote side, errNotNeeded, or the last
+// error once ctx is done. local tells whether the last failure was a fault of this machine, and which.
 func (d *dialling) do(ctx context.Context) (conn net.Conn, local localFault, err error) {
 	for pause := leastFaultPause; ; pause = min(2*pause, mostFaultPause) {
 		due := time.Now().Add(d.each)
