--- a/internal/network/accepting/accepting.go
+++ b/internal/network/accepting/accepting.go
@@ -1,6 +1,6 @@
-// Package accepting is the accept loop of every listener. An accept may fail for a moment in all the ways that accept(2)
-// lists (descriptors, memory, errors of a connection that was still in the queue); the loop goes on until the listener is
-// closed.
+// Package accepting is the accept loop of every listener. An accept may fail temporarily in all the ways that accept(2)
+// lists (no descriptors, no memory, errors of a connection that was still in the queue); the loop goes on until the
+// listener is closed.
 package accepting
 
 import (
@@ -13,22 +13,22 @@
 	"github.com/rs/zerolog"
 )
 
-// Pauses after an accept that failed, doubled from the first to the last: a process without descriptors must not spin, and
-// must be back at once when it has some again.
+// Delays after a failed accept, doubled from the first to the last: a process without descriptors must not spin, and
+// must accept again soon after it has some.
 const (
 	leastPause = time.Millisecond
 	mostPause  = 20 * time.Millisecond
 )
 
-// waited is how long an accept takes at least that found nobody in the queue.
+// emptyQueueAfter is how long an accept has to take to count as having found the queue empty.
 const waited = time.Millisecond
 
-// Loop are the things that an accept loop calls. Only Admit must be set.
+// Loop holds the callbacks of an accept loop. Only Admit must be set.
 type Loop struct {
-	Admit  func(net.Conn)
-	Paused func()          // returns once the listener's deadline, which has passed, is taken back; nil: there is none
-	Failed func(err error) // an accept failed, but not for the listener's end; nil for none
-	Waited func()          // an accept found nobody in the queue; nil for none
+	Admit  func(net.Conn)  // handles an accepted connection
+	Paused func()          // called after the listener's deadline has passed; returns once accepting may go on; nil if no deadline is used
+	Failed func(err error) // called after a failed accept, but not at the listener's end; may be nil
+	Waited func()          // called after an accept that found the queue empty; may be nil
 	Log    zerolog.Logger
 	Name   string // of the listener, for the log
 }
@@ -66,18 +66,18 @@
 		a.Failed(err)
 	}
 	e := a.Log.Warn()
-	if broken(err) { // it will not get better by itself
+	if broken(err) { // it will not recover by itself
 		e = a.Log.Error()
 	}
 	e.Str("listener", a.Name).Err(err).Msg("accept failed")
 }
 
-// ofOneConnection says that the error is that of a connection which ended in the queue: the next may be well.
+// ofOneConnection says that the error is of a single connection, which ended in the queue: the next accept may succeed.
 func ofOneConnection(err error) bool {
 	return errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EPROTO) || errors.Is(err, syscall.EINTR)
 }
 
-// broken says that the listener itself is at fault.
+// listenerBroken says that the listener itself cannot be used.
 func broken(err error) bool {
 	for _, e := range []error{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP} {
 		if errors.Is(err, e) {
--- a/internal/network/accepting/accepting_test.go
+++ b/internal/network/accepting/accepting_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// script is a listener whose accepts end as written.
+// script is a listener whose accepts return scripted results.
 type script struct {
 	net.Listener
 	steps []any // an error, a connection, or how long to wait
@@ -39,8 +39,8 @@
 	return &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}
 }
 
-// TestAcceptFails: whatever an accept fails by, the next connections are admitted, within a pause that stays short; an error of
-// one connection costs no pause, and an empty queue is told.
+// TestAcceptFails: whatever error an accept returns, the next connections are admitted after a short delay. An error of
+// one connection causes no delay, and an empty queue is reported.
 func TestAcceptFails(t *testing.T) {
 	for name, errno := range map[string]syscall.Errno{"ECONNABORTED": syscall.ECONNABORTED, "EMFILE": syscall.EMFILE, "ENFILE": syscall.ENFILE,
 		"ENOBUFS": syscall.ENOBUFS, "ENOMEM": syscall.ENOMEM, "EPERM": syscall.EPERM, "EPROTO": syscall.EPROTO, "ENETDOWN": syscall.ENETDOWN} {
@@ -70,7 +70,7 @@
 	}
 }
 
-// TestBroken: an error of the listener itself is told from one that passes.
+// TestListenerBroken: an error of the listener itself is distinguished from a temporary one.
 func TestBroken(t *testing.T) {
 	assert.True(t, broken(fault(syscall.EBADF)))
 	assert.False(t, broken(fault(syscall.EMFILE)))
--- a/internal/network/admin/admin.go
+++ b/internal/network/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the thin driver of the operators' door: a listener of its own with a few
-// descriptors set aside, so that no client, no job and no silent caller keeps a call waiting.
+// Package admin is the driver of the door, the operators' control listener. It has a listener of its own and a few
+// reserved descriptors, so that no client, job or silent caller delays an operator's call.
 package admin
 
 import (
@@ -17,26 +17,26 @@
 	"tinsail/internal/network/accepting"
 )
 
-// Times of a caller.
+// Time limits of a caller.
 const (
-	callWait   = 3 * time.Second        // for the call to be whole, from connecting
-	writeWait  = 500 * time.Millisecond // for the answer to be taken
-	lingerWait = 100 * time.Millisecond // for the caller to read it before what it still sends resets it
-	roomWait   = 50 * time.Millisecond  // for a caller who was sent away to be gone
-	lastLook   = 5 * time.Millisecond   // for a call that is here, or nearly, as its caller is to be sent away
+	callWait   = 3 * time.Second        // from connecting until the call is complete
+	writeWait  = 500 * time.Millisecond // for writing the answer
+	lingerWait = 100 * time.Millisecond // for the caller to read the answer before the close, which may reset the connection
+	roomWait   = 50 * time.Millisecond  // for an evicted caller's connection to be closed
+	lastLook   = 5 * time.Millisecond   // for an evicted caller's call that has arrived, or is about to
 )
 
-// Answer is what a call is answered by.
+// Answer is the answer to a call.
 type Answer struct {
 	Status int
 	Allow  string // for a 405
 	Says   string // one short line
 }
 
-// Counts are what the door has seen.
+// Counts are the door's counters.
 type Counts struct {
 	Callers, Calls, Refused, Silent, Shed atomic.Int64
-	Slowest                               atomic.Int64 // ns from a whole call to its answer's last byte
+	Slowest                               atomic.Int64 // ns from a complete call to the last byte of its answer
 }
 
 // Each calls f for every counter.
@@ -49,30 +49,30 @@
 	f("door_slowest_us", c.Slowest.Load()/1000)
 }
 
-// Server is the door.
+// Server serves the door.
 type Server struct {
-	Most  int // callers at a time; beyond it the longest unfinished one goes
+	Most  int // limit of callers at a time; beyond it the one that has been unfinished longest is evicted
 	Do    func(door.Call) Answer
 	Log   zerolog.Logger
 	Count Counts
 
 	mu   sync.Mutex
-	rows [2]linked.List // callers who may be sent away, the longest there first
+	rows [2]linked.List // callers that may be evicted, by row and within a row the oldest first
 	open int
-	left chan struct{} // a caller has gone
+	left chan struct{} // signals that a caller has gone
 }
 
-// Rows of callers who may be sent away, from the first to go.
+// Rows of callers that may be evicted, in the order of eviction.
 const (
-	answered = iota // and only there so that the answer is read
+	answered = iota // has its answer, and stays only until it has read it
 	unfinished
 )
 
-// caller is one connection.
+// caller is the connection of one caller.
 type caller struct {
 	conn  net.Conn
 	row   int
-	place *linked.Element // nil while it is answered, or once it was sent away
+	place *linked.Element // nil while the call is being answered, and after an eviction
 	shed  bool
 }
 
@@ -87,14 +87,14 @@
 
 func (s *Server) admit(conn net.Conn) {
 	s.Count.Callers.Add(1)
-	conn.SetReadDeadline(time.Now().Add(callWait)) // before it can be sent away
+	conn.SetReadDeadline(time.Now().Add(callWait)) // before it can be evicted
 	c := s.enter(conn)
 	go s.serve(c)
 	s.makeRoom()
 }
 
-// enter seats a caller. Beyond the number, the one goes that has been unfinished for the longest
-// time: never one whose call is whole, and its answer under way.
+// enter adds a caller. Beyond the limit one caller is evicted: one that has its answer, else the one that has been
+// unfinished longest, but never one whose call is being answered.
 func (s *Server) enter(conn net.Conn) *caller {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +105,7 @@
 				s.Count.Shed.Add(1)
 				old := s.rows[row].Remove(e).(*caller)
 				old.place, old.shed = nil, true
-				old.conn.SetReadDeadline(time.Now()) // its goroutine closes it
+				old.conn.SetReadDeadline(time.Now()) // wakes its goroutine, which closes it
 				break
 			}
 		}
@@ -114,10 +114,10 @@
 	return c
 }
 
-// sit puts a caller among those who may be sent away. s.mu is held.
+// addEvictable puts a caller among those that may be evicted. s.mu is held.
 func (s *Server) sit(c *caller, row int) { c.row, c.place = row, s.rows[row].PushBack(c) }
 
-// stand takes a caller out of them. s.mu is held.
+// removeEvictable takes a caller out of those that may be evicted. s.mu is held.
 func (s *Server) stand(c *caller) {
 	if c.place != nil {
 		s.rows[c.row].Remove(c.place)
@@ -125,7 +125,7 @@
 	}
 }
 
-// makeRoom waits for one who was sent away to be gone, before another descriptor is taken.
+// awaitEviction waits for an evicted caller's descriptor to be freed, before the next connection is accepted.
 func (s *Server) makeRoom() {
 	timer := time.NewTimer(roomWait)
 	defer timer.Stop()
@@ -144,15 +144,15 @@
 	}
 }
 
-// whole tells that a call is all here: its caller is not sent away any more.
+// protect records that a call is complete: its caller is not evicted any more.
 func (s *Server) whole(c *caller) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stand(c)
 }
 
-// wait sets how long to wait for what comes next, and returns whether to. One who is sent away
-// while its call is here already, unread, has it answered all the same.
+// allowLastRead gives an evicted caller one more short read, and returns whether it did: a call that has arrived already
+// and was not read yet is answered all the same.
 func (s *Server) wait(c *caller, looked bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -205,7 +205,7 @@
 	}
 }
 
-// answer does what a call says and tells how it went.
+// answer carries a call out, or refuses it, and answers it.
 func (s *Server) answer(c *caller, m *door.Caller, call door.Call, err error) {
 	begun := time.Now()
 	var a Answer
@@ -226,14 +226,14 @@
 	took := time.Since(begun)
 	for old := s.Count.Slowest.Load(); int64(took) > old && !s.Count.Slowest.CompareAndSwap(old, int64(took)); old = s.Count.Slowest.Load() {
 	}
-	if a.Status < 300 && call.Op == door.Ready { // asked often, and the state is logged when it changes
+	if a.Status < 300 && call.Op == door.Ready { // called often, and the state is logged when it changes
 		e.Discard()
 	}
 	e.Int("status", a.Status).Str("says", a.Says).Dur("took_ms", took).Msg("door")
 }
 
-// write sends an answer. What the caller goes on sending is read for a moment: closed over unread bytes, the
-// connection would be reset and the answer lost with it.
+// write sends an answer. What the caller still sends is read and dropped for a moment: closing with unread bytes
+// would reset the connection, and the answer would be lost.
 func (s *Server) write(c *caller, m *door.Caller, a Answer) {
 	c.conn.SetWriteDeadline(time.Now().Add(writeWait))
 	if _, err := c.conn.Write(door.AppendAnswer(make([]byte, 0, 256), a.Status, a.Allow, a.Says)); err != nil {
@@ -244,7 +244,7 @@
 		return
 	}
 	s.mu.Lock()
-	c.conn.SetReadDeadline(time.Now().Add(lingerWait)) // under the lock: it must not undo what sends the caller away
+	c.conn.SetReadDeadline(time.Now().Add(lingerWait)) // under the lock: it must not undo the deadline that an eviction sets
 	if s.stand(c); !c.shed {
 		s.sit(c, answered)
 	}
--- a/internal/network/admin/admin_test.go
+++ b/internal/network/admin/admin_test.go
@@ -34,7 +34,7 @@
 	return c
 }
 
-// read returns an answer's status and body; the connection must end behind it.
+// read returns the status and body of an answer; the connection must end after it.
 func read(t *testing.T, c net.Conn) string {
 	r := bufio.NewReader(c)
 	a, err := http.ReadResponse(r, nil)
@@ -47,7 +47,8 @@
 	return fmt.Sprint(a.StatusCode, " ", strings.TrimSpace(string(body)))
 }
 
-// TestSilentCallers: hundreds who say nothing, or half a call, keep no descriptors and no true call waiting.
+// TestSilentCallers: hundreds of callers that send nothing, or half a call, neither keep descriptors nor delay a complete
+// call.
 func TestSilentCallers(t *testing.T) {
 	s, at := open(t, 4)
 	for i := range 300 {
@@ -60,7 +61,7 @@
 	assert.GreaterOrEqual(t, s.Count.Shed.Load(), int64(290))
 }
 
-// TestManyCalls: true calls beyond the number of callers are all answered.
+// TestManyCalls: complete calls beyond the limit of callers are all answered.
 func TestManyCalls(t *testing.T) {
 	_, at := open(t, 2)
 	all := make([]net.Conn, 40)
@@ -73,7 +74,7 @@
 	}
 }
 
-// TestOddCallers: what follows a call, and a caller who never reads, harm nobody.
+// TestMisbehavingCallers: bytes behind a call, invalid calls, and a caller that never reads do not affect other callers.
 func TestOddCallers(t *testing.T) {
 	s, at := open(t, 4)
 	assert.Equal(t, "200 ready", read(t, dial(t, at, "GET /control/ready HTTP/1.1\r\n\r\nPOST /control/out-of-service HTTP/1.1\r\n\r\n"+strings.Repeat("x", 10_000))))
--- a/internal/network/budgets/budgets.go
+++ b/internal/network/budgets/budgets.go
@@ -1,7 +1,7 @@
-// Package budgets carries the asks and grants of fleet-wide budgets between dispatchers over
-// UDP (docs/design/budget.md). It is a thin driver: package budget decides, package
-// budget/wire frames, and this package reads the clock and the socket. Off unless the settings
-// name a keeper; never on where the platform forbids talk between dispatchers.
+// Package budgets is the driver of fleet-wide budgets: it sends their asks and grants between dispatchers over
+// UDP (docs/design/budget.md). Package budget decides, package budget/wire encodes the messages, and this package
+// reads the clock and the socket. It is off unless the settings name a keeper, and must stay off on a platform that
+// forbids messages between dispatchers.
 package budgets
 
 import (
@@ -15,16 +15,16 @@
 	"tinsail/internal/budget/wire"
 )
 
-// Clock is the process's own monotonic clock as package budget reads it.
+// Clock is a monotonic clock in the units of package budget.
 type Clock struct{ start time.Time }
 
 // NewClock starts a clock at 0.
 func NewClock() Clock { return Clock{time.Now()} }
 
-// Now is the time since the clock's start (monotonic: a change of the wall clock does not move it).
+// Now returns the time since the clock's start. A change of the wall clock does not affect it.
 func (c Clock) Now() budget.Time { return budget.Time(time.Since(c.start)) }
 
-// Keeper answers asks for the pools of some budgets on one UDP socket.
+// Keeper answers the asks for some budgets on one UDP socket.
 type Keeper struct {
 	conn  *net.UDPConn
 	clock Clock
@@ -34,8 +34,8 @@
 	bad     int // datagrams that could not be read
 }
 
-// NewKeeper serves the plans on conn until it is closed. Each keeper lends nothing for its
-// plan's quiet time, since it cannot know what an earlier life of it lent.
+// NewKeeper serves the plans' budgets on conn until it is closed. At the start nothing is lent for the plan's quiet
+// time, since a new process cannot know what an earlier one has lent.
 func NewKeeper(conn *net.UDPConn, plans ...budget.Plan) (*Keeper, error) {
 	k := &Keeper{conn: conn, clock: NewClock(), keepers: map[string]*budget.Keeper{}}
 	for _, p := range plans {
@@ -68,11 +68,11 @@
 		g := kp.Take(k.clock.Now(), *m.Ask)
 		k.mu.Unlock()
 		out = wire.AppendGrant(out[:0], m.Budget, g)
-		k.conn.WriteToUDP(out, from) // a lost answer is an ask that failed: the holder asks again
+		k.conn.WriteToUDP(out, from) // if the grant is lost the holder asks again
 	}
 }
 
-// Lent is what the keeper of a budget has lent that has not ended.
+// Lent returns how much of a budget is lent now.
 func (k *Keeper) Lent(name string) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -82,15 +82,15 @@
 	return 0
 }
 
-// Replan puts changed plans in force (budget.Keeper.Replan); a plan of a budget not served here
-// is an error, and the plans before it stay in force.
+// Replan puts changed plans in force (budget.Keeper.Replan). A plan of a budget that is not served here
+// is an error; the plans that come before it in the list are in force then.
 func (k *Keeper) Replan(plans ...budget.Plan) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, p := range plans {
 		kp := k.keepers[p.Name]
 		if kp == nil {
-			return fmt.Errorf("budget %q: not kept here", p.Name)
+			return fmt.Errorf("budget %q is not served by this keeper", p.Name)
 		}
 		if err := kp.Replan(p); err != nil {
 			return err
@@ -99,17 +99,17 @@
 	return nil
 }
 
-// Close ends the keeper's socket.
+// Close closes the keeper's socket, which ends it.
 func (k *Keeper) Close() { k.conn.Close() }
 
-// Bad is how many datagrams could not be read or named no budget served here.
+// BadDatagrams returns how many datagrams could not be decoded or named no budget that is served here.
 func (k *Keeper) Bad() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.bad
 }
 
-// Holder holds one dispatcher's share of one budget, asking a keeper over conn (connected to it).
+// Holder holds one dispatcher's share of one budget. It asks a keeper for it over a connected UDP socket.
 type Holder struct {
 	conn  *net.UDPConn
 	name  string
@@ -120,7 +120,8 @@
 	h  *budget.Holder
 }
 
-// NewHolder asks for its share until Close. epoch must be new with each start of the process.
+// NewHolder starts a holder that asks the keeper at the other end of conn until Close. epoch must differ at each start
+// of the process.
 func NewHolder(conn *net.UDPConn, p budget.Plan, peer string, epoch uint64) (*Holder, error) {
 	h, err := budget.NewHolder(p, peer, epoch)
 	if err != nil {
@@ -132,19 +133,19 @@
 	return d, nil
 }
 
-// Share is what this dispatcher may spend now, in units a second.
+// Share returns what this dispatcher may spend now, in units per second.
 func (d *Holder) Share() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.h.Share(d.clock.Now())
 }
 
-// Replan puts a changed plan in force (budget.Holder.Replan): where it is smaller, the share
-// falls to the new reserve at once and the holder asks anew. The lease and the time between asks
-// stay those of the start.
+// Replan puts a changed plan in force (budget.Holder.Replan). If it is smaller, the share
+// falls to the new reserve at once and the holder asks again. The lease and the interval of asking
+// stay as they were at the start.
 func (d *Holder) Replan(p budget.Plan) error {
 	if p.Name != d.name {
-		return fmt.Errorf("budget %q: the holder holds %q", p.Name, d.name)
+		return fmt.Errorf("plan of budget %q given to the holder of budget %q", p.Name, d.name)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -180,7 +181,7 @@
 			if isClosed(err) {
 				return
 			}
-			continue // a refused datagram: the keeper is not there now
+			continue // a datagram was refused: the keeper does not run at the moment
 		}
 		m, err := wire.Read(buf[:n])
 		if err != nil || m.Grant == nil || m.Budget != d.name {
--- a/internal/network/budgets/budgets_test.go
+++ b/internal/network/budgets/budgets_test.go
@@ -17,7 +17,7 @@
 )
 
 // fleet is a keeper and holders on real UDP sockets, each holder behind a relay of its own, and a
-// watcher that adds up what the holders may spend, every millisecond.
+// goroutine that adds up the holders' shares every millisecond.
 type fleet struct {
 	plan    budget.Plan
 	keeper  *Keeper
@@ -26,7 +26,7 @@
 	holders []*Holder
 	most    atomic.Int64 // the largest sum seen
 	stop    chan struct{}
-	halt    func() // stops the watcher and waits for it; again, it does nothing
+	halt    func() // stops that goroutine and waits for it; further calls do nothing
 }
 
 func startKeeper(t *testing.T, p budget.Plan, at *net.UDPAddr) *Keeper {
@@ -84,8 +84,8 @@
 	return s
 }
 
-// settled waits until every holder but those skipped has its fair part of the pool among the
-// living, less one unit.
+// settled waits until every holder but the skipped ones has its fair part of the pool among those that
+// are reachable, less one unit.
 func (f *fleet) settled(t *testing.T, what string, living int, skip ...int) {
 	want := f.plan.Reserve() + f.plan.Pool()/living - 1
 	require.Eventually(t, func() bool {
@@ -98,11 +98,11 @@
 	}, 20*time.Second, 5*time.Millisecond, "%s: every holder at %d or more", what, want)
 }
 
-// TestSharesOverUDPUnderFaults: eight holders and a keeper on loopback. A holder cut off falls
-// to its reserve and the others take its part only after its lease; with one datagram in three
-// lost all keep their parts; a keeper that dies and starts again lends nothing for its quiet
-// time, and all fall back to their reserves and then come back. At no millisecond do the shares
-// sum to more than the whole.
+// TestSharesOverUDPUnderFaults: eight holders and a keeper on loopback. A holder that is cut off falls
+// to its reserve, and the others get its part only after its lease has ended. With one datagram in three
+// lost all keep their parts. A keeper that crashes and restarts lends nothing for its quiet
+// time: all holders fall back to their reserves, and get their parts again later. In no millisecond do the shares
+// add up to more than the total.
 func TestSharesOverUDPUnderFaults(t *testing.T) {
 	p := budget.Plan{Name: "connections", Total: 800, Most: 10, Part: 0.2, Lease: 300 * time.Millisecond, Drift: 0.01}
 	f := newFleet(t, p, 8)
--- a/internal/network/budgets/gate.go
+++ b/internal/network/budgets/gate.go
@@ -8,46 +8,46 @@
 	"golang.org/x/time/rate"
 )
 
-// Sharer says what this dispatcher may spend of a budget now, in units a second.
+// Sharer returns what this dispatcher may spend of a budget now, in units per second.
 type Sharer interface{ Share() int }
 
-// Fixed is a share that changes only when it is set: the division without talk (budget.Split),
-// set anew by a reload. Safe for use by several goroutines.
+// FixedShare is a share that changes only when it is set, for a budget that is divided without messages between
+// dispatchers (budget.Split); a reload sets it again. It is safe for use by several goroutines.
 type Fixed struct{ n atomic.Int64 }
 
-// NewFixed is a share of n units a second.
+// NewFixedShare returns a share of n units per second.
 func NewFixed(n int) *Fixed {
 	f := &Fixed{}
 	f.Set(n)
 	return f
 }
 
-// Share is the share as last set.
+// Share returns the share that was set last.
 func (f *Fixed) Share() int { return int(f.n.Load()) }
 
-// Set changes the share; the gate reads it at its next unit.
+// Set changes the share; a limiter reads it at its next unit.
 func (f *Fixed) Set(n int) { f.n.Store(int64(n)) }
 
-// Gate lets units pass by a share, which it reads anew at each unit: a fifth of it at once at
-// most and the rest at an even rate, so that no second, wherever it begins, spends more than the
+// Limiter limits the rate of units to a share, which it reads again at each unit. At most a fifth of the share may be
+// spent at once and the rest at an even rate, so that no second, wherever it begins, spends more than the
 // share (a burst b and a rate share − b).
 type Gate struct {
 	of     Sharer
 	mu     sync.Mutex
 	lim    *rate.Limiter
-	Passed atomic.Int64 // units let through, at once or after waiting
-	Waited atomic.Int64 // units that had to wait for room
-	Unsent atomic.Int64 // units refused: no room came within the time given
+	Passed atomic.Int64 // units allowed, at once or after waiting
+	Waited atomic.Int64 // units that had to wait
+	Unsent atomic.Int64 // units refused, as they could not be allowed within the time given
 }
 
-// NewGate gates units by a share.
+// NewLimiter returns a limiter to a share.
 func NewGate(of Sharer) *Gate {
 	limit, burst := pace(of.Share())
 	return &Gate{of: of, lim: rate.NewLimiter(limit, burst)}
 }
 
-// pace is the rate and burst of a share: together no more than the share in any second, but for
-// a share of 1, which may spend 2 in a second that holds the burst and one more.
+// limitAndBurst returns the rate and burst of a share. Together they allow no more than the share in any second, except
+// for a share of 1, which may spend 2 in a second that holds the burst and one more.
 func pace(share int) (rate.Limit, int) {
 	if share <= 0 {
 		return 0, 0
@@ -56,7 +56,7 @@
 	return rate.Limit(max(share-burst, 1)), burst
 }
 
-// Wait takes one unit, waiting for room while ctx allows; it fails at once where room would come
+// Wait takes one unit and waits until it is allowed or ctx is done. It fails at once if the unit would be allowed
 // only after ctx's deadline.
 func (g *Gate) Wait(ctx context.Context) error {
 	limit, burst := pace(g.of.Share())
--- a/internal/network/handoff/handoff.go
+++ b/internal/network/handoff/handoff.go
@@ -1,5 +1,5 @@
 // Package handoff is the driver of package handover: a Unix socket over which one process of a
-// dispatcher hands its listeners and what it knows to the next one (SCM_RIGHTS, unix(7)).
+// dispatcher passes its listeners (SCM_RIGHTS, unix(7)) and its state to the next one.
 package handoff
 
 import (
@@ -17,16 +17,16 @@
 	"tinsail/internal/handover"
 )
 
-// sendWait is how long a message may take: the other process reads at once, or is stopped.
+// sendTimeout limits the time to send a message: the other process reads at once unless it is stopped.
 const sendWait = 300 * time.Millisecond
 
-// mostFiles is how many descriptors a state brings at most.
+// maxFiles limits the descriptors that come with a state.
 const mostFiles = 8
 
-// longestName is what a socket's address holds, less a little (sun_path, unix(7)).
+// maxSocketName is the longest path that is used as a socket's address, a little less than sun_path holds (unix(7)).
 const longestName = 100
 
-// within calls f with a name for the path that fits a socket's address.
+// withShortName calls f with a name for the path that fits into a socket's address.
 func within(path string, f func(name string) error) error {
 	if len(path) <= longestName {
 		return f(path)
@@ -39,15 +39,15 @@
 	return f(fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path)))
 }
 
-// Link is the connection of both processes, once the state has been told.
+// Link is the connection between the two processes of a hand-over, once the state has been sent.
 type Link struct {
 	conn *net.UnixConn
 	in   handover.Reader
 	mu   sync.Mutex // of writes
 }
 
-// Send tells the other process something. An error means that it is gone, or as good as gone: the
-// link is closed, and Read ends.
+// Send sends a message to the other process. An error means that the process is gone or does not read: the
+// link is closed, and Read returns.
 func (l *Link) Send(n handover.News) error { return l.send(n, nil) }
 
 func (l *Link) send(message any, rights []byte) error {
@@ -58,7 +58,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conn.SetWriteDeadline(time.Now().Add(sendWait))
-	if len(rights) > 0 { // with the first byte, so that they are there before the message is whole
+	if len(rights) > 0 { // sent with the first byte, so that they arrive before the message is complete
 		n, _, err := l.conn.WriteMsgUnix(text[:1], rights, nil)
 		if err != nil {
 			l.conn.Close()
@@ -72,12 +72,12 @@
 	return err
 }
 
-// Read calls f for each message until the link ends, and returns why it did.
+// Read calls f for each message until the link ends, and returns the reason.
 func (l *Link) Read(f func(handover.News)) error {
 	defer l.conn.Close()
 	for {
 		text, files, err := l.message(nil)
-		for _, f := range files { // nobody is to send any
+		for _, f := range files { // none are expected
 			f.Close()
 		}
 		if err != nil {
@@ -91,10 +91,10 @@
 	}
 }
 
-// Close ends the link.
+// Close closes the link.
 func (l *Link) Close() { l.conn.Close() }
 
-// message returns the next message, and adds to files what descriptors came with it.
+// message returns the next message, and appends to files the descriptors that came with it.
 func (l *Link) message(files []*os.File) ([]byte, []*os.File, error) {
 	buf, oob := make([]byte, 16<<10), make([]byte, syscall.CmsgSpace(4*mostFiles))
 	for {
@@ -134,19 +134,19 @@
 	return files
 }
 
-// ErrAlone says that no other process of this dispatcher is there.
-var ErrAlone = errors.New("no other process of this dispatcher")
+// ErrNoProcess says that no other process of this dispatcher runs.
+var ErrAlone = errors.New("no other process of this dispatcher is running")
 
-// Refusal is why the process that is there hands nothing over.
+// Refusal is the error of a running process that refuses to hand over.
 type Refusal struct {
 	Why  string
-	Busy bool // another hand-over is under way: this process is one too many
+	Busy bool // another hand-over is under way
 }
 
 func (r *Refusal) Error() string { return r.Why }
 
-// Join asks the process that serves for its state. The error is ErrAlone where there is none, a
-// *Refusal where it said no, and anything else where it could not be understood in time.
+// Join asks the serving process for its state and listeners. The error is ErrNoProcess if there is none, a
+// *Refusal if it refused, and another one if its answer did not come in time or could not be read.
 func Join(path string, me handover.Hello) (l *Link, s handover.State, files []*os.File, err error) {
 	var conn net.Conn
 	err = within(path, func(name string) (err error) {
@@ -169,7 +169,7 @@
 			l, files = nil, nil
 		}
 	}()
-	if err = sameUser(l.conn); err != nil { // nobody else's listener is ours to serve
+	if err = sameUser(l.conn); err != nil { // never serve on a listener of another user's process
 		return l, s, files, err
 	}
 	if err = l.send(me, nil); err != nil {
--- a/internal/network/handoff/server.go
+++ b/internal/network/handoff/server.go
@@ -16,40 +16,40 @@
 	"tinsail/internal/network/accepting"
 )
 
-// Server is the end of the process that serves. Its functions are called one at a time.
+// Server is the serving process's side of a hand-over. Its callbacks are called one at a time.
 type Server struct {
 	Path string
 	Me   handover.Hello
 	Log  zerolog.Logger
 
-	Give   func() (handover.State, []syscall.Conn) // this process has given up, when it returns, what the state gives away
-	Hand   func()                                  // accept no more, when it returns
-	News   func(handover.News)
-	Joined func(*Link)       // the new process has the state, and hears of what changes from now on
-	Gone   func(accept bool) // the new process is gone
+	Give   func() (handover.State, []syscall.Conn) // returns the state and listeners; on return this process no longer uses what the state passes on
+	Hand   func()                                  // stops accepting; no connection is accepted after it returns
+	News   func(handover.News)                     // handles a message of the new process
+	Joined func(*Link)                             // the new process has the state; later changes go to it over the link
+	Gone   func(accept bool)                       // the new process is gone; accept says that this process is to accept again
 
 	mu     sync.Mutex
 	stage  handover.Old
 	l      *net.UnixListener
-	moved  bool // the path is another process's
+	moved  bool // the path is another process's by now
 	closed bool
 }
 
-// Listen waits for new processes. The path is this process's from one moment to the next: it is
-// bound under another name and renamed, so that a third process never finds nobody there.
+// Listen waits for new processes. The socket is bound under another name and renamed to the path, so that
+// the path always has a listening process while one process replaces another.
 func (s *Server) Listen() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listen()
 }
 
-// listen does it, also again when another process had the path. s.mu is held.
+// listen is Listen, also used again after another process had the path. s.mu is held.
 func (s *Server) listen() error {
 	if s.closed {
 		return net.ErrClosed
 	}
 	name := fmt.Sprintf("%s.%d", s.Path, os.Getpid())
-	os.Remove(name) // of a dead process with this number
+	os.Remove(name) // left by a dead process with this PID
 	var l *net.UnixListener
 	err := within(name, func(short string) (err error) {
 		l, err = net.ListenUnix("unix", &net.UnixAddr{Name: short, Net: "unix"})
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// Close ends it. The path goes, unless it is another process's by now.
+// Close stops the server. It removes the path unless that is another process's by now.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,19 +86,18 @@
 	}
 }
 
-// mostHellos is how many processes are heard out at a time: each takes a descriptor that no budget knows of. When one
-// more connects, the one that has waited longest without a whole hello is closed unheard (its Join takes it for a
-// process that cannot be understood), so that callers who stay silent cannot keep a true process out. A process that
-// has been heard holds no place any more.
+// maxPendingHellos limits the connections whose hello is not complete: each takes a descriptor that is in no budget. When
+// one more connects, the oldest of them is closed (its Join returns an error), so that silent callers cannot keep a new
+// process of this dispatcher out. A connection with a complete hello does not count any more.
 const mostHellos = 4
 
-// unheard are the connections whose hello is not whole yet, oldest first.
+// pendingHellos are the connections whose hello is not complete yet, oldest first.
 type unheard struct {
 	mu    sync.Mutex
 	conns []*net.UnixConn
 }
 
-// add takes c in, closing the oldest unheard one where there is no place.
+// add adds c, and closes the oldest connection if the limit is reached.
 func (u *unheard) add(c *net.UnixConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -109,7 +108,7 @@
 	u.conns = append(u.conns, c)
 }
 
-// heard lets c go: its hello is whole, or it has ended.
+// remove removes c: its hello is complete, or it has ended.
 func (u *unheard) heard(c *net.UnixConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -131,13 +130,13 @@
 	loop.Run(l)
 }
 
-// take hears one process out.
+// handle reads a process's hello and hands over to it, or refuses.
 func (s *Server) take(l *Link, waiting *unheard) {
 	defer l.Close()
 	l.conn.SetReadDeadline(time.Now().Add(handover.HelloWait))
 	text, files, err := l.message(nil)
 	waiting.heard(l.conn)
-	for _, f := range files { // nobody is to hand us any
+	for _, f := range files { // none are expected
 		f.Close()
 	}
 	var h handover.Hello
@@ -162,9 +161,9 @@
 	err = s.with(l)
 	s.mu.Lock()
 	accept := s.stage.Gone()
-	if accept && !s.closed { // the path was the other's, which is gone
+	if accept && !s.closed { // the path belonged to the process that is gone
 		if err := s.listen(); err != nil {
-			s.Log.Error().Err(err).Msg("hand-over: cannot wait for a next process")
+			s.Log.Error().Err(err).Msg("hand-over: cannot listen for the next process")
 		}
 	}
 	s.mu.Unlock()
@@ -172,7 +171,7 @@
 	s.Gone(accept)
 }
 
-// with hands over, and returns when the new process is gone.
+// handOver sends the state and listeners, and returns when the new process is gone.
 func (s *Server) with(l *Link) error {
 	begun := time.Now()
 	state, conns := s.Give()
@@ -205,7 +204,7 @@
 	})
 }
 
-// rightsOf makes the control message for listeners. Their descriptors stay this process's too.
+// rightsOf returns the control message that passes the listeners' descriptors. They stay open in this process too.
 func rightsOf(conns []syscall.Conn) ([]byte, error) {
 	fds := make([]int, 0, len(conns))
 	for _, c := range conns {
@@ -220,7 +219,7 @@
 	return syscall.UnixRights(fds...), nil
 }
 
-// sameUser refuses processes of others: the folder may be shared.
+// sameUser returns an error if the process at the other end runs as another user: the folder may be shared.
 func sameUser(c *net.UnixConn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -237,7 +236,7 @@
 		return err2
 	}
 	if int(cred.Uid) != os.Getuid() {
-		return fmt.Errorf("a process of user %d", cred.Uid)
+		return fmt.Errorf("the other process runs as user %d", cred.Uid)
 	}
 	return nil
 }
--- a/internal/network/handoff/server_test.go
+++ b/internal/network/handoff/server_test.go
@@ -12,8 +12,8 @@
 	"tinsail/internal/handover"
 )
 
-// TestSilentOnesKeepNobodyOut: callers that connect and say nothing fill every place for a hello; a process that
-// comes after them is still heard and told why it is refused, instead of being closed unheard.
+// TestSilentCallersDoNotBlockHello: silent connections reach the limit of pending hellos. A process that
+// connects after them still gets its answer, a refusal with its reason, instead of being closed.
 func TestSilentOnesKeepNobodyOut(t *testing.T) {
 	me := handover.Hello{Version: handover.Version, Name: "regina", Listen: "127.0.0.1:1"}
 	s := &Server{Path: filepath.Join(t.TempDir(), "h.sock"), Me: me, Log: zerolog.Nop()}
@@ -29,7 +29,7 @@
 	_, _, files, err := Join(s.Path, other)
 	assert.Empty(t, files)
 	var no *Refusal
-	require.ErrorAs(t, err, &no, "heard, and told why")
+	require.ErrorAs(t, err, &no, "its hello is answered, with a reason")
 	assert.False(t, no.Busy)
 	assert.Contains(t, no.Error(), "moose-jaw")
 }
--- a/internal/network/maintain/maintain.go
+++ b/internal/network/maintain/maintain.go
@@ -1,5 +1,5 @@
-// Package maintain is the driver of package maintenance: it holds the lock, keeps the file, and has
-// the core and the pool follow before a call is answered.
+// Package maintain is the driver of package maintenance, the bans of backends: it holds the lock, stores the bans in a
+// file, and applies each change to the core and the pool before the operator's call is answered.
 package maintain
 
 import (
@@ -15,32 +15,33 @@
 	"tinsail/internal/platform"
 )
 
-// Manager lies between every source of backends and the core.
+// Manager sits between the sources of backends and the core, and applies the bans to the lists of the sources.
 type Manager struct {
 	Path     string // of the file; empty for none
-	Store    Store  // in place of a file at Path
+	Store    Store  // used in place of a file at Path, if set
 	Told     func(balance.ListKind, []core.Entry)
-	Withhold func(map[balance.WorkerID]struct{}) // the core's last gate; holds when it returns
-	HangUp   func(balance.WorkerID)              // closes idle connections
+	Withhold func(map[balance.WorkerID]struct{}) // has the core send nothing to these backends; in force when it returns
+	HangUp   func(balance.WorkerID)              // closes the idle connections to a backend
 	Now      func() float64                      // the core's clock, in Unix ms; nil for the wall clock
-	Wall     func() time.Time                    // nil for the system's
+	Wall     func() time.Time                    // nil for the system's clock
 	Log      zerolog.Logger
 
 	mu    sync.Mutex
 	bans  maintenance.Bans
 	out   bool
-	share func(maintenance.Mark) // tells another process; nil if there is none
+	share func(maintenance.Mark) // sends a mark to another process; nil if there is none
 
-	unkept   bool // the store does not hold what holds here
+	unkept   bool // the store does not hold the bans that are in force here
 	failures int64
 	pause    time.Duration
 	retry    *time.Timer
 }
 
-// ErrUnknown says that no list ever named the backend.
+// ErrUnknown is returned for a backend that was in no list so far.
 var ErrUnknown = errors.New("no backend of this name was ever listed")
 
-// Load reads what a process before this one left, if any: the newest generation that is whole. Others are told and left aside.
+// Load reads the bans that an earlier process stored, if any: the newest generation that is valid. Invalid ones are logged
+// and ignored. It returns whether the dispatcher was out of service.
 func (d *Manager) Load() (out bool) {
 	s := d.store()
 	if s == nil {
@@ -70,7 +71,7 @@
 	return k.Out
 }
 
-// Listed takes what a source says, in place of the core.
+// Listed handles a list of a source, in place of the core, and passes it on with the bans applied.
 func (d *Manager) Listed(kind balance.ListKind, list []core.Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -89,7 +90,7 @@
 	return out
 }
 
-// now is the time of calls and of starts: the core's clock, which no step of the wall clock moves.
+// now is the time of operators' calls and of starts of backends, by the core's clock, which no step of the wall clock moves.
 func (d *Manager) now() float64 {
 	if d.Now == nil {
 		return d.wall()
@@ -97,7 +98,7 @@
 	return d.Now()
 }
 
-// wall is the system's wall clock, in Unix ms. Only what crosses to another process, by a message or the file, is told by it.
+// wall reads the system's wall clock, in Unix ms. It is used only for what another process reads, in a message or the file.
 func (d *Manager) wall() float64 {
 	read := time.Now
 	if d.Wall != nil {
@@ -106,20 +107,22 @@
 	return float64(read().UnixMicro()) / 1000
 }
 
-// outward are marks as another process of this machine takes them, by the wall clock; inward is the other way.
+// toWallClock converts the times of marks from the core's clock to the wall clock, by which another process of this
+// machine reads them.
 func (d *Manager) outward(marks []maintenance.Mark) []maintenance.Mark {
 	return maintenance.Moved(marks, d.now(), d.wall())
 }
 
+// toCoreClock converts the times of marks from the wall clock to the core's clock.
 func (d *Manager) inward(marks []maintenance.Mark) []maintenance.Mark {
 	return maintenance.Moved(marks, d.wall(), d.now())
 }
 
-// Offline bans a backend: when it returns, nothing more begins there. An error other than
-// ErrUnknown says that the ban holds here but would not outlive this process.
+// Offline bans a backend. When it returns, no further attempt is started there. An error other than
+// ErrUnknown means that the ban is in force in this process, but was not stored for the next one.
 func (d *Manager) Offline(name string) error { return d.call(name, d.bans.Offline) }
 
-// Online ends a ban; the backend is used at once, if its source says that it is ready.
+// Online ends a ban. The backend is used again at once if its source lists it as ready.
 func (d *Manager) Online(name string) error { return d.call(name, d.bans.Online) }
 
 func (d *Manager) call(name string, f func(float64, string) ([]maintenance.Backend, bool)) error {
@@ -136,7 +139,7 @@
 	return d.keep()
 }
 
-// follow has the core and the pool follow. d.mu is held.
+// apply applies the bans and the changed states of backends to the core and the pool. d.mu is held.
 func (d *Manager) follow(change []maintenance.Backend) {
 	held := map[balance.WorkerID]struct{}{}
 	for _, name := range d.bans.Withheld() {
@@ -151,25 +154,25 @@
 	}
 }
 
-// Merge takes marks from another process or a file.
+// Merge adds marks that come from another process or a file.
 func (d *Manager) Merge(marks []maintenance.Mark) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.follow(d.bans.Merge(d.inward(marks)))
 	if err := d.keep(); err != nil {
-		d.Log.Error().Err(err).Msg("bans not kept")
+		d.Log.Error().Err(err).Msg("bans not stored")
 	}
 }
 
-// Policy takes the names that the fleet's policy bans, in place of those before: when it returns,
-// nothing more begins at them.
+// SetPolicyBans replaces the bans that come from the fleet's policy. When it returns, no further attempt is started at
+// the named backends.
 func (d *Manager) Policy(names []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.follow(d.bans.Policy(names))
 }
 
-// SetOut notes whether the dispatcher is out of service.
+// SetOutOfService stores whether the dispatcher is out of service.
 func (d *Manager) SetOut(out bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -180,8 +183,8 @@
 	return d.keep()
 }
 
-// Share has every call told to another process too, from now on, by tell, which must not block for
-// long; nil for no more. It returns all marks so far.
+// ShareWith makes every later change go to another process too, by send, which must not block for
+// long; nil ends that. It returns all marks so far.
 func (d *Manager) Share(tell func(maintenance.Mark)) []maintenance.Mark {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -189,21 +192,21 @@
 	return d.outward(d.bans.Marks())
 }
 
-// State is the list as the source has it, and all marks.
+// State returns the list as the source has it, and all marks.
 func (d *Manager) State() ([]maintenance.Backend, []maintenance.Mark) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.bans.Listed(), d.outward(d.bans.Marks())
 }
 
-// Banned lists the banned.
+// Banned returns the names of the banned backends.
 func (d *Manager) Banned() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.bans.Banned()
 }
 
-// keep has the store hold all marks. What could not be kept is owed still: it is tried again until it is. d.mu is held.
+// save writes all marks to the store. A failed write is retried until it succeeds. d.mu is held.
 func (d *Manager) keep() error {
 	s := d.store()
 	if s == nil {
@@ -218,7 +221,7 @@
 	d.pause = min(max(2*d.pause, leastKeepPause), mostKeepPause)
 	if !d.unkept {
 		d.unkept = true
-		d.Log.Error().Err(err).Msg("bans not kept, will be tried again")
+		d.Log.Error().Err(err).Msg("bans not stored, will be retried")
 	}
 	if d.retry == nil {
 		d.retry = time.AfterFunc(d.pause, d.keepAgain)
@@ -228,7 +231,7 @@
 	return err
 }
 
-// Pauses between tries to keep what could not be kept, doubled from the first to the last.
+// Delays between the retries of a failed write, doubled from the first to the last.
 const (
 	leastKeepPause = 100 * time.Millisecond
 	mostKeepPause  = 2 * time.Second
@@ -238,7 +241,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.unkept && d.keep() == nil {
-		d.Log.Info().Msg("bans kept")
+		d.Log.Info().Msg("bans stored")
 	}
 }
 
@@ -252,7 +255,7 @@
 	return nil
 }
 
-// Each calls f for the counters of what outlives the process.
+// Each calls f for each counter of the store.
 func (d *Manager) Each(f func(name string, n int64)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/network/maintain/maintain_test.go
+++ b/internal/network/maintain/maintain_test.go
@@ -16,7 +16,7 @@
 	"tinsail/internal/platform"
 )
 
-// bench stands in for what is around a desk, and notes in which order it is told.
+// recorder stands in for the core and the pool around a Manager, and records the order of its calls.
 type bench struct {
 	did  []string
 	held map[balance.WorkerID]struct{}
@@ -43,7 +43,8 @@
 	return list
 }
 
-// TestYesHolds: when a call returns, the gate is shut, idle connections are closed and the file says so, in this order.
+// TestOfflineTakesEffect: when a call returns, the core withholds requests, idle connections are closed, the list was passed
+// on, in this order, and the file holds the ban.
 func TestYesHolds(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bans")
 	d, b := newManager(path)
@@ -57,10 +58,10 @@
 	require.NoError(t, d.SetOut(true))
 	files, err := filepath.Glob(filepath.Join(filepath.Dir(path), "*"))
 	require.NoError(t, err)
-	assert.Equal(t, []string{path, path + oldSuffix}, files, "two generations, and nothing half written is left")
+	assert.Equal(t, []string{path, path + oldSuffix}, files, "two generations, and no incomplete file is left")
 
 	next, b2 := newManager(path)
-	assert.True(t, next.Load(), "out of service, as the one before")
+	assert.True(t, next.Load(), "out of service, as the former process was")
 	assert.Contains(t, b2.held, balance.WorkerID(platform.Hash("a")))
 	next.Listed(balance.ListCached, ready("a", "b"))
 	assert.Equal(t, map[string]balance.State{"a": balance.Draining, "b": balance.Ready}, b2.last)
@@ -69,11 +70,12 @@
 	assert.Equal(t, balance.Ready, b2.last["a"])
 }
 
-// TestBadFile: nothing of a file that is damaged, of another version or cut off is used, and the next call writes a good one.
+// TestDamagedFile: a file that is damaged, truncated or of another version is not used, and the next call writes a valid
+// one.
 func TestBadFile(t *testing.T) {
 	good := maintenance.Kept{Out: true, Marks: []maintenance.Mark{{Name: "a", Banned: true, At: 1}}}.Append(nil)
 	for _, text := range []string{"", "x", string(good[:len(good)-2]), "tinsail-maintenance 9 00000000\n{}", string(good) + " "} {
-		path := filepath.Join(t.TempDir(), "bans") // with no generation before it
+		path := filepath.Join(t.TempDir(), "bans") // without a former generation
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		d, b := newManager(path)
 		assert.False(t, d.Load())
@@ -86,7 +88,7 @@
 	}
 }
 
-// TestShared: a call is told to the other process, and what that one tells is not told back.
+// TestShareWithOtherProcess: a call is sent to the other process, and marks that come from there are not sent back.
 func TestShared(t *testing.T) {
 	d, _ := newManager("")
 	d.Listed(balance.ListFull, ready("a", "b"))
@@ -102,8 +104,9 @@
 	assert.ErrorIs(t, d.Online("c"), ErrUnknown)
 }
 
-// TestBanOverAWallStep: the wall clock is stepped by an hour, either way, before or during a ban. The backend that is called back
-// counts as started at the call by the core's clock, in this process, in one that takes over and in one that reads the file.
+// TestBanAcrossWallClockStep: the wall clock is stepped by an hour, forward or back, before or during a ban. After the ban
+// the backend counts as started at the end of the ban by the core's clock: in this process, in one that takes over and in
+// one that reads the file.
 func TestBanOverAWallStep(t *testing.T) {
 	const hour = 3_600_000.0
 	for _, step := range []float64{hour, -hour} {
@@ -139,7 +142,7 @@
 
 			mono, wall = mono+2000, wall+2000
 			next, _ := newManager(path)
-			clocked(next, 777_000) // its process began by another wall clock
+			clocked(next, 777_000) // its process started with another wall clock
 			next.Told = func(_ balance.ListKind, list []core.Entry) {
 				for i := range list {
 					started[list[i].Name] = list[i].Started
--- a/internal/network/maintain/store.go
+++ b/internal/network/maintain/store.go
@@ -12,27 +12,28 @@
 	"tinsail/internal/maintenance"
 )
 
-// Store keeps the marks for the process after this one.
+// Store keeps the marks for the next process.
 type Store interface {
-	// Write keeps a text in place of the one before. When it returns nil the text outlives a kill and a loss of power;
-	// after an error the one before, or the new one, is there.
+	// Write replaces the stored text. When it returns nil, the text survives a kill and a loss of power;
+	// after an error either the former text or the new one is stored.
 	Write(text []byte) error
-	// Read returns what was kept, the newest first: one text or, so that a damaged one is no loss of all, the one before too.
-	// There is none where nothing was ever kept.
+	// Read returns the stored texts, the newest first: the last one and, in case that one is damaged, the one before it.
+	// There is none if nothing was ever stored.
 	Read() ([][]byte, error)
 }
 
-// fileStore is a file that is written beside its place, synced and renamed; the generation before stays as PATH.old. A text
-// that was being written by a process that was killed has that process's number in its name, and goes with the next Read.
+// fileStore is a file that is replaced by writing a new one beside it, syncing it and renaming it; the former generation
+// stays as PATH.old. An incomplete file of a process that was killed has that process's PID in its name; the next Read
+// removes it.
 type fileStore struct{ path string }
 
-// File keeps marks in a file at a path.
+// File returns a store in the file at a path.
 func File(path string) Store { return fileStore{path} }
 
 const oldSuffix = ".old"
 
 func (s fileStore) Write(text []byte) error {
-	// Two processes may write at a time, while one hands over to the other: each under a name of its own, and by renames alone.
+	// Two processes may write at the same time during a hand-over: each writes under a name of its own and only renames.
 	next := fmt.Sprintf("%s.%d", s.path, os.Getpid())
 	os.Remove(next)
 	err := s.keepOld(next)
@@ -49,8 +50,8 @@
 	return syncFolder(filepath.Dir(s.path))
 }
 
-// keepOld has what is at the place be the generation before as well: a link, not a rename, so that there is always something at
-// the place. What is damaged takes no whole one's place. name is one that nobody else uses.
+// keepOld makes the present file the former generation too. It uses a link, not a rename, so that there is a file at the
+// path at all times. A damaged file does not replace a valid former generation. name is a file name that nobody else uses.
 func (s fileStore) keepOld(name string) error {
 	text, err := os.ReadFile(s.path)
 	if err == nil {
@@ -63,13 +64,14 @@
 		return err
 	}
 	err = os.Rename(name, s.path+oldSuffix)
-	// Where both are the same file already, a rename leaves both names (rename(2)): what is written next under this one must not be
-	// the generation that is kept.
+	// If both names are links to the same file already, a rename leaves both in place (rename(2)). The name is removed, so that
+	// the next write under it does not overwrite the former generation.
 	os.Remove(name)
 	return err
 }
 
-// writeSynced writes a file whole. A sync that failed once must not be followed by one that hides it: the caller begins anew.
+// writeSynced writes a whole file and syncs it. After a failed sync, a later sync of the same file may succeed without the
+// data being on disk: the caller has to start over with a new file.
 func writeSynced(name string, text []byte) error {
 	f, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -82,7 +84,7 @@
 	return errors.Join(err, f.Close())
 }
 
-// syncFolder makes a rename last. Some file systems sync no folders, and say so.
+// syncFolder makes a rename durable. Some file systems cannot sync folders and return an error for it, which is ignored.
 func syncFolder(name string) error {
 	f, err := os.Open(name)
 	if err != nil {
@@ -109,7 +111,7 @@
 	return texts, err
 }
 
-// clear removes what processes that are no more were writing when they were killed.
+// clear removes the incomplete files of processes that were killed while they wrote.
 func (s fileStore) clear() {
 	names, _ := filepath.Glob(s.path + ".*")
 	for _, name := range names {
--- a/internal/network/maintain/store_test.go
+++ b/internal/network/maintain/store_test.go
@@ -19,7 +19,7 @@
 	"tinsail/internal/maintenance"
 )
 
-// failingStore fails by err for a while.
+// failingStore fails with err until a time.
 type failingStore struct {
 	err   error
 	until time.Time
@@ -37,8 +37,8 @@
 
 func (s *failingStore) Read() ([][]byte, error) { return nil, s.err }
 
-// TestFolderFails: writes fail for a while. The ban holds and says that it would not outlive the process; that is told until it
-// does, which it comes to without a further call, and without a try more often than need be.
+// TestStoreFails: writes fail for a while. The ban is in force, and the call returns an error as the ban is not stored. The
+// counter shows this until a retry succeeds, which needs no further call; the number of retries is limited.
 func TestFolderFails(t *testing.T) {
 	for _, errno := range []error{syscall.ENOSPC, syscall.EIO} {
 		synctest.Test(t, func(t *testing.T) {
@@ -52,7 +52,7 @@
 			}
 			d.Listed(balance.ListFull, ready("a"))
 			assert.ErrorIs(t, d.Offline("a"), errno)
-			assert.Equal(t, balance.Draining, b.last["a"], "it holds here")
+			assert.Equal(t, balance.Draining, b.last["a"], "in force in this process")
 			assert.EqualValues(t, 1, counts()["bans_unkept"])
 			time.Sleep(13 * time.Second)
 			synctest.Wait()
@@ -63,13 +63,13 @@
 			assert.True(t, k.Marks[0].Banned)
 			tries := s.tries
 			time.Sleep(time.Minute)
-			assert.Equal(t, tries, s.tries, "it rests once it is kept")
+			assert.Equal(t, tries, s.tries, "no retry after it was stored")
 		})
 	}
 }
 
-// TestKillDuringKeep: whatever a kill leaves of a write, the next process finds the last generation that was whole, and what was
-// half written goes.
+// TestKillDuringWrite: whatever a kill leaves of a write, the next process finds the last valid generation, and the
+// incomplete file is removed.
 func TestKillDuringKeep(t *testing.T) {
 	dead := exec.Command("/bin/true")
 	require.NoError(t, dead.Run())
@@ -85,7 +85,7 @@
 		d, _ := newManager(path)
 		d.Listed(balance.ListFull, ready("a", "b"))
 		require.NoError(t, d.Offline("a"))
-		require.NoError(t, d.SetOut(true)) // the generation before holds the ban as well
+		require.NoError(t, d.SetOut(true)) // the former generation holds the ban as well
 		leave(path)
 		next, b := newManager(path)
 		next.Load()
@@ -99,10 +99,11 @@
 	}
 }
 
-// TestTwoProcessesKeep: the two processes of a hand-over keep at the same time. Neither fails for the other, and what is left is whole.
+// TestTwoProcessesWrite: the two processes of a hand-over write at the same time. Neither makes the other fail, and both
+// generations are valid afterwards.
 func TestTwoProcessesKeep(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bans")
-	for _, name := range []string{"a", "b"} { // another process's name for what is being written
+	for _, name := range []string{"a", "b"} { // the incomplete file of another process
 		require.NoError(t, os.WriteFile(fmt.Sprintf("%s.%d", path, os.Getpid()+1), []byte("half"), 0o600))
 		d, _ := newManager(path)
 		d.Listed(balance.ListFull, ready("a", "b"))
@@ -122,7 +123,7 @@
 			for range 200 {
 				name := fmt.Sprintf("%s.%d", path, rand.Int64())
 				assert.NoError(t, next.keepOld(name))
-				assert.NoFileExists(t, name, "what is written there next is no kept generation")
+				assert.NoFileExists(t, name, "the next write there must not reach a stored generation")
 			}
 		})
 	}
--- a/internal/network/members/members.go
+++ b/internal/network/members/members.go
@@ -1,5 +1,5 @@
-// Package members carries what sources say of backends to package membership, and what it makes
-// of that to the core. It holds the lock and the timer that the decisions do without.
+// Package members is the driver of package membership: it passes the lists of the sources of backends to it, and
+// the merged changes to the core. It holds the lock and the timer; package membership only decides.
 package members
 
 import (
@@ -12,51 +12,52 @@
 	"tinsail/internal/platform"
 )
 
-// List is the list of backends of a dispatcher with several sources.
+// List is the merged list of backends of a dispatcher that has several sources.
 type List struct {
 	mu    sync.Mutex
 	set   *membership.Set
 	told  func(balance.ListKind, []core.Entry)
 	timer *time.Timer
-	at    time.Time // that the timer is set for; zero if it is not
+	at    time.Time // when the timer is due; zero if it is not set
 }
 
-// New makes a list that tells its changes to told, in their order; told must not block.
+// New returns a list with one source for each of the rules. It calls onChange with its changes, in their order; onChange
+// must not block.
 func New(told func(balance.ListKind, []core.Entry), rules ...membership.Rules) *List {
 	return &List{set: membership.New(rules...), told: told}
 }
 
-// Source is one source's end of a list. Its methods may be called from any goroutine.
+// Source is the input of one source to a list. Its methods may be called from any goroutine.
 type Source struct {
 	list *List
 	at   int
 }
 
-// Source is the i-th of the sources that New was given rules for.
+// Source returns the i-th source, in the order of the rules given to New.
 func (l *List) Source(i int) Source { return Source{l, i} }
 
-// Whole takes a whole list.
+// Replace sets the source's full list.
 func (s Source) Whole(list []membership.Backend) {
 	s.list.do(func(now time.Time) { s.list.set.Whole(now, s.at, list) })
 }
 
-// Some takes changes.
+// Update adds or changes backends of the source's list, and removes the dropped ones.
 func (s Source) Some(list []membership.Backend, dropped []string) {
 	s.list.do(func(now time.Time) { s.list.set.Some(now, s.at, list, dropped) })
 }
 
-// Same takes the news that nothing changed.
+// Unchanged records that the source answered and nothing has changed.
 func (s Source) Same() { s.list.do(func(now time.Time) { s.list.set.Same(now, s.at) }) }
 
-// Failed takes the news that the source does not answer.
+// Failed records that the source does not answer.
 func (s Source) Failed() { s.list.do(func(now time.Time) { s.list.set.Failed(now, s.at) }) }
 
-// SetRules has other rules hold from now on.
+// SetRules replaces the source's rules.
 func (s Source) SetRules(r membership.Rules) {
 	s.list.do(func(now time.Time) { s.list.set.SetRules(now, s.at, r) })
 }
 
-// Told takes a list of the platform's director.
+// DirectorList handles a list, or a failure, of the platform's director.
 func (s Source) Told(kind balance.ListKind, entries []core.Entry) {
 	if kind == balance.ListFailed {
 		s.Failed()
@@ -83,7 +84,7 @@
 	s.Whole(list)
 }
 
-// do lets something happen, then tells what it changed.
+// apply calls f, then passes on what has changed and sets the timer.
 func (l *List) do(f func(now time.Time)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,7 +120,7 @@
 	}
 }
 
-// Members and Sources tell how things stand, for people.
+// Members returns the backends and the status of the sources, for operators.
 func (l *List) Members() ([]membership.Member, []membership.Status) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +130,7 @@
 
 var states = [...]balance.State{membership.Ready: balance.Ready, membership.Draining: balance.Draining, membership.Gone: balance.Gone}
 
-// Entries are members as the core takes them.
+// Entries converts members to the core's entries.
 func Entries(list []membership.Member) []core.Entry {
 	out := make([]core.Entry, len(list))
 	for i := range list {
