--- a/internal/network/begin_crossing_test.go
+++ b/internal/network/begin_crossing_test.go
@@ -17,12 +17,13 @@
 	"tinsail/internal/counters"
 )
 
-// desk is a core over a pool, on a clock that the test moves; its backends are raw, and dials to them are held.
+// coreRig is a core with a pool, on a clock that the test advances. Its backends are raw, and each dial to them waits for
+// the test to let it go.
 type desk struct {
 	*rig
 	core    *core.Core
 	all     []*rawBackend
-	ahead   atomic.Int64 // of the clock
+	ahead   atomic.Int64 // of the real clock, in ns
 	dials   chan chan struct{}
 	answers chan core.Answer
 }
@@ -57,7 +58,7 @@
 	return d
 }
 
-// first is the next connection that came to any backend.
+// first returns the next connection to any backend.
 func (d *desk) first() *rawConn {
 	for {
 		for _, b := range d.all {
@@ -79,13 +80,13 @@
 	return t
 }
 
-// steps lets the core work until something holds.
+// steps steps the core until a condition holds.
 func (d *desk) steps(until func() bool) {
 	for end := time.Now().Add(hang); !until(); time.Sleep(50 * time.Microsecond) {
 		d.core.Step()
 		if !time.Now().Before(end) {
 			d.pool.Count.Print(os.Stderr, counters.Names{Endings: core.Endings()})
-			require.Fail(d.t, "never came")
+			require.Fail(d.t, "the condition never held")
 		}
 	}
 }
@@ -94,8 +95,8 @@
 	return func() bool { return d.pool.Count.Endings[e].Load() > 0 }
 }
 
-// TestGoneWhileConnecting: a connection comes up after its req's client has gone. It rests, and the first that it carries
-// is another's req. The core need not have heard of the client yet.
+// TestClientGoneWhileConnecting: a connection is established after its request's client has gone. The connection becomes
+// idle, and the first request that it carries is another one. The core need not have processed the client's end yet.
 func TestGoneWhileConnecting(t *testing.T) {
 	for _, heard := range []bool{true, false} {
 		d := newDesk(t, balance.Class{Effect: balance.Safe})
@@ -115,7 +116,8 @@
 	}
 }
 
-// TestWindowWhileConnecting: a repeat is decided within the window, and its connection comes up after it.
+// TestRepeatWindowEndsWhileConnecting: a repeat is decided within the repeat window, and its connection is established
+// after the window's end. The repeat must not be sent then.
 func TestWindowWhileConnecting(t *testing.T) {
 	const window = 1000 // ms
 	for _, c := range []struct {
@@ -128,7 +130,7 @@
 		first := d.first()
 		_, err := first.req()
 		require.NoError(t, err)
-		first.Close() // it may have run
+		first.Close() // after this the request may have run
 		d.steps(func() bool { return len(d.dials) > 0 })
 		let := <-d.dials
 		d.ahead.Store(int64(c.late))
--- a/internal/network/director_crossing_test.go
+++ b/internal/network/director_crossing_test.go
@@ -9,17 +9,17 @@
 	"tinsail/internal/balance"
 )
 
-// asks are times for asking that settings may name.
+// asks are intervals of asking that settings may name.
 var asks = []time.Duration{time.Second, 10 * time.Second, 5 * time.Minute}
 
-// TestAskedThroughTwoFaults: a fault hits an open watch and lasts for a while, another follows it, and then
-// discovery is well. Drains from before, between and after count as told 6 s after discovery could be
-// reached, whatever the time for asking.
+// TestPolledWatchThroughTwoFaults: a fault hits an open watch and lasts for a while, another one follows, and then
+// discovery recovers. Drains from before, between and after the faults must arrive within the grace period after they count
+// as published, 6 s after discovery could be reached, whatever the interval of asking.
 func TestAskedThroughTwoFaults(t *testing.T) {
 	var w worst
 	for i, first := range faults {
 		for j, second := range faults {
-			for k := range 4 { // sweeps the moment of the return over the pauses and calls before it
+			for k := range 4 { // sweeps the moment of the recovery over the delays and calls before it
 				ask := asks[k%3]
 				from := time.Duration(300+250*((i+j+k)%9)) * time.Millisecond
 				mid := from + time.Duration(1+(i+j+k/3)%3*4)*time.Second
@@ -42,15 +42,15 @@
 	w.judge(t)
 }
 
-// TestAskedSilentThenFailed: discovery refused for so long that pauses are longest; the first call after its
-// return falls silent, and the one that is made beside it fails. A drain that the silent one missed counts as told
-// 6 s after it fell silent.
+// TestPolledWatchSilentThenFailed: discovery refuses calls until the delay between them is at its limit. The first call
+// after its recovery falls silent, and the backup call fails. A drain that the silent call missed counts as published
+// 6 s after the call fell silent.
 func TestAskedSilentThenFailed(t *testing.T) {
 	var w worst
 	for _, ask := range asks {
 		for _, second := range faults {
 			if !second.quick() && second != hangs {
-				continue // two silent calls in a row
+				continue // two consecutive silent calls
 			}
 			for end := 8 * time.Second; end < 10*time.Second; end += 250 * time.Millisecond {
 				crossed(t, Asked(ask), func(c *crossing) {
@@ -68,8 +68,9 @@
 	w.judge(t)
 }
 
-// TestPushedThroughTwoFaults: the same with an agent on this machine. What it has counts at once when it speaks again; only
-// what a watch missed that was open as it fell silent has 6 s from there. A shorter grace holds as well.
+// TestAgentWatchThroughTwoFaults: the same with an agent on this machine. What the agent has counts as published as soon as
+// it answers again; only a change that an open watch missed when the agent fell silent has 6 s from then. Shorter grace
+// periods are kept as well.
 func TestPushedThroughTwoFaults(t *testing.T) {
 	for _, grace := range []time.Duration{2 * time.Second, 500 * time.Millisecond, 300 * time.Millisecond, 100 * time.Millisecond} {
 		var w worst
@@ -97,8 +98,8 @@
 	}
 }
 
-// TestMovedInTheMiddle: SIGHUP names a new address in the middle of any fault, in its first and last moment, and as an answer
-// of the old address comes in. What the new address has is told in time, and nothing of the old one after it.
+// TestRedirectDuringFault: SIGHUP names a new address during any fault, at its beginning and end, and as an answer of the
+// old address arrives. Changes at the new address arrive in time, and nothing of the old one is applied after the move.
 func TestMovedInTheMiddle(t *testing.T) {
 	const from, end = 2 * time.Second, 7 * time.Second
 	for _, pushed := range []bool{false, true} {
@@ -117,7 +118,7 @@
 					c.until(from - time.Millisecond)
 					set(c.d, 0, "Terminating")
 					c.until(at)
-					set(c.d, 3, "Terminating") // its answer crosses the move
+					set(c.d, 3, "Terminating") // its answer is under way during the move
 					c.dir.Redirect("e")
 					set(c.other, 1, "Terminating")
 					time.Sleep(20 * time.Millisecond)
@@ -127,7 +128,7 @@
 					if f == well {
 						back = at
 					}
-					due := max(back, at+since) // pushed: 4 s after SIGHUP, and at once when the agent speaks again
+					due := max(back, at+since) // with an agent: 4 s after SIGHUP, and at once when the agent answers again
 					if !pushed {
 						due = back + since
 					}
@@ -143,8 +144,8 @@
 	}
 }
 
-// TestVersionsBeganAnew: discovery comes back from an outage with a list of lower versions, in which a backend drains. The
-// whole list is asked for, and the drain is told in time, whatever the outage was like.
+// TestListVersionsRestart: discovery comes back from an outage with a list of lower versions, in which a backend drains. The
+// full list is asked for, and the drain arrives in time, whatever the kind of outage.
 func TestVersionsBeganAnew(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		var w worst
@@ -178,12 +179,12 @@
 	}
 }
 
-// TestPauseOutlastsAGivenUpCall: calls that were given up end as others fail. Their end says nothing of how discovery is, and
-// leaves the pause as long as the failures made it.
+// TestGivenUpCallKeepsBackoff: calls that were given up end while others fail. Their end says nothing about the state of
+// discovery, and must not reset the delay that the failures have built up.
 func TestPauseOutlastsAGivenUpCall(t *testing.T) {
 	for range 8 {
 		crossed(t, Asked(10*time.Second), func(c *crossing) {
-			c.dir.Afresh() // calls for the whole list wait for nothing: the third silent one has the first given up
+			c.dir.Afresh() // calls for the full list do not wait at the director: the third silent one has the first given up
 			c.next = []fault{refused, refused, refused, refused, refused, mute, mute, mute, refused, refused}
 			c.begin()
 			c.until(30 * time.Second)
@@ -196,21 +197,22 @@
 	}
 }
 
-// TestCallsInOneSilence: a watch that falls silent costs one further call, and not a second one when it is cut at last.
+// TestOneBackupCallPerSilence: a watch that falls silent causes one backup call, and not another one when the silent call
+// is given up.
 func TestCallsInOneSilence(t *testing.T) {
 	crossed(t, Asked(10*time.Second), func(c *crossing) {
 		c.begin()
 		c.until(100 * time.Millisecond)
 		before := c.count.DirectorCalls.Load()
 		c.hit(mute)
-		c.until(toldIn + 400*time.Millisecond) // the first was cut at 6 s, and the second one's wait goes on
+		c.until(toldIn + 400*time.Millisecond) // the first call was given up at 6 s, and the backup call's long poll goes on
 		assert.Equal(t, int64(1), c.count.DirectorCalls.Load()-before)
 	})
 }
 
-// TestLateAnswerOfLowerVersion: a watch that was held for silent answers after all, and with a version that began anew. The
-// call beside it asks for what is newer than a version of the old count, and may wait in vain: the whole list is asked
-// for at once.
+// TestLateAnswerOfLowerVersion: a silent watch answers after all, with a version after a restart of the versions. The backup
+// call asks for changes since a version from before the restart, and might wait in vain: the full list is asked for
+// at once.
 func TestLateAnswerOfLowerVersion(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 9, `
 		wait 2600ms
@@ -222,7 +224,7 @@
 		d/1 expect GET /registry/instances`)
 }
 
-// TestAnswerThatComesTwice: what lies behind an answer belongs to no call. It must not pass for the next call's answer.
+// TestDuplicateAnswerIsNotReused: bytes behind an answer belong to no call. They must not pass for the next call's answer.
 func TestAnswerThatComesTwice(t *testing.T) {
 	const answer = `HTTP/1.1 200 OK\r\nContent-Length: 44\r\n\r\n{"index":44,"snapshot":false,"endpoints":[]}`
 	run(t, list(balance.Ready, "s1"), 9, `
--- a/internal/network/director_loopback_test.go
+++ b/internal/network/director_loopback_test.go
@@ -20,8 +20,8 @@
 	"tinsail/internal/platform"
 )
 
-// loopback is a director on 127.0.0.1 that a test plays by hand, and a watch of it. Its times are long enough for any machine
-// and short enough to be waited for; nothing is judged by them.
+// loopback is a director on 127.0.0.1 that a test plays by hand, and a watch of it. Its times are long enough for a slow
+// machine and short enough to be waited for; no assertion depends on them.
 type loopback struct {
 	t    *testing.T
 	l    *net.TCPListener
@@ -44,10 +44,10 @@
 	return b
 }
 
-// shortly is a pace whose calls are held for silent soon, and are not cut before the test is over.
+// shortTimings make calls count as silent soon, and do not give them up before the test is over.
 var shortly = Pace{Wait: 50 * time.Millisecond, Slack: 50 * time.Millisecond, Grace: time.Minute, Connect: time.Minute, Pause: 20 * time.Millisecond}
 
-// call is the next call, its connection and its head.
+// call returns the connection and the head of the next call.
 func (b *loopback) call() (*net.TCPConn, string) {
 	c, err := b.l.AcceptTCP()
 	require.NoError(b.t, err)
@@ -64,7 +64,7 @@
 	return string(head)
 }
 
-// chunked is a whole answer with that list, in chunks.
+// chunked returns a complete answer with that list, in chunks.
 func chunked(list string) string {
 	var out bytes.Buffer
 	w := httputil.NewChunkedWriter(&out)
@@ -75,7 +75,7 @@
 	return listHead + out.String() + "\r\n"
 }
 
-// indented is a list of one version with so many backends, spread over many lines.
+// indented returns a list with n backends as indented JSON.
 func indented(index, n int, status string) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "{\n  \"index\": %d,\n  \"snapshot\": true,\n  \"endpoints\": [", index)
@@ -89,15 +89,15 @@
 	return out.String() + "\n  ]\n}\n"
 }
 
-// TestAnswersThatBreakOff: an answer breaks off after any byte of its head, its framing and its list, by a close and by a reset.
-// None of it is told, and the next call gets it whole.
+// TestTruncatedAnswers: an answer is cut off within its head, its framing or its list, by a close or a reset.
+// None of it is applied, and the next call gets the complete answer.
 func TestAnswersThatBreakOff(t *testing.T) {
 	whole := chunked(indented(7, 3, "Terminating"))
 	var cuts []int
 	for cut := 0; cut < len(whole); cut += 37 {
 		cuts = append(cuts, cut)
 	}
-	for cut := len(whole) - 12; cut < len(whole); cut++ { // the last chunks, byte by byte
+	for cut := len(whole) - 12; cut < len(whole); cut++ { // each byte of the last chunks
 		cuts = append(cuts, cut)
 	}
 	for i, cut := range cuts {
@@ -119,7 +119,7 @@
 	}
 }
 
-// TestListOfAMiB: an indented list that just fits is read, in one go and after an answer that broke off in its middle.
+// TestMaxSizeList: an indented list of just the maximal size is read, after an answer that was cut off in its middle.
 func TestListOfAMiB(t *testing.T) {
 	n := 4000
 	for step := 256; step > 0; step /= 4 {
@@ -142,8 +142,8 @@
 	assert.Contains(t, b.head(c), "since=7&", "the watch goes on, on the same connection")
 }
 
-// TestAnswerWithoutEnd: an answer goes on byte by byte and never ends, and another that began is silent. A call is made beside
-// them, told what they were not, and they are closed.
+// TestEndlessListAnswer: an answer goes on byte by byte and never ends, or never begins. The backup call gets the list, and
+// the first call is closed.
 func TestAnswerWithoutEnd(t *testing.T) {
 	for name, begins := range map[string]string{"nothing": "", "half a head": "HTTP/1.1 20", "a chunk": listHead + "100000\r\n{"} {
 		t.Run(name, func(t *testing.T) {
@@ -174,8 +174,8 @@
 	}
 }
 
-// TestConnectingThatHangs: a connection that is being made hangs. It is given up after the connect time, and the call is made
-// again; where the address moves meanwhile, at once.
+// TestHangingConnect: a connection attempt hangs. It is given up after the connect timeout and the call is made
+// again; after a redirect this happens at once.
 func TestConnectingThatHangs(t *testing.T) {
 	for _, moved := range []bool{false, true} {
 		pace := shortly
@@ -187,7 +187,7 @@
 		hung, let := make(chan struct{}, 1), false
 		at := b.dir.Address
 		b.dir.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-			if !let { // one call at a time: the first is over before the second
+			if !let { // one call at a time: the first has ended before the second begins
 				let = true
 				hung <- struct{}{}
 				<-ctx.Done()
@@ -201,7 +201,7 @@
 			b.dir.Redirect("elsewhere")
 		}
 		c, head := b.call()
-		assert.Equal(t, moved, !strings.Contains(head, "since="), "the whole list of a new address")
+		assert.Equal(t, moved, !strings.Contains(head, "since="), "the full list is asked for at a new address")
 		_, _ = io.WriteString(c, chunked(indented(7, 1, "Ready")))
 		assert.Len(t, <-b.told, 1)
 	}
--- a/internal/network/director_rig_test.go
+++ b/internal/network/director_rig_test.go
@@ -20,45 +20,45 @@
 	standin "tinsail/internal/standin/platform"
 )
 
-// Figures of the rule: a change counts as told 6 s after discovery had it and could be reached, and sends
-// to a drained backend end within the settings' grace of that.
+// Times of the drain rule: a change counts as published 6 s after discovery had it and could be reached, and sends
+// to a drained backend have to end within the settings' grace period after that.
 const (
 	toldIn   = 6 * time.Second
 	graceNow = 500 * time.Millisecond
 )
 
-// fault is what a call to discovery meets.
+// fault is what happens to a call to discovery.
 type fault string
 
 const (
 	well    fault = "well"
 	refused fault = "refused" // the connection is refused; an open one is reset
-	hangs   fault = "hangs"   // the connection never comes up; an open one is silent from then on
+	hangs   fault = "hangs"   // the connection is never established; an open one is silent from then on
 	mute    fault = "silent"
-	resets  fault = "reset"   // once the call is there
-	unready fault = "503"     // with another machine's answer behind it
-	breaks  fault = "breaks"  // off, in the middle of an answer
+	resets  fault = "reset"   // once the call has arrived
+	unready fault = "503"     // answered with 503, as by another machine
+	breaks  fault = "breaks"  // the connection is closed in the middle of an answer
 	endless fault = "endless" // an answer that goes on byte by byte
-	spoilt  fault = "spoilt"  // a whole answer that is no list
+	spoilt  fault = "spoilt"  // a complete answer that is not a list
 )
 
 var faults = []fault{refused, hangs, mute, resets, unready, breaks, endless, spoilt}
 
-// quick says that a call knows at once, or after its connect time, that it failed.
+// quick says that a call fails at once or after its connect timeout.
 func (f fault) quick() bool { return f != hangs && f != mute && f != endless }
 
 const listHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// spell is a time in which all calls meet a fault, those under way at its begin too.
+// spell is a period in which a fault hits all calls, including those under way at its beginning.
 type spell struct {
 	from, to time.Duration
 	fault    fault
 }
 
-// crossing is the driver of the director alone, on the fake clock. Its calls reach stand-ins through a
-// relay that faults hit at chosen moments.
+// watchRig is the watch of the director alone, on the fake clock. Its calls reach stand-ins through a
+// relay, in which faults are injected at chosen moments.
 type crossing struct {
-	d, other *standin.Director // at "d", and at "e" for a Redirect
+	d, other *standin.Director // at address "d", and at "e" for a Redirect
 	dir      *Director
 	count    *counters.Set
 	began    time.Time
@@ -66,10 +66,10 @@
 	pipes    map[string]*faultnet.Pipes
 
 	mu    sync.Mutex
-	anew  bool    // "d" is another machine now, whose versions began anew
-	next  []fault // what the next connections meet, whatever the time
+	anew  bool    // "d" is another machine now, whose versions have restarted
+	next  []fault // faults of the next connections, whatever the time
 	lines map[*relayed]bool
-	heard map[string]time.Time // NAME/STATE, when it was told first
+	heard map[string]time.Time // when NAME/STATE was listed first
 	state map[string]balance.State
 	dials []time.Time
 }
@@ -78,12 +78,12 @@
 type relayed struct {
 	c    *crossing
 	near net.Conn // the relay's end of what the dispatcher holds
-	far  net.Conn // to the stand-in; nil where only the relay speaks
-	own  fault    // of this connection alone; "" for that of the time
+	far  net.Conn // to the stand-in; nil if the relay answers itself
+	own  fault    // of this connection alone; "" for the one of the current spell
 	once sync.Once
 }
 
-// crossed plays with a watch of that pace. Its stand-ins list b0 to b3, Ready.
+// withWatch calls play with a watch of those timings. Its stand-ins list b0 to b3 as Ready.
 func crossed(t *testing.T, pace Pace, play func(c *crossing)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -102,7 +102,7 @@
 		close(stop)
 		c.d.Close()
 		c.other.Close()
-		time.Sleep(time.Minute) // what waits for something gives up
+		time.Sleep(time.Minute) // all that still waits times out
 	})
 }
 
@@ -122,7 +122,7 @@
 	}
 }
 
-// drained is when a backend's drain was told; an hour from now if it never was.
+// drained returns when a backend was first listed as draining; an hour from now if it never was.
 func (c *crossing) drained(i int) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,7 +132,7 @@
 	return time.Now().Add(time.Hour)
 }
 
-// begin starts the watch, and the spells beside it.
+// begin starts the watch and the timers of the spells.
 func (c *crossing) begin() {
 	for _, s := range c.spells {
 		time.AfterFunc(s.from-time.Since(c.began), func() { c.hit(s.fault) })
@@ -140,10 +140,10 @@
 	c.dir.Subscribe()
 }
 
-// until sleeps until so long after the beginning.
+// until sleeps until a time after the beginning.
 func (c *crossing) until(d time.Duration) { time.Sleep(d - time.Since(c.began)) }
 
-// meets has the next connections meet these faults, and returns when the first of them is made.
+// meets injects these faults into the next connections, and returns when the first of them is made.
 func (c *crossing) meets(next ...fault) time.Time {
 	c.mu.Lock()
 	c.next = next
@@ -160,7 +160,7 @@
 	return time.Now()
 }
 
-// busiest is the most connections in a second, beginning at any of them.
+// busiest returns the largest number of connections within any second.
 func (c *crossing) busiest() (most int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,7 +173,7 @@
 	return most
 }
 
-// hit has the calls under way meet a fault.
+// hit injects a fault into the calls under way.
 func (c *crossing) hit(f fault) {
 	c.mu.Lock()
 	var open []*relayed
@@ -186,7 +186,7 @@
 	}
 }
 
-// now is what a call meets that is made now.
+// now returns the fault of the current spell.
 func (c *crossing) now() fault {
 	for _, s := range c.spells {
 		if at := time.Since(c.began); at >= s.from && at < s.to {
@@ -208,7 +208,7 @@
 	}
 	hot := len(c.dials) > hotMost && time.Since(c.dials[len(c.dials)-hotMost]) < time.Second
 	c.mu.Unlock()
-	if hot { // a loop without a pause would stand still on the fake clock
+	if hot { // a loop without a delay would stop the fake clock
 		time.Sleep(time.Second)
 	}
 	f := own
@@ -236,7 +236,7 @@
 	return ours, nil
 }
 
-// up carries calls to the stand-in, or has them meet a fault.
+// up relays calls to the stand-in, or injects a fault.
 func (l *relayed) up() {
 	b := make([]byte, 4096)
 	for {
@@ -261,7 +261,7 @@
 	}
 }
 
-// down carries answers, until the connection has met a fault.
+// down relays answers, until a fault was injected.
 func (l *relayed) down() {
 	b := make([]byte, 64<<10)
 	for {
@@ -275,7 +275,7 @@
 	}
 }
 
-// meet has the connection meet a fault. The first it meets is its last.
+// meet injects a fault into the connection; only the first one takes effect.
 func (l *relayed) meet(f fault) {
 	l.once.Do(func() {
 		l.far.Close() // nothing more comes from there
@@ -303,7 +303,7 @@
 	return err == nil
 }
 
-// worst keeps the latest of what was seen, and where.
+// worst records the largest lateness and its circumstances.
 type worst struct {
 	late time.Duration
 	when string
@@ -317,6 +317,6 @@
 }
 
 func (w *worst) judge(t *testing.T) {
-	t.Logf("worst of %d: %v against the last moment, %s", w.runs, w.late, w.when)
-	assert.LessOrEqual(t, w.late, time.Duration(0), "later than the grace after a change counted as told: %s", w.when)
+	t.Logf("worst of %d: %v relative to the latest allowed moment, %s", w.runs, w.late, w.when)
+	assert.LessOrEqual(t, w.late, time.Duration(0), "later than the grace period after a change counted as published: %s", w.when)
 }
--- a/internal/network/director_test.go
+++ b/internal/network/director_test.go
@@ -9,7 +9,7 @@
 	"tinsail/internal/balance"
 )
 
-// TestDirector: the watch goes on at once after each answer, from the version it has; a list
+// TestDirectorWatch: after each answer the next call follows at once, from the version of the answer; a list
 // that cannot be read changes nothing.
 func TestDirector(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 9, `
@@ -33,9 +33,9 @@
 		d/3 expect GET /registry/instances`)
 }
 
-// TestRedirect: a new address of the director cuts what is under way at the old one, whether
-// a call, a connection in the making or a pause, and is asked for the whole list until it has
-// told it. What the old one still says changes nothing.
+// TestRedirect: a redirect to a new address cancels what is under way at the old one, whether
+// a call, a connection attempt or a delay. The new address is asked for the full list until it has
+// sent it. What the old one still sends changes nothing.
 func TestRedirect(t *testing.T) {
 	to := func(address string) func(*world) { return func(w *world) { w.watch.Redirect(address) } }
 	const whole = `HTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n{"index":7,"snapshot":true,"endpoints":[]}`
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestAfresh: a process that was handed a list asks for the whole one first: versions are of an address, and its own may be
-// another.
+// TestRequestFullList: a process that took over a list asks for the full list first: versions are counted per address, and
+// its own address may be another one.
 func TestAfresh(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 9,
 		func(w *world) { w.watch.Afresh() }, `
@@ -84,8 +84,8 @@
 		d/1 expect GET /registry/instances?since=2&timeout_ms=2500`)
 }
 
-// TestSilentWatch: a watch that says nothing past its wait is held for silent, and another is made beside it in time for
-// a drain that counts as told 6 s after the silence began; what the silent one says after all is still heard.
+// TestSilentWatch: a watch without an answer after its long poll counts as silent, and a backup call is made in time for
+// a drain that counts as published 6 s after the silence began; a late answer of the silent call is still used.
 func TestSilentWatch(t *testing.T) {
 	begin := `
 		wait 2600ms
@@ -126,11 +126,11 @@
 	}
 }
 
-// TestSilentAgent: an agent that pushes lists is asked again several times a second while it is silent, and no more often;
-// once it speaks, the watch is one and the same again. The settings give no time for asking there.
+// TestSilentAgent: an agent that is sent lists is called several times a second while it is silent, and not more often.
+// The settings give no interval of asking there.
 func TestSilentAgent(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 9, func(w *world) {
-		w.watch.mu.Lock() // which the watch takes before it looks
+		w.watch.mu.Lock() // the watch takes it before it reads the field
 		w.watch.Pace = Pushed()
 		w.watch.mu.Unlock()
 	}, `
--- a/internal/network/link_crossing_test.go
+++ b/internal/network/link_crossing_test.go
@@ -22,7 +22,7 @@
 	"tinsail/internal/platform"
 )
 
-// unasked is what a backend may write, or do, on a connection that rests.
+// unsolicited is what a backend may write on an idle connection.
 var unasked = map[string]func(c *rawConn){
 	"half a line":                      func(c *rawConn) { c.say("HTTP/1.1 503 B") },
 	"half a line of a reply's body":    func(c *rawConn) { c.say(`{"id":"b","sta`) },
@@ -32,7 +32,8 @@
 	"one byte":                         func(c *rawConn) { c.say("\n") },
 }
 
-// TestUnaskedAtRest: bytes that come while a connection rests are no answer to the next req, which goes elsewhere.
+// TestUnsolicitedBytesWhileIdle: bytes that arrive on an idle connection are not taken for the answer to the next request,
+// which goes out on another connection.
 func TestUnaskedAtRest(t *testing.T) {
 	for name, write := range unasked {
 		t.Run(name, func(t *testing.T) {
@@ -47,8 +48,8 @@
 	}
 }
 
-// TestUnaskedAtTheClaim: what is here in the instant in which a req is about to be written was not asked for by it. The
-// connection was claimed; its reader has not run, or holds the bytes and has not looked at them.
+// TestUnsolicitedBytesAtClaim: bytes that have arrived just before a request is written are not taken for its answer. The
+// connection was claimed, and its reading goroutine has not run yet, or has read the bytes and not parsed them.
 func TestUnaskedAtTheClaim(t *testing.T) {
 	for name, write := range unasked {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +63,8 @@
 	}
 }
 
-// TestEndedAtTheClaim: an end or a reset that is here before the first byte goes out costs the req nothing.
+// TestClosedAtClaim: if a close or a reset has arrived before the first byte is written, the request goes out on another
+// connection.
 func TestEndedAtTheClaim(t *testing.T) {
 	for name, end := range map[string]func(c *rawConn){
 		"ended": func(c *rawConn) { assert.NoError(c.t, c.CloseWrite()) },
@@ -79,14 +81,14 @@
 	}
 }
 
-// TestUnaskedBehindAnEnd: a reply's end and bytes of no reply come in one segment. The next req begins before the
-// reading goroutine has looked beyond the end.
+// TestUnsolicitedBytesAfterReply: the end of a reply and unsolicited bytes come in one segment. The next request begins
+// before the reading goroutine has parsed beyond the end.
 func TestUnaskedBehindAnEnd(t *testing.T) {
 	for name, surplus := range map[string]string{"half a head": never[:40], "a whole reply": never, "a line": done("b")} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
 			a, b := r.try("a", nil), r.try("b", nil)
-			came := make(chan struct{}, 2) // b was written, on any connection
+			came := make(chan struct{}, 2) // b is being written, on any connection
 			b.head = func(left time.Duration) []byte {
 				came <- struct{}{}
 				return platform.AppendJob(nil, &core.Job{Method: "POST", Target: "/ingest", ID: "b"}, "s", left, nil)
@@ -107,7 +109,7 @@
 	}
 }
 
-// TestSurplusLine: a line behind the last one takes nothing from the answer, and its connection carries no other req.
+// TestSurplusLine: a line after the last one does not change the answer, and its connection carries no other request.
 func TestSurplusLine(t *testing.T) {
 	for _, together := range []bool{true, false} {
 		t.Run(fmt.Sprint("together ", together), func(t *testing.T) {
@@ -130,8 +132,8 @@
 	}
 }
 
-// TestAnswerWhileWriting: a reply is whole while the request is still being written, and the backend reads no more of it.
-// The reply counts at once, and a connection with half a request on it carries no other.
+// TestReplyWhileWriting: a reply is complete while the request is still being written, and the backend reads no more of it.
+// The reply counts at once, and the connection, with half a request on it, carries no other one.
 func TestAnswerWhileWriting(t *testing.T) {
 	r := newRig(t)
 	a := r.try("a", make([]byte, 32<<20)) // more than the buffers of both sides
@@ -146,8 +148,7 @@
 	r.elsewhere(nil, b)
 }
 
-// TestTwoAnswersWhileWriting: a reply and a second one are here before the writer has come back from the request's last
-// byte. The first counts.
+// TestTwoRepliesWhileWriting: two replies arrive before the write of the request has returned. The first one counts.
 func TestTwoAnswersWhileWriting(t *testing.T) {
 	r := newRig(t)
 	dial, judged := r.pool.Dial, make(chan struct{})
@@ -155,7 +156,7 @@
 		ours, err := dial(ctx, address)
 		reads, once := 0, sync.OnceFunc(func() { close(judged) })
 		return &hooked{Conn: ours, before: func(time.Time) {}, written: func() { <-judged }, over: once, reading: func() {
-			if reads++; reads > 1 { // what the first read brought has been judged
+			if reads++; reads > 1 { // the input of the first read has been handled
 				once()
 			}
 		}}, err
@@ -170,7 +171,7 @@
 	c.closed()
 }
 
-// TestVerdictOfAnother: what is found out of an exchange that has ended ends no other on its connection.
+// TestOutcomeOfEndedExchange: an outcome for an exchange that has ended does not end the next one on its connection.
 func TestVerdictOfAnother(t *testing.T) {
 	r := newRig(t)
 	c := r.serve("first")
@@ -185,7 +186,8 @@
 	assert.Empty(t, a.ends)
 }
 
-// TestHungUpAtOnce: a backend that takes connections and ends them is dialled once for an attempt, not without end.
+// TestBackendClosesAtOnce: a backend that accepts connections and closes them at once is dialled once per attempt, not in a
+// loop.
 func TestHungUpAtOnce(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		r := newRig(t)
@@ -210,7 +212,7 @@
 	}
 }
 
-// TestGreeting: bytes before the first request are no answer to it.
+// TestBytesBeforeFirstRequest: bytes that arrive before the first request are not taken for its answer.
 func TestGreeting(t *testing.T) {
 	r := newRig(t)
 	dial := r.pool.Dial
@@ -223,11 +225,12 @@
 	}
 	a := r.try("a", nil)
 	r.pool.begin(a.exchange)
-	assert.Equal(t, told{core.Unreached, ""}, a.wait(t)) // proven never to have run, and not by what it said
+	assert.Equal(t, told{core.Unreached, ""}, a.wait(t)) // the request provably never ran, whatever the bytes say
 	assert.Equal(t, int32(1), r.made.Load())
 }
 
-// TestIdleTimeGoesOn: a connection that was claimed and not written to has rested on, as its backend sees it.
+// TestUnusedClaimKeepsIdleTime: the idle timeout goes on while a connection is claimed and not written to, as it does at the
+// backend.
 func TestIdleTimeGoesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -247,7 +250,8 @@
 	})
 }
 
-// TestClaimedTooLate: a connection whose time is up carries no req, though its reader has not woken yet.
+// TestClaimAfterIdleTimeout: a connection whose idle timeout has passed carries no request, even if its reader has not woken
+// yet.
 func TestClaimedTooLate(t *testing.T) {
 	r := newRig(t)
 	c := r.serve("a")
@@ -260,11 +264,11 @@
 	r.elsewhere(c, y)
 }
 
-// hooked is a connection with callbacks, such as one before a read deadline is set. It hides what it wraps from system calls.
+// hooked is a connection with callbacks. It has no SyscallConn, so that the code under test uses plain reads.
 type hooked struct {
 	net.Conn
-	before func(time.Time)
-	read   func(error) // after a read; it and what follows may be nil
+	before func(time.Time) // called before a read deadline is set
+	read   func(error)     // called after a read; this one and those below may be nil
 	// reading is called before a read, written after a write, over before the connection is closed.
 	reading, written, over func()
 }
@@ -300,7 +304,7 @@
 	return h.Conn.SetReadDeadline(t)
 }
 
-// TestEndedOnTheWayToRest: a connection that ends while it is put among the idle ones is not kept there.
+// TestClosedWhileBecomingIdle: a connection that is closed while it is put among the idle ones does not stay there.
 func TestEndedOnTheWayToRest(t *testing.T) {
 	r := newRig(t)
 	dial := r.pool.Dial
@@ -325,8 +329,8 @@
 	assert.Empty(t, r.pool.idle[r.backend.ID])
 }
 
-// TestNotYetClaimed: a connection is claimed only once the deadline of its rest is set: no req that follows loses its own
-// to it.
+// TestClaimAfterIdleDeadlineSet: a connection can be claimed only after its idle deadline was set, so that the next
+// request's own deadline is not overwritten by it.
 func TestNotYetClaimed(t *testing.T) {
 	r := newRig(t)
 	y := r.try("b", nil)
@@ -348,8 +352,8 @@
 	assert.Equal(t, int32(2), r.made.Load())
 }
 
-// TestRetiredAtTheClaim: the time of a resting connection is up in the instant in which a req has claimed it. The req is
-// served on it, and not cut off by the deadline of the rest.
+// TestIdleTimeoutAtClaim: the idle timeout of a connection passes just after a request has claimed it. The request is
+// served on it, and not cut off by the idle deadline.
 func TestRetiredAtTheClaim(t *testing.T) {
 	r := newRig(t)
 	dial, woken := r.pool.Dial, make(chan struct{}, 1000)
@@ -367,13 +371,13 @@
 		}}, err
 	}
 	c := r.serve("a")
-	for !reading.Load() { // its reader has done with the reply, and rests too
+	for !reading.Load() { // until its reader has handled the reply and waits in the next read
 		time.Sleep(50 * time.Microsecond)
 	}
 	y := r.try("b", nil)
 	y.may = func() bool {
 		r.ours[0].SetReadDeadline(time.Unix(1, 0))
-		<-woken // its reader has, and is about to retire the connection
+		<-woken // its reader has woken, and is about to retire the connection
 		return true
 	}
 	r.pool.begin(y.exchange)
@@ -385,8 +389,8 @@
 	assert.Zero(t, r.pool.Count.BackendRetired.Load())
 }
 
-// TestWhatProves: of what breaks off, only a whole head that says so proves that a req never ran, and each attempt has one
-// ending.
+// TestEndingOfTruncatedReply: of a reply that is cut off, only a complete head with X-Unprocessed proves that the request
+// never ran. Each attempt has one ending.
 func TestWhatProves(t *testing.T) {
 	for text, want := range map[string]core.Ending{
 		"HTTP/1.1 503 B\r\nX-Unprocessed: 1\r\nContent-Length: 5\r\n\r\nab": core.Returned,
--- a/internal/network/link_flood_test.go
+++ b/internal/network/link_flood_test.go
@@ -10,7 +10,7 @@
 	"tinsail/internal/core"
 )
 
-// floods are answers without end: how they begin, what comes again and again, and how the attempt ends.
+// floods are endless replies: how they begin, what is repeated, and how the attempt ends.
 var floods = map[string]struct {
 	head, more string
 	want       core.Ending
@@ -28,9 +28,9 @@
 	"answers":             {"", ok200 + done("a") + end0, core.Served},
 }
 
-// TestEndlessAnswers: an answer without end is given up after so many bytes, with one ending.
+// TestEndlessReplies: an endless reply is given up after a limited number of bytes, with one ending.
 func TestEndlessAnswers(t *testing.T) {
-	const buffers = 16 << 20 // of both kernels, at most
+	const buffers = 16 << 20 // upper bound of the kernel's buffers on both sides
 	for name, f := range floods {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
--- a/internal/network/link_rig_test.go
+++ b/internal/network/link_rig_test.go
@@ -23,8 +23,9 @@
 	"tinsail/internal/platform"
 )
 
-// These tests cross two events on a connection to a backend, over loopback sockets. Each order is forced: by a callback
-// in whose midst the backend writes, or by a dial that is held. hang is no verdict: it ends a test that would never end.
+// These tests force each order of two concurrent events on a connection to a backend, over loopback sockets: by a callback
+// during which the backend writes, or by a dial that waits. hang is the timeout of a test that would never end; no
+// assertion depends on it.
 const hang = 20 * time.Second
 
 // rawBackend is a listener whose connections a test reads and writes byte by byte.
@@ -77,7 +78,7 @@
 	}
 }
 
-// req reads one whole request and returns its id; io.EOF where the connection ends before its first byte.
+// req reads one whole request and returns its id; the error is io.EOF if the connection ends before its first byte.
 func (c *rawConn) req() (string, error) {
 	q, err := http.ReadRequest(c.r)
 	if err != nil {
@@ -92,7 +93,7 @@
 	assert.NoError(c.t, err)
 }
 
-// arrived waits until the far kernel has all that was written here.
+// arrived waits until the remote kernel has received all that was written here.
 func (c *rawConn) arrived() {
 	raw, err := c.SyscallConn()
 	require.NoError(c.t, err)
@@ -104,7 +105,7 @@
 	}
 }
 
-// shut waits until the kernel has the far side's end, or its reset, on a connection of ours.
+// shut waits until the kernel has received the remote side's close or reset of a connection.
 func shut(t *testing.T, c net.Conn) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
@@ -139,7 +140,7 @@
 	result string
 }
 
-// try is an exchange of a test.
+// try is a test's exchange and its end.
 type try struct {
 	*exchange
 	ends  chan told
@@ -162,7 +163,7 @@
 	pool    *Pool
 	backend *core.Backend
 	mu      sync.Mutex
-	ours    []net.Conn // as dialled
+	ours    []net.Conn // in the order in which they were dialled
 }
 
 func newRig(t *testing.T) *rig {
@@ -189,7 +190,7 @@
 	return y
 }
 
-// serve has one req served on a connection, which rests from then on.
+// serve has one request served on a new connection, which is idle from then on.
 func (r *rig) serve(id string) *rawConn {
 	y := r.try(id, nil)
 	r.pool.begin(y.exchange)
@@ -202,23 +203,23 @@
 	return c
 }
 
-// closed checks that we end a connection, and write nothing more to it.
+// closed checks that the pool closes a connection, and writes nothing more to it.
 func (c *rawConn) closed() {
 	n, err := c.r.Read(make([]byte, 1))
-	assert.Zero(c.t, n, "the old connection carries the req")
+	assert.Zero(c.t, n, "the old connection carries the request")
 	assert.Error(c.t, err)
 	assert.NotErrorIs(c.t, err, os.ErrDeadlineExceeded, "the connection is still open")
 }
 
-// elsewhere checks that a req came on a new connection, is served there, and that the old one carried nothing of it.
+// elsewhere checks that a request comes on a new connection and is served there, and that the old one carried nothing of it.
 func (r *rig) elsewhere(old *rawConn, y *try) {
 	var c *rawConn
 	select {
 	case c = <-r.conns:
 	case e := <-y.ends:
-		require.Fail(r.t, "the req ended on the old connection", "%v %q", e.ending, e.result)
+		require.Fail(r.t, "the request ended on the old connection", "%v %q", e.ending, e.result)
 	case <-time.After(hang):
-		require.Fail(r.t, "the req came on no new connection")
+		require.Fail(r.t, "the request came on no new connection")
 	}
 	got, err := c.req()
 	require.NoError(r.t, err)
--- a/internal/network/localfault_test.go
+++ b/internal/network/localfault_test.go
@@ -16,7 +16,7 @@
 	"tinsail/internal/core"
 )
 
-// failing has connections fail by an error for a while from now on.
+// failing returns a Dial that fails with an error for a while from now on.
 func failing(dial Dial, errno syscall.Errno, lasts time.Duration) Dial {
 	until := time.Now().Add(lasts)
 	return func(ctx context.Context, address string) (net.Conn, error) {
@@ -27,11 +27,11 @@
 	}
 }
 
-// localErrnos are errors that say nothing of the far side.
+// localErrnos are errors that say nothing about the remote side.
 var localErrnos = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH}
 
-// TestLocalFaultIsNoStrike: for 0.3 s this machine cannot make a connection. A request that comes meanwhile is served as soon as
-// it can, the backend rests for nothing, and the request after it goes there at once.
+// TestLocalFaultIsNoBackendFailure: for 0.3 s this machine cannot establish a connection. A request that comes meanwhile is
+// served as soon as it can, the backend gets no cooldown, and the next request goes there at once.
 func TestLocalFaultIsNoStrike(t *testing.T) {
 	for _, errno := range localErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -43,8 +43,8 @@
 				w.mu.Lock()
 				made := w.made["s1"]
 				w.mu.Unlock()
-				assert.Equal(t, 1, made, "it is tried again until it comes up")
-				assert.Zero(t, w.count.Endings[core.Unreached].Load(), "the backend has failed nobody")
+				assert.Equal(t, 1, made, "it is retried until it is established")
+				assert.Zero(t, w.count.Endings[core.Unreached].Load(), "no failure counts against the backend")
 				assert.Zero(t, w.count.AnswersRefused.Load())
 				if made == 0 {
 					return
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestFaultOnOneWay: a network that only one backend's address lies in cannot be reached. Others are, and so that one is left for
-// them; it is not waited for until the request's time is over.
+// TestFaultOnOneRoute: the network of one backend's address cannot be reached, while others can. The requests go to the
+// others, and do not wait for that backend until their deadline.
 func TestFaultOnOneWay(t *testing.T) {
 	run(t, list(balance.Ready, "s1", "s2"), 9, func(w *world) {
 		w.pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
@@ -78,8 +78,8 @@
 	})
 }
 
-// TestLocalFaultOfDiscovery: the same for calls to the director: none counts as failed, and the list is asked for as soon as a
-// connection comes up.
+// TestLocalFaultOnDirectorCall: the same for calls to the director: none counts as failed, and the list is asked for as soon
+// as a connection can be established.
 func TestLocalFaultOfDiscovery(t *testing.T) {
 	for _, errno := range localErrnos {
 		run(t, list(balance.Ready, "s1"), 9, func(w *world) {
--- a/internal/network/long_quiet_test.go
+++ b/internal/network/long_quiet_test.go
@@ -11,14 +11,14 @@
 	"tinsail/internal/core"
 )
 
-// TestLongQuiet: nothing happens for ten minutes, in which a backend forgets its connections without a word. The first request after
-// that goes out on a connection made for it, at once, and is served; the list has been watched all the time.
+// TestLongIdlePeriod: no request comes for ten minutes, in which a backend drops its connections without closing them. The
+// first request after that goes out at once, on a new connection, and is served; the list was watched all the time.
 func TestLongQuiet(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 9, func(w *world) {
 		w.play("c1 send {req 9a x}\ns1/1 send {started 9a}{done 9a r}\nc1 expect 200 r")
 		time.Sleep(10 * time.Minute)
 		synctest.Wait()
-		assert.Zero(t, w.pool.Open(), "no connection is left to be found forgotten")
+		assert.Zero(t, w.pool.Open(), "no connection is left that the backend has dropped")
 		assert.Zero(t, w.clients.OpenSessions())
 		begun := time.Now()
 		w.play("c2 send {req 9b x}\ns1/2 send {started 9b}{done 9b q}\nc2 expect 200 q")
--- a/internal/network/maintain_test.go
+++ b/internal/network/maintain_test.go
@@ -11,9 +11,9 @@
 	"tinsail/internal/network/maintain"
 )
 
-// TestBan: from the yes on not a byte goes to a banned backend, over a connection that was being made neither;
-// its idle connections are closed, what runs there ends, and once it is called back it gets reqs
-// again, whatever was learned of it.
+// TestBan: once the call to ban a backend has returned, no byte is sent to it, nor over a connection that was being
+// established. Its idle connections are closed, and requests that run there finish. After the ban it gets requests
+// again, whatever was known of it before.
 func TestBan(t *testing.T) {
 	var desk *maintain.Manager
 	begin := func(w *world) {
@@ -39,7 +39,7 @@
 		c2 expect 503
 		wait 100ms
 		s1/3 expect no connection`,
-		func(w *world) { // whatever the director says meanwhile
+		func(w *world) { // whatever the director lists meanwhile
 			desk.Listed(balance.ListFull, list(balance.Ready, "s1"))
 			desk.Listed(balance.ListFull, nil)
 			desk.Listed(balance.ListDelta, list(balance.Ready, "s1"))
@@ -61,7 +61,7 @@
 	assert.ErrorIs(t, desk.Offline("s9"), maintain.ErrUnknown)
 }
 
-// TestBanAfterFaults: one that had failed before its ban is not kept out after it.
+// TestBanAfterFaults: a backend that failed before its ban gets requests again after it.
 func TestBanAfterFaults(t *testing.T) {
 	var desk *maintain.Manager
 	run(t, nil, 9, func(w *world) {
--- a/internal/network/silence_test.go
+++ b/internal/network/silence_test.go
@@ -13,9 +13,9 @@
 	standin "tinsail/internal/standin/platform"
 )
 
-// TestSilenceSweep: a watch falls silent, at any moment of its wait and of the next one's, while
-// drains are told elsewhere. Each is here within half a second of when it counts as told, lists
-// asked for or pushed.
+// TestDrainsDuringSilence: a watch falls silent, at any moment of its long poll and of the next one, while
+// drains are published. Each arrives within half a second after it counts as published, whether lists
+// are polled or pushed to an agent.
 func TestSilenceSweep(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("pushed %v", pushed), func(t *testing.T) {
@@ -48,11 +48,11 @@
 	}
 }
 
-// TestAgentsOutage: an agent is silent for a while and then holds a list that changed twice. Its
-// newest is here within half a second of when it counts as told, and the outage, silent or refusing,
-// is no reason to call without end though the settings name no time to ask in.
+// TestAgentOutage: an agent is silent or refuses connections for a while, and then has a list that changed twice. The
+// newest change arrives within half a second after it counts as published, and the number of calls in the outage is
+// limited, though the settings name no interval of asking.
 func TestAgentsOutage(t *testing.T) {
-	const callsMost = 20 // a second: one in 50 ms
+	const callsMost = 20 // per second: one in 50 ms
 	for _, refused := range []bool{false, true} {
 		t.Run(fmt.Sprintf("refused %v", refused), func(t *testing.T) {
 			worst, when, most := -time.Hour, "", 0
@@ -82,7 +82,7 @@
 	}
 }
 
-// busiest is the most connections or calls in a second of the clock.
+// busiest returns the largest number of connections or calls in one second of the clock.
 func (w *watched) busiest() (most int) {
 	calls := map[int64]int{}
 	for _, c := range w.seat.Calls() {
@@ -97,9 +97,9 @@
 	return most
 }
 
-// TestNothingToADrained: clients keep a dispatcher busy while its watch falls silent and drains are
-// told elsewhere. By what its backends saw, nothing new goes to one of them later than half a second
-// after its drain counts as told, and each req gets its one answer.
+// TestNoSendToDrainedBackend: clients keep a dispatcher busy while its watch falls silent and drains are
+// published. According to the backends, no new attempt is sent to one of them later than half a second
+// after its drain counts as published, and each request gets exactly one answer.
 func TestNothingToADrained(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		for after := 200 * time.Millisecond; after < 4500*time.Millisecond; after += 2100 * time.Millisecond {
--- a/internal/network/site_test.go
+++ b/internal/network/site_test.go
@@ -25,8 +25,8 @@
 	standin "tinsail/internal/standin/platform"
 )
 
-// site is a whole dispatcher on the fake clock between stand-ins of the director and three backends,
-// and a history of what its far sides saw.
+// site is a whole dispatcher on the fake clock with stand-ins for the director and three backends,
+// and a history of what clients and backends saw.
 type site struct {
 	d        *standin.Director
 	seat     *standin.Seat
@@ -36,7 +36,7 @@
 	h        *history.History
 }
 
-// siting plays on a site of one class. Where lists are pushed, the settings name no AskEvery.
+// withSite calls play with a site of one class. If lists are pushed, the settings name no AskEvery.
 func siting(t *testing.T, pushed bool, effect balance.Effect, play func(s *site)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -57,7 +57,7 @@
 			at[name] = faultnet.ListenPipes(name)
 			b := standin.NewBackend(at[name], name, 8, func(string) time.Duration { return 10 * time.Millisecond })
 			s.backends = append(s.backends, b)
-			s.d.Set(b.Entry("", "", 1, "Ready")) // one group: only its class keeps a req from the others
+			s.d.Set(b.Entry("", "", 1, "Ready")) // one group: only its class limits a request's repeats
 		}
 		dial := func(ctx context.Context, address string) (net.Conn, error) { return at[address].Dial(ctx, address) }
 		count, stop := &counters.Set{}, make(chan struct{})
@@ -80,11 +80,11 @@
 		}
 		close(stop)
 		s.d.Close()
-		time.Sleep(time.Minute) // what waits for something gives up
+		time.Sleep(time.Minute) // all that still waits times out
 	})
 }
 
-// ask hands in a req on a connection of its own, and returns its answer's status, 0 for none, and how
+// ask sends a request on a connection of its own, and returns the status of its answer, 0 for none, and how
 // long that took.
 func (s *site) ask(id, body string) (status int, took time.Duration) {
 	near, far := net.Pipe()
@@ -113,7 +113,7 @@
 	return a.StatusCode, time.Since(began)
 }
 
-// load has clients that each ask, and rest a while after each answer, for so long.
+// load starts clients that each send requests, with a pause after each answer, for a duration.
 func (s *site) load(clients int, rest, long time.Duration) *sync.WaitGroup {
 	all, until := &sync.WaitGroup{}, time.Now().Add(long)
 	for c := range clients {
@@ -127,7 +127,7 @@
 	return all
 }
 
-// judge holds what was seen to the rules.
+// judge checks the history against the rules.
 func (s *site) judge() []history.Breach {
 	for _, b := range s.backends {
 		s.h.Attempted(b.Attempts()...)
@@ -135,26 +135,26 @@
 	return s.h.Judge(history.Published(500 * time.Millisecond))
 }
 
-// TestUnsafeReset: the connection under a req that must not run twice is reset. Before its last byte
-// was written it never ran, and goes elsewhere; after, it is sent nowhere again, whether its start was
-// told or not, nor refused. Its client has its one answer at once, not at its deadline.
+// TestUnsafeReset: the connection of a request that must not run twice is reset. Before its last byte
+// was written it cannot have run, and goes to another backend. After that it is neither sent again, whether or not its
+// start was reported, nor refused. Its client gets one answer at once, not at the deadline.
 func TestUnsafeReset(t *testing.T) {
-	const atOnce = 200 * time.Millisecond // on the fake clock: a new connection and a run at most, of 5 s
+	const atOnce = 200 * time.Millisecond // on the fake clock: time for a new connection and a run, of a deadline of 5 s
 	body := strings.Repeat("z", 60_000)
 	for point, want := range map[standin.Point]struct{ status, whole int }{
 		standin.BeforeLast: {200, 1}, standin.BeforeStart: {502, 1}, standin.AfterStart: {502, 1},
 	} {
-		for round := range 8 { // which of the backends is drawn first is chance
+		for round := range 8 { // the backend that is tried first is random
 			siting(t, false, balance.Unsafe, func(s *site) {
 				for i, b := range s.backends {
-					if point != standin.BeforeLast || i != round%3 { // the one that is well is found
+					if point != standin.BeforeLast || i != round%3 { // the backend without a fault is found
 						b.Set(standin.Faults{Reset: point})
 					}
 				}
 				status, took := s.ask(fmt.Sprint("u", round), body)
 				assert.Equal(t, want.status, status, "point %d", point)
 				assert.LessOrEqual(t, took, atOnce, "point %d", point)
-				time.Sleep(6 * time.Second) // nothing follows
+				time.Sleep(6 * time.Second) // for any later attempt
 				assert.Empty(t, s.judge(), "point %d", point)
 				whole := 0
 				for _, b := range s.backends {
--- a/internal/network/site_variants_test.go
+++ b/internal/network/site_variants_test.go
@@ -25,8 +25,8 @@
 	standin "tinsail/internal/standin/platform"
 )
 
-// elsewhere is a dispatcher that is made of a configuration alone, as the program makes it, on the fake clock
-// between stand-ins: two backends in each zone, each zone's in one group.
+// configuredSite is a dispatcher built from a configuration alone, as the program does it, on the fake clock
+// with stand-ins: two backends in each zone, and one group per zone.
 type elsewhere struct {
 	cfg      *config.Config
 	clients  *Clients
@@ -34,7 +34,8 @@
 	zones    []string // of the backends
 }
 
-// at plays on the site whose configuration stands in package config's test data. change is made to its text first.
+// withConfiguredSite calls play with a site that is built from a file in package config's test data, after change was
+// applied to its text.
 func at(t *testing.T, file string, change *strings.Replacer, play func(s *elsewhere)) {
 	t.Helper()
 	text, err := os.ReadFile("../config/testdata/" + file)
@@ -79,13 +80,13 @@
 		}
 		close(stop)
 		d.Close()
-		time.Sleep(time.Minute) // what waits for something gives up
+		time.Sleep(time.Minute) // all that still waits times out
 	})
 }
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// ask hands in a req of a class as that class's clients do: with a key where its effect wants one, and
+// ask sends a request of a class as that class's clients do: with a key if its effect needs one, and
 // with all the time that the settings give. It returns the status, 0 for no answer, and how long that took.
 func (s *elsewhere) ask(class int, id, body string) (status int, took time.Duration) {
 	c, name := s.cfg.Settings.Classes[class], s.cfg.Names.Classes[class]
@@ -111,14 +112,14 @@
 	return a.StatusCode, time.Since(began)
 }
 
-// set has all backends fail in these ways.
+// set injects these faults into all backends.
 func (s *elsewhere) set(f standin.Faults) {
 	for _, b := range s.backends {
 		b.Set(f)
 	}
 }
 
-// whole are the attempts whose last byte a backend has had, by backend.
+// whole returns the attempts whose last byte a backend has received, by backend.
 func (s *elsewhere) whole() map[int][]history.Attempt {
 	all := map[int][]history.Attempt{}
 	for i, b := range s.backends {
@@ -131,7 +132,7 @@
 	return all
 }
 
-// TestOtherSitesServe: each class of either site is served, by the settings and the list alone.
+// TestOtherSitesServe: each class of either site is served, configured by its settings and the list alone.
 func TestOtherSitesServe(t *testing.T) {
 	for _, file := range []string{"short.json", "long.json"} {
 		at(t, file, nil, func(s *elsewhere) {
@@ -144,8 +145,8 @@
 	}
 }
 
-// TestOtherSitesDeadlines: where all backends hang, each req has its final answer by its own class's time, be that 0.6
-// or 40 s, and not long before: its client would have waited.
+// TestOtherSitesDeadlines: if all backends hang, each request gets its final answer by its own class's deadline, be that
+// 0.6 or 40 s, and not long before it, as its client would have waited.
 func TestOtherSitesDeadlines(t *testing.T) {
 	for _, file := range []string{"short.json", "long.json"} {
 		for class := range 4 {
@@ -158,7 +159,7 @@
 				status, took := s.ask(class, "h"+name, "photo")
 				assert.NotContains(t, []int{0, 200}, status, name)
 				if c.Effect == balance.Unsafe || c.Effect == balance.Deduped && c.Scope != balance.ScopeAll {
-					assert.NotContains(t, []int{429, 503}, status, "%s: it may have run, and not every backend drops its repeat", name)
+					assert.NotContains(t, []int{429, 503}, status, "%s: it may have run, and not every backend recognises its repeat", name)
 				}
 				assert.GreaterOrEqual(t, took, millis(c.Deadline-4*s.cfg.Settings.Tick), name)
 				assert.LessOrEqual(t, took, millis(c.Deadline+s.cfg.Settings.Rules.AnswerSlack), name)
@@ -167,8 +168,9 @@
 	}
 }
 
-// TestOtherSitesUnsafe: a class that must not run twice, with no key, whose connection is reset. Before the last byte it
-// goes elsewhere, after it nowhere, and its client hears at once; the site allows no copies and no cancelling.
+// TestOtherSitesUnsafe: the connection of a request is reset whose class must not run twice and has no key. Before the last
+// byte it goes to another backend, after it nowhere, and its client gets its answer at once. The site allows no copies and
+// no cancelling.
 func TestOtherSitesUnsafe(t *testing.T) {
 	body := strings.Repeat("z", 60_000)
 	for point, status := range map[standin.Point]int{standin.BeforeLast: 200, standin.BeforeStart: 502, standin.AfterStart: 502} {
@@ -176,7 +178,7 @@
 			at(t, "short.json", nil, func(s *elsewhere) {
 				require.Equal(t, balance.Unsafe, s.cfg.Settings.Classes[2].Effect)
 				for i, b := range s.backends {
-					if point != standin.BeforeLast || i != round { // the one that is well is found, or the tries are used up
+					if point != standin.BeforeLast || i != round { // the backend without a fault is found, or the attempts are used up
 						b.Set(standin.Faults{Reset: point})
 					}
 				}
@@ -185,9 +187,9 @@
 					assert.Equal(t, status, got, "point %d", point)
 					assert.LessOrEqual(t, took, 200*time.Millisecond)
 				} else if got != status {
-					assert.Equal(t, 503, got, "it never ran: trying again is harmless")
+					assert.Equal(t, 503, got, "it never ran: a retry by the client is harmless")
 				}
-				time.Sleep(5 * time.Second) // nothing follows
+				time.Sleep(5 * time.Second) // for any later attempt
 				runs := 0
 				for _, list := range s.whole() {
 					runs += len(list)
@@ -198,9 +200,10 @@
 	}
 }
 
-// TestOtherSitesWindow: a window for repeats far below the usual ones, and shorter than the deadline. The attempt of a keyed
-// class breaks off some time after its send: inside the window it is repeated, within its zone and before the window's end; after it
-// never. Its client is not told that trying again is harmless, which only a group of all backends makes it.
+// TestOtherSitesWindow: the repeat window is far shorter than usual, and shorter than the deadline. The connection of a
+// keyed class's attempt breaks some time after its send. Inside the window the request is repeated, within its zone and
+// before the window's end; after it never. Its client is not told that a retry is harmless, which holds only if one
+// group has all backends.
 func TestOtherSitesWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	for after, repeated := range map[time.Duration]bool{75 * time.Millisecond: true, 140 * time.Millisecond: true, 160 * time.Millisecond: false, 450 * time.Millisecond: false} {
@@ -239,7 +242,7 @@
 						continue
 					}
 					assert.True(t, repeated, "sent again %v after the first send", more[0].First.Sub(sent))
-					assert.Equal(t, s.zones[i], s.zones[j], "only its zone knows the key")
+					assert.Equal(t, s.zones[i], s.zones[j], "only backends of its zone know the key")
 					assert.Less(t, more[0].First.Sub(sent), window)
 				}
 			}
