--- a/cmd/tinsail/accord.go
+++ b/cmd/tinsail/accord.go
@@ -98,7 +98,7 @@
 		d.budgets.leader.of.Store(d.accord)
 	}
 	d.core.Versions = d.accord
-	d.pool.Stamp = d.cfg.Name
+	d.pool.DispatcherName = d.cfg.Name
 	return nil
 }
 
@@ -129,7 +129,7 @@
 	if err != nil {
 		return err
 	}
-	d.bans.Policy(p.Bans)
+	d.bans.SetPolicyBans(p.Bans)
 	if d.quotas != nil {
 		d.quotas.enter(p)
 	}
--- a/cmd/tinsail/border.go
+++ b/cmd/tinsail/border.go
@@ -20,4 +20,4 @@
 // wall is the system's wall clock.
 func (b *border) wall() time.Time { return time.Now().Add(b.wallOff) }
 
-var system = border{dial: network.TCP, listener: func(l net.Listener) net.Listener { return l }}
+var system = border{dial: network.DialTCP, listener: func(l net.Listener) net.Listener { return l }}
--- a/cmd/tinsail/budgets.go
+++ b/cmd/tinsail/budgets.go
@@ -16,11 +16,11 @@
 
 // fleetBudgets are the fleet-wide budgets that the settings declare, as this dispatcher holds them.
 type fleetBudgets struct {
-	gate   *budgets.Gate
-	fixed  *budgets.Fixed  // nil where there is a keeper
-	holder *budgets.Holder // nil without a keeper
-	keeper *budgets.Keeper // nil but at the keeper
-	leader *leaderShare    // nil but where the accord's leader keeps the leases
+	gate   *budgets.Limiter
+	fixed  *budgets.FixedShare // nil where there is a keeper
+	holder *budgets.Holder     // nil without a keeper
+	keeper *budgets.Keeper     // nil but at the keeper
+	leader *leaderShare        // nil but where the accord's leader keeps the leases
 	share  budgets.Sharer
 	fleet  atomic.Int64                     // the fleet's size as this dispatcher estimates it
 	script atomic.Pointer[settings.Budgets] // as last read, with what waits for the next start as at this one
@@ -97,7 +97,7 @@
 		f.leader = &leaderShare{}
 		f.share = f.leader
 	} else if b.Keeper == "" {
-		f.fixed = budgets.NewFixed(split(plan, d.cfg.Settings.Instances))
+		f.fixed = budgets.NewFixedShare(split(plan, d.cfg.Settings.Instances))
 		f.share = f.fixed
 	} else {
 		if err := plan.Check(); err != nil {
@@ -127,8 +127,8 @@
 		}
 		f.share = f.holder
 	}
-	f.gate = budgets.NewGate(f.share)
-	d.pool.Gate = f.gate
+	f.gate = budgets.NewLimiter(f.share)
+	d.pool.Limiter = f.gate
 	d.budgets = f
 	return nil
 }
@@ -198,7 +198,7 @@
 	c("budget_connections_fleet", f.fleet.Load())
 	c("budget_connections_granted", f.gate.Passed.Load())
 	c("budget_connections_waited", f.gate.Waited.Load())
-	c("budget_connections_unsent", f.gate.Unsent.Load())
+	c("budget_connections_unsent", f.gate.Refused.Load())
 	if f.leader != nil {
 		if a := f.leader.of.Load(); a != nil {
 			c("budget_connections_lent", int64(a.Lent()))
@@ -206,6 +206,6 @@
 	}
 	if f.keeper != nil {
 		c("budget_connections_lent", int64(f.keeper.Lent("connections")))
-		c("budget_bad_messages", int64(f.keeper.Bad()))
+		c("budget_bad_messages", int64(f.keeper.BadDatagrams()))
 	}
 }
--- a/cmd/tinsail/door.go
+++ b/cmd/tinsail/door.go
@@ -35,23 +35,23 @@
 	if d.doorAt, err = net.Listen("tcp", d.cfg.Admin); err != nil {
 		return fmt.Errorf("admin: %w", err)
 	}
-	d.door = &admin.Server{Most: doorMost, Do: d.call, Log: d.log}
+	d.door = &admin.Server{MaxCallers: doorMost, Handle: d.call, Log: d.log}
 	return nil
 }
 
 // call does what an operator asks for. Nothing here waits for reqs, for the core or for a peer.
 func (d *dispatcher) call(c door.Call) admin.Answer {
-	yes := func(says string) admin.Answer { return admin.Answer{Status: 200, Says: says} }
+	yes := func(says string) admin.Answer { return admin.Answer{Status: 200, Message: says} }
 	kept := func(err error, says string) admin.Answer {
 		switch {
 		case err == nil:
 			return yes(says)
 		case errors.Is(err, maintain.ErrUnknown):
-			return admin.Answer{Status: 404, Says: err.Error()}
+			return admin.Answer{Status: 404, Message: err.Error()}
 		}
-		return admin.Answer{Status: 500, Says: "holds in this process, but would not outlive it: " + err.Error()}
+		return admin.Answer{Status: 500, Message: "holds in this process, but would not outlive it: " + err.Error()}
 	}
-	no := func(status int, says string) admin.Answer { return admin.Answer{Status: status, Says: says} }
+	no := func(status int, says string) admin.Answer { return admin.Answer{Status: status, Message: says} }
 	switch c.Op {
 	case door.Ready:
 		switch state := d.service.State(); {
@@ -69,13 +69,13 @@
 	case door.OutOfService:
 		d.service.TakeOutOfService()
 		d.handover.tellOut(true)
-		return kept(d.bans.SetOut(true), "goes out of service: not ready, drains, and runs on")
+		return kept(d.bans.SetOutOfService(true), "goes out of service: not ready, drains, and runs on")
 	case door.InService:
 		if !d.service.ReturnToService() {
 			return no(503, "shutting down")
 		}
 		d.handover.tellOut(false)
-		return kept(d.bans.SetOut(false), "in service")
+		return kept(d.bans.SetOutOfService(false), "in service")
 	case door.Offline:
 		return kept(d.bans.Offline(c.Backend), "nothing more goes to "+c.Backend)
 	case door.Online:
--- a/cmd/tinsail/handover.go
+++ b/cmd/tinsail/handover.go
@@ -70,7 +70,7 @@
 	case err == nil:
 		log.Info().Int("sockets", state.Sockets).Int("backends", len(state.List)).Bool("out", state.Out).Msg("hand-over: state taken")
 		return h, nil
-	case errors.Is(err, handoff.ErrAlone):
+	case errors.Is(err, handoff.ErrNoProcess):
 	case errors.As(err, &no) && no.Busy:
 		return handed{}, fmt.Errorf("hand-over: %w", err)
 	default:
@@ -118,8 +118,8 @@
 // addHandover makes this process's part. d.service and d.bans are there.
 func (d *dispatcher) addHandover(from handed) {
 	t := &takeover{d: d, from: from, have: d.cfg.Sockets, memory: d.cfg.Memory}
-	t.server = &handoff.Server{Path: keptPath(d.cfg, "sock"), Me: helloOf(d.cfg), Log: d.log,
-		Give: t.give, Hand: t.hand, News: t.news, Joined: t.joined, Gone: t.gone}
+	t.server = &handoff.Server{Path: keptPath(d.cfg, "sock"), Hello: helloOf(d.cfg), Log: d.log,
+		GiveState: t.give, StopAccepting: t.hand, OnNews: t.news, OnJoined: t.joined, OnGone: t.gone}
 	if from.link != nil {
 		t.have, t.memory, t.stage = from.state.Sockets, from.state.Memory, from.stage
 		t.taken.Add(1)
@@ -135,7 +135,7 @@
 	if s.Out {
 		d.service.TakeOutOfService()
 	}
-	if err := d.bans.SetOut(s.Out); err != nil {
+	if err := d.bans.SetOutOfService(s.Out); err != nil {
 		d.log.Error().Err(err).Msg("bans not kept")
 	}
 	d.bans.Merge(s.Marks)
@@ -241,7 +241,7 @@
 	} else {
 		d.service.ReturnToService()
 	}
-	if err := d.bans.SetOut(out); err != nil {
+	if err := d.bans.SetOutOfService(out); err != nil {
 		d.log.Error().Err(err).Msg("bans not kept")
 	}
 }
@@ -251,7 +251,7 @@
 	t.mu.Lock()
 	t.peer = l
 	t.mu.Unlock()
-	for _, m := range t.d.bans.Share(func(m maintenance.Mark) { _ = l.Send(handover.News{Mark: &m}) }) {
+	for _, m := range t.d.bans.ShareWith(func(m maintenance.Mark) { _ = l.Send(handover.News{Mark: &m}) }) {
 		_ = l.Send(handover.News{Mark: &m})
 	}
 }
@@ -280,7 +280,7 @@
 	}
 	t.mu.Unlock()
 	if alone {
-		t.d.bans.Share(nil)
+		t.d.bans.ShareWith(nil)
 		t.d.resize(t.d.cfg.Sockets, t.d.cfg.Memory)
 		t.d.core.Retire(false) // the whole budget of cold backends is this process's again
 	}
@@ -290,7 +290,7 @@
 // spare is what a process needs of descriptors beside sessions and connections to backends.
 func (t *takeover) spare() int { return 32 + doorSockets(t.d.cfg) }
 
-func (t *takeover) used() int { return t.d.clients.OpenSessions() + t.d.pool.Open() }
+func (t *takeover) used() int { return t.d.clients.OpenSessions() + t.d.pool.OpenConnections() }
 
 // give gives room up and tells all that this process knows.
 func (t *takeover) give() (handover.State, []syscall.Conn) {
@@ -346,7 +346,7 @@
 			}
 			t.mu.Unlock()
 			if less {
-				t.d.pool.Resize(t.d.pool.Open() + 8)
+				t.d.pool.Resize(t.d.pool.OpenConnections() + 8)
 				_ = l.Send(handover.News{Sockets: all - keep})
 			}
 		}
@@ -360,7 +360,7 @@
 	t.peer, t.have, t.memory = nil, t.total, t.memory*2
 	sockets, memory := t.have, t.memory
 	t.mu.Unlock()
-	t.d.bans.Share(nil)
+	t.d.bans.ShareWith(nil)
 	t.d.resize(sockets, memory)
 	t.d.core.Retire(false)
 	t.failed.Add(1)
--- a/cmd/tinsail/serve.go
+++ b/cmd/tinsail/serve.go
@@ -128,11 +128,11 @@
 	d := &dispatcher{cfg: cfg, log: log, count: &counters.Set{}, guard: &guard.Recorder{Log: log}}
 	d.ready.begun = time.Now()
 	share := network.SplitDescriptors(network.MaxDescriptors(cfg.Sockets) - doorSockets(cfg))
-	d.pool = &network.Pool{Names: &cfg.Names, Count: d.count, Most: share.Backends, Dial: system.dial, Idle: cfg.ConnIdle * 7 / 10,
-		Connect: time.Duration(cfg.Settings.ConnectTimeout * float64(time.Millisecond))}
+	d.pool = &network.Pool{Names: &cfg.Names, Count: d.count, MaxConnections: share.Backends, Dial: system.dial, IdleTimeout: cfg.ConnIdle * 7 / 10,
+		ConnectTimeout: time.Duration(cfg.Settings.ConnectTimeout * float64(time.Millisecond))}
 	d.director = &network.Director{Names: &cfg.Names, Count: d.count, Address: cfg.Discovery, Dial: system.dial}
-	if d.director.Pace = network.Pushed().Within(time.Duration(cfg.Settings.Rules.DrainGrace * float64(time.Millisecond))); cfg.Settings.Subscribe {
-		d.director.Pace = network.Asked(time.Duration(cfg.Settings.Rules.AskEvery * float64(time.Millisecond)))
+	if d.director.Timings = network.AgentTimings().WithinGrace(time.Duration(cfg.Settings.Rules.DrainGrace * float64(time.Millisecond))); cfg.Settings.Subscribe {
+		d.director.Timings = network.PollTimings(time.Duration(cfg.Settings.Rules.AskEvery * float64(time.Millisecond)))
 	}
 	var err error
 	if d.core, err = core.New(cfg.Settings, d.pool, d.director, d.count); err != nil {
@@ -141,7 +141,7 @@
 	d.core.Log, d.core.Guard = log, d.guard
 	d.core.StepWall(system.wallOff)
 	if d.listed = d.tellCore; cfg.Admin != "" || set.Accord != nil {
-		d.bans = &maintain.Manager{Told: d.tellCore, Withhold: d.core.Withhold, HangUp: d.pool.HangUpOn, Now: d.core.Now, Wall: system.wall, Log: log}
+		d.bans = &maintain.Manager{OnList: d.tellCore, Withhold: d.core.Withhold, CloseIdle: d.pool.CloseIdleByID, Now: d.core.Now, WallClock: system.wall, Log: log}
 		if cfg.Admin != "" {
 			d.bans.Path = keptPath(cfg, "bans")
 			if system.store != nil {
@@ -150,7 +150,7 @@
 		}
 		d.listed = d.bans.Listed
 	}
-	d.director.Told, d.director.Heard = d.listed, d.core.Heard
+	d.director.OnList, d.director.OnAnswer = d.listed, d.core.Heard
 	d.clients = &network.Clients{Names: &cfg.Names, Count: d.count, Core: d.core, MaxSessions: share.Clients, MaxJobSessions: share.JobSessions,
 		MaxBufferedBytes: cfg.Memory / 8, LongestDeadline: cfg.Longest(), Stats: d.stats, Log: log, Guard: d.guard}
 	if d.listener, err = from.listen(cfg, "http1", cfg.Listen); err != nil {
@@ -206,10 +206,10 @@
 	known := d.cfg.Known.Entries
 	if d.handover != nil && d.handover.from.link != nil {
 		known = d.inherit()
-		d.director.Afresh()
+		d.director.RequestFullList()
 		d.core.Succeed()
 	} else {
-		d.director.Start(d.cfg.Known.Index)
+		d.director.SetIndex(d.cfg.Known.Index)
 	}
 	// The module sizes itself by its first list: one that names nobody to send to would leave it with room for a
 	// few jobs until they have shown that there is more.
@@ -222,7 +222,7 @@
 	// Elsewhere the module asks when it has its first list, after a while drawn by chance. Who knows nobody to send to
 	// must not wait for that, nor for news of a version that may be of another time: it asks for the whole list at once.
 	if !useful {
-		d.director.Afresh()
+		d.director.RequestFullList()
 	}
 	if !d.cfg.Settings.Subscribe || !useful {
 		d.director.Subscribe()
--- a/cmd/tinsail/shutdown_handover_test.go
+++ b/cmd/tinsail/shutdown_handover_test.go
@@ -68,9 +68,9 @@
 			require.NoError(t, err)
 			defer clients.Close()
 			joined, handed := make(chan *handoff.Link, 1), make(chan struct{})
-			old := &handoff.Server{Path: h.socket(), Me: h.hello(), Log: zerolog.Nop(), Joined: func(l *handoff.Link) { joined <- l },
-				Hand: func() { close(handed) }, News: func(handover.News) {}, Gone: func(bool) {},
-				Give: func() (handover.State, []syscall.Conn) {
+			old := &handoff.Server{Path: h.socket(), Hello: h.hello(), Log: zerolog.Nop(), OnJoined: func(l *handoff.Link) { joined <- l },
+				StopAccepting: func() { close(handed) }, OnNews: func(handover.News) {}, OnGone: func(bool) {},
+				GiveState: func() (handover.State, []syscall.Conn) {
 					return handover.State{Sockets: 300, Memory: 64 << 20, Listeners: []string{"http1"}}, []syscall.Conn{clients.(*net.TCPListener)}
 				}}
 			require.NoError(t, old.Listen())
--- a/cmd/tinsail/sources.go
+++ b/cmd/tinsail/sources.go
@@ -68,9 +68,9 @@
 		directorRules(set), rules(set.MemberRules))}
 	s.static, s.director, s.consul = s.list.Source(0), s.list.Source(1), s.list.Source(2)
 	d.sources = s
-	d.director.Told = s.director.Told
+	d.director.OnList = s.director.DirectorList
 	if !usesDirector(set) {
-		d.director.Off()
+		d.director.Disable()
 	}
 	d.clients.Members = s.describe
 	if set.Consul != nil && set.Consul.Register != "" {
@@ -117,7 +117,7 @@
 		return
 	}
 	if usesDirector(set) {
-		s.director.Told(balance.ListCached, d.cfg.Known.Entries)
+		s.director.DirectorList(balance.ListCached, d.cfg.Known.Entries)
 	}
 	s.static.Whole(static(set.Backends))
 	d.follow(set.Consul)
@@ -156,7 +156,7 @@
 	d.sources.static.Whole(static(next.Backends))
 	d.sources.consul.SetRules(rules(next.MemberRules))
 	if usesDirector(next) {
-		d.director.On()
+		d.director.Enable()
 	}
 	d.sources.director.SetRules(directorRules(next))
 	if next.Consul != nil && old.Consul != nil && !reflect.DeepEqual(old.Consul, next.Consul) {
--- a/cmd/tinsail/takeover_test.go
+++ b/cmd/tinsail/takeover_test.go
@@ -37,9 +37,9 @@
 			if joined == nil {
 				joined, hand = func(l *handoff.Link) { link = l }, func() { link.Close() }
 			}
-			old := &handoff.Server{Path: h.socket(), Me: h.hello(), Log: zerolog.Nop(), Joined: joined, Hand: hand,
-				News: func(handover.News) {}, Gone: func(bool) {},
-				Give: func() (handover.State, []syscall.Conn) {
+			old := &handoff.Server{Path: h.socket(), Hello: h.hello(), Log: zerolog.Nop(), OnJoined: joined, StopAccepting: hand,
+				OnNews: func(handover.News) {}, OnGone: func(bool) {},
+				GiveState: func() (handover.State, []syscall.Conn) {
 					s := handover.State{Sockets: 300, Memory: 64 << 20, Listeners: []string{"http1"},
 						Marks: []maintenance.Mark{{Name: "b1", Banned: true, At: 1}}}
 					for i, b := range h.backends {
--- a/internal/lab/hollow/dispatcher.go
+++ b/internal/lab/hollow/dispatcher.go
@@ -57,13 +57,13 @@
 			return nil, err
 		}
 	}
-	watch := &network.Director{Names: &cfg.Names, Count: &d.Count, Address: cfg.Discovery, Dial: network.TCP, Stop: d.stop,
-		Told: func(_ balance.ListKind, list []core.Entry) { d.Listed.Add(int64(len(list))) },
-		Pace: network.Pushed().Within(time.Duration(cfg.Settings.Rules.DrainGrace * float64(time.Millisecond)))}
+	watch := &network.Director{Names: &cfg.Names, Count: &d.Count, Address: cfg.Discovery, Dial: network.DialTCP, Stop: d.stop,
+		OnList:  func(_ balance.ListKind, list []core.Entry) { d.Listed.Add(int64(len(list))) },
+		Timings: network.AgentTimings().WithinGrace(time.Duration(cfg.Settings.Rules.DrainGrace * float64(time.Millisecond)))}
 	if cfg.Settings.Subscribe {
-		watch.Pace = network.Asked(time.Duration(cfg.Settings.Rules.AskEvery * float64(time.Millisecond)))
+		watch.Timings = network.PollTimings(time.Duration(cfg.Settings.Rules.AskEvery * float64(time.Millisecond)))
 	}
-	watch.Afresh()
+	watch.RequestFullList()
 	watch.Subscribe()
 	return d, nil
 }
--- a/internal/network/accepting/accepting.go
+++ b/internal/network/accepting/accepting.go
@@ -25,12 +25,12 @@
 
 // Loop holds the callbacks of an accept loop. Only Admit must be set.
 type Loop struct {
-	Admit  func(net.Conn)  // handles an accepted connection
-	Paused func()          // called after the listener's deadline has passed; returns once accepting may go on; nil if no deadline is used
-	Failed func(err error) // called after a failed accept, but not at the listener's end; may be nil
-	Waited func()          // called after an accept that found the queue empty; may be nil
-	Log    zerolog.Logger
-	Name   string // of the listener, for the log
+	Admit        func(net.Conn)  // handles an accepted connection
+	AwaitResume  func()          // called after the listener's deadline has passed; returns once accepting may go on; nil if no deadline is used
+	OnError      func(err error) // called after a failed accept, but not at the listener's end; may be nil
+	OnQueueEmpty func()          // called after an accept that found the queue empty; may be nil
+	Log          zerolog.Logger
+	Name         string // of the listener, for the log
 }
 
 // Run accepts until the listener is closed.
@@ -42,14 +42,14 @@
 		switch {
 		case err == nil:
 			pause = leastPause
-			if a.Waited != nil && time.Since(begun) >= waited {
-				a.Waited()
+			if a.OnQueueEmpty != nil && time.Since(begun) >= waited {
+				a.OnQueueEmpty()
 			}
 			a.Admit(conn)
 		case errors.Is(err, net.ErrClosed):
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded) && a.Paused != nil:
-			a.Paused()
+		case errors.Is(err, os.ErrDeadlineExceeded) && a.AwaitResume != nil:
+			a.AwaitResume()
 		default:
 			a.fail(err)
 			if ofOneConnection(err) {
@@ -62,8 +62,8 @@
 }
 
 func (a *Loop) fail(err error) {
-	if a.Failed != nil {
-		a.Failed(err)
+	if a.OnError != nil {
+		a.OnError(err)
 	}
 	e := a.Log.Warn()
 	if broken(err) { // it will not recover by itself
--- a/internal/network/accepting/accepting_test.go
+++ b/internal/network/accepting/accepting_test.go
@@ -51,8 +51,8 @@
 			}
 			steps = append(steps, &net.TCPConn{}, time.Second, &net.TCPConn{}, os.ErrDeadlineExceeded, fault(errno), &net.TCPConn{})
 			admitted, failed, paused, waited := 0, 0, 0, 0
-			loop := Loop{Admit: func(net.Conn) { admitted++ }, Failed: func(err error) { assert.ErrorIs(t, err, errno); failed++ },
-				Paused: func() { paused++ }, Waited: func() { waited++ }, Log: zerolog.Nop()}
+			loop := Loop{Admit: func(net.Conn) { admitted++ }, OnError: func(err error) { assert.ErrorIs(t, err, errno); failed++ },
+				AwaitResume: func() { paused++ }, OnQueueEmpty: func() { waited++ }, Log: zerolog.Nop()}
 			begun := time.Now()
 			loop.Run(&script{steps: steps})
 			assert.Equal(t, 4, admitted, name)
--- a/internal/network/admin/admin.go
+++ b/internal/network/admin/admin.go
@@ -28,9 +28,9 @@
 
 // Answer is the answer to a call.
 type Answer struct {
-	Status int
-	Allow  string // for a 405
-	Says   string // one short line
+	Status  int
+	Allow   string // for a 405
+	Message string // one short line
 }
 
 // Counts are the door's counters.
@@ -51,10 +51,10 @@
 
 // Server serves the door.
 type Server struct {
-	Most  int // limit of callers at a time; beyond it the one that has been unfinished longest is evicted
-	Do    func(door.Call) Answer
-	Log   zerolog.Logger
-	Count Counts
+	MaxCallers int // limit of callers at a time; beyond it the one that has been unfinished longest is evicted
+	Handle     func(door.Call) Answer
+	Log        zerolog.Logger
+	Count      Counts
 
 	mu   sync.Mutex
 	rows [2]linked.List // callers that may be evicted, by row and within a row the oldest first
@@ -99,7 +99,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := &caller{conn: conn}
-	if s.open++; s.open > s.Most {
+	if s.open++; s.open > s.MaxCallers {
 		for row := range s.rows {
 			if e := s.rows[row].Front(); e != nil {
 				s.Count.Shed.Add(1)
@@ -131,7 +131,7 @@
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		over := s.open > s.Most
+		over := s.open > s.MaxCallers
 		s.mu.Unlock()
 		if !over {
 			return
@@ -198,7 +198,7 @@
 		case !looked:
 			s.Count.Silent.Add(1)
 			if m.Begun() {
-				s.write(c, m, Answer{Status: 408, Says: "the rest of the call did not come"})
+				s.write(c, m, Answer{Status: 408, Message: "the rest of the call did not come"})
 			}
 		}
 		return
@@ -216,7 +216,7 @@
 		a = Answer{no.Status, no.Allow, no.Reason}
 	} else {
 		s.Count.Calls.Add(1)
-		a = s.Do(call)
+		a = s.Handle(call)
 		e.Stringer("call", call.Op)
 		if call.Backend != "" {
 			e.Str("backend", call.Backend)
@@ -229,14 +229,14 @@
 	if a.Status < 300 && call.Op == door.Ready { // called often, and the state is logged when it changes
 		e.Discard()
 	}
-	e.Int("status", a.Status).Str("says", a.Says).Dur("took_ms", took).Msg("door")
+	e.Int("status", a.Status).Str("says", a.Message).Dur("took_ms", took).Msg("door")
 }
 
 // write sends an answer. What the caller still sends is read and dropped for a moment: closing with unread bytes
 // would reset the connection, and the answer would be lost.
 func (s *Server) write(c *caller, m *door.Caller, a Answer) {
 	c.conn.SetWriteDeadline(time.Now().Add(writeWait))
-	if _, err := c.conn.Write(door.AppendAnswer(make([]byte, 0, 256), a.Status, a.Allow, a.Says)); err != nil {
+	if _, err := c.conn.Write(door.AppendAnswer(make([]byte, 0, 256), a.Status, a.Allow, a.Message)); err != nil {
 		return
 	}
 	tcp, ok := c.conn.(*net.TCPConn)
--- a/internal/network/backends.go
+++ b/internal/network/backends.go
@@ -17,25 +17,25 @@
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
 // DialTCP is the Dial that the program uses.
-func TCP(ctx context.Context, address string) (net.Conn, error) {
+func DialTCP(ctx context.Context, address string) (net.Conn, error) {
 	var d net.Dialer
 	return d.DialContext(ctx, "tcp", address)
 }
 
 // Pool keeps connections to backends and sends attempts over them.
 type Pool struct {
-	Names   *platform.Names
-	Count   *counters.Set
-	Connect time.Duration // limit for establishing a connection
-	Idle    time.Duration // an idle connection is closed after this, before the backend closes it
-	Most    int           // limit of connections that are open or being established
-	Dial    Dial
+	Names          *platform.Names
+	Count          *counters.Set
+	ConnectTimeout time.Duration // limit for establishing a connection
+	IdleTimeout    time.Duration // an idle connection is closed after this, before the backend closes it
+	MaxConnections int           // limit of connections that are open or being established
+	Dial           Dial
 	// Limiter, if set, is waited on before each new connection, for ConnectTimeout at most: this dispatcher's share of
 	// a fleet-wide budget of new connections. An attempt that gets no connection in time ends as core.Unsent.
-	Gate interface{ Wait(context.Context) error }
+	Limiter interface{ Wait(context.Context) error }
 	// DispatcherName, if set, is sent to backends with each attempt, together with the version of the fleet's policy
 	// under which the request was accepted.
-	Stamp string
+	DispatcherName string
 
 	connected atomic.Pointer[time.Time] // when the last connection was established
 
@@ -78,8 +78,8 @@
 		started: a.Started, share: a.Progress, ended: a.Ended}
 	x.head = func(left time.Duration) []byte {
 		var stamp *platform.Stamp
-		if p.Stamp != "" {
-			stamp = &platform.Stamp{Version: a.Version(), By: p.Stamp}
+		if p.DispatcherName != "" {
+			stamp = &platform.Stamp{Version: a.Version(), By: p.DispatcherName}
 		}
 		return platform.AppendJob(make([]byte, 0, 384), a.Job, a.Backend.Address, left, stamp)
 	}
@@ -141,12 +141,12 @@
 
 // waitForLimiter waits until the budget of new connections allows one more, and says whether it did in time.
 func (p *Pool) pass(ctx context.Context) bool {
-	if p.Gate == nil {
+	if p.Limiter == nil {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, p.Connect)
+	ctx, cancel := context.WithTimeout(ctx, p.ConnectTimeout)
 	defer cancel()
-	return p.Gate.Wait(ctx) == nil
+	return p.Limiter.Wait(ctx) == nil
 }
 
 // connect establishes a connection for an exchange. It retries after faults of this machine, which do not count against
@@ -154,7 +154,7 @@
 // is neither, e is the ending of the exchange.
 func (p *Pool) connect(x *exchange) (conn net.Conn, rested *link, e core.Ending) {
 	begun, elsewhere := time.Now(), false
-	d := dialling{dial: p.Dial, address: x.backend.Address, each: p.Connect, count: p.Count, between: func(kind localFault) bool {
+	d := dialling{dial: p.Dial, address: x.backend.Address, each: p.ConnectTimeout, count: p.Count, between: func(kind localFault) bool {
 		if kind == descriptors { // an idle connection's descriptor serves better for the new one
 			p.closeOldest()
 		}
@@ -222,7 +222,7 @@
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open >= p.Most {
+	if p.open >= p.MaxConnections {
 		oldest := p.oldest()
 		if oldest == nil {
 			return false
@@ -238,7 +238,7 @@
 func (p *Pool) Resize(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.Most = most
+	p.MaxConnections = most
 	for closing := p.open - most; closing > 0; closing-- {
 		l := p.oldest()
 		if l == nil {
@@ -249,8 +249,8 @@
 	}
 }
 
-// Open returns how many connections are open or being established.
-func (p *Pool) Open() int {
+// OpenConnections returns how many connections are open or being established.
+func (p *Pool) OpenConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
@@ -284,10 +284,10 @@
 }
 
 // HangUp closes the idle connections to a backend.
-func (p *Pool) HangUp(b *core.Backend) { p.HangUpOn(b.ID) }
+func (p *Pool) HangUp(b *core.Backend) { p.CloseIdleByID(b.ID) }
 
 // CloseIdleByID closes the idle connections to the backend with that id.
-func (p *Pool) HangUpOn(id balance.WorkerID) {
+func (p *Pool) CloseIdleByID(id balance.WorkerID) {
 	p.mu.Lock()
 	list := p.idle[id]
 	delete(p.idle, id)
--- a/internal/network/begin_crossing_test.go
+++ b/internal/network/begin_crossing_test.go
@@ -144,8 +144,8 @@
 		}
 		d.steps(d.ended(core.Unsent))
 		assert.Equal(t, core.Failure, (<-d.answers).Verdict)
-		d.pool.HangUpOn(1)
-		d.pool.HangUpOn(2)
+		d.pool.CloseIdleByID(1)
+		d.pool.CloseIdleByID(2)
 		second.closed()
 	}
 }
--- a/internal/network/budgets/budgets.go
+++ b/internal/network/budgets/budgets.go
@@ -103,7 +103,7 @@
 func (k *Keeper) Close() { k.conn.Close() }
 
 // BadDatagrams returns how many datagrams could not be decoded or named no budget that is served here.
-func (k *Keeper) Bad() int {
+func (k *Keeper) BadDatagrams() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.bad
--- a/internal/network/budgets/gate.go
+++ b/internal/network/budgets/gate.go
@@ -13,37 +13,37 @@
 
 // FixedShare is a share that changes only when it is set, for a budget that is divided without messages between
 // dispatchers (budget.Split); a reload sets it again. It is safe for use by several goroutines.
-type Fixed struct{ n atomic.Int64 }
+type FixedShare struct{ n atomic.Int64 }
 
 // NewFixedShare returns a share of n units per second.
-func NewFixed(n int) *Fixed {
-	f := &Fixed{}
+func NewFixedShare(n int) *FixedShare {
+	f := &FixedShare{}
 	f.Set(n)
 	return f
 }
 
 // Share returns the share that was set last.
-func (f *Fixed) Share() int { return int(f.n.Load()) }
+func (f *FixedShare) Share() int { return int(f.n.Load()) }
 
 // Set changes the share; a limiter reads it at its next unit.
-func (f *Fixed) Set(n int) { f.n.Store(int64(n)) }
+func (f *FixedShare) Set(n int) { f.n.Store(int64(n)) }
 
 // Limiter limits the rate of units to a share, which it reads again at each unit. At most a fifth of the share may be
 // spent at once and the rest at an even rate, so that no second, wherever it begins, spends more than the
 // share (a burst b and a rate share − b).
-type Gate struct {
-	of     Sharer
-	mu     sync.Mutex
-	lim    *rate.Limiter
-	Passed atomic.Int64 // units allowed, at once or after waiting
-	Waited atomic.Int64 // units that had to wait
-	Unsent atomic.Int64 // units refused, as they could not be allowed within the time given
+type Limiter struct {
+	of      Sharer
+	mu      sync.Mutex
+	lim     *rate.Limiter
+	Passed  atomic.Int64 // units allowed, at once or after waiting
+	Waited  atomic.Int64 // units that had to wait
+	Refused atomic.Int64 // units refused, as they could not be allowed within the time given
 }
 
 // NewLimiter returns a limiter to a share.
-func NewGate(of Sharer) *Gate {
+func NewLimiter(of Sharer) *Limiter {
 	limit, burst := pace(of.Share())
-	return &Gate{of: of, lim: rate.NewLimiter(limit, burst)}
+	return &Limiter{of: of, lim: rate.NewLimiter(limit, burst)}
 }
 
 // limitAndBurst returns the rate and burst of a share. Together they allow no more than the share in any second, except
@@ -58,7 +58,7 @@
 
 // Wait takes one unit and waits until it is allowed or ctx is done. It fails at once if the unit would be allowed
 // only after ctx's deadline.
-func (g *Gate) Wait(ctx context.Context) error {
+func (g *Limiter) Wait(ctx context.Context) error {
 	limit, burst := pace(g.of.Share())
 	g.mu.Lock()
 	if g.lim.Limit() != limit || g.lim.Burst() != burst {
@@ -73,7 +73,7 @@
 	g.Waited.Add(1)
 	err := g.lim.Wait(ctx)
 	if err != nil {
-		g.Unsent.Add(1)
+		g.Refused.Add(1)
 	} else {
 		g.Passed.Add(1)
 	}
--- a/internal/network/clients.go
+++ b/internal/network/clients.go
@@ -131,8 +131,8 @@
 
 func (c *Clients) accept(l net.Listener, admit func(net.Conn)) {
 	c.gate.add(l)
-	loop := accepting.Loop{Admit: admit, Paused: c.gate.wait, Waited: c.queue.empty, Log: c.Log, Name: "clients"}
-	loop.Failed = func(error) {
+	loop := accepting.Loop{Admit: admit, AwaitResume: c.gate.wait, OnQueueEmpty: c.queue.empty, Log: c.Log, Name: "clients"}
+	loop.OnError = func(error) {
 		c.Count.AcceptsFailed.Add(1)
 		c.queue.failed(time.Now())
 	}
--- a/internal/network/director.go
+++ b/internal/network/director.go
@@ -21,16 +21,16 @@
 // no answer some time after its long poll ended counts as silent, and a backup call is made beside it: a change that a
 // silent watch misses counts as published 6 s after the watch fell silent (2 s after the long poll's end, if that is
 // later), and the drain rule allows 500 ms from then on.
-type Pace struct {
-	Wait  time.Duration // of a long poll; short, so that a director that falls silent is noticed
-	Slack time.Duration // beyond PollWait until the call counts as silent: calls queue at the director
-	Grace time.Duration // beyond PollWait until the call fails
-	Look  time.Duration // long poll of a backup call; 0 stands for PollWait
+type WatchTimings struct {
+	PollWait     time.Duration // of a long poll; short, so that a director that falls silent is noticed
+	SilenceSlack time.Duration // beyond PollWait until the call counts as silent: calls queue at the director
+	GiveUpSlack  time.Duration // beyond PollWait until the call fails
+	BackupWait   time.Duration // long poll of a backup call; 0 stands for PollWait
 
 	// A connection that is not established by then counts as failed: the director's machine is cut off, and waiting
 	// longer would use up the time within which the next call is due.
-	Connect time.Duration
-	Pause   time.Duration // limit of the delay after consecutive failures
+	ConnectTimeout time.Duration
+	MaxBackoff     time.Duration // limit of the delay after consecutive failures
 }
 
 // publishedWithin is when a change counts as published at the latest, counted from when discovery had it and could be
@@ -49,45 +49,45 @@
 // MaxBackoff takes all the time that this leaves, and half of each delay is random (see backoff), so that a fleet whose
 // calls overload discovery spreads them. A call whose connection fails only after ConnectTimeout
 // was silent until then, and counts as a silence of its own.
-func Asked(ask time.Duration) Pace {
-	p := Pace{Wait: 2500 * time.Millisecond, Slack: 1500 * time.Millisecond, Grace: 3500 * time.Millisecond, Connect: time.Second}
-	p.Pause = min(max(ask/5, 100*time.Millisecond), toldAnyhow-p.Wait-p.Slack-p.Connect)
+func PollTimings(ask time.Duration) WatchTimings {
+	p := WatchTimings{PollWait: 2500 * time.Millisecond, SilenceSlack: 1500 * time.Millisecond, GiveUpSlack: 3500 * time.Millisecond, ConnectTimeout: time.Second}
+	p.MaxBackoff = min(max(ask/5, 100*time.Millisecond), toldAnyhow-p.PollWait-p.SilenceSlack-p.ConnectTimeout)
 	return p
 }
 
 // AgentTimings are for an agent on this machine, which is sent lists, answers at once from what it has, and is silent in
 // an outage. A list counts as published as soon as the agent has it, so a silent agent is called several times a second
 // until it answers again.
-func Pushed() Pace {
-	return Pace{Wait: time.Second, Slack: 200 * time.Millisecond, Grace: 1500 * time.Millisecond,
-		Look: 100 * time.Millisecond, Connect: 200 * time.Millisecond, Pause: 200 * time.Millisecond}
+func AgentTimings() WatchTimings {
+	return WatchTimings{PollWait: time.Second, SilenceSlack: 200 * time.Millisecond, GiveUpSlack: 1500 * time.Millisecond,
+		BackupWait: 100 * time.Millisecond, ConnectTimeout: 200 * time.Millisecond, MaxBackoff: 200 * time.Millisecond}
 }
 
 // minGrace is the shortest grace that Within uses: with a shorter one, calls during an agent's outage would follow each
 // other without a delay.
 const leastGrace = 50 * time.Millisecond
 
-// Within fits AgentTimings to the settings' grace period, within which sends to a drained backend have to end. An agent
+// WithinGrace fits AgentTimings to the settings' grace period, within which sends to a drained backend have to end. An agent
 // that answers again is called after BackupWait and SilenceSlack, or after ConnectTimeout and MaxBackoff: within four
 // fifths of the grace period in either case.
-func (p Pace) Within(grace time.Duration) Pace {
+func (p WatchTimings) WithinGrace(grace time.Duration) WatchTimings {
 	fifth := max(grace, leastGrace) / 5
-	p.Look, p.Slack = min(p.Look, fifth), min(p.Slack, 2*fifth)
-	p.Connect, p.Pause = min(p.Connect, 2*fifth), min(p.Pause, 2*fifth)
+	p.BackupWait, p.SilenceSlack = min(p.BackupWait, fifth), min(p.SilenceSlack, 2*fifth)
+	p.ConnectTimeout, p.MaxBackoff = min(p.ConnectTimeout, 2*fifth), min(p.MaxBackoff, 2*fifth)
 	return p
 }
 
 // Director watches the director's list of backends by long polls. Each answer is followed at once by the next call,
 // so that the watch has no gap.
 type Director struct {
-	Names   *platform.Names
-	Count   *counters.Set
-	Address string
-	Pace    Pace
-	Dial    Dial
-	Stop    <-chan struct{} // ends the watch; may be nil
-	Told    func(balance.ListKind, []core.Entry)
-	Heard   func() // called after each good answer, once its list was passed on; may be nil
+	Names    *platform.Names
+	Count    *counters.Set
+	Address  string
+	Timings  WatchTimings
+	Dial     Dial
+	Stop     <-chan struct{} // ends the watch; may be nil
+	OnList   func(balance.ListKind, []core.Entry)
+	OnAnswer func() // called after each good answer, once its list was passed on; may be nil
 
 	// Used by the watching goroutine alone.
 	index uint64
@@ -142,14 +142,14 @@
 }
 
 // Disable makes Subscribe do nothing: backends come from another source.
-func (d *Director) Off() {
+func (d *Director) Disable() {
 	d.off.Store(true)
 	d.on.Store(true)
 }
 
 // Enable undoes Disable and starts the watch. The first call asks for the full list, as what was known at the start may
 // be out of date. Enable does nothing while the watch runs, and must not be called before SetIndex.
-func (d *Director) On() {
+func (d *Director) Enable() {
 	if d.off.CompareAndSwap(true, false) {
 		d.whole = true
 		d.on.Store(false)
@@ -158,10 +158,10 @@
 }
 
 // SetIndex sets the version of the list that is known already. It must be called before Subscribe.
-func (d *Director) Start(index uint64) { d.index = index }
+func (d *Director) SetIndex(index uint64) { d.index = index }
 
 // RequestFullList makes the first call ask for the full list. It must be called before Subscribe.
-func (d *Director) Afresh() {
+func (d *Director) RequestFullList() {
 	d.mu.Lock() // the watch takes it before it reads the field
 	d.whole = true
 	d.mu.Unlock()
@@ -256,17 +256,17 @@
 // reportFailure tells the core if no call is left that may bring a list.
 func (d *Director) broke() {
 	if len(d.out) == 0 {
-		d.Told(balance.ListFailed, nil)
+		d.OnList(balance.ListFailed, nil)
 	}
 }
 
 // pollWait returns how long the next call may wait at the director. doubt says that the director may still be silent:
 // then the call is to end soon, if the timings say so.
 func (d *Director) wait(doubt bool) time.Duration {
-	if doubt && d.Pace.Look > 0 {
-		return d.Pace.Look
+	if doubt && d.Timings.BackupWait > 0 {
+		return d.Timings.BackupWait
 	}
-	return d.Pace.Wait
+	return d.Timings.PollWait
 }
 
 // handleEnded handles the end of the i-th call under way. It returns false if the call brought no usable answer.
@@ -288,8 +288,8 @@
 		d.take(c.list)
 	}
 	d.taken = max(d.taken, c.number)
-	if d.Heard != nil {
-		d.Heard()
+	if d.OnAnswer != nil {
+		d.OnAnswer()
 	}
 	// Other calls are given up if they no longer fit. One that asks for the full list asks for what has just come, and
 	// waits for no change. One that asks for changes after versions restarted may wait long for a version far ahead.
@@ -311,7 +311,7 @@
 // backoff returns the delay after a number of consecutive failures: longer each time, so that
 // dispatchers do not add to an overload, but within the time that may pass without a call.
 func (d *Director) backoff(failed int) time.Duration {
-	most := min(100*time.Millisecond<<min(failed, 8), d.Pace.Pause)
+	most := min(100*time.Millisecond<<min(failed, 8), d.Timings.MaxBackoff)
 	return most/2 + rand.N(most/2+1)
 }
 
@@ -320,13 +320,13 @@
 	switch {
 	case list.Full:
 		d.index, d.whole = list.Index, false
-		d.Told(balance.ListFull, list.Entries)
+		d.OnList(balance.ListFull, list.Entries)
 	case list.Index < d.index: // versions have restarted: changes would not apply
 		d.whole = true
 	default:
 		d.index = list.Index
 		if len(list.Entries) > 0 {
-			d.Told(balance.ListDelta, list.Entries)
+			d.OnList(balance.ListDelta, list.Entries)
 		}
 	}
 }
@@ -359,7 +359,7 @@
 			c.close()
 		}
 	}()
-	return time.Now().Add(c.wait + d.Pace.Slack)
+	return time.Now().Add(c.wait + d.Timings.SilenceSlack)
 }
 
 // close cancels the call and closes its connection.
@@ -373,8 +373,8 @@
 // perform makes a call. It runs in the call's goroutine.
 func (d *Director) call(c *call, address string) (platform.List, core.Ending) {
 	if c.line == nil {
-		ctx, cancel := context.WithTimeout(c.ctx, d.Pace.Connect)
-		dial := dialling{dial: d.Dial, address: address, each: d.Pace.Connect, count: d.Count}
+		ctx, cancel := context.WithTimeout(c.ctx, d.Timings.ConnectTimeout)
+		dial := dialling{dial: d.Dial, address: address, each: d.Timings.ConnectTimeout, count: d.Count}
 		conn, _, err := dial.do(ctx)
 		cancel()
 		if err != nil {
@@ -384,7 +384,7 @@
 	}
 	conn := c.line.conn
 	stop := context.AfterFunc(c.ctx, func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(c.wait + d.Pace.Grace))
+	conn.SetDeadline(time.Now().Add(c.wait + d.Timings.GiveUpSlack))
 	if _, err := conn.Write(platform.AppendGet(nil, c.target, address)); err != nil {
 		stop()
 		return platform.List{}, core.ListUnanswered
--- a/internal/network/director_crossing_test.go
+++ b/internal/network/director_crossing_test.go
@@ -24,7 +24,7 @@
 				from := time.Duration(300+250*((i+j+k)%9)) * time.Millisecond
 				mid := from + time.Duration(1+(i+j+k/3)%3*4)*time.Second
 				end := mid + time.Duration(50+1000*k+50*((i*3+j*5)%20))*time.Millisecond
-				crossed(t, Asked(ask), func(c *crossing) {
+				crossed(t, PollTimings(ask), func(c *crossing) {
 					c.spells = []spell{{from, mid, first}, {mid, end, second}}
 					c.begin()
 					for b, at := range []time.Duration{from, mid, end} {
@@ -53,7 +53,7 @@
 				continue // two consecutive silent calls
 			}
 			for end := 8 * time.Second; end < 10*time.Second; end += 250 * time.Millisecond {
-				crossed(t, Asked(ask), func(c *crossing) {
+				crossed(t, PollTimings(ask), func(c *crossing) {
 					c.spells = []spell{{time.Second, end, refused}}
 					c.begin()
 					c.until(end)
@@ -79,7 +79,7 @@
 				from := time.Duration(300+130*((i+j)%9)) * time.Millisecond
 				mid := from + time.Duration(1500+(i+j)%3*700)*time.Millisecond
 				end := mid + time.Duration(10+(30*i+70*j)%500)*time.Millisecond
-				crossed(t, Pushed().Within(grace), func(c *crossing) {
+				crossed(t, AgentTimings().WithinGrace(grace), func(c *crossing) {
 					c.spells = []spell{{from, mid, first}, {mid, end, second}}
 					c.begin()
 					for b, at := range []time.Duration{from, mid, end - 5*time.Millisecond} {
@@ -106,9 +106,9 @@
 		var w worst
 		for _, f := range append([]fault{well}, faults...) {
 			for at := from - 250*time.Millisecond; at <= end+250*time.Millisecond; at += 350 * time.Millisecond {
-				pace, since := Asked(10*time.Second), toldIn
+				pace, since := PollTimings(10*time.Second), toldIn
 				if pushed {
-					pace, since = Pushed(), 4*time.Second
+					pace, since = AgentTimings(), 4*time.Second
 				}
 				crossed(t, pace, func(c *crossing) {
 					if f != well {
@@ -151,9 +151,9 @@
 		var w worst
 		for _, f := range faults {
 			for long := 50 * time.Millisecond; long < 6*time.Second; long += 350 * time.Millisecond {
-				pace := Asked(10 * time.Second)
+				pace := PollTimings(10 * time.Second)
 				if pushed {
-					pace = Pushed()
+					pace = AgentTimings()
 				}
 				crossed(t, pace, func(c *crossing) {
 					for range 10 {
@@ -183,15 +183,15 @@
 // discovery, and must not reset the delay that the failures have built up.
 func TestPauseOutlastsAGivenUpCall(t *testing.T) {
 	for range 8 {
-		crossed(t, Asked(10*time.Second), func(c *crossing) {
-			c.dir.Afresh() // calls for the full list do not wait at the director: the third silent one has the first given up
+		crossed(t, PollTimings(10*time.Second), func(c *crossing) {
+			c.dir.RequestFullList() // calls for the full list do not wait at the director: the third silent one has the first given up
 			c.next = []fault{refused, refused, refused, refused, refused, mute, mute, mute, refused, refused}
 			c.begin()
 			c.until(30 * time.Second)
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			if assert.GreaterOrEqual(t, len(c.dials), 11) {
-				assert.GreaterOrEqual(t, c.dials[10].Sub(c.dials[9]), c.dir.Pace.Pause/2)
+				assert.GreaterOrEqual(t, c.dials[10].Sub(c.dials[9]), c.dir.Timings.MaxBackoff/2)
 			}
 		})
 	}
@@ -200,7 +200,7 @@
 // TestOneBackupCallPerSilence: a watch that falls silent causes one backup call, and not another one when the silent call
 // is given up.
 func TestCallsInOneSilence(t *testing.T) {
-	crossed(t, Asked(10*time.Second), func(c *crossing) {
+	crossed(t, PollTimings(10*time.Second), func(c *crossing) {
 		c.begin()
 		c.until(100 * time.Millisecond)
 		before := c.count.DirectorCalls.Load()
--- a/internal/network/director_loopback_test.go
+++ b/internal/network/director_loopback_test.go
@@ -29,13 +29,13 @@
 	told chan []core.Entry
 }
 
-func newLoopback(t *testing.T, pace Pace) *loopback {
+func newLoopback(t *testing.T, pace WatchTimings) *loopback {
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
 	b := &loopback{t: t, l: l, told: make(chan []core.Entry, 100)}
 	stop := make(chan struct{})
-	b.dir = &Director{Names: &platform.Names{}, Count: &counters.Set{}, Address: l.Addr().String(), Dial: TCP, Stop: stop, Pace: pace,
-		Told: func(kind balance.ListKind, list []core.Entry) {
+	b.dir = &Director{Names: &platform.Names{}, Count: &counters.Set{}, Address: l.Addr().String(), Dial: DialTCP, Stop: stop, Timings: pace,
+		OnList: func(kind balance.ListKind, list []core.Entry) {
 			if kind != balance.ListFailed {
 				b.told <- list
 			}
@@ -45,7 +45,7 @@
 }
 
 // shortTimings make calls count as silent soon, and do not give them up before the test is over.
-var shortly = Pace{Wait: 50 * time.Millisecond, Slack: 50 * time.Millisecond, Grace: time.Minute, Connect: time.Minute, Pause: 20 * time.Millisecond}
+var shortly = WatchTimings{PollWait: 50 * time.Millisecond, SilenceSlack: 50 * time.Millisecond, GiveUpSlack: time.Minute, ConnectTimeout: time.Minute, MaxBackoff: 20 * time.Millisecond}
 
 // call returns the connection and the head of the next call.
 func (b *loopback) call() (*net.TCPConn, string) {
@@ -102,7 +102,7 @@
 	}
 	for i, cut := range cuts {
 		pace := shortly
-		pace.Slack = time.Minute
+		pace.SilenceSlack = time.Minute
 		b := newLoopback(t, pace)
 		b.dir.Subscribe()
 		c, _ := b.call()
@@ -129,7 +129,7 @@
 	}
 	whole := chunked(indented(7, n, "Ready"))
 	pace := shortly
-	pace.Slack = time.Minute
+	pace.SilenceSlack = time.Minute
 	b := newLoopback(t, pace)
 	b.dir.Subscribe()
 	c, _ := b.call()
@@ -179,9 +179,9 @@
 func TestConnectingThatHangs(t *testing.T) {
 	for _, moved := range []bool{false, true} {
 		pace := shortly
-		pace.Slack = time.Minute
-		if pace.Connect = 20 * time.Millisecond; moved {
-			pace.Connect = time.Minute
+		pace.SilenceSlack = time.Minute
+		if pace.ConnectTimeout = 20 * time.Millisecond; moved {
+			pace.ConnectTimeout = time.Minute
 		}
 		b := newLoopback(t, pace)
 		hung, let := make(chan struct{}, 1), false
@@ -193,7 +193,7 @@
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
-			return TCP(ctx, at)
+			return DialTCP(ctx, at)
 		}
 		b.dir.Subscribe()
 		<-hung
--- a/internal/network/director_rig_test.go
+++ b/internal/network/director_rig_test.go
@@ -84,7 +84,7 @@
 }
 
 // withWatch calls play with a watch of those timings. Its stand-ins list b0 to b3 as Ready.
-func crossed(t *testing.T, pace Pace, play func(c *crossing)) {
+func crossed(t *testing.T, pace WatchTimings, play func(c *crossing)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := &crossing{count: &counters.Set{}, began: time.Now(), lines: map[*relayed]bool{}, heard: map[string]time.Time{}, state: map[string]balance.State{}}
@@ -96,8 +96,8 @@
 			set(c.other, i, "Ready")
 		}
 		stop := make(chan struct{})
-		c.dir = &Director{Names: &platform.Names{}, Count: c.count, Address: "d", Stop: stop, Pace: pace,
-			Dial: func(ctx context.Context, address string) (net.Conn, error) { return c.dial(ctx, at[address]) }, Told: c.told}
+		c.dir = &Director{Names: &platform.Names{}, Count: c.count, Address: "d", Stop: stop, Timings: pace,
+			Dial: func(ctx context.Context, address string) (net.Conn, error) { return c.dial(ctx, at[address]) }, OnList: c.told}
 		play(c)
 		close(stop)
 		c.d.Close()
--- a/internal/network/director_test.go
+++ b/internal/network/director_test.go
@@ -77,7 +77,7 @@
 // its own address may be another one.
 func TestAfresh(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 9,
-		func(w *world) { w.watch.Afresh() }, `
+		func(w *world) { w.watch.RequestFullList() }, `
 		wait 3s
 		d/1 expect GET /registry/instances
 		d/1 send HTTP/1.1 200 OK\r\nContent-Length: 44\r\n\r\n{"index":2,"snapshot":true,"endpoints":[]  }
@@ -131,7 +131,7 @@
 func TestSilentAgent(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 9, func(w *world) {
 		w.watch.mu.Lock() // the watch takes it before it reads the field
-		w.watch.Pace = Pushed()
+		w.watch.Timings = AgentTimings()
 		w.watch.mu.Unlock()
 	}, `
 		wait 3s
--- a/internal/network/handoff/handoff.go
+++ b/internal/network/handoff/handoff.go
@@ -135,15 +135,15 @@
 }
 
 // ErrNoProcess says that no other process of this dispatcher runs.
-var ErrAlone = errors.New("no other process of this dispatcher is running")
+var ErrNoProcess = errors.New("no other process of this dispatcher is running")
 
 // Refusal is the error of a running process that refuses to hand over.
 type Refusal struct {
-	Why  string
-	Busy bool // another hand-over is under way
+	Reason string
+	Busy   bool // another hand-over is under way
 }
 
-func (r *Refusal) Error() string { return r.Why }
+func (r *Refusal) Error() string { return r.Reason }
 
 // Join asks the serving process for its state and listeners. The error is ErrNoProcess if there is none, a
 // *Refusal if it refused, and another one if its answer did not come in time or could not be read.
@@ -154,7 +154,7 @@
 		return err
 	})
 	if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, s, nil, ErrAlone
+		return nil, s, nil, ErrNoProcess
 	}
 	if err != nil {
 		return nil, s, nil, err
--- a/internal/network/handoff/server.go
+++ b/internal/network/handoff/server.go
@@ -18,15 +18,15 @@
 
 // Server is the serving process's side of a hand-over. Its callbacks are called one at a time.
 type Server struct {
-	Path string
-	Me   handover.Hello
-	Log  zerolog.Logger
+	Path  string
+	Hello handover.Hello
+	Log   zerolog.Logger
 
-	Give   func() (handover.State, []syscall.Conn) // returns the state and listeners; on return this process no longer uses what the state passes on
-	Hand   func()                                  // stops accepting; no connection is accepted after it returns
-	News   func(handover.News)                     // handles a message of the new process
-	Joined func(*Link)                             // the new process has the state; later changes go to it over the link
-	Gone   func(accept bool)                       // the new process is gone; accept says that this process is to accept again
+	GiveState     func() (handover.State, []syscall.Conn) // returns the state and listeners; on return this process no longer uses what the state passes on
+	StopAccepting func()                                  // stops accepting; no connection is accepted after it returns
+	OnNews        func(handover.News)                     // handles a message of the new process
+	OnJoined      func(*Link)                             // the new process has the state; later changes go to it over the link
+	OnGone        func(accept bool)                       // the new process is gone; accept says that this process is to accept again
 
 	mu     sync.Mutex
 	stage  handover.Old
@@ -151,7 +151,7 @@
 		return
 	}
 	s.mu.Lock()
-	refused, busy := s.stage.Hello(h, s.Me)
+	refused, busy := s.stage.Hello(h, s.Hello)
 	s.mu.Unlock()
 	if refused != "" {
 		s.Log.Warn().Str("why", refused).Msg("hand-over refused")
@@ -168,13 +168,13 @@
 	}
 	s.mu.Unlock()
 	s.Log.Warn().Err(err).Bool("accepts_again", accept).Msg("hand-over: the new process is gone")
-	s.Gone(accept)
+	s.OnGone(accept)
 }
 
 // handOver sends the state and listeners, and returns when the new process is gone.
 func (s *Server) with(l *Link) error {
 	begun := time.Now()
-	state, conns := s.Give()
+	state, conns := s.GiveState()
 	rights, err := rightsOf(conns)
 	if err != nil {
 		return err
@@ -185,7 +185,7 @@
 	}
 	l.in.Most = handover.MaxNews
 	s.Log.Info().Int("sockets", state.Sockets).Int("backends", len(state.List)).Int("marks", len(state.Marks)).Msg("hand-over: state told")
-	s.Joined(l)
+	s.OnJoined(l)
 	l.conn.SetReadDeadline(time.Now().Add(handover.ReadyWait)) // until it accepts
 	return l.Read(func(n handover.News) {
 		if n.Ready {
@@ -195,12 +195,12 @@
 			s.mu.Unlock()
 			if hand {
 				l.conn.SetReadDeadline(time.Time{})
-				s.Hand()
+				s.StopAccepting()
 				_ = l.Send(handover.News{Taken: true})
 				s.Log.Info().Dur("after_ms", time.Since(begun)).Msg("hand-over: the new process accepts")
 			}
 		}
-		s.News(n)
+		s.OnNews(n)
 	})
 }
 
--- a/internal/network/handoff/server_test.go
+++ b/internal/network/handoff/server_test.go
@@ -16,7 +16,7 @@
 // connects after them still gets its answer, a refusal with its reason, instead of being closed.
 func TestSilentOnesKeepNobodyOut(t *testing.T) {
 	me := handover.Hello{Version: handover.Version, Name: "regina", Listen: "127.0.0.1:1"}
-	s := &Server{Path: filepath.Join(t.TempDir(), "h.sock"), Me: me, Log: zerolog.Nop()}
+	s := &Server{Path: filepath.Join(t.TempDir(), "h.sock"), Hello: me, Log: zerolog.Nop()}
 	require.NoError(t, s.Listen())
 	t.Cleanup(s.Close)
 	for range mostHellos + 2 {
--- a/internal/network/hard_test.go
+++ b/internal/network/hard_test.go
@@ -46,11 +46,11 @@
 			w.set(i, "Ready")
 		}
 		stop := make(chan struct{})
-		dir := &Director{Names: &platform.Names{}, Count: &counters.Set{}, Address: "d", Stop: stop, Pace: Pushed()}
+		dir := &Director{Names: &platform.Names{}, Count: &counters.Set{}, Address: "d", Stop: stop, Timings: AgentTimings()}
 		w.terms = standin.Terms{Began: time.Now()}
 		if !pushed {
 			w.terms.AskEvery = 10 * time.Second
-			dir.Pace = Asked(w.terms.AskEvery)
+			dir.Timings = PollTimings(w.terms.AskEvery)
 		}
 		dir.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 			if w.dialled() {
@@ -58,7 +58,7 @@
 			}
 			return pipes.Dial(ctx, address)
 		}
-		dir.Told = func(_ balance.ListKind, list []core.Entry) {
+		dir.OnList = func(_ balance.ListKind, list []core.Entry) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			for _, e := range list {
--- a/internal/network/http2_caller_test.go
+++ b/internal/network/http2_caller_test.go
@@ -356,7 +356,7 @@
 			}()
 		}
 	}()
-	d.pool = &Pool{Names: &platform.Names{}, Count: &counters.Set{}, Connect: time.Minute, Idle: time.Minute, Most: 9}
+	d.pool = &Pool{Names: &platform.Names{}, Count: &counters.Set{}, ConnectTimeout: time.Minute, IdleTimeout: time.Minute, MaxConnections: 9}
 	d.pool.Dial = func(context.Context, string) (net.Conn, error) {
 		d.asked <- struct{}{}
 		<-d.goOn
--- a/internal/network/http2_test.go
+++ b/internal/network/http2_test.go
@@ -153,7 +153,7 @@
 
 func wide(w *world) {
 	w.http2.SetLimits(HTTP2Limits{MaxStreams: 200, MaxHeaderBytes: 4096, MaxFrameBytes: 16384, StallTimeout: 5 * time.Second, DrainTimeout: 300 * time.Millisecond, CancelOnReset: true})
-	w.pool.Most = 200
+	w.pool.MaxConnections = 200
 }
 
 // heavyBackend is a backend that the dispatch module lets run a hundred jobs at once.
@@ -299,7 +299,7 @@
 // TestHTTP2SessionLimit: idle connections of this front are closed for clients of the other. Where all are busy, streams are
 // refused unprocessed.
 func TestHTTP2Budget(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 1, func(w *world) { w.pool.Most = 9 }, hello+`
+	run(t, list(balance.Ready, "s1"), 1, func(w *world) { w.pool.MaxConnections = 9 }, hello+`
 		h1 send {post 1 e}
 		s1/1 expect POST /ingest r1 k1 2000
 		s1/1 send {started r1}{done r1 a}
--- a/internal/network/link.go
+++ b/internal/network/link.go
@@ -73,7 +73,7 @@
 func (l *link) claim() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.state != idle || !time.Now().Before(l.used.Add(l.pool.Idle)) {
+	if l.state != idle || !time.Now().Before(l.used.Add(l.pool.IdleTimeout)) {
 		return false
 	}
 	l.state = taken
@@ -92,7 +92,7 @@
 	used := l.used
 	l.mu.Unlock()
 	p := l.pool
-	l.conn.SetReadDeadline(used.Add(p.Idle)) // before it can be claimed: a request that claims it must not lose its own deadline to this one
+	l.conn.SetReadDeadline(used.Add(p.IdleTimeout)) // before it can be claimed: a request that claims it must not lose its own deadline to this one
 	p.mu.Lock()
 	// Checked under the lock that CloseIdleByID takes once a ban is in force: the connection is closed either here or there.
 	// A reading goroutine that has ended took the connection off the list before it was on it: it must not be added any more.
--- a/internal/network/link_crossing_test.go
+++ b/internal/network/link_crossing_test.go
@@ -234,7 +234,7 @@
 func TestIdleTimeGoesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
-		p := &Pool{Names: &platform.Names{}, Count: &counters.Set{}, Connect: time.Second, Idle: 7 * time.Second, Most: 1}
+		p := &Pool{Names: &platform.Names{}, Count: &counters.Set{}, ConnectTimeout: time.Second, IdleTimeout: 7 * time.Second, MaxConnections: 1}
 		p.Dial = func(context.Context, string) (net.Conn, error) { return near, nil }
 		x := &exchange{backend: &core.Backend{}, until: time.Now().Add(time.Hour), may: func() bool { return false }, ended: func(core.Ending, string, []float32) {}}
 		began := time.Now()
@@ -244,9 +244,9 @@
 		p.begin(&again)
 		_, err := far.Read(make([]byte, 1))
 		assert.ErrorIs(t, err, io.EOF)
-		assert.Equal(t, p.Idle, time.Since(began))
+		assert.Equal(t, p.IdleTimeout, time.Since(began))
 		synctest.Wait()
-		assert.Zero(t, p.Open())
+		assert.Zero(t, p.OpenConnections())
 	})
 }
 
@@ -257,7 +257,7 @@
 	c := r.serve("a")
 	l := r.pool.idle[r.backend.ID][0]
 	l.mu.Lock()
-	l.used = l.used.Add(-r.pool.Idle)
+	l.used = l.used.Add(-r.pool.IdleTimeout)
 	l.mu.Unlock()
 	y := r.try("b", nil)
 	r.pool.begin(y.exchange)
@@ -314,7 +314,7 @@
 		return &hooked{Conn: ours, before: func(at time.Time) {
 			if !at.IsZero() {
 				c.Close()
-				for r.pool.Open() > 0 { // until its reader has ended
+				for r.pool.OpenConnections() > 0 { // until its reader has ended
 					time.Sleep(50 * time.Microsecond)
 				}
 			}
--- a/internal/network/link_rig_test.go
+++ b/internal/network/link_rig_test.go
@@ -169,9 +169,9 @@
 func newRig(t *testing.T) *rig {
 	r := &rig{rawBackend: newRaw(t)}
 	r.backend = &core.Backend{ID: 1, Name: "s", Address: r.address()}
-	r.pool = &Pool{Names: &platform.Names{}, Count: &counters.Set{}, Connect: hang, Idle: time.Hour, Most: 8}
+	r.pool = &Pool{Names: &platform.Names{}, Count: &counters.Set{}, ConnectTimeout: hang, IdleTimeout: time.Hour, MaxConnections: 8}
 	r.pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-		c, err := TCP(ctx, address)
+		c, err := DialTCP(ctx, address)
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.ours = append(r.ours, c)
--- a/internal/network/long_quiet_test.go
+++ b/internal/network/long_quiet_test.go
@@ -18,7 +18,7 @@
 		w.play("c1 send {req 9a x}\ns1/1 send {started 9a}{done 9a r}\nc1 expect 200 r")
 		time.Sleep(10 * time.Minute)
 		synctest.Wait()
-		assert.Zero(t, w.pool.Open(), "no connection is left that the backend has dropped")
+		assert.Zero(t, w.pool.OpenConnections(), "no connection is left that the backend has dropped")
 		assert.Zero(t, w.clients.OpenSessions())
 		begun := time.Now()
 		w.play("c2 send {req 9b x}\ns1/2 send {started 9b}{done 9b q}\nc2 expect 200 q")
--- a/internal/network/maintain/maintain.go
+++ b/internal/network/maintain/maintain.go
@@ -17,14 +17,14 @@
 
 // Manager sits between the sources of backends and the core, and applies the bans to the lists of the sources.
 type Manager struct {
-	Path     string // of the file; empty for none
-	Store    Store  // used in place of a file at Path, if set
-	Told     func(balance.ListKind, []core.Entry)
-	Withhold func(map[balance.WorkerID]struct{}) // has the core send nothing to these backends; in force when it returns
-	HangUp   func(balance.WorkerID)              // closes the idle connections to a backend
-	Now      func() float64                      // the core's clock, in Unix ms; nil for the wall clock
-	Wall     func() time.Time                    // nil for the system's clock
-	Log      zerolog.Logger
+	Path      string // of the file; empty for none
+	Store     Store  // used in place of a file at Path, if set
+	OnList    func(balance.ListKind, []core.Entry)
+	Withhold  func(map[balance.WorkerID]struct{}) // has the core send nothing to these backends; in force when it returns
+	CloseIdle func(balance.WorkerID)              // closes the idle connections to a backend
+	Now       func() float64                      // the core's clock, in Unix ms; nil for the wall clock
+	WallClock func() time.Time                    // nil for the system's clock
+	Log       zerolog.Logger
 
 	mu    sync.Mutex
 	bans  maintenance.Bans
@@ -79,7 +79,7 @@
 	for i := range list {
 		in[i] = maintenance.Backend(list[i])
 	}
-	d.Told(kind, entries(d.bans.List(kind, in)))
+	d.OnList(kind, entries(d.bans.List(kind, in)))
 }
 
 func entries(list []maintenance.Backend) []core.Entry {
@@ -101,8 +101,8 @@
 // wall reads the system's wall clock, in Unix ms. It is used only for what another process reads, in a message or the file.
 func (d *Manager) wall() float64 {
 	read := time.Now
-	if d.Wall != nil {
-		read = d.Wall
+	if d.WallClock != nil {
+		read = d.WallClock
 	}
 	return float64(read().UnixMicro()) / 1000
 }
@@ -147,10 +147,10 @@
 	}
 	d.Withhold(held)
 	for id := range held {
-		d.HangUp(id)
+		d.CloseIdle(id)
 	}
 	if len(change) > 0 {
-		d.Told(balance.ListDelta, entries(change))
+		d.OnList(balance.ListDelta, entries(change))
 	}
 }
 
@@ -166,14 +166,14 @@
 
 // SetPolicyBans replaces the bans that come from the fleet's policy. When it returns, no further attempt is started at
 // the named backends.
-func (d *Manager) Policy(names []string) {
+func (d *Manager) SetPolicyBans(names []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.follow(d.bans.Policy(names))
 }
 
 // SetOutOfService stores whether the dispatcher is out of service.
-func (d *Manager) SetOut(out bool) error {
+func (d *Manager) SetOutOfService(out bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.out == out {
@@ -185,7 +185,7 @@
 
 // ShareWith makes every later change go to another process too, by send, which must not block for
 // long; nil ends that. It returns all marks so far.
-func (d *Manager) Share(tell func(maintenance.Mark)) []maintenance.Mark {
+func (d *Manager) ShareWith(tell func(maintenance.Mark)) []maintenance.Mark {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.share = tell
--- a/internal/network/maintain/maintain_test.go
+++ b/internal/network/maintain/maintain_test.go
@@ -26,14 +26,14 @@
 func newManager(path string) (*Manager, *bench) {
 	b := &bench{last: map[string]balance.State{}}
 	return &Manager{Path: path, Log: zerolog.Nop(),
-		Told: func(_ balance.ListKind, list []core.Entry) {
+		OnList: func(_ balance.ListKind, list []core.Entry) {
 			b.did = append(b.did, "told")
 			for i := range list {
 				b.last[list[i].Name] = list[i].State
 			}
 		},
-		Withhold: func(ids map[balance.WorkerID]struct{}) { b.did, b.held = append(b.did, "withheld"), ids },
-		HangUp:   func(balance.WorkerID) { b.did = append(b.did, "hung up") }}, b
+		Withhold:  func(ids map[balance.WorkerID]struct{}) { b.did, b.held = append(b.did, "withheld"), ids },
+		CloseIdle: func(balance.WorkerID) { b.did = append(b.did, "hung up") }}, b
 }
 
 func ready(names ...string) (list []core.Entry) {
@@ -55,7 +55,7 @@
 	assert.Equal(t, []string{"withheld", "hung up", "told"}, b.did)
 	assert.Contains(t, b.held, balance.WorkerID(platform.Hash("a")))
 	assert.Equal(t, balance.Draining, b.last["a"])
-	require.NoError(t, d.SetOut(true))
+	require.NoError(t, d.SetOutOfService(true))
 	files, err := filepath.Glob(filepath.Join(filepath.Dir(path), "*"))
 	require.NoError(t, err)
 	assert.Equal(t, []string{path, path + oldSuffix}, files, "two generations, and no incomplete file is left")
@@ -94,7 +94,7 @@
 	d.Listed(balance.ListFull, ready("a", "b"))
 	require.NoError(t, d.Offline("b"))
 	var told []maintenance.Mark
-	assert.Len(t, d.Share(func(m maintenance.Mark) { told = append(told, m) }), 1)
+	assert.Len(t, d.ShareWith(func(m maintenance.Mark) { told = append(told, m) }), 1)
 	require.NoError(t, d.Offline("a"))
 	require.Len(t, told, 1)
 	assert.Equal(t, "a", told[0].Name)
@@ -115,13 +115,13 @@
 			path := filepath.Join(t.TempDir(), "bans")
 			clocked := func(d *Manager, origin float64) {
 				d.Now = func() float64 { return mono + origin }
-				d.Wall = func() time.Time { return time.UnixMicro(int64(wall * 1000)) }
+				d.WallClock = func() time.Time { return time.UnixMicro(int64(wall * 1000)) }
 			}
 			d, b := newManager(path)
 			clocked(d, 0)
 			started := map[string]float64{}
-			told := d.Told
-			d.Told = func(kind balance.ListKind, list []core.Entry) {
+			told := d.OnList
+			d.OnList = func(kind balance.ListKind, list []core.Entry) {
 				told(kind, list)
 				for i := range list {
 					started[list[i].Name] = list[i].Started
@@ -143,7 +143,7 @@
 			mono, wall = mono+2000, wall+2000
 			next, _ := newManager(path)
 			clocked(next, 777_000) // its process started with another wall clock
-			next.Told = func(_ balance.ListKind, list []core.Entry) {
+			next.OnList = func(_ balance.ListKind, list []core.Entry) {
 				for i := range list {
 					started[list[i].Name] = list[i].Started
 				}
@@ -153,8 +153,8 @@
 			assert.InDelta(t, mono+777_000-2000, started["a"], 1, "by the file")
 			other, _ := newManager("")
 			clocked(other, -5000)
-			other.Told = next.Told
-			other.Merge(d.Share(func(maintenance.Mark) {}))
+			other.OnList = next.OnList
+			other.Merge(d.ShareWith(func(maintenance.Mark) {}))
 			other.Listed(balance.ListCached, ready("a"))
 			assert.InDelta(t, mono-5000-2000, started["a"], 1, "by a hand-over")
 		}
--- a/internal/network/maintain/store_test.go
+++ b/internal/network/maintain/store_test.go
@@ -85,7 +85,7 @@
 		d, _ := newManager(path)
 		d.Listed(balance.ListFull, ready("a", "b"))
 		require.NoError(t, d.Offline("a"))
-		require.NoError(t, d.SetOut(true)) // the former generation holds the ban as well
+		require.NoError(t, d.SetOutOfService(true)) // the former generation holds the ban as well
 		leave(path)
 		next, b := newManager(path)
 		next.Load()
--- a/internal/network/members/members.go
+++ b/internal/network/members/members.go
@@ -58,7 +58,7 @@
 }
 
 // DirectorList handles a list, or a failure, of the platform's director.
-func (s Source) Told(kind balance.ListKind, entries []core.Entry) {
+func (s Source) DirectorList(kind balance.ListKind, entries []core.Entry) {
 	if kind == balance.ListFailed {
 		s.Failed()
 		return
--- a/internal/network/mutate_test.go
+++ b/internal/network/mutate_test.go
@@ -67,14 +67,14 @@
 	names := &platform.Names{Classes: []string{"ingest"}, Keyed: []bool{true}, Limits: []time.Duration{5 * time.Second}, Columns: []string{"x0"}}
 	w := &deal{reqs: reqs, safe: safe, watched: watched, world: &world{t: t, count: &counters.Set{}, peers: map[string]*peer{}, refuse: map[string]bool{}, slow: map[string]time.Duration{}, made: map[string]int{}},
 		start: time.Now(), stop: make(chan struct{}), seen: map[string]int{}, calls: map[string]int{}, waiting: map[string]int{}, answers: map[string][]core.Answer{}}
-	w.pool = &Pool{Names: names, Count: w.count, Connect: 120 * time.Millisecond, Idle: 7 * time.Second, Most: 50, Dial: w.dial}
-	w.watch = &Director{Names: names, Count: w.count, Address: "d", Pace: Asked(10 * time.Second), Dial: w.dial, Stop: w.stop}
+	w.pool = &Pool{Names: names, Count: w.count, ConnectTimeout: 120 * time.Millisecond, IdleTimeout: 7 * time.Second, MaxConnections: 50, Dial: w.dial}
+	w.watch = &Director{Names: names, Count: w.count, Address: "d", Timings: PollTimings(10 * time.Second), Dial: w.dial, Stop: w.stop}
 	var err error
 	if w.core, err = core.New(s, w.pool, w.watch, w.count); err != nil {
 		t.Fatal(err)
 	}
-	w.watch.Told = w.core.Listed
-	w.watch.Start(41)
+	w.watch.OnList = w.core.Listed
+	w.watch.SetIndex(41)
 	w.core.Listed(balance.ListCached, list(balance.Ready, "s1", "s2"))
 	go w.core.Run(w.stop)
 	return w
--- a/internal/network/network_test.go
+++ b/internal/network/network_test.go
@@ -250,7 +250,7 @@
 	for room, want := range map[int]core.Ending{0: core.Unreached, 9: core.Unreached, whole - 1: core.Unreached, whole: core.Broken} {
 		synctest.Test(t, func(t *testing.T) {
 			near, far := net.Pipe()
-			p := &Pool{Names: &platform.Names{}, Count: &counters.Set{}, Connect: time.Second, Idle: time.Second, Most: 1}
+			p := &Pool{Names: &platform.Names{}, Count: &counters.Set{}, ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConnections: 1}
 			p.Dial = func(context.Context, string) (net.Conn, error) { return &brittle{near, room}, nil }
 			var got []core.Ending
 			x := &exchange{backend: &core.Backend{}, body: job.Body, until: time.Now().Add(time.Minute), id: job.ID,
--- a/internal/network/scenario_test.go
+++ b/internal/network/scenario_test.go
@@ -115,15 +115,15 @@
 		names := &platform.Names{Classes: []string{"ingest"}, Keyed: []bool{true}, Limits: []time.Duration{5 * time.Second}, Columns: []string{"x0"}}
 		w := &world{t: t, count: &counters.Set{}, peers: map[string]*peer{}, refuse: map[string]bool{},
 			slow: map[string]time.Duration{}, made: map[string]int{}}
-		w.pool = &Pool{Names: names, Count: w.count, Connect: 120 * time.Millisecond, Idle: 7 * time.Second, Most: most, Dial: w.dial}
+		w.pool = &Pool{Names: names, Count: w.count, ConnectTimeout: 120 * time.Millisecond, IdleTimeout: 7 * time.Second, MaxConnections: most, Dial: w.dial}
 		stop := make(chan struct{})
-		d := &Director{Names: names, Count: w.count, Address: "d", Pace: Asked(10 * time.Second), Dial: w.dial, Stop: stop}
+		d := &Director{Names: names, Count: w.count, Address: "d", Timings: PollTimings(10 * time.Second), Dial: w.dial, Stop: stop}
 		var err error
 		w.watch = d
 		w.core, err = core.New(s, w.pool, d, w.count)
 		require.NoError(t, err)
-		d.Told = w.core.Listed
-		d.Start(41)
+		d.OnList = w.core.Listed
+		d.SetIndex(41)
 		w.core.Listed(balance.ListCached, backends)
 		go w.core.Run(stop)
 		w.clients = &Clients{Names: names, Count: w.count, Core: w.core, MaxSessions: most, MaxJobSessions: 9, MaxBufferedBytes: 8 << 10, LongestDeadline: 5 * time.Second, Stats: func() string { return "counters" }}
--- a/internal/network/site_test.go
+++ b/internal/network/site_test.go
@@ -61,14 +61,14 @@
 		}
 		dial := func(ctx context.Context, address string) (net.Conn, error) { return at[address].Dial(ctx, address) }
 		count, stop := &counters.Set{}, make(chan struct{})
-		pool := &Pool{Names: names, Count: count, Connect: 120 * time.Millisecond, Idle: 7 * time.Second, Most: 64, Dial: dial}
-		dir := &Director{Names: names, Count: count, Address: "d", Pace: Pushed(), Dial: dial, Stop: stop}
+		pool := &Pool{Names: names, Count: count, ConnectTimeout: 120 * time.Millisecond, IdleTimeout: 7 * time.Second, MaxConnections: 64, Dial: dial}
+		dir := &Director{Names: names, Count: count, Address: "d", Timings: AgentTimings(), Dial: dial, Stop: stop}
 		if !pushed {
-			dir.Pace = Asked(s.terms.AskEvery)
+			dir.Timings = PollTimings(s.terms.AskEvery)
 		}
 		c, err := core.New(set, pool, dir, count)
 		require.NoError(t, err)
-		dir.Told = c.Listed
+		dir.OnList = c.Listed
 		go c.Run(stop)
 		dir.Subscribe()
 		s.clients = &Clients{Names: names, Count: count, Core: c, MaxSessions: 64, MaxJobSessions: 64, MaxBufferedBytes: 1 << 20, LongestDeadline: 5 * time.Second, Stats: func() string { return "" }}
--- a/internal/network/site_variants_test.go
+++ b/internal/network/site_variants_test.go
@@ -61,14 +61,14 @@
 		}
 		dial := func(ctx context.Context, address string) (net.Conn, error) { return ports[address].Dial(ctx, address) }
 		count, stop := &counters.Set{}, make(chan struct{})
-		pool := &Pool{Names: &cfg.Names, Count: count, Connect: millis(cfg.Settings.ConnectTimeout), Idle: cfg.ConnIdle * 7 / 10, Most: 64, Dial: dial}
-		dir := &Director{Names: &cfg.Names, Count: count, Address: cfg.Discovery, Pace: Pushed(), Dial: dial, Stop: stop}
+		pool := &Pool{Names: &cfg.Names, Count: count, ConnectTimeout: millis(cfg.Settings.ConnectTimeout), IdleTimeout: cfg.ConnIdle * 7 / 10, MaxConnections: 64, Dial: dial}
+		dir := &Director{Names: &cfg.Names, Count: count, Address: cfg.Discovery, Timings: AgentTimings(), Dial: dial, Stop: stop}
 		if cfg.Settings.Subscribe {
-			dir.Pace = Asked(millis(cfg.Settings.Rules.AskEvery))
+			dir.Timings = PollTimings(millis(cfg.Settings.Rules.AskEvery))
 		}
 		c, err := core.New(cfg.Settings, pool, dir, count)
 		require.NoError(t, err)
-		dir.Told = c.Listed
+		dir.OnList = c.Listed
 		go c.Run(stop)
 		dir.Subscribe()
 		s.clients = &Clients{Names: &cfg.Names, Count: count, Core: c, MaxSessions: 64, MaxJobSessions: 64, MaxBufferedBytes: 1 << 20, LongestDeadline: cfg.Longest(), Stats: func() string { return "" }}
