--- a/cmd/tinsail/accord.go
+++ b/cmd/tinsail/accord.go
@@ -16,8 +16,8 @@
 )
 
 // accordPlan is the plan of leases that the settings declare.
-func accordPlan(a *settings.Accord) leases.Plan {
-	return leases.Plan{Lease: millis(a.LeaseMS), Drift: a.Drift, Keep: a.Keep()}
+func accordPlan(a *settings.Accord) leases.LeaseConfig {
+	return leases.LeaseConfig{Lease: millis(a.LeaseMS), Drift: a.Drift, ContinueWhenCut: a.Keep()}
 }
 
 // accordName is what a dispatcher may be called: backends are told its name in a header.
--- a/cmd/tinsail/budgets.go
+++ b/cmd/tinsail/budgets.go
@@ -155,7 +155,7 @@
 func (f *fleetBudgets) plan(instances int, p *policy.Policy) budget.Plan {
 	b := *f.script.Load()
 	if p != nil {
-		b.Connections, b.Most, b.Reserve = p.Connections, p.Most, p.Reserve
+		b.Connections, b.Most, b.Reserve = p.Connections, p.MaxDispatchers, p.Reserve
 	}
 	return connectionsPlan(&b, instances)
 }
--- a/internal/fleet/accord/accord.go
+++ b/internal/fleet/accord/accord.go
@@ -29,23 +29,23 @@
 
 // Limits, each against a peer that sends too much.
 const (
-	MaxBody    = 64 << 10 // bytes of a policy
-	MaxName    = 64       // bytes of a dispatcher's name
-	MaxWhy     = 512      // bytes of a reason
-	MaxLessees = 4096     // lives that a keeper remembers; one beyond gets no lease
-	keptEnds   = 64       // ends of changes that a keeper remembers
-	keptDone   = 16       // decided changes that the log's state remembers
+	MaxBody         = 64 << 10 // bytes of a policy
+	MaxName         = 64       // bytes of a dispatcher's name
+	MaxReason       = 512      // bytes of a reason
+	MaxParticipants = 4096     // lives that a keeper remembers; one beyond gets no lease
+	keptEnds        = 64       // ends of changes that a keeper remembers
+	keptDone        = 16       // decided changes that the log's state remembers
 )
 
-// Plan is the accord as the settings declare it: the same at all dispatchers.
-type Plan struct {
-	Lease time.Duration // L, by the keeper's clock
-	Drift float64       // ρ: clocks run at rates within 1 ± ρ of real time
-	Keep  bool          // a dispatcher that is cut off goes on by the version it knew
+// LeaseConfig is the accord as the settings declare it: the same at all dispatchers.
+type LeaseConfig struct {
+	Lease           time.Duration // L, by the keeper's clock
+	Drift           float64       // ρ: clocks run at rates within 1 ± ρ of real time
+	ContinueWhenCut bool          // a dispatcher that is cut off goes on by the version it knew
 }
 
 // Check names the field that is out of range.
-func (p Plan) Check() error {
+func (p LeaseConfig) Check() error {
 	switch {
 	case p.Lease < 100*time.Millisecond || p.Lease > 10*time.Minute:
 		return errors.New("accord: lease is not between 100 ms and 10 min")
@@ -55,34 +55,34 @@
 	return nil
 }
 
-// Usable is D = L(1−ρ)/(1+ρ): how long after its ask a lessee may start by the lease, by its own clock.
-func (p Plan) Usable() time.Duration {
+// UsableLease is D = L(1−ρ)/(1+ρ): how long after its ask a lessee may start by the lease, by its own clock.
+func (p LeaseConfig) UsableLease() time.Duration {
 	return time.Duration(float64(p.Lease) * (1 - p.Drift) / (1 + p.Drift))
 }
 
-// Quiet is W = L(1+ρ)/(1−ρ), rounded up: how long a new leader decides nothing, by its own clock.
-func (p Plan) Quiet() time.Duration {
+// QuietPeriod is W = L(1+ρ)/(1−ρ), rounded up: how long a new leader decides nothing, by its own clock.
+func (p LeaseConfig) QuietPeriod() time.Duration {
 	return time.Duration(float64(p.Lease)*(1+p.Drift)/(1-p.Drift)) + 1
 }
 
 // Drain is d: how long what was taken may still begin after its dispatcher has stopped taking.
-func (p Plan) Drain() time.Duration { return p.Lease / 6 }
+func (p LeaseConfig) Drain() time.Duration { return p.Lease / 6 }
 
-// Renew is the time between a lessee's asks.
-func (p Plan) Renew() time.Duration { return p.Lease / 3 }
+// RenewInterval is the time between a lessee's asks.
+func (p LeaseConfig) RenewInterval() time.Duration { return p.Lease / 3 }
 
 // patience is how long a change may be checked before it is withdrawn.
-func (p Plan) patience() time.Duration { return 4 * p.Lease }
+func (p LeaseConfig) patience() time.Duration { return 4 * p.Lease }
 
-// Stance is what a lessee says of the change under way.
-type Stance uint8
+// Ack is what a lessee says of the change under way.
+type Ack uint8
 
 // Stances.
 const (
-	None     Stance = iota
-	Accepted        // its binary and configuration can take it
-	Refused         // they cannot: Why says for what
-	Ready           // it has stopped taking, and nothing begins by the old version any more
+	NoAck    Ack = iota
+	Accepted     // its binary and configuration can take it
+	Refused      // they cannot: Why says for what
+	Ready        // it has stopped taking, and nothing begins by the old version any more
 )
 
 // Stage is how far the change under way has come.
@@ -96,70 +96,70 @@
 	Deciding               // the entry was given to the log
 )
 
-// End is how a change ended.
-type End uint8
+// Result is how a change ended.
+type Result uint8
 
 // Ends.
 const (
-	Open      End = iota // it has not
-	InForce              // decided by a majority, and the version in force
-	Withdrawn            // nowhere, for ever
+	Undecided Result = iota // it has not
+	InForce                 // decided by a majority, and the version in force
+	Withdrawn               // nowhere, for ever
 )
 
 // Outcome is what became of a change or of a proposal.
 type Outcome struct {
-	ID       uint64
-	End      End
-	Who, Why string // of a withdrawal: who refused it and why
+	ID           uint64
+	Result       Result
+	Peer, Reason string // of a withdrawal: who refused it and why
 }
 
-// Ask is what a lessee sends to the leader, each Renew and whenever it has something to say.
-type Ask struct {
-	Peer    string
-	Epoch   uint64 // new with each start of the process
-	Seq     uint64 // counts the asks of an epoch from 1
-	Version uint64 // whose body it has and can take, 0 for none
-	Change  uint64 // that the stance is about, 0 for none
-	Stance  Stance
-	Why     string
-	Propose uint64 // id of its own proposal, 0 for none; sent again until its outcome is heard
-	Base    uint64 // the version that the proposal changes
-	Body    []byte // of the proposal
+// LeaseRequest is what a lessee sends to the leader, each Renew and whenever it has something to say.
+type LeaseRequest struct {
+	Peer        string
+	Epoch       uint64 // new with each start of the process
+	Seq         uint64 // counts the asks of an epoch from 1
+	Version     uint64 // whose body it has and can take, 0 for none
+	Change      uint64 // that the stance is about, 0 for none
+	Ack         Ack
+	Reason      string
+	Proposal    uint64 // id of its own proposal, 0 for none; sent again until its outcome is heard
+	BaseVersion uint64 // the version that the proposal changes
+	Body        []byte // of the proposal
 }
 
-// Answer is what a voter says to an ask.
-type Answer struct {
-	Peer       string
-	Epoch, Seq uint64 // of the ask
-	Leads      bool   // false: nothing but Leader means anything
-	Leader     string // who leads, if known
-	Term       uint64
-	Version    uint64 // decided last, 0 for none yet
-	Lent       bool   // this is a lease of Version
-	Body       []byte // of Version, where the ask's Version is another
-	Change     uint64 // under way, 0 for none
-	Stage      Stage
-	Next       uint64 // the version that Change would be
-	By         string // who proposed it
-	Draft      []byte // its body, where the ask has no stance on it
-	Ended      Outcome
-	Proposal   Outcome // of the ask's own proposal, once it is over
+// LeaseResponse is what a voter says to an ask.
+type LeaseResponse struct {
+	Peer            string
+	Epoch, Seq      uint64 // of the ask
+	IsLeader        bool   // false: nothing but Leader means anything
+	Leader          string // who leads, if known
+	Term            uint64
+	Version         uint64 // decided last, 0 for none yet
+	Granted         bool   // this is a lease of Version
+	Body            []byte // of Version, where the ask's Version is another
+	Change          uint64 // under way, 0 for none
+	Stage           Stage
+	NextVersion     uint64 // the version that Change would be
+	Proposer        string // who proposed it
+	NextBody        []byte // its body, where the ask has no stance on it
+	ChangeOutcome   Outcome
+	ProposalOutcome Outcome // of the ask's own proposal, once it is over
 }
 
-// Note is one step, for the log of the process that took it.
-type Note struct {
-	Step            string // as docs/design/accord.md names the events
-	Change, Version uint64
-	Base            uint64
-	By, Who, Why    string
-	Accepted        bool
-	Lapsed          int           // leases that were waited out
-	Took            time.Duration // waited to be ready, or from decided to in force
+// Event is one step, for the log of the process that took it.
+type Event struct {
+	Step                   string // as docs/design/accord.md names the events
+	Change, Version        uint64
+	BaseVersion            uint64
+	Proposer, Peer, Reason string
+	Accepted               bool
+	ExpiredLeases          int           // leases that were waited out
+	Elapsed                time.Duration // waited to be ready, or from decided to in force
 }
 
 func cut(s string) string {
-	if len(s) > MaxWhy {
-		return s[:MaxWhy]
+	if len(s) > MaxReason {
+		return s[:MaxReason]
 	}
 	return s
 }
--- a/internal/fleet/accord/lessee.go
+++ b/internal/fleet/accord/lessee.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Gate is what a lessee allows now. Times are of its own clock.
-type Gate struct {
-	Version  uint64 // that reqs are taken by, 0 for none
-	Take     Time   // a req may be taken before this
-	Start    Time   // an attempt of a req taken by Version may start before this; none of another version may
-	Lapsed   Time   // from here on what is taken is taken on no lease (keep alone); Never under stop
-	Refusing string // why no req is taken, where that was decided; empty while the lease alone limits
+// Admission is what a lessee allows now. Times are of its own clock.
+type Admission struct {
+	Version       uint64 // that reqs are taken by, 0 for none
+	AcceptUntil   Time   // a req may be taken before this
+	StartUntil    Time   // an attempt of a req taken by Version may start before this; none of another version may
+	UnleasedFrom  Time   // from here on what is taken is taken on no lease (keep alone); Never under stop
+	RefusalReason string // why no req is taken, where that was decided; empty while the lease alone limits
 }
 
 // Check is what the process must find out: whether its binary and configuration can take a body.
@@ -28,7 +28,7 @@
 	next   uint64
 	by     string
 	body   []byte
-	stance Stance
+	stance Ack
 	why    string
 }
 
@@ -42,9 +42,9 @@
 // ringed is how many asks are remembered: answers to older ones are ignored.
 const ringed = 16
 
-// Lessee is one dispatcher's side. Not for concurrent use.
-type Lessee struct {
-	plan  Plan
+// Participant is one dispatcher's side. Not for concurrent use.
+type Participant struct {
+	plan  LeaseConfig
 	peer  string
 	epoch uint64
 
@@ -57,7 +57,7 @@
 	version uint64 // whose body is held, checked and in force here
 	change  uint64 // that made it, where it was checked here as a draft; else 0
 	body    []byte
-	gate    Gate
+	gate    Admission
 	granted bool // a lease of version was had
 
 	draft    draft
@@ -75,53 +75,53 @@
 
 	checks []Check
 	enters bool
-	notes  []Note
+	notes  []Event
 }
 
-// NewLessee starts a dispatcher's side: it knows no version and takes nothing. epoch must be new
+// NewParticipant starts a dispatcher's side: it knows no version and takes nothing. epoch must be new
 // with each start of the process.
-func NewLessee(p Plan, peer string, epoch uint64) (*Lessee, error) {
+func NewParticipant(p LeaseConfig, peer string, epoch uint64) (*Participant, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
 	if peer == "" || len(peer) > MaxName {
 		return nil, errors.New("accord: the dispatcher's name has no byte or too many")
 	}
-	return &Lessee{plan: p, peer: peer, epoch: epoch, gate: Gate{Lapsed: Never}}, nil
+	return &Participant{plan: p, peer: peer, epoch: epoch, gate: Admission{UnleasedFrom: Never}}, nil
 }
 
-// Due returns the ask to send now, if one is.
-func (l *Lessee) Due(now Time) (Ask, bool) {
+// NextRequest returns the ask to send now, if one is.
+func (l *Participant) NextRequest(now Time) (LeaseRequest, bool) {
 	if now < l.due {
-		return Ask{}, false
+		return LeaseRequest{}, false
 	}
 	l.seq++
 	l.sent[l.seq%ringed] = now
-	l.due = now.Add(l.plan.Renew())
-	a := Ask{Peer: l.peer, Epoch: l.epoch, Seq: l.seq, Version: l.version}
-	if d := &l.draft; d.id != 0 && d.stance != None {
-		a.Change, a.Stance, a.Why = d.id, d.stance, d.why
+	l.due = now.Add(l.plan.RenewInterval())
+	a := LeaseRequest{Peer: l.peer, Epoch: l.epoch, Seq: l.seq, Version: l.version}
+	if d := &l.draft; d.id != 0 && d.stance != NoAck {
+		a.Change, a.Ack, a.Reason = d.id, d.stance, d.why
 	}
 	if l.fencing != 0 {
-		a.Change, a.Stance, a.Why = l.fencing, None, ""
+		a.Change, a.Ack, a.Reason = l.fencing, NoAck, ""
 		if l.closed {
-			a.Stance = Ready
+			a.Ack = Ready
 			if !l.said { // the keeper counts nothing more of what it lent for asks before this
 				l.said, l.floor = true, l.seq-1
 			}
 		}
 	}
 	if l.mine.id != 0 {
-		a.Propose, a.Base, a.Body = l.mine.id, l.mine.base, l.mine.body
+		a.Proposal, a.BaseVersion, a.Body = l.mine.id, l.mine.base, l.mine.body
 	}
 	return a, true
 }
 
-// Now makes the next ask due: a nudge came, or a new link.
-func (l *Lessee) Now() { l.due = 0 }
+// RequestNow makes the next ask due: a nudge came, or a new link.
+func (l *Participant) RequestNow() { l.due = 0 }
 
 // Propose proposes a body as the version after the one in force here. id must be new.
-func (l *Lessee) Propose(id uint64, body []byte) error {
+func (l *Participant) Propose(id uint64, body []byte) error {
 	switch {
 	case l.mine.id != 0:
 		return errors.New("a proposal of this dispatcher is under way")
@@ -132,14 +132,14 @@
 	}
 	l.lost = nil
 	l.mine = proposal{id: id, base: l.version, body: body}
-	l.note(Note{Step: "proposed", Version: l.version + 1, Base: l.version})
-	l.Now()
+	l.note(Event{Step: "proposed", Version: l.version + 1, BaseVersion: l.version})
+	l.RequestNow()
 	return nil
 }
 
-// Answered takes an answer. One that is late, told twice or for another life changes nothing.
-func (l *Lessee) Answered(now Time, a Answer) {
-	if a.Peer != l.peer || a.Epoch != l.epoch || !a.Leads || a.Seq <= l.answered || a.Seq > l.seq || l.seq-a.Seq >= ringed {
+// HandleResponse takes an answer. One that is late, told twice or for another life changes nothing.
+func (l *Participant) HandleResponse(now Time, a LeaseResponse) {
+	if a.Peer != l.peer || a.Epoch != l.epoch || !a.IsLeader || a.Seq <= l.answered || a.Seq > l.seq || l.seq-a.Seq >= ringed {
 		return
 	}
 	if a.Version < l.version {
@@ -151,37 +151,37 @@
 	if a.Version > l.version {
 		l.news(a)
 	}
-	if a.Lent && a.Version == l.version && a.Seq > l.floor {
+	if a.Granted && a.Version == l.version && a.Seq > l.floor {
 		l.lease(now, l.sent[a.Seq%ringed])
 	}
 	l.show(now)
 }
 
 // ends takes what became of changes.
-func (l *Lessee) ends(a Answer) {
-	if o := a.Proposal; o.ID != 0 && o.ID == l.mine.id && o.End != Open {
-		if o.End == Withdrawn && (l.mine.change == 0 || l.mine.change != l.draft.id) { // else told below, as a change
-			l.note(Note{Step: "withdrawn", Version: l.mine.base + 1, Who: o.Who, Why: o.Why})
+func (l *Participant) ends(a LeaseResponse) {
+	if o := a.ProposalOutcome; o.ID != 0 && o.ID == l.mine.id && o.Result != Undecided {
+		if o.Result == Withdrawn && (l.mine.change == 0 || l.mine.change != l.draft.id) { // else told below, as a change
+			l.note(Event{Step: "withdrawn", Version: l.mine.base + 1, Peer: o.Peer, Reason: o.Reason})
 		}
 		l.lost = nil
-		if o.End == Withdrawn {
+		if o.Result == Withdrawn {
 			l.lost = l.mine.body
 		}
 		l.mine = proposal{}
 	}
 	d := &l.draft
-	if d.id == 0 || a.Ended.ID != d.id || a.Ended.End == Open {
+	if d.id == 0 || a.ChangeOutcome.ID != d.id || a.ChangeOutcome.Result == Undecided {
 		return
 	}
-	if a.Ended.End == Withdrawn {
-		l.note(Note{Step: "withdrawn", Change: d.id, Version: d.next, By: d.by, Who: a.Ended.Who, Why: a.Ended.Why})
+	if a.ChangeOutcome.Result == Withdrawn {
+		l.note(Event{Step: "withdrawn", Change: d.id, Version: d.next, Proposer: d.by, Peer: a.ChangeOutcome.Peer, Reason: a.ChangeOutcome.Reason})
 		*d = draft{}
 	}
 }
 
 // stage takes how far the change under way has come.
-func (l *Lessee) stage(now Time, a Answer) {
-	if a.Change != 0 && a.By == l.peer && l.mine.id != 0 {
+func (l *Participant) stage(now Time, a LeaseResponse) {
+	if a.Change != 0 && a.Proposer == l.peer && l.mine.id != 0 {
 		l.mine.change = a.Change
 	}
 	if l.fencing != 0 && a.Change != l.fencing && a.Seq > l.floor {
@@ -189,26 +189,26 @@
 	}
 	switch a.Stage {
 	case Checking:
-		if l.draft.id != a.Change && a.Draft != nil {
-			l.draft = draft{id: a.Change, next: a.Next, by: a.By, body: a.Draft}
-			l.checks = append(l.checks, Check{Change: a.Change, Version: a.Next, Body: a.Draft})
+		if l.draft.id != a.Change && a.NextBody != nil {
+			l.draft = draft{id: a.Change, next: a.NextVersion, by: a.Proposer, body: a.NextBody}
+			l.checks = append(l.checks, Check{Change: a.Change, Version: a.NextVersion, Body: a.NextBody})
 		}
 	case Preparing, Deciding:
 		if l.fencing == a.Change {
 			return
 		}
 		l.fencing, l.fenced, l.closed, l.said, l.floor = a.Change, now, false, false, l.seq
-		l.gate.Take = 0
-		l.gate.Lapsed = Never
-		l.gate.Start = min(l.gate.Start, now.Add(l.plan.Drain()))
-		l.note(Note{Step: "preparing", Change: a.Change, Version: a.Next, By: a.By})
+		l.gate.AcceptUntil = 0
+		l.gate.UnleasedFrom = Never
+		l.gate.StartUntil = min(l.gate.StartUntil, now.Add(l.plan.Drain()))
+		l.note(Event{Step: "preparing", Change: a.Change, Version: a.NextVersion, Proposer: a.Proposer})
 	}
 }
 
 // news takes a version in force that is not held here: one that was checked as a draft is taken up, another
 // is checked first.
-func (l *Lessee) news(a Answer) {
-	l.gate, l.granted = Gate{Version: l.version, Lapsed: Never}, false // where it held still, it holds no more
+func (l *Participant) news(a LeaseResponse) {
+	l.gate, l.granted = Admission{Version: l.version, UnleasedFrom: Never}, false // where it held still, it holds no more
 	switch {
 	case l.draft.stance == Accepted && l.draft.next == a.Version && bytes.Equal(l.draft.body, a.Body):
 		l.adopt(a.Version, a.Body)
@@ -220,21 +220,21 @@
 
 // adopt makes a version the one held: what is taken from the next lease on is taken by it. The old
 // one is over here, whatever lease of it was had.
-func (l *Lessee) adopt(version uint64, body []byte) {
+func (l *Participant) adopt(version uint64, body []byte) {
 	l.change = 0
 	if l.draft.stance == Accepted && l.draft.next == version && bytes.Equal(l.draft.body, body) {
 		l.change = l.draft.id
 	}
 	l.version, l.body = version, body
-	l.gate = Gate{Version: version, Lapsed: Never}
+	l.gate = Admission{Version: version, UnleasedFrom: Never}
 	l.granted, l.checking, l.coming, l.refused = false, 0, nil, 0
 	l.draft, l.fencing, l.closed = draft{}, 0, false
 	l.floor = l.seq
-	l.Now()
+	l.RequestNow()
 }
 
-// Checked tells what a Check found; err is why the body cannot be taken.
-func (l *Lessee) Checked(now Time, c Check, err error) {
+// ReportCheck tells what a Check found; err is why the body cannot be taken.
+func (l *Participant) ReportCheck(now Time, c Check, err error) {
 	why := ""
 	if err != nil {
 		why = cut(err.Error())
@@ -248,68 +248,68 @@
 		if err != nil {
 			d.stance = Refused
 		}
-		l.note(Note{Step: "checked", Change: d.id, Version: d.next, By: d.by, Accepted: err == nil, Why: why})
+		l.note(Event{Step: "checked", Change: d.id, Version: d.next, Proposer: d.by, Accepted: err == nil, Reason: why})
 	case c.Version != l.checking:
 		return
 	case err != nil:
 		l.refused, l.checking, l.coming = c.Version, 0, nil
-		l.note(Note{Step: "cannot take", Version: c.Version, Why: why})
+		l.note(Event{Step: "cannot take", Version: c.Version, Reason: why})
 	default:
 		l.adopt(l.checking, l.coming)
 	}
-	l.Now()
+	l.RequestNow()
 	l.show(now)
 }
 
 // lease takes a grant of the version held, for an ask sent at a time.
-func (l *Lessee) lease(now, sent Time) {
-	until := sent.Add(l.plan.Usable())
-	if until <= l.gate.Start && l.gate.Take > 0 || now >= until {
+func (l *Participant) lease(now, sent Time) {
+	until := sent.Add(l.plan.UsableLease())
+	if until <= l.gate.StartUntil && l.gate.AcceptUntil > 0 || now >= until {
 		return
 	}
-	l.gate = Gate{Version: l.version, Take: until.Add(-l.plan.Drain()), Start: until, Lapsed: Never}
-	if l.plan.Keep {
-		l.gate.Lapsed = l.gate.Take
-		l.gate.Take, l.gate.Start = Never, Never
+	l.gate = Admission{Version: l.version, AcceptUntil: until.Add(-l.plan.Drain()), StartUntil: until, UnleasedFrom: Never}
+	if l.plan.ContinueWhenCut {
+		l.gate.UnleasedFrom = l.gate.AcceptUntil
+		l.gate.AcceptUntil, l.gate.StartUntil = Never, Never
 	}
 	if !l.granted {
 		l.granted, l.enters = true, true
-		l.note(Note{Step: "in force", Change: l.change, Version: l.version})
+		l.note(Event{Step: "in force", Change: l.change, Version: l.version})
 	}
 }
 
 // Tick lets time pass. waiting is how many reqs were taken by the version held and have begun
 // nowhere; with none left, or the drain over, a lessee that has stopped closes the version.
-func (l *Lessee) Tick(now Time, waiting int) {
+func (l *Participant) Tick(now Time, waiting int) {
 	if l.fencing != 0 && !l.closed && (waiting == 0 || now >= l.fenced.Add(l.plan.Drain())) {
 		l.closed = true
-		l.gate.Start = 0
-		l.note(Note{Step: "ready", Change: l.fencing, Version: l.version + 1, Took: time.Duration(now - l.fenced)})
-		l.Now()
+		l.gate.StartUntil = 0
+		l.note(Event{Step: "ready", Change: l.fencing, Version: l.version + 1, Elapsed: time.Duration(now - l.fenced)})
+		l.RequestNow()
 	}
-	if l.plan.Keep && l.granted && l.gate.Take == 0 && now >= max(l.fenced, l.heard).Add(l.plan.Lease) {
+	if l.plan.ContinueWhenCut && l.granted && l.gate.AcceptUntil == 0 && now >= max(l.fenced, l.heard).Add(l.plan.Lease) {
 		l.fencing, l.closed = 0, false // cut off since it was told to stop
-		l.gate = Gate{Version: l.version, Take: Never, Start: Never, Lapsed: now}
+		l.gate = Admission{Version: l.version, AcceptUntil: Never, StartUntil: Never, UnleasedFrom: now}
 	}
 	l.show(now)
 }
 
 // show notes when taking begins and ends.
-func (l *Lessee) show(now Time) {
-	serving := now < l.gate.Take
+func (l *Participant) show(now Time) {
+	serving := now < l.gate.AcceptUntil
 	if serving == l.serving {
 		return
 	}
 	l.serving = serving
 	if serving {
-		l.note(Note{Step: "serving", Version: l.version})
+		l.note(Event{Step: "serving", Version: l.version})
 		return
 	}
-	l.note(Note{Step: "fenced", Version: l.version, Why: l.Why()})
+	l.note(Event{Step: "fenced", Version: l.version, Reason: l.NotAcceptingReason()})
 }
 
-// Why says why nothing is taken, where nothing is.
-func (l *Lessee) Why() string {
+// NotAcceptingReason says why nothing is taken, where nothing is.
+func (l *Participant) NotAcceptingReason() string {
 	switch {
 	case l.fencing != 0:
 		return "preparing"
@@ -321,43 +321,43 @@
 	return "lease over"
 }
 
-// Gate is what is allowed now, until the next event.
-func (l *Lessee) Gate() Gate { return l.gate }
+// Admission is what is allowed now, until the next event.
+func (l *Participant) Admission() Admission { return l.gate }
 
 // Serving says whether reqs are taken, as of the last event.
-func (l *Lessee) Serving() bool { return l.serving }
+func (l *Participant) Serving() bool { return l.serving }
 
-// Held is the version held and its body, which is the lessee's.
-func (l *Lessee) Held() (uint64, []byte) { return l.version, l.body }
+// Current is the version held and its body, which is the lessee's.
+func (l *Participant) Current() (uint64, []byte) { return l.version, l.body }
 
-// Enter hands out the version held, once, at its first lease: the process puts it in force before it opens
+// TakeActivation hands out the version held, once, at its first lease: the process puts it in force before it opens
 // the gate to reqs.
-func (l *Lessee) Enter() (version uint64, body []byte, ok bool) {
+func (l *Participant) TakeActivation() (version uint64, body []byte, ok bool) {
 	ok, l.enters = l.enters, false
 	return l.version, l.body, ok
 }
 
-// Checks hands out what is to be checked; Checked takes what was found.
-func (l *Lessee) Checks() []Check {
+// TakeChecks hands out what is to be checked; Checked takes what was found.
+func (l *Participant) TakeChecks() []Check {
 	c := l.checks
 	l.checks = nil
 	return c
 }
 
-// Notes hands out what is to be logged.
-func (l *Lessee) Notes() []Note {
+// TakeEvents hands out what is to be logged.
+func (l *Participant) TakeEvents() []Event {
 	n := l.notes
 	l.notes = nil
 	return n
 }
 
-func (l *Lessee) note(n Note) { l.notes = append(l.notes, n) }
+func (l *Participant) note(n Event) { l.notes = append(l.notes, n) }
 
-// Retry has a version in force that could not be taken checked again: the configuration has changed.
-func (l *Lessee) Retry() { l.refused = 0 }
+// RetryCheck has a version in force that could not be taken checked again: the configuration has changed.
+func (l *Participant) RetryCheck() { l.refused = 0 }
 
-// Lost is the body of this dispatcher's last proposal where that was withdrawn, else nil.
-func (l *Lessee) Lost() []byte { return l.lost }
+// WithdrawnProposal is the body of this dispatcher's last proposal where that was withdrawn, else nil.
+func (l *Participant) WithdrawnProposal() []byte { return l.lost }
 
-// Proposing says whether a proposal of this dispatcher has no outcome yet.
-func (l *Lessee) Proposing() bool { return l.mine.id != 0 }
+// ProposalPending says whether a proposal of this dispatcher has no outcome yet.
+func (l *Participant) ProposalPending() bool { return l.mine.id != 0 }
--- a/internal/fleet/accord/mutate_test.go
+++ b/internal/fleet/accord/mutate_test.go
@@ -67,7 +67,7 @@
 type voterNode struct {
 	name   string
 	clock  accordClock
-	keeper *accord.Keeper // while it leads
+	keeper *accord.Leader // while it leads
 	state  accord.State
 	log    [][]byte
 	sentAt time.Duration
@@ -76,7 +76,7 @@
 }
 
 type lesseeNode struct {
-	*accord.Lessee
+	*accord.Participant
 	name   string
 	clock  accordClock
 	to     int // the voter that it asks
@@ -89,12 +89,12 @@
 
 const accordTick = 10 * time.Millisecond
 
-var accordPlan = accord.Plan{Lease: 300 * time.Millisecond, Drift: 0.05}
+var accordPlan = accord.LeaseConfig{Lease: 300 * time.Millisecond, Drift: 0.05}
 
 func (d *accordDay) setup(name string) mutate.Setup {
 	p := accordPlan
 	late := 2*p.Lease/3 + accordTick
-	named := 60*time.Millisecond + p.Quiet() + 5*p.Lease + p.Drain() // docs/design/accord.md, after faults end
+	named := 60*time.Millisecond + p.QuietPeriod() + 5*p.Lease + p.Drain() // docs/design/accord.md, after faults end
 	return mutate.Setup{Name: "accord " + name, Seed: 1, Build: d.build, Tick: accordTick, From: d.from, Faults: d.faults, Late: late,
 		Length: d.faults + late + time.Duration(float64(named)/(1-p.Drift)) + 2*accordTick, Steps: 20_000}
 }
@@ -110,7 +110,7 @@
 	for i := range 7 {
 		l := &lesseeNode{name: fmt.Sprintf("n%d", i), clock: clock()}
 		var err error
-		if l.Lessee, err = accord.NewLessee(accordPlan, l.name, 1000+uint64(i)); err != nil {
+		if l.Participant, err = accord.NewParticipant(accordPlan, l.name, 1000+uint64(i)); err != nil {
 			panic(err)
 		}
 		w.lessees = append(w.lessees, l)
@@ -134,13 +134,13 @@
 func (w *accordWorld) elect(now time.Duration, v *voterNode) {
 	v.state = accord.State{}
 	for _, p := range v.log {
-		if d, err := wire.ReadDecide(p); err == nil {
+		if d, err := wire.DecodeDecision(p); err == nil {
 			w.decide(d)
 			v.state.Apply(d)
 		}
 	}
 	w.term++
-	k, err := accord.NewKeeper(accordPlan, w.term, v.clock.at(now), v.state)
+	k, err := accord.NewLeader(accordPlan, w.term, v.clock.at(now), v.state)
 	if err != nil {
 		panic(err)
 	}
@@ -153,7 +153,7 @@
 }
 
 // decide notes an entry that is in force for ever.
-func (w *accordWorld) decide(d accord.Decide) {
+func (w *accordWorld) decide(d accord.Decision) {
 	was, ok := w.decided[d.Version]
 	switch {
 	case ok && was != string(d.Body):
@@ -239,8 +239,8 @@
 
 // lead does what the keeper asks for.
 func (w *accordWorld) lead(now time.Duration, v *voterNode) (out []mutate.Message) {
-	if d, ok := v.keeper.Submit(); ok {
-		v.log = append(v.log, wire.WriteDecide(d))
+	if d, ok := v.keeper.TakeDecision(); ok {
+		v.log = append(v.log, wire.EncodeDecision(d))
 		lose := w.day.decides && d.Version == 2 && w.lostAt == 0
 		if !lose || w.day.stored {
 			out = w.replicate(now, v)
@@ -250,14 +250,14 @@
 			return out
 		}
 	}
-	if v.keeper.Nudge() {
+	if v.keeper.TakePoll() {
 		for _, l := range w.lessees {
 			if w.voters[l.to] == v {
-				out = append(out, w.message(now, v.name, l.name, wire.WriteNudge())...)
+				out = append(out, w.message(now, v.name, l.name, wire.EncodePoll())...)
 			}
 		}
 	}
-	v.keeper.Notes()
+	v.keeper.TakeEvents()
 	return out
 }
 
@@ -268,32 +268,32 @@
 		switch {
 		case l.wait > 0 && w.rnd.IntN(3) == 0:
 			l.wait--
-		case t < l.Gate().Take && w.rnd.IntN(4) == 0:
+		case t < l.Admission().AcceptUntil && w.rnd.IntN(4) == 0:
 			l.wait++
 		}
 		w.propose(now, l)
 		if now >= l.heard+accordPlan.Lease/2 {
 			l.to, l.heard = (l.to+1)%3, now
-			l.Now()
+			l.RequestNow()
 		}
 	}
 	l.Tick(t, l.wait)
-	for _, c := range l.Checks() {
+	for _, c := range l.TakeChecks() {
 		var err error
 		if l.name == "n6" && strings.HasPrefix(string(c.Body), "odd") {
 			err = errors.New("an unknown key")
 		}
-		l.Checked(t, c, err)
+		l.ReportCheck(t, c, err)
 	}
-	if v, body, ok := l.Enter(); ok && w.decided[v] != string(body) {
+	if v, body, ok := l.TakeActivation(); ok && w.decided[v] != string(body) {
 		w.fail("%s puts version %d in force as %q, which is decided as %q", l.name, v, body, w.decided[v])
 	}
-	l.Notes()
+	l.TakeEvents()
 	if now < l.pause {
 		return nil
 	}
-	if a, due := l.Due(t); due {
-		out = w.message(now, l.name, w.voters[l.to].name, wire.WriteAsk(a))
+	if a, due := l.NextRequest(t); due {
+		out = w.message(now, l.name, w.voters[l.to].name, wire.EncodeLeaseRequest(a))
 	}
 	return out
 }
@@ -305,7 +305,7 @@
 		if p.node != l.name {
 			continue
 		}
-		if n++; n > l.made && now >= p.at && !l.Proposing() {
+		if n++; n > l.made && now >= p.at && !l.ProposalPending() {
 			l.made++
 			w.proposed[p.body] = true
 			if err := l.Propose(accord.ProposalBit|uint64(i+1)<<32|w.rnd.Uint64N(1<<32), []byte(p.body)); err != nil {
@@ -324,33 +324,33 @@
 		return w.asked(now, v, m)
 	}
 	l := w.lessees[m.To[1]-'0']
-	msg, err := wire.Read(m.Bytes)
+	msg, err := wire.Decode(m.Bytes)
 	if err != nil {
 		return nil
 	}
 	switch {
-	case msg.Nudge:
-		l.Now()
-	case msg.Answer == nil || !msg.Answer.Leads && m.From != w.voters[l.to].name:
+	case msg.Poll:
+		l.RequestNow()
+	case msg.LeaseResponse == nil || !msg.LeaseResponse.IsLeader && m.From != w.voters[l.to].name:
 		return nil
-	case !msg.Answer.Leads:
+	case !msg.LeaseResponse.IsLeader:
 		l.heard = now
-		if next := slices.IndexFunc(w.voters, func(v *voterNode) bool { return v.name == msg.Answer.Leader }); next >= 0 {
+		if next := slices.IndexFunc(w.voters, func(v *voterNode) bool { return v.name == msg.LeaseResponse.Leader }); next >= 0 {
 			l.to = next
 		} else {
 			l.to, l.pause = (l.to+1)%3, now+20*time.Millisecond
 		}
-		l.Now()
+		l.RequestNow()
 	default: // of a link given up as well: a process that was stopped reads what waits before it looks at its clock
 		l.heard = now
-		l.Answered(l.clock.at(now), *msg.Answer)
+		l.HandleResponse(l.clock.at(now), *msg.LeaseResponse)
 	}
 	return w.turn(now, l, false)
 }
 
 // store is a voter that gets an entry. What is no entry at all is not taken for one: raft's streams are apart.
 func (w *accordWorld) store(now time.Duration, v *voterNode, m mutate.Message) []mutate.Message {
-	if _, err := wire.Read(m.Bytes); err == nil {
+	if _, err := wire.Decode(m.Bytes); err == nil {
 		return nil
 	}
 	from := w.voters[m.From[1]-'0']
@@ -359,13 +359,13 @@
 		return nil
 	}
 	v.log = append(v.log, m.Bytes)
-	if _, err := wire.ReadDecide(m.Bytes); err != nil {
+	if _, err := wire.DecodeDecision(m.Bytes); err != nil {
 		v.dead = true
 	}
 	if from != w.leader || len(v.log) <= int(w.leader.state.Version) {
 		return nil
 	}
-	d, err := wire.ReadDecide(from.log[len(v.log)-1])
+	d, err := wire.DecodeDecision(from.log[len(v.log)-1])
 	if err != nil {
 		panic(err)
 	}
@@ -377,19 +377,19 @@
 
 // asked is a voter that gets an ask: only one that a majority hears speaks as the leader.
 func (w *accordWorld) asked(now time.Duration, v *voterNode, m mutate.Message) []mutate.Message {
-	msg, err := wire.Read(m.Bytes)
-	if err != nil || msg.Ask == nil || v.dead {
+	msg, err := wire.Decode(m.Bytes)
+	if err != nil || msg.LeaseRequest == nil || v.dead {
 		return nil
 	}
 	if v != w.leader {
-		a := accord.Answer{Peer: msg.Ask.Peer, Epoch: msg.Ask.Epoch, Seq: msg.Ask.Seq}
+		a := accord.LeaseResponse{Peer: msg.LeaseRequest.Peer, Epoch: msg.LeaseRequest.Epoch, Seq: msg.LeaseRequest.Seq}
 		if w.leader != nil && !v.apart {
 			a.Leader = w.leader.name
 		}
-		return w.message(now, v.name, m.From, wire.WriteAnswer(a))
+		return w.message(now, v.name, m.From, wire.EncodeLeaseResponse(a))
 	}
-	a := v.keeper.Take(v.clock.at(now), *msg.Ask)
-	out := w.message(now, v.name, m.From, wire.WriteAnswer(a))
+	a := v.keeper.Handle(v.clock.at(now), *msg.LeaseRequest)
+	out := w.message(now, v.name, m.From, wire.EncodeLeaseResponse(a))
 	return append(out, w.lead(now, v)...)
 }
 
@@ -398,7 +398,7 @@
 func (w *accordWorld) Check(now time.Duration) error {
 	by, who := uint64(0), ""
 	for _, l := range w.lessees {
-		v, body := l.Held()
+		v, body := l.Current()
 		if is, ok := w.decided[v]; v > 0 && (!ok || is != string(body)) {
 			return fmt.Errorf("%s holds version %d as %q, which is decided as %q", l.name, v, body, is)
 		}
@@ -406,8 +406,8 @@
 			return fmt.Errorf("%s went from version %d back to %d", l.name, l.newest, v)
 		}
 		l.newest = v
-		g, t := l.Gate(), l.clock.at(now)
-		if t >= g.Take && t >= g.Start {
+		g, t := l.Admission(), l.clock.at(now)
+		if t >= g.AcceptUntil && t >= g.StartUntil {
 			continue
 		}
 		if by != 0 && by != g.Version {
@@ -425,16 +425,16 @@
 		return fmt.Errorf("decided last is version %d, %q", last, w.decided[last])
 	}
 	for _, l := range w.lessees {
-		switch v, _ := l.Held(); {
+		switch v, _ := l.Current(); {
 		case v != last:
 			return fmt.Errorf("%s holds version %d, and %d is decided", l.name, v, last)
-		case l.clock.at(now) >= l.Gate().Take:
-			return fmt.Errorf("%s takes nothing: %s", l.name, l.Why())
-		case l.Proposing():
+		case l.clock.at(now) >= l.Admission().AcceptUntil:
+			return fmt.Errorf("%s takes nothing: %s", l.name, l.NotAcceptingReason())
+		case l.ProposalPending():
 			return fmt.Errorf("%s knows no outcome of its proposal", l.name)
 		}
 	}
-	if v := w.leader; v == nil || v.keeper.Next(v.clock.at(now)) != accord.Never {
+	if v := w.leader; v == nil || v.keeper.NextTick(v.clock.at(now)) != accord.Never {
 		return errors.New("no leader, or a change is under way still")
 	}
 	return nil
--- a/internal/fleet/accord/wire/lend.go
+++ b/internal/fleet/accord/wire/lend.go
@@ -11,13 +11,13 @@
 // MaxUnits is the most that is wanted or lent: no budget is larger.
 const MaxUnits = 1_000_000
 
-// Want is a dispatcher's ask for its share of a budget, and Lent the leader's answer to it.
+// BudgetRequest is a dispatcher's ask for its share of a budget, and BudgetGrant the leader's answer to it.
 type (
-	Want struct {
-		Budget string
-		Ask    budget.Ask
+	BudgetRequest struct {
+		Budget  string
+		Request budget.Ask
 	}
-	Lent struct {
+	BudgetGrant struct {
 		Budget string
 		Grant  budget.Grant
 	}
@@ -44,17 +44,17 @@
 	Of     uint64 `msgpack:"of"`
 }
 
-// WriteWant is the bytes of an ask for a share.
-func WriteWant(w Want) []byte {
-	return frames.Encode(&want{Format, kindWant, w.Budget, w.Ask.Peer, w.Ask.Epoch, w.Ask.Seq, uint64(max(w.Ask.Want, 0))})
+// EncodeBudgetRequest is the bytes of an ask for a share.
+func EncodeBudgetRequest(w BudgetRequest) []byte {
+	return frames.Encode(&want{Format, kindWant, w.Budget, w.Request.Peer, w.Request.Epoch, w.Request.Seq, uint64(max(w.Request.Want, 0))})
 }
 
-// WriteLent is the bytes of its answer.
-func WriteLent(l Lent) []byte {
+// EncodeBudgetGrant is the bytes of its answer.
+func EncodeBudgetGrant(l BudgetGrant) []byte {
 	return frames.Encode(&lent{Format, kindLent, l.Budget, l.Grant.Peer, l.Grant.Epoch, l.Grant.Seq, uint64(max(l.Grant.Units, 0)), uint64(max(l.Grant.Of, 0))})
 }
 
-func readWant(p []byte) (*Want, error) {
+func readWant(p []byte) (*BudgetRequest, error) {
 	var w want
 	if err := frames.Decode(p, &w); err != nil {
 		return nil, err
@@ -62,10 +62,10 @@
 	if w.Units > MaxUnits || badName(w.Budget) || badName(w.Peer) {
 		return nil, fmt.Errorf("%w: an ask for a share is out of range", ErrMessage)
 	}
-	return &Want{w.Budget, budget.Ask{Peer: w.Peer, Epoch: w.Epoch, Seq: w.Seq, Want: int(w.Units)}}, nil
+	return &BudgetRequest{w.Budget, budget.Ask{Peer: w.Peer, Epoch: w.Epoch, Seq: w.Seq, Want: int(w.Units)}}, nil
 }
 
-func readLent(p []byte) (*Lent, error) {
+func readLent(p []byte) (*BudgetGrant, error) {
 	var l lent
 	if err := frames.Decode(p, &l); err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 	if l.Units > MaxUnits || l.Of > MaxUnits || badName(l.Budget) || badName(l.Peer) {
 		return nil, fmt.Errorf("%w: a share is out of range", ErrMessage)
 	}
-	return &Lent{l.Budget, budget.Grant{Peer: l.Peer, Epoch: l.Epoch, Seq: l.Seq, Units: int(l.Units), Of: int(l.Of)}}, nil
+	return &BudgetGrant{l.Budget, budget.Grant{Peer: l.Peer, Epoch: l.Epoch, Seq: l.Seq, Units: int(l.Units), Of: int(l.Of)}}, nil
 }
 
 func badName(name string) bool { return name == "" || len(name) > accord.MaxName }
--- a/internal/fleet/accord/wire/wire.go
+++ b/internal/fleet/accord/wire/wire.go
@@ -24,15 +24,15 @@
 const MaxFrame = 2*accord.MaxBody + 8<<10
 
 // ErrMessage is wrapped by every fault of a message.
-var ErrMessage = frames.Err
+var ErrMessage = frames.ErrMessage
 
 // Message is one message: the one of its parts that is there.
 type Message struct {
-	Ask    *accord.Ask
-	Answer *accord.Answer
-	Nudge  bool
-	Want   *Want
-	Lent   *Lent
+	LeaseRequest  *accord.LeaseRequest
+	LeaseResponse *accord.LeaseResponse
+	Poll          bool
+	BudgetRequest *BudgetRequest
+	BudgetGrant   *BudgetGrant
 }
 
 type ask struct {
@@ -116,61 +116,61 @@
 	kindLent   = "lent"
 )
 
-// WriteAsk is the bytes of an ask.
-func WriteAsk(a accord.Ask) []byte {
-	return frames.Encode(&ask{Format, kindAsk, a.Peer, a.Epoch, a.Seq, a.Version, a.Change, uint8(a.Stance), a.Why, a.Propose, a.Base, a.Body})
+// EncodeLeaseRequest is the bytes of an ask.
+func EncodeLeaseRequest(a accord.LeaseRequest) []byte {
+	return frames.Encode(&ask{Format, kindAsk, a.Peer, a.Epoch, a.Seq, a.Version, a.Change, uint8(a.Ack), a.Reason, a.Proposal, a.BaseVersion, a.Body})
 }
 
-// WriteAnswer is the bytes of an answer.
-func WriteAnswer(a accord.Answer) []byte {
-	return frames.Encode(&answer{Format, kindAnswer, a.Peer, a.Epoch, a.Seq, a.Leads, a.Leader, a.Term, a.Version, a.Lent, a.Body,
-		a.Change, uint8(a.Stage), a.Next, a.By, a.Draft, fromOutcome(a.Ended), fromOutcome(a.Proposal)})
+// EncodeLeaseResponse is the bytes of an answer.
+func EncodeLeaseResponse(a accord.LeaseResponse) []byte {
+	return frames.Encode(&answer{Format, kindAnswer, a.Peer, a.Epoch, a.Seq, a.IsLeader, a.Leader, a.Term, a.Version, a.Granted, a.Body,
+		a.Change, uint8(a.Stage), a.NextVersion, a.Proposer, a.NextBody, fromOutcome(a.ChangeOutcome), fromOutcome(a.ProposalOutcome)})
 }
 
-// WriteNudge is the bytes of a nudge.
-func WriteNudge() []byte { return frames.Encode(&frames.Head{F: Format, Kind: kindNudge}) }
+// EncodePoll is the bytes of a nudge.
+func EncodePoll() []byte { return frames.Encode(&frames.Header{Format: Format, Kind: kindNudge}) }
 
-func fromOutcome(o accord.Outcome) outcome { return outcome{o.ID, uint8(o.End), o.Who, o.Why} }
+func fromOutcome(o accord.Outcome) outcome { return outcome{o.ID, uint8(o.Result), o.Peer, o.Reason} }
 
 func (o outcome) to() (accord.Outcome, error) {
-	if o.End > uint8(accord.Withdrawn) || len(o.Who) > accord.MaxName || len(o.Why) > accord.MaxWhy {
+	if o.End > uint8(accord.Withdrawn) || len(o.Who) > accord.MaxName || len(o.Why) > accord.MaxReason {
 		return accord.Outcome{}, fmt.Errorf("%w: an outcome is out of range", ErrMessage)
 	}
-	return accord.Outcome{ID: o.ID, End: accord.End(o.End), Who: o.Who, Why: o.Why}, nil
+	return accord.Outcome{ID: o.ID, Result: accord.Result(o.End), Peer: o.Who, Reason: o.Why}, nil
 }
 
-// Read reads a message of a link. Its error wraps ErrMessage; the link is of no use after one.
-func Read(p []byte) (m Message, err error) {
+// Decode reads a message of a link. Its error wraps ErrMessage; the link is of no use after one.
+func Decode(p []byte) (m Message, err error) {
 	if len(p) > MaxFrame {
 		return m, fmt.Errorf("%w: %d bytes, at most %d", ErrMessage, len(p), MaxFrame)
 	}
-	if p, err = frames.Unseal(p); err != nil {
+	if p, err = frames.StripChecksum(p); err != nil {
 		return m, err
 	}
 	switch kind, err := frames.Kind(p, Format); {
 	case err != nil:
 		return m, err
 	case kind == kindAsk:
-		m.Ask, err = readAsk(p)
+		m.LeaseRequest, err = readAsk(p)
 		return m, err
 	case kind == kindAnswer:
-		m.Answer, err = readAnswer(p)
+		m.LeaseResponse, err = readAnswer(p)
 		return m, err
 	case kind == kindWant:
-		m.Want, err = readWant(p)
+		m.BudgetRequest, err = readWant(p)
 		return m, err
 	case kind == kindLent:
-		m.Lent, err = readLent(p)
+		m.BudgetGrant, err = readLent(p)
 		return m, err
 	case kind == kindNudge:
-		m.Nudge = true
-		return m, frames.Decode(p, &frames.Head{})
+		m.Poll = true
+		return m, frames.Decode(p, &frames.Header{})
 	default:
 		return m, fmt.Errorf("%w: kind %q", ErrMessage, kind)
 	}
 }
 
-func readAsk(p []byte) (*accord.Ask, error) {
+func readAsk(p []byte) (*accord.LeaseRequest, error) {
 	var a ask
 	if err := frames.Decode(p, &a); err != nil {
 		return nil, err
@@ -180,14 +180,14 @@
 		return nil, fmt.Errorf("%w: a peer's name of %d bytes", ErrMessage, len(a.Peer))
 	case a.Stance > uint8(accord.Ready):
 		return nil, fmt.Errorf("%w: stance %d", ErrMessage, a.Stance)
-	case len(a.Why) > accord.MaxWhy || len(a.Body) > accord.MaxBody:
+	case len(a.Why) > accord.MaxReason || len(a.Body) > accord.MaxBody:
 		return nil, fmt.Errorf("%w: a reason or a body that is too long", ErrMessage)
 	}
-	return &accord.Ask{Peer: a.Peer, Epoch: a.Epoch, Seq: a.Seq, Version: a.Version, Change: a.Change, Stance: accord.Stance(a.Stance),
-		Why: a.Why, Propose: a.Propose, Base: a.Base, Body: a.Body}, nil
+	return &accord.LeaseRequest{Peer: a.Peer, Epoch: a.Epoch, Seq: a.Seq, Version: a.Version, Change: a.Change, Ack: accord.Ack(a.Stance),
+		Reason: a.Why, Proposal: a.Propose, BaseVersion: a.Base, Body: a.Body}, nil
 }
 
-func readAnswer(p []byte) (*accord.Answer, error) {
+func readAnswer(p []byte) (*accord.LeaseResponse, error) {
 	var a answer
 	if err := frames.Decode(p, &a); err != nil {
 		return nil, err
@@ -204,20 +204,20 @@
 	if err != nil {
 		return nil, err
 	}
-	return &accord.Answer{Peer: a.Peer, Epoch: a.Epoch, Seq: a.Seq, Leads: a.Leads, Leader: a.Leader, Term: a.Term, Version: a.Version,
-		Lent: a.Lent, Body: a.Body, Change: a.Change, Stage: accord.Stage(a.Stage), Next: a.Next, By: a.By, Draft: a.Draft,
-		Ended: ended, Proposal: proposal}, nil
+	return &accord.LeaseResponse{Peer: a.Peer, Epoch: a.Epoch, Seq: a.Seq, IsLeader: a.Leads, Leader: a.Leader, Term: a.Term, Version: a.Version,
+		Granted: a.Lent, Body: a.Body, Change: a.Change, Stage: accord.Stage(a.Stage), NextVersion: a.Next, Proposer: a.By, NextBody: a.Draft,
+		ChangeOutcome: ended, ProposalOutcome: proposal}, nil
 }
 
-// WriteDecide is the bytes of an entry of the log, ReadDecide their reading.
-func WriteDecide(d accord.Decide) []byte {
-	return frames.Encode(&decide{Format, kindDecide, d.Change, d.Proposal, d.Version, d.By, d.Body})
+// EncodeDecision is the bytes of an entry of the log, ReadDecide their reading.
+func EncodeDecision(d accord.Decision) []byte {
+	return frames.Encode(&decide{Format, kindDecide, d.Change, d.Proposal, d.Version, d.Proposer, d.Body})
 }
 
 // stored is the map of an entry or a snapshot of a voter's disk, which may be of the format before the sum.
 func stored(p []byte, want string) ([]byte, error) {
 	format := uint64(unsummed)
-	if m, err := frames.Unseal(p); err == nil {
+	if m, err := frames.StripChecksum(p); err == nil {
 		p, format = m, Format
 	}
 	if kind, err := frames.Kind(p, format); err != nil || kind != want {
@@ -226,30 +226,30 @@
 	return p, nil
 }
 
-// ReadDecide reads an entry of the log. Its error wraps ErrMessage.
-func ReadDecide(p []byte) (accord.Decide, error) {
+// DecodeDecision reads an entry of the log. Its error wraps ErrMessage.
+func DecodeDecision(p []byte) (accord.Decision, error) {
 	var d decide
 	p, err := stored(p, kindDecide)
 	if err == nil {
 		err = frames.Decode(p, &d)
 	}
 	if err != nil {
-		return accord.Decide{}, err
+		return accord.Decision{}, err
 	}
-	return accord.Decide{Change: d.Change, Proposal: d.Proposal, Version: d.Version, By: d.By, Body: d.Body}, nil
+	return accord.Decision{Change: d.Change, Proposal: d.Proposal, Version: d.Version, Proposer: d.By, Body: d.Body}, nil
 }
 
-// WriteState is the bytes of a snapshot of the log.
-func WriteState(s accord.State) []byte {
-	out := state{Format, kindState, s.Version, s.Change, s.Proposal, s.By, s.Body, nil}
-	for _, d := range s.Done {
+// EncodeState is the bytes of a snapshot of the log.
+func EncodeState(s accord.State) []byte {
+	out := state{Format, kindState, s.Version, s.Change, s.Proposal, s.Proposer, s.Body, nil}
+	for _, d := range s.Recent {
 		out.Done = append(out.Done, done(d))
 	}
 	return frames.Encode(&out)
 }
 
-// ReadState reads a snapshot. Its error wraps ErrMessage.
-func ReadState(p []byte) (accord.State, error) {
+// DecodeState reads a snapshot. Its error wraps ErrMessage.
+func DecodeState(p []byte) (accord.State, error) {
 	var s state
 	p, err := stored(p, kindState)
 	if err == nil {
@@ -258,9 +258,9 @@
 	if err != nil {
 		return accord.State{}, err
 	}
-	out := accord.State{Version: s.Version, Change: s.Change, Proposal: s.Proposal, By: s.By, Body: s.Body}
+	out := accord.State{Version: s.Version, Change: s.Change, Proposal: s.Proposal, Proposer: s.By, Body: s.Body}
 	for _, d := range s.Done {
-		out.Done = append(out.Done, accord.Decided(d))
+		out.Recent = append(out.Recent, accord.DecisionID(d))
 	}
 	return out, nil
 }
@@ -268,11 +268,11 @@
 // Frame puts a message's length before it.
 func Frame(p []byte) []byte { return frames.Frame(p) }
 
-// Next reads one framed message from a link. A longer one than MaxFrame is not read.
-func Next(r io.Reader) (Message, error) {
-	p, err := frames.Next(r, MaxFrame)
+// ReadMessage reads one framed message from a link. A longer one than MaxFrame is not read.
+func ReadMessage(r io.Reader) (Message, error) {
+	p, err := frames.ReadFrame(r, MaxFrame)
 	if err != nil {
 		return Message{}, err
 	}
-	return Read(p)
+	return Decode(p)
 }
--- a/internal/fleet/accord/wire/wire_test.go
+++ b/internal/fleet/accord/wire/wire_test.go
@@ -15,38 +15,38 @@
 )
 
 var (
-	anAsk = accord.Ask{Peer: "n3", Epoch: 7 << 60, Seq: 2, Version: 4, Change: 65537, Stance: accord.Refused, Why: "unknown key",
-		Propose: accord.ProposalBit | 9, Base: 4, Body: []byte(`{"connections":20}`)}
-	anAnswer = accord.Answer{Peer: "n3", Epoch: 7, Seq: 2, Leads: true, Leader: "n0", Term: 3, Version: 4, Lent: true, Body: []byte("x"),
-		Change: 65537, Stage: accord.Preparing, Next: 5, By: "n1", Draft: []byte("y"),
-		Ended: accord.Outcome{ID: 1, End: accord.Withdrawn, Who: "n2", Why: "no"}, Proposal: accord.Outcome{ID: 2, End: accord.InForce}}
+	anAsk = accord.LeaseRequest{Peer: "n3", Epoch: 7 << 60, Seq: 2, Version: 4, Change: 65537, Ack: accord.Refused, Reason: "unknown key",
+		Proposal: accord.ProposalBit | 9, BaseVersion: 4, Body: []byte(`{"connections":20}`)}
+	anAnswer = accord.LeaseResponse{Peer: "n3", Epoch: 7, Seq: 2, IsLeader: true, Leader: "n0", Term: 3, Version: 4, Granted: true, Body: []byte("x"),
+		Change: 65537, Stage: accord.Preparing, NextVersion: 5, Proposer: "n1", NextBody: []byte("y"),
+		ChangeOutcome: accord.Outcome{ID: 1, Result: accord.Withdrawn, Peer: "n2", Reason: "no"}, ProposalOutcome: accord.Outcome{ID: 2, Result: accord.InForce}}
 )
 
 func TestRoundTrips(t *testing.T) {
-	m, err := Read(WriteAsk(anAsk))
+	m, err := Decode(EncodeLeaseRequest(anAsk))
 	require.NoError(t, err)
-	assert.Equal(t, Message{Ask: &anAsk}, m)
-	m, err = Next(bytes.NewReader(Frame(WriteAnswer(anAnswer))))
+	assert.Equal(t, Message{LeaseRequest: &anAsk}, m)
+	m, err = ReadMessage(bytes.NewReader(Frame(EncodeLeaseResponse(anAnswer))))
 	require.NoError(t, err)
-	assert.Equal(t, Message{Answer: &anAnswer}, m)
-	m, err = Read(WriteNudge())
+	assert.Equal(t, Message{LeaseResponse: &anAnswer}, m)
+	m, err = Decode(EncodePoll())
 	require.NoError(t, err)
-	assert.Equal(t, Message{Nudge: true}, m)
-	w := Want{"connections", budget.Ask{Peer: "n3", Epoch: 7, Seq: 2, Want: 480}}
-	m, err = Read(WriteWant(w))
+	assert.Equal(t, Message{Poll: true}, m)
+	w := BudgetRequest{"connections", budget.Ask{Peer: "n3", Epoch: 7, Seq: 2, Want: 480}}
+	m, err = Decode(EncodeBudgetRequest(w))
 	require.NoError(t, err)
-	assert.Equal(t, Message{Want: &w}, m)
-	l := Lent{"connections", budget.Grant{Peer: "n3", Epoch: 7, Seq: 2, Units: 48, Of: 600}}
-	m, err = Read(WriteLent(l))
+	assert.Equal(t, Message{BudgetRequest: &w}, m)
+	l := BudgetGrant{"connections", budget.Grant{Peer: "n3", Epoch: 7, Seq: 2, Units: 48, Of: 600}}
+	m, err = Decode(EncodeBudgetGrant(l))
 	require.NoError(t, err)
-	assert.Equal(t, Message{Lent: &l}, m)
-	d := accord.Decide{Change: 1, Proposal: 2, Version: 3, By: "n1", Body: []byte("b")}
-	got, err := ReadDecide(WriteDecide(d))
+	assert.Equal(t, Message{BudgetGrant: &l}, m)
+	d := accord.Decision{Change: 1, Proposal: 2, Version: 3, Proposer: "n1", Body: []byte("b")}
+	got, err := DecodeDecision(EncodeDecision(d))
 	require.NoError(t, err)
 	assert.Equal(t, d, got)
 	var s accord.State
-	s.Apply(accord.Decide{Change: 1, Proposal: 2, Version: 1, By: "n1", Body: []byte("b")})
-	back, err := ReadState(WriteState(s))
+	s.Apply(accord.Decision{Change: 1, Proposal: 2, Version: 1, Proposer: "n1", Body: []byte("b")})
+	back, err := DecodeState(EncodeState(s))
 	require.NoError(t, err)
 	assert.Equal(t, s, back)
 }
@@ -54,7 +54,7 @@
 // TestStrict: each way in which a message may be another's, or damaged, is refused.
 func TestStrict(t *testing.T) {
 	fields := map[string]any{}
-	whole := mapOf(WriteAsk(anAsk))
+	whole := mapOf(EncodeLeaseRequest(anAsk))
 	require.NoError(t, msgpack.Unmarshal(whole, &fields))
 	again := func(change func(map[string]any)) []byte {
 		m := map[string]any{}
@@ -67,11 +67,11 @@
 		return b
 	}
 	long := anAsk
-	long.Why = strings.Repeat("x", accord.MaxWhy+1)
+	long.Reason = strings.Repeat("x", accord.MaxReason+1)
 	noName := anAsk
 	noName.Peer = ""
 	stance := anAsk
-	stance.Stance = 9
+	stance.Ack = 9
 	stage := anAnswer
 	stage.Stage = 9
 	for what, p := range map[string][]byte{
@@ -82,20 +82,20 @@
 		"a repeated key":    bytes.Replace(whole, []byte("\xa5epoch"), []byte("\xa4peer"), 1),
 		"a key more":        again(func(m map[string]any) { m["more"] = 1 }),
 		"a key less":        again(func(m map[string]any) { delete(m, "why") }),
-		"a reason too long": mapOf(WriteAsk(long)), "no name": mapOf(WriteAsk(noName)), "no such stance": mapOf(WriteAsk(stance)),
-		"no such stage": mapOf(WriteAnswer(stage)), "too long": make([]byte, MaxFrame+1), "no budget's name": mapOf(WriteWant(Want{Ask: budget.Ask{Peer: "n1"}})),
-		"too many units": mapOf(WriteLent(Lent{"c", budget.Grant{Peer: "n1", Units: MaxUnits + 1}})), "an entry on a link": mapOf(WriteDecide(accord.Decide{})),
-		"a sum in its place": WriteAsk(anAsk),
+		"a reason too long": mapOf(EncodeLeaseRequest(long)), "no name": mapOf(EncodeLeaseRequest(noName)), "no such stance": mapOf(EncodeLeaseRequest(stance)),
+		"no such stage": mapOf(EncodeLeaseResponse(stage)), "too long": make([]byte, MaxFrame+1), "no budget's name": mapOf(EncodeBudgetRequest(BudgetRequest{Request: budget.Ask{Peer: "n1"}})),
+		"too many units": mapOf(EncodeBudgetGrant(BudgetGrant{"c", budget.Grant{Peer: "n1", Units: MaxUnits + 1}})), "an entry on a link": mapOf(EncodeDecision(accord.Decision{})),
+		"a sum in its place": EncodeLeaseRequest(anAsk),
 	} {
-		_, err := Read(frames.Seal(p)) // the sum is right: it is the map that is refused
+		_, err := Decode(frames.AppendChecksum(p)) // the sum is right: it is the map that is refused
 		assert.ErrorIs(t, err, ErrMessage, what)
 		assert.NotContains(t, err.Error(), "sum", what)
 	}
-	_, err := Next(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff}))
+	_, err := ReadMessage(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff}))
 	assert.ErrorIs(t, err, ErrMessage)
-	_, err = ReadDecide(whole)
+	_, err = DecodeDecision(whole)
 	assert.ErrorIs(t, err, ErrMessage)
-	_, err = ReadState(whole)
+	_, err = DecodeState(whole)
 	assert.ErrorIs(t, err, ErrMessage)
 }
 
@@ -105,16 +105,16 @@
 // TestSum: no message, entry or snapshot with one byte changed, or cut short, is read.
 func TestSum(t *testing.T) {
 	var s accord.State
-	d := accord.Decide{Change: 1, Proposal: 2, Version: 1, By: "n1", Body: []byte("b")}
+	d := accord.Decision{Change: 1, Proposal: 2, Version: 1, Proposer: "n1", Body: []byte("b")}
 	s.Apply(d)
-	link := func(p []byte) error { _, err := Read(p); return err }
+	link := func(p []byte) error { _, err := Decode(p); return err }
 	for _, c := range []struct {
 		p    []byte
 		read func([]byte) error
 	}{
-		{WriteAsk(anAsk), link}, {WriteAnswer(anAnswer), link}, {WriteNudge(), link},
-		{WriteDecide(d), func(p []byte) error { _, err := ReadDecide(p); return err }},
-		{WriteState(s), func(p []byte) error { _, err := ReadState(p); return err }},
+		{EncodeLeaseRequest(anAsk), link}, {EncodeLeaseResponse(anAnswer), link}, {EncodePoll(), link},
+		{EncodeDecision(d), func(p []byte) error { _, err := DecodeDecision(p); return err }},
+		{EncodeState(s), func(p []byte) error { _, err := DecodeState(p); return err }},
 	} {
 		require.NoError(t, c.read(c.p))
 		for i := range c.p {
@@ -132,43 +132,43 @@
 func TestLogBeforeTheSum(t *testing.T) {
 	old := func(p []byte) []byte { return bytes.Replace(mapOf(p), []byte("\xa1f\x02"), []byte("\xa1f\x01"), 1) }
 	var s accord.State
-	d := accord.Decide{Change: 1, Proposal: 2, Version: 1, By: "n1", Body: []byte("b")}
+	d := accord.Decision{Change: 1, Proposal: 2, Version: 1, Proposer: "n1", Body: []byte("b")}
 	s.Apply(d)
-	got, err := ReadDecide(old(WriteDecide(d)))
+	got, err := DecodeDecision(old(EncodeDecision(d)))
 	require.NoError(t, err)
 	assert.Equal(t, d, got)
-	back, err := ReadState(old(WriteState(s)))
+	back, err := DecodeState(old(EncodeState(s)))
 	require.NoError(t, err)
 	assert.Equal(t, s, back)
-	_, err = Read(old(WriteAsk(anAsk)))
+	_, err = Decode(old(EncodeLeaseRequest(anAsk)))
 	assert.ErrorIs(t, err, ErrMessage)
 }
 
 // FuzzRead: nothing that a peer sends panics the reader, and what it reads is written back the same.
 func FuzzRead(f *testing.F) {
-	f.Add(mapOf(WriteAsk(anAsk)))
-	f.Add(mapOf(WriteAnswer(anAnswer)))
-	f.Add(mapOf(WriteNudge()))
-	f.Add(mapOf(WriteWant(Want{"connections", budget.Ask{Peer: "n3", Epoch: 7, Seq: 2, Want: 480}})))
-	f.Add(mapOf(WriteLent(Lent{"connections", budget.Grant{Peer: "n3", Epoch: 7, Seq: 2, Units: 48, Of: 600}})))
+	f.Add(mapOf(EncodeLeaseRequest(anAsk)))
+	f.Add(mapOf(EncodeLeaseResponse(anAnswer)))
+	f.Add(mapOf(EncodePoll()))
+	f.Add(mapOf(EncodeBudgetRequest(BudgetRequest{"connections", budget.Ask{Peer: "n3", Epoch: 7, Seq: 2, Want: 480}})))
+	f.Add(mapOf(EncodeBudgetGrant(BudgetGrant{"connections", budget.Grant{Peer: "n3", Epoch: 7, Seq: 2, Units: 48, Of: 600}})))
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff, 0xa1, 'f', 2})
 	f.Fuzz(func(t *testing.T, p []byte) {
-		p = frames.Seal(p) // else nothing but a message of ours is looked into
-		m, err := Read(p)
+		p = frames.AppendChecksum(p) // else nothing but a message of ours is looked into
+		m, err := Decode(p)
 		if err != nil {
 			return
 		}
 		switch {
-		case m.Ask != nil:
-			assert.Equal(t, p, WriteAsk(*m.Ask))
-		case m.Answer != nil:
-			assert.Equal(t, p, WriteAnswer(*m.Answer))
-		case m.Want != nil:
-			assert.Equal(t, p, WriteWant(*m.Want))
-		case m.Lent != nil:
-			assert.Equal(t, p, WriteLent(*m.Lent))
+		case m.LeaseRequest != nil:
+			assert.Equal(t, p, EncodeLeaseRequest(*m.LeaseRequest))
+		case m.LeaseResponse != nil:
+			assert.Equal(t, p, EncodeLeaseResponse(*m.LeaseResponse))
+		case m.BudgetRequest != nil:
+			assert.Equal(t, p, EncodeBudgetRequest(*m.BudgetRequest))
+		case m.BudgetGrant != nil:
+			assert.Equal(t, p, EncodeBudgetGrant(*m.BudgetGrant))
 		default:
-			assert.Equal(t, p, WriteNudge())
+			assert.Equal(t, p, EncodePoll())
 		}
 	})
 }
--- a/internal/fleet/accord/world_test.go
+++ b/internal/fleet/accord/world_test.go
@@ -13,7 +13,7 @@
 // given to the log when its leader is deposed is either in the next one's log or gone for ever),
 // links that drop, delay and repeat, processes that stall and crash, clocks that drift.
 type world struct {
-	plan  Plan
+	plan  LeaseConfig
 	rnd   *rand.Rand
 	now   int64 // real time, ns
 	queue events
@@ -22,26 +22,26 @@
 	term    uint64
 	leader  *keeperAt
 	state   State
-	pending *Decide
+	pending *Decision
 
 	all    []*dispatcher
 	faulty bool          // messages are lost and repeated, processes stall
 	delay  time.Duration // the longest that a message travels
 
-	ended  map[uint64]End // of changes, as the notes have it
-	bad    string         // the first promise that was broken
-	served int            // how often a dispatcher was seen taking reqs
+	ended  map[uint64]Result // of changes, as the notes have it
+	bad    string            // the first promise that was broken
+	served int               // how often a dispatcher was seen taking reqs
 }
 
 type keeperAt struct {
-	*Keeper
+	*Leader
 	rate float64
 	term uint64
 	dead bool
 }
 
 type dispatcher struct {
-	*Lessee
+	*Participant
 	id    int
 	life  uint64
 	rate  float64
@@ -69,8 +69,8 @@
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
 func (e *events) Pop() any     { o := *e; x := o[len(o)-1]; *e = o[:len(o)-1]; return x }
 
-func newWorld(p Plan, n int, seed uint64) *world {
-	w := &world{plan: p, rnd: rand.New(rand.NewPCG(seed, 1)), faulty: true, delay: 20 * time.Millisecond, ended: map[uint64]End{}}
+func newWorld(p LeaseConfig, n int, seed uint64) *world {
+	w := &world{plan: p, rnd: rand.New(rand.NewPCG(seed, 1)), faulty: true, delay: 20 * time.Millisecond, ended: map[uint64]Result{}}
 	w.elect()
 	for i := range n {
 		d := &dispatcher{id: i, rate: w.rate()}
@@ -109,7 +109,7 @@
 	d.down, d.wait, d.enter = false, 0, 0
 	d.rate, d.older = w.rate(), w.faulty && w.rnd.IntN(8) == 0
 	var err error
-	if d.Lessee, err = NewLessee(w.plan, fmt.Sprintf("n%d", d.id), d.life); err != nil {
+	if d.Participant, err = NewParticipant(w.plan, fmt.Sprintf("n%d", d.id), d.life); err != nil {
 		panic(err)
 	}
 	w.beat(d, d.life)
@@ -123,18 +123,18 @@
 	if w.now >= d.stall {
 		w.turn(d)
 	}
-	w.after(w.plan.Renew()/4, func() { w.beat(d, life) })
+	w.after(w.plan.RenewInterval()/4, func() { w.beat(d, life) })
 }
 
 func (w *world) turn(d *dispatcher) {
 	now := w.clock(d.rate)
 	if d.wait > 0 && w.rnd.IntN(2) == 0 {
 		d.wait--
-	} else if now < d.Gate().Take && w.rnd.IntN(3) == 0 {
+	} else if now < d.Admission().AcceptUntil && w.rnd.IntN(3) == 0 {
 		d.wait++
 	}
 	d.Tick(now, d.wait)
-	for _, c := range d.Checks() {
+	for _, c := range d.TakeChecks() {
 		life := d.life
 		w.after(w.span(10*time.Millisecond), func() {
 			if d.life == life && !d.down {
@@ -142,12 +142,12 @@
 				if d.older && len(c.Body)%2 == 1 {
 					err = errors.New("an unknown key")
 				}
-				d.Checked(w.clock(d.rate), c, err)
+				d.ReportCheck(w.clock(d.rate), c, err)
 				w.turn(d)
 			}
 		})
 	}
-	if v, body, ok := d.Enter(); ok {
+	if v, body, ok := d.TakeActivation(); ok {
 		if d.older && len(body)%2 == 1 {
 			w.fail("n%d took up version %d, which it cannot take", d.id, v)
 		}
@@ -156,26 +156,26 @@
 		}
 		d.enter = v
 	}
-	w.heard(d.Notes())
-	if a, ok := d.Due(now); ok {
+	w.heard(d.TakeEvents())
+	if a, ok := d.NextRequest(now); ok {
 		w.ask(d, a)
 	}
 }
 
 // heard keeps what the notes say of ends: no change may end in two ways.
-func (w *world) heard(notes []Note) {
+func (w *world) heard(notes []Event) {
 	for _, n := range notes {
-		end := Open
+		end := Undecided
 		switch {
 		case n.Step == "withdrawn" && n.Change != 0:
 			end = Withdrawn
 		case n.Step == "decided":
 			end = InForce
 		}
-		if end == Open {
+		if end == Undecided {
 			continue
 		}
-		if was := w.ended[n.Change]; was != Open && was != end {
+		if was := w.ended[n.Change]; was != Undecided && was != end {
 			w.fail("change %x is both withdrawn and decided", n.Change)
 		}
 		w.ended[n.Change] = end
@@ -211,7 +211,7 @@
 
 // ask carries an ask to who leads, and back. The leader confirms its term when the ask is there,
 // and may stall between that and its answer.
-func (w *world) ask(d *dispatcher, a Ask) {
+func (w *world) ask(d *dispatcher, a LeaseRequest) {
 	life, k := d.life, w.leader
 	w.carry(d.cut, func() {
 		if k.dead || k.term != w.term {
@@ -225,14 +225,14 @@
 			if k.dead {
 				return
 			}
-			answer := k.Take(w.clock(k.rate), a)
+			answer := k.Handle(w.clock(k.rate), a)
 			w.lead(k)
 			w.carry(d.cut, func() { w.hear(d, life, answer) })
 		})
 	})
 }
 
-func (w *world) hear(d *dispatcher, life uint64, a Answer) {
+func (w *world) hear(d *dispatcher, life uint64, a LeaseResponse) {
 	if d.life != life || d.down {
 		return
 	}
@@ -240,14 +240,14 @@
 		w.after(time.Duration(d.stall-w.now), func() { w.hear(d, life, a) })
 		return
 	}
-	d.Answered(w.clock(d.rate), a)
+	d.HandleResponse(w.clock(d.rate), a)
 	w.turn(d)
 }
 
 // lead does what a keeper asks for.
 func (w *world) lead(k *keeperAt) {
-	w.heard(k.Notes())
-	if s, ok := k.Submit(); ok && k.term == w.term {
+	w.heard(k.TakeEvents())
+	if s, ok := k.TakeDecision(); ok && k.term == w.term {
 		w.pending = &s
 		w.after(w.span(2*w.delay), func() {
 			if w.term == k.term && w.pending != nil {
@@ -257,12 +257,12 @@
 			}
 		})
 	}
-	if k.Nudge() && k.term == w.term {
+	if k.TakePoll() && k.term == w.term {
 		for _, d := range w.all {
 			life := d.life
 			w.carry(d.cut, func() {
 				if d.life == life && !d.down && w.now >= d.stall {
-					d.Now()
+					d.RequestNow()
 					w.turn(d)
 				}
 			})
@@ -274,7 +274,7 @@
 	d := *w.pending
 	w.pending = nil
 	if w.state.Apply(d) {
-		w.heard([]Note{{Step: "decided", Change: d.Change, Version: d.Version}})
+		w.heard([]Event{{Step: "decided", Change: d.Change, Version: d.Version}})
 	}
 }
 
@@ -286,11 +286,11 @@
 	w.pending = nil
 	w.term++
 	rate := w.rate()
-	k, err := NewKeeper(w.plan, w.term, w.clock(rate), w.state)
+	k, err := NewLeader(w.plan, w.term, w.clock(rate), w.state)
 	if err != nil {
 		panic(err)
 	}
-	at := &keeperAt{Keeper: k, rate: rate, term: w.term}
+	at := &keeperAt{Leader: k, rate: rate, term: w.term}
 	w.leader = at
 	w.tick(at)
 }
@@ -314,7 +314,7 @@
 // check holds promise 2 at this moment: all that may take or start, may by one version. An opening
 // happens at an event alone, so that looking after each misses none.
 func (w *world) check() {
-	if w.plan.Keep {
+	if w.plan.ContinueWhenCut {
 		return
 	}
 	by, who := uint64(0), 0
@@ -322,8 +322,8 @@
 		if d.down {
 			continue
 		}
-		g, now := d.Gate(), w.clock(d.rate)
-		if now >= g.Take && now >= g.Start {
+		g, now := d.Admission(), w.clock(d.rate)
+		if now >= g.AcceptUntil && now >= g.StartUntil {
 			continue
 		}
 		w.served++
@@ -346,7 +346,7 @@
 	w.faulty, w.delay = false, 5*time.Millisecond
 	for _, d := range w.all {
 		d.cut, d.stall, d.older = false, 0, false
-		d.Retry()
+		d.RetryCheck()
 		if d.down {
 			w.start(d)
 		}
@@ -356,15 +356,15 @@
 // settled is what is wrong once faults have ended and the named time has passed; empty if nothing is.
 func (w *world) settled() string {
 	for _, d := range w.all {
-		v, _ := d.Held()
+		v, _ := d.Current()
 		switch {
 		case w.state.Version == 0:
 			return "no version was ever decided"
 		case v != w.state.Version:
 			return fmt.Sprintf("n%d holds version %d, and %d is decided", d.id, v, w.state.Version)
-		case w.clock(d.rate) >= d.Gate().Take:
-			return fmt.Sprintf("n%d takes nothing: %s", d.id, d.Why())
-		case d.Proposing():
+		case w.clock(d.rate) >= d.Admission().AcceptUntil:
+			return fmt.Sprintf("n%d takes nothing: %s", d.id, d.NotAcceptingReason())
+		case d.ProposalPending():
 			return fmt.Sprintf("n%d knows no outcome of its proposal", d.id)
 		}
 	}
@@ -375,7 +375,7 @@
 }
 
 // schedule plays random faults and proposals, mends all, and says what was broken.
-func schedule(p Plan, n, steps int, seed uint64) (*world, string) {
+func schedule(p LeaseConfig, n, steps int, seed uint64) (*world, string) {
 	w := newWorld(p, n, seed)
 	w.propose(w.all[0], "first")
 	if w.rnd.IntN(2) == 0 {
@@ -409,7 +409,7 @@
 		}
 	}
 	w.mend()
-	w.run(2 * (p.Quiet() + 6*p.Lease))
+	w.run(2 * (p.QuietPeriod() + 6*p.Lease))
 	if w.bad != "" {
 		return w, w.bad
 	}
--- a/internal/fleet/frames/frames.go
+++ b/internal/fleet/frames/frames.go
@@ -21,32 +21,32 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Err is wrapped by every fault of a message; the link is of no use after one.
-var Err = errors.New("bad message")
+// ErrMessage is wrapped by every fault of a message; the link is of no use after one.
+var ErrMessage = errors.New("bad message")
 
-// Head is the two fields that every message begins with.
-type Head struct {
-	F    uint8  `msgpack:"f"`
-	Kind string `msgpack:"kind"`
+// Header is the two fields that every message begins with.
+type Header struct {
+	Format uint8  `msgpack:"f"`
+	Kind   string `msgpack:"kind"`
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Seal puts the sum behind a map.
-func Seal(p []byte) []byte {
+// AppendChecksum puts the sum behind a map.
+func AppendChecksum(p []byte) []byte {
 	return binary.BigEndian.AppendUint32(p, crc32.Checksum(p, castagnoli))
 }
 
-// Unseal takes it off, and refuses one that is not right.
-func Unseal(p []byte) ([]byte, error) {
+// StripChecksum takes it off, and refuses one that is not right.
+func StripChecksum(p []byte) ([]byte, error) {
 	if n := len(p) - 4; n >= 0 && binary.BigEndian.Uint32(p[n:]) == crc32.Checksum(p[:n], castagnoli) {
 		return p[:n], nil
 	}
-	return nil, fmt.Errorf("%w: its sum is not right", Err)
+	return nil, fmt.Errorf("%w: its sum is not right", ErrMessage)
 }
 
 // Encode is a struct of plain fields as a map with its sum.
-func Encode(v any) []byte { return Seal(encodeMap(v)) }
+func Encode(v any) []byte { return AppendChecksum(encodeMap(v)) }
 
 func encodeMap(v any) []byte {
 	var b bytes.Buffer
@@ -63,10 +63,10 @@
 	d := msgpack.NewDecoder(bytes.NewReader(p))
 	d.DisallowUnknownFields(true)
 	if err := d.Decode(v); err != nil {
-		return fmt.Errorf("%w: %w", Err, err)
+		return fmt.Errorf("%w: %w", ErrMessage, err)
 	}
 	if !bytes.Equal(encodeMap(v), p) {
-		return fmt.Errorf("%w: a field is missing, repeated or written otherwise", Err)
+		return fmt.Errorf("%w: a field is missing, repeated or written otherwise", ErrMessage)
 	}
 	return nil
 }
@@ -74,7 +74,7 @@
 // Kind reads the two fields of the head; another format is refused.
 func Kind(p []byte, format uint64) (string, error) {
 	d := msgpack.NewDecoder(bytes.NewReader(p))
-	bad := func(what string) (string, error) { return "", fmt.Errorf("%w: %s", Err, what) }
+	bad := func(what string) (string, error) { return "", fmt.Errorf("%w: %s", ErrMessage, what) }
 	if n, err := d.DecodeMapLen(); err != nil || n < 2 {
 		return bad("no map of fields")
 	}
@@ -99,15 +99,15 @@
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(p)), uint32(len(p))), p...)
 }
 
-// Next reads one framed message of at most so many bytes from a link. A longer one is not read.
-func Next(r io.Reader, most int) ([]byte, error) {
+// ReadFrame reads one framed message of at most so many bytes from a link. A longer one is not read.
+func ReadFrame(r io.Reader, most int) ([]byte, error) {
 	var size [4]byte
 	if _, err := io.ReadFull(r, size[:]); err != nil {
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(size[:])
 	if int64(n) > int64(most) {
-		return nil, fmt.Errorf("%w: a frame of %d bytes, at most %d", Err, n, most)
+		return nil, fmt.Errorf("%w: a frame of %d bytes, at most %d", ErrMessage, n, most)
 	}
 	var b bytes.Buffer // grows with what comes: a length alone takes no memory
 	if _, err := io.CopyN(&b, r, int64(n)); err != nil {
--- a/internal/fleet/frames/frames_test.go
+++ b/internal/fleet/frames/frames_test.go
@@ -20,9 +20,9 @@
 
 // TestWay: what was written comes through a link as it was.
 func TestWay(t *testing.T) {
-	p, err := Next(bytes.NewReader(Frame(Encode(&aLetter))), 100)
+	p, err := ReadFrame(bytes.NewReader(Frame(Encode(&aLetter))), 100)
 	require.NoError(t, err)
-	p, err = Unseal(p)
+	p, err = StripChecksum(p)
 	require.NoError(t, err)
 	kind, err := Kind(p, 3)
 	require.NoError(t, err)
@@ -35,18 +35,18 @@
 // TestRefused: a frame that is too long, one that ends too soon, and maps that would be written otherwise.
 func TestRefused(t *testing.T) {
 	framed := Frame(Encode(&aLetter))
-	_, err := Next(bytes.NewReader(framed), len(framed)-5)
-	assert.ErrorIs(t, err, Err)
-	_, err = Next(bytes.NewReader(framed[:len(framed)-1]), 100)
+	_, err := ReadFrame(bytes.NewReader(framed), len(framed)-5)
+	assert.ErrorIs(t, err, ErrMessage)
+	_, err = ReadFrame(bytes.NewReader(framed[:len(framed)-1]), 100)
 	assert.ErrorIs(t, err, io.EOF)
-	_, err = Next(bytes.NewReader(framed[:3]), 100)
+	_, err = ReadFrame(bytes.NewReader(framed[:3]), 100)
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	whole := framed[4:]
 	for i := range whole {
 		p := bytes.Clone(whole)
 		p[i]++
-		_, err := Unseal(p)
-		assert.ErrorIs(t, err, Err, "byte %d", i)
+		_, err := StripChecksum(p)
+		assert.ErrorIs(t, err, ErrMessage, "byte %d", i)
 	}
 	plain := whole[:len(whole)-4]
 	for what, p := range map[string][]byte{
@@ -56,13 +56,13 @@
 		"bytes behind": append(bytes.Clone(plain), 0xc0),
 	} {
 		assert.NotEqual(t, plain, p, what)
-		assert.ErrorIs(t, Decode(p, &letter{}), Err, what)
+		assert.ErrorIs(t, Decode(p, &letter{}), ErrMessage, what)
 	}
 	for what, p := range map[string][]byte{"nothing": nil, "no map": {0xc0}, "a key alone": {0x81, 0xa1, 'f', 3}, "another first": {0x82, 0xa1, 'g', 3},
 		"no kind": {0x82, 0xa1, 'f', 3, 0xa1, 'k', 0xa1, 'x'}, "a kind that is none": {0x82, 0xa1, 'f', 3, 0xa4, 'k', 'i', 'n', 'd', 3}} {
 		_, err := Kind(p, 3)
-		assert.ErrorIs(t, err, Err, what)
+		assert.ErrorIs(t, err, ErrMessage, what)
 	}
 	_, err = Kind(plain, 4)
-	assert.ErrorIs(t, err, Err)
+	assert.ErrorIs(t, err, ErrMessage)
 }
--- a/internal/fleet/policy/policy.go
+++ b/internal/fleet/policy/policy.go
@@ -14,24 +14,24 @@
 
 // Limits of a policy, each against a body that sends too much.
 const (
-	MaxUnits = 1_000_000 // connections a second: no budget is larger
-	MaxMost  = 100_000   // dispatchers
-	MaxBans  = 1000
-	MaxName  = 128 // bytes of a backend's, a team's or a class's name
+	MaxConnections     = 1_000_000 // connections a second: no budget is larger
+	MaxDispatcherCount = 100_000   // dispatchers
+	MaxBans            = 1000
+	MaxName            = 128 // bytes of a backend's, a team's or a class's name
 
-	MaxQuotas  = 1024        // teams: each has a line in the table of every lender and dispatcher
-	MaxInRoom  = 1_000_000   // reqs in flight: no quota and no reserve is larger
-	MinRunMS   = 100         // a shorter bound would cut nearly every req
-	MaxRunMS   = 604_800_000 // a week: what a silent dispatcher held stays counted for as long
-	MaxClasses = 64          // urgent ones
+	MaxQuotas        = 1024        // teams: each has a line in the table of every lender and dispatcher
+	MaxInFlight      = 1_000_000   // reqs in flight: no quota and no reserve is larger
+	MinRunMS         = 100         // a shorter bound would cut nearly every req
+	MaxRunMS         = 604_800_000 // a week: what a silent dispatcher held stays counted for as long
+	MaxUrgentClasses = 64          // urgent ones
 )
 
 // Policy is one version's content. Its values are the fleet's, not one dispatcher's.
 type Policy struct {
-	Connections int      `json:"connections"` // new connections to backends a second; 0: each dispatcher's own script says
-	Most        int      `json:"most"`        // most dispatchers at once, 0: the configuration's count
-	Reserve     float64  `json:"reserve"`     // part of the whole held as reserves
-	Bans        []string `json:"bans"`        // backends that nothing is sent to, in the order of names
+	Connections    int      `json:"connections"` // new connections to backends a second; 0: each dispatcher's own script says
+	MaxDispatchers int      `json:"most"`        // most dispatchers at once, 0: the configuration's count
+	Reserve        float64  `json:"reserve"`     // part of the whole held as reserves
+	Bans           []string `json:"bans"`        // backends that nothing is sent to, in the order of names
 
 	// What follows is left out where it says nothing, so that a policy without quotas has the bytes that it had before
 	// there were any (docs/design/quota.md).
@@ -73,10 +73,10 @@
 // Check names the value that is out of range.
 func (p Policy) Check() error {
 	switch {
-	case p.Connections < 0 || p.Connections > MaxUnits:
-		return fmt.Errorf("policy.connections is %d, want 0 to %d", p.Connections, MaxUnits)
-	case p.Most < 0 || p.Most > MaxMost:
-		return fmt.Errorf("policy.most is %d, want 0 to %d", p.Most, MaxMost)
+	case p.Connections < 0 || p.Connections > MaxConnections:
+		return fmt.Errorf("policy.connections is %d, want 0 to %d", p.Connections, MaxConnections)
+	case p.MaxDispatchers < 0 || p.MaxDispatchers > MaxDispatcherCount:
+		return fmt.Errorf("policy.most is %d, want 0 to %d", p.MaxDispatchers, MaxDispatcherCount)
 	case !(p.Reserve >= 0 && p.Reserve <= 1):
 		return fmt.Errorf("policy.reserve is %v, want 0 to 1", p.Reserve)
 	case len(p.Bans) > MaxBans:
@@ -94,12 +94,12 @@
 	switch {
 	case len(p.Quotas) > MaxQuotas:
 		return fmt.Errorf("policy.quotas names %d teams, at most %d", len(p.Quotas), MaxQuotas)
-	case p.UrgentReserve < 0 || p.UrgentReserve > MaxInRoom:
-		return fmt.Errorf("policy.urgent_reserve is %d, want 0 to %d", p.UrgentReserve, MaxInRoom)
+	case p.UrgentReserve < 0 || p.UrgentReserve > MaxInFlight:
+		return fmt.Errorf("policy.urgent_reserve is %d, want 0 to %d", p.UrgentReserve, MaxInFlight)
 	case p.RunMS != 0 && (p.RunMS < MinRunMS || p.RunMS > MaxRunMS):
 		return fmt.Errorf("policy.run_ms is %d, want %d to %d", p.RunMS, MinRunMS, MaxRunMS)
-	case len(p.UrgentClasses) > MaxClasses:
-		return fmt.Errorf("policy.urgent_classes names %d classes, at most %d", len(p.UrgentClasses), MaxClasses)
+	case len(p.UrgentClasses) > MaxUrgentClasses:
+		return fmt.Errorf("policy.urgent_classes names %d classes, at most %d", len(p.UrgentClasses), MaxUrgentClasses)
 	case len(p.Quotas) == 0 && p.UrgentReserve > 0:
 		return errors.New("policy.urgent_reserve is set, and policy.quotas is not: nothing would need it")
 	case len(p.Quotas) > 0 && p.RunMS == 0:
@@ -111,8 +111,8 @@
 		if name == "" || len(name) > MaxName {
 			return fmt.Errorf("policy.quotas has a name of %d bytes, want 1 to %d", len(name), MaxName)
 		}
-		if n := p.Quotas[name]; n < 0 || n > MaxInRoom {
-			return fmt.Errorf("policy.quotas gives %q %d, want 0 to %d", name, n, MaxInRoom)
+		if n := p.Quotas[name]; n < 0 || n > MaxInFlight {
+			return fmt.Errorf("policy.quotas gives %q %d, want 0 to %d", name, n, MaxInFlight)
 		}
 	}
 	for _, name := range p.UrgentClasses {
--- a/internal/fleet/policy/policy_test.go
+++ b/internal/fleet/policy/policy_test.go
@@ -48,7 +48,7 @@
 	}
 	assert.ErrorContains(t, Policy{Quotas: many, RunMS: 6000}.Check(), "policy.quotas names 1025 teams")
 	assert.ErrorContains(t, Policy{Quotas: map[string]int{strings.Repeat("a", MaxName+1): 1}, RunMS: 6000}.Check(), "a name of 129 bytes")
-	assert.ErrorContains(t, Policy{UrgentClasses: make([]string, MaxClasses+1)}.Check(), "policy.urgent_classes names 65")
+	assert.ErrorContains(t, Policy{UrgentClasses: make([]string, MaxUrgentClasses+1)}.Check(), "policy.urgent_classes names 65")
 }
 
 func TestStrict(t *testing.T) {
--- a/internal/fleet/quota/wire/wire.go
+++ b/internal/fleet/quota/wire/wire.go
@@ -27,7 +27,7 @@
 const MaxFrame = quota.MaxAccounts*(quota.MaxName+32) + 1024
 
 // ErrMessage is wrapped by every fault of a message.
-var ErrMessage = frames.Err
+var ErrMessage = frames.ErrMessage
 
 // Ask is a holder's ask of a lender.
 type Ask struct {
@@ -172,7 +172,7 @@
 
 // Next reads one framed message from a link. A longer one than MaxFrame is not read.
 func Next(r io.Reader) (Message, error) {
-	p, err := frames.Next(r, MaxFrame)
+	p, err := frames.ReadFrame(r, MaxFrame)
 	if err != nil {
 		return Message{}, err
 	}
@@ -184,7 +184,7 @@
 	if len(p) > MaxFrame {
 		return m, fmt.Errorf("%w: %d bytes, at most %d", ErrMessage, len(p), MaxFrame)
 	}
-	if p, err = frames.Unseal(p); err != nil {
+	if p, err = frames.StripChecksum(p); err != nil {
 		return m, err
 	}
 	kind, err := frames.Kind(p, Format)
--- a/internal/fleet/quota/wire/wire_test.go
+++ b/internal/fleet/quota/wire/wire_test.go
@@ -117,7 +117,7 @@
 		"too long":                make([]byte, MaxFrame+1), "a sum in its place": written["ask"],
 	} {
 		assert.NotEqual(t, whole, p, "%s: nothing was changed", what)
-		_, err := Read(frames.Seal(p)) // the sum is right: it is the map that is refused
+		_, err := Read(frames.AppendChecksum(p)) // the sum is right: it is the map that is refused
 		assert.ErrorIs(t, err, ErrMessage, what)
 		if err != nil {
 			assert.NotContains(t, err.Error(), "sum", what)
@@ -154,7 +154,7 @@
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff, 0xa1, 'f', 1})
 	f.Add(bytes.Replace(mapOf(written["ask"]), []byte("\xa5lines\x92"), []byte("\xa5lines\xdd\xff\xff\xff\xff"), 1))
 	f.Fuzz(func(t *testing.T, p []byte) {
-		p = frames.Seal(p) // else nothing but a message of ours is looked into
+		p = frames.AppendChecksum(p) // else nothing but a message of ours is looked into
 		if m, err := Read(p); err == nil {
 			assert.Equal(t, p, write(m))
 		}
--- a/internal/lab/hollow/dispatcher.go
+++ b/internal/lab/hollow/dispatcher.go
@@ -89,7 +89,7 @@
 		logger = zerolog.New(log)
 	}
 	check := func(body []byte) error { _, err := policy.Read(body); return err }
-	c := accord.Config{Plan: leases.Plan{Lease: time.Duration(a.LeaseMS) * time.Millisecond, Drift: a.Drift, Keep: a.Keep()},
+	c := accord.Config{Plan: leases.LeaseConfig{Lease: time.Duration(a.LeaseMS) * time.Millisecond, Drift: a.Drift, ContinueWhenCut: a.Keep()},
 		Name: cfg.Name, Epoch: uint64(time.Now().UnixNano()), Voters: voters, Check: check,
 		Enter: func(_ uint64, body []byte) error { return check(body) }, Log: logger, Listen: a.Listen, Data: a.Data}
 	if set.Policy != nil {
@@ -108,7 +108,7 @@
 	if err != nil || p.Connections == 0 {
 		return budget.Plan{}, false
 	}
-	most := p.Most
+	most := p.MaxDispatchers
 	if most == 0 {
 		most = d.most
 	}
--- a/internal/lab/hollow/meter_test.go
+++ b/internal/lab/hollow/meter_test.go
@@ -20,7 +20,7 @@
 		n := rapid.IntRange(0, 5).Draw(t, "messages")
 		text := []byte{memberMark}
 		for i := range n {
-			text = append(text, wire.Frame(wire.WriteAsk(accord.Ask{Peer: "n1", Seq: uint64(i)}))...)
+			text = append(text, wire.Frame(wire.EncodeLeaseRequest(accord.LeaseRequest{Peer: "n1", Seq: uint64(i)}))...)
 		}
 		m := &Meter{}
 		out, back := m.Tap()
@@ -30,7 +30,7 @@
 			out(text[:k])
 			text = text[k:]
 		}
-		answer := wire.Frame(wire.WriteNudge())
+		answer := wire.Frame(wire.EncodePoll())
 		back(answer)
 		out(nil)
 		back(nil)
--- a/internal/lab/sim/accord.go
+++ b/internal/lab/sim/accord.go
@@ -53,9 +53,9 @@
 
 // keeperAt is the keeper with its clock and the majority's log.
 type keeperAt struct {
-	*accord.Keeper
+	*accord.Leader
 	w      *world
-	plan   accord.Plan
+	plan   accord.LeaseConfig
 	rate   float64
 	state  accord.State
 	chance *rand.Rand
@@ -86,8 +86,8 @@
 	return a.plan().Check()
 }
 
-func (a *Accord) plan() accord.Plan {
-	return accord.Plan{Lease: span(a.Lease), Drift: a.Drift, Keep: a.Keep}
+func (a *Accord) plan() accord.LeaseConfig {
+	return accord.LeaseConfig{Lease: span(a.Lease), Drift: a.Drift, ContinueWhenCut: a.Keep}
 }
 
 func span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
@@ -96,9 +96,9 @@
 func newKeeper(w *world) (*keeperAt, error) {
 	k := &keeperAt{w: w, plan: w.sc.Accord.plan(), chance: fleet.Chance(w.sc.Seed, "accord"), dark: math.NaN()}
 	k.rate = k.drawRate()
-	k.state.Apply(accord.Decide{Change: 1, Proposal: accord.ProposalBit | 1, Version: 1, Body: []byte("version 1")})
+	k.state.Apply(accord.Decision{Change: 1, Proposal: accord.ProposalBit | 1, Version: 1, Body: []byte("version 1")})
 	var err error
-	k.Keeper, err = accord.NewKeeper(k.plan, 1, -accord.Time(k.plan.Quiet()), k.state)
+	k.Leader, err = accord.NewLeader(k.plan, 1, -accord.Time(k.plan.QuietPeriod()), k.state)
 	return k, err
 }
 
@@ -134,9 +134,9 @@
 }
 
 // ask takes an ask, once a majority has confirmed the keeper by a round trip, and answers it.
-func (k *keeperAt) ask(f *fence, a accord.Ask) {
+func (k *keeperAt) ask(f *fence, a accord.LeaseRequest) {
 	k.carry(f.side.at, k.delay()+k.delay(), func() {
-		answer := k.Take(k.w.clock(k.rate), a)
+		answer := k.Handle(k.w.clock(k.rate), a)
 		k.carry(f.side.at, 0, func() { f.answered(answer) })
 		k.turn()
 	})
@@ -145,19 +145,19 @@
 // turn carries out what the keeper wants.
 func (k *keeperAt) turn() {
 	w := k.w
-	if d, ok := k.Submit(); ok {
+	if d, ok := k.TakeDecision(); ok {
 		w.at(w.now+w.sc.Accord.Flush, func() {
 			k.state.Apply(d)
 			k.Applied(w.clock(k.rate), k.state)
 			k.turn()
 		})
 	}
-	if k.Nudge() {
+	if k.TakePoll() {
 		for _, s := range w.sides {
 			k.carry(s.at, 0, func() { s.fence.nudged() })
 		}
 	}
-	k.Notes()
+	k.TakeEvents()
 }
 
 // begin starts the accord with all dispatchers on version 1 under a lease.
@@ -165,12 +165,12 @@
 	k := w.keeper
 	for _, s := range w.sides {
 		for !s.fence.lessee.Serving() {
-			s.fence.lessee.Now()
-			if a, ok := s.fence.lessee.Due(s.fence.now()); ok {
-				s.fence.lessee.Answered(s.fence.now(), k.Take(w.clock(k.rate), a))
+			s.fence.lessee.RequestNow()
+			if a, ok := s.fence.lessee.NextRequest(s.fence.now()); ok {
+				s.fence.lessee.HandleResponse(s.fence.now(), k.Handle(w.clock(k.rate), a))
 			}
-			for _, c := range s.fence.lessee.Checks() {
-				s.fence.lessee.Checked(s.fence.now(), c, nil)
+			for _, c := range s.fence.lessee.TakeChecks() {
+				s.fence.lessee.ReportCheck(s.fence.now(), c, nil)
 			}
 		}
 	}
@@ -183,7 +183,7 @@
 	for i, c := range w.sc.Changes {
 		w.at(c.At, func() {
 			s := w.sides[c.Node]
-			version, _ := s.fence.lessee.Held()
+			version, _ := s.fence.lessee.Current()
 			// One of its own that is under way is not overtaken.
 			_ = s.fence.lessee.Propose(accord.ProposalBit|uint64(i+2), fmt.Appendf(nil, "version %d by change %d", version+1, i))
 			s.fence.turn()
--- a/internal/lab/sim/accord_test.go
+++ b/internal/lab/sim/accord_test.go
@@ -65,8 +65,8 @@
 	w.begin()
 	f := w.sides[3].fence
 	w.at(sc.Cuts[0].At+1, func() {
-		g, after := f.lessee.Gate(), math.Nextafter(1, 2)
-		take, start := float64(g.Take)/1e6, float64(g.Start)/1e6
+		g, after := f.lessee.Admission(), math.Nextafter(1, 2)
+		take, start := float64(g.AcceptUntil)/1e6, float64(g.StartUntil)/1e6
 		assert.Equal(t, []float64{500, 3000}, []float64{math.Round(start - take), math.Round(sc.Accord.Lease)})
 		assert.Greater(t, take, sc.Cuts[0].At+3000*(1-1./6-1./3)-10, "half a lease at least")
 		for at, want := range map[float64][2]bool{take - 1: {true, true}, take * after: {false, true}, start - 1: {false, true}, start * after: {false, false},
--- a/internal/lab/sim/fence.go
+++ b/internal/lab/sim/fence.go
@@ -11,7 +11,7 @@
 // own clock.
 type fence struct {
 	side    *side
-	lessee  *accord.Lessee
+	lessee  *accord.Participant
 	rate    float64
 	waiting map[uint64]int // reqs taken by a version that have begun nowhere
 }
@@ -21,7 +21,7 @@
 	k.lives++
 	f := &fence{side: s, rate: k.drawRate(), waiting: map[uint64]int{}}
 	var err error
-	if f.lessee, err = accord.NewLessee(k.plan, fmt.Sprint("n", s.at), k.lives); err != nil {
+	if f.lessee, err = accord.NewParticipant(k.plan, fmt.Sprint("n", s.at), k.lives); err != nil {
 		return nil, err
 	}
 	s.w.beat(s.w.sc.Accord.Lease/100, f.turn)
@@ -32,12 +32,12 @@
 
 // ends are until when reqs may be taken and attempts started, by the own clock.
 func (f *fence) ends() (take, start accord.Time) {
-	g, a := f.lessee.Gate(), &f.side.w.sc.Accord
-	if a.whole && !a.Keep && g.Take > 0 {
-		whole := g.Start.Add(span(a.Lease) - f.side.w.keeper.plan.Usable())
+	g, a := f.lessee.Admission(), &f.side.w.sc.Accord
+	if a.whole && !a.Keep && g.AcceptUntil > 0 {
+		whole := g.StartUntil.Add(span(a.Lease) - f.side.w.keeper.plan.UsableLease())
 		return whole, whole
 	}
-	return g.Take, g.Start
+	return g.AcceptUntil, g.StartUntil
 }
 
 // Take admits a req by the version in force: core.Versions.
@@ -50,7 +50,7 @@
 		}
 		return 0, w.keeper.plan.Drain(), false
 	}
-	version = f.lessee.Gate().Version
+	version = f.lessee.Admission().Version
 	f.waiting[version]++
 	if version < w.keeper.state.Version {
 		w.res.Accord.Over++
@@ -61,7 +61,7 @@
 // Begun tells that a req has begun, or never will. A lessee that has stopped waits for the last.
 func (f *fence) Begun(version uint64) {
 	f.waiting[version]--
-	if g := f.lessee.Gate(); g.Version == version && f.waiting[version] == 0 && g.Take == 0 {
+	if g := f.lessee.Admission(); g.Version == version && f.waiting[version] == 0 && g.AcceptUntil == 0 {
 		f.side.w.at(f.side.w.now, f.turn)
 	}
 }
@@ -75,7 +75,7 @@
 // starts is the version that attempts may start by, if they may now.
 func (f *fence) starts() (uint64, bool) {
 	_, start := f.ends()
-	return f.lessee.Gate().Version, f.now() < start
+	return f.lessee.Admission().Version, f.now() < start
 }
 
 // Serves says whether reqs are taken now.
@@ -84,16 +84,16 @@
 	return f.now() < take
 }
 
-func (f *fence) answered(a accord.Answer) {
+func (f *fence) answered(a accord.LeaseResponse) {
 	if !f.side.dead {
-		f.lessee.Answered(f.now(), a)
+		f.lessee.HandleResponse(f.now(), a)
 		f.turn()
 	}
 }
 
 func (f *fence) nudged() {
 	if !f.side.dead {
-		f.lessee.Now()
+		f.lessee.RequestNow()
 		f.turn()
 	}
 }
@@ -104,19 +104,19 @@
 	if f.side.dead {
 		return
 	}
-	version, _ := f.lessee.Held()
+	version, _ := f.lessee.Current()
 	f.lessee.Tick(f.now(), f.waiting[version])
-	for _, c := range f.lessee.Checks() {
+	for _, c := range f.lessee.TakeChecks() {
 		w.at(w.now+w.sc.Accord.Check, func() {
 			if !f.side.dead {
-				f.lessee.Checked(f.now(), c, nil)
+				f.lessee.ReportCheck(f.now(), c, nil)
 				f.turn()
 			}
 		})
 	}
-	f.lessee.Enter()
-	f.lessee.Notes()
-	if a, ok := f.lessee.Due(f.now()); ok {
+	f.lessee.TakeActivation()
+	f.lessee.TakeEvents()
+	if a, ok := f.lessee.NextRequest(f.now()); ok {
 		w.keeper.ask(f, a)
 	}
 	w.look()
--- a/internal/network/fleet/accord/accord.go
+++ b/internal/network/fleet/accord/accord.go
@@ -48,7 +48,7 @@
 
 // Config is what a dispatcher takes part with. All fields are read at the start alone.
 type Config struct {
-	Plan   accord.Plan
+	Plan   accord.LeaseConfig
 	Name   string // this dispatcher's, unique in the fleet
 	Epoch  uint64 // new with each start of the process
 	Voters []Peer
@@ -113,7 +113,7 @@
 			return nil, err
 		}
 	}
-	l, err := accord.NewLessee(cfg.Plan, cfg.Name, cfg.Epoch)
+	l, err := accord.NewParticipant(cfg.Plan, cfg.Name, cfg.Epoch)
 	if err != nil {
 		a.Close()
 		return nil, err
@@ -145,14 +145,14 @@
 func (a *Accord) Lost() []byte {
 	a.member.mu.Lock()
 	defer a.member.mu.Unlock()
-	return a.member.lessee.Lost()
+	return a.member.lessee.WithdrawnProposal()
 }
 
 // Why says why no req is taken, where none is.
 func (a *Accord) Why() string {
 	a.member.mu.Lock()
 	defer a.member.mu.Unlock()
-	return a.member.lessee.Why()
+	return a.member.lessee.NotAcceptingReason()
 }
 
 // Each calls f for the counters and levels of the accord.
@@ -183,30 +183,30 @@
 }
 
 // tell logs the steps of a change, and counts those that the counters tell.
-func (a *Accord) tell(notes []accord.Note) {
+func (a *Accord) tell(notes []accord.Event) {
 	for _, n := range notes {
 		e := a.cfg.Log.Info().Str("process", a.cfg.Name).Uint64("version", n.Version).Str("change", fmt.Sprintf("%x", n.Change))
-		if n.By != "" {
-			e.Str("by", n.By)
+		if n.Proposer != "" {
+			e.Str("by", n.Proposer)
 		}
-		if n.Who != "" {
-			e.Str("who", n.Who)
+		if n.Peer != "" {
+			e.Str("who", n.Peer)
 		}
-		if n.Why != "" {
-			e.Str("why", n.Why)
+		if n.Reason != "" {
+			e.Str("why", n.Reason)
 		}
 		switch n.Step {
 		case "proposed":
-			e.Uint64("base", n.Base)
+			e.Uint64("base", n.BaseVersion)
 		case "checked":
 			e.Bool("accepted", n.Accepted)
 			if !n.Accepted {
 				a.Count.Refused.Add(1)
 			}
 		case "ready":
-			e.Int64("waited_ms", n.Took.Milliseconds())
+			e.Int64("waited_ms", n.Elapsed.Milliseconds())
 		case "deciding":
-			e.Int("lapsed", n.Lapsed)
+			e.Int("lapsed", n.ExpiredLeases)
 		case "in force":
 			a.Count.Changes.Add(1)
 			if a.voter != nil {
--- a/internal/network/fleet/accord/accord_test.go
+++ b/internal/network/fleet/accord/accord_test.go
@@ -43,7 +43,7 @@
 // asks through relays of its own.
 type fleet struct {
 	t      *testing.T
-	plan   accord.Plan
+	plan   accord.LeaseConfig
 	voters []Peer
 	relays [][]*faultnet.TCP // by dispatcher; none of voters
 	data   []string
@@ -60,7 +60,7 @@
 }
 
 func newFleet(t *testing.T, n int) *fleet {
-	f := &fleet{t: t, plan: accord.Plan{Lease: 600 * time.Millisecond, Drift: 0.001}, stop: make(chan struct{})}
+	f := &fleet{t: t, plan: accord.LeaseConfig{Lease: 600 * time.Millisecond, Drift: 0.001}, stop: make(chan struct{})}
 	f.older.Store(-1)
 	for i := range 3 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -117,7 +117,7 @@
 	}
 	by := uint64(0)
 	for i, g := range gates {
-		if now := all[i].clock.now(); now >= g.Take && now >= g.Start {
+		if now := all[i].clock.now(); now >= g.AcceptUntil && now >= g.StartUntil {
 			continue
 		}
 		if by != 0 && by != g.Version {
@@ -297,14 +297,14 @@
 // TestGate: a req is taken before the gate's time alone and stamped by its version, started before its own
 // time by that version alone, and counted while it waits; on no lease it is counted as lapsed.
 func TestGate(t *testing.T) {
-	a := &Accord{clock: clock{time.Now()}, cfg: Config{Plan: accord.Plan{Lease: 3 * time.Second}}}
+	a := &Accord{clock: clock{time.Now()}, cfg: Config{Plan: accord.LeaseConfig{Lease: 3 * time.Second}}}
 	a.member = &member{a: a, woken: make(chan struct{}, 1)}
-	set := func(g accord.Gate) *gate {
-		now := &gate{Gate: g, waiting: &atomic.Int64{}}
+	set := func(g accord.Admission) *gate {
+		now := &gate{Admission: g, waiting: &atomic.Int64{}}
 		a.member.gate.Store(now)
 		return now
 	}
-	open := set(accord.Gate{Version: 7, Take: accord.Never, Start: accord.Never, Lapsed: accord.Never})
+	open := set(accord.Admission{Version: 7, AcceptUntil: accord.Never, StartUntil: accord.Never, UnleasedFrom: accord.Never})
 	v, _, ok := a.Take()
 	assert.True(t, ok)
 	assert.EqualValues(t, 7, v)
@@ -317,7 +317,7 @@
 	assert.Zero(t, open.waiting.Load())
 	assert.Zero(t, a.Count.Lapsed.Load())
 
-	shut := set(accord.Gate{Version: 7, Take: 0, Start: accord.Never, Lapsed: accord.Never})
+	shut := set(accord.Admission{Version: 7, AcceptUntil: 0, StartUntil: accord.Never, UnleasedFrom: accord.Never})
 	_, pause, ok := a.Take()
 	assert.False(t, ok)
 	assert.Equal(t, 500*time.Millisecond, pause)
@@ -326,7 +326,7 @@
 	assert.True(t, a.MayStart(7), "what was taken may begin")
 	assert.False(t, a.Serves())
 
-	set(accord.Gate{Version: 7, Take: accord.Never, Start: 0, Lapsed: 0})
+	set(accord.Admission{Version: 7, AcceptUntil: accord.Never, StartUntil: 0, UnleasedFrom: 0})
 	_, _, ok = a.Take()
 	assert.True(t, ok)
 	assert.EqualValues(t, 1, a.Count.Lapsed.Load())
@@ -335,11 +335,11 @@
 
 // BenchmarkTake is what a req pays for its version: taken, started and told begun.
 func BenchmarkTake(b *testing.B) {
-	l, err := accord.NewLessee(accord.Plan{Lease: time.Second}, "n0", 1)
+	l, err := accord.NewParticipant(accord.LeaseConfig{Lease: time.Second}, "n0", 1)
 	require.NoError(b, err)
 	a := &Accord{clock: clock{time.Now()}}
 	a.member = &member{a: a, lessee: l, woken: make(chan struct{}, 1)}
-	a.member.gate.Store(&gate{Gate: accord.Gate{Version: 1, Take: accord.Never, Start: accord.Never, Lapsed: accord.Never}, waiting: &atomic.Int64{}})
+	a.member.gate.Store(&gate{Admission: accord.Admission{Version: 1, AcceptUntil: accord.Never, StartUntil: accord.Never, UnleasedFrom: accord.Never}, waiting: &atomic.Int64{}})
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
 			if v, _, ok := a.Take(); !ok || !a.MayStart(v) {
--- a/internal/network/fleet/accord/gate.go
+++ b/internal/network/fleet/accord/gate.go
@@ -9,7 +9,7 @@
 
 // gate is what the lessee last allowed, as the many goroutines of the fronts and the pool read it.
 type gate struct {
-	accord.Gate
+	accord.Admission
 	waiting *atomic.Int64 // reqs taken by this version that have begun nowhere
 }
 
@@ -20,8 +20,8 @@
 	g := m.gate.Load()
 	g.waiting.Add(1)
 	now := a.clock.now()
-	if g2 := m.gate.Load(); g2.Version == g.Version && g2.waiting == g.waiting && now < g2.Take {
-		if now >= g2.Lapsed {
+	if g2 := m.gate.Load(); g2.Version == g.Version && g2.waiting == g.waiting && now < g2.AcceptUntil {
+		if now >= g2.UnleasedFrom {
 			a.Count.Lapsed.Add(1)
 		}
 		return g.Version, 0, true
@@ -41,26 +41,26 @@
 // MayStart says whether an attempt of a req that was taken by a version may start now.
 func (a *Accord) MayStart(version uint64) bool {
 	g := a.member.gate.Load()
-	return g.Version == version && a.clock.now() < g.Start
+	return g.Version == version && a.clock.now() < g.StartUntil
 }
 
 // Serves says whether reqs are taken now.
-func (a *Accord) Serves() bool { return a.clock.now() < a.member.gate.Load().Take }
+func (a *Accord) Serves() bool { return a.clock.now() < a.member.gate.Load().AcceptUntil }
 
 // leave takes a req out of those that wait; a member that has stopped waits for the last.
 func (m *member) leave(g *gate) {
-	if g.waiting.Add(-1) == 0 && g.Take == 0 {
+	if g.waiting.Add(-1) == 0 && g.AcceptUntil == 0 {
 		m.wake()
 	}
 }
 
 // show publishes what the lessee allows. m.mu is held.
 func (m *member) show() {
-	old, now := m.gate.Load(), m.lessee.Gate()
-	if old.Gate == now {
+	old, now := m.gate.Load(), m.lessee.Admission()
+	if old.Admission == now {
 		return
 	}
-	g := &gate{Gate: now, waiting: old.waiting}
+	g := &gate{Admission: now, waiting: old.waiting}
 	if now.Version != old.Version {
 		g.waiting = &atomic.Int64{}
 	}
--- a/internal/network/fleet/accord/lend.go
+++ b/internal/network/fleet/accord/lend.go
@@ -33,9 +33,9 @@
 }
 
 // lent answers an ask for a share. v.mu is held, and that this voter leads is confirmed.
-func (v *voter) lent(from *link, w *wire.Want) {
+func (v *voter) lent(from *link, w *wire.BudgetRequest) {
 	if v.lender != nil && w.Budget == v.lends {
-		from.send(wire.WriteLent(wire.Lent{Budget: w.Budget, Grant: v.lender.Take(budget.Time(v.a.clock.now()), w.Ask)}))
+		from.send(wire.EncodeBudgetGrant(wire.BudgetGrant{Budget: w.Budget, Grant: v.lender.Take(budget.Time(v.a.clock.now()), w.Request)}))
 	}
 }
 
@@ -63,14 +63,14 @@
 }
 
 // wants is the ask for a share that is due, if one is.
-func (m *member) wants() (wire.Want, bool) {
+func (m *member) wants() (wire.BudgetRequest, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.holder == nil {
-		return wire.Want{}, false
+		return wire.BudgetRequest{}, false
 	}
 	a, ok := m.holder.Due(budget.Time(m.a.clock.now()))
-	return wire.Want{Budget: m.holds, Ask: a}, ok
+	return wire.BudgetRequest{Budget: m.holds, Request: a}, ok
 }
 
 // Share is what this dispatcher may spend now of the budget that the policy has, in units a second; 0 before
--- a/internal/network/fleet/accord/log.go
+++ b/internal/network/fleet/accord/log.go
@@ -30,7 +30,7 @@
 
 // machine applies the log's entries: raft.FSM.
 type machine struct {
-	decided func(accord.Note) // called for each entry that decides, in the log's order
+	decided func(accord.Event) // called for each entry that decides, in the log's order
 
 	mu    sync.Mutex
 	state accord.State
@@ -47,7 +47,7 @@
 // Apply takes an entry. One that cannot be read is another binary's: to pass over it would give the
 // voters different states, so that this one must not go on.
 func (m *machine) Apply(l *raft.Log) any {
-	d, err := wire.ReadDecide(l.Data)
+	d, err := wire.DecodeDecision(l.Data)
 	if err != nil {
 		panic(fmt.Sprintf("accord: entry %d of the log: %v", l.Index, err))
 	}
@@ -62,14 +62,14 @@
 	}
 	m.mu.Unlock()
 	if ok {
-		m.decided(accord.Note{Step: "decided", Change: d.Change, Version: d.Version, By: d.By})
+		m.decided(accord.Event{Step: "decided", Change: d.Change, Version: d.Version, Proposer: d.Proposer})
 	}
 	return ok
 }
 
 // Snapshot is the state as it is now.
 func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
-	return snapshot(wire.WriteState(m.State())), nil
+	return snapshot(wire.EncodeState(m.State())), nil
 }
 
 // Restore takes a snapshot in place of all that was.
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	s, err := wire.ReadState(p)
+	s, err := wire.DecodeState(p)
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 
 // openLog opens this voter's log in a folder and joins the others. The voters are those of the log's
 // first entry, which all write alike from the settings; where the settings name others now, it is a fault.
-func openLog(cfg *Config, me Peer, port *port, decided func(accord.Note)) (*majority, error) {
+func openLog(cfg *Config, me Peer, port *port, decided func(accord.Event)) (*majority, error) {
 	if err := os.MkdirAll(cfg.Data, 0o700); err != nil {
 		return nil, err
 	}
--- a/internal/network/fleet/accord/member.go
+++ b/internal/network/fleet/accord/member.go
@@ -24,7 +24,7 @@
 	done  sync.WaitGroup
 
 	mu     sync.Mutex
-	lessee *accord.Lessee
+	lessee *accord.Participant
 	holder *budget.Holder // of the policy's budget, where it has one
 	holds  string         // the budget's name
 	leader string         // the voter to ask, where one was named
@@ -33,9 +33,9 @@
 	first  time.Time      // when the first version was last proposed
 }
 
-func newMember(a *Accord, l *accord.Lessee) *member {
+func newMember(a *Accord, l *accord.Participant) *member {
 	m := &member{a: a, lessee: l, woken: make(chan struct{}, 1), stop: make(chan struct{})}
-	m.gate.Store(&gate{Gate: l.Gate(), waiting: &atomic.Int64{}})
+	m.gate.Store(&gate{Admission: l.Admission(), waiting: &atomic.Int64{}})
 	m.done.Add(1)
 	go m.run()
 	return m
@@ -63,14 +63,14 @@
 
 func (m *member) retry() {
 	m.mu.Lock()
-	m.lessee.Retry()
+	m.lessee.RetryCheck()
 	m.mu.Unlock()
 }
 
 func (m *member) held() (uint64, []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.lessee.Held()
+	return m.lessee.Current()
 }
 
 // beat is how often a member looks at the time: what its gate allows ends by itself, since the time is
@@ -89,7 +89,7 @@
 			}
 		}
 		m.leader = ""
-		m.lessee.Now()
+		m.lessee.RequestNow()
 		m.mu.Unlock()
 		m.follow(to)
 		if m.pause(max(m.a.cfg.Plan.Lease/30, 10*time.Millisecond)) {
@@ -164,7 +164,7 @@
 		defer close(heard)
 		r := bufio.NewReader(conn)
 		for {
-			msg, err := wire.Next(r)
+			msg, err := wire.ReadMessage(r)
 			if err != nil {
 				if errors.Is(err, wire.ErrMessage) {
 					m.a.Count.Bad.Add(1)
@@ -220,26 +220,26 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
-	case msg.Nudge:
-		m.lessee.Now()
-	case msg.Lent != nil:
-		if m.holder != nil && msg.Lent.Budget == m.holds {
-			m.holder.Granted(budget.Time(m.a.clock.now()), msg.Lent.Grant)
+	case msg.Poll:
+		m.lessee.RequestNow()
+	case msg.BudgetGrant != nil:
+		if m.holder != nil && msg.BudgetGrant.Budget == m.holds {
+			m.holder.Granted(budget.Time(m.a.clock.now()), msg.BudgetGrant.Grant)
 		}
-	case msg.Answer != nil && !msg.Answer.Leads:
-		m.leader = msg.Answer.Leader
+	case msg.LeaseResponse != nil && !msg.LeaseResponse.IsLeader:
+		m.leader = msg.LeaseResponse.Leader
 		return false
-	case msg.Answer != nil:
-		m.lessee.Answered(m.a.clock.now(), *msg.Answer)
-		m.begin(msg.Answer)
+	case msg.LeaseResponse != nil:
+		m.lessee.HandleResponse(m.a.clock.now(), *msg.LeaseResponse)
+		m.begin(msg.LeaseResponse)
 	}
 	return true
 }
 
 // begin proposes this voter's own policy where none was ever decided: the fleet's first. m.mu is held.
-func (m *member) begin(a *accord.Answer) {
+func (m *member) begin(a *accord.LeaseResponse) {
 	body := m.a.cfg.First
-	if a.Version > 0 || a.Change != 0 || m.a.voter == nil || body == nil || m.lessee.Proposing() ||
+	if a.Version > 0 || a.Change != 0 || m.a.voter == nil || body == nil || m.lessee.ProposalPending() ||
 		time.Since(m.first) < 2*m.a.cfg.Plan.Lease {
 		return
 	}
@@ -253,37 +253,37 @@
 // to the core, and the ask that is due is sent. send is nil without a link.
 func (m *member) turn(send func([]byte) bool) bool {
 	a, due := m.due(send != nil)
-	if due && !send(wire.WriteAsk(a)) { // bounded by the link's write deadline
+	if due && !send(wire.EncodeLeaseRequest(a)) { // bounded by the link's write deadline
 		return false
 	}
 	if send == nil {
 		return true
 	}
 	w, due := m.wants()
-	return !due || send(wire.WriteWant(w))
+	return !due || send(wire.EncodeBudgetRequest(w))
 }
 
-func (m *member) due(linked bool) (accord.Ask, bool) {
+func (m *member) due(linked bool) (accord.LeaseRequest, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.enter()
 	m.show() // closed before those that wait are counted
 	m.lessee.Tick(m.a.clock.now(), int(m.gate.Load().waiting.Load()))
-	for _, c := range m.lessee.Checks() {
-		m.lessee.Checked(m.a.clock.now(), c, m.a.cfg.Check(c.Body))
+	for _, c := range m.lessee.TakeChecks() {
+		m.lessee.ReportCheck(m.a.clock.now(), c, m.a.cfg.Check(c.Body))
 	}
 	m.enter()
 	m.show()
-	m.a.tell(m.lessee.Notes())
+	m.a.tell(m.lessee.TakeEvents())
 	if !linked {
-		return accord.Ask{}, false
+		return accord.LeaseRequest{}, false
 	}
-	return m.lessee.Due(m.a.clock.now())
+	return m.lessee.NextRequest(m.a.clock.now())
 }
 
 // enter puts a version in force at its first lease, before the gate is shown. m.mu is held.
 func (m *member) enter() {
-	version, body, ok := m.lessee.Enter()
+	version, body, ok := m.lessee.TakeActivation()
 	if !ok {
 		return
 	}
--- a/internal/network/fleet/accord/voter.go
+++ b/internal/network/fleet/accord/voter.go
@@ -31,7 +31,7 @@
 	done sync.WaitGroup
 
 	mu     sync.Mutex
-	keeper *accord.Keeper // nil while it does not lead
+	keeper *accord.Leader // nil while it does not lead
 	term   uint64
 	count  uint64         // of changes in term, by keepers before
 	lender *budget.Keeper // of the policy's budget, while it leads
@@ -42,8 +42,8 @@
 // asked is an ask, or one for a share where want is there.
 type asked struct {
 	from *link
-	ask  accord.Ask
-	want *wire.Want
+	ask  accord.LeaseRequest
+	want *wire.BudgetRequest
 }
 
 // link is a member's connection, at a voter.
@@ -71,7 +71,7 @@
 	if v.port, err = newPort(listen, me.Address, v.serve); err != nil {
 		return nil, err
 	}
-	if v.log, err = openLog(&a.cfg, me, v.port, func(n accord.Note) { a.tell([]accord.Note{n}) }); err != nil {
+	if v.log, err = openLog(&a.cfg, me, v.port, func(n accord.Event) { a.tell([]accord.Event{n}) }); err != nil {
 		v.port.Close()
 		return nil, err
 	}
@@ -104,7 +104,7 @@
 	if v.keeper == nil {
 		return false, 0
 	}
-	return true, v.keeper.Lent(v.a.clock.now())
+	return true, v.keeper.LeasesInUse(v.a.clock.now())
 }
 
 // since is how long ago a version was decided, if it is the last that this process saw decided.
@@ -146,14 +146,14 @@
 	if v.await(func() error { return r.Barrier(barrier).Error() }) != nil || r.State() != raft.Leader || r.CurrentTerm() != term {
 		return
 	}
-	k, err := accord.NewKeeper(v.a.cfg.Plan, term, v.a.clock.now(), v.log.machine.State())
+	k, err := accord.NewLeader(v.a.cfg.Plan, term, v.a.clock.now(), v.log.machine.State())
 	if err != nil {
 		v.a.cfg.Log.Error().Err(err).Msg("accord: cannot lead")
 		return
 	}
 	v.mu.Lock()
 	if v.term == term {
-		k.After(v.count)
+		k.ResumeChangeCount(v.count)
 	}
 	v.keeper, v.term, v.lender = k, term, nil
 	v.lend(v.log.machine.State().Body)
@@ -175,7 +175,7 @@
 // forget drops the keeper. v.mu is held.
 func (v *voter) forget() {
 	if v.keeper != nil {
-		v.count, v.keeper = v.keeper.Count(), nil
+		v.count, v.keeper = v.keeper.ChangeCount(), nil
 	}
 }
 
@@ -215,16 +215,16 @@
 	r := bufio.NewReader(conn)
 	for {
 		conn.SetReadDeadline(time.Now().Add(4 * v.a.cfg.Plan.Lease))
-		m, err := wire.Next(r)
-		if err != nil || m.Ask == nil && m.Want == nil {
+		m, err := wire.ReadMessage(r)
+		if err != nil || m.LeaseRequest == nil && m.BudgetRequest == nil {
 			if err == nil || errors.Is(err, wire.ErrMessage) {
 				v.a.Count.Bad.Add(1)
 			}
 			return
 		}
-		a := asked{from: l, want: m.Want}
-		if m.Ask != nil {
-			a.ask = *m.Ask
+		a := asked{from: l, want: m.BudgetRequest}
+		if m.LeaseRequest != nil {
+			a.ask = *m.LeaseRequest
 		}
 		select {
 		case v.asks <- a:
@@ -267,7 +267,7 @@
 				if a.want != nil { // an ask for a share says nothing of who leads
 					continue
 				}
-				a.from.send(wire.WriteAnswer(accord.Answer{Peer: a.ask.Peer, Epoch: a.ask.Epoch, Seq: a.ask.Seq, Leader: string(id)}))
+				a.from.send(wire.EncodeLeaseResponse(accord.LeaseResponse{Peer: a.ask.Peer, Epoch: a.ask.Epoch, Seq: a.ask.Seq, Leader: string(id)}))
 			}
 			continue
 		}
@@ -278,7 +278,7 @@
 					v.lent(a.from, a.want)
 					continue
 				}
-				a.from.send(wire.WriteAnswer(k.Take(v.a.clock.now(), a.ask)))
+				a.from.send(wire.EncodeLeaseResponse(k.Handle(v.a.clock.now(), a.ask)))
 			}
 			v.turn(k)
 		}
@@ -325,25 +325,25 @@
 }
 
 // turn does what the keeper asks for. v.mu is held.
-func (v *voter) turn(k *accord.Keeper) {
-	if d, ok := k.Submit(); ok {
+func (v *voter) turn(k *accord.Leader) {
+	if d, ok := k.TakeDecision(); ok {
 		go v.submit(k, d)
 	}
-	if k.Nudge() {
-		p := wire.WriteNudge()
+	if k.TakePoll() {
+		p := wire.EncodePoll()
 		for l := range v.links {
 			if len(l.out) < linkHeld/2 { // a hint: never a reason to close a link
 				l.send(p)
 			}
 		}
 	}
-	v.a.tell(k.Notes())
+	v.a.tell(k.TakeEvents())
 }
 
 // submit gives an entry to the log. Where that fails nobody can tell whether it was decided: the keeper
 // is dropped, and its successor reads it from the log.
-func (v *voter) submit(k *accord.Keeper, d accord.Decide) {
-	err := v.log.raft.Apply(wire.WriteDecide(d), 0).Error()
+func (v *voter) submit(k *accord.Leader, d accord.Decision) {
+	err := v.log.raft.Apply(wire.EncodeDecision(d), 0).Error()
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.keeper != k {
--- a/internal/network/fleet/quota/rig_test.go
+++ b/internal/network/fleet/quota/rig_test.go
@@ -130,7 +130,7 @@
 
 func (r *rig) start(i int) {
 	m := &member{}
-	cfg := accord.Config{Plan: leases.Plan{Lease: 600 * time.Millisecond, Drift: 0.001, Keep: true}, Name: named(i), Epoch: uint64(time.Now().UnixNano()),
+	cfg := accord.Config{Plan: leases.LeaseConfig{Lease: 600 * time.Millisecond, Drift: 0.001, ContinueWhenCut: true}, Name: named(i), Epoch: uint64(time.Now().UnixNano()),
 		Check: func([]byte) error { return nil },
 		Enter: func(version uint64, body []byte) error {
 			p, err := policy.Read(body)
--- a/internal/network/versions_bench_test.go
+++ b/internal/network/versions_bench_test.go
@@ -36,7 +36,7 @@
 // HTTP/1.1 in blocks, alternating with and without an accord, in one process. It reports the median processor time per request of
 // the blocks, each way, and the median difference of neighbouring blocks.
 func BenchmarkVersion(b *testing.B) {
-	a, err := accord.New(accord.Config{Plan: leases.Plan{Lease: 3 * time.Second}, Name: "n0", Epoch: 1,
+	a, err := accord.New(accord.Config{Plan: leases.LeaseConfig{Lease: 3 * time.Second}, Name: "n0", Epoch: 1,
 		Voters: []accord.Peer{{Name: "n0", Address: "127.0.0.1:39401"}}, Data: b.TempDir(), First: []byte("x"),
 		Check: func([]byte) error { return nil }, Enter: func(uint64, []byte) error { return nil }})
 	require.NoError(b, err)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -67,10 +67,10 @@
 
 // Policy is what the fleet agrees on; the schema says what each value means.
 type Policy struct {
-	Connections int      `json:"connections"`
-	Most        int      `json:"most"`
-	Reserve     float64  `json:"reserve"`
-	Bans        []string `json:"bans"`
+	Connections    int      `json:"connections"`
+	MaxDispatchers int      `json:"most"`
+	Reserve        float64  `json:"reserve"`
+	Bans           []string `json:"bans"`
 
 	Quotas        map[string]int `json:"quotas"`
 	UrgentReserve int            `json:"urgent_reserve"`
