--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -7,8 +7,8 @@
 	"tinsail/internal/guard"
 )
 
-// actions carries out what the module decides. It is called while the module handles an
-// event, so that it must not call the module: what fails at once is posted.
+// actions performs the module's actions. The module calls it while it handles an event, so it must not call back into the
+// module: an action that fails immediately posts an event instead.
 type actions struct{ c *Core }
 
 func (x actions) Dispatch(id balance.RequestID, to balance.WorkerID, within balance.Millis) {
@@ -27,7 +27,7 @@
 	r.attempts = append(r.attempts, a)
 	r.latest.Store(a)
 	r.out++
-	if a.Backend == nil || r.over.Load() || until <= now || // only ever to a listed backend
+	if a.Backend == nil || r.over.Load() || until <= now || // attempts go to listed backends only
 		c.Versions != nil && !c.Versions.MayStart(r.version) {
 		if a.Backend == nil {
 			a.Backend = &Backend{ID: to}
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -8,32 +8,32 @@
 	"tinsail/internal/balance"
 )
 
-// Attempt is one send of a req to a backend.
+// Attempt is one sending of a request to a backend.
 type Attempt struct {
 	Job     *Job
 	Backend *Backend
-	Until   time.Time // the dispatcher waits no longer
+	Until   time.Time // when the dispatcher stops waiting
 	core    *Core
 	req     *req
-	before  *Attempt // of the same req, the one sent before it; nil for the first
+	before  *Attempt // attempt of the same request sent just before; nil for the first
 	number  int
 	sent    float64
 	over    bool
-	ending  Ending       // once over
-	never   atomic.Bool  // proven never to have run
-	begun   atomic.Int64 // when MayBegin let it go, in nanoseconds after the clock's origin, and 1; 0: it has not
+	ending  Ending // valid once done is set
+	never   atomic.Bool // proven never to have run
+	begun   atomic.Int64 // stamp of when MayBegin last allowed it; 0 if it never did
 	stopped atomic.Bool
 	stop    func()
 
-	started atomic.Bool   // told
-	share   atomic.Uint64 // the newest progress, as a float64's bits
-	posted  atomic.Bool   // an event waits that will tell it
+	started atomic.Bool // Started was called
+	share   atomic.Uint64 // newest progress, as the bits of a float64
+	posted  atomic.Bool // an event that will report progress is posted
 }
 
-// MayBegin says, just before the first byte goes out, whether it still may. Until then a connection may have been in the
-// making for long: the req may have its answer or its client may be gone, the list can have changed (nothing new may reach
-// a backend that is known to drain, or that operators have banned), and a repeat may have become one that could take
-// effect twice. It may be called from any goroutine, and waits for nothing; again, where no byte went out after all.
+// MayBegin reports, just before the first byte is written, whether the attempt may still begin. Making the connection can
+// take long, and meanwhile the request may have been answered, its client may have left, the backend may have started
+// draining or been banned, or sending may have become unsafe because another attempt could take effect too. It may be called
+// from any goroutine and doesn't block. It may be called again if no byte was written after all.
 func (a *Attempt) MayBegin() bool {
 	now := a.core.clock.read()
 	if a.req.over.Load() || a.stopped.Load() || !a.Backend.ready.Load() || a.Backend.Withheld() || !now.Before(a.Until) || !a.harmless(now) ||
@@ -44,12 +44,12 @@
 	return true
 }
 
-// Wanted says whether the attempt may still be of use: its request has no answer, its client is there, and it was not
-// stopped. It may be called from any goroutine, and changes nothing.
+// Wanted reports whether the attempt can still be of use: the request is unanswered, its client is there, and the attempt
+// was not stopped. It may be called from any goroutine and changes nothing.
 func (a *Attempt) Wanted() bool { return !a.req.over.Load() && !a.stopped.Load() }
 
-// harmless is the rule on duplicated effects once more, as far as it hangs on time and on what has become of the other
-// attempts: the module judged it when it decided on this one, which may begin much later.
+// repeatAllowed checks the rule on duplicated effects again, as far as it depends on the time and on the other attempts. The
+// module checked it when it decided on this attempt, but the attempt may begin much later.
 func (a *Attempt) harmless(now time.Time) bool {
 	r := a.req
 	if r.effect == balance.Safe || !a.core.guarded {
@@ -70,21 +70,21 @@
 	return true
 }
 
-// Version is the version of the fleet's policy that the req was taken by; 0 where there is none.
+// Version returns the version of the fleet's policy under which the request was admitted; 0 if there is none.
 func (a *Attempt) Version() uint64 { return a.req.version }
 
-// Number is the attempt's among those of its req, from 0.
+// Number returns the index of the attempt among those of its request, from 0.
 func (a *Attempt) Number() int { return a.number }
 
-// Started tells that the job has begun. Only the first call counts: a backend that says it without end gets nothing into
-// the core by it.
+// Started reports that the job has begun to run. Only the first call counts, so that a backend which repeats it cannot
+// flood the core.
 func (a *Attempt) Started() {
 	if !a.started.Swap(true) {
 		a.core.post(func() { a.core.progressed(a, true, 0) })
 	}
 }
 
-// Progress tells how much of the job is done. At most one event of it waits for the core, which then takes the newest.
+// Progress reports the share of the job that is done. At most one such event is pending; the core then reads the newest share.
 func (a *Attempt) Progress(share float64) {
 	a.share.Store(math.Float64bits(share))
 	if !a.posted.Swap(true) {
@@ -95,7 +95,7 @@
 	}
 }
 
-// Ended tells how the attempt ended.
+// Ended reports how the attempt ended.
 func (a *Attempt) Ended(e Ending, result string, report []float32) {
 	a.core.post(func() { a.core.ended(a, e, result, report) })
 }
--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -11,7 +11,7 @@
 	"tinsail/internal/counters"
 )
 
-// mute is a policy that decides nothing.
+// noopPolicy is a decision policy that takes no action.
 type mute struct{ balance.Events }
 
 func (mute) Arrive(balance.Millis, balance.Request)                     {}
@@ -20,7 +20,7 @@
 func (mute) AttemptEnded(balance.Millis, balance.Outcome)               {}
 func (mute) Progressed(balance.Millis, balance.Progress)                {}
 
-// trial is a bench on a clock that the test moves, with a req of one class whose attempts the test decides on itself.
+// clockFixture is a fixture with a manual clock and one request, whose attempts the test dispatches itself.
 type trial struct {
 	*bench
 	now    time.Time
@@ -44,17 +44,17 @@
 
 func (w *trial) dispatch() { actions{w.core}.Dispatch(1, 1, 0) }
 
-// TestGoneBeforeItBegan: once its client has gone, or it has its answer, no attempt of a req begins, from that instant on
-// and not only once the core has heard of it. What is out runs on.
+// Once its client is gone or it is answered, no further attempt of a request begins: from that instant on, not only after the
+// core has handled the event. An attempt that has begun runs on.
 func TestGoneBeforeItBegan(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(*trial)
 		want bool
 	}{
 		"nothing happened":                 {func(*trial) {}, true},
-		"gone, and the core knows nothing": {func(w *trial) { w.ticket.Abandon(false, nil) }, false},
+		"gone, event not handled yet": {func(w *trial) { w.ticket.Abandon(false, nil) }, false},
 		"gone":                             {func(w *trial) { w.ticket.Abandon(false, nil); w.core.step() }, false},
-		"gone, and called off":             {func(w *trial) { w.ticket.Abandon(true, nil); w.core.step() }, false},
+		"gone, attempts cancelled":             {func(w *trial) { w.ticket.Abandon(true, nil); w.core.step() }, false},
 		"answered by the other attempt":    {func(w *trial) { w.sent[0].Ended(Served, "r", nil); w.core.step() }, false},
 		"the other attempt failed":         {func(w *trial) { w.sent[0].Ended(Broken, "", nil); w.core.step() }, true},
 	} {
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestHarmless: the rule on duplicated effects, just before the first byte: by the class of the settings, by when the
-// other attempts really began, and by what is proven of them.
+// MayBegin enforces the rule on duplicated effects just before the first byte. It depends on the class's effect, on when the
+// other attempts actually began, and on whether they are proven never to have run.
 func TestHarmless(t *testing.T) {
 	const window = 1000
 	pass := func(w *trial, ms int) { w.now = w.now.Add(time.Duration(ms) * time.Millisecond) }
@@ -87,24 +87,24 @@
 	for name, c := range map[string]struct {
 		effect balance.Effect
 		first  func(*trial)
-		late   int // ms before the second attempt is about to begin
+		late   int // ms until the second attempt is about to begin
 		want   bool
 	}{
 		"safe":                              {balance.Safe, end(Broken), 5000, true},
-		"in the window":                     {balance.Deduped, end(Broken), 849, true},
-		"behind the window":                 {balance.Deduped, end(Broken), 850, false},
-		"behind it, the first still out":    {balance.Deduped, func(w *trial) { w.sent[0].MayBegin() }, 850, false},
-		"behind it, the first overdue":      {balance.Deduped, end(Overdue), 850, false},
-		"behind it, but it never ran":       {balance.Deduped, end(Unreached), 5000, true},
-		"behind it, but it was turned away": {balance.Deduped, end(Returned), 5000, true},
+		"within the window":                     {balance.Deduped, end(Broken), 849, true},
+		"after the window":                 {balance.Deduped, end(Broken), 850, false},
+		"after it, the first outstanding":    {balance.Deduped, func(w *trial) { w.sent[0].MayBegin() }, 850, false},
+		"after it, the first overdue":      {balance.Deduped, end(Overdue), 850, false},
+		"after it, the first never ran":       {balance.Deduped, end(Unreached), 5000, true},
+		"after it, the first was returned": {balance.Deduped, end(Returned), 5000, true},
 		"counted from when it began": {balance.Deduped, func(w *trial) {
 			pass(w, 800)
 			w.sent[0].MayBegin()
 		}, 849, true},
 		"not yet begun":               {balance.Deduped, func(*trial) {}, 5000, true},
-		"unsafe, the first still out": {balance.Unsafe, func(w *trial) { w.sent[0].MayBegin() }, 1, false},
+		"unsafe, the first outstanding": {balance.Unsafe, func(w *trial) { w.sent[0].MayBegin() }, 1, false},
 		"unsafe, not yet begun":       {balance.Unsafe, func(*trial) {}, 1, false},
-		"unsafe, overdue while its connection is made": {balance.Unsafe, func(w *trial) {
+		"unsafe, overdue while connecting": {balance.Unsafe, func(w *trial) {
 			w.core.cut(w.sent[0], Overdue)
 			assert.False(t, w.sent[0].MayBegin())
 		}, 1, false},
@@ -126,7 +126,7 @@
 	}
 }
 
-// TestWindowFromTheFirstThatBegan: the attempt sent first can be the one that begins last. Its time counts from the other.
+// The attempt sent first can be the one that begins last. The repeat window counts from the attempt that began first.
 func TestWindowFromTheFirstThatBegan(t *testing.T) {
 	for late, want := range map[time.Duration]bool{849: true, 850: false} {
 		w := newTrial(t, balance.Class{Effect: balance.Deduped, RepeatWindow: 1000})
@@ -137,7 +137,7 @@
 	}
 }
 
-// TestBegunAgain: an attempt that was let go, wrote nothing and is asked again counts from the second time.
+// MayBegin can allow an attempt that then writes no byte and asks again. The repeat window counts from the second time.
 func TestBegunAgain(t *testing.T) {
 	w := newTrial(t, balance.Class{Effect: balance.Deduped, RepeatWindow: 1000})
 	w.dispatch()
@@ -148,7 +148,7 @@
 	assert.True(t, w.sent[1].MayBegin())
 }
 
-// TestNewsWithoutEnd: a backend that tells of a job's start and progress without end fills nothing: one event of each waits.
+// A backend that reports start and progress without end must not fill the inbox: at most one event of each is pending.
 func TestNewsWithoutEnd(t *testing.T) {
 	w := newTrial(t, balance.Class{Effect: balance.Safe})
 	for i := range 1000 {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,10 +1,9 @@
-// Package core drives the decision module with real events. It keeps the table of reqs,
-// the timers and the list of backends, and knows neither sockets nor any protocol: fronts
-// hand it reqs, a pool of backends carries out attempts, a director brings lists.
+// Package core connects the decision module (package balance) to real events. It keeps the table of requests, the timers and
+// the list of backends. It knows neither sockets nor protocols: fronts submit requests to it, a backend pool sends the
+// attempts, and a director client delivers the list of backends.
 //
-// One goroutine owns the module and the table. All else posts events, which are taken one
-// at a time; an action that fails at once becomes a later event, so that the module is
-// never entered while it acts.
+// One goroutine owns the module and the table. All other goroutines post events, which are handled one at a time. An action
+// that fails immediately is posted as a later event, so that the module is never re-entered while it performs an action.
 package core
 
 import (
@@ -20,66 +19,65 @@
 	"tinsail/internal/guard"
 )
 
-// Job is what passes through to a backend unchanged. Its slices belong to the front, which
-// must leave them alone until the req's Answer says Free.
+// Job is the part of a request that reaches the backend unchanged. Its slices belong to the front, which must not modify them
+// until the request's Answer has JobReleased set.
 type Job struct {
 	Method, Target string
-	ID             string // of the req, as the client gave it
-	IdempotencyKey string // empty if none
+	ID             string // request ID as given by the client
+	IdempotencyKey string // empty if the client gave none
 	Body           []byte
 }
 
-// Verdict is what kind of final answer a req gets.
+// AnswerKind is the kind of final answer that a request gets.
 type Verdict uint8
 
-// Verdicts.
+// Kinds of final answers.
 const (
-	ResultOf Verdict = iota // a backend's result
-	Refusal                 // a synthetic answer: trying again is harmless
-	Failure                 // no promise
+	ResultOf Verdict = iota // the result of a backend
+	Refusal // answer made by the dispatcher; the client may retry safely
+	Failure // no result, and no promise that a retry is safe
 )
 
-// Answer is a req's one final answer.
+// Answer is the one final answer to a request.
 type Answer struct {
 	Verdict Verdict
 	Result  string
-	Pause   time.Duration // best time to stay away after a refusal, 0 for no advice
-	Free    bool          // no attempt will read the job any more
+	Pause   time.Duration // suggested delay before the client retries after a refusal; 0 for no suggestion
+	Free    bool // no attempt will read the Job any more
 }
 
-// Client is the side a req came from. Answer is called once, from the core's goroutine,
-// and must not block.
+// Client is the sender of a request. Answer is called once, on the core's goroutine, and must not block.
 type Client interface{ Answer(Answer) }
 
-// Backends carries out what the module decides. No method may block or call back at once.
+// Backends performs the module's actions on backends. No method may block, or call back before it returns.
 type Backends interface {
-	// Send begins an attempt and returns what stops it. The pool calls the attempt's Ended
-	// once, unless it was stopped.
+	// Send starts an attempt and returns a function that stops it. The implementation calls the attempt's Ended method
+	// once, unless the attempt was stopped.
 	Send(a *Attempt) (stop func())
-	// Probe asks for a load report and calls done once.
+	// Probe asks a backend for a load report and calls done once.
 	Probe(b *Backend, done func(Ending, []float32))
-	// HangUp closes idle connections to a backend.
+	// CloseIdle closes idle connections to a backend.
 	HangUp(b *Backend)
 }
 
 // Director watches the list of backends.
 type Director interface{ Subscribe() }
 
-// Backend is a photo worker. Its fields but state are fixed: a backend that moves to another
-// address is replaced by a new one in the core's list.
+// Backend is a server that runs jobs. All fields but its state are fixed: a backend whose address changes is replaced
+// by a new Backend in the core's list.
 type Backend struct {
 	ID      balance.WorkerID
 	Name    string
 	Address string
 	ready   atomic.Bool
-	drained atomic.Int64 // since when it is not ready, in nanoseconds after the clock's origin, and 1; 0: it is, or never was
-	core    *Core        // nil in tests of what stands behind the core
+	drained atomic.Int64 // stamp (see clock.toStamp) of when it stopped being ready; 0 while it is ready or if it never was
+	core    *Core // nil in tests that use a Backend without a core
 }
 
-// Withheld says that operators have taken the backend out of use.
+// Banned reports whether operators have taken the backend out of use.
 func (b *Backend) Withheld() bool { return b.core != nil && b.core.withheld(b.ID) }
 
-// set notes whether the backend may be sent to.
+// setReady records whether requests may be sent to the backend.
 func (b *Backend) set(ready bool) {
 	was := b.ready.Swap(ready)
 	switch {
@@ -90,48 +88,48 @@
 	}
 }
 
-// Entry is a line of the director's list.
+// Entry is one backend of the director's list.
 type Entry struct {
 	balance.Worker
 	Name, Address string
-	// Local says that Started is a time on this core's clock (see Now), not what the list told.
+	// LocalStart says that Started is a time on this core's clock (see Now) and not a time from the list.
 	Local bool
 }
 
-// req is a request that is owed an answer, or has attempts out.
+// req is a request that is unanswered or has attempts outstanding.
 type req struct {
 	id       balance.RequestID
 	client   Client
 	job      *Job
 	deadline float64
 	effect   balance.Effect
-	window   balance.Millis // for repeats, where effect is Deduped
-	open     bool           // a final answer is owed
-	over     atomic.Bool    // it is not, or is not wanted any more: nothing of it may begin
-	scope    balance.Scope  // of the backends that drop repeats, where effect is Deduped
-	answered bool           // its final answer was given
-	goneAt   atomic.Int64   // when its client was known to have gone, in nanoseconds after the clock's origin, and 1; 0: it has not
-	version  uint64         // of the fleet's policy that it was taken by, 0 without Versions
-	began    atomic.Bool    // at a backend, or never will; told to Versions once
+	window   balance.Millis // for how long backends drop repeats, where effect is Deduped
+	open     bool // a final answer is still due
+	over     atomic.Bool // the request is answered or no longer wanted: no attempt may begin
+	scope    balance.Scope // which backends drop repeats together, where effect is Deduped
+	answered bool // the final answer was given
+	goneAt   atomic.Int64 // stamp of when its client was found to be gone; 0 while it is there
+	version  uint64 // fleet policy version under which it was admitted; 0 without Versions
+	began    atomic.Bool // Versions was told that it has begun at a backend or never will
 	attempts []*Attempt
-	latest   atomic.Pointer[Attempt] // the last of attempts, for MayBegin
+	latest   atomic.Pointer[Attempt] // last element of attempts, read by MayBegin on other goroutines
 	out      int
-	cut      bool // an attempt was stopped from here, and may be reading the job still
+	cut      bool // the core stopped an attempt, which may still be reading the job
 	gone     func()
-	waits    bool   // for room, and the module does not know of it
-	arrived  bool   // the module knows of it
-	leave    func() // gives its room, or its place among those that wait, back; nil without Quotas and once it was called
+	waits    bool // waits for quota; the module does not know of it yet
+	arrived  bool // the module knows of it
+	leave    func() // releases its quota or its place in the queue for it; nil without Quotas and after the call
 }
 
 // Core is the dispatcher without its connections.
 type Core struct {
-	// Log takes what the module and the core have to tell; set it before Run, if at all.
+	// Log receives the log lines of the module and the core. Set it before Run, if at all.
 	Log zerolog.Logger
-	// Versions, where set before Run, says by which version of the fleet's policy reqs are taken.
+	// Versions, if set before Run, decides under which version of the fleet's policy requests are admitted.
 	Versions Versions
-	// Quotas, where set before Run, says when there is room for a req.
+	// Quotas, if set before Run, decides when a request may run.
 	Quotas Quotas
-	// Guard, where set before Run, checks the rules at run time and keeps the trace.
+	// Guard, if set before Run, checks invariants at run time and keeps the trace of events.
 	Guard *guard.Recorder
 
 	clock    clock
@@ -142,23 +140,23 @@
 	reqs     map[balance.RequestID]*req
 	listed   map[balance.WorkerID]*Backend
 	last     balance.RequestID
-	waiting  []*req // for room, by versions; some wait no more
+	waiting  []*req // requests queued for quota, with Versions set; some have left the queue already
 	timers   timers
 	slack    float64
-	grace    time.Duration // in which sends to a draining backend end
+	grace    time.Duration // for how long after a backend stops being ready an attempt may still begin at it
 	classes  []balance.Class
-	guarded  bool // MayBegin holds the rule on duplicated effects too
-	// mayCancel says that the settings allow to call an attempt off.
+	guarded  bool // MayBegin enforces the rule on duplicated effects as well
+	// mayCancel says that the settings allow cancelling an attempt.
 	mayCancel bool
-	ready     atomic.Int32                               // backends that may be sent to
-	open      atomic.Int32                               // reqs owed an answer
-	known     atomic.Bool                                // a list of backends has come
-	held      atomic.Pointer[map[balance.WorkerID]int64] // since when, as drained of a Backend
+	ready     atomic.Int32 // number of backends that may be sent to
+	open      atomic.Int32 // number of unanswered requests
+	known     atomic.Bool // a list of backends has arrived
+	held      atomic.Pointer[map[balance.WorkerID]int64] // stamps of when each banned backend was banned
 
 	ids ids
 
 	starts starts
-	heard  int64 // when the director's last answer came, as the clock's stamp; 0: none has
+	heard  int64 // stamp of the director's last answer; 0 if there was none
 
 	mu     sync.Mutex
 	inbox  []func()
@@ -166,22 +164,22 @@
 	posted chan struct{}
 }
 
-// New makes a core for the settings, on the system's clock.
+// New makes a core for the settings, on the system clock.
 func New(s balance.Settings, b Backends, d Director, count *counters.Set) (*Core, error) {
 	return NewAt(time.Now, s, b, d, count)
 }
 
-// NewAt makes a core whose time is what read tells. Where that is not the system's, Run is of no
-// use: whoever moves the clock calls Step when something was posted and at Next.
+// NewAt makes a core that reads the time from read. If that is not the system clock, Run must not be used: whoever moves the
+// clock calls Step after something was posted, and at the time that NextTimer returns.
 func NewAt(read func() time.Time, s balance.Settings, b Backends, d Director, count *counters.Set) (*Core, error) {
 	c, err := NewWith(read, func(s balance.Settings, a balance.Actions) (balance.Events, error) { return balance.New(s, a) }, s, b, d, count)
 	c.guarded = true
 	return c, err
 }
 
-// NewWith makes a core whose decisions another policy makes than the module: the laboratory compares
-// them, and judges what they would send: MayBegin does not keep such a policy from sending twice what must not be. A
-// program that serves has no use for it.
+// NewWith makes a core with another decision policy than package balance's. The simulator uses it to compare policies and to
+// judge what they would send, so MayBegin doesn't stop such a policy from duplicating an effect. A serving program must use
+// New.
 func NewWith(read func() time.Time, policy func(balance.Settings, balance.Actions) (balance.Events, error),
 	s balance.Settings, b Backends, d Director, count *counters.Set) (*Core, error) {
 	c := &Core{clock: newClock(read), count: count, backends: b, director: d, slack: s.Rules.AnswerSlack,
@@ -193,11 +191,11 @@
 	return c, err
 }
 
-// Ready is how many backends may be sent to.
+// ReadyBackends returns how many backends may be sent to.
 func (c *Core) Ready() int { return int(c.ready.Load()) }
 
-// Withhold names the backends that nothing may begin at from now on, whatever the list says. It
-// holds when it returns, and does not wait for what the core has yet to take. The map is the core's.
+// SetBanned names the backends at which no attempt may begin from now on, whatever their listed state. It takes effect before
+// it returns, ahead of events that the core has not handled yet. The core keeps no reference to the map.
 func (c *Core) Withhold(ids map[balance.WorkerID]struct{}) {
 	since := make(map[balance.WorkerID]int64, len(ids))
 	now := c.clock.stamp(c.clock.read())
@@ -212,7 +210,7 @@
 
 func (c *Core) withheld(id balance.WorkerID) bool { return c.withheldSince(id) != 0 }
 
-// withheldSince is since when a backend is withheld, 0 if it is not.
+// bannedSince returns the stamp of when a backend was banned, 0 if it is not banned.
 func (c *Core) withheldSince(id balance.WorkerID) int64 {
 	ids := c.held.Load()
 	if ids == nil {
@@ -221,15 +219,15 @@
 	return (*ids)[id]
 }
 
-// heir is a policy that shares the budget of cold backends with another process of this dispatcher.
+// overlapPolicy is a policy that can share the budget of cold backends with another process of this dispatcher.
 type heir interface {
 	Retire(on bool)
 	Succeed(now balance.Millis)
 }
 
-// Retire tells the module that another process of this dispatcher serves beside this one from now on, so that each
-// spends a part of the budget of cold backends (on), or that this one is alone again (off); Succeed tells a process
-// that takes over that the one before it still serves. balance.Dispatcher.Retire says what the parts are.
+// SetOverlap tells the module whether another process of this dispatcher serves at the same time, as during a hand-over.
+// While on, each process spends only part of the budget of cold backends; off means that this process is alone again.
+// balance.Dispatcher.SetOverlap documents the parts.
 func (c *Core) Retire(on bool) {
 	c.post(func() {
 		if h, ok := c.mod.(heir); ok {
@@ -238,7 +236,7 @@
 	})
 }
 
-// Succeed is Retire's other end.
+// StartOverlapped tells a process that takes over that its predecessor still serves.
 func (c *Core) Succeed() {
 	c.post(func() {
 		if h, ok := c.mod.(heir); ok {
@@ -247,10 +245,10 @@
 	})
 }
 
-// Known says whether any list of backends has come.
+// HasList reports whether any list of backends has arrived.
 func (c *Core) Known() bool { return c.known.Load() }
 
-// Open is how many reqs are owed an answer.
+// OpenReqs returns how many requests are unanswered.
 func (c *Core) Open() int { return int(c.open.Load()) }
 
 func (c *Core) post(event func()) {
@@ -263,7 +261,7 @@
 	}
 }
 
-// Run takes events until stop is closed.
+// Run handles events until stop is closed.
 func (c *Core) Run(stop <-chan struct{}) {
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
@@ -283,8 +281,8 @@
 	}
 }
 
-// Step takes what has been posted and the timers that are due, as Run does, and again until
-// nothing is left to do at this time. It must not be called while Run is.
+// Step handles posted events and due timers, as Run does, until nothing is left to do at the current time. It must not be
+// called while Run is running.
 func (c *Core) Step() {
 	for more := true; more; {
 		c.step()
@@ -294,17 +292,17 @@
 	}
 }
 
-// Next is when the next timer is due; zero if there is none.
+// NextTimer returns when the next timer is due, or the zero time if there is none.
 func (c *Core) Next() time.Time {
 	if len(c.timers.list) == 0 {
 		return time.Time{}
 	}
-	// Rounded up: a clock that counts in whole nanoseconds must not stop just short of it.
+	// Rounded up, so that a clock in whole nanoseconds doesn't stop just before the timer is due.
 	return c.clock.origin.Add(time.Duration(math.Ceil((c.timers.list[0].at - c.clock.unix) * float64(time.Millisecond))))
 }
 
-// step takes what has been posted, then the timers that are due. What comes meanwhile waits
-// for the next step: an answer that is here already is seen before the time-out it beats.
+// step handles the posted events, then the due timers. Events posted meanwhile wait for the next step. Events come before
+// timers so that an answer which has already arrived is seen before the timeout that it beats.
 func (c *Core) step() {
 	c.mu.Lock()
 	events := c.inbox
@@ -329,7 +327,7 @@
 	}
 }
 
-// answer gives the one final answer of a req.
+// answer gives a request its one final answer.
 func (c *Core) answer(r *req, a Answer) {
 	if !r.open {
 		return
@@ -348,7 +346,7 @@
 	r.client.Answer(a)
 }
 
-// forget drops a req once nothing can be heard of it any more.
+// forget drops a request that is answered and has no attempt outstanding.
 func (c *Core) forget(r *req) {
 	if r.open || r.out > 0 {
 		return
@@ -374,8 +372,8 @@
 	}
 }
 
-// ended passes an attempt's ending on, once. A result goes to the client before the module
-// hears of it, as the simulator has it.
+// ended handles the end of an attempt; repeated calls do nothing. A result goes to the client before the module learns
+// of it, in the same order as in the simulator.
 func (c *Core) ended(a *Attempt, e Ending, result string, report []float32) {
 	if a.over {
 		return
@@ -385,17 +383,17 @@
 	c.count.Endings[e].Add(1)
 	res, ok := e.Result()
 	if !ok {
-		c.Log.Error().Stringer("ending", e).Msg("not an attempt's ending")
+		c.Log.Error().Stringer("ending", e).Msg("ending does not belong to an attempt")
 		res = balance.Reset
 	}
-	if e != Served { // which the request's end says as well
+	if e != Served { // the event for the request's answer covers Served
 		c.note(c.clock.read(), a.req, guard.AttemptEnded, e)
 	}
 	a.never.Store(res == balance.Full || res == balance.ConnectFailed || res == balance.NotSent)
 	switch e {
 	case Served:
 		c.answer(a.req, Answer{Verdict: ResultOf, Result: result})
-	case Rejected: // another backend would say the same
+	case Rejected: // another backend would reject it too
 		c.answer(a.req, Answer{Verdict: Failure})
 	case Unsent:
 		if c.Versions != nil {
@@ -408,7 +406,7 @@
 	c.forget(a.req)
 }
 
-// cut stops an attempt from here. One that was never given to the pool ends unsent by itself.
+// stopAttempt stops an attempt from the core's side. An attempt that was never given to the pool ends as Unsent by itself.
 func (c *Core) cut(a *Attempt, e Ending) {
 	if !a.over && a.stop != nil {
 		a.stopped.Store(true)
@@ -418,7 +416,7 @@
 	}
 }
 
-// Listed brings a list of backends, or the news that a call for it failed.
+// HandleList delivers a list of backends, or the news that fetching it failed.
 func (c *Core) Listed(kind balance.ListKind, list []Entry) {
 	c.post(func() { c.list(kind, list) })
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -12,7 +12,7 @@
 	"tinsail/internal/counters"
 )
 
-// bench stands in for all that is around a core.
+// fixture is a core with fakes for everything around it.
 type bench struct {
 	core    *Core
 	sent    []*Attempt
@@ -51,41 +51,41 @@
 	return t
 }
 
-// after lets time pass and takes the timers that came due.
+// after lets time pass and runs the timers that are due.
 func (b *bench) after(d time.Duration) { time.Sleep(d); b.core.step() }
 
-// TestOneAnswer: of all that may end a req, the first does, and nothing after it.
+// Of several events that may end a request, only the first produces an answer.
 func TestOneAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(*bench, Ticket)
 		want []Verdict
 		free bool
 	}{
-		"a result, and late news of the attempt": {func(b *bench, _ Ticket) {
+		"a result, then late events of the attempt": {func(b *bench, _ Ticket) {
 			b.sent[0].Ended(Served, "r", nil)
 			b.sent[0].Ended(Broken, "", nil)
 			b.sent[0].Started()
 		}, []Verdict{ResultOf}, true},
-		"the deadline, and a result too late for it": {func(b *bench, _ Ticket) {
+		"the deadline, then a late result": {func(b *bench, _ Ticket) {
 			b.after(2 * time.Second)
 			b.sent[0].Ended(Served, "r", nil)
-		}, []Verdict{Failure}, false}, // the stopped attempt may be reading the job still
-		"a result that is here at the deadline": {func(b *bench, _ Ticket) {
+		}, []Verdict{Failure}, false}, // the stopped attempt may still be reading the job
+		"a result posted before the deadline is handled": {func(b *bench, _ Ticket) {
 			time.Sleep(2 * time.Second)
 			b.sent[0].Ended(Served, "r", nil)
 		}, []Verdict{ResultOf}, true},
-		"a client gone before": {func(b *bench, t Ticket) {
+		"client gone before the result": {func(b *bench, t Ticket) {
 			t.Abandon(false, nil)
 			b.sent[0].Ended(Served, "r", nil)
 		}, nil, false},
-		"a client gone after": {func(b *bench, t Ticket) {
+		"client gone after the answer": {func(b *bench, t Ticket) {
 			b.sent[0].Ended(Failed, "", nil)
 			t.Abandon(false, nil)
 		}, []Verdict{Failure}, true},
-		"a req that the backend finds at fault": {func(b *bench, _ Ticket) {
+		"request rejected by the backend": {func(b *bench, _ Ticket) {
 			b.sent[0].Ended(Rejected, "", nil)
 		}, []Verdict{Failure}, true},
-		"an ending that is no attempt's": {func(b *bench, _ Ticket) {
+		"an ending of another kind": {func(b *bench, _ Ticket) {
 			b.sent[0].Ended(ListTold, "", nil)
 		}, []Verdict{Failure}, true},
 	} {
@@ -108,14 +108,14 @@
 	}
 }
 
-// TestFailsAtOnce: an action that fails while the module acts becomes a later event.
+// An action that fails immediately must not call back into the module: it becomes a later event.
 func TestFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, balance.Ready)
 		b.take()
 		act := actions{b.core}
-		act.Dispatch(1, 77, 0) // was never listed
-		act.Dispatch(1, 1, -1) // its time is up
+		act.Dispatch(1, 77, 0) // never listed
+		act.Dispatch(1, 1, -1) // deadline in the past
 		act.Cancel(1, 0)
 		act.Probe(77)
 		assert.Empty(t, b.answers)
@@ -128,7 +128,7 @@
 	})
 }
 
-// TestMayBegin is asked just before the first byte goes out.
+// MayBegin is asked just before the first byte is written.
 func TestMayBegin(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(*bench)
@@ -138,9 +138,9 @@
 		"drains": {func(b *bench) {
 			b.core.Listed(balance.ListDelta, []Entry{{Worker: balance.Worker{ID: 1, State: balance.Draining}}})
 		}, false},
-		"gone from a whole list": {func(b *bench) { b.core.Listed(balance.ListFull, nil) }, false},
+		"missing from a full list": {func(b *bench) { b.core.Listed(balance.ListFull, nil) }, false},
 		"a failed call":          {func(b *bench) { b.core.Listed(balance.ListFailed, nil) }, true},
-		"too late":               {func(*bench) { time.Sleep(2 * time.Second) }, false},
+		"past its deadline":               {func(*bench) { time.Sleep(2 * time.Second) }, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			b := start(t, balance.Ready)
@@ -150,7 +150,7 @@
 			events := b.core.inbox
 			b.core.inbox = nil
 			b.core.mu.Unlock()
-			for _, e := range events { // without the timers: the attempt is still out
+			for _, e := range events { // timers don't run, so the attempt is still outstanding
 				e()
 			}
 			assert.Equal(t, c.want, b.sent[0].MayBegin(), name)
@@ -158,8 +158,8 @@
 	}
 }
 
-// TestClock: a backend that started a little before this program reads as a recent start,
-// not as one long past, which the module takes zero or less for.
+// A backend that started shortly before this program must have a recent start time. Zero or less means "long ago" to the
+// module.
 func TestClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started := float64(time.Now().Add(-3 * time.Second).UnixMilli())
@@ -170,8 +170,8 @@
 	})
 }
 
-// TestIDs: an id belongs to one req, and for a while after it is over. A req whose client has
-// gone keeps its id for as long as a backend may speak of it.
+// An ID belongs to one request, and stays reserved for a while after the request is over. A request whose client is gone
+// keeps its ID as long as a backend may send messages about it.
 func TestIDs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, balance.Ready)
@@ -191,7 +191,7 @@
 		b.after(idKept)
 		assert.True(t, take("a"))
 		assert.Equal(t, int64(3), b.core.count.ReqsRepeated.Load())
-		for range idsMost + 2 { // what is kept is bounded
+		for range idsMost + 2 { // the number of reserved IDs is bounded
 			b.core.ids.drop("x", time.Now())
 		}
 		b.core.ids.take("y", time.Now())
@@ -199,8 +199,8 @@
 	})
 }
 
-// TestAbandon: what a client that goes away had asked for is called off at the backends where it
-// is to stop and the settings allow it, and the client's place is free once nothing of it is out.
+// When a client goes away, its request's attempts are stopped if asked for and allowed by the settings. The over callback
+// runs once no attempt is outstanding.
 func TestAbandon(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -208,12 +208,12 @@
 		stop      bool
 		answered  bool
 		wantStops int
-		freeAt    int // step: 0 at once, 1 when the attempt has ended
+		freeAt    int // 0: freed at once; 1: when the attempt ended
 	}{
-		{"called off", true, true, false, 1, 0},
+		{"stopped", true, true, false, 1, 0},
 		{"not allowed", false, true, false, 0, 1},
-		{"not wanted", true, false, false, 0, 1},
-		{"crossing the answer", true, true, true, 0, 0},
+		{"not asked for", true, false, false, 0, 1},
+		{"answered meanwhile", true, true, true, 0, 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			b := start(t, balance.Ready)
@@ -239,8 +239,8 @@
 	}
 }
 
-// TestGoneAtOnce: a client that takes its req back before the core has heard of it, where what is out is to be called off:
-// the attempt that the module still makes was never given to the pool, and ends by itself.
+// The client withdraws its request before the core has handled Submit. The module still dispatches an attempt, which
+// is never given to the pool and must end by itself.
 func TestGoneAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, balance.Ready)
--- a/internal/core/ending.go
+++ b/internal/core/ending.go
@@ -6,43 +6,43 @@
 	"tinsail/internal/balance"
 )
 
-// Ending is a way in which a connection, or one exchange on it, can end. Drivers report an
-// Ending and nothing else; what it means to the decision module is said by Result alone.
+// Ending is a way in which a connection, or one exchange on it, can end. Drivers report only an Ending; its meaning for the
+// decision module is defined by Result alone.
 type Ending uint8
 
 // Endings of an attempt at a backend.
 const (
 	Served    Ending = iota // the backend sent its result
-	Failed                  // the backend said that it failed, or answered with an error
-	Rejected                // the backend said that the req itself is at fault
-	Returned                // the backend handed the req back unstarted, or turned it away
-	Unreached               // no connection, or one that broke before the req's last byte was written
-	Lost                    // the backend said that the job was killed
-	Broken                  // the connection broke or ended after the last byte and before the last line
-	Garbled                 // the backend sent what the protocol does not know
-	Overdue                 // the dispatcher stopped waiting
-	Withdrawn               // the module called the attempt off
-	Unsent                  // not a byte went out: the req was over, or the backend no longer listed as ready
+	Failed // the backend reported a failure, or answered with an error
+	Rejected // the backend reported that the request itself is invalid
+	Returned // the backend returned the request before starting it, or refused it
+	Unreached // connecting failed, or the connection broke before the request's last byte was written
+	Lost // the backend reported that the job was killed
+	Broken // the connection broke or ended between the request's last byte and the answer's last line
+	Garbled // the backend violated the protocol
+	Overdue // the dispatcher stopped waiting
+	Withdrawn // the module cancelled the attempt
+	Unsent // no byte was written: the request was over, or the backend not listed as ready any more
 
 	// Endings of a client session.
-	ClientClosed // the client went away
-	ClientSilent // the client was idle, or its req unfinished, for too long
-	ClientBad    // the client sent what is not a req
+	ClientClosed // the client closed the connection
+	ClientSilent // the client was idle, or left its request unfinished, for too long
+	ClientBad // the client sent something that is not a request
 	SessionDone  // the last answer said Connection: close
-	SessionShed  // closed between reqs to make room, or for shutdown
-	StreamReset  // the client took back one req of many on a connection
+	SessionShed // closed between requests to make room, or for shutdown
+	StreamReset // the client reset one of several streams on a connection
 
 	// Endings of a call to the director.
-	ListTold       // an answer with a list
-	ListRefused    // another status
-	ListUnread     // an answer that is not a list
-	ListUnanswered // no connection, a reset, or silence
+	ListTold // an answer with a list
+	ListRefused // an answer with another status
+	ListUnread // an answer that is not a valid list
+	ListUnanswered // no connection, a reset, or a timeout
 	endings
 )
 
-// Result is the one place where an ending becomes the module's result. Only what proves
-// that a req never ran may map to Full, ConnectFailed or NotSent: the rule on duplicated
-// effects rests on it. ok is false for endings that are not an attempt's.
+// Result converts an ending to the module's result; no other code does. Only an ending that proves that the request never
+// ran may map to Full, ConnectFailed or NotSent: the rule on duplicated effects relies on that. ok is false for endings that
+// are not an attempt's.
 func (e Ending) Result() (r balance.Result, ok bool) {
 	switch e {
 	case Served:
@@ -57,7 +57,7 @@
 		return balance.Reset, true
 	case Overdue:
 		return balance.TimedOut, true
-	case Withdrawn, Rejected: // a client's fault is no bad ending of the backend's
+	case Withdrawn, Rejected: // an invalid request doesn't count against the backend
 		return balance.Cancelled, true
 	case Unsent:
 		return balance.NotSent, true
@@ -71,7 +71,7 @@
 
 func (e Ending) String() string { return endingNames[e] }
 
-// Endings lists every ending, for counters.
+// Endings lists all endings, for the counters.
 func Endings() []fmt.Stringer {
 	all := make([]fmt.Stringer, endings)
 	for i := range all {
--- a/internal/core/ending_test.go
+++ b/internal/core/ending_test.go
@@ -8,7 +8,7 @@
 	"tinsail/internal/balance"
 )
 
-// TestEndingResult holds the protocol's table of outcomes. never is what "has it run?" says.
+// The results must match the protocol's table of outcomes. never stands for results that prove the request never ran.
 func TestEndingResult(t *testing.T) {
 	for _, c := range []struct {
 		e     Ending
--- a/internal/core/ids.go
+++ b/internal/core/ids.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Ids of reqs stay taken for a while after a req is over: what a backend still says of the
-// old one must not be taken for news of a new one, and whoever repeats another's id is not
-// served because that other's answer went out a moment before.
+// The ID of a request stays reserved for a while after the request is over, for two reasons. A late message of a backend
+// about the old request must not be taken for one about a new request. And a client that reuses another client's ID must
+// not be served just because that client's answer went out a moment before.
 const (
 	idKept  = 10 * time.Second
-	idsMost = 8192 // kept of those that are over
+	idsMost = 8192 // of requests that are over
 )
 
-// ids are the ids of the reqs that are open, have attempts out, or were over a short while
-// ago. Fronts ask from many goroutines.
+// ids holds the IDs of requests that are open, have attempts outstanding, or ended recently. Fronts use it from many
+// goroutines.
 type ids struct {
 	mu   sync.Mutex
 	used map[string]struct{}
@@ -27,7 +27,7 @@
 	since time.Time
 }
 
-// take takes an id, and returns whether it was free.
+// claim reserves an ID and returns whether it was free.
 func (s *ids) take(id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,11 +42,11 @@
 	if s.used == nil {
 		s.used = map[string]struct{}{}
 	}
-	s.used[strings.Clone(id)] = struct{}{} // not the head that it may be a slice of
+	s.used[strings.Clone(id)] = struct{}{} // a copy, so that the request head which id may point into can be freed
 	return true
 }
 
-// drop tells that the req with this id is over.
+// release records that the request with this ID is over.
 func (s *ids) drop(id string, now time.Time) {
 	s.mu.Lock()
 	s.over = append(s.over, usedID{strings.Clone(id), now})
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -8,18 +8,18 @@
 	"tinsail/internal/guard"
 )
 
-// This file hands facts to package guard, which checks the rules: it decides nothing. What may begin is decided in
-// MayBegin, what is answered by the module.
+// This file reports facts to package guard, which checks invariants. It makes no decisions: MayBegin decides which attempts
+// may begin, and the module decides the answers.
 
-// note adds an event of a request to the trace.
+// trace adds an event of a request to the trace.
 func (c *Core) note(at time.Time, r *req, step guard.Step, why fmt.Stringer) {
 	if c.Guard != nil {
 		c.Guard.Note(guard.Event{At: at, Request: r.job.ID, Step: step, Why: why})
 	}
 }
 
-// Began tells that the attempt's first byte has been written, at a time, and what the backend was told to be left to the
-// client. It may be called from any goroutine.
+// Began reports that the attempt's first byte was written at a time, and how much time for the client the backend was
+// told is left. It may be called from any goroutine.
 func (a *Attempt) Began(at time.Time, told time.Duration) {
 	c, r := a.core, a.req
 	if c == nil || c.Guard == nil {
@@ -30,11 +30,11 @@
 		Ended: c.Guard.Ended(), Deadline: c.clock.time(r.deadline), Told: told, Effect: r.effect,
 		Window: time.Duration(r.window * float64(time.Millisecond)), Earlier: c.earlier(a.before)}
 	for _, rule := range facts.Check() {
-		c.Guard.Violated(rule, 0, r.job.ID, fmt.Sprintf("attempt %d at %s, told %v, %v left", a.number, a.Backend.Name, told, facts.Deadline.Sub(at)))
+		c.Guard.Violated(rule, 0, r.job.ID, fmt.Sprintf("attempt %d at %s: backend told %v, %v left", a.number, a.Backend.Name, told, facts.Deadline.Sub(at)))
 	}
 }
 
-// takesNothingSince is since when the backend is drained, gone or withheld; zero if it is not.
+// unavailableSince returns since when the backend is draining, gone or banned; the zero time if it is available.
 func (b *Backend) takesNothingSince() time.Time {
 	if b.core == nil {
 		return time.Time{}
@@ -46,7 +46,7 @@
 	return b.core.clock.at(since)
 }
 
-// earlier are the facts of an attempt and those before it; nil, at no cost, where there is none.
+// earlierAttempts describes an attempt and all before it; nil, without allocation, if there is none.
 func (c *Core) earlier(a *Attempt) (out []guard.Earlier) {
 	for ; a != nil; a = a.before {
 		out = append(out, guard.Earlier{Began: c.clock.at(a.begun.Load()), Never: a.never.Load()})
@@ -54,7 +54,7 @@
 	return out
 }
 
-// checkFinal checks a request's final answer as it is decided.
+// checkFinal checks the invariants of a request's final answer at the moment it is decided.
 func (c *Core) checkFinal(r *req, a Answer) {
 	if c.Guard == nil {
 		return
@@ -69,11 +69,11 @@
 		Window: time.Duration(r.window * float64(time.Millisecond)), Again: r.answered, Attempts: c.earlier(r.latest.Load())}
 	r.answered = true
 	for _, rule := range facts.Check() {
-		c.Guard.Violated(rule, 0, r.job.ID, fmt.Sprintf("verdict %d after %d attempts, %v after its time", a.Verdict, len(r.attempts), now.Sub(facts.Deadline)))
+		c.Guard.Violated(rule, 0, r.job.ID, fmt.Sprintf("answer kind %d after %d attempts, %v past the deadline", a.Verdict, len(r.attempts), now.Sub(facts.Deadline)))
 	}
 }
 
-// refusedFor is why a request gets an answer that is no result.
+// refusalReason returns why a request is answered without a result.
 func (c *Core) refusedFor(r *req, now time.Time) guard.Reason {
 	last := r.latest.Load()
 	switch {
@@ -91,7 +91,7 @@
 	return guard.Unclassified
 }
 
-// againFor is why a further attempt is sent; nil for a first one.
+// retryReason returns why a further attempt is sent; nil for the first.
 func (c *Core) againFor(r *req) fmt.Stringer {
 	last := r.latest.Load()
 	switch {
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -10,8 +10,8 @@
 	"tinsail/internal/guard"
 )
 
-// TestGuardsSayNo: a driver that begins attempts without asking MayBegin, and a policy that refuses what may have run, are
-// found out by the checks at run time, each by its rule alone; one that keeps the rules is not.
+// The run-time checks must detect a driver that begins attempts without asking MayBegin, and a policy that refuses requests
+// which may have run. Each violation counts under its own rule only, and correct behaviour counts under none.
 func TestGuardsSayNo(t *testing.T) {
 	const grace = 500 * time.Millisecond
 	pass := func(w *trial, d time.Duration) { w.now = w.now.Add(d) }
@@ -28,10 +28,10 @@
 		do     func(*trial)
 		want   []guard.Rule
 	}{
-		"in order":         {balance.Unsafe, func(w *trial) { begin(w, 0) }, nil},
-		"drained, in time": {balance.Safe, func(w *trial) { drain(w); pass(w, grace); begin(w, 0) }, nil},
-		"drained":          {balance.Safe, func(w *trial) { drain(w); pass(w, grace+1); begin(w, 0) }, []guard.Rule{guard.BeginDrained}},
-		"drained, and listed as that again": {balance.Safe, func(w *trial) {
+		"no violation":         {balance.Unsafe, func(w *trial) { begin(w, 0) }, nil},
+		"draining, within grace": {balance.Safe, func(w *trial) { drain(w); pass(w, grace); begin(w, 0) }, nil},
+		"draining, after grace":          {balance.Safe, func(w *trial) { drain(w); pass(w, grace+1); begin(w, 0) }, []guard.Rule{guard.BeginDrained}},
+		"draining, listed as draining again": {balance.Safe, func(w *trial) {
 			drain(w)
 			pass(w, grace)
 			drain(w)
@@ -41,7 +41,7 @@
 		"banned": {balance.Safe, func(w *trial) {
 			w.core.Withhold(map[balance.WorkerID]struct{}{1: {}})
 			pass(w, grace)
-			w.core.Withhold(map[balance.WorkerID]struct{}{1: {}, 2: {}}) // another one: the first has been banned for longer
+			w.core.Withhold(map[balance.WorkerID]struct{}{1: {}, 2: {}}) // another backend is added; the first keeps the time of its ban
 			pass(w, 1)
 			begin(w, 0)
 		}, []guard.Rule{guard.BeginDrained}},
@@ -55,15 +55,15 @@
 			pass(w, 1)
 			begin(w, 0)
 		}, []guard.Rule{guard.BeginEnded}},
-		"told more than is left": {balance.Safe, func(w *trial) {
+		"backend told too much time": {balance.Safe, func(w *trial) {
 			w.sent[0].Began(w.now, time.Minute+guard.TimeSlack+1)
 		}, []guard.Rule{guard.TimeTold}},
-		"twice": {balance.Unsafe, func(w *trial) {
+		"begun twice": {balance.Unsafe, func(w *trial) {
 			begin(w, 0)
 			w.dispatch()
 			begin(w, 1)
 		}, []guard.Rule{guard.RepeatUnsafe}},
-		"twice, after it was turned away": {balance.Unsafe, func(w *trial) {
+		"begun again after it was returned": {balance.Unsafe, func(w *trial) {
 			begin(w, 0)
 			w.sent[0].Ended(Returned, "", nil)
 			w.core.step()
@@ -87,7 +87,7 @@
 		"answered twice": {balance.Unsafe, func(w *trial) {
 			r := w.core.reqs[1]
 			w.core.answer(r, Answer{Verdict: Failure})
-			r.open = true // a fault of the table's
+			r.open = true // simulates corrupted state
 			w.core.open.Add(1)
 			w.core.answer(r, Answer{Verdict: Failure})
 		}, []guard.Rule{guard.AnswerTwice}},
@@ -105,7 +105,7 @@
 	}
 }
 
-// TestWhyRefused: each answer that is no result has its reason, and each further attempt.
+// Each answer without a result, and each further attempt, is counted with its reason.
 func TestWhyRefused(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(*trial)
@@ -117,7 +117,7 @@
 			actions{w.core}.Fail(1)
 		}, "refuse_no_backend"},
 		"out of time": {func(w *trial) { w.now = w.now.Add(time.Minute); actions{w.core}.Fail(1) }, "refuse_out_of_time"},
-		"tries spent": {func(w *trial) {
+		"attempts used up": {func(w *trial) {
 			for range 2 {
 				w.sent[len(w.sent)-1].Ended(Returned, "", nil)
 				w.core.step()
@@ -129,7 +129,7 @@
 		}, "refuse_tries_spent"},
 		"may have run": {func(w *trial) { w.sent[0].MayBegin(); actions{w.core}.Fail(1) }, "refuse_may_have_run"},
 		"second copy":  {func(w *trial) { w.dispatch() }, "again_second_copy"},
-		"turned away":  {func(w *trial) { w.sent[0].Ended(Returned, "", nil); w.core.step(); w.dispatch() }, "again_returned"},
+		"returned":   {func(w *trial) { w.sent[0].Ended(Returned, "", nil); w.core.step(); w.dispatch() }, "again_returned"},
 		"unreached":    {func(w *trial) { w.sent[0].Ended(Unreached, "", nil); w.core.step(); w.dispatch() }, "again_unreached"},
 		"unsent":       {func(w *trial) { w.sent[0].Ended(Unsent, "", nil); w.core.step(); w.dispatch() }, "again_unsent"},
 		"broken":       {func(w *trial) { w.sent[0].Ended(Broken, "", nil); w.core.step(); w.dispatch() }, "again_failure"},
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// clock tells the module's time: Unix milliseconds at the start of the program, carried on
-// by the monotonic clock. Start times of backends, which are Unix time, need no conversion,
-// a step of the system's clock moves nothing, and no start reads as "long past" (zero or
-// less) merely because it lies before this program's own.
+// clock provides the module's time: Unix milliseconds at program start, carried on by the monotonic clock. Start times of
+// backends are Unix times and need no conversion, a step of the system clock has no effect, and a backend that started before
+// this program doesn't get a start of zero or less, which the module reads as "long ago".
 type clock struct {
 	read   func() time.Time
 	origin time.Time
@@ -24,10 +23,10 @@
 	return c.unix + float64(t.Sub(c.origin))/float64(time.Millisecond)
 }
 
-// stamp is a time as one number that is never 0: nanoseconds after the clock's origin, and 1.
+// toStamp converts a time to nanoseconds after the clock's origin plus 1, so that 0 can stand for "no time".
 func (c *clock) stamp(t time.Time) int64 { return int64(t.Sub(c.origin)) + 1 }
 
-// at is stamp the other way; the zero time for 0.
+// fromStamp converts back from toStamp; 0 gives the zero time.
 func (c *clock) at(stamp int64) time.Time {
 	if stamp == 0 {
 		return time.Time{}
@@ -35,14 +34,14 @@
 	return c.origin.Add(time.Duration(stamp - 1))
 }
 
-// time is millis the other way.
+// fromMillis converts back from millis.
 func (c *clock) time(at float64) time.Time {
 	return c.origin.Add(time.Duration((at - c.unix) * float64(time.Millisecond)))
 }
 
 func (c *clock) now() float64 { return c.millis(c.read()) }
 
-// timer is something to do at a time. Timers of one time run in the order they were set.
+// timer is an action due at a time. Timers with the same time run in the order in which they were added.
 type timer struct {
 	at  float64
 	seq uint64
@@ -64,7 +63,7 @@
 func (t *timers) Pop() any {
 	last := len(t.list) - 1
 	x := t.list[last]
-	t.list[last] = timer{} // lets go of what it holds
+	t.list[last] = timer{} // releases the closure
 	t.list = t.list[:last]
 	return x
 }
@@ -74,7 +73,7 @@
 	heap.Push(t, timer{at, t.seq, do})
 }
 
-// due takes the earliest timer if its time has come.
+// popDue removes and returns the earliest timer if it is due.
 func (t *timers) due(now float64) func() {
 	if len(t.list) == 0 || t.list[0].at > now {
 		return nil
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -6,35 +6,35 @@
 	"tinsail/internal/balance"
 )
 
-// Quotas says when there is room for a req, where a fleet bounds how many of a tenant may be in flight at once
-// (docs/design/quota.md). Its methods are called from the core's goroutine and must not block.
+// Quotas decides when a request may run, where a fleet limits how many requests of a tenant are in flight at once
+// (docs/design/quota.md). Its methods are called on the core's goroutine and must not block.
 type Quotas interface {
-	// Take asks for room for a req of a tenant and a class, both as in balance.Request (a tenant beyond those of the
-	// settings is none). ready is called once with whether there is room, unless leave was called first. Where ok,
-	// from is a time read before the right to give the room was looked at: a process may be stopped between that and
-	// ready. Where there is none by until, pause is advice to its client. ready may be called from any goroutine, also
-	// before Take returns, and does not block. leave tells that the req wants or needs its room no more: it is called
-	// once for each Take, whatever ready said, and after it ready does nothing.
+	// Acquire asks for a grant of a tenant's quota for one request. tenant and class are as in balance.Request; a tenant
+	// outside the settings has none. ready is called once with the outcome, unless release was called first. If ok, from is
+	// a time read before the right to give the grant was checked, because the process may be stopped between the check and
+	// the call. If there is no grant by until, retryAfter is the delay suggested to the client. ready may be called from any
+	// goroutine, also before Acquire returns, and doesn't block. release says that the request needs no grant any more. It
+	// is called once for each Acquire, whatever the outcome was, and ready does nothing after it.
 	Take(tenant, class int, until time.Time, ready func(from time.Time, pause time.Duration, ok bool)) (leave func())
-	// Most is the longest that room may be held, counted from ready's from: the core ends the req and all its attempts
-	// by then. 0: no bound.
+	// MaxHold is the longest time for which a grant may be held, counted from ready's from: the core ends the request and all
+	// its attempts by then. 0 means no limit.
 	Most() time.Duration
 }
 
 const (
-	// roomLeft is how long before its deadline a req that waits for room is refused, so that its client hears of it in
-	// time. Should whoever gives room not say so by half of that, the core does.
+	// quotaMargin is how long before its deadline a request queued for quota is refused, so that its client learns of it in
+	// time. If Quotas has not decided when half of that is left, the core refuses the request itself.
 	roomLeft = 20 * time.Millisecond
-	// roomPause is the core's advice then.
+	// quotaRetryAfter is the delay that the core then suggests to the client.
 	roomPause = 500 * time.Millisecond
-	// versionLook is how often the core looks whether the version of a req that waits for room is still in force: a
-	// change that thousands of them outlive is looked at as often as that, not once for each.
+	// versionCheckInterval is how often the core checks whether queued requests belong to a policy version still in force.
+	// One periodic check handles a version change for thousands of queued requests at once.
 	versionLook = 100 * time.Millisecond
 )
 
-// queue has a req wait for room; the module knows nothing of it until it has it. Until then nothing of it has begun.
+// awaitQuota queues a request for quota. Until it is granted the module doesn't know of the request and no attempt begins.
 func (c *Core) queue(r *req, q balance.Request) {
-	if r.over.Load() { // its client has gone, and the event that says so is posted
+	if r.over.Load() { // its client is gone, and Abandon has posted the event
 		return
 	}
 	r.waits = true
@@ -54,34 +54,34 @@
 	}
 }
 
-// roomed takes what was said of a req's room.
+// quotaDecided handles the outcome of a request's Acquire.
 func (c *Core) roomed(r *req, q balance.Request, from time.Time, pause time.Duration, ok bool) {
-	if !r.waits { // it was answered, or its client has gone, and it has left
+	if !r.waits { // it was answered, or its client left, and its place was released
 		return
 	}
 	r.waits = false
 	switch {
-	case r.over.Load(): // its client has gone: the event that says so is posted, and has it leave
+	case r.over.Load(): // its client is gone; the event that Abandon posted releases the quota
 	case !ok:
 		c.turnAway(r, pause)
 	case c.Versions != nil && !c.Versions.MayStart(r.version):
 		c.turnAway(r, outlivedPause)
 	default:
-		if most := c.Quotas.Most(); most > 0 { // a client may have any patience
+		if most := c.Quotas.Most(); most > 0 { // a client may set any deadline
 			r.deadline = min(r.deadline, c.clock.millis(from)+ms(most)-c.slack)
 		}
 		c.arrive(r, q)
 	}
 }
 
-// turnAway refuses a req that has begun nowhere, since it has no room: another dispatcher may have it.
+// refuse refuses a request that got no quota. It has begun nowhere, so another dispatcher may run it.
 func (c *Core) turnAway(r *req, pause time.Duration) {
 	r.waits = false
 	c.answer(r, Answer{Verdict: Refusal, Pause: pause})
 	c.forget(r)
 }
 
-// lookAtVersions refuses those that wait for room by a version that is over.
+// checkQueuedVersions refuses queued requests whose policy version is no longer in force.
 func (c *Core) lookAtVersions() {
 	left := c.waiting[:0]
 	for _, r := range c.waiting {
--- a/internal/core/quotas_test.go
+++ b/internal/core/quotas_test.go
@@ -14,18 +14,18 @@
 	"tinsail/internal/counters"
 )
 
-// asked is one Take of a Quotas that a test answers by hand.
+// quotaCall is one Acquire of fakeQuotas, which the test answers.
 type asked struct {
 	tenant, class int
 	until         time.Time
 	ready         func(time.Time, time.Duration, bool)
-	left          int // times that leave was called
+	left          int // number of calls of release
 }
 
 type rooms struct {
 	asked []*asked
 	most  time.Duration
-	now   bool // ready is called before Take returns
+	now   bool // ready is called before Acquire returns
 	clock func() time.Time
 }
 
@@ -39,7 +39,7 @@
 }
 func (q *rooms) Most() time.Duration { return q.most }
 
-// hall is a core with quotas on a clock that the test moves, with two backends and the real module.
+// quotaFixture is a core with quotas, two backends and the real module, on a manual clock.
 type hall struct {
 	*bench
 	now    time.Time
@@ -71,7 +71,7 @@
 	return t
 }
 
-// pass moves the clock, with a stop at each timer.
+// pass advances the clock, stopping at each timer.
 func (h *hall) pass(d time.Duration) {
 	end := h.now.Add(d)
 	for next := h.core.Next(); !next.IsZero() && !next.After(end); next = h.core.Next() {
@@ -92,16 +92,16 @@
 	return out
 }
 
-// over asserts that nothing of any req is left and that each gave its room back once.
+// assertReleased asserts that no request is left and that each released its quota once.
 func (h *hall) over(t require.TestingT, name string) {
 	assert.Zero(t, h.core.Open(), name)
 	assert.Empty(t, h.core.reqs, name)
 	for _, a := range h.quotas.asked {
-		assert.Equal(t, 1, a.left, "%s: gave its room back so often", name)
+		assert.Equal(t, 1, a.left, "%s: quota releases", name)
 	}
 }
 
-// TestWaitsForRoom: the module sees a req once there is room for it, whoever is told first.
+// The module sees a request only once its quota is granted, whether the grant comes before or after Acquire returns.
 func TestWaitsForRoom(t *testing.T) {
 	h := newHall(t, nil)
 	h.take("a", 2*time.Second)
@@ -118,13 +118,13 @@
 	assert.Zero(t, h.quotas.asked[0].left)
 	h.quotas.asked[0].ready(h.now, 0, true)
 	h.core.Step()
-	assert.Len(t, h.sent, 1, "said twice")
+	assert.Len(t, h.sent, 1, "decided twice")
 	h.sent[0].Ended(Served, "r", nil)
 	h.core.Step()
 	assert.Equal(t, []Verdict{ResultOf}, h.verdicts())
 	h.over(t, "")
 
-	h.quotas.now = true // before Take returns
+	h.quotas.now = true // before Acquire returns
 	h.take("b", 2*time.Second)
 	require.Len(t, h.sent, 2)
 	h.sent[1].Ended(Served, "r", nil)
@@ -133,20 +133,21 @@
 	h.over(t, "at once")
 }
 
-// TestNoRoom: a req that gets no room is refused with advice before its deadline, said or not, and leaves once.
+// A request that gets no quota is refused with a suggested delay before its deadline, whether Quotas decides in time or not,
+// and releases its place once.
 func TestNoRoom(t *testing.T) {
 	for name, c := range map[string]struct {
 		do    func(*hall)
 		pause time.Duration
 	}{
-		"said": {func(h *hall) { h.quotas.asked[0].ready(h.now, 70*time.Millisecond, false) }, 70 * time.Millisecond},
-		"said just in time": {func(h *hall) {
+		"decided": {func(h *hall) { h.quotas.asked[0].ready(h.now, 70*time.Millisecond, false) }, 70 * time.Millisecond},
+		"decided just in time": {func(h *hall) {
 			h.pass(2*time.Second - roomLeft)
 			h.quotas.asked[0].ready(h.now, 70*time.Millisecond, false)
 		}, 70 * time.Millisecond},
-		"never said":    {func(h *hall) { h.pass(2*time.Second - roomLeft/2) }, roomPause},
-		"said too late": {func(h *hall) { h.pass(2*time.Second - roomLeft/2); h.quotas.asked[0].ready(h.now, 0, true) }, roomPause},
-		"said twice": {func(h *hall) {
+		"never decided":    {func(h *hall) { h.pass(2*time.Second - roomLeft/2) }, roomPause},
+		"decided too late": {func(h *hall) { h.pass(2*time.Second - roomLeft/2); h.quotas.asked[0].ready(h.now, 0, true) }, roomPause},
+		"decided twice": {func(h *hall) {
 			h.quotas.asked[0].ready(h.now, 70*time.Millisecond, false)
 			h.quotas.asked[0].ready(h.now, 0, true)
 		}, 70 * time.Millisecond},
@@ -155,7 +156,7 @@
 		ticket := h.take("a", 2*time.Second)
 		c.do(h)
 		h.core.Step()
-		assert.False(t, ticket.r.arrived, "%s: the module never hears of it", name)
+		assert.False(t, ticket.r.arrived, "%s: the module must not know of it", name)
 		assert.Equal(t, []Answer{{Verdict: Refusal, Pause: c.pause, Free: true}}, h.answers, name)
 		h.over(t, name)
 		h.pass(time.Minute)
@@ -165,7 +166,7 @@
 	}
 }
 
-// TestGoneWhileItWaits: a client that leaves gives its place up, and nothing of its req begins, however the news cross.
+// A client that leaves gives up its place in the queue and no attempt begins, in any order of the events.
 func TestGoneWhileItWaits(t *testing.T) {
 	for name, do := range map[string]func(*hall, func(*hall) Ticket) Ticket{
 		"gone": func(h *hall, take func(*hall) Ticket) Ticket {
@@ -173,43 +174,43 @@
 			ticket.Abandon(true, nil)
 			return ticket
 		},
-		"gone, then room": func(h *hall, take func(*hall) Ticket) Ticket {
+		"gone, then granted": func(h *hall, take func(*hall) Ticket) Ticket {
 			ticket := take(h)
 			ticket.Abandon(false, nil)
 			h.quotas.asked[0].ready(h.now, 0, true)
 			return ticket
 		},
-		"gone and heard of, then room": func(h *hall, take func(*hall) Ticket) Ticket {
+		"gone and handled, then granted": func(h *hall, take func(*hall) Ticket) Ticket {
 			ticket := take(h)
 			ticket.Abandon(false, nil)
 			h.core.Step()
 			h.quotas.asked[0].ready(h.now, 0, true)
 			return ticket
 		},
-		"room, then gone before the core took either": func(h *hall, take func(*hall) Ticket) Ticket {
+		"granted, then gone before the core handled either": func(h *hall, take func(*hall) Ticket) Ticket {
 			ticket := take(h)
 			h.quotas.asked[0].ready(h.now, 0, true)
 			ticket.Abandon(false, nil)
 			return ticket
 		},
-		"no room, then gone before the core took either": func(h *hall, take func(*hall) Ticket) Ticket {
+		"refused, then gone before the core handled either": func(h *hall, take func(*hall) Ticket) Ticket {
 			ticket := take(h)
 			h.quotas.asked[0].ready(h.now, 0, false)
 			ticket.Abandon(false, nil)
 			return ticket
 		},
-		"gone before it asked": func(h *hall, _ func(*hall) Ticket) Ticket {
+		"gone before it asked for quota": func(h *hall, _ func(*hall) Ticket) Ticket {
 			ticket, _ := h.core.Take(balance.Request{Slots: 1}, &Job{ID: "a"}, h.now, time.Second, h)
 			ticket.Abandon(false, nil)
 			h.core.Step()
-			assert.Empty(t, h.quotas.asked, "it wants none")
+			assert.Empty(t, h.quotas.asked, "it must not ask")
 			return ticket
 		},
 	} {
 		h := newHall(t, nil)
 		ticket := do(h, func(h *hall) Ticket { return h.take("a", time.Second) })
 		h.core.Step()
-		assert.False(t, ticket.r.arrived, "%s: the module never hears of it", name)
+		assert.False(t, ticket.r.arrived, "%s: the module must not know of it", name)
 		h.over(t, name)
 		h.pass(time.Minute)
 		assert.Empty(t, h.sent, name)
@@ -224,10 +225,10 @@
 	ticket := h.take("a", time.Second)
 	ticket.Abandon(false, func() { freed++; assert.Equal(t, 1, h.quotas.asked[0].left) })
 	h.core.Step()
-	assert.Equal(t, 1, freed, "its place is told to be free")
+	assert.Equal(t, 1, freed, "the over callback runs once")
 }
 
-// TestGoneWithRoom: what a client that has gone had out holds its room until it has ended.
+// An attempt that is outstanding when its client leaves keeps its quota until the attempt ends.
 func TestGoneWithRoom(t *testing.T) {
 	h := newHall(t, nil)
 	ticket := h.take("a", time.Second)
@@ -236,32 +237,32 @@
 	require.Len(t, h.sent, 1)
 	ticket.Abandon(false, nil)
 	h.core.Step()
-	assert.Zero(t, h.quotas.asked[0].left, "it is out still")
+	assert.Zero(t, h.quotas.asked[0].left, "the attempt is outstanding")
 	h.sent[0].Ended(Served, "r", nil)
 	h.core.Step()
 	assert.Empty(t, h.answers)
 	h.over(t, "")
 }
 
-// TestMostOfRoom: whatever patience a client states, whatever the backends do and whoever forgets, room is given back at
-// the latest Most after it was had, by the core's clock, and by what ran no attempt may begin any more.
+// Quota is released at the latest MaxHold after the grant by the core's clock, whatever deadline a client sets, whatever
+// backends do, and even if the policy forgets the request. After that no attempt may begin.
 func TestMostOfRoom(t *testing.T) {
 	const most = 3 * time.Second
 	for name, c := range map[string]struct {
 		left   time.Duration
-		wait   time.Duration // before there is room
-		stall  time.Duration // from room to when the core hears of it
+		wait   time.Duration // before the grant
+		stall  time.Duration // from the grant until the core handles it
 		do     func(*hall, Ticket)
-		module bool // the real one; else one that never answers nor ends anything
+		module bool // the real module, or else a policy that never answers or ends anything
 	}{
 		"a backend that never answers":     {24 * 24 * time.Hour, 0, 0, func(*hall, Ticket) {}, true},
 		"after a long wait":                {24 * 24 * time.Hour, time.Hour, 0, func(*hall, Ticket) {}, true},
-		"told of late":                     {24 * 24 * time.Hour, 0, 2 * time.Second, func(*hall, Ticket) {}, true},
-		"a client gone with its job out":   {24 * 24 * time.Hour, 0, 0, func(_ *hall, t Ticket) { t.Abandon(false, nil) }, true},
-		"a policy that forgets":            {24 * 24 * time.Hour, 0, 0, func(*hall, Ticket) {}, false},
-		"a policy that forgets, one out":   {24 * 24 * time.Hour, 0, 0, func(h *hall, _ Ticket) { actions{h.core}.Dispatch(1, 1, 0) }, false},
-		"its own deadline before":          {time.Second, 0, 0, func(*hall, Ticket) {}, true},
-		"broken, and the module sent more": {24 * 24 * time.Hour, 0, 0, func(h *hall, _ Ticket) { h.sent[0].Ended(Broken, "", nil) }, true},
+		"grant handled late":                     {24 * 24 * time.Hour, 0, 2 * time.Second, func(*hall, Ticket) {}, true},
+		"client gone, attempt outstanding":   {24 * 24 * time.Hour, 0, 0, func(_ *hall, t Ticket) { t.Abandon(false, nil) }, true},
+		"policy forgets the request":            {24 * 24 * time.Hour, 0, 0, func(*hall, Ticket) {}, false},
+		"policy forgets, attempt outstanding":   {24 * 24 * time.Hour, 0, 0, func(h *hall, _ Ticket) { actions{h.core}.Dispatch(1, 1, 0) }, false},
+		"deadline before the limit":          {time.Second, 0, 0, func(*hall, Ticket) {}, true},
+		"attempt broken, another sent": {24 * 24 * time.Hour, 0, 0, func(h *hall, _ Ticket) { h.sent[0].Ended(Broken, "", nil) }, true},
 	} {
 		h := newHall(t, nil)
 		h.quotas.most = most
@@ -284,7 +285,7 @@
 		}
 		assert.LessOrEqual(t, h.now.Sub(got), most, name)
 		if c.left > most {
-			assert.GreaterOrEqual(t, h.now.Sub(got), most-10*time.Millisecond, "%s: and not long before", name)
+			assert.GreaterOrEqual(t, h.now.Sub(got), most-10*time.Millisecond, "%s: held until shortly before the limit", name)
 		}
 		for _, a := range h.sent {
 			assert.False(t, a.Until.After(got.Add(most)), name)
@@ -297,11 +298,11 @@
 	h.take("a", time.Hour)
 	h.quotas.asked[0].ready(h.now, 0, true)
 	h.pass(time.Hour - time.Second)
-	assert.Zero(t, h.quotas.asked[0].left, "no bound")
+	assert.Zero(t, h.quotas.asked[0].left, "no limit")
 }
 
-// TestStoppedWithRoom: a process that was stopped between its room and the core's hearing of it begins nothing when it
-// wakes after the time for which room may be held.
+// A process can be stopped between the grant and the core's handling of it. If it resumes after the maximum hold time, it
+// must begin nothing.
 func TestStoppedWithRoom(t *testing.T) {
 	h := newHall(t, nil)
 	h.quotas.most = 3 * time.Second
@@ -316,7 +317,7 @@
 	assert.Len(t, h.answers, 1)
 	h.over(t, "")
 
-	h = newHall(t, nil) // and after it was heard of, before the first byte
+	h = newHall(t, nil) // stopped after the grant was handled, before the first byte
 	h.quotas.most = 3 * time.Second
 	h.take("a", time.Hour)
 	h.quotas.asked[0].ready(h.now, 0, true)
@@ -327,7 +328,7 @@
 	assert.False(t, h.sent[0].MayBegin())
 }
 
-// TestRoomAndVersions: a req that waits for room counts as waiting for its version, and does not outlive it.
+// A request queued for quota counts as waiting for its policy version, and is refused once the version is no longer in force.
 func TestRoomAndVersions(t *testing.T) {
 	h := newHall(t, nil)
 	p := &policy{version: 7, open: true, starts: 7}
@@ -340,31 +341,31 @@
 	require.Len(t, h.sent, 1)
 	assert.EqualValues(t, 7, h.sent[0].Version())
 	assert.True(t, h.sent[0].MayBegin())
-	assert.Equal(t, 1, p.waiting, "one began, one waits for room")
+	assert.Equal(t, 1, p.waiting, "one began, one is queued")
 
 	h.pass(time.Second)
 	assert.Empty(t, h.answers)
-	p.open, p.starts = false, 0 // the version is over
+	p.open, p.starts = false, 0 // the version is no longer in force
 	h.pass(versionLook)
 	assert.Equal(t, []Answer{{Verdict: Refusal, Pause: outlivedPause, Free: true}}, h.answers)
 	assert.Zero(t, p.waiting)
 	assert.Equal(t, 1, h.quotas.asked[1].left)
-	assert.Zero(t, h.quotas.asked[0].left, "what runs runs on")
+	assert.Zero(t, h.quotas.asked[0].left, "the running request continues")
 	h.sent[0].Ended(Served, "r", nil)
 	h.core.Step()
 	assert.Len(t, h.answers, 2)
-	h.over(t, "closed while it waits")
+	h.over(t, "version ended while queued")
 
 	p.open, p.starts = true, 7
 	c := h.take("c", 2*time.Second)
 	p.open, p.starts = false, 0
-	h.quotas.asked[2].ready(h.now, 0, true) // before the core looks at versions
+	h.quotas.asked[2].ready(h.now, 0, true) // before the core checks versions
 	h.core.Step()
 	assert.Len(t, h.sent, 1)
 	require.Len(t, h.answers, 3)
 	assert.Equal(t, Answer{Verdict: Refusal, Pause: outlivedPause, Free: true}, h.answers[2])
 	assert.False(t, c.r.arrived)
-	h.over(t, "closed, then room")
+	h.over(t, "version ended, then granted")
 
 	p.open, p.starts = true, 7
 	h.take("d", 2*time.Second).Abandon(false, nil)
@@ -374,15 +375,15 @@
 	h.core.Step()
 	assert.Zero(t, p.waiting)
 	h.pass(2 * versionLook)
-	assert.Empty(t, h.core.waiting, "nothing is kept of them")
+	assert.Empty(t, h.core.waiting, "queued requests are forgotten")
 	p.open = false
 	h.take("f", time.Second)
-	assert.Len(t, h.quotas.asked, 5, "a core that is fenced asks for no room")
+	assert.Len(t, h.quotas.asked, 5, "a core that admits nothing asks for no quota")
 	h.over(t, "")
 	assert.Equal(t, 0, p.waiting)
 }
 
-// TestRepeatedAsksForNoRoom: a req whose id is another's is not taken, and wants no room.
+// A request whose ID is in use is not accepted and asks for no quota.
 func TestRepeatedAsksForNoRoom(t *testing.T) {
 	h := newHall(t, nil)
 	h.take("a", time.Second)
@@ -390,8 +391,9 @@
 	assert.Len(t, h.quotas.asked, 1)
 }
 
-// TestOneAnswerOneLeave: under any order of room, its lack, answers, clients that go, time and versions that close each req
-// taken has one answer or a client that has gone, leaves once, holds its room no longer than Most, and began only with room.
+// In any order of grants, refusals of quota, answers, clients leaving, time passing and versions ending: each accepted
+// request gets one answer unless its client left, releases its quota once, holds it no longer than MaxHold, and begins only
+// with quota.
 func TestOneAnswerOneLeave(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const most = 1500 * time.Millisecond
@@ -424,7 +426,7 @@
 			}
 			for i, o := range all {
 				if i < len(h.quotas.asked) && o.room && h.quotas.asked[i].left == 0 && h.now.Sub(o.got) > most {
-					t.Fatalf("req %d holds its room for %v", i, h.now.Sub(o.got))
+					t.Fatalf("request %d holds its quota for %v", i, h.now.Sub(o.got))
 				}
 			}
 			begin()
@@ -441,7 +443,7 @@
 				left := time.Duration(rapid.IntRange(0, 4000).Draw(t, "left")) * time.Millisecond
 				o.ticket, _ = h.core.Take(balance.Request{Slots: 1}, &Job{ID: fmt.Sprint(len(all))}, h.now, left, o)
 				all = append(all, o)
-				h.core.Step() // so that it asks for room in the order of all
+				h.core.Step() // so that requests ask for quota in the order of all
 			case what <= 4:
 				i := rapid.IntRange(0, len(all)-1).Draw(t, "ask")
 				ok := rapid.IntRange(0, 3).Draw(t, "ok") > 0
@@ -478,26 +480,26 @@
 		h.pass(10 * time.Second)
 		h.over(t, "at the end")
 		if p != nil && p.waiting != 0 {
-			t.Fatalf("%d wait for their version still", p.waiting)
+			t.Fatalf("%d requests still wait for their version", p.waiting)
 		}
 		for i, o := range all {
 			if len(o.answers) > 1 || len(o.answers) == 0 && !o.gone {
-				t.Fatalf("req %d has %d answers (client gone: %v)", i, len(o.answers), o.gone)
+				t.Fatalf("request %d has %d answers (client gone: %v)", i, len(o.answers), o.gone)
 			}
 			if o.gone && o.over != 1 {
-				t.Fatalf("req %d is told over %d times", i, o.over)
+				t.Fatalf("over was called %[2]d times for request %[1]d", i, o.over)
 			}
 		}
 		for a := range begins {
 			i := slices.IndexFunc(all, func(o *one) bool { return o.ticket.r == a.req })
 			if !all[i].room {
-				t.Fatalf("an attempt of req %d began without room", i)
+				t.Fatalf("an attempt of request %d began without quota", i)
 			}
 		}
 	})
 }
 
-// guest is a client that keeps its own answers.
+// testClient is a client that records its own answers.
 type guest struct {
 	answers []Answer
 	over    int
--- a/internal/core/starts_test.go
+++ b/internal/core/starts_test.go
@@ -11,43 +11,43 @@
 	"tinsail/internal/counters"
 )
 
-// TestStartsByAWrongClock: this machine's wall clock is ahead of the list's or behind it, by seconds or an hour, when the process
-// starts. A backend that a live watch brings as new counts as started within the watch's silence of the truth; with clocks that
-// agree a start is taken as told.
+// This machine's wall clock may be ahead of the list's or behind it when the process starts, by seconds or an hour. The start
+// of a backend reported as new by a live watch is then off by no more than the watch's silence. If the clocks agree, a
+// start is taken as listed.
 func TestStartsByAWrongClock(t *testing.T) {
 	const hour = 3_600_000.0
 	for name, ahead := range map[string]float64{"agrees": 0, "seconds ahead": 5000, "an hour ahead": hour, "seconds behind": -5000, "an hour behind": -hour} {
 		s := newStarts()
 		now := 1e12
-		truth := func(age float64) float64 { return now - ahead - age } // as the list's clock has it
+		truth := func(age float64) float64 { return now - ahead - age } // start time by the list's clock
 		taken := s.take(1, truth(30), now, 500)
-		assert.InDelta(t, now, taken, 31, "%s: the first one seen", name)
+		assert.InDelta(t, now, taken, 31, "%s: the first start seen", name)
 		assert.LessOrEqual(t, taken, now, name)
 		now += 20_000
 		listed := truth(1500)
 		taken = s.take(2, listed, now, 2500)
-		assert.InDelta(t, now-1500, taken, 1501, "%s: told 1.5 s late", name)
-		assert.LessOrEqual(t, taken, now, "%s: no start lies ahead", name)
+		assert.InDelta(t, now-1500, taken, 1501, "%s: reported 1.5 s late", name)
+		assert.LessOrEqual(t, taken, now, "%s: no start lies in the future", name)
 		if ahead >= 0 {
-			assert.InDelta(t, now-1500, taken, 31, "%s: the first one told what the clocks differ by", name)
+			assert.InDelta(t, now-1500, taken, 31, "%s: the first start revealed the clocks' difference", name)
 		}
 		now += 1000
-		assert.Equal(t, taken, s.take(2, listed, now, -1), "%s: told again, by any list", name)
+		assert.Equal(t, taken, s.take(2, listed, now, -1), "%s: reported again, by any list", name)
 	}
 }
 
-// TestOddStart: one backend's own clock is an hour behind: it is new to a live watch, and so it is cold.
+// One backend's own clock is an hour behind. A live watch reports it as new, so it counts as started now and is cold.
 func TestOddStart(t *testing.T) {
 	s := newStarts()
 	s.take(1, 1e12-20, 1e12, 100)
 	assert.Equal(t, 1e12+50, s.take(2, 1e12-3_600_000, 1e12+50, 100))
-	assert.Equal(t, 1e12-3_600_000, s.take(3, 1e12-3_600_000, 1e12+50, -1), "a first list may tell old starts")
+	assert.Equal(t, 1e12-3_600_000, s.take(3, 1e12-3_600_000, 1e12+50, -1), "a first list may hold old starts")
 	assert.Zero(t, s.take(4, 0, 1e12, 100), "long ago")
 	s.forget(2)
 	assert.NotContains(t, s.known, balance.WorkerID(2))
 }
 
-// heardStarts notes the starts that a policy hears of.
+// startRecorder is a policy that records the start times it receives.
 type heardStarts struct {
 	mute
 	last map[balance.WorkerID]float64
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestStartsOfAList: the core bounds what a watch brings once a call was answered before, leaves first lists as they are, and takes
-// a local start as it is.
+// The core bounds start times from a watch after an earlier answer of the director, keeps those of a first list, and keeps
+// local ones.
 func TestStartsOfAList(t *testing.T) {
 	now := time.UnixMilli(1e12)
 	h := heardStarts{last: map[balance.WorkerID]float64{}}
@@ -76,7 +76,7 @@
 	}
 	old := 1e12 - 3_600_000
 	assert.Equal(t, old, list(balance.ListCached, 1, old, false))
-	assert.Equal(t, 1e12, list(balance.ListDelta, 2, old, false), "new to a watch that was heard a moment before")
+	assert.Equal(t, 1e12, list(balance.ListDelta, 2, old, false), "new to a watch that answered a moment before")
 	assert.Equal(t, old, list(balance.ListDelta, 3, old, true))
 	assert.Equal(t, 1e12, list(balance.ListFull, 4, 1e12+3_600_000, false))
 	assert.Equal(t, c.Now(), 1e12)
--- a/internal/core/ticket.go
+++ b/internal/core/ticket.go
@@ -7,18 +7,18 @@
 	"tinsail/internal/guard"
 )
 
-// Ticket stands for a req that was taken.
+// Handle refers to a submitted request.
 type Ticket struct {
 	core *Core
 	r    *req
 }
 
-// Take takes a req on: one final answer is owed from now on. came is the earliest time
-// known at which it was there, left how long its client waits from then. It is not taken, and
-// nothing is owed, if its id is that of another: backends would take one for the other.
+// Submit accepts a request: one final answer is due from now on. arrived is the earliest known time of its arrival, and
+// timeLeft is how long its client waits from then. If another request has the same ID, Submit returns false and no answer
+// is due, because backends would confuse the two.
 func (c *Core) Take(q balance.Request, job *Job, came time.Time, left time.Duration, client Client) (Ticket, bool) {
 	r := &req{client: client, job: job, open: true}
-	if q.Class >= 0 && q.Class < len(c.classes) { // the module fails others
+	if q.Class >= 0 && q.Class < len(c.classes) { // the module fails a request of any other class
 		class := &c.classes[q.Class]
 		r.effect, r.window, r.scope = class.Effect, class.RepeatWindow, class.Scope
 	}
@@ -48,11 +48,11 @@
 	return Ticket{c, r}, true
 }
 
-// arrive hands a req to the module.
+// arrive hands a request to the module.
 func (c *Core) arrive(r *req, q balance.Request) {
 	r.arrived, q.Deadline = true, r.deadline
-	// The module answers for itself by the deadline. Should it not, the core fails the req
-	// rather than leave a client without an answer.
+	// The module is expected to answer by the deadline. If it doesn't, the core fails the request so that the client isn't
+	// left without an answer.
 	c.timers.set(r.deadline+c.slack, func() {
 		if r.open {
 			c.count.Overlooked.Add(1)
@@ -64,10 +64,9 @@
 	c.mod.Arrive(c.clock.now(), q)
 }
 
-// Abandon tells that the client of a req has gone, and takes no answer any more. When it returns,
-// no attempt begins that has not. With stop, what is out at backends is called off, where the
-// settings allow that; else it runs on. over, if not nil, is called once nothing of the req is out
-// any more, from the core's goroutine; it must not block.
+// Abandon says that the client of a request is gone and can no longer get an answer. No further attempt begins once it
+// returns. With stop, outstanding attempts are cancelled where the settings allow it; otherwise they run on. over, if not
+// nil, is called once no attempt is outstanding, on the core's goroutine; it must not block.
 func (t Ticket) Abandon(stop bool, over func()) {
 	t.r.over.Store(true)
 	if t.r.goneAt.CompareAndSwap(0, t.core.clock.stamp(t.core.clock.read())) {
--- a/internal/core/versions.go
+++ b/internal/core/versions.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Versions says by which version of the fleet's policy reqs are taken, where dispatchers agree on one
+// Versions decides under which version of the fleet's policy requests are admitted, where dispatchers agree on one
 // (docs/design/accord.md). Its methods are called from many goroutines and must not block.
 type Versions interface {
-	// Take admits a req by the version in force. Where ok, the req counts as waiting until Begun is
-	// told; else pause is advice to its client.
+	// Admit admits a request under the version in force. If ok, the request counts as waiting until Begun is called;
+	// otherwise retryAfter is the delay suggested to its client.
 	Take() (version uint64, pause time.Duration, ok bool)
-	// Begun tells, once for each req that was admitted, that it has begun at a backend or never will.
+	// Begun is called once for each admitted request, when it has begun at a backend or never will.
 	Begun(version uint64)
-	// MayStart says whether an attempt of a req that was taken by a version may start now.
+	// MayStart reports whether an attempt of a request admitted under a version may start now.
 	MayStart(version uint64) bool
-	// Serves says whether reqs are taken now.
+	// Serves reports whether requests are admitted now.
 	Serves() bool
 }
 
-// Serves says whether reqs are taken now, as far as the fleet's policy goes.
+// Serves reports whether requests are admitted now, as far as the fleet's policy is concerned.
 func (c *Core) Serves() bool { return c.Versions == nil || c.Versions.Serves() }
 
-// admit stamps a req with the version that it is taken by. Where none is known to hold it answers the
-// req at once: nothing of it was begun, so that another dispatcher may have it.
+// admit records the version under which a request is admitted. If no version is known to be in force, it refuses the request
+// at once: no attempt has begun, so another dispatcher may run it.
 func (c *Core) admit(r *req) bool {
 	version, pause, ok := c.Versions.Take()
 	if ok {
@@ -35,7 +35,7 @@
 	return false
 }
 
-// mayStart is the last gate of an attempt, as far as the fleet's policy goes.
+// mayStart is the last check before an attempt begins, as far as the fleet's policy is concerned.
 func (c *Core) mayStart(r *req) bool {
 	if !c.Versions.MayStart(r.version) {
 		return false
@@ -50,14 +50,14 @@
 	}
 }
 
-// outlived answers a req whose version is over and of which nothing is out: no attempt of it will
-// ever start. One that has run nowhere, sent or not, may go to another dispatcher.
+// answerExpired answers a request whose version is no longer in force and which has no attempt outstanding, since none can
+// start any more. A request that never ran, whether it was sent or not, is refused and may go to another dispatcher.
 func (c *Core) outlived(r *req) {
 	if !r.open || r.out > 0 || c.Versions.MayStart(r.version) {
 		return
 	}
 	for _, a := range r.attempts {
-		if !a.never.Load() { // sending it again may run it twice
+		if !a.never.Load() { // sending it again could run it twice
 			c.answer(r, Answer{Verdict: Failure})
 			return
 		}
@@ -65,5 +65,5 @@
 	c.answer(r, Answer{Verdict: Refusal, Pause: outlivedPause})
 }
 
-// outlivedPause is the advice to the client of a req that its version did not outlive.
+// expiredRetryAfter is the delay suggested to the client of a request whose version is no longer in force.
 const outlivedPause = 500 * time.Millisecond
--- a/internal/core/versions_test.go
+++ b/internal/core/versions_test.go
@@ -11,11 +11,11 @@
 	"tinsail/internal/balance"
 )
 
-// policy is a Versions that a test sets by hand.
+// fakeVersions is a Versions whose state the test sets.
 type policy struct {
 	version uint64
 	open    bool
-	starts  uint64 // the version whose attempts may start
+	starts  uint64 // version whose attempts may start
 	waiting int
 }
 
@@ -29,9 +29,9 @@
 func (p *policy) MayStart(v uint64) bool { return v == p.starts }
 func (p *policy) Serves() bool           { return p.open }
 
-// TestReqsAreTakenByOneVersion: a fenced core refuses with advice and holds nothing; one that serves
-// stamps the req, and its attempts start by that version alone. A req whose version is over before
-// anything of it began is refused, one that had begun fails.
+// A core whose fleet admits nothing refuses requests with a suggested delay and keeps no state for them. Otherwise each request
+// gets the version in force, and its attempts start only under that version. When the version ends, a request of which
+// nothing has begun is refused, and one that has begun fails.
 func TestReqsAreTakenByOneVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, balance.Ready)
@@ -46,7 +46,7 @@
 		assert.Zero(t, b.core.Open())
 
 		p.open, p.starts = true, 7
-		take("a") // its id was not used up
+		take("a") // the refused request did not reserve its ID
 		require.Len(t, b.sent, 1)
 		assert.EqualValues(t, 7, b.sent[0].Version())
 		assert.Equal(t, 1, p.waiting)
@@ -55,12 +55,12 @@
 
 		take("b")
 		require.Len(t, b.sent, 2)
-		p.open, p.starts = false, 0 // the version is over
+		p.open, p.starts = false, 0 // the version is no longer in force
 		assert.False(t, b.sent[1].MayBegin())
 		b.sent[1].Ended(Unsent, "", nil)
 		b.core.step()
 		require.Len(t, b.answers, 2)
-		assert.Equal(t, Refusal, b.answers[1].Verdict, "nothing of it had begun")
+		assert.Equal(t, Refusal, b.answers[1].Verdict, "no attempt of it had begun")
 		b.sent[0].Ended(Broken, "", nil)
 		b.core.step()
 		require.Len(t, b.answers, 3)
@@ -72,12 +72,12 @@
 		assert.True(t, b.sent[2].MayBegin())
 		p.open, p.starts = false, 0
 		b.sent[2].Ended(Returned, "", nil)
-		for range 3 { // the module tries another, at once or when it has waited for room: it ends unsent
+		for range 3 { // the module dispatches again, at once or after a delay; that attempt ends as Unsent
 			b.core.step()
 			time.Sleep(time.Second)
 		}
 		require.Len(t, b.answers, 4)
-		assert.Equal(t, Refusal, b.answers[3].Verdict, "it was sent, and ran nowhere")
+		assert.Equal(t, Refusal, b.answers[3].Verdict, "it was sent but never ran")
 		assert.Zero(t, p.waiting)
 		assert.Zero(t, b.core.Open())
 		assert.Empty(t, b.core.reqs)
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -1,6 +1,6 @@
-// Package maintenance decides which backends operators have taken out of use. It lies over the list
-// of backends: whatever a source says, a banned backend is never shown as ready, and once the ban
-// is over it is shown as the source has it now. It does no I/O and reads no clock.
+// Package maintenance decides which backends operators have taken out of use. It filters the list of backends: a banned
+// backend is never passed on as ready, whatever its source reports, and after the ban it is passed on as the source reports it
+// now. It does no I/O and reads no clock.
 package maintenance
 
 import (
@@ -11,25 +11,25 @@
 	"tinsail/internal/balance"
 )
 
-// Backend is a line of a list.
+// Backend is one backend of a list.
 type Backend struct {
 	balance.Worker
 	Name, Address string
-	Local         bool // Started is a mark's floor, not what the list told
+	Local         bool // Started is the floor of a mark and not a time from the list
 }
 
-// Mark is what operators last said of a backend; it is what outlives a process. Times are Unix ms, At and Floor on the clock of
-// the process that holds the mark (see Moved), Seen as the list tells it.
+// Mark is the operators' last call on a backend; it outlives the process. Times are Unix ms: At and Floor are on the clock of
+// the process that holds the mark (see ConvertClock), Seen is as listed.
 type Mark struct {
 	Name   string  `json:"name"`
 	Banned bool    `json:"banned"`
-	At     float64 `json:"at"`    // of the call; only the order of calls rests on it
-	Floor  float64 `json:"floor"` // it counts as started no earlier, unless the list tells of a later start than Seen
-	Seen   float64 `json:"seen"`  // the start that the list told when the ban began, or ended
+	At     float64 `json:"at"` // time of the call, used for the order of calls
+	Floor  float64 `json:"floor"` // the backend counts as started no earlier, unless it is listed with a later start than Seen
+	Seen   float64 `json:"seen"` // start that was listed when the ban began or ended
 }
 
-// Moved are marks on another clock: here and there are what both clocks show at the same moment. A floor is as old there as
-// here, and never lies ahead; the order of calls stays as it is.
+// ConvertClock converts marks to another clock. here and there are the readings of both clocks at the same moment. Each floor
+// keeps its age and never lies in the future; the order of calls doesn't change.
 func Moved(marks []Mark, here, there float64) []Mark {
 	out := slices.Clone(marks)
 	for i := range out {
@@ -40,8 +40,8 @@
 	return out
 }
 
-// Bounds on what is remembered of backends that no list names now: of those that are gone and not banned, whose ids are
-// known and no more; and of those that marks from elsewhere name and no list ever did here.
+// Limits on what is remembered of backends that no list names now. Of those that are gone and not banned, only their names
+// need to stay known. Those of the second kind are named by marks from elsewhere and were never listed here.
 const (
 	mostGone      = 1024
 	mostStrangers = 50_000
@@ -52,18 +52,17 @@
 	last   Backend
 	listed bool // some list has named it
 	mark   Mark
-	gone   uint64 // order in which it went; 0 while it is listed
-	policy bool   // the fleet's policy bans it, whatever operators said here
+	gone   uint64 // position in the order in which backends went; 0 while it is listed
+	policy bool // the fleet's policy bans it, independently of the mark
 }
 
-// Bans are the bans in force and the list that they lie over. The zero value has neither. It is not for
-// concurrent use.
+// Bans holds the bans in force and the list that they filter. The zero value is empty. It is not safe for concurrent use.
 type Bans struct {
 	all   map[string]*entry
 	turn  uint64
 	gones int
 
-	strangers int // marked, and never listed here
+	strangers int // number of entries that are marked and were never listed here
 
 	policy map[string]bool // names that the fleet's policy bans
 }
@@ -80,14 +79,14 @@
 	return e
 }
 
-// shown is how a backend is passed on.
+// effective returns the backend as it is passed on.
 func (e *entry) shown() Backend {
 	out := e.last
 	if (e.mark.Banned || e.policy) && out.State == balance.Ready {
 		out.State = balance.Draining
 	}
 	if e.mark.Floor > 0 {
-		if out.Started > e.mark.Seen { // the list tells better
+		if out.Started > e.mark.Seen { // the list knows of a newer start
 			e.mark.Floor = 0
 		} else {
 			out.Started, out.Local = e.mark.Floor, true
@@ -96,7 +95,7 @@
 	return out
 }
 
-// List takes what a source said and returns what to pass on, in the same order.
+// ApplyList handles a list of a source and returns what to pass on, in the same order.
 func (b *Bans) List(kind balance.ListKind, list []Backend) []Backend {
 	if kind == balance.ListFailed {
 		return nil
@@ -110,7 +109,7 @@
 		}
 		was := e.last
 		e.last, e.listed, named[list[i].Name] = list[i], true, true
-		if e.last.State == balance.Gone { // it says nothing but that
+		if e.last.State == balance.Gone { // such an entry carries no other information
 			e.last = was
 			e.last.ID, e.last.Name, e.last.State = list[i].ID, list[i].Name, balance.Gone
 			b.left(e)
@@ -131,7 +130,7 @@
 	return out
 }
 
-// left notes that a backend is gone, and forgets the one that went first of too many.
+// recordGone records that a backend is gone, and forgets the one that went first if there are too many.
 func (b *Bans) left(e *entry) {
 	if e.gone == 0 {
 		b.gones++
@@ -153,13 +152,13 @@
 	}
 }
 
-// Known says whether a backend of this name was ever listed, here or where the marks came from.
+// Known reports whether a backend of this name was ever listed, here or where the marks came from.
 func (b *Bans) Known(name string) bool {
 	e := b.all[name]
 	return e != nil && (e.listed || e.mark.At > 0)
 }
 
-// Offline bans a backend. change is what to pass on, ok is false for a name that was never listed.
+// Offline bans a backend. change is what to pass on; ok is false for a name that was never listed.
 func (b *Bans) Offline(now float64, name string) (change []Backend, ok bool) {
 	if !b.Known(name) {
 		return nil, false
@@ -172,8 +171,8 @@
 	return e.change(), true
 }
 
-// Online ends a ban. The backend was restarted meanwhile and is cold: it counts as started now,
-// unless the list tells of a start since the ban began.
+// Online ends a ban. The backend is expected to have been restarted meanwhile and to be cold: it counts as started now,
+// unless the list has reported a start since the ban began.
 func (b *Bans) Online(now float64, name string) (change []Backend, ok bool) {
 	if !b.Known(name) {
 		return nil, false
@@ -183,7 +182,7 @@
 		return nil, true
 	}
 	mark := Mark{Name: name, At: b.after(now, e)}
-	// By the order of what the list told and not by clocks alone: the list's need not agree with this process's.
+	// Decided by the order of listed starts too and not by clocks alone: the list's clock may disagree with this process's.
 	if e.last.Started <= e.mark.Seen || e.last.Started < e.mark.At {
 		mark.Floor, mark.Seen = now, e.last.Started
 	}
@@ -191,8 +190,8 @@
 	return e.change(), true
 }
 
-// after is the time of a call: later than the last one's, so that of two marks the later call's holds
-// whatever the clock did.
+// callTime returns the time recorded for a call. It is later than that of the call before, so that the later one of two marks
+// wins whatever the clock did.
 func (b *Bans) after(now float64, e *entry) float64 { return max(now, e.mark.At+0.001) }
 
 func (e *entry) change() []Backend {
@@ -202,7 +201,7 @@
 	return []Backend{e.shown()}
 }
 
-// Listed is the list that the bans lie over, as the source has it, in the order of names.
+// SourceList returns the list as the source reports it, without bans, sorted by name.
 func (b *Bans) Listed() (list []Backend) {
 	for _, name := range slices.Sorted(maps.Keys(b.all)) {
 		if e := b.all[name]; e.listed && e.last.State != balance.Gone {
@@ -212,7 +211,7 @@
 	return list
 }
 
-// Marks are all that operators have said, in the order of names.
+// Marks returns all marks, sorted by name.
 func (b *Bans) Marks() []Mark {
 	var out []Mark
 	for _, e := range b.all {
@@ -224,7 +223,7 @@
 	return out
 }
 
-// Mark is what operators last said of one backend; its At is 0 if they said nothing.
+// Mark returns the mark of one backend; its At is 0 if operators never made a call on it.
 func (b *Bans) Mark(name string) Mark {
 	if e := b.all[name]; e != nil {
 		return e.mark
@@ -232,8 +231,8 @@
 	return Mark{}
 }
 
-// Merge takes marks from elsewhere: a file, or another process of this dispatcher. Of two on one
-// backend the later call's holds. It returns what to pass on.
+// Merge adds marks from elsewhere: a file, or another process of this dispatcher. Of two marks on one backend the later
+// call wins. It returns what to pass on.
 func (b *Bans) Merge(marks []Mark) (change []Backend) {
 	for _, m := range marks {
 		if m.Name == "" || m.At <= 0 {
@@ -253,8 +252,7 @@
 	return change
 }
 
-// Policy takes the names that the fleet's policy bans from now on, in place of those before. It returns
-// what to pass on. What operators have said here stays as it was.
+// SetPolicyBans replaces the names that the fleet's policy bans, and returns what to pass on. Marks are not changed.
 func (b *Bans) Policy(names []string) (change []Backend) {
 	b.policy = make(map[string]bool, len(names))
 	for _, name := range names {
@@ -269,14 +267,14 @@
 	return change
 }
 
-// Withheld lists those that nothing may be sent to, the fleet's policy's and the operators', in the order of names.
+// AllBanned lists the backends that nothing may be sent to, banned by the fleet's policy or by operators, sorted by name.
 func (b *Bans) Withheld() []string {
 	names := append(slices.Collect(maps.Keys(b.policy)), b.Banned()...)
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// Banned lists those that operators have banned here, in the order of names.
+// OperatorBanned lists the backends that operators have banned here, sorted by name.
 func (b *Bans) Banned() (names []string) {
 	for _, m := range b.Marks() {
 		if m.Banned {
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -37,18 +37,18 @@
 	change, ok = b.Online(9000, "a")
 	require.True(t, ok)
 	moved.Started, moved.Local = 9000, true
-	assert.Equal(t, []Backend{moved}, change, "restarted meanwhile: cold, whatever the list still tells")
+	assert.Equal(t, []Backend{moved}, change, "restarted meanwhile: cold, even if the list still has the old start")
 	again := moved
 	again.Started, again.Local = 5, false
 	assert.Equal(t, []Backend{moved}, b.List(balance.ListDelta, []Backend{again}))
 	again.Started = 8000
-	assert.Equal(t, []Backend{again}, b.List(balance.ListDelta, []Backend{again}), "the list tells better")
+	assert.Equal(t, []Backend{again}, b.List(balance.ListDelta, []Backend{again}), "the list has a newer start")
 	change, ok = b.Online(9001, "a")
 	assert.True(t, ok)
 	assert.Empty(t, change)
 }
 
-// TestStartTold: a start that the list told during the ban holds, also at the call back.
+// A start that was listed during the ban is kept when the ban ends.
 func TestStartTold(t *testing.T) {
 	var b Bans
 	b.List(balance.ListFull, []Backend{line("a", balance.Ready, 5)})
@@ -58,8 +58,8 @@
 	assert.Equal(t, []Backend{line("a", balance.Ready, 3000)}, change)
 }
 
-// TestGone: one that is gone can be banned, and comes back banned; an online of one that drains or is
-// gone leaves it so.
+// A backend that is gone can be banned, and is banned when it comes back. Online doesn't make a draining or gone backend
+// ready.
 func TestGone(t *testing.T) {
 	var b Bans
 	b.List(balance.ListFull, []Backend{line("a", balance.Ready, 5), line("bb", balance.Draining, 6)})
@@ -73,7 +73,7 @@
 	assert.Equal(t, balance.Draining, change[0].State)
 }
 
-// TestManyGone: names that are gone do not gather without end, and bans are not forgotten.
+// The number of remembered names that are gone is bounded, and bans are not forgotten.
 func TestManyGone(t *testing.T) {
 	var b Bans
 	b.List(balance.ListDelta, []Backend{line("kept", balance.Ready, 0)})
@@ -85,8 +85,8 @@
 	assert.Equal(t, []string{"kept"}, b.Banned())
 }
 
-// TestAnyOrder: for any order of lists, calls and hand-overs, what is passed on shows no banned backend as
-// ready, and once all bans are over it is what the source says, but for later starts.
+// In any order of lists, calls and hand-overs, no banned backend is passed on as ready. After all bans the result is what the
+// source reports, except for later starts.
 func TestAnyOrder(t *testing.T) {
 	names := []string{"a", "bb", "ccc"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -140,7 +140,7 @@
 				change, _ := b.Online(now, name)
 				banned[name] = false
 				apply(change)
-			case 4: // a new process, with the old one's marks and its list
+			case 4: // a new process, with the old one's marks and list
 				next := &Bans{}
 				next.Merge(b.Marks())
 				list := []Backend{}
@@ -149,7 +149,7 @@
 				}
 				clear(shown)
 				apply(next.List(balance.ListFull, list))
-				for _, n := range names { // what is gone and was not marked is unknown to it
+				for _, n := range names { // backends that are gone and have no mark are unknown to it
 					if !next.Known(n) {
 						banned[n] = false
 					}
@@ -183,14 +183,14 @@
 	old.Offline(1000, "a")
 	assert.Equal(t, balance.Draining, next.Merge(old.Marks())[0].State)
 	stale := next.Marks()
-	next.Online(500, "a") // a clock that stands behind: the later call holds all the same
+	next.Online(500, "a") // the clock went back: the later call wins nevertheless
 	assert.Empty(t, next.Merge(stale))
 	assert.Empty(t, next.Banned())
 	assert.Equal(t, balance.Ready, old.Merge(next.Marks())[0].State)
 	assert.Empty(t, old.Merge([]Mark{{Name: "", At: 9e9, Banned: true}, {Name: "x", Banned: true}}))
 }
 
-// TestStrangers: marks of names that no list tells are kept up to a bound, and one that is listed later makes room.
+// Marks of names that no list names are kept up to a bound; a name that is listed later no longer counts.
 func TestStrangers(t *testing.T) {
 	var b Bans
 	for i := range mostStrangers + 10 {
@@ -209,7 +209,7 @@
 	got, err := ReadKept(text)
 	require.NoError(t, err)
 	assert.Equal(t, k, got)
-	for i := range text { // whatever is cut off or changed is noticed
+	for i := range text { // any truncation or change is detected
 		_, err := ReadKept(text[:i])
 		assert.Error(t, err)
 		bad := append([]byte{}, text...)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,18 +1,17 @@
-// Package membership decides which backends there are and what state each is in, from what
-// several sources say of them: the platform's director, a catalogue, a list in the settings.
-// It does no I/O, starts no goroutine, takes no lock and reads no clock: observations and the
-// time are handed in, and what changed is handed out by Changes.
+// Package membership decides which backends there are and which state each one has, from the reports of several sources: the
+// platform's director, a service catalogue, a list in the settings. It does no I/O, starts no goroutine, takes no lock and
+// reads no clock. Reports and the time are passed in, and Changes returns what changed.
 //
-// Its rules, in the order in which they win:
+// Its rules, in order of precedence:
 //
-//  1. A drain that any source tells holds at once, whatever else is doubted, damped or held.
-//  2. What a source says last holds for it; a backend that it no longer names is doubted for a
-//     while and then gone.
-//  3. A source that falls silent is believed as it was, for as long as its rules say.
-//  4. Where too large a part of a source's backends turns critical or vanishes together, it is
-//     the source that is doubted, and they stay as they were.
-//  5. A backend that keeps changing is not ready until it has been steady for a while.
-//  6. Of the sources that name a backend, the one of the highest rank describes it.
+// 1. A drain reported by any source takes effect at once, also while other rules delay or ignore changes.
+// 2. Otherwise a source's latest report holds. A backend that the source no longer names keeps its state for a while (its
+// drop is doubted) and is then gone.
+// 3. The last reports of a source that falls silent stay in force, for as long as its rules say.
+// 4. If too large a part of a source's backends turns critical or vanishes together, the source itself is considered
+// wrong (panic) and those backends keep their state.
+// 5. A backend that keeps changing (flaps) is not ready until it has been passing for a while.
+// 6. Of the sources that name a backend, the one with the highest rank describes it.
 package membership
 
 import (
@@ -20,24 +19,24 @@
 	"time"
 )
 
-// Health is what a source says of a backend.
+// Health is the health that a source reports for a backend.
 type Health uint8
 
-// Healths, from best to worst.
+// Health values, from best to worst.
 const (
 	Passing Health = iota
 	Warning
 	Critical
-	Drain // maintenance, terminating: told by people or by the backend, not found by a check
+	Drain // maintenance or termination: reported by people or the backend itself, not found by a check
 )
 
-// State is what the dispatcher does with a backend.
+// State tells the dispatcher how to use a backend.
 type State uint8
 
 // States of a backend.
 const (
 	Ready    State = iota
-	Draining       // nothing new is sent
+	Draining // nothing new is sent to it
 	Gone
 )
 
@@ -45,91 +44,91 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// Backend is what a source says of one backend. Name is its identity in all sources.
+// Backend is what a source reports about one backend. Name identifies it across all sources.
 type Backend struct {
 	Name, Address string
 	Kind, Zone    int
 	Group         int
 	Weight        float64
-	Started       float64 // Unix ms of its process's start, 0 if long past
+	Started       float64 // start of its process in Unix ms; 0 if long ago
 	Health        Health
 }
 
-// Member is a backend in the list that all sources together yield.
+// Member is a backend in the list merged from all sources.
 type Member struct {
 	Backend
 	State  State
 	Reason string
-	Source string        // that describes it
-	Age    time.Duration // of that source's last news
+	Source string // name of the source that describes it
+	Age    time.Duration // time since that source's last answer
 }
 
-// Rules are the bounds of one source. The zero value of a duration switches its rule off.
+// Rules configure one source. A duration of zero disables its rule.
 type Rules struct {
 	Name string
-	Rank int // the highest describes a backend that several name
-	// Doubt is how long a backend that is no longer named stays as it was.
+	Rank int // of the sources that name a backend, the one with the highest rank describes it
+	// Doubt is how long a backend that is no longer named keeps its state.
 	Doubt time.Duration
-	// Hold is how long a silent source is believed; 0 is for ever.
+	// Hold is how long the last reports of a silent source stay in force; 0 means forever.
 	Hold time.Duration
-	// Panic is the part of the source's backends, 0 to 1, that may be critical or vanish within
-	// PanicWindow before the source itself is doubted, for at most PanicHold.
+	// Panic is the part of the source's backends, 0 to 1, that may turn critical or vanish within PanicWindow. Beyond it
+	// the source is considered wrong, for at most PanicHold.
 	Panic       float64
 	PanicWindow time.Duration
 	PanicHold   time.Duration
-	// A backend that turned not ready more than Flaps times within FlapWindow is ready again
-	// only when it has been passing for Settle.
+	// A backend that stopped being ready more than Flaps times within FlapWindow is ready again only after it has been
+	// passing for Settle.
 	Flaps      int
 	FlapWindow time.Duration
 	Settle     time.Duration
-	// Off has the source's news kept and not used, until its rules say otherwise.
+	// Disabled keeps the source's reports without using them, until SetRules enables it.
 	Off bool
-	// WarningDrains says that a warning is as good as critical.
+	// WarningDrains treats a warning like a critical check.
 	WarningDrains bool
 }
 
-// Defaults are rules that suit a catalogue of tens to thousands of backends.
+// Defaults returns rules that suit a catalogue of tens to thousands of backends.
 func Defaults(name string, rank int) Rules {
 	return Rules{Name: name, Rank: rank, Doubt: 2 * time.Second, Hold: 5 * time.Minute, Panic: 0.5, PanicWindow: 10 * time.Second,
 		PanicHold: time.Minute, Flaps: 3, FlapWindow: 30 * time.Second, Settle: 10 * time.Second}
 }
 
-// entry is a backend as one source has it.
+// entry is one backend as reported by one source.
 type entry struct {
-	said    Backend // as last told
+	said    Backend // latest report
 	missing time.Time
-	downAt  time.Time   // it turned critical or went missing then; zero while it is neither
-	good    bool        // it has been passing: there is a good state to keep to
-	downs   []time.Time // that it turned not ready, the last few
-	steady  time.Time   // passing again since; zero if it never was not
+	downAt  time.Time // when it turned critical or went missing; zero while it is neither
+	good    bool // it has been passing, so there is a good state to keep during a panic
+	downs   []time.Time // last few times at which it stopped being ready
+	steady  time.Time // passing since, after it was down; zero if it never was down
 	state   State
-	round   uint64 // whole list that named it last
+	round   uint64 // the last full list that named it
 }
 
 type source struct {
 	rules   Rules
 	list    map[string]*entry
-	heard   time.Time // of its last good news
-	failed  bool      // silent since
-	known   bool      // it has told a list
-	expired bool      // silent beyond Hold
-	round   uint64    // of whole lists
-	panic   time.Time // since when it is doubted; zero if it is believed
-	down    int       // of list, critical or missing now
-	drains  int       // of list, told to drain
+	heard   time.Time // time of its last successful answer
+	failed  bool // failed since then
+	known   bool // it has delivered a list
+	expired bool // silent for longer than Hold
+	round   uint64 // number of its full lists so far
+	panic   time.Time // start of a panic; zero if there is none
+	down    int // number of its backends that are critical or missing
+	drains  int // number of its backends reported as draining
 }
 
-// Set is the list of backends and all that is known of where it comes from.
+// Set is the merged list of backends, with the state of each source.
 type Set struct {
 	sources []*source
 	members map[string]*Member
 	dirty   map[string]bool
 	changed []Member
-	due     map[string]time.Time // of names that time alone may change
-	next    time.Time            // the earliest of them, or earlier
+	due     map[string]time.Time // when the passing of time may change a backend or source, by name
+	next    time.Time // the earliest of timers, or earlier
 }
 
-// New makes an empty set for sources, which are named by their place in the list.
+// New makes an empty set for sources, which are identified by their index in rules.
 func New(rules ...Rules) *Set {
 	s := &Set{members: map[string]*Member{}, dirty: map[string]bool{}, due: map[string]time.Time{}}
 	for _, r := range rules {
@@ -138,7 +137,7 @@
 	return s
 }
 
-// Whole takes a whole list of a source; a backend that it does not name is missing.
+// ReplaceAll handles a source's full list. A backend that it doesn't name is missing.
 func (s *Set) Whole(now time.Time, from int, list []Backend) {
 	src := s.sources[from]
 	s.back(now, src)
@@ -154,7 +153,7 @@
 	s.settle(now, src)
 }
 
-// Some takes news of some backends of a source, and the names of those that it dropped.
+// Update handles reports of some backends of a source, and the names of those that it dropped.
 func (s *Set) Some(now time.Time, from int, list []Backend, dropped []string) {
 	src := s.sources[from]
 	s.back(now, src)
@@ -169,14 +168,14 @@
 	s.settle(now, src)
 }
 
-// Same takes the news that nothing has changed at a source.
+// Unchanged handles an answer of a source that nothing has changed.
 func (s *Set) Same(now time.Time, from int) {
 	src := s.sources[from]
 	s.back(now, src)
 	s.settle(now, src)
 }
 
-// Failed takes the news that a source does not answer. Only the first of a row counts.
+// Failed records that a source doesn't answer. Only the first of several failures in a row has an effect.
 func (s *Set) Failed(now time.Time, from int) {
 	if src := s.sources[from]; !src.failed {
 		src.failed = true
@@ -188,7 +187,7 @@
 	}
 }
 
-// SetRules has other rules hold for a source from now on. What it has told stays.
+// SetRules replaces the rules of a source. Its reports so far are kept.
 func (s *Set) SetRules(now time.Time, from int, r Rules) {
 	src := s.sources[from]
 	src.rules, src.down = r, 0
@@ -204,8 +203,8 @@
 	s.settle(now, src)
 }
 
-// back ends a source's silence. What went missing meanwhile is doubted from now on, not from
-// when it was last seen: a source that comes back takes nothing away at once.
+// endSilence records an answer of a source. A backend that is missing when a silence ends is doubted from now on, not from when
+// it was last seen, so that a source which comes back doesn't remove anything at once.
 func (s *Set) back(now time.Time, src *source) {
 	src.known, src.heard = true, now
 	if src.failed {
@@ -254,13 +253,13 @@
 	s.dirty[name] = true
 }
 
-// down says whether a check, or its absence, speaks against a backend. A drain does not count:
-// it is no sign that the source is wrong.
+// isDown reports whether a check, or the backend's absence, speaks against it. A drain doesn't count, because it is no sign
+// that the source is wrong.
 func (e *entry) down(src *source) bool {
 	return !e.missing.IsZero() && e.said.Health != Drain || e.said.Health == Critical || e.said.Health == Warning && src.rules.WarningDrains
 }
 
-// turned keeps count of what is down and of how often a backend went down.
+// recordTransition updates the count of backends that are down and how often this one went down.
 func (s *Set) turned(now time.Time, src *source, e *entry, was bool) {
 	is := e.down(src)
 	switch {
@@ -282,26 +281,25 @@
 	}
 }
 
-// settle judges a source as a whole, then all that may have changed.
+// reevaluate checks a source for a panic, then merges all backends that may have changed.
 func (s *Set) settle(now time.Time, src *source) {
 	s.judge(now, src)
 	s.sweep(now)
 }
 
-// sweep merges all that may have changed.
+// mergeDirty merges all backends that may have changed.
 func (s *Set) sweep(now time.Time) {
 	for name := range s.dirty {
 		s.merge(now, name)
 	}
-	if len(s.dirty) > 64 { // clearing costs by the largest it ever was, and news is mostly small
+	if len(s.dirty) > 64 { // clearing costs as much as the largest size the map had, and most updates are small
 		s.dirty = map[string]bool{}
 	} else {
 		clear(s.dirty)
 	}
 }
 
-// judge decides whether the source itself is to be doubted. It looks at the list only where
-// enough of it is down.
+// checkPanic decides whether the source itself is considered wrong. It scans the list only if enough of it is down.
 func (s *Set) judge(now time.Time, src *source) {
 	r := &src.rules
 	most := r.Panic * float64(len(src.list)-src.drains) // a drain is no sign that the source is wrong
@@ -329,7 +327,7 @@
 		}
 	} else {
 		src.panic = time.Time{}
-		for _, e := range src.list { // what is down still is believed to be
+		for _, e := range src.list { // those that are still down are now accepted as down
 			e.good = e.good && e.downAt.IsZero()
 		}
 	}
@@ -338,7 +336,7 @@
 	}
 }
 
-// Names of timers that are no backend's: no name of a backend holds a zero byte.
+// Names of timers that belong to sources. They hold a zero byte, which no backend's name does.
 const (
 	panicKey  = "\x00panic "
 	silentKey = "\x00silent "
@@ -360,10 +358,10 @@
 	}
 }
 
-// Next is when time alone may change something; zero is never.
+// Next returns when the passing of time alone may change something, or the zero time if never.
 func (s *Set) Next() time.Time { return s.next }
 
-// Expire does what is due at a time.
+// Expire handles the timers that are due at a time.
 func (s *Set) Expire(now time.Time) {
 	if s.next.IsZero() || now.Before(s.next) {
 		return
@@ -393,15 +391,14 @@
 	s.sweep(now)
 }
 
-// Changes hands out what has changed since it was last called, each backend as it is now. The
-// slice is the caller's.
+// Changes returns the backends that changed since the last call, each in its current state. The caller owns the slice.
 func (s *Set) Changes() []Member {
 	out := s.changed
 	s.changed = nil
 	return out
 }
 
-// Members is the whole list, by name, with the age of each one's source.
+// Members returns the merged list, sorted by name, with the age of each member's source.
 func (s *Set) Members(now time.Time) []Member {
 	out := make([]Member, 0, len(s.members))
 	for _, m := range s.members {
@@ -424,7 +421,7 @@
 	return out
 }
 
-// Status is how a source stands.
+// Status is the state of a source.
 type Status struct {
 	Name             string
 	Known, Silent    bool
@@ -433,7 +430,7 @@
 	Backends, Down   int
 }
 
-// Sources tells how each source stands.
+// Sources returns the state of each source.
 func (s *Set) Sources(now time.Time) []Status {
 	out := make([]Status, len(s.sources))
 	for i, src := range s.sources {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -14,9 +14,9 @@
 	"tinsail/internal/scenario"
 )
 
-// Scenarios: a source, named by its letter, sends a whole list ("=a b!"), news ("a? -b"), "same"
-// or "fails". A backend is followed by what is said of it: nothing if it passes, ? for a
-// warning, ! for critical, * for a drain, @N for another address. "expect" is the list of all.
+// Scenarios: a source, x or y, sends a full list ("=a b!"), an update ("a? -b"), "same" or "fails". A backend is followed by
+// what is reported of it: nothing if it passes, ? for a warning, ! for critical, * for a drain, @N for another address.
+// "expect" gives the merged list.
 var marks = map[byte]Health{'?': Warning, '!': Critical, '*': Drain}
 
 func said(text string) Backend {
@@ -40,7 +40,7 @@
 func play(t *testing.T, text string) {
 	s := New(rules("x", 1), rules("y", 2))
 	now := time.Unix(1e9, 0)
-	list := map[string]Member{} // as the changes make it
+	list := map[string]Member{} // as rebuilt from the changes
 	for _, step := range scenario.Steps(t, text) {
 		from := map[string]int{"x": 0, "y": 1}[step.Who]
 		switch {
@@ -67,7 +67,7 @@
 					word += "@" + strings.TrimPrefix(m.Address, "127.0.0.1:")
 				}
 				got = append(got, word)
-				assert.Equal(t, m.State, list[m.Name].State, "%s: the changes tell the same", step.Line)
+				assert.Equal(t, m.State, list[m.Name].State, "%s: Changes must agree with Members", step.Line)
 			}
 			assert.Equal(t, step.Arg, strings.Join(got, " "), step.Line)
 			assert.Len(t, list, len(got), step.Line)
@@ -102,27 +102,27 @@
 
 func TestRules(t *testing.T) {
 	for name, text := range map[string]string{
-		"a list as it is told": `
+		"a list as reported": `
 			x send =a b? c* d!
 			expect a b c* d*
 			x send -c e
 			wait 3s
 			expect a b d* e`,
-		"what is no longer named is doubted, then gone": `
+		"a dropped backend is doubted, then gone": `
 			x send =a b c
 			x send =a b
 			wait 1999ms
 			expect a b c
 			wait 1ms
 			expect a b`,
-		"and is back if it is named again": `
+		"a dropped backend that is named again stays": `
 			x send =a b c
 			x send =a b
 			wait 1s
 			x send =a b c
 			wait 9s
 			expect a b c`,
-		"a drain holds at once, and a drained one that is dropped was never ready": `
+		"a drain takes effect at once, a draining backend that is dropped is not ready": `
 			x send =a b c
 			x send a*
 			expect a* b c
@@ -130,7 +130,7 @@
 			expect a* b c
 			wait 2s
 			expect b c`,
-		"a silent source is believed for a while": `
+		"a silent source's list holds for a while": `
 			x send =a b
 			x send fails
 			wait 30s
@@ -139,7 +139,7 @@
 			expect a b
 			wait 1s
 			expect`,
-		"what vanished in its silence is doubted from its return on": `
+		"a backend missing during a silence is doubted from the source's return": `
 			x send =a b c
 			x send =a b
 			x send fails
@@ -158,7 +158,7 @@
 			wait 30s
 			y send a
 			expect a b`,
-		"too many critical at once are not believed, for a while": `
+		"too many critical at once cause a panic for a while": `
 			x send =a b c d
 			x send a! b! c!
 			expect a b c d
@@ -166,7 +166,7 @@
 			expect a b c d
 			wait 1s
 			expect a* b* c* d`,
-		"as many one after another are": `
+		"as many one after another cause no panic": `
 			x send =a b c d
 			x send a!
 			wait 11s
@@ -179,14 +179,14 @@
 			x send a! b! c!
 			x send b* d*
 			expect a b* c d*`,
-		"nor a drain told with it": `
+		"a panic hides no drain in the same update": `
 			x send =a b c d
 			x send a! b! c! d*
 			expect a b c d*`,
-		"what was never good is not kept": `
+		"a backend that never passed is not kept ready": `
 			x send =a! b! c! d
 			expect a* b* c* d`,
-		"a list that shrinks to nothing for a moment": `
+		"a list that is empty for a moment": `
 			x send =a b c d
 			x send =
 			wait 3s
@@ -208,7 +208,7 @@
 			wait 3s
 			x send a b c
 			expect a b c`,
-		"one that flaps is to be steady first": `
+		"a flapping backend must pass for a while first": `
 			x send =a b c d
 			x send a!
 			x send a
@@ -222,14 +222,14 @@
 			expect a* b c d
 			wait 1ms
 			expect a b c d`,
-		"the higher rank describes, the lower fills in": `
+		"the highest rank describes a backend, lower ranks add others": `
 			x send =a b
 			y send =a@2 c
 			expect a@2 b c
 			y send -a
 			wait 2s
 			expect a b c`,
-		"an address that moves": `
+		"a changed address": `
 			x send =a b
 			x send a@7
 			expect a@7 b`,
@@ -238,9 +238,8 @@
 	}
 }
 
-// TestAnyOrder: whatever two sources tell, in any order and at any time, a backend that either
-// says is to drain is never listed ready; and once they tell what is true and nothing changes any
-// more, the list is what they tell.
+// Whatever two sources report in any order and at any time, a backend that either reports as draining is never listed as
+// ready. Once both report the truth and nothing changes any more, the list is what they report.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		s := New(rules("x", 1), rules("y", 2))
@@ -263,7 +262,7 @@
 			for _, m := range members {
 				require.Equal(r, m.State, listed[m.Name].State)
 				if m.State == Ready {
-					require.False(r, drained[0][m.Name] || drained[1][m.Name], "%s is to drain", m.Name)
+					require.False(r, drained[0][m.Name] || drained[1][m.Name], "%s must be draining", m.Name)
 				}
 			}
 		}
@@ -325,7 +324,7 @@
 	})
 }
 
-// BenchmarkChange: the cost of news grows with what changed, not with the list.
+// The cost of an update must grow with what changed, not with the size of the list.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
 		for _, whole := range []bool{false, true} {
@@ -349,7 +348,7 @@
 						s.Some(now, 0, []Backend{*at}, nil)
 					}
 					if len(s.Changes()) != 1 {
-						b.Fatal("one change was made")
+						b.Fatal("exactly one change expected")
 					}
 				}
 			})
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// view is what one source's rules make of a backend.
+// evaluate applies one source's rules to a backend and returns its state and the reason.
 func (s *Set) view(now time.Time, src *source, name string, e *entry) (State, string) {
 	r := &src.rules
 	if e.said.Health == Drain {
@@ -55,12 +55,12 @@
 	return Ready, "its checks pass"
 }
 
-// downBefore says whether a missing backend was critical when it was last named.
+// downWhenNamed reports whether a missing backend was down when the source last named it.
 func (e *entry) downBefore(src *source) bool {
 	return e.said.Health == Critical || e.said.Health == Warning && src.rules.WarningDrains
 }
 
-// merge makes one member of what all sources say of a backend, and notes it if it changed.
+// merge computes one member from all sources' reports of a backend, and records it if it changed.
 func (s *Set) merge(now time.Time, name string) {
 	var best *source
 	var chosen Member
@@ -88,7 +88,7 @@
 			chosen = Member{Backend: e.said, State: state, Reason: reason, Source: src.rules.Name}
 		}
 	}
-	if best == nil { // nobody who is asked names it
+	if best == nil { // no enabled source names it
 		if old := s.members[name]; old != nil {
 			gone := *old
 			gone.State, gone.Reason = Gone, "no source that is asked names it"
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,85 +1,88 @@
-// Package service decides in which state a dispatcher is towards its clients (in service, draining,
-// out of service, handed over, shutting down) and what its fronts are to do in it. Operators' calls, SIGTERM
-// and a hand-over to a new version are its events; it does no I/O and reads no clock.
+// Package service decides which service state a dispatcher has towards its clients (in service, draining, out of service,
+// handed over, shutting down) and what its fronts do in that state. Its events are operators' calls, SIGTERM and the
+// hand-over to a new process. It does no I/O and reads no clock.
+//
+// The load balancer in these comments is the platform's: it checks the dispatchers' health and sends new client connections to
+// the healthy ones.
 package service
 
 import "time"
 
-// Times of a drain, from its beginning on: the call that takes the dispatcher out of service, or
-// SIGTERM. The platform's figures are in its protocol ("Figures") and in the operators' page.
+// Times of a drain, counted from its beginning: the call that takes the dispatcher out of service, or SIGTERM. The platform's
+// figures are in its protocol ("Figures") and in the operators' page.
 const (
-	lateFront  = 600 * time.Millisecond // the front may still send new connections
-	ownReqs    = 700 * time.Millisecond // what comes later is lost if the kill finds it unanswered
-	killFloor  = 3 * time.Second        // the kill comes ownReqs after this, or after the longest deadline if that is less
-	killMargin = 200 * time.Millisecond // answers are out so long before the kill
-	lastReqs   = 400 * time.Millisecond // for the last reqs to be answered in: most take half of it
-	endSlack   = 500 * time.Millisecond // an answer that is later than its time by more is lost anyhow
-	quietLooks = 5                      // without a session, before the end
-	// An answer that went out before sessions are closed has left its connection open: the client's next request may be
-	// on its way for so long, a round trip and a busy client, before the connection is closed as an idle one.
+	lateFront  = 600 * time.Millisecond // the load balancer may still send new connections
+	ownReqs    = 700 * time.Millisecond // a request that arrives later is lost if it is unanswered at the kill
+	killFloor  = 3 * time.Second // the kill comes killWindow after this, or after the longest deadline if that is shorter
+	killMargin = 200 * time.Millisecond // time between the last answers and the kill
+	lastReqs   = 400 * time.Millisecond // time to answer the last requests; most take half of it
+	endSlack   = 500 * time.Millisecond // an answer later than its deadline by more is lost anyway
+	quietLooks = 5 // without a session, before the process exits
+	// An answer sent before sessions are closed leaves its connection open. The client's next request may be on its way for
+	// this long (a round trip and a busy client) before the connection is closed as idle.
 	lastRest = 100 * time.Millisecond
 )
 
-// Times of a process that has handed over, from then on. Its sessions close with their next
-// answer. One that stays idle is closed once its client seems not to need it, so that the close
-// crosses no req; the new process takes the client's next connection.
+// Times of a process that has handed over, counted from the hand-over. Its sessions close with their next answer. An idle
+// session is closed once its client seems not to need it, so that the close doesn't cross a request; the client's next
+// connection goes to the new process.
 const (
 	handedRest = 400 * time.Millisecond
-	handedAll  = 1200 * time.Millisecond // from then on whatever is idle is closed
+	handedAll  = 1200 * time.Millisecond // from then on every idle session is closed
 )
 
-// LookEvery is how often Look is to be called while a state is left or about to be.
+// PollInterval is how often Evaluate must be called while the state is changing or about to change.
 const LookEvery = 20 * time.Millisecond
 
-// State is where a dispatcher's process stands.
+// State is the service state of a dispatcher's process.
 type State uint8
 
-// States.
+// States of a process.
 const (
 	InService State = iota
-	Draining        // out of service by a call, and clients' reqs are still answered
+	Draining // taken out of service by a call; clients' requests are still answered
 	OutOfService
-	HandedOver   // another process of the same dispatcher serves in its place
-	ShuttingDown // SIGTERM has come
+	HandedOver // another process of the same dispatcher serves in its place
+	ShuttingDown // SIGTERM was received
 )
 
 var names = [...]string{"in service", "draining", "out of service", "handed over", "shutting down"}
 
 func (s State) String() string { return names[s] }
 
-// Orders are what the fronts do until the next ones.
+// Directives tell the fronts what to do until the next ones.
 type Orders struct {
 	State  State
-	Handed bool          // another process accepts in this one's place
-	Ready  bool          // a check of health is answered by yes, if there is a backend
-	Accept bool          // new connections are taken
-	Hint   bool          // connections that can say so ahead (HTTP/2) tell their clients to go
-	Close  bool          // an answer ends its session
-	Rest   time.Duration // sessions idle for so long are closed; only if Close
-	Until  time.Time     // what comes now is answered by then; zero for no end. Past: it is refused, and never sent on
-	End    bool          // the process is to end, and takes nothing any more
+	Handed bool // another process accepts connections in place of this one
+	Ready  bool // health checks succeed if there is a backend
+	Accept bool // new connections are accepted
+	Hint   bool // protocols that can announce a close (HTTP/2) do so to their clients
+	Close  bool // a session closes after its next answer
+	Rest   time.Duration // sessions idle for this long are closed; used only with CloseAfterAnswer
+	Until  time.Time // requests that arrive now are answered by then; zero for no limit. If past, they are refused and never sent on
+	End    bool // the process exits and accepts nothing any more
 }
 
-// Machine is the state of one process. The zero value is in service; Longest must be set first.
-// It is not for concurrent use.
+// Machine is the state machine of one process. It starts in service; MaxDeadline must be set first. It is not safe for
+// concurrent use.
 type Machine struct {
-	Longest time.Duration // the longest deadline of a class
+	Longest time.Duration // longest deadline of any class
 
-	out, term, handed time.Time // since when; zero if not
+	out, term, handed time.Time // start of each; zero if not in effect
 	quiet             int
-	whole             time.Time // until then, after SIGTERM, the orders gave reqs their whole time
-	called            bool      // the orders have what comes refused
+	whole             time.Time // after SIGTERM, the last time at which directives gave requests their full deadline
+	called            bool // the last directives refuse new requests
 }
 
-// Out takes the dispatcher out of service. Repeated calls change nothing.
+// TakeOutOfService begins a drain. Repeated calls change nothing.
 func (m *Machine) Out(now time.Time) {
 	if m.out.IsZero() {
 		m.out = now
 	}
 }
 
-// In takes it back, also in the middle of a drain. It returns false, and changes nothing, where
-// the process is shutting down and no other has taken over.
+// ReturnToService takes the dispatcher back into service, also in the middle of a drain. It returns false, and changes
+// nothing, if the process is shutting down and no other process has taken over.
 func (m *Machine) In() bool {
 	if !m.term.IsZero() && m.handed.IsZero() {
 		return false
@@ -88,46 +91,46 @@
 	return true
 }
 
-// Term begins the shutdown.
+// Shutdown begins the shutdown.
 func (m *Machine) Term(now time.Time) {
 	if m.term.IsZero() {
 		m.term, m.quiet = now, 0
 	}
 }
 
-// HandOver tells that another process of this dispatcher takes new connections from now on.
+// HandOver records that another process of this dispatcher accepts new connections from now on.
 func (m *Machine) HandOver(now time.Time) { m.handed, m.quiet = now, 0 }
 
-// TakeBack tells that the process that had taken over is gone.
+// TakeBack records that the process which had taken over is gone.
 func (m *Machine) TakeBack() { m.handed = time.Time{} }
 
-// IsOut says whether the dispatcher was taken out of service.
+// IsOutOfService reports whether the dispatcher was taken out of service.
 func (m *Machine) IsOut() bool { return !m.out.IsZero() }
 
-// Changing says whether time alone may change what Look says.
+// Changing reports whether the passing of time alone may change what Evaluate returns.
 func (m *Machine) Changing() bool {
 	return !m.out.IsZero() || !m.term.IsZero() || !m.handed.IsZero()
 }
 
-// kill is when, after SIGTERM, the kill comes.
+// killAfter returns how long after SIGTERM the platform kills the process.
 func (m *Machine) kill() time.Duration { return min(m.Longest, killFloor) + ownReqs }
 
-// closeAt is when, from the beginning of a drain, sessions are closed: as late as what comes on them
-// until then can be answered. The front brings a client whose session is closed to another
-// dispatcher, if it knows of one that is up: not where this one is alone, nor while the one that
-// was restarted before it has yet to be noticed.
+// closeAfter returns how long after the beginning of a drain sessions are closed: as late as possible while requests that
+// arrive on them until then can still be answered. The load balancer sends a client whose session is closed to another
+// dispatcher if it knows a healthy one. It knows none where this dispatcher is the only one, or while it has not yet noticed
+// that the dispatcher restarted before this one is back.
 func (m *Machine) closeAt() time.Duration { return m.kill() - killMargin - lastReqs }
 
-// Load is what clients have open now.
+// Load counts what clients have open now.
 type Load struct {
-	Sessions int // of any kind
-	Early    int // of those, connected before FrontStops
-	Owed     int // reqs owed an answer, or the rest of one
-	Closing  int // sessions told to close; one may have taken a req that crossed that, and be writing its answer
+	Sessions int // all sessions
+	Early    int // sessions that connected before BalancerCutoff
+	Owed     int // requests whose answer is not fully sent
+	Closing  int // sessions told to close; one may have accepted a request that crossed that and be writing its answer
 }
 
-// FrontStops is when the front sends no more new connections after a SIGTERM, at the latest; zero
-// before one. Who connects later is not sent by it.
+// BalancerCutoff returns when, after SIGTERM, the load balancer stops sending new connections at the latest; zero before
+// SIGTERM. Clients that connect later were not sent by it.
 func (m *Machine) FrontStops() time.Time {
 	if m.term.IsZero() {
 		return time.Time{}
@@ -135,7 +138,7 @@
 	return m.term.Add(lateFront)
 }
 
-// Look says what to do now.
+// Evaluate returns the directives for now.
 func (m *Machine) Look(now time.Time, l Load) Orders {
 	o := Orders{Ready: m.out.IsZero() && (m.term.IsZero() || !m.handed.IsZero()), Accept: m.handed.IsZero()}
 	switch {
@@ -158,9 +161,9 @@
 		}
 		o.Hint = true
 		age := now.Sub(begun)
-		switch { // what comes early has its whole time: the kill, or the end of the drain, spares it
+		switch { // a request that arrives early has its full deadline: neither the kill nor the end of the drain cuts it
 		case age < lateFront:
-		case age < m.kill() || begun.Equal(m.term): // no late req slips by
+		case age < m.kill() || begun.Equal(m.term): // so that no late request escapes the limit
 			if until := begun.Add(m.kill() - killMargin); o.Until.IsZero() || until.Before(o.Until) {
 				o.Until = until
 			}
@@ -178,8 +181,8 @@
 	return o
 }
 
-// frontGone is when a front that looks at the dispatcher's health sends it nothing new any more: neither
-// since it was taken out of service nor since SIGTERM, whichever came first.
+// balancerDone returns when a load balancer that checks the dispatcher's health stops sending it new connections, counted
+// from when it was taken out of service or from SIGTERM, whichever came first.
 func (m *Machine) frontGone() time.Time {
 	if !m.out.IsZero() && m.out.Before(m.term) {
 		return m.out.Add(lateFront)
@@ -187,14 +190,14 @@
 	return m.FrontStops()
 }
 
-// lastDue is when, from SIGTERM on, the last answer is due: of a req that was taken just before orders cut the time
-// of those to come, or of one that came later and is to be answered before the kill. Orders hold until the next
-// look, which a process that is held up (a busy machine) makes late.
+// lastDue returns how long after SIGTERM the last answer is due. That is the answer to a request accepted just before
+// directives began to limit deadlines, or to a later one that must be answered before the kill. Directives hold until the
+// next evaluation, which is late if the process is delayed on a busy machine.
 func (m *Machine) lastDue() time.Duration { return max(m.Longest+m.whole.Sub(m.term), m.kill()) }
 
-// end says whether all is answered and nobody is left for a moment: a client whose req crossed the closing
-// of its session comes back at once. What comes within one look of the end is refused, so that no req is read
-// by a process that has decided to end, sent on, and cut.
+// decideExit decides whether all requests are answered and no client has been left for a moment. It waits that moment because
+// a client whose request crossed the close of its session reconnects at once. Requests that arrive within one evaluation of
+// the exit are refused, so that the process doesn't read a request, send it on, and then exit and cut it.
 func (m *Machine) end(now time.Time, l Load, o *Orders) {
 	called := m.called
 	m.called = false
@@ -211,7 +214,7 @@
 		}
 		age := now.Sub(m.term)
 		over = age >= m.Longest+endSlack && l.Owed == 0 && l.Closing == 0 || age >= m.lastDue()+endSlack
-		if m.handed.IsZero() && now.Before(m.frontGone()) { // who is sent here still would find nobody
+		if m.handed.IsZero() && now.Before(m.frontGone()) { // a client that is still sent here would find no process
 			m.quiet = 0
 			return
 		}
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -14,20 +14,20 @@
 
 func busy(int) Load { return Load{Sessions: 9, Early: 9, Owed: 9} }
 
-// TestStrangers: a shutdown does not wait for those who connect when the front has stopped, but for all that
-// were there before, and for each req that is owed an answer: one that came just before the front had
-// stopped is due at 5.6 s, and lost half a second later.
+// A shutdown doesn't wait for clients that connect after the load balancer has stopped sending new ones. It waits for all
+// earlier sessions and for each unanswered request: one that arrived just before the cutoff is due at 5.6 s and given up half
+// a second later.
 func TestStrangers(t *testing.T) {
 	for name, c := range map[string]struct {
 		load func(ms int) Load
 		ends int
 	}{
-		"strangers go on coming":     {func(ms int) Load { return Load{Sessions: 50, Early: max(0, 3200-ms)} }, 3300},
-		"a req of theirs is taken":   {func(ms int) Load { return Load{Sessions: 50, Owed: max(0, 4000-ms)} }, 4100},
+		"late clients keep connecting":  {func(ms int) Load { return Load{Sessions: 50, Early: max(0, 3200-ms)} }, 3300},
+		"a late client's request":      {func(ms int) Load { return Load{Sessions: 50, Owed: max(0, 4000-ms)} }, 4100},
 		"clients use their sessions": {func(ms int) Load { return Load{Sessions: 50, Early: 50, Owed: max(0, 5600-ms)} }, 5600},
-		"they read no answer":        {func(ms int) Load { return Load{Sessions: 50, Early: 50, Owed: 3} }, 6100},
-		"a stranger reads none":      {func(ms int) Load { return Load{Sessions: 50, Owed: 3} }, 6100},
-		"nobody was there":           {func(ms int) Load { return Load{} }, 3200},
+		"answers never read":         {func(ms int) Load { return Load{Sessions: 50, Early: 50, Owed: 3} }, 6100},
+		"late client never reads":       {func(ms int) Load { return Load{Sessions: 50, Owed: 3} }, 6100},
+		"no clients":            {func(ms int) Load { return Load{} }, 3200},
 	} {
 		m := Machine{Longest: 5 * time.Second}
 		m.Term(at(0))
@@ -38,7 +38,7 @@
 	}
 }
 
-// TestDrainInTime: at 4 s no session that is idle may be left, and no job of the last 2 s.
+// After 4 s no idle session may be left, and no request that arrived in the last 2 s unanswered.
 func TestDrainInTime(t *testing.T) {
 	for _, longest := range []time.Duration{500 * time.Millisecond, 3 * time.Second, 5 * time.Second} {
 		m := Machine{Longest: longest}
@@ -47,8 +47,8 @@
 		for ms := 0; ms < 60_000; ms += 20 {
 			o := m.Look(at(ms), busy(ms))
 			assert.False(t, o.Ready)
-			assert.True(t, o.Accept, "new connections are taken all the time")
-			assert.False(t, o.End, "the process runs on")
+			assert.True(t, o.Accept, "new connections are always accepted")
+			assert.False(t, o.End, "the process keeps running")
 			if !o.Until.IsZero() {
 				assert.False(t, o.Until.After(at(3900)))
 			}
@@ -60,7 +60,7 @@
 			}
 			if ms > 4000 {
 				assert.Equal(t, OutOfService, o.State)
-				assert.Zero(t, o.Until, "who comes all the same is served")
+				assert.Zero(t, o.Until, "clients that connect nevertheless are served")
 			}
 		}
 		assert.True(t, m.In())
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestTerm: a shutdown ends when nobody has been left for a moment, or at the latest after the longest deadline; one that
-// begins out of service does not wait for a front that sends nothing any more.
+// A shutdown ends once no client has been left for a moment, or after the longest deadline at the latest. One that begins out
+// of service doesn't wait for a load balancer that sends nothing any more.
 func TestTerm(t *testing.T) {
 	end := func(m *Machine, from, sessions, until int) int {
 		for ms := from; ms < from+20_000; ms += 20 {
@@ -96,11 +96,10 @@
 	assert.Equal(t, 100, end(&m, 10_000, 0, 0))
 	m = Machine{Longest: 5 * time.Second}
 	m.HandOver(at(0))
-	assert.Equal(t, 900, end(&m, 0, 1, 800), "a process that has handed over may leave early")
+	assert.Equal(t, 900, end(&m, 0, 1, 800), "a process that has handed over may exit early")
 }
 
-// TestHandOver: the process that has handed over says what the dispatcher says, and serves again
-// when the other is gone.
+// A process that has handed over reports the dispatcher's health, and serves again when the other process is gone.
 func TestHandOver(t *testing.T) {
 	m := Machine{Longest: 5 * time.Second}
 	m.HandOver(at(0))
@@ -108,7 +107,7 @@
 	assert.Equal(t, Orders{State: HandedOver, Handed: true, Ready: true, Hint: true, Close: true, Rest: handedRest}, o)
 	m.Term(at(100))
 	assert.True(t, m.Look(at(101), busy(101)).Ready, "the dispatcher is in service")
-	assert.True(t, m.In(), "the other process is taken back into service")
+	assert.True(t, m.In(), "the other process is returned to service")
 	m = Machine{Longest: 5 * time.Second}
 	m.Out(at(0))
 	m.HandOver(at(1))
@@ -117,13 +116,13 @@
 	assert.Equal(t, Draining, m.Look(at(3), busy(3)).State)
 }
 
-// TestAnyOrder: whatever comes in whatever order, the last call decides, and what is said fits together.
+// In any order of events the last call decides, and the directives are consistent.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := Machine{Longest: 5 * time.Second}
 		now, out, term, handed := 0, false, false, false
 		outAt, termAt := 0, 0
-		closing := func(from int) bool { // sessions that were answered a moment before are spared
+		closing := func(from int) bool { // sessions answered a moment before are spared
 			age := time.Duration(now-from) * time.Millisecond
 			return age >= m.closeAt() && age < m.closeAt()+lastRest
 		}
@@ -140,7 +139,7 @@
 				if m.In() {
 					out = false
 				} else if !term || handed {
-					t.Fatal("refused")
+					t.Fatal("ReturnToService refused")
 				}
 			case 2:
 				m.Term(at(now))
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -8,16 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// sent is a req of the shutdown's model: a backend that hangs has it answered when its time is up.
+// sentReq is a request in a model of the shutdown. Its backend hangs, so it is answered at its deadline.
 type sent struct {
-	came, left, write int // ms from SIGTERM on; its client's patience; the answer's last byte goes out so much later
+	came, left, write int // ms after SIGTERM; the time its client waits; how much later the answer's last byte is written
 	late              bool
-	due               int // -1: it has not come yet
+	due               int // -1: it has not arrived yet
 }
 
-// TestShutdownOfAnyDeadline: whatever the longest deadline is and whenever reqs come, each has its whole time
-// or all of it up to the kill's margin, none that was taken is cut by the process's own end, nobody whom the front
-// still sends finds the process gone, and it ends.
+// For any longest deadline and any arrival times: each request has its full deadline, or all the time until the kill's margin.
+// The process's own exit cuts no accepted request, no client that the load balancer still sends finds the process gone, and
+// the process exits.
 func TestShutdownOfAnyDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		longest := rapid.OneOf(rapid.IntRange(50, 1000), rapid.IntRange(1000, 20_000)).Draw(t, "longest")
@@ -42,7 +42,7 @@
 					}
 					r.due = ms + left + r.write
 					if ms < 600 {
-						assert.Equal(t, r.left, left, "its client's whole time")
+						assert.Equal(t, r.left, left, "the client's full deadline")
 					} else {
 						assert.True(t, left == r.left || r.due-r.write <= kill-200 || left == 0, "%+v", r)
 					}
@@ -70,17 +70,17 @@
 				continue
 			}
 			assert.GreaterOrEqual(t, ms, 600, "the front sends new connections until then")
-			assert.False(t, o.Until.IsZero() || o.Until.After(at(ms)), "nothing is taken any more")
+			assert.False(t, o.Until.IsZero() || o.Until.After(at(ms)), "no request is accepted any more")
 			for _, r := range reqs {
-				assert.False(t, r.came <= ms && r.due >= ms, "ended at %d ms, and cut %+v", ms, r)
+				assert.False(t, r.came <= ms && r.due >= ms, "the exit at %d ms cut %+v", ms, r)
 			}
 			return
 		}
 	})
 }
 
-// TestShortDeadline: where the longest deadline is a second, a req that came at 0.9 s is due at 1.5 s, and the core
-// answers a moment after that: the process does not end at 1.5 s.
+// With a longest deadline of 1 s, a request that arrived at 0.9 s is due at 1.5 s, and the core answers a moment later. The
+// process must not exit at 1.5 s.
 func TestShortDeadline(t *testing.T) {
 	m := Machine{Longest: time.Second}
 	m.Term(at(0))
@@ -91,7 +91,7 @@
 	assert.True(t, m.Look(at(1580), Load{Sessions: 1, Early: 1}).End)
 }
 
-// TestLastLook: what comes within a look of the end is refused, not taken: it would be sent on, and cut.
+// Requests that arrive within one evaluation of the exit must be refused: an accepted one would be sent on and then cut.
 func TestLastLook(t *testing.T) {
 	for name, begin := range map[string]func(*Machine){
 		"shutdown":  func(m *Machine) { m.Term(at(0)) },
@@ -115,18 +115,18 @@
 	for ; m.Look(at(ms), Load{}).Until != at(ms); ms += 20 {
 	}
 	o := m.Look(at(ms+20), Load{Sessions: 1, Owed: 1})
-	assert.False(t, o.End, "one was read in that moment after all")
-	assert.Equal(t, at(3500), o.Until, "who comes now is taken again")
+	assert.False(t, o.End, "a request was read in that moment")
+	assert.Equal(t, at(3500), o.Until, "new requests are accepted again")
 }
 
-// TestHeldUp: a process that does nothing for a while wakes with orders that give what it reads its whole time, before
-// its next look: that look does not end it, nor does one before the last of those reqs is due.
+// A process that was delayed resumes with directives that give new requests their full deadline until the next evaluation.
+// Neither that evaluation nor a later one may exit before the last of those requests is due.
 func TestHeldUp(t *testing.T) {
 	for _, wakes := range []int{300, 900, 1500, 3000, 60_000} {
 		m := Machine{Longest: time.Second}
 		m.Term(at(0))
 		assert.True(t, m.Look(at(20), busy(20)).Until.IsZero())
-		assert.False(t, m.Look(at(wakes), Load{Sessions: 9, Early: 9}).End, "%d: what is read now is not counted yet", wakes)
+		assert.False(t, m.Look(at(wakes), Load{Sessions: 9, Early: 9}).End, "%d: requests read now are not counted yet", wakes)
 		for ms := wakes + 20; ms < wakes+1050; ms += 20 {
 			assert.False(t, m.Look(at(ms), busy(ms)).End, "%d: cut at %d", wakes, ms)
 		}
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestClosingAtTheEnd: a session that is told to close may write an answer still when the longest deadline is over: it has the time that
-// an answer has. A crowd of strangers who are told to go keeps no shutdown that has nobody else.
+// A session told to close may still be writing an answer after the longest deadline: it gets as long as an answer does.
+// Any number of such sessions must not delay a shutdown if all of them connected after the cutoff.
 func TestClosingAtTheEnd(t *testing.T) {
 	m := Machine{Longest: time.Second}
 	m.Term(at(0))
@@ -155,7 +155,7 @@
 	assert.Equal(t, 1200, ends)
 }
 
-// TestTakenBackBeforeTerm: what a hand-over that came to nothing was about to end is forgotten.
+// The directives of a hand-over that failed must not let a later shutdown exit early.
 func TestTakenBackBeforeTerm(t *testing.T) {
 	m := Machine{Longest: 50 * time.Millisecond}
 	m.HandOver(at(-1000))
@@ -166,11 +166,11 @@
 	m.Term(at(0))
 	assert.False(t, m.Look(at(0), Load{}).End)
 	o := m.Look(at(700), Load{Sessions: 1, Early: 1})
-	assert.False(t, o.End, "no look before it had what comes refused")
+	assert.False(t, o.End, "no earlier evaluation refused new requests")
 }
 
-// TestFrontGone: a process that was taken out of service has nobody sent to it since; one that was taken out a moment before
-// SIGTERM waits until the front has noticed that.
+// No client is sent to a process that has been out of service for a while, so it exits early. One taken out just before
+// SIGTERM waits until the load balancer has noticed.
 func TestFrontGone(t *testing.T) {
 	for _, c := range []struct{ out, ends int }{{-10_000, 100}, {-300, 400}, {0, 620}} {
 		m := Machine{Longest: 50 * time.Millisecond}
