--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -19,15 +19,15 @@
 	number  int
 	sent    float64
 	over    bool
-	ending  Ending // valid once done is set
-	never   atomic.Bool // proven never to have run
+	ending  Ending       // valid once done is set
+	never   atomic.Bool  // proven never to have run
 	begun   atomic.Int64 // stamp of when MayBegin last allowed it; 0 if it never did
 	stopped atomic.Bool
 	stop    func()
 
-	started atomic.Bool // Started was called
+	started atomic.Bool   // Started was called
 	share   atomic.Uint64 // newest progress, as the bits of a float64
-	posted  atomic.Bool // an event that will report progress is posted
+	posted  atomic.Bool   // an event that will report progress is posted
 }
 
 // MayBegin reports, just before the first byte is written, whether the attempt may still begin. Making the connection can
--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -51,12 +51,12 @@
 		do   func(*trial)
 		want bool
 	}{
-		"nothing happened":                 {func(*trial) {}, true},
-		"gone, event not handled yet": {func(w *trial) { w.ticket.Abandon(false, nil) }, false},
-		"gone":                             {func(w *trial) { w.ticket.Abandon(false, nil); w.core.step() }, false},
-		"gone, attempts cancelled":             {func(w *trial) { w.ticket.Abandon(true, nil); w.core.step() }, false},
-		"answered by the other attempt":    {func(w *trial) { w.sent[0].Ended(Served, "r", nil); w.core.step() }, false},
-		"the other attempt failed":         {func(w *trial) { w.sent[0].Ended(Broken, "", nil); w.core.step() }, true},
+		"nothing happened":              {func(*trial) {}, true},
+		"gone, event not handled yet":   {func(w *trial) { w.ticket.Abandon(false, nil) }, false},
+		"gone":                          {func(w *trial) { w.ticket.Abandon(false, nil); w.core.step() }, false},
+		"gone, attempts cancelled":      {func(w *trial) { w.ticket.Abandon(true, nil); w.core.step() }, false},
+		"answered by the other attempt": {func(w *trial) { w.sent[0].Ended(Served, "r", nil); w.core.step() }, false},
+		"the other attempt failed":      {func(w *trial) { w.sent[0].Ended(Broken, "", nil); w.core.step() }, true},
 	} {
 		w := newTrial(t, balance.Class{Effect: balance.Safe})
 		require.True(t, w.sent[0].MayBegin())
@@ -90,20 +90,20 @@
 		late   int // ms until the second attempt is about to begin
 		want   bool
 	}{
-		"safe":                              {balance.Safe, end(Broken), 5000, true},
-		"within the window":                     {balance.Deduped, end(Broken), 849, true},
+		"safe":                             {balance.Safe, end(Broken), 5000, true},
+		"within the window":                {balance.Deduped, end(Broken), 849, true},
 		"after the window":                 {balance.Deduped, end(Broken), 850, false},
-		"after it, the first outstanding":    {balance.Deduped, func(w *trial) { w.sent[0].MayBegin() }, 850, false},
+		"after it, the first outstanding":  {balance.Deduped, func(w *trial) { w.sent[0].MayBegin() }, 850, false},
 		"after it, the first overdue":      {balance.Deduped, end(Overdue), 850, false},
-		"after it, the first never ran":       {balance.Deduped, end(Unreached), 5000, true},
+		"after it, the first never ran":    {balance.Deduped, end(Unreached), 5000, true},
 		"after it, the first was returned": {balance.Deduped, end(Returned), 5000, true},
 		"counted from when it began": {balance.Deduped, func(w *trial) {
 			pass(w, 800)
 			w.sent[0].MayBegin()
 		}, 849, true},
-		"not yet begun":               {balance.Deduped, func(*trial) {}, 5000, true},
+		"not yet begun":                 {balance.Deduped, func(*trial) {}, 5000, true},
 		"unsafe, the first outstanding": {balance.Unsafe, func(w *trial) { w.sent[0].MayBegin() }, 1, false},
-		"unsafe, not yet begun":       {balance.Unsafe, func(*trial) {}, 1, false},
+		"unsafe, not yet begun":         {balance.Unsafe, func(*trial) {}, 1, false},
 		"unsafe, overdue while connecting": {balance.Unsafe, func(w *trial) {
 			w.core.cut(w.sent[0], Overdue)
 			assert.False(t, w.sent[0].MayBegin())
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -34,8 +34,8 @@
 // Kinds of final answers.
 const (
 	ResultOf Verdict = iota // the result of a backend
-	Refusal // answer made by the dispatcher; the client may retry safely
-	Failure // no result, and no promise that a retry is safe
+	Refusal                 // answer made by the dispatcher; the client may retry safely
+	Failure                 // no result, and no promise that a retry is safe
 )
 
 // Answer is the one final answer to a request.
@@ -43,7 +43,7 @@
 	Verdict Verdict
 	Result  string
 	Pause   time.Duration // suggested delay before the client retries after a refusal; 0 for no suggestion
-	Free    bool // no attempt will read the Job any more
+	Free    bool          // no attempt will read the Job any more
 }
 
 // Client is the sender of a request. Answer is called once, on the core's goroutine, and must not block.
@@ -71,7 +71,7 @@
 	Address string
 	ready   atomic.Bool
 	drained atomic.Int64 // stamp (see clock.toStamp) of when it stopped being ready; 0 while it is ready or if it never was
-	core    *Core // nil in tests that use a Backend without a core
+	core    *Core        // nil in tests that use a Backend without a core
 }
 
 // Banned reports whether operators have taken the backend out of use.
@@ -104,20 +104,20 @@
 	deadline float64
 	effect   balance.Effect
 	window   balance.Millis // for how long backends drop repeats, where effect is Deduped
-	open     bool // a final answer is still due
-	over     atomic.Bool // the request is answered or no longer wanted: no attempt may begin
-	scope    balance.Scope // which backends drop repeats together, where effect is Deduped
-	answered bool // the final answer was given
-	goneAt   atomic.Int64 // stamp of when its client was found to be gone; 0 while it is there
-	version  uint64 // fleet policy version under which it was admitted; 0 without Versions
-	began    atomic.Bool // Versions was told that it has begun at a backend or never will
+	open     bool           // a final answer is still due
+	over     atomic.Bool    // the request is answered or no longer wanted: no attempt may begin
+	scope    balance.Scope  // which backends drop repeats together, where effect is Deduped
+	answered bool           // the final answer was given
+	goneAt   atomic.Int64   // stamp of when its client was found to be gone; 0 while it is there
+	version  uint64         // fleet policy version under which it was admitted; 0 without Versions
+	began    atomic.Bool    // Versions was told that it has begun at a backend or never will
 	attempts []*Attempt
 	latest   atomic.Pointer[Attempt] // last element of attempts, read by MayBegin on other goroutines
 	out      int
 	cut      bool // the core stopped an attempt, which may still be reading the job
 	gone     func()
-	waits    bool // waits for quota; the module does not know of it yet
-	arrived  bool // the module knows of it
+	waits    bool   // waits for quota; the module does not know of it yet
+	arrived  bool   // the module knows of it
 	leave    func() // releases its quota or its place in the queue for it; nil without Quotas and after the call
 }
 
@@ -148,9 +148,9 @@
 	guarded  bool // MayBegin enforces the rule on duplicated effects as well
 	// mayCancel says that the settings allow cancelling an attempt.
 	mayCancel bool
-	ready     atomic.Int32 // number of backends that may be sent to
-	open      atomic.Int32 // number of unanswered requests
-	known     atomic.Bool // a list of backends has arrived
+	ready     atomic.Int32                               // number of backends that may be sent to
+	open      atomic.Int32                               // number of unanswered requests
+	known     atomic.Bool                                // a list of backends has arrived
 	held      atomic.Pointer[map[balance.WorkerID]int64] // stamps of when each banned backend was banned
 
 	ids ids
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -139,8 +139,8 @@
 			b.core.Listed(balance.ListDelta, []Entry{{Worker: balance.Worker{ID: 1, State: balance.Draining}}})
 		}, false},
 		"missing from a full list": {func(b *bench) { b.core.Listed(balance.ListFull, nil) }, false},
-		"a failed call":          {func(b *bench) { b.core.Listed(balance.ListFailed, nil) }, true},
-		"past its deadline":               {func(*bench) { time.Sleep(2 * time.Second) }, false},
+		"a failed call":            {func(b *bench) { b.core.Listed(balance.ListFailed, nil) }, true},
+		"past its deadline":        {func(*bench) { time.Sleep(2 * time.Second) }, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			b := start(t, balance.Ready)
--- a/internal/core/ending.go
+++ b/internal/core/ending.go
@@ -13,29 +13,29 @@
 // Endings of an attempt at a backend.
 const (
 	Served    Ending = iota // the backend sent its result
-	Failed // the backend reported a failure, or answered with an error
-	Rejected // the backend reported that the request itself is invalid
-	Returned // the backend returned the request before starting it, or refused it
-	Unreached // connecting failed, or the connection broke before the request's last byte was written
-	Lost // the backend reported that the job was killed
-	Broken // the connection broke or ended between the request's last byte and the answer's last line
-	Garbled // the backend violated the protocol
-	Overdue // the dispatcher stopped waiting
-	Withdrawn // the module cancelled the attempt
-	Unsent // no byte was written: the request was over, or the backend not listed as ready any more
+	Failed                  // the backend reported a failure, or answered with an error
+	Rejected                // the backend reported that the request itself is invalid
+	Returned                // the backend returned the request before starting it, or refused it
+	Unreached               // connecting failed, or the connection broke before the request's last byte was written
+	Lost                    // the backend reported that the job was killed
+	Broken                  // the connection broke or ended between the request's last byte and the answer's last line
+	Garbled                 // the backend violated the protocol
+	Overdue                 // the dispatcher stopped waiting
+	Withdrawn               // the module cancelled the attempt
+	Unsent                  // no byte was written: the request was over, or the backend not listed as ready any more
 
 	// Endings of a client session.
 	ClientClosed // the client closed the connection
 	ClientSilent // the client was idle, or left its request unfinished, for too long
-	ClientBad // the client sent something that is not a request
+	ClientBad    // the client sent something that is not a request
 	SessionDone  // the last answer said Connection: close
-	SessionShed // closed between requests to make room, or for shutdown
-	StreamReset // the client reset one of several streams on a connection
+	SessionShed  // closed between requests to make room, or for shutdown
+	StreamReset  // the client reset one of several streams on a connection
 
 	// Endings of a call to the director.
-	ListTold // an answer with a list
-	ListRefused // an answer with another status
-	ListUnread // an answer that is not a valid list
+	ListTold       // an answer with a list
+	ListRefused    // an answer with another status
+	ListUnread     // an answer that is not a valid list
 	ListUnanswered // no connection, a reset, or a timeout
 	endings
 )
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -28,9 +28,9 @@
 		do     func(*trial)
 		want   []guard.Rule
 	}{
-		"no violation":         {balance.Unsafe, func(w *trial) { begin(w, 0) }, nil},
+		"no violation":           {balance.Unsafe, func(w *trial) { begin(w, 0) }, nil},
 		"draining, within grace": {balance.Safe, func(w *trial) { drain(w); pass(w, grace); begin(w, 0) }, nil},
-		"draining, after grace":          {balance.Safe, func(w *trial) { drain(w); pass(w, grace+1); begin(w, 0) }, []guard.Rule{guard.BeginDrained}},
+		"draining, after grace":  {balance.Safe, func(w *trial) { drain(w); pass(w, grace+1); begin(w, 0) }, []guard.Rule{guard.BeginDrained}},
 		"draining, listed as draining again": {balance.Safe, func(w *trial) {
 			drain(w)
 			pass(w, grace)
@@ -129,7 +129,7 @@
 		}, "refuse_tries_spent"},
 		"may have run": {func(w *trial) { w.sent[0].MayBegin(); actions{w.core}.Fail(1) }, "refuse_may_have_run"},
 		"second copy":  {func(w *trial) { w.dispatch() }, "again_second_copy"},
-		"returned":   {func(w *trial) { w.sent[0].Ended(Returned, "", nil); w.core.step(); w.dispatch() }, "again_returned"},
+		"returned":     {func(w *trial) { w.sent[0].Ended(Returned, "", nil); w.core.step(); w.dispatch() }, "again_returned"},
 		"unreached":    {func(w *trial) { w.sent[0].Ended(Unreached, "", nil); w.core.step(); w.dispatch() }, "again_unreached"},
 		"unsent":       {func(w *trial) { w.sent[0].Ended(Unsent, "", nil); w.core.step(); w.dispatch() }, "again_unsent"},
 		"broken":       {func(w *trial) { w.sent[0].Ended(Broken, "", nil); w.core.step(); w.dispatch() }, "again_failure"},
--- a/internal/core/quotas_test.go
+++ b/internal/core/quotas_test.go
@@ -255,14 +255,14 @@
 		do     func(*hall, Ticket)
 		module bool // the real module, or else a policy that never answers or ends anything
 	}{
-		"a backend that never answers":     {24 * 24 * time.Hour, 0, 0, func(*hall, Ticket) {}, true},
-		"after a long wait":                {24 * 24 * time.Hour, time.Hour, 0, func(*hall, Ticket) {}, true},
-		"grant handled late":                     {24 * 24 * time.Hour, 0, 2 * time.Second, func(*hall, Ticket) {}, true},
-		"client gone, attempt outstanding":   {24 * 24 * time.Hour, 0, 0, func(_ *hall, t Ticket) { t.Abandon(false, nil) }, true},
-		"policy forgets the request":            {24 * 24 * time.Hour, 0, 0, func(*hall, Ticket) {}, false},
-		"policy forgets, attempt outstanding":   {24 * 24 * time.Hour, 0, 0, func(h *hall, _ Ticket) { actions{h.core}.Dispatch(1, 1, 0) }, false},
-		"deadline before the limit":          {time.Second, 0, 0, func(*hall, Ticket) {}, true},
-		"attempt broken, another sent": {24 * 24 * time.Hour, 0, 0, func(h *hall, _ Ticket) { h.sent[0].Ended(Broken, "", nil) }, true},
+		"a backend that never answers":        {24 * 24 * time.Hour, 0, 0, func(*hall, Ticket) {}, true},
+		"after a long wait":                   {24 * 24 * time.Hour, time.Hour, 0, func(*hall, Ticket) {}, true},
+		"grant handled late":                  {24 * 24 * time.Hour, 0, 2 * time.Second, func(*hall, Ticket) {}, true},
+		"client gone, attempt outstanding":    {24 * 24 * time.Hour, 0, 0, func(_ *hall, t Ticket) { t.Abandon(false, nil) }, true},
+		"policy forgets the request":          {24 * 24 * time.Hour, 0, 0, func(*hall, Ticket) {}, false},
+		"policy forgets, attempt outstanding": {24 * 24 * time.Hour, 0, 0, func(h *hall, _ Ticket) { actions{h.core}.Dispatch(1, 1, 0) }, false},
+		"deadline before the limit":           {time.Second, 0, 0, func(*hall, Ticket) {}, true},
+		"attempt broken, another sent":        {24 * 24 * time.Hour, 0, 0, func(h *hall, _ Ticket) { h.sent[0].Ended(Broken, "", nil) }, true},
 	} {
 		h := newHall(t, nil)
 		h.quotas.most = most
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -23,9 +23,9 @@
 type Mark struct {
 	Name   string  `json:"name"`
 	Banned bool    `json:"banned"`
-	At     float64 `json:"at"` // time of the call, used for the order of calls
+	At     float64 `json:"at"`    // time of the call, used for the order of calls
 	Floor  float64 `json:"floor"` // the backend counts as started no earlier, unless it is listed with a later start than Seen
-	Seen   float64 `json:"seen"` // start that was listed when the ban began or ended
+	Seen   float64 `json:"seen"`  // start that was listed when the ban began or ended
 }
 
 // ConvertClock converts marks to another clock. here and there are the readings of both clocks at the same moment. Each floor
@@ -53,7 +53,7 @@
 	listed bool // some list has named it
 	mark   Mark
 	gone   uint64 // position in the order in which backends went; 0 while it is listed
-	policy bool // the fleet's policy bans it, independently of the mark
+	policy bool   // the fleet's policy bans it, independently of the mark
 }
 
 // Bans holds the bans in force and the list that they filter. The zero value is empty. It is not safe for concurrent use.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -36,7 +36,7 @@
 // States of a backend.
 const (
 	Ready    State = iota
-	Draining // nothing new is sent to it
+	Draining       // nothing new is sent to it
 	Gone
 )
 
@@ -59,7 +59,7 @@
 	Backend
 	State  State
 	Reason string
-	Source string // name of the source that describes it
+	Source string        // name of the source that describes it
 	Age    time.Duration // time since that source's last answer
 }
 
@@ -97,10 +97,10 @@
 type entry struct {
 	said    Backend // latest report
 	missing time.Time
-	downAt  time.Time // when it turned critical or went missing; zero while it is neither
-	good    bool // it has been passing, so there is a good state to keep during a panic
+	downAt  time.Time   // when it turned critical or went missing; zero while it is neither
+	good    bool        // it has been passing, so there is a good state to keep during a panic
 	downs   []time.Time // last few times at which it stopped being ready
-	steady  time.Time // passing since, after it was down; zero if it never was down
+	steady  time.Time   // passing since, after it was down; zero if it never was down
 	state   State
 	round   uint64 // the last full list that named it
 }
@@ -109,13 +109,13 @@
 	rules   Rules
 	list    map[string]*entry
 	heard   time.Time // time of its last successful answer
-	failed  bool // failed since then
-	known   bool // it has delivered a list
-	expired bool // silent for longer than Hold
-	round   uint64 // number of its full lists so far
+	failed  bool      // failed since then
+	known   bool      // it has delivered a list
+	expired bool      // silent for longer than Hold
+	round   uint64    // number of its full lists so far
 	panic   time.Time // start of a panic; zero if there is none
-	down    int // number of its backends that are critical or missing
-	drains  int // number of its backends reported as draining
+	down    int       // number of its backends that are critical or missing
+	drains  int       // number of its backends reported as draining
 }
 
 // Set is the merged list of backends, with the state of each source.
@@ -125,7 +125,7 @@
 	dirty   map[string]bool
 	changed []Member
 	due     map[string]time.Time // when the passing of time may change a backend or source, by name
-	next    time.Time // the earliest of timers, or earlier
+	next    time.Time            // the earliest of timers, or earlier
 }
 
 // New makes an empty set for sources, which are identified by their index in rules.
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -13,11 +13,11 @@
 const (
 	lateFront  = 600 * time.Millisecond // the load balancer may still send new connections
 	ownReqs    = 700 * time.Millisecond // a request that arrives later is lost if it is unanswered at the kill
-	killFloor  = 3 * time.Second // the kill comes killWindow after this, or after the longest deadline if that is shorter
+	killFloor  = 3 * time.Second        // the kill comes killWindow after this, or after the longest deadline if that is shorter
 	killMargin = 200 * time.Millisecond // time between the last answers and the kill
 	lastReqs   = 400 * time.Millisecond // time to answer the last requests; most take half of it
 	endSlack   = 500 * time.Millisecond // an answer later than its deadline by more is lost anyway
-	quietLooks = 5 // without a session, before the process exits
+	quietLooks = 5                      // without a session, before the process exits
 	// An answer sent before sessions are closed leaves its connection open. The client's next request may be on its way for
 	// this long (a round trip and a busy client) before the connection is closed as idle.
 	lastRest = 100 * time.Millisecond
@@ -40,9 +40,9 @@
 // States of a process.
 const (
 	InService State = iota
-	Draining // taken out of service by a call; clients' requests are still answered
+	Draining        // taken out of service by a call; clients' requests are still answered
 	OutOfService
-	HandedOver // another process of the same dispatcher serves in its place
+	HandedOver   // another process of the same dispatcher serves in its place
 	ShuttingDown // SIGTERM was received
 )
 
@@ -53,14 +53,14 @@
 // Directives tell the fronts what to do until the next ones.
 type Orders struct {
 	State  State
-	Handed bool // another process accepts connections in place of this one
-	Ready  bool // health checks succeed if there is a backend
-	Accept bool // new connections are accepted
-	Hint   bool // protocols that can announce a close (HTTP/2) do so to their clients
-	Close  bool // a session closes after its next answer
+	Handed bool          // another process accepts connections in place of this one
+	Ready  bool          // health checks succeed if there is a backend
+	Accept bool          // new connections are accepted
+	Hint   bool          // protocols that can announce a close (HTTP/2) do so to their clients
+	Close  bool          // a session closes after its next answer
 	Rest   time.Duration // sessions idle for this long are closed; used only with CloseAfterAnswer
-	Until  time.Time // requests that arrive now are answered by then; zero for no limit. If past, they are refused and never sent on
-	End    bool // the process exits and accepts nothing any more
+	Until  time.Time     // requests that arrive now are answered by then; zero for no limit. If past, they are refused and never sent on
+	End    bool          // the process exits and accepts nothing any more
 }
 
 // Machine is the state machine of one process. It starts in service; MaxDeadline must be set first. It is not safe for
@@ -71,7 +71,7 @@
 	out, term, handed time.Time // start of each; zero if not in effect
 	quiet             int
 	whole             time.Time // after SIGTERM, the last time at which directives gave requests their full deadline
-	called            bool // the last directives refuse new requests
+	called            bool      // the last directives refuse new requests
 }
 
 // TakeOutOfService begins a drain. Repeated calls change nothing.
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -22,12 +22,12 @@
 		load func(ms int) Load
 		ends int
 	}{
-		"late clients keep connecting":  {func(ms int) Load { return Load{Sessions: 50, Early: max(0, 3200-ms)} }, 3300},
+		"late clients keep connecting": {func(ms int) Load { return Load{Sessions: 50, Early: max(0, 3200-ms)} }, 3300},
 		"a late client's request":      {func(ms int) Load { return Load{Sessions: 50, Owed: max(0, 4000-ms)} }, 4100},
-		"clients use their sessions": {func(ms int) Load { return Load{Sessions: 50, Early: 50, Owed: max(0, 5600-ms)} }, 5600},
-		"answers never read":         {func(ms int) Load { return Load{Sessions: 50, Early: 50, Owed: 3} }, 6100},
-		"late client never reads":       {func(ms int) Load { return Load{Sessions: 50, Owed: 3} }, 6100},
-		"no clients":            {func(ms int) Load { return Load{} }, 3200},
+		"clients use their sessions":   {func(ms int) Load { return Load{Sessions: 50, Early: 50, Owed: max(0, 5600-ms)} }, 5600},
+		"answers never read":           {func(ms int) Load { return Load{Sessions: 50, Early: 50, Owed: 3} }, 6100},
+		"late client never reads":      {func(ms int) Load { return Load{Sessions: 50, Owed: 3} }, 6100},
+		"no clients":                   {func(ms int) Load { return Load{} }, 3200},
 	} {
 		m := Machine{Longest: 5 * time.Second}
 		m.Term(at(0))
