--- a/cmd/tinsail/consul_test.go
+++ b/cmd/tinsail/consul_test.go
@@ -66,7 +66,7 @@
 	require.NoError(t, err)
 	s.d.start()
 	t.Cleanup(s.d.close)
-	s.await(func() bool { return s.d.core.Ready() == backends })
+	s.await(func() bool { return s.d.core.ReadyBackends() == backends })
 	return s
 }
 
@@ -161,7 +161,7 @@
 	}
 	ask(30)
 	s.agents[0].Maintenance("b01", true)
-	s.await(func() bool { return s.d.core.Ready() == 2 })
+	s.await(func() bool { return s.d.core.ReadyBackends() == 2 })
 	before := s.backends[1].Counts().Jobs
 	ask(30)
 	assert.Equal(t, before, s.backends[1].Counts().Jobs, "nothing to one that drains")
@@ -189,7 +189,7 @@
 	s.agents[1].Set(standin.Faults{Reset: true})
 	s.await(func() bool { return s.d.sources.count.Unreachable.Load() >= 2 })
 	ask(30)
-	assert.Equal(t, 2, s.d.core.Ready(), "the last list holds")
+	assert.Equal(t, 2, s.d.core.ReadyBackends(), "the last list holds")
 	assert.Contains(t, s.d.sources.describe(), "silent: believed as it was")
 
 	s.agents[1].Put(s.instance(moved))
@@ -199,7 +199,7 @@
 	moved.Set(platform.Faults{Hold: true})
 	done := make(chan error, 1)
 	go func() { done <- f.one("across-the-reload") }()
-	s.await(func() bool { return s.d.core.Open() == 1 })
+	s.await(func() bool { return s.d.core.OpenReqs() == 1 })
 	next := *s.set
 	c := *s.set.Consul
 	c.Address = []string{s.agents[1].Address}
@@ -280,7 +280,7 @@
 				took = append(took, max(backend.LastJob().Sub(begun), 0))
 				s.agents[0].Maintenance(backend.Name, false)
 			}
-			s.await(func() bool { return s.d.core.Ready() == 12 })
+			s.await(func() bool { return s.d.core.ReadyBackends() == 12 })
 			time.Sleep(10 * time.Millisecond)
 		}
 		close(stop)
@@ -402,15 +402,15 @@
 	spent time.Duration
 }
 
-func (c *counter) Whole(list []membership.Backend) {
+func (c *counter) ReplaceAll(list []membership.Backend) {
 	begun := time.Now()
-	c.set.Whole(begun, 0, list)
+	c.set.ReplaceAll(begun, 0, list)
 	c.set.Changes()
 	c.spent += time.Since(begun)
 	c.once.Do(func() { close(c.first); c.spent = 0 })
 }
-func (c *counter) Same()   {}
-func (c *counter) Failed() {}
+func (c *counter) Unchanged() {}
+func (c *counter) Failed()    {}
 
 func heap() int64 {
 	var m runtime.MemStats
--- a/cmd/tinsail/demo.go
+++ b/cmd/tinsail/demo.go
@@ -189,7 +189,7 @@
 func (x *demo) play(out io.Writer, n int) error {
 	ready, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	for x.dispatcher.core.Ready() < len(x.backends) {
+	for x.dispatcher.core.ReadyBackends() < len(x.backends) {
 		select {
 		case <-ready.Done():
 			return errors.New("the dispatcher has not heard of the backends")
@@ -244,7 +244,7 @@
 		part := int(100 * sum / int64(n*len(fronts)))
 		if part/25 != shown {
 			shown = part / 25
-			fmt.Fprintf(out, "  %3d%% of the reqs sent, %d open\n", part, x.dispatcher.core.Open())
+			fmt.Fprintf(out, "  %3d%% of the reqs sent, %d open\n", part, x.dispatcher.core.OpenReqs())
 		}
 		if part >= 50 && !broken {
 			broken = true
--- a/cmd/tinsail/door.go
+++ b/cmd/tinsail/door.go
@@ -57,7 +57,7 @@
 		switch state := d.service.State(); {
 		case state == service.HandedOver, state == service.ShuttingDown:
 			return no(503, state.String())
-		case !d.core.Known():
+		case !d.core.HasList():
 			return no(503, "no list of backends yet")
 		case !d.handover.serves():
 			return no(503, "another process serves still")
--- a/cmd/tinsail/handover.go
+++ b/cmd/tinsail/handover.go
@@ -162,8 +162,8 @@
 	go func() {
 		// Nor before it knows which policy of the fleet holds. One that is to end already leaves the clients to the
 		// old one, which would be drained in its favour, as long as that is there.
-		for !d.core.Known() || !d.core.Serves() || d.service.State() == service.ShuttingDown && t.at() == handover.Connected {
-			time.Sleep(service.LookEvery)
+		for !d.core.HasList() || !d.core.Serves() || d.service.State() == service.ShuttingDown && t.at() == handover.Connected {
+			time.Sleep(service.PollInterval)
 		}
 		d.accept()
 		t.mu.Lock()
@@ -173,7 +173,7 @@
 			_ = t.from.link.Send(handover.News{Ready: true}) // if it is gone, so much the better
 		}
 		for !t.serves() {
-			time.Sleep(service.LookEvery)
+			time.Sleep(service.PollInterval)
 		}
 		t.listen()
 		t.readyMS.Store(time.Since(begun).Milliseconds())
@@ -282,7 +282,7 @@
 	if alone {
 		t.d.bans.ShareWith(nil)
 		t.d.resize(t.d.cfg.Sockets, t.d.cfg.Memory)
-		t.d.core.Retire(false) // the whole budget of cold backends is this process's again
+		t.d.core.SetOverlap(false) // the whole budget of cold backends is this process's again
 	}
 	t.d.log.Info().Stringer("stage", at).AnErr("link", err).Msg("hand-over: the old process is gone")
 }
@@ -302,7 +302,7 @@
 	memory := t.memory
 	t.mu.Unlock()
 	d.resize(keep, memory)
-	d.core.Retire(true)
+	d.core.SetOverlap(true)
 	s := handover.State{Sockets: give, Memory: memory, Out: d.service.IsOutOfService()}
 	list, marks := d.bans.State()
 	s.Marks = marks
@@ -362,7 +362,7 @@
 	t.mu.Unlock()
 	t.d.bans.ShareWith(nil)
 	t.d.resize(sockets, memory)
-	t.d.core.Retire(false)
+	t.d.core.SetOverlap(false)
 	t.failed.Add(1)
 	if accept {
 		t.d.service.ResumeAfterHandOver()
--- a/cmd/tinsail/quotas.go
+++ b/cmd/tinsail/quotas.go
@@ -171,8 +171,8 @@
 	f.kept.Store(q)
 }
 
-// Take is core.Quotas. A req of no tenant is in no quota.
-func (f *fleetQuotas) Take(tenant, class int, until time.Time, ready func(from time.Time, pause time.Duration, ok bool)) (leave func()) {
+// Acquire is core.Quotas. A req of no tenant is in no quota.
+func (f *fleetQuotas) Acquire(tenant, class int, until time.Time, ready func(from time.Time, pause time.Duration, ok bool)) (leave func()) {
 	if tenant < 0 || tenant >= len(f.tenants) {
 		ready(time.Now(), 0, true)
 		return func() {}
@@ -181,8 +181,8 @@
 	return f.kept.Load().Take(f.tenants[tenant], class >= 0 && class < len(urgent) && urgent[class], until, ready)
 }
 
-// Most is core.Quotas.
-func (f *fleetQuotas) Most() time.Duration { return time.Duration(f.run.Load()) }
+// MaxHold is core.Quotas.
+func (f *fleetQuotas) MaxHold() time.Duration { return time.Duration(f.run.Load()) }
 
 // addQuotas begins this dispatcher's part in the quotas: after the accord's, and before the core runs.
 func (d *dispatcher) addQuotas(set *settings.Settings, from handed) error {
--- a/cmd/tinsail/quotas_test.go
+++ b/cmd/tinsail/quotas_test.go
@@ -106,12 +106,12 @@
 func TestRoomByNames(t *testing.T) {
 	assert.Nil(t, newFleetQuotas(teamed(), &settings.Settings{}), "off without the call")
 	f := newFleetQuotas(teamed(), &settings.Settings{Quotas: &settings.Quotas{}})
-	assert.Equal(t, 5008*time.Millisecond, f.Most(), "the longest class and the answer slack")
+	assert.Equal(t, 5008*time.Millisecond, f.MaxHold(), "the longest class and the answer slack")
 	assert.Nil(t, f.first, "no policy is in force")
 	for _, tenant := range []int{-1, 2} {
 		said := 0
 		before := time.Now()
-		f.Take(tenant, 0, before, func(from time.Time, _ time.Duration, ok bool) {
+		f.Acquire(tenant, 0, before, func(from time.Time, _ time.Duration, ok bool) {
 			said++
 			assert.True(t, ok)
 			assert.False(t, from.Before(before))
@@ -119,10 +119,10 @@
 		assert.Equal(t, 1, said)
 	}
 	f.enter(policy.Policy{Quotas: map[string]int{"press": 3}, RunMS: 7000, UrgentReserve: 1, UrgentClasses: []string{"express"}})
-	assert.Equal(t, 7*time.Second, f.Most())
+	assert.Equal(t, 7*time.Second, f.MaxHold())
 	assert.Equal(t, []bool{false, true}, *f.urgent.Load())
 	assert.Equal(t, 7000, f.first.RunMS, "handed over when the links begin")
 	f.enter(policy.Policy{})
-	assert.Equal(t, 5008*time.Millisecond, f.Most())
+	assert.Equal(t, 5008*time.Millisecond, f.MaxHold())
 	assert.Equal(t, []bool{false, false}, *f.urgent.Load())
 }
--- a/cmd/tinsail/ready.go
+++ b/cmd/tinsail/ready.go
@@ -28,7 +28,7 @@
 // tellCore passes a list on to the core. The first one that names a backend that may be sent to is noted as what made the
 // process ready.
 func (d *dispatcher) tellCore(kind balance.ListKind, list []core.Entry) {
-	d.core.Listed(kind, list)
+	d.core.HandleList(kind, list)
 	if !namesReady(list) || !d.ready.heard.CompareAndSwap(false, true) {
 		return
 	}
@@ -44,11 +44,11 @@
 	calls, failed := d.count.DirectorCalls.Load(), d.directorFailed()
 	ended := d.service.Ended()
 	go func() { // the core takes the list a moment later, and the fleet's policy may come later still, or never
-		for d.core.Ready() == 0 || !d.core.Serves() {
+		for d.core.ReadyBackends() == 0 || !d.core.Serves() {
 			select {
 			case <-ended:
 				return
-			case <-time.After(service.LookEvery):
+			case <-time.After(service.PollInterval):
 			}
 		}
 		after := time.Since(d.ready.begun)
@@ -60,7 +60,7 @@
 
 // directorFailed is how many calls to the director have come to nothing so far.
 func (d *dispatcher) directorFailed() (n int64) {
-	for _, e := range []core.Ending{core.ListUnanswered, core.ListRefused, core.ListUnread} {
+	for _, e := range []core.Ending{core.ListUnanswered, core.ListRefused, core.ListInvalid} {
 		n += d.count.Endings[e].Load()
 	}
 	return n
--- a/cmd/tinsail/serve.go
+++ b/cmd/tinsail/serve.go
@@ -139,9 +139,9 @@
 		return nil, err
 	}
 	d.core.Log, d.core.Guard = log, d.guard
-	d.core.StepWall(system.wallOff)
+	d.core.OffsetWallClock(system.wallOff)
 	if d.listed = d.tellCore; cfg.Admin != "" || set.Accord != nil {
-		d.bans = &maintain.Manager{OnList: d.tellCore, Withhold: d.core.Withhold, CloseIdle: d.pool.CloseIdleByID, Now: d.core.Now, WallClock: system.wall, Log: log}
+		d.bans = &maintain.Manager{OnList: d.tellCore, Withhold: d.core.SetBanned, CloseIdle: d.pool.CloseIdleByID, Now: d.core.Now, WallClock: system.wall, Log: log}
 		if cfg.Admin != "" {
 			d.bans.Path = keptPath(cfg, "bans")
 			if system.store != nil {
@@ -150,7 +150,7 @@
 		}
 		d.listed = d.bans.Listed
 	}
-	d.director.OnList, d.director.OnAnswer = d.listed, d.core.Heard
+	d.director.OnList, d.director.OnAnswer = d.listed, d.core.DirectorAnswered
 	d.clients = &network.Clients{Names: &cfg.Names, Count: d.count, Core: d.core, MaxSessions: share.Clients, MaxJobSessions: share.JobSessions,
 		MaxBufferedBytes: cfg.Memory / 8, LongestDeadline: cfg.Longest(), Stats: d.stats, Log: log, Guard: d.guard}
 	if d.listener, err = from.listen(cfg, "http1", cfg.Listen); err != nil {
@@ -207,7 +207,7 @@
 	if d.handover != nil && d.handover.from.link != nil {
 		known = d.inherit()
 		d.director.RequestFullList()
-		d.core.Succeed()
+		d.core.StartOverlapped()
 	} else {
 		d.director.SetIndex(d.cfg.Known.Index)
 	}
--- a/cmd/tinsail/sources.go
+++ b/cmd/tinsail/sources.go
@@ -55,7 +55,7 @@
 
 // directorRules are the platform's: its list is believed at once.
 func directorRules(set *settings.Settings) membership.Rules {
-	return membership.Rules{Name: "director", Rank: directorRank, Off: !usesDirector(set)}
+	return membership.Rules{Name: "director", Rank: directorRank, Disabled: !usesDirector(set)}
 }
 
 // addSources makes the list of backends where the settings ask for one. The platform's director
@@ -119,7 +119,7 @@
 	if usesDirector(set) {
 		s.director.DirectorList(balance.ListCached, d.cfg.Known.Entries)
 	}
-	s.static.Whole(static(set.Backends))
+	s.static.ReplaceAll(static(set.Backends))
 	d.follow(set.Consul)
 	if s.self != nil {
 		s.self.Start()
@@ -153,7 +153,7 @@
 	if d.sources == nil {
 		return
 	}
-	d.sources.static.Whole(static(next.Backends))
+	d.sources.static.ReplaceAll(static(next.Backends))
 	d.sources.consul.SetRules(rules(next.MemberRules))
 	if usesDirector(next) {
 		d.director.Enable()
@@ -209,13 +209,13 @@
 			state = "silent for too long: not believed"
 		case x.Silent:
 			state = "silent: believed as it was"
-		case x.Doubted:
+		case x.Panicking:
 			state = "doubted: too many fell at once"
-		case x.Known:
+		case x.HasList:
 			state = "answers"
 		}
 		age := int64(0)
-		if x.Known {
+		if x.HasList {
 			age = x.Age.Milliseconds()
 		}
 		v.Sources = append(v.Sources, sourceView{x.Name, state, age, x.Backends, x.Down})
--- a/internal/balance/course_test.go
+++ b/internal/balance/course_test.go
@@ -127,7 +127,7 @@
 	case dice < 966:
 		p.d.Workers(p.now, ListFailed, nil)
 	case dice < 968:
-		p.d.Retire(p.rng.IntN(2) == 0)
+		p.d.SetOverlap(p.rng.IntN(2) == 0)
 	case dice < 980: // some go, drain, come back, are new
 		var delta []Worker
 		for range 1 + p.rng.IntN(3) {
--- a/internal/balance/heir_test.go
+++ b/internal/balance/heir_test.go
@@ -41,8 +41,8 @@
 		ask(alone, 10_000)
 		ask(old, 10_000)
 		next := begin(10_000 + moment)
-		old.Retire(true)
-		next.Succeed(10_000 + moment)
+		old.SetOverlap(true)
+		next.StartOverlapped(10_000 + moment)
 		for now := 10_000 + moment; now < 13_000; now += 250 {
 			ask(alone, now)
 			ask(old, now)
@@ -59,7 +59,7 @@
 			assert.Less(t, next.sent[w], alone.sent[w], "and so has the new one")
 		}
 		assert.Positive(t, old.sent[11]+old.sent[12], "the old one keeps its part: it still serves its sessions")
-		old.Retire(false)
+		old.SetOverlap(false)
 		ask(old, 14_000)
 		assert.Positive(t, old.sent[14])
 	}
--- a/internal/balance/state.go
+++ b/internal/balance/state.go
@@ -180,15 +180,15 @@
 
 // Two processes of one node are one dispatcher to a cold worker: while both serve, each spends FallMultiple/4 of a
 // worker's budget a window where one alone spends up to the whole, so that together they stay within the margin of
-// FallMultiple/2 that one process keeps (twice one process's budget at most, in the window of the hand-over). Retire
+// FallMultiple/2 that one process keeps (twice one process's budget at most, in the window of the hand-over). SetOverlap
 // tells the one that hands over that the other serves beside it from its next window on (on), or that it is alone
 // again (off); what it has left in this window it may use. Both keep serving in the overlap (the old one its kept
 // client sessions): a budget given whole to one left the other's reqs without any cold worker.
-func (d *Dispatcher) Retire(on bool) { d.shared = on }
+func (d *Dispatcher) SetOverlap(on bool) { d.shared = on }
 
-// Succeed tells the one that takes over that another process serves beside it: it spends its part at once, until
-// Retire(false) says that the other is gone. now is unused; the part does not wait for a window.
-func (d *Dispatcher) Succeed(now Millis) { d.shared = true }
+// StartOverlapped tells the one that takes over that another process serves beside it: it spends its part at once, until
+// SetOverlap(false) says that the other is gone. now is unused; the part does not wait for a window.
+func (d *Dispatcher) StartOverlapped(now Millis) { d.shared = true }
 
 // hash spreads a number evenly over 0 to 1.
 func hash(x uint64) float64 {
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -22,7 +22,7 @@
 // recorder takes down what a watch hands on, one word each.
 type recorder chan string
 
-func (r recorder) Whole(list []membership.Backend) {
+func (r recorder) ReplaceAll(list []membership.Backend) {
 	var words []string
 	for _, b := range list {
 		words = append(words, fmt.Sprintf("%s=%s/%d", b.Name, b.Address[strings.LastIndexByte(b.Address, ':')+1:], b.Health))
@@ -30,8 +30,8 @@
 	sort.Strings(words)
 	r <- "[" + strings.Join(words, " ") + "]"
 }
-func (r recorder) Same()   { r <- "same" }
-func (r recorder) Failed() { r <- "failed" }
+func (r recorder) Unchanged() { r <- "same" }
+func (r recorder) Failed()    { r <- "failed" }
 
 // until takes words until one comes, and fails if that takes very long.
 func (r recorder) until(t *testing.T, want string) {
--- a/internal/consul/watch.go
+++ b/internal/consul/watch.go
@@ -66,8 +66,8 @@
 
 // Sink takes what a watch finds, from the watch's goroutine.
 type Sink interface {
-	Whole([]membership.Backend)
-	Same()
+	ReplaceAll([]membership.Backend)
+	Unchanged()
 	Failed()
 }
 
@@ -205,11 +205,11 @@
 		return 0, nil
 	case meta.LastIndex == index && index != 0: // the wait was over, or something else changed
 		w.Count.Same.Add(1)
-		w.Sink.Same()
+		w.Sink.Unchanged()
 		return index, nil
 	}
 	w.Count.Lists.Add(1)
-	w.Sink.Whole(w.read(list))
+	w.Sink.ReplaceAll(w.read(list))
 	return max(meta.LastIndex, 1), nil // 0 would not wait
 }
 
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -23,7 +23,7 @@
 	}
 	why := c.againFor(r)
 	a := &Attempt{Job: r.job, Backend: c.listed[to], core: c, req: r, before: r.latest.Load(), number: len(r.attempts), sent: now,
-		Until: c.clock.time(until)}
+		Deadline: c.clock.time(until)}
 	r.attempts = append(r.attempts, a)
 	r.latest.Store(a)
 	r.out++
@@ -44,10 +44,10 @@
 }
 
 func (x actions) Refuse(id balance.RequestID, pause balance.Millis) {
-	x.end(id, Answer{Verdict: Refusal, Pause: time.Duration(pause * float64(time.Millisecond))})
+	x.end(id, Answer{Kind: Refusal, RetryAfter: time.Duration(pause * float64(time.Millisecond))})
 }
 
-func (x actions) Fail(id balance.RequestID) { x.end(id, Answer{Verdict: Failure}) }
+func (x actions) Fail(id balance.RequestID) { x.end(id, Answer{Kind: Failure}) }
 
 func (x actions) end(id balance.RequestID, a Answer) {
 	if r := x.c.reqs[id]; r != nil {
@@ -82,7 +82,7 @@
 
 func (x actions) CloseIdle(to balance.WorkerID) {
 	if b := x.c.listed[to]; b != nil {
-		x.c.backends.HangUp(b)
+		x.c.backends.CloseIdle(b)
 	}
 }
 
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -10,20 +10,20 @@
 
 // Attempt is one sending of a request to a backend.
 type Attempt struct {
-	Job     *Job
-	Backend *Backend
-	Until   time.Time // when the dispatcher stops waiting
-	core    *Core
-	req     *req
-	before  *Attempt // attempt of the same request sent just before; nil for the first
-	number  int
-	sent    float64
-	over    bool
-	ending  Ending       // valid once done is set
-	never   atomic.Bool  // proven never to have run
-	begun   atomic.Int64 // stamp of when MayBegin last allowed it; 0 if it never did
-	stopped atomic.Bool
-	stop    func()
+	Job      *Job
+	Backend  *Backend
+	Deadline time.Time // when the dispatcher stops waiting
+	core     *Core
+	req      *req
+	before   *Attempt // attempt of the same request sent just before; nil for the first
+	number   int
+	sent     float64
+	over     bool
+	ending   Ending       // valid once done is set
+	never    atomic.Bool  // proven never to have run
+	begun    atomic.Int64 // stamp of when MayBegin last allowed it; 0 if it never did
+	stopped  atomic.Bool
+	stop     func()
 
 	started atomic.Bool   // Started was called
 	share   atomic.Uint64 // newest progress, as the bits of a float64
@@ -36,7 +36,7 @@
 // from any goroutine and doesn't block. It may be called again if no byte was written after all.
 func (a *Attempt) MayBegin() bool {
 	now := a.core.clock.read()
-	if a.req.over.Load() || a.stopped.Load() || !a.Backend.ready.Load() || a.Backend.Withheld() || !now.Before(a.Until) || !a.harmless(now) ||
+	if a.req.over.Load() || a.stopped.Load() || !a.Backend.ready.Load() || a.Backend.Banned() || !now.Before(a.Deadline) || !a.harmless(now) ||
 		a.core.Versions != nil && !a.core.mayStart(a.req) {
 		return false
 	}
--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -24,7 +24,7 @@
 type trial struct {
 	*bench
 	now    time.Time
-	ticket Ticket
+	ticket Handle
 }
 
 func newTrial(t *testing.T, class balance.Class) *trial {
@@ -34,9 +34,9 @@
 		balance.Settings{MayCancel: true, Classes: []balance.Class{class}}, w, w, &counters.Set{})
 	require.NoError(t, err)
 	w.core.guarded = true
-	w.core.Listed(balance.ListFull, []Entry{{Worker: balance.Worker{ID: 1, State: balance.Ready, Weight: 4}}})
+	w.core.HandleList(balance.ListFull, []Entry{{Worker: balance.Worker{ID: 1, State: balance.Ready, Weight: 4}}})
 	w.core.step()
-	w.ticket, _ = w.core.Take(balance.Request{Slots: 1}, &Job{ID: "a"}, w.now, time.Minute, w)
+	w.ticket, _ = w.core.Submit(balance.Request{Slots: 1}, &Job{ID: "a"}, w.now, time.Minute, w)
 	w.core.step()
 	w.dispatch()
 	return w
@@ -71,7 +71,7 @@
 			a.Ended(Served, "r", nil)
 		}
 		w.core.step()
-		assert.Zero(t, w.core.Open(), name)
+		assert.Zero(t, w.core.OpenReqs(), name)
 		assert.Empty(t, w.core.reqs, name)
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -29,21 +29,21 @@
 }
 
 // AnswerKind is the kind of final answer that a request gets.
-type Verdict uint8
+type AnswerKind uint8
 
 // Kinds of final answers.
 const (
-	ResultOf Verdict = iota // the result of a backend
-	Refusal                 // answer made by the dispatcher; the client may retry safely
-	Failure                 // no result, and no promise that a retry is safe
+	Result  AnswerKind = iota // the result of a backend
+	Refusal                   // answer made by the dispatcher; the client may retry safely
+	Failure                   // no result, and no promise that a retry is safe
 )
 
 // Answer is the one final answer to a request.
 type Answer struct {
-	Verdict Verdict
-	Result  string
-	Pause   time.Duration // suggested delay before the client retries after a refusal; 0 for no suggestion
-	Free    bool          // no attempt will read the Job any more
+	Kind        AnswerKind
+	Result      string
+	RetryAfter  time.Duration // suggested delay before the client retries after a refusal; 0 for no suggestion
+	JobReleased bool          // no attempt will read the Job any more
 }
 
 // Client is the sender of a request. Answer is called once, on the core's goroutine, and must not block.
@@ -57,7 +57,7 @@
 	// Probe asks a backend for a load report and calls done once.
 	Probe(b *Backend, done func(Ending, []float32))
 	// CloseIdle closes idle connections to a backend.
-	HangUp(b *Backend)
+	CloseIdle(b *Backend)
 }
 
 // Director watches the list of backends.
@@ -75,7 +75,7 @@
 }
 
 // Banned reports whether operators have taken the backend out of use.
-func (b *Backend) Withheld() bool { return b.core != nil && b.core.withheld(b.ID) }
+func (b *Backend) Banned() bool { return b.core != nil && b.core.withheld(b.ID) }
 
 // setReady records whether requests may be sent to the backend.
 func (b *Backend) set(ready bool) {
@@ -93,7 +93,7 @@
 	balance.Worker
 	Name, Address string
 	// LocalStart says that Started is a time on this core's clock (see Now) and not a time from the list.
-	Local bool
+	LocalStart bool
 }
 
 // req is a request that is unanswered or has attempts outstanding.
@@ -192,11 +192,11 @@
 }
 
 // ReadyBackends returns how many backends may be sent to.
-func (c *Core) Ready() int { return int(c.ready.Load()) }
+func (c *Core) ReadyBackends() int { return int(c.ready.Load()) }
 
 // SetBanned names the backends at which no attempt may begin from now on, whatever their listed state. It takes effect before
 // it returns, ahead of events that the core has not handled yet. The core keeps no reference to the map.
-func (c *Core) Withhold(ids map[balance.WorkerID]struct{}) {
+func (c *Core) SetBanned(ids map[balance.WorkerID]struct{}) {
 	since := make(map[balance.WorkerID]int64, len(ids))
 	now := c.clock.stamp(c.clock.read())
 	for id := range ids {
@@ -221,35 +221,35 @@
 
 // overlapPolicy is a policy that can share the budget of cold backends with another process of this dispatcher.
 type heir interface {
-	Retire(on bool)
-	Succeed(now balance.Millis)
+	SetOverlap(on bool)
+	StartOverlapped(now balance.Millis)
 }
 
 // SetOverlap tells the module whether another process of this dispatcher serves at the same time, as during a hand-over.
 // While on, each process spends only part of the budget of cold backends; off means that this process is alone again.
 // balance.Dispatcher.SetOverlap documents the parts.
-func (c *Core) Retire(on bool) {
+func (c *Core) SetOverlap(on bool) {
 	c.post(func() {
 		if h, ok := c.mod.(heir); ok {
-			h.Retire(on)
+			h.SetOverlap(on)
 		}
 	})
 }
 
 // StartOverlapped tells a process that takes over that its predecessor still serves.
-func (c *Core) Succeed() {
+func (c *Core) StartOverlapped() {
 	c.post(func() {
 		if h, ok := c.mod.(heir); ok {
-			h.Succeed(c.clock.now())
+			h.StartOverlapped(c.clock.now())
 		}
 	})
 }
 
 // HasList reports whether any list of backends has arrived.
-func (c *Core) Known() bool { return c.known.Load() }
+func (c *Core) HasList() bool { return c.known.Load() }
 
 // OpenReqs returns how many requests are unanswered.
-func (c *Core) Open() int { return int(c.open.Load()) }
+func (c *Core) OpenReqs() int { return int(c.open.Load()) }
 
 func (c *Core) post(event func()) {
 	c.mu.Lock()
@@ -293,7 +293,7 @@
 }
 
 // NextTimer returns when the next timer is due, or the zero time if there is none.
-func (c *Core) Next() time.Time {
+func (c *Core) NextTimer() time.Time {
 	if len(c.timers.list) == 0 {
 		return time.Time{}
 	}
@@ -334,9 +334,9 @@
 	}
 	c.checkFinal(r, a)
 	c.close(r)
-	a.Free = r.out == 0 && !r.cut
-	switch a.Verdict {
-	case ResultOf:
+	a.JobReleased = r.out == 0 && !r.cut
+	switch a.Kind {
+	case Result:
 		c.count.AnswersServed.Add(1)
 	case Refusal:
 		c.count.AnswersRefused.Add(1)
@@ -392,9 +392,9 @@
 	a.never.Store(res == balance.Full || res == balance.ConnectFailed || res == balance.NotSent)
 	switch e {
 	case Served:
-		c.answer(a.req, Answer{Verdict: ResultOf, Result: result})
+		c.answer(a.req, Answer{Kind: Result, Result: result})
 	case Rejected: // another backend would reject it too
-		c.answer(a.req, Answer{Verdict: Failure})
+		c.answer(a.req, Answer{Kind: Failure})
 	case Unsent:
 		if c.Versions != nil {
 			c.outlived(a.req)
@@ -417,7 +417,7 @@
 }
 
 // HandleList delivers a list of backends, or the news that fetching it failed.
-func (c *Core) Listed(kind balance.ListKind, list []Entry) {
+func (c *Core) HandleList(kind balance.ListKind, list []Entry) {
 	c.post(func() { c.list(kind, list) })
 }
 
@@ -429,7 +429,7 @@
 	for i := range list {
 		e := &list[i]
 		workers[i], named[e.ID] = e.Worker, true
-		if e.State != balance.Gone && !e.Local {
+		if e.State != balance.Gone && !e.LocalStart {
 			workers[i].Started = c.starts.take(e.ID, e.Started, c.clock.millis(read), stale)
 		}
 		b := c.listed[e.ID]
@@ -468,5 +468,5 @@
 	b.set(false)
 	c.starts.forget(b.ID)
 	delete(c.listed, b.ID)
-	c.backends.HangUp(b)
+	c.backends.CloseIdle(b)
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -25,7 +25,7 @@
 	return func() { b.stopped++ }
 }
 func (b *bench) Probe(_ *Backend, done func(Ending, []float32)) { done(Served, []float32{1}) }
-func (b *bench) HangUp(*Backend)                                {}
+func (b *bench) CloseIdle(*Backend)                             {}
 func (b *bench) Subscribe()                                     {}
 func (b *bench) Answer(a Answer)                                { b.answers = append(b.answers, a) }
 
@@ -40,13 +40,13 @@
 	for i, s := range states {
 		list = append(list, Entry{Worker: balance.Worker{ID: balance.WorkerID(i + 1), State: s, Weight: 4}})
 	}
-	b.core.Listed(balance.ListFull, list)
+	b.core.HandleList(balance.ListFull, list)
 	b.core.step()
 	return b
 }
 
-func (b *bench) take() Ticket {
-	t, _ := b.core.Take(balance.Request{Slots: 1}, &Job{}, time.Now(), 2*time.Second, b)
+func (b *bench) take() Handle {
+	t, _ := b.core.Submit(balance.Request{Slots: 1}, &Job{}, time.Now(), 2*time.Second, b)
 	b.core.step()
 	return t
 }
@@ -57,37 +57,37 @@
 // Of several events that may end a request, only the first produces an answer.
 func TestOneAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(*bench, Ticket)
-		want []Verdict
+		do   func(*bench, Handle)
+		want []AnswerKind
 		free bool
 	}{
-		"a result, then late events of the attempt": {func(b *bench, _ Ticket) {
+		"a result, then late events of the attempt": {func(b *bench, _ Handle) {
 			b.sent[0].Ended(Served, "r", nil)
 			b.sent[0].Ended(Broken, "", nil)
 			b.sent[0].Started()
-		}, []Verdict{ResultOf}, true},
-		"the deadline, then a late result": {func(b *bench, _ Ticket) {
+		}, []AnswerKind{Result}, true},
+		"the deadline, then a late result": {func(b *bench, _ Handle) {
 			b.after(2 * time.Second)
 			b.sent[0].Ended(Served, "r", nil)
-		}, []Verdict{Failure}, false}, // the stopped attempt may still be reading the job
-		"a result posted before the deadline is handled": {func(b *bench, _ Ticket) {
+		}, []AnswerKind{Failure}, false}, // the stopped attempt may still be reading the job
+		"a result posted before the deadline is handled": {func(b *bench, _ Handle) {
 			time.Sleep(2 * time.Second)
 			b.sent[0].Ended(Served, "r", nil)
-		}, []Verdict{ResultOf}, true},
-		"client gone before the result": {func(b *bench, t Ticket) {
+		}, []AnswerKind{Result}, true},
+		"client gone before the result": {func(b *bench, t Handle) {
 			t.Abandon(false, nil)
 			b.sent[0].Ended(Served, "r", nil)
 		}, nil, false},
-		"client gone after the answer": {func(b *bench, t Ticket) {
+		"client gone after the answer": {func(b *bench, t Handle) {
 			b.sent[0].Ended(Failed, "", nil)
 			t.Abandon(false, nil)
-		}, []Verdict{Failure}, true},
-		"request rejected by the backend": {func(b *bench, _ Ticket) {
+		}, []AnswerKind{Failure}, true},
+		"request rejected by the backend": {func(b *bench, _ Handle) {
 			b.sent[0].Ended(Rejected, "", nil)
-		}, []Verdict{Failure}, true},
-		"an ending of another kind": {func(b *bench, _ Ticket) {
-			b.sent[0].Ended(ListTold, "", nil)
-		}, []Verdict{Failure}, true},
+		}, []AnswerKind{Failure}, true},
+		"an ending of another kind": {func(b *bench, _ Handle) {
+			b.sent[0].Ended(ListReceived, "", nil)
+		}, []AnswerKind{Failure}, true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			b := start(t, balance.Ready)
@@ -96,13 +96,13 @@
 			c.do(b, ticket)
 			b.core.step()
 			b.after(10 * time.Second)
-			var got []Verdict
+			var got []AnswerKind
 			for _, a := range b.answers {
-				got = append(got, a.Verdict)
-				assert.Equal(t, c.free, a.Free, name)
+				got = append(got, a.Kind)
+				assert.Equal(t, c.free, a.JobReleased, name)
 			}
 			assert.Equal(t, c.want, got, name)
-			assert.Zero(t, b.core.Open(), name)
+			assert.Zero(t, b.core.OpenReqs(), name)
 			assert.Empty(t, b.core.reqs, name)
 		})
 	}
@@ -136,10 +136,10 @@
 	}{
 		"nothing happened": {func(*bench) {}, true},
 		"drains": {func(b *bench) {
-			b.core.Listed(balance.ListDelta, []Entry{{Worker: balance.Worker{ID: 1, State: balance.Draining}}})
+			b.core.HandleList(balance.ListDelta, []Entry{{Worker: balance.Worker{ID: 1, State: balance.Draining}}})
 		}, false},
-		"missing from a full list": {func(b *bench) { b.core.Listed(balance.ListFull, nil) }, false},
-		"a failed call":            {func(b *bench) { b.core.Listed(balance.ListFailed, nil) }, true},
+		"missing from a full list": {func(b *bench) { b.core.HandleList(balance.ListFull, nil) }, false},
+		"a failed call":            {func(b *bench) { b.core.HandleList(balance.ListFailed, nil) }, true},
 		"past its deadline":        {func(*bench) { time.Sleep(2 * time.Second) }, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -176,7 +176,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, balance.Ready)
 		take := func(id string) bool {
-			_, fresh := b.core.Take(balance.Request{Slots: 1}, &Job{ID: id}, time.Now(), 20*time.Second, b)
+			_, fresh := b.core.Submit(balance.Request{Slots: 1}, &Job{ID: id}, time.Now(), 20*time.Second, b)
 			b.core.step()
 			return fresh
 		}
@@ -245,7 +245,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, balance.Ready)
 		b.core.mayCancel = true
-		ticket, _ := b.core.Take(balance.Request{Slots: 1}, &Job{}, time.Now(), 2*time.Second, b)
+		ticket, _ := b.core.Submit(balance.Request{Slots: 1}, &Job{}, time.Now(), 2*time.Second, b)
 		freed := 0
 		ticket.Abandon(true, func() { freed++ })
 		b.core.step()
--- a/internal/core/ending.go
+++ b/internal/core/ending.go
@@ -33,9 +33,9 @@
 	StreamReset  // the client reset one of several streams on a connection
 
 	// Endings of a call to the director.
-	ListTold       // an answer with a list
+	ListReceived   // an answer with a list
 	ListRefused    // an answer with another status
-	ListUnread     // an answer that is not a valid list
+	ListInvalid    // an answer that is not a valid list
 	ListUnanswered // no connection, a reset, or a timeout
 	endings
 )
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -61,15 +61,15 @@
 	}
 	now := c.clock.read()
 	var why fmt.Stringer
-	if a.Verdict != ResultOf {
+	if a.Kind != Result {
 		why = c.refusedFor(r, now)
 	}
 	c.Guard.Note(guard.Event{At: now, Request: r.job.ID, Step: guard.RequestOver, Why: why})
-	facts := guard.Final{At: now, Deadline: c.clock.time(r.deadline), Refused: a.Verdict == Refusal, Effect: r.effect, Scope: r.scope,
+	facts := guard.Final{At: now, Deadline: c.clock.time(r.deadline), Refused: a.Kind == Refusal, Effect: r.effect, Scope: r.scope,
 		Window: time.Duration(r.window * float64(time.Millisecond)), Again: r.answered, Attempts: c.earlier(r.latest.Load())}
 	r.answered = true
 	for _, rule := range facts.Check() {
-		c.Guard.Violated(rule, 0, r.job.ID, fmt.Sprintf("answer kind %d after %d attempts, %v past the deadline", a.Verdict, len(r.attempts), now.Sub(facts.Deadline)))
+		c.Guard.Violated(rule, 0, r.job.ID, fmt.Sprintf("answer kind %d after %d attempts, %v past the deadline", a.Kind, len(r.attempts), now.Sub(facts.Deadline)))
 	}
 }
 
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -20,7 +20,7 @@
 		w.sent[i].Began(w.now, time.Second)
 	}
 	drain := func(w *trial) {
-		w.core.Listed(balance.ListDelta, []Entry{{Worker: balance.Worker{ID: 1, State: balance.Draining, Weight: 4}}})
+		w.core.HandleList(balance.ListDelta, []Entry{{Worker: balance.Worker{ID: 1, State: balance.Draining, Weight: 4}}})
 		w.core.step()
 	}
 	for name, c := range map[string]struct {
@@ -39,9 +39,9 @@
 			begin(w, 0)
 		}, []guard.Rule{guard.BeginDrained}},
 		"banned": {balance.Safe, func(w *trial) {
-			w.core.Withhold(map[balance.WorkerID]struct{}{1: {}})
+			w.core.SetBanned(map[balance.WorkerID]struct{}{1: {}})
 			pass(w, grace)
-			w.core.Withhold(map[balance.WorkerID]struct{}{1: {}, 2: {}}) // another backend is added; the first keeps the time of its ban
+			w.core.SetBanned(map[balance.WorkerID]struct{}{1: {}, 2: {}}) // another backend is added; the first keeps the time of its ban
 			pass(w, 1)
 			begin(w, 0)
 		}, []guard.Rule{guard.BeginDrained}},
@@ -86,10 +86,10 @@
 		}, []guard.Rule{guard.AnswerLate}},
 		"answered twice": {balance.Unsafe, func(w *trial) {
 			r := w.core.reqs[1]
-			w.core.answer(r, Answer{Verdict: Failure})
+			w.core.answer(r, Answer{Kind: Failure})
 			r.open = true // simulates corrupted state
 			w.core.open.Add(1)
-			w.core.answer(r, Answer{Verdict: Failure})
+			w.core.answer(r, Answer{Kind: Failure})
 		}, []guard.Rule{guard.AnswerTwice}},
 	} {
 		w := newTrial(t, balance.Class{Effect: c.effect, RepeatWindow: 1000})
@@ -112,7 +112,7 @@
 		want string
 	}{
 		"no backend": {func(w *trial) {
-			w.core.Listed(balance.ListFull, nil)
+			w.core.HandleList(balance.ListFull, nil)
 			w.core.step()
 			actions{w.core}.Fail(1)
 		}, "refuse_no_backend"},
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -15,10 +15,10 @@
 	// the call. If there is no grant by until, retryAfter is the delay suggested to the client. ready may be called from any
 	// goroutine, also before Acquire returns, and doesn't block. release says that the request needs no grant any more. It
 	// is called once for each Acquire, whatever the outcome was, and ready does nothing after it.
-	Take(tenant, class int, until time.Time, ready func(from time.Time, pause time.Duration, ok bool)) (leave func())
+	Acquire(tenant, class int, until time.Time, ready func(from time.Time, pause time.Duration, ok bool)) (leave func())
 	// MaxHold is the longest time for which a grant may be held, counted from ready's from: the core ends the request and all
 	// its attempts by then. 0 means no limit.
-	Most() time.Duration
+	MaxHold() time.Duration
 }
 
 const (
@@ -39,7 +39,7 @@
 	}
 	r.waits = true
 	until := r.deadline - ms(roomLeft)
-	r.leave = c.Quotas.Take(q.Tenant, q.Class, c.clock.time(until), func(from time.Time, pause time.Duration, ok bool) {
+	r.leave = c.Quotas.Acquire(q.Tenant, q.Class, c.clock.time(until), func(from time.Time, pause time.Duration, ok bool) {
 		c.post(func() { c.roomed(r, q, from, pause, ok) })
 	})
 	c.timers.set(until+ms(roomLeft)/2, func() {
@@ -67,7 +67,7 @@
 	case c.Versions != nil && !c.Versions.MayStart(r.version):
 		c.turnAway(r, outlivedPause)
 	default:
-		if most := c.Quotas.Most(); most > 0 { // a client may set any deadline
+		if most := c.Quotas.MaxHold(); most > 0 { // a client may set any deadline
 			r.deadline = min(r.deadline, c.clock.millis(from)+ms(most)-c.slack)
 		}
 		c.arrive(r, q)
@@ -77,7 +77,7 @@
 // refuse refuses a request that got no quota. It has begun nowhere, so another dispatcher may run it.
 func (c *Core) turnAway(r *req, pause time.Duration) {
 	r.waits = false
-	c.answer(r, Answer{Verdict: Refusal, Pause: pause})
+	c.answer(r, Answer{Kind: Refusal, RetryAfter: pause})
 	c.forget(r)
 }
 
--- a/internal/core/quotas_test.go
+++ b/internal/core/quotas_test.go
@@ -29,7 +29,7 @@
 	clock func() time.Time
 }
 
-func (q *rooms) Take(tenant, class int, until time.Time, ready func(time.Time, time.Duration, bool)) func() {
+func (q *rooms) Acquire(tenant, class int, until time.Time, ready func(time.Time, time.Duration, bool)) func() {
 	a := &asked{tenant: tenant, class: class, until: until, ready: ready}
 	q.asked = append(q.asked, a)
 	if q.now {
@@ -37,7 +37,7 @@
 	}
 	return func() { a.left++ }
 }
-func (q *rooms) Most() time.Duration { return q.most }
+func (q *rooms) MaxHold() time.Duration { return q.most }
 
 // quotaFixture is a core with quotas, two backends and the real module, on a manual clock.
 type hall struct {
@@ -59,14 +59,14 @@
 	h.core, err = NewAt(func() time.Time { return h.now }, s, h, h, &counters.Set{})
 	require.NoError(t, err)
 	h.core.Quotas = h.quotas
-	h.core.Listed(balance.ListFull, []Entry{{Worker: balance.Worker{ID: 1, State: balance.Ready, Weight: 1e4}},
+	h.core.HandleList(balance.ListFull, []Entry{{Worker: balance.Worker{ID: 1, State: balance.Ready, Weight: 1e4}},
 		{Worker: balance.Worker{ID: 2, State: balance.Ready, Weight: 1e4}}})
 	h.core.Step()
 	return h
 }
 
-func (h *hall) take(id string, left time.Duration) Ticket {
-	t, _ := h.core.Take(balance.Request{Slots: 1}, &Job{ID: id}, h.now, left, h)
+func (h *hall) take(id string, left time.Duration) Handle {
+	t, _ := h.core.Submit(balance.Request{Slots: 1}, &Job{ID: id}, h.now, left, h)
 	h.core.Step()
 	return t
 }
@@ -74,7 +74,7 @@
 // pass advances the clock, stopping at each timer.
 func (h *hall) pass(d time.Duration) {
 	end := h.now.Add(d)
-	for next := h.core.Next(); !next.IsZero() && !next.After(end); next = h.core.Next() {
+	for next := h.core.NextTimer(); !next.IsZero() && !next.After(end); next = h.core.NextTimer() {
 		if next.After(h.now) {
 			h.now = next
 		}
@@ -84,17 +84,17 @@
 	h.core.Step()
 }
 
-func (h *hall) verdicts() []Verdict {
-	var out []Verdict
+func (h *hall) verdicts() []AnswerKind {
+	var out []AnswerKind
 	for _, a := range h.answers {
-		out = append(out, a.Verdict)
+		out = append(out, a.Kind)
 	}
 	return out
 }
 
 // assertReleased asserts that no request is left and that each released its quota once.
 func (h *hall) over(t require.TestingT, name string) {
-	assert.Zero(t, h.core.Open(), name)
+	assert.Zero(t, h.core.OpenReqs(), name)
 	assert.Empty(t, h.core.reqs, name)
 	for _, a := range h.quotas.asked {
 		assert.Equal(t, 1, a.left, "%s: quota releases", name)
@@ -108,7 +108,7 @@
 	require.Len(t, h.quotas.asked, 1)
 	assert.Equal(t, h.now.Add(2*time.Second-roomLeft), h.quotas.asked[0].until)
 	assert.Empty(t, h.sent)
-	assert.Equal(t, 1, h.core.Open())
+	assert.Equal(t, 1, h.core.OpenReqs())
 	h.pass(time.Second)
 	assert.Empty(t, h.sent)
 	h.quotas.asked[0].ready(h.now, 0, true)
@@ -121,7 +121,7 @@
 	assert.Len(t, h.sent, 1, "decided twice")
 	h.sent[0].Ended(Served, "r", nil)
 	h.core.Step()
-	assert.Equal(t, []Verdict{ResultOf}, h.verdicts())
+	assert.Equal(t, []AnswerKind{Result}, h.verdicts())
 	h.over(t, "")
 
 	h.quotas.now = true // before Acquire returns
@@ -129,7 +129,7 @@
 	require.Len(t, h.sent, 2)
 	h.sent[1].Ended(Served, "r", nil)
 	h.core.Step()
-	assert.Equal(t, []Verdict{ResultOf, ResultOf}, h.verdicts())
+	assert.Equal(t, []AnswerKind{Result, Result}, h.verdicts())
 	h.over(t, "at once")
 }
 
@@ -157,7 +157,7 @@
 		c.do(h)
 		h.core.Step()
 		assert.False(t, ticket.r.arrived, "%s: the module must not know of it", name)
-		assert.Equal(t, []Answer{{Verdict: Refusal, Pause: c.pause, Free: true}}, h.answers, name)
+		assert.Equal(t, []Answer{{Kind: Refusal, RetryAfter: c.pause, JobReleased: true}}, h.answers, name)
 		h.over(t, name)
 		h.pass(time.Minute)
 		assert.Len(t, h.answers, 1, name)
@@ -168,39 +168,39 @@
 
 // A client that leaves gives up its place in the queue and no attempt begins, in any order of the events.
 func TestGoneWhileItWaits(t *testing.T) {
-	for name, do := range map[string]func(*hall, func(*hall) Ticket) Ticket{
-		"gone": func(h *hall, take func(*hall) Ticket) Ticket {
+	for name, do := range map[string]func(*hall, func(*hall) Handle) Handle{
+		"gone": func(h *hall, take func(*hall) Handle) Handle {
 			ticket := take(h)
 			ticket.Abandon(true, nil)
 			return ticket
 		},
-		"gone, then granted": func(h *hall, take func(*hall) Ticket) Ticket {
+		"gone, then granted": func(h *hall, take func(*hall) Handle) Handle {
 			ticket := take(h)
 			ticket.Abandon(false, nil)
 			h.quotas.asked[0].ready(h.now, 0, true)
 			return ticket
 		},
-		"gone and handled, then granted": func(h *hall, take func(*hall) Ticket) Ticket {
+		"gone and handled, then granted": func(h *hall, take func(*hall) Handle) Handle {
 			ticket := take(h)
 			ticket.Abandon(false, nil)
 			h.core.Step()
 			h.quotas.asked[0].ready(h.now, 0, true)
 			return ticket
 		},
-		"granted, then gone before the core handled either": func(h *hall, take func(*hall) Ticket) Ticket {
+		"granted, then gone before the core handled either": func(h *hall, take func(*hall) Handle) Handle {
 			ticket := take(h)
 			h.quotas.asked[0].ready(h.now, 0, true)
 			ticket.Abandon(false, nil)
 			return ticket
 		},
-		"refused, then gone before the core handled either": func(h *hall, take func(*hall) Ticket) Ticket {
+		"refused, then gone before the core handled either": func(h *hall, take func(*hall) Handle) Handle {
 			ticket := take(h)
 			h.quotas.asked[0].ready(h.now, 0, false)
 			ticket.Abandon(false, nil)
 			return ticket
 		},
-		"gone before it asked for quota": func(h *hall, _ func(*hall) Ticket) Ticket {
-			ticket, _ := h.core.Take(balance.Request{Slots: 1}, &Job{ID: "a"}, h.now, time.Second, h)
+		"gone before it asked for quota": func(h *hall, _ func(*hall) Handle) Handle {
+			ticket, _ := h.core.Submit(balance.Request{Slots: 1}, &Job{ID: "a"}, h.now, time.Second, h)
 			ticket.Abandon(false, nil)
 			h.core.Step()
 			assert.Empty(t, h.quotas.asked, "it must not ask")
@@ -208,7 +208,7 @@
 		},
 	} {
 		h := newHall(t, nil)
-		ticket := do(h, func(h *hall) Ticket { return h.take("a", time.Second) })
+		ticket := do(h, func(h *hall) Handle { return h.take("a", time.Second) })
 		h.core.Step()
 		assert.False(t, ticket.r.arrived, "%s: the module must not know of it", name)
 		h.over(t, name)
@@ -216,7 +216,7 @@
 		assert.Empty(t, h.sent, name)
 		assert.LessOrEqual(t, len(h.answers), 1, name)
 		for _, a := range h.answers {
-			assert.Equal(t, Refusal, a.Verdict, name)
+			assert.Equal(t, Refusal, a.Kind, name)
 		}
 		h.over(t, name)
 	}
@@ -252,17 +252,17 @@
 		left   time.Duration
 		wait   time.Duration // before the grant
 		stall  time.Duration // from the grant until the core handles it
-		do     func(*hall, Ticket)
+		do     func(*hall, Handle)
 		module bool // the real module, or else a policy that never answers or ends anything
 	}{
-		"a backend that never answers":        {24 * 24 * time.Hour, 0, 0, func(*hall, Ticket) {}, true},
-		"after a long wait":                   {24 * 24 * time.Hour, time.Hour, 0, func(*hall, Ticket) {}, true},
-		"grant handled late":                  {24 * 24 * time.Hour, 0, 2 * time.Second, func(*hall, Ticket) {}, true},
-		"client gone, attempt outstanding":    {24 * 24 * time.Hour, 0, 0, func(_ *hall, t Ticket) { t.Abandon(false, nil) }, true},
-		"policy forgets the request":          {24 * 24 * time.Hour, 0, 0, func(*hall, Ticket) {}, false},
-		"policy forgets, attempt outstanding": {24 * 24 * time.Hour, 0, 0, func(h *hall, _ Ticket) { actions{h.core}.Dispatch(1, 1, 0) }, false},
-		"deadline before the limit":           {time.Second, 0, 0, func(*hall, Ticket) {}, true},
-		"attempt broken, another sent":        {24 * 24 * time.Hour, 0, 0, func(h *hall, _ Ticket) { h.sent[0].Ended(Broken, "", nil) }, true},
+		"a backend that never answers":        {24 * 24 * time.Hour, 0, 0, func(*hall, Handle) {}, true},
+		"after a long wait":                   {24 * 24 * time.Hour, time.Hour, 0, func(*hall, Handle) {}, true},
+		"grant handled late":                  {24 * 24 * time.Hour, 0, 2 * time.Second, func(*hall, Handle) {}, true},
+		"client gone, attempt outstanding":    {24 * 24 * time.Hour, 0, 0, func(_ *hall, t Handle) { t.Abandon(false, nil) }, true},
+		"policy forgets the request":          {24 * 24 * time.Hour, 0, 0, func(*hall, Handle) {}, false},
+		"policy forgets, attempt outstanding": {24 * 24 * time.Hour, 0, 0, func(h *hall, _ Handle) { actions{h.core}.Dispatch(1, 1, 0) }, false},
+		"deadline before the limit":           {time.Second, 0, 0, func(*hall, Handle) {}, true},
+		"attempt broken, another sent":        {24 * 24 * time.Hour, 0, 0, func(h *hall, _ Handle) { h.sent[0].Ended(Broken, "", nil) }, true},
 	} {
 		h := newHall(t, nil)
 		h.quotas.most = most
@@ -288,7 +288,7 @@
 			assert.GreaterOrEqual(t, h.now.Sub(got), most-10*time.Millisecond, "%s: held until shortly before the limit", name)
 		}
 		for _, a := range h.sent {
-			assert.False(t, a.Until.After(got.Add(most)), name)
+			assert.False(t, a.Deadline.After(got.Add(most)), name)
 			assert.False(t, a.MayBegin(), name)
 		}
 		h.pass(time.Minute)
@@ -347,7 +347,7 @@
 	assert.Empty(t, h.answers)
 	p.open, p.starts = false, 0 // the version is no longer in force
 	h.pass(versionLook)
-	assert.Equal(t, []Answer{{Verdict: Refusal, Pause: outlivedPause, Free: true}}, h.answers)
+	assert.Equal(t, []Answer{{Kind: Refusal, RetryAfter: outlivedPause, JobReleased: true}}, h.answers)
 	assert.Zero(t, p.waiting)
 	assert.Equal(t, 1, h.quotas.asked[1].left)
 	assert.Zero(t, h.quotas.asked[0].left, "the running request continues")
@@ -363,7 +363,7 @@
 	h.core.Step()
 	assert.Len(t, h.sent, 1)
 	require.Len(t, h.answers, 3)
-	assert.Equal(t, Answer{Verdict: Refusal, Pause: outlivedPause, Free: true}, h.answers[2])
+	assert.Equal(t, Answer{Kind: Refusal, RetryAfter: outlivedPause, JobReleased: true}, h.answers[2])
 	assert.False(t, c.r.arrived)
 	h.over(t, "version ended, then granted")
 
@@ -406,7 +406,7 @@
 		}
 		type one struct {
 			*guest
-			ticket Ticket
+			ticket Handle
 			gone   bool
 			got    time.Time
 			room   bool
@@ -441,7 +441,7 @@
 				h.quotas.now = rapid.IntRange(0, 3).Draw(t, "at once") == 0
 				o := &one{guest: &guest{}, room: h.quotas.now, got: h.now}
 				left := time.Duration(rapid.IntRange(0, 4000).Draw(t, "left")) * time.Millisecond
-				o.ticket, _ = h.core.Take(balance.Request{Slots: 1}, &Job{ID: fmt.Sprint(len(all))}, h.now, left, o)
+				o.ticket, _ = h.core.Submit(balance.Request{Slots: 1}, &Job{ID: fmt.Sprint(len(all))}, h.now, left, o)
 				all = append(all, o)
 				h.core.Step() // so that requests ask for quota in the order of all
 			case what <= 4:
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -63,14 +63,16 @@
 
 // DirectorAnswered says that the director answered a call, with any content: the watch is alive. It must be called after the
 // list in that answer was passed to HandleList.
-func (c *Core) Heard() {
+func (c *Core) DirectorAnswered() {
 	now := c.clock.stamp(c.clock.read())
 	c.post(func() { c.heard = now })
 }
 
 // OffsetWallClock starts the module's clock as if the wall clock were off by a duration, for the soak test. It must be called
 // before Run and before any request is submitted.
-func (c *Core) StepWall(by time.Duration) { c.clock.unix += float64(by) / float64(time.Millisecond) }
+func (c *Core) OffsetWallClock(by time.Duration) {
+	c.clock.unix += float64(by) / float64(time.Millisecond)
+}
 
 // Now returns the time on the module's clock: Unix ms by the wall clock at program start, carried on by the monotonic clock.
 func (c *Core) Now() balance.Millis { return c.clock.now() }
--- a/internal/core/starts_test.go
+++ b/internal/core/starts_test.go
@@ -69,8 +69,8 @@
 		balance.Settings{}, b, b, &counters.Set{})
 	require.NoError(t, err)
 	list := func(kind balance.ListKind, id balance.WorkerID, started float64, local bool) float64 {
-		c.Listed(kind, []Entry{{Worker: balance.Worker{ID: id, State: balance.Ready, Started: started}, Local: local}})
-		c.Heard()
+		c.HandleList(kind, []Entry{{Worker: balance.Worker{ID: id, State: balance.Ready, Started: started}, LocalStart: local}})
+		c.DirectorAnswered()
 		c.Step()
 		return h.last[id]
 	}
--- a/internal/core/ticket.go
+++ b/internal/core/ticket.go
@@ -8,7 +8,7 @@
 )
 
 // Handle refers to a submitted request.
-type Ticket struct {
+type Handle struct {
 	core *Core
 	r    *req
 }
@@ -16,21 +16,21 @@
 // Submit accepts a request: one final answer is due from now on. arrived is the earliest known time of its arrival, and
 // timeLeft is how long its client waits from then. If another request has the same ID, Submit returns false and no answer
 // is due, because backends would confuse the two.
-func (c *Core) Take(q balance.Request, job *Job, came time.Time, left time.Duration, client Client) (Ticket, bool) {
+func (c *Core) Submit(q balance.Request, job *Job, came time.Time, left time.Duration, client Client) (Handle, bool) {
 	r := &req{client: client, job: job, open: true}
 	if q.Class >= 0 && q.Class < len(c.classes) { // the module fails a request of any other class
 		class := &c.classes[q.Class]
 		r.effect, r.window, r.scope = class.Effect, class.RepeatWindow, class.Scope
 	}
 	if c.Versions != nil && !c.admit(r) {
-		return Ticket{c, r}, true
+		return Handle{c, r}, true
 	}
 	if !c.ids.take(job.ID, c.clock.read()) {
 		c.count.ReqsRepeated.Add(1)
 		if c.Versions != nil {
 			c.begun(r)
 		}
-		return Ticket{}, false
+		return Handle{}, false
 	}
 	r.deadline = c.clock.millis(came.Add(left))
 	c.open.Add(1)
@@ -45,7 +45,7 @@
 		}
 		c.arrive(r, q)
 	})
-	return Ticket{c, r}, true
+	return Handle{c, r}, true
 }
 
 // arrive hands a request to the module.
@@ -56,7 +56,7 @@
 	c.timers.set(r.deadline+c.slack, func() {
 		if r.open {
 			c.count.Overlooked.Add(1)
-			c.answer(r, Answer{Verdict: Failure})
+			c.answer(r, Answer{Kind: Failure})
 			c.mod.Abandoned(c.clock.now(), r.id)
 			c.forget(r)
 		}
@@ -67,7 +67,7 @@
 // Abandon says that the client of a request is gone and can no longer get an answer. No further attempt begins once it
 // returns. With stop, outstanding attempts are cancelled where the settings allow it; otherwise they run on. over, if not
 // nil, is called once no attempt is outstanding, on the core's goroutine; it must not block.
-func (t Ticket) Abandon(stop bool, over func()) {
+func (t Handle) Abandon(stop bool, over func()) {
 	t.r.over.Store(true)
 	if t.r.goneAt.CompareAndSwap(0, t.core.clock.stamp(t.core.clock.read())) {
 		t.core.note(t.core.clock.read(), t.r, guard.ClientGone, nil)
--- a/internal/core/versions_test.go
+++ b/internal/core/versions_test.go
@@ -19,7 +19,7 @@
 	waiting int
 }
 
-func (p *policy) Take() (uint64, time.Duration, bool) {
+func (p *policy) Admit() (uint64, time.Duration, bool) {
 	if p.open {
 		p.waiting++
 	}
@@ -38,12 +38,12 @@
 		p := &policy{version: 7}
 		b.core.Versions = p
 		take := func(id string) {
-			b.core.Take(balance.Request{Slots: 1}, &Job{ID: id}, time.Now(), 2*time.Second, b)
+			b.core.Submit(balance.Request{Slots: 1}, &Job{ID: id}, time.Now(), 2*time.Second, b)
 			b.core.step()
 		}
 		take("a")
-		assert.Equal(t, []Answer{{Verdict: Refusal, Pause: time.Second, Free: true}}, b.answers)
-		assert.Zero(t, b.core.Open())
+		assert.Equal(t, []Answer{{Kind: Refusal, RetryAfter: time.Second, JobReleased: true}}, b.answers)
+		assert.Zero(t, b.core.OpenReqs())
 
 		p.open, p.starts = true, 7
 		take("a") // the refused request did not reserve its ID
@@ -60,11 +60,11 @@
 		b.sent[1].Ended(Unsent, "", nil)
 		b.core.step()
 		require.Len(t, b.answers, 2)
-		assert.Equal(t, Refusal, b.answers[1].Verdict, "no attempt of it had begun")
+		assert.Equal(t, Refusal, b.answers[1].Kind, "no attempt of it had begun")
 		b.sent[0].Ended(Broken, "", nil)
 		b.core.step()
 		require.Len(t, b.answers, 3)
-		assert.Equal(t, Failure, b.answers[2].Verdict, "an attempt of it may have run")
+		assert.Equal(t, Failure, b.answers[2].Kind, "an attempt of it may have run")
 
 		p.open, p.starts = true, 7
 		take("c")
@@ -77,9 +77,9 @@
 			time.Sleep(time.Second)
 		}
 		require.Len(t, b.answers, 4)
-		assert.Equal(t, Refusal, b.answers[3].Verdict, "it was sent but never ran")
+		assert.Equal(t, Refusal, b.answers[3].Kind, "it was sent but never ran")
 		assert.Zero(t, p.waiting)
-		assert.Zero(t, b.core.Open())
+		assert.Zero(t, b.core.OpenReqs())
 		assert.Empty(t, b.core.reqs)
 	})
 }
--- a/internal/lab/sim/accord_test.go
+++ b/internal/lab/sim/accord_test.go
@@ -72,7 +72,7 @@
 		for at, want := range map[float64][2]bool{take - 1: {true, true}, take * after: {false, true}, start - 1: {false, true}, start * after: {false, false},
 			sc.Cuts[0].At + sc.Cuts[0].Length - 1: {false, false}, sc.Cuts[0].At + sc.Cuts[0].Length + 1100: {true, true}} {
 			w.at(at, func() {
-				_, _, took := f.Take()
+				_, _, took := f.Admit()
 				if took {
 					f.Begun(1)
 				}
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -144,7 +144,7 @@
 		q.Key = hashOf(c.key)
 	}
 	left := time.Duration((deadline - w.now) * float64(time.Millisecond))
-	c.side.core.Take(q, job, w.time(), left, c)
+	c.side.core.Submit(q, job, w.time(), left, c)
 	c.side.touch()
 }
 
@@ -156,7 +156,7 @@
 	return 1
 }
 
-var verdicts = [...]judge.Verdict{core.ResultOf: judge.Served, core.Refusal: judge.Refused, core.Failure: judge.Failed}
+var verdicts = [...]judge.Verdict{core.Result: judge.Served, core.Refusal: judge.Refused, core.Failure: judge.Failed}
 
 // Answer takes the final answer. That there is no second is the judge's to see.
 func (c *client) Answer(a core.Answer) {
@@ -164,17 +164,17 @@
 	delete(c.side.asked, c)
 	w.open--
 	w.res.Answers++
-	w.note(judge.Event{What: judge.Answered, Node: c.side.at, Req: c.id, Verdict: verdicts[a.Verdict]})
+	w.note(judge.Event{What: judge.Answered, Node: c.side.at, Req: c.id, Verdict: verdicts[a.Kind]})
 	s := w.second(w.now)
-	switch a.Verdict {
-	case core.ResultOf:
+	switch a.Kind {
+	case core.Result:
 		s.Served++
 	case core.Refusal:
 		s.Refused++
 	default:
 		s.Failed++
 	}
-	if a.Verdict == core.ResultOf {
+	if a.Kind == core.Result {
 		w.res.Served++
 		w.second(c.begun).Kept++
 		good := w.now-c.begun <= c.class().Aim+c.class().Stretch*c.Work
@@ -187,12 +187,12 @@
 		return
 	}
 	// Clients of classes come back after a failure only where a repeat harms nobody.
-	again := a.Verdict == core.Refusal || len(w.sc.Classes) == 0 || c.class().Effect == balance.Safe
-	c.ended([...]string{core.Refusal: "refused ", core.Failure: "failed "}[a.Verdict]+c.where(), a.Verdict, again, float64(a.Pause)/float64(time.Millisecond))
+	again := a.Kind == core.Refusal || len(w.sc.Classes) == 0 || c.class().Effect == balance.Safe
+	c.ended([...]string{core.Refusal: "refused ", core.Failure: "failed "}[a.Kind]+c.where(), a.Kind, again, float64(a.RetryAfter)/float64(time.Millisecond))
 }
 
 // ended ends a try that was not served: another follows, or the first req is over.
-func (c *client) ended(how string, v core.Verdict, again bool, least float64) {
+func (c *client) ended(how string, v core.AnswerKind, again bool, least float64) {
 	w := c.w
 	if again && c.tries <= w.sc.Retries {
 		pause := max(w.sc.Backoff*(0.5+w.clients.Float64()), least)
--- a/internal/lab/sim/desk.go
+++ b/internal/lab/sim/desk.go
@@ -48,8 +48,8 @@
 	d.q.w.at(d.q.w.now, func() { d.set = false; d.turn() })
 }
 
-// Take asks for room: core.Quotas.
-func (d *deskAt) Take(tenant, class int, until time.Time, ready func(time.Time, time.Duration, bool)) (leave func()) {
+// Acquire asks for room: core.Quotas.
+func (d *deskAt) Acquire(tenant, class int, until time.Time, ready func(time.Time, time.Duration, bool)) (leave func()) {
 	w := d.q.w
 	d.last++
 	id, name := d.last, ""
@@ -78,8 +78,8 @@
 	}
 }
 
-// Most is the longest that room may be held.
-func (d *deskAt) Most() time.Duration { return span(d.q.set.Run) }
+// MaxHold is the longest that room may be held.
+func (d *deskAt) MaxHold() time.Duration { return span(d.q.set.Run) }
 
 func (d *deskAt) begun(id uint64, a account) {
 	d.flying[id] = a
--- a/internal/lab/sim/fence.go
+++ b/internal/lab/sim/fence.go
@@ -40,8 +40,8 @@
 	return g.AcceptUntil, g.StartUntil
 }
 
-// Take admits a req by the version in force: core.Versions.
-func (f *fence) Take() (version uint64, pause time.Duration, ok bool) {
+// Admit admits a req by the version in force: core.Versions.
+func (f *fence) Admit() (version uint64, pause time.Duration, ok bool) {
 	w := f.side.w
 	if take, _ := f.ends(); f.now() >= take {
 		w.res.Accord.Fenced++
--- a/internal/lab/sim/side.go
+++ b/internal/lab/sim/side.go
@@ -60,7 +60,7 @@
 		return
 	}
 	s.core.Step()
-	t := s.core.Next()
+	t := s.core.NextTimer()
 	if t.IsZero() {
 		return
 	}
@@ -90,7 +90,7 @@
 		}
 		s.last[n.name] = in[len(in)-1]
 	}
-	s.listed(balance.ListFull, s.bans.List(balance.ListFull, in))
+	s.listed(balance.ListFull, s.bans.ApplyList(balance.ListFull, in))
 }
 
 // tell tells it what the director says of one backend.
@@ -99,7 +99,7 @@
 	if s.last[n.name] = maintenance.Backend(n.entry()); n.state == balance.Gone {
 		delete(s.last, n.name)
 	}
-	s.listed(balance.ListDelta, s.bans.List(balance.ListDelta, []maintenance.Backend{maintenance.Backend(n.entry())}))
+	s.listed(balance.ListDelta, s.bans.ApplyList(balance.ListDelta, []maintenance.Backend{maintenance.Backend(n.entry())}))
 }
 
 // ban is an operator's call.
@@ -110,10 +110,10 @@
 	}
 	change, _ := call(now, n.name)
 	held := map[balance.WorkerID]struct{}{}
-	for _, name := range s.bans.Banned() {
+	for _, name := range s.bans.OperatorBanned() {
 		held[idOf(name)] = struct{}{}
 	}
-	s.core.Withhold(held)
+	s.core.SetBanned(held)
 	delete(s.conns, n)
 	s.listed(balance.ListDelta, change)
 }
@@ -123,7 +123,7 @@
 	for i := range list {
 		out[i] = core.Entry(list[i])
 	}
-	s.core.Listed(kind, out)
+	s.core.HandleList(kind, out)
 	s.touch()
 }
 
@@ -258,8 +258,8 @@
 	s.w.at(s.w.now+s.w.delay(), func() { s.touch(); done(core.Failed, nil) })
 }
 
-// HangUp closes the idle connections to a backend.
-func (s *side) HangUp(b *core.Backend) {
+// CloseIdle closes the idle connections to a backend.
+func (s *side) CloseIdle(b *core.Backend) {
 	if n := s.w.byID[b.ID]; n != nil {
 		delete(s.conns, n)
 	}
--- a/internal/maintenance/file.go
+++ b/internal/maintenance/file.go
@@ -8,18 +8,18 @@
 )
 
 // SavedState is the state that outlives a process, in a small file: a line with a version and a checksum, then JSON.
-type Kept struct {
+type SavedState struct {
 	Out   bool   `json:"out"` // the dispatcher was taken out of service
 	Marks []Mark `json:"marks"`
 }
 
 // MaxFileSize is the size of the largest file that is read.
-const MostKept = 4 << 20
+const MaxFileSize = 4 << 20
 
 const keptHead = "tinsail-maintenance 1 "
 
 // Append appends the file's contents to b.
-func (k Kept) Append(b []byte) []byte {
+func (k SavedState) Append(b []byte) []byte {
 	text, err := json.Marshal(k)
 	if err != nil { // only for NaN and infinities, which no call produces
 		return b
@@ -29,11 +29,11 @@
 }
 
 // ReadState parses a file. The error says what is wrong with it; nothing of such a file is used.
-func ReadKept(text []byte) (k Kept, err error) {
+func ReadState(text []byte) (k SavedState, err error) {
 	head, rest, ok := bytes.Cut(text, []byte("\n"))
 	switch {
-	case len(text) > MostKept:
-		return k, fmt.Errorf("has %d bytes, the limit is %d", len(text), MostKept)
+	case len(text) > MaxFileSize:
+		return k, fmt.Errorf("has %d bytes, the limit is %d", len(text), MaxFileSize)
 	case !ok || !bytes.HasPrefix(head, []byte("tinsail-maintenance ")):
 		return k, fmt.Errorf("is not a bans file")
 	case !bytes.HasPrefix(head, []byte(keptHead)):
@@ -42,7 +42,7 @@
 		return k, fmt.Errorf("is damaged: checksum mismatch")
 	}
 	if err := json.Unmarshal(rest, &k); err != nil {
-		return Kept{}, fmt.Errorf("is damaged: %w", err)
+		return SavedState{}, fmt.Errorf("is damaged: %w", err)
 	}
 	return k, nil
 }
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -15,7 +15,7 @@
 type Backend struct {
 	balance.Worker
 	Name, Address string
-	Local         bool // Started is the floor of a mark and not a time from the list
+	LocalStart    bool // Started is the floor of a mark and not a time from the list
 }
 
 // Mark is the operators' last call on a backend; it outlives the process. Times are Unix ms: At and Floor are on the clock of
@@ -30,7 +30,7 @@
 
 // ConvertClock converts marks to another clock. here and there are the readings of both clocks at the same moment. Each floor
 // keeps its age and never lies in the future; the order of calls doesn't change.
-func Moved(marks []Mark, here, there float64) []Mark {
+func ConvertClock(marks []Mark, here, there float64) []Mark {
 	out := slices.Clone(marks)
 	for i := range out {
 		if m := &out[i]; m.Floor > 0 {
@@ -89,14 +89,14 @@
 		if out.Started > e.mark.Seen { // the list knows of a newer start
 			e.mark.Floor = 0
 		} else {
-			out.Started, out.Local = e.mark.Floor, true
+			out.Started, out.LocalStart = e.mark.Floor, true
 		}
 	}
 	return out
 }
 
 // ApplyList handles a list of a source and returns what to pass on, in the same order.
-func (b *Bans) List(kind balance.ListKind, list []Backend) []Backend {
+func (b *Bans) ApplyList(kind balance.ListKind, list []Backend) []Backend {
 	if kind == balance.ListFailed {
 		return nil
 	}
@@ -202,7 +202,7 @@
 }
 
 // SourceList returns the list as the source reports it, without bans, sorted by name.
-func (b *Bans) Listed() (list []Backend) {
+func (b *Bans) SourceList() (list []Backend) {
 	for _, name := range slices.Sorted(maps.Keys(b.all)) {
 		if e := b.all[name]; e.listed && e.last.State != balance.Gone {
 			list = append(list, e.last)
@@ -253,7 +253,7 @@
 }
 
 // SetPolicyBans replaces the names that the fleet's policy bans, and returns what to pass on. Marks are not changed.
-func (b *Bans) Policy(names []string) (change []Backend) {
+func (b *Bans) SetPolicyBans(names []string) (change []Backend) {
 	b.policy = make(map[string]bool, len(names))
 	for _, name := range names {
 		b.policy[name] = true
@@ -268,14 +268,14 @@
 }
 
 // AllBanned lists the backends that nothing may be sent to, banned by the fleet's policy or by operators, sorted by name.
-func (b *Bans) Withheld() []string {
-	names := append(slices.Collect(maps.Keys(b.policy)), b.Banned()...)
+func (b *Bans) AllBanned() []string {
+	names := append(slices.Collect(maps.Keys(b.policy)), b.OperatorBanned()...)
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
 // OperatorBanned lists the backends that operators have banned here, sorted by name.
-func (b *Bans) Banned() (names []string) {
+func (b *Bans) OperatorBanned() (names []string) {
 	for _, m := range b.Marks() {
 		if m.Banned {
 			names = append(names, m.Name)
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -19,30 +19,30 @@
 	var b Bans
 	_, ok := b.Offline(1, "a")
 	assert.False(t, ok, "never listed")
-	b.List(balance.ListCached, []Backend{line("a", balance.Ready, 5)})
+	b.ApplyList(balance.ListCached, []Backend{line("a", balance.Ready, 5)})
 	change, ok := b.Offline(1000, "a")
 	require.True(t, ok)
 	assert.Equal(t, []Backend{line("a", balance.Draining, 5)}, change)
 	change, ok = b.Offline(1001, "a")
 	assert.True(t, ok)
 	assert.Empty(t, change, "a repeated call changes nothing")
-	assert.Equal(t, []string{"a"}, b.Banned())
+	assert.Equal(t, []string{"a"}, b.OperatorBanned())
 	moved := line("a", balance.Ready, 5)
 	moved.Address = "elsewhere:1"
 	want := moved
 	want.State = balance.Draining
-	assert.Equal(t, []Backend{want}, b.List(balance.ListDelta, []Backend{moved}))
-	assert.Equal(t, []Backend{}, b.List(balance.ListFull, nil))
-	assert.Equal(t, []Backend{want}, b.List(balance.ListFull, []Backend{moved}), "dropped and listed again")
+	assert.Equal(t, []Backend{want}, b.ApplyList(balance.ListDelta, []Backend{moved}))
+	assert.Equal(t, []Backend{}, b.ApplyList(balance.ListFull, nil))
+	assert.Equal(t, []Backend{want}, b.ApplyList(balance.ListFull, []Backend{moved}), "dropped and listed again")
 	change, ok = b.Online(9000, "a")
 	require.True(t, ok)
-	moved.Started, moved.Local = 9000, true
+	moved.Started, moved.LocalStart = 9000, true
 	assert.Equal(t, []Backend{moved}, change, "restarted meanwhile: cold, even if the list still has the old start")
 	again := moved
-	again.Started, again.Local = 5, false
-	assert.Equal(t, []Backend{moved}, b.List(balance.ListDelta, []Backend{again}))
+	again.Started, again.LocalStart = 5, false
+	assert.Equal(t, []Backend{moved}, b.ApplyList(balance.ListDelta, []Backend{again}))
 	again.Started = 8000
-	assert.Equal(t, []Backend{again}, b.List(balance.ListDelta, []Backend{again}), "the list has a newer start")
+	assert.Equal(t, []Backend{again}, b.ApplyList(balance.ListDelta, []Backend{again}), "the list has a newer start")
 	change, ok = b.Online(9001, "a")
 	assert.True(t, ok)
 	assert.Empty(t, change)
@@ -51,9 +51,9 @@
 // A start that was listed during the ban is kept when the ban ends.
 func TestStartTold(t *testing.T) {
 	var b Bans
-	b.List(balance.ListFull, []Backend{line("a", balance.Ready, 5)})
+	b.ApplyList(balance.ListFull, []Backend{line("a", balance.Ready, 5)})
 	b.Offline(1000, "a")
-	b.List(balance.ListDelta, []Backend{line("a", balance.Ready, 3000)})
+	b.ApplyList(balance.ListDelta, []Backend{line("a", balance.Ready, 3000)})
 	change, _ := b.Online(9000, "a")
 	assert.Equal(t, []Backend{line("a", balance.Ready, 3000)}, change)
 }
@@ -62,12 +62,12 @@
 // ready.
 func TestGone(t *testing.T) {
 	var b Bans
-	b.List(balance.ListFull, []Backend{line("a", balance.Ready, 5), line("bb", balance.Draining, 6)})
-	assert.Equal(t, balance.Gone, b.List(balance.ListDelta, []Backend{{Name: "a", Worker: balance.Worker{ID: 1}}})[0].State)
+	b.ApplyList(balance.ListFull, []Backend{line("a", balance.Ready, 5), line("bb", balance.Draining, 6)})
+	assert.Equal(t, balance.Gone, b.ApplyList(balance.ListDelta, []Backend{{Name: "a", Worker: balance.Worker{ID: 1}}})[0].State)
 	change, ok := b.Offline(1000, "a")
 	assert.True(t, ok)
 	assert.Empty(t, change)
-	assert.Equal(t, balance.Draining, b.List(balance.ListDelta, []Backend{line("a", balance.Ready, 5)})[0].State)
+	assert.Equal(t, balance.Draining, b.ApplyList(balance.ListDelta, []Backend{line("a", balance.Ready, 5)})[0].State)
 	b.Offline(1000, "bb")
 	change, _ = b.Online(2000, "bb")
 	assert.Equal(t, balance.Draining, change[0].State)
@@ -76,13 +76,13 @@
 // The number of remembered names that are gone is bounded, and bans are not forgotten.
 func TestManyGone(t *testing.T) {
 	var b Bans
-	b.List(balance.ListDelta, []Backend{line("kept", balance.Ready, 0)})
+	b.ApplyList(balance.ListDelta, []Backend{line("kept", balance.Ready, 0)})
 	b.Offline(1, "kept")
 	for i := range 2 * mostGone {
-		b.List(balance.ListFull, []Backend{line(fmt.Sprint("x", i), balance.Ready, 0)})
+		b.ApplyList(balance.ListFull, []Backend{line(fmt.Sprint("x", i), balance.Ready, 0)})
 	}
 	assert.Len(t, b.all, mostGone+1)
-	assert.Equal(t, []string{"kept"}, b.Banned())
+	assert.Equal(t, []string{"kept"}, b.OperatorBanned())
 }
 
 // In any order of lists, calls and hand-overs, no banned backend is passed on as ready. After all bans the result is what the
@@ -119,7 +119,7 @@
 						delete(source, x.Name)
 					}
 				}
-				apply(b.List(balance.ListDelta, list))
+				apply(b.ApplyList(balance.ListDelta, list))
 			case 1:
 				list := draw()
 				clear(source)
@@ -129,7 +129,7 @@
 					}
 				}
 				clear(shown)
-				apply(b.List(balance.ListFull, list))
+				apply(b.ApplyList(balance.ListFull, list))
 			case 2:
 				known := b.Known(name)
 				change, ok := b.Offline(now, name)
@@ -148,7 +148,7 @@
 					list = append(list, x)
 				}
 				clear(shown)
-				apply(next.List(balance.ListFull, list))
+				apply(next.ApplyList(balance.ListFull, list))
 				for _, n := range names { // backends that are gone and have no mark are unknown to it
 					if !next.Known(n) {
 						banned[n] = false
@@ -170,7 +170,7 @@
 		for n, x := range source {
 			got := shown[n]
 			assert.GreaterOrEqual(t, got.Started, x.Started)
-			got.Started, got.Local = x.Started, false
+			got.Started, got.LocalStart = x.Started, false
 			assert.Equal(t, x, got)
 		}
 	})
@@ -178,14 +178,14 @@
 
 func TestMerge(t *testing.T) {
 	var old, next Bans
-	old.List(balance.ListFull, []Backend{line("a", balance.Ready, 5)})
-	next.List(balance.ListFull, []Backend{line("a", balance.Ready, 5)})
+	old.ApplyList(balance.ListFull, []Backend{line("a", balance.Ready, 5)})
+	next.ApplyList(balance.ListFull, []Backend{line("a", balance.Ready, 5)})
 	old.Offline(1000, "a")
 	assert.Equal(t, balance.Draining, next.Merge(old.Marks())[0].State)
 	stale := next.Marks()
 	next.Online(500, "a") // the clock went back: the later call wins nevertheless
 	assert.Empty(t, next.Merge(stale))
-	assert.Empty(t, next.Banned())
+	assert.Empty(t, next.OperatorBanned())
 	assert.Equal(t, balance.Ready, old.Merge(next.Marks())[0].State)
 	assert.Empty(t, old.Merge([]Mark{{Name: "", At: 9e9, Banned: true}, {Name: "x", Banned: true}}))
 }
@@ -197,26 +197,26 @@
 		b.Merge([]Mark{{Name: fmt.Sprint("x", i), At: 1, Banned: true}})
 	}
 	assert.Len(t, b.all, mostStrangers)
-	b.List(balance.ListDelta, []Backend{line("x3", balance.Ready, 0), line("listed", balance.Ready, 0)})
+	b.ApplyList(balance.ListDelta, []Backend{line("x3", balance.Ready, 0), line("listed", balance.Ready, 0)})
 	b.Merge([]Mark{{Name: "late", At: 1, Banned: true}, {Name: "later", At: 1, Banned: true}, {Name: "listed", At: 1, Banned: true}})
 	assert.True(t, b.Mark("x3").Banned && b.Mark("late").Banned && b.Mark("listed").Banned)
 	assert.Zero(t, b.Mark("later"))
 }
 
 func TestKept(t *testing.T) {
-	k := Kept{Out: true, Marks: []Mark{{Name: "a", Banned: true, At: 1.5}}}
+	k := SavedState{Out: true, Marks: []Mark{{Name: "a", Banned: true, At: 1.5}}}
 	text := k.Append(nil)
-	got, err := ReadKept(text)
+	got, err := ReadState(text)
 	require.NoError(t, err)
 	assert.Equal(t, k, got)
 	for i := range text { // any truncation or change is detected
-		_, err := ReadKept(text[:i])
+		_, err := ReadState(text[:i])
 		assert.Error(t, err)
 		bad := append([]byte{}, text...)
 		bad[i] ^= 1
-		_, err = ReadKept(bad)
+		_, err = ReadState(bad)
 		assert.Error(t, err)
 	}
-	_, err = ReadKept([]byte("tinsail-maintenance 2 00000000\n{}"))
+	_, err = ReadState([]byte("tinsail-maintenance 2 00000000\n{}"))
 	assert.ErrorContains(t, err, "another version")
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -82,7 +82,7 @@
 	FlapWindow time.Duration
 	Settle     time.Duration
 	// Disabled keeps the source's reports without using them, until SetRules enables it.
-	Off bool
+	Disabled bool
 	// WarningDrains treats a warning like a critical check.
 	WarningDrains bool
 }
@@ -138,7 +138,7 @@
 }
 
 // ReplaceAll handles a source's full list. A backend that it doesn't name is missing.
-func (s *Set) Whole(now time.Time, from int, list []Backend) {
+func (s *Set) ReplaceAll(now time.Time, from int, list []Backend) {
 	src := s.sources[from]
 	s.back(now, src)
 	src.round++
@@ -154,7 +154,7 @@
 }
 
 // Update handles reports of some backends of a source, and the names of those that it dropped.
-func (s *Set) Some(now time.Time, from int, list []Backend, dropped []string) {
+func (s *Set) Update(now time.Time, from int, list []Backend, dropped []string) {
 	src := s.sources[from]
 	s.back(now, src)
 	for i := range list {
@@ -169,7 +169,7 @@
 }
 
 // Unchanged handles an answer of a source that nothing has changed.
-func (s *Set) Same(now time.Time, from int) {
+func (s *Set) Unchanged(now time.Time, from int) {
 	src := s.sources[from]
 	s.back(now, src)
 	s.settle(now, src)
@@ -423,18 +423,18 @@
 
 // Status is the state of a source.
 type Status struct {
-	Name             string
-	Known, Silent    bool
-	Doubted, Expired bool
-	Age              time.Duration
-	Backends, Down   int
+	Name               string
+	HasList, Silent    bool
+	Panicking, Expired bool
+	Age                time.Duration
+	Backends, Down     int
 }
 
 // Sources returns the state of each source.
 func (s *Set) Sources(now time.Time) []Status {
 	out := make([]Status, len(s.sources))
 	for i, src := range s.sources {
-		out[i] = Status{Name: src.rules.Name, Known: src.known, Silent: src.failed, Doubted: !src.panic.IsZero(), Expired: src.expired,
+		out[i] = Status{Name: src.rules.Name, HasList: src.known, Silent: src.failed, Panicking: !src.panic.IsZero(), Expired: src.expired,
 			Age: now.Sub(src.heard), Backends: len(src.list), Down: src.down}
 	}
 	return out
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -72,7 +72,7 @@
 			assert.Equal(t, step.Arg, strings.Join(got, " "), step.Line)
 			assert.Len(t, list, len(got), step.Line)
 		case step.Arg == "same":
-			s.Same(now, from)
+			s.Unchanged(now, from)
 		case step.Arg == "fails":
 			s.Failed(now, from)
 		default:
@@ -87,9 +87,9 @@
 				}
 			}
 			if whole {
-				s.Whole(now, from, b)
+				s.ReplaceAll(now, from, b)
 			} else {
-				s.Some(now, from, b, dropped)
+				s.Update(now, from, b, dropped)
 			}
 		}
 		for _, m := range s.Changes() {
@@ -276,21 +276,21 @@
 			switch rapid.IntRange(0, 5).Draw(r, "what") {
 			case 0:
 				list := lists.Draw(r, "whole")
-				s.Whole(now, from, list)
+				s.ReplaceAll(now, from, list)
 				drained[from] = map[string]bool{}
 				told(from, list)
 			case 1:
 				list := lists.Draw(r, "some")
-				s.Some(now, from, list, nil)
+				s.Update(now, from, list, nil)
 				told(from, list)
 			case 2:
 				name := "b" + strconv.Itoa(rapid.IntRange(0, 7).Draw(r, "drop"))
-				s.Some(now, from, nil, []string{name})
+				s.Update(now, from, nil, []string{name})
 				delete(drained[from], name)
 			case 3:
 				s.Failed(now, from)
 			case 4:
-				s.Same(now, from)
+				s.Unchanged(now, from)
 			case 5:
 				now = now.Add(time.Duration(rapid.IntRange(0, 60_000).Draw(r, "ms")) * time.Millisecond)
 				s.Expire(now)
@@ -298,12 +298,12 @@
 			check()
 		}
 		last := lists.Draw(r, "last")
-		s.Whole(now, 0, nil)
-		s.Whole(now, 1, last)
+		s.ReplaceAll(now, 0, nil)
+		s.ReplaceAll(now, 1, last)
 		for range 20 {
 			now = now.Add(30 * time.Second)
-			s.Same(now, 0)
-			s.Same(now, 1)
+			s.Unchanged(now, 0)
+			s.Unchanged(now, 1)
 			s.Expire(now)
 		}
 		drained = [2]map[string]bool{{}, {}}
@@ -335,7 +335,7 @@
 					list[i] = Backend{Name: "b" + strconv.Itoa(i), Address: "127.0.0.1:1", Weight: 1}
 				}
 				now := time.Unix(1e9, 0)
-				s.Whole(now, 0, list)
+				s.ReplaceAll(now, 0, list)
 				s.Changes()
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
@@ -343,9 +343,9 @@
 					at := &list[i%n]
 					at.Weight++
 					if whole {
-						s.Whole(now, 0, list)
+						s.ReplaceAll(now, 0, list)
 					} else {
-						s.Some(now, 0, []Backend{*at}, nil)
+						s.Update(now, 0, []Backend{*at}, nil)
 					}
 					if len(s.Changes()) != 1 {
 						b.Fatal("exactly one change expected")
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -67,7 +67,7 @@
 	drained := ""
 	for _, src := range s.sources {
 		e := src.list[name]
-		if e == nil || src.rules.Off {
+		if e == nil || src.rules.Disabled {
 			continue
 		}
 		state, reason := s.view(now, src, name, e)
--- a/internal/network/await.go
+++ b/internal/network/await.go
@@ -32,7 +32,7 @@
 
 // awaitAnswer waits until the answer is written, or the client closes the connection. Meanwhile it reads what the client
 // sends for its next request.
-func (s *session) await(t core.Ticket, closing bool) (core.Ending, bool) {
+func (s *session) await(t core.Handle, closing bool) (core.Ending, bool) {
 	gone, done := make(chan struct{}), make(chan written, 1)
 	a := &ahead{session: s}
 	go s.reply(closing, s.held > 0, a, gone, done)
@@ -164,14 +164,14 @@
 	}
 	t := &s.clients.table
 	some, flooded := behind.lies()
-	closing = closing || flooded || !some && (s.clients.told().Close || t.isShed(&s.sessionState))
+	closing = closing || flooded || !some && (s.clients.told().CloseAfterAnswer || t.isShed(&s.sessionState))
 	err := s.write(platform.AppendFinal(make([]byte, 0, 128+len(a.Result)), a, closing))
 	if closing || err != nil {
 		s.note(guard.RequestWritten, s.closes(closing, flooded, err))
 	}
 	closing = t.answered(&s.sessionState, true, closing || err != nil, long)
 	t.trim(s.clients.usual())
-	done <- written{a.Free, closing, err}
+	done <- written{a.JobReleased, closing, err}
 }
 
 // linger lets the client read its last answer: it closes the sending side, then reads and discards what the client still
@@ -187,7 +187,7 @@
 	s.note(guard.SessionLingers, nil)
 	if c.table.linger(&s.sessionState, c.most()) {
 		wait := lingerWait
-		if c.told().Close {
+		if c.told().CloseAfterAnswer {
 			wait = drainWait
 		}
 		c.table.lingerUntil(&s.sessionState, time.Now().Add(wait))
--- a/internal/network/await_test.go
+++ b/internal/network/await_test.go
@@ -182,7 +182,7 @@
 	_, err := io.WriteString(conn, photo("a", "", "z")+photo("b", "", "z"))
 	require.NoError(t, err)
 	first := b.next(t)
-	s.clients.orders.Store(&service.Orders{Accept: true, Close: true})
+	s.clients.orders.Store(&service.Directives{Accept: true, CloseAfterAnswer: true})
 	serve(first, "ra")
 	serve(b.next(t), "rb")
 	_, body, closing := conn.answer(t)
@@ -204,14 +204,14 @@
 		send   string
 		after  string // sent when the answer has arrived
 		served bool
-		orders *service.Orders
+		orders *service.Directives
 		excess bool
 		want   int
 	}{
 		"asked for":                  {send: photo("a", "Connection: close\r\n", body), after: more, served: true, want: 200},
 		"asked for, with more":       {send: photo("a", "Connection: close\r\n", body) + more, served: true, want: 200},
 		"asked for, a req":           {send: photo("a", "Connection: close\r\n", body), after: photo("b", "", body), served: true, want: 200},
-		"shutdown":                   {send: photo("a", "", body), after: more, served: true, orders: &service.Orders{Accept: true, Close: true}, want: 200},
+		"shutdown":                   {send: photo("a", "", body), after: more, served: true, orders: &service.Directives{Accept: true, CloseAfterAnswer: true}, want: 200},
 		"no req":                     {send: "NONSENSE\r\n\r\n" + more, after: more, want: 400},
 		"too long a body":            {send: "POST /photo/1 HTTP/1.1\r\nX-Correlation-Id: a\r\nContent-Length: 999999\r\n\r\n" + more, after: more, want: 413},
 		"too long a head":            {send: "POST /photo/1 HTTP/1.1\r\nX-A: " + more, after: more, want: 431},
--- a/internal/network/backends.go
+++ b/internal/network/backends.go
@@ -74,7 +74,7 @@
 
 // Send starts an attempt and returns the function that stops it.
 func (p *Pool) Send(a *core.Attempt) func() {
-	x := &exchange{backend: a.Backend, body: a.Job.Body, until: a.Until, id: a.Job.ID, may: a.MayBegin, wanted: a.Wanted, began: a.Began,
+	x := &exchange{backend: a.Backend, body: a.Job.Body, until: a.Deadline, id: a.Job.ID, may: a.MayBegin, wanted: a.Wanted, began: a.Began,
 		started: a.Started, share: a.Progress, ended: a.Ended}
 	x.head = func(left time.Duration) []byte {
 		var stamp *platform.Stamp
@@ -91,8 +91,8 @@
 
 // Probe asks a backend for its load report and calls done once.
 func (p *Pool) Probe(b *core.Backend, done func(core.Ending, []float32)) {
-	x := &exchange{backend: b, until: time.Now().Add(probeWait), probe: true, may: func() bool { return !b.Withheld() },
-		wanted: func() bool { return !b.Withheld() }}
+	x := &exchange{backend: b, until: time.Now().Add(probeWait), probe: true, may: func() bool { return !b.Banned() },
+		wanted: func() bool { return !b.Banned() }}
 	x.head = func(time.Duration) []byte { return platform.AppendGet(nil, "/stats", b.Address) }
 	var once sync.Once
 	end := func(e core.Ending, report []float32) { once.Do(func() { done(e, report) }) }
@@ -283,8 +283,8 @@
 	}
 }
 
-// HangUp closes the idle connections to a backend.
-func (p *Pool) HangUp(b *core.Backend) { p.CloseIdleByID(b.ID) }
+// CloseIdle closes the idle connections to a backend.
+func (p *Pool) CloseIdle(b *core.Backend) { p.CloseIdleByID(b.ID) }
 
 // CloseIdleByID closes the idle connections to the backend with that id.
 func (p *Pool) CloseIdleByID(id balance.WorkerID) {
--- a/internal/network/begin_crossing_test.go
+++ b/internal/network/begin_crossing_test.go
@@ -53,7 +53,7 @@
 		entries = append(entries, core.Entry{Name: fmt.Sprint(i), Address: b.address(),
 			Worker: balance.Worker{ID: balance.WorkerID(i + 1), State: balance.Ready, Weight: 4}})
 	}
-	d.core.Listed(balance.ListFull, entries)
+	d.core.HandleList(balance.ListFull, entries)
 	d.core.Step()
 	return d
 }
@@ -72,9 +72,9 @@
 	}
 }
 
-func (d *desk) take(id string) core.Ticket {
+func (d *desk) take(id string) core.Handle {
 	job := &core.Job{Method: "POST", Target: "/ingest", ID: id, IdempotencyKey: "k" + id}
-	t, fresh := d.core.Take(balance.Request{Slots: 1}, job, time.Now(), 5*time.Second, d)
+	t, fresh := d.core.Submit(balance.Request{Slots: 1}, job, time.Now(), 5*time.Second, d)
 	require.True(d.t, fresh)
 	d.core.Step()
 	return t
@@ -143,7 +143,7 @@
 			continue
 		}
 		d.steps(d.ended(core.Unsent))
-		assert.Equal(t, core.Failure, (<-d.answers).Verdict)
+		assert.Equal(t, core.Failure, (<-d.answers).Kind)
 		d.pool.CloseIdleByID(1)
 		d.pool.CloseIdleByID(2)
 		second.closed()
--- a/internal/network/clients.go
+++ b/internal/network/clients.go
@@ -42,7 +42,7 @@
 	Log              zerolog.Logger
 	Guard            *guard.Recorder // checks the rules at run time and keeps the trace; may be nil
 
-	orders atomic.Pointer[service.Orders] // nil for a dispatcher in service
+	orders atomic.Pointer[service.Directives] // nil for a dispatcher in service
 	gate   gate
 	queue  acceptQueue
 	size   atomic.Pointer[DescriptorLimits] // set by Resize; nil for MaxSessions and MaxJobSessions
@@ -53,7 +53,7 @@
 }
 
 // currentOrders returns what the service state asks for now.
-func (c *Clients) told() *service.Orders {
+func (c *Clients) told() *service.Directives {
 	if o := c.orders.Load(); o != nil {
 		return o
 	}
@@ -87,7 +87,7 @@
 	return c.MaxJobSessions
 }
 
-var inService = service.Orders{Ready: true, Accept: true}
+var inService = service.Directives{Ready: true, Accept: true}
 
 // session is one client's HTTP/1.1 connection. Its goroutine reads. The answer to a request is written by another goroutine,
 // so that a client that closes the connection meanwhile is noticed.
@@ -298,7 +298,7 @@
 	switch {
 	case !partial:
 	case e == core.SessionShed:
-		if s.clients.told().Handed {
+		if s.clients.told().HandedOver {
 			s.clients.Count.HandoverCut.Add(1)
 		}
 		s.write(platform.AppendAnswer(nil, 503, shedPause, true, ""))
@@ -355,7 +355,7 @@
 	s.request = w.ID
 	c.table.trim(c.usual()) // now that one more is busy, as the next client may find no connection left
 	job := &core.Job{Method: q.Method, Target: q.Target, ID: w.ID, IdempotencyKey: w.IdempotencyKey, Body: q.Body}
-	ticket, fresh := c.Core.Take(w.Ask, job, s.came, left, s)
+	ticket, fresh := c.Core.Submit(w.Ask, job, s.came, left, s)
 	if !fresh {
 		return s.refuse(&platform.Bad{Status: 409, Reason: "this X-Correlation-Id has been used"}), true
 	}
@@ -366,7 +366,7 @@
 
 // timeLeft returns how long a request that arrived at a time may take: in a shutdown, no longer than the shutdown lasts.
 func (c *Clients) patience(left time.Duration, came time.Time) time.Duration {
-	if until := c.told().Until; !until.IsZero() {
+	if until := c.told().AnswerBy; !until.IsZero() {
 		left = max(min(left, until.Sub(came)), 0)
 	}
 	return left
@@ -376,7 +376,7 @@
 func (s *session) plain(q *platform.Request) (core.Ending, bool) {
 	c := s.clients
 	status, body := c.look(q.Method, q.Path())
-	closing := q.Close || c.told().Close
+	closing := q.Close || c.told().CloseAfterAnswer
 	s.done(true)
 	if s.write(platform.AppendAnswer(nil, status, 0, closing, body)) != nil {
 		return core.ClientClosed, true
@@ -390,10 +390,10 @@
 	case method != "GET":
 		return 405, ""
 	case path == "/health/ready":
-		if !c.told().Ready || c.Core.Ready() == 0 || !c.Core.Serves() {
+		if !c.told().Ready || c.Core.ReadyBackends() == 0 || !c.Core.Serves() {
 			return 503, ""
 		}
-		if !c.Guard.Ended().IsZero() && !c.told().Handed { // if handed over, another process serves in the dispatcher's name
+		if !c.Guard.Ended().IsZero() && !c.told().HandedOver { // if handed over, another process serves in the dispatcher's name
 			c.Guard.Violated(guard.ServeNotReady, 0, "", "ready after the process had decided to end")
 		}
 		return 200, ""
--- a/internal/network/director.go
+++ b/internal/network/director.go
@@ -272,11 +272,11 @@
 // handleEnded handles the end of the i-th call under way. It returns false if the call brought no usable answer.
 func (d *Director) took(c *call, i int) bool {
 	d.out = slices.Delete(d.out, i, i+1)
-	if c.ending == core.ListTold && c.whole && !c.list.Full { // changes are of no use without the list that they change
-		c.ending = core.ListUnread
+	if c.ending == core.ListReceived && c.whole && !c.list.Full { // changes are of no use without the list that they change
+		c.ending = core.ListInvalid
 	}
 	d.Count.Endings[c.ending].Add(1)
-	if c.ending != core.ListTold {
+	if c.ending != core.ListReceived {
 		c.close()
 		return false
 	}
@@ -391,7 +391,7 @@
 	}
 	list, e := c.line.read(d.Names)
 	stop()
-	if e != core.ListTold || !c.line.in.Keep || c.line.in.Partial() { // unsolicited bytes must not pass for the next answer
+	if e != core.ListReceived || !c.line.in.Keep || c.line.in.Partial() { // unsolicited bytes must not pass for the next answer
 		conn.Close()
 		c.line = nil
 	}
@@ -400,16 +400,16 @@
 
 // read reads the answer of the call that was written to the connection.
 func (l *line) read(names *platform.Names) (list platform.List, e core.Ending) {
-	e = core.ListUnread
+	e = core.ListInvalid
 	var closed error
 	for {
 		part, body, err := l.in.Next()
 		switch {
 		case err != nil:
-			return list, core.ListUnread
+			return list, core.ListInvalid
 		case part == platform.Line && l.in.Status == 200:
 			if list, err = names.ReadList(body); err == nil {
-				e = core.ListTold
+				e = core.ListReceived
 			}
 		case part == platform.End:
 			if l.in.Status != 200 {
--- a/internal/network/fleet/accord/accord_test.go
+++ b/internal/network/fleet/accord/accord_test.go
@@ -240,7 +240,7 @@
 	require.NoError(t, f.all[4].Propose([]byte("third")))
 	f.await(3, 5) // ... and the others go on without it
 	assert.False(t, f.all[5].Serves())
-	_, _, ok := f.all[5].Take()
+	_, _, ok := f.all[5].Admit()
 	assert.False(t, ok, "it takes nothing")
 	assert.Positive(t, f.all[5].Count.Fenced.Load())
 	for _, r := range f.relays[5] {
@@ -305,7 +305,7 @@
 		return now
 	}
 	open := set(accord.Admission{Version: 7, AcceptUntil: accord.Never, StartUntil: accord.Never, UnleasedFrom: accord.Never})
-	v, _, ok := a.Take()
+	v, _, ok := a.Admit()
 	assert.True(t, ok)
 	assert.EqualValues(t, 7, v)
 	assert.True(t, a.MayStart(7))
@@ -318,7 +318,7 @@
 	assert.Zero(t, a.Count.Lapsed.Load())
 
 	shut := set(accord.Admission{Version: 7, AcceptUntil: 0, StartUntil: accord.Never, UnleasedFrom: accord.Never})
-	_, pause, ok := a.Take()
+	_, pause, ok := a.Admit()
 	assert.False(t, ok)
 	assert.Equal(t, 500*time.Millisecond, pause)
 	assert.Zero(t, shut.waiting.Load())
@@ -327,7 +327,7 @@
 	assert.False(t, a.Serves())
 
 	set(accord.Admission{Version: 7, AcceptUntil: accord.Never, StartUntil: 0, UnleasedFrom: 0})
-	_, _, ok = a.Take()
+	_, _, ok = a.Admit()
 	assert.True(t, ok)
 	assert.EqualValues(t, 1, a.Count.Lapsed.Load())
 	assert.False(t, a.MayStart(7))
@@ -342,7 +342,7 @@
 	a.member.gate.Store(&gate{Admission: accord.Admission{Version: 1, AcceptUntil: accord.Never, StartUntil: accord.Never, UnleasedFrom: accord.Never}, waiting: &atomic.Int64{}})
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
-			if v, _, ok := a.Take(); !ok || !a.MayStart(v) {
+			if v, _, ok := a.Admit(); !ok || !a.MayStart(v) {
 				b.Error("not taken")
 			}
 			a.Begun(1)
--- a/internal/network/fleet/accord/gate.go
+++ b/internal/network/fleet/accord/gate.go
@@ -13,9 +13,9 @@
 	waiting *atomic.Int64 // reqs taken by this version that have begun nowhere
 }
 
-// Take admits a req by the version in force: core.Versions. The req is counted before the gate is
+// Admit admits a req by the version in force: core.Versions. The req is counted before the gate is
 // read once more, so that a member that closes the gate and then finds none waiting has none.
-func (a *Accord) Take() (version uint64, pause time.Duration, ok bool) {
+func (a *Accord) Admit() (version uint64, pause time.Duration, ok bool) {
 	m := a.member
 	g := m.gate.Load()
 	g.waiting.Add(1)
--- a/internal/network/http2.go
+++ b/internal/network/http2.go
@@ -83,7 +83,7 @@
 	work   platform.Work
 	job    core.Job
 	taken  bool
-	ticket core.Ticket
+	ticket core.Handle
 }
 
 // Answer leaves the final answer in the inbox.
@@ -188,7 +188,7 @@
 			s.front.Clients.table.begun(&s.sessionState)
 		}
 		s.events()
-		if s.front.Clients.told().Hint && s.m.Begun() { // it began after announceDrain had run
+		if s.front.Clients.told().AnnounceClose && s.m.Begun() { // it began after announceDrain had run
 			s.m.Drain(time.Now())
 			s.events()
 		}
--- a/internal/network/http2_bench_test.go
+++ b/internal/network/http2_bench_test.go
@@ -247,7 +247,7 @@
 	}
 	answer := make(waiter, 1)
 	job := jobOf(&q, &work)
-	if _, fresh := s.clients.Core.Take(work.Ask, job, time.Now(), work.Left, answer); !fresh {
+	if _, fresh := s.clients.Core.Submit(work.Ask, job, time.Now(), work.Left, answer); !fresh {
 		w.WriteHeader(409)
 		return
 	}
--- a/internal/network/http2_caller_test.go
+++ b/internal/network/http2_caller_test.go
@@ -235,7 +235,7 @@
 // waitOpenReqs waits until n requests are open.
 func (s *served) owes(t *testing.T, n int) {
 	t.Helper()
-	soon(t, fmt.Sprint(n, " reqs are owed an answer"), func() bool { return s.clients.Core.Open() == n })
+	soon(t, fmt.Sprint(n, " reqs are owed an answer"), func() bool { return s.clients.Core.OpenReqs() == n })
 }
 
 // waitAbandoned waits until no request is open, and checks that the requests were abandoned rather than answered, at the latest
--- a/internal/network/http2_crossing_test.go
+++ b/internal/network/http2_crossing_test.go
@@ -114,7 +114,7 @@
 	c.fr.WritePing(false, [8]byte{1})
 	c.send()
 	c.until("ping") // the GOAWAY has been read
-	assert.Equal(t, 1, s.clients.Core.Open())
+	assert.Equal(t, 1, s.clients.Core.OpenReqs())
 	close(d.goOn)
 	soon(t, "the req's bytes", func() bool { return d.bytes() > 0 })
 }
--- a/internal/network/http2_end.go
+++ b/internal/network/http2_end.go
@@ -76,7 +76,7 @@
 	c := s.front.Clients
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
-	if s.shed && s.ending != core.SessionShed && !until.IsZero() && !c.told().Close {
+	if s.shed && s.ending != core.SessionShed && !until.IsZero() && !c.told().CloseAfterAnswer {
 		if soon := now.Add(lastLook); soon.Before(*until) {
 			*until = soon
 		}
@@ -102,7 +102,7 @@
 		}
 	}
 	// In a shutdown sessions must be closed before the process is killed.
-	if end := c.told().Until; !end.IsZero() {
+	if end := c.told().AnswerBy; !end.IsZero() {
 		stay = max(min(stay, end.Sub(now)), lastLook)
 	}
 	return stay
--- a/internal/network/http2_mail.go
+++ b/internal/network/http2_mail.go
@@ -74,10 +74,10 @@
 		case l.lost:
 			c.Count.HTTP2Abuse[http2.Unread].Add(1)
 			s.m.Reset(l.id, http2.EnhanceYou)
-		case l.answer.Verdict == core.ResultOf:
+		case l.answer.Kind == core.Result:
 			s.m.Answer(l.id, 200, 0, l.answer.Result, now)
-		case l.answer.Verdict == core.Refusal:
-			s.m.Answer(l.id, 503, l.answer.Pause, "", now)
+		case l.answer.Kind == core.Refusal:
+			s.m.Answer(l.id, 503, l.answer.RetryAfter, "", now)
 		default:
 			s.m.Answer(l.id, 502, 0, "", now)
 		}
--- a/internal/network/http2_real_test.go
+++ b/internal/network/http2_real_test.go
@@ -37,7 +37,7 @@
 	return func() {}
 }
 func (instant) Probe(_ *core.Backend, done func(core.Ending, []float32)) { done(core.Served, nil) }
-func (instant) HangUp(*core.Backend)                                     {}
+func (instant) CloseIdle(*core.Backend)                                  {}
 func (instant) Subscribe()                                               {}
 
 // testServer is a dispatcher with both fronts on real sockets.
@@ -54,7 +54,7 @@
 		ConnectTimeout: 120, Tick: 0.01, MaxPause: 2000, Rules: balance.Rules{AnswerSlack: 8},
 		Classes: []balance.Class{{Worth: 1, Aim: 1000, Deadline: 5000, Kind: -1, Effect: balance.Safe}}}, backends, instant{}, s.count)
 	require.NoError(t, err)
-	c.Listed(balance.ListFull, list(balance.Ready, "s1", "s2"))
+	c.HandleList(balance.ListFull, list(balance.Ready, "s1", "s2"))
 	stop := make(chan struct{})
 	go c.Run(stop)
 	names := &platform.Names{Classes: []string{"photo"}, Keyed: []bool{false}, Limits: []time.Duration{5 * time.Second}}
--- a/internal/network/http2_reqs.go
+++ b/internal/network/http2_reqs.go
@@ -129,7 +129,7 @@
 	r.job.Body = st.Body
 	r.taken = true // before its answer can come
 	var fresh bool
-	if r.ticket, fresh = c.Core.Take(r.work.Ask, &r.job, r.came, c.patience(r.work.Left, r.came), r); !fresh {
+	if r.ticket, fresh = c.Core.Submit(r.work.Ask, &r.job, r.came, c.patience(r.work.Left, r.came), r); !fresh {
 		r.taken = false
 		s.refuse(st, &platform.Bad{Status: 409, Reason: "this X-Correlation-Id has been used"})
 		return
--- a/internal/network/http2_stop_test.go
+++ b/internal/network/http2_stop_test.go
@@ -108,7 +108,7 @@
 		c.send()
 		c.until("ping") // all of it has been read
 		reqs := int(last+1) / 2
-		assert.Equal(t, reqs, s.clients.Core.Open(), "round %d: taken, the last stream being %d", round, last)
+		assert.Equal(t, reqs, s.clients.Core.OpenReqs(), "round %d: taken, the last stream being %d", round, last)
 		go func() {
 			for range reqs {
 				(<-h.out).Ended(core.Served, "r", nil)
@@ -134,7 +134,7 @@
 	a.Ended(core.Served, "decided", nil)
 	s.owes(t, 0)
 	// No request is open any more, and the shutdown has begun to close sessions.
-	soon(t, "the shutdown closes sessions", func() bool { return s.clients.told().Close })
+	soon(t, "the shutdown closes sessions", func() bool { return s.clients.told().CloseAfterAnswer })
 	for range 2 * 5 { // more updates than the end would take without a session
 		end.look()
 		select {
--- a/internal/network/http2_test.go
+++ b/internal/network/http2_test.go
@@ -167,11 +167,11 @@
 func TestHTTP2Killed(t *testing.T) {
 	run(t, strong(), 9, wide, hello+"h1 send "+hundred(),
 		func(w *world) {
-			assert.Equal(t, 100, w.core.Open())
+			assert.Equal(t, 100, w.core.OpenReqs())
 			assert.Equal(t, int64(100), w.count.Attempts.Load())
 		}, "h1 close",
 		func(w *world) {
-			assert.Zero(t, w.core.Open())
+			assert.Zero(t, w.core.OpenReqs())
 			assert.Equal(t, int64(100), w.count.Endings[core.Withdrawn].Load())
 			for k := range 100 {
 				p := w.peers[fmt.Sprintf("s1/%d", k+1)]
@@ -263,7 +263,7 @@
 		wait 5s`,
 		func(w *world) {
 			assert.True(t, ended)
-			assert.Zero(t, w.core.Open())
+			assert.Zero(t, w.core.OpenReqs())
 			assert.Zero(t, w.clients.table.count)
 		})
 }
--- a/internal/network/link.go
+++ b/internal/network/link.go
@@ -96,7 +96,7 @@
 	p.mu.Lock()
 	// Checked under the lock that CloseIdleByID takes once a ban is in force: the connection is closed either here or there.
 	// A reading goroutine that has ended took the connection off the list before it was on it: it must not be added any more.
-	if l.gone || l.backend.Withheld() {
+	if l.gone || l.backend.Banned() {
 		p.mu.Unlock()
 		l.conn.Close() // its reader cleans up
 		return
--- a/internal/network/maintain/maintain.go
+++ b/internal/network/maintain/maintain.go
@@ -48,11 +48,11 @@
 		return false
 	}
 	texts, err := s.Read()
-	var k maintenance.Kept
+	var k maintenance.SavedState
 	found := false
 	for _, text := range texts {
 		var bad error
-		if k, bad = maintenance.ReadKept(text); bad == nil {
+		if k, bad = maintenance.ReadState(text); bad == nil {
 			found = true
 			break
 		}
@@ -79,7 +79,7 @@
 	for i := range list {
 		in[i] = maintenance.Backend(list[i])
 	}
-	d.OnList(kind, entries(d.bans.List(kind, in)))
+	d.OnList(kind, entries(d.bans.ApplyList(kind, in)))
 }
 
 func entries(list []maintenance.Backend) []core.Entry {
@@ -110,12 +110,12 @@
 // toWallClock converts the times of marks from the core's clock to the wall clock, by which another process of this
 // machine reads them.
 func (d *Manager) outward(marks []maintenance.Mark) []maintenance.Mark {
-	return maintenance.Moved(marks, d.now(), d.wall())
+	return maintenance.ConvertClock(marks, d.now(), d.wall())
 }
 
 // toCoreClock converts the times of marks from the wall clock to the core's clock.
 func (d *Manager) inward(marks []maintenance.Mark) []maintenance.Mark {
-	return maintenance.Moved(marks, d.wall(), d.now())
+	return maintenance.ConvertClock(marks, d.wall(), d.now())
 }
 
 // Offline bans a backend. When it returns, no further attempt is started there. An error other than
@@ -142,7 +142,7 @@
 // apply applies the bans and the changed states of backends to the core and the pool. d.mu is held.
 func (d *Manager) follow(change []maintenance.Backend) {
 	held := map[balance.WorkerID]struct{}{}
-	for _, name := range d.bans.Withheld() {
+	for _, name := range d.bans.AllBanned() {
 		held[balance.WorkerID(platform.Hash(name))] = struct{}{}
 	}
 	d.Withhold(held)
@@ -169,7 +169,7 @@
 func (d *Manager) SetPolicyBans(names []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.follow(d.bans.Policy(names))
+	d.follow(d.bans.SetPolicyBans(names))
 }
 
 // SetOutOfService stores whether the dispatcher is out of service.
@@ -196,14 +196,14 @@
 func (d *Manager) State() ([]maintenance.Backend, []maintenance.Mark) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.bans.Listed(), d.outward(d.bans.Marks())
+	return d.bans.SourceList(), d.outward(d.bans.Marks())
 }
 
 // Banned returns the names of the banned backends.
 func (d *Manager) Banned() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.bans.Banned()
+	return d.bans.OperatorBanned()
 }
 
 // save writes all marks to the store. A failed write is retried until it succeeds. d.mu is held.
@@ -212,7 +212,7 @@
 	if s == nil {
 		return nil
 	}
-	err := s.Write(maintenance.Kept{Out: d.out, Marks: d.outward(d.bans.Marks())}.Append(nil))
+	err := s.Write(maintenance.SavedState{Out: d.out, Marks: d.outward(d.bans.Marks())}.Append(nil))
 	if err == nil {
 		d.unkept, d.pause = false, 0
 		return nil
--- a/internal/network/maintain/store.go
+++ b/internal/network/maintain/store.go
@@ -55,7 +55,7 @@
 func (s fileStore) keepOld(name string) error {
 	text, err := os.ReadFile(s.path)
 	if err == nil {
-		_, err = maintenance.ReadKept(text)
+		_, err = maintenance.ReadState(text)
 	}
 	if err != nil {
 		return nil
--- a/internal/network/maintain/store_test.go
+++ b/internal/network/maintain/store_test.go
@@ -58,7 +58,7 @@
 			synctest.Wait()
 			assert.Zero(t, counts()["bans_unkept"])
 			assert.LessOrEqual(t, s.tries, 11)
-			k, err := maintenance.ReadKept(s.text)
+			k, err := maintenance.ReadState(s.text)
 			require.NoError(t, err)
 			assert.True(t, k.Marks[0].Banned)
 			tries := s.tries
@@ -113,7 +113,7 @@
 	require.NoError(t, err)
 	require.Len(t, texts, 2)
 	for _, text := range texts {
-		_, err := maintenance.ReadKept(text)
+		_, err := maintenance.ReadState(text)
 		assert.NoError(t, err)
 	}
 	next := fileStore{path}
--- a/internal/network/maintain_test.go
+++ b/internal/network/maintain_test.go
@@ -17,7 +17,7 @@
 func TestBan(t *testing.T) {
 	var desk *maintain.Manager
 	begin := func(w *world) {
-		desk = &maintain.Manager{OnList: w.core.Listed, Withhold: w.core.Withhold, CloseIdle: w.pool.CloseIdleByID}
+		desk = &maintain.Manager{OnList: w.core.HandleList, Withhold: w.core.SetBanned, CloseIdle: w.pool.CloseIdleByID}
 		desk.Listed(balance.ListCached, list(balance.Ready, "s1"))
 	}
 	offline := func(*world) { require.NoError(t, desk.Offline("s1")) }
@@ -65,7 +65,7 @@
 func TestBanAfterFaults(t *testing.T) {
 	var desk *maintain.Manager
 	run(t, nil, 9, func(w *world) {
-		desk = &maintain.Manager{OnList: w.core.Listed, Withhold: w.core.Withhold, CloseIdle: w.pool.CloseIdleByID}
+		desk = &maintain.Manager{OnList: w.core.HandleList, Withhold: w.core.SetBanned, CloseIdle: w.pool.CloseIdleByID}
 		desk.Listed(balance.ListCached, list(balance.Ready, "s1"))
 	}, `
 		s1 close
--- a/internal/network/members/members.go
+++ b/internal/network/members/members.go
@@ -36,18 +36,18 @@
 // Source returns the i-th source, in the order of the rules given to New.
 func (l *List) Source(i int) Source { return Source{l, i} }
 
-// Replace sets the source's full list.
-func (s Source) Whole(list []membership.Backend) {
-	s.list.do(func(now time.Time) { s.list.set.Whole(now, s.at, list) })
+// ReplaceAll sets the source's full list.
+func (s Source) ReplaceAll(list []membership.Backend) {
+	s.list.do(func(now time.Time) { s.list.set.ReplaceAll(now, s.at, list) })
 }
 
 // Update adds or changes backends of the source's list, and removes the dropped ones.
-func (s Source) Some(list []membership.Backend, dropped []string) {
-	s.list.do(func(now time.Time) { s.list.set.Some(now, s.at, list, dropped) })
+func (s Source) Update(list []membership.Backend, dropped []string) {
+	s.list.do(func(now time.Time) { s.list.set.Update(now, s.at, list, dropped) })
 }
 
 // Unchanged records that the source answered and nothing has changed.
-func (s Source) Same() { s.list.do(func(now time.Time) { s.list.set.Same(now, s.at) }) }
+func (s Source) Unchanged() { s.list.do(func(now time.Time) { s.list.set.Unchanged(now, s.at) }) }
 
 // Failed records that the source does not answer.
 func (s Source) Failed() { s.list.do(func(now time.Time) { s.list.set.Failed(now, s.at) }) }
@@ -78,10 +78,10 @@
 		list = append(list, b)
 	}
 	if kind == balance.ListDelta {
-		s.Some(list, dropped)
+		s.Update(list, dropped)
 		return
 	}
-	s.Whole(list)
+	s.ReplaceAll(list)
 }
 
 // apply calls f, then passes on what has changed and sets the timer.
--- a/internal/network/mutate_test.go
+++ b/internal/network/mutate_test.go
@@ -73,9 +73,9 @@
 	if w.core, err = core.New(s, w.pool, w.watch, w.count); err != nil {
 		t.Fatal(err)
 	}
-	w.watch.OnList = w.core.Listed
+	w.watch.OnList = w.core.HandleList
 	w.watch.SetIndex(41)
-	w.core.Listed(balance.ListCached, list(balance.Ready, "s1", "s2"))
+	w.core.HandleList(balance.ListCached, list(balance.Ready, "s1", "s2"))
 	go w.core.Run(w.stop)
 	return w
 }
@@ -146,7 +146,7 @@
 		left = 150 * time.Millisecond
 	}
 	job := &core.Job{Method: "POST", Target: "/ingest", ID: id, Body: []byte("photo " + id)}
-	w.core.Take(balance.Request{Slots: 1}, job, time.Now(), left, dealClient{w, id})
+	w.core.Submit(balance.Request{Slots: 1}, job, time.Now(), left, dealClient{w, id})
 }
 
 type dealClient struct {
@@ -163,7 +163,7 @@
 	if len(w.answers[c.id]) > 1 {
 		w.wrong = fmt.Errorf("%s has answers %v", c.id, w.answers[c.id])
 	}
-	if a.Verdict == core.ResultOf && (a.Result != "result-"+c.id || !dealServed(c.id)) {
+	if a.Kind == core.Result && (a.Result != "result-"+c.id || !dealServed(c.id)) {
 		w.wrong = fmt.Errorf("%s was given the result %q", c.id, a.Result)
 	}
 }
@@ -329,7 +329,7 @@
 func (w *deal) Check(time.Duration) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.watched && w.core.Ready() == 0 { // s1 is ready in every list
+	if w.watched && w.core.ReadyBackends() == 0 { // s1 is ready in every list
 		return fmt.Errorf("no backend is ready")
 	}
 	return w.wrong
@@ -345,14 +345,14 @@
 		if len(w.answers[id]) != 1 {
 			return fmt.Errorf("%s has answers %v", id, w.answers[id])
 		}
-		if i >= w.reqs-len(dealt) && dealServed(id) && w.answers[id][0].Verdict != core.ResultOf {
+		if i >= w.reqs-len(dealt) && dealServed(id) && w.answers[id][0].Kind != core.Result {
 			return fmt.Errorf("%s was not served: %v", id, w.answers[id])
 		}
 	}
-	if ready := w.core.Ready(); w.watched && ready != 2 {
+	if ready := w.core.ReadyBackends(); w.watched && ready != 2 {
 		return fmt.Errorf("%d backends are ready, 2 should be", ready)
 	}
-	if open := w.core.Open(); open != 0 {
+	if open := w.core.OpenReqs(); open != 0 {
 		return fmt.Errorf("%d reqs are open", open)
 	}
 	return nil
--- a/internal/network/network_test.go
+++ b/internal/network/network_test.go
@@ -212,7 +212,7 @@
 // attempts that were decided before.
 func TestDrainedWhileConnecting(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 9, "s1 wait 100ms\nc1 send {req 9b x}\nwait 50ms",
-		func(w *world) { w.core.Listed(balance.ListDelta, list(balance.Draining, "s1")) }, `
+		func(w *world) { w.core.HandleList(balance.ListDelta, list(balance.Draining, "s1")) }, `
 		wait 60ms
 		s1/1 expect closed
 		c2 send GET /health/ready HTTP/1.1\r\n\r\n
@@ -224,8 +224,8 @@
 // TestClientCloseAbandonsReq: after a client closes while its attempt is out, its request is no longer open.
 func TestAbandoned(t *testing.T) {
 	run(t, list(balance.Ready, "s1"), 9, "c1 send {req 9b x}",
-		func(w *world) { assert.Equal(t, 1, w.core.Open()) }, "c1 close",
-		func(w *world) { assert.Equal(t, 0, w.core.Open()) })
+		func(w *world) { assert.Equal(t, 1, w.core.OpenReqs()) }, "c1 close",
+		func(w *world) { assert.Equal(t, 0, w.core.OpenReqs()) })
 }
 
 // breakingConn breaks after it has taken room bytes.
@@ -296,13 +296,13 @@
 		c1 send {req 9b x}
 		s1/1 send {started 9b}{done 9b r}
 		c1 expect 200 r`,
-		func(w *world) { w.core.Listed(balance.ListDelta, moved) }, `
+		func(w *world) { w.core.HandleList(balance.ListDelta, moved) }, `
 		s1/1 expect POST /ingest?v=1 9b k9b 2000 x
 		s1/1 expect closed
 		c1 send {req 9c x}
 		s2/1 expect POST /ingest?v=1 9c k9c 2000 x`)
 	run(t, list(balance.Ready, "s1"), 9, "c1 send {req 9b x}",
-		func(w *world) { w.core.Listed(balance.ListDelta, moved) }, `
+		func(w *world) { w.core.HandleList(balance.ListDelta, moved) }, `
 		s1/1 send {started 9b}{done 9b r}
 		c1 expect 200 r
 		c1 send {req 9c x}
--- a/internal/network/scenario_test.go
+++ b/internal/network/scenario_test.go
@@ -122,9 +122,9 @@
 		w.watch = d
 		w.core, err = core.New(s, w.pool, d, w.count)
 		require.NoError(t, err)
-		d.OnList = w.core.Listed
+		d.OnList = w.core.HandleList
 		d.SetIndex(41)
-		w.core.Listed(balance.ListCached, backends)
+		w.core.HandleList(balance.ListCached, backends)
 		go w.core.Run(stop)
 		w.clients = &Clients{Names: names, Count: w.count, Core: w.core, MaxSessions: most, MaxJobSessions: 9, MaxBufferedBytes: 8 << 10, LongestDeadline: 5 * time.Second, Stats: func() string { return "counters" }}
 		w.http2 = &HTTP2{Clients: w.clients}
--- a/internal/network/service.go
+++ b/internal/network/service.go
@@ -79,7 +79,7 @@
 
 	mu    sync.Mutex
 	m     service.Machine
-	last  service.Orders
+	last  service.Directives
 	timer *time.Timer
 	over  bool
 	ended chan struct{}
@@ -87,7 +87,7 @@
 
 // NewService returns a Service whose process is in service.
 func NewService(c *Clients, h *HTTP2) *Service {
-	return &Service{Clients: c, HTTP2: h, m: service.Machine{Longest: c.LongestDeadline}, last: inService, ended: make(chan struct{})}
+	return &Service{Clients: c, HTTP2: h, m: service.Machine{LongestDeadline: c.LongestDeadline}, last: inService, ended: make(chan struct{})}
 }
 
 // Ended is closed when the process has to end: everything is answered after a SIGTERM or a hand-over.
@@ -104,32 +104,32 @@
 func (s *Service) IsOutOfService() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.m.IsOut()
+	return s.m.IsOutOfService()
 }
 
 // TakeOutOfService starts to take the dispatcher out of service.
-func (s *Service) TakeOutOfService() { s.do(func(now time.Time) { s.m.Out(now) }) }
+func (s *Service) TakeOutOfService() { s.do(func(now time.Time) { s.m.TakeOutOfService(now) }) }
 
 // ReturnToService puts the dispatcher back in service. It returns false if the process is shutting down.
 func (s *Service) ReturnToService() (ok bool) {
-	s.do(func(time.Time) { ok = s.m.In() })
+	s.do(func(time.Time) { ok = s.m.ReturnToService() })
 	return ok
 }
 
 // BeginShutdown starts the shutdown, as on SIGTERM.
-func (s *Service) BeginShutdown() { s.do(func(now time.Time) { s.m.Term(now) }) }
+func (s *Service) BeginShutdown() { s.do(func(now time.Time) { s.m.BeginShutdown(now) }) }
 
 // HandOver reports that another process accepts connections in place of this one.
 func (s *Service) HandOver() { s.do(func(now time.Time) { s.m.HandOver(now) }) }
 
 // ResumeAfterHandOver reports that the process that had taken over is gone; this one serves again.
-func (s *Service) ResumeAfterHandOver() { s.do(func(time.Time) { s.m.TakeBack() }) }
+func (s *Service) ResumeAfterHandOver() { s.do(func(time.Time) { s.m.ResumeAfterHandOver() }) }
 
 func (s *Service) look() { s.do(func(time.Time) {}) }
 
 // closeReason returns the reason for closing sessions under these orders.
-func closeReason(o service.Orders) guard.Reason {
-	if o.Handed {
+func closeReason(o service.Directives) guard.Reason {
+	if o.HandedOver {
 		return guard.HandedOver
 	}
 	return guard.ServiceEnds
@@ -145,26 +145,26 @@
 	now := time.Now()
 	f(now)
 	c := s.Clients
-	all, early := c.table.open(s.m.FrontStops())
-	owed := c.Core.Open() // read first: an answer decided after this is covered by the session counts below
+	all, early := c.table.open(s.m.BalancerCutoff())
+	owed := c.Core.OpenReqs() // read first: an answer decided after this is covered by the session counts below
 	answering, closing := c.table.answering()
-	o := s.m.Look(now, service.Load{Sessions: all, Early: early, Owed: max(owed, answering), Closing: closing})
+	o := s.m.Evaluate(now, service.Load{Sessions: all, BeforeCutoff: early, Unanswered: max(owed, answering), Closing: closing})
 	old := s.last
 	s.last = o
 	c.orders.Store(&o)
-	c.gate.set(o.Accept && !o.End) // connections queued in a listener that another process shares are left to that process
+	c.gate.set(o.Accept && !o.Exit) // connections queued in a listener that another process shares are left to that process
 	if s.HTTP2 != nil {
-		if o.Hint && !old.Hint {
+		if o.AnnounceClose && !old.AnnounceClose {
 			s.HTTP2.hint()
 		}
 		// Clients that reconnect at once would prolong the shutdown, and their requests would still be open
 		// when it ends.
-		if o.State == service.ShuttingDown && !o.Until.IsZero() {
+		if o.State == service.ShuttingDown && !o.AnswerBy.IsZero() {
 			s.HTTP2.shut()
 		}
 	}
-	if o.Close {
-		c.table.shutIdle(o.Rest, closeReason(o))
+	if o.CloseAfterAnswer {
+		c.table.shutIdle(o.IdleTimeout, closeReason(o))
 	}
 	if o.State != old.State {
 		c.Guard.Note(guard.Event{At: now, Step: guard.ServiceState, Why: o.State})
@@ -173,8 +173,8 @@
 		s.OnStateChange(old.State, o.State)
 	}
 	switch {
-	case o.End:
-		if o.Handed {
+	case o.Exit:
+		if o.HandedOver {
 			c.Count.HandoverLeft.Add(int64(all))
 		}
 		s.over = true
@@ -182,8 +182,8 @@
 		close(s.ended)
 	case !s.m.Changing():
 	case s.timer == nil:
-		s.timer = time.AfterFunc(service.LookEvery, s.look)
+		s.timer = time.AfterFunc(service.PollInterval, s.look)
 	default:
-		s.timer.Reset(service.LookEvery)
+		s.timer.Reset(service.PollInterval)
 	}
 }
--- a/internal/network/site_test.go
+++ b/internal/network/site_test.go
@@ -68,12 +68,12 @@
 		}
 		c, err := core.New(set, pool, dir, count)
 		require.NoError(t, err)
-		dir.OnList = c.Listed
+		dir.OnList = c.HandleList
 		go c.Run(stop)
 		dir.Subscribe()
 		s.clients = &Clients{Names: names, Count: count, Core: c, MaxSessions: 64, MaxJobSessions: 64, MaxBufferedBytes: 1 << 20, LongestDeadline: 5 * time.Second, Stats: func() string { return "" }}
 		synctest.Wait()
-		require.Equal(t, 3, c.Ready())
+		require.Equal(t, 3, c.ReadyBackends())
 		play(s)
 		for _, b := range s.backends {
 			b.Close()
--- a/internal/network/site_variants_test.go
+++ b/internal/network/site_variants_test.go
@@ -68,12 +68,12 @@
 		}
 		c, err := core.New(cfg.Settings, pool, dir, count)
 		require.NoError(t, err)
-		dir.OnList = c.Listed
+		dir.OnList = c.HandleList
 		go c.Run(stop)
 		dir.Subscribe()
 		s.clients = &Clients{Names: &cfg.Names, Count: count, Core: c, MaxSessions: 64, MaxJobSessions: 64, MaxBufferedBytes: 1 << 20, LongestDeadline: cfg.Longest(), Stats: func() string { return "" }}
 		synctest.Wait()
-		require.Equal(t, len(s.backends), c.Ready())
+		require.Equal(t, len(s.backends), c.ReadyBackends())
 		play(s)
 		for _, b := range s.backends {
 			b.Close()
--- a/internal/network/trace.go
+++ b/internal/network/trace.go
@@ -32,7 +32,7 @@
 		return nil
 	case flooded:
 		return guard.ClientFlooded
-	case o.Close:
+	case o.CloseAfterAnswer:
 		return closeReason(*o)
 	case s.clients.table.isShed(&s.sessionState):
 		return guard.RoomWanted
--- a/internal/platform/reply_test.go
+++ b/internal/platform/reply_test.go
@@ -204,9 +204,9 @@
 
 func TestAppendFinal(t *testing.T) {
 	for want, a := range map[string]core.Answer{
-		"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\nr": {Verdict: core.ResultOf, Result: "r"},
-		"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.120":             {Verdict: core.Refusal, Pause: 120e6},
-		"HTTP/1.1 502 Bad Gateway\r\n":                                       {Verdict: core.Failure},
+		"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\nr": {Kind: core.Result, Result: "r"},
+		"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.120":             {Kind: core.Refusal, RetryAfter: 120e6},
+		"HTTP/1.1 502 Bad Gateway\r\n":                                       {Kind: core.Failure},
 	} {
 		got := string(AppendFinal(nil, a, true))
 		assert.True(t, strings.HasPrefix(got, want), got)
--- a/internal/platform/write.go
+++ b/internal/platform/write.go
@@ -88,11 +88,11 @@
 
 // AppendFinal writes a req's final answer. Only a backend's result is ever a 200.
 func AppendFinal(b []byte, a core.Answer, closing bool) []byte {
-	switch a.Verdict {
-	case core.ResultOf:
+	switch a.Kind {
+	case core.Result:
 		return AppendAnswer(b, 200, 0, closing, a.Result)
 	case core.Refusal:
-		return AppendAnswer(b, 503, a.Pause, closing, "")
+		return AppendAnswer(b, 503, a.RetryAfter, closing, "")
 	}
 	return AppendAnswer(b, 502, 0, closing, "")
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -32,7 +32,7 @@
 )
 
 // PollInterval is how often Evaluate must be called while the state is changing or about to change.
-const LookEvery = 20 * time.Millisecond
+const PollInterval = 20 * time.Millisecond
 
 // State is the service state of a dispatcher's process.
 type State uint8
@@ -51,22 +51,22 @@
 func (s State) String() string { return names[s] }
 
 // Directives tell the fronts what to do until the next ones.
-type Orders struct {
-	State  State
-	Handed bool          // another process accepts connections in place of this one
-	Ready  bool          // health checks succeed if there is a backend
-	Accept bool          // new connections are accepted
-	Hint   bool          // protocols that can announce a close (HTTP/2) do so to their clients
-	Close  bool          // a session closes after its next answer
-	Rest   time.Duration // sessions idle for this long are closed; used only with CloseAfterAnswer
-	Until  time.Time     // requests that arrive now are answered by then; zero for no limit. If past, they are refused and never sent on
-	End    bool          // the process exits and accepts nothing any more
+type Directives struct {
+	State            State
+	HandedOver       bool          // another process accepts connections in place of this one
+	Ready            bool          // health checks succeed if there is a backend
+	Accept           bool          // new connections are accepted
+	AnnounceClose    bool          // protocols that can announce a close (HTTP/2) do so to their clients
+	CloseAfterAnswer bool          // a session closes after its next answer
+	IdleTimeout      time.Duration // sessions idle for this long are closed; used only with CloseAfterAnswer
+	AnswerBy         time.Time     // requests that arrive now are answered by then; zero for no limit. If past, they are refused and never sent on
+	Exit             bool          // the process exits and accepts nothing any more
 }
 
-// Machine is the state machine of one process. It starts in service; MaxDeadline must be set first. It is not safe for
+// Machine is the state machine of one process. It starts in service; LongestDeadline must be set first. It is not safe for
 // concurrent use.
 type Machine struct {
-	Longest time.Duration // longest deadline of any class
+	LongestDeadline time.Duration // longest deadline of any class
 
 	out, term, handed time.Time // start of each; zero if not in effect
 	quiet             int
@@ -75,7 +75,7 @@
 }
 
 // TakeOutOfService begins a drain. Repeated calls change nothing.
-func (m *Machine) Out(now time.Time) {
+func (m *Machine) TakeOutOfService(now time.Time) {
 	if m.out.IsZero() {
 		m.out = now
 	}
@@ -83,7 +83,7 @@
 
 // ReturnToService takes the dispatcher back into service, also in the middle of a drain. It returns false, and changes
 // nothing, if the process is shutting down and no other process has taken over.
-func (m *Machine) In() bool {
+func (m *Machine) ReturnToService() bool {
 	if !m.term.IsZero() && m.handed.IsZero() {
 		return false
 	}
@@ -91,8 +91,8 @@
 	return true
 }
 
-// Shutdown begins the shutdown.
-func (m *Machine) Term(now time.Time) {
+// BeginShutdown begins the shutdown.
+func (m *Machine) BeginShutdown(now time.Time) {
 	if m.term.IsZero() {
 		m.term, m.quiet = now, 0
 	}
@@ -101,11 +101,11 @@
 // HandOver records that another process of this dispatcher accepts new connections from now on.
 func (m *Machine) HandOver(now time.Time) { m.handed, m.quiet = now, 0 }
 
-// TakeBack records that the process which had taken over is gone.
-func (m *Machine) TakeBack() { m.handed = time.Time{} }
+// ResumeAfterHandOver records that the process which had taken over is gone.
+func (m *Machine) ResumeAfterHandOver() { m.handed = time.Time{} }
 
 // IsOutOfService reports whether the dispatcher was taken out of service.
-func (m *Machine) IsOut() bool { return !m.out.IsZero() }
+func (m *Machine) IsOutOfService() bool { return !m.out.IsZero() }
 
 // Changing reports whether the passing of time alone may change what Evaluate returns.
 func (m *Machine) Changing() bool {
@@ -113,7 +113,7 @@
 }
 
 // killAfter returns how long after SIGTERM the platform kills the process.
-func (m *Machine) kill() time.Duration { return min(m.Longest, killFloor) + ownReqs }
+func (m *Machine) kill() time.Duration { return min(m.LongestDeadline, killFloor) + ownReqs }
 
 // closeAfter returns how long after the beginning of a drain sessions are closed: as late as possible while requests that
 // arrive on them until then can still be answered. The load balancer sends a client whose session is closed to another
@@ -123,15 +123,15 @@
 
 // Load counts what clients have open now.
 type Load struct {
-	Sessions int // all sessions
-	Early    int // sessions that connected before BalancerCutoff
-	Owed     int // requests whose answer is not fully sent
-	Closing  int // sessions told to close; one may have accepted a request that crossed that and be writing its answer
+	Sessions     int // all sessions
+	BeforeCutoff int // sessions that connected before BalancerCutoff
+	Unanswered   int // requests whose answer is not fully sent
+	Closing      int // sessions told to close; one may have accepted a request that crossed that and be writing its answer
 }
 
 // BalancerCutoff returns when, after SIGTERM, the load balancer stops sending new connections at the latest; zero before
 // SIGTERM. Clients that connect later were not sent by it.
-func (m *Machine) FrontStops() time.Time {
+func (m *Machine) BalancerCutoff() time.Time {
 	if m.term.IsZero() {
 		return time.Time{}
 	}
@@ -139,8 +139,8 @@
 }
 
 // Evaluate returns the directives for now.
-func (m *Machine) Look(now time.Time, l Load) Orders {
-	o := Orders{Ready: m.out.IsZero() && (m.term.IsZero() || !m.handed.IsZero()), Accept: m.handed.IsZero()}
+func (m *Machine) Evaluate(now time.Time, l Load) Directives {
+	o := Directives{Ready: m.out.IsZero() && (m.term.IsZero() || !m.handed.IsZero()), Accept: m.handed.IsZero()}
 	switch {
 	case !m.term.IsZero():
 		o.State = ShuttingDown
@@ -150,31 +150,31 @@
 		o.State = Draining
 	}
 	if !m.handed.IsZero() {
-		o.Handed, o.Close, o.Hint = true, true, true
+		o.HandedOver, o.CloseAfterAnswer, o.AnnounceClose = true, true, true
 		if now.Sub(m.handed) < handedAll {
-			o.Rest = handedRest
+			o.IdleTimeout = handedRest
 		}
 	}
 	for _, begun := range [...]time.Time{m.out, m.term} {
 		if begun.IsZero() {
 			continue
 		}
-		o.Hint = true
+		o.AnnounceClose = true
 		age := now.Sub(begun)
 		switch { // a request that arrives early has its full deadline: neither the kill nor the end of the drain cuts it
 		case age < lateFront:
 		case age < m.kill() || begun.Equal(m.term): // so that no late request escapes the limit
-			if until := begun.Add(m.kill() - killMargin); o.Until.IsZero() || until.Before(o.Until) {
-				o.Until = until
+			if until := begun.Add(m.kill() - killMargin); o.AnswerBy.IsZero() || until.Before(o.AnswerBy) {
+				o.AnswerBy = until
 			}
 		case o.State == Draining:
 			o.State = OutOfService
 		}
 		switch {
 		case age >= m.closeAt()+lastRest:
-			o.Close, o.Rest = true, 0
-		case age >= m.closeAt() && !o.Close:
-			o.Close, o.Rest = true, lastRest
+			o.CloseAfterAnswer, o.IdleTimeout = true, 0
+		case age >= m.closeAt() && !o.CloseAfterAnswer:
+			o.CloseAfterAnswer, o.IdleTimeout = true, lastRest
 		}
 	}
 	m.end(now, l, &o)
@@ -187,44 +187,46 @@
 	if !m.out.IsZero() && m.out.Before(m.term) {
 		return m.out.Add(lateFront)
 	}
-	return m.FrontStops()
+	return m.BalancerCutoff()
 }
 
 // lastDue returns how long after SIGTERM the last answer is due. That is the answer to a request accepted just before
 // directives began to limit deadlines, or to a later one that must be answered before the kill. Directives hold until the
 // next evaluation, which is late if the process is delayed on a busy machine.
-func (m *Machine) lastDue() time.Duration { return max(m.Longest+m.whole.Sub(m.term), m.kill()) }
+func (m *Machine) lastDue() time.Duration {
+	return max(m.LongestDeadline+m.whole.Sub(m.term), m.kill())
+}
 
 // decideExit decides whether all requests are answered and no client has been left for a moment. It waits that moment because
 // a client whose request crossed the close of its session reconnects at once. Requests that arrive within one evaluation of
 // the exit are refused, so that the process doesn't read a request, send it on, and then exit and cut it.
-func (m *Machine) end(now time.Time, l Load, o *Orders) {
+func (m *Machine) end(now time.Time, l Load, o *Directives) {
 	called := m.called
 	m.called = false
-	if !m.term.IsZero() && (m.whole.IsZero() || m.whole.Before(m.FrontStops())) {
+	if !m.term.IsZero() && (m.whole.IsZero() || m.whole.Before(m.BalancerCutoff())) {
 		m.whole = now
 	}
-	if m.term.IsZero() && m.handed.IsZero() || !o.Close {
+	if m.term.IsZero() && m.handed.IsZero() || !o.CloseAfterAnswer {
 		return
 	}
 	left, over := l.Sessions, false
 	if !m.term.IsZero() {
-		if now.After(m.FrontStops()) {
-			left = l.Early
+		if now.After(m.BalancerCutoff()) {
+			left = l.BeforeCutoff
 		}
 		age := now.Sub(m.term)
-		over = age >= m.Longest+endSlack && l.Owed == 0 && l.Closing == 0 || age >= m.lastDue()+endSlack
+		over = age >= m.LongestDeadline+endSlack && l.Unanswered == 0 && l.Closing == 0 || age >= m.lastDue()+endSlack
 		if m.handed.IsZero() && now.Before(m.frontGone()) { // a client that is still sent here would find no process
 			m.quiet = 0
 			return
 		}
 	}
-	if m.quiet++; left > 0 || l.Owed > 0 {
+	if m.quiet++; left > 0 || l.Unanswered > 0 {
 		m.quiet = 0
 	}
-	o.End = called && (m.quiet > quietLooks || over)
-	if (over || m.quiet >= quietLooks) && (o.Until.IsZero() || now.Before(o.Until)) {
-		o.Until = now
+	o.Exit = called && (m.quiet > quietLooks || over)
+	if (over || m.quiet >= quietLooks) && (o.AnswerBy.IsZero() || now.Before(o.AnswerBy)) {
+		o.AnswerBy = now
 	}
-	m.called = !o.Until.IsZero() && !now.Before(o.Until)
+	m.called = !o.AnswerBy.IsZero() && !now.Before(o.AnswerBy)
 }
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -29,16 +29,16 @@
 			reqs = append(reqs, sent{came: came, left: rapid.IntRange(1, longest).Draw(t, "left"),
 				write: rapid.SampledFrom([]int{0, 0, 100, 450}).Draw(t, "write"), late: came > 600, due: -1})
 		}
-		m := Machine{Longest: time.Duration(longest) * time.Millisecond}
-		m.Term(at(0))
-		o := m.Look(at(0), Load{})
+		m := Machine{LongestDeadline: time.Duration(longest) * time.Millisecond}
+		m.BeginShutdown(at(0))
+		o := m.Evaluate(at(0), Load{})
 		last := longest + 1200 + look
 		for ms := 1; ; ms++ {
 			for i := range reqs {
 				if r := &reqs[i]; r.came == ms {
 					left := r.left
-					if !o.Until.IsZero() {
-						left = max(0, min(left, int(o.Until.Sub(at(ms))/time.Millisecond)))
+					if !o.AnswerBy.IsZero() {
+						left = max(0, min(left, int(o.AnswerBy.Sub(at(ms))/time.Millisecond)))
 					}
 					r.due = ms + left + r.write
 					if ms < 600 {
@@ -54,14 +54,14 @@
 			l := Load{}
 			for _, r := range reqs {
 				if r.due >= ms {
-					l.Owed++
+					l.Unanswered++
 					l.Sessions++
 					if !r.late {
-						l.Early++
+						l.BeforeCutoff++
 					}
 				}
 			}
-			if o = m.Look(at(ms), l); !o.End {
+			if o = m.Evaluate(at(ms), l); !o.Exit {
 				if ms > last {
 					t.Fatalf("no end at %d ms", ms)
 				}
@@ -70,7 +70,7 @@
 				continue
 			}
 			assert.GreaterOrEqual(t, ms, 600, "the front sends new connections until then")
-			assert.False(t, o.Until.IsZero() || o.Until.After(at(ms)), "no request is accepted any more")
+			assert.False(t, o.AnswerBy.IsZero() || o.AnswerBy.After(at(ms)), "no request is accepted any more")
 			for _, r := range reqs {
 				assert.False(t, r.came <= ms && r.due >= ms, "the exit at %d ms cut %+v", ms, r)
 			}
@@ -82,56 +82,56 @@
 // With a longest deadline of 1 s, a request that arrived at 0.9 s is due at 1.5 s, and the core answers a moment later. The
 // process must not exit at 1.5 s.
 func TestShortDeadline(t *testing.T) {
-	m := Machine{Longest: time.Second}
-	m.Term(at(0))
-	assert.Equal(t, at(1500), m.Look(at(900), busy(900)).Until)
+	m := Machine{LongestDeadline: time.Second}
+	m.BeginShutdown(at(0))
+	assert.Equal(t, at(1500), m.Evaluate(at(900), busy(900)).AnswerBy)
 	for ms := 900; ms <= 1560; ms += 20 {
-		assert.False(t, m.Look(at(ms), Load{Sessions: 1, Early: 1, Owed: 1}).End, "cut at %d ms", ms)
+		assert.False(t, m.Evaluate(at(ms), Load{Sessions: 1, BeforeCutoff: 1, Unanswered: 1}).Exit, "cut at %d ms", ms)
 	}
-	assert.True(t, m.Look(at(1580), Load{Sessions: 1, Early: 1}).End)
+	assert.True(t, m.Evaluate(at(1580), Load{Sessions: 1, BeforeCutoff: 1}).Exit)
 }
 
 // Requests that arrive within one evaluation of the exit must be refused: an accepted one would be sent on and then cut.
 func TestLastLook(t *testing.T) {
 	for name, begin := range map[string]func(*Machine){
-		"shutdown":  func(m *Machine) { m.Term(at(0)) },
+		"shutdown":  func(m *Machine) { m.BeginShutdown(at(0)) },
 		"hand-over": func(m *Machine) { m.HandOver(at(0)) },
 	} {
-		m := Machine{Longest: 5 * time.Second}
+		m := Machine{LongestDeadline: 5 * time.Second}
 		begin(&m)
-		for ms, before := 0, (Orders{}); ; ms += 20 {
-			o := m.Look(at(ms), Load{})
-			if o.End {
-				assert.Equal(t, at(ms-20), before.Until, name)
-				assert.False(t, o.Until.After(at(ms)), name)
+		for ms, before := 0, (Directives{}); ; ms += 20 {
+			o := m.Evaluate(at(ms), Load{})
+			if o.Exit {
+				assert.Equal(t, at(ms-20), before.AnswerBy, name)
+				assert.False(t, o.AnswerBy.After(at(ms)), name)
 				break
 			}
 			before = o
 		}
 	}
-	m := Machine{Longest: 5 * time.Second}
-	m.Term(at(0))
+	m := Machine{LongestDeadline: 5 * time.Second}
+	m.BeginShutdown(at(0))
 	ms := 0
-	for ; m.Look(at(ms), Load{}).Until != at(ms); ms += 20 {
+	for ; m.Evaluate(at(ms), Load{}).AnswerBy != at(ms); ms += 20 {
 	}
-	o := m.Look(at(ms+20), Load{Sessions: 1, Owed: 1})
-	assert.False(t, o.End, "a request was read in that moment")
-	assert.Equal(t, at(3500), o.Until, "new requests are accepted again")
+	o := m.Evaluate(at(ms+20), Load{Sessions: 1, Unanswered: 1})
+	assert.False(t, o.Exit, "a request was read in that moment")
+	assert.Equal(t, at(3500), o.AnswerBy, "new requests are accepted again")
 }
 
 // A process that was delayed resumes with directives that give new requests their full deadline until the next evaluation.
 // Neither that evaluation nor a later one may exit before the last of those requests is due.
 func TestHeldUp(t *testing.T) {
 	for _, wakes := range []int{300, 900, 1500, 3000, 60_000} {
-		m := Machine{Longest: time.Second}
-		m.Term(at(0))
-		assert.True(t, m.Look(at(20), busy(20)).Until.IsZero())
-		assert.False(t, m.Look(at(wakes), Load{Sessions: 9, Early: 9}).End, "%d: requests read now are not counted yet", wakes)
+		m := Machine{LongestDeadline: time.Second}
+		m.BeginShutdown(at(0))
+		assert.True(t, m.Evaluate(at(20), busy(20)).AnswerBy.IsZero())
+		assert.False(t, m.Evaluate(at(wakes), Load{Sessions: 9, BeforeCutoff: 9}).Exit, "%d: requests read now are not counted yet", wakes)
 		for ms := wakes + 20; ms < wakes+1050; ms += 20 {
-			assert.False(t, m.Look(at(ms), busy(ms)).End, "%d: cut at %d", wakes, ms)
+			assert.False(t, m.Evaluate(at(ms), busy(ms)).Exit, "%d: cut at %d", wakes, ms)
 		}
 		ends := max(wakes+1060, 1500)
-		for !m.Look(at(ends), Load{Sessions: 9, Early: 9}).End {
+		for !m.Evaluate(at(ends), Load{Sessions: 9, BeforeCutoff: 9}).Exit {
 			ends += 20
 		}
 		assert.LessOrEqual(t, ends, max(wakes+1060, 1520), wakes)
@@ -141,45 +141,45 @@
 // A session told to close may still be writing an answer after the longest deadline: it gets as long as an answer does.
 // Any number of such sessions must not delay a shutdown if all of them connected after the cutoff.
 func TestClosingAtTheEnd(t *testing.T) {
-	m := Machine{Longest: time.Second}
-	m.Term(at(0))
+	m := Machine{LongestDeadline: time.Second}
+	m.BeginShutdown(at(0))
 	for ms := 0; ms < 2200; ms += 20 {
-		assert.False(t, m.Look(at(ms), Load{Sessions: 9, Early: 1, Closing: 1}).End, ms)
+		assert.False(t, m.Evaluate(at(ms), Load{Sessions: 9, BeforeCutoff: 1, Closing: 1}).Exit, ms)
 	}
-	assert.True(t, m.Look(at(2200), Load{Sessions: 9, Early: 1, Closing: 1}).End)
-	m = Machine{Longest: time.Second}
-	m.Term(at(0))
+	assert.True(t, m.Evaluate(at(2200), Load{Sessions: 9, BeforeCutoff: 1, Closing: 1}).Exit)
+	m = Machine{LongestDeadline: time.Second}
+	m.BeginShutdown(at(0))
 	ends := 0
-	for ; !m.Look(at(ends), Load{Sessions: 9, Closing: 9}).End; ends += 20 {
+	for ; !m.Evaluate(at(ends), Load{Sessions: 9, Closing: 9}).Exit; ends += 20 {
 	}
 	assert.Equal(t, 1200, ends)
 }
 
 // The directives of a hand-over that failed must not let a later shutdown exit early.
 func TestTakenBackBeforeTerm(t *testing.T) {
-	m := Machine{Longest: 50 * time.Millisecond}
+	m := Machine{LongestDeadline: 50 * time.Millisecond}
 	m.HandOver(at(-1000))
 	ms := -1000
-	for ; m.Look(at(ms), Load{}).Until.IsZero(); ms += 20 {
+	for ; m.Evaluate(at(ms), Load{}).AnswerBy.IsZero(); ms += 20 {
 	}
-	m.TakeBack()
-	m.Term(at(0))
-	assert.False(t, m.Look(at(0), Load{}).End)
-	o := m.Look(at(700), Load{Sessions: 1, Early: 1})
-	assert.False(t, o.End, "no earlier evaluation refused new requests")
+	m.ResumeAfterHandOver()
+	m.BeginShutdown(at(0))
+	assert.False(t, m.Evaluate(at(0), Load{}).Exit)
+	o := m.Evaluate(at(700), Load{Sessions: 1, BeforeCutoff: 1})
+	assert.False(t, o.Exit, "no earlier evaluation refused new requests")
 }
 
 // No client is sent to a process that has been out of service for a while, so it exits early. One taken out just before
 // SIGTERM waits until the load balancer has noticed.
 func TestFrontGone(t *testing.T) {
 	for _, c := range []struct{ out, ends int }{{-10_000, 100}, {-300, 400}, {0, 620}} {
-		m := Machine{Longest: 50 * time.Millisecond}
+		m := Machine{LongestDeadline: 50 * time.Millisecond}
 		if c.out < 0 {
-			m.Out(at(c.out))
+			m.TakeOutOfService(at(c.out))
 		}
-		m.Term(at(0))
+		m.BeginShutdown(at(0))
 		ends := 0
-		for ; !m.Look(at(ends), Load{}).End; ends += 20 {
+		for ; !m.Evaluate(at(ends), Load{}).Exit; ends += 20 {
 		}
 		assert.Equal(t, c.ends, ends, c.out)
 	}
