--- a/internal/balance/api.go
+++ b/internal/balance/api.go
@@ -1,43 +1,46 @@
 // Package balance makes the decisions of a dispatcher that pushes jobs to
 // workers. It extends Join-the-Fastest-of-the-Shortest-Queues (JFSQ): a job goes
-// to the capable worker with the fewest of this dispatcher's own slots in flight,
-// then to the faster worker, then to chance.
+// to the capable worker on which this dispatcher has the fewest slots in flight.
+// Ties go to the faster worker, then to a random draw.
 //
-// This file is the whole interface: settings, domain types, events and actions.
-// Events are methods on a Dispatcher that take the clock; actions go to the
-// Actions that the caller supplied. The package starts no goroutine, takes no
-// lock and reads no clock: a Dispatcher is driven by one caller at a time.
+// This file holds the whole interface: settings, domain types, events and actions.
+// Events are methods of Dispatcher that take the current time; decisions are
+// reported to the Actions that the caller supplied. The package starts no
+// goroutine, takes no lock and reads no clock. A Dispatcher must be called by one
+// goroutine at a time.
 package balance
 
-// Millis is a time or a duration in milliseconds. The clock that events carry may
-// start anywhere but never goes back.
+// Millis is a point in time or a duration, in milliseconds. The clock passed with
+// events may start at any value but must not go backwards.
 type Millis = float64
 
-// MaxProcessPause is for how long a process may be held up between reading its clock and writing (the standing test, "More than these
-// days"): what is decided must still be right so much later.
+// MaxProcessPause is the longest time for which a process may be paused between reading its clock and
+// writing to a connection (the standing test, "More than these days"). A decision must still be valid
+// that much later.
 const MaxProcessPause Millis = 150
 
-// EffectiveRepeatWindow is how long after an attempt another may be decided on, of a class whose repeats are dropped for a window: a
-// tenth of it, and HoldUp at the least, is for what lies between the decision and the arrival at a worker.
+// EffectiveRepeatWindow is how long after an attempt another one may be decided on, for a class whose
+// repeats are dropped during window. A tenth of the window, and at least MaxProcessPause, is left for the
+// time between the decision and the arrival at a worker.
 func EffectiveRepeatWindow(window Millis) Millis { return min(0.9*window, window-MaxProcessPause) }
 
-// WorkerID names a worker for as long as its machine lives, across restarts.
+// WorkerID identifies a worker for the lifetime of its machine, across process restarts.
 type WorkerID uint64
 
-// RequestID names a request; it is never reused.
+// RequestID identifies a request; it is never reused.
 type RequestID uint32
 
-// Effect says what a repeat of a request does.
+// Effect is what running a request more than once does.
 type Effect uint8
 
-// Effects, from harmless to never.
+// Effects, from harmless to forbidden.
 const (
 	Safe    Effect = iota // may be repeated at will
-	Deduped               // carries a key: a group of workers drops its repeats for a while
+	Deduped               // carries a key by which a group of workers drops repeats for a limited time
 	Unsafe                // must never run twice
 )
 
-// Scope is the group of workers that share knowledge of the keys they have seen.
+// Scope is the group of workers that share their record of the keys they have seen.
 type Scope uint8
 
 // Scopes of deduplication.
@@ -50,7 +53,7 @@
 // Metric is one value of a worker's load report.
 type Metric uint8
 
-// Metrics a report may hold; MetricOther is carried but not understood.
+// Metrics that a report may hold. MetricOther stands for a column that is not interpreted.
 const (
 	MetricOther Metric = iota
 	MetricInFlight
@@ -63,56 +66,57 @@
 	MetricFreeMemory
 )
 
-// WeightMeaning says what Worker.Weight stands for.
+// WeightMeaning is what Worker.Weight stands for.
 type WeightMeaning uint8
 
 // Meanings of a weight.
 const (
-	WeightNone WeightMeaning = iota // always 1
+	WeightNone WeightMeaning = iota // always 1: sizes are not known
 	WeightSize                      // registered size, exact or approximate
 	WeightLive                      // size divided by one plus the requests held per core
 )
 
-// Class describes one class of request.
+// Class describes one class of requests. Its Aim is the target latency: an answer within the aim earns
+// the whole Worth, a later one within the deadline earns the share LateWorth of it.
 type Class struct {
-	Worth        float64
-	LateWorth    float64 // share of Worth for an answer after the aim
-	Aim          Millis  // an answer within Aim plus Stretch times its own work earns all
+	Worth        float64 // value of an answer within the aim
+	LateWorth    float64 // share of Worth that an answer after the aim still earns
+	Aim          Millis  // target latency, to which Stretch times the request's own work is added
 	Stretch      float64
-	Deadline     Millis // the client's whole patience
+	Deadline     Millis // after this long the client gives up
 	Effect       Effect
 	Scope        Scope
 	RepeatWindow Millis // how long the group of Scope remembers a key
-	Kind         int    // the only kind of worker that runs it, or -1
+	Kind         int    // the only kind of worker that runs the class, or -1 for any
 	Priority     int
 }
 
 // Tenant describes one customer of the service.
 type Tenant struct {
 	Share     float64 // of the service
-	QuotaPerS float64 // requests a second, over all dispatchers
+	QuotaPerS float64 // requests per second, over all dispatchers
 }
 
-// Prices are what things cost, in parts of the service's whole worth.
+// Prices are the costs of actions and failures, as fractions of the service's total worth.
 type Prices struct {
 	CrossZone, Waste, LateFail, Probe, Connection, Handshake float64
 }
 
-// Rules hold the figures of the four rules that are never broken.
+// Rules holds the limits of the four rules that a dispatcher must never break.
 type Rules struct {
-	AnswerSlack   Millis  // how far past its deadline a final answer still counts
-	AskEvery      Millis  // an unsubscribed dispatcher counts as told after this long
-	FallMultiple  float64 // a cold worker sent more than this times its capacity ...
-	FallWindow    Millis  // ... for this long falls over
-	StartCapacity float64 // the part of its capacity a worker starts with, at least
-	WarmAfter     Millis  // it is warm after this long, at the latest
-	DrainGrace    Millis  // sends to a draining or gone worker end within this
+	AnswerSlack   Millis  // how long after its deadline a final answer still counts
+	AskEvery      Millis  // without a subscription, a list change counts as known after this long
+	FallMultiple  float64 // a cold worker fails if it is sent more than this multiple of its capacity ...
+	FallWindow    Millis  // ... during a window of this length
+	StartCapacity float64 // least share of its full capacity that a worker has when it starts
+	WarmAfter     Millis  // a worker has its full capacity after this long at the latest
+	DrainGrace    Millis  // sending to a draining or gone worker must end within this time
 }
 
-// Mix says how the result is put together of the whole and of its worst parts.
+// Mix holds the weights by which the result combines the whole and its worst parts.
 type Mix struct{ Whole, WorstWindow, WorstClass, WorstTenant float64 }
 
-// Settings are all a dispatcher is told at its start.
+// Settings is the complete configuration of a Dispatcher.
 type Settings struct {
 	Seed      uint64
 	Self      int // index of this dispatcher among Instances
@@ -128,24 +132,24 @@
 
 	Weight         WeightMeaning
 	Metrics        []Metric // columns of a load report
-	ReportInAnswer bool     // reports ride on answers, not only on probes
-	TellsStart     bool     // workers say when a job starts
-	ProgressEvery  Millis   // workers report progress this often; 0 if never
-	ByPriority     bool     // a worker's queue is served by class priority
-	Subscribe      bool     // the list of workers comes only when asked for
+	ReportInAnswer bool     // load reports come with the outcomes of attempts, not only with probes
+	TellsStart     bool     // workers report when a job starts
+	ProgressEvery  Millis   // interval at which workers report progress; 0 if never
+	ByPriority     bool     // a worker serves its queue by class priority
+	Subscribe      bool     // the list of workers comes only on request
 	WorthByWork    bool     // a request's worth grows with its work
-	OverShareWorth float64  // worth of a request beyond its tenant's share
+	OverShareWorth float64  // factor on the worth of a request beyond its tenant's share
 
 	MaxAttempts    int
-	MayDuplicate   bool // two attempts of a request may be out together
+	MayDuplicate   bool // two attempts of a request may be in flight together
 	MayCancel      bool
 	MayProbe       bool
-	MaxPause       Millis // clients obey a pause up to this; 0 if they are not told
+	MaxPause       Millis // longest pause before a retry that clients obey; 0 if they are sent none
 	ConnectTimeout Millis
 	Tick           Millis // shortest time between events
 }
 
-// State is what discovery says of a worker.
+// State is a worker's state as reported by discovery.
 type State uint8
 
 // States of a worker.
@@ -155,10 +159,10 @@
 	Draining
 )
 
-// Worker is one line of the list of workers.
+// Worker is one entry of the list of workers.
 type Worker struct {
 	ID      WorkerID
-	Started Millis // when its process started; 0 if long past
+	Started Millis // when its process started; 0 if long ago
 	Kind    int
 	Cell    int
 	Zone    int
@@ -166,34 +170,34 @@
 	Weight  float64
 }
 
-// ListKind says what a list of workers holds.
+// ListKind is what a list of workers contains.
 type ListKind uint8
 
 // Kinds of list.
 const (
-	ListDelta  ListKind = iota // only what changed
-	ListFull                   // everything; a worker not named is gone
-	ListCached                 // everything as last held, perhaps stale
-	ListFailed                 // a call for the list failed; no entries
+	ListDelta  ListKind = iota // changed entries only
+	ListFull                   // all entries; a worker that is not listed is gone
+	ListCached                 // all entries of the last known list, possibly stale
+	ListFailed                 // no entries: the request for the list failed
 )
 
-// Request is a job a client asks for.
+// Request is a job that a client asks for.
 type Request struct {
 	ID       RequestID
 	Class    int
 	Tenant   int
 	Key      uint64 // 0 if none
-	Deadline Millis // on the clock
+	Deadline Millis // a point in time, not a duration
 	Work     Millis // expected work, 0 if not known
 	Slots    float64
 	Memory   float64
-	Retry    bool // the client says it has asked before
+	Retry    bool // the client marked the request as a retry
 }
 
-// Result is how an attempt ended.
+// Result is the way in which an attempt ended.
 type Result uint8
 
-// Results. Full, ConnectFailed and NotSent prove that the attempt never ran.
+// Results of an attempt. Full, ConnectFailed and NotSent prove that it never ran.
 const (
 	OK Result = iota
 	Error
@@ -205,7 +209,7 @@
 	NotSent
 )
 
-// Outcome tells how one attempt ended.
+// Outcome describes how one attempt ended.
 type Outcome struct {
 	ID      RequestID
 	Attempt int
@@ -213,19 +217,19 @@
 	Result  Result
 	Took    Millis
 	Closed  bool      // the request needs no further answer
-	Report  []float32 // in the order of Settings.Metrics; empty if none
+	Report  []float32 // load report in the order of Settings.Metrics; empty if none
 }
 
-// Progress is news of an attempt in flight.
+// Progress is a progress report of an attempt in flight.
 type Progress struct {
 	ID      RequestID
 	Attempt int
 	Worker  WorkerID
 	Started bool    // the job has just started; otherwise Done is set
-	Done    float64 // part of the job that is done
+	Done    float64 // fraction of the job that is done
 }
 
-// ProbeResult is what a probe found.
+// ProbeResult is the result of a probe.
 type ProbeResult struct {
 	Worker WorkerID
 	Result Result
@@ -233,14 +237,15 @@
 	Report []float32
 }
 
-// Actions receives what the dispatcher decides, in order, during an event.
+// Actions receives the decisions of a Dispatcher, in order, during an event.
 type Actions interface {
-	// Dispatch sends an attempt; attempts of a request count from 0 in the order
-	// sent. It times out after within, or with the client's patience if 0.
+	// Dispatch sends an attempt to a worker. The attempts of a request are numbered from 0 in the
+	// order in which they are sent. An attempt times out after within, or at the request's deadline
+	// if within is 0.
 	Dispatch(id RequestID, to WorkerID, within Millis)
-	// Refuse answers that trying again is harmless, best after pause.
+	// Refuse sends the final answer that the client may safely try again, best after pause.
 	Refuse(id RequestID, pause Millis)
-	// Fail answers without any promise.
+	// Fail sends a final answer that does not say whether trying again is safe.
 	Fail(id RequestID)
 	// Cancel stops waiting for an attempt.
 	Cancel(id RequestID, attempt int)
@@ -248,29 +253,29 @@
 	Probe(to WorkerID)
 	// CloseIdle closes the idle connections to a worker.
 	CloseIdle(to WorkerID)
-	// Wake asks for a Wake event with this token, after in.
+	// Wake requests a Wake event with this token after the duration in.
 	Wake(in Millis, token uint64)
-	// Subscribe asks for the list of workers and its changes from now on.
+	// Subscribe requests the list of workers and all later changes of it.
 	Subscribe()
-	// Log writes a line for the people on call.
+	// Log writes a log line for operators.
 	Log(line string)
 }
 
-// Events is what a Dispatcher listens to. It is never called concurrently.
+// Events are the events that a Dispatcher handles. They are never delivered concurrently.
 type Events interface {
-	// Workers brings news of the list of workers.
+	// Workers delivers the list of workers or a change of it.
 	Workers(now Millis, kind ListKind, list []Worker)
-	// Arrive hands over a request; one final answer is owed from now on.
+	// Arrive delivers a new request, which must get exactly one final answer.
 	Arrive(now Millis, r Request)
-	// Abandoned tells that a request is closed and nothing is owed any more.
+	// Abandoned reports that a request is closed and needs no answer any more.
 	Abandoned(now Millis, id RequestID)
-	// AttemptEnded tells how an attempt ended; there is one for each Dispatch.
+	// AttemptEnded reports how an attempt ended; it is called once for each Dispatch.
 	AttemptEnded(now Millis, o Outcome)
-	// Progressed brings news of an attempt in flight.
+	// Progressed delivers a progress report of an attempt in flight.
 	Progressed(now Millis, p Progress)
-	// Probed brings the result of a probe.
+	// Probed delivers the result of a probe.
 	Probed(now Millis, p ProbeResult)
-	// Wake is the timer that Actions.Wake asked for.
+	// Wake reports that a timer set by Actions.Wake has expired.
 	Wake(now Millis, token uint64)
 }
 
--- a/internal/balance/cost_test.go
+++ b/internal/balance/cost_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// costSizes are the fleets whose cost is measured: two small sites, a large one and the largest there is.
+// costSizes are the fleet sizes for which the cost is measured: two small sites, a large one and the largest there is.
 var costSizes = []int{15, 22, 200, 4000}
 
-// costly makes a dispatcher for n ready backends, of which one in ten is cold where cold is set, and that others share with it.
+// newCostDispatcher makes one of three dispatchers for n ready workers. If cold is set, one worker in ten is cold.
 func costly(t testing.TB, n int, cold bool, now Millis) (*Dispatcher, []Worker) {
 	s := testSettings()
 	s.Instances, s.Metrics, s.Tenants = 3, []Metric{MetricFreeSlots}, []Tenant{{Share: 0.5, QuotaPerS: 1e6}, {Share: 0.5, QuotaPerS: 1e6}}
@@ -26,7 +26,7 @@
 	return d, list
 }
 
-// lastTo is where the last attempt of a req went.
+// lastAttempt returns the worker and the number of a request's last attempt, or -1 if there is none.
 func lastTo(d *Dispatcher, id RequestID) (WorkerID, int) {
 	r := d.reqs[id]
 	if r == nil || len(r.attempts) == 0 {
@@ -36,7 +36,8 @@
 	return d.workers[r.attempts[k].worker].ID, k
 }
 
-// round is one req from arrival to its answer, at a rate of 100 a second; 40 are in flight.
+// runRequest handles the arrival and start of request i and the answer of request i-40, so that 40 are in flight. Called
+// every 10 ms, it is a rate of 100 requests per second.
 func round(d *Dispatcher, now Millis, i int, key uint64, report []float32) {
 	d.Arrive(now, Request{ID: RequestID(i), Class: i % 5, Tenant: i % 2, Key: key, Deadline: now + 9000, Slots: 1})
 	if to, k := lastTo(d, RequestID(i)); k >= 0 {
@@ -47,7 +48,8 @@
 	}
 }
 
-// BenchmarkReq is all decisions on a req: arrival with dispatch, start, answer. 100 of them make a second of a busy dispatcher.
+// BenchmarkReq measures all decisions on a request: arrival with dispatch, start, answer. A busy dispatcher handles 100 per
+// second.
 func BenchmarkReq(b *testing.B) {
 	each(b, func(b *testing.B, n int, cold bool) {
 		for _, keyed := range []bool{false, true} {
@@ -60,7 +62,7 @@
 					if keyed {
 						key = uint64(1 + i%1000)
 					}
-					if i%500 == 0 && cold { // the same tenth stays cold
+					if i%500 == 0 && cold { // keeps the same tenth cold
 						b.StopTimer()
 						d, _ = costly(b, n, cold, now)
 						b.StartTimer()
@@ -73,7 +75,7 @@
 	})
 }
 
-// each runs a benchmark at all sizes, warm and with a tenth cold.
+// forEachSize runs a benchmark at all sizes, with all workers warm and with a tenth of them cold.
 func each(b *testing.B, f func(*testing.B, int, bool)) {
 	for _, n := range costSizes {
 		for _, cold := range []bool{false, true} {
@@ -82,7 +84,7 @@
 	}
 }
 
-// BenchmarkDecision is each event by itself; what undoes it is not timed where that costs as much as the event.
+// BenchmarkDecision measures each event by itself. Undoing the event is not timed where that costs as much as the event.
 func BenchmarkDecision(b *testing.B) {
 	each(b, func(b *testing.B, n int, cold bool) {
 		now := 1.7e12
@@ -149,7 +151,7 @@
 	})
 }
 
-// benchHeld serves the held, with the limit used up or with room but no backend of their kind.
+// benchHeld measures serveHeld with the limit used up (full), or with capacity but no worker of the required kind.
 func benchHeld(b *testing.B, n int, cold bool, held int, full bool) {
 	now := 1.7e12
 	d, list := costly(b, n, cold, now)
@@ -177,7 +179,7 @@
 	require.Len(b, d.held, held)
 }
 
-// newTickets begins a window anew, so that a benchmark does not use up the cold backends.
+// refillColdBudgets starts a window again, so that a benchmark does not use up the budgets of the cold workers.
 func (d *Dispatcher) newTickets(now Millis) {
 	for i := range d.workers {
 		if d.workers[i].tickets < 1 && d.warmth(now, &d.workers[i]) < 1 {
@@ -188,8 +190,8 @@
 	}
 }
 
-// BenchmarkWorst is an arrival where few shortcuts hold: all backends start one after another; all rest after failures, so
-// that the evidence against them is doubted; none runs the req's class; or an attempt at a req that may not run twice failed.
+// BenchmarkWorst measures an arrival where few shortcuts apply: all workers start one after another; all are in backoff after
+// failures, which are then ignored; none runs the request's class; or an attempt of a request that must not run twice failed.
 func BenchmarkWorst(b *testing.B) {
 	for _, n := range costSizes {
 		for _, name := range []string{"allStarting", "allResting", "noneFits", "unsafeFailed"} {
--- a/internal/balance/course_test.go
+++ b/internal/balance/course_test.go
@@ -8,23 +8,23 @@
 	"testing"
 )
 
-// course plays one dispatcher's random events: which come next depends on what it decided before.
+// eventGenerator delivers random events to one dispatcher. Which event comes next depends on its earlier decisions.
 type course struct {
 	d        *Dispatcher
 	rec      *recorder
 	rng      *rand.Rand
 	now      Millis
 	list     []Worker
-	open     []Outcome // attempts in flight
+	open     []Outcome // attempts in flight; Took is the time of the dispatch
 	tries    map[RequestID]int
-	wakes    []act // in is the time
+	wakes    []act // in is the time at which the timer expires
 	last     RequestID
 	sum      uint64
 	verbs    map[string]int
 	pace     float64
 	mostHeld int
-	hopeless int // reqs that none could take, as fresh found ...
-	barred   int // ... and those that may not be sent again
+	hopeless int // requests that no worker could take, as found by compareCache ...
+	barred   int // ... and requests that may not be sent again
 }
 
 func newCourse(t testing.TB, fleet, variant int) *course {
@@ -41,9 +41,9 @@
 		s.Subscribe, s.WorthByWork, s.MayDuplicate = true, true, false
 	case 3:
 		s.Rules.FallWindow, s.Rules.WarmAfter = 200, 4000
-	case 4: // far too little
+	case 4: // far too little capacity
 		p.pace = 8
-	case 5: // keyed, heavy on cold backends
+	case 5: // keyed requests, high load on cold workers
 		s.Rules.FallMultiple, s.Rules.FallWindow, p.pace = 0.4, 2000, 3
 	}
 	for i := range fleet {
@@ -63,7 +63,7 @@
 	return p
 }
 
-// take hashes what was decided and remembers what comes of it.
+// take adds the decisions to the hash and keeps the attempts and timers that follow from them.
 func (p *course) take() {
 	for _, a := range p.rec.acts {
 		h := fnv.New64a()
@@ -97,15 +97,15 @@
 	if len(p.open) > 0 {
 		k = p.rng.IntN(len(p.open))
 	}
-	switch dice := p.rng.IntN(1000); {
-	case dice < 450:
+	switch roll := p.rng.IntN(1000); {
+	case roll < 450:
 		p.last++
 		q := Request{ID: p.last, Class: p.rng.IntN(6), Tenant: p.rng.IntN(3), Deadline: p.now + 200 + p.rng.Float64()*3000, Slots: float64(1 + p.rng.IntN(20)/18)}
 		if p.rng.IntN(3) > 0 {
 			q.Key = uint64(1 + p.rng.IntN(30))
 		}
 		p.d.Arrive(p.now, q)
-	case dice < 850 && k >= 0:
+	case roll < 850 && k >= 0:
 		o := p.open[k]
 		p.open = slices.Delete(p.open, k, k+1)
 		if o.Took = p.now - o.Took; p.rng.IntN(8) == 0 {
@@ -115,20 +115,20 @@
 			o.Report = []float32{float32(p.rng.IntN(5))}
 		}
 		p.d.AttemptEnded(p.now, o)
-	case dice < 930 && k >= 0:
+	case roll < 930 && k >= 0:
 		o := p.open[k]
 		p.d.Progressed(p.now, Progress{ID: o.ID, Attempt: o.Attempt, Worker: o.Worker, Started: p.rng.IntN(2) == 0})
-	case dice < 940:
+	case roll < 940:
 		p.d.Probed(p.now, ProbeResult{Worker: p.list[p.rng.IntN(len(p.list))].ID, Report: []float32{2}})
-	case dice < 960:
+	case roll < 960:
 		p.d.Abandoned(p.now, p.last-RequestID(p.rng.IntN(5)))
-	case dice < 964:
+	case roll < 964:
 		p.d.Workers(p.now, ListFull, p.list)
-	case dice < 966:
+	case roll < 966:
 		p.d.Workers(p.now, ListFailed, nil)
-	case dice < 968:
+	case roll < 968:
 		p.d.SetOverlap(p.rng.IntN(2) == 0)
-	case dice < 980: // some go, drain, come back, are new
+	case roll < 980: // some workers go, drain, restart or are replaced
 		var delta []Worker
 		for range 1 + p.rng.IntN(3) {
 			w := &p.list[p.rng.IntN(len(p.list))]
--- a/internal/balance/dispatcher.go
+++ b/internal/balance/dispatcher.go
@@ -1,8 +1,8 @@
 package balance
 
-// All decisions are made in this file. The interface (settings, events, actions) is in api.go,
-// what is remembered of workers and requests in state.go. Reading order: ordinary path,
-// capacity and speed, health, cold starts, further attempts, refusal and fairness, list.
+// All decisions are made in this file. The interface (settings, events, actions) is in api.go, the state
+// of workers and requests in state.go. Sections: ordinary path, capacity and speed, health, cold starts,
+// further attempts, refusal and fairness, list.
 
 import (
 	"errors"
@@ -12,55 +12,55 @@
 	"slices"
 )
 
-// Dispatcher decides for one node, from its settings and its own events alone.
+// Dispatcher makes the decisions of one node, from its settings and its own events alone.
 type Dispatcher struct {
 	book
 	kept
 	set         Settings
 	act         Actions
 	rng         *rand.Rand
-	ready       []int32    // places of the workers that the list calls ready
-	held        []*request // waiting here for room or for a worker, oldest first
-	runs, seen  []float64  // mean running time of each class here, and the jobs it rests on
-	work, worth []float64  // asked for so far, by class
+	ready       []int32    // indexes of the ready workers
+	held        []*request // waiting here for capacity or for a worker, oldest first
+	runs, seen  []float64  // by class: mean running time here, and the number of jobs averaged
+	work, worth []float64  // by class: work and worth of all requests so far
 	run         Millis     // mean running time of all jobs ...
-	ran         float64    // ... and the jobs it rests on
-	kinds       []float64  // running time on a kind, relative to the class's mean
-	wide        []float64  // most slots seen running at once at a worker of a kind ...
-	dense       []float64  // ... and most for each of its listed size
-	zones       []float64  // mean of others' slots met at a worker, by zone
-	lost        []float64  // part of the connections that failed of late, by zone and kind
-	rates       rates      // requests a second here, by tenant; the last is all of them
-	quotas      float64    // of all tenants together
-	busy, limit float64    // slots of its jobs in flight, and how many do not crowd the workers
+	ran         float64    // ... and the number of jobs averaged
+	kinds       []float64  // by kind: running time relative to the class's mean
+	wide        []float64  // by kind: most slots seen running at once on a worker ...
+	dense       []float64  // ... and most per unit of listed size
+	zones       []float64  // by zone: mean of other dispatchers' slots on a worker
+	lost        []float64  // by zone and kind: share of recent connections that failed
+	rates       rates      // requests per second here, by tenant; the last is the total
+	quotas      float64    // quotas of all tenants
+	busy, limit float64    // slots of jobs in flight, and how many do not overload the workers
 	copies      float64    // work that may still be sent as second copies
-	turn        int64      // the window in which cold workers are counted ...
-	cold        []float64  // ... and the jobs that may still be sent to those of a zone in it
-	top         []float64  // largest part of a cold worker, by zone
-	rise        float64    // of the limit by a job that met no crowd
-	shared      bool       // another process of this node serves beside it: the cold budget is shared
-	failed      int        // calls for the list that failed in a row
+	turn        int64      // number of the window that the budgets of cold workers apply to
+	cold        []float64  // by zone: jobs that may still be sent to cold workers in this window
+	top         []float64  // by zone: largest budget of a cold worker
+	rise        float64    // how much a job that did not wait long raises slotLimit
+	shared      bool       // another process of this node serves too: they share the cold budget
+	failed      int        // consecutive failed requests for the list
 }
 
 const (
-	gain      = 1.0 / 8 // weight of a new observation in a moving mean: about the last eight count
-	sample    = 64      // most workers looked at for a request: 64 miss the best tenth once in 800 times
-	links     = 2.0     // dispatchers that prefer a worker, on average: enough to level out their traffic
-	keyLinks  = 4.0     // workers that a key is linked to, on average
-	trust     = 0.5     // of a slot of others, by news that is late, against an own one, where a copy may go
-	perCross  = 30.0    // slots that another zone counts as more, on average, by its price; one at least ...
-	aside     = 0.75    // ... and an unlinked worker of the own zone
-	copyShare = 0.2     // work of second copies, as a share of that of first tries
-	ill       = 2.0     // times slower than its kind: such a worker is not used on an equal footing
-	reserve   = 0.4     // part of the limit that worthless requests leave free
-	ahead     = 0.3     // part of its slots that a fast worker may fill before an idle slow one has its turn
-	soonest   = 0.4     // of the mean running time: what has less time left is not begun any more
-	untold    = 4.0     // slots of a worker whose size is not told, at first, and of most
-	fewest    = 8.0     // of slots or links: fewer say more about chance than about load
-	window    = 2000.0  // ms over which rates are measured: shorter than a surge, longer than a cluster
+	gain      = 1.0 / 8 // weight of a new value in a moving average: about the last eight count
+	sample    = 64      // most workers examined per request: 64 miss the best tenth once in 800 times
+	links     = 2.0     // mean number of dispatchers that prefer a worker: enough to even out their traffic
+	keyLinks  = 4.0     // mean number of workers that a key is linked to
+	trust     = 0.5     // weight of others' slots against own ones for a copy, as their count is outdated
+	perCross  = 30.0    // mean extra slots that a worker of another zone counts, per CrossZone; at least 1
+	aside     = 0.75    // mean extra slots that an unlinked worker of the own zone counts
+	copyShare = 0.2     // work of second copies as a share of the work of first attempts
+	ill       = 2.0     // a worker this many times slower than its kind gets one job at a time
+	reserve   = 0.4     // share of slotLimit that requests of no value leave free
+	ahead     = 0.3     // share of its slots that a fast worker fills before an idle slow one gets a job
+	soonest   = 0.4     // no job is sent with less than this share of its mean running time left
+	untold    = 4.0     // initial guess of a worker's slots where sizes are not known; most have about as many
+	fewest    = 8.0     // least slotLimit and number of linked workers: fewer show chance rather than load
+	window    = 2000.0  // ms over which rates are averaged: shorter than a surge, longer than a cluster
 )
 
-// New checks the settings and makes a dispatcher that acts through act.
+// New validates the settings and returns a dispatcher that reports its decisions to act.
 func New(s Settings, act Actions) (*Dispatcher, error) {
 	if act == nil {
 		return nil, errors.New("no actions given")
@@ -76,14 +76,14 @@
 		wide: make([]float64, s.Kinds), dense: make([]float64, s.Kinds),
 		zones: make([]float64, s.Zones), cold: make([]float64, s.Zones), top: make([]float64, s.Zones),
 		lost: make([]float64, s.Zones*s.Kinds), rates: rates{last: make([]float64, len(s.Tenants)+1)}}
-	if d.rise = gain; s.Weight == WeightNone { // slots not told: up fast to the first crowd
+	if d.rise = gain; s.Weight == WeightNone { // sizes not known: rise fast until the first long wait
 		d.rise = 1
 	}
 	for _, t := range s.Tenants {
 		d.quotas += t.QuotaPerS
 	}
-	// Until jobs have been seen, the aim of one that runs for the class's aim stands for the running
-	// time: too long rather than too short, which would let cold workers have more than they can take.
+	// Until jobs have ended, the running time is taken as the full aim of a job that runs for the class's
+	// Aim: rather too long than too short, which would send cold workers more than they can take.
 	for i, c := range s.Classes {
 		d.runs[i] = c.Aim * (1 + c.Stretch)
 		d.run += d.runs[i] / float64(n)
@@ -93,8 +93,8 @@
 
 // ---- Ordinary path ----
 
-// Arrive places a request as JFSQ does. Without room, work beyond a share is refused at
-// once; other work is held while it can still be in time.
+// Arrive sends a request to a worker by JFSQ. Without capacity, a request beyond its tenant's share is
+// refused at once; any other is held as long as it can still be answered in time.
 func (d *Dispatcher) Arrive(now Millis, q Request) {
 	if q.Class >= len(d.runs) {
 		d.act.Fail(q.ID)
@@ -111,15 +111,14 @@
 	}
 }
 
-// place sends the request to the best worker. Where there is none and none of its attempts is in
-// flight, it is held if time may help, else answered for good: it does not where all that are listed are
-// drained, by hand say, and none is about to come.
+// place sends the request to the best worker. If there is none and no attempt is in flight, it is held if
+// waiting may help, else answered. Waiting does not help where all listed workers drain, as by an operator.
 func (d *Dispatcher) place(now Millis, r *request) {
 	least := max(2*d.set.Tick, d.runs[r.Class]*soonest) // in a shutdown the deadline is near
 	if now+least < r.Deadline && len(r.attempts) < d.set.MaxAttempts {
 		c, n := &d.set.Classes[r.Class], len(r.attempts)
 		if d.few() && n > 0 && n >= d.set.MaxAttempts-2 && r.out == 0 && r.attempts[n-1].full {
-			// the last two tries wait for a slot
+			// the last two attempts wait for a slot
 			d.hold(now, r, now+c.Aim/2+c.Stretch*d.runs[r.Class]/4)
 			return
 		}
@@ -150,9 +149,9 @@
 	d.watch(r, len(r.attempts)-1, d.patience(r))
 }
 
-// pick tries the workers that a key is linked to, then any; where none is eligible, the
-// evidence against them is doubted. A key's links are drawn by its hash with each worker's,
-// with probability by speed; a hot key, with more requests out than links, is linked to all.
+// pick tries the workers that the request's key is linked to, then all; if none is eligible, it ignores
+// their failures. A key is linked to a worker if the hash of both is below a threshold that grows with the
+// worker's speed. A hot key, one with more requests than linksPerKey, is linked to all workers.
 func (d *Dispatcher) pick(now Millis, r *request) int32 {
 	if r.Key != 0 && float64(d.keys[r.Key]) <= keyLinks {
 		if i := d.shortest(now, r, keyLinks/d.allSpeed(now), false); i >= 0 {
@@ -165,11 +164,11 @@
 	return d.shortest(now, r, 0, true)
 }
 
-// shortest is JFSQ: the eligible worker with the least load of own jobs (load says how that is counted). News
-// of others' slots is left out: it reaches many dispatchers alike, and were it counted, all would leave one
-// worker for the same few others at once, a herd that grows with their number. Equals are drawn
-// by speed. Unlinked workers and other zones count as some slots more, drawn anew each time so
-// that a crowd spills over by degrees.
+// shortestQueue is JFSQ: it returns the eligible worker with the least load (see load) of own jobs, ties drawn
+// by speed. Other dispatchers' slots are not counted: what is known of them reaches many dispatchers alike,
+// and all would move from one worker to the same few others at once, the more the more dispatchers there
+// are. Unlinked workers and other zones count extra slots, drawn anew each time so that load spills over
+// gradually. linkShare above 0 limits the choice to workers linked to the key.
 func (d *Dispatcher) shortest(now Millis, r *request, keyed float64, doubt bool) int32 {
 	d.newWindow(now)
 	choice, best, total, luck := int32(-1), math.Inf(1), 0.0, d.rng.Float64()
@@ -205,12 +204,12 @@
 	return choice
 }
 
-// load is what a worker counts in the choice, and what one slot is worth in that count. Among many
-// dispatchers it is the own slots in flight: none or one at most workers, where the draw by speed spreads all
-// of them, and a finer order would send them to the same few. Where they are few it is the part of its
-// slots that own jobs take, by how slow it is, since they take them for longer; what waits for a slot
-// counts in full, and an idle slow worker waits for the fast to fill a little. What must never run twice is
-// lost with this process while it is out: it goes by the square, to where it is out for the shortest time.
+// load returns a worker's load in the choice, and what one slot counts in it. Among many dispatchers it is
+// the own slots in flight: 0 or 1 on most workers, so that the draw by speed spreads the jobs, where a finer
+// order would send all to the same few workers. Among few it is the share of the slots that own jobs take,
+// times how slow the worker is, since it holds them for longer; jobs that wait for a slot count in full, and
+// fastLead lets fast workers fill a little before an idle slow one. An Unsafe request is lost if this process
+// ends while it is in flight, so slowness counts squared, in favour of where it runs for the shortest time.
 func (d *Dispatcher) load(r *request, w *worker) (count, slot float64) {
 	if !d.few() {
 		return w.own, 1
@@ -222,9 +221,9 @@
 	return (w.own*slot+ahead)*slow + max(0, w.own+r.Slots-d.slots(w)), slot
 }
 
-// link says how far a worker is from here, and arc how far those are that are preferred: dispatchers and
-// workers stand on a circle, each takes the nearest, so that a few of many see a worker often and their news
-// means something.
+// distanceTo returns a worker's distance from this dispatcher, and linkDistance the distance below which
+// workers are preferred. Dispatchers and workers are placed on a ring and each dispatcher prefers the nearest
+// workers, so that a few of many use a worker often and what they learn of it means something.
 func (d *Dispatcher) link(w *worker) float64 {
 	if w.Zone != d.set.Zone {
 		return math.Inf(1)
@@ -240,49 +239,49 @@
 
 // ---- Capacity and speed learned ----
 
-// speed is a worker's weight in the draw among equals: its listed size and the square of its
-// speed as seen here, so that many dispatchers prefer the fast but do not flood them.
+// speed is a worker's weight in the draw among ties: its capacity by listed size times the square of its speed
+// as measured here, so that many dispatchers prefer fast workers but do not flood them.
 func (d *Dispatcher) speed(now Millis, w *worker) float64 {
 	t := d.kinds[w.Kind] * w.pace
 	return d.warmth(now, w) * w.size / (t * t)
 }
 
-// few says that there are no more dispatchers than a worker has slots, so that own jobs are much of what a
-// worker has: one that ends frees a slot soon. Where there are many, another worker is the better guess.
+// fewDispatchers reports whether there are no more dispatchers than slots on a worker. Then own jobs are much
+// of a worker's load, and one that ends frees a slot soon. Among many, it is better to try another worker.
 func (d *Dispatcher) few() bool { return float64(d.set.Instances) <= untold }
 
-// slots is how many a worker has, as far as is known. Where sizes are told, a small one does not pass for as
-// wide as a large one of its kind: a cold one would get the large one's budget.
+// slots estimates how many slots a worker has. Where sizes are known, a small worker is not given the slots
+// seen on a large one of its kind; a cold small one would get the large one's budget.
 func (d *Dispatcher) slots(w *worker) float64 {
-	wide := d.wide[w.Kind]
+	seen := d.wide[w.Kind]
 	if d.set.Weight != WeightNone {
-		wide = min(wide, w.size*d.dense[w.Kind])
+		seen = min(seen, w.size*d.dense[w.Kind])
 	}
-	return max(w.size, wide)
+	return max(w.size, seen)
 }
 
-// crowd is what others have at a worker, in slots. News fades towards the mean of its
-// zone in about the time of a job.
+// estimateOtherSlots estimates the slots that other dispatchers use on a worker. What was learned of the
+// worker decays to the mean of its zone in about the running time of a job.
 func (d *Dispatcher) crowd(now Millis, w *worker) float64 {
 	mean := d.zones[w.Zone]
 	return mean + (w.others-mean)*d.run/(d.run+now-w.othersAt)
 }
 
-// learnRun takes a job's running time. Only jobs that were served teach speed.
+// learnTime updates the mean times and the worker's speed by a job's running time. Only served jobs count.
 func (d *Dispatcher) learnRun(r *request, w *worker, took Millis) {
 	run := &d.runs[r.Class]
 	d.seen[r.Class]++
 	d.ran++
 	d.run += (took - d.run) * max(gain/4, 1/(d.ran+1))
 	*run += (took - *run) * max(gain/4, 1/(d.seen[r.Class]+1))
-	ratio := min(max(took / *run, 0.25), 4) // one heavy job must not brand a worker
+	ratio := min(max(took / *run, 0.25), 4) // bounds the effect of one heavy job
 	d.kinds[w.Kind] += (ratio - d.kinds[w.Kind]) * gain / 4
 	d.setPace(w, w.pace+(ratio/d.kinds[w.Kind]-w.pace)*gain)
 }
 
-// learnCrowd takes news of others' slots at a worker. An attempt kept waiting by a crowd lowers
-// the limit by half a slot; a free way raises it by less, so that one crowd in five is taken for
-// chance, while more of it is in use than worthless work, or work beyond shares, may fill.
+// learnOtherSlots records other dispatchers' slots on a worker and adapts slotLimit. An attempt that had to
+// wait (crowded) lowers it by half a slot. Any other raises it by less, so that one wait in five is taken for
+// chance, but only while more of it is in use than requests of no value, or beyond shares, may fill.
 func (d *Dispatcher) learnCrowd(now Millis, w *worker, others float64, met bool) {
 	w.others, w.othersAt = others, now
 	d.zones[w.Zone] += (others - d.zones[w.Zone]) * gain
@@ -293,7 +292,7 @@
 	}
 }
 
-// report takes a load report: slots neither free nor this dispatcher's own are others'.
+// applyReport uses a load report: slots that are neither free nor this dispatcher's are other dispatchers'.
 func (d *Dispatcher) report(now Millis, w *worker, values []float32) {
 	for i, m := range d.set.Metrics {
 		if m == MetricFreeSlots && i < len(values) {
@@ -304,21 +303,21 @@
 
 // ---- Health ----
 
-// trusted keeps a worker out of the choice after bad endings: a low count must not make a
-// broken worker win. When its rest is over it gets one job at a time until one ends well. One
-// that has become far slower than its kind is treated alike: its short queue is no short wait.
-// After failures at several of a zone and kind, a hall cut off say, the rest is tried by chance.
+// usable excludes a worker from the choice after failures: the short queue of a broken worker must not win.
+// After its backoff it gets one job at a time until a job succeeds. A worker that is far slower than its kind
+// is treated the same, since its short queue means no short wait. After failed connections to several workers
+// of a zone and kind, such as a data hall that is cut off, the others are tried with a low probability.
 func (d *Dispatcher) trusted(now Millis, w *worker, luck float64) bool {
 	lost := d.lost[w.Zone*d.set.Kinds+w.Kind]
 	return now >= w.until && (w.strikes == 0 && w.pace < ill || w.own == 0) && luck >= lost*lost
 }
 
-// strike counts a bad ending: no connection, a reset, an error, silence. The worker rests,
-// twice as long each time, by chance more or less so that dispatchers do not return at once.
+// recordFailure counts a failed connection, a reset, an error or missing progress. The worker is not used for
+// a backoff that doubles each time, with jitter so that dispatchers do not all return at once.
 func (d *Dispatcher) strike(now Millis, w *worker, why string) {
 	w.strikes = min(w.strikes+1, 8)
-	rest := d.set.ConnectTimeout * float64(int(2)<<w.strikes) * (0.75 + d.rng.Float64()/2)
-	w.until = now + min(rest, max(d.set.Rules.WarmAfter/2, d.set.ConnectTimeout))
+	backoff := d.set.ConnectTimeout * float64(int(2)<<w.strikes) * (0.75 + d.rng.Float64()/2)
+	w.until = now + min(backoff, max(d.set.Rules.WarmAfter/2, d.set.ConnectTimeout))
 	if w.strikes == 3 {
 		d.act.Log(fmt.Sprintf("worker %x rests for %.0f ms: %s, third time in a row", w.ID, w.until-now, why))
 	}
@@ -326,7 +325,7 @@
 
 // ---- Cold starts ----
 
-// warmth is the least part of its capacity that a worker has by now.
+// capacityShare returns the least share of its full capacity that a worker has by now.
 func (d *Dispatcher) warmth(now Millis, w *worker) float64 {
 	age, all := now-w.Started, d.set.Rules.WarmAfter
 	if w.Started <= 0 || age >= all {
@@ -335,20 +334,20 @@
 	return d.set.Rules.StartCapacity + (1-d.set.Rules.StartCapacity)*max(0, age)/all
 }
 
-// newWindow shares out what cold workers can take in a window: each dispatcher keeps to its
-// part. The multiple is the margin for heaps by chance, at least half of it, since windows
-// meet at their edges. Parts of less than a job are put together by zone and drawn: a few
-// dispatchers then may send a job to any cold worker of the zone, one to each. A worker with a smaller
-// part than the largest has its job in fewer windows, and is drawn the more often in these: one in each
-// window, from each of many dispatchers that have filled the large, would be far more than it can take.
+// startColdWindow sets the budgets of cold workers when a new window begins. Each dispatcher gets an equal
+// part of what a cold worker can take. FallMultiple is the margin for random bursts; at least half of it stays
+// unused, as jobs of two windows may meet at their border. Parts below one job are summed and drawn by zone: a
+// few dispatchers may then send one job to each cold worker of the zone. A worker whose part is below the
+// largest gets its job in fewer windows and is drawn more often in those: one job per window from each of
+// many dispatchers that have filled the large workers would be far more than it can take.
 func (d *Dispatcher) newWindow(now Millis) {
 	rules, n, last := &d.set.Rules, float64(d.set.Instances), d.turn
 	if d.turn = d.turnAt(now); d.turn == last {
 		return
 	}
 	share := min(1, rules.FallMultiple/2)
-	if d.shared { // two processes of one node: each half of FallMultiple/2, which is one process's
-		// margin below FallMultiple; no least ticket, which both would have
+	if d.shared { // two processes of one node: each gets half of FallMultiple/2, the margin that one process
+		// keeps below FallMultiple, and no minimum of one job, which both would send
 		share = min(1, rules.FallMultiple/4)
 	}
 	clear(d.cold)
@@ -377,9 +376,9 @@
 
 // ---- Further attempts ----
 
-// legal is the only judge of whether a request may go to a worker now: it is ready, can run
-// the class, and no effect can happen twice. An attempt that may have run can be followed if
-// its class is safe, or by one to the same group while that surely remembers the key.
+// maySend alone decides whether a request may go to a worker now: the worker is ready, runs the class, and no
+// effect can happen twice. An attempt that may have run can be followed by another if its class is Safe, or by
+// one to the same deduplication group while that is sure to remember the key.
 func (d *Dispatcher) legal(now Millis, r *request, w *worker) bool {
 	c := &d.set.Classes[r.Class]
 	if w.State != Ready || c.Kind >= 0 && c.Kind != w.Kind {
@@ -402,13 +401,14 @@
 	return true
 }
 
-// mayRefuse is the only judge of whether the client may be told that trying again is
-// harmless: nothing may have run, or every worker would drop the repeat.
+// mayRefuse alone decides whether the client may be told that trying again is safe: nothing has run, or every
+// worker would drop the repeat.
 func (d *Dispatcher) mayRefuse(now Millis, r *request) bool {
 	c := &d.set.Classes[r.Class]
 	for k := range r.attempts {
 		a := &r.attempts[k]
-		known := c.Effect == Deduped && c.Scope == ScopeAll && now-a.sent < EffectiveRepeatWindow(c.RepeatWindow)
+		known := c.Effect == Deduped && c.Scope == ScopeAll &&
+			now-a.sent < EffectiveRepeatWindow(c.RepeatWindow)
 		if !a.never && c.Effect != Safe && !known {
 			return false
 		}
@@ -416,21 +416,21 @@
 	return true
 }
 
-// patience is how long an attempt may go without news before it is looked at.
+// checkDelay returns how long an attempt may go without progress before it is checked.
 func (d *Dispatcher) patience(r *request) Millis {
 	if d.set.TellsStart {
 		return d.set.Classes[r.Class].Aim / 2
 	}
-	return d.set.Classes[r.Class].Aim/2 + 2*d.runs[r.Class] // most that take a mean time run already
+	return d.set.Classes[r.Class].Aim/2 + 2*d.runs[r.Class] // by then most jobs of mean time have started
 }
 
-// overdue looks at an attempt that should have given news by now. A worker on which a
-// started job has gone silent is struck. A second copy goes out where that is harmless,
-// there is room, and the work of copies keeps within its budget.
+// checkOverdue handles an attempt that should have reported progress by now. A started job without progress
+// counts as a failure of its worker. A second copy is sent if that is safe, there is capacity for it, and the
+// budget for copies allows it.
 func (d *Dispatcher) overdue(now Millis, r *request, k int) {
 	a, silence := &r.attempts[k], 2.5*d.set.ProgressEvery
 	if a.started > 0 {
-		if silence == 0 { // the timer was set before the start, for an attempt that had to wait
+		if silence == 0 { // the timer was set at the dispatch, to detect a wait
 			return
 		}
 		if now-a.news < silence {
@@ -448,12 +448,12 @@
 	}
 }
 
-// free says whether a job would start at once at a worker, by what is known.
+// hasFreeSlots reports whether a job would probably start at once on a worker.
 func (d *Dispatcher) free(now Millis, w *worker, r *request) bool {
 	return w.own+trust*d.crowd(now, w)+r.Slots <= d.slots(w)*d.warmth(now, w)
 }
 
-// AttemptEnded takes an attempt's outcome, learns from it and goes on with the request.
+// AttemptEnded handles the outcome of an attempt: it learns from it and continues with the request.
 func (d *Dispatcher) AttemptEnded(now Millis, o Outcome) {
 	r, a := d.find(o.ID, o.Attempt)
 	if a == nil {
@@ -478,21 +478,21 @@
 		if a.started > 0 && d.set.TellsStart {
 			o.Took = now - a.started
 		}
-		if d.learnRun(r, w, o.Took); w.pace >= ill { // now and then a job, to see whether it still is
+		if d.learnRun(r, w, o.Took); w.pace >= ill { // a job now and then, to detect recovery
 			w.until = now + 2*d.run*w.pace
 		}
-		for k := range r.attempts { // copies that lost go, unless their starts will still tell of a crowd
+		for k := range r.attempts { // cancel the other copies, unless their starts still show the waits
 			if r.attempts[k].out && d.set.MayCancel && !d.set.TellsStart {
 				d.act.Cancel(r.ID, k)
 			}
 		}
-	case Full: // a full worker answers at once and would keep winning: it rests until a slot may be free
+	case Full: // it rejects at once and would keep winning: not used until a slot may be free
 		w.until = max(w.until, now+d.run*d.kinds[w.Kind]/max(2, w.own+1))
-		d.learnCrowd(now, w, d.slots(w), o.Attempt > 0) // one may be a herd's, two are a crowd
+		d.learnCrowd(now, w, d.slots(w), o.Attempt > 0) // one may be a burst, two are overload
 	case Error, ConnectFailed, Reset:
 		d.strike(now, w, "failed attempts")
 	}
-	if w.out == 0 && d.set.Instances > len(d.ready) { // so many would fill its table
+	if w.out == 0 && d.set.Instances > len(d.ready) { // so many would fill its connection table
 		d.act.CloseIdle(w.ID)
 	}
 	d.report(now, w, o.Report)
@@ -503,12 +503,12 @@
 		d.place(now, r)
 	}
 	d.drop(r)
-	if o.Result != Full || !d.few() { // which frees no slot there
+	if o.Result != Full || !d.few() { // a full worker has freed no slot
 		d.serveHeld(now)
 	}
 }
 
-// Progressed takes a job's progress, and its start, which tells how long it waited.
+// Progressed handles a job's progress and its start, which shows how long it waited.
 func (d *Dispatcher) Progressed(now Millis, p Progress) {
 	r, a := d.find(p.ID, p.Attempt)
 	if a == nil {
@@ -521,31 +521,31 @@
 		w.running += r.Slots
 		d.wide[w.Kind] = max(d.wide[w.Kind], w.running)
 		d.dense[w.Kind] = max(d.dense[w.Kind], w.running/w.size)
-		if d.set.ProgressEvery > 0 { // where no progress is told, silence after a start says nothing
+		if d.set.ProgressEvery > 0 { // without progress reports, silence means nothing
 			d.watch(r, p.Attempt, 2.5*d.set.ProgressEvery)
 		}
 	}
 	if p.Started {
-		for k := range r.attempts { // what still waits would run the job twice and keep others waiting
+		for k := range r.attempts { // a copy still queued would run the job twice and delay others
 			if k != p.Attempt && r.attempts[k].out && r.attempts[k].started == 0 && d.set.MayCancel {
 				d.act.Cancel(r.ID, k)
 			}
 		}
 		w, c, wait := &d.workers[a.worker], &d.set.Classes[r.Class], now-a.sent
-		// More may be waited where a late answer still earns, or the aim grows with the job's own work.
+		// A longer wait is accepted if a late answer still earns, or if the aim grows with the job's work.
 		bad := c.Aim/2 + max(c.LateWorth*c.Stretch, (c.Stretch-1)/4)*d.runs[r.Class]
 		d.learnCrowd(now, w, d.slots(w)*min(wait/d.run, 2), wait > bad)
 	}
 }
 
-// Probed takes the load report of a probe.
+// Probed handles the load report of a probe.
 func (d *Dispatcher) Probed(now Millis, p ProbeResult) {
 	if i, known := d.index[p.Worker]; known && p.Result == OK {
 		d.report(now, &d.workers[i], p.Report)
 	}
 }
 
-// Wake looks at what a timer was set for.
+// Wake handles an expired timer.
 func (d *Dispatcher) Wake(now Millis, token uint64) {
 	if token == renewList {
 		d.act.Subscribe()
@@ -569,9 +569,9 @@
 
 // ---- Refusal and fairness ----
 
-// meter keeps the rates of arrivals and judges whether a request is beyond its tenant's
-// share: the quota is scaled to this dispatcher's part of all traffic, judged by the other
-// tenants' and at least an even one. Which requests are beyond it is drawn by chance.
+// recordArrival updates the arrival rates and decides whether a request is beyond its tenant's share. The
+// quota is scaled by this dispatcher's part of all traffic, which is estimated from the other tenants and is
+// at least an equal one. Of a tenant above its quota, a random part of the requests is beyond the share.
 func (d *Dispatcher) meter(now Millis, r *request) {
 	work, worth := d.runs[r.Class]*r.Slots, d.set.Classes[r.Class].Worth
 	if d.set.WorthByWork {
@@ -587,16 +587,16 @@
 	}
 }
 
-// room says whether a request may be taken on. The less it adds to the result for its
-// work, the more of the limit it leaves free for others.
+// hasRoom reports whether slotLimit leaves room for a request. The lower the request's value, the more of the
+// limit it leaves free for others.
 func (d *Dispatcher) room(r *request) bool {
-	lack := 1 - d.valueOf(r)
-	return d.busy+r.Slots <= d.limit*(1-reserve*(lack*lack))
+	shortfall := 1 - d.valueOf(r)
+	return d.busy+r.Slots <= d.limit*(1-reserve*(shortfall*shortfall))
 }
 
-// value is what a request adds to the result for its work, relative to the best class: its
-// class's part of all worth over its part of all work. As far as the result goes by the
-// worst class or tenant, each class counts the same, so that one of little work is cheap.
+// relativeValue returns what a request adds to the result for its work, relative to the best class: its
+// class's share of all worth over its share of all work. To the extent that the result depends on the worst
+// class or tenant (Mix), all classes count the same, so that a class of little work is cheap to serve.
 func (d *Dispatcher) value(r *request) float64 {
 	worst := d.set.Mix.WorstClass + d.set.Mix.WorstTenant
 	best, own, worths, works := 0.0, 0.0, 0.0, 0.0
@@ -605,7 +605,7 @@
 	}
 	for i := range d.work {
 		v := ((1-worst)*d.worth[i]/max(worths, 1) + worst/float64(len(d.work))) * works / max(d.work[i], 1)
-		if d.work[i] > 0 { // a class not asked for yet sets no standard
+		if d.work[i] > 0 { // a class without requests so far is not the best
 			best = max(best, v)
 		}
 		if i == r.Class {
@@ -618,14 +618,14 @@
 	return own / max(best, gain*gain)
 }
 
-// hold keeps a request here, until then at most.
+// hold keeps a request here until a given time at most.
 func (d *Dispatcher) hold(now Millis, r *request, until Millis) {
 	r.until = max(now+d.set.Tick, min(until, r.Deadline-2*d.set.Tick))
 	d.held = append(d.held, r)
 	d.watch(r, holdTimer, r.until-now)
 }
 
-// serveHeld places held requests while there is room, and answers those out of time.
+// serveHeld sends held requests while there is room, and answers those whose time is up.
 func (d *Dispatcher) serveHeld(now Millis) {
 	waiting := d.held
 	d.held = d.held[:0]
@@ -649,7 +649,7 @@
 	}
 }
 
-// finish gives the final answer of a request that cannot be served any more.
+// refuseOrFail gives the final answer of a request that cannot be served any more.
 func (d *Dispatcher) finish(now Millis, r *request) {
 	if d.mayRefuse(now, r) {
 		d.act.Refuse(r.ID, min(d.set.MaxPause, d.set.Classes[r.Class].Aim)) // by then there may be room
@@ -662,7 +662,7 @@
 
 // ---- List ----
 
-// Workers takes news of the list, and acts on a drain at once.
+// Workers handles a list of workers or a change of it. A drain takes effect at once.
 func (d *Dispatcher) Workers(now Millis, kind ListKind, list []Worker) {
 	if kind == ListFailed {
 		d.failed++
@@ -675,7 +675,7 @@
 		slots := 0.0
 		for _, i := range d.ready {
 			slots += d.workers[i].size
-			if d.set.Weight == WeightNone { // a guess, too high rather than too low: a crowd is soon met
+			if d.set.Weight == WeightNone { // rather too high than too low: long waits soon correct it
 				slots += untold - 1
 			}
 		}
@@ -688,8 +688,8 @@
 	d.serveHeld(now)
 }
 
-// renew asks for the list after a while drawn by chance, so that a large fleet of
-// dispatchers does not ask all at once; the time grows after failures.
+// scheduleRefresh requests the list after a random delay, so that a large fleet of dispatchers does not ask
+// all at once. The delay grows after failures.
 func (d *Dispatcher) renew(factor float64) {
 	d.act.Wake(d.set.Tick+d.rng.Float64()*factor*d.set.Rules.AskEvery/4, renewList)
 }
--- a/internal/balance/dispatcher_test.go
+++ b/internal/balance/dispatcher_test.go
@@ -18,9 +18,9 @@
 		"unknown kind":   func(s *Settings) { s.Classes[0].Kind = 7 },
 		"ask every":      func(s *Settings) { s.Subscribe, s.Rules.AskEvery = true, 0 },
 	}
-	for name, spoil := range cases {
+	for name, invalidate := range cases {
 		s := testSettings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s, &recorder{}); err == nil {
 			t.Errorf("%s: no error", name)
 		}
@@ -63,7 +63,7 @@
 
 func TestFasterWinsTies(t *testing.T) {
 	s := testSettings()
-	s.Zones, s.Instances = 1, 9 // more than slots: what others have there is not seen
+	s.Zones, s.Instances = 1, 9 // more dispatchers than slots, so that the load is the number of own slots
 	list := []Worker{{ID: 1, Kind: 0, State: Ready, Weight: 4}, {ID: 2, Kind: 1, State: Ready, Weight: 4}}
 	d, rec := start(t, s, list)
 	now, fast := 10.0, 0
@@ -118,7 +118,8 @@
 	}
 }
 
-// Where dispatchers outnumber workers, their idle connections would fill a worker's table.
+// TestIdleConnectionsAreClosed: where dispatchers outnumber workers, their idle connections would fill a worker's
+// connection table.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	for _, c := range []struct {
 		instances int
@@ -130,7 +131,7 @@
 		closed := 0
 		d.limit = 100
 		at := map[int]WorkerID{}
-		for n := 1; n <= 60; n++ { // so many at once that unlinked workers get some
+		for n := 1; n <= 60; n++ { // so many at once that some go to unlinked workers
 			at[n] = sent(d, rec, Millis(n), withDeadline(req(n, 0), 1e6))
 		}
 		for n := 1; n <= 60; n++ {
@@ -138,7 +139,7 @@
 			for _, a := range rec.only("hang up") {
 				closed++
 				if w := d.workers[d.index[a.worker]]; w.out > 0 {
-					t.Errorf("closed connections to a worker with %d attempts out", w.out)
+					t.Errorf("closed connections to a worker with %d attempts in flight", w.out)
 				}
 			}
 		}
@@ -148,10 +149,10 @@
 	}
 }
 
-// TestNewsOfOthersDoesNotHerd: news that one worker is crowded reaches many dispatchers at
-// once; counted in the choice, it sent all of them to the others together (on the full-size
-// days late answers fell from 26% to 8% of a window without it). A crowded worker keeps its
-// part of the first jobs of 200 dispatchers.
+// TestOtherSlotsDoNotAffectChoice: many dispatchers learn at the same time that one worker is loaded. When that
+// was counted in the choice, all of them moved to the other workers together; in full-size simulations, late
+// answers fell from 26% to 8% of a window without it. A loaded worker keeps its part of the first jobs of 200
+// dispatchers.
 func TestNewsOfOthersDoesNotHerd(t *testing.T) {
 	s := testSettings()
 	s.Instances, s.Zones = 200, 1
@@ -166,7 +167,7 @@
 	}
 	for _, w := range list {
 		if n := got[w.ID]; n < s.Instances/8 || n > s.Instances*3/8 {
-			t.Errorf("worker %d has %d of %d first jobs, want about %d", w.ID, n, s.Instances, s.Instances/4)
+			t.Errorf("worker %d got %d of %d first jobs, want about %d", w.ID, n, s.Instances, s.Instances/4)
 		}
 	}
 }
@@ -307,5 +308,3 @@
 func (printer) Dispatch(id RequestID, to WorkerID, _ Millis) {
 	fmt.Printf("send request %d to worker %d\n", id, to)
 }
-
-// ---- Random days against an independent checker of the rules ----
--- a/internal/balance/fall_test.go
+++ b/internal/balance/fall_test.go
@@ -11,12 +11,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fallDay is a small fleet in virtual time: dispatchers that see few reqs each are told of cold
-// backends at the same moment. Backends serve their slots first come first served.
+// overloadCase is a small fleet simulated in virtual time: dispatchers that each get few requests learn of cold
+// workers at the same moment. Workers serve jobs first come, first served.
 type fallDay struct {
 	dispatchers, warm, cold, slots int
-	aim, work                      Millis // the settings' aim; the mean work of a req at a warm backend
-	rate                           float64
+	aim, work                      Millis  // the settings' aim; the mean running time of a request on a warm worker
+	rate                           float64 // requests per second at each dispatcher
 	rules                          Rules
 	seed                           uint64
 }
@@ -27,7 +27,7 @@
 
 type fallEvent struct {
 	at Millis
-	n  int // of its making, so that equals keep their order
+	n  int // sequence number, so that simultaneous events keep their order
 	do func()
 }
 
@@ -56,10 +56,10 @@
 	Worker
 	free  int
 	queue []fallJob
-	came  []Millis // of each attempt, turned away or not
+	came  []Millis // arrival times of all attempts, rejected or not
 }
 
-// fallNode is a dispatcher and its Actions.
+// simDispatcher is a simulated dispatcher and its Actions.
 type fallNode struct {
 	w        *fallWorld
 	d        *Dispatcher
@@ -80,12 +80,12 @@
 	heap.Push(&w.queue, fallEvent{w.now + in, w.made, do})
 }
 
-const fallWay = 0.3 // ms from a dispatcher to a backend and back
+const networkDelay = 0.3 // ms from a dispatcher to a worker, and the same back
 
 func (n *fallNode) Dispatch(id RequestID, to WorkerID, _ Millis) {
 	j := fallJob{n, id, n.attempts[id], n.w.now}
 	n.attempts[id]++
-	n.w.after(fallWay, func() { n.w.take(n.w.backends[to], j) })
+	n.w.after(networkDelay, func() { n.w.take(n.w.backends[to], j) })
 }
 func (n *fallNode) Wake(in Millis, token uint64) { n.w.after(in, func() { n.d.Wake(n.w.now, token) }) }
 func (*fallNode) Refuse(RequestID, Millis)       {}
@@ -96,7 +96,7 @@
 func (*fallNode) Subscribe()                     {}
 func (*fallNode) Log(string)                     {}
 
-// capacity is the least part of its capacity that the settings promise a backend.
+// capacity is the least share of a worker's full capacity that the settings promise at a time.
 func (w *fallWorld) capacity(b *fallBackend, at Millis) float64 {
 	r := w.day.rules
 	if age := at - b.Started; b.Started > 0 && age < r.WarmAfter {
@@ -119,7 +119,7 @@
 	for b.free > 0 && len(b.queue) > 0 {
 		j := b.queue[0]
 		b.queue, b.free = b.queue[1:], b.free-1
-		w.after(fallWay, func() { j.by.d.Progressed(w.now, Progress{ID: j.id, Attempt: j.attempt, Worker: b.ID, Started: true}) })
+		w.after(networkDelay, func() { j.by.d.Progressed(w.now, Progress{ID: j.id, Attempt: j.attempt, Worker: b.ID, Started: true}) })
 		took := w.day.work * (0.5 + w.rng.ExpFloat64()/2) / w.capacity(b, w.now)
 		w.after(took, func() {
 			b.free++
@@ -130,18 +130,18 @@
 }
 
 func (w *fallWorld) answer(b *fallBackend, j fallJob, r Result) {
-	w.after(fallWay, func() {
+	w.after(networkDelay, func() {
 		j.by.d.AttemptEnded(w.now, Outcome{ID: j.id, Attempt: j.attempt, Worker: b.ID, Result: r, Took: w.now - j.sent, Closed: r == OK})
 	})
 }
 
-// play returns the most that a cold backend got in any window, as a part of what the page allows in
-// it, N + 3·√N + 3, and both figures. N takes the least capacity that the settings promise at the
-// window's start; flat, it takes StartCapacity until the backend is warm.
-func (d fallDay) play(t *testing.T, flat bool) (part, got, most, age float64) {
-	const before, long = 10_000, 12_000
+// run returns the highest number of requests that a cold worker got in any window relative to the allowed number,
+// both numbers, and the worker's age. N + 3·√N + 3 are allowed, where N follows from the least capacity that the
+// settings promise at the window's start or, if flat is set, from StartCapacity until the worker is warm.
+func (d fallDay) play(t *testing.T, flat bool) (ratio, got, allowed, age float64) {
+	const before, after = 10_000, 12_000
 	w := &fallWorld{day: d, now: 1000, rng: rand.New(rand.NewPCG(d.seed, 7)), backends: map[WorkerID]*fallBackend{}}
-	told := w.now + before + w.rng.Float64()*d.rules.FallWindow // anywhere in a window of the module's clock
+	startAt := w.now + before + w.rng.Float64()*d.rules.FallWindow // at a random moment of a budget window
 	var warm, cold []Worker
 	for i := range d.warm + d.cold {
 		b := &fallBackend{Worker: Worker{ID: WorkerID(100 + i), State: Ready, Weight: float64(d.slots)}, free: d.slots}
@@ -149,7 +149,7 @@
 		if i < d.warm {
 			warm = append(warm, b.Worker)
 		} else {
-			b.Started = told
+			b.Started = startAt
 			cold = append(cold, b.Worker)
 		}
 	}
@@ -163,7 +163,7 @@
 		n.d, err = New(set, n)
 		require.NoError(t, err)
 		n.d.Workers(w.now, ListFull, warm)
-		w.after(told-w.now, func() { n.d.Workers(w.now, ListDelta, cold) })
+		w.after(startAt-w.now, func() { n.d.Workers(w.now, ListDelta, cold) })
 		var arrive func()
 		arrive = func() {
 			id++
@@ -172,7 +172,7 @@
 		}
 		w.after(w.rng.ExpFloat64()*1000/d.rate, arrive)
 	}
-	for w.now < told+long {
+	for w.now < startAt+after {
 		e := heap.Pop(&w.queue).(fallEvent)
 		w.now = e.at
 		e.do()
@@ -180,7 +180,7 @@
 	for _, c := range cold {
 		b := w.backends[c.ID]
 		for i, from := range b.came {
-			if from >= told+d.rules.WarmAfter {
+			if from >= startAt+d.rules.WarmAfter {
 				break
 			}
 			capacity := w.capacity(b, from)
@@ -189,47 +189,46 @@
 			}
 			n := d.rules.FallMultiple * capacity * float64(d.slots) * d.rules.FallWindow / d.work
 			j := i
-			for j < len(b.came) && b.came[j] < min(from+d.rules.FallWindow, told+d.rules.WarmAfter) { // from then on it is warm
+			for j < len(b.came) && b.came[j] < min(from+d.rules.FallWindow, startAt+d.rules.WarmAfter) { // from then on the worker is warm
 				j++
 			}
-			if allowed := n + 3*math.Sqrt(n) + 3; float64(j-i)/allowed > part {
-				part, got, most, age = float64(j-i)/allowed, float64(j-i), allowed, from-told
+			if limit := n + 3*math.Sqrt(n) + 3; float64(j-i)/limit > ratio {
+				ratio, got, allowed, age = float64(j-i)/limit, float64(j-i), limit, from-startAt
 			}
 		}
 	}
-	return part, got, most, age
+	return ratio, got, allowed, age
 }
 
 const fallSeeds = uint64(30)
 
-// worst plays a day over many seeds and returns the most, as a part of what is allowed, by a growing
-// capacity and by StartCapacity alone.
+// worst runs a case with many seeds. It returns the highest number of requests relative to the allowed number, which
+// is computed from the growing capacity and from StartCapacity alone.
 func (d fallDay) worst(t *testing.T) (growing, flat float64) {
-	var says [2]string
+	var details [2]string
 	for seed := range fallSeeds {
 		d.seed = seed
-		if part, got, most, age := d.play(t, false); part > growing {
-			growing, says[0] = part, fmt.Sprintf("%.0f of %.1f (%.2f) at %.0f ms, seed %d", got, most, part, age, seed)
+		if ratio, got, allowed, age := d.play(t, false); ratio > growing {
+			growing, details[0] = ratio, fmt.Sprintf("%.0f of %.1f (%.2f) at %.0f ms, seed %d", got, allowed, ratio, age, seed)
 		}
-		if part, got, most, age := d.play(t, true); part > flat {
-			flat, says[1] = part, fmt.Sprintf("%.0f of %.1f (%.2f) at %.0f ms, seed %d", got, most, part, age, seed)
+		if ratio, got, allowed, age := d.play(t, true); ratio > flat {
+			flat, details[1] = ratio, fmt.Sprintf("%.0f of %.1f (%.2f) at %.0f ms, seed %d", got, allowed, ratio, age, seed)
 		}
 	}
-	t.Logf("%v: most, by a growing capacity: %s; by StartCapacity alone: %s", d, says[0], says[1])
+	t.Logf("%v: highest, by a growing capacity: %s; by StartCapacity alone: %s", d, details[0], details[1])
 	return growing, flat
 }
 
-// twenty dispatchers see about a req a second each.
+// twentyDispatchers is a case with twenty dispatchers that get one request per second each on average.
 func twenty(warm, cold, slots int, aim, work Millis) fallDay {
 	rules := testSettings().Rules
 	rules.FallWindow, rules.StartCapacity, rules.WarmAfter = 2000, 0.31, 9000
 	return fallDay{dispatchers: 20, warm: warm, cold: cold, slots: slots, aim: aim, work: work, rate: 1, rules: rules}
 }
 
-// TestFallOfAll: twenty dispatchers, each of which sees about a req a second, are told of cold
-// backends at once. In no window of the settings does one of those get more than the page's
-// N + 3·√N + 3 reqs; where reqs are as heavy as the aim, not even if its capacity stayed
-// StartCapacity until it is warm.
+// TestColdBudgetOfSmallFleet: twenty dispatchers, each with about one request per second, learn of cold workers at once.
+// In no window of FallWindow does a cold worker get more than N + 3·√N + 3 requests. Where a request's work is the aim,
+// this holds even if the capacity stayed StartCapacity until the worker is warm.
 func TestFallOfAll(t *testing.T) {
 	for _, d := range []fallDay{twenty(1, 1, 4, 400, 400), twenty(4, 1, 1, 400, 400), twenty(0, 1, 1, 400, 400), twenty(2, 6, 2, 400, 400),
 		twenty(4, 1, 4, 400, 800), twenty(0, 1, 4, 400, 800), twenty(2, 1, 1, 120, 400), twenty(4, 1, 4, 120, 1200)} {
--- a/internal/balance/fleetcold_test.go
+++ b/internal/balance/fleetcold_test.go
@@ -13,29 +13,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// coldFleet is a day of a fleet of dispatchers that begin to use cold backends, in virtual time. Its parts are drawn from
-// its seed.
+// fleetCase is a simulation in virtual time of a fleet of dispatchers that begin to use cold workers. Its parameters are
+// drawn from its seed.
 type coldFleet struct {
 	seed             uint64
 	nodes, zones     int     // dispatchers, and zones of them and of the backends
-	down             float64 // part of the dispatchers that never run
-	warm, cold       int     // backends
-	again            bool    // the cold ones are warm ones that began anew, with the same ID
-	spread           Millis  // of the starts of the cold ones
-	slots            []int   // of a backend, one of these, by its kind ...
-	one              bool    // ... unless all are of one kind
-	speeds           float64 // the part by which a backend may be slower or faster than another
-	work             Millis  // mean running time of the first class at a warm backend
-	mix              float64 // the second class runs so many times longer than the first
-	share            float64 // of the second class
-	wide             float64 // part of the reqs that take two slots
-	aim, stretch     float64 // of both classes, in parts of their work
-	load             float64 // part of what all backends can do once they are warm
-	skew             float64 // of the dispatchers' shares of the load: 0 even, 1 some have several times the mean
-	notice           Millis  // the list is heard of this late at most
-	bad              float64 // part of the warm backends that answer with errors
-	queue            int     // reqs that a backend keeps for each slot
-	restarts, killed float64 // restarts of a part of the dispatchers while the backends are cold, and that part
+	down             float64 // share of the dispatchers that get no requests
+	warm, cold       int     // numbers of workers
+	again            bool    // the cold workers are restarted ones with the same ID
+	spread           Millis  // time over which the cold workers start
+	slots            []int   // slots of a worker, by its kind ...
+	one              bool    // ... with all workers of kind 0 but with these different slots
+	speeds           float64 // greatest deviation of a worker's speed from 1
+	work             Millis  // mean running time of the first class on a warm worker
+	mix              float64 // running time of the second class relative to the first
+	share            float64 // share of requests of the second class
+	wide             float64 // share of requests that take two slots
+	aim, stretch     float64 // of both classes, as multiples of their work
+	load             float64 // relative to the capacity of all workers once they are warm
+	skew             float64 // of the dispatchers' shares of the load: 0 is even, with 1 some have several times the mean
+	notice           Millis  // greatest delay until a dispatcher learns of a start
+	bad              float64 // share of the warm workers that answer with errors
+	queue            int     // requests that a worker queues per slot
+	restarts, killed float64 // restarts of dispatchers while workers are cold, and the share of the dispatchers restarted
 	cross            float64
 	rules            Rules
 }
@@ -61,7 +61,7 @@
 	case 1:
 		f.warm, f.cold = all*4/10, all*6/10
 	default:
-		f.warm, f.cold = all/2, all/2 // a zone's return, where there are two
+		f.warm, f.cold = all/2, all/2 // with two zones, one of them comes back
 	}
 	if g.IntN(3) == 0 {
 		f.again = true
@@ -80,13 +80,13 @@
 	}
 	f.one = g.IntN(4) == 0
 	f.share = 0.5
-	if g.IntN(2) == 0 { // settings whose aims say little of the running times, and less of their mean
+	if g.IntN(2) == 0 { // aims that say little about the running times, and less about their mean
 		f.share, f.mix, f.aim, f.stretch = of(0.05, 0.95), of(1, 4), of(0.3, 1), of(0, 2)
 	}
 	return f
 }
 
-// coldJob is an attempt on its way or at a backend.
+// fleetJob is an attempt on its way or on a worker.
 type coldJob struct {
 	by      *coldNode
 	gen     int
@@ -97,8 +97,8 @@
 	sent    Millis
 }
 
-// coldCame is an arrival at a cold backend: when, what part of a req of mean work it is, and whether
-// its dispatcher had been told of the start.
+// coldArrival is an arrival at a cold worker: its time, its work relative to a request of mean work, and whether its
+// dispatcher knew of the start.
 type coldCame struct {
 	at, work float64
 	told     bool
@@ -108,9 +108,9 @@
 	Worker
 	slots, free, speed float64
 	bad                bool
-	gen                int // of its processes
+	gen                int // number of its process
 	queue              []coldJob
-	came               []coldCame // to the process that is cold
+	came               []coldCame // at the cold process
 }
 
 type coldNode struct {
@@ -123,7 +123,7 @@
 	attempts map[RequestID]int
 	reqs     map[RequestID]Request
 	told     map[WorkerID]bool
-	list     map[WorkerID]Worker // what it was told last, as its agent keeps it
+	list     map[WorkerID]Worker // last known entries, which its agent keeps
 }
 
 type coldWorld struct {
@@ -146,8 +146,8 @@
 	q := n.reqs[id]
 	j := coldJob{n, n.gen, id, n.attempts[id], q.Class, q.Slots, n.w.now}
 	n.attempts[id]++
-	told := n.told[to] || !n.w.again
-	n.w.after(fallWay, func() { n.w.take(n.w.backends[to], j, told) })
+	known := n.told[to] || !n.w.again
+	n.w.after(networkDelay, func() { n.w.take(n.w.backends[to], j, known) })
 }
 func (n *coldNode) Wake(in Millis, token uint64) {
 	gen := n.gen
@@ -173,7 +173,7 @@
 	n.d.Workers(n.w.now, ListDelta, list)
 }
 
-// begin makes a new process, which hears at once what its agent was told.
+// restart makes a new process, which gets at once the entries that its agent knows.
 func (n *coldNode) begin(t *testing.T, index []WorkerID) {
 	w, set := n.w, testSettings()
 	set.Seed, set.Self, set.Instances, set.Zone, set.Zones, set.ProgressEvery = w.seed<<12|uint64(n.self), n.self, w.nodes, n.zone, w.zones, 0
@@ -212,7 +212,7 @@
 	w.after(w.rng.ExpFloat64()*1000/n.rate, n.arrive)
 }
 
-// warmth is the least part of its capacity that the settings promise a backend.
+// capacityShare is the least share of a worker's full capacity that the settings promise at a time.
 func (w *coldWorld) warmth(b *coldBackend, at Millis) float64 {
 	if age := at - b.Started; b.Started > 0 && age < w.rules.WarmAfter {
 		return w.rules.StartCapacity + (1-w.rules.StartCapacity)*max(0, age)/w.rules.WarmAfter
@@ -220,14 +220,14 @@
 	return 1
 }
 
-// mean is the mean work of a req: its running time at a warm backend of speed 1, by its slots.
+// meanWork is the mean work of a request: its running time on a warm worker of speed 1 times its slots.
 func (w *coldWorld) mean() float64 {
 	return (w.works[0]*(1-w.share) + w.works[1]*w.share) * (1 + w.wide)
 }
 
-func (w *coldWorld) take(b *coldBackend, j coldJob, told bool) {
+func (w *coldWorld) take(b *coldBackend, j coldJob, startKnown bool) {
 	if b.Started > 0 {
-		b.came = append(b.came, coldCame{w.now, w.works[j.class] * j.slots / w.mean(), told})
+		b.came = append(b.came, coldCame{w.now, w.works[j.class] * j.slots / w.mean(), startKnown})
 	}
 	switch {
 	case b.bad:
@@ -245,14 +245,14 @@
 		j, gen := b.queue[0], b.gen
 		need := min(j.slots, b.slots)
 		b.queue, b.free = b.queue[1:], b.free-need
-		w.after(fallWay, func() {
+		w.after(networkDelay, func() {
 			if j.by.gen == j.gen {
 				j.by.d.Progressed(w.now, Progress{ID: j.id, Attempt: j.attempt, Worker: b.ID, Started: true})
 			}
 		})
 		took := w.works[j.class] * (0.5 + w.rng.ExpFloat64()/2) / w.warmth(b, w.now) / b.speed
 		w.after(took, func() {
-			if b.gen != gen { // its process has ended
+			if b.gen != gen { // the worker's process has ended
 				w.answer(b, j, Reset)
 				return
 			}
@@ -264,16 +264,16 @@
 }
 
 func (w *coldWorld) answer(b *coldBackend, j coldJob, r Result) {
-	w.after(fallWay, func() {
+	w.after(networkDelay, func() {
 		if j.by.gen == j.gen {
 			j.by.d.AttemptEnded(w.now, Outcome{ID: j.id, Attempt: j.attempt, Worker: b.ID, Result: r, Took: w.now - j.sent, Closed: r == OK})
 		}
 	})
 }
 
-// coldResult is what a day shows: the most that a cold backend got in any FallWindow as a part of N + 2·√N + 2, N taking the least
-// capacity that the settings promise at the window's start; and what part of that least capacity was used, from when the list
-// was heard by all.
+// fleetResult is the result of a case: the highest number of requests that a cold worker got in any FallWindow relative to
+// N + 2·√N + 2, where N follows from the least capacity that the settings promise at the window's start; and the used share
+// of that least capacity, from when all dispatchers know of the start.
 type coldResult struct {
 	part, got, most, age float64
 	used, able           float64
@@ -284,8 +284,8 @@
 	const before = 6000
 	w := &coldWorld{coldFleet: f, now: 1e6, rng: rand.New(rand.NewPCG(f.seed, 7)), backends: map[WorkerID]*coldBackend{}}
 	w.works = [2]float64{f.work, f.work * f.mix}
-	told := w.now + before + w.rng.Float64()*f.rules.FallWindow
-	end := told + f.spread + f.notice + f.rules.WarmAfter
+	startAt := w.now + before + w.rng.Float64()*f.rules.FallWindow
+	end := startAt + f.spread + f.notice + f.rules.WarmAfter
 	var index []WorkerID
 	capacity := 0.0
 	for i := range f.warm + f.cold {
@@ -321,7 +321,7 @@
 		}
 	}
 	for _, id := range index[f.warm:] {
-		b, at := w.backends[id], told+w.rng.Float64()*f.spread
+		b, at := w.backends[id], startAt+w.rng.Float64()*f.spread
 		w.after(at-w.now, func() {
 			b.Started, b.gen, b.free, b.queue = w.now, b.gen+1, b.slots, nil
 			for _, n := range nodes {
@@ -330,7 +330,7 @@
 		})
 	}
 	for range int(f.restarts) {
-		at := told + w.rng.Float64()*(end-told)
+		at := startAt + w.rng.Float64()*(end-startAt)
 		for _, n := range nodes {
 			if w.rng.Float64() < f.killed {
 				w.after(at-w.now+w.rng.Float64()*500, func() { n.begin(t, index) })
@@ -344,29 +344,29 @@
 	}
 	for _, id := range index[f.warm:] {
 		b := w.backends[id]
-		heard, warm := b.Started+f.notice, b.Started+f.rules.WarmAfter
+		knownAt, warmAt := b.Started+f.notice, b.Started+f.rules.WarmAfter
 		for i, first := range b.came {
 			from := first.at
-			if from >= warm {
+			if from >= warmAt {
 				break
 			}
 			n := f.rules.FallMultiple * w.warmth(b, from) * b.slots * b.speed * f.rules.FallWindow / w.mean()
-			most, all, knew := n+2*math.Sqrt(n)+2, 0.0, 0.0
-			for j := i; j < len(b.came) && b.came[j].at < min(from+f.rules.FallWindow, warm); j++ {
+			allowed, all, withStartKnown := n+2*math.Sqrt(n)+2, 0.0, 0.0
+			for j := i; j < len(b.came) && b.came[j].at < min(from+f.rules.FallWindow, warmAt); j++ {
 				all += b.came[j].work
 				if b.came[j].told {
-					knew += b.came[j].work
+					withStartKnown += b.came[j].work
 				}
 			}
-			if knew > all*2/3 && all/most > res.part { // else those are to blame that had not been told
-				res.part, res.got, res.most, res.age = all/most, all, most, from-b.Started
+			if withStartKnown > all*2/3 && all/allowed > res.part { // otherwise dispatchers that did not know of the start caused it
+				res.part, res.got, res.most, res.age = all/allowed, all, allowed, from-b.Started
 			}
-			if from >= heard {
+			if from >= knownAt {
 				res.used += first.work
 			}
 		}
-		if heard < warm {
-			res.able += (w.warmth(b, heard) + 1) / 2 * (warm - heard) * b.slots * b.speed / w.mean()
+		if knownAt < warmAt {
+			res.able += (w.warmth(b, knownAt) + 1) / 2 * (warmAt - knownAt) * b.slots * b.speed / w.mean()
 		}
 	}
 	for _, n := range nodes {
@@ -377,16 +377,17 @@
 	return res
 }
 
-// TestFleetFall: whatever the number of dispatchers, from 1 to 300, their shares of the load, the moments in which they hear of cold
-// backends and their restarts, no cold backend gets more in any window than N + 2·√N + 2 reqs of mean work. Where there is more to do
-// than the warm can take, the cold do a good part of what they can: on some days the list is late, or dispatchers are down.
+// TestColdBudgetOfRandomFleets: with 1 to 300 dispatchers, whatever their shares of the load, their restarts and the times at
+// which they learn of cold workers, no cold worker gets more than N + 2·√N + 2 requests of mean work in any window. If there is
+// more work than warm workers can take, the cold ones do a good part of what they can, even though in some cases the list is
+// late or dispatchers are down.
 func TestFleetFall(t *testing.T) {
 	seeds := []uint64{
-		1142, 1192, // several sizes: all of them had a job a window from each dispatcher
-		1122, 1434, // several sizes of one kind: a small one passed for as wide as a large one
+		1142, 1192, // several sizes: workers of each size got one job per window from each dispatcher
+		1122, 1434, // several sizes of one kind: a small worker was given the slots seen on a large one
 	}
 	days := uint64(8)
-	if s := os.Getenv("COLD_DAYS"); s != "" { // for a longer look
+	if s := os.Getenv("COLD_DAYS"); s != "" { // for a longer run
 		var err error
 		days, err = strconv.ParseUint(s, 10, 64)
 		require.NoError(t, err)
@@ -398,15 +399,15 @@
 	for _, seed := range seeds {
 		f := drawColdFleet(seed)
 		r := f.play(t)
-		says := fmt.Sprintf("%.1f of %.1f (%.2f) at %.0f ms; used %.2f of what they can do; %d retries: %+v",
+		details := fmt.Sprintf("%.1f of %.1f (%.2f) at %.0f ms; used %.2f of the cold capacity; %d retries: %+v",
 			r.got, r.most, r.part, r.age, r.used/max(r.able, 1e-9), r.retries, f)
-		t.Log(says)
-		assert.LessOrEqual(t, r.part, 1.0, says)
+		t.Log(details)
+		assert.LessOrEqual(t, r.part, 1.0, details)
 		worst = max(worst, r.part)
 		if f.load >= 0.8 && r.able > 0 {
 			used, busy = used+r.used/r.able, busy+1
 		}
 	}
-	t.Logf("most: %.2f of the bound; on busy days %.2f of what the cold can do was used", worst, used/busy)
-	assert.Greater(t, used/busy, 0.4, "of what cold backends can do, on busy days")
+	t.Logf("highest: %.2f of the bound; in busy cases %.2f of the cold capacity was used", worst, used/busy)
+	assert.Greater(t, used/busy, 0.4, "used share of the cold capacity, in busy cases")
 }
--- a/internal/balance/further_attempts_test.go
+++ b/internal/balance/further_attempts_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// TestLegal walks through what may follow a first attempt that ended in each way.
+// TestMaySend checks which attempts may follow a first one, for each way in which that may end.
 func TestLegal(t *testing.T) {
 	s := testSettings()
 	same := Worker{ID: 1, Zone: 1, Cell: 1, State: Ready, Weight: 1}
@@ -39,7 +39,7 @@
 			never: c.result == Full || c.result == ConnectFailed || c.result == NotSent}}}
 		for id, want := range map[WorkerID]bool{1: c.same, 2: c.zone, 3: c.far} {
 			if got := d.legal(10+c.after, r, &d.workers[d.index[id]]); got != want {
-				t.Errorf("class %d after result %d, %v ms, worker %d: legal %v, want %v",
+				t.Errorf("class %d after result %d, %v ms, worker %d: may send %v, want %v",
 					c.class, c.result, c.after, id, got, want)
 			}
 		}
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestGroupOutlivesItsWorker: a worker that is gone and forgotten leaves its place to
-// another, and a repeat must still keep to the first one's cell.
+// TestDedupGroupOutlivesWorker: the index of a worker that is gone is reused for another one. A repeat must still go
+// to the first worker's cell.
 func TestGroupOutlivesItsWorker(t *testing.T) {
 	s := testSettings()
 	d, rec := start(t, s, []Worker{{ID: 1, Zone: 1, Cell: 1, State: Ready, Weight: 1}})
@@ -71,7 +71,7 @@
 	d, _ := start(t, s, fleet(3))
 	r := &request{Request: req(1, 0), open: true, attempts: []attempt{{worker: 0, out: true, sent: 10}}}
 	if d.legal(20, r, &d.workers[1]) {
-		t.Error("a second attempt beside one in flight is called legal")
+		t.Error("a second attempt is allowed while the first is in flight")
 	}
 }
 
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestRunningJobsAreNotCopied: where starts are not told, progress shows that a job runs,
-// and a copy would only take a slot from others.
+// TestRunningJobsAreNotCopied: where starts are not reported, progress shows that a job runs. A copy would only take a
+// slot from other jobs.
 func TestRunningJobsAreNotCopied(t *testing.T) {
 	s := testSettings()
 	s.TellsStart = false
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestStartedJobsWithoutProgressAreLeft: where backends tell starts but no progress, a started
-// job has nothing more to say. Its silence is no bad ending and no ground for a copy.
+// TestStartedJobsWithoutProgressAreLeft: where workers report starts but no progress, a started job sends nothing more.
+// Its silence is no failure and no reason for a copy.
 func TestStartedJobsWithoutProgressAreLeft(t *testing.T) {
 	for progress, want := range map[Millis]int{0: 0, 1000: 1} {
 		s := testSettings()
@@ -117,12 +117,12 @@
 		d.copies = 1e6
 		w := sent(d, rec, 10, req(1, 0))
 		d.Progressed(20, Progress{ID: 1, Worker: w, Started: true})
-		for _, a := range rec.only("wake") { // the only timers that a real host would call
+		for _, a := range rec.only("wake") { // only these timers expire in real use
 			d.Wake(20+a.in, a.token)
 		}
-		d.Wake(10+d.patience(d.reqs[1])+2500, 1<<8) // set when it was sent
+		d.Wake(10+d.patience(d.reqs[1])+2500, 1<<8) // the timer set at the dispatch
 		if got := d.workers[d.index[w]].strikes; (got > 0) != (want > 0) {
-			t.Errorf("progress every %v: %d strikes", progress, got)
+			t.Errorf("progress every %v: backoff level %d", progress, got)
 		}
 		if a := rec.only("dispatch"); (len(a) > 0) != (want > 0) {
 			t.Errorf("progress every %v: %d copies", progress, len(a))
@@ -130,29 +130,29 @@
 	}
 }
 
-// TestLosingCopies: a copy that lost is cancelled, but where starts are told it is left: a
-// worker that does not stop it would look emptier than it is.
+// TestOtherCopiesAreCancelled: when one copy has succeeded, the others are cancelled, except where starts are reported:
+// a worker that does not stop a cancelled job would look less loaded than it is.
 func TestLosingCopies(t *testing.T) {
-	for _, tells := range []bool{true, false} {
+	for _, reportsStart := range []bool{true, false} {
 		s := testSettings()
-		s.TellsStart = tells
+		s.TellsStart = reportsStart
 		d, rec := start(t, s, fleet(9))
 		d.copies = 1e6
 		w := sent(d, rec, 10, req(1, 0))
 		d.Wake(5000, 1<<8)
 		rec.acts = rec.acts[:0]
 		d.AttemptEnded(5010, Outcome{ID: 1, Worker: w, Took: 5000, Closed: true})
-		if a := rec.only("cancel"); (len(a) == 0) != tells {
-			t.Errorf("starts told %v: %d cancels", tells, len(a))
+		if a := rec.only("cancel"); (len(a) == 0) != reportsStart {
+			t.Errorf("starts reported %v: %d cancels", reportsStart, len(a))
 		}
 		if left := d.busy; left != 1 {
-			t.Errorf("starts told %v: %v slots counted with one attempt out", tells, left)
+			t.Errorf("starts reported %v: %v slots counted with one attempt in flight", reportsStart, left)
 		}
 	}
 }
 
-// TestWaitingCopyGoes: once one attempt has started, those that still wait in a queue are
-// called off: there is nothing to gain from running the job twice. One that runs is left.
+// TestQueuedCopyIsCancelledOnStart: once one attempt has started, attempts still in a queue are cancelled, as nothing is
+// gained by running the job twice. An attempt that runs is not cancelled.
 func TestWaitingCopyGoes(t *testing.T) {
 	for _, running := range []bool{false, true} {
 		d, rec := start(t, testSettings(), fleet(9))
@@ -171,13 +171,13 @@
 	}
 }
 
-// TestStretchedAimAllowsAWait: where the aim grows with a job's own work, a wait that takes
-// only a part of that is no crowd.
+// TestStretchedAimAllowsLongerWait: where the aim grows with a job's own work, a wait that takes only a part of that
+// growth does not count as overload.
 func TestStretchedAimAllowsAWait(t *testing.T) {
 	for _, c := range []struct {
 		stretch float64
 		wait    Millis
-		crowd   bool
+		loaded  bool
 	}{{0, 199, false}, {0, 201, true}, {2, 299, false}, {2, 301, true}} {
 		s := testSettings()
 		s.Classes[0].Stretch = c.stretch
@@ -186,13 +186,13 @@
 		limit := d.limit
 		w := sent(d, rec, 10, req(1, 0))
 		d.Progressed(10+c.wait, Progress{ID: 1, Worker: w, Started: true})
-		if (d.limit < limit) != c.crowd {
+		if (d.limit < limit) != c.loaded {
 			t.Errorf("stretch %v, waited %v: limit %v, was %v", c.stretch, c.wait, d.limit, limit)
 		}
 	}
 }
 
-// TestNoCopyBehindAQueue: a second copy that would wait as well only makes the queues longer.
+// TestNoCopyBehindAQueue: a second copy that has to wait too only makes the queues longer.
 func TestNoCopyBehindAQueue(t *testing.T) {
 	for _, free := range []float64{0, 1} {
 		d, rec := start(t, testSettings(), fleet(9))
--- a/internal/balance/health_test.go
+++ b/internal/balance/health_test.go
@@ -8,7 +8,7 @@
 func TestDrainStopsAtOnce(t *testing.T) {
 	d, rec := start(t, testSettings(), fleet(2))
 	first := sent(d, rec, 10, req(1, 0))
-	other := WorkerID(2001) - first // the ids are 1000 and 1001
+	other := WorkerID(2001) - first // the IDs are 1000 and 1001
 	d.Workers(20, ListDelta, []Worker{{ID: other, State: Draining}})
 	rec.acts = rec.acts[:0]
 	d.AttemptEnded(30, Outcome{ID: 1, Worker: first, Result: Full})
@@ -35,35 +35,35 @@
 	}
 	w := &d.workers[0]
 	if w.strikes == 0 {
-		t.Fatal("failed connections left no strike")
+		t.Fatal("failed connections did not raise the backoff level")
 	}
 	again := fleet(1)
 	again[0].Started = 70000
 	d.Workers(71000, ListDelta, again)
 	if w.strikes != 0 || w.until != 0 {
-		t.Errorf("after a restart %d strikes are left, rest until %v", w.strikes, w.until)
+		t.Errorf("after a restart the backoff level is %d, the worker is avoided until %v", w.strikes, w.until)
 	}
 	if got := d.warmth(70000, w); got != 0.2 {
-		t.Errorf("warmth at the start is %v, want the start capacity 0.2", got)
+		t.Errorf("capacity share at the start is %v, want the start capacity 0.2", got)
 	}
 }
 
-// TestColdBudget lets many dispatchers, each with a trickle, share one cold worker among
-// warm ones, and checks the sum of what they send to it over every window.
+// TestColdBudget has many dispatchers with few requests each share one cold worker among warm ones. It checks what they
+// send to it together in every window.
 func TestColdBudget(t *testing.T) {
-	for _, crowd := range []float64{0, 8} { // with all others crowded, the cold worker is the emptiest by far
-		coldBudget(t, crowd)
+	for _, otherSlots := range []float64{0, 8} { // with all others loaded, the cold worker is by far the least loaded
+		coldBudget(t, otherSlots)
 	}
 }
 
-func coldBudget(t *testing.T, crowd float64) {
+func coldBudget(t *testing.T, otherSlots float64) {
 	t.Helper()
 	for _, n := range []int{2, 40, 300} {
 		s := testSettings()
 		s.Instances, s.Zones = n, 1
 		list := oneZone(8)
 		list[0].Started = 100000
-		var at []Millis
+		var arrivals []Millis
 		rng := rand.New(rand.NewPCG(9, 9))
 		ds, recs := make([]*Dispatcher, n), make([]*recorder, n)
 		for k := range ds {
@@ -71,38 +71,38 @@
 			ds[k], recs[k] = start(t, s, list)
 		}
 		id := 0
-		for now := 100000.0; now < 112000; now += 12.5 { // 80 jobs a second: all that 8 workers of 4 can do
+		for now := 100000.0; now < 112000; now += 12.5 { // 80 jobs per second, the capacity of 8 workers of 4 slots
 			k := rng.IntN(n)
 			for i := range ds[k].workers[1:] {
-				ds[k].learnCrowd(now, &ds[k].workers[i+1], crowd, 0 > crowd)
+				ds[k].learnCrowd(now, &ds[k].workers[i+1], otherSlots, 0 > otherSlots)
 			}
 			id++
 			w := sent(ds[k], recs[k], now, Request{ID: RequestID(id), Deadline: now + 9000, Slots: 1})
 			if w == list[0].ID {
-				at = append(at, now)
+				arrivals = append(arrivals, now)
 			}
 			if w != 0 {
 				ds[k].AttemptEnded(now+400, Outcome{ID: RequestID(id), Worker: w, Took: 400, Closed: true})
 			}
 		}
-		for i, from := range at {
-			j, warm := i, 0.2+0.8*min(1, (from-100000)/10000)
-			for j < len(at) && at[j] < from+1000 {
+		for i, from := range arrivals {
+			j, capacity := i, 0.2+0.8*min(1, (from-100000)/10000)
+			for j < len(arrivals) && arrivals[j] < from+1000 {
 				j++
 			}
-			if sentIn, most := float64(j-i), 3*warm*4/0.4+1; from+1000 < 110000 && sentIn > most {
-				t.Errorf("%d dispatchers: %v jobs in a second to a worker that is %.2f warm, want at most %.1f",
-					n, sentIn, warm, most)
+			if sentIn, allowed := float64(j-i), 3*capacity*4/0.4+1; from+1000 < 110000 && sentIn > allowed {
+				t.Errorf("%d dispatchers: %v jobs in a second to a worker with %.2f of its capacity, want at most %.1f",
+					n, sentIn, capacity, allowed)
 			}
 		}
-		if len(at) == 0 {
+		if len(arrivals) == 0 {
 			t.Errorf("%d dispatchers: the cold worker got nothing in 12 s", n)
 		}
 	}
 }
 
-// With half of a large fleet cold and the rest crowded, the cold ones get a good part of what
-// they can do, though each dispatcher's part of a worker is far less than a job.
+// TestManyColdWorkersAreUsed: with half of a large fleet cold and the rest loaded, the cold workers get a good part of
+// what they can do, though each dispatcher's budget for a worker is far below one job.
 func TestManyColdWorkersAreUsed(t *testing.T) {
 	const n, size = 100, 200
 	s := testSettings()
@@ -120,7 +120,7 @@
 		ds[k], recs[k] = start(t, s, list)
 	}
 	rng, cold, id := rand.New(rand.NewPCG(9, 9)), 0.0, 0
-	for now := 100000.0; now < 103000; now += 0.5 { // ten jobs a second for each worker
+	for now := 100000.0; now < 103000; now += 0.5 { // ten jobs per second for each worker
 		k := rng.IntN(n)
 		for i := 1; i < size; i += 2 {
 			ds[k].learnCrowd(now, &ds[k].workers[i], 8, false)
@@ -132,13 +132,13 @@
 			cold += float64(1 - w%2)
 		}
 	}
-	// four slots, jobs of 400 ms, on average 0.3 warm: nine jobs each in three seconds
-	if able := 9.0 * size / 2; cold < able/3 || cold > able {
-		t.Errorf("%v jobs went to cold workers, want a third to all of the %v that they can do", cold, able)
+	// four slots, jobs of 400 ms, a mean capacity share of 0.3: nine jobs each in three seconds
+	if capacity := 9.0 * size / 2; cold < capacity/3 || cold > capacity {
+		t.Errorf("%v jobs went to cold workers, want a third to all of the %v that they can do", cold, capacity)
 	}
 }
 
-// TestQuickErrorsDoNotWin: a worker that fails at once keeps a low count.
+// TestQuickErrorsDoNotWin: a worker that fails at once always has a low load and must not win for that.
 func TestQuickErrorsDoNotWin(t *testing.T) {
 	for _, result := range []Result{Error, ConnectFailed, Full, Reset} {
 		d, rec := start(t, testSettings(), fleet(6))
@@ -157,8 +157,8 @@
 	}
 }
 
-// TestEvidenceAgainstAllIsDoubted: a fault of all workers must not leave nobody.
-// A hall cut off is left after a few failed connections, not after one for each of its workers.
+// TestUnreachableZoneIsAvoided: a zone that is cut off is avoided after a few failed connections, not after one for each
+// of its workers.
 func TestUnreachableZoneIsLeft(t *testing.T) {
 	s := testSettings()
 	s.Zone = 1
@@ -185,18 +185,19 @@
 	}
 }
 
+// TestFailuresOfAllWorkersAreIgnored: if all workers have failed, requests are still sent.
 func TestEvidenceAgainstAllIsDoubted(t *testing.T) {
 	d, rec := start(t, testSettings(), fleet(3))
 	for i := range d.workers {
 		d.strike(10, &d.workers[i], "test")
 	}
 	if w := sent(d, rec, 11, req(1, 0)); w == 0 {
-		t.Error("with every worker struck nothing was sent")
+		t.Error("after failures of all workers nothing was sent")
 	}
 }
 
-// TestSlowWorkersAreLeft: a worker that has become far slower than its kind has a short queue
-// and long waits. It gets one job at a time, with rests, until it has recovered.
+// TestSlowWorkersGetOneJobAtATime: a worker that has become far slower than its kind has a short queue but long waits.
+// It gets one job at a time, with pauses, until it has recovered.
 func TestSlowWorkersAreLeft(t *testing.T) {
 	d, rec := start(t, testSettings(), fleet(1))
 	w, now := &d.workers[0], Millis(10)
@@ -206,7 +207,7 @@
 	}{{1.5, 3, true}, {2.5, 0, true}, {2.5, 1, false}} {
 		w.pace, w.own = c.pace, c.own
 		if got := d.trusted(now, w, 1); got != c.want {
-			t.Errorf("pace %v with %v slots out: trusted %v", c.pace, c.own, got)
+			t.Errorf("time ratio %v with %v slots in use: usable %v", c.pace, c.own, got)
 		}
 	}
 	w.pace, w.own = 4, 0
@@ -215,11 +216,11 @@
 		d.Progressed(now, Progress{ID: RequestID(id), Worker: w.ID, Started: true})
 		d.AttemptEnded(now+400, Outcome{ID: RequestID(id), Worker: w.ID, Took: 400, Closed: true})
 		if rests := w.until > now+400; rests != (w.pace >= ill) {
-			t.Errorf("job %d, pace %v: rests %v", id, w.pace, rests)
+			t.Errorf("job %d, time ratio %v: paused %v", id, w.pace, rests)
 		}
 		now = max(now+400, w.until)
 	}
 	if w.pace >= ill || !d.trusted(now, w, 1) {
-		t.Errorf("after 40 jobs of the usual time its pace is %v", w.pace)
+		t.Errorf("after 40 jobs of the usual time its time ratio is %v", w.pace)
 	}
 }
--- a/internal/balance/heir_test.go
+++ b/internal/balance/heir_test.go
@@ -7,9 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOneBudgetForTwoProcesses: across a hand-over, whatever its moment in a window, both processes send to a cold worker at once, each
-// less than one process alone, together no more than twice one alone in the window of the hand-over and FallMultiple/2 (1.5) times
-// after it, the margin that one process keeps below FallMultiple; the old one has its whole budget again where the new one is gone.
+// TestColdBudgetAcrossHandover: during a hand-over that begins at any moment of a window, both processes send to a cold
+// worker, each less than one process alone. Together they send at most twice as much as one alone in the window of the
+// hand-over, and FallMultiple/2 (1.5) times as much after it, the margin that one process keeps below FallMultiple. The
+// old process has its whole budget again when the new one is gone.
 func TestOneBudgetForTwoProcesses(t *testing.T) {
 	set := testSettings()
 	type process struct {
@@ -48,17 +49,17 @@
 			ask(old, now)
 			ask(next, now)
 		}
-		assert.Positive(t, next.sent[10], "the new one sends to a cold worker at once, in the window that goes on")
-		// The window of the hand-over: what the old one had, and the new one's part (FallMultiple/4 = 0.75), drawn later in
-		// the window, when the worker is warmer.
+		assert.Positive(t, next.sent[10], "the new process sends to a cold worker in the current window")
+		// In the window of the hand-over: the old process's whole budget, and the new one's part (FallMultiple/4 = 0.75),
+		// computed later in the window, when the worker is warmer.
 		assert.LessOrEqual(t, old.sent[10]+next.sent[10], 2*alone.sent[10]+2, "below FallMultiple (3)")
-		for w := int64(11); w < 13; w++ { // then FallMultiple/2 together, the margin of one process
+		for w := int64(11); w < 13; w++ { // afterwards FallMultiple/2 together, the margin of one process
 			assert.Positive(t, alone.sent[w])
-			assert.LessOrEqual(t, float64(old.sent[w]+next.sent[w]), 1.5*float64(alone.sent[w])+2, "parts of a job are drawn")
-			assert.Less(t, old.sent[w], alone.sent[w], "the old one has a part alone")
-			assert.Less(t, next.sent[w], alone.sent[w], "and so has the new one")
+			assert.LessOrEqual(t, float64(old.sent[w]+next.sent[w]), 1.5*float64(alone.sent[w])+2, "plus 2, as fractions of a job are rounded at random")
+			assert.Less(t, old.sent[w], alone.sent[w], "the old process has only a part of the budget")
+			assert.Less(t, next.sent[w], alone.sent[w], "the new process has only a part of the budget")
 		}
-		assert.Positive(t, old.sent[11]+old.sent[12], "the old one keeps its part: it still serves its sessions")
+		assert.Positive(t, old.sent[11]+old.sent[12], "the old process keeps its part, since it still serves its sessions")
 		old.SetOverlap(false)
 		ask(old, 14_000)
 		assert.Positive(t, old.sent[14])
--- a/internal/balance/kept.go
+++ b/internal/balance/kept.go
@@ -5,35 +5,36 @@
 	"slices"
 )
 
-// This file holds sums that dispatcher.go would otherwise make anew for each request and each worker, so that a
-// decision's cost does not grow with the fleet or with what is held. It decides nothing: each sum has a test that
-// makes it anew and compares.
+// This file caches values that dispatcher.go would otherwise compute for each request and each worker, so that the
+// cost of a decision does not grow with the fleet or with the number of held requests. It makes no decisions. A test
+// computes each cached value again and compares.
 
-// kept are the sums.
+// cache holds the cached values.
 type kept struct {
-	values []float64 // of requests, by class, for those beyond their tenant's share after all others; NaN: not known
-	marks  []mark    // of the ready workers, in their order
-	byKind []weights // of the ready workers, by kind, if ...
-	summed bool      // ... they have been made, as of ...
-	at     Millis    // ... this time ...
-	bend   Millis    // ... and good until then: a worker starts or becomes warm
-	seated []int32   // places that a list has touched
-	none   []bool    // by kind, the last for any: no ready worker can take a request while the held are served
-	looks  int       // at workers, since the start: what a decision's cost grows with
-}
-
-// mark is what tells of most workers that a request cannot go there, without a look at them.
+	values []float64 // by class, then by class for requests beyond their tenant's share; NaN if not computed
+	marks  []mark    // of the ready workers, in the order of ready
+	byKind []weights // sums over the ready workers, by kind, if ...
+	summed bool      // ... they have been computed, as of ...
+	at     Millis    // ... this time; they are valid ...
+	bend   Millis    // ... until this one, when a worker starts or becomes warm
+	seated []int32   // indexes of the workers that the current delta names
+	none   []bool    // by kind, the last for any kind: no ready worker can take a request while held ones are served
+	looks  int       // workers examined since the start, a measure of the cost of decisions
+}
+
+// filter is the part of a worker that rules out most workers for a request without reading the worker itself.
 type mark struct {
-	id   uint64 // as link hashes are made of it
+	id   uint64 // value from which link hashes are computed
 	kind int
 }
 
 func markOf(w *worker) mark { return mark{uint64(w.ID) * 3, w.Kind} }
 
-// weights sum up the ready workers of a kind. A worker's weight is its speed when warm, but for its kind's part.
+// weightSum sums up the ready workers of a kind. A worker's weight is its speed when warm, without the factor of
+// its kind.
 type weights struct {
-	sum, rise float64 // of weight times warmth, and by how much that grows in a millisecond
-	top       float64 // no worker's weight is above it
+	sum, rise float64 // sum of weight times capacity share, and its growth per millisecond
+	top       float64 // upper bound of the weights
 }
 
 func newKept(s *Settings) kept {
@@ -43,14 +44,14 @@
 	return k
 }
 
-// metered forgets the values: an arrival has changed what they rest on.
+// forgetValues drops the cached values, since an arrival has changed their inputs.
 func (k *kept) metered() {
 	for i := range k.values {
 		k.values[i] = math.NaN()
 	}
 }
 
-// valueOf is value, worked out once after each arrival for requests that are alike.
+// cachedValue returns relativeValue, computed once after each arrival for all requests that share it.
 func (d *Dispatcher) valueOf(r *request) float64 {
 	i := r.Class
 	if r.over {
@@ -64,11 +65,12 @@
 	return v
 }
 
-// relist seats the workers of a list, puts those that are ready in line and lets go of places of those that are gone,
-// in the order of their places. A delta costs what it names, not what the fleet holds.
+// applyList updates the workers from a list: it adds or updates the listed workers, updates the ready workers and
+// frees the entries of workers that are gone, in the order of their indexes. The cost of a delta grows with its
+// entries, not with the fleet.
 func (d *Dispatcher) relist(kind ListKind, list []Worker) {
 	full := kind != ListDelta
-	for i := 0; i < len(d.workers) && full; i++ { // who is not in a full list is gone
+	for i := 0; i < len(d.workers) && full; i++ { // workers that a full list omits are gone
 		d.workers[i].State = Gone
 	}
 	d.seated = d.seated[:0]
@@ -105,7 +107,7 @@
 	}
 }
 
-// line puts the worker in a place in line or takes it out, as it is ready or not.
+// updateReady adds the worker at index i to the ready workers or removes it, by its state.
 func (d *Dispatcher) line(i int32) {
 	w := &d.workers[i]
 	at, in := slices.BinarySearch(d.ready, i)
@@ -119,8 +121,8 @@
 	}
 }
 
-// allSpeed sums up the speeds of the ready workers. In a fleet of more than sample workers it goes by the sums by kind,
-// which are the same but for rounding.
+// totalSpeed returns the sum of the speeds of the ready workers. For more than sampleSize workers it uses the sums by
+// kind, which give the same but for rounding.
 func (d *Dispatcher) allSpeed(now Millis) (total float64) {
 	if len(d.ready) <= sample {
 		for _, i := range d.ready {
@@ -129,7 +131,7 @@
 		return total
 	}
 	if !d.summed || now >= d.bend {
-		d.summed, d.kept.at, d.bend = true, now, now+window // no longer, so that roundings do not add up
+		d.summed, d.kept.at, d.bend = true, now, now+window // bounds the accumulated rounding errors
 		clear(d.byKind)
 		for _, i := range d.ready {
 			d.weigh(&d.workers[i], 1)
@@ -141,18 +143,18 @@
 	return max(0, total)
 }
 
-// count adds a worker to its kind's weights, some times, if it is ready and they are known.
+// countWeight adds a worker, multiplied by times, to the sum of its kind if the worker is ready and the sums are known.
 func (d *Dispatcher) count(w *worker, times float64) {
 	if d.summed && w.State == Ready {
 		d.weigh(w, times)
 	}
 }
 
-// weigh is count without the condition.
+// addWeight is countWeight without the condition.
 func (d *Dispatcher) weigh(w *worker, times float64) {
 	sum, weight := &d.byKind[w.Kind], w.size/(w.pace*w.pace)
 	sum.sum += times * weight * d.warmth(d.kept.at, w)
-	if begins, ends := w.Started, w.Started+d.set.Rules.WarmAfter; begins > d.kept.at { // its warmth is a line from then on
+	if begins, ends := w.Started, w.Started+d.set.Rules.WarmAfter; begins > d.kept.at { // its capacity grows linearly from then on
 		d.bend = min(d.bend, begins)
 	} else if begins > 0 && ends > d.kept.at {
 		sum.rise += times * weight * (1 - d.set.Rules.StartCapacity) / d.set.Rules.WarmAfter
@@ -161,14 +163,15 @@
 	sum.top = max(sum.top, weight)
 }
 
-// setPace changes a worker's pace.
+// setTimeRatio changes a worker's timeRatio and the sum of weights that depends on it.
 func (d *Dispatcher) setPace(w *worker, pace float64) {
 	d.count(w, -1)
 	w.pace = pace
 	d.count(w, 1)
 }
 
-// barred says that what has been tried of a request stands against every worker, whatever its group: legal says why.
+// blockedEverywhere reports whether the attempts of a request rule out every worker, whatever its group, by the rules
+// of maySend.
 func (d *Dispatcher) barred(r *request) bool {
 	for k := range r.attempts {
 		a := &r.attempts[k]
@@ -179,8 +182,9 @@
 	return false
 }
 
-// reach is a hash that no link's of the request's key is above, given the part of the keys that a worker of speed 1 is
-// linked to, 0 if the request needs no link. It is below 0 if no worker may have the request.
+// maxLinkHash returns an upper bound of the hashes that link the request's key to a worker. linkShare is the share of
+// the keys that a worker of speed 1 is linked to, or 0 if the request needs no link. The bound is negative if the
+// request may go to no worker.
 func (d *Dispatcher) reach(r *request, keyed float64) float64 {
 	if d.barred(r) {
 		return -1
@@ -192,11 +196,11 @@
 	for k, t := range d.kinds {
 		top = max(top, d.byKind[k].top/(t*t))
 	}
-	return keyed * top * (1 + gain) // no rounding may leave a worker out
+	return keyed * top * (1 + gain) // a margin, so that rounding excludes no worker
 }
 
-// skip passes over ready workers from the j-th on that are of a kind that does not run the request's class, or not
-// linked to its key, whatever their speed: shortest would turn them away one by one. It counts them in k as well, up to all n.
+// nextCandidate skips ready workers from the j-th on whose kind does not run the request's class, or that are not
+// linked to its key at any speed, which shortestQueue would reject one by one. k counts the workers passed, of n.
 func (d *Dispatcher) skip(r *request, reach float64, k, j, n int) (int, int) {
 	if reach < 0 {
 		return n, j
@@ -215,9 +219,10 @@
 	return k, j
 }
 
-// hopeless says that pick would find no worker for a held request, doubt or no doubt, as for others of its kind since
-// clear(d.none): the list names none that runs it, or those are cold and have had what they can take in this window.
-// What a request has tried already could only stand against more. It makes pick's draws, so that the same seed decides the same.
+// unplaceable reports whether pick would find no worker for a held request, even when it ignores failures: either no
+// listed worker runs it, or those that do are cold and have used up their budget of this window. The result is shared
+// by requests of the same kind until clear(d.noneEligible); a request's own attempts could only rule out more workers.
+// It makes the same random draws as pick, so that the same seed gives the same decisions.
 func (d *Dispatcher) hopeless(now Millis, r *request) bool {
 	d.newWindow(now)
 	kind := d.set.Classes[r.Class].Kind
--- a/internal/balance/kept_test.go
+++ b/internal/balance/kept_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestKeptAreFresh compares what is kept with the same made anew, after events of random courses.
+// TestCacheMatchesRecomputation compares cached values with newly computed ones, after random events.
 func TestKeptAreFresh(t *testing.T) {
 	hopeless, barred := 0, 0
 	for _, fleet := range []int{2, 15, 64, 65, 300} {
@@ -51,7 +51,7 @@
 		require.Equal(t, markOf(w), d.marks[at])
 		require.LessOrEqual(t, min(1, links*d.speed(p.now, w)), reach)
 	}
-	for _, r := range d.reqs { // the barred are legal nowhere
+	for _, r := range d.reqs { // a blocked request may be sent to no worker
 		if d.barred(r) {
 			p.barred++
 			for _, i := range d.ready {
@@ -61,7 +61,7 @@
 	}
 	d.newWindow(p.now)
 	old := d.rng
-	for class := range d.set.Classes { // hopeless says and draws what pick does
+	for class := range d.set.Classes { // unplaceable gives the result and makes the draws of pick
 		for _, key := range []uint64{0, 7, 900} {
 			r := &request{Request: Request{Class: class, Key: key}}
 			d.rng = rand.New(rand.NewPCG(1, 2))
@@ -69,7 +69,7 @@
 			after := d.rng.Uint64()
 			d.rng = rand.New(rand.NewPCG(1, 2))
 			clear(d.none)
-			for range 2 { // found, then remembered
+			for range 2 { // computed, then cached
 				if hopeless := d.hopeless(p.now, r); hopeless {
 					p.hopeless++
 					require.Equal(t, int32(-1), place)
@@ -84,7 +84,8 @@
 	d.rng = old
 }
 
-// TestBarredIsLegal: a req is barred just where even the backend that it was sent to may not have it again at once.
+// TestBlockedEverywhereMatchesMaySend: a request is blocked everywhere exactly if it may not be sent again even to the same
+// worker at once.
 func TestBarredIsLegal(t *testing.T) {
 	for _, dup := range []bool{false, true} {
 		s := testSettings()
--- a/internal/balance/limits_test.go
+++ b/internal/balance/limits_test.go
@@ -31,14 +31,14 @@
 }
 
 func TestRefusedClientsAreToldAPause(t *testing.T) {
-	for most, want := range map[Millis]Millis{0: 0, 100: 100, 9000: 400} {
+	for maxPause, want := range map[Millis]Millis{0: 0, 100: 100, 9000: 400} {
 		s := testSettings()
-		s.MaxPause = most
+		s.MaxPause = maxPause
 		d, rec := start(t, s, nil)
 		d.Arrive(10, req(1, 0))
 		d.Wake(9000, 1<<8|holdTimer)
 		if a := rec.only("refuse"); len(a) != 1 || a[0].in != want {
-			t.Errorf("clients obey up to %v: refusals %v, want one with a pause of %v", most, a, want)
+			t.Errorf("clients obey up to %v: refusals %v, want one with a pause of %v", maxPause, a, want)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 		t.Errorf("got %d failures after the time-out at the deadline, want 1", len(a))
 	}
 	if len(d.reqs) != 0 {
-		t.Errorf("%d requests are still remembered", len(d.reqs))
+		t.Errorf("%d requests are still in the table", len(d.reqs))
 	}
 }
 
@@ -68,20 +68,20 @@
 	d.Abandoned(60, 1)
 }
 
-// At a node with few slots to its name, neither the chance of arrivals nor waits by which
-// no job of a class that still earns late turns late may lead to refusals.
+// TestLimitAllowsForRandomArrivals: at a dispatcher with a small part of the slots, random variation of arrivals must not
+// lead to refusals, nor must waits that make no job late for which a late answer still earns.
 func TestLimitLeavesRoomForChance(t *testing.T) {
 	s := testSettings()
 	s.Instances = 240
 	s.Classes[1].LateWorth, s.Classes[1].Stretch = 0.5, 2
-	d, rec := start(t, s, fleet(600)) // ten slots are the node's part
-	for n := 1; n <= 9; n++ {         // the least that a class is left is six tenths
+	d, rec := start(t, s, fleet(600)) // ten slots are this dispatcher's part
+	for n := 1; n <= 9; n++ {         // a class may always use at least six tenths
 		if sent(d, rec, 2, withDeadline(req(n, 1), 1e6)) == 0 {
 			t.Fatalf("request %d was held, want nine in flight at once", n)
 		}
 	}
 	before := d.limit
-	for n := 1; n <= 9; n++ { // waits of less than half the aim and half of twice a run, 600 ms
+	for n := 1; n <= 9; n++ { // waits below half the aim plus half of twice a running time, 600 ms
 		d.Progressed(590, Progress{ID: RequestID(n), Started: true})
 	}
 	if d.limit < before {
@@ -89,14 +89,14 @@
 	}
 	before = d.limit
 	sent(d, rec, 600, withDeadline(req(10, 0), 1e6))
-	d.Progressed(850, Progress{ID: 10, Started: true}) // nothing earned late here: half the aim is 200 ms
+	d.Progressed(850, Progress{ID: 10, Started: true}) // a late answer earns nothing in this class: half the aim is 200 ms
 	if d.limit >= before {
 		t.Errorf("a long wait left the limit at %v", d.limit)
 	}
 }
 
-// Where slots are not told the limit starts far too low: it rises by one for each job until
-// the first crowd, and slowly from then on.
+// TestLimitRisesFastWithUnknownSizes: where sizes are not known, the limit starts far too low. It rises by one for each
+// job until the first long wait, and slowly from then on.
 func TestLimitRisesFastWhereSlotsAreNotTold(t *testing.T) {
 	for _, c := range []struct {
 		weight WeightMeaning
@@ -118,13 +118,13 @@
 		}
 		d.learnCrowd(20, &d.workers[0], 9, true)
 		if got := rise(); got > 3 {
-			t.Errorf("weight %d: after a crowd 16 free jobs raised the limit by %v, want 2", c.weight, got)
+			t.Errorf("weight %d: after a long wait 16 free jobs raised the limit by %v, want 2", c.weight, got)
 		}
 	}
 }
 
-// Work beyond shares may fill six tenths of the limit and a little more: where there are
-// shares, that alone must not raise it, or a burst of one tenant makes room for itself.
+// TestWorkBeyondSharesDoesNotRaiseTheLimit: work beyond shares may fill six tenths of the limit and a little more. Where
+// there are shares, that alone must not raise the limit, or a burst of one tenant would make room for itself.
 func TestWorkBeyondSharesDoesNotRaiseTheLimit(t *testing.T) {
 	for _, c := range []struct {
 		tenants []Tenant
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestBurstDoesNotRaiseItsOwnShare: the part of all traffic that scales a quota must not
-// hold the burst, or tenants within their shares pay for it.
+// TestBurstDoesNotRaiseItsOwnShare: the traffic by which a quota is scaled must not include the burst itself, or tenants
+// within their shares pay for it.
 func TestBurstDoesNotRaiseItsOwnShare(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Share: 0.5, QuotaPerS: 20}, {Share: 0.5, QuotaPerS: 20}}
@@ -160,7 +160,7 @@
 		}
 	}
 	if share := float64(over[0]) / 1333; share < 0.8 || over[1] > 17 {
-		t.Errorf("%.2f of a burst and %d of 167 requests within their share are called over", share, over[1])
+		t.Errorf("%.2f of a burst and %d of 167 requests within their share count as beyond the share", share, over[1])
 	}
 }
 
@@ -187,7 +187,7 @@
 				out = append(out, a)
 			}
 		}
-		if len(out) > 20 { // 20 slots at a time, and whoever waits meets a crowd
+		if len(out) > 20 { // 20 slots at a time; each job that ends reports overload
 			d.AttemptEnded(now, Outcome{ID: out[0].id, Worker: out[0].worker, Took: 100, Closed: true})
 			d.learnCrowd(now, &d.workers[0], 4, true)
 			out = out[1:]
--- a/internal/balance/random_days_test.go
+++ b/internal/balance/random_days_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// checker watches events and actions and judges the rules by their wording, with its own
-// records: it shares no code with the module.
+// checker observes events and actions and checks the rules as they are specified. It keeps its own records and shares
+// no code with the package.
 type checker struct {
 	set    Settings
 	now    Millis
@@ -95,14 +95,15 @@
 	}
 }
 
-// timer is a wake-up that was asked for.
+// timer is a Wake event that was requested.
 type timer struct {
 	at    Millis
 	token uint64
 }
 
-// day plays a seeded random day and returns all actions and the checker.
-func day(t *testing.T, seed uint64, spoil func(act) act) ([]act, *checker) {
+// randomRun delivers random events from a seed and returns all actions and the checker. alter, if not nil, changes each
+// action before it is checked.
+func day(t *testing.T, seed uint64, alter func(act) act) ([]act, *checker) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 5))
 	s := testSettings()
@@ -118,13 +119,13 @@
 	c := &checker{set: s, reqs: map[RequestID]*checked{}, states: map[WorkerID]State{}, infos: map[WorkerID]Worker{}}
 	var all []act
 	var timers []timer
-	var due []*checked // requests in order of arrival
+	var pending []*checked // requests in order of arrival
 	settle := func() {
 		acts := append([]act(nil), rec.acts...)
 		rec.acts = rec.acts[:0]
 		for _, a := range acts {
-			if spoil != nil {
-				a = spoil(a)
+			if alter != nil {
+				a = alter(a)
 			}
 			all = append(all, a)
 			if a.verb == "wake" {
@@ -134,7 +135,7 @@
 			}
 		}
 	}
-	tell := func(kind ListKind, entries []Worker) {
+	updateList := func(kind ListKind, entries []Worker) {
 		for _, w := range entries {
 			c.states[w.ID], c.infos[w.ID] = w.State, w
 		}
@@ -142,7 +143,7 @@
 		settle()
 	}
 	c.now = 5
-	tell(ListCached, list)
+	updateList(ListCached, list)
 	for step := 0; step < 6000; step++ {
 		c.now += 5
 		for i := 0; i < len(timers); i++ {
@@ -157,7 +158,7 @@
 			q := Request{ID: RequestID(step + 1), Class: rng.IntN(len(s.Classes)), Tenant: rng.IntN(2),
 				Deadline: c.now + 200 + rng.Float64()*5000, Slots: float64(1 + rng.IntN(3)), Key: uint64(rng.IntN(3))}
 			r := &checked{q: q}
-			c.reqs[q.ID], due = r, append(due, r)
+			c.reqs[q.ID], pending = r, append(pending, r)
 			d.Arrive(c.now, q)
 			settle()
 		}
@@ -171,9 +172,9 @@
 			default:
 				w.State, w.Started = Ready, c.now
 			}
-			tell(ListDelta, []Worker{*w})
+			updateList(ListDelta, []Worker{*w})
 		}
-		for _, r := range due {
+		for _, r := range pending {
 			for k := range r.attempts {
 				a := &r.attempts[k]
 				late := c.now >= r.q.Deadline
@@ -206,12 +207,12 @@
 				r.closed = true
 			}
 		}
-		for len(due) > 0 && due[0].closed && allDone(due[0]) {
-			due = due[1:]
+		for len(pending) > 0 && pending[0].closed && allDone(pending[0]) {
+			pending = pending[1:]
 		}
 	}
 	if len(d.reqs) > 0 || math.Abs(d.busy) > 1e-9 {
-		c.fault("%d requests and %v slots are never let go", len(d.reqs), d.busy)
+		c.fault("%d requests and %v slots are never released", len(d.reqs), d.busy)
 	}
 	return all, c
 }
@@ -229,44 +230,43 @@
 	for seed := uint64(1); seed <= 12; seed++ {
 		acts, c := day(t, seed, nil)
 		if len(acts) < 2000 {
-			t.Errorf("day %d: %d actions only", seed, len(acts))
+			t.Errorf("seed %d: %d actions only", seed, len(acts))
 		}
 		for i, f := range c.faults {
 			if i < 5 {
-				t.Errorf("day %d: %s", seed, f)
+				t.Errorf("seed %d: %s", seed, f)
 			}
 		}
 	}
 }
 
-// TestCheckerFindsBrokenRules spoils single actions: a checker that finds nothing then
-// would be worth nothing.
+// TestCheckerFindsBrokenRules alters single actions so that they break a rule, which the checker must find.
 func TestCheckerFindsBrokenRules(t *testing.T) {
-	worker := func(a act) act { // every dispatch goes to one worker, whatever its state
+	oneWorker := func(a act) act { // every dispatch goes to one worker, whatever its state
 		if a.verb == "dispatch" {
 			a.worker = 1000
 		}
 		return a
 	}
-	fail := func(a act) act { // failures are told as refusals
+	refuseAll := func(a act) act { // failures become refusals
 		if a.verb == "fail" {
 			a.verb = "refuse"
 		}
 		return a
 	}
-	lose := func(a act) act { // final answers are lost
+	dropFinal := func(a act) act { // final answers are lost
 		if a.verb == "fail" || a.verb == "refuse" {
 			a.verb = "log"
 		}
 		return a
 	}
 	for name, c := range map[string]struct {
-		spoil func(act) act
+		alter func(act) act
 		want  string
-	}{"drain": {worker, "in state"}, "refuse": {fail, "refused though"}, "lose": {lose, "no answer"}} {
+	}{"drain": {oneWorker, "in state"}, "refuse": {refuseAll, "refused though"}, "lose": {dropFinal, "no answer"}} {
 		var faults []string
-		for seed := uint64(1); seed <= 4; seed++ { // not every day drains the one worker
-			_, chk := day(t, seed, c.spoil)
+		for seed := uint64(1); seed <= 4; seed++ { // not every run drains the one worker
+			_, chk := day(t, seed, c.alter)
 			faults = append(faults, chk.faults...)
 		}
 		if !strings.Contains(strings.Join(faults, "\n"), c.want) {
@@ -279,10 +279,10 @@
 	a, _ := day(t, 4, nil)
 	b, _ := day(t, 4, nil)
 	if !reflect.DeepEqual(a, b) {
-		t.Error("two runs of one day differ")
+		t.Error("two runs with one seed differ")
 	}
 	c, _ := day(t, 5, nil)
 	if reflect.DeepEqual(a, c) {
-		t.Error("days of different seeds are the same")
+		t.Error("runs with different seeds are the same")
 	}
 }
--- a/internal/balance/rig_test.go
+++ b/internal/balance/rig_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// act is one action as recorded.
+// action is one recorded action.
 type act struct {
 	verb   string
 	id     RequestID
@@ -14,7 +14,7 @@
 	token  uint64
 }
 
-// recorder keeps the actions of a dispatcher.
+// recorder records the actions of a dispatcher.
 type recorder struct{ acts []act }
 
 func (r *recorder) Dispatch(id RequestID, to WorkerID, _ Millis) {
@@ -43,7 +43,7 @@
 
 func (r *recorder) Log(string) { r.acts = append(r.acts, act{verb: "log"}) }
 
-// only returns the recorded actions of one verb and forgets all.
+// take returns the recorded actions of one verb and clears the record.
 func (r *recorder) only(verb string) (out []act) {
 	for _, a := range r.acts {
 		if a.verb == verb {
@@ -72,7 +72,7 @@
 	}
 }
 
-// fleet makes n ready workers: kinds, zones and cells go round.
+// fleet makes n ready workers, with kinds, zones and cells in rotation.
 func fleet(n int) []Worker {
 	list := make([]Worker, n)
 	for i := range list {
@@ -105,7 +105,7 @@
 	return Request{ID: RequestID(id), Class: class, Deadline: 9000, Slots: 1}
 }
 
-// sent hands over a request and returns the worker it went to, or 0.
+// dispatchedTo delivers a request and returns the worker it was sent to, or 0.
 func sent(d *Dispatcher, rec *recorder, now Millis, q Request) WorkerID {
 	rec.acts = rec.acts[:0]
 	d.Arrive(now, q)
@@ -117,8 +117,8 @@
 
 func withDeadline(q Request, at Millis) Request { q.Deadline = at; return q }
 
-// nothing takes actions and forgets them.
+// noActions ignores all actions.
 type nothing struct{}
 
-// printer prints dispatches; a real node would put them on the network.
+// printer prints dispatches, where a real node would send them over the network.
 type printer struct{ nothing }
--- a/internal/balance/state.go
+++ b/internal/balance/state.go
@@ -6,48 +6,48 @@
 	"math"
 )
 
-// This file holds what a Dispatcher remembers and the book-keeping of it; what is
-// done with it is decided in dispatcher.go.
+// This file holds the state of a Dispatcher and its bookkeeping. The decisions
+// that use it are in dispatcher.go.
 
-// Tokens of timers hold a request's id and an attempt's number, or one of these.
+// A timer's token holds a request's ID and an attempt's number, or one of these values.
 const (
-	renewList = 1 << 63 // ask for the list
-	holdTimer = 0xff    // in place of the attempt: the request is held
+	renewList = 1 << 63 // request the list of workers
+	holdTimer = 0xff    // in place of the attempt's number: the request is held
 )
 
-// watch sets the timer of a request's attempt.
+// setTimer sets the timer of an attempt of a request.
 func (d *Dispatcher) watch(r *request, k int, in Millis) {
 	d.act.Wake(max(in, d.set.Tick), uint64(r.ID)<<8|uint64(k))
 }
 
-// worker is what is known of one worker.
+// worker is the state kept for one worker.
 type worker struct {
 	Worker
-	link     float64 // how far it is from this dispatcher: those within arc are preferred
-	size     float64 // largest weight listed: about its slots
-	own      float64 // slots of this dispatcher's jobs in flight
-	running  float64 // of them, those whose jobs have told that they started
-	others   float64 // slots that others held or waited for, by the last news ...
-	othersAt Millis  // ... and when that was
-	pace     float64 // running time relative to its kind's
+	link     float64 // distance from this dispatcher on the ring; those within linkDistance are preferred
+	size     float64 // largest weight listed, which is about its number of slots
+	own      float64 // slots taken by this dispatcher's jobs in flight
+	running  float64 // those of ownSlots whose jobs were reported as started
+	others   float64 // slots that other dispatchers used or waited for, as last learned ...
+	othersAt Millis  // ... at this time
+	pace     float64 // running time relative to the mean of its kind
 	out      int     // attempts in flight
-	strikes  int     // bad endings in a row
-	until    Millis  // not to be used before
-	tickets  float64 // while it is cold: jobs that may still be sent in this window ...
-	lift     float64 // ... and how many times its speed it is drawn by, for the windows in which it has none
+	strikes  int     // raised by each failure, halved by a success; each level doubles the backoff
+	until    Millis  // not to be used before this time
+	tickets  float64 // for a cold worker: jobs that may still be sent to it in this window
+	lift     float64 // for a cold worker: factor on its speed in the draw, to make up for windows without budget
 }
 
-// rates are moving rates of requests a second, by tenant; the last is of all.
+// rates are moving averages of requests per second, by tenant. The last value is that of all tenants.
 type rates struct {
 	last []float64
 	at   Millis
 }
 
-// add counts a request, and returns its tenant's rate, 0 if it has none, and that of all.
+// add counts a request. It returns the rate of its tenant, 0 if it has none, and the total rate.
 func (r *rates) add(now, window Millis, tenant int) (own, all float64) {
-	n, fade := len(r.last)-1, math.Exp((r.at-now)/window)
+	n, decay := len(r.last)-1, math.Exp((r.at-now)/window)
 	for i := range r.last {
-		r.last[i] *= fade
+		r.last[i] *= decay
 	}
 	r.at, r.last[n] = now, r.last[n]+1000/window
 	if tenant < n {
@@ -57,30 +57,31 @@
 	return own, r.last[n]
 }
 
-// attempt is one dispatch of a request.
+// attempt is one dispatch of a request. It keeps the worker's zone and cell, since the group of workers that
+// remembers a key outlives the worker, whose index may belong to another one by then.
 type attempt struct {
 	worker  int32
-	zone    int    // of the worker: its place may be another's by the time this matters ...
-	cell    int    // ... since the group that remembers a key outlives one that is gone
+	zone    int
+	cell    int
 	out     bool   // no outcome yet
-	full    bool   // turned away by a worker that had no room
+	full    bool   // rejected by a worker that was full
 	never   bool   // proven never to have run
-	sent    Millis // when
-	started Millis // when it told that it started, 0 if it did not
-	news    Millis // the last sign of life
+	sent    Millis // when it was sent
+	started Millis // when it was reported as started, 0 if it was not
+	news    Millis // when it was sent or last reported progress
 }
 
-// request is one that this dispatcher owes an answer or still awaits outcomes for.
+// request is a request that still needs an answer or has attempts in flight.
 type request struct {
 	Request
-	open     bool   // a final answer is owed
+	open     bool   // a final answer is due
 	over     bool   // it is beyond its tenant's share
 	until    Millis // held until then at most, 0 if it is not held
 	out      int    // attempts in flight
 	attempts []attempt
 }
 
-// tried says whether the request has been sent to the worker in place i.
+// triedOn reports whether the request has been sent to the worker at index i.
 func (r *request) tried(i int32) bool {
 	for k := range r.attempts {
 		if r.attempts[k].worker == i {
@@ -90,18 +91,17 @@
 	return false
 }
 
-// book keeps workers and requests in places that are used again, so that the ordinary
-// path allocates nothing.
+// tables holds the workers and requests. Entries are reused, so that the ordinary path allocates nothing.
 type book struct {
 	workers []worker
-	free    []int32 // places in workers that can be used again
+	free    []int32 // indexes in workers that can be reused
 	index   map[WorkerID]int32
 	reqs    map[RequestID]*request
 	pool    []*request
-	keys    map[uint64]int // requests out, by key
+	keys    map[uint64]int // number of requests with each key
 }
 
-// open makes a place for a new request.
+// addRequest adds a new request, in an entry of the pool if there is one.
 func (b *book) open(q Request) *request {
 	n := len(b.pool)
 	if n == 0 {
@@ -118,7 +118,7 @@
 	return r
 }
 
-// drop forgets a request that is closed, not held and has nothing in flight.
+// dropRequest removes a request that is closed, not held and has no attempt in flight.
 func (b *book) drop(r *request) {
 	if !r.open && r.until == 0 && r.out == 0 && b.reqs[r.ID] == r {
 		delete(b.reqs, r.ID)
@@ -129,7 +129,7 @@
 	}
 }
 
-// find returns an attempt still in flight, or nil.
+// findAttempt returns an attempt that is still in flight and its request, or nil.
 func (b *book) find(id RequestID, k int) (*request, *attempt) {
 	r := b.reqs[id]
 	if r == nil || k < 0 || k >= len(r.attempts) || !r.attempts[k].out {
@@ -138,9 +138,9 @@
 	return r, &r.attempts[k]
 }
 
-// seat finds or makes the place of a listed worker. A new start time means a new
-// process: what was learned about the old one is dropped. A worker that is gone and was not known gets none.
-func (b *book) seat(e Worker) (place int32, listed bool) {
+// upsertWorker adds or updates a listed worker and returns its index. A new start time means a new process,
+// so what was learned about the old one is dropped. A worker that is gone and was not known is not added.
+func (b *book) seat(e Worker) (index int32, listed bool) {
 	i, known := b.index[e.ID]
 	switch {
 	case known:
@@ -153,14 +153,14 @@
 	}
 	w := &b.workers[i]
 	if !known || e.Started != w.Started {
-		*w = worker{own: w.own, out: w.out, pace: 1} // what the old process ran does not run in this one
+		*w = worker{own: w.own, out: w.out, pace: 1} // jobs of the old process do not run in the new one
 	}
 	b.index[e.ID] = i
 	w.Worker, w.size = e, max(1, w.size, e.Weight)
 	return i, true
 }
 
-// release frees the place of a worker that is gone and has nothing in flight.
+// releaseWorker frees the entry of a worker that is gone and has no attempt in flight.
 func (b *book) release(i int32) {
 	w := &b.workers[i]
 	if w.State != Gone || w.out > 0 {
@@ -173,47 +173,49 @@
 	}
 }
 
-// turnAt is the window of the cold workers' budget that a time falls into.
+// coldWindowAt returns the number of the cold workers' budget window that a time falls into.
 func (d *Dispatcher) turnAt(now Millis) int64 {
 	return int64(now / max(d.set.Rules.FallWindow, d.set.Tick))
 }
 
-// Two processes of one node are one dispatcher to a cold worker: while both serve, each spends FallMultiple/4 of a
-// worker's budget a window where one alone spends up to the whole, so that together they stay within the margin of
-// FallMultiple/2 that one process keeps (twice one process's budget at most, in the window of the hand-over). SetOverlap
-// tells the one that hands over that the other serves beside it from its next window on (on), or that it is alone
-// again (off); what it has left in this window it may use. Both keep serving in the overlap (the old one its kept
-// client sessions): a budget given whole to one left the other's reqs without any cold worker.
+// SetOverlap tells a process that another process of this node serves beside it (on), or that it is alone
+// again (off). It takes effect in the next window; what is left of the budget in this one may still be used.
+//
+// To a cold worker, the two processes of a hand-over are one dispatcher. While both serve, each spends FallMultiple/4
+// of a worker's budget per window, where one process alone spends up to the whole. Together they stay within the
+// margin of FallMultiple/2 that one process keeps; in the window of the hand-over they spend at most twice the budget
+// of one process. Both need a part, since the old process keeps serving the client sessions it has: when one process
+// got the whole budget, the other's requests could use no cold worker.
 func (d *Dispatcher) SetOverlap(on bool) { d.shared = on }
 
-// StartOverlapped tells the one that takes over that another process serves beside it: it spends its part at once, until
-// SetOverlap(false) says that the other is gone. now is unused; the part does not wait for a window.
+// StartOverlapped tells a process that takes over that another process serves beside it. It spends its part from
+// the current window on, until SetOverlap(false) reports that the other is gone; now is unused.
 func (d *Dispatcher) StartOverlapped(now Millis) { d.shared = true }
 
-// hash spreads a number evenly over 0 to 1.
+// unitHash hashes a number to a value uniformly distributed in [0, 1).
 func hash(x uint64) float64 {
 	x = (x ^ x>>31) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>29) * 0xbf58476d1ce4e5b9
 	return float64(x>>11) / (1 << 53)
 }
 
-// check says what is wrong with the settings.
+// validate returns an error if the settings cannot be used.
 func (s *Settings) check() error {
 	switch {
 	case len(s.Classes) == 0:
-		return errors.New("settings name no class")
+		return errors.New("settings contain no class")
 	case s.MaxAttempts < 1:
 		return fmt.Errorf("MaxAttempts is %d, want at least 1", s.MaxAttempts)
 	case s.Instances < 1 || s.Zones < 1 || s.Kinds < 1:
-		return errors.New("one of Instances, Zones and Kinds is below 1")
+		return errors.New("Instances, Zones and Kinds must be at least 1")
 	case s.Rules.StartCapacity < 0 || s.Rules.StartCapacity > 1 || s.Rules.FallMultiple < 0:
-		return errors.New("StartCapacity must be a share and FallMultiple not negative")
+		return errors.New("StartCapacity must be between 0 and 1 and FallMultiple not negative")
 	case s.Subscribe && s.Rules.AskEvery <= 0:
-		return errors.New("a list that comes on request needs AskEvery")
+		return errors.New("Subscribe requires a positive AskEvery")
 	}
 	for i, c := range s.Classes {
 		if c.Aim <= 0 || c.Deadline <= 0 || c.Worth < 0 || c.Kind >= s.Kinds {
-			return fmt.Errorf("class %d: aim and deadline must be positive, worth not negative, its kind known", i)
+			return fmt.Errorf("class %d: Aim and Deadline must be positive, Worth not negative and Kind below Kinds", i)
 		}
 	}
 	return nil
--- a/internal/balance/untold_test.go
+++ b/internal/balance/untold_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// untoldSite is a site that tells no sizes, with two kinds of workers, the second twice as fast as the first.
+// startWithUnknownSizes starts a dispatcher for workers whose sizes are not known, of two kinds, the second twice as fast as the
+// first.
 func untoldSite(t *testing.T, instances int) (*Dispatcher, *recorder) {
 	s := testSettings()
 	s.Zones, s.Instances, s.Weight = 1, instances, WeightNone
@@ -21,8 +22,8 @@
 	return d, rec
 }
 
-// TestFirstLimitWhereSizesAreNotTold: a dispatcher that has just started has room for about four jobs a worker. It
-// took each worker for one slot, and held or refused what came until starts had told of more.
+// TestInitialLimitWithUnknownSizes: a dispatcher that has just started has capacity for about four jobs per worker. It
+// used to assume one slot per worker, and held or refused requests until reported starts had shown more.
 func TestFirstLimitWhereSizesAreNotTold(t *testing.T) {
 	d, rec := untoldSite(t, 1)
 	placed := 0
@@ -34,8 +35,8 @@
 	assert.Equal(t, 32, placed, "of 32 jobs for 8 workers")
 }
 
-// TestSizesAreLearnedFromStarts: jobs that run at once at a worker show how many slots its kind has at least; then a
-// second copy may go where one of them is free, which a worker of one slot never had.
+// TestSizesAreLearnedFromStarts: jobs that run at the same time on a worker show how many slots its kind has at least. A
+// second copy may then use a free one of them; with the assumed single slot there never was one.
 func TestSizesAreLearnedFromStarts(t *testing.T) {
 	d, rec := untoldSite(t, 1)
 	at := map[WorkerID]int{}
@@ -44,12 +45,12 @@
 		at[w]++
 		d.Progressed(20, Progress{ID: RequestID(i), Worker: w, Started: true})
 	}
-	most := [2]int{}
+	highest := [2]int{}
 	for w, n := range at {
 		k := d.workers[d.index[w]].Kind
-		most[k] = max(most[k], n)
+		highest[k] = max(highest[k], n)
 	}
-	assert.Equal(t, []float64{float64(most[0]), float64(most[1])}, d.wide)
+	assert.Equal(t, []float64{float64(highest[0]), float64(highest[1])}, d.wide)
 	for i := range 32 {
 		d.AttemptEnded(30, Outcome{ID: RequestID(i), Worker: d.workers[d.reqs[RequestID(i)].attempts[0].worker].ID, Took: 10, Closed: true})
 	}
@@ -63,8 +64,8 @@
 	assert.True(t, d.free(1e6, w, one), "one of several slots is taken")
 }
 
-// TestUnsafeJobsGoToTheFast: what must never run twice is lost with the dispatcher while it is out. It goes to the
-// faster kind while that has a slot free, where safe jobs begin to spread to the slower one.
+// TestUnsafeJobsPreferFastWorkers: an Unsafe job is lost if the dispatcher ends while it is in flight. It goes to the
+// faster kind while that has a free slot, where Safe jobs begin to spread to the slower one.
 func TestUnsafeJobsGoToTheFast(t *testing.T) {
 	slow := func(class int) (n int) {
 		d, rec := untoldSite(t, 1)
@@ -79,8 +80,8 @@
 	assert.LessOrEqual(t, unsafe, 3)
 }
 
-// TestManyDispatchersSpread: where dispatchers are more than slots, an idle slow worker is as good as an idle fast
-// one but for the draw: all of them would fill the fast at once.
+// TestManyDispatchersSpread: where there are more dispatchers than slots, an idle slow worker differs from an idle fast
+// one only in the draw. Otherwise all dispatchers would fill the fast workers at once.
 func TestManyDispatchersSpread(t *testing.T) {
 	slow := 0
 	for i := range 60 {
@@ -93,10 +94,10 @@
 	d, rec := untoldSite(t, 300)
 	d.kinds[0], d.kinds[1], d.limit = 1.01, 0.99, 100 // hardly slower
 	slow = 0
-	for i := range 8 { // one job at each worker, all linked
+	for i := range 8 { // one job on each worker, all linked
 		sent(d, rec, 10, req(i, 0))
 	}
-	for i := range 40 { // all have one: a finer count would send each of these to the faster kind
+	for i := range 40 { // all have one job: a finer load would send each of these to the faster kind
 		d.rng = rand.New(rand.NewPCG(uint64(i), 2))
 		slow += int(sent(d, rec, 11, req(100+i, 0))) % 2
 		d.AttemptEnded(12, Outcome{ID: RequestID(100 + i), Worker: d.workers[d.reqs[RequestID(100+i)].attempts[0].worker].ID, Result: Reset, Closed: true})
@@ -107,10 +108,10 @@
 	assert.Greater(t, slow, 8, "of 40 second jobs, on slow workers")
 }
 
-// TestLastTriesWaitForASlot: workers that are full answer at once. Three of them in a row, a few milliseconds apart, are
-// no reason to spend the two tries that are left on others; they wait for a job of this dispatcher's own to end well.
+// TestLastAttemptsWaitForASlot: full workers reject at once. After three rejections in a row, a few milliseconds apart,
+// the two remaining attempts are not spent on others; they wait until a job of this dispatcher succeeds.
 func TestLastTriesWaitForASlot(t *testing.T) {
-	for instances, wait := range map[int]bool{1: true, 300: false} { // among many, an own job that ends is far off
+	for instances, wait := range map[int]bool{1: true, 300: false} { // among many dispatchers, the end of an own job is far off
 		s := testSettings()
 		s.Zones, s.MaxAttempts, s.Instances = 1, 5, instances
 		d, rec := start(t, s, oneZone(8))
@@ -137,8 +138,8 @@
 	}
 }
 
-// TestWhatCannotEndIsNotBegun: in a shutdown a req has a second or two left, and a class that runs for longer than that
-// could only be cut off, its work wasted and, where it must never run twice, lost. It is refused at once, unsent.
+// TestJobWithoutEnoughTimeIsNotSent: in a shutdown a request has a second or two left. A job that runs for longer would be
+// cut off: its work is wasted and, if it is Unsafe, the request is lost. It is refused at once without being sent.
 func TestWhatCannotEndIsNotBegun(t *testing.T) {
 	d, rec := untoldSite(t, 1)
 	d.runs[1] = 3000
@@ -149,8 +150,9 @@
 	assert.Len(t, rec.only("refuse"), 1)
 }
 
-// TestRestartedWorkerIsNotWider: jobs of a process that is gone may stay out for long, where its machine says nothing. They
-// do not run beside those of the process that follows it, which would pass for a worker of twice the slots from then on.
+// TestRestartedWorkerKeepsItsSlotEstimate: attempts at a process that is gone may stay in flight for long if its machine
+// does not respond. They must not count as running beside the jobs of the next process, or the worker's kind would be
+// taken to have twice the slots from then on.
 func TestRestartedWorkerIsNotWider(t *testing.T) {
 	d, rec := untoldSite(t, 1)
 	list := []Worker{{ID: 9, Kind: 0, State: Ready, Weight: 1}}
--- a/internal/balance/work_test.go
+++ b/internal/balance/work_test.go
@@ -7,49 +7,50 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWorkDoesNotGrow counts, instead of time, the looks at backends that an event takes in the largest fleet and with
-// many held, and what it allocates. Each bound is a few times sample at most, far below the fleet.
+// TestWorkIsIndependentOfFleetSize counts the workers that an event examines, instead of its time, in the largest fleet
+// and with many held requests, and its allocations. Each bound is at most a few times sampleSize, far below the fleet.
 func TestWorkDoesNotGrow(t *testing.T) {
 	for _, n := range []int{15, 200, 4000} {
 		for _, cold := range []bool{false, true} {
 			now := 1.7e12
 			d, list := costly(t, n, cold, now)
-			looks := func(do func()) int {
+			examined := func(do func()) int {
 				before := d.looks
 				do()
 				return d.looks - before
 			}
-			most, i, report := [2]int{}, 0, []float32{2}
+			highest, i, report := [2]int{}, 0, []float32{2}
 			for range 2000 {
 				for keyed := range 2 {
 					key := uint64(keyed * (1 + i%997))
-					most[keyed] = max(most[keyed], looks(func() { round(d, now, i, key, report) }))
+					highest[keyed] = max(highest[keyed], examined(func() { round(d, now, i, key, report) }))
 					now += 5
 					i++
 				}
 			}
-			assert.LessOrEqual(t, most[0], sample, "unkeyed, %d backends, cold: %v", n, cold)
-			assert.LessOrEqual(t, most[1], 2*sample, "keyed, %d backends, cold: %v", n, cold)
+			assert.LessOrEqual(t, highest[0], sample, "unkeyed, %d workers, cold: %v", n, cold)
+			assert.LessOrEqual(t, highest[1], 2*sample, "keyed, %d workers, cold: %v", n, cold)
 			assert.Zero(t, testing.AllocsPerRun(100, func() { round(d, now, i, uint64(i%3), report); i++ }))
 
 			for k := range 20 {
 				list[k%n].State = []State{Draining, Ready}[k%2]
-				assert.LessOrEqual(t, looks(func() { d.Workers(now, ListDelta, list[k%n:k%n+1]) }), 1, "delta, %d backends", n)
+				assert.LessOrEqual(t, examined(func() { d.Workers(now, ListDelta, list[k%n:k%n+1]) }), 1, "delta, %d workers", n)
 			}
 			for k := range list {
 				list[k].Kind = 0
 			}
 			d.Workers(now, ListFull, list)
-			for k := range 500 { // of a kind that is not there
+			for k := range 500 { // of a kind that no worker has
 				d.Arrive(now, Request{ID: RequestID(1e6 + k), Class: 5, Key: uint64(k), Deadline: now + 9000, Slots: 1})
 			}
 			require.Len(t, d.held, 500)
-			assert.Zero(t, looks(func() { d.serveHeld(now) }), "500 held that none can take, %d backends", n)
+			assert.Zero(t, examined(func() { d.serveHeld(now) }), "500 held requests that no worker can take, %d workers", n)
 		}
 	}
 }
 
-// TestWorkOfHeld: 500 held that all could take, had the cold not had what they may be sent, look once for all.
+// TestWorkOfHeldRequests: 500 held requests that any worker could run, if the cold workers had budget left in this window,
+// examine the workers once for all.
 func TestWorkOfHeld(t *testing.T) {
 	now := 1.7e12
 	d, list := costly(t, 200, false, now)
@@ -68,18 +69,18 @@
 	assert.LessOrEqual(t, d.looks-before, len(list))
 	list[0].Started = 0
 	d.Workers(now, ListDelta, list[:1])
-	assert.Less(t, len(d.held), 500, "a warm backend came back")
-	for i := range 50 { // each comes and goes
+	assert.Less(t, len(d.held), 500, "a warm worker came back")
+	for i := range 50 { // each joins and leaves
 		e := Worker{ID: WorkerID(1e9 + i), State: Draining, Weight: 1}
 		d.Workers(now, ListDelta, []Worker{e})
 		e.State = Gone
 		d.Workers(now, ListDelta, []Worker{e})
 	}
-	assert.LessOrEqual(t, len(d.workers), len(list)+1, "places are used again")
+	assert.LessOrEqual(t, len(d.workers), len(list)+1, "entries are reused")
 }
 
-// TestMarginOfAHoldUp: a repeat is decided on so early that a process held up for 0.15 s still sends it within the window, and
-// with a tenth of it to spare where that is more.
+// TestRepeatWindowLeavesMargin: a repeat is decided on early enough that a process paused for 0.15 s still sends it within
+// the window, and with a tenth of the window to spare where that is more.
 func TestMarginOfAHoldUp(t *testing.T) {
 	assert.Equal(t, 6750.0, EffectiveRepeatWindow(7500))
 	assert.Equal(t, 850.0, EffectiveRepeatWindow(1000))
