--- a/internal/balance/cost_test.go
+++ b/internal/balance/cost_test.go
@@ -11,10 +11,10 @@
 var costSizes = []int{15, 22, 200, 4000}
 
 // newCostDispatcher makes one of three dispatchers for n ready workers. If cold is set, one worker in ten is cold.
-func costly(t testing.TB, n int, cold bool, now Millis) (*Dispatcher, []Worker) {
+func newCostDispatcher(t testing.TB, n int, cold bool, now Millis) (*Dispatcher, []Worker) {
 	s := testSettings()
 	s.Instances, s.Metrics, s.Tenants = 3, []Metric{MetricFreeSlots}, []Tenant{{Share: 0.5, QuotaPerS: 1e6}, {Share: 0.5, QuotaPerS: 1e6}}
-	d, err := New(s, nothing{})
+	d, err := New(s, noActions{})
 	require.NoError(t, err)
 	list := fleet(n)
 	for i := range list {
@@ -27,23 +27,23 @@
 }
 
 // lastAttempt returns the worker and the number of a request's last attempt, or -1 if there is none.
-func lastTo(d *Dispatcher, id RequestID) (WorkerID, int) {
-	r := d.reqs[id]
+func lastAttempt(d *Dispatcher, id RequestID) (WorkerID, int) {
+	r := d.requests[id]
 	if r == nil || len(r.attempts) == 0 {
 		return 0, -1
 	}
 	k := len(r.attempts) - 1
-	return d.workers[r.attempts[k].worker].ID, k
+	return d.workers[r.attempts[k].workerIndex].ID, k
 }
 
 // runRequest handles the arrival and start of request i and the answer of request i-40, so that 40 are in flight. Called
 // every 10 ms, it is a rate of 100 requests per second.
-func round(d *Dispatcher, now Millis, i int, key uint64, report []float32) {
+func runRequest(d *Dispatcher, now Millis, i int, key uint64, report []float32) {
 	d.Arrive(now, Request{ID: RequestID(i), Class: i % 5, Tenant: i % 2, Key: key, Deadline: now + 9000, Slots: 1})
-	if to, k := lastTo(d, RequestID(i)); k >= 0 {
+	if to, k := lastAttempt(d, RequestID(i)); k >= 0 {
 		d.Progressed(now+2, Progress{ID: RequestID(i), Attempt: k, Worker: to, Started: true})
 	}
-	if to, k := lastTo(d, RequestID(i-40)); k >= 0 {
+	if to, k := lastAttempt(d, RequestID(i-40)); k >= 0 {
 		d.AttemptEnded(now+4, Outcome{ID: RequestID(i - 40), Attempt: k, Worker: to, Took: 200 + float64(i%7), Closed: true, Report: report})
 	}
 }
@@ -51,11 +51,11 @@
 // BenchmarkReq measures all decisions on a request: arrival with dispatch, start, answer. A busy dispatcher handles 100 per
 // second.
 func BenchmarkReq(b *testing.B) {
-	each(b, func(b *testing.B, n int, cold bool) {
+	forEachSize(b, func(b *testing.B, n int, cold bool) {
 		for _, keyed := range []bool{false, true} {
 			b.Run(fmt.Sprintf("keyed=%v", keyed), func(b *testing.B) {
 				now, report := 1.7e12, []float32{2}
-				d, _ := costly(b, n, cold, now)
+				d, _ := newCostDispatcher(b, n, cold, now)
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					key := uint64(0)
@@ -64,10 +64,10 @@
 					}
 					if i%500 == 0 && cold { // keeps the same tenth cold
 						b.StopTimer()
-						d, _ = costly(b, n, cold, now)
+						d, _ = newCostDispatcher(b, n, cold, now)
 						b.StartTimer()
 					}
-					round(d, now, i, key, report)
+					runRequest(d, now, i, key, report)
 					now += 10
 				}
 			})
@@ -76,7 +76,7 @@
 }
 
 // forEachSize runs a benchmark at all sizes, with all workers warm and with a tenth of them cold.
-func each(b *testing.B, f func(*testing.B, int, bool)) {
+func forEachSize(b *testing.B, f func(*testing.B, int, bool)) {
 	for _, n := range costSizes {
 		for _, cold := range []bool{false, true} {
 			b.Run(fmt.Sprintf("backends=%d/cold=%v", n, cold), func(b *testing.B) { f(b, n, cold) })
@@ -86,20 +86,20 @@
 
 // BenchmarkDecision measures each event by itself. Undoing the event is not timed where that costs as much as the event.
 func BenchmarkDecision(b *testing.B) {
-	each(b, func(b *testing.B, n int, cold bool) {
+	forEachSize(b, func(b *testing.B, n int, cold bool) {
 		now := 1.7e12
 		arrive := func(key uint64) func(*testing.B) {
 			return func(b *testing.B) {
-				d, _ := costly(b, n, cold, now)
+				d, _ := newCostDispatcher(b, n, cold, now)
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					q := Request{ID: RequestID(i), Key: key * uint64(1+i%1000), Deadline: now + 9000, Slots: 1}
 					d.Arrive(now, q)
 					b.StopTimer()
-					if to, k := lastTo(d, q.ID); k >= 0 {
+					if to, k := lastAttempt(d, q.ID); k >= 0 {
 						d.AttemptEnded(now, Outcome{ID: q.ID, Attempt: k, Worker: to, Took: 200, Closed: true})
 					}
-					d.newTickets(now)
+					d.refillColdBudgets(now)
 					b.StartTimer()
 				}
 			}
@@ -107,9 +107,9 @@
 		b.Run("arrive", arrive(0))
 		b.Run("arriveKeyed", arrive(1))
 		b.Run("progressed", func(b *testing.B) {
-			d, _ := costly(b, n, cold, now)
+			d, _ := newCostDispatcher(b, n, cold, now)
 			d.Arrive(now, Request{ID: 1, Deadline: now + 9000, Slots: 1})
-			to, k := lastTo(d, 1)
+			to, k := lastAttempt(d, 1)
 			require.Zero(b, k)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -117,20 +117,20 @@
 			}
 		})
 		b.Run("answer", func(b *testing.B) {
-			d, _ := costly(b, n, cold, now)
+			d, _ := newCostDispatcher(b, n, cold, now)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				b.StopTimer()
 				q := Request{ID: RequestID(i), Deadline: now + 9000, Slots: 1}
 				d.Arrive(now, q)
-				to, k := lastTo(d, q.ID)
-				d.newTickets(now)
+				to, k := lastAttempt(d, q.ID)
+				d.refillColdBudgets(now)
 				b.StartTimer()
 				d.AttemptEnded(now, Outcome{ID: q.ID, Attempt: k, Worker: to, Took: 200, Closed: true, Report: []float32{2}})
 			}
 		})
 		b.Run("delta", func(b *testing.B) {
-			d, list := costly(b, n, cold, now)
+			d, list := newCostDispatcher(b, n, cold, now)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				list[i/2%n].State = []State{Draining, Ready}[i%2]
@@ -138,7 +138,7 @@
 			}
 		})
 		b.Run("fullList", func(b *testing.B) {
-			d, list := costly(b, n, cold, now)
+			d, list := newCostDispatcher(b, n, cold, now)
 			b.ReportAllocs()
 			for b.Loop() {
 				d.Workers(now, ListFull, list)
@@ -154,7 +154,7 @@
 // benchHeld measures serveHeld with the limit used up (full), or with capacity but no worker of the required kind.
 func benchHeld(b *testing.B, n int, cold bool, held int, full bool) {
 	now := 1.7e12
-	d, list := costly(b, n, cold, now)
+	d, list := newCostDispatcher(b, n, cold, now)
 	for i := range list {
 		if list[i].Kind = 0; full {
 			list[i].Kind = i % 2
@@ -162,7 +162,7 @@
 	}
 	d.Workers(now, ListFull, list)
 	if full {
-		d.limit, d.busy = 10, 100
+		d.slotLimit, d.busySlots = 10, 100
 	}
 	for i := range held {
 		class := 5
@@ -180,11 +180,11 @@
 }
 
 // refillColdBudgets starts a window again, so that a benchmark does not use up the budgets of the cold workers.
-func (d *Dispatcher) newTickets(now Millis) {
+func (d *Dispatcher) refillColdBudgets(now Millis) {
 	for i := range d.workers {
-		if d.workers[i].tickets < 1 && d.warmth(now, &d.workers[i]) < 1 {
-			d.turn = -1
-			d.newWindow(now)
+		if d.workers[i].coldBudget < 1 && d.capacityShare(now, &d.workers[i]) < 1 {
+			d.coldWindow = -1
+			d.startColdWindow(now)
 			return
 		}
 	}
@@ -197,7 +197,7 @@
 		for _, name := range []string{"allStarting", "allResting", "noneFits", "unsafeFailed"} {
 			b.Run(fmt.Sprintf("backends=%d/%s", n, name), func(b *testing.B) {
 				now, class := 1.7e12, 0
-				d, list := costly(b, n, false, now)
+				d, list := newCostDispatcher(b, n, false, now)
 				for i := range list {
 					switch name {
 					case "allStarting":
@@ -211,7 +211,7 @@
 				d.Workers(now, ListFull, list)
 				for i := range d.workers {
 					if name == "allResting" {
-						d.workers[i].until = now + 1e9
+						d.workers[i].avoidUntil = now + 1e9
 					}
 				}
 				b.ReportAllocs()
@@ -219,14 +219,14 @@
 					now += 0.01
 					q := Request{ID: RequestID(i), Class: class, Key: uint64(1 + i%1000), Deadline: now + 9000, Slots: 1}
 					d.Arrive(now, q)
-					if to, k := lastTo(d, q.ID); k >= 0 {
+					if to, k := lastAttempt(d, q.ID); k >= 0 {
 						o := Outcome{ID: q.ID, Attempt: k, Worker: to, Took: 200, Closed: class == 0}
 						if class > 0 {
 							o.Result = Error
 						}
 						d.AttemptEnded(now, o)
 						if name == "unsafeFailed" {
-							d.workers[d.index[to]].until, d.workers[d.index[to]].strikes = 0, 0
+							d.workers[d.workerIndex[to]].avoidUntil, d.workers[d.workerIndex[to]].backoffLevel = 0, 0
 						}
 					}
 					d.Abandoned(now, q.ID)
--- a/internal/balance/course_test.go
+++ b/internal/balance/course_test.go
@@ -9,30 +9,30 @@
 )
 
 // eventGenerator delivers random events to one dispatcher. Which event comes next depends on its earlier decisions.
-type course struct {
-	d        *Dispatcher
-	rec      *recorder
-	rng      *rand.Rand
-	now      Millis
-	list     []Worker
-	open     []Outcome // attempts in flight; Took is the time of the dispatch
-	tries    map[RequestID]int
-	wakes    []act // in is the time at which the timer expires
-	last     RequestID
-	sum      uint64
-	verbs    map[string]int
-	pace     float64
-	mostHeld int
-	hopeless int // requests that no worker could take, as found by compareCache ...
-	barred   int // ... and requests that may not be sent again
+type eventGenerator struct {
+	dispatcher  *Dispatcher
+	recorder    *recorder
+	rng         *rand.Rand
+	now         Millis
+	workers     []Worker
+	inFlight    []Outcome // attempts in flight; Took is the time of the dispatch
+	attempts    map[RequestID]int
+	timers      []action // in is the time at which the timer expires
+	lastID      RequestID
+	hash        uint64
+	verbCounts  map[string]int
+	load        float64
+	maxHeld     int
+	unplaceable int // requests that no worker could take, as found by compareCache ...
+	blocked     int // ... and requests that may not be sent again
 }
 
-func newCourse(t testing.TB, fleet, variant int) *course {
+func newEventGenerator(t testing.TB, fleet, variant int) *eventGenerator {
 	s := testSettings()
 	s.Seed, s.MaxPause, s.Metrics, s.Instances = uint64(fleet*10+variant), 500, []Metric{MetricFreeSlots}, 3
 	s.Rules.FallMultiple, s.Prices.CrossZone = 1.5, 0.02
-	p := &course{rec: &recorder{}, rng: rand.New(rand.NewPCG(uint64(fleet), uint64(variant))), now: 1.7e12,
-		tries: map[RequestID]int{}, verbs: map[string]int{}, pace: 1}
+	p := &eventGenerator{recorder: &recorder{}, rng: rand.New(rand.NewPCG(uint64(fleet), uint64(variant))), now: 1.7e12,
+		attempts: map[RequestID]int{}, verbCounts: map[string]int{}, load: 1}
 	switch variant {
 	case 1:
 		s.TellsStart, s.MayCancel, s.Weight, s.MaxAttempts = false, false, WeightNone, 2
@@ -42,96 +42,96 @@
 	case 3:
 		s.Rules.FallWindow, s.Rules.WarmAfter = 200, 4000
 	case 4: // far too little capacity
-		p.pace = 8
+		p.load = 8
 	case 5: // keyed requests, high load on cold workers
-		s.Rules.FallMultiple, s.Rules.FallWindow, p.pace = 0.4, 2000, 3
+		s.Rules.FallMultiple, s.Rules.FallWindow, p.load = 0.4, 2000, 3
 	}
 	for i := range fleet {
 		w := Worker{ID: WorkerID(i*7919 + 5), Kind: i % 2, Zone: p.rng.IntN(s.Zones), Cell: p.rng.IntN(9), State: Ready, Weight: float64(1 + p.rng.IntN(5))}
 		if p.rng.IntN(10) < 3 || variant == 5 {
 			w.Started = p.now - p.rng.Float64()*s.Rules.WarmAfter
 		}
-		p.list = append(p.list, w)
+		p.workers = append(p.workers, w)
 	}
 	var err error
-	p.d, err = New(s, p.rec)
+	p.dispatcher, err = New(s, p.recorder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.d.Workers(p.now, ListCached, p.list)
-	p.take()
+	p.dispatcher.Workers(p.now, ListCached, p.workers)
+	p.takeActions()
 	return p
 }
 
-// take adds the decisions to the hash and keeps the attempts and timers that follow from them.
-func (p *course) take() {
-	for _, a := range p.rec.acts {
+// takeActions adds the decisions to the hash and keeps the attempts and timers that follow from them.
+func (p *eventGenerator) takeActions() {
+	for _, a := range p.recorder.actions {
 		h := fnv.New64a()
-		fmt.Fprintf(h, "%x %v", p.sum, a)
-		p.sum = h.Sum64()
-		p.verbs[a.verb]++
+		fmt.Fprintf(h, "%x %v", p.hash, a)
+		p.hash = h.Sum64()
+		p.verbCounts[a.verb]++
 		switch a.verb {
 		case "dispatch":
-			p.open = append(p.open, Outcome{ID: a.id, Attempt: p.tries[a.id], Worker: a.worker, Took: p.now})
-			p.tries[a.id]++
+			p.inFlight = append(p.inFlight, Outcome{ID: a.id, Attempt: p.attempts[a.id], Worker: a.worker, Took: p.now})
+			p.attempts[a.id]++
 		case "wake":
 			a.in += p.now
-			p.wakes = append(p.wakes, a)
+			p.timers = append(p.timers, a)
 		}
 	}
-	p.rec.acts = p.rec.acts[:0]
-	p.mostHeld = max(p.mostHeld, len(p.d.held))
+	p.recorder.actions = p.recorder.actions[:0]
+	p.maxHeld = max(p.maxHeld, len(p.dispatcher.held))
 }
 
-func (p *course) event() {
-	p.now += p.rng.ExpFloat64() * 100 / p.pace / float64(min(len(p.list), 40))
-	for i := 0; i < len(p.wakes); i++ {
-		if a := p.wakes[i]; a.in <= p.now {
-			p.wakes = slices.Delete(p.wakes, i, i+1)
+func (p *eventGenerator) deliverEvent() {
+	p.now += p.rng.ExpFloat64() * 100 / p.load / float64(min(len(p.workers), 40))
+	for i := 0; i < len(p.timers); i++ {
+		if a := p.timers[i]; a.in <= p.now {
+			p.timers = slices.Delete(p.timers, i, i+1)
 			i = -1
-			p.d.Wake(p.now, a.token)
-			p.take()
+			p.dispatcher.Wake(p.now, a.token)
+			p.takeActions()
 		}
 	}
 	k := -1
-	if len(p.open) > 0 {
-		k = p.rng.IntN(len(p.open))
+	if len(p.inFlight) > 0 {
+		k = p.rng.IntN(len(p.inFlight))
 	}
 	switch roll := p.rng.IntN(1000); {
 	case roll < 450:
-		p.last++
-		q := Request{ID: p.last, Class: p.rng.IntN(6), Tenant: p.rng.IntN(3), Deadline: p.now + 200 + p.rng.Float64()*3000, Slots: float64(1 + p.rng.IntN(20)/18)}
+		p.lastID++
+		q := Request{ID: p.lastID, Class: p.rng.IntN(6), Tenant: p.rng.IntN(3), Deadline: p.now + 200 + p.rng.Float64()*3000, Slots: float64(1 + p.rng.IntN(20)/18)}
 		if p.rng.IntN(3) > 0 {
 			q.Key = uint64(1 + p.rng.IntN(30))
 		}
-		p.d.Arrive(p.now, q)
+		p.dispatcher.Arrive(p.now, q)
 	case roll < 850 && k >= 0:
-		o := p.open[k]
-		p.open = slices.Delete(p.open, k, k+1)
+		o := p.inFlight[k]
+		p.inFlight = slices.Delete(p.inFlight, k, k+1)
 		if o.Took = p.now - o.Took; p.rng.IntN(8) == 0 {
 			o.Result = []Result{Error, Full, Full, TimedOut, ConnectFailed, Reset, Cancelled, NotSent}[p.rng.IntN(8)]
 		}
 		if o.Closed = o.Result == OK; p.rng.IntN(2) == 0 {
 			o.Report = []float32{float32(p.rng.IntN(5))}
 		}
-		p.d.AttemptEnded(p.now, o)
+		p.dispatcher.AttemptEnded(p.now, o)
 	case roll < 930 && k >= 0:
-		o := p.open[k]
-		p.d.Progressed(p.now, Progress{ID: o.ID, Attempt: o.Attempt, Worker: o.Worker, Started: p.rng.IntN(2) == 0})
+		o := p.inFlight[k]
+		p.dispatcher.Progressed(p.now, Progress{ID: o.ID, Attempt: o.Attempt, Worker: o.Worker, Started: p.rng.IntN(2) == 0})
 	case roll < 940:
-		p.d.Probed(p.now, ProbeResult{Worker: p.list[p.rng.IntN(len(p.list))].ID, Report: []float32{2}})
+		p.dispatcher.Probed(p.now, ProbeResult{Worker: p.workers[p.rng.IntN(len(p.workers))].ID, Report: []float32{2}})
 	case roll < 960:
-		p.d.Abandoned(p.now, p.last-RequestID(p.rng.IntN(5)))
+		p.dispatcher.Abandoned(p.now, p.lastID-RequestID(p.rng.IntN(5)))
 	case roll < 964:
-		p.d.Workers(p.now, ListFull, p.list)
+		p.dispatcher.Workers(p.now, ListFull, p.workers)
 	case roll < 966:
-		p.d.Workers(p.now, ListFailed, nil)
+		p.dispatcher.Workers(p.now, ListFailed, nil)
 	case roll < 968:
-		p.d.SetOverlap(p.rng.IntN(2) == 0)
+		p.dispatcher.SetOverlap(p.rng.IntN(2) == 0)
 	case roll < 980: // some workers go, drain, restart or are replaced
 		var delta []Worker
 		for range 1 + p.rng.IntN(3) {
-			w := &p.list[p.rng.IntN(len(p.list))]
+			w := &p.workers[p.rng.IntN(len(p.workers))]
 			switch p.rng.IntN(6) {
 			case 0:
 				w.State = Gone
@@ -146,7 +146,7 @@
 			}
 			delta = append(delta, *w)
 		}
-		p.d.Workers(p.now, ListDelta, delta)
+		p.dispatcher.Workers(p.now, ListDelta, delta)
 	}
-	p.take()
+	p.takeActions()
 }
--- a/internal/balance/dispatcher_test.go
+++ b/internal/balance/dispatcher_test.go
@@ -34,10 +34,10 @@
 	s := testSettings()
 	s.Zones = 1
 	list := oneZone(4)
-	d, rec := start(t, s, list)
+	d, rec := startDispatcher(t, s, list)
 	count := map[WorkerID]int{}
 	for i := 0; i < 8; i++ {
-		count[sent(d, rec, 10, req(i, 0))]++
+		count[dispatchedTo(d, rec, 10, newRequest(i, 0))]++
 	}
 	for _, w := range list {
 		if count[w.ID] != 2 {
@@ -46,16 +46,16 @@
 	}
 }
 
-func TestWidthCounts(t *testing.T) {
+func TestWideJobCountsAllItsSlots(t *testing.T) {
 	s := testSettings()
 	s.Zones = 1
 	list := []Worker{{ID: 1, State: Ready, Weight: 8}, {ID: 2, State: Ready, Weight: 8}}
-	d, rec := start(t, s, list)
-	wide := req(1, 0)
+	d, rec := startDispatcher(t, s, list)
+	wide := newRequest(1, 0)
 	wide.Slots = 3
-	first := sent(d, rec, 10, wide)
+	first := dispatchedTo(d, rec, 10, wide)
 	for i := 2; i < 5; i++ {
-		if w := sent(d, rec, 10, req(i, 0)); w == first {
+		if w := dispatchedTo(d, rec, 10, newRequest(i, 0)); w == first {
 			t.Errorf("job %d joined the worker that holds three slots", i)
 		}
 	}
@@ -65,10 +65,10 @@
 	s := testSettings()
 	s.Zones, s.Instances = 1, 9 // more dispatchers than slots, so that the load is the number of own slots
 	list := []Worker{{ID: 1, Kind: 0, State: Ready, Weight: 4}, {ID: 2, Kind: 1, State: Ready, Weight: 4}}
-	d, rec := start(t, s, list)
+	d, rec := startDispatcher(t, s, list)
 	now, fast := 10.0, 0
 	for i := 0; i < 400; i++ {
-		w := sent(d, rec, now, withDeadline(req(i, 0), 1e6))
+		w := dispatchedTo(d, rec, now, withDeadline(newRequest(i, 0), 1e6))
 		took := 100.0 // kind 1 is twice as fast
 		if w == 1 {
 			took = 200
@@ -86,22 +86,22 @@
 }
 
 func TestClassBoundToKind(t *testing.T) {
-	d, rec := start(t, testSettings(), fleet(6))
+	d, rec := startDispatcher(t, testSettings(), fleet(6))
 	for i := 0; i < 12; i++ {
-		if w := sent(d, rec, 10, req(i, 5)); w%2 != 1 {
+		if w := dispatchedTo(d, rec, 10, newRequest(i, 5)); w%2 != 1 {
 			t.Errorf("a job of kind 1 went to worker %d", w)
 		}
 	}
 }
 
-func TestKeysKeepTheirLinks(t *testing.T) {
+func TestKeysGoToLinkedWorkers(t *testing.T) {
 	s := testSettings()
-	d, rec := start(t, s, fleet(60))
+	d, rec := startDispatcher(t, s, fleet(60))
 	used := map[WorkerID]bool{}
 	for i := 0; i < 60; i++ {
-		q := req(i, 0)
+		q := newRequest(i, 0)
 		q.Key = 77
-		w := sent(d, rec, float64(10+i*1000), withDeadline(q, 1e6))
+		w := dispatchedTo(d, rec, float64(10+i*1000), withDeadline(q, 1e6))
 		used[w] = true
 		d.AttemptEnded(float64(10+i*1000+100), Outcome{ID: q.ID, Worker: w, Took: 100, Closed: true})
 	}
@@ -109,9 +109,9 @@
 		t.Errorf("one key went to %d of 60 workers, want its few links", len(used))
 	}
 	for i := 100; i < 130; i++ {
-		q := req(i, 0)
+		q := newRequest(i, 0)
 		q.Key = 77
-		used[sent(d, rec, 70000, withDeadline(q, 1e6))] = true
+		used[dispatchedTo(d, rec, 70000, withDeadline(q, 1e6))] = true
 	}
 	if len(used) < 20 {
 		t.Errorf("a hot key went to %d workers only, want all to be linked", len(used))
@@ -127,19 +127,19 @@
 	}{{20, false}, {500, true}} {
 		s := testSettings()
 		s.Instances = c.instances
-		d, rec := start(t, s, fleet(60))
+		d, rec := startDispatcher(t, s, fleet(60))
 		closed := 0
-		d.limit = 100
+		d.slotLimit = 100
 		at := map[int]WorkerID{}
 		for n := 1; n <= 60; n++ { // so many at once that some go to unlinked workers
-			at[n] = sent(d, rec, Millis(n), withDeadline(req(n, 0), 1e6))
+			at[n] = dispatchedTo(d, rec, Millis(n), withDeadline(newRequest(n, 0), 1e6))
 		}
 		for n := 1; n <= 60; n++ {
 			d.AttemptEnded(100, Outcome{ID: RequestID(n), Worker: at[n], Took: 100, Closed: true})
-			for _, a := range rec.only("hang up") {
+			for _, a := range rec.take("hang up") {
 				closed++
-				if w := d.workers[d.index[a.worker]]; w.out > 0 {
-					t.Errorf("closed connections to a worker with %d attempts in flight", w.out)
+				if w := d.workers[d.workerIndex[a.worker]]; w.inFlight > 0 {
+					t.Errorf("closed connections to a worker with %d attempts in flight", w.inFlight)
 				}
 			}
 		}
@@ -153,17 +153,17 @@
 // was counted in the choice, all of them moved to the other workers together; in full-size simulations, late
 // answers fell from 26% to 8% of a window without it. A loaded worker keeps its part of the first jobs of 200
 // dispatchers.
-func TestNewsOfOthersDoesNotHerd(t *testing.T) {
+func TestOtherSlotsDoNotAffectChoice(t *testing.T) {
 	s := testSettings()
 	s.Instances, s.Zones = 200, 1
 	list := oneZone(4)
 	got := map[WorkerID]int{}
 	for k := 0; k < s.Instances; k++ {
 		s.Self, s.Seed = k, uint64(k+1)
-		d, rec := start(t, s, list)
-		crowded := &d.workers[d.index[list[0].ID]]
-		d.learnCrowd(10, crowded, crowded.size, false)
-		got[sent(d, rec, 10, req(1, 0))]++
+		d, rec := startDispatcher(t, s, list)
+		crowded := &d.workers[d.workerIndex[list[0].ID]]
+		d.learnOtherSlots(10, crowded, crowded.size, false)
+		got[dispatchedTo(d, rec, 10, newRequest(1, 0))]++
 	}
 	for _, w := range list {
 		if n := got[w.ID]; n < s.Instances/8 || n > s.Instances*3/8 {
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestLinksAreFewAndEven(t *testing.T) {
+func TestPreferredWorkersAreFewAndEven(t *testing.T) {
 	s := testSettings()
 	s.Instances, s.Zones = 60, 1
 	list := fleet(300)
@@ -183,9 +183,9 @@
 	linked := make([]int, len(list))
 	for k := 0; k < s.Instances; k++ {
 		s.Self = k
-		d, _ := start(t, s, list)
+		d, _ := startDispatcher(t, s, list)
 		for i := range d.workers {
-			if d.workers[i].link < d.arc() {
+			if d.workers[i].distance < d.linkDistance() {
 				linked[i]++
 			}
 		}
@@ -203,19 +203,19 @@
 	waits := map[Millis]bool{}
 	for seed := uint64(0); seed < 20; seed++ {
 		s.Seed = seed
-		d, rec := start(t, s, fleet(3))
-		w := rec.only("wake")
+		d, rec := startDispatcher(t, s, fleet(3))
+		w := rec.take("wake")
 		if len(w) != 1 || w[0].in > s.Rules.AskEvery {
 			t.Fatalf("seed %d: timers %v, want one within AskEvery", seed, w)
 		}
 		waits[w[0].in] = true
 		d.Wake(100, w[0].token)
-		if a := rec.only("subscribe"); len(a) != 1 {
+		if a := rec.take("subscribe"); len(a) != 1 {
 			t.Fatalf("seed %d: %d calls, want 1", seed, len(a))
 		}
 		for i := 0; i < 6; i++ {
 			d.Workers(200, ListFailed, nil)
-			if w := rec.only("wake"); len(w) != 1 || w[0].in > 4*s.Rules.AskEvery {
+			if w := rec.take("wake"); len(w) != 1 || w[0].in > 4*s.Rules.AskEvery {
 				t.Fatalf("seed %d: after a failed call timers %v, want one within four times AskEvery", seed, w)
 			}
 		}
@@ -230,7 +230,7 @@
 
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	s := testSettings()
-	d, err := New(s, nothing{})
+	d, err := New(s, noActions{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -241,7 +241,7 @@
 		now += 5
 		q := Request{ID: RequestID(id), Deadline: now + 9000, Slots: 1}
 		d.Arrive(now, q)
-		w := d.workers[d.reqs[q.ID].attempts[0].worker].ID
+		w := d.workers[d.requests[q.ID].attempts[0].workerIndex].ID
 		d.Progressed(now+1, Progress{ID: q.ID, Worker: w, Started: true})
 		d.AttemptEnded(now+4, Outcome{ID: q.ID, Worker: w, Took: 4, Closed: true})
 	}
@@ -253,23 +253,23 @@
 	}
 }
 
-func (nothing) Dispatch(RequestID, WorkerID, Millis) {}
+func (noActions) Dispatch(RequestID, WorkerID, Millis) {}
 
-func (nothing) Refuse(RequestID, Millis) {}
+func (noActions) Refuse(RequestID, Millis) {}
 
-func (nothing) Fail(RequestID) {}
+func (noActions) Fail(RequestID) {}
 
-func (nothing) Cancel(RequestID, int) {}
+func (noActions) Cancel(RequestID, int) {}
 
-func (nothing) Probe(WorkerID) {}
+func (noActions) Probe(WorkerID) {}
 
-func (nothing) CloseIdle(WorkerID) {}
+func (noActions) CloseIdle(WorkerID) {}
 
-func (nothing) Wake(Millis, uint64) {}
+func (noActions) Wake(Millis, uint64) {}
 
-func (nothing) Subscribe() {}
+func (noActions) Subscribe() {}
 
-func (nothing) Log(string) {}
+func (noActions) Log(string) {}
 
 func TestModuleStaysSmall(t *testing.T) {
 	f, err := os.Open("dispatcher.go")
--- a/internal/balance/fall_test.go
+++ b/internal/balance/fall_test.go
@@ -13,7 +13,7 @@
 
 // overloadCase is a small fleet simulated in virtual time: dispatchers that each get few requests learn of cold
 // workers at the same moment. Workers serve jobs first come, first served.
-type fallDay struct {
+type overloadCase struct {
 	dispatchers, warm, cold, slots int
 	aim, work                      Millis  // the settings' aim; the mean running time of a request on a warm worker
 	rate                           float64 // requests per second at each dispatcher
@@ -21,93 +21,95 @@
 	seed                           uint64
 }
 
-func (d fallDay) String() string {
+func (d overloadCase) String() string {
 	return fmt.Sprintf("%d dispatchers, %d warm and %d cold of %d slots, aim %v, work %v, seed %d", d.dispatchers, d.warm, d.cold, d.slots, d.aim, d.work, d.seed)
 }
 
-type fallEvent struct {
-	at Millis
-	n  int // sequence number, so that simultaneous events keep their order
-	do func()
+type simEvent struct {
+	at  Millis
+	seq int // sequence number, so that simultaneous events keep their order
+	do  func()
 }
 
-type fallQueue []fallEvent
+type eventQueue []simEvent
 
-func (q fallQueue) Len() int { return len(q) }
-func (q fallQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q fallQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *fallQueue) Push(x any)   { *q = append(*q, x.(fallEvent)) }
-func (q *fallQueue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(simEvent)) }
+func (q *eventQueue) Pop() any {
 	e := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return e
 }
 
-type fallJob struct {
-	by      *fallNode
+type simJob struct {
+	sender  *simDispatcher
 	id      RequestID
 	attempt int
-	sent    Millis
+	sentAt  Millis
 }
 
-type fallBackend struct {
+type simWorker struct {
 	Worker
-	free  int
-	queue []fallJob
-	came  []Millis // arrival times of all attempts, rejected or not
+	freeSlots int
+	queue     []simJob
+	arrivals  []Millis // arrival times of all attempts, rejected or not
 }
 
 // simDispatcher is a simulated dispatcher and its Actions.
-type fallNode struct {
-	w        *fallWorld
-	d        *Dispatcher
-	attempts map[RequestID]int
+type simDispatcher struct {
+	sim        *simulation
+	dispatcher *Dispatcher
+	attempts   map[RequestID]int
 }
 
-type fallWorld struct {
-	day      fallDay
-	now      Millis
-	made     int
-	queue    fallQueue
-	rng      *rand.Rand
-	backends map[WorkerID]*fallBackend
+type simulation struct {
+	params  overloadCase
+	now     Millis
+	lastSeq int
+	events  eventQueue
+	rng     *rand.Rand
+	workers map[WorkerID]*simWorker
 }
 
-func (w *fallWorld) after(in Millis, do func()) {
-	w.made++
-	heap.Push(&w.queue, fallEvent{w.now + in, w.made, do})
+func (w *simulation) after(in Millis, do func()) {
+	w.lastSeq++
+	heap.Push(&w.events, simEvent{w.now + in, w.lastSeq, do})
 }
 
 const networkDelay = 0.3 // ms from a dispatcher to a worker, and the same back
 
-func (n *fallNode) Dispatch(id RequestID, to WorkerID, _ Millis) {
-	j := fallJob{n, id, n.attempts[id], n.w.now}
+func (n *simDispatcher) Dispatch(id RequestID, to WorkerID, _ Millis) {
+	j := simJob{n, id, n.attempts[id], n.sim.now}
 	n.attempts[id]++
-	n.w.after(networkDelay, func() { n.w.take(n.w.backends[to], j) })
+	n.sim.after(networkDelay, func() { n.sim.arrive(n.sim.workers[to], j) })
 }
-func (n *fallNode) Wake(in Millis, token uint64) { n.w.after(in, func() { n.d.Wake(n.w.now, token) }) }
-func (*fallNode) Refuse(RequestID, Millis)       {}
-func (*fallNode) Fail(RequestID)                 {}
-func (*fallNode) Cancel(RequestID, int)          {}
-func (*fallNode) Probe(WorkerID)                 {}
-func (*fallNode) CloseIdle(WorkerID)             {}
-func (*fallNode) Subscribe()                     {}
-func (*fallNode) Log(string)                     {}
+func (n *simDispatcher) Wake(in Millis, token uint64) {
+	n.sim.after(in, func() { n.dispatcher.Wake(n.sim.now, token) })
+}
+func (*simDispatcher) Refuse(RequestID, Millis) {}
+func (*simDispatcher) Fail(RequestID)           {}
+func (*simDispatcher) Cancel(RequestID, int)    {}
+func (*simDispatcher) Probe(WorkerID)           {}
+func (*simDispatcher) CloseIdle(WorkerID)       {}
+func (*simDispatcher) Subscribe()               {}
+func (*simDispatcher) Log(string)               {}
 
 // capacity is the least share of a worker's full capacity that the settings promise at a time.
-func (w *fallWorld) capacity(b *fallBackend, at Millis) float64 {
-	r := w.day.rules
+func (w *simulation) capacity(b *simWorker, at Millis) float64 {
+	r := w.params.rules
 	if age := at - b.Started; b.Started > 0 && age < r.WarmAfter {
 		return r.StartCapacity + (1-r.StartCapacity)*max(0, age)/r.WarmAfter
 	}
 	return 1
 }
 
-func (w *fallWorld) take(b *fallBackend, j fallJob) {
-	b.came = append(b.came, w.now)
-	if len(b.queue) >= 4*w.day.slots {
+func (w *simulation) arrive(b *simWorker, j simJob) {
+	b.arrivals = append(b.arrivals, w.now)
+	if len(b.queue) >= 4*w.params.slots {
 		w.answer(b, j, Full)
 		return
 	}
@@ -115,37 +117,39 @@
 	w.serve(b)
 }
 
-func (w *fallWorld) serve(b *fallBackend) {
-	for b.free > 0 && len(b.queue) > 0 {
+func (w *simulation) serve(b *simWorker) {
+	for b.freeSlots > 0 && len(b.queue) > 0 {
 		j := b.queue[0]
-		b.queue, b.free = b.queue[1:], b.free-1
-		w.after(networkDelay, func() { j.by.d.Progressed(w.now, Progress{ID: j.id, Attempt: j.attempt, Worker: b.ID, Started: true}) })
-		took := w.day.work * (0.5 + w.rng.ExpFloat64()/2) / w.capacity(b, w.now)
+		b.queue, b.freeSlots = b.queue[1:], b.freeSlots-1
+		w.after(networkDelay, func() {
+			j.sender.dispatcher.Progressed(w.now, Progress{ID: j.id, Attempt: j.attempt, Worker: b.ID, Started: true})
+		})
+		took := w.params.work * (0.5 + w.rng.ExpFloat64()/2) / w.capacity(b, w.now)
 		w.after(took, func() {
-			b.free++
+			b.freeSlots++
 			w.answer(b, j, OK)
 			w.serve(b)
 		})
 	}
 }
 
-func (w *fallWorld) answer(b *fallBackend, j fallJob, r Result) {
+func (w *simulation) answer(b *simWorker, j simJob, r Result) {
 	w.after(networkDelay, func() {
-		j.by.d.AttemptEnded(w.now, Outcome{ID: j.id, Attempt: j.attempt, Worker: b.ID, Result: r, Took: w.now - j.sent, Closed: r == OK})
+		j.sender.dispatcher.AttemptEnded(w.now, Outcome{ID: j.id, Attempt: j.attempt, Worker: b.ID, Result: r, Took: w.now - j.sentAt, Closed: r == OK})
 	})
 }
 
 // run returns the highest number of requests that a cold worker got in any window relative to the allowed number,
 // both numbers, and the worker's age. N + 3·√N + 3 are allowed, where N follows from the least capacity that the
 // settings promise at the window's start or, if flat is set, from StartCapacity until the worker is warm.
-func (d fallDay) play(t *testing.T, flat bool) (ratio, got, allowed, age float64) {
+func (d overloadCase) run(t *testing.T, flat bool) (ratio, got, allowed, age float64) {
 	const before, after = 10_000, 12_000
-	w := &fallWorld{day: d, now: 1000, rng: rand.New(rand.NewPCG(d.seed, 7)), backends: map[WorkerID]*fallBackend{}}
+	w := &simulation{params: d, now: 1000, rng: rand.New(rand.NewPCG(d.seed, 7)), workers: map[WorkerID]*simWorker{}}
 	startAt := w.now + before + w.rng.Float64()*d.rules.FallWindow // at a random moment of a budget window
 	var warm, cold []Worker
 	for i := range d.warm + d.cold {
-		b := &fallBackend{Worker: Worker{ID: WorkerID(100 + i), State: Ready, Weight: float64(d.slots)}, free: d.slots}
-		w.backends[b.ID] = b
+		b := &simWorker{Worker: Worker{ID: WorkerID(100 + i), State: Ready, Weight: float64(d.slots)}, freeSlots: d.slots}
+		w.workers[b.ID] = b
 		if i < d.warm {
 			warm = append(warm, b.Worker)
 		} else {
@@ -158,28 +162,28 @@
 		set := testSettings()
 		set.Seed, set.Self, set.Instances, set.Zones, set.ProgressEvery, set.Rules = d.seed<<8|uint64(k), k, d.dispatchers, 1, 0, d.rules
 		set.Classes = []Class{{Worth: 1, Aim: d.aim, Stretch: 2, Deadline: 5000, Kind: -1, Effect: Safe}}
-		n := &fallNode{w: w, attempts: map[RequestID]int{}}
+		n := &simDispatcher{sim: w, attempts: map[RequestID]int{}}
 		var err error
-		n.d, err = New(set, n)
+		n.dispatcher, err = New(set, n)
 		require.NoError(t, err)
-		n.d.Workers(w.now, ListFull, warm)
-		w.after(startAt-w.now, func() { n.d.Workers(w.now, ListDelta, cold) })
+		n.dispatcher.Workers(w.now, ListFull, warm)
+		w.after(startAt-w.now, func() { n.dispatcher.Workers(w.now, ListDelta, cold) })
 		var arrive func()
 		arrive = func() {
 			id++
-			n.d.Arrive(w.now, Request{ID: id, Deadline: w.now + 5000, Slots: 1})
+			n.dispatcher.Arrive(w.now, Request{ID: id, Deadline: w.now + 5000, Slots: 1})
 			w.after(w.rng.ExpFloat64()*1000/d.rate, arrive)
 		}
 		w.after(w.rng.ExpFloat64()*1000/d.rate, arrive)
 	}
 	for w.now < startAt+after {
-		e := heap.Pop(&w.queue).(fallEvent)
+		e := heap.Pop(&w.events).(simEvent)
 		w.now = e.at
 		e.do()
 	}
 	for _, c := range cold {
-		b := w.backends[c.ID]
-		for i, from := range b.came {
+		b := w.workers[c.ID]
+		for i, from := range b.arrivals {
 			if from >= startAt+d.rules.WarmAfter {
 				break
 			}
@@ -189,7 +193,7 @@
 			}
 			n := d.rules.FallMultiple * capacity * float64(d.slots) * d.rules.FallWindow / d.work
 			j := i
-			for j < len(b.came) && b.came[j] < min(from+d.rules.FallWindow, startAt+d.rules.WarmAfter) { // from then on the worker is warm
+			for j < len(b.arrivals) && b.arrivals[j] < min(from+d.rules.FallWindow, startAt+d.rules.WarmAfter) { // from then on the worker is warm
 				j++
 			}
 			if limit := n + 3*math.Sqrt(n) + 3; float64(j-i)/limit > ratio {
@@ -200,18 +204,18 @@
 	return ratio, got, allowed, age
 }
 
-const fallSeeds = uint64(30)
+const overloadSeeds = uint64(30)
 
-// worst runs a case with many seeds. It returns the highest number of requests relative to the allowed number, which
+// worstOverSeeds runs a case with many seeds. It returns the highest number of requests relative to the allowed number, which
 // is computed from the growing capacity and from StartCapacity alone.
-func (d fallDay) worst(t *testing.T) (growing, flat float64) {
+func (d overloadCase) worstOverSeeds(t *testing.T) (growing, flat float64) {
 	var details [2]string
-	for seed := range fallSeeds {
+	for seed := range overloadSeeds {
 		d.seed = seed
-		if ratio, got, allowed, age := d.play(t, false); ratio > growing {
+		if ratio, got, allowed, age := d.run(t, false); ratio > growing {
 			growing, details[0] = ratio, fmt.Sprintf("%.0f of %.1f (%.2f) at %.0f ms, seed %d", got, allowed, ratio, age, seed)
 		}
-		if ratio, got, allowed, age := d.play(t, true); ratio > flat {
+		if ratio, got, allowed, age := d.run(t, true); ratio > flat {
 			flat, details[1] = ratio, fmt.Sprintf("%.0f of %.1f (%.2f) at %.0f ms, seed %d", got, allowed, ratio, age, seed)
 		}
 	}
@@ -220,19 +224,19 @@
 }
 
 // twentyDispatchers is a case with twenty dispatchers that get one request per second each on average.
-func twenty(warm, cold, slots int, aim, work Millis) fallDay {
+func twentyDispatchers(warm, cold, slots int, aim, work Millis) overloadCase {
 	rules := testSettings().Rules
 	rules.FallWindow, rules.StartCapacity, rules.WarmAfter = 2000, 0.31, 9000
-	return fallDay{dispatchers: 20, warm: warm, cold: cold, slots: slots, aim: aim, work: work, rate: 1, rules: rules}
+	return overloadCase{dispatchers: 20, warm: warm, cold: cold, slots: slots, aim: aim, work: work, rate: 1, rules: rules}
 }
 
 // TestColdBudgetOfSmallFleet: twenty dispatchers, each with about one request per second, learn of cold workers at once.
 // In no window of FallWindow does a cold worker get more than N + 3·√N + 3 requests. Where a request's work is the aim,
 // this holds even if the capacity stayed StartCapacity until the worker is warm.
-func TestFallOfAll(t *testing.T) {
-	for _, d := range []fallDay{twenty(1, 1, 4, 400, 400), twenty(4, 1, 1, 400, 400), twenty(0, 1, 1, 400, 400), twenty(2, 6, 2, 400, 400),
-		twenty(4, 1, 4, 400, 800), twenty(0, 1, 4, 400, 800), twenty(2, 1, 1, 120, 400), twenty(4, 1, 4, 120, 1200)} {
-		growing, flat := d.worst(t)
+func TestColdBudgetOfSmallFleet(t *testing.T) {
+	for _, d := range []overloadCase{twentyDispatchers(1, 1, 4, 400, 400), twentyDispatchers(4, 1, 1, 400, 400), twentyDispatchers(0, 1, 1, 400, 400), twentyDispatchers(2, 6, 2, 400, 400),
+		twentyDispatchers(4, 1, 4, 400, 800), twentyDispatchers(0, 1, 4, 400, 800), twentyDispatchers(2, 1, 1, 120, 400), twentyDispatchers(4, 1, 4, 120, 1200)} {
+		growing, flat := d.worstOverSeeds(t)
 		assert.Less(t, growing, 1.0, "%v", d)
 		if d.work == d.aim {
 			assert.Less(t, flat, 1.0, "%v", d)
--- a/internal/balance/further_attempts_test.go
+++ b/internal/balance/further_attempts_test.go
@@ -5,7 +5,7 @@
 )
 
 // TestMaySend checks which attempts may follow a first one, for each way in which that may end.
-func TestLegal(t *testing.T) {
+func TestMaySend(t *testing.T) {
 	s := testSettings()
 	same := Worker{ID: 1, Zone: 1, Cell: 1, State: Ready, Weight: 1}
 	zone := Worker{ID: 2, Zone: 1, Cell: 2, State: Ready, Weight: 1}
@@ -33,12 +33,12 @@
 		{4, TimedOut, 5000, false, false, false, false},
 	}
 	for _, c := range cases {
-		d, _ := start(t, s, []Worker{same, zone, far})
-		first := d.index[1]
-		r := &request{Request: req(1, c.class), open: true, attempts: []attempt{{worker: first, zone: 1, cell: 1, sent: 10,
-			never: c.result == Full || c.result == ConnectFailed || c.result == NotSent}}}
+		d, _ := startDispatcher(t, s, []Worker{same, zone, far})
+		first := d.workerIndex[1]
+		r := &request{Request: newRequest(1, c.class), open: true, attempts: []attempt{{workerIndex: first, zone: 1, cell: 1, sentAt: 10,
+			neverRan: c.result == Full || c.result == ConnectFailed || c.result == NotSent}}}
 		for id, want := range map[WorkerID]bool{1: c.same, 2: c.zone, 3: c.far} {
-			if got := d.legal(10+c.after, r, &d.workers[d.index[id]]); got != want {
+			if got := d.maySend(10+c.after, r, &d.workers[d.workerIndex[id]]); got != want {
 				t.Errorf("class %d after result %d, %v ms, worker %d: may send %v, want %v",
 					c.class, c.result, c.after, id, got, want)
 			}
@@ -51,14 +51,14 @@
 
 // TestDedupGroupOutlivesWorker: the index of a worker that is gone is reused for another one. A repeat must still go
 // to the first worker's cell.
-func TestGroupOutlivesItsWorker(t *testing.T) {
+func TestDedupGroupOutlivesWorker(t *testing.T) {
 	s := testSettings()
-	d, rec := start(t, s, []Worker{{ID: 1, Zone: 1, Cell: 1, State: Ready, Weight: 1}})
-	d.Arrive(10, req(1, 3))
+	d, rec := startDispatcher(t, s, []Worker{{ID: 1, Zone: 1, Cell: 1, State: Ready, Weight: 1}})
+	d.Arrive(10, newRequest(1, 3))
 	d.Workers(20, ListFull, nil)
 	d.AttemptEnded(30, Outcome{ID: 1, Worker: 1, Result: Reset})
 	d.Workers(40, ListFull, []Worker{{ID: 2, Zone: 1, Cell: 2, State: Ready, Weight: 1}})
-	for _, a := range rec.only("dispatch") {
+	for _, a := range rec.take("dispatch") {
 		if a.worker == 2 {
 			t.Error("a repeat left the cell that remembers its key")
 		}
@@ -68,20 +68,20 @@
 func TestNoSecondCopyWhereNotAllowed(t *testing.T) {
 	s := testSettings()
 	s.MayDuplicate = false
-	d, _ := start(t, s, fleet(3))
-	r := &request{Request: req(1, 0), open: true, attempts: []attempt{{worker: 0, out: true, sent: 10}}}
-	if d.legal(20, r, &d.workers[1]) {
+	d, _ := startDispatcher(t, s, fleet(3))
+	r := &request{Request: newRequest(1, 0), open: true, attempts: []attempt{{workerIndex: 0, inFlight: true, sentAt: 10}}}
+	if d.maySend(20, r, &d.workers[1]) {
 		t.Error("a second attempt is allowed while the first is in flight")
 	}
 }
 
 func TestSecondCopyOnlyWhereHarmless(t *testing.T) {
 	for class, want := range map[int]int{0: 1, 1: 0, 2: 1, 4: 1} {
-		d, rec := start(t, testSettings(), fleet(9))
-		d.copies = 1e6
-		sent(d, rec, 10, req(1, class))
-		d.Wake(10+d.patience(d.reqs[1]), 1<<8)
-		if a := rec.only("dispatch"); len(a) != want {
+		d, rec := startDispatcher(t, testSettings(), fleet(9))
+		d.copyBudget = 1e6
+		dispatchedTo(d, rec, 10, newRequest(1, class))
+		d.Wake(10+d.checkDelay(d.requests[1]), 1<<8)
+		if a := rec.take("dispatch"); len(a) != want {
 			t.Errorf("class %d: %d second copies, want %d", class, len(a), want)
 		}
 	}
@@ -93,15 +93,15 @@
 	s := testSettings()
 	s.TellsStart = false
 	for _, running := range []bool{false, true} {
-		d, rec := start(t, s, fleet(9))
-		d.copies = 1e6
-		w := sent(d, rec, 10, req(1, 0))
-		now := 10 + d.patience(d.reqs[1])
+		d, rec := startDispatcher(t, s, fleet(9))
+		d.copyBudget = 1e6
+		w := dispatchedTo(d, rec, 10, newRequest(1, 0))
+		now := 10 + d.checkDelay(d.requests[1])
 		if running {
 			d.Progressed(now-1, Progress{ID: 1, Worker: w, Done: 0.3})
 		}
 		d.Wake(now, 1<<8)
-		if a := rec.only("dispatch"); (len(a) == 1) == running {
+		if a := rec.take("dispatch"); (len(a) == 1) == running {
 			t.Errorf("running %v: %d copies", running, len(a))
 		}
 	}
@@ -113,18 +113,18 @@
 	for progress, want := range map[Millis]int{0: 0, 1000: 1} {
 		s := testSettings()
 		s.ProgressEvery = progress
-		d, rec := start(t, s, fleet(9))
-		d.copies = 1e6
-		w := sent(d, rec, 10, req(1, 0))
+		d, rec := startDispatcher(t, s, fleet(9))
+		d.copyBudget = 1e6
+		w := dispatchedTo(d, rec, 10, newRequest(1, 0))
 		d.Progressed(20, Progress{ID: 1, Worker: w, Started: true})
-		for _, a := range rec.only("wake") { // only these timers expire in real use
+		for _, a := range rec.take("wake") { // only these timers expire in real use
 			d.Wake(20+a.in, a.token)
 		}
-		d.Wake(10+d.patience(d.reqs[1])+2500, 1<<8) // the timer set at the dispatch
-		if got := d.workers[d.index[w]].strikes; (got > 0) != (want > 0) {
+		d.Wake(10+d.checkDelay(d.requests[1])+2500, 1<<8) // the timer set at the dispatch
+		if got := d.workers[d.workerIndex[w]].backoffLevel; (got > 0) != (want > 0) {
 			t.Errorf("progress every %v: backoff level %d", progress, got)
 		}
-		if a := rec.only("dispatch"); (len(a) > 0) != (want > 0) {
+		if a := rec.take("dispatch"); (len(a) > 0) != (want > 0) {
 			t.Errorf("progress every %v: %d copies", progress, len(a))
 		}
 	}
@@ -132,20 +132,20 @@
 
 // TestOtherCopiesAreCancelled: when one copy has succeeded, the others are cancelled, except where starts are reported:
 // a worker that does not stop a cancelled job would look less loaded than it is.
-func TestLosingCopies(t *testing.T) {
+func TestOtherCopiesAreCancelled(t *testing.T) {
 	for _, reportsStart := range []bool{true, false} {
 		s := testSettings()
 		s.TellsStart = reportsStart
-		d, rec := start(t, s, fleet(9))
-		d.copies = 1e6
-		w := sent(d, rec, 10, req(1, 0))
+		d, rec := startDispatcher(t, s, fleet(9))
+		d.copyBudget = 1e6
+		w := dispatchedTo(d, rec, 10, newRequest(1, 0))
 		d.Wake(5000, 1<<8)
-		rec.acts = rec.acts[:0]
+		rec.actions = rec.actions[:0]
 		d.AttemptEnded(5010, Outcome{ID: 1, Worker: w, Took: 5000, Closed: true})
-		if a := rec.only("cancel"); (len(a) == 0) != reportsStart {
+		if a := rec.take("cancel"); (len(a) == 0) != reportsStart {
 			t.Errorf("starts reported %v: %d cancels", reportsStart, len(a))
 		}
-		if left := d.busy; left != 1 {
+		if left := d.busySlots; left != 1 {
 			t.Errorf("starts reported %v: %v slots counted with one attempt in flight", reportsStart, left)
 		}
 	}
@@ -153,19 +153,19 @@
 
 // TestQueuedCopyIsCancelledOnStart: once one attempt has started, attempts still in a queue are cancelled, as nothing is
 // gained by running the job twice. An attempt that runs is not cancelled.
-func TestWaitingCopyGoes(t *testing.T) {
+func TestQueuedCopyIsCancelledOnStart(t *testing.T) {
 	for _, running := range []bool{false, true} {
-		d, rec := start(t, testSettings(), fleet(9))
-		d.copies = 1e6
-		first := sent(d, rec, 10, req(1, 0))
-		d.Wake(10+d.patience(d.reqs[1]), 1<<8)
-		second := rec.only("dispatch")[0].worker
+		d, rec := startDispatcher(t, testSettings(), fleet(9))
+		d.copyBudget = 1e6
+		first := dispatchedTo(d, rec, 10, newRequest(1, 0))
+		d.Wake(10+d.checkDelay(d.requests[1]), 1<<8)
+		second := rec.take("dispatch")[0].worker
 		if running {
 			d.Progressed(300, Progress{ID: 1, Worker: first, Started: true})
-			rec.acts = rec.acts[:0]
+			rec.actions = rec.actions[:0]
 		}
 		d.Progressed(301, Progress{ID: 1, Attempt: 1, Worker: second, Started: true})
-		if a := rec.only("cancel"); (len(a) == 1 && a[0].n == 0) == running {
+		if a := rec.take("cancel"); (len(a) == 1 && a[0].attempt == 0) == running {
 			t.Errorf("first one running %v: cancelled %v", running, a)
 		}
 	}
@@ -173,7 +173,7 @@
 
 // TestStretchedAimAllowsLongerWait: where the aim grows with a job's own work, a wait that takes only a part of that
 // growth does not count as overload.
-func TestStretchedAimAllowsAWait(t *testing.T) {
+func TestStretchedAimAllowsLongerWait(t *testing.T) {
 	for _, c := range []struct {
 		stretch float64
 		wait    Millis
@@ -181,13 +181,13 @@
 	}{{0, 199, false}, {0, 201, true}, {2, 299, false}, {2, 301, true}} {
 		s := testSettings()
 		s.Classes[0].Stretch = c.stretch
-		d, rec := start(t, s, fleet(9))
-		d.runs[0] = 400
-		limit := d.limit
-		w := sent(d, rec, 10, req(1, 0))
+		d, rec := startDispatcher(t, s, fleet(9))
+		d.classTime[0] = 400
+		limit := d.slotLimit
+		w := dispatchedTo(d, rec, 10, newRequest(1, 0))
 		d.Progressed(10+c.wait, Progress{ID: 1, Worker: w, Started: true})
-		if (d.limit < limit) != c.loaded {
-			t.Errorf("stretch %v, waited %v: limit %v, was %v", c.stretch, c.wait, d.limit, limit)
+		if (d.slotLimit < limit) != c.loaded {
+			t.Errorf("stretch %v, waited %v: limit %v, was %v", c.stretch, c.wait, d.slotLimit, limit)
 		}
 	}
 }
@@ -195,14 +195,14 @@
 // TestNoCopyBehindAQueue: a second copy that has to wait too only makes the queues longer.
 func TestNoCopyBehindAQueue(t *testing.T) {
 	for _, free := range []float64{0, 1} {
-		d, rec := start(t, testSettings(), fleet(9))
-		d.copies, d.limit = 1e6, 1e6
-		sent(d, rec, 10, req(1, 0))
+		d, rec := startDispatcher(t, testSettings(), fleet(9))
+		d.copyBudget, d.slotLimit = 1e6, 1e6
+		dispatchedTo(d, rec, 10, newRequest(1, 0))
 		for i := range d.workers {
-			d.workers[i].own = d.workers[i].size - free
+			d.workers[i].ownSlots = d.workers[i].size - free
 		}
-		d.Wake(10+d.patience(d.reqs[1]), 1<<8)
-		if a := rec.only("dispatch"); len(a) != int(free) {
+		d.Wake(10+d.checkDelay(d.requests[1]), 1<<8)
+		if a := rec.take("dispatch"); len(a) != int(free) {
 			t.Errorf("%v slots free: %d copies", free, len(a))
 		}
 	}
--- a/internal/balance/health_test.go
+++ b/internal/balance/health_test.go
@@ -6,20 +6,20 @@
 )
 
 func TestDrainStopsAtOnce(t *testing.T) {
-	d, rec := start(t, testSettings(), fleet(2))
-	first := sent(d, rec, 10, req(1, 0))
+	d, rec := startDispatcher(t, testSettings(), fleet(2))
+	first := dispatchedTo(d, rec, 10, newRequest(1, 0))
 	other := WorkerID(2001) - first // the IDs are 1000 and 1001
 	d.Workers(20, ListDelta, []Worker{{ID: other, State: Draining}})
-	rec.acts = rec.acts[:0]
+	rec.actions = rec.actions[:0]
 	d.AttemptEnded(30, Outcome{ID: 1, Worker: first, Result: Full})
 	for i := 2; i < 10; i++ {
-		d.Arrive(40, req(i, 0))
+		d.Arrive(40, newRequest(i, 0))
 	}
 	d.Workers(50, ListFull, nil)
 	for i := 10; i < 20; i++ {
-		d.Arrive(60, req(i, 0))
+		d.Arrive(60, newRequest(i, 0))
 	}
-	for _, a := range rec.only("dispatch") {
+	for _, a := range rec.take("dispatch") {
 		if a.worker == other || a.id >= 10 {
 			t.Errorf("request %d went to worker %d, which drains or is gone", a.id, a.worker)
 		}
@@ -27,23 +27,23 @@
 }
 
 func TestRestartDropsWhatWasLearned(t *testing.T) {
-	d, rec := start(t, testSettings(), fleet(1))
+	d, rec := startDispatcher(t, testSettings(), fleet(1))
 	for i := 0; i < 3; i++ {
-		if w := sent(d, rec, float64(10+i*20000), withDeadline(req(i, 0), 1e6)); w != 0 {
+		if w := dispatchedTo(d, rec, float64(10+i*20000), withDeadline(newRequest(i, 0), 1e6)); w != 0 {
 			d.AttemptEnded(float64(10+i*20000), Outcome{ID: RequestID(i), Worker: w, Result: ConnectFailed})
 		}
 	}
 	w := &d.workers[0]
-	if w.strikes == 0 {
+	if w.backoffLevel == 0 {
 		t.Fatal("failed connections did not raise the backoff level")
 	}
 	again := fleet(1)
 	again[0].Started = 70000
 	d.Workers(71000, ListDelta, again)
-	if w.strikes != 0 || w.until != 0 {
-		t.Errorf("after a restart the backoff level is %d, the worker is avoided until %v", w.strikes, w.until)
+	if w.backoffLevel != 0 || w.avoidUntil != 0 {
+		t.Errorf("after a restart the backoff level is %d, the worker is avoided until %v", w.backoffLevel, w.avoidUntil)
 	}
-	if got := d.warmth(70000, w); got != 0.2 {
+	if got := d.capacityShare(70000, w); got != 0.2 {
 		t.Errorf("capacity share at the start is %v, want the start capacity 0.2", got)
 	}
 }
@@ -52,11 +52,11 @@
 // send to it together in every window.
 func TestColdBudget(t *testing.T) {
 	for _, otherSlots := range []float64{0, 8} { // with all others loaded, the cold worker is by far the least loaded
-		coldBudget(t, otherSlots)
+		checkColdBudget(t, otherSlots)
 	}
 }
 
-func coldBudget(t *testing.T, otherSlots float64) {
+func checkColdBudget(t *testing.T, otherSlots float64) {
 	t.Helper()
 	for _, n := range []int{2, 40, 300} {
 		s := testSettings()
@@ -68,16 +68,16 @@
 		ds, recs := make([]*Dispatcher, n), make([]*recorder, n)
 		for k := range ds {
 			s.Self, s.Seed = k, uint64(k)
-			ds[k], recs[k] = start(t, s, list)
+			ds[k], recs[k] = startDispatcher(t, s, list)
 		}
 		id := 0
 		for now := 100000.0; now < 112000; now += 12.5 { // 80 jobs per second, the capacity of 8 workers of 4 slots
 			k := rng.IntN(n)
 			for i := range ds[k].workers[1:] {
-				ds[k].learnCrowd(now, &ds[k].workers[i+1], otherSlots, 0 > otherSlots)
+				ds[k].learnOtherSlots(now, &ds[k].workers[i+1], otherSlots, 0 > otherSlots)
 			}
 			id++
-			w := sent(ds[k], recs[k], now, Request{ID: RequestID(id), Deadline: now + 9000, Slots: 1})
+			w := dispatchedTo(ds[k], recs[k], now, Request{ID: RequestID(id), Deadline: now + 9000, Slots: 1})
 			if w == list[0].ID {
 				arrivals = append(arrivals, now)
 			}
@@ -117,16 +117,16 @@
 	ds, recs := make([]*Dispatcher, n), make([]*recorder, n)
 	for k := range ds {
 		s.Self, s.Seed = k, uint64(k)
-		ds[k], recs[k] = start(t, s, list)
+		ds[k], recs[k] = startDispatcher(t, s, list)
 	}
 	rng, cold, id := rand.New(rand.NewPCG(9, 9)), 0.0, 0
 	for now := 100000.0; now < 103000; now += 0.5 { // ten jobs per second for each worker
 		k := rng.IntN(n)
 		for i := 1; i < size; i += 2 {
-			ds[k].learnCrowd(now, &ds[k].workers[i], 8, false)
+			ds[k].learnOtherSlots(now, &ds[k].workers[i], 8, false)
 		}
 		id++
-		w := sent(ds[k], recs[k], now, Request{ID: RequestID(id), Deadline: now + 9000, Slots: 1})
+		w := dispatchedTo(ds[k], recs[k], now, Request{ID: RequestID(id), Deadline: now + 9000, Slots: 1})
 		if w != 0 {
 			ds[k].AttemptEnded(now+400, Outcome{ID: RequestID(id), Worker: w, Took: 400, Closed: true})
 			cold += float64(1 - w%2)
@@ -141,11 +141,11 @@
 // TestQuickErrorsDoNotWin: a worker that fails at once always has a low load and must not win for that.
 func TestQuickErrorsDoNotWin(t *testing.T) {
 	for _, result := range []Result{Error, ConnectFailed, Full, Reset} {
-		d, rec := start(t, testSettings(), fleet(6))
+		d, rec := startDispatcher(t, testSettings(), fleet(6))
 		bad, hits := WorkerID(1000), 0
 		for i := 0; i < 200; i++ {
 			now := float64(10 + i*5)
-			w := sent(d, rec, now, req(i, 0))
+			w := dispatchedTo(d, rec, now, newRequest(i, 0))
 			if w == bad {
 				hits++
 				d.AttemptEnded(now+1, Outcome{ID: RequestID(i), Worker: w, Result: result})
@@ -159,23 +159,23 @@
 
 // TestUnreachableZoneIsAvoided: a zone that is cut off is avoided after a few failed connections, not after one for each
 // of its workers.
-func TestUnreachableZoneIsLeft(t *testing.T) {
+func TestUnreachableZoneIsAvoided(t *testing.T) {
 	s := testSettings()
 	s.Zone = 1
-	d, rec := start(t, s, fleet(600))
+	d, rec := startDispatcher(t, s, fleet(600))
 	failed := 0
 	for n := 1; n <= 100; n++ {
-		q := withDeadline(req(n, 0), 1e6)
-		id := sent(d, rec, Millis(n), q)
-		for k := 0; id != 0 && d.reqs[q.ID] != nil; k++ {
+		q := withDeadline(newRequest(n, 0), 1e6)
+		id := dispatchedTo(d, rec, Millis(n), q)
+		for k := 0; id != 0 && d.requests[q.ID] != nil; k++ {
 			o := Outcome{ID: q.ID, Attempt: k, Worker: id, Result: OK, Took: 100, Closed: true}
 			if (id-1000)%3 == 1 {
 				o.Result, o.Closed = ConnectFailed, false
 				failed++
 			}
-			rec.acts = rec.acts[:0]
+			rec.actions = rec.actions[:0]
 			d.AttemptEnded(Millis(n), o)
-			if a := rec.only("dispatch"); len(a) == 1 {
+			if a := rec.take("dispatch"); len(a) == 1 {
 				id = a[0].worker
 			}
 		}
@@ -186,41 +186,41 @@
 }
 
 // TestFailuresOfAllWorkersAreIgnored: if all workers have failed, requests are still sent.
-func TestEvidenceAgainstAllIsDoubted(t *testing.T) {
-	d, rec := start(t, testSettings(), fleet(3))
+func TestFailuresOfAllWorkersAreIgnored(t *testing.T) {
+	d, rec := startDispatcher(t, testSettings(), fleet(3))
 	for i := range d.workers {
-		d.strike(10, &d.workers[i], "test")
+		d.recordFailure(10, &d.workers[i], "test")
 	}
-	if w := sent(d, rec, 11, req(1, 0)); w == 0 {
+	if w := dispatchedTo(d, rec, 11, newRequest(1, 0)); w == 0 {
 		t.Error("after failures of all workers nothing was sent")
 	}
 }
 
 // TestSlowWorkersGetOneJobAtATime: a worker that has become far slower than its kind has a short queue but long waits.
 // It gets one job at a time, with pauses, until it has recovered.
-func TestSlowWorkersAreLeft(t *testing.T) {
-	d, rec := start(t, testSettings(), fleet(1))
+func TestSlowWorkersGetOneJobAtATime(t *testing.T) {
+	d, rec := startDispatcher(t, testSettings(), fleet(1))
 	w, now := &d.workers[0], Millis(10)
 	for _, c := range []struct {
 		pace, own float64
 		want      bool
 	}{{1.5, 3, true}, {2.5, 0, true}, {2.5, 1, false}} {
-		w.pace, w.own = c.pace, c.own
-		if got := d.trusted(now, w, 1); got != c.want {
+		w.timeRatio, w.ownSlots = c.pace, c.own
+		if got := d.usable(now, w, 1); got != c.want {
 			t.Errorf("time ratio %v with %v slots in use: usable %v", c.pace, c.own, got)
 		}
 	}
-	w.pace, w.own = 4, 0
+	w.timeRatio, w.ownSlots = 4, 0
 	for id := 1; id <= 40; id++ {
-		sent(d, rec, now, Request{ID: RequestID(id), Deadline: now + 9000, Slots: 1})
+		dispatchedTo(d, rec, now, Request{ID: RequestID(id), Deadline: now + 9000, Slots: 1})
 		d.Progressed(now, Progress{ID: RequestID(id), Worker: w.ID, Started: true})
 		d.AttemptEnded(now+400, Outcome{ID: RequestID(id), Worker: w.ID, Took: 400, Closed: true})
-		if rests := w.until > now+400; rests != (w.pace >= ill) {
-			t.Errorf("job %d, time ratio %v: paused %v", id, w.pace, rests)
+		if rests := w.avoidUntil > now+400; rests != (w.timeRatio >= slowRatio) {
+			t.Errorf("job %d, time ratio %v: paused %v", id, w.timeRatio, rests)
 		}
-		now = max(now+400, w.until)
+		now = max(now+400, w.avoidUntil)
 	}
-	if w.pace >= ill || !d.trusted(now, w, 1) {
-		t.Errorf("after 40 jobs of the usual time its time ratio is %v", w.pace)
+	if w.timeRatio >= slowRatio || !d.usable(now, w, 1) {
+		t.Errorf("after 40 jobs of the usual time its time ratio is %v", w.timeRatio)
 	}
 }
--- a/internal/balance/heir_test.go
+++ b/internal/balance/heir_test.go
@@ -11,7 +11,7 @@
 // worker, each less than one process alone. Together they send at most twice as much as one alone in the window of the
 // hand-over, and FallMultiple/2 (1.5) times as much after it, the margin that one process keeps below FallMultiple. The
 // old process has its whole budget again when the new one is gone.
-func TestOneBudgetForTwoProcesses(t *testing.T) {
+func TestColdBudgetAcrossHandover(t *testing.T) {
 	set := testSettings()
 	type process struct {
 		*Dispatcher
@@ -31,7 +31,7 @@
 		for range 100 {
 			p.last++
 			p.Arrive(now, Request{ID: p.last, Deadline: now + 5000})
-			for _, x := range p.rec.only("dispatch") {
+			for _, x := range p.rec.take("dispatch") {
 				p.sent[int64(now/set.Rules.FallWindow)]++
 				p.AttemptEnded(now, Outcome{ID: x.id, Worker: x.worker, Result: OK, Took: 400, Closed: true})
 			}
--- a/internal/balance/kept.go
+++ b/internal/balance/kept.go
@@ -10,57 +10,57 @@
 // computes each cached value again and compares.
 
 // cache holds the cached values.
-type kept struct {
-	values []float64 // by class, then by class for requests beyond their tenant's share; NaN if not computed
-	marks  []mark    // of the ready workers, in the order of ready
-	byKind []weights // sums over the ready workers, by kind, if ...
-	summed bool      // ... they have been computed, as of ...
-	at     Millis    // ... this time; they are valid ...
-	bend   Millis    // ... until this one, when a worker starts or becomes warm
-	seated []int32   // indexes of the workers that the current delta names
-	none   []bool    // by kind, the last for any kind: no ready worker can take a request while held ones are served
-	looks  int       // workers examined since the start, a measure of the cost of decisions
+type cache struct {
+	classValues       []float64   // by class, then by class for requests beyond their tenant's share; NaN if not computed
+	filters           []filter    // of the ready workers, in the order of ready
+	kindWeights       []weightSum // sums over the ready workers, by kind, if ...
+	weightsKnown      bool        // ... they have been computed, as of ...
+	weightsAt         Millis      // ... this time; they are valid ...
+	weightsValidUntil Millis      // ... until this one, when a worker starts or becomes warm
+	touched           []int32     // indexes of the workers that the current delta names
+	noneEligible      []bool      // by kind, the last for any kind: no ready worker can take a request while held ones are served
+	examined          int         // workers examined since the start, a measure of the cost of decisions
 }
 
 // filter is the part of a worker that rules out most workers for a request without reading the worker itself.
-type mark struct {
-	id   uint64 // value from which link hashes are computed
-	kind int
+type filter struct {
+	linkID uint64 // value from which link hashes are computed
+	kind   int
 }
 
-func markOf(w *worker) mark { return mark{uint64(w.ID) * 3, w.Kind} }
+func filterOf(w *worker) filter { return filter{uint64(w.ID) * 3, w.Kind} }
 
 // weightSum sums up the ready workers of a kind. A worker's weight is its speed when warm, without the factor of
 // its kind.
-type weights struct {
-	sum, rise float64 // sum of weight times capacity share, and its growth per millisecond
-	top       float64 // upper bound of the weights
+type weightSum struct {
+	sum, growth float64 // sum of weight times capacity share, and its growth per millisecond
+	largest     float64 // upper bound of the weights
 }
 
-func newKept(s *Settings) kept {
-	k := kept{values: make([]float64, 2*len(s.Classes)), byKind: make([]weights, s.Kinds),
-		none: make([]bool, s.Kinds+1)}
-	k.metered()
+func newCache(s *Settings) cache {
+	k := cache{classValues: make([]float64, 2*len(s.Classes)), kindWeights: make([]weightSum, s.Kinds),
+		noneEligible: make([]bool, s.Kinds+1)}
+	k.forgetValues()
 	return k
 }
 
 // forgetValues drops the cached values, since an arrival has changed their inputs.
-func (k *kept) metered() {
-	for i := range k.values {
-		k.values[i] = math.NaN()
+func (k *cache) forgetValues() {
+	for i := range k.classValues {
+		k.classValues[i] = math.NaN()
 	}
 }
 
 // cachedValue returns relativeValue, computed once after each arrival for all requests that share it.
-func (d *Dispatcher) valueOf(r *request) float64 {
+func (d *Dispatcher) cachedValue(r *request) float64 {
 	i := r.Class
-	if r.over {
-		i += len(d.set.Classes)
+	if r.overShare {
+		i += len(d.cfg.Classes)
 	}
-	v := d.kept.values[i]
+	v := d.cache.classValues[i]
 	if math.IsNaN(v) {
-		v = d.value(r)
-		d.kept.values[i] = v
+		v = d.relativeValue(r)
+		d.cache.classValues[i] = v
 	}
 	return v
 }
@@ -68,114 +68,114 @@
 // applyList updates the workers from a list: it adds or updates the listed workers, updates the ready workers and
 // frees the entries of workers that are gone, in the order of their indexes. The cost of a delta grows with its
 // entries, not with the fleet.
-func (d *Dispatcher) relist(kind ListKind, list []Worker) {
+func (d *Dispatcher) applyList(kind ListKind, list []Worker) {
 	full := kind != ListDelta
 	for i := 0; i < len(d.workers) && full; i++ { // workers that a full list omits are gone
 		d.workers[i].State = Gone
 	}
-	d.seated = d.seated[:0]
+	d.touched = d.touched[:0]
 	for _, e := range list {
-		e.Zone, e.Kind = min(max(e.Zone, 0), d.set.Zones-1), min(max(e.Kind, 0), d.set.Kinds-1)
-		i, known := d.index[e.ID]
+		e.Zone, e.Kind = min(max(e.Zone, 0), d.cfg.Zones-1), min(max(e.Kind, 0), d.cfg.Kinds-1)
+		i, known := d.workerIndex[e.ID]
 		if known && !full {
-			d.count(&d.workers[i], -1)
+			d.countWeight(&d.workers[i], -1)
 		}
-		if i, known = d.seat(e); known {
-			d.workers[i].link = d.link(&d.workers[i])
+		if i, known = d.upsertWorker(e); known {
+			d.workers[i].distance = d.distanceTo(&d.workers[i])
 			if !full {
-				d.count(&d.workers[i], 1)
-				d.seated = append(d.seated, i)
+				d.countWeight(&d.workers[i], 1)
+				d.touched = append(d.touched, i)
 			}
 		}
 	}
 	if full {
-		d.ready, d.marks, d.summed = d.ready[:0], d.marks[:0], false
+		d.ready, d.filters, d.weightsKnown = d.ready[:0], d.filters[:0], false
 		for i := range d.workers {
 			if w := &d.workers[i]; w.State == Ready {
-				d.ready, d.marks = append(d.ready, int32(i)), append(d.marks, markOf(w))
+				d.ready, d.filters = append(d.ready, int32(i)), append(d.filters, filterOf(w))
 			}
-			d.release(int32(i))
+			d.releaseWorker(int32(i))
 		}
-		d.looks += len(d.workers)
+		d.examined += len(d.workers)
 		return
 	}
-	d.looks += len(d.seated)
-	slices.Sort(d.seated)
-	for _, i := range d.seated {
-		d.line(i)
-		d.release(i)
+	d.examined += len(d.touched)
+	slices.Sort(d.touched)
+	for _, i := range d.touched {
+		d.updateReady(i)
+		d.releaseWorker(i)
 	}
 }
 
 // updateReady adds the worker at index i to the ready workers or removes it, by its state.
-func (d *Dispatcher) line(i int32) {
+func (d *Dispatcher) updateReady(i int32) {
 	w := &d.workers[i]
 	at, in := slices.BinarySearch(d.ready, i)
 	switch {
 	case w.State != Ready && in:
-		d.ready, d.marks = slices.Delete(d.ready, at, at+1), slices.Delete(d.marks, at, at+1)
+		d.ready, d.filters = slices.Delete(d.ready, at, at+1), slices.Delete(d.filters, at, at+1)
 	case w.State == Ready && in:
-		d.marks[at] = markOf(w)
+		d.filters[at] = filterOf(w)
 	case w.State == Ready:
-		d.ready, d.marks = slices.Insert(d.ready, at, i), slices.Insert(d.marks, at, markOf(w))
+		d.ready, d.filters = slices.Insert(d.ready, at, i), slices.Insert(d.filters, at, filterOf(w))
 	}
 }
 
 // totalSpeed returns the sum of the speeds of the ready workers. For more than sampleSize workers it uses the sums by
 // kind, which give the same but for rounding.
-func (d *Dispatcher) allSpeed(now Millis) (total float64) {
-	if len(d.ready) <= sample {
+func (d *Dispatcher) totalSpeed(now Millis) (total float64) {
+	if len(d.ready) <= sampleSize {
 		for _, i := range d.ready {
 			total += d.speed(now, &d.workers[i])
 		}
 		return total
 	}
-	if !d.summed || now >= d.bend {
-		d.summed, d.kept.at, d.bend = true, now, now+window // bounds the accumulated rounding errors
-		clear(d.byKind)
+	if !d.weightsKnown || now >= d.weightsValidUntil {
+		d.weightsKnown, d.cache.weightsAt, d.weightsValidUntil = true, now, now+rateWindow // bounds the accumulated rounding errors
+		clear(d.kindWeights)
 		for _, i := range d.ready {
-			d.weigh(&d.workers[i], 1)
+			d.addWeight(&d.workers[i], 1)
 		}
 	}
-	for k, t := range d.kinds {
-		total += (d.byKind[k].sum + d.byKind[k].rise*(now-d.kept.at)) / (t * t)
+	for k, t := range d.kindTimeRatio {
+		total += (d.kindWeights[k].sum + d.kindWeights[k].growth*(now-d.cache.weightsAt)) / (t * t)
 	}
 	return max(0, total)
 }
 
 // countWeight adds a worker, multiplied by times, to the sum of its kind if the worker is ready and the sums are known.
-func (d *Dispatcher) count(w *worker, times float64) {
-	if d.summed && w.State == Ready {
-		d.weigh(w, times)
+func (d *Dispatcher) countWeight(w *worker, times float64) {
+	if d.weightsKnown && w.State == Ready {
+		d.addWeight(w, times)
 	}
 }
 
 // addWeight is countWeight without the condition.
-func (d *Dispatcher) weigh(w *worker, times float64) {
-	sum, weight := &d.byKind[w.Kind], w.size/(w.pace*w.pace)
-	sum.sum += times * weight * d.warmth(d.kept.at, w)
-	if begins, ends := w.Started, w.Started+d.set.Rules.WarmAfter; begins > d.kept.at { // its capacity grows linearly from then on
-		d.bend = min(d.bend, begins)
-	} else if begins > 0 && ends > d.kept.at {
-		sum.rise += times * weight * (1 - d.set.Rules.StartCapacity) / d.set.Rules.WarmAfter
-		d.bend = min(d.bend, ends)
+func (d *Dispatcher) addWeight(w *worker, times float64) {
+	sum, weight := &d.kindWeights[w.Kind], w.size/(w.timeRatio*w.timeRatio)
+	sum.sum += times * weight * d.capacityShare(d.cache.weightsAt, w)
+	if begins, ends := w.Started, w.Started+d.cfg.Rules.WarmAfter; begins > d.cache.weightsAt { // its capacity grows linearly from then on
+		d.weightsValidUntil = min(d.weightsValidUntil, begins)
+	} else if begins > 0 && ends > d.cache.weightsAt {
+		sum.growth += times * weight * (1 - d.cfg.Rules.StartCapacity) / d.cfg.Rules.WarmAfter
+		d.weightsValidUntil = min(d.weightsValidUntil, ends)
 	}
-	sum.top = max(sum.top, weight)
+	sum.largest = max(sum.largest, weight)
 }
 
 // setTimeRatio changes a worker's timeRatio and the sum of weights that depends on it.
-func (d *Dispatcher) setPace(w *worker, pace float64) {
-	d.count(w, -1)
-	w.pace = pace
-	d.count(w, 1)
+func (d *Dispatcher) setTimeRatio(w *worker, ratio float64) {
+	d.countWeight(w, -1)
+	w.timeRatio = ratio
+	d.countWeight(w, 1)
 }
 
 // blockedEverywhere reports whether the attempts of a request rule out every worker, whatever its group, by the rules
 // of maySend.
-func (d *Dispatcher) barred(r *request) bool {
+func (d *Dispatcher) blockedEverywhere(r *request) bool {
 	for k := range r.attempts {
 		a := &r.attempts[k]
-		if a.out && !d.set.MayDuplicate || !a.never && d.set.Classes[r.Class].Effect == Unsafe {
+		if a.inFlight && !d.cfg.MayDuplicate || !a.neverRan && d.cfg.Classes[r.Class].Effect == Unsafe {
 			return true
 		}
 	}
@@ -185,34 +185,34 @@
 // maxLinkHash returns an upper bound of the hashes that link the request's key to a worker. linkShare is the share of
 // the keys that a worker of speed 1 is linked to, or 0 if the request needs no link. The bound is negative if the
 // request may go to no worker.
-func (d *Dispatcher) reach(r *request, keyed float64) float64 {
-	if d.barred(r) {
+func (d *Dispatcher) maxLinkHash(r *request, linkShare float64) float64 {
+	if d.blockedEverywhere(r) {
 		return -1
 	}
-	if keyed == 0 || len(d.ready) <= sample {
+	if linkShare == 0 || len(d.ready) <= sampleSize {
 		return 1
 	}
 	top := 0.0
-	for k, t := range d.kinds {
-		top = max(top, d.byKind[k].top/(t*t))
+	for k, t := range d.kindTimeRatio {
+		top = max(top, d.kindWeights[k].largest/(t*t))
 	}
-	return keyed * top * (1 + gain) // a margin, so that rounding excludes no worker
+	return linkShare * top * (1 + smoothing) // a margin, so that rounding excludes no worker
 }
 
 // nextCandidate skips ready workers from the j-th on whose kind does not run the request's class, or that are not
 // linked to its key at any speed, which shortestQueue would reject one by one. k counts the workers passed, of n.
-func (d *Dispatcher) skip(r *request, reach float64, k, j, n int) (int, int) {
-	if reach < 0 {
+func (d *Dispatcher) nextCandidate(r *request, maxHash float64, k, j, n int) (int, int) {
+	if maxHash < 0 {
 		return n, j
 	}
-	kind := d.set.Classes[r.Class].Kind
+	kind := d.cfg.Classes[r.Class].Kind
 	for ; k < n; k, j = k+1, j+1 {
 		if j >= n {
 			j -= n
 		}
-		m := &d.marks[j]
-		if (kind < 0 || kind == m.kind) && (reach >= 1 || hash(r.Key^m.id) < reach) {
-			d.looks++
+		m := &d.filters[j]
+		if (kind < 0 || kind == m.kind) && (maxHash >= 1 || unitHash(r.Key^m.linkID) < maxHash) {
+			d.examined++
 			break
 		}
 	}
@@ -223,25 +223,25 @@
 // listed worker runs it, or those that do are cold and have used up their budget of this window. The result is shared
 // by requests of the same kind until clear(d.noneEligible); a request's own attempts could only rule out more workers.
 // It makes the same random draws as pick, so that the same seed gives the same decisions.
-func (d *Dispatcher) hopeless(now Millis, r *request) bool {
-	d.newWindow(now)
-	kind := d.set.Classes[r.Class].Kind
-	none := &d.none[len(d.none)-1]
+func (d *Dispatcher) unplaceable(now Millis, r *request) bool {
+	d.startColdWindow(now)
+	kind := d.cfg.Classes[r.Class].Kind
+	none := &d.noneEligible[len(d.noneEligible)-1]
 	if kind >= 0 {
-		none = &d.none[kind]
+		none = &d.noneEligible[kind]
 	}
 	if !*none {
 		n := len(d.ready)
-		for k, j := d.skip(r, 1, 0, 0, n); k < n; k, j = d.skip(r, 1, k+1, j+1, n) {
+		for k, j := d.nextCandidate(r, 1, 0, 0, n); k < n; k, j = d.nextCandidate(r, 1, k+1, j+1, n) {
 			w := &d.workers[d.ready[j]]
-			if min(w.tickets, d.cold[w.Zone]) >= 1 || d.warmth(now, w) >= 1 {
+			if min(w.coldBudget, d.zoneColdBudget[w.Zone]) >= 1 || d.capacityShare(now, w) >= 1 {
 				return false
 			}
 		}
 		*none = true
 	}
 	passes := 2
-	if r.Key != 0 && float64(d.keys[r.Key]) <= keyLinks {
+	if r.Key != 0 && float64(d.requestsByKey[r.Key]) <= linksPerKey {
 		passes = 3
 	}
 	for ; passes > 0; passes-- {
--- a/internal/balance/kept_test.go
+++ b/internal/balance/kept_test.go
@@ -8,74 +8,74 @@
 )
 
 // TestCacheMatchesRecomputation compares cached values with newly computed ones, after random events.
-func TestKeptAreFresh(t *testing.T) {
+func TestCacheMatchesRecomputation(t *testing.T) {
 	hopeless, barred := 0, 0
 	for _, fleet := range []int{2, 15, 64, 65, 300} {
 		for variant := range 6 {
-			p := newCourse(t, fleet, variant)
+			p := newEventGenerator(t, fleet, variant)
 			for i := range 1500 {
-				if p.event(); i%20 == 0 {
-					w := &p.list[i%fleet]
+				if p.deliverEvent(); i%20 == 0 {
+					w := &p.workers[i%fleet]
 					w.Kind = 1 - w.Kind
-					p.d.Workers(p.now, ListDelta, []Worker{*w})
-					p.take()
-					p.fresh(t)
+					p.dispatcher.Workers(p.now, ListDelta, []Worker{*w})
+					p.takeActions()
+					p.compareCache(t)
 				}
 			}
-			hopeless, barred = hopeless+p.hopeless, barred+p.barred
+			hopeless, barred = hopeless+p.unplaceable, barred+p.blocked
 		}
 	}
 	require.Greater(t, hopeless, 100)
 	require.Greater(t, barred, 100)
 }
 
-func (p *course) fresh(t *testing.T) {
-	d := p.d
-	for class := range d.set.Classes {
+func (p *eventGenerator) compareCache(t *testing.T) {
+	d := p.dispatcher
+	for class := range d.cfg.Classes {
 		for _, over := range []bool{false, true} {
-			r := &request{Request: Request{Class: class}, over: over}
-			require.Equal(t, d.value(r), d.valueOf(r))
+			r := &request{Request: Request{Class: class}, overShare: over}
+			require.Equal(t, d.relativeValue(r), d.cachedValue(r))
 		}
 	}
 	total := 0.0
 	for _, i := range d.ready {
 		total += d.speed(p.now, &d.workers[i])
 	}
-	require.InDelta(t, total, d.allSpeed(p.now), total*1e-9)
-	links, reach := keyLinks/max(total, 1e-9), 1.0
+	require.InDelta(t, total, d.totalSpeed(p.now), total*1e-9)
+	links, reach := linksPerKey/max(total, 1e-9), 1.0
 	if total > 0 {
-		reach = d.reach(&request{}, links)
+		reach = d.maxLinkHash(&request{}, links)
 	}
 	for at, i := range d.ready {
 		w := &d.workers[i]
-		require.Equal(t, markOf(w), d.marks[at])
+		require.Equal(t, filterOf(w), d.filters[at])
 		require.LessOrEqual(t, min(1, links*d.speed(p.now, w)), reach)
 	}
-	for _, r := range d.reqs { // a blocked request may be sent to no worker
-		if d.barred(r) {
-			p.barred++
+	for _, r := range d.requests { // a blocked request may be sent to no worker
+		if d.blockedEverywhere(r) {
+			p.blocked++
 			for _, i := range d.ready {
-				require.False(t, d.legal(p.now, r, &d.workers[i]))
+				require.False(t, d.maySend(p.now, r, &d.workers[i]))
 			}
 		}
 	}
-	d.newWindow(p.now)
+	d.startColdWindow(p.now)
 	old := d.rng
-	for class := range d.set.Classes { // unplaceable gives the result and makes the draws of pick
+	for class := range d.cfg.Classes { // unplaceable gives the result and makes the draws of pick
 		for _, key := range []uint64{0, 7, 900} {
 			r := &request{Request: Request{Class: class, Key: key}}
 			d.rng = rand.New(rand.NewPCG(1, 2))
 			place := d.pick(p.now, r)
 			after := d.rng.Uint64()
 			d.rng = rand.New(rand.NewPCG(1, 2))
-			clear(d.none)
+			clear(d.noneEligible)
 			for range 2 { // computed, then cached
-				if hopeless := d.hopeless(p.now, r); hopeless {
-					p.hopeless++
+				if hopeless := d.unplaceable(p.now, r); hopeless {
+					p.unplaceable++
 					require.Equal(t, int32(-1), place)
 					require.Equal(t, after, d.rng.Uint64())
 					d.rng = rand.New(rand.NewPCG(1, 2))
-				} else if len(d.ready) <= sample {
+				} else if len(d.ready) <= sampleSize {
 					require.NotEqual(t, int32(-1), place)
 				}
 			}
@@ -86,17 +86,17 @@
 
 // TestBlockedEverywhereMatchesMaySend: a request is blocked everywhere exactly if it may not be sent again even to the same
 // worker at once.
-func TestBarredIsLegal(t *testing.T) {
+func TestBlockedEverywhereMatchesMaySend(t *testing.T) {
 	for _, dup := range []bool{false, true} {
 		s := testSettings()
 		s.MayDuplicate = dup
-		d, _ := start(t, s, fleet(1))
+		d, _ := startDispatcher(t, s, fleet(1))
 		w := &d.workers[0]
 		for class := range s.Classes[:5] {
-			for _, a := range []attempt{{}, {out: true}, {never: true}} {
-				a.zone, a.cell, a.sent = w.Zone, w.Cell, 10
+			for _, a := range []attempt{{}, {inFlight: true}, {neverRan: true}} {
+				a.zone, a.cell, a.sentAt = w.Zone, w.Cell, 10
 				r := &request{Request: Request{Class: class}, attempts: []attempt{a}}
-				require.Equal(t, !d.legal(11, r, w), d.barred(r), "class %d, %+v", class, a)
+				require.Equal(t, !d.maySend(11, r, w), d.blockedEverywhere(r), "class %d, %+v", class, a)
 			}
 		}
 	}
--- a/internal/balance/random_days_test.go
+++ b/internal/balance/random_days_test.go
@@ -12,38 +12,38 @@
 // checker observes events and actions and checks the rules as they are specified. It keeps its own records and shares
 // no code with the package.
 type checker struct {
-	set    Settings
-	now    Millis
-	reqs   map[RequestID]*checked
-	states map[WorkerID]State
-	infos  map[WorkerID]Worker
-	faults []string
+	set      Settings
+	now      Millis
+	requests map[RequestID]*checkedRequest
+	states   map[WorkerID]State
+	workers  map[WorkerID]Worker
+	faults   []string
 }
 
-type checked struct {
-	q        Request
+type checkedRequest struct {
+	request  Request
 	answered int
 	closed   bool
 	attempts []checkedAttempt
 }
 
 type checkedAttempt struct {
-	to   WorkerID
-	sent Millis
-	res  Result
-	done bool
+	to     WorkerID
+	sentAt Millis
+	result Result
+	done   bool
 }
 
 func (a checkedAttempt) mayHaveRun() bool {
-	return !a.done || a.res != Full && a.res != ConnectFailed && a.res != NotSent
+	return !a.done || a.result != Full && a.result != ConnectFailed && a.result != NotSent
 }
 
 func (c *checker) fault(format string, args ...any) {
 	c.faults = append(c.faults, fmt.Sprintf("at %v: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-func (c *checker) action(a act) {
-	r := c.reqs[a.id]
+func (c *checker) action(a action) {
+	r := c.requests[a.id]
 	switch a.verb {
 	case "dispatch":
 		c.dispatch(r, a)
@@ -59,8 +59,8 @@
 	}
 }
 
-func (c *checker) dispatch(r *checked, a act) {
-	class, to := c.set.Classes[r.q.Class], c.infos[a.worker]
+func (c *checker) dispatch(r *checkedRequest, a action) {
+	class, to := c.set.Classes[r.request.Class], c.workers[a.worker]
 	if r.closed {
 		c.fault("request %d dispatched after closing", a.id)
 	}
@@ -77,20 +77,20 @@
 		if !b.mayHaveRun() || class.Effect == Safe {
 			continue
 		}
-		from := c.infos[b.to]
-		if class.Effect == Unsafe || c.now-b.sent > class.RepeatWindow ||
+		from := c.workers[b.to]
+		if class.Effect == Unsafe || c.now-b.sentAt > class.RepeatWindow ||
 			class.Scope == ScopeZone && from.Zone != to.Zone || class.Scope == ScopeCell && from.Cell != to.Cell {
 			c.fault("request %d may run twice", a.id)
 		}
 	}
-	r.attempts = append(r.attempts, checkedAttempt{to: a.worker, sent: c.now})
+	r.attempts = append(r.attempts, checkedAttempt{to: a.worker, sentAt: c.now})
 }
 
-func (c *checker) refuse(r *checked) {
-	class := c.set.Classes[r.q.Class]
+func (c *checker) refuse(r *checkedRequest) {
+	class := c.set.Classes[r.request.Class]
 	for _, b := range r.attempts {
 		if b.mayHaveRun() && (class.Effect == Unsafe || class.Effect == Deduped && class.Scope != ScopeAll) {
-			c.fault("request %d refused though it may have run", r.q.ID)
+			c.fault("request %d refused though it may have run", r.request.ID)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 
 // randomRun delivers random events from a seed and returns all actions and the checker. alter, if not nil, changes each
 // action before it is checked.
-func day(t *testing.T, seed uint64, alter func(act) act) ([]act, *checker) {
+func randomRun(t *testing.T, seed uint64, alter func(action) action) ([]action, *checker) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 5))
 	s := testSettings()
@@ -116,13 +116,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &checker{set: s, reqs: map[RequestID]*checked{}, states: map[WorkerID]State{}, infos: map[WorkerID]Worker{}}
-	var all []act
+	c := &checker{set: s, requests: map[RequestID]*checkedRequest{}, states: map[WorkerID]State{}, workers: map[WorkerID]Worker{}}
+	var all []action
 	var timers []timer
-	var pending []*checked // requests in order of arrival
+	var pending []*checkedRequest // requests in order of arrival
 	settle := func() {
-		acts := append([]act(nil), rec.acts...)
-		rec.acts = rec.acts[:0]
+		acts := append([]action(nil), rec.actions...)
+		rec.actions = rec.actions[:0]
 		for _, a := range acts {
 			if alter != nil {
 				a = alter(a)
@@ -137,7 +137,7 @@
 	}
 	updateList := func(kind ListKind, entries []Worker) {
 		for _, w := range entries {
-			c.states[w.ID], c.infos[w.ID] = w.State, w
+			c.states[w.ID], c.workers[w.ID] = w.State, w
 		}
 		d.Workers(c.now, kind, entries)
 		settle()
@@ -157,8 +157,8 @@
 		if rng.IntN(2) == 0 && step < 4000 {
 			q := Request{ID: RequestID(step + 1), Class: rng.IntN(len(s.Classes)), Tenant: rng.IntN(2),
 				Deadline: c.now + 200 + rng.Float64()*5000, Slots: float64(1 + rng.IntN(3)), Key: uint64(rng.IntN(3))}
-			r := &checked{q: q}
-			c.reqs[q.ID], pending = r, append(pending, r)
+			r := &checkedRequest{request: q}
+			c.requests[q.ID], pending = r, append(pending, r)
 			d.Arrive(c.now, q)
 			settle()
 		}
@@ -177,33 +177,33 @@
 		for _, r := range pending {
 			for k := range r.attempts {
 				a := &r.attempts[k]
-				late := c.now >= r.q.Deadline
+				late := c.now >= r.request.Deadline
 				if a.done || !late && rng.IntN(80) > 0 {
 					continue
 				}
-				a.done, a.res = true, Result(rng.IntN(8))
+				a.done, a.result = true, Result(rng.IntN(8))
 				if rng.IntN(2) == 0 {
-					a.res = OK
+					a.result = OK
 				}
 				if late {
-					a.res = TimedOut
+					a.result = TimedOut
 				}
-				if a.res == OK && !r.closed {
+				if a.result == OK && !r.closed {
 					r.answered++
 					r.closed = true
 				}
-				d.AttemptEnded(c.now, Outcome{ID: r.q.ID, Attempt: k, Worker: a.to, Result: a.res,
-					Took: c.now - a.sent, Closed: r.closed})
+				d.AttemptEnded(c.now, Outcome{ID: r.request.ID, Attempt: k, Worker: a.to, Result: a.result,
+					Took: c.now - a.sentAt, Closed: r.closed})
 				settle()
 			}
 			if !r.closed && rng.IntN(4000) == 0 { // the client leaves
 				r.closed = true
 				r.answered++
-				d.Abandoned(c.now, r.q.ID)
+				d.Abandoned(c.now, r.request.ID)
 				settle()
 			}
-			if !r.closed && c.now > r.q.Deadline+s.Rules.AnswerSlack {
-				c.fault("request %d has no answer %v ms after its deadline", r.q.ID, c.now-r.q.Deadline)
+			if !r.closed && c.now > r.request.Deadline+s.Rules.AnswerSlack {
+				c.fault("request %d has no answer %v ms after its deadline", r.request.ID, c.now-r.request.Deadline)
 				r.closed = true
 			}
 		}
@@ -211,13 +211,13 @@
 			pending = pending[1:]
 		}
 	}
-	if len(d.reqs) > 0 || math.Abs(d.busy) > 1e-9 {
-		c.fault("%d requests and %v slots are never released", len(d.reqs), d.busy)
+	if len(d.requests) > 0 || math.Abs(d.busySlots) > 1e-9 {
+		c.fault("%d requests and %v slots are never released", len(d.requests), d.busySlots)
 	}
 	return all, c
 }
 
-func allDone(r *checked) bool {
+func allDone(r *checkedRequest) bool {
 	for _, a := range r.attempts {
 		if !a.done {
 			return false
@@ -226,9 +226,9 @@
 	return true
 }
 
-func TestRulesOnRandomDays(t *testing.T) {
+func TestRulesInRandomRuns(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
-		acts, c := day(t, seed, nil)
+		acts, c := randomRun(t, seed, nil)
 		if len(acts) < 2000 {
 			t.Errorf("seed %d: %d actions only", seed, len(acts))
 		}
@@ -242,31 +242,31 @@
 
 // TestCheckerFindsBrokenRules alters single actions so that they break a rule, which the checker must find.
 func TestCheckerFindsBrokenRules(t *testing.T) {
-	oneWorker := func(a act) act { // every dispatch goes to one worker, whatever its state
+	oneWorker := func(a action) action { // every dispatch goes to one worker, whatever its state
 		if a.verb == "dispatch" {
 			a.worker = 1000
 		}
 		return a
 	}
-	refuseAll := func(a act) act { // failures become refusals
+	refuseAll := func(a action) action { // failures become refusals
 		if a.verb == "fail" {
 			a.verb = "refuse"
 		}
 		return a
 	}
-	dropFinal := func(a act) act { // final answers are lost
+	dropFinal := func(a action) action { // final answers are lost
 		if a.verb == "fail" || a.verb == "refuse" {
 			a.verb = "log"
 		}
 		return a
 	}
 	for name, c := range map[string]struct {
-		alter func(act) act
+		alter func(action) action
 		want  string
 	}{"drain": {oneWorker, "in state"}, "refuse": {refuseAll, "refused though"}, "lose": {dropFinal, "no answer"}} {
 		var faults []string
 		for seed := uint64(1); seed <= 4; seed++ { // not every run drains the one worker
-			_, chk := day(t, seed, c.alter)
+			_, chk := randomRun(t, seed, c.alter)
 			faults = append(faults, chk.faults...)
 		}
 		if !strings.Contains(strings.Join(faults, "\n"), c.want) {
@@ -276,12 +276,12 @@
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	a, _ := day(t, 4, nil)
-	b, _ := day(t, 4, nil)
+	a, _ := randomRun(t, 4, nil)
+	b, _ := randomRun(t, 4, nil)
 	if !reflect.DeepEqual(a, b) {
 		t.Error("two runs with one seed differ")
 	}
-	c, _ := day(t, 5, nil)
+	c, _ := randomRun(t, 5, nil)
 	if reflect.DeepEqual(a, c) {
 		t.Error("runs with different seeds are the same")
 	}
--- a/internal/balance/rig_test.go
+++ b/internal/balance/rig_test.go
@@ -5,52 +5,56 @@
 )
 
 // action is one recorded action.
-type act struct {
-	verb   string
-	id     RequestID
-	worker WorkerID
-	n      int
-	in     Millis
-	token  uint64
+type action struct {
+	verb    string
+	id      RequestID
+	worker  WorkerID
+	attempt int
+	in      Millis
+	token   uint64
 }
 
 // recorder records the actions of a dispatcher.
-type recorder struct{ acts []act }
+type recorder struct{ actions []action }
 
 func (r *recorder) Dispatch(id RequestID, to WorkerID, _ Millis) {
-	r.acts = append(r.acts, act{verb: "dispatch", id: id, worker: to})
+	r.actions = append(r.actions, action{verb: "dispatch", id: id, worker: to})
 }
 
 func (r *recorder) Refuse(id RequestID, p Millis) {
-	r.acts = append(r.acts, act{verb: "refuse", id: id, in: p})
+	r.actions = append(r.actions, action{verb: "refuse", id: id, in: p})
 }
 
-func (r *recorder) Fail(id RequestID) { r.acts = append(r.acts, act{verb: "fail", id: id}) }
+func (r *recorder) Fail(id RequestID) { r.actions = append(r.actions, action{verb: "fail", id: id}) }
 
 func (r *recorder) Cancel(id RequestID, k int) {
-	r.acts = append(r.acts, act{verb: "cancel", id: id, n: k})
+	r.actions = append(r.actions, action{verb: "cancel", id: id, attempt: k})
 }
 
-func (r *recorder) CloseIdle(to WorkerID) { r.acts = append(r.acts, act{verb: "hang up", worker: to}) }
+func (r *recorder) CloseIdle(to WorkerID) {
+	r.actions = append(r.actions, action{verb: "hang up", worker: to})
+}
 
-func (r *recorder) Probe(to WorkerID) { r.acts = append(r.acts, act{verb: "probe", worker: to}) }
+func (r *recorder) Probe(to WorkerID) {
+	r.actions = append(r.actions, action{verb: "probe", worker: to})
+}
 
 func (r *recorder) Wake(in Millis, token uint64) {
-	r.acts = append(r.acts, act{verb: "wake", in: in, token: token})
+	r.actions = append(r.actions, action{verb: "wake", in: in, token: token})
 }
 
-func (r *recorder) Subscribe() { r.acts = append(r.acts, act{verb: "subscribe"}) }
+func (r *recorder) Subscribe() { r.actions = append(r.actions, action{verb: "subscribe"}) }
 
-func (r *recorder) Log(string) { r.acts = append(r.acts, act{verb: "log"}) }
+func (r *recorder) Log(string) { r.actions = append(r.actions, action{verb: "log"}) }
 
 // take returns the recorded actions of one verb and clears the record.
-func (r *recorder) only(verb string) (out []act) {
-	for _, a := range r.acts {
+func (r *recorder) take(verb string) (out []action) {
+	for _, a := range r.actions {
 		if a.verb == verb {
 			out = append(out, a)
 		}
 	}
-	r.acts = r.acts[:0]
+	r.actions = r.actions[:0]
 	return out
 }
 
@@ -90,7 +94,7 @@
 	return list
 }
 
-func start(t testing.TB, s Settings, list []Worker) (*Dispatcher, *recorder) {
+func startDispatcher(t testing.TB, s Settings, list []Worker) (*Dispatcher, *recorder) {
 	t.Helper()
 	rec := &recorder{}
 	d, err := New(s, rec)
@@ -101,15 +105,15 @@
 	return d, rec
 }
 
-func req(id int, class int) Request {
+func newRequest(id int, class int) Request {
 	return Request{ID: RequestID(id), Class: class, Deadline: 9000, Slots: 1}
 }
 
 // dispatchedTo delivers a request and returns the worker it was sent to, or 0.
-func sent(d *Dispatcher, rec *recorder, now Millis, q Request) WorkerID {
-	rec.acts = rec.acts[:0]
+func dispatchedTo(d *Dispatcher, rec *recorder, now Millis, q Request) WorkerID {
+	rec.actions = rec.actions[:0]
 	d.Arrive(now, q)
-	if a := rec.only("dispatch"); len(a) == 1 {
+	if a := rec.take("dispatch"); len(a) == 1 {
 		return a[0].worker
 	}
 	return 0
@@ -118,7 +122,7 @@
 func withDeadline(q Request, at Millis) Request { q.Deadline = at; return q }
 
 // noActions ignores all actions.
-type nothing struct{}
+type noActions struct{}
 
 // printer prints dispatches, where a real node would send them over the network.
-type printer struct{ nothing }
+type printer struct{ noActions }
--- a/internal/balance/state.go
+++ b/internal/balance/state.go
@@ -11,80 +11,80 @@
 
 // A timer's token holds a request's ID and an attempt's number, or one of these values.
 const (
-	renewList = 1 << 63 // request the list of workers
-	holdTimer = 0xff    // in place of the attempt's number: the request is held
+	refreshListTimer = 1 << 63 // request the list of workers
+	holdTimer        = 0xff    // in place of the attempt's number: the request is held
 )
 
 // setTimer sets the timer of an attempt of a request.
-func (d *Dispatcher) watch(r *request, k int, in Millis) {
-	d.act.Wake(max(in, d.set.Tick), uint64(r.ID)<<8|uint64(k))
+func (d *Dispatcher) setTimer(r *request, k int, in Millis) {
+	d.actions.Wake(max(in, d.cfg.Tick), uint64(r.ID)<<8|uint64(k))
 }
 
 // worker is the state kept for one worker.
 type worker struct {
 	Worker
-	link     float64 // distance from this dispatcher on the ring; those within linkDistance are preferred
-	size     float64 // largest weight listed, which is about its number of slots
-	own      float64 // slots taken by this dispatcher's jobs in flight
-	running  float64 // those of ownSlots whose jobs were reported as started
-	others   float64 // slots that other dispatchers used or waited for, as last learned ...
-	othersAt Millis  // ... at this time
-	pace     float64 // running time relative to the mean of its kind
-	out      int     // attempts in flight
-	strikes  int     // raised by each failure, halved by a success; each level doubles the backoff
-	until    Millis  // not to be used before this time
-	tickets  float64 // for a cold worker: jobs that may still be sent to it in this window
-	lift     float64 // for a cold worker: factor on its speed in the draw, to make up for windows without budget
+	distance     float64 // distance from this dispatcher on the ring; those within linkDistance are preferred
+	size         float64 // largest weight listed, which is about its number of slots
+	ownSlots     float64 // slots taken by this dispatcher's jobs in flight
+	runningSlots float64 // those of ownSlots whose jobs were reported as started
+	otherSlots   float64 // slots that other dispatchers used or waited for, as last learned ...
+	otherSlotsAt Millis  // ... at this time
+	timeRatio    float64 // running time relative to the mean of its kind
+	inFlight     int     // attempts in flight
+	backoffLevel int     // raised by each failure, halved by a success; each level doubles the backoff
+	avoidUntil   Millis  // not to be used before this time
+	coldBudget   float64 // for a cold worker: jobs that may still be sent to it in this window
+	drawFactor   float64 // for a cold worker: factor on its speed in the draw, to make up for windows without budget
 }
 
 // rates are moving averages of requests per second, by tenant. The last value is that of all tenants.
 type rates struct {
-	last []float64
-	at   Millis
+	values    []float64
+	updatedAt Millis
 }
 
 // add counts a request. It returns the rate of its tenant, 0 if it has none, and the total rate.
 func (r *rates) add(now, window Millis, tenant int) (own, all float64) {
-	n, decay := len(r.last)-1, math.Exp((r.at-now)/window)
-	for i := range r.last {
-		r.last[i] *= decay
+	n, decay := len(r.values)-1, math.Exp((r.updatedAt-now)/window)
+	for i := range r.values {
+		r.values[i] *= decay
 	}
-	r.at, r.last[n] = now, r.last[n]+1000/window
+	r.updatedAt, r.values[n] = now, r.values[n]+1000/window
 	if tenant < n {
-		r.last[tenant] += 1000 / window
-		own = r.last[tenant]
+		r.values[tenant] += 1000 / window
+		own = r.values[tenant]
 	}
-	return own, r.last[n]
+	return own, r.values[n]
 }
 
 // attempt is one dispatch of a request. It keeps the worker's zone and cell, since the group of workers that
 // remembers a key outlives the worker, whose index may belong to another one by then.
 type attempt struct {
-	worker  int32
-	zone    int
-	cell    int
-	out     bool   // no outcome yet
-	full    bool   // rejected by a worker that was full
-	never   bool   // proven never to have run
-	sent    Millis // when it was sent
-	started Millis // when it was reported as started, 0 if it was not
-	news    Millis // when it was sent or last reported progress
+	workerIndex    int32
+	zone           int
+	cell           int
+	inFlight       bool   // no outcome yet
+	rejectedFull   bool   // rejected by a worker that was full
+	neverRan       bool   // proven never to have run
+	sentAt         Millis // when it was sent
+	startedAt      Millis // when it was reported as started, 0 if it was not
+	lastProgressAt Millis // when it was sent or last reported progress
 }
 
 // request is a request that still needs an answer or has attempts in flight.
 type request struct {
 	Request
-	open     bool   // a final answer is due
-	over     bool   // it is beyond its tenant's share
-	until    Millis // held until then at most, 0 if it is not held
-	out      int    // attempts in flight
-	attempts []attempt
+	open      bool   // a final answer is due
+	overShare bool   // it is beyond its tenant's share
+	heldUntil Millis // held until then at most, 0 if it is not held
+	inFlight  int    // attempts in flight
+	attempts  []attempt
 }
 
 // triedOn reports whether the request has been sent to the worker at index i.
-func (r *request) tried(i int32) bool {
+func (r *request) triedOn(i int32) bool {
 	for k := range r.attempts {
-		if r.attempts[k].worker == i {
+		if r.attempts[k].workerIndex == i {
 			return true
 		}
 	}
@@ -92,47 +92,47 @@
 }
 
 // tables holds the workers and requests. Entries are reused, so that the ordinary path allocates nothing.
-type book struct {
-	workers []worker
-	free    []int32 // indexes in workers that can be reused
-	index   map[WorkerID]int32
-	reqs    map[RequestID]*request
-	pool    []*request
-	keys    map[uint64]int // number of requests with each key
+type tables struct {
+	workers       []worker
+	freeIndexes   []int32 // indexes in workers that can be reused
+	workerIndex   map[WorkerID]int32
+	requests      map[RequestID]*request
+	requestPool   []*request
+	requestsByKey map[uint64]int // number of requests with each key
 }
 
 // addRequest adds a new request, in an entry of the pool if there is one.
-func (b *book) open(q Request) *request {
-	n := len(b.pool)
+func (b *tables) addRequest(q Request) *request {
+	n := len(b.requestPool)
 	if n == 0 {
-		b.pool, n = append(b.pool, &request{}), 1
+		b.requestPool, n = append(b.requestPool, &request{}), 1
 	}
-	r := b.pool[n-1]
-	b.pool = b.pool[:n-1]
+	r := b.requestPool[n-1]
+	b.requestPool = b.requestPool[:n-1]
 	*r = request{Request: q, open: true, attempts: r.attempts[:0]}
 	r.Slots = max(1, q.Slots)
-	b.reqs[q.ID] = r
+	b.requests[q.ID] = r
 	if q.Key != 0 {
-		b.keys[q.Key]++
+		b.requestsByKey[q.Key]++
 	}
 	return r
 }
 
 // dropRequest removes a request that is closed, not held and has no attempt in flight.
-func (b *book) drop(r *request) {
-	if !r.open && r.until == 0 && r.out == 0 && b.reqs[r.ID] == r {
-		delete(b.reqs, r.ID)
-		if b.keys[r.Key]--; b.keys[r.Key] <= 0 {
-			delete(b.keys, r.Key)
+func (b *tables) dropRequest(r *request) {
+	if !r.open && r.heldUntil == 0 && r.inFlight == 0 && b.requests[r.ID] == r {
+		delete(b.requests, r.ID)
+		if b.requestsByKey[r.Key]--; b.requestsByKey[r.Key] <= 0 {
+			delete(b.requestsByKey, r.Key)
 		}
-		b.pool = append(b.pool, r)
+		b.requestPool = append(b.requestPool, r)
 	}
 }
 
 // findAttempt returns an attempt that is still in flight and its request, or nil.
-func (b *book) find(id RequestID, k int) (*request, *attempt) {
-	r := b.reqs[id]
-	if r == nil || k < 0 || k >= len(r.attempts) || !r.attempts[k].out {
+func (b *tables) findAttempt(id RequestID, k int) (*request, *attempt) {
+	r := b.requests[id]
+	if r == nil || k < 0 || k >= len(r.attempts) || !r.attempts[k].inFlight {
 		return nil, nil
 	}
 	return r, &r.attempts[k]
@@ -140,42 +140,42 @@
 
 // upsertWorker adds or updates a listed worker and returns its index. A new start time means a new process,
 // so what was learned about the old one is dropped. A worker that is gone and was not known is not added.
-func (b *book) seat(e Worker) (index int32, listed bool) {
-	i, known := b.index[e.ID]
+func (b *tables) upsertWorker(e Worker) (index int32, listed bool) {
+	i, known := b.workerIndex[e.ID]
 	switch {
 	case known:
 	case e.State == Gone:
 		return 0, false
-	case len(b.free) > 0:
-		i, b.free = b.free[len(b.free)-1], b.free[:len(b.free)-1]
+	case len(b.freeIndexes) > 0:
+		i, b.freeIndexes = b.freeIndexes[len(b.freeIndexes)-1], b.freeIndexes[:len(b.freeIndexes)-1]
 	default:
 		i, b.workers = int32(len(b.workers)), append(b.workers, worker{})
 	}
 	w := &b.workers[i]
 	if !known || e.Started != w.Started {
-		*w = worker{own: w.own, out: w.out, pace: 1} // jobs of the old process do not run in the new one
+		*w = worker{ownSlots: w.ownSlots, inFlight: w.inFlight, timeRatio: 1} // jobs of the old process do not run in the new one
 	}
-	b.index[e.ID] = i
+	b.workerIndex[e.ID] = i
 	w.Worker, w.size = e, max(1, w.size, e.Weight)
 	return i, true
 }
 
 // releaseWorker frees the entry of a worker that is gone and has no attempt in flight.
-func (b *book) release(i int32) {
+func (b *tables) releaseWorker(i int32) {
 	w := &b.workers[i]
-	if w.State != Gone || w.out > 0 {
+	if w.State != Gone || w.inFlight > 0 {
 		return
 	}
-	if j, known := b.index[w.ID]; known && j == i {
-		delete(b.index, w.ID)
+	if j, known := b.workerIndex[w.ID]; known && j == i {
+		delete(b.workerIndex, w.ID)
 		*w = worker{}
-		b.free = append(b.free, i)
+		b.freeIndexes = append(b.freeIndexes, i)
 	}
 }
 
 // coldWindowAt returns the number of the cold workers' budget window that a time falls into.
-func (d *Dispatcher) turnAt(now Millis) int64 {
-	return int64(now / max(d.set.Rules.FallWindow, d.set.Tick))
+func (d *Dispatcher) coldWindowAt(now Millis) int64 {
+	return int64(now / max(d.cfg.Rules.FallWindow, d.cfg.Tick))
 }
 
 // SetOverlap tells a process that another process of this node serves beside it (on), or that it is alone
@@ -186,21 +186,21 @@
 // margin of FallMultiple/2 that one process keeps; in the window of the hand-over they spend at most twice the budget
 // of one process. Both need a part, since the old process keeps serving the client sessions it has: when one process
 // got the whole budget, the other's requests could use no cold worker.
-func (d *Dispatcher) SetOverlap(on bool) { d.shared = on }
+func (d *Dispatcher) SetOverlap(on bool) { d.coldBudgetShared = on }
 
 // StartOverlapped tells a process that takes over that another process serves beside it. It spends its part from
 // the current window on, until SetOverlap(false) reports that the other is gone; now is unused.
-func (d *Dispatcher) StartOverlapped(now Millis) { d.shared = true }
+func (d *Dispatcher) StartOverlapped(now Millis) { d.coldBudgetShared = true }
 
 // unitHash hashes a number to a value uniformly distributed in [0, 1).
-func hash(x uint64) float64 {
+func unitHash(x uint64) float64 {
 	x = (x ^ x>>31) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>29) * 0xbf58476d1ce4e5b9
 	return float64(x>>11) / (1 << 53)
 }
 
 // validate returns an error if the settings cannot be used.
-func (s *Settings) check() error {
+func (s *Settings) validate() error {
 	switch {
 	case len(s.Classes) == 0:
 		return errors.New("settings contain no class")
