--- a/internal/balance/dispatcher.go
+++ b/internal/balance/dispatcher.go
@@ -46,7 +46,7 @@
 	sampleSize      = 64      // most workers examined per request: 64 miss the best tenth once in 800 times
 	linksPerWorker  = 2.0     // mean number of dispatchers that prefer a worker: it evens out their traffic
 	linksPerKey     = 4.0     // mean number of workers that a key is linked to
-	otherSlotWeight = 0.5     // weight of others' slots against own ones when placing a copy, as they are known late
+	otherSlotWeight = 0.5     // weight of others' slots against own ones when a copy is placed: known late
 	crossZoneSlots  = 30.0    // mean extra slots of a worker in another zone, per CrossZone; at least 1
 	unlinkedSlots   = 0.75    // mean extra slots of an unlinked worker in the own zone
 	copyShare       = 0.2     // work of second copies as a share of the work of first attempts
