--- a/internal/network/await_test.go
+++ b/internal/network/await_test.go
@@ -20,23 +20,25 @@
 )
 
 // manualBackends serve an attempt only when the test does so. They report each attempt that arrives.
-type patient struct {
-	instant
-	sent chan *core.Attempt
+type manualBackends struct {
+	instantBackends
+	attempts chan *core.Attempt
 }
 
-func newPatient() patient { return patient{sent: make(chan *core.Attempt, 64)} }
+func newManualBackends() manualBackends {
+	return manualBackends{attempts: make(chan *core.Attempt, 64)}
+}
 
-func (b patient) Send(a *core.Attempt) func() {
-	b.sent <- a
+func (b manualBackends) Send(a *core.Attempt) func() {
+	b.attempts <- a
 	return func() {}
 }
 
-// nextAttempt returns the next attempt that arrives.
-func (b patient) next(t *testing.T) *core.Attempt {
+// nextAttempt returns the nextAttempt attempt that arrives.
+func (b manualBackends) nextAttempt(t *testing.T) *core.Attempt {
 	t.Helper()
 	select {
-	case a := <-b.sent:
+	case a := <-b.attempts:
 		return a
 	case <-time.After(20 * time.Second):
 		require.Fail(t, "no attempt")
@@ -44,33 +46,33 @@
 	}
 }
 
-func serve(a *core.Attempt, result string) {
+func serveAttempt(a *core.Attempt, result string) {
 	a.Started()
 	a.Ended(core.Served, result, nil)
 }
 
-func photo(id, more, body string) string {
+func photoReq(id, more, body string) string {
 	return fmt.Sprintf("POST /photo/1 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", id, more, len(body), body)
 }
 
 // rawClient is a client on a real socket.
-type visitor struct {
+type rawClient struct {
 	*net.TCPConn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-func ring(t *testing.T, s *served) *visitor {
+func dialClient(t *testing.T, s *testServer) *rawClient {
 	t.Helper()
-	conn, err := net.Dial("tcp", s.address[0])
+	conn, err := net.Dial("tcp", s.addresses[0])
 	require.NoError(t, err)
 	require.NoError(t, conn.SetDeadline(time.Now().Add(30*time.Second)))
 	t.Cleanup(func() { conn.Close() })
-	return &visitor{conn.(*net.TCPConn), bufio.NewReader(conn)}
+	return &rawClient{conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
-func (c *visitor) answer(t *testing.T) (status int, body string, closing bool) {
+func (c *rawClient) readAnswer(t *testing.T) (status int, body string, closing bool) {
 	t.Helper()
-	a, err := http.ReadResponse(c.in, nil)
+	a, err := http.ReadResponse(c.reader, nil)
 	require.NoError(t, err)
 	b, err := io.ReadAll(a.Body)
 	require.NoError(t, err)
@@ -78,7 +80,7 @@
 }
 
 // waitNoSessions waits until the dispatcher has no client session.
-func (s *served) none(t *testing.T) {
+func (s *testServer) waitNoSessions(t *testing.T) {
 	t.Helper()
 	require.Eventually(t, func() bool { return s.clients.OpenSessions() == 0 }, 20*time.Second, time.Millisecond)
 }
@@ -86,7 +88,7 @@
 // TestClientCloseDetectedWhileWaiting: a client that closes while its request waits is noticed whatever it sent after the
 // request, even more than is buffered or than the sockets hold. The backends answer nothing: if the connection were not read,
 // the session would stay for the request's whole time.
-func TestGoneIsSeen(t *testing.T) {
+func TestClientCloseDetectedWhileWaiting(t *testing.T) {
 	flood := strings.Repeat("x", 12<<20)
 	for name, c := range map[string]struct {
 		with, after string
@@ -98,20 +100,20 @@
 		"only its sending":              {half: true},
 		"a byte with the req":           {with: "P"},
 		"a byte later":                  {after: "P"},
-		"a whole req with it":           {with: photo("b", "", "x")},
-		"a whole req later":             {after: photo("b", "", "x")},
-		"a body that is not whole":      {after: photo("b", "", strings.Repeat("y", 60_000))[:40_000]},
+		"a whole req with it":           {with: photoReq("b", "", "x")},
+		"a whole req later":             {after: photoReq("b", "", "x")},
+		"a body that is not whole":      {after: photoReq("b", "", strings.Repeat("y", 60_000))[:40_000]},
 		"a flood":                       {after: flood, flooded: 1},
 		"a flood, and a reset":          {after: flood, reset: true, flooded: 1},
 		"a flood with it, and half out": {with: "P", after: flood, half: true, flooded: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newPatient()
-			s := serveReal(t, b)
-			conn := ring(t, s)
-			_, err := io.WriteString(conn, photo("a", "", "z")+c.with)
+			b := newManualBackends()
+			s := startServer(t, b)
+			conn := dialClient(t, s)
+			_, err := io.WriteString(conn, photoReq("a", "", "z")+c.with)
 			require.NoError(t, err)
-			first := b.next(t)
+			first := b.nextAttempt(t)
 			_, err = io.WriteString(conn, c.after)
 			require.NoError(t, err, "what the client sends is taken in")
 			switch {
@@ -123,13 +125,13 @@
 			default:
 				conn.Close()
 			}
-			s.none(t)
+			s.waitNoSessions(t)
 			answered := s.count.AnswersServed.Load() + s.count.AnswersRefused.Load() + s.count.AnswersFailed.Load()
 			assert.Zero(t, answered, "the session did not stay until the req's time was up")
 			assert.EqualValues(t, 1, s.count.Endings[core.ClientClosed].Load())
 			assert.Equal(t, c.flooded, s.count.SessionsFlooded.Load())
 			assert.Zero(t, s.clients.held.Load(), "what was kept is given up")
-			assert.Empty(t, b.sent, "a req that was sent ahead is not for anybody")
+			assert.Empty(t, b.attempts, "a req that was sent ahead is not for anybody")
 			first.Ended(core.Served, "r", nil)
 		})
 	}
@@ -137,34 +139,34 @@
 
 // TestPipelinedReqsAnsweredInOrder: requests that arrive while one waits are answered in order, whether they are sent together
 // with it, one by one, in pieces, or while its answer is due.
-func TestAheadIsAnswered(t *testing.T) {
+func TestPipelinedReqsAnsweredInOrder(t *testing.T) {
 	for _, piece := range []int{1, 100, 1 << 20} {
 		for _, with := range []bool{true, false} {
 			t.Run(fmt.Sprint(piece, with), func(t *testing.T) {
-				b := newPatient()
-				s := serveReal(t, b)
-				conn := ring(t, s)
-				rest := photo("b", "", strings.Repeat("y", 3000)) + photo("c", "", "x")
+				b := newManualBackends()
+				s := startServer(t, b)
+				conn := dialClient(t, s)
+				rest := photoReq("b", "", strings.Repeat("y", 3000)) + photoReq("c", "", "x")
 				if with {
-					_, err := io.WriteString(conn, photo("a", "", "z")+rest)
+					_, err := io.WriteString(conn, photoReq("a", "", "z")+rest)
 					require.NoError(t, err)
 				} else {
-					_, err := io.WriteString(conn, photo("a", "", "z"))
+					_, err := io.WriteString(conn, photoReq("a", "", "z"))
 					require.NoError(t, err)
 				}
-				a := b.next(t)
+				a := b.nextAttempt(t)
 				for at := 0; at < len(rest) && !with; at += piece {
 					_, err := io.WriteString(conn, rest[at:min(at+piece, len(rest))])
 					require.NoError(t, err)
 				}
-				serve(a, "ra")
+				serveAttempt(a, "ra")
 				for _, id := range []string{"b", "c"} {
-					next := b.next(t)
+					next := b.nextAttempt(t)
 					assert.Equal(t, id, next.Job.ID)
-					serve(next, "r"+id)
+					serveAttempt(next, "r"+id)
 				}
 				for _, id := range []string{"a", "b", "c"} {
-					status, body, closing := conn.answer(t)
+					status, body, closing := conn.readAnswer(t)
 					assert.Equal(t, 200, status)
 					assert.Equal(t, "r"+id, body)
 					assert.False(t, closing)
@@ -175,23 +177,23 @@
 }
 
 // TestPipelinedReqAnsweredBeforeClose: a request that was read before the answer that would close its session is still answered.
-func TestReadIsAnswered(t *testing.T) {
-	b := newPatient()
-	s := serveReal(t, b)
-	conn := ring(t, s)
-	_, err := io.WriteString(conn, photo("a", "", "z")+photo("b", "", "z"))
+func TestPipelinedReqAnsweredBeforeClose(t *testing.T) {
+	b := newManualBackends()
+	s := startServer(t, b)
+	conn := dialClient(t, s)
+	_, err := io.WriteString(conn, photoReq("a", "", "z")+photoReq("b", "", "z"))
 	require.NoError(t, err)
-	first := b.next(t)
+	first := b.nextAttempt(t)
 	s.clients.orders.Store(&service.Directives{Accept: true, CloseAfterAnswer: true})
-	serve(first, "ra")
-	serve(b.next(t), "rb")
-	_, body, closing := conn.answer(t)
+	serveAttempt(first, "ra")
+	serveAttempt(b.nextAttempt(t), "rb")
+	_, body, closing := conn.readAnswer(t)
 	assert.Equal(t, "ra", body)
 	assert.False(t, closing)
-	_, body, closing = conn.answer(t)
+	_, body, closing = conn.readAnswer(t)
 	assert.Equal(t, "rb", body)
 	assert.True(t, closing)
-	_, err = conn.in.ReadByte()
+	_, err = conn.reader.ReadByte()
 	assert.Equal(t, io.EOF, err)
 }
 
@@ -208,21 +210,21 @@
 		excess bool
 		want   int
 	}{
-		"asked for":                  {send: photo("a", "Connection: close\r\n", body), after: more, served: true, want: 200},
-		"asked for, with more":       {send: photo("a", "Connection: close\r\n", body) + more, served: true, want: 200},
-		"asked for, a req":           {send: photo("a", "Connection: close\r\n", body), after: photo("b", "", body), served: true, want: 200},
-		"shutdown":                   {send: photo("a", "", body), after: more, served: true, orders: &service.Directives{Accept: true, CloseAfterAnswer: true}, want: 200},
+		"asked for":                  {send: photoReq("a", "Connection: close\r\n", body), after: more, served: true, want: 200},
+		"asked for, with more":       {send: photoReq("a", "Connection: close\r\n", body) + more, served: true, want: 200},
+		"asked for, a req":           {send: photoReq("a", "Connection: close\r\n", body), after: photoReq("b", "", body), served: true, want: 200},
+		"shutdown":                   {send: photoReq("a", "", body), after: more, served: true, orders: &service.Directives{Accept: true, CloseAfterAnswer: true}, want: 200},
 		"no req":                     {send: "NONSENSE\r\n\r\n" + more, after: more, want: 400},
 		"too long a body":            {send: "POST /photo/1 HTTP/1.1\r\nX-Correlation-Id: a\r\nContent-Length: 999999\r\n\r\n" + more, after: more, want: 413},
 		"too long a head":            {send: "POST /photo/1 HTTP/1.1\r\nX-A: " + more, after: more, want: 431},
 		"health, asked for":          {send: "GET /health/live HTTP/1.1\r\nConnection: close\r\n\r\n" + more, after: more, want: 200},
-		"half a req, and no rest":    {send: photo("a", "", body)[:200], after: more, want: 408},
-		"beyond all budgets, unread": {send: photo("a", "", body), after: more, excess: true, want: 503},
+		"half a req, and no rest":    {send: photoReq("a", "", body)[:200], after: more, want: 408},
+		"beyond all budgets, unread": {send: photoReq("a", "", body), after: more, excess: true, want: 503},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newPatient()
-			s := serveReal(t, b, func(cl *Clients) {
+			b := newManualBackends()
+			s := startServer(t, b, func(cl *Clients) {
 				if c.excess {
 					cl.MaxSessions = -excessMost
 				}
@@ -230,44 +232,44 @@
 			if c.orders != nil {
 				s.clients.orders.Store(c.orders)
 			}
-			conn := ring(t, s)
+			conn := dialClient(t, s)
 			_, err := io.WriteString(conn, c.send)
 			require.NoError(t, err)
 			if c.served {
-				serve(b.next(t), "r")
+				serveAttempt(b.nextAttempt(t), "r")
 			}
-			_, err = conn.in.Peek(1)
+			_, err = conn.reader.Peek(1)
 			require.NoError(t, err)
 			_, err = io.WriteString(conn, c.after)
 			require.NoError(t, err, "the dispatcher reads on")
-			s.none(t)
-			status, _, closing := conn.answer(t)
+			s.waitNoSessions(t)
+			status, _, closing := conn.readAnswer(t)
 			assert.Equal(t, c.want, status)
 			assert.True(t, closing)
-			_, err = conn.in.ReadByte()
+			_, err = conn.reader.ReadByte()
 			assert.Equal(t, io.EOF, err, "an end, no reset")
-			assert.Empty(t, b.sent)
+			assert.Empty(t, b.attempts)
 		})
 	}
 }
 
 // TestLingeringSessionsBounded: sessions that had their last answer, and whose clients neither read nor close, hold no more
 // descriptors than all sessions may, and are closed at once for others that need theirs.
-func TestLingeringGoesForOthers(t *testing.T) {
+func TestLingeringSessionsBounded(t *testing.T) {
 	const most = 20
-	s := serveReal(t, instant{"r"}, func(cl *Clients) { cl.MaxSessions = most })
+	s := startServer(t, instantBackends{"r"}, func(cl *Clients) { cl.MaxSessions = most })
 	for i := range 5 * most {
-		conn := ring(t, s)
-		_, err := io.WriteString(conn, photo(fmt.Sprint("a", i), "Connection: close\r\n", "z"))
+		conn := dialClient(t, s)
+		_, err := io.WriteString(conn, photoReq(fmt.Sprint("a", i), "Connection: close\r\n", "z"))
 		require.NoError(t, err)
-		status, _, closing := conn.answer(t)
+		status, _, closing := conn.readAnswer(t)
 		assert.Equal(t, 200, status)
 		assert.True(t, closing)
 		s.clients.table.mu.Lock()
 		assert.LessOrEqual(t, s.clients.table.lingers, most)
 		s.clients.table.mu.Unlock()
 	}
-	s.none(t)
+	s.waitNoSessions(t)
 	s.clients.table.mu.Lock()
 	defer s.clients.table.mu.Unlock()
 	assert.Zero(t, s.clients.table.lingers)
@@ -275,19 +277,19 @@
 
 // blockedConn is a connection whose first write waits until the connection is closed, and then until the dispatcher has
 // removed the session, if it does that before the write returns.
-type stuck struct {
+type blockedConn struct {
 	net.Conn
-	writes chan struct{} // a write has begun
-	closed chan struct{}
-	once   sync.Once
-	given  func() bool
+	writing        chan struct{} // a write has begun
+	closed         chan struct{}
+	once           sync.Once
+	sessionRemoved func() bool
 }
 
-func (c *stuck) Write([]byte) (int, error) {
-	close(c.writes)
+func (c *blockedConn) Write([]byte) (int, error) {
+	close(c.writing)
 	<-c.closed
 	for range 100 {
-		if c.given() {
+		if c.sessionRemoved() {
 			break
 		}
 		time.Sleep(time.Millisecond)
@@ -295,15 +297,15 @@
 	return 0, net.ErrClosed
 }
 
-func (c *stuck) Close() error {
+func (c *blockedConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
 // TestClientCloseDuringAnswerWrite: a client that closes just as its answer is written leaves nothing in the table. A session
 // put back into the table then would be taken for one that can be shed.
-func TestGoneWhileAnswered(t *testing.T) {
-	s := serveReal(t, instant{"r"})
+func TestClientCloseDuringAnswerWrite(t *testing.T) {
+	s := startServer(t, instantBackends{"r"})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -311,13 +313,13 @@
 	require.NoError(t, err)
 	conn, err := l.Accept()
 	require.NoError(t, err)
-	held := &stuck{Conn: conn, writes: make(chan struct{}), closed: make(chan struct{}), given: func() bool { return s.clients.OpenSessions() == 0 }}
+	held := &blockedConn{Conn: conn, writing: make(chan struct{}), closed: make(chan struct{}), sessionRemoved: func() bool { return s.clients.OpenSessions() == 0 }}
 	one := &session{sessionState: sessionState{conn: held}, clients: s.clients, answer: make(chan core.Answer, 1)}
 	s.clients.enter(&one.sessionState)
 	go one.run()
-	_, err = io.WriteString(client, photo("a", "", "z"))
+	_, err = io.WriteString(client, photoReq("a", "", "z"))
 	require.NoError(t, err)
-	<-held.writes
+	<-held.writing
 	client.Close()
 	table := &s.clients.table
 	require.Eventually(t, func() bool { // the session has ended, and its writer too
@@ -334,7 +336,7 @@
 
 // TestAnswerPendingUntilWritten: an answer that is decided and not yet written counts as pending in a shutdown, whatever the
 // rank of its session: one that was told to close may have taken a request that was already on its way.
-func TestOwedUntilWritten(t *testing.T) {
+func TestAnswerPendingUntilWritten(t *testing.T) {
 	for name, end := range map[string]func(*table, *sessionState){
 		"answered": func(t *table, s *sessionState) { t.answered(s, true, false, false) },
 		"gone":     func(t *table, s *sessionState) { t.leave(s) },
--- a/internal/network/director_crossing_test.go
+++ b/internal/network/director_crossing_test.go
@@ -214,7 +214,7 @@
 // call asks for changes since a version from before the restart, and might wait in vain: the full list is asked for
 // at once.
 func TestLateAnswerOfLowerVersion(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 9, `
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, `
 		wait 2600ms
 		d/1 expect GET /registry/instances?since=41&timeout_ms=2500
 		wait 2s
@@ -227,7 +227,7 @@
 // TestDuplicateAnswerIsNotReused: bytes behind an answer belong to no call. They must not pass for the next call's answer.
 func TestAnswerThatComesTwice(t *testing.T) {
 	const answer = `HTTP/1.1 200 OK\r\nContent-Length: 44\r\n\r\n{"index":44,"snapshot":false,"endpoints":[]}`
-	run(t, list(balance.Ready, "s1"), 9, `
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, `
 		wait 2600ms
 		d/1 expect GET /registry/instances?since=41&timeout_ms=2500
 		d/1 send `+answer+answer+`
--- a/internal/network/director_rig_test.go
+++ b/internal/network/director_rig_test.go
@@ -206,7 +206,7 @@
 	if c.anew {
 		to = c.pipes["e"]
 	}
-	hot := len(c.dials) > hotMost && time.Since(c.dials[len(c.dials)-hotMost]) < time.Second
+	hot := len(c.dials) > maxUnthrottledDials && time.Since(c.dials[len(c.dials)-maxUnthrottledDials]) < time.Second
 	c.mu.Unlock()
 	if hot { // a loop without a delay would stop the fake clock
 		time.Sleep(time.Second)
--- a/internal/network/director_test.go
+++ b/internal/network/director_test.go
@@ -12,7 +12,7 @@
 // TestDirectorWatch: after each answer the next call follows at once, from the version of the answer; a list
 // that cannot be read changes nothing.
 func TestDirector(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 9, `
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, `
 		wait 2600ms
 		d/1 expect GET /registry/instances?since=41&timeout_ms=2500
 		d/1 send HTTP/1.1 200 OK\r\nContent-Length: 44\r\n\r\n{"index":43,"snapshot":false,"endpoints":[]}
@@ -37,7 +37,7 @@
 // a call, a connection attempt or a delay. The new address is asked for the full list until it has
 // sent it. What the old one still sends changes nothing.
 func TestRedirect(t *testing.T) {
-	to := func(address string) func(*world) { return func(w *world) { w.watch.Redirect(address) } }
+	to := func(address string) func(*fixture) { return func(w *fixture) { w.director.Redirect(address) } }
 	const whole = `HTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n{"index":7,"snapshot":true,"endpoints":[]}`
 	for name, parts := range map[string][]any{
 		"while a call waits": {`
@@ -69,15 +69,15 @@
 			c1 send GET /health/ready HTTP/1.1\r\n\r\n
 			c1 expect 200`},
 	} {
-		t.Run(name, func(t *testing.T) { run(t, list(balance.Ready, "s1"), 9, parts...) })
+		t.Run(name, func(t *testing.T) { runScenario(t, newEntries(balance.Ready, "s1"), 9, parts...) })
 	}
 }
 
 // TestRequestFullList: a process that took over a list asks for the full list first: versions are counted per address, and
 // its own address may be another one.
 func TestAfresh(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 9,
-		func(w *world) { w.watch.RequestFullList() }, `
+	runScenario(t, newEntries(balance.Ready, "s1"), 9,
+		func(w *fixture) { w.director.RequestFullList() }, `
 		wait 3s
 		d/1 expect GET /registry/instances
 		d/1 send HTTP/1.1 200 OK\r\nContent-Length: 44\r\n\r\n{"index":2,"snapshot":true,"endpoints":[]  }
@@ -97,13 +97,13 @@
 		c1 expect 200`
 	for name, rest := range map[string]string{
 		"the new one tells": `
-			d/2 send ` + drained + `
+			d/2 send ` + drainedListReply + `
 			d/1 expect closed
 			c1 send GET /health/ready HTTP/1.1\r\n\r\n
 			c1 expect 503
 			d/2 expect GET /registry/instances?since=44&timeout_ms=2500`,
 		"the old one was only late": `
-			d/1 send ` + drained + `
+			d/1 send ` + drainedListReply + `
 			c1 send GET /health/ready HTTP/1.1\r\n\r\n
 			c1 expect 503
 			d/2 expect nothing
@@ -119,30 +119,30 @@
 			wait 4s
 			d/1 expect closed
 			d/3 expect GET /registry/instances?since=41&timeout_ms=2500
-			d/3 send ` + drained + `
+			d/3 send ` + drainedListReply + `
 			d/2 expect closed`,
 	} {
-		t.Run(name, func(t *testing.T) { run(t, list(balance.Ready, "s1"), 9, begin, rest) })
+		t.Run(name, func(t *testing.T) { runScenario(t, newEntries(balance.Ready, "s1"), 9, begin, rest) })
 	}
 }
 
 // TestSilentAgent: an agent that is sent lists is called several times a second while it is silent, and not more often.
 // The settings give no interval of asking there.
 func TestSilentAgent(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 9, func(w *world) {
-		w.watch.mu.Lock() // the watch takes it before it reads the field
-		w.watch.Timings = AgentTimings()
-		w.watch.mu.Unlock()
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, func(w *fixture) {
+		w.director.mu.Lock() // the watch takes it before it reads the field
+		w.director.Timings = AgentTimings()
+		w.director.mu.Unlock()
 	}, `
 		wait 3s
 		d/1 expect GET /registry/instances?since=41&timeout_ms=1000`,
-		func(w *world) {
+		func(w *fixture) {
 			time.Sleep(10 * time.Second)
 			calls := w.count.DirectorCalls.Load()
 			assert.InDelta(t, 33, calls, 8, "calls in 10 s of silence")
 			w.t.Logf("calls in 10 s of silence: %d", calls)
 			w.mu.Lock()
-			w.refuse["d"] = true
+			w.refusedDials["d"] = true
 			w.mu.Unlock()
 			time.Sleep(10 * time.Second)
 			calls = w.count.DirectorCalls.Load() - calls
--- a/internal/network/hard_test.go
+++ b/internal/network/hard_test.go
@@ -22,28 +22,28 @@
 
 // directorFixture runs the director's driver alone, on the fake clock, between a stand-in of discovery and a recorder of what
 // the driver reports.
-type watched struct {
-	d     *standin.Director
-	seat  *standin.Seat
-	terms standin.Terms
+type directorFixture struct {
+	discovery *standin.Director
+	seat      *standin.Seat
+	terms     standin.Terms
 
-	mu     sync.Mutex
-	refuse bool
-	dials  map[int64]int        // by second
-	heard  map[string]time.Time // NAME/STATE, when it was first reported
+	mu          sync.Mutex
+	refuseDials bool
+	dials       map[int64]int        // by second
+	firstSeen   map[string]time.Time // NAME/STATE, when it was first reported
 }
 
 // runDirector runs play with a watch of a stand-in. With pushed it is that of an agent that pushes lists; no AskEvery is
 // configured there.
-func watching(t *testing.T, pushed bool, play func(w *watched)) {
+func runDirector(t *testing.T, pushed bool, play func(w *directorFixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &watched{heard: map[string]time.Time{}, dials: map[int64]int{}}
+		w := &directorFixture{firstSeen: map[string]time.Time{}, dials: map[int64]int{}}
 		pipes := faultnet.ListenPipes("d")
-		w.d = standin.NewDirector(faultnet.ListenPipes("unused"))
-		w.seat = w.d.Seat(pipes, pushed)
+		w.discovery = standin.NewDirector(faultnet.ListenPipes("unused"))
+		w.seat = w.discovery.Seat(pipes, pushed)
 		for i := range 4 {
-			w.set(i, "Ready")
+			w.setStatus(i, "Ready")
 		}
 		stop := make(chan struct{})
 		dir := &Director{Names: &platform.Names{}, Count: &counters.Set{}, Address: "d", Stop: stop, Timings: AgentTimings()}
@@ -53,7 +53,7 @@
 			dir.Timings = PollTimings(w.terms.AskEvery)
 		}
 		dir.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-			if w.dialled() {
+			if w.countDial() {
 				return nil, syscall.ECONNREFUSED
 			}
 			return pipes.Dial(ctx, address)
@@ -62,51 +62,51 @@
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			for _, e := range list {
-				if k := fmt.Sprint(e.Name, "/", e.State); w.heard[k].IsZero() {
-					w.heard[k] = time.Now()
+				if k := fmt.Sprint(e.Name, "/", e.State); w.firstSeen[k].IsZero() {
+					w.firstSeen[k] = time.Now()
 				}
 			}
 		}
 		dir.Subscribe()
 		play(w)
 		close(stop)
-		w.d.Close()
+		w.discovery.Close()
 		time.Sleep(time.Minute) // everything that waits gives up
 	})
 }
 
 // maxUnthrottledDials is how many connections in a second are made without a sleep: a loop without a pause would never let the
 // fake clock advance.
-const hotMost = 200
+const maxUnthrottledDials = 200
 
 // countDial counts a connection, and reports whether it is refused.
-func (w *watched) dialled() bool {
+func (w *directorFixture) countDial() bool {
 	w.mu.Lock()
 	second := time.Now().Unix()
 	w.dials[second]++
-	n, refuse := w.dials[second], w.refuse
+	n, refuse := w.dials[second], w.refuseDials
 	w.mu.Unlock()
-	if n > hotMost {
+	if n > maxUnthrottledDials {
 		time.Sleep(time.Second)
 	}
 	return refuse
 }
 
-func (w *watched) set(i int, status string) standin.Change {
+func (w *directorFixture) setStatus(i int, status string) standin.Change {
 	name := fmt.Sprint("b", i)
-	return w.d.Set(standin.Entry{Name: name, Address: name, Status: status, Weight: 4})
+	return w.discovery.Set(standin.Entry{Name: name, Address: name, Status: status, Weight: 4})
 }
 
 // lateness returns how much later a change arrived than a drain may take effect; a change that never arrived counts as an hour
-// late.
-func (w *watched) late(c standin.Change) time.Duration {
+// lateness.
+func (w *directorFixture) lateness(c standin.Change) time.Duration {
 	state := balance.Ready
 	if c.Status == "Terminating" {
 		state = balance.Draining
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	at := w.heard[fmt.Sprint(c.Name, "/", state)]
+	at := w.firstSeen[fmt.Sprint(c.Name, "/", state)]
 	if at.IsZero() {
 		return time.Hour
 	}
@@ -114,20 +114,20 @@
 }
 
 // setOutage begins or ends an outage.
-func (w *watched) out(on, refused bool) {
+func (w *directorFixture) setOutage(on, refused bool) {
 	w.seat.Outage(on)
 	w.mu.Lock()
-	w.refuse = on && refused
+	w.refuseDials = on && refused
 	w.mu.Unlock()
 }
 
 // TestIndentedList: an indented list is read like any other.
 func TestIndentedList(t *testing.T) {
-	watching(t, false, func(w *watched) {
+	runDirector(t, false, func(w *directorFixture) {
 		time.Sleep(time.Second)
-		w.d.Indent(true)
-		c := w.set(2, "Terminating")
+		w.discovery.Indent(true)
+		c := w.setStatus(2, "Terminating")
 		time.Sleep(time.Second)
-		assert.LessOrEqual(t, w.late(c), time.Duration(0))
+		assert.LessOrEqual(t, w.lateness(c), time.Duration(0))
 	})
 }
--- a/internal/network/http2_bench_test.go
+++ b/internal/network/http2_bench_test.go
@@ -23,7 +23,7 @@
 // that only the server differs.
 
 // startXNet starts x/net's server with a trivial handler, or with one that goes through a core as our front does.
-func xnet(t testing.TB, h http.Handler) string {
+func startXNet(t testing.TB, h http.Handler) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -48,7 +48,7 @@
 var nextID atomic.Uint64
 
 // hpackLiteral appends a field as HPACK writes it without tables (RFC 7541 section 6.2.2).
-func literal(b []byte, name, value string) []byte {
+func hpackLiteral(b []byte, name, value string) []byte {
 	b = append(b, 0, byte(len(name)))
 	b = append(b, name...)
 	b = append(b, byte(len(value)))
@@ -56,25 +56,25 @@
 }
 
 // benchClient is a minimal HTTP/2 client.
-type phone struct {
-	conn  net.Conn
-	r     *bufio.Reader
-	head  []byte // a whole HEADERS frame, into which stream and id are written
-	idAt  int
-	body  []byte // a whole DATA frame
-	next  uint32
-	spare int // bytes of answers since the last WINDOW_UPDATE
+type benchClient struct {
+	conn           net.Conn
+	reader         *bufio.Reader
+	head           []byte // a whole HEADERS frame, into which stream and id are written
+	idAt           int
+	body           []byte // a whole DATA frame
+	nextStream     uint32
+	unacknowledged int // bytes of answers since the last WINDOW_UPDATE
 }
 
-func dialPhone(t testing.TB, address string) *phone {
+func dialBenchClient(t testing.TB, address string) *benchClient {
 	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { conn.Close() })
-	p := &phone{conn: conn, r: bufio.NewReaderSize(conn, 64<<10), next: 1}
+	p := &benchClient{conn: conn, reader: bufio.NewReaderSize(conn, 64<<10), nextStream: 1}
 	block := []byte{0x83, 0x86} // :method POST, :scheme http
-	block = literal(block, ":path", "/photo/1")
-	block = literal(block, "x-time-left-ms", "5000")
-	block = literal(block, "x-correlation-id", "0000000000000000")
+	block = hpackLiteral(block, ":path", "/photo/1")
+	block = hpackLiteral(block, "x-time-left-ms", "5000")
+	block = hpackLiteral(block, "x-correlation-id", "0000000000000000")
 	p.head = append([]byte{0, byte(len(block) >> 8), byte(len(block)), 1, 4, 0, 0, 0, 0}, block...)
 	p.idAt = len(p.head) - 16
 	p.body = append([]byte{0, 2, 0, 0, 1, 0, 0, 0, 0}, make([]byte, 512)...)
@@ -84,10 +84,10 @@
 }
 
 // appendReq appends the frames of a request with a body of 512 bytes.
-func (p *phone) ask(b []byte) []byte {
-	binary.BigEndian.PutUint32(p.head[5:], p.next)
-	binary.BigEndian.PutUint32(p.body[5:], p.next)
-	p.next += 2
+func (p *benchClient) appendReq(b []byte) []byte {
+	binary.BigEndian.PutUint32(p.head[5:], p.nextStream)
+	binary.BigEndian.PutUint32(p.body[5:], p.nextStream)
+	p.nextStream += 2
 	id := nextID.Add(1)
 	for i := range 16 {
 		p.head[p.idAt+i] = "0123456789abcdef"[id>>(4*(15-i))&15]
@@ -96,14 +96,14 @@
 }
 
 // readAnswers reads frames until n streams have ended, and returns how many ended normally.
-func (p *phone) answers(n int) (ended int, err error) {
+func (p *benchClient) readAnswers(n int) (ended int, err error) {
 	var h [9]byte
 	for ended < n {
-		if _, err := io.ReadFull(p.r, h[:]); err != nil {
+		if _, err := io.ReadFull(p.reader, h[:]); err != nil {
 			return ended, err
 		}
 		length := int(h[0])<<16 | int(h[1])<<8 | int(h[2])
-		if _, err := p.r.Discard(length); err != nil {
+		if _, err := p.reader.Discard(length); err != nil {
 			return ended, err
 		}
 		switch {
@@ -117,10 +117,10 @@
 			}
 		}
 		if h[3] == 0 {
-			if p.spare += length; p.spare > 16<<10 {
+			if p.unacknowledged += length; p.unacknowledged > 16<<10 {
 				up := []byte{0, 0, 4, 8, 0, 0, 0, 0, 0, 0, 0, 0, 0}
-				binary.BigEndian.PutUint32(up[9:], uint32(p.spare))
-				p.spare = 0
+				binary.BigEndian.PutUint32(up[9:], uint32(p.unacknowledged))
+				p.unacknowledged = 0
 				if _, err := p.conn.Write(up); err != nil {
 					return ended, err
 				}
@@ -131,12 +131,12 @@
 }
 
 // load sends n requests, keeping width of them open at a time.
-func (p *phone) load(n, width int) error {
+func (p *benchClient) load(n, width int) error {
 	out, sent := make([]byte, 0, 64<<10), 0
 	for done, room := 0, width; done < n; {
 		out = out[:0]
 		for ; room > 0 && sent < n; room-- {
-			out = p.ask(out)
+			out = p.appendReq(out)
 			sent++
 		}
 		if len(out) > 0 {
@@ -144,8 +144,8 @@
 				return err
 			}
 		}
-		for more := true; more && done < sent; more = p.r.Buffered() > 0 {
-			got, err := p.answers(1)
+		for more := true; more && done < sent; more = p.reader.Buffered() > 0 {
+			got, err := p.readAnswers(1)
 			if err != nil {
 				return err
 			}
@@ -157,7 +157,7 @@
 }
 
 // loadHTTP1 sends n requests over HTTP/1.1, on width connections at once.
-func loadPlain(t testing.TB, address string, n, width int) error {
+func loadHTTP1(t testing.TB, address string, n, width int) error {
 	var all sync.WaitGroup
 	errs := make(chan error, width)
 	for i := range width {
@@ -198,7 +198,7 @@
 	}
 }
 
-func cpu() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
@@ -207,34 +207,34 @@
 // BenchmarkFronts compares our two fronts with x/net's server: requests a second, processor time and bytes per request. The
 // client's part is included; it is the same for all variants of HTTP/2.
 func BenchmarkFronts(b *testing.B) {
-	s := serveReal(b, instant{"done"})
-	through := xnet(b, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.pass(w, r) }))
-	bare := xnet(b, http.HandlerFunc(trivial))
+	s := startServer(b, instantBackends{"done"})
+	through := startXNet(b, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.handleThroughCore(w, r) }))
+	bare := startXNet(b, http.HandlerFunc(trivial))
 	for _, width := range []int{1, 10, 100} {
 		for _, v := range []struct {
 			name string
 			load func(b *testing.B) error
 		}{
-			{"http1", func(b *testing.B) error { return loadPlain(b, s.address[0], b.N, width) }},
-			{"http2", func(b *testing.B) error { return dialPhone(b, s.address[1]).load(b.N, width) }},
-			{"xnet-trivial", func(b *testing.B) error { return dialPhone(b, bare).load(b.N, width) }},
-			{"xnet-core", func(b *testing.B) error { return dialPhone(b, through).load(b.N, width) }},
+			{"http1", func(b *testing.B) error { return loadHTTP1(b, s.addresses[0], b.N, width) }},
+			{"http2", func(b *testing.B) error { return dialBenchClient(b, s.addresses[1]).load(b.N, width) }},
+			{"xnet-trivial", func(b *testing.B) error { return dialBenchClient(b, bare).load(b.N, width) }},
+			{"xnet-core", func(b *testing.B) error { return dialBenchClient(b, through).load(b.N, width) }},
 		} {
 			b.Run(fmt.Sprintf("%s/%d", v.name, width), func(b *testing.B) {
 				b.ReportAllocs()
-				begun := cpu()
+				begun := cpuTime()
 				if err := v.load(b); err != nil {
 					b.Fatal(err)
 				}
 				b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "reqs/s")
-				b.ReportMetric(float64(cpu()-begun)/float64(b.N)/1000, "cpu-µs/req")
+				b.ReportMetric(float64(cpuTime()-begun)/float64(b.N)/1000, "cpu-µs/req")
 			})
 		}
 	}
 }
 
 // handleThroughCore is what a handler on x/net's server has to do to use the same core.
-func (s *served) pass(w http.ResponseWriter, r *http.Request) {
+func (s *testServer) handleThroughCore(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -245,7 +245,7 @@
 		w.WriteHeader(400)
 		return
 	}
-	answer := make(waiter, 1)
+	answer := make(answerChan, 1)
 	job := jobOf(&q, &work)
 	if _, fresh := s.clients.Core.Submit(work.Ask, job, time.Now(), work.Left, answer); !fresh {
 		w.WriteHeader(409)
@@ -260,32 +260,32 @@
 	const conns = 200
 	for _, name := range []string{"http1", "http2", "xnet-trivial"} {
 		b.Run(name, func(b *testing.B) {
-			s := serveReal(b, instant{"done"})
-			bare := xnet(b, http.HandlerFunc(trivial))
+			s := startServer(b, instantBackends{"done"})
+			bare := startXNet(b, http.HandlerFunc(trivial))
 			for b.Loop() {
-				before := inUse()
+				before := memoryInUse()
 				var open []net.Conn
 				for range conns {
 					switch name {
 					case "http1":
-						conn, err := net.Dial("tcp", s.address[0])
+						conn, err := net.Dial("tcp", s.addresses[0])
 						require.NoError(b, err)
 						fmt.Fprintf(conn, "POST /photo/1 HTTP/1.1\r\nContent-Length: 512\r\nX-Correlation-Id: %016x\r\n\r\n%s", nextID.Add(1), make([]byte, 512))
 						_, err = io.ReadFull(conn, make([]byte, 42))
 						require.NoError(b, err)
 						open = append(open, conn)
 					default:
-						address := s.address[1]
+						address := s.addresses[1]
 						if name != "http2" {
 							address = bare
 						}
-						p := dialPhone(b, address)
+						p := dialBenchClient(b, address)
 						require.NoError(b, p.load(1, 1))
 						open = append(open, p.conn)
-						p.r = nil
+						p.reader = nil
 					}
 				}
-				held := inUse() - before
+				held := memoryInUse() - before
 				b.ReportMetric(float64(held)/conns, "B/conn")
 				for _, c := range open {
 					c.Close()
@@ -295,7 +295,7 @@
 	}
 }
 
-func inUse() int64 {
+func memoryInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -310,7 +310,7 @@
 		n := len(payload)
 		return string([]byte{byte(n >> 16), byte(n >> 8), byte(n), kind, flags, byte(id >> 24), byte(id >> 16), byte(id >> 8), byte(id)}) + payload
 	}
-	block := string(literal(literal([]byte{0x83, 0x86}, ":path", "/photo/1"), "x-correlation-id", "abuse"))
+	block := string(hpackLiteral(hpackLiteral([]byte{0x83, 0x86}, ":path", "/photo/1"), "x-correlation-id", "abuse"))
 	repeat := func(frame string) func(uint32) string { return func(uint32) string { return frame } }
 	const preface = http2.ClientPreface + "\x00\x00\x00\x04\x00\x00\x00\x00\x00"
 	for _, a := range []struct {
@@ -320,7 +320,7 @@
 		{"none", "", nil},
 		{"rapid-reset", preface, func(id uint32) string { return raw(1, 5, id, block) + raw(3, 0, id, "\x00\x00\x00\x08") }},
 		{"made-you-reset", preface, func(id uint32) string { return raw(1, 4, id, block) + raw(8, 0, id, "\x00\x00\x00\x00") }},
-		{"continuation", preface + raw(1, 0, 1, block), repeat(raw(9, 0, 1, string(literal(nil, "a", "b"))))},
+		{"continuation", preface + raw(1, 0, 1, block), repeat(raw(9, 0, 1, string(hpackLiteral(nil, "a", "b"))))},
 		{"hpack-bomb", preface + raw(1, 5, 1, block+"\x40\x01a\x7f\x80\x1e"+string(make([]byte, 3967))), func(id uint32) string {
 			return raw(1, 5, id+2, block+string(bytes.Repeat([]byte{0xbe}, 4000)))
 		}},
@@ -338,7 +338,7 @@
 		{"no-preface", "", repeat("")},
 	} {
 		b.Run(a.name, func(b *testing.B) {
-			s := serveReal(b, instant{"done"})
+			s := startServer(b, instantBackends{"done"})
 			for b.Loop() {
 				stop := make(chan struct{})
 				var all sync.WaitGroup
@@ -346,9 +346,9 @@
 					if a.frame == nil {
 						break
 					}
-					all.Go(func() { abuse(s.address[1], a.first, a.frame, stop) })
+					all.Go(func() { abuse(s.addresses[1], a.first, a.frame, stop) })
 				}
-				kept := usual(b, s, 400, time.Second)
+				kept := regularTraffic(b, s, 400, time.Second)
 				close(stop)
 				all.Wait()
 				b.ReportMetric(100*kept, "kept-%")
@@ -394,7 +394,7 @@
 }
 
 // regularTraffic sends perSec requests a second, whether answered or not, and returns the part that was served within 120 ms.
-func usual(b *testing.B, s *served, perSec int, long time.Duration) float64 {
+func regularTraffic(b *testing.B, s *testServer, perSec int, long time.Duration) float64 {
 	clients := [2]*http.Client{}
 	for i := range clients {
 		t := &http.Transport{Protocols: new(http.Protocols), MaxIdleConnsPerHost: 32}
@@ -411,7 +411,7 @@
 		at := begun.Add(time.Duration(i) * time.Second / time.Duration(perSec))
 		time.Sleep(time.Until(at))
 		all.Go(func() {
-			r, err := http.NewRequest("POST", "http://"+s.address[i%2]+"/photo/1", bytes.NewReader(make([]byte, 512)))
+			r, err := http.NewRequest("POST", "http://"+s.addresses[i%2]+"/photo/1", bytes.NewReader(make([]byte, 512)))
 			if err != nil {
 				return
 			}
--- a/internal/network/http2_caller_test.go
+++ b/internal/network/http2_caller_test.go
@@ -25,46 +25,48 @@
 // Helpers for tests of events that cross each other on an HTTP/2 connection, over loopback sockets. Which comes first is forced:
 // a backend holds its attempt, a client its bytes, or a wrapped socket a call. Time limits only bound how long a failing test
 // waits.
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // eventually waits for a condition, however loaded the machine is.
-func soon(t *testing.T, what string, is func() bool) {
+func eventually(t *testing.T, what string, is func() bool) {
 	t.Helper()
-	require.Eventually(t, is, patience, time.Millisecond, what)
+	require.Eventually(t, is, testTimeout, time.Millisecond, what)
 }
 
 // receive waits for an event.
-func came[T any](t *testing.T, what string, c <-chan T) (v T) {
+func receive[T any](t *testing.T, what string, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		require.FailNow(t, "did not come: "+what)
 	}
 	return v
 }
 
 // holdingBackends start each attempt and leave the rest to the test.
-type holding struct {
-	instant
-	out chan *core.Attempt
+type holdingBackends struct {
+	instantBackends
+	attempts chan *core.Attempt
 }
 
-func newHolding() *holding { return &holding{out: make(chan *core.Attempt, 256)} }
+func newHoldingBackends() *holdingBackends {
+	return &holdingBackends{attempts: make(chan *core.Attempt, 256)}
+}
 
-func (h *holding) Send(a *core.Attempt) func() {
+func (h *holdingBackends) Send(a *core.Attempt) func() {
 	a.Started()
-	h.out <- a
+	h.attempts <- a
 	return func() {}
 }
 
 // wrappingListener is a listener whose connections a test wraps.
-type wrapped struct {
+type wrappingListener struct {
 	*net.TCPListener
 	wrap func(*net.TCPConn) net.Conn
 }
 
-func (w wrapped) Accept() (net.Conn, error) {
+func (w wrappingListener) Accept() (net.Conn, error) {
 	conn, err := w.AcceptTCP()
 	if err != nil {
 		return nil, err
@@ -73,29 +75,29 @@
 }
 
 // listenHTTP2 opens one more port of the front, whose connections are wrapped.
-func (s *served) listen(t *testing.T, wrap func(*net.TCPConn) net.Conn) string {
+func (s *testServer) listenHTTP2(t *testing.T, wrap func(*net.TCPConn) net.Conn) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	go s.http2.Serve(wrapped{l.(*net.TCPListener), wrap})
+	go s.http2.Serve(wrappingListener{l.(*net.TCPListener), wrap})
 	return l.Addr().String()
 }
 
 // smallWriteBuffer has the kernel hold little of what is written to a connection.
-func narrow(conn *net.TCPConn) net.Conn {
+func smallWriteBuffer(conn *net.TCPConn) net.Conn {
 	conn.SetWriteBuffer(4 << 10)
 	return conn
 }
 
-// changeLimits changes the limits of connections from now on.
-func (s *served) limits(change func(*HTTP2Limits)) {
+// changeLimits changes the changeLimits of connections from now on.
+func (s *testServer) changeLimits(change func(*HTTP2Limits)) {
 	l := *s.http2.limits.Load()
 	change(&l)
 	s.http2.SetLimits(l)
 }
 
 // sessions returns the front's connections.
-func (s *served) streamsNow() (all []*streams) {
+func (s *testServer) sessions() (all []*streams) {
 	s.http2.open.Range(func(key, _ any) bool {
 		all = append(all, key.(*streams))
 		return true
@@ -104,76 +106,76 @@
 }
 
 // http2Client is an HTTP/2 client that uses x/net's Framer. What it sends is collected and goes out in one write.
-type caller struct {
-	t    *testing.T
-	conn *net.TCPConn
-	out  bytes.Buffer
-	fr   *http2.Framer
-	dec  *hpack.Decoder
+type http2Client struct {
+	t       *testing.T
+	conn    *net.TCPConn
+	out     bytes.Buffer
+	framer  *http2.Framer
+	decoder *hpack.Decoder
 }
 
 // connectHTTP2 connects and sends the preface with windows that are wide open. read is the size of its receive buffer; 0 for
 // the default.
-func phoneUp(t *testing.T, address string, read int) *caller {
-	c := connect(t, address, read)
-	c.hello()
-	c.send()
+func connectHTTP2(t *testing.T, address string, read int) *http2Client {
+	c := dialHTTP2(t, address, read)
+	c.appendPreface()
+	c.flush()
 	return c
 }
 
-func connect(t *testing.T, address string, read int) *caller {
+func dialHTTP2(t *testing.T, address string, read int) *http2Client {
 	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { conn.Close() })
-	c := &caller{t: t, conn: conn.(*net.TCPConn)}
+	c := &http2Client{t: t, conn: conn.(*net.TCPConn)}
 	if read > 0 {
 		c.conn.SetReadBuffer(read)
 	}
-	c.fr = http2.NewFramer(&c.out, c.conn)
-	c.dec = hpack.NewDecoder(4096, nil)
+	c.framer = http2.NewFramer(&c.out, c.conn)
+	c.decoder = hpack.NewDecoder(4096, nil)
 	return c
 }
 
-func (c *caller) hello() {
+func (c *http2Client) appendPreface() {
 	c.out.WriteString(http2.ClientPreface)
-	c.fr.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1<<31 - 1})
-	c.fr.WriteWindowUpdate(0, 1<<30)
+	c.framer.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1<<31 - 1})
+	c.framer.WriteWindowUpdate(0, 1<<30)
 }
 
 // appendReq collects a request without a body.
-func (c *caller) ask(stream uint32, fields ...string) {
+func (c *http2Client) appendReq(stream uint32, fields ...string) {
 	var block bytes.Buffer
 	enc := hpack.NewEncoder(&block)
 	enc.SetMaxDynamicTableSize(0)
 	for i := 0; i < len(fields); i += 2 {
 		enc.WriteField(hpack.HeaderField{Name: fields[i], Value: fields[i+1]})
 	}
-	c.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, BlockFragment: block.Bytes(), EndHeaders: true, EndStream: true})
+	c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: stream, BlockFragment: block.Bytes(), EndHeaders: true, EndStream: true})
 }
 
-func (c *caller) post(stream uint32) {
-	c.ask(stream, ":method", "POST", ":scheme", "http", ":path", "/photo/1",
+func (c *http2Client) appendPost(stream uint32) {
+	c.appendReq(stream, ":method", "POST", ":scheme", "http", ":path", "/photo/1",
 		"x-correlation-id", fmt.Sprintf("%v/%d", c.conn.LocalAddr(), stream), "x-time-left-ms", "3600000")
 }
 
-func (c *caller) get(stream uint32, path string) {
-	c.ask(stream, ":method", "GET", ":scheme", "http", ":path", path)
+func (c *http2Client) appendGet(stream uint32, path string) {
+	c.appendReq(stream, ":method", "GET", ":scheme", "http", ":path", path)
 }
 
 // appendInvalid collects a frame that ends a connection: DATA on a stream that was never opened.
-func (c *caller) bad() { c.fr.WriteRawFrame(http2.FrameData, 0, 99999, []byte("x")) }
+func (c *http2Client) appendInvalid() { c.framer.WriteRawFrame(http2.FrameData, 0, 99999, []byte("x")) }
 
 // flush writes what is collected.
-func (c *caller) send() {
+func (c *http2Client) flush() {
 	_, err := c.conn.Write(c.out.Bytes())
 	require.NoError(c.t, err)
 	c.out.Reset()
 }
 
-// nextFrame returns the next frame and a short text of it: "end" once the peer has closed, "reset" if the connection broke.
-func (c *caller) next() (word string, f http2.Frame) {
-	c.conn.SetReadDeadline(time.Now().Add(patience))
-	f, err := c.fr.ReadFrame()
+// nextFrame returns the nextFrame frame and a short text of it: "end" once the peer has closed, "reset" if the connection broke.
+func (c *http2Client) nextFrame() (word string, f http2.Frame) {
+	c.conn.SetReadDeadline(time.Now().Add(testTimeout))
+	f, err := c.framer.ReadFrame()
 	switch {
 	case errors.Is(err, io.EOF):
 		return "end", nil
@@ -182,7 +184,7 @@
 	}
 	switch f := f.(type) {
 	case *http2.HeadersFrame:
-		fields, err := c.dec.DecodeFull(f.HeaderBlockFragment())
+		fields, err := c.decoder.DecodeFull(f.HeaderBlockFragment())
 		require.NoError(c.t, err)
 		return fmt.Sprintf("head %d %s", f.StreamID, fields[0].Value), f
 	case *http2.DataFrame:
@@ -198,10 +200,10 @@
 }
 
 // readUntil reads up to a frame.
-func (c *caller) until(want string) {
+func (c *http2Client) readUntil(want string) {
 	c.t.Helper()
 	for {
-		word, _ := c.next()
+		word, _ := c.nextFrame()
 		if word == want {
 			return
 		}
@@ -211,18 +213,18 @@
 
 // readAnswers reads to the end and counts the bytes of each stream that had its complete answer. last is how the connection
 // ended.
-func (c *caller) answers() (whole map[uint32]int, last string) {
-	got := map[uint32]int{}
+func (c *http2Client) readAnswers() (whole map[uint32]int, last string) {
+	received := map[uint32]int{}
 	whole = map[uint32]int{}
 	for {
-		word, f := c.next()
+		word, f := c.nextFrame()
 		switch f := f.(type) {
 		case nil:
 			return whole, word
 		case *http2.DataFrame:
-			got[f.StreamID] += len(f.Data())
+			received[f.StreamID] += len(f.Data())
 			if f.StreamEnded() {
-				whole[f.StreamID] = got[f.StreamID]
+				whole[f.StreamID] = received[f.StreamID]
 			}
 		case *http2.HeadersFrame:
 			if f.StreamEnded() {
@@ -233,105 +235,105 @@
 }
 
 // waitOpenReqs waits until n requests are open.
-func (s *served) owes(t *testing.T, n int) {
+func (s *testServer) waitOpenReqs(t *testing.T, n int) {
 	t.Helper()
-	soon(t, fmt.Sprint(n, " reqs are owed an answer"), func() bool { return s.clients.Core.OpenReqs() == n })
+	eventually(t, fmt.Sprint(n, " reqs are owed an answer"), func() bool { return s.clients.Core.OpenReqs() == n })
 }
 
 // waitAbandoned waits until no request is open, and checks that the requests were abandoned rather than answered, at the latest
 // at their deadline, with nobody to read the answer.
-func (s *served) gone(t *testing.T) {
+func (s *testServer) waitAbandoned(t *testing.T) {
 	t.Helper()
-	s.owes(t, 0)
+	s.waitOpenReqs(t, 0)
 	n := s.count
 	assert.Zero(t, n.AnswersServed.Load()+n.AnswersRefused.Load()+n.AnswersFailed.Load(), "answered, not abandoned")
 }
 
 // checkNoSessions checks that nothing is left of the sessions.
-func (s *served) empty(t *testing.T) {
+func (s *testServer) checkNoSessions(t *testing.T) {
 	t.Helper()
-	soon(t, "no session", func() bool { return s.clients.OpenSessions() == 0 && len(s.streamsNow()) == 0 })
+	eventually(t, "no session", func() bool { return s.clients.OpenSessions() == 0 && len(s.sessions()) == 0 })
 	assert.Zero(t, s.clients.held.Load(), "bytes are held for nobody")
 }
 
 // blockWriter connects a client that has a request open and then reads nothing, so that the front's writer waits for it. What
 // the front writes is the reply to /counters, a megabyte.
-func (s *served) full(t *testing.T, out chan *core.Attempt) (*caller, *core.Attempt) {
-	c := phoneUp(t, s.listen(t, narrow), 4<<10)
-	c.post(1)
-	c.send()
-	a := came(t, "an attempt", out)
-	c.get(3, "/counters")
-	c.send()
-	c.until("head 3 200")
+func (s *testServer) blockWriter(t *testing.T, out chan *core.Attempt) (*http2Client, *core.Attempt) {
+	c := connectHTTP2(t, s.listenHTTP2(t, smallWriteBuffer), 4<<10)
+	c.appendPost(1)
+	c.flush()
+	a := receive(t, "an attempt", out)
+	c.appendGet(3, "/counters")
+	c.flush()
+	c.readUntil("head 3 200")
 	return c, a
 }
 
 // pausedWriter is the front's end of a connection whose first long write waits until resume is closed.
-type lateWriter struct {
+type pausedWriter struct {
 	*net.TCPConn
 	once    sync.Once
 	writing chan struct{}
-	goOn    chan struct{}
+	resume  chan struct{}
 }
 
-func (l *lateWriter) Write(b []byte) (int, error) {
+func (l *pausedWriter) Write(b []byte) (int, error) {
 	if len(b) > 32<<10 {
 		l.once.Do(func() {
 			close(l.writing)
-			<-l.goOn
+			<-l.resume
 		})
 	}
 	return l.TCPConn.Write(b)
 }
 
 // pauseWriter is like blockWriter, for a client that reads after all once resume is closed.
-func (s *served) late(t *testing.T, out chan *core.Attempt) (*caller, *core.Attempt, *lateWriter) {
-	l := &lateWriter{writing: make(chan struct{}), goOn: make(chan struct{})}
-	c := phoneUp(t, s.listen(t, func(conn *net.TCPConn) net.Conn {
+func (s *testServer) pauseWriter(t *testing.T, out chan *core.Attempt) (*http2Client, *core.Attempt, *pausedWriter) {
+	l := &pausedWriter{writing: make(chan struct{}), resume: make(chan struct{})}
+	c := connectHTTP2(t, s.listenHTTP2(t, func(conn *net.TCPConn) net.Conn {
 		l.TCPConn = conn
 		return l
 	}), 0)
-	c.post(1)
-	c.send()
-	a := came(t, "an attempt", out)
-	c.get(3, "/counters")
-	c.send()
-	came(t, "a long write", l.writing)
+	c.appendPost(1)
+	c.flush()
+	a := receive(t, "an attempt", out)
+	c.appendGet(3, "/counters")
+	c.flush()
+	receive(t, "a long write", l.writing)
 	return c, a, l
 }
 
 // startWithLongDeadlines starts a dispatcher whose requests have an hour, so that no deadline ends them in a test.
-func serveLong(t *testing.T, b core.Backends, change ...func(*Clients)) *served {
+func startWithLongDeadlines(t *testing.T, b core.Backends, change ...func(*Clients)) *testServer {
 	long := func(c *Clients) { c.Names.Limits, c.LongestDeadline = []time.Duration{time.Hour}, time.Hour }
-	return serveReal(t, b, append([]func(*Clients){long}, change...)...)
+	return startServer(t, b, append([]func(*Clients){long}, change...)...)
 }
 
-func serveFull(t *testing.T, b core.Backends, stall time.Duration) *served {
-	s := serveLong(t, b, func(c *Clients) {
+func startWithLongReply(t *testing.T, b core.Backends, stall time.Duration) *testServer {
+	s := startWithLongDeadlines(t, b, func(c *Clients) {
 		c.MaxBufferedBytes, c.Stats = 4<<20, func() string { return strings.Repeat("s", 1<<20) }
 	})
-	s.limits(func(l *HTTP2Limits) { l.StallTimeout = stall })
+	s.changeLimits(func(l *HTTP2Limits) { l.StallTimeout = stall })
 	return s
 }
 
 // heldDials is a pool of backends whose connections come up when the test says so.
-type dialing struct {
-	pool  *Pool
-	asked chan struct{}
-	goOn  chan struct{}
-	mu    sync.Mutex
-	got   int
+type heldDials struct {
+	pool    *Pool
+	started chan struct{}
+	goOn    chan struct{}
+	mu      sync.Mutex
+	got     int
 }
 
-func (d *dialing) bytes() int {
+func (d *heldDials) bytes() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.got
 }
 
-func newDialing(t *testing.T) *dialing {
-	d := &dialing{asked: make(chan struct{}, 16), goOn: make(chan struct{})}
+func newHeldDials(t *testing.T) *heldDials {
+	d := &heldDials{started: make(chan struct{}, 16), goOn: make(chan struct{})}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -358,7 +360,7 @@
 	}()
 	d.pool = &Pool{Names: &platform.Names{}, Count: &counters.Set{}, ConnectTimeout: time.Minute, IdleTimeout: time.Minute, MaxConnections: 9}
 	d.pool.Dial = func(context.Context, string) (net.Conn, error) {
-		d.asked <- struct{}{}
+		d.started <- struct{}{}
 		<-d.goOn
 		return net.Dial("tcp", l.Addr().String())
 	}
--- a/internal/network/http2_real_test.go
+++ b/internal/network/http2_real_test.go
@@ -29,32 +29,34 @@
 )
 
 // instantBackends serve every job at once, so that only what lies in front of the backends is measured or tested.
-type instant struct{ result string }
+type instantBackends struct{ result string }
 
-func (b instant) Send(a *core.Attempt) func() {
+func (b instantBackends) Send(a *core.Attempt) func() {
 	a.Started()
 	a.Ended(core.Served, b.result, nil)
 	return func() {}
 }
-func (instant) Probe(_ *core.Backend, done func(core.Ending, []float32)) { done(core.Served, nil) }
-func (instant) CloseIdle(*core.Backend)                                  {}
-func (instant) Subscribe()                                               {}
+func (instantBackends) Probe(_ *core.Backend, done func(core.Ending, []float32)) {
+	done(core.Served, nil)
+}
+func (instantBackends) CloseIdle(*core.Backend) {}
+func (instantBackends) Subscribe()              {}
 
 // testServer is a dispatcher with both fronts on real sockets.
-type served struct {
-	clients *Clients
-	http2   *HTTP2
-	count   *counters.Set
-	address [2]string // of HTTP/1.1 and HTTP/2
+type testServer struct {
+	clients   *Clients
+	http2     *HTTP2
+	count     *counters.Set
+	addresses [2]string // of HTTP/1.1 and HTTP/2
 }
 
-func serveReal(t testing.TB, backends core.Backends, change ...func(*Clients)) *served {
-	s := &served{count: &counters.Set{}}
+func startServer(t testing.TB, backends core.Backends, change ...func(*Clients)) *testServer {
+	s := &testServer{count: &counters.Set{}}
 	c, err := core.New(balance.Settings{Seed: 1, Instances: 1, Zones: 1, Kinds: 1, MaxAttempts: 5, TellsStart: true,
 		ConnectTimeout: 120, Tick: 0.01, MaxPause: 2000, Rules: balance.Rules{AnswerSlack: 8},
-		Classes: []balance.Class{{Worth: 1, Aim: 1000, Deadline: 5000, Kind: -1, Effect: balance.Safe}}}, backends, instant{}, s.count)
+		Classes: []balance.Class{{Worth: 1, Aim: 1000, Deadline: 5000, Kind: -1, Effect: balance.Safe}}}, backends, instantBackends{}, s.count)
 	require.NoError(t, err)
-	c.HandleList(balance.ListFull, list(balance.Ready, "s1", "s2"))
+	c.HandleList(balance.ListFull, newEntries(balance.Ready, "s1", "s2"))
 	stop := make(chan struct{})
 	go c.Run(stop)
 	names := &platform.Names{Classes: []string{"photo"}, Keyed: []bool{false}, Limits: []time.Duration{5 * time.Second}}
@@ -68,7 +70,7 @@
 	for i := range listeners {
 		listeners[i], err = net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		s.address[i] = listeners[i].Addr().String()
+		s.addresses[i] = listeners[i].Addr().String()
 	}
 	go s.clients.Serve(listeners[0])
 	go s.http2.Serve(listeners[1])
@@ -82,8 +84,8 @@
 
 // TestConformance runs the public cases of h2spec: RFC 9113 sections 3 to 8 (h2spec still uses its older number) and RFC 7541.
 func TestConformance(t *testing.T) {
-	s := serveReal(t, instant{"done"})
-	_, port, err := net.SplitHostPort(s.address[1])
+	s := startServer(t, instantBackends{"done"})
+	_, port, err := net.SplitHostPort(s.addresses[1])
 	require.NoError(t, err)
 	n, err := net.LookupPort("tcp", port)
 	require.NoError(t, err)
@@ -95,21 +97,21 @@
 	for _, g := range []*spec.TestGroup{generic.Spec(), spec2.Spec(), hpack.Spec()} {
 		g.Test(&config.Config{Host: "127.0.0.1", Port: n, Path: "/counters", Timeout: 5 * time.Second, MaxHeaderLen: 4000, Strict: true})
 		passed, failed, skipped = passed+g.PassedCount, failed+g.FailedCount, skipped+g.SkippedCount
-		complain(t, g)
+		reportFailures(t, g)
 	}
 	t.Logf("%d passed, %d failed, %d skipped", passed, failed, skipped)
 	assert.Zero(t, failed)
 	assert.Greater(t, passed, 140, "all cases were played")
 }
 
-func complain(t *testing.T, g *spec.TestGroup) {
+func reportFailures(t *testing.T, g *spec.TestGroup) {
 	for _, c := range append(g.Tests, g.StrictTests...) {
 		if c.Result != nil && c.Result.Failed {
 			t.Errorf("%s %s: %v", g.Section, c.Desc, c.Result.Error)
 		}
 	}
 	for _, sub := range g.Groups {
-		complain(t, sub)
+		reportFailures(t, sub)
 	}
 }
 
@@ -129,13 +131,13 @@
 }
 
 // answerChan is a core.Client that passes its answer on.
-type waiter chan core.Answer
+type answerChan chan core.Answer
 
-func (w waiter) Answer(a core.Answer) { w <- a }
+func (w answerChan) Answer(a core.Answer) { w <- a }
 
 // TestGoClient sends requests with Go's own client, many at once on one connection.
 func TestGoClient(t *testing.T) {
-	s := serveReal(t, instant{strings.Repeat("r", 40_000)})
+	s := startServer(t, instantBackends{strings.Repeat("r", 40_000)})
 	tr := &http.Transport{Protocols: new(http.Protocols)}
 	tr.Protocols.SetUnencryptedHTTP2(true)
 	defer tr.CloseIdleConnections()
@@ -143,7 +145,7 @@
 	var all sync.WaitGroup
 	for i := range 300 {
 		all.Go(func() {
-			r, err := http.NewRequest("POST", "http://"+s.address[1]+"/photo/1", strings.NewReader(strings.Repeat("b", 200*i+1)))
+			r, err := http.NewRequest("POST", "http://"+s.addresses[1]+"/photo/1", strings.NewReader(strings.Repeat("b", 200*i+1)))
 			if !assert.NoError(t, err) {
 				return
 			}
@@ -178,13 +180,13 @@
 		t.Skip("curl is not here; CI installs it")
 	}
 	require.NoError(t, err)
-	s := serveReal(t, instant{"done"})
+	s := startServer(t, instantBackends{"done"})
 	call := func(args ...string) string {
 		out, err := exec.Command(curl, append([]string{"-sS", "--max-time", "20", "--http2-prior-knowledge", "-w", " %{http_code} %{http_version}"}, args...)...).CombinedOutput()
 		require.NoError(t, err, string(out))
 		return string(out)
 	}
-	url := "http://" + s.address[1]
+	url := "http://" + s.addresses[1]
 	big := filepath.Join(t.TempDir(), "big")
 	require.NoError(t, os.WriteFile(big, make([]byte, 64<<10), 0o600))
 	assert.Equal(t, "done 200 2", call("-H", "X-Correlation-Id: c1", "-d", "photo", url+"/photo/1"))
@@ -200,7 +202,7 @@
 // TestShutdownUnderLoad: of all requests sent during a shutdown, those taken are answered, and a client that obeys GOAWAY has
 // to repeat none that was taken.
 func TestShutdownUnderLoad(t *testing.T) {
-	s := serveReal(t, instant{"done"}, func(c *Clients) { c.LongestDeadline = time.Millisecond }) // the shutdown waits for no load balancer
+	s := startServer(t, instantBackends{"done"}, func(c *Clients) { c.LongestDeadline = time.Millisecond }) // the shutdown waits for no load balancer
 	var all sync.WaitGroup
 	var asked, answered, untaken atomic.Int64
 	begin, stop := make(chan struct{}), make(chan struct{})
@@ -218,7 +220,7 @@
 						return
 					default:
 					}
-					r, err := http.NewRequest("POST", "http://"+s.address[1]+"/photo/1", strings.NewReader("b"))
+					r, err := http.NewRequest("POST", "http://"+s.addresses[1]+"/photo/1", strings.NewReader("b"))
 					if !assert.NoError(t, err) {
 						return
 					}
--- a/internal/network/http2_slow_test.go
+++ b/internal/network/http2_slow_test.go
@@ -16,61 +16,61 @@
 
 // TestHTTP2AnswerSentBeforeClientError: an answer that was decided before a client's error is read is sent with what was written
 // before, although the writer waited for that client.
-func TestHTTP2DecidedThenBad(t *testing.T) {
-	h := newHolding()
-	s := serveFull(t, h, time.Hour)
-	c, a, l := s.late(t, h.out)
+func TestHTTP2AnswerSentBeforeClientError(t *testing.T) {
+	h := newHoldingBackends()
+	s := startWithLongReply(t, h, time.Hour)
+	c, a, l := s.pauseWriter(t, h.attempts)
 	a.Ended(core.Served, "decided", nil)
-	f := s.streamsNow()[0]
-	soon(t, "the answer in the mail", func() bool {
+	f := s.sessions()[0]
+	eventually(t, "the answer in the mail", func() bool {
 		f.mail.Lock()
 		defer f.mail.Unlock()
 		return len(f.mail.list) == 1
 	})
-	c.bad()
-	c.send()
-	soon(t, "the error is read", func() bool {
+	c.appendInvalid()
+	c.flush()
+	eventually(t, "the error is read", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return f.over
 	})
-	close(l.goOn)
-	whole, last := c.answers()
+	close(l.resume)
+	whole, last := c.readAnswers()
 	assert.Equal(t, len("decided"), whole[1], "bytes of the answer")
 	assert.Equal(t, "end", last)
 	c.conn.Close()
-	s.empty(t)
+	s.checkNoSessions(t)
 	assert.Equal(t, int64(1), s.count.Endings[core.ClientBad].Load())
 }
 
 // TestHTTP2UnreadAnswers: answers for a client that reads nothing count, from the core on, among the bytes buffered for all
 // clients, and are bounded for one connection.
 func TestHTTP2UnreadAnswers(t *testing.T) {
-	h := newHolding()
-	s := serveFull(t, h, time.Hour)
-	c, a, l := s.late(t, h.out)
+	h := newHoldingBackends()
+	s := startWithLongReply(t, h, time.Hour)
+	c, a, l := s.pauseWriter(t, h.attempts)
 	a.Ended(core.Served, "", nil)
-	s.owes(t, 0)
+	s.waitOpenReqs(t, 0)
 	const reqs, size = 20, 100 << 10
 	var out []*core.Attempt
 	for i := range uint32(reqs) {
-		c.post(5 + 2*i)
+		c.appendPost(5 + 2*i)
 	}
-	c.send()
+	c.flush()
 	for range reqs {
-		out = append(out, came(t, "an attempt", h.out))
+		out = append(out, receive(t, "an attempt", h.attempts))
 	}
-	s.owes(t, reqs)
+	s.waitOpenReqs(t, reqs)
 	for _, a := range out {
 		a.Ended(core.Served, strings.Repeat("r", size), nil)
 	}
-	s.owes(t, 0)
+	s.waitOpenReqs(t, 0)
 	fit := s.clients.MaxBufferedBytes / 4 / size
-	soon(t, "the answers are held", func() bool { return s.clients.held.Load() == 1<<20+fit*size })
-	close(l.goOn)
+	eventually(t, "the answers are held", func() bool { return s.clients.held.Load() == 1<<20+fit*size })
+	close(l.resume)
 	whole, reset := map[uint32]bool{}, 0
 	for len(whole)+reset < reqs+2 {
-		switch word, f := c.next(); f := f.(type) {
+		switch word, f := c.nextFrame(); f := f.(type) {
 		case *http2.DataFrame:
 			if f.StreamEnded() {
 				whole[f.StreamID] = true
@@ -89,58 +89,58 @@
 	assert.GreaterOrEqual(t, reset, reqs-int(fit))
 	assert.Equal(t, int64(reset), s.count.HTTP2Abuse[ours.Unread].Load())
 	c.conn.Close()
-	s.empty(t)
+	s.checkNoSessions(t)
 }
 
 // TestHTTP2CloseWithUnreadAnswers: nothing stays reserved for a client that closed while its answers waited.
-func TestHTTP2UnreadThenGone(t *testing.T) {
-	h := newHolding()
-	s := serveFull(t, h, time.Hour)
-	c, a, l := s.late(t, h.out)
+func TestHTTP2CloseWithUnreadAnswers(t *testing.T) {
+	h := newHoldingBackends()
+	s := startWithLongReply(t, h, time.Hour)
+	c, a, l := s.pauseWriter(t, h.attempts)
 	a.Ended(core.Served, strings.Repeat("r", 100<<10), nil)
-	soon(t, "the answer is held", func() bool { return s.clients.held.Load() == 1<<20+100<<10 })
+	eventually(t, "the answer is held", func() bool { return s.clients.held.Load() == 1<<20+100<<10 })
 	c.conn.Close()
-	s.empty(t) // the writer still waits
-	close(l.goOn)
+	s.checkNoSessions(t) // the writer still waits
+	close(l.resume)
 }
 
 // TestHTTP2StalledWrite: a connection whose client takes no byte is ended and counted as the client's fault, not as one that
 // the client closed.
-func TestHTTP2Stalled(t *testing.T) {
-	h := newHolding()
-	s := serveFull(t, h, 50*time.Millisecond)
-	c := phoneUp(t, s.listen(t, narrow), 64<<10)
-	c.post(1)
-	c.send()
-	came(t, "an attempt", h.out)
-	c.get(3, "/counters")
-	c.send()
-	s.gone(t)
-	s.empty(t)
+func TestHTTP2StalledWrite(t *testing.T) {
+	h := newHoldingBackends()
+	s := startWithLongReply(t, h, 50*time.Millisecond)
+	c := connectHTTP2(t, s.listenHTTP2(t, smallWriteBuffer), 64<<10)
+	c.appendPost(1)
+	c.flush()
+	receive(t, "an attempt", h.attempts)
+	c.appendGet(3, "/counters")
+	c.flush()
+	s.waitAbandoned(t)
+	s.checkNoSessions(t)
 	assert.Equal(t, int64(1), s.count.Endings[core.ClientBad].Load())
 	assert.Zero(t, s.count.Endings[core.ClientClosed].Load())
 	assert.Equal(t, int64(1), s.count.HTTP2Abuse[ours.Stalled].Load())
 }
 
 // TestHTTP2StalledClientDoesNotBlockOthers: while one client reads nothing, another is served.
-func TestHTTP2BesideOthers(t *testing.T) {
-	h := newHolding()
-	s := serveFull(t, h, time.Hour)
-	s.full(t, h.out)
-	c := phoneUp(t, s.address[1], 0)
+func TestHTTP2StalledClientDoesNotBlockOthers(t *testing.T) {
+	h := newHoldingBackends()
+	s := startWithLongReply(t, h, time.Hour)
+	s.blockWriter(t, h.attempts)
+	c := connectHTTP2(t, s.addresses[1], 0)
 	for i := range uint32(50) {
-		c.post(1 + 2*i)
-		c.send()
-		came(t, "an attempt", h.out).Ended(core.Served, "r", nil)
-		for word := ""; word != "data "+fmt.Sprint(1+2*i); word, _ = c.next() {
+		c.appendPost(1 + 2*i)
+		c.flush()
+		receive(t, "an attempt", h.attempts).Ended(core.Served, "r", nil)
+		for word := ""; word != "data "+fmt.Sprint(1+2*i); word, _ = c.nextFrame() {
 			assert.NotContains(t, []string{"end", "reset"}, word)
 		}
 	}
 }
 
 // TestHTTP2RejectedUnread: a client that there is no descriptor for reads the reason, although what it sent is not handled.
-func TestHTTP2TurnedAway(t *testing.T) {
-	s := serveLong(t, newHolding(), func(c *Clients) { c.MaxSessions = 1 })
+func TestHTTP2RejectedUnread(t *testing.T) {
+	s := startWithLongDeadlines(t, newHoldingBackends(), func(c *Clients) { c.MaxSessions = 1 })
 	for range s.clients.MaxSessions + excessMost { // sessions with a pending answer
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
@@ -149,19 +149,19 @@
 		s.clients.table.taken(busy)
 	}
 	sent := make(chan struct{})
-	c := connect(t, s.listen(t, func(conn *net.TCPConn) net.Conn {
+	c := dialHTTP2(t, s.listenHTTP2(t, func(conn *net.TCPConn) net.Conn {
 		<-sent
 		return conn
 	}), 0)
-	c.hello()
-	c.post(1)
-	c.send()
+	c.appendPreface()
+	c.appendPost(1)
+	c.flush()
 	close(sent)
-	c.until("goaway 0 ENHANCE_YOUR_CALM")
-	word, _ := c.next()
+	c.readUntil("goaway 0 ENHANCE_YOUR_CALM")
+	word, _ := c.nextFrame()
 	assert.Equal(t, "end", word)
 	c.conn.Close()
-	soon(t, "it is gone", func() bool { return s.clients.turned.Load() == 0 })
+	eventually(t, "it is gone", func() bool { return s.clients.turned.Load() == 0 })
 	assert.Equal(t, int64(1), s.count.Endings[core.SessionShed].Load())
 	assert.Equal(t, s.clients.MaxSessions+excessMost, s.clients.OpenSessions())
 	assert.Zero(t, s.count.ReqsTaken.Load())
--- a/internal/network/http2_stop_test.go
+++ b/internal/network/http2_stop_test.go
@@ -15,28 +15,28 @@
 )
 
 // ackDrainPing acknowledges the PING that goes with the first GOAWAY.
-func (c *caller) mark() { c.fr.WritePing(true, [8]byte{0x74, 0x61, 0x69, 0x6c}) }
+func (c *http2Client) ackDrainPing() { c.framer.WritePing(true, [8]byte{0x74, 0x61, 0x69, 0x6c}) }
 
 // TestHTTP2DrainBeforePreface: a client that has connected, and whose first bytes are still on their way when the shutdown
 // begins, is told to drain as others are, and what it sent is answered.
-func TestHTTP2HintBeforeHello(t *testing.T) {
+func TestHTTP2DrainBeforePreface(t *testing.T) {
 	for _, early := range []int{0, 10, len(http2.ClientPreface)} { // bytes that arrive before the shutdown
 		t.Run(fmt.Sprint(early), func(t *testing.T) {
 			t.Parallel()
-			h := newHolding()
-			s := serveLong(t, h)
-			c := connect(t, s.address[1], 0)
-			c.hello()
-			c.post(1)
+			h := newHoldingBackends()
+			s := startWithLongDeadlines(t, h)
+			c := dialHTTP2(t, s.addresses[1], 0)
+			c.appendPreface()
+			c.appendPost(1)
 			all := append([]byte(nil), c.out.Bytes()...)
 			c.out.Reset()
 			c.out.Write(all[:early])
-			c.send()
-			soon(t, "it is accepted, and has sent so much", func() bool {
-				if len(s.streamsNow()) == 0 {
+			c.flush()
+			eventually(t, "it is accepted, and has sent so much", func() bool {
+				if len(s.sessions()) == 0 {
 					return false
 				}
-				f := s.streamsNow()[0]
+				f := s.sessions()[0]
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				return early == 0 || f.m.Partial() && f.shedRank == half
@@ -44,32 +44,32 @@
 			end := NewService(s.clients, s.http2)
 			end.BeginShutdown()
 			c.out.Write(all[early:])
-			c.send()
-			c.until("goaway 2147483647 NO_ERROR")
-			c.until("ping")
-			c.mark()
-			c.send()
-			c.until("goaway 1 NO_ERROR")
-			came(t, "an attempt", h.out).Ended(core.Served, "r", nil)
-			whole, last := c.answers()
+			c.flush()
+			c.readUntil("goaway 2147483647 NO_ERROR")
+			c.readUntil("ping")
+			c.ackDrainPing()
+			c.flush()
+			c.readUntil("goaway 1 NO_ERROR")
+			receive(t, "an attempt", h.attempts).Ended(core.Served, "r", nil)
+			whole, last := c.readAnswers()
 			assert.Equal(t, map[uint32]int{1: 1}, whole)
 			assert.Equal(t, "end", last)
 			c.conn.Close()
-			came(t, "the process's end", end.Ended())
-			s.empty(t)
+			receive(t, "the process's end", end.Ended())
+			s.checkNoSessions(t)
 		})
 	}
 }
 
 // TestHTTP2StreamsDuringShutdown: new streams, both GOAWAYs and the shutdown at the same time. Streams up to the last one named
 // by GOAWAY are answered in full, and later ones are never sent to a backend.
-func TestHTTP2StopAtOnce(t *testing.T) {
+func TestHTTP2StreamsDuringShutdown(t *testing.T) {
 	for round := range 20 {
-		h := newHolding()
-		s := serveLong(t, h)
-		s.limits(func(l *HTTP2Limits) { l.DrainTimeout = time.Hour }) // only the client's acknowledgement brings the second GOAWAY
-		c := phoneUp(t, s.address[1], 0)
-		c.until("settings")
+		h := newHoldingBackends()
+		s := startWithLongDeadlines(t, h)
+		s.changeLimits(func(l *HTTP2Limits) { l.DrainTimeout = time.Hour }) // only the client's acknowledgement brings the second GOAWAY
+		c := connectHTTP2(t, s.addresses[1], 0)
+		c.readUntil("settings")
 		begin := make(chan struct{})
 		var all sync.WaitGroup
 		end := NewService(s.clients, s.http2)
@@ -77,11 +77,11 @@
 		all.Go(func() {
 			<-begin
 			for i := range uint32(8) {
-				c.post(1 + 2*i)
+				c.appendPost(1 + 2*i)
 				if i == 3 {
-					c.fr.WriteGoAway(0, http2.ErrCodeNo, nil)
+					c.framer.WriteGoAway(0, http2.ErrCodeNo, nil)
 				}
-				c.send()
+				c.flush()
 			}
 		})
 		close(begin)
@@ -89,11 +89,11 @@
 		last := uint32(0)
 		for word := ""; last == 0; {
 			var f http2.Frame
-			switch word, f = c.next(); f := f.(type) {
+			switch word, f = c.nextFrame(); f := f.(type) {
 			case *http2.PingFrame:
-				c.mark()
-				c.post(17) // may or may not cross the second GOAWAY
-				c.send()
+				c.ackDrainPing()
+				c.appendPost(17) // may or may not cross the second GOAWAY
+				c.flush()
 			case *http2.GoAwayFrame:
 				if f.LastStreamID < 1<<31-1 {
 					last = f.LastStreamID
@@ -102,39 +102,39 @@
 				t.Fatal("round ", round, ": ", word)
 			}
 		}
-		c.post(last + 2)
-		c.post(last + 20)
-		c.fr.WritePing(false, [8]byte{1})
-		c.send()
-		c.until("ping") // all of it has been read
+		c.appendPost(last + 2)
+		c.appendPost(last + 20)
+		c.framer.WritePing(false, [8]byte{1})
+		c.flush()
+		c.readUntil("ping") // all of it has been read
 		reqs := int(last+1) / 2
 		assert.Equal(t, reqs, s.clients.Core.OpenReqs(), "round %d: taken, the last stream being %d", round, last)
 		go func() {
 			for range reqs {
-				(<-h.out).Ended(core.Served, "r", nil)
+				(<-h.attempts).Ended(core.Served, "r", nil)
 			}
 		}()
-		whole, how := c.answers()
+		whole, how := c.readAnswers()
 		assert.Len(t, whole, reqs, "round %d", round)
 		assert.Equal(t, "end", how)
 		c.conn.Close()
-		s.empty(t)
-		assert.Empty(t, h.out, "sent on beyond the last stream")
+		s.checkNoSessions(t)
+		assert.Empty(t, h.attempts, "sent on beyond the last stream")
 	}
 }
 
 // TestHTTP2ShutdownWaitsForUnreadAnswer: the process does not end while an answer is decided and its client has yet to read it.
-func TestHTTP2StopWhileUnread(t *testing.T) {
+func TestHTTP2ShutdownWaitsForUnreadAnswer(t *testing.T) {
 	t.Parallel()
-	h := newHolding()
-	s := serveFull(t, h, time.Hour)
-	c, a, l := s.late(t, h.out)
+	h := newHoldingBackends()
+	s := startWithLongReply(t, h, time.Hour)
+	c, a, l := s.pauseWriter(t, h.attempts)
 	end := NewService(s.clients, s.http2)
 	end.BeginShutdown()
 	a.Ended(core.Served, "decided", nil)
-	s.owes(t, 0)
+	s.waitOpenReqs(t, 0)
 	// No request is open any more, and the shutdown has begun to close sessions.
-	soon(t, "the shutdown closes sessions", func() bool { return s.clients.told().CloseAfterAnswer })
+	eventually(t, "the shutdown closes sessions", func() bool { return s.clients.told().CloseAfterAnswer })
 	for range 2 * 5 { // more updates than the end would take without a session
 		end.look()
 		select {
@@ -143,12 +143,12 @@
 		default:
 		}
 	}
-	close(l.goOn)
+	close(l.resume)
 	for {
-		word, _ := c.next()
+		word, _ := c.nextFrame()
 		if word == "ping" {
-			c.mark()
-			c.send()
+			c.ackDrainPing()
+			c.flush()
 		} else if word == "data 1" {
 			break
 		}
@@ -157,39 +157,39 @@
 		}
 	}
 	c.conn.Close()
-	came(t, "the process's end", end.Ended())
+	receive(t, "the process's end", end.Ended())
 }
 
 // heldRead is the front's end of a connection on which a test holds a read that returned bytes.
 type heldRead struct {
 	*net.TCPConn
-	read  func()
-	quiet func() // the next read is to wait without limit
+	onRead       func()
+	onNoDeadline func() // the next read is to wait without limit
 }
 
 func (h *heldRead) Read(b []byte) (int, error) {
 	n, err := h.TCPConn.Read(b)
 	if n > 0 {
-		h.read()
+		h.onRead()
 	}
 	return n, err
 }
 
 func (h *heldRead) SetReadDeadline(t time.Time) error {
 	if t.IsZero() {
-		h.quiet()
+		h.onNoDeadline()
 	}
 	return h.TCPConn.SetReadDeadline(t)
 }
 
 // TestHTTP2ReqDuringShed: a request that is read just as its idle session is shed is answered, the client is told to close, and
 // the session does not poll meanwhile.
-func TestHTTP2ShedAsReqComes(t *testing.T) {
-	h := newHolding()
-	s := serveLong(t, h)
+func TestHTTP2ReqDuringShed(t *testing.T) {
+	h := newHoldingBackends()
+	s := startWithLongDeadlines(t, h)
 	var hold, shed atomic.Bool
 	came1, goOn, quiet := make(chan struct{}), make(chan struct{}), make(chan struct{}, 100)
-	address := s.listen(t, func(conn *net.TCPConn) net.Conn {
+	address := s.listenHTTP2(t, func(conn *net.TCPConn) net.Conn {
 		return &heldRead{conn, func() {
 			if hold.CompareAndSwap(true, false) {
 				close(came1)
@@ -201,32 +201,32 @@
 			}
 		}}
 	})
-	c := phoneUp(t, address, 0)
-	c.post(1)
-	c.send()
-	came(t, "an attempt", h.out).Ended(core.Served, "r", nil)
-	c.until("data 1")
-	soon(t, "the session rests", func() bool {
-		f := s.streamsNow()[0]
+	c := connectHTTP2(t, address, 0)
+	c.appendPost(1)
+	c.flush()
+	receive(t, "an attempt", h.attempts).Ended(core.Served, "r", nil)
+	c.readUntil("data 1")
+	eventually(t, "the session rests", func() bool {
+		f := s.sessions()[0]
 		s.clients.table.mu.Lock()
 		defer s.clients.table.mu.Unlock()
 		return f.shedRank == resting
 	})
 	hold.Store(true)
-	c.post(3)
-	c.send()
-	came(t, "the req's bytes", came1)
+	c.appendPost(3)
+	c.flush()
+	receive(t, "the req's bytes", came1)
 	s.clients.Resize(DescriptorLimits{}) // no idle session may stay
 	shed.Store(true)
 	close(goOn)
-	a := came(t, "an attempt", h.out)
-	c.until("goaway 3 NO_ERROR")
-	came(t, "a read that waits for bytes alone", quiet)
+	a := receive(t, "an attempt", h.attempts)
+	c.readUntil("goaway 3 NO_ERROR")
+	receive(t, "a read that waits for bytes alone", quiet)
 	a.Ended(core.Served, "r", nil)
-	whole, last := c.answers()
+	whole, last := c.readAnswers()
 	assert.Equal(t, map[uint32]int{3: 1}, whole)
 	assert.Equal(t, "end", last)
 	c.conn.Close()
-	s.empty(t)
+	s.checkNoSessions(t)
 	assert.Equal(t, int64(1), s.count.Endings[core.SessionShed].Load())
 }
--- a/internal/network/http2_test.go
+++ b/internal/network/http2_test.go
@@ -14,7 +14,7 @@
 )
 
 // helloScript begins a connection of an HTTP/2 client.
-const hello = `
+const helloScript = `
 	h1 send {hello}{ack}
 	h1 expect settings
 	h1 expect window 0 1
@@ -23,7 +23,7 @@
 
 func TestHTTP2(t *testing.T) {
 	for name, text := range map[string]string{
-		"many reqs on one connection, by both fronts": hello + `
+		"many reqs on one connection, by both fronts": helloScript + `
 			h1 send {post 1 x}{data 1 e photo}
 			s1/1 expect POST /ingest r1 k1 2000 photo
 			h1 send {post 3 e}
@@ -38,16 +38,16 @@
 			h1 expect data 1 a end
 			s1/3 send {started 9b}{done 9b c}
 			c1 expect 200 c`,
-		"a refusal says when to come back": hello + `
+		"a refusal says when to come back": helloScript + `
 			s1 close
 			h1 send {post 1 e}
 			h1 expect head 1 503 retry-after=0.120 end`,
-		"a failure": hello + `
+		"a failure": helloScript + `
 			h1 send {post 1 e}
 			s1/1 send {started r1}{failed r1}
 			h1 expect head 1 502 end
 			s1/1 expect POST /ingest r1 k1 2000`,
-		"a reset after the job has started calls it off and frees its place": hello + `
+		"a reset after the job has started calls it off and frees its place": helloScript + `
 			h1 send {post 1 e}
 			s1/1 expect POST /ingest r1 k1 2000
 			s1/1 send {started r1}
@@ -57,10 +57,10 @@
 			s1/2 expect POST /ingest r3 k3 2000
 			h1 send {post 5 e}{post 7 e}{post 9 e}
 			h1 expect nothing`,
-		"more streams than announced": hello + `
+		"more streams than announced": helloScript + `
 			h1 send {post 1 x}{post 3 x}{post 5 x}{post 7 x}{post 9 x}
 			h1 expect rst 9 REFUSED_STREAM`,
-		"a body whose time is up": hello + `
+		"a body whose time is up": helloScript + `
 			h1 send {post 1 x}{data 1 x ab}
 			wait 2490ms
 			h1 expect nothing
@@ -68,7 +68,7 @@
 			h1 expect head 1 408 end
 			h1 expect rst 1 NO_ERROR
 			s1/1 expect no connection`,
-		"the fields are judged as HTTP/1.1's are": hello + `
+		"the fields are judged as HTTP/1.1's are": helloScript + `
 			h1 send {head 1 e :method=POST :scheme=http :path=/ingest}
 			h1 expect head 1 400
 			h1 expect data 1 400: a bad X-Correlation-Id or Idempotency-Key\n end
@@ -88,7 +88,7 @@
 			h1 send {head 13 e :method=GET :scheme=http :path=/counters}
 			h1 expect head 13 200
 			h1 expect data 13 counters end`,
-		"an id that the other front has in use": hello + `
+		"an id that the other front has in use": helloScript + `
 			c1 send {req r1 x}
 			h1 send {post 1 e}
 			h1 expect head 1 409
@@ -107,27 +107,27 @@
 			h1 send {text GET / HTTP/1.1\r\n}
 			h1 expect HTTP/1.1 505 HTTP Version Not Supported
 			h1 expect closed`,
-		"idle for too long": hello + `
+		"idle for too long": helloScript + `
 			wait 179s
 			h1 expect nothing
 			wait 1010ms
 			h1 expect goaway 0 NO_ERROR
 			h1 expect closed`,
-		"bodies beyond what may be held": hello + `
+		"bodies beyond what may be held": helloScript + `
 			h1 send {post 1 x content-length=6000}{post 3 x content-length=6000}
 			h1 expect rst 3 REFUSED_STREAM
 			h1 send {rst 1}{post 5 x content-length=6000}
 			h1 expect nothing`,
 	} {
-		t.Run(name, func(t *testing.T) { run(t, list(balance.Ready, "s1"), 9, text) })
+		t.Run(name, func(t *testing.T) { runScenario(t, newEntries(balance.Ready, "s1"), 9, text) })
 	}
 }
 
 // TestHTTP2ResetLetsJobFinish: where a reset does not cancel a job, its stream slot stays taken until the job ends.
-func TestHTTP2Finish(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 9, func(w *world) {
+func TestHTTP2ResetLetsJobFinish(t *testing.T) {
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, func(w *fixture) {
 		w.http2.SetLimits(HTTP2Limits{MaxStreams: 1, MaxHeaderBytes: 4096, MaxFrameBytes: 16384, StallTimeout: time.Second, DrainTimeout: time.Second})
-	}, hello+`
+	}, helloScript+`
 		h1 send {post 1 e}
 		s1/1 expect POST /ingest r1 k1 2000
 		s1/1 send {started r1}
@@ -139,11 +139,11 @@
 		s1/1 send {started r5}{done r5 b}
 		h1 expect head 5 200
 		h1 expect data 5 b end`,
-		func(w *world) { assert.Equal(t, int64(1), w.count.Endings[core.StreamReset].Load()) })
+		func(w *fixture) { assert.Equal(t, int64(1), w.count.Endings[core.StreamReset].Load()) })
 }
 
-// hundredPosts opens a hundred streams at once, the first numbered 1.
-func hundred() string {
+// hundredPosts opens a hundredPosts streams at once, the first numbered 1.
+func hundredPosts() string {
 	var b strings.Builder
 	for i := range 100 {
 		fmt.Fprintf(&b, "{post %d e}", 2*i+1)
@@ -151,32 +151,32 @@
 	return b.String()
 }
 
-func wide(w *world) {
+func allowManyStreams(w *fixture) {
 	w.http2.SetLimits(HTTP2Limits{MaxStreams: 200, MaxHeaderBytes: 4096, MaxFrameBytes: 16384, StallTimeout: 5 * time.Second, DrainTimeout: 300 * time.Millisecond, CancelOnReset: true})
 	w.pool.MaxConnections = 200
 }
 
 // heavyBackend is a backend that the dispatch module lets run a hundred jobs at once.
-func strong() []core.Entry {
-	l := list(balance.Ready, "s1")
+func heavyBackend() []core.Entry {
+	l := newEntries(balance.Ready, "s1")
 	l[0].Weight = 400
 	return l
 }
 
 // TestHTTP2ConnectionLost: a connection that breaks with a hundred streams running leaves nothing behind.
-func TestHTTP2Killed(t *testing.T) {
-	run(t, strong(), 9, wide, hello+"h1 send "+hundred(),
-		func(w *world) {
+func TestHTTP2ConnectionLost(t *testing.T) {
+	runScenario(t, heavyBackend(), 9, allowManyStreams, helloScript+"h1 send "+hundredPosts(),
+		func(w *fixture) {
 			assert.Equal(t, 100, w.core.OpenReqs())
 			assert.Equal(t, int64(100), w.count.Attempts.Load())
 		}, "h1 close",
-		func(w *world) {
+		func(w *fixture) {
 			assert.Zero(t, w.core.OpenReqs())
 			assert.Equal(t, int64(100), w.count.Endings[core.Withdrawn].Load())
 			for k := range 100 {
 				p := w.peers[fmt.Sprintf("s1/%d", k+1)]
-				assert.Regexp(t, "^POST /ingest r", p.next(false))
-				assert.Equal(t, "closed", p.next(false))
+				assert.Regexp(t, "^POST /ingest r", p.nextMessage(false))
+				assert.Equal(t, "closed", p.nextMessage(false))
 			}
 			assert.Zero(t, w.clients.held.Load())
 		})
@@ -184,15 +184,15 @@
 
 // TestHTTP2ClosedWindow: a client that keeps its window closed while a hundred answers wait loses its own streams after the
 // stall timeout, and another client is not affected.
-func TestHTTP2Shut(t *testing.T) {
-	run(t, strong(), 300, wide, `
+func TestHTTP2ClosedWindow(t *testing.T) {
+	runScenario(t, heavyBackend(), 300, allowManyStreams, `
 		c1 send {req 9b x}
 		s1/1 expect POST /ingest?v=1 9b k9b 2000 x
-		s1/1 send {started 9b}`, hello+"h1 send {set 4 0}\nh1 expect ack\nh1 send "+hundred(),
-		func(w *world) {
+		s1/1 send {started 9b}`, helloScript+"h1 send {set 4 0}\nh1 expect ack\nh1 send "+hundredPosts(),
+		func(w *fixture) {
 			for k := range 100 { // which request went out on which connection is random
 				conn := fmt.Sprintf("s1/%d", k+2)
-				id := strings.Fields(w.peers[conn].next(false))[2]
+				id := strings.Fields(w.peers[conn].nextMessage(false))[2]
 				w.play(fmt.Sprintf("%s send {started %s}{done %s small}", conn, id, id))
 			}
 		}, `
@@ -200,15 +200,15 @@
 		s1/1 send {done 9b r}
 		c1 expect 200 r
 		wait 3990ms`,
-		func(w *world) {
+		func(w *fixture) {
 			for range 100 {
-				assert.Regexp(t, "^head .* 200$", w.peers["h1"].word())
+				assert.Regexp(t, "^head .* 200$", w.peers["h1"].nextFrame())
 			}
-			assert.Equal(t, "nothing", w.peers["h1"].word())
+			assert.Equal(t, "nothing", w.peers["h1"].nextFrame())
 		}, "wait 20ms",
-		func(w *world) {
+		func(w *fixture) {
 			for range 100 {
-				assert.Regexp(t, "^rst .* CANCEL$", w.peers["h1"].word())
+				assert.Regexp(t, "^rst .* CANCEL$", w.peers["h1"].nextFrame())
 			}
 			assert.Equal(t, int64(100), w.count.HTTP2Abuse[http2.Stalled].Load())
 			assert.Zero(t, w.clients.held.Load())
@@ -223,10 +223,10 @@
 // and the shutdown ends as soon as everything is answered.
 func TestHTTP2Drain(t *testing.T) {
 	ended := false
-	run(t, list(balance.Ready, "s1"), 9, hello+`
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, helloScript+`
 		h1 send {post 1 e}
 		s1/1 expect POST /ingest r1 k1 2000`,
-		func(w *world) {
+		func(w *fixture) {
 			go func() {
 				w.service.BeginShutdown()
 				<-w.service.Ended()
@@ -261,7 +261,7 @@
 		h2 expect data 1 late end
 		h2 expect closed
 		wait 5s`,
-		func(w *world) {
+		func(w *fixture) {
 			assert.True(t, ended)
 			assert.Zero(t, w.core.OpenReqs())
 			assert.Zero(t, w.clients.table.count)
@@ -271,10 +271,10 @@
 // TestHTTP2OutOfService: taking the dispatcher out of service also drains this front's connections, and loses none of their
 // streams. Back in service, the dispatcher keeps new connections open.
 func TestHTTP2OutOfService(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 9, hello+`
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, helloScript+`
 		h1 send {post 1 e}
 		s1/1 expect POST /ingest r1 k1 2000`,
-		func(w *world) { w.service.TakeOutOfService() }, `
+		func(w *fixture) { w.service.TakeOutOfService() }, `
 		h1 expect goaway open NO_ERROR
 		h1 expect ping
 		h1 send {ping 0x7461696c ack}
@@ -284,7 +284,7 @@
 		h1 expect data 1 a end
 		h1 expect closed
 		wait 5s`,
-		func(w *world) { assert.True(t, w.service.ReturnToService()) }, `
+		func(w *fixture) { assert.True(t, w.service.ReturnToService()) }, `
 		h2 send {hello}{head 1 e :method=POST :scheme=http :path=/ingest x-correlation-id=r7 idempotency-key=k7}
 		h2 expect settings
 		h2 expect window 0 1
@@ -298,8 +298,8 @@
 
 // TestHTTP2SessionLimit: idle connections of this front are closed for clients of the other. Where all are busy, streams are
 // refused unprocessed.
-func TestHTTP2Budget(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 1, func(w *world) { w.pool.MaxConnections = 9 }, hello+`
+func TestHTTP2SessionLimit(t *testing.T) {
+	runScenario(t, newEntries(balance.Ready, "s1"), 1, func(w *fixture) { w.pool.MaxConnections = 9 }, helloScript+`
 		h1 send {post 1 e}
 		s1/1 expect POST /ingest r1 k1 2000
 		s1/1 send {started r1}{done r1 a}
@@ -317,7 +317,7 @@
 		h2 expect rst 1 REFUSED_STREAM
 		s1/1 send {started 9b}{done 9b r}
 		c1 expect 200 r`)
-	run(t, list(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *world) {
+	runScenario(t, newEntries(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *fixture) {
 		for i := range excessMost {
 			w.play(fmt.Sprintf("cx%d send", i))
 		}
--- a/internal/network/linger_crossing_test.go
+++ b/internal/network/linger_crossing_test.go
@@ -16,28 +16,28 @@
 )
 
 // halfClosablePipe is a pipe with a CloseWrite that has no effect: the far side is not told.
-type halved struct{ net.Conn }
+type halfClosablePipe struct{ net.Conn }
 
-func (halved) CloseWrite() error { return nil }
+func (halfClosablePipe) CloseWrite() error { return nil }
 
 // connectClient connects a client whose session can linger, and returns the client's end.
-func (w *world) come(name string) net.Conn {
+func (w *fixture) connectClient(name string) net.Conn {
 	w.mu.Lock() // the dispatcher may be dialing meanwhile
-	near := w.pipe(name)
+	near := w.newPeer(name)
 	w.mu.Unlock()
-	go w.clients.admit(halved{near})
+	go w.clients.admit(halfClosablePipe{near})
 	synctest.Wait()
 	return w.peer(name).conn
 }
 
-func (w *world) peer(name string) *peer {
+func (w *fixture) peer(name string) *peer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.peers[name]
 }
 
 // clientWrite writes as a client; the dispatcher must read it.
-func (w *world) says(c net.Conn, text string) {
+func (w *fixture) clientWrite(c net.Conn, text string) {
 	require.NoError(w.t, c.SetWriteDeadline(time.Now().Add(time.Minute)))
 	_, err := io.WriteString(c, text)
 	assert.NoError(w.t, err, "reset while its bytes come")
@@ -45,15 +45,15 @@
 }
 
 // isOpen reports whether a client's connection is still read.
-func (w *world) lives(name string) bool {
+func (w *fixture) isOpen(name string) bool {
 	p := w.peer(name)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.over
+	return !p.closed
 }
 
 // connectSilent connects clients from (included) to to (excluded) that send nothing.
-func (w *world) crowd(from, to int) {
+func (w *fixture) connectSilent(from, to int) {
 	for i := from; i < to; i++ {
 		w.play(fmt.Sprintf("cx%d send", i))
 		synctest.Wait()
@@ -63,32 +63,32 @@
 // TestLingeringSessionDescriptorNeeded: the descriptor of a client that had its last answer is needed for another one. While
 // lingerHeadroom beyond the limit has room, it stays. Then a client that still sends is read until it closes, for a bounded time;
 // one that sent nothing more is closed at once.
-func TestLingeringIsWanted(t *testing.T) {
+func TestLingeringSessionDescriptorNeeded(t *testing.T) {
 	piece := strings.Repeat("x", 8<<10)
 	for name, c := range map[string]struct {
-		behind string                     // sent after its request
-		then   func(w *world, c net.Conn) // once its descriptor is needed
-		least  time.Duration              // minimum for which it stays from then on
+		behind string                       // sent after its request
+		then   func(w *fixture, c net.Conn) // once its descriptor is needed
+		least  time.Duration                // minimum for which it stays from then on
 		most   time.Duration
 	}{
-		"sent nothing more": {then: func(*world, net.Conn) {}, most: hereLook},
-		"its bytes come, and it goes": {behind: "x", then: func(w *world, c net.Conn) {
+		"sent nothing more": {then: func(*fixture, net.Conn) {}, most: hereLook},
+		"its bytes come, and it goes": {behind: "x", then: func(w *fixture, c net.Conn) {
 			for range 8 {
 				time.Sleep(time.Millisecond)
-				w.says(c, piece)
+				w.clientWrite(c, piece)
 			}
 			c.Close()
 		}, least: 8 * time.Millisecond, most: 9 * time.Millisecond},
-		"its bytes come from now on": {then: func(w *world, c net.Conn) {
+		"its bytes come from now on": {then: func(w *fixture, c net.Conn) {
 			time.Sleep(hereLook / 2)
 			for range 8 {
-				w.says(c, piece)
+				w.clientWrite(c, piece)
 				time.Sleep(time.Millisecond)
 			}
 			c.Close()
 		}, least: 8 * time.Millisecond, most: 9 * time.Millisecond},
-		"it never goes": {behind: "x", then: func(w *world, c net.Conn) {
-			for w.lives("c1") {
+		"it never goes": {behind: "x", then: func(w *fixture, c net.Conn) {
+			for w.isOpen("c1") {
 				c.Write([]byte("x"))
 				time.Sleep(time.Millisecond)
 				synctest.Wait()
@@ -96,16 +96,16 @@
 		}, least: lateReadMost, most: lateReadMost + time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			run(t, list(balance.Ready, "s1"), 1, func(w *world) {
-				one := w.come("c1")
-				w.says(one, "NONSENSE\r\n\r\n"+c.behind)
-				w.crowd(0, lingerRoom)
-				assert.True(t, w.lives("c1"), "nobody needs its descriptor")
-				w.says(one, c.behind)
+			runScenario(t, newEntries(balance.Ready, "s1"), 1, func(w *fixture) {
+				one := w.connectClient("c1")
+				w.clientWrite(one, "NONSENSE\r\n\r\n"+c.behind)
+				w.connectSilent(0, lingerRoom)
+				assert.True(t, w.isOpen("c1"), "nobody needs its descriptor")
+				w.clientWrite(one, c.behind)
 				w.play(fmt.Sprintf("cx%d send", lingerRoom))
 				from := time.Now()
 				c.then(w, one)
-				for w.lives("c1") {
+				for w.isOpen("c1") {
 					time.Sleep(hereLook / 2)
 					synctest.Wait()
 				}
@@ -123,15 +123,15 @@
 
 // TestDescriptorNeededWhileClientSends: a session is told that its descriptor is needed just as its client sends more, and that
 // has to be refused. The client is read until it closes.
-func TestWantedAsItSends(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 1, func(w *world) {
-		one := w.come("c1")
-		w.says(one, "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
+func TestDescriptorNeededWhileClientSends(t *testing.T) {
+	runScenario(t, newEntries(balance.Ready, "s1"), 1, func(w *fixture) {
+		one := w.connectClient("c1")
+		w.clientWrite(one, "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
 		time.Sleep(time.Millisecond)
-		w.crowd(0, 1)
+		w.connectSilent(0, 1)
 		assert.Equal(t, 1, w.clients.table.rows[leaving].Len(), "it is told to go")
 		for _, text := range []string{"NONSENSE\r\n\r\n", "x", "x", "x", "x"} {
-			w.says(one, text)
+			w.clientWrite(one, text)
 			time.Sleep(2 * time.Millisecond)
 		}
 		one.Close()
@@ -144,9 +144,9 @@
 
 // TestLingeringAddsNoReqCapacity: where all sessions have a request open, a client that was refused and lingers makes no room for
 // another request beyond the limit.
-func TestLingeringMakesNoRoom(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *world) {
-		w.says(w.come("c2"), "NONSENSE\r\n\r\n")
+func TestLingeringAddsNoReqCapacity(t *testing.T) {
+	runScenario(t, newEntries(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *fixture) {
+		w.clientWrite(w.connectClient("c2"), "NONSENSE\r\n\r\n")
 	}, `
 		c3 send {req 9b x}
 		c3 expect 503 after 0.500 close 503: too many clients
@@ -156,13 +156,13 @@
 
 // TestSendingClientsDelayNewOnesBoundedly: clients that had their last answer go on sending and never close. A new client is
 // refused or served within a bounded time, and there are never more sessions than descriptors.
-func TestNobodyWaitsForThoseWhoSendOn(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *world) {
+func TestSendingClientsDelayNewOnesBoundedly(t *testing.T) {
+	runScenario(t, newEntries(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *fixture) {
 		begun := time.Now()
 		for i := range 100 {
 			from := time.Now()
-			c := w.come(fmt.Sprint("hostile", i))
-			w.says(c, "NONSENSE\r\n\r\n")
+			c := w.connectClient(fmt.Sprint("hostile", i))
+			w.clientWrite(c, "NONSENSE\r\n\r\n")
 			go func() {
 				for _, err := c.Write([]byte("x")); err == nil; _, err = c.Write([]byte("x")) {
 					time.Sleep(time.Millisecond)
@@ -172,7 +172,7 @@
 				time.Sleep(time.Millisecond)
 				synctest.Wait()
 				p.mu.Lock()
-				answered = strings.HasPrefix(string(p.got), "HTTP/1.1 400")
+				answered = strings.HasPrefix(string(p.received), "HTTP/1.1 400")
 				p.mu.Unlock()
 			}
 			assert.LessOrEqual(t, time.Since(from), roomWait+lateReadWait+2*time.Millisecond)
@@ -189,18 +189,18 @@
 
 // TestRejectedClientsBounded: clients that there is no descriptor for, and that never close, are each rejected in a bounded time.
 // Two at a time linger, and each may send on until later ones need its slot.
-func TestTurnedAwayInTurn(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *world) {
-		w.crowd(0, excessMost)
+func TestRejectedClientsBounded(t *testing.T) {
+	runScenario(t, newEntries(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *fixture) {
+		w.connectSilent(0, excessMost)
 		const each = turnedLook + lastLook
 		begun := time.Now()
 		for i := range 8 {
-			w.come(fmt.Sprint("away", i))
+			w.connectClient(fmt.Sprint("away", i))
 			time.Sleep(each + time.Millisecond) // the longest that the next client has to wait
 			synctest.Wait()
 			lives := 0
 			for k := range i + 1 {
-				if w.lives(fmt.Sprint("away", k)) {
+				if w.isOpen(fmt.Sprint("away", k)) {
 					lives++
 					assert.Less(t, i-k, turnedMost, "the first that came goes first")
 					_, err := w.peer(fmt.Sprint("away", k)).conn.Write([]byte("x"))
--- a/internal/network/localfault_test.go
+++ b/internal/network/localfault_test.go
@@ -35,13 +35,13 @@
 func TestLocalFaultIsNoStrike(t *testing.T) {
 	for _, errno := range localErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
-			run(t, list(balance.Ready, "s1"), 9, func(w *world) {
+			runScenario(t, newEntries(balance.Ready, "s1"), 9, func(w *fixture) {
 				w.pool.Dial = failing(w.dial, errno, 300*time.Millisecond)
 				w.play("c1 send {req 9a x}")
 				time.Sleep(330 * time.Millisecond)
 				synctest.Wait()
 				w.mu.Lock()
-				made := w.made["s1"]
+				made := w.dialCounts["s1"]
 				w.mu.Unlock()
 				assert.Equal(t, 1, made, "it is retried until it is established")
 				assert.Zero(t, w.count.Endings[core.Unreached].Load(), "no failure counts against the backend")
@@ -61,7 +61,7 @@
 // TestFaultOnOneRoute: the network of one backend's address cannot be reached, while others can. The requests go to the
 // others, and do not wait for that backend until their deadline.
 func TestFaultOnOneWay(t *testing.T) {
-	run(t, list(balance.Ready, "s1", "s2"), 9, func(w *world) {
+	runScenario(t, newEntries(balance.Ready, "s1", "s2"), 9, func(w *fixture) {
 		w.pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 			if address == "s1" {
 				return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ENETUNREACH)}
@@ -73,7 +73,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
-		assert.Equal(t, 4, w.made["s2"], "all go to the other one")
+		assert.Equal(t, 4, w.dialCounts["s2"], "all go to the other one")
 		assert.Positive(t, w.count.Endings[core.Unreached].Load())
 	})
 }
@@ -82,13 +82,13 @@
 // as a connection can be established.
 func TestLocalFaultOfDiscovery(t *testing.T) {
 	for _, errno := range localErrnos {
-		run(t, list(balance.Ready, "s1"), 9, func(w *world) {
-			w.watch.Dial = failing(w.dial, errno, 300*time.Millisecond)
-			w.watch.Subscribe()
+		runScenario(t, newEntries(balance.Ready, "s1"), 9, func(w *fixture) {
+			w.director.Dial = failing(w.dial, errno, 300*time.Millisecond)
+			w.director.Subscribe()
 			time.Sleep(330 * time.Millisecond)
 			synctest.Wait()
 			w.mu.Lock()
-			made := w.made["d"]
+			made := w.dialCounts["d"]
 			w.mu.Unlock()
 			assert.Equal(t, 1, made, errno)
 			assert.EqualValues(t, 1, w.count.DirectorCalls.Load(), errno)
--- a/internal/network/maintain_test.go
+++ b/internal/network/maintain_test.go
@@ -16,13 +16,13 @@
 // again, whatever was known of it before.
 func TestBan(t *testing.T) {
 	var desk *maintain.Manager
-	begin := func(w *world) {
+	begin := func(w *fixture) {
 		desk = &maintain.Manager{OnList: w.core.HandleList, Withhold: w.core.SetBanned, CloseIdle: w.pool.CloseIdleByID}
-		desk.Listed(balance.ListCached, list(balance.Ready, "s1"))
+		desk.Listed(balance.ListCached, newEntries(balance.Ready, "s1"))
 	}
-	offline := func(*world) { require.NoError(t, desk.Offline("s1")) }
-	online := func(*world) { require.NoError(t, desk.Online("s1")) }
-	run(t, nil, 9, begin, `
+	offline := func(*fixture) { require.NoError(t, desk.Offline("s1")) }
+	online := func(*fixture) { require.NoError(t, desk.Online("s1")) }
+	runScenario(t, nil, 9, begin, `
 		c1 send {req 9a x}
 		s1/1 expect POST /ingest?v=1 9a k9a 2000 x
 		c2 send {req 9b x}
@@ -39,10 +39,10 @@
 		c2 expect 503
 		wait 100ms
 		s1/3 expect no connection`,
-		func(w *world) { // whatever the director lists meanwhile
-			desk.Listed(balance.ListFull, list(balance.Ready, "s1"))
+		func(w *fixture) { // whatever the director lists meanwhile
+			desk.Listed(balance.ListFull, newEntries(balance.Ready, "s1"))
 			desk.Listed(balance.ListFull, nil)
-			desk.Listed(balance.ListDelta, list(balance.Ready, "s1"))
+			desk.Listed(balance.ListDelta, newEntries(balance.Ready, "s1"))
 		}, `
 		wait 1s
 		s1/3 expect no connection`, online, `
@@ -51,8 +51,8 @@
 		s1/3 expect POST /ingest?v=1 9d k9d 2000 x
 		s1/3 send {started 9d}{done 9d r}
 		c1 expect 200 r`)
-	run(t, nil, 9, begin, func(w *world) {
-		w.slow["s1"] = 50 * time.Millisecond
+	runScenario(t, nil, 9, begin, func(w *fixture) {
+		w.dialDelays["s1"] = 50 * time.Millisecond
 		w.play(`c1 send {req 9a x}`)
 		require.NoError(t, desk.Offline("s1"))
 		w.play(`wait 60ms
@@ -64,9 +64,9 @@
 // TestBanAfterFaults: a backend that failed before its ban gets requests again after it.
 func TestBanAfterFaults(t *testing.T) {
 	var desk *maintain.Manager
-	run(t, nil, 9, func(w *world) {
+	runScenario(t, nil, 9, func(w *fixture) {
 		desk = &maintain.Manager{OnList: w.core.HandleList, Withhold: w.core.SetBanned, CloseIdle: w.pool.CloseIdleByID}
-		desk.Listed(balance.ListCached, list(balance.Ready, "s1"))
+		desk.Listed(balance.ListCached, newEntries(balance.Ready, "s1"))
 	}, `
 		s1 close
 		c1 send {req 9a x}
@@ -75,12 +75,12 @@
 		c1 expect 503 after 0.120
 		c1 send {req 9c x}
 		c1 expect 503 after 0.120`,
-		func(w *world) {
+		func(w *fixture) {
 			require.NoError(t, desk.Offline("s1"))
 			time.Sleep(time.Millisecond)
 			require.NoError(t, desk.Online("s1"))
 			w.mu.Lock()
-			w.refuse["s1"] = false
+			w.refusedDials["s1"] = false
 			w.mu.Unlock()
 		}, `
 		wait 2s
--- a/internal/network/mutate_test.go
+++ b/internal/network/mutate_test.go
@@ -24,39 +24,39 @@
 // mutationWorld is a dispatcher without its fronts, on pipes: the real core and dispatch module, pool, links and director's
 // watch. What its peers write are the messages to mutate. A message's To is the connection, for example s1/2 for the second one
 // made to backend s1. Reqs are of a class that must never run twice, unless safe.
-type deal struct {
-	*world
-	reqs    int  // how many
-	safe    bool // requests may run twice, and two attempts may be out together
-	watched bool // the list of backends must be right in the end
-	start   time.Time
-	stop    chan struct{}
-	begun   int
-	seen    map[string]int // complete requests that reached backends, by id
-	calls   map[string]int // to the director, on each of its connections
-	waiting map[string]int // connections of the director on which a watch waits, and the version it has
-	mu      sync.Mutex
-	answers map[string][]core.Answer
-	wrong   error
+type mutationWorld struct {
+	*fixture
+	reqs         int  // how many
+	safe         bool // requests may run twice, and two attempts may be out together
+	watched      bool // the list of backends must be right in the end
+	start        time.Time
+	stop         chan struct{}
+	nextReqIndex int
+	arrivals     map[string]int // complete requests that reached backends, by id
+	calls        map[string]int // to the director, on each of its connections
+	waiting      map[string]int // connections of the director on which a watch waits, and the version it has
+	mu           sync.Mutex
+	answers      map[string][]core.Answer
+	violation    error
 }
 
 // reqScripts are the kinds of requests, used in turn; each says what backends do with it.
-var dealt = []string{"started running done", "done", "unprocessed", "failed", "returned", "lost", "broken", "500", "silent", "done load", "slow done"}
+var reqScripts = []string{"started running done", "done", "unprocessed", "failed", "returned", "lost", "broken", "500", "silent", "done load", "slow done"}
 
 const (
-	dealReqs  = 30 // unless stated otherwise
-	dealEvery = 20 * time.Millisecond
-	dealStart = 100 * time.Millisecond // the first request
-	dealTick  = 10 * time.Millisecond
+	defaultReqs  = 30 // unless stated otherwise
+	reqInterval  = 20 * time.Millisecond
+	firstReqAt   = 100 * time.Millisecond // the first request
+	tickInterval = 10 * time.Millisecond
 )
 
-func dealKind(id string) string {
+func reqScript(id string) string {
 	var n int
 	fmt.Sscanf(id, "r%02d", &n)
-	return dealt[n%len(dealt)]
+	return reqScripts[n%len(reqScripts)]
 }
 
-func newDeal(t *testing.T, reqs int, safe, watched bool) *deal {
+func newMutationWorld(t *testing.T, reqs int, safe, watched bool) *mutationWorld {
 	s := balance.Settings{Seed: 1, Instances: 1, Zones: 1, Kinds: 1, MaxAttempts: 3, MayCancel: true,
 		TellsStart: true, ConnectTimeout: 120, Tick: 2, Subscribe: true,
 		Rules:   balance.Rules{AnswerSlack: 8, AskEvery: 10000, FallMultiple: 3, FallWindow: 2000, StartCapacity: 0.31, WarmAfter: 9000, DrainGrace: 500},
@@ -65,128 +65,130 @@
 		s.MayDuplicate, s.Classes[0].Effect = true, balance.Safe
 	}
 	names := &platform.Names{Classes: []string{"ingest"}, Keyed: []bool{true}, Limits: []time.Duration{5 * time.Second}, Columns: []string{"x0"}}
-	w := &deal{reqs: reqs, safe: safe, watched: watched, world: &world{t: t, count: &counters.Set{}, peers: map[string]*peer{}, refuse: map[string]bool{}, slow: map[string]time.Duration{}, made: map[string]int{}},
-		start: time.Now(), stop: make(chan struct{}), seen: map[string]int{}, calls: map[string]int{}, waiting: map[string]int{}, answers: map[string][]core.Answer{}}
+	w := &mutationWorld{reqs: reqs, safe: safe, watched: watched, fixture: &fixture{t: t, count: &counters.Set{}, peers: map[string]*peer{}, refusedDials: map[string]bool{}, dialDelays: map[string]time.Duration{}, dialCounts: map[string]int{}},
+		start: time.Now(), stop: make(chan struct{}), arrivals: map[string]int{}, calls: map[string]int{}, waiting: map[string]int{}, answers: map[string][]core.Answer{}}
 	w.pool = &Pool{Names: names, Count: w.count, ConnectTimeout: 120 * time.Millisecond, IdleTimeout: 7 * time.Second, MaxConnections: 50, Dial: w.dial}
-	w.watch = &Director{Names: names, Count: w.count, Address: "d", Timings: PollTimings(10 * time.Second), Dial: w.dial, Stop: w.stop}
+	w.director = &Director{Names: names, Count: w.count, Address: "d", Timings: PollTimings(10 * time.Second), Dial: w.dial, Stop: w.stop}
 	var err error
-	if w.core, err = core.New(s, w.pool, w.watch, w.count); err != nil {
+	if w.core, err = core.New(s, w.pool, w.director, w.count); err != nil {
 		t.Fatal(err)
 	}
-	w.watch.OnList = w.core.HandleList
-	w.watch.SetIndex(41)
-	w.core.HandleList(balance.ListCached, list(balance.Ready, "s1", "s2"))
+	w.director.OnList = w.core.HandleList
+	w.director.SetIndex(41)
+	w.core.HandleList(balance.ListCached, newEntries(balance.Ready, "s1", "s2"))
 	go w.core.Run(w.stop)
 	return w
 }
 
 // shutdown ends everything that the run began.
-func (w *deal) over() {
-	w.world.mu.Lock()
+func (w *mutationWorld) shutdown() {
+	w.fixture.mu.Lock()
 	for _, n := range w.Nodes() {
 		name, _, _ := strings.Cut(n, "/")
-		w.refuse[name] = true
+		w.refusedDials[name] = true
 	}
 	for _, p := range w.peers {
 		p.conn.Close()
 	}
-	w.world.mu.Unlock()
+	w.fixture.mu.Unlock()
 	time.Sleep(10 * time.Second)
 	close(w.stop)
 	synctest.Wait()
 }
 
-func (w *deal) Nodes() []string {
+func (w *mutationWorld) Nodes() []string {
 	return []string{"us", "s1/1", "s1/2", "s2/1", "s2/2", "s2/3", "d/1"}
 }
 
 // advance moves the clock on to a time of the run, and waits until all goroutines wait.
-func (w *deal) at(now time.Duration) {
+func (w *mutationWorld) advance(now time.Duration) {
 	time.Sleep(time.Until(w.start.Add(now)))
 	synctest.Wait()
 }
 
-func (w *deal) Tick(now time.Duration, node string) (out []mutate.Message) {
+func (w *mutationWorld) Tick(now time.Duration, node string) (out []mutate.Message) {
 	if node != "us" {
 		return nil
 	}
-	w.at(now)
-	for w.begun < w.reqs && now >= dealStart+time.Duration(w.begun)*dealEvery {
-		w.req(fmt.Sprintf("r%02d", w.begun))
-		w.begun++
+	w.advance(now)
+	for w.nextReqIndex < w.reqs && now >= firstReqAt+time.Duration(w.nextReqIndex)*reqInterval {
+		w.takeReq(fmt.Sprintf("r%02d", w.nextReqIndex))
+		w.nextReqIndex++
 	}
 	synctest.Wait()
-	w.world.mu.Lock()
+	w.fixture.mu.Lock()
 	var conns []string
 	for _, host := range []string{"s1", "s2", "d"} {
-		for i := range w.made[host] {
+		for i := range w.dialCounts[host] {
 			conns = append(conns, fmt.Sprint(host, "/", i+1))
 		}
 	}
-	w.world.mu.Unlock()
+	w.fixture.mu.Unlock()
 	for _, c := range conns {
-		for q := w.ask(c); q != nil; q = w.ask(c) {
+		for q := w.nextReq(c); q != nil; q = w.nextReq(c) {
 			if c[0] == 'd' {
-				w.waiting[c] = w.call(q)
+				w.waiting[c] = w.parseWatch(q)
 			} else {
-				out = append(out, w.work(c, q)...)
+				out = append(out, w.backendReplies(c, q)...)
 			}
 		}
-		if since, ok := w.waiting[c]; ok && since < w.index(now) {
+		if since, ok := w.waiting[c]; ok && since < w.listVersion(now) {
 			delete(w.waiting, c)
-			out = append(out, w.tell(c, since, now)...)
+			out = append(out, w.directorReply(c, since, now)...)
 		}
 	}
 	return out
 }
 
-func (w *deal) req(id string) {
+func (w *mutationWorld) takeReq(id string) {
 	left := 500 * time.Millisecond
-	if dealKind(id) == "silent" {
+	if reqScript(id) == "silent" {
 		left = 150 * time.Millisecond
 	}
 	job := &core.Job{Method: "POST", Target: "/ingest", ID: id, Body: []byte("photo " + id)}
-	w.core.Submit(balance.Request{Slots: 1}, job, time.Now(), left, dealClient{w, id})
+	w.core.Submit(balance.Request{Slots: 1}, job, time.Now(), left, mutationClient{w, id})
 }
 
-type dealClient struct {
-	w  *deal
+type mutationClient struct {
+	w  *mutationWorld
 	id string
 }
 
 // Answer checks a request's answers: one only, and no result but its own.
-func (c dealClient) Answer(a core.Answer) {
+func (c mutationClient) Answer(a core.Answer) {
 	w := c.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.answers[c.id] = append(w.answers[c.id], a)
 	if len(w.answers[c.id]) > 1 {
-		w.wrong = fmt.Errorf("%s has answers %v", c.id, w.answers[c.id])
+		w.violation = fmt.Errorf("%s has answers %v", c.id, w.answers[c.id])
 	}
-	if a.Kind == core.Result && (a.Result != "result-"+c.id || !dealServed(c.id)) {
-		w.wrong = fmt.Errorf("%s was given the result %q", c.id, a.Result)
+	if a.Kind == core.Result && (a.Result != "result-"+c.id || !scriptServes(c.id)) {
+		w.violation = fmt.Errorf("%s was given the result %q", c.id, a.Result)
 	}
 }
 
 // scriptServes reports whether any backend ever says "done" for a request.
-func dealServed(id string) bool {
-	return strings.Contains(dealKind(id), "done") || dealUnrun(id)
+func scriptServes(id string) bool {
+	return strings.Contains(reqScript(id), "done") || scriptReturns(id)
 }
 
 // scriptReturns reports whether the first backend hands the request back: only then may another see it.
-func dealUnrun(id string) bool { return dealKind(id) == "unprocessed" || dealKind(id) == "returned" }
+func scriptReturns(id string) bool {
+	return reqScript(id) == "unprocessed" || reqScript(id) == "returned"
+}
 
 // nextReq returns the next complete request that has arrived on a connection, or nil.
-func (w *deal) ask(conn string) *http.Request {
-	w.world.mu.Lock()
+func (w *mutationWorld) nextReq(conn string) *http.Request {
+	w.fixture.mu.Lock()
 	p := w.peers[conn]
-	w.world.mu.Unlock()
+	w.fixture.mu.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.got) == 0 {
+	if len(p.received) == 0 {
 		return nil
 	}
-	src := bytes.NewReader(p.got)
+	src := bytes.NewReader(p.received)
 	r := bufio.NewReader(src)
 	q, err := http.ReadRequest(r)
 	if err != nil {
@@ -196,22 +198,22 @@
 	if n, _ := r.Read(body); n < len(body) {
 		return nil
 	}
-	p.got = p.got[len(p.got)-src.Len()-r.Buffered():]
+	p.received = p.received[len(p.received)-src.Len()-r.Buffered():]
 	return q
 }
 
 // backendReplies returns what a backend writes for a request.
-func (w *deal) work(conn string, q *http.Request) (out []mutate.Message) {
+func (w *mutationWorld) backendReplies(conn string, q *http.Request) (out []mutate.Message) {
 	id := q.Header.Get("X-Correlation-Id")
-	w.seen[id]++
-	kind := dealKind(id)
-	if w.seen[id] > 1 {
-		if !w.safe && !dealUnrun(id) && w.wrong == nil {
-			w.wrong = fmt.Errorf("%s was sent again, and may have run", id)
+	w.arrivals[id]++
+	kind := reqScript(id)
+	if w.arrivals[id] > 1 {
+		if !w.safe && !scriptReturns(id) && w.violation == nil {
+			w.violation = fmt.Errorf("%s was sent again, and may have run", id)
 		}
-		if kind = "done"; dealKind(id) == "slow done" {
-			kind = dealKind(id)
-		} else if !dealServed(id) { // a repeat fares no better
+		if kind = "done"; reqScript(id) == "slow done" {
+			kind = reqScript(id)
+		} else if !scriptServes(id) { // a repeat fares no better
 			kind = "failed"
 		}
 	}
@@ -249,7 +251,7 @@
 			}
 			line(`"state":"done","result":"result-` + id + `"` + load)
 		case "broken":
-			write(hangUp)
+			write(closeMarker)
 			return out
 		case "load":
 		default:
@@ -261,11 +263,11 @@
 }
 
 // closeMarker is the message by which a peer closes its connection.
-const hangUp = "(hang up)"
+const closeMarker = "(hang up)"
 
 // listVersion returns the version of the list: s3 is in it at first and removed later; s2 drains for a while. The dispatch
 // module subscribes half a second after its start.
-func (w *deal) index(now time.Duration) int {
+func (w *mutationWorld) listVersion(now time.Duration) int {
 	switch {
 	case now < 800*time.Millisecond:
 		return 42
@@ -275,18 +277,18 @@
 	return 44
 }
 
-// parseWatch returns the version that a call to the director has, -1 if it asks for the whole list.
-func (w *deal) call(q *http.Request) int {
+// parseWatch returns the version that a parseWatch to the director has, -1 if it asks for the whole list.
+func (w *mutationWorld) parseWatch(q *http.Request) int {
 	since := -1
 	fmt.Sscan(q.URL.Query().Get("since"), &since)
 	return since
 }
 
 // directorReply answers a call.
-func (w *deal) tell(conn string, since int, now time.Duration) []mutate.Message {
-	index := w.index(now)
+func (w *mutationWorld) directorReply(conn string, since int, now time.Duration) []mutate.Message {
+	index := w.listVersion(now)
 	entry := func(name, status string) string {
-		return fmt.Sprintf("\n  {\"name\":\"%s\",\"address\":\"%s\",\"zone\":\"a\",\"type\":\"m\",\"group\":1,\"status\":\"%s\",\"weight\":4.0,\"since_ms\":0}", name, name, status)
+		return fmt.Sprintf("\n {\"name\":\"%s\",\"address\":\"%s\",\"zone\":\"a\",\"type\":\"m\",\"group\":1,\"status\":\"%s\",\"weight\":4.0,\"since_ms\":0}", name, name, status)
 	}
 	s2 := "Ready"
 	if index == 43 {
@@ -308,15 +310,15 @@
 		{From: "d", To: conn, Bytes: []byte(text), Delay: 2 * time.Millisecond}}
 }
 
-func (w *deal) Deliver(now time.Duration, m mutate.Message) []mutate.Message {
-	w.at(now)
-	w.world.mu.Lock()
+func (w *mutationWorld) Deliver(now time.Duration, m mutate.Message) []mutate.Message {
+	w.advance(now)
+	w.fixture.mu.Lock()
 	p := w.peers[m.To]
-	w.world.mu.Unlock()
+	w.fixture.mu.Unlock()
 	if p == nil {
 		return nil
 	}
-	if string(m.Bytes) == hangUp {
+	if string(m.Bytes) == closeMarker {
 		p.conn.Close()
 	} else if len(m.Bytes) > 0 {
 		p.conn.SetWriteDeadline(time.Now().Add(time.Microsecond)) // unrequested bytes may have no reader
@@ -326,18 +328,18 @@
 	return nil
 }
 
-func (w *deal) Check(time.Duration) error {
+func (w *mutationWorld) Check(time.Duration) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.watched && w.core.ReadyBackends() == 0 { // s1 is ready in every list
 		return fmt.Errorf("no backend is ready")
 	}
-	return w.wrong
+	return w.violation
 }
 
 // End checks that each request had its answer, nothing of any is kept, and the last requests that can be served were.
-func (w *deal) End(now time.Duration) error {
-	w.at(now)
+func (w *mutationWorld) End(now time.Duration) error {
+	w.advance(now)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range w.reqs {
@@ -345,7 +347,7 @@
 		if len(w.answers[id]) != 1 {
 			return fmt.Errorf("%s has answers %v", id, w.answers[id])
 		}
-		if i >= w.reqs-len(dealt) && dealServed(id) && w.answers[id][0].Kind != core.Result {
+		if i >= w.reqs-len(reqScripts) && scriptServes(id) && w.answers[id][0].Kind != core.Result {
 			return fmt.Errorf("%s was not served: %v", id, w.answers[id])
 		}
 	}
@@ -358,7 +360,7 @@
 	return nil
 }
 
-func excuseDeal(p mutate.Play, of, as mutate.Message) string {
+func excuseMutation(p mutate.Play, of, as mutate.Message) string {
 	const key = `"result":"`
 	switch at := bytes.Index(of.Bytes, []byte(key)); {
 	case p.Kind == mutate.Changed && at >= 0 && len(of.Bytes) == len(as.Bytes):
@@ -373,22 +375,22 @@
 	return ""
 }
 
-func dealSetup(t *testing.T, name string, reqs int, safe, watched bool) mutate.Setup {
-	var now *deal
-	return mutate.Setup{Name: "deal " + name, Seed: 1, Tick: dealTick, Faults: dealStart + time.Duration(max(reqs-len(dealt)-2, 0))*dealEvery,
-		Length: dealStart + time.Duration(reqs)*dealEvery + 800*time.Millisecond, Late: 50 * time.Millisecond,
-		Kinds: mutate.Streams, Splits: 3, Excuse: excuseDeal,
-		Build:  func(uint64) mutate.World { now = newDeal(t, reqs, safe, watched); return now },
-		Around: func(play func()) { synctest.Test(t, func(*testing.T) { play(); now.over() }) }}
+func newSetup(t *testing.T, name string, reqs int, safe, watched bool) mutate.Setup {
+	var now *mutationWorld
+	return mutate.Setup{Name: "deal " + name, Seed: 1, Tick: tickInterval, Faults: firstReqAt + time.Duration(max(reqs-len(reqScripts)-2, 0))*reqInterval,
+		Length: firstReqAt + time.Duration(reqs)*reqInterval + 800*time.Millisecond, Late: 50 * time.Millisecond,
+		Kinds: mutate.Streams, Splits: 3, Excuse: excuseMutation,
+		Build:  func(uint64) mutate.World { now = newMutationWorld(t, reqs, safe, watched); return now },
+		Around: func(play func()) { synctest.Test(t, func(*testing.T) { play(); now.shutdown() }) }}
 }
 
 // TestAttemptsUnderMutation: whatever is mutated in one write of a backend or of the director, each request has exactly one final
 // answer, no result but its own, and is sent again only where it is proven never to have run. Later requests are served.
-func TestDealUnderMutation(t *testing.T) {
-	s := dealSetup(t, "unsafe", dealReqs, false, false)
+func TestAttemptsUnderMutation(t *testing.T) {
+	s := newSetup(t, "unsafe", defaultReqs, false, false)
 	s.Plays = 150
 	assert.Positive(t, mutate.Test(t, s).Played)
-	s = dealSetup(t, "safe", dealReqs, true, false)
+	s = newSetup(t, "safe", defaultReqs, true, false)
 	s.Plays = 45
 	assert.Positive(t, mutate.Test(t, s).Played)
 }
@@ -396,14 +398,14 @@
 // TestWatchUnderMutation: whatever is mutated in one write of the director, the list is right in the end: after at most one call
 // that is never answered and the call after it.
 func TestWatchUnderMutation(t *testing.T) {
-	s := dealSetup(t, "watch", 0, false, true)
+	s := newSetup(t, "watch", 0, false, true)
 	s.Faults, s.Length, s.Tick = 2*time.Second, 20*time.Second, 50*time.Millisecond
 	s.Draws = 5
 	s.Excuse = func(p mutate.Play, of, as mutate.Message) string {
 		if p.Kind == mutate.Changed && json.Valid(as.Bytes) {
 			return "a list that reads as one: the protocol has no sum of it"
 		}
-		return excuseDeal(p, of, as)
+		return excuseMutation(p, of, as)
 	}
 	assert.Positive(t, mutate.Test(t, s).Played)
 }
--- a/internal/network/network_test.go
+++ b/internal/network/network_test.go
@@ -204,15 +204,15 @@
 			c1 send PUT /ingest HTTP/1.1\r\nContent-Length: 0\r\n\r\n
 			c1 expect 405`,
 	} {
-		t.Run(name, func(t *testing.T) { run(t, list(balance.Ready, "s1"), 9, text) })
+		t.Run(name, func(t *testing.T) { runScenario(t, newEntries(balance.Ready, "s1"), 9, text) })
 	}
 }
 
 // TestDrainedWhileConnecting: a backend that begins to drain while a connection to it is being made gets nothing, not even
 // attempts that were decided before.
 func TestDrainedWhileConnecting(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 9, "s1 wait 100ms\nc1 send {req 9b x}\nwait 50ms",
-		func(w *world) { w.core.HandleList(balance.ListDelta, list(balance.Draining, "s1")) }, `
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, "s1 wait 100ms\nc1 send {req 9b x}\nwait 50ms",
+		func(w *fixture) { w.core.HandleList(balance.ListDelta, newEntries(balance.Draining, "s1")) }, `
 		wait 60ms
 		s1/1 expect closed
 		c2 send GET /health/ready HTTP/1.1\r\n\r\n
@@ -222,19 +222,19 @@
 }
 
 // TestClientCloseAbandonsReq: after a client closes while its attempt is out, its request is no longer open.
-func TestAbandoned(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 9, "c1 send {req 9b x}",
-		func(w *world) { assert.Equal(t, 1, w.core.OpenReqs()) }, "c1 close",
-		func(w *world) { assert.Equal(t, 0, w.core.OpenReqs()) })
+func TestClientCloseAbandonsReq(t *testing.T) {
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, "c1 send {req 9b x}",
+		func(w *fixture) { assert.Equal(t, 1, w.core.OpenReqs()) }, "c1 close",
+		func(w *fixture) { assert.Equal(t, 0, w.core.OpenReqs()) })
 }
 
 // breakingConn breaks after it has taken room bytes.
-type brittle struct {
+type breakingConn struct {
 	net.Conn
 	room int
 }
 
-func (b *brittle) Write(p []byte) (int, error) {
+func (b *breakingConn) Write(p []byte) (int, error) {
 	n := min(len(p), b.room)
 	if b.room -= n; n < len(p) {
 		b.Close()
@@ -244,14 +244,14 @@
 }
 
 // TestConnectionBreakWhileWriting: only a break before a request's last byte is written proves that it never ran.
-func TestBreakWhileWriting(t *testing.T) {
+func TestConnectionBreakWhileWriting(t *testing.T) {
 	job := &core.Job{Method: "POST", Target: "/ingest", ID: "9b", Body: []byte("photo")}
 	whole := len(platform.AppendJob(nil, job, "s1", time.Minute, nil)) + len(job.Body)
 	for room, want := range map[int]core.Ending{0: core.Unreached, 9: core.Unreached, whole - 1: core.Unreached, whole: core.Broken} {
 		synctest.Test(t, func(t *testing.T) {
 			near, far := net.Pipe()
 			p := &Pool{Names: &platform.Names{}, Count: &counters.Set{}, ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConnections: 1}
-			p.Dial = func(context.Context, string) (net.Conn, error) { return &brittle{near, room}, nil }
+			p.Dial = func(context.Context, string) (net.Conn, error) { return &breakingConn{near, room}, nil }
 			var got []core.Ending
 			x := &exchange{backend: &core.Backend{}, body: job.Body, until: time.Now().Add(time.Minute), id: job.ID,
 				may: func() bool { return true }, ended: func(e core.Ending, _ string, _ []float32) { got = append(got, e) }}
@@ -274,10 +274,10 @@
 	}
 	var got []found
 	backend := &core.Backend{Address: "s1"}
-	probe := func(w *world) {
+	probe := func(w *fixture) {
 		w.pool.Probe(backend, func(e core.Ending, r []float32) { got = append(got, found{e, r}) })
 	}
-	run(t, nil, 9, probe, `
+	runScenario(t, nil, 9, probe, `
 		s1/1 expect GET /stats
 		s1/1 send HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n{"x0":2.5}`, probe, `
 		s1/1 expect GET /stats
@@ -289,20 +289,20 @@
 }
 
 // TestBackendAddressChange: nothing is sent to an address that the list no longer names.
-func TestMovedBackend(t *testing.T) {
-	moved := list(balance.Ready, "s1")
+func TestBackendAddressChange(t *testing.T) {
+	moved := newEntries(balance.Ready, "s1")
 	moved[0].Address = "s2"
-	run(t, list(balance.Ready, "s1"), 9, `
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, `
 		c1 send {req 9b x}
 		s1/1 send {started 9b}{done 9b r}
 		c1 expect 200 r`,
-		func(w *world) { w.core.HandleList(balance.ListDelta, moved) }, `
+		func(w *fixture) { w.core.HandleList(balance.ListDelta, moved) }, `
 		s1/1 expect POST /ingest?v=1 9b k9b 2000 x
 		s1/1 expect closed
 		c1 send {req 9c x}
 		s2/1 expect POST /ingest?v=1 9c k9c 2000 x`)
-	run(t, list(balance.Ready, "s1"), 9, "c1 send {req 9b x}",
-		func(w *world) { w.core.HandleList(balance.ListDelta, moved) }, `
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, "c1 send {req 9b x}",
+		func(w *fixture) { w.core.HandleList(balance.ListDelta, moved) }, `
 		s1/1 send {started 9b}{done 9b r}
 		c1 expect 200 r
 		c1 send {req 9c x}
@@ -311,10 +311,10 @@
 
 // TestBackendRejectsReq: a request that a backend rejects as invalid fails at once and is not sent to another backend of the cell.
 // The backend's rating is unchanged: it gets its half of the next requests.
-func TestRejected(t *testing.T) {
-	pair := list(balance.Ready, "s1", "s2")
+func TestBackendRejectsReq(t *testing.T) {
+	pair := newEntries(balance.Ready, "s1", "s2")
 	pair[1].Cell = pair[0].Cell
-	run(t, pair, 9, `
+	runScenario(t, pair, 9, `
 		c1 send {req 9b x}
 		s1/1 expect POST /ingest?v=1 9b k9b 2000 x
 		s1/1 send HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n
@@ -326,4 +326,4 @@
 		s1/1 expect POST /ingest?v=1 9d k9d 2000 x`)
 }
 
-const drained = `HTTP/1.1 200 OK\r\nContent-Length: 130\r\n\r\n{"index":44,"snapshot":false,"endpoints":[{"name":"s1","address":"s1","zone":"a","type":"m","status":"Terminating","since_ms":0}]}`
+const drainedListReply = `HTTP/1.1 200 OK\r\nContent-Length: 130\r\n\r\n{"index":44,"snapshot":false,"endpoints":[{"name":"s1","address":"s1","zone":"a","type":"m","status":"Terminating","since_ms":0}]}`
--- a/internal/network/scenario_test.go
+++ b/internal/network/scenario_test.go
@@ -29,34 +29,34 @@
 // scenarios: clients are c1, c2 and so on; s1/2 is the second connection made to backend s1, d/1 the first to the director; s1
 // or d alone stands for all connections still to be made there. h1 and so on are clients of the HTTP/2 front; they send and
 // expect frames, one at a time.
-type world struct {
-	t       *testing.T
-	core    *core.Core
-	pool    *Pool
-	clients *Clients
-	watch   *Director
-	count   *counters.Set
-	mu      sync.Mutex
-	peers   map[string]*peer
-	http2   *HTTP2
-	service *Service
-	refuse  map[string]bool
-	slow    map[string]time.Duration
-	made    map[string]int
+type fixture struct {
+	t            *testing.T
+	core         *core.Core
+	pool         *Pool
+	clients      *Clients
+	director     *Director
+	count        *counters.Set
+	mu           sync.Mutex
+	peers        map[string]*peer
+	http2        *HTTP2
+	service      *Service
+	refusedDials map[string]bool
+	dialDelays   map[string]time.Duration
+	dialCounts   map[string]int
 }
 
 // peer is the far end of a connection.
 type peer struct {
-	conn net.Conn
-	mu   sync.Mutex
-	got  []byte
-	over bool
+	conn     net.Conn
+	mu       sync.Mutex
+	received []byte
+	closed   bool
 
-	frames *scenario.Frames // of an HTTP/2 client
-	words  []string
+	frames     *scenario.Frames // of an HTTP/2 client
+	frameTexts []string
 }
 
-func (w *world) pipe(name string) net.Conn {
+func (w *fixture) newPeer(name string) net.Conn {
 	near, far := net.Pipe()
 	p := &peer{conn: far}
 	w.peers[name] = p
@@ -65,7 +65,7 @@
 		for {
 			n, err := far.Read(b)
 			p.mu.Lock()
-			p.got, p.over = append(p.got, b[:n]...), err != nil
+			p.received, p.closed = append(p.received, b[:n]...), err != nil
 			p.mu.Unlock()
 			if err != nil {
 				return
@@ -75,9 +75,9 @@
 	return near
 }
 
-func (w *world) dial(ctx context.Context, name string) (net.Conn, error) {
+func (w *fixture) dial(ctx context.Context, name string) (net.Conn, error) {
 	w.mu.Lock()
-	slow := w.slow[name]
+	slow := w.dialDelays[name]
 	w.mu.Unlock()
 	if slow > 0 { // a hundred timers of zero duration at once crash the runtime under synctest
 		select {
@@ -88,15 +88,15 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.refuse[name] {
+	if w.refusedDials[name] {
 		return nil, errors.New("refused")
 	}
-	w.made[name]++
-	return w.pipe(fmt.Sprint(name, "/", w.made[name])), nil
+	w.dialCounts[name]++
+	return w.newPeer(fmt.Sprint(name, "/", w.dialCounts[name])), nil
 }
 
 // newEntries lists backends by name: s1 is of cell 1 and so on.
-func list(state balance.State, names ...string) (list []core.Entry) {
+func newEntries(state balance.State, names ...string) (list []core.Entry) {
 	for i, n := range names {
 		list = append(list, core.Entry{Name: n, Address: n, Worker: balance.Worker{
 			ID: balance.WorkerID(platform.Hash(n)), State: state, Weight: 4, Cell: i + 1}})
@@ -105,7 +105,7 @@
 }
 
 // runScenario plays scenarios and functions in turn, on a fixture with these backends.
-func run(t *testing.T, backends []core.Entry, most int, parts ...any) {
+func runScenario(t *testing.T, backends []core.Entry, most int, parts ...any) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := balance.Settings{Seed: 1, Instances: 1, Zones: 1, Kinds: 1, MaxAttempts: 5, MayDuplicate: true, MayCancel: true,
@@ -113,13 +113,13 @@
 			Rules:   balance.Rules{AnswerSlack: 8, AskEvery: 10000, FallMultiple: 3, FallWindow: 2000, StartCapacity: 0.31, WarmAfter: 9000, DrainGrace: 500},
 			Classes: []balance.Class{{Worth: 1, Aim: 120, Stretch: 2, Deadline: 5000, Kind: -1, Effect: balance.Deduped, Scope: balance.ScopeCell, RepeatWindow: 7500}}}
 		names := &platform.Names{Classes: []string{"ingest"}, Keyed: []bool{true}, Limits: []time.Duration{5 * time.Second}, Columns: []string{"x0"}}
-		w := &world{t: t, count: &counters.Set{}, peers: map[string]*peer{}, refuse: map[string]bool{},
-			slow: map[string]time.Duration{}, made: map[string]int{}}
+		w := &fixture{t: t, count: &counters.Set{}, peers: map[string]*peer{}, refusedDials: map[string]bool{},
+			dialDelays: map[string]time.Duration{}, dialCounts: map[string]int{}}
 		w.pool = &Pool{Names: names, Count: w.count, ConnectTimeout: 120 * time.Millisecond, IdleTimeout: 7 * time.Second, MaxConnections: most, Dial: w.dial}
 		stop := make(chan struct{})
 		d := &Director{Names: names, Count: w.count, Address: "d", Timings: PollTimings(10 * time.Second), Dial: w.dial, Stop: stop}
 		var err error
-		w.watch = d
+		w.director = d
 		w.core, err = core.New(s, w.pool, d, w.count)
 		require.NoError(t, err)
 		d.OnList = w.core.HandleList
@@ -132,7 +132,7 @@
 		w.service = NewService(w.clients, w.http2)
 		defer func() {
 			w.mu.Lock()
-			w.refuse["d"], w.refuse["e"], w.refuse["s1"], w.refuse["s2"] = true, true, true, true
+			w.refusedDials["d"], w.refusedDials["e"], w.refusedDials["s1"], w.refusedDials["s2"] = true, true, true, true
 			for _, p := range w.peers {
 				p.conn.Close()
 			}
@@ -145,20 +145,20 @@
 			switch p := p.(type) {
 			case string:
 				w.play(p)
-			case func(*world):
+			case func(*fixture):
 				p(w)
 			}
 		}
 	})
 }
 
-var macro = regexp.MustCompile(`\{(\w+) ?([^\s}]*) ?([^}]*)\}`)
+var macroPattern = regexp.MustCompile(`\{(\w+) ?([^\s}]*) ?([^}]*)\}`)
 
 // expand replaces the macros for frequent messages: {request ID BODY} of a client, {started ID}, {done ID RESULT} and {failed ID} of
 // a backend, {last ID RESULT} without the end of the reply.
 func expand(s string) string {
-	return macro.ReplaceAllStringFunc(s, func(m string) string {
-		p := macro.FindStringSubmatch(m)
+	return macroPattern.ReplaceAllStringFunc(s, func(m string) string {
+		p := macroPattern.FindStringSubmatch(m)
 		line := func(rest string) string { return fmt.Sprintf(`{"id":"%s","from":"s",%s}`+"\n", p[2], rest) }
 		chunk := func(l string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(l), l) }
 		switch p[1] {
@@ -177,25 +177,25 @@
 	})
 }
 
-func (w *world) play(text string) {
+func (w *fixture) play(text string) {
 	w.t.Helper()
 	for _, s := range scenario.Steps(w.t, text) {
 		w.mu.Lock()
 		p := w.peers[s.Who]
 		if p == nil && s.Verb == "send" && s.Who[0] == 'c' {
-			conn := w.pipe(s.Who)
+			conn := w.newPeer(s.Who)
 			p = w.peers[s.Who]
 			go w.clients.admit(conn) // "send" with no text only connects
 		}
 		if p == nil && s.Verb == "send" && s.Who[0] == 'h' {
-			conn := w.pipe(s.Who)
+			conn := w.newPeer(s.Who)
 			p = w.peers[s.Who]
 			p.frames = scenario.NewFrames(w.t)
 			p.frames.Post = ":method=POST :scheme=http :path=/ingest x-correlation-id=r%d idempotency-key=k%d x-time-left-ms=2000"
 			go w.http2.admit(conn)
 		}
 		if s.Verb == "close" && p == nil {
-			w.refuse[s.Who] = true
+			w.refusedDials[s.Who] = true
 		}
 		w.mu.Unlock()
 		switch {
@@ -204,7 +204,7 @@
 			require.NoError(w.t, err, s.Line)
 			if s.Who != "" { // its connections take that long to come up
 				w.mu.Lock()
-				w.slow[s.Who] = d
+				w.dialDelays[s.Who] = d
 				w.mu.Unlock()
 			} else {
 				time.Sleep(d)
@@ -212,9 +212,9 @@
 		case s.Verb == "expect":
 			got := "no connection"
 			if p != nil && p.frames != nil {
-				got = p.word()
+				got = p.nextFrame()
 			} else if p != nil {
-				got = p.next(s.Who[0] == 'c')
+				got = p.nextMessage(s.Who[0] == 'c')
 			}
 			require.Equal(w.t, s.Arg, got, s.Line)
 		case p == nil || s.Verb == "send" && s.Arg == "":
@@ -232,33 +232,33 @@
 }
 
 // nextFrame returns the text of the next frame that has arrived.
-func (p *peer) word() string {
+func (p *peer) nextFrame() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.words = append(p.words, p.frames.Words(p.got)...)
-	p.got = nil
-	if len(p.words) == 0 {
-		if p.over {
+	p.frameTexts = append(p.frameTexts, p.frames.Words(p.received)...)
+	p.received = nil
+	if len(p.frameTexts) == 0 {
+		if p.closed {
 			return "closed"
 		}
 		return "nothing"
 	}
-	first := p.words[0]
-	p.words = p.words[1:]
+	first := p.frameTexts[0]
+	p.frameTexts = p.frameTexts[1:]
 	return first
 }
 
-// nextMessage returns the next HTTP/1.1 message that has arrived, as the standard library parses it.
-func (p *peer) next(client bool) string {
+// nextMessage returns the nextMessage HTTP/1.1 message that has arrived, as the standard library parses it.
+func (p *peer) nextMessage(client bool) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.got) == 0 {
-		if p.over {
+	if len(p.received) == 0 {
+		if p.closed {
 			return "closed"
 		}
 		return "nothing"
 	}
-	src := bytes.NewReader(p.got)
+	src := bytes.NewReader(p.received)
 	r := bufio.NewReader(src)
 	var b strings.Builder
 	var body io.Reader
@@ -295,6 +295,6 @@
 	if len(text) > 0 {
 		b.WriteString(" " + strings.TrimSpace(string(text)))
 	}
-	p.got = p.got[len(p.got)-src.Len()-r.Buffered():]
+	p.received = p.received[len(p.received)-src.Len()-r.Buffered():]
 	return b.String()
 }
--- a/internal/network/service_test.go
+++ b/internal/network/service_test.go
@@ -11,7 +11,7 @@
 
 // TestNotReadyWithoutBackends: a load balancer must not use a dispatcher that cannot serve.
 func TestNotReadyWithoutBackends(t *testing.T) {
-	run(t, nil, 9, `
+	runScenario(t, nil, 9, `
 		c1 send GET /health/ready HTTP/1.1\r\n\r\n
 		c1 expect 503
 		c1 send GET /health/live HTTP/1.1\r\n\r\n
@@ -23,10 +23,10 @@
 // kill.
 func TestDrain(t *testing.T) {
 	done := make(chan time.Duration, 1)
-	run(t, list(balance.Ready, "s1"), 9, `
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, `
 		c1 send {req 9a x}
 		s1/1 expect POST /ingest?v=1 9a k9a 2000 x`,
-		func(w *world) {
+		func(w *fixture) {
 			go func() {
 				begun := time.Now()
 				w.service.BeginShutdown()
@@ -66,18 +66,18 @@
 		c5 send {req 9e x}
 		c5 expect 503 after 0.120 close
 		wait 150ms`,
-		func(*world) { assert.InDelta(t, 3650*time.Millisecond, <-done, float64(50*time.Millisecond)) })
+		func(*fixture) { assert.InDelta(t, 3650*time.Millisecond, <-done, float64(50*time.Millisecond)) })
 }
 
 // TestDrainWithSlowWriters: clients that write a request slowly are not cut off while they go on, stalled ones are, and the shutdown
 // does not wait for clients that connect late.
-func TestDrainInACrowd(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 9, `
+func TestDrainWithSlowWriters(t *testing.T) {
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, `
 		c1 send {req 9a x}
 		s1/1 expect POST /ingest?v=1 9a k9a 2000 x
 		s1/1 send {started 9a}{done 9a r}
 		c1 expect 200 r`,
-		func(w *world) { w.service.BeginShutdown() }, `
+		func(w *fixture) { w.service.BeginShutdown() }, `
 		wait 1900ms
 		c2 send POST /ingest HTTP/1.1\r\n
 		c3 send POST /ingest HTTP/1.1\r\nX-Correlation-Id: 9c\r\n
@@ -94,7 +94,7 @@
 		s1/1 send {started 9c}{done 9c r}
 		c3 expect 200 close r
 		wait 140ms`,
-		func(w *world) {
+		func(w *fixture) {
 			select {
 			case <-w.service.Ended():
 			default:
@@ -107,12 +107,12 @@
 // does not end the process. Back in service, during the drain or after it, the dispatcher serves as before.
 func TestOutOfService(t *testing.T) {
 	const health = `GET /health/ready HTTP/1.1\r\n\r\n`
-	run(t, list(balance.Ready, "s1"), 9, `
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, `
 		c1 send {req 9a x}
 		s1/1 expect POST /ingest?v=1 9a k9a 2000 x
 		s1/1 send {started 9a}{done 9a r}
 		c1 expect 200 r`,
-		func(w *world) { w.service.TakeOutOfService(); w.service.TakeOutOfService() }, `
+		func(w *fixture) { w.service.TakeOutOfService(); w.service.TakeOutOfService() }, `
 		c2 send `+health+`
 		c2 expect 503
 		wait 150ms
@@ -121,7 +121,7 @@
 		s1/1 send {started 9b}{done 9b r}
 		c3 expect 200 r
 		wait 2s`,
-		func(w *world) { assert.True(t, w.service.ReturnToService()) }, `
+		func(w *fixture) { assert.True(t, w.service.ReturnToService()) }, `
 		c2 send `+health+`
 		c2 expect 200
 		wait 10s
@@ -129,7 +129,7 @@
 		s1/2 expect POST /ingest?v=1 9c k9c 2000 x
 		s1/2 send {started 9c}{done 9c r}
 		c1 expect 200 r`,
-		func(w *world) { w.service.TakeOutOfService() }, `
+		func(w *fixture) { w.service.TakeOutOfService() }, `
 		wait 3050ms
 		c1 expect nothing
 		wait 70ms
@@ -144,14 +144,14 @@
 		s1/3 expect POST /ingest?v=1 9d k9d 2000 x
 		s1/3 send {started 9d}{done 9d r}
 		c5 expect 200 close r`,
-		func(w *world) { assert.True(t, w.service.ReturnToService()) }, `
+		func(w *fixture) { assert.True(t, w.service.ReturnToService()) }, `
 		c6 send `+health+`
 		c6 expect 200
 		c6 send {req 9e x}
 		s1/3 expect POST /ingest?v=1 9e k9e 2000 x
 		s1/3 send {started 9e}{done 9e r}
 		c6 expect 200 r`,
-		func(w *world) { w.service.TakeOutOfService(); time.Sleep(time.Minute); w.service.BeginShutdown() }, `
+		func(w *fixture) { w.service.TakeOutOfService(); time.Sleep(time.Minute); w.service.BeginShutdown() }, `
 		wait 120ms`,
-		func(w *world) { <-w.service.Ended() })
+		func(w *fixture) { <-w.service.Ended() })
 }
--- a/internal/network/shutdown_test.go
+++ b/internal/network/shutdown_test.go
@@ -38,7 +38,7 @@
 		"in the last moment":                    {3050 * time.Millisecond, 3050 * time.Millisecond, 3700 * time.Millisecond, "450"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			run(t, list(balance.Ready, "s1"), 9, func(w *world) {
+			runScenario(t, newEntries(balance.Ready, "s1"), 9, func(w *fixture) {
 				begun := time.Now()
 				till := func(at time.Duration) { time.Sleep(at - time.Since(begun)); synctest.Wait() }
 				w.service.BeginShutdown()
@@ -71,8 +71,8 @@
 
 // TestReqDuringSessionClose: a request that arrives 1 ms after its session was told to close is taken. The process does not end
 // before its answer is written, however slowly that is read.
-func TestCrossedClose(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 9, func(w *world) {
+func TestReqDuringSessionClose(t *testing.T) {
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, func(w *fixture) {
 		near, far := net.Pipe()
 		defer far.Close()
 		in := bufio.NewReaderSize(far, 16) // takes less than an answer at a time
@@ -108,16 +108,16 @@
 
 // TestReqAfterDecisionToEnd: a request that is read when the process has decided to end is refused, and never sent to a backend. New
 // connections stay in the listener's queue.
-func TestReadAtTheEnd(t *testing.T) {
-	l := &timed{}
-	run(t, list(balance.Ready, "s1"), 9, func(w *world) {
+func TestReqAfterDecisionToEnd(t *testing.T) {
+	l := &deadlineRecorder{}
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, func(w *fixture) {
 		w.clients.gate.add(l)
 		w.service.BeginShutdown()
 	}, `
 		wait 3050ms
 		c1 send POST /ingest HTTP/1.1\r\nX-Correlation-Id: 9a\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\n
 		wait 170ms`, // a late client with an incomplete request: nobody waits for it
-		func(w *world) {
+		func(w *fixture) {
 			require.True(t, w.service.hasEnded())
 			assert.False(t, l.until.IsZero(), "the listener is shut")
 			assert.NotNil(t, w.clients.gate.shut)
@@ -130,21 +130,21 @@
 }
 
 // deadlineRecorder is a listener that records its deadline.
-type timed struct {
+type deadlineRecorder struct {
 	net.Listener
 	until time.Time
 }
 
-func (l *timed) SetDeadline(t time.Time) error { l.until = t; return nil }
+func (l *deadlineRecorder) SetDeadline(t time.Time) error { l.until = t; return nil }
 
 // TestNextReqBeforeIdleClose: a client gets an answer that leaves its connection open just before idle sessions are closed, and
 // sends its next request a round trip later. That request is read and answered: the connection must stay open long enough for the client
 // to use it.
-func TestSendsOnAfterItsAnswer(t *testing.T) {
+func TestNextReqBeforeIdleClose(t *testing.T) {
 	const closing = 3100 * time.Millisecond // after SIGTERM, with a longest deadline of 3 s or more
 	for _, trip := range []time.Duration{time.Millisecond, 10 * time.Millisecond, 40 * time.Millisecond, 90 * time.Millisecond} {
 		t.Run(trip.String(), func(t *testing.T) {
-			run(t, list(balance.Ready, "s1"), 9, func(w *world) {
+			runScenario(t, newEntries(balance.Ready, "s1"), 9, func(w *fixture) {
 				begun := time.Now()
 				w.service.BeginShutdown()
 				near, far := net.Pipe()
--- a/internal/network/silence_test.go
+++ b/internal/network/silence_test.go
@@ -21,18 +21,18 @@
 		t.Run(fmt.Sprintf("pushed %v", pushed), func(t *testing.T) {
 			worst, when, bad := -time.Hour, time.Duration(0), 0
 			for after := time.Duration(0); after <= 9*time.Second; after += 150 * time.Millisecond {
-				watching(t, pushed, func(w *watched) {
+				runDirector(t, pushed, func(w *directorFixture) {
 					time.Sleep(after)
 					synctest.Wait()
 					w.seat.Silence()
 					var made []standin.Change
 					for i, pause := range []time.Duration{10 * time.Millisecond, 3 * time.Second, 2900 * time.Millisecond, time.Second} {
 						time.Sleep(pause)
-						made = append(made, w.set(i, "Terminating"))
+						made = append(made, w.setStatus(i, "Terminating"))
 					}
 					time.Sleep(9 * time.Second)
 					for _, c := range made {
-						l := w.late(c)
+						l := w.lateness(c)
 						if l > 0 {
 							bad++
 						}
@@ -58,17 +58,17 @@
 			worst, when, most := -time.Hour, "", 0
 			for _, length := range []time.Duration{time.Second, 3 * time.Second, 6 * time.Second, 8 * time.Second, 15 * time.Second} {
 				for after := time.Duration(0); after < 4500*time.Millisecond; after += 450 * time.Millisecond {
-					watching(t, true, func(w *watched) {
+					runDirector(t, true, func(w *directorFixture) {
 						time.Sleep(after)
 						synctest.Wait()
-						w.out(true, refused)
+						w.setOutage(true, refused)
 						time.Sleep(length / 2)
-						w.set(0, "Terminating")
-						last := w.set(1, "Terminating")
+						w.setStatus(0, "Terminating")
+						last := w.setStatus(1, "Terminating")
 						time.Sleep(length / 2)
-						w.out(false, refused)
+						w.setOutage(false, refused)
 						time.Sleep(9 * time.Second)
-						if l := w.late(last); l > worst {
+						if l := w.lateness(last); l > worst {
 							worst, when = l, fmt.Sprintf("%v into the watch, for %v", after, length)
 						}
 						most = max(most, w.busiest())
@@ -83,7 +83,7 @@
 }
 
 // busiest returns the largest number of connections or calls in one second of the clock.
-func (w *watched) busiest() (most int) {
+func (w *directorFixture) busiest() (most int) {
 	calls := map[int64]int{}
 	for _, c := range w.seat.Calls() {
 		calls[c.At.Unix()]++
--- a/internal/network/table_test.go
+++ b/internal/network/table_test.go
@@ -13,8 +13,8 @@
 
 // TestSessionLimits: the session idle for longest is closed for a new one. Where all are busy, a client is told to come back;
 // where all connections to backends are, its request is refused.
-func TestBudgets(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 1, `
+func TestSessionLimits(t *testing.T) {
+	runScenario(t, newEntries(balance.Ready, "s1"), 1, `
 		c1 send GET /health/live HTTP/1.1\r\n\r\n
 		c1 expect 200
 		c2 send {req 9b x}
@@ -28,7 +28,7 @@
 }
 
 // TestSplitDescriptors: the limits fit together under any number of descriptors that the configuration allows.
-func TestShare(t *testing.T) {
+func TestSplitDescriptors(t *testing.T) {
 	for _, limit := range []int{64, 160, 1024} {
 		b := SplitDescriptors(limit)
 		assert.LessOrEqual(t, b.Clients+b.Backends+kept, limit)
@@ -40,8 +40,8 @@
 
 // TestShedOrder: beyond the limit sessions without an open request are shed, and idle ones that served a job last. A session that has
 // just connected is not shed yet: its first request, which a client does not repeat by itself, is on its way.
-func TestWhoGoesFirst(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 4, `
+func TestShedOrder(t *testing.T) {
+	runScenario(t, newEntries(balance.Ready, "s1"), 4, `
 		c1 send {req 9a x}
 		s1/1 send {started 9a}{done 9a r}
 		c1 expect 200 r
@@ -81,11 +81,11 @@
 
 // TestJobSessionLimit: sessions that served jobs are limited in number. Beyond the limit the one idle for longest is closed, but
 // none that was used just before.
-func TestUsualSessionsStayFew(t *testing.T) {
+func TestJobSessionLimit(t *testing.T) {
 	serve := func(c, id, conn string) string {
 		return fmt.Sprintf("%s send {req %s x}\n%s send {started %s}{done %s r}\n%s expect 200 r\n", c, id, conn, id, id, c)
 	}
-	run(t, list(balance.Ready, "s1"), 9, func(w *world) { w.clients.MaxJobSessions = 2 },
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, func(w *fixture) { w.clients.MaxJobSessions = 2 },
 		serve("c1", "9a", "s1/1")+"wait 50ms\n"+serve("c2", "9b", "s1/1")+serve("c3", "9c", "s1/1")+`
 		wait 6ms
 		c1 expect nothing
@@ -103,8 +103,8 @@
 }
 
 // TestAllSessionsBusy: where all sessions have an open request, new clients are refused at once, and accepting goes on.
-func TestFull(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *world) {
+func TestAllSessionsBusy(t *testing.T) {
+	runScenario(t, newEntries(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *fixture) {
 		for i := range excessMost + 1 {
 			w.play(fmt.Sprintf("cx%d send", i))
 		}
@@ -116,27 +116,27 @@
 		cx15 expect 503 after 0.500 close 503: too many clients
 		s1/1 send {started 9a}{done 9a r}
 		c1 expect 200 r`,
-		func(w *world) { assert.Equal(t, int64(1), w.count.SessionsRefused.Load()) })
+		func(w *fixture) { assert.Equal(t, int64(1), w.count.SessionsRefused.Load()) })
 }
 
 // lateConn is a connection whose bytes have arrived when the read deadline passes.
-type late struct {
+type lateConn struct {
 	net.Conn
-	up bool
+	timedOut bool
 }
 
-func (l *late) Read(p []byte) (int, error) {
-	if !l.up {
-		l.up = true
+func (l *lateConn) Read(p []byte) (int, error) {
+	if !l.timedOut {
+		l.timedOut = true
 		return 0, os.ErrDeadlineExceeded
 	}
 	return l.Conn.Read(p)
 }
 
 // TestFinalRead: a request that has arrived when its session is to be closed is answered first.
-func TestLastLook(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 9, func(w *world) {
-		go w.clients.admit(&late{Conn: w.pipe("c1")})
+func TestFinalRead(t *testing.T) {
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, func(w *fixture) {
+		go w.clients.admit(&lateConn{Conn: w.newPeer("c1")})
 		go w.peers["c1"].conn.Write([]byte(expand("{req 9b x}")))
 	}, `
 		s1/1 send {started 9b}{done 9b r}
--- a/internal/network/trace_test.go
+++ b/internal/network/trace_test.go
@@ -13,7 +13,7 @@
 
 // TestCloseUnansweredCounted: a session that this side closes with a request that was read and not answered is counted. One
 // whose client closed it, or asked for the close, is not.
-func TestCloseGuardSaysNo(t *testing.T) {
+func TestCloseUnansweredCounted(t *testing.T) {
 	whole := "POST /photo/1 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: a\r\nContent-Length: 1\r\n\r\nb"
 	for name, c := range map[string]struct {
 		owed, itself bool
@@ -40,8 +40,8 @@
 }
 
 // TestReadyAfterEndCounted: a health check answered with "ready" after the process decided to end is counted.
-func TestServeGuardSaysNo(t *testing.T) {
-	run(t, list(balance.Ready, "s1"), 9, func(w *world) {
+func TestReadyAfterEndCounted(t *testing.T) {
+	runScenario(t, newEntries(balance.Ready, "s1"), 9, func(w *fixture) {
 		r := &guard.Recorder{}
 		w.clients.Guard = r
 		status, _ := w.clients.look("GET", "/health/ready")
--- a/internal/network/versions_bench_test.go
+++ b/internal/network/versions_bench_test.go
@@ -14,22 +14,22 @@
 )
 
 // stampingBackends do what the pool does before the first byte, and answer at once.
-type begun struct {
-	instant
-	by string
+type stampingBackends struct {
+	instantBackends
+	dispatcher string
 }
 
-func (x begun) Send(a *core.Attempt) func() {
+func (x stampingBackends) Send(a *core.Attempt) func() {
 	if !a.MayBegin() {
 		a.Ended(core.Unsent, "", nil)
 		return func() {}
 	}
 	var stamp *platform.Stamp
-	if x.by != "" {
-		stamp = &platform.Stamp{Version: a.Version(), By: x.by}
+	if x.dispatcher != "" {
+		stamp = &platform.Stamp{Version: a.Version(), By: x.dispatcher}
 	}
 	platform.AppendJob(make([]byte, 0, 384), a.Job, "127.0.0.1:1", time.Second, stamp)
-	return x.instant.Send(a)
+	return x.instantBackends.Send(a)
 }
 
 // BenchmarkVersion measures the additional cost of a request where the fleet agrees on a policy. It sends the same requests over
@@ -42,13 +42,13 @@
 	require.NoError(b, err)
 	b.Cleanup(a.Close)
 	require.Eventually(b, a.Serves, 30*time.Second, 10*time.Millisecond)
-	off := serveReal(b, begun{instant: instant{"done"}})
-	on := serveReal(b, begun{instant{"done"}, "n0"}, func(c *Clients) { c.Core.Versions = a })
+	off := startServer(b, stampingBackends{instantBackends: instantBackends{"done"}})
+	on := startServer(b, stampingBackends{instantBackends{"done"}, "n0"}, func(c *Clients) { c.Core.Versions = a })
 	const block, pairs = 4000, 160
-	spend := func(s *served) float64 {
-		start := cpu()
-		require.NoError(b, loadPlain(b, s.address[0], block, 8))
-		return float64(cpu()-start) / block / 1000
+	spend := func(s *testServer) float64 {
+		start := cpuTime()
+		require.NoError(b, loadHTTP1(b, s.addresses[0], block, 8))
+		return float64(cpuTime()-start) / block / 1000
 	}
 	for b.Loop() {
 		var without, with, more []float64
