--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -21,14 +21,14 @@
 	if within != 0 {
 		until = min(until, now+within)
 	}
-	why := c.againFor(r)
-	a := &Attempt{Job: r.job, Backend: c.listed[to], core: c, req: r, before: r.latest.Load(), number: len(r.attempts), sent: now,
-		Deadline: c.clock.time(until)}
+	why := c.retryReason(r)
+	a := &Attempt{Job: r.job, Backend: c.listed[to], core: c, req: r, previous: r.latest.Load(), number: len(r.attempts), sentAt: now,
+		Deadline: c.clock.fromMillis(until)}
 	r.attempts = append(r.attempts, a)
 	r.latest.Store(a)
-	r.out++
-	if a.Backend == nil || r.over.Load() || until <= now || // attempts go to listed backends only
-		c.Versions != nil && !c.Versions.MayStart(r.version) {
+	r.outstanding++
+	if a.Backend == nil || r.closed.Load() || until <= now || // attempts go to listed backends only
+		c.Versions != nil && !c.Versions.MayStart(r.policyVersion) {
 		if a.Backend == nil {
 			a.Backend = &Backend{ID: to}
 		}
@@ -37,10 +37,10 @@
 	}
 	c.count.Attempts.Add(1)
 	if why != nil {
-		c.note(c.clock.time(now), r, guard.AttemptSent, why)
+		c.trace(c.clock.fromMillis(now), r, guard.AttemptSent, why)
 	}
 	a.stop = c.backends.Send(a)
-	c.timers.set(until, func() { c.cut(a, Overdue) })
+	c.timers.add(until, func() { c.stopAttempt(a, Overdue) })
 }
 
 func (x actions) Refuse(id balance.RequestID, pause balance.Millis) {
@@ -59,7 +59,7 @@
 func (x actions) Cancel(id balance.RequestID, attempt int) {
 	if r := x.c.reqs[id]; r != nil && attempt >= 0 && attempt < len(r.attempts) {
 		a := r.attempts[attempt]
-		x.c.post(func() { x.c.cut(a, Withdrawn) })
+		x.c.post(func() { x.c.stopAttempt(a, Withdrawn) })
 	}
 }
 
@@ -69,7 +69,7 @@
 		c.post(func() {
 			res, _ := e.Result()
 			now := c.clock.now()
-			c.mod.Probed(now, balance.ProbeResult{Worker: to, Result: res, Took: now - sent, Report: report})
+			c.module.Probed(now, balance.ProbeResult{Worker: to, Result: res, Took: now - sent, Report: report})
 		})
 	}
 	if b == nil {
@@ -88,7 +88,7 @@
 
 func (x actions) Wake(in balance.Millis, token uint64) {
 	c := x.c
-	c.timers.set(c.clock.now()+in, func() { c.mod.Wake(c.clock.now(), token) })
+	c.timers.add(c.clock.now()+in, func() { c.module.Wake(c.clock.now(), token) })
 }
 
 func (x actions) Subscribe()      { x.c.director.Subscribe() }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -15,19 +15,19 @@
 	Deadline time.Time // when the dispatcher stops waiting
 	core     *Core
 	req      *req
-	before   *Attempt // attempt of the same request sent just before; nil for the first
+	previous *Attempt // attempt of the same request sent just before; nil for the first
 	number   int
-	sent     float64
-	over     bool
+	sentAt   float64
+	done     bool
 	ending   Ending       // valid once done is set
-	never    atomic.Bool  // proven never to have run
-	begun    atomic.Int64 // stamp of when MayBegin last allowed it; 0 if it never did
+	neverRan atomic.Bool  // proven never to have run
+	begunAt  atomic.Int64 // stamp of when MayBegin last allowed it; 0 if it never did
 	stopped  atomic.Bool
 	stop     func()
 
-	started atomic.Bool   // Started was called
-	share   atomic.Uint64 // newest progress, as the bits of a float64
-	posted  atomic.Bool   // an event that will report progress is posted
+	startReported  atomic.Bool   // Started was called
+	progress       atomic.Uint64 // newest progress, as the bits of a float64
+	progressPosted atomic.Bool   // an event that will report progress is posted
 }
 
 // MayBegin reports, just before the first byte is written, whether the attempt may still begin. Making the connection can
@@ -36,34 +36,34 @@
 // from any goroutine and doesn't block. It may be called again if no byte was written after all.
 func (a *Attempt) MayBegin() bool {
 	now := a.core.clock.read()
-	if a.req.over.Load() || a.stopped.Load() || !a.Backend.ready.Load() || a.Backend.Banned() || !now.Before(a.Deadline) || !a.harmless(now) ||
+	if a.req.closed.Load() || a.stopped.Load() || !a.Backend.ready.Load() || a.Backend.Banned() || !now.Before(a.Deadline) || !a.repeatAllowed(now) ||
 		a.core.Versions != nil && !a.core.mayStart(a.req) {
 		return false
 	}
-	a.begun.Store(a.core.clock.stamp(now))
+	a.begunAt.Store(a.core.clock.toStamp(now))
 	return true
 }
 
 // Wanted reports whether the attempt can still be of use: the request is unanswered, its client is there, and the attempt
 // was not stopped. It may be called from any goroutine and changes nothing.
-func (a *Attempt) Wanted() bool { return !a.req.over.Load() && !a.stopped.Load() }
+func (a *Attempt) Wanted() bool { return !a.req.closed.Load() && !a.stopped.Load() }
 
 // repeatAllowed checks the rule on duplicated effects again, as far as it depends on the time and on the other attempts. The
 // module checked it when it decided on this attempt, but the attempt may begin much later.
-func (a *Attempt) harmless(now time.Time) bool {
+func (a *Attempt) repeatAllowed(now time.Time) bool {
 	r := a.req
-	if r.effect == balance.Safe || !a.core.guarded {
+	if r.effect == balance.Safe || !a.core.duplicateRule {
 		return true
 	}
-	for o := r.latest.Load(); o != nil; o = o.before {
-		if o == a || o.never.Load() {
+	for o := r.latest.Load(); o != nil; o = o.previous {
+		if o == a || o.neverRan.Load() {
 			continue
 		}
 		if r.effect == balance.Unsafe {
 			return false
 		}
-		begun := o.begun.Load()
-		if begun != 0 && a.core.clock.stamp(now)-begun >= int64(balance.EffectiveRepeatWindow(r.window)*float64(time.Millisecond)) {
+		begun := o.begunAt.Load()
+		if begun != 0 && a.core.clock.toStamp(now)-begun >= int64(balance.EffectiveRepeatWindow(r.repeatWindow)*float64(time.Millisecond)) {
 			return false
 		}
 	}
@@ -71,7 +71,7 @@
 }
 
 // Version returns the version of the fleet's policy under which the request was admitted; 0 if there is none.
-func (a *Attempt) Version() uint64 { return a.req.version }
+func (a *Attempt) Version() uint64 { return a.req.policyVersion }
 
 // Number returns the index of the attempt among those of its request, from 0.
 func (a *Attempt) Number() int { return a.number }
@@ -79,18 +79,18 @@
 // Started reports that the job has begun to run. Only the first call counts, so that a backend which repeats it cannot
 // flood the core.
 func (a *Attempt) Started() {
-	if !a.started.Swap(true) {
+	if !a.startReported.Swap(true) {
 		a.core.post(func() { a.core.progressed(a, true, 0) })
 	}
 }
 
 // Progress reports the share of the job that is done. At most one such event is pending; the core then reads the newest share.
 func (a *Attempt) Progress(share float64) {
-	a.share.Store(math.Float64bits(share))
-	if !a.posted.Swap(true) {
+	a.progress.Store(math.Float64bits(share))
+	if !a.progressPosted.Swap(true) {
 		a.core.post(func() {
-			a.posted.Store(false)
-			a.core.progressed(a, false, math.Float64frombits(a.share.Load()))
+			a.progressPosted.Store(false)
+			a.core.progressed(a, false, math.Float64frombits(a.progress.Load()))
 		})
 	}
 }
--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -12,28 +12,28 @@
 )
 
 // noopPolicy is a decision policy that takes no action.
-type mute struct{ balance.Events }
+type noopPolicy struct{ balance.Events }
 
-func (mute) Arrive(balance.Millis, balance.Request)                     {}
-func (mute) Workers(balance.Millis, balance.ListKind, []balance.Worker) {}
-func (mute) Abandoned(balance.Millis, balance.RequestID)                {}
-func (mute) AttemptEnded(balance.Millis, balance.Outcome)               {}
-func (mute) Progressed(balance.Millis, balance.Progress)                {}
+func (noopPolicy) Arrive(balance.Millis, balance.Request)                     {}
+func (noopPolicy) Workers(balance.Millis, balance.ListKind, []balance.Worker) {}
+func (noopPolicy) Abandoned(balance.Millis, balance.RequestID)                {}
+func (noopPolicy) AttemptEnded(balance.Millis, balance.Outcome)               {}
+func (noopPolicy) Progressed(balance.Millis, balance.Progress)                {}
 
 // clockFixture is a fixture with a manual clock and one request, whose attempts the test dispatches itself.
-type trial struct {
-	*bench
+type clockFixture struct {
+	*fixture
 	now    time.Time
 	ticket Handle
 }
 
-func newTrial(t *testing.T, class balance.Class) *trial {
-	w := &trial{bench: &bench{}, now: time.Unix(1e9, 0)}
+func newClockFixture(t *testing.T, class balance.Class) *clockFixture {
+	w := &clockFixture{fixture: &fixture{}, now: time.Unix(1e9, 0)}
 	var err error
-	w.core, err = NewWith(func() time.Time { return w.now }, func(balance.Settings, balance.Actions) (balance.Events, error) { return mute{}, nil },
+	w.core, err = NewWith(func() time.Time { return w.now }, func(balance.Settings, balance.Actions) (balance.Events, error) { return noopPolicy{}, nil },
 		balance.Settings{MayCancel: true, Classes: []balance.Class{class}}, w, w, &counters.Set{})
 	require.NoError(t, err)
-	w.core.guarded = true
+	w.core.duplicateRule = true
 	w.core.HandleList(balance.ListFull, []Entry{{Worker: balance.Worker{ID: 1, State: balance.Ready, Weight: 4}}})
 	w.core.step()
 	w.ticket, _ = w.core.Submit(balance.Request{Slots: 1}, &Job{ID: "a"}, w.now, time.Minute, w)
@@ -42,23 +42,23 @@
 	return w
 }
 
-func (w *trial) dispatch() { actions{w.core}.Dispatch(1, 1, 0) }
+func (w *clockFixture) dispatch() { actions{w.core}.Dispatch(1, 1, 0) }
 
 // Once its client is gone or it is answered, no further attempt of a request begins: from that instant on, not only after the
 // core has handled the event. An attempt that has begun runs on.
-func TestGoneBeforeItBegan(t *testing.T) {
+func TestNoBeginAfterClientGone(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(*trial)
+		do   func(*clockFixture)
 		want bool
 	}{
-		"nothing happened":              {func(*trial) {}, true},
-		"gone, event not handled yet":   {func(w *trial) { w.ticket.Abandon(false, nil) }, false},
-		"gone":                          {func(w *trial) { w.ticket.Abandon(false, nil); w.core.step() }, false},
-		"gone, attempts cancelled":      {func(w *trial) { w.ticket.Abandon(true, nil); w.core.step() }, false},
-		"answered by the other attempt": {func(w *trial) { w.sent[0].Ended(Served, "r", nil); w.core.step() }, false},
-		"the other attempt failed":      {func(w *trial) { w.sent[0].Ended(Broken, "", nil); w.core.step() }, true},
+		"nothing happened":              {func(*clockFixture) {}, true},
+		"gone, event not handled yet":   {func(w *clockFixture) { w.ticket.Abandon(false, nil) }, false},
+		"gone":                          {func(w *clockFixture) { w.ticket.Abandon(false, nil); w.core.step() }, false},
+		"gone, attempts cancelled":      {func(w *clockFixture) { w.ticket.Abandon(true, nil); w.core.step() }, false},
+		"answered by the other attempt": {func(w *clockFixture) { w.sent[0].Ended(Served, "r", nil); w.core.step() }, false},
+		"the other attempt failed":      {func(w *clockFixture) { w.sent[0].Ended(Broken, "", nil); w.core.step() }, true},
 	} {
-		w := newTrial(t, balance.Class{Effect: balance.Safe})
+		w := newClockFixture(t, balance.Class{Effect: balance.Safe})
 		require.True(t, w.sent[0].MayBegin())
 		w.dispatch()
 		c.do(w)
@@ -78,34 +78,34 @@
 
 // MayBegin enforces the rule on duplicated effects just before the first byte. It depends on the class's effect, on when the
 // other attempts actually began, and on whether they are proven never to have run.
-func TestHarmless(t *testing.T) {
+func TestMayBeginDuplicateRule(t *testing.T) {
 	const window = 1000
-	pass := func(w *trial, ms int) { w.now = w.now.Add(time.Duration(ms) * time.Millisecond) }
-	end := func(e Ending) func(*trial) {
-		return func(w *trial) { w.sent[0].MayBegin(); w.sent[0].Ended(e, "", nil); w.core.step() }
+	pass := func(w *clockFixture, ms int) { w.now = w.now.Add(time.Duration(ms) * time.Millisecond) }
+	end := func(e Ending) func(*clockFixture) {
+		return func(w *clockFixture) { w.sent[0].MayBegin(); w.sent[0].Ended(e, "", nil); w.core.step() }
 	}
 	for name, c := range map[string]struct {
 		effect balance.Effect
-		first  func(*trial)
+		first  func(*clockFixture)
 		late   int // ms until the second attempt is about to begin
 		want   bool
 	}{
 		"safe":                             {balance.Safe, end(Broken), 5000, true},
 		"within the window":                {balance.Deduped, end(Broken), 849, true},
 		"after the window":                 {balance.Deduped, end(Broken), 850, false},
-		"after it, the first outstanding":  {balance.Deduped, func(w *trial) { w.sent[0].MayBegin() }, 850, false},
+		"after it, the first outstanding":  {balance.Deduped, func(w *clockFixture) { w.sent[0].MayBegin() }, 850, false},
 		"after it, the first overdue":      {balance.Deduped, end(Overdue), 850, false},
 		"after it, the first never ran":    {balance.Deduped, end(Unreached), 5000, true},
 		"after it, the first was returned": {balance.Deduped, end(Returned), 5000, true},
-		"counted from when it began": {balance.Deduped, func(w *trial) {
+		"counted from when it began": {balance.Deduped, func(w *clockFixture) {
 			pass(w, 800)
 			w.sent[0].MayBegin()
 		}, 849, true},
-		"not yet begun":                 {balance.Deduped, func(*trial) {}, 5000, true},
-		"unsafe, the first outstanding": {balance.Unsafe, func(w *trial) { w.sent[0].MayBegin() }, 1, false},
-		"unsafe, not yet begun":         {balance.Unsafe, func(*trial) {}, 1, false},
-		"unsafe, overdue while connecting": {balance.Unsafe, func(w *trial) {
-			w.core.cut(w.sent[0], Overdue)
+		"not yet begun":                 {balance.Deduped, func(*clockFixture) {}, 5000, true},
+		"unsafe, the first outstanding": {balance.Unsafe, func(w *clockFixture) { w.sent[0].MayBegin() }, 1, false},
+		"unsafe, not yet begun":         {balance.Unsafe, func(*clockFixture) {}, 1, false},
+		"unsafe, overdue while connecting": {balance.Unsafe, func(w *clockFixture) {
+			w.core.stopAttempt(w.sent[0], Overdue)
 			assert.False(t, w.sent[0].MayBegin())
 		}, 1, false},
 		"unsafe, withdrawn": {balance.Unsafe, end(Withdrawn), 1, false},
@@ -117,7 +117,7 @@
 		"unsafe, returned":  {balance.Unsafe, end(Returned), 5000, true},
 		"unsafe, unsent":    {balance.Unsafe, end(Unsent), 5000, true},
 	} {
-		w := newTrial(t, balance.Class{Effect: c.effect, RepeatWindow: window})
+		w := newClockFixture(t, balance.Class{Effect: c.effect, RepeatWindow: window})
 		c.first(w)
 		w.dispatch()
 		require.Len(t, w.sent, 2, name)
@@ -127,9 +127,9 @@
 }
 
 // The attempt sent first can be the one that begins last. The repeat window counts from the attempt that began first.
-func TestWindowFromTheFirstThatBegan(t *testing.T) {
+func TestWindowCountsFromFirstBegun(t *testing.T) {
 	for late, want := range map[time.Duration]bool{849: true, 850: false} {
-		w := newTrial(t, balance.Class{Effect: balance.Deduped, RepeatWindow: 1000})
+		w := newClockFixture(t, balance.Class{Effect: balance.Deduped, RepeatWindow: 1000})
 		w.dispatch()
 		require.True(t, w.sent[1].MayBegin())
 		w.now = w.now.Add(late * time.Millisecond)
@@ -138,8 +138,8 @@
 }
 
 // MayBegin can allow an attempt that then writes no byte and asks again. The repeat window counts from the second time.
-func TestBegunAgain(t *testing.T) {
-	w := newTrial(t, balance.Class{Effect: balance.Deduped, RepeatWindow: 1000})
+func TestWindowCountsFromLastMayBegin(t *testing.T) {
+	w := newClockFixture(t, balance.Class{Effect: balance.Deduped, RepeatWindow: 1000})
 	w.dispatch()
 	require.True(t, w.sent[0].MayBegin())
 	w.now = w.now.Add(800 * time.Millisecond)
@@ -149,8 +149,8 @@
 }
 
 // A backend that reports start and progress without end must not fill the inbox: at most one event of each is pending.
-func TestNewsWithoutEnd(t *testing.T) {
-	w := newTrial(t, balance.Class{Effect: balance.Safe})
+func TestRepeatedProgressIsBounded(t *testing.T) {
+	w := newClockFixture(t, balance.Class{Effect: balance.Safe})
 	for i := range 1000 {
 		w.sent[0].Started()
 		w.sent[0].Progress(float64(i) / 1000)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -66,25 +66,25 @@
 // Backend is a server that runs jobs. All fields but its state are fixed: a backend whose address changes is replaced
 // by a new Backend in the core's list.
 type Backend struct {
-	ID      balance.WorkerID
-	Name    string
-	Address string
-	ready   atomic.Bool
-	drained atomic.Int64 // stamp (see clock.toStamp) of when it stopped being ready; 0 while it is ready or if it never was
-	core    *Core        // nil in tests that use a Backend without a core
+	ID            balance.WorkerID
+	Name          string
+	Address       string
+	ready         atomic.Bool
+	notReadySince atomic.Int64 // stamp (see clock.toStamp) of when it stopped being ready; 0 while it is ready or if it never was
+	core          *Core        // nil in tests that use a Backend without a core
 }
 
 // Banned reports whether operators have taken the backend out of use.
-func (b *Backend) Banned() bool { return b.core != nil && b.core.withheld(b.ID) }
+func (b *Backend) Banned() bool { return b.core != nil && b.core.isBanned(b.ID) }
 
 // setReady records whether requests may be sent to the backend.
-func (b *Backend) set(ready bool) {
+func (b *Backend) setReady(ready bool) {
 	was := b.ready.Swap(ready)
 	switch {
 	case ready:
-		b.drained.Store(0)
+		b.notReadySince.Store(0)
 	case was && b.core != nil:
-		b.drained.Store(b.core.clock.stamp(b.core.clock.read()))
+		b.notReadySince.Store(b.core.clock.toStamp(b.core.clock.read()))
 	}
 }
 
@@ -98,27 +98,27 @@
 
 // req is a request that is unanswered or has attempts outstanding.
 type req struct {
-	id       balance.RequestID
-	client   Client
-	job      *Job
-	deadline float64
-	effect   balance.Effect
-	window   balance.Millis // for how long backends drop repeats, where effect is Deduped
-	open     bool           // a final answer is still due
-	over     atomic.Bool    // the request is answered or no longer wanted: no attempt may begin
-	scope    balance.Scope  // which backends drop repeats together, where effect is Deduped
-	answered bool           // the final answer was given
-	goneAt   atomic.Int64   // stamp of when its client was found to be gone; 0 while it is there
-	version  uint64         // fleet policy version under which it was admitted; 0 without Versions
-	began    atomic.Bool    // Versions was told that it has begun at a backend or never will
-	attempts []*Attempt
-	latest   atomic.Pointer[Attempt] // last element of attempts, read by MayBegin on other goroutines
-	out      int
-	cut      bool // the core stopped an attempt, which may still be reading the job
-	gone     func()
-	waits    bool   // waits for quota; the module does not know of it yet
-	arrived  bool   // the module knows of it
-	leave    func() // releases its quota or its place in the queue for it; nil without Quotas and after the call
+	id             balance.RequestID
+	client         Client
+	job            *Job
+	deadline       float64
+	effect         balance.Effect
+	repeatWindow   balance.Millis // for how long backends drop repeats, where effect is Deduped
+	open           bool           // a final answer is still due
+	closed         atomic.Bool    // the request is answered or no longer wanted: no attempt may begin
+	dedupScope     balance.Scope  // which backends drop repeats together, where effect is Deduped
+	answered       bool           // the final answer was given
+	clientGoneAt   atomic.Int64   // stamp of when its client was found to be gone; 0 while it is there
+	policyVersion  uint64         // fleet policy version under which it was admitted; 0 without Versions
+	begunReported  atomic.Bool    // Versions was told that it has begun at a backend or never will
+	attempts       []*Attempt
+	latest         atomic.Pointer[Attempt] // last element of attempts, read by MayBegin on other goroutines
+	outstanding    int
+	attemptStopped bool // the core stopped an attempt, which may still be reading the job
+	onDone         func()
+	queued         bool   // waits for quota; the module does not know of it yet
+	inModule       bool   // the module knows of it
+	releaseQuota   func() // releases its quota or its place in the queue for it; nil without Quotas and after the call
 }
 
 // Core is the dispatcher without its connections.
@@ -132,36 +132,36 @@
 	// Guard, if set before Run, checks invariants at run time and keeps the trace of events.
 	Guard *guard.Recorder
 
-	clock    clock
-	count    *counters.Set
-	mod      balance.Events
-	backends Backends
-	director Director
-	reqs     map[balance.RequestID]*req
-	listed   map[balance.WorkerID]*Backend
-	last     balance.RequestID
-	waiting  []*req // requests queued for quota, with Versions set; some have left the queue already
-	timers   timers
-	slack    float64
-	grace    time.Duration // for how long after a backend stops being ready an attempt may still begin at it
-	classes  []balance.Class
-	guarded  bool // MayBegin enforces the rule on duplicated effects as well
+	clock         clock
+	count         *counters.Set
+	module        balance.Events
+	backends      Backends
+	director      Director
+	reqs          map[balance.RequestID]*req
+	listed        map[balance.WorkerID]*Backend
+	lastID        balance.RequestID
+	queuedReqs    []*req // requests queued for quota, with Versions set; some have left the queue already
+	timers        timers
+	answerSlack   float64
+	drainGrace    time.Duration // for how long after a backend stops being ready an attempt may still begin at it
+	classes       []balance.Class
+	duplicateRule bool // MayBegin enforces the rule on duplicated effects as well
 	// mayCancel says that the settings allow cancelling an attempt.
-	mayCancel bool
-	ready     atomic.Int32                               // number of backends that may be sent to
-	open      atomic.Int32                               // number of unanswered requests
-	known     atomic.Bool                                // a list of backends has arrived
-	held      atomic.Pointer[map[balance.WorkerID]int64] // stamps of when each banned backend was banned
+	mayCancel  bool
+	readyCount atomic.Int32                               // number of backends that may be sent to
+	openCount  atomic.Int32                               // number of unanswered requests
+	hasList    atomic.Bool                                // a list of backends has arrived
+	banned     atomic.Pointer[map[balance.WorkerID]int64] // stamps of when each banned backend was banned
 
 	ids ids
 
-	starts starts
-	heard  int64 // stamp of the director's last answer; 0 if there was none
+	startTimes         startTimes
+	directorAnsweredAt int64 // stamp of the director's last answer; 0 if there was none
 
-	mu     sync.Mutex
-	inbox  []func()
-	spare  []func()
-	posted chan struct{}
+	mu         sync.Mutex
+	inbox      []func()
+	spareInbox []func()
+	posted     chan struct{}
 }
 
 // New makes a core for the settings, on the system clock.
@@ -173,7 +173,7 @@
 // clock calls Step after something was posted, and at the time that NextTimer returns.
 func NewAt(read func() time.Time, s balance.Settings, b Backends, d Director, count *counters.Set) (*Core, error) {
 	c, err := NewWith(read, func(s balance.Settings, a balance.Actions) (balance.Events, error) { return balance.New(s, a) }, s, b, d, count)
-	c.guarded = true
+	c.duplicateRule = true
 	return c, err
 }
 
@@ -182,37 +182,37 @@
 // New.
 func NewWith(read func() time.Time, policy func(balance.Settings, balance.Actions) (balance.Events, error),
 	s balance.Settings, b Backends, d Director, count *counters.Set) (*Core, error) {
-	c := &Core{clock: newClock(read), count: count, backends: b, director: d, slack: s.Rules.AnswerSlack,
-		grace: time.Duration(s.Rules.DrainGrace * float64(time.Millisecond)), classes: s.Classes, mayCancel: s.MayCancel,
+	c := &Core{clock: newClock(read), count: count, backends: b, director: d, answerSlack: s.Rules.AnswerSlack,
+		drainGrace: time.Duration(s.Rules.DrainGrace * float64(time.Millisecond)), classes: s.Classes, mayCancel: s.MayCancel,
 		reqs: map[balance.RequestID]*req{}, listed: map[balance.WorkerID]*Backend{},
-		posted: make(chan struct{}, 1), starts: newStarts()}
+		posted: make(chan struct{}, 1), startTimes: newStartTimes()}
 	var err error
-	c.mod, err = policy(s, actions{c})
+	c.module, err = policy(s, actions{c})
 	return c, err
 }
 
 // ReadyBackends returns how many backends may be sent to.
-func (c *Core) ReadyBackends() int { return int(c.ready.Load()) }
+func (c *Core) ReadyBackends() int { return int(c.readyCount.Load()) }
 
 // SetBanned names the backends at which no attempt may begin from now on, whatever their listed state. It takes effect before
 // it returns, ahead of events that the core has not handled yet. The core keeps no reference to the map.
 func (c *Core) SetBanned(ids map[balance.WorkerID]struct{}) {
 	since := make(map[balance.WorkerID]int64, len(ids))
-	now := c.clock.stamp(c.clock.read())
+	now := c.clock.toStamp(c.clock.read())
 	for id := range ids {
 		since[id] = now
-		if before := c.withheldSince(id); before != 0 {
+		if before := c.bannedSince(id); before != 0 {
 			since[id] = before
 		}
 	}
-	c.held.Store(&since)
+	c.banned.Store(&since)
 }
 
-func (c *Core) withheld(id balance.WorkerID) bool { return c.withheldSince(id) != 0 }
+func (c *Core) isBanned(id balance.WorkerID) bool { return c.bannedSince(id) != 0 }
 
 // bannedSince returns the stamp of when a backend was banned, 0 if it is not banned.
-func (c *Core) withheldSince(id balance.WorkerID) int64 {
-	ids := c.held.Load()
+func (c *Core) bannedSince(id balance.WorkerID) int64 {
+	ids := c.banned.Load()
 	if ids == nil {
 		return 0
 	}
@@ -220,7 +220,7 @@
 }
 
 // overlapPolicy is a policy that can share the budget of cold backends with another process of this dispatcher.
-type heir interface {
+type overlapPolicy interface {
 	SetOverlap(on bool)
 	StartOverlapped(now balance.Millis)
 }
@@ -230,7 +230,7 @@
 // balance.Dispatcher.SetOverlap documents the parts.
 func (c *Core) SetOverlap(on bool) {
 	c.post(func() {
-		if h, ok := c.mod.(heir); ok {
+		if h, ok := c.module.(overlapPolicy); ok {
 			h.SetOverlap(on)
 		}
 	})
@@ -239,17 +239,17 @@
 // StartOverlapped tells a process that takes over that its predecessor still serves.
 func (c *Core) StartOverlapped() {
 	c.post(func() {
-		if h, ok := c.mod.(heir); ok {
+		if h, ok := c.module.(overlapPolicy); ok {
 			h.StartOverlapped(c.clock.now())
 		}
 	})
 }
 
 // HasList reports whether any list of backends has arrived.
-func (c *Core) HasList() bool { return c.known.Load() }
+func (c *Core) HasList() bool { return c.hasList.Load() }
 
 // OpenReqs returns how many requests are unanswered.
-func (c *Core) OpenReqs() int { return int(c.open.Load()) }
+func (c *Core) OpenReqs() int { return int(c.openCount.Load()) }
 
 func (c *Core) post(event func()) {
 	c.mu.Lock()
@@ -298,7 +298,7 @@
 		return time.Time{}
 	}
 	// Rounded up, so that a clock in whole nanoseconds doesn't stop just before the timer is due.
-	return c.clock.origin.Add(time.Duration(math.Ceil((c.timers.list[0].at - c.clock.unix) * float64(time.Millisecond))))
+	return c.clock.origin.Add(time.Duration(math.Ceil((c.timers.list[0].at - c.clock.originMillis) * float64(time.Millisecond))))
 }
 
 // step handles the posted events, then the due timers. Events posted meanwhile wait for the next step. Events come before
@@ -306,24 +306,24 @@
 func (c *Core) step() {
 	c.mu.Lock()
 	events := c.inbox
-	c.inbox = c.spare[:0]
+	c.inbox = c.spareInbox[:0]
 	c.mu.Unlock()
 	for _, event := range events {
 		event()
 	}
 	clear(events)
-	c.spare = events
-	for do := c.timers.due(c.clock.now()); do != nil; do = c.timers.due(c.clock.now()) {
+	c.spareInbox = events
+	for do := c.timers.popDue(c.clock.now()); do != nil; do = c.timers.popDue(c.clock.now()) {
 		do()
 	}
 }
 
 func (c *Core) close(r *req) {
 	r.open = false
-	r.over.Store(true)
-	c.open.Add(-1)
+	r.closed.Store(true)
+	c.openCount.Add(-1)
 	if c.Versions != nil {
-		c.begun(r)
+		c.reportBegun(r)
 	}
 }
 
@@ -334,7 +334,7 @@
 	}
 	c.checkFinal(r, a)
 	c.close(r)
-	a.JobReleased = r.out == 0 && !r.cut
+	a.JobReleased = r.outstanding == 0 && !r.attemptStopped
 	switch a.Kind {
 	case Result:
 		c.count.AnswersServed.Add(1)
@@ -348,26 +348,26 @@
 
 // forget drops a request that is answered and has no attempt outstanding.
 func (c *Core) forget(r *req) {
-	if r.open || r.out > 0 {
+	if r.open || r.outstanding > 0 {
 		return
 	}
 	if c.reqs[r.id] == r {
 		delete(c.reqs, r.id)
-		c.ids.drop(r.job.ID, c.clock.read())
+		c.ids.release(r.job.ID, c.clock.read())
 	}
-	if leave := r.leave; leave != nil {
-		r.leave = nil
+	if leave := r.releaseQuota; leave != nil {
+		r.releaseQuota = nil
 		leave()
 	}
-	if gone := r.gone; gone != nil {
-		r.gone = nil
+	if gone := r.onDone; gone != nil {
+		r.onDone = nil
 		gone()
 	}
 }
 
 func (c *Core) progressed(a *Attempt, started bool, share float64) {
-	if !a.over {
-		c.mod.Progressed(c.clock.now(), balance.Progress{ID: a.req.id, Attempt: a.number,
+	if !a.done {
+		c.module.Progressed(c.clock.now(), balance.Progress{ID: a.req.id, Attempt: a.number,
 			Worker: a.Backend.ID, Started: started, Done: share})
 	}
 }
@@ -375,11 +375,11 @@
 // ended handles the end of an attempt; repeated calls do nothing. A result goes to the client before the module learns
 // of it, in the same order as in the simulator.
 func (c *Core) ended(a *Attempt, e Ending, result string, report []float32) {
-	if a.over {
+	if a.done {
 		return
 	}
-	a.over, a.ending = true, e
-	a.req.out--
+	a.done, a.ending = true, e
+	a.req.outstanding--
 	c.count.Endings[e].Add(1)
 	res, ok := e.Result()
 	if !ok {
@@ -387,9 +387,9 @@
 		res = balance.Reset
 	}
 	if e != Served { // the event for the request's answer covers Served
-		c.note(c.clock.read(), a.req, guard.AttemptEnded, e)
+		c.trace(c.clock.read(), a.req, guard.AttemptEnded, e)
 	}
-	a.never.Store(res == balance.Full || res == balance.ConnectFailed || res == balance.NotSent)
+	a.neverRan.Store(res == balance.Full || res == balance.ConnectFailed || res == balance.NotSent)
 	switch e {
 	case Served:
 		c.answer(a.req, Answer{Kind: Result, Result: result})
@@ -397,20 +397,20 @@
 		c.answer(a.req, Answer{Kind: Failure})
 	case Unsent:
 		if c.Versions != nil {
-			c.outlived(a.req)
+			c.answerExpired(a.req)
 		}
 	}
 	now := c.clock.now()
-	c.mod.AttemptEnded(now, balance.Outcome{ID: a.req.id, Attempt: a.number, Worker: a.Backend.ID,
-		Result: res, Took: now - a.sent, Closed: !a.req.open, Report: report})
+	c.module.AttemptEnded(now, balance.Outcome{ID: a.req.id, Attempt: a.number, Worker: a.Backend.ID,
+		Result: res, Took: now - a.sentAt, Closed: !a.req.open, Report: report})
 	c.forget(a.req)
 }
 
 // stopAttempt stops an attempt from the core's side. An attempt that was never given to the pool ends as Unsent by itself.
-func (c *Core) cut(a *Attempt, e Ending) {
-	if !a.over && a.stop != nil {
+func (c *Core) stopAttempt(a *Attempt, e Ending) {
+	if !a.done && a.stop != nil {
 		a.stopped.Store(true)
-		a.req.cut = true
+		a.req.attemptStopped = true
 		a.stop()
 		c.ended(a, e, "", nil)
 	}
@@ -418,23 +418,23 @@
 
 // HandleList delivers a list of backends, or the news that fetching it failed.
 func (c *Core) HandleList(kind balance.ListKind, list []Entry) {
-	c.post(func() { c.list(kind, list) })
+	c.post(func() { c.updateList(kind, list) })
 }
 
-func (c *Core) list(kind balance.ListKind, list []Entry) {
+func (c *Core) updateList(kind balance.ListKind, list []Entry) {
 	workers := make([]balance.Worker, len(list))
 	named := make(map[balance.WorkerID]bool, len(list))
 	read := c.clock.read()
-	stale := c.stale(kind, read)
+	stale := c.watchSilence(kind, read)
 	for i := range list {
 		e := &list[i]
 		workers[i], named[e.ID] = e.Worker, true
 		if e.State != balance.Gone && !e.LocalStart {
-			workers[i].Started = c.starts.take(e.ID, e.Started, c.clock.millis(read), stale)
+			workers[i].Started = c.startTimes.adjust(e.ID, e.Started, c.clock.millis(read), stale)
 		}
 		b := c.listed[e.ID]
 		if b != nil && (b.Address != e.Address || e.State == balance.Gone) {
-			c.unlist(b)
+			c.removeBackend(b)
 			b = nil
 		}
 		if e.State == balance.Gone {
@@ -444,12 +444,12 @@
 			b = &Backend{ID: e.ID, Name: e.Name, Address: e.Address, core: c}
 			c.listed[e.ID] = b
 		}
-		b.set(e.State == balance.Ready)
+		b.setReady(e.State == balance.Ready)
 	}
 	if kind == balance.ListFull || kind == balance.ListCached {
 		for id, b := range c.listed {
 			if !named[id] {
-				c.unlist(b)
+				c.removeBackend(b)
 			}
 		}
 	}
@@ -459,14 +459,14 @@
 			ready++
 		}
 	}
-	c.ready.Store(ready)
-	c.known.Store(c.known.Load() || len(c.listed) > 0)
-	c.mod.Workers(c.clock.now(), kind, workers)
+	c.readyCount.Store(ready)
+	c.hasList.Store(c.hasList.Load() || len(c.listed) > 0)
+	c.module.Workers(c.clock.now(), kind, workers)
 }
 
-func (c *Core) unlist(b *Backend) {
-	b.set(false)
-	c.starts.forget(b.ID)
+func (c *Core) removeBackend(b *Backend) {
+	b.setReady(false)
+	c.startTimes.forget(b.ID)
 	delete(c.listed, b.ID)
 	c.backends.CloseIdle(b)
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -13,24 +13,24 @@
 )
 
 // fixture is a core with fakes for everything around it.
-type bench struct {
+type fixture struct {
 	core    *Core
 	sent    []*Attempt
 	stopped int
 	answers []Answer
 }
 
-func (b *bench) Send(a *Attempt) func() {
+func (b *fixture) Send(a *Attempt) func() {
 	b.sent = append(b.sent, a)
 	return func() { b.stopped++ }
 }
-func (b *bench) Probe(_ *Backend, done func(Ending, []float32)) { done(Served, []float32{1}) }
-func (b *bench) CloseIdle(*Backend)                             {}
-func (b *bench) Subscribe()                                     {}
-func (b *bench) Answer(a Answer)                                { b.answers = append(b.answers, a) }
+func (b *fixture) Probe(_ *Backend, done func(Ending, []float32)) { done(Served, []float32{1}) }
+func (b *fixture) CloseIdle(*Backend)                             {}
+func (b *fixture) Subscribe()                                     {}
+func (b *fixture) Answer(a Answer)                                { b.answers = append(b.answers, a) }
 
-func start(t *testing.T, states ...balance.State) *bench {
-	b := &bench{}
+func newFixture(t *testing.T, states ...balance.State) *fixture {
+	b := &fixture{}
 	var err error
 	b.core, err = New(balance.Settings{Seed: 1, Instances: 1, Zones: 1, Kinds: 1, MaxAttempts: 2, TellsStart: true,
 		MayDuplicate: true, ConnectTimeout: 120, Tick: 2, Rules: balance.Rules{AnswerSlack: 8},
@@ -45,53 +45,53 @@
 	return b
 }
 
-func (b *bench) take() Handle {
+func (b *fixture) submit() Handle {
 	t, _ := b.core.Submit(balance.Request{Slots: 1}, &Job{}, time.Now(), 2*time.Second, b)
 	b.core.step()
 	return t
 }
 
 // after lets time pass and runs the timers that are due.
-func (b *bench) after(d time.Duration) { time.Sleep(d); b.core.step() }
+func (b *fixture) after(d time.Duration) { time.Sleep(d); b.core.step() }
 
 // Of several events that may end a request, only the first produces an answer.
 func TestOneAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(*bench, Handle)
+		do   func(*fixture, Handle)
 		want []AnswerKind
 		free bool
 	}{
-		"a result, then late events of the attempt": {func(b *bench, _ Handle) {
+		"a result, then late events of the attempt": {func(b *fixture, _ Handle) {
 			b.sent[0].Ended(Served, "r", nil)
 			b.sent[0].Ended(Broken, "", nil)
 			b.sent[0].Started()
 		}, []AnswerKind{Result}, true},
-		"the deadline, then a late result": {func(b *bench, _ Handle) {
+		"the deadline, then a late result": {func(b *fixture, _ Handle) {
 			b.after(2 * time.Second)
 			b.sent[0].Ended(Served, "r", nil)
 		}, []AnswerKind{Failure}, false}, // the stopped attempt may still be reading the job
-		"a result posted before the deadline is handled": {func(b *bench, _ Handle) {
+		"a result posted before the deadline is handled": {func(b *fixture, _ Handle) {
 			time.Sleep(2 * time.Second)
 			b.sent[0].Ended(Served, "r", nil)
 		}, []AnswerKind{Result}, true},
-		"client gone before the result": {func(b *bench, t Handle) {
+		"client gone before the result": {func(b *fixture, t Handle) {
 			t.Abandon(false, nil)
 			b.sent[0].Ended(Served, "r", nil)
 		}, nil, false},
-		"client gone after the answer": {func(b *bench, t Handle) {
+		"client gone after the answer": {func(b *fixture, t Handle) {
 			b.sent[0].Ended(Failed, "", nil)
 			t.Abandon(false, nil)
 		}, []AnswerKind{Failure}, true},
-		"request rejected by the backend": {func(b *bench, _ Handle) {
+		"request rejected by the backend": {func(b *fixture, _ Handle) {
 			b.sent[0].Ended(Rejected, "", nil)
 		}, []AnswerKind{Failure}, true},
-		"an ending of another kind": {func(b *bench, _ Handle) {
+		"an ending of another kind": {func(b *fixture, _ Handle) {
 			b.sent[0].Ended(ListReceived, "", nil)
 		}, []AnswerKind{Failure}, true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			b := start(t, balance.Ready)
-			ticket := b.take()
+			b := newFixture(t, balance.Ready)
+			ticket := b.submit()
 			require.Len(t, b.sent, 1, name)
 			c.do(b, ticket)
 			b.core.step()
@@ -109,10 +109,10 @@
 }
 
 // An action that fails immediately must not call back into the module: it becomes a later event.
-func TestFailsAtOnce(t *testing.T) {
+func TestImmediateFailureIsPosted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := start(t, balance.Ready)
-		b.take()
+		b := newFixture(t, balance.Ready)
+		b.submit()
 		act := actions{b.core}
 		act.Dispatch(1, 77, 0) // never listed
 		act.Dispatch(1, 1, -1) // deadline in the past
@@ -131,20 +131,20 @@
 // MayBegin is asked just before the first byte is written.
 func TestMayBegin(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(*bench)
+		do   func(*fixture)
 		want bool
 	}{
-		"nothing happened": {func(*bench) {}, true},
-		"drains": {func(b *bench) {
+		"nothing happened": {func(*fixture) {}, true},
+		"drains": {func(b *fixture) {
 			b.core.HandleList(balance.ListDelta, []Entry{{Worker: balance.Worker{ID: 1, State: balance.Draining}}})
 		}, false},
-		"missing from a full list": {func(b *bench) { b.core.HandleList(balance.ListFull, nil) }, false},
-		"a failed call":            {func(b *bench) { b.core.HandleList(balance.ListFailed, nil) }, true},
-		"past its deadline":        {func(*bench) { time.Sleep(2 * time.Second) }, false},
+		"missing from a full list": {func(b *fixture) { b.core.HandleList(balance.ListFull, nil) }, false},
+		"a failed call":            {func(b *fixture) { b.core.HandleList(balance.ListFailed, nil) }, true},
+		"past its deadline":        {func(*fixture) { time.Sleep(2 * time.Second) }, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			b := start(t, balance.Ready)
-			b.take()
+			b := newFixture(t, balance.Ready)
+			b.submit()
 			c.do(b)
 			b.core.mu.Lock()
 			events := b.core.inbox
@@ -172,9 +172,9 @@
 
 // An ID belongs to one request, and stays reserved for a while after the request is over. A request whose client is gone
 // keeps its ID as long as a backend may send messages about it.
-func TestIDs(t *testing.T) {
+func TestIDsStayReserved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := start(t, balance.Ready)
+		b := newFixture(t, balance.Ready)
 		take := func(id string) bool {
 			_, fresh := b.core.Submit(balance.Request{Slots: 1}, &Job{ID: id}, time.Now(), 20*time.Second, b)
 			b.core.step()
@@ -183,19 +183,19 @@
 		assert.True(t, take("a"))
 		assert.False(t, take("a"), "open")
 		assert.True(t, take("b"))
-		b.after(idKept)
+		b.after(idRetention)
 		assert.False(t, take("a"), "still open")
 		b.sent[0].Ended(Served, "r", nil)
 		b.core.step()
 		assert.False(t, take("a"), "answered just now")
-		b.after(idKept)
+		b.after(idRetention)
 		assert.True(t, take("a"))
 		assert.Equal(t, int64(3), b.core.count.ReqsRepeated.Load())
-		for range idsMost + 2 { // the number of reserved IDs is bounded
-			b.core.ids.drop("x", time.Now())
+		for range maxReleasedIDs + 2 { // the number of reserved IDs is bounded
+			b.core.ids.release("x", time.Now())
 		}
-		b.core.ids.take("y", time.Now())
-		assert.LessOrEqual(t, len(b.core.ids.over), idsMost)
+		b.core.ids.claim("y", time.Now())
+		assert.LessOrEqual(t, len(b.core.ids.released), maxReleasedIDs)
 	})
 }
 
@@ -216,9 +216,9 @@
 		{"answered meanwhile", true, true, true, 0, 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			b := start(t, balance.Ready)
+			b := newFixture(t, balance.Ready)
 			b.core.mayCancel = c.allowed
-			ticket := b.take()
+			ticket := b.submit()
 			require.Len(t, b.sent, 1, c.name)
 			b.sent[0].Started()
 			b.core.step()
@@ -241,9 +241,9 @@
 
 // The client withdraws its request before the core has handled Submit. The module still dispatches an attempt, which
 // is never given to the pool and must end by itself.
-func TestGoneAtOnce(t *testing.T) {
+func TestAbandonBeforeSubmitHandled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := start(t, balance.Ready)
+		b := newFixture(t, balance.Ready)
 		b.core.mayCancel = true
 		ticket, _ := b.core.Submit(balance.Request{Slots: 1}, &Job{}, time.Now(), 2*time.Second, b)
 		freed := 0
--- a/internal/core/ending.go
+++ b/internal/core/ending.go
@@ -37,7 +37,7 @@
 	ListRefused    // an answer with another status
 	ListInvalid    // an answer that is not a valid list
 	ListUnanswered // no connection, a reset, or a timeout
-	endings
+	endingCount
 )
 
 // Result converts an ending to the module's result; no other code does. Only an ending that proves that the request never
@@ -65,7 +65,7 @@
 	return 0, false
 }
 
-var endingNames = [endings]string{"served", "failed", "rejected", "returned", "unreached", "lost", "broken", "garbled",
+var endingNames = [endingCount]string{"served", "failed", "rejected", "returned", "unreached", "lost", "broken", "garbled",
 	"overdue", "withdrawn", "unsent", "client_closed", "client_silent", "client_bad", "session_done",
 	"session_shed", "stream_reset", "list_told", "list_refused", "list_unread", "list_unanswered"}
 
@@ -73,7 +73,7 @@
 
 // Endings lists all endings, for the counters.
 func Endings() []fmt.Stringer {
-	all := make([]fmt.Stringer, endings)
+	all := make([]fmt.Stringer, endingCount)
 	for i := range all {
 		all[i] = Ending(i)
 	}
--- a/internal/core/ending_test.go
+++ b/internal/core/ending_test.go
@@ -33,7 +33,7 @@
 		never := got == balance.Full || got == balance.ConnectFailed || got == balance.NotSent
 		assert.Equal(t, c.never, never, c.e)
 	}
-	for e := ClientClosed; e < endings; e++ {
+	for e := ClientClosed; e < endingCount; e++ {
 		_, ok := e.Result()
 		assert.False(t, ok, e)
 		assert.NotEmpty(t, e.String())
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -12,7 +12,7 @@
 // may begin, and the module decides the answers.
 
 // trace adds an event of a request to the trace.
-func (c *Core) note(at time.Time, r *req, step guard.Step, why fmt.Stringer) {
+func (c *Core) trace(at time.Time, r *req, step guard.Step, why fmt.Stringer) {
 	if c.Guard != nil {
 		c.Guard.Note(guard.Event{At: at, Request: r.job.ID, Step: step, Why: why})
 	}
@@ -26,30 +26,30 @@
 		return
 	}
 	c.Guard.Note(guard.Event{At: at, Request: r.job.ID, Step: guard.AttemptBegan})
-	facts := guard.Begin{At: at, ClientGone: c.clock.at(r.goneAt.Load()), Drained: a.Backend.takesNothingSince(), Grace: c.grace,
-		Ended: c.Guard.Ended(), Deadline: c.clock.time(r.deadline), Told: told, Effect: r.effect,
-		Window: time.Duration(r.window * float64(time.Millisecond)), Earlier: c.earlier(a.before)}
+	facts := guard.Begin{At: at, ClientGone: c.clock.fromStamp(r.clientGoneAt.Load()), Drained: a.Backend.unavailableSince(), Grace: c.drainGrace,
+		Ended: c.Guard.Ended(), Deadline: c.clock.fromMillis(r.deadline), Told: told, Effect: r.effect,
+		Window: time.Duration(r.repeatWindow * float64(time.Millisecond)), Earlier: c.earlierAttempts(a.previous)}
 	for _, rule := range facts.Check() {
 		c.Guard.Violated(rule, 0, r.job.ID, fmt.Sprintf("attempt %d at %s: backend told %v, %v left", a.number, a.Backend.Name, told, facts.Deadline.Sub(at)))
 	}
 }
 
 // unavailableSince returns since when the backend is draining, gone or banned; the zero time if it is available.
-func (b *Backend) takesNothingSince() time.Time {
+func (b *Backend) unavailableSince() time.Time {
 	if b.core == nil {
 		return time.Time{}
 	}
-	since := b.drained.Load()
-	if held := b.core.withheldSince(b.ID); held != 0 && (since == 0 || held < since) {
+	since := b.notReadySince.Load()
+	if held := b.core.bannedSince(b.ID); held != 0 && (since == 0 || held < since) {
 		since = held
 	}
-	return b.core.clock.at(since)
+	return b.core.clock.fromStamp(since)
 }
 
 // earlierAttempts describes an attempt and all before it; nil, without allocation, if there is none.
-func (c *Core) earlier(a *Attempt) (out []guard.Earlier) {
-	for ; a != nil; a = a.before {
-		out = append(out, guard.Earlier{Began: c.clock.at(a.begun.Load()), Never: a.never.Load()})
+func (c *Core) earlierAttempts(a *Attempt) (out []guard.Earlier) {
+	for ; a != nil; a = a.previous {
+		out = append(out, guard.Earlier{Began: c.clock.fromStamp(a.begunAt.Load()), Never: a.neverRan.Load()})
 	}
 	return out
 }
@@ -62,11 +62,11 @@
 	now := c.clock.read()
 	var why fmt.Stringer
 	if a.Kind != Result {
-		why = c.refusedFor(r, now)
+		why = c.refusalReason(r, now)
 	}
 	c.Guard.Note(guard.Event{At: now, Request: r.job.ID, Step: guard.RequestOver, Why: why})
-	facts := guard.Final{At: now, Deadline: c.clock.time(r.deadline), Refused: a.Kind == Refusal, Effect: r.effect, Scope: r.scope,
-		Window: time.Duration(r.window * float64(time.Millisecond)), Again: r.answered, Attempts: c.earlier(r.latest.Load())}
+	facts := guard.Final{At: now, Deadline: c.clock.fromMillis(r.deadline), Refused: a.Kind == Refusal, Effect: r.effect, Scope: r.dedupScope,
+		Window: time.Duration(r.repeatWindow * float64(time.Millisecond)), Again: r.answered, Attempts: c.earlierAttempts(r.latest.Load())}
 	r.answered = true
 	for _, rule := range facts.Check() {
 		c.Guard.Violated(rule, 0, r.job.ID, fmt.Sprintf("answer kind %d after %d attempts, %v past the deadline", a.Kind, len(r.attempts), now.Sub(facts.Deadline)))
@@ -74,16 +74,16 @@
 }
 
 // refusalReason returns why a request is answered without a result.
-func (c *Core) refusedFor(r *req, now time.Time) guard.Reason {
+func (c *Core) refusalReason(r *req, now time.Time) guard.Reason {
 	last := r.latest.Load()
 	switch {
-	case c.ready.Load() == 0:
+	case c.readyCount.Load() == 0:
 		return guard.NoBackend
 	case c.clock.millis(now) >= r.deadline:
 		return guard.OutOfTime
 	case last == nil:
 		return guard.NotTaken
-	case !last.never.Load() && last.begun.Load() != 0 && r.effect != balance.Safe:
+	case !last.neverRan.Load() && last.begunAt.Load() != 0 && r.effect != balance.Safe:
 		return guard.MayHaveRun
 	case last.number > 0:
 		return guard.TriesSpent
@@ -92,12 +92,12 @@
 }
 
 // retryReason returns why a further attempt is sent; nil for the first.
-func (c *Core) againFor(r *req) fmt.Stringer {
+func (c *Core) retryReason(r *req) fmt.Stringer {
 	last := r.latest.Load()
 	switch {
 	case last == nil:
 		return nil
-	case !last.over:
+	case !last.done:
 		return guard.SecondCopy
 	}
 	switch last.ending {
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -12,88 +12,88 @@
 
 // The run-time checks must detect a driver that begins attempts without asking MayBegin, and a policy that refuses requests
 // which may have run. Each violation counts under its own rule only, and correct behaviour counts under none.
-func TestGuardsSayNo(t *testing.T) {
+func TestGuardDetectsViolations(t *testing.T) {
 	const grace = 500 * time.Millisecond
-	pass := func(w *trial, d time.Duration) { w.now = w.now.Add(d) }
-	begin := func(w *trial, i int) {
-		w.sent[i].begun.Store(w.core.clock.stamp(w.now))
+	pass := func(w *clockFixture, d time.Duration) { w.now = w.now.Add(d) }
+	begin := func(w *clockFixture, i int) {
+		w.sent[i].begunAt.Store(w.core.clock.toStamp(w.now))
 		w.sent[i].Began(w.now, time.Second)
 	}
-	drain := func(w *trial) {
+	drain := func(w *clockFixture) {
 		w.core.HandleList(balance.ListDelta, []Entry{{Worker: balance.Worker{ID: 1, State: balance.Draining, Weight: 4}}})
 		w.core.step()
 	}
 	for name, c := range map[string]struct {
 		effect balance.Effect
-		do     func(*trial)
+		do     func(*clockFixture)
 		want   []guard.Rule
 	}{
-		"no violation":           {balance.Unsafe, func(w *trial) { begin(w, 0) }, nil},
-		"draining, within grace": {balance.Safe, func(w *trial) { drain(w); pass(w, grace); begin(w, 0) }, nil},
-		"draining, after grace":  {balance.Safe, func(w *trial) { drain(w); pass(w, grace+1); begin(w, 0) }, []guard.Rule{guard.BeginDrained}},
-		"draining, listed as draining again": {balance.Safe, func(w *trial) {
+		"no violation":           {balance.Unsafe, func(w *clockFixture) { begin(w, 0) }, nil},
+		"draining, within grace": {balance.Safe, func(w *clockFixture) { drain(w); pass(w, grace); begin(w, 0) }, nil},
+		"draining, after grace":  {balance.Safe, func(w *clockFixture) { drain(w); pass(w, grace+1); begin(w, 0) }, []guard.Rule{guard.BeginDrained}},
+		"draining, listed as draining again": {balance.Safe, func(w *clockFixture) {
 			drain(w)
 			pass(w, grace)
 			drain(w)
 			pass(w, 1)
 			begin(w, 0)
 		}, []guard.Rule{guard.BeginDrained}},
-		"banned": {balance.Safe, func(w *trial) {
+		"banned": {balance.Safe, func(w *clockFixture) {
 			w.core.SetBanned(map[balance.WorkerID]struct{}{1: {}})
 			pass(w, grace)
 			w.core.SetBanned(map[balance.WorkerID]struct{}{1: {}, 2: {}}) // another backend is added; the first keeps the time of its ban
 			pass(w, 1)
 			begin(w, 0)
 		}, []guard.Rule{guard.BeginDrained}},
-		"client gone": {balance.Safe, func(w *trial) {
+		"client gone": {balance.Safe, func(w *clockFixture) {
 			w.ticket.Abandon(false, nil)
 			pass(w, guard.GoneGrace+1)
 			begin(w, 0)
 		}, []guard.Rule{guard.BeginClientGone}},
-		"after the end": {balance.Safe, func(w *trial) {
+		"after the end": {balance.Safe, func(w *clockFixture) {
 			w.core.Guard.End(w.now)
 			pass(w, 1)
 			begin(w, 0)
 		}, []guard.Rule{guard.BeginEnded}},
-		"backend told too much time": {balance.Safe, func(w *trial) {
+		"backend told too much time": {balance.Safe, func(w *clockFixture) {
 			w.sent[0].Began(w.now, time.Minute+guard.TimeSlack+1)
 		}, []guard.Rule{guard.TimeTold}},
-		"begun twice": {balance.Unsafe, func(w *trial) {
+		"begun twice": {balance.Unsafe, func(w *clockFixture) {
 			begin(w, 0)
 			w.dispatch()
 			begin(w, 1)
 		}, []guard.Rule{guard.RepeatUnsafe}},
-		"begun again after it was returned": {balance.Unsafe, func(w *trial) {
+		"begun again after it was returned": {balance.Unsafe, func(w *clockFixture) {
 			begin(w, 0)
 			w.sent[0].Ended(Returned, "", nil)
 			w.core.step()
 			w.dispatch()
 			begin(w, 1)
 		}, nil},
-		"outside the window": {balance.Deduped, func(w *trial) {
+		"outside the window": {balance.Deduped, func(w *clockFixture) {
 			begin(w, 0)
 			w.dispatch()
 			pass(w, time.Second+1)
 			begin(w, 1)
 		}, []guard.Rule{guard.RepeatWindow}},
-		"refused though it may have run": {balance.Unsafe, func(w *trial) {
+		"refused though it may have run": {balance.Unsafe, func(w *clockFixture) {
 			begin(w, 0)
 			actions{w.core}.Refuse(1, 0)
 		}, []guard.Rule{guard.RefuseMayHaveRun}},
-		"answered late": {balance.Unsafe, func(w *trial) {
+		"answered late": {balance.Unsafe, func(w *clockFixture) {
 			pass(w, time.Minute+guard.LateSlack+1)
 			actions{w.core}.Fail(1)
 		}, []guard.Rule{guard.AnswerLate}},
-		"answered twice": {balance.Unsafe, func(w *trial) {
+		"answered twice": {balance.Unsafe, func(w *clockFixture) {
 			r := w.core.reqs[1]
 			w.core.answer(r, Answer{Kind: Failure})
 			r.open = true // simulates corrupted state
-			w.core.open.Add(1)
+			w.core.openCount.Add(1)
 			w.core.answer(r, Answer{Kind: Failure})
 		}, []guard.Rule{guard.AnswerTwice}},
 	} {
-		w := newTrial(t, balance.Class{Effect: c.effect, RepeatWindow: 1000})
-		w.core.Guard, w.core.grace = &guard.Recorder{}, grace
+		w := newClockFixture(t, balance.Class{Effect: c.effect, RepeatWindow: 1000})
+		w.core.Guard, w.core.drainGrace = &guard.Recorder{}, grace
 		c.do(w)
 		var got []guard.Rule
 		for _, rule := range guard.Rules() {
@@ -106,18 +106,18 @@
 }
 
 // Each answer without a result, and each further attempt, is counted with its reason.
-func TestWhyRefused(t *testing.T) {
+func TestRefusalReasons(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(*trial)
+		do   func(*clockFixture)
 		want string
 	}{
-		"no backend": {func(w *trial) {
+		"no backend": {func(w *clockFixture) {
 			w.core.HandleList(balance.ListFull, nil)
 			w.core.step()
 			actions{w.core}.Fail(1)
 		}, "refuse_no_backend"},
-		"out of time": {func(w *trial) { w.now = w.now.Add(time.Minute); actions{w.core}.Fail(1) }, "refuse_out_of_time"},
-		"attempts used up": {func(w *trial) {
+		"out of time": {func(w *clockFixture) { w.now = w.now.Add(time.Minute); actions{w.core}.Fail(1) }, "refuse_out_of_time"},
+		"attempts used up": {func(w *clockFixture) {
 			for range 2 {
 				w.sent[len(w.sent)-1].Ended(Returned, "", nil)
 				w.core.step()
@@ -127,14 +127,14 @@
 			w.core.step()
 			actions{w.core}.Fail(1)
 		}, "refuse_tries_spent"},
-		"may have run": {func(w *trial) { w.sent[0].MayBegin(); actions{w.core}.Fail(1) }, "refuse_may_have_run"},
-		"second copy":  {func(w *trial) { w.dispatch() }, "again_second_copy"},
-		"returned":     {func(w *trial) { w.sent[0].Ended(Returned, "", nil); w.core.step(); w.dispatch() }, "again_returned"},
-		"unreached":    {func(w *trial) { w.sent[0].Ended(Unreached, "", nil); w.core.step(); w.dispatch() }, "again_unreached"},
-		"unsent":       {func(w *trial) { w.sent[0].Ended(Unsent, "", nil); w.core.step(); w.dispatch() }, "again_unsent"},
-		"broken":       {func(w *trial) { w.sent[0].Ended(Broken, "", nil); w.core.step(); w.dispatch() }, "again_failure"},
+		"may have run": {func(w *clockFixture) { w.sent[0].MayBegin(); actions{w.core}.Fail(1) }, "refuse_may_have_run"},
+		"second copy":  {func(w *clockFixture) { w.dispatch() }, "again_second_copy"},
+		"returned":     {func(w *clockFixture) { w.sent[0].Ended(Returned, "", nil); w.core.step(); w.dispatch() }, "again_returned"},
+		"unreached":    {func(w *clockFixture) { w.sent[0].Ended(Unreached, "", nil); w.core.step(); w.dispatch() }, "again_unreached"},
+		"unsent":       {func(w *clockFixture) { w.sent[0].Ended(Unsent, "", nil); w.core.step(); w.dispatch() }, "again_unsent"},
+		"broken":       {func(w *clockFixture) { w.sent[0].Ended(Broken, "", nil); w.core.step(); w.dispatch() }, "again_failure"},
 	} {
-		w := newTrial(t, balance.Class{Effect: balance.Deduped, RepeatWindow: 1000})
+		w := newClockFixture(t, balance.Class{Effect: balance.Deduped, RepeatWindow: 1000})
 		w.core.Guard = &guard.Recorder{}
 		c.do(w)
 		counts := map[string]int64{}
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -9,25 +9,25 @@
 // backends are Unix times and need no conversion, a step of the system clock has no effect, and a backend that started before
 // this program doesn't get a start of zero or less, which the module reads as "long ago".
 type clock struct {
-	read   func() time.Time
-	origin time.Time
-	unix   float64
+	read         func() time.Time
+	origin       time.Time
+	originMillis float64
 }
 
 func newClock(read func() time.Time) clock {
 	now := read()
-	return clock{read: read, origin: now, unix: float64(now.UnixMicro()) / 1000}
+	return clock{read: read, origin: now, originMillis: float64(now.UnixMicro()) / 1000}
 }
 
 func (c *clock) millis(t time.Time) float64 {
-	return c.unix + float64(t.Sub(c.origin))/float64(time.Millisecond)
+	return c.originMillis + float64(t.Sub(c.origin))/float64(time.Millisecond)
 }
 
 // toStamp converts a time to nanoseconds after the clock's origin plus 1, so that 0 can stand for "no time".
-func (c *clock) stamp(t time.Time) int64 { return int64(t.Sub(c.origin)) + 1 }
+func (c *clock) toStamp(t time.Time) int64 { return int64(t.Sub(c.origin)) + 1 }
 
 // fromStamp converts back from toStamp; 0 gives the zero time.
-func (c *clock) at(stamp int64) time.Time {
+func (c *clock) fromStamp(stamp int64) time.Time {
 	if stamp == 0 {
 		return time.Time{}
 	}
@@ -35,8 +35,8 @@
 }
 
 // fromMillis converts back from millis.
-func (c *clock) time(at float64) time.Time {
-	return c.origin.Add(time.Duration((at - c.unix) * float64(time.Millisecond)))
+func (c *clock) fromMillis(at float64) time.Time {
+	return c.origin.Add(time.Duration((at - c.originMillis) * float64(time.Millisecond)))
 }
 
 func (c *clock) now() float64 { return c.millis(c.read()) }
@@ -45,12 +45,12 @@
 type timer struct {
 	at  float64
 	seq uint64
-	do  func()
+	run func()
 }
 
 type timers struct {
-	list []timer
-	seq  uint64
+	list    []timer
+	lastSeq uint64
 }
 
 func (t *timers) Len() int { return len(t.list) }
@@ -68,15 +68,15 @@
 	return x
 }
 
-func (t *timers) set(at float64, do func()) {
-	t.seq++
-	heap.Push(t, timer{at, t.seq, do})
+func (t *timers) add(at float64, do func()) {
+	t.lastSeq++
+	heap.Push(t, timer{at, t.lastSeq, do})
 }
 
 // popDue removes and returns the earliest timer if it is due.
-func (t *timers) due(now float64) func() {
+func (t *timers) popDue(now float64) func() {
 	if len(t.list) == 0 || t.list[0].at > now {
 		return nil
 	}
-	return heap.Pop(t).(timer).do
+	return heap.Pop(t).(timer).run
 }
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -24,79 +24,79 @@
 const (
 	// quotaMargin is how long before its deadline a request queued for quota is refused, so that its client learns of it in
 	// time. If Quotas has not decided when half of that is left, the core refuses the request itself.
-	roomLeft = 20 * time.Millisecond
+	quotaMargin = 20 * time.Millisecond
 	// quotaRetryAfter is the delay that the core then suggests to the client.
-	roomPause = 500 * time.Millisecond
+	quotaRetryAfter = 500 * time.Millisecond
 	// versionCheckInterval is how often the core checks whether queued requests belong to a policy version still in force.
 	// One periodic check handles a version change for thousands of queued requests at once.
-	versionLook = 100 * time.Millisecond
+	versionCheckInterval = 100 * time.Millisecond
 )
 
 // awaitQuota queues a request for quota. Until it is granted the module doesn't know of the request and no attempt begins.
-func (c *Core) queue(r *req, q balance.Request) {
-	if r.over.Load() { // its client is gone, and Abandon has posted the event
+func (c *Core) awaitQuota(r *req, q balance.Request) {
+	if r.closed.Load() { // its client is gone, and Abandon has posted the event
 		return
 	}
-	r.waits = true
-	until := r.deadline - ms(roomLeft)
-	r.leave = c.Quotas.Acquire(q.Tenant, q.Class, c.clock.time(until), func(from time.Time, pause time.Duration, ok bool) {
-		c.post(func() { c.roomed(r, q, from, pause, ok) })
+	r.queued = true
+	until := r.deadline - toMillis(quotaMargin)
+	r.releaseQuota = c.Quotas.Acquire(q.Tenant, q.Class, c.clock.fromMillis(until), func(from time.Time, pause time.Duration, ok bool) {
+		c.post(func() { c.quotaDecided(r, q, from, pause, ok) })
 	})
-	c.timers.set(until+ms(roomLeft)/2, func() {
-		if r.waits {
-			c.turnAway(r, roomPause)
+	c.timers.add(until+toMillis(quotaMargin)/2, func() {
+		if r.queued {
+			c.refuse(r, quotaRetryAfter)
 		}
 	})
 	if c.Versions != nil {
-		if c.waiting = append(c.waiting, r); len(c.waiting) == 1 {
-			c.timers.set(c.clock.now()+ms(versionLook), c.lookAtVersions)
+		if c.queuedReqs = append(c.queuedReqs, r); len(c.queuedReqs) == 1 {
+			c.timers.add(c.clock.now()+toMillis(versionCheckInterval), c.checkQueuedVersions)
 		}
 	}
 }
 
 // quotaDecided handles the outcome of a request's Acquire.
-func (c *Core) roomed(r *req, q balance.Request, from time.Time, pause time.Duration, ok bool) {
-	if !r.waits { // it was answered, or its client left, and its place was released
+func (c *Core) quotaDecided(r *req, q balance.Request, from time.Time, pause time.Duration, ok bool) {
+	if !r.queued { // it was answered, or its client left, and its place was released
 		return
 	}
-	r.waits = false
+	r.queued = false
 	switch {
-	case r.over.Load(): // its client is gone; the event that Abandon posted releases the quota
+	case r.closed.Load(): // its client is gone; the event that Abandon posted releases the quota
 	case !ok:
-		c.turnAway(r, pause)
-	case c.Versions != nil && !c.Versions.MayStart(r.version):
-		c.turnAway(r, outlivedPause)
+		c.refuse(r, pause)
+	case c.Versions != nil && !c.Versions.MayStart(r.policyVersion):
+		c.refuse(r, expiredRetryAfter)
 	default:
 		if most := c.Quotas.MaxHold(); most > 0 { // a client may set any deadline
-			r.deadline = min(r.deadline, c.clock.millis(from)+ms(most)-c.slack)
+			r.deadline = min(r.deadline, c.clock.millis(from)+toMillis(most)-c.answerSlack)
 		}
 		c.arrive(r, q)
 	}
 }
 
 // refuse refuses a request that got no quota. It has begun nowhere, so another dispatcher may run it.
-func (c *Core) turnAway(r *req, pause time.Duration) {
-	r.waits = false
+func (c *Core) refuse(r *req, pause time.Duration) {
+	r.queued = false
 	c.answer(r, Answer{Kind: Refusal, RetryAfter: pause})
 	c.forget(r)
 }
 
 // checkQueuedVersions refuses queued requests whose policy version is no longer in force.
-func (c *Core) lookAtVersions() {
-	left := c.waiting[:0]
-	for _, r := range c.waiting {
+func (c *Core) checkQueuedVersions() {
+	left := c.queuedReqs[:0]
+	for _, r := range c.queuedReqs {
 		switch {
-		case !r.waits:
-		case !c.Versions.MayStart(r.version):
-			c.turnAway(r, outlivedPause)
+		case !r.queued:
+		case !c.Versions.MayStart(r.policyVersion):
+			c.refuse(r, expiredRetryAfter)
 		default:
 			left = append(left, r)
 		}
 	}
-	clear(c.waiting[len(left):])
-	if c.waiting = left; len(left) > 0 {
-		c.timers.set(c.clock.now()+ms(versionLook), c.lookAtVersions)
+	clear(c.queuedReqs[len(left):])
+	if c.queuedReqs = left; len(left) > 0 {
+		c.timers.add(c.clock.now()+toMillis(versionCheckInterval), c.checkQueuedVersions)
 	}
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -14,64 +14,66 @@
 // time for which that watch may have missed it.
 
 // maxReportDelay is how late discovery may report a change while it is reachable (the standing test: 6 s).
-const toldLate = 6 * time.Second
+const maxReportDelay = 6 * time.Second
 
 // maxCommonDelay, in ms, is the longest delay that all reports of a fleet may share: where lists arrive late, every start
 // looks that old. A smaller minAge therefore says nothing about the clocks and is not subtracted.
-const usuallyLate = 3000.0
+const maxCommonDelay = 3000.0
 
 // startTimes holds the start times of the listed backends, as listed and as adjusted to the module's clock.
-type starts struct {
-	known map[balance.WorkerID]startTime
+type startTimes struct {
+	byID map[balance.WorkerID]startTime
 	// minAge is the smallest age with which a live watch has reported a new start; -1 if it has reported none. A report
 	// takes at least no time, so this is how far this machine's clock is ahead of the list's, plus the shortest delay.
-	least float64
+	minAge float64
 }
 
-type startTime struct{ listed, taken float64 }
+type startTime struct{ listed, adjusted float64 }
 
-func newStarts() starts { return starts{known: map[balance.WorkerID]startTime{}, least: -1} }
+func newStartTimes() startTimes {
+	return startTimes{byID: map[balance.WorkerID]startTime{}, minAge: -1}
+}
 
 // adjust returns when, on the module's clock, a backend started that is listed with a start time. Both are Unix ms; 0 means
 // long ago. stale is how long the watch that reports it may have been silent before, negative if no watch reported it.
-func (s *starts) take(id balance.WorkerID, listed, now, stale float64) float64 {
+func (s *startTimes) adjust(id balance.WorkerID, listed, now, stale float64) float64 {
 	if listed <= 0 {
-		delete(s.known, id)
+		delete(s.byID, id)
 		return listed
 	}
-	if old, ok := s.known[id]; ok && old.listed == listed {
-		return old.taken
+	if old, ok := s.byID[id]; ok && old.listed == listed {
+		return old.adjusted
 	}
 	age := max(now-listed, 0)
 	if stale >= 0 {
-		if s.least < 0 || age < s.least {
-			s.least = age
+		if s.minAge < 0 || age < s.minAge {
+			s.minAge = age
 		}
-		if s.least > usuallyLate {
-			age -= s.least
+		if s.minAge > maxCommonDelay {
+			age -= s.minAge
 		}
-		if age > stale+float64(toldLate/time.Millisecond) {
+		if age > stale+float64(maxReportDelay/time.Millisecond) {
 			age = 0 // the backend's clock, or the list's, is wrong
 		}
 	}
-	s.known[id] = startTime{listed, now - age}
+	s.byID[id] = startTime{listed, now - age}
 	return now - age
 }
 
 // forget drops a backend that is gone.
-func (s *starts) forget(id balance.WorkerID) { delete(s.known, id) }
+func (s *startTimes) forget(id balance.WorkerID) { delete(s.byID, id) }
 
 // DirectorAnswered says that the director answered a call, with any content: the watch is alive. It must be called after the
 // list in that answer was passed to HandleList.
 func (c *Core) DirectorAnswered() {
-	now := c.clock.stamp(c.clock.read())
-	c.post(func() { c.heard = now })
+	now := c.clock.toStamp(c.clock.read())
+	c.post(func() { c.directorAnsweredAt = now })
 }
 
 // OffsetWallClock starts the module's clock as if the wall clock were off by a duration, for the soak test. It must be called
 // before Run and before any request is submitted.
 func (c *Core) OffsetWallClock(by time.Duration) {
-	c.clock.unix += float64(by) / float64(time.Millisecond)
+	c.clock.originMillis += float64(by) / float64(time.Millisecond)
 }
 
 // Now returns the time on the module's clock: Unix ms by the wall clock at program start, carried on by the monotonic clock.
@@ -79,8 +81,8 @@
 
 // watchSilence returns for how many ms the watch that delivers a list was silent before it; negative if the list doesn't
 // come from a watch.
-func (c *Core) stale(kind balance.ListKind, now time.Time) float64 {
-	last := c.clock.at(c.heard)
+func (c *Core) watchSilence(kind balance.ListKind, now time.Time) float64 {
+	last := c.clock.fromStamp(c.directorAnsweredAt)
 	if kind == balance.ListCached || last.IsZero() {
 		return -1
 	}
--- a/internal/core/starts_test.go
+++ b/internal/core/starts_test.go
@@ -14,46 +14,46 @@
 // This machine's wall clock may be ahead of the list's or behind it when the process starts, by seconds or an hour. The start
 // of a backend reported as new by a live watch is then off by no more than the watch's silence. If the clocks agree, a
 // start is taken as listed.
-func TestStartsByAWrongClock(t *testing.T) {
+func TestStartTimesWithWrongClock(t *testing.T) {
 	const hour = 3_600_000.0
 	for name, ahead := range map[string]float64{"agrees": 0, "seconds ahead": 5000, "an hour ahead": hour, "seconds behind": -5000, "an hour behind": -hour} {
-		s := newStarts()
+		s := newStartTimes()
 		now := 1e12
 		truth := func(age float64) float64 { return now - ahead - age } // start time by the list's clock
-		taken := s.take(1, truth(30), now, 500)
+		taken := s.adjust(1, truth(30), now, 500)
 		assert.InDelta(t, now, taken, 31, "%s: the first start seen", name)
 		assert.LessOrEqual(t, taken, now, name)
 		now += 20_000
 		listed := truth(1500)
-		taken = s.take(2, listed, now, 2500)
+		taken = s.adjust(2, listed, now, 2500)
 		assert.InDelta(t, now-1500, taken, 1501, "%s: reported 1.5 s late", name)
 		assert.LessOrEqual(t, taken, now, "%s: no start lies in the future", name)
 		if ahead >= 0 {
 			assert.InDelta(t, now-1500, taken, 31, "%s: the first start revealed the clocks' difference", name)
 		}
 		now += 1000
-		assert.Equal(t, taken, s.take(2, listed, now, -1), "%s: reported again, by any list", name)
+		assert.Equal(t, taken, s.adjust(2, listed, now, -1), "%s: reported again, by any list", name)
 	}
 }
 
 // One backend's own clock is an hour behind. A live watch reports it as new, so it counts as started now and is cold.
-func TestOddStart(t *testing.T) {
-	s := newStarts()
-	s.take(1, 1e12-20, 1e12, 100)
-	assert.Equal(t, 1e12+50, s.take(2, 1e12-3_600_000, 1e12+50, 100))
-	assert.Equal(t, 1e12-3_600_000, s.take(3, 1e12-3_600_000, 1e12+50, -1), "a first list may hold old starts")
-	assert.Zero(t, s.take(4, 0, 1e12, 100), "long ago")
+func TestStartTimeFromWrongBackendClock(t *testing.T) {
+	s := newStartTimes()
+	s.adjust(1, 1e12-20, 1e12, 100)
+	assert.Equal(t, 1e12+50, s.adjust(2, 1e12-3_600_000, 1e12+50, 100))
+	assert.Equal(t, 1e12-3_600_000, s.adjust(3, 1e12-3_600_000, 1e12+50, -1), "a first list may hold old starts")
+	assert.Zero(t, s.adjust(4, 0, 1e12, 100), "long ago")
 	s.forget(2)
-	assert.NotContains(t, s.known, balance.WorkerID(2))
+	assert.NotContains(t, s.byID, balance.WorkerID(2))
 }
 
 // startRecorder is a policy that records the start times it receives.
-type heardStarts struct {
-	mute
+type startRecorder struct {
+	noopPolicy
 	last map[balance.WorkerID]float64
 }
 
-func (h heardStarts) Workers(_ balance.Millis, _ balance.ListKind, list []balance.Worker) {
+func (h startRecorder) Workers(_ balance.Millis, _ balance.ListKind, list []balance.Worker) {
 	for _, w := range list {
 		h.last[w.ID] = w.Started
 	}
@@ -61,10 +61,10 @@
 
 // The core bounds start times from a watch after an earlier answer of the director, keeps those of a first list, and keeps
 // local ones.
-func TestStartsOfAList(t *testing.T) {
+func TestStartTimesFromList(t *testing.T) {
 	now := time.UnixMilli(1e12)
-	h := heardStarts{last: map[balance.WorkerID]float64{}}
-	b := &bench{}
+	h := startRecorder{last: map[balance.WorkerID]float64{}}
+	b := &fixture{}
 	c, err := NewWith(func() time.Time { return now }, func(balance.Settings, balance.Actions) (balance.Events, error) { return h, nil },
 		balance.Settings{}, b, b, &counters.Set{})
 	require.NoError(t, err)
--- a/internal/core/ticket.go
+++ b/internal/core/ticket.go
@@ -10,7 +10,7 @@
 // Handle refers to a submitted request.
 type Handle struct {
 	core *Core
-	r    *req
+	req  *req
 }
 
 // Submit accepts a request: one final answer is due from now on. arrived is the earliest known time of its arrival, and
@@ -20,27 +20,27 @@
 	r := &req{client: client, job: job, open: true}
 	if q.Class >= 0 && q.Class < len(c.classes) { // the module fails a request of any other class
 		class := &c.classes[q.Class]
-		r.effect, r.window, r.scope = class.Effect, class.RepeatWindow, class.Scope
+		r.effect, r.repeatWindow, r.dedupScope = class.Effect, class.RepeatWindow, class.Scope
 	}
 	if c.Versions != nil && !c.admit(r) {
 		return Handle{c, r}, true
 	}
-	if !c.ids.take(job.ID, c.clock.read()) {
+	if !c.ids.claim(job.ID, c.clock.read()) {
 		c.count.ReqsRepeated.Add(1)
 		if c.Versions != nil {
-			c.begun(r)
+			c.reportBegun(r)
 		}
 		return Handle{}, false
 	}
 	r.deadline = c.clock.millis(came.Add(left))
-	c.open.Add(1)
-	c.note(came, r, guard.RequestTaken, nil)
+	c.openCount.Add(1)
+	c.trace(came, r, guard.RequestTaken, nil)
 	c.post(func() {
-		c.last++
-		r.id, q.ID = c.last, c.last
+		c.lastID++
+		r.id, q.ID = c.lastID, c.lastID
 		c.reqs[r.id] = r
 		if c.Quotas != nil {
-			c.queue(r, q)
+			c.awaitQuota(r, q)
 			return
 		}
 		c.arrive(r, q)
@@ -50,38 +50,38 @@
 
 // arrive hands a request to the module.
 func (c *Core) arrive(r *req, q balance.Request) {
-	r.arrived, q.Deadline = true, r.deadline
+	r.inModule, q.Deadline = true, r.deadline
 	// The module is expected to answer by the deadline. If it doesn't, the core fails the request so that the client isn't
 	// left without an answer.
-	c.timers.set(r.deadline+c.slack, func() {
+	c.timers.add(r.deadline+c.answerSlack, func() {
 		if r.open {
 			c.count.Overlooked.Add(1)
 			c.answer(r, Answer{Kind: Failure})
-			c.mod.Abandoned(c.clock.now(), r.id)
+			c.module.Abandoned(c.clock.now(), r.id)
 			c.forget(r)
 		}
 	})
-	c.mod.Arrive(c.clock.now(), q)
+	c.module.Arrive(c.clock.now(), q)
 }
 
 // Abandon says that the client of a request is gone and can no longer get an answer. No further attempt begins once it
 // returns. With stop, outstanding attempts are cancelled where the settings allow it; otherwise they run on. over, if not
 // nil, is called once no attempt is outstanding, on the core's goroutine; it must not block.
 func (t Handle) Abandon(stop bool, over func()) {
-	t.r.over.Store(true)
-	if t.r.goneAt.CompareAndSwap(0, t.core.clock.stamp(t.core.clock.read())) {
-		t.core.note(t.core.clock.read(), t.r, guard.ClientGone, nil)
+	t.req.closed.Store(true)
+	if t.req.clientGoneAt.CompareAndSwap(0, t.core.clock.toStamp(t.core.clock.read())) {
+		t.core.trace(t.core.clock.read(), t.req, guard.ClientGone, nil)
 	}
 	t.core.post(func() {
-		c, r := t.core, t.r
-		r.gone = over
+		c, r := t.core, t.req
+		r.onDone = over
 		if r.open {
 			c.close(r)
-			if r.waits = false; r.arrived {
-				c.mod.Abandoned(c.clock.now(), r.id)
+			if r.queued = false; r.inModule {
+				c.module.Abandoned(c.clock.now(), r.id)
 			}
 			for i := 0; stop && c.mayCancel && i < len(r.attempts); i++ {
-				c.cut(r.attempts[i], Withdrawn)
+				c.stopAttempt(r.attempts[i], Withdrawn)
 			}
 		}
 		c.forget(r)
--- a/internal/core/versions.go
+++ b/internal/core/versions.go
@@ -24,7 +24,7 @@
 func (c *Core) admit(r *req) bool {
 	version, pause, ok := c.Versions.Admit()
 	if ok {
-		r.version = version
+		r.policyVersion = version
 		return true
 	}
 	r.open = false
@@ -37,33 +37,33 @@
 
 // mayStart is the last check before an attempt begins, as far as the fleet's policy is concerned.
 func (c *Core) mayStart(r *req) bool {
-	if !c.Versions.MayStart(r.version) {
+	if !c.Versions.MayStart(r.policyVersion) {
 		return false
 	}
-	c.begun(r)
+	c.reportBegun(r)
 	return true
 }
 
-func (c *Core) begun(r *req) {
-	if !r.began.Swap(true) {
-		c.Versions.Begun(r.version)
+func (c *Core) reportBegun(r *req) {
+	if !r.begunReported.Swap(true) {
+		c.Versions.Begun(r.policyVersion)
 	}
 }
 
 // answerExpired answers a request whose version is no longer in force and which has no attempt outstanding, since none can
 // start any more. A request that never ran, whether it was sent or not, is refused and may go to another dispatcher.
-func (c *Core) outlived(r *req) {
-	if !r.open || r.out > 0 || c.Versions.MayStart(r.version) {
+func (c *Core) answerExpired(r *req) {
+	if !r.open || r.outstanding > 0 || c.Versions.MayStart(r.policyVersion) {
 		return
 	}
 	for _, a := range r.attempts {
-		if !a.never.Load() { // sending it again could run it twice
+		if !a.neverRan.Load() { // sending it again could run it twice
 			c.answer(r, Answer{Kind: Failure})
 			return
 		}
 	}
-	c.answer(r, Answer{Kind: Refusal, RetryAfter: outlivedPause})
+	c.answer(r, Answer{Kind: Refusal, RetryAfter: expiredRetryAfter})
 }
 
 // expiredRetryAfter is the delay suggested to the client of a request whose version is no longer in force.
-const outlivedPause = 500 * time.Millisecond
+const expiredRetryAfter = 500 * time.Millisecond
--- a/internal/core/versions_test.go
+++ b/internal/core/versions_test.go
@@ -12,30 +12,30 @@
 )
 
 // fakeVersions is a Versions whose state the test sets.
-type policy struct {
-	version uint64
-	open    bool
-	starts  uint64 // version whose attempts may start
-	waiting int
+type fakeVersions struct {
+	version      uint64
+	serving      bool
+	startVersion uint64 // version whose attempts may start
+	waiting      int
 }
 
-func (p *policy) Admit() (uint64, time.Duration, bool) {
-	if p.open {
+func (p *fakeVersions) Admit() (uint64, time.Duration, bool) {
+	if p.serving {
 		p.waiting++
 	}
-	return p.version, time.Second, p.open
+	return p.version, time.Second, p.serving
 }
-func (p *policy) Begun(uint64)           { p.waiting-- }
-func (p *policy) MayStart(v uint64) bool { return v == p.starts }
-func (p *policy) Serves() bool           { return p.open }
+func (p *fakeVersions) Begun(uint64)           { p.waiting-- }
+func (p *fakeVersions) MayStart(v uint64) bool { return v == p.startVersion }
+func (p *fakeVersions) Serves() bool           { return p.serving }
 
 // A core whose fleet admits nothing refuses requests with a suggested delay and keeps no state for them. Otherwise each request
 // gets the version in force, and its attempts start only under that version. When the version ends, a request of which
 // nothing has begun is refused, and one that has begun fails.
-func TestReqsAreTakenByOneVersion(t *testing.T) {
+func TestReqsKeepTheirVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := start(t, balance.Ready)
-		p := &policy{version: 7}
+		b := newFixture(t, balance.Ready)
+		p := &fakeVersions{version: 7}
 		b.core.Versions = p
 		take := func(id string) {
 			b.core.Submit(balance.Request{Slots: 1}, &Job{ID: id}, time.Now(), 2*time.Second, b)
@@ -45,7 +45,7 @@
 		assert.Equal(t, []Answer{{Kind: Refusal, RetryAfter: time.Second, JobReleased: true}}, b.answers)
 		assert.Zero(t, b.core.OpenReqs())
 
-		p.open, p.starts = true, 7
+		p.serving, p.startVersion = true, 7
 		take("a") // the refused request did not reserve its ID
 		require.Len(t, b.sent, 1)
 		assert.EqualValues(t, 7, b.sent[0].Version())
@@ -55,7 +55,7 @@
 
 		take("b")
 		require.Len(t, b.sent, 2)
-		p.open, p.starts = false, 0 // the version is no longer in force
+		p.serving, p.startVersion = false, 0 // the version is no longer in force
 		assert.False(t, b.sent[1].MayBegin())
 		b.sent[1].Ended(Unsent, "", nil)
 		b.core.step()
@@ -66,11 +66,11 @@
 		require.Len(t, b.answers, 3)
 		assert.Equal(t, Failure, b.answers[2].Kind, "an attempt of it may have run")
 
-		p.open, p.starts = true, 7
+		p.serving, p.startVersion = true, 7
 		take("c")
 		require.Len(t, b.sent, 3)
 		assert.True(t, b.sent[2].MayBegin())
-		p.open, p.starts = false, 0
+		p.serving, p.startVersion = false, 0
 		b.sent[2].Ended(Returned, "", nil)
 		for range 3 { // the module dispatches again, at once or after a delay; that attempt ends as Unsent
 			b.core.step()
--- a/internal/maintenance/file.go
+++ b/internal/maintenance/file.go
@@ -16,7 +16,7 @@
 // MaxFileSize is the size of the largest file that is read.
 const MaxFileSize = 4 << 20
 
-const keptHead = "tinsail-maintenance 1 "
+const fileHead = "tinsail-maintenance 1 "
 
 // Append appends the file's contents to b.
 func (k SavedState) Append(b []byte) []byte {
@@ -24,7 +24,7 @@
 	if err != nil { // only for NaN and infinities, which no call produces
 		return b
 	}
-	b = fmt.Appendf(b, "%s%08x\n", keptHead, crc32.ChecksumIEEE(text))
+	b = fmt.Appendf(b, "%s%08x\n", fileHead, crc32.ChecksumIEEE(text))
 	return append(b, text...)
 }
 
@@ -36,9 +36,9 @@
 		return k, fmt.Errorf("has %d bytes, the limit is %d", len(text), MaxFileSize)
 	case !ok || !bytes.HasPrefix(head, []byte("tinsail-maintenance ")):
 		return k, fmt.Errorf("is not a bans file")
-	case !bytes.HasPrefix(head, []byte(keptHead)):
+	case !bytes.HasPrefix(head, []byte(fileHead)):
 		return k, fmt.Errorf("is of another version: %q", head[:min(len(head), 40)])
-	case string(head[len(keptHead):]) != fmt.Sprintf("%08x", crc32.ChecksumIEEE(rest)):
+	case string(head[len(fileHead):]) != fmt.Sprintf("%08x", crc32.ChecksumIEEE(rest)):
 		return k, fmt.Errorf("is damaged: checksum mismatch")
 	}
 	if err := json.Unmarshal(rest, &k); err != nil {
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -43,28 +43,28 @@
 // Limits on what is remembered of backends that no list names now. Of those that are gone and not banned, only their names
 // need to stay known. Those of the second kind are named by marks from elsewhere and were never listed here.
 const (
-	mostGone      = 1024
-	mostStrangers = 50_000
+	maxGone     = 1024
+	maxUnlisted = 50_000
 )
 
 // entry is what is known of one backend.
 type entry struct {
-	last   Backend
-	listed bool // some list has named it
-	mark   Mark
-	gone   uint64 // position in the order in which backends went; 0 while it is listed
-	policy bool   // the fleet's policy bans it, independently of the mark
+	lastListed Backend
+	listed     bool // some list has named it
+	mark       Mark
+	goneOrder  uint64 // position in the order in which backends went; 0 while it is listed
+	policyBan  bool   // the fleet's policy bans it, independently of the mark
 }
 
 // Bans holds the bans in force and the list that they filter. The zero value is empty. It is not safe for concurrent use.
 type Bans struct {
-	all   map[string]*entry
-	turn  uint64
-	gones int
+	all           map[string]*entry
+	lastGoneOrder uint64
+	goneCount     int
 
-	strangers int // number of entries that are marked and were never listed here
+	unlistedCount int // number of entries that are marked and were never listed here
 
-	policy map[string]bool // names that the fleet's policy bans
+	policyBans map[string]bool // names that the fleet's policy bans
 }
 
 func (b *Bans) entry(name string) *entry {
@@ -73,16 +73,16 @@
 		if b.all == nil {
 			b.all = map[string]*entry{}
 		}
-		e = &entry{last: Backend{Name: name}, policy: b.policy[name]}
+		e = &entry{lastListed: Backend{Name: name}, policyBan: b.policyBans[name]}
 		b.all[name] = e
 	}
 	return e
 }
 
 // effective returns the backend as it is passed on.
-func (e *entry) shown() Backend {
-	out := e.last
-	if (e.mark.Banned || e.policy) && out.State == balance.Ready {
+func (e *entry) effective() Backend {
+	out := e.lastListed
+	if (e.mark.Banned || e.policyBan) && out.State == balance.Ready {
 		out.State = balance.Draining
 	}
 	if e.mark.Floor > 0 {
@@ -105,25 +105,25 @@
 	for i := range list {
 		e := b.entry(list[i].Name)
 		if !e.listed && e.mark.At > 0 {
-			b.strangers--
+			b.unlistedCount--
 		}
-		was := e.last
-		e.last, e.listed, named[list[i].Name] = list[i], true, true
-		if e.last.State == balance.Gone { // such an entry carries no other information
-			e.last = was
-			e.last.ID, e.last.Name, e.last.State = list[i].ID, list[i].Name, balance.Gone
-			b.left(e)
-		} else if e.gone > 0 {
-			e.gone = 0
-			b.gones--
+		was := e.lastListed
+		e.lastListed, e.listed, named[list[i].Name] = list[i], true, true
+		if e.lastListed.State == balance.Gone { // such an entry carries no other information
+			e.lastListed = was
+			e.lastListed.ID, e.lastListed.Name, e.lastListed.State = list[i].ID, list[i].Name, balance.Gone
+			b.recordGone(e)
+		} else if e.goneOrder > 0 {
+			e.goneOrder = 0
+			b.goneCount--
 		}
-		out[i] = e.shown()
+		out[i] = e.effective()
 	}
 	if kind == balance.ListFull || kind == balance.ListCached {
 		for name, e := range b.all {
-			if !named[name] && e.last.State != balance.Gone {
-				e.last.State = balance.Gone
-				b.left(e)
+			if !named[name] && e.lastListed.State != balance.Gone {
+				e.lastListed.State = balance.Gone
+				b.recordGone(e)
 			}
 		}
 	}
@@ -131,24 +131,24 @@
 }
 
 // recordGone records that a backend is gone, and forgets the one that went first if there are too many.
-func (b *Bans) left(e *entry) {
-	if e.gone == 0 {
-		b.gones++
+func (b *Bans) recordGone(e *entry) {
+	if e.goneOrder == 0 {
+		b.goneCount++
 	}
-	b.turn++
-	e.gone = b.turn
-	if b.gones <= mostGone {
+	b.lastGoneOrder++
+	e.goneOrder = b.lastGoneOrder
+	if b.goneCount <= maxGone {
 		return
 	}
 	var first *entry
 	for _, x := range b.all {
-		if x.gone > 0 && !x.mark.Banned && (first == nil || x.gone < first.gone) {
+		if x.goneOrder > 0 && !x.mark.Banned && (first == nil || x.goneOrder < first.goneOrder) {
 			first = x
 		}
 	}
 	if first != nil {
-		delete(b.all, first.last.Name)
-		b.gones--
+		delete(b.all, first.lastListed.Name)
+		b.goneCount--
 	}
 }
 
@@ -167,7 +167,7 @@
 	if e.mark.Banned {
 		return nil, true
 	}
-	e.mark = Mark{Name: name, Banned: true, At: b.after(now, e), Seen: e.last.Started}
+	e.mark = Mark{Name: name, Banned: true, At: b.callTime(now, e), Seen: e.lastListed.Started}
 	return e.change(), true
 }
 
@@ -181,10 +181,10 @@
 	if !e.mark.Banned {
 		return nil, true
 	}
-	mark := Mark{Name: name, At: b.after(now, e)}
+	mark := Mark{Name: name, At: b.callTime(now, e)}
 	// Decided by the order of listed starts too and not by clocks alone: the list's clock may disagree with this process's.
-	if e.last.Started <= e.mark.Seen || e.last.Started < e.mark.At {
-		mark.Floor, mark.Seen = now, e.last.Started
+	if e.lastListed.Started <= e.mark.Seen || e.lastListed.Started < e.mark.At {
+		mark.Floor, mark.Seen = now, e.lastListed.Started
 	}
 	e.mark = mark
 	return e.change(), true
@@ -192,20 +192,20 @@
 
 // callTime returns the time recorded for a call. It is later than that of the call before, so that the later one of two marks
 // wins whatever the clock did.
-func (b *Bans) after(now float64, e *entry) float64 { return max(now, e.mark.At+0.001) }
+func (b *Bans) callTime(now float64, e *entry) float64 { return max(now, e.mark.At+0.001) }
 
 func (e *entry) change() []Backend {
-	if !e.listed || e.last.State == balance.Gone {
+	if !e.listed || e.lastListed.State == balance.Gone {
 		return nil
 	}
-	return []Backend{e.shown()}
+	return []Backend{e.effective()}
 }
 
 // SourceList returns the list as the source reports it, without bans, sorted by name.
 func (b *Bans) SourceList() (list []Backend) {
 	for _, name := range slices.Sorted(maps.Keys(b.all)) {
-		if e := b.all[name]; e.listed && e.last.State != balance.Gone {
-			list = append(list, e.last)
+		if e := b.all[name]; e.listed && e.lastListed.State != balance.Gone {
+			list = append(list, e.lastListed)
 		}
 	}
 	return list
@@ -239,10 +239,10 @@
 			continue
 		}
 		if b.all[m.Name] == nil {
-			if b.strangers >= mostStrangers {
+			if b.unlistedCount >= maxUnlisted {
 				continue
 			}
-			b.strangers++
+			b.unlistedCount++
 		}
 		if e := b.entry(m.Name); m.At > e.mark.At {
 			e.mark = m
@@ -254,13 +254,13 @@
 
 // SetPolicyBans replaces the names that the fleet's policy bans, and returns what to pass on. Marks are not changed.
 func (b *Bans) SetPolicyBans(names []string) (change []Backend) {
-	b.policy = make(map[string]bool, len(names))
+	b.policyBans = make(map[string]bool, len(names))
 	for _, name := range names {
-		b.policy[name] = true
+		b.policyBans[name] = true
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.all)) {
-		if e := b.all[name]; e.policy != b.policy[name] {
-			e.policy = b.policy[name]
+		if e := b.all[name]; e.policyBan != b.policyBans[name] {
+			e.policyBan = b.policyBans[name]
 			change = append(change, e.change()...)
 		}
 	}
@@ -269,7 +269,7 @@
 
 // AllBanned lists the backends that nothing may be sent to, banned by the fleet's policy or by operators, sorted by name.
 func (b *Bans) AllBanned() []string {
-	names := append(slices.Collect(maps.Keys(b.policy)), b.OperatorBanned()...)
+	names := append(slices.Collect(maps.Keys(b.policyBans)), b.OperatorBanned()...)
 	slices.Sort(names)
 	return slices.Compact(names)
 }
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -11,7 +11,7 @@
 	"tinsail/internal/balance"
 )
 
-func line(name string, state balance.State, started float64) Backend {
+func backend(name string, state balance.State, started float64) Backend {
 	return Backend{Name: name, Address: name + ":1", Worker: balance.Worker{ID: balance.WorkerID(len(name)), State: state, Started: started, Weight: 4}}
 }
 
@@ -19,15 +19,15 @@
 	var b Bans
 	_, ok := b.Offline(1, "a")
 	assert.False(t, ok, "never listed")
-	b.ApplyList(balance.ListCached, []Backend{line("a", balance.Ready, 5)})
+	b.ApplyList(balance.ListCached, []Backend{backend("a", balance.Ready, 5)})
 	change, ok := b.Offline(1000, "a")
 	require.True(t, ok)
-	assert.Equal(t, []Backend{line("a", balance.Draining, 5)}, change)
+	assert.Equal(t, []Backend{backend("a", balance.Draining, 5)}, change)
 	change, ok = b.Offline(1001, "a")
 	assert.True(t, ok)
 	assert.Empty(t, change, "a repeated call changes nothing")
 	assert.Equal(t, []string{"a"}, b.OperatorBanned())
-	moved := line("a", balance.Ready, 5)
+	moved := backend("a", balance.Ready, 5)
 	moved.Address = "elsewhere:1"
 	want := moved
 	want.State = balance.Draining
@@ -49,39 +49,39 @@
 }
 
 // A start that was listed during the ban is kept when the ban ends.
-func TestStartTold(t *testing.T) {
+func TestStartListedDuringBan(t *testing.T) {
 	var b Bans
-	b.ApplyList(balance.ListFull, []Backend{line("a", balance.Ready, 5)})
+	b.ApplyList(balance.ListFull, []Backend{backend("a", balance.Ready, 5)})
 	b.Offline(1000, "a")
-	b.ApplyList(balance.ListDelta, []Backend{line("a", balance.Ready, 3000)})
+	b.ApplyList(balance.ListDelta, []Backend{backend("a", balance.Ready, 3000)})
 	change, _ := b.Online(9000, "a")
-	assert.Equal(t, []Backend{line("a", balance.Ready, 3000)}, change)
+	assert.Equal(t, []Backend{backend("a", balance.Ready, 3000)}, change)
 }
 
 // A backend that is gone can be banned, and is banned when it comes back. Online doesn't make a draining or gone backend
 // ready.
-func TestGone(t *testing.T) {
+func TestBanOfGoneBackend(t *testing.T) {
 	var b Bans
-	b.ApplyList(balance.ListFull, []Backend{line("a", balance.Ready, 5), line("bb", balance.Draining, 6)})
+	b.ApplyList(balance.ListFull, []Backend{backend("a", balance.Ready, 5), backend("bb", balance.Draining, 6)})
 	assert.Equal(t, balance.Gone, b.ApplyList(balance.ListDelta, []Backend{{Name: "a", Worker: balance.Worker{ID: 1}}})[0].State)
 	change, ok := b.Offline(1000, "a")
 	assert.True(t, ok)
 	assert.Empty(t, change)
-	assert.Equal(t, balance.Draining, b.ApplyList(balance.ListDelta, []Backend{line("a", balance.Ready, 5)})[0].State)
+	assert.Equal(t, balance.Draining, b.ApplyList(balance.ListDelta, []Backend{backend("a", balance.Ready, 5)})[0].State)
 	b.Offline(1000, "bb")
 	change, _ = b.Online(2000, "bb")
 	assert.Equal(t, balance.Draining, change[0].State)
 }
 
 // The number of remembered names that are gone is bounded, and bans are not forgotten.
-func TestManyGone(t *testing.T) {
+func TestGoneNamesAreBounded(t *testing.T) {
 	var b Bans
-	b.ApplyList(balance.ListDelta, []Backend{line("kept", balance.Ready, 0)})
+	b.ApplyList(balance.ListDelta, []Backend{backend("kept", balance.Ready, 0)})
 	b.Offline(1, "kept")
-	for i := range 2 * mostGone {
-		b.ApplyList(balance.ListFull, []Backend{line(fmt.Sprint("x", i), balance.Ready, 0)})
+	for i := range 2 * maxGone {
+		b.ApplyList(balance.ListFull, []Backend{backend(fmt.Sprint("x", i), balance.Ready, 0)})
 	}
-	assert.Len(t, b.all, mostGone+1)
+	assert.Len(t, b.all, maxGone+1)
 	assert.Equal(t, []string{"kept"}, b.OperatorBanned())
 }
 
@@ -102,7 +102,7 @@
 		draw := func() (list []Backend) {
 			for _, n := range names {
 				if rapid.Bool().Draw(t, "named") {
-					list = append(list, line(n, []balance.State{balance.Ready, balance.Draining, balance.Gone}[rapid.IntRange(0, 2).Draw(t, "state")],
+					list = append(list, backend(n, []balance.State{balance.Ready, balance.Draining, balance.Gone}[rapid.IntRange(0, 2).Draw(t, "state")],
 						float64(rapid.IntRange(0, 3).Draw(t, "start"))*now/3))
 				}
 			}
@@ -178,8 +178,8 @@
 
 func TestMerge(t *testing.T) {
 	var old, next Bans
-	old.ApplyList(balance.ListFull, []Backend{line("a", balance.Ready, 5)})
-	next.ApplyList(balance.ListFull, []Backend{line("a", balance.Ready, 5)})
+	old.ApplyList(balance.ListFull, []Backend{backend("a", balance.Ready, 5)})
+	next.ApplyList(balance.ListFull, []Backend{backend("a", balance.Ready, 5)})
 	old.Offline(1000, "a")
 	assert.Equal(t, balance.Draining, next.Merge(old.Marks())[0].State)
 	stale := next.Marks()
@@ -191,19 +191,19 @@
 }
 
 // Marks of names that no list names are kept up to a bound; a name that is listed later no longer counts.
-func TestStrangers(t *testing.T) {
+func TestUnlistedMarksAreBounded(t *testing.T) {
 	var b Bans
-	for i := range mostStrangers + 10 {
+	for i := range maxUnlisted + 10 {
 		b.Merge([]Mark{{Name: fmt.Sprint("x", i), At: 1, Banned: true}})
 	}
-	assert.Len(t, b.all, mostStrangers)
-	b.ApplyList(balance.ListDelta, []Backend{line("x3", balance.Ready, 0), line("listed", balance.Ready, 0)})
+	assert.Len(t, b.all, maxUnlisted)
+	b.ApplyList(balance.ListDelta, []Backend{backend("x3", balance.Ready, 0), backend("listed", balance.Ready, 0)})
 	b.Merge([]Mark{{Name: "late", At: 1, Banned: true}, {Name: "later", At: 1, Banned: true}, {Name: "listed", At: 1, Banned: true}})
 	assert.True(t, b.Mark("x3").Banned && b.Mark("late").Banned && b.Mark("listed").Banned)
 	assert.Zero(t, b.Mark("later"))
 }
 
-func TestKept(t *testing.T) {
+func TestSavedState(t *testing.T) {
 	k := SavedState{Out: true, Marks: []Mark{{Name: "a", Banned: true, At: 1.5}}}
 	text := k.Append(nil)
 	got, err := ReadState(text)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -95,42 +95,42 @@
 
 // entry is one backend as reported by one source.
 type entry struct {
-	said    Backend // latest report
-	missing time.Time
-	downAt  time.Time   // when it turned critical or went missing; zero while it is neither
-	good    bool        // it has been passing, so there is a good state to keep during a panic
-	downs   []time.Time // last few times at which it stopped being ready
-	steady  time.Time   // passing since, after it was down; zero if it never was down
-	state   State
-	round   uint64 // the last full list that named it
+	reported     Backend // latest report
+	missingSince time.Time
+	downSince    time.Time   // when it turned critical or went missing; zero while it is neither
+	wasPassing   bool        // it has been passing, so there is a good state to keep during a panic
+	downTimes    []time.Time // last few times at which it stopped being ready
+	passingSince time.Time   // passing since, after it was down; zero if it never was down
+	state        State
+	round        uint64 // the last full list that named it
 }
 
 type source struct {
-	rules   Rules
-	list    map[string]*entry
-	heard   time.Time // time of its last successful answer
-	failed  bool      // failed since then
-	known   bool      // it has delivered a list
-	expired bool      // silent for longer than Hold
-	round   uint64    // number of its full lists so far
-	panic   time.Time // start of a panic; zero if there is none
-	down    int       // number of its backends that are critical or missing
-	drains  int       // number of its backends reported as draining
+	rules      Rules
+	list       map[string]*entry
+	answeredAt time.Time // time of its last successful answer
+	silent     bool      // failed since then
+	hasList    bool      // it has delivered a list
+	expired    bool      // silent for longer than Hold
+	round      uint64    // number of its full lists so far
+	panicSince time.Time // start of a panic; zero if there is none
+	downCount  int       // number of its backends that are critical or missing
+	drainCount int       // number of its backends reported as draining
 }
 
 // Set is the merged list of backends, with the state of each source.
 type Set struct {
-	sources []*source
-	members map[string]*Member
-	dirty   map[string]bool
-	changed []Member
-	due     map[string]time.Time // when the passing of time may change a backend or source, by name
-	next    time.Time            // the earliest of timers, or earlier
+	sources   []*source
+	members   map[string]*Member
+	dirty     map[string]bool
+	changed   []Member
+	timers    map[string]time.Time // when the passing of time may change a backend or source, by name
+	nextTimer time.Time            // the earliest of timers, or earlier
 }
 
 // New makes an empty set for sources, which are identified by their index in rules.
 func New(rules ...Rules) *Set {
-	s := &Set{members: map[string]*Member{}, dirty: map[string]bool{}, due: map[string]time.Time{}}
+	s := &Set{members: map[string]*Member{}, dirty: map[string]bool{}, timers: map[string]time.Time{}}
 	for _, r := range rules {
 		s.sources = append(s.sources, &source{rules: r, list: map[string]*entry{}})
 	}
@@ -140,80 +140,80 @@
 // ReplaceAll handles a source's full list. A backend that it doesn't name is missing.
 func (s *Set) ReplaceAll(now time.Time, from int, list []Backend) {
 	src := s.sources[from]
-	s.back(now, src)
+	s.endSilence(now, src)
 	src.round++
 	for i := range list {
 		s.observe(now, src, &list[i])
 	}
 	for name, e := range src.list {
 		if e.round != src.round {
-			s.miss(now, src, name, e)
+			s.markMissing(now, src, name, e)
 		}
 	}
-	s.settle(now, src)
+	s.reevaluate(now, src)
 }
 
 // Update handles reports of some backends of a source, and the names of those that it dropped.
 func (s *Set) Update(now time.Time, from int, list []Backend, dropped []string) {
 	src := s.sources[from]
-	s.back(now, src)
+	s.endSilence(now, src)
 	for i := range list {
 		s.observe(now, src, &list[i])
 	}
 	for _, name := range dropped {
 		if e := src.list[name]; e != nil {
-			s.miss(now, src, name, e)
+			s.markMissing(now, src, name, e)
 		}
 	}
-	s.settle(now, src)
+	s.reevaluate(now, src)
 }
 
 // Unchanged handles an answer of a source that nothing has changed.
 func (s *Set) Unchanged(now time.Time, from int) {
 	src := s.sources[from]
-	s.back(now, src)
-	s.settle(now, src)
+	s.endSilence(now, src)
+	s.reevaluate(now, src)
 }
 
 // Failed records that a source doesn't answer. Only the first of several failures in a row has an effect.
 func (s *Set) Failed(now time.Time, from int) {
-	if src := s.sources[from]; !src.failed {
-		src.failed = true
-		if src.heard.IsZero() {
-			src.heard = now
+	if src := s.sources[from]; !src.silent {
+		src.silent = true
+		if src.answeredAt.IsZero() {
+			src.answeredAt = now
 		}
-		s.wakeAt(src)
-		s.settle(now, src)
+		s.setHoldTimer(src)
+		s.reevaluate(now, src)
 	}
 }
 
 // SetRules replaces the rules of a source. Its reports so far are kept.
 func (s *Set) SetRules(now time.Time, from int, r Rules) {
 	src := s.sources[from]
-	src.rules, src.down = r, 0
+	src.rules, src.downCount = r, 0
 	for name, e := range src.list {
-		if e.down(src) {
-			src.down++
+		if e.isDown(src) {
+			src.downCount++
 		}
 		s.dirty[name] = true
 	}
-	if src.failed {
-		s.wakeAt(src)
+	if src.silent {
+		s.setHoldTimer(src)
 	}
-	s.settle(now, src)
+	s.reevaluate(now, src)
 }
 
 // endSilence records an answer of a source. A backend that is missing when a silence ends is doubted from now on, not from when
 // it was last seen, so that a source which comes back doesn't remove anything at once.
-func (s *Set) back(now time.Time, src *source) {
-	src.known, src.heard = true, now
-	if src.failed {
-		src.failed = false
+func (s *Set) endSilence(now time.Time, src *source) {
+	src.hasList, src.answeredAt = true, now
+	if src.silent {
+		src.silent = false
 		for name, e := range src.list {
-			if !e.missing.IsZero() {
-				e.missing = now
+			if !e.missingSince.IsZero() {
+				e.missingSince = now
 			}
-			if src.expired || !e.missing.IsZero() {
+			if src.expired || !e.missingSince.IsZero() {
 				s.dirty[name] = true
 			}
 		}
@@ -226,69 +226,69 @@
 	if e == nil {
 		e = &entry{state: Gone}
 		src.list[b.Name] = e
-	} else if e.said == *b && e.missing.IsZero() {
+	} else if e.reported == *b && e.missingSince.IsZero() {
 		e.round = src.round
 		return
 	}
 	e.round = src.round
-	was := e.down(src)
-	if e.said.Health == Drain {
-		src.drains--
+	was := e.isDown(src)
+	if e.reported.Health == Drain {
+		src.drainCount--
 	}
-	e.said, e.missing = *b, time.Time{}
+	e.reported, e.missingSince = *b, time.Time{}
 	if b.Health == Drain {
-		src.drains++
+		src.drainCount++
 	}
-	s.turned(now, src, e, was)
+	s.recordTransition(now, src, e, was)
 	s.dirty[b.Name] = true
 }
 
-func (s *Set) miss(now time.Time, src *source, name string, e *entry) {
-	if !e.missing.IsZero() {
+func (s *Set) markMissing(now time.Time, src *source, name string, e *entry) {
+	if !e.missingSince.IsZero() {
 		return
 	}
-	was := e.down(src)
-	e.missing = now
-	s.turned(now, src, e, was)
+	was := e.isDown(src)
+	e.missingSince = now
+	s.recordTransition(now, src, e, was)
 	s.dirty[name] = true
 }
 
 // isDown reports whether a check, or the backend's absence, speaks against it. A drain doesn't count, because it is no sign
 // that the source is wrong.
-func (e *entry) down(src *source) bool {
-	return !e.missing.IsZero() && e.said.Health != Drain || e.said.Health == Critical || e.said.Health == Warning && src.rules.WarningDrains
+func (e *entry) isDown(src *source) bool {
+	return !e.missingSince.IsZero() && e.reported.Health != Drain || e.reported.Health == Critical || e.reported.Health == Warning && src.rules.WarningDrains
 }
 
 // recordTransition updates the count of backends that are down and how often this one went down.
-func (s *Set) turned(now time.Time, src *source, e *entry, was bool) {
-	is := e.down(src)
+func (s *Set) recordTransition(now time.Time, src *source, e *entry, was bool) {
+	is := e.isDown(src)
 	switch {
 	case is && !was:
-		src.down++
-		e.downAt = now
-		if e.good {
-			e.downs = append(e.downs, now)
-			if n := len(e.downs) - src.rules.Flaps - 1; n > 0 {
-				e.downs = e.downs[n:]
+		src.downCount++
+		e.downSince = now
+		if e.wasPassing {
+			e.downTimes = append(e.downTimes, now)
+			if n := len(e.downTimes) - src.rules.Flaps - 1; n > 0 {
+				e.downTimes = e.downTimes[n:]
 			}
 		}
 	case !is && was:
-		src.down--
-		e.downAt, e.steady = time.Time{}, now
+		src.downCount--
+		e.downSince, e.passingSince = time.Time{}, now
 	}
-	if !is && e.said.Health != Drain {
-		e.good = true
+	if !is && e.reported.Health != Drain {
+		e.wasPassing = true
 	}
 }
 
 // reevaluate checks a source for a panic, then merges all backends that may have changed.
-func (s *Set) settle(now time.Time, src *source) {
-	s.judge(now, src)
-	s.sweep(now)
+func (s *Set) reevaluate(now time.Time, src *source) {
+	s.checkPanic(now, src)
+	s.mergeDirty(now)
 }
 
 // mergeDirty merges all backends that may have changed.
-func (s *Set) sweep(now time.Time) {
+func (s *Set) mergeDirty(now time.Time) {
 	for name := range s.dirty {
 		s.merge(now, name)
 	}
@@ -300,35 +300,35 @@
 }
 
 // checkPanic decides whether the source itself is considered wrong. It scans the list only if enough of it is down.
-func (s *Set) judge(now time.Time, src *source) {
+func (s *Set) checkPanic(now time.Time, src *source) {
 	r := &src.rules
-	most := r.Panic * float64(len(src.list)-src.drains) // a drain is no sign that the source is wrong
-	tooMany := r.Panic > 0 && len(src.list)-src.drains > 1 && float64(src.down) > most
+	most := r.Panic * float64(len(src.list)-src.drainCount) // a drain is no sign that the source is wrong
+	tooMany := r.Panic > 0 && len(src.list)-src.drainCount > 1 && float64(src.downCount) > most
 	doubt := false
 	switch {
-	case tooMany && !src.panic.IsZero():
-		doubt = r.PanicHold == 0 || now.Sub(src.panic) < r.PanicHold
+	case tooMany && !src.panicSince.IsZero():
+		doubt = r.PanicHold == 0 || now.Sub(src.panicSince) < r.PanicHold
 	case tooMany:
 		together := 0
 		for _, e := range src.list {
-			if e.good && !e.downAt.IsZero() && now.Sub(e.downAt) < r.PanicWindow {
+			if e.wasPassing && !e.downSince.IsZero() && now.Sub(e.downSince) < r.PanicWindow {
 				together++
 			}
 		}
 		doubt = float64(together) > most
 	}
-	if doubt == !src.panic.IsZero() {
+	if doubt == !src.panicSince.IsZero() {
 		return
 	}
 	if doubt {
-		src.panic = now
+		src.panicSince = now
 		if r.PanicHold > 0 {
-			s.arm(panicKey+r.Name, now.Add(r.PanicHold))
+			s.setTimer(panicKey+r.Name, now.Add(r.PanicHold))
 		}
 	} else {
-		src.panic = time.Time{}
+		src.panicSince = time.Time{}
 		for _, e := range src.list { // those that are still down are now accepted as down
-			e.good = e.good && e.downAt.IsZero()
+			e.wasPassing = e.wasPassing && e.downSince.IsZero()
 		}
 	}
 	for name := range src.list {
@@ -338,57 +338,57 @@
 
 // Names of timers that belong to sources. They hold a zero byte, which no backend's name does.
 const (
-	panicKey  = "\x00panic "
-	silentKey = "\x00silent "
+	panicKey = "\x00panic "
+	holdKey  = "\x00silent "
 )
 
-func (s *Set) wakeAt(src *source) {
+func (s *Set) setHoldTimer(src *source) {
 	if src.rules.Hold > 0 {
-		s.arm(silentKey+src.rules.Name, src.heard.Add(src.rules.Hold))
+		s.setTimer(holdKey+src.rules.Name, src.answeredAt.Add(src.rules.Hold))
 	}
 }
 
-func (s *Set) arm(name string, at time.Time) {
-	if old, ok := s.due[name]; ok && !at.Before(old) {
+func (s *Set) setTimer(name string, at time.Time) {
+	if old, ok := s.timers[name]; ok && !at.Before(old) {
 		return
 	}
-	s.due[name] = at
-	if s.next.IsZero() || at.Before(s.next) {
-		s.next = at
+	s.timers[name] = at
+	if s.nextTimer.IsZero() || at.Before(s.nextTimer) {
+		s.nextTimer = at
 	}
 }
 
 // Next returns when the passing of time alone may change something, or the zero time if never.
-func (s *Set) Next() time.Time { return s.next }
+func (s *Set) Next() time.Time { return s.nextTimer }
 
 // Expire handles the timers that are due at a time.
 func (s *Set) Expire(now time.Time) {
-	if s.next.IsZero() || now.Before(s.next) {
+	if s.nextTimer.IsZero() || now.Before(s.nextTimer) {
 		return
 	}
-	s.next = time.Time{}
-	for name, at := range s.due {
+	s.nextTimer = time.Time{}
+	for name, at := range s.timers {
 		if now.Before(at) {
-			if s.next.IsZero() || at.Before(s.next) {
-				s.next = at
+			if s.nextTimer.IsZero() || at.Before(s.nextTimer) {
+				s.nextTimer = at
 			}
 			continue
 		}
-		delete(s.due, name)
+		delete(s.timers, name)
 		if name == "" || name[0] != 0 {
 			s.dirty[name] = true
 		}
 	}
 	for _, src := range s.sources {
-		if src.failed && !src.expired && src.rules.Hold > 0 && now.Sub(src.heard) >= src.rules.Hold {
+		if src.silent && !src.expired && src.rules.Hold > 0 && now.Sub(src.answeredAt) >= src.rules.Hold {
 			src.expired = true
 			for name := range src.list {
 				s.dirty[name] = true
 			}
 		}
-		s.judge(now, src)
+		s.checkPanic(now, src)
 	}
-	s.sweep(now)
+	s.mergeDirty(now)
 }
 
 // Changes returns the backends that changed since the last call, each in its current state. The caller owns the slice.
@@ -405,7 +405,7 @@
 		c := *m
 		for _, src := range s.sources {
 			if src.rules.Name == m.Source {
-				c.Age = now.Sub(src.heard)
+				c.Age = now.Sub(src.answeredAt)
 			}
 		}
 		out = append(out, c)
@@ -434,8 +434,8 @@
 func (s *Set) Sources(now time.Time) []Status {
 	out := make([]Status, len(s.sources))
 	for i, src := range s.sources {
-		out[i] = Status{Name: src.rules.Name, HasList: src.known, Silent: src.failed, Panicking: !src.panic.IsZero(), Expired: src.expired,
-			Age: now.Sub(src.heard), Backends: len(src.list), Down: src.down}
+		out[i] = Status{Name: src.rules.Name, HasList: src.hasList, Silent: src.silent, Panicking: !src.panicSince.IsZero(), Expired: src.expired,
+			Age: now.Sub(src.answeredAt), Backends: len(src.list), Down: src.downCount}
 	}
 	return out
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -17,28 +17,28 @@
 // Scenarios: a source, x or y, sends a full list ("=a b!"), an update ("a? -b"), "same" or "fails". A backend is followed by
 // what is reported of it: nothing if it passes, ? for a warning, ! for critical, * for a drain, @N for another address.
 // "expect" gives the merged list.
-var marks = map[byte]Health{'?': Warning, '!': Critical, '*': Drain}
+var healthMarks = map[byte]Health{'?': Warning, '!': Critical, '*': Drain}
 
-func said(text string) Backend {
+func parseBackend(text string) Backend {
 	b := Backend{Address: "127.0.0.1:1", Weight: 1}
 	name, port, moved := strings.Cut(text, "@")
 	if moved {
 		b.Address = "127.0.0.1:" + port
 	}
-	if h, ok := marks[name[len(name)-1]]; ok {
+	if h, ok := healthMarks[name[len(name)-1]]; ok {
 		b.Health, name = h, name[:len(name)-1]
 	}
 	b.Name = name
 	return b
 }
 
-func rules(name string, rank int) Rules {
+func testRules(name string, rank int) Rules {
 	return Rules{Name: name, Rank: rank, Doubt: 2 * time.Second, Hold: 40 * time.Second, Panic: 0.5, PanicWindow: 10 * time.Second,
 		PanicHold: 30 * time.Second, Flaps: 2, FlapWindow: 20 * time.Second, Settle: 5 * time.Second}
 }
 
-func play(t *testing.T, text string) {
-	s := New(rules("x", 1), rules("y", 2))
+func runScenario(t *testing.T, text string) {
+	s := New(testRules("x", 1), testRules("y", 2))
 	now := time.Unix(1e9, 0)
 	list := map[string]Member{} // as rebuilt from the changes
 	for _, step := range scenario.Steps(t, text) {
@@ -83,7 +83,7 @@
 				if w[0] == '-' {
 					dropped = append(dropped, w[1:])
 				} else {
-					b = append(b, said(w))
+					b = append(b, parseBackend(w))
 				}
 			}
 			if whole {
@@ -234,7 +234,7 @@
 			x send a@7
 			expect a@7 b`,
 	} {
-		t.Run(name, func(t *testing.T) { play(t, text) })
+		t.Run(name, func(t *testing.T) { runScenario(t, text) })
 	}
 }
 
@@ -242,7 +242,7 @@
 // ready. Once both report the truth and nothing changes any more, the list is what they report.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		s := New(rules("x", 1), rules("y", 2))
+		s := New(testRules("x", 1), testRules("y", 2))
 		now := time.Unix(1e9, 0)
 		drained := [2]map[string]bool{{}, {}}
 		backend := rapid.Custom(func(r *rapid.T) Backend {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -6,58 +6,58 @@
 )
 
 // evaluate applies one source's rules to a backend and returns its state and the reason.
-func (s *Set) view(now time.Time, src *source, name string, e *entry) (State, string) {
+func (s *Set) evaluate(now time.Time, src *source, name string, e *entry) (State, string) {
 	r := &src.rules
-	if e.said.Health == Drain {
-		if until := e.missing.Add(r.Doubt); !e.missing.IsZero() {
+	if e.reported.Health == Drain {
+		if until := e.missingSince.Add(r.Doubt); !e.missingSince.IsZero() {
 			if !now.Before(until) {
 				return Gone, "dropped after its drain"
 			}
-			s.arm(name, until)
+			s.setTimer(name, until)
 		}
 		return Draining, "told to drain"
 	}
 	if src.expired {
 		return Gone, "its source has been silent for too long"
 	}
-	if !src.panic.IsZero() && e.down(src) && e.good {
+	if !src.panicSince.IsZero() && e.isDown(src) && e.wasPassing {
 		return Ready, "kept: too many fell at once to be believed"
 	}
-	if !e.missing.IsZero() {
-		if until := e.missing.Add(r.Doubt); !src.failed && !now.Before(until) {
+	if !e.missingSince.IsZero() {
+		if until := e.missingSince.Add(r.Doubt); !src.silent && !now.Before(until) {
 			return Gone, "no longer named"
-		} else if !src.failed {
-			s.arm(name, until)
+		} else if !src.silent {
+			s.setTimer(name, until)
 		}
-		if e.downBefore(src) {
+		if e.downWhenNamed(src) {
 			return Draining, "its checks are critical"
 		}
 		return Ready, "no longer named, doubted"
 	}
-	if e.down(src) {
+	if e.isDown(src) {
 		return Draining, "its checks are critical"
 	}
-	if r.Flaps > 0 && len(e.downs) > r.Flaps {
+	if r.Flaps > 0 && len(e.downTimes) > r.Flaps {
 		recent := 0
-		for _, at := range e.downs {
+		for _, at := range e.downTimes {
 			if now.Sub(at) < r.FlapWindow+r.Settle {
 				recent++
 			}
 		}
-		if until := e.steady.Add(r.Settle); recent > r.Flaps && now.Before(until) {
-			s.arm(name, until)
+		if until := e.passingSince.Add(r.Settle); recent > r.Flaps && now.Before(until) {
+			s.setTimer(name, until)
 			return Draining, fmt.Sprintf("it changed %d times, and is to be steady first", recent)
 		}
 	}
-	if e.said.Health == Warning {
+	if e.reported.Health == Warning {
 		return Ready, "its checks warn"
 	}
 	return Ready, "its checks pass"
 }
 
 // downWhenNamed reports whether a missing backend was down when the source last named it.
-func (e *entry) downBefore(src *source) bool {
-	return e.said.Health == Critical || e.said.Health == Warning && src.rules.WarningDrains
+func (e *entry) downWhenNamed(src *source) bool {
+	return e.reported.Health == Critical || e.reported.Health == Warning && src.rules.WarningDrains
 }
 
 // merge computes one member from all sources' reports of a backend, and records it if it changed.
@@ -70,22 +70,22 @@
 		if e == nil || src.rules.Disabled {
 			continue
 		}
-		state, reason := s.view(now, src, name, e)
-		if state == Gone && !e.missing.IsZero() {
-			if e.down(src) {
-				src.down--
+		state, reason := s.evaluate(now, src, name, e)
+		if state == Gone && !e.missingSince.IsZero() {
+			if e.isDown(src) {
+				src.downCount--
 			}
-			if e.said.Health == Drain {
-				src.drains--
+			if e.reported.Health == Drain {
+				src.drainCount--
 			}
 			delete(src.list, name)
 		}
-		if state == Draining && e.said.Health == Drain {
+		if state == Draining && e.reported.Health == Drain {
 			drained = "told to drain by " + src.rules.Name
 		}
 		if best == nil || chosen.State == Gone && state != Gone || src.rules.Rank > best.rules.Rank && state != Gone {
 			best = src
-			chosen = Member{Backend: e.said, State: state, Reason: reason, Source: src.rules.Name}
+			chosen = Member{Backend: e.reported, State: state, Reason: reason, Source: src.rules.Name}
 		}
 	}
 	if best == nil { // no enabled source names it
@@ -110,7 +110,7 @@
 	}
 	if chosen.State == Gone {
 		delete(s.members, name)
-		delete(s.due, name)
+		delete(s.timers, name)
 	} else {
 		m := chosen
 		s.members[name] = &m
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -11,24 +11,24 @@
 // Times of a drain, counted from its beginning: the call that takes the dispatcher out of service, or SIGTERM. The platform's
 // figures are in its protocol ("Figures") and in the operators' page.
 const (
-	lateFront  = 600 * time.Millisecond // the load balancer may still send new connections
-	ownReqs    = 700 * time.Millisecond // a request that arrives later is lost if it is unanswered at the kill
-	killFloor  = 3 * time.Second        // the kill comes killWindow after this, or after the longest deadline if that is shorter
-	killMargin = 200 * time.Millisecond // time between the last answers and the kill
-	lastReqs   = 400 * time.Millisecond // time to answer the last requests; most take half of it
-	endSlack   = 500 * time.Millisecond // an answer later than its deadline by more is lost anyway
-	quietLooks = 5                      // without a session, before the process exits
+	balancerDelay    = 600 * time.Millisecond // the load balancer may still send new connections
+	killWindow       = 700 * time.Millisecond // a request that arrives later is lost if it is unanswered at the kill
+	maxKillBase      = 3 * time.Second        // the kill comes killWindow after this, or after the longest deadline if that is shorter
+	killMargin       = 200 * time.Millisecond // time between the last answers and the kill
+	lastAnswersTime  = 400 * time.Millisecond // time to answer the last requests; most take half of it
+	lateAnswerSlack  = 500 * time.Millisecond // an answer later than its deadline by more is lost anyway
+	quietEvaluations = 5                      // without a session, before the process exits
 	// An answer sent before sessions are closed leaves its connection open. The client's next request may be on its way for
 	// this long (a round trip and a busy client) before the connection is closed as idle.
-	lastRest = 100 * time.Millisecond
+	lastIdleTimeout = 100 * time.Millisecond
 )
 
 // Times of a process that has handed over, counted from the hand-over. Its sessions close with their next answer. An idle
 // session is closed once its client seems not to need it, so that the close doesn't cross a request; the client's next
 // connection goes to the new process.
 const (
-	handedRest = 400 * time.Millisecond
-	handedAll  = 1200 * time.Millisecond // from then on every idle session is closed
+	handedOverIdleTimeout = 400 * time.Millisecond
+	handedOverCloseAll    = 1200 * time.Millisecond // from then on every idle session is closed
 )
 
 // PollInterval is how often Evaluate must be called while the state is changing or about to change.
@@ -46,9 +46,9 @@
 	ShuttingDown // SIGTERM was received
 )
 
-var names = [...]string{"in service", "draining", "out of service", "handed over", "shutting down"}
+var stateNames = [...]string{"in service", "draining", "out of service", "handed over", "shutting down"}
 
-func (s State) String() string { return names[s] }
+func (s State) String() string { return stateNames[s] }
 
 // Directives tell the fronts what to do until the next ones.
 type Directives struct {
@@ -68,58 +68,58 @@
 type Machine struct {
 	LongestDeadline time.Duration // longest deadline of any class
 
-	out, term, handed time.Time // start of each; zero if not in effect
-	quiet             int
-	whole             time.Time // after SIGTERM, the last time at which directives gave requests their full deadline
-	called            bool      // the last directives refuse new requests
+	drainSince, shutdownSince, handedOverSince time.Time // start of each; zero if not in effect
+	quietCount                                 int
+	fullDeadlinesUntil                         time.Time // after SIGTERM, the last time at which directives gave requests their full deadline
+	refusing                                   bool      // the last directives refuse new requests
 }
 
 // TakeOutOfService begins a drain. Repeated calls change nothing.
 func (m *Machine) TakeOutOfService(now time.Time) {
-	if m.out.IsZero() {
-		m.out = now
+	if m.drainSince.IsZero() {
+		m.drainSince = now
 	}
 }
 
 // ReturnToService takes the dispatcher back into service, also in the middle of a drain. It returns false, and changes
 // nothing, if the process is shutting down and no other process has taken over.
 func (m *Machine) ReturnToService() bool {
-	if !m.term.IsZero() && m.handed.IsZero() {
+	if !m.shutdownSince.IsZero() && m.handedOverSince.IsZero() {
 		return false
 	}
-	m.out = time.Time{}
+	m.drainSince = time.Time{}
 	return true
 }
 
 // BeginShutdown begins the shutdown.
 func (m *Machine) BeginShutdown(now time.Time) {
-	if m.term.IsZero() {
-		m.term, m.quiet = now, 0
+	if m.shutdownSince.IsZero() {
+		m.shutdownSince, m.quietCount = now, 0
 	}
 }
 
 // HandOver records that another process of this dispatcher accepts new connections from now on.
-func (m *Machine) HandOver(now time.Time) { m.handed, m.quiet = now, 0 }
+func (m *Machine) HandOver(now time.Time) { m.handedOverSince, m.quietCount = now, 0 }
 
 // ResumeAfterHandOver records that the process which had taken over is gone.
-func (m *Machine) ResumeAfterHandOver() { m.handed = time.Time{} }
+func (m *Machine) ResumeAfterHandOver() { m.handedOverSince = time.Time{} }
 
 // IsOutOfService reports whether the dispatcher was taken out of service.
-func (m *Machine) IsOutOfService() bool { return !m.out.IsZero() }
+func (m *Machine) IsOutOfService() bool { return !m.drainSince.IsZero() }
 
 // Changing reports whether the passing of time alone may change what Evaluate returns.
 func (m *Machine) Changing() bool {
-	return !m.out.IsZero() || !m.term.IsZero() || !m.handed.IsZero()
+	return !m.drainSince.IsZero() || !m.shutdownSince.IsZero() || !m.handedOverSince.IsZero()
 }
 
 // killAfter returns how long after SIGTERM the platform kills the process.
-func (m *Machine) kill() time.Duration { return min(m.LongestDeadline, killFloor) + ownReqs }
+func (m *Machine) killAfter() time.Duration { return min(m.LongestDeadline, maxKillBase) + killWindow }
 
 // closeAfter returns how long after the beginning of a drain sessions are closed: as late as possible while requests that
 // arrive on them until then can still be answered. The load balancer sends a client whose session is closed to another
 // dispatcher if it knows a healthy one. It knows none where this dispatcher is the only one, or while it has not yet noticed
 // that the dispatcher restarted before this one is back.
-func (m *Machine) closeAt() time.Duration { return m.kill() - killMargin - lastReqs }
+func (m *Machine) closeAfter() time.Duration { return m.killAfter() - killMargin - lastAnswersTime }
 
 // Load counts what clients have open now.
 type Load struct {
@@ -132,60 +132,60 @@
 // BalancerCutoff returns when, after SIGTERM, the load balancer stops sending new connections at the latest; zero before
 // SIGTERM. Clients that connect later were not sent by it.
 func (m *Machine) BalancerCutoff() time.Time {
-	if m.term.IsZero() {
+	if m.shutdownSince.IsZero() {
 		return time.Time{}
 	}
-	return m.term.Add(lateFront)
+	return m.shutdownSince.Add(balancerDelay)
 }
 
 // Evaluate returns the directives for now.
 func (m *Machine) Evaluate(now time.Time, l Load) Directives {
-	o := Directives{Ready: m.out.IsZero() && (m.term.IsZero() || !m.handed.IsZero()), Accept: m.handed.IsZero()}
+	o := Directives{Ready: m.drainSince.IsZero() && (m.shutdownSince.IsZero() || !m.handedOverSince.IsZero()), Accept: m.handedOverSince.IsZero()}
 	switch {
-	case !m.term.IsZero():
+	case !m.shutdownSince.IsZero():
 		o.State = ShuttingDown
-	case !m.handed.IsZero():
+	case !m.handedOverSince.IsZero():
 		o.State = HandedOver
-	case !m.out.IsZero():
+	case !m.drainSince.IsZero():
 		o.State = Draining
 	}
-	if !m.handed.IsZero() {
+	if !m.handedOverSince.IsZero() {
 		o.HandedOver, o.CloseAfterAnswer, o.AnnounceClose = true, true, true
-		if now.Sub(m.handed) < handedAll {
-			o.IdleTimeout = handedRest
+		if now.Sub(m.handedOverSince) < handedOverCloseAll {
+			o.IdleTimeout = handedOverIdleTimeout
 		}
 	}
-	for _, begun := range [...]time.Time{m.out, m.term} {
+	for _, begun := range [...]time.Time{m.drainSince, m.shutdownSince} {
 		if begun.IsZero() {
 			continue
 		}
 		o.AnnounceClose = true
 		age := now.Sub(begun)
 		switch { // a request that arrives early has its full deadline: neither the kill nor the end of the drain cuts it
-		case age < lateFront:
-		case age < m.kill() || begun.Equal(m.term): // so that no late request escapes the limit
-			if until := begun.Add(m.kill() - killMargin); o.AnswerBy.IsZero() || until.Before(o.AnswerBy) {
+		case age < balancerDelay:
+		case age < m.killAfter() || begun.Equal(m.shutdownSince): // so that no late request escapes the limit
+			if until := begun.Add(m.killAfter() - killMargin); o.AnswerBy.IsZero() || until.Before(o.AnswerBy) {
 				o.AnswerBy = until
 			}
 		case o.State == Draining:
 			o.State = OutOfService
 		}
 		switch {
-		case age >= m.closeAt()+lastRest:
+		case age >= m.closeAfter()+lastIdleTimeout:
 			o.CloseAfterAnswer, o.IdleTimeout = true, 0
-		case age >= m.closeAt() && !o.CloseAfterAnswer:
-			o.CloseAfterAnswer, o.IdleTimeout = true, lastRest
+		case age >= m.closeAfter() && !o.CloseAfterAnswer:
+			o.CloseAfterAnswer, o.IdleTimeout = true, lastIdleTimeout
 		}
 	}
-	m.end(now, l, &o)
+	m.decideExit(now, l, &o)
 	return o
 }
 
 // balancerDone returns when a load balancer that checks the dispatcher's health stops sending it new connections, counted
 // from when it was taken out of service or from SIGTERM, whichever came first.
-func (m *Machine) frontGone() time.Time {
-	if !m.out.IsZero() && m.out.Before(m.term) {
-		return m.out.Add(lateFront)
+func (m *Machine) balancerDone() time.Time {
+	if !m.drainSince.IsZero() && m.drainSince.Before(m.shutdownSince) {
+		return m.drainSince.Add(balancerDelay)
 	}
 	return m.BalancerCutoff()
 }
@@ -194,39 +194,39 @@
 // directives began to limit deadlines, or to a later one that must be answered before the kill. Directives hold until the
 // next evaluation, which is late if the process is delayed on a busy machine.
 func (m *Machine) lastDue() time.Duration {
-	return max(m.LongestDeadline+m.whole.Sub(m.term), m.kill())
+	return max(m.LongestDeadline+m.fullDeadlinesUntil.Sub(m.shutdownSince), m.killAfter())
 }
 
 // decideExit decides whether all requests are answered and no client has been left for a moment. It waits that moment because
 // a client whose request crossed the close of its session reconnects at once. Requests that arrive within one evaluation of
 // the exit are refused, so that the process doesn't read a request, send it on, and then exit and cut it.
-func (m *Machine) end(now time.Time, l Load, o *Directives) {
-	called := m.called
-	m.called = false
-	if !m.term.IsZero() && (m.whole.IsZero() || m.whole.Before(m.BalancerCutoff())) {
-		m.whole = now
+func (m *Machine) decideExit(now time.Time, l Load, o *Directives) {
+	called := m.refusing
+	m.refusing = false
+	if !m.shutdownSince.IsZero() && (m.fullDeadlinesUntil.IsZero() || m.fullDeadlinesUntil.Before(m.BalancerCutoff())) {
+		m.fullDeadlinesUntil = now
 	}
-	if m.term.IsZero() && m.handed.IsZero() || !o.CloseAfterAnswer {
+	if m.shutdownSince.IsZero() && m.handedOverSince.IsZero() || !o.CloseAfterAnswer {
 		return
 	}
 	left, over := l.Sessions, false
-	if !m.term.IsZero() {
+	if !m.shutdownSince.IsZero() {
 		if now.After(m.BalancerCutoff()) {
 			left = l.BeforeCutoff
 		}
-		age := now.Sub(m.term)
-		over = age >= m.LongestDeadline+endSlack && l.Unanswered == 0 && l.Closing == 0 || age >= m.lastDue()+endSlack
-		if m.handed.IsZero() && now.Before(m.frontGone()) { // a client that is still sent here would find no process
-			m.quiet = 0
+		age := now.Sub(m.shutdownSince)
+		over = age >= m.LongestDeadline+lateAnswerSlack && l.Unanswered == 0 && l.Closing == 0 || age >= m.lastDue()+lateAnswerSlack
+		if m.handedOverSince.IsZero() && now.Before(m.balancerDone()) { // a client that is still sent here would find no process
+			m.quietCount = 0
 			return
 		}
 	}
-	if m.quiet++; left > 0 || l.Unanswered > 0 {
-		m.quiet = 0
+	if m.quietCount++; left > 0 || l.Unanswered > 0 {
+		m.quietCount = 0
 	}
-	o.Exit = called && (m.quiet > quietLooks || over)
-	if (over || m.quiet >= quietLooks) && (o.AnswerBy.IsZero() || now.Before(o.AnswerBy)) {
+	o.Exit = called && (m.quietCount > quietEvaluations || over)
+	if (over || m.quietCount >= quietEvaluations) && (o.AnswerBy.IsZero() || now.Before(o.AnswerBy)) {
 		o.AnswerBy = now
 	}
-	m.called = !o.AnswerBy.IsZero() && !now.Before(o.AnswerBy)
+	m.refusing = !o.AnswerBy.IsZero() && !now.Before(o.AnswerBy)
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -17,7 +17,7 @@
 // A shutdown doesn't wait for clients that connect after the load balancer has stopped sending new ones. It waits for all
 // earlier sessions and for each unanswered request: one that arrived just before the cutoff is due at 5.6 s and given up half
 // a second later.
-func TestStrangers(t *testing.T) {
+func TestLateClientsDontDelayShutdown(t *testing.T) {
 	for name, c := range map[string]struct {
 		load func(ms int) Load
 		ends int
@@ -70,7 +70,7 @@
 
 // A shutdown ends once no client has been left for a moment, or after the longest deadline at the latest. One that begins out
 // of service doesn't wait for a load balancer that sends nothing any more.
-func TestTerm(t *testing.T) {
+func TestShutdown(t *testing.T) {
 	end := func(m *Machine, from, sessions, until int) int {
 		for ms := from; ms < from+20_000; ms += 20 {
 			n := sessions
@@ -104,7 +104,7 @@
 	m := Machine{LongestDeadline: 5 * time.Second}
 	m.HandOver(at(0))
 	o := m.Evaluate(at(1), busy(1))
-	assert.Equal(t, Directives{State: HandedOver, HandedOver: true, Ready: true, AnnounceClose: true, CloseAfterAnswer: true, IdleTimeout: handedRest}, o)
+	assert.Equal(t, Directives{State: HandedOver, HandedOver: true, Ready: true, AnnounceClose: true, CloseAfterAnswer: true, IdleTimeout: handedOverIdleTimeout}, o)
 	m.BeginShutdown(at(100))
 	assert.True(t, m.Evaluate(at(101), busy(101)).Ready, "the dispatcher is in service")
 	assert.True(t, m.ReturnToService(), "the other process is returned to service")
@@ -124,7 +124,7 @@
 		outAt, termAt := 0, 0
 		closing := func(from int) bool { // sessions answered a moment before are spared
 			age := time.Duration(now-from) * time.Millisecond
-			return age >= m.closeAt() && age < m.closeAt()+lastRest
+			return age >= m.closeAfter() && age < m.closeAfter()+lastIdleTimeout
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += rapid.IntRange(0, 3000).Draw(t, "wait")
@@ -162,7 +162,7 @@
 				assert.Equal(t, Directives{Ready: true, Accept: true}, o)
 			}
 			if o.CloseAfterAnswer && o.IdleTimeout > 0 {
-				assert.True(t, handed || o.IdleTimeout == lastRest && (out && closing(outAt) || term && closing(termAt)))
+				assert.True(t, handed || o.IdleTimeout == lastIdleTimeout && (out && closing(outAt) || term && closing(termAt)))
 			}
 		}
 	})
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -9,25 +9,25 @@
 )
 
 // sentReq is a request in a model of the shutdown. Its backend hangs, so it is answered at its deadline.
-type sent struct {
-	came, left, write int // ms after SIGTERM; the time its client waits; how much later the answer's last byte is written
-	late              bool
-	due               int // -1: it has not arrived yet
+type sentReq struct {
+	arrived, timeLeft, writeDelay int // ms after SIGTERM; the time its client waits; how much later the answer's last byte is written
+	late                          bool
+	due                           int // -1: it has not arrived yet
 }
 
 // For any longest deadline and any arrival times: each request has its full deadline, or all the time until the kill's margin.
 // The process's own exit cuts no accepted request, no client that the load balancer still sends finds the process gone, and
 // the process exits.
-func TestShutdownOfAnyDeadline(t *testing.T) {
+func TestShutdownAnyDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		longest := rapid.OneOf(rapid.IntRange(50, 1000), rapid.IntRange(1000, 20_000)).Draw(t, "longest")
 		look := rapid.IntRange(5, 40).Draw(t, "look")
 		kill := min(longest, 3000) + 700
-		var reqs []sent
+		var reqs []sentReq
 		for range rapid.IntRange(0, 6).Draw(t, "reqs") {
 			came := rapid.OneOf(rapid.IntRange(0, 700), rapid.IntRange(0, kill)).Draw(t, "came")
-			reqs = append(reqs, sent{came: came, left: rapid.IntRange(1, longest).Draw(t, "left"),
-				write: rapid.SampledFrom([]int{0, 0, 100, 450}).Draw(t, "write"), late: came > 600, due: -1})
+			reqs = append(reqs, sentReq{arrived: came, timeLeft: rapid.IntRange(1, longest).Draw(t, "left"),
+				writeDelay: rapid.SampledFrom([]int{0, 0, 100, 450}).Draw(t, "write"), late: came > 600, due: -1})
 		}
 		m := Machine{LongestDeadline: time.Duration(longest) * time.Millisecond}
 		m.BeginShutdown(at(0))
@@ -35,16 +35,16 @@
 		last := longest + 1200 + look
 		for ms := 1; ; ms++ {
 			for i := range reqs {
-				if r := &reqs[i]; r.came == ms {
-					left := r.left
+				if r := &reqs[i]; r.arrived == ms {
+					left := r.timeLeft
 					if !o.AnswerBy.IsZero() {
 						left = max(0, min(left, int(o.AnswerBy.Sub(at(ms))/time.Millisecond)))
 					}
-					r.due = ms + left + r.write
+					r.due = ms + left + r.writeDelay
 					if ms < 600 {
-						assert.Equal(t, r.left, left, "the client's full deadline")
+						assert.Equal(t, r.timeLeft, left, "the client's full deadline")
 					} else {
-						assert.True(t, left == r.left || r.due-r.write <= kill-200 || left == 0, "%+v", r)
+						assert.True(t, left == r.timeLeft || r.due-r.writeDelay <= kill-200 || left == 0, "%+v", r)
 					}
 				}
 			}
@@ -72,7 +72,7 @@
 			assert.GreaterOrEqual(t, ms, 600, "the front sends new connections until then")
 			assert.False(t, o.AnswerBy.IsZero() || o.AnswerBy.After(at(ms)), "no request is accepted any more")
 			for _, r := range reqs {
-				assert.False(t, r.came <= ms && r.due >= ms, "the exit at %d ms cut %+v", ms, r)
+				assert.False(t, r.arrived <= ms && r.due >= ms, "the exit at %d ms cut %+v", ms, r)
 			}
 			return
 		}
@@ -81,7 +81,7 @@
 
 // With a longest deadline of 1 s, a request that arrived at 0.9 s is due at 1.5 s, and the core answers a moment later. The
 // process must not exit at 1.5 s.
-func TestShortDeadline(t *testing.T) {
+func TestShutdownShortDeadline(t *testing.T) {
 	m := Machine{LongestDeadline: time.Second}
 	m.BeginShutdown(at(0))
 	assert.Equal(t, at(1500), m.Evaluate(at(900), busy(900)).AnswerBy)
@@ -92,7 +92,7 @@
 }
 
 // Requests that arrive within one evaluation of the exit must be refused: an accepted one would be sent on and then cut.
-func TestLastLook(t *testing.T) {
+func TestRefusesBeforeExit(t *testing.T) {
 	for name, begin := range map[string]func(*Machine){
 		"shutdown":  func(m *Machine) { m.BeginShutdown(at(0)) },
 		"hand-over": func(m *Machine) { m.HandOver(at(0)) },
@@ -121,7 +121,7 @@
 
 // A process that was delayed resumes with directives that give new requests their full deadline until the next evaluation.
 // Neither that evaluation nor a later one may exit before the last of those requests is due.
-func TestHeldUp(t *testing.T) {
+func TestDelayedProcess(t *testing.T) {
 	for _, wakes := range []int{300, 900, 1500, 3000, 60_000} {
 		m := Machine{LongestDeadline: time.Second}
 		m.BeginShutdown(at(0))
@@ -140,7 +140,7 @@
 
 // A session told to close may still be writing an answer after the longest deadline: it gets as long as an answer does.
 // Any number of such sessions must not delay a shutdown if all of them connected after the cutoff.
-func TestClosingAtTheEnd(t *testing.T) {
+func TestClosingSessionsAtExit(t *testing.T) {
 	m := Machine{LongestDeadline: time.Second}
 	m.BeginShutdown(at(0))
 	for ms := 0; ms < 2200; ms += 20 {
@@ -156,7 +156,7 @@
 }
 
 // The directives of a hand-over that failed must not let a later shutdown exit early.
-func TestTakenBackBeforeTerm(t *testing.T) {
+func TestShutdownAfterFailedHandOver(t *testing.T) {
 	m := Machine{LongestDeadline: 50 * time.Millisecond}
 	m.HandOver(at(-1000))
 	ms := -1000
@@ -171,7 +171,7 @@
 
 // No client is sent to a process that has been out of service for a while, so it exits early. One taken out just before
 // SIGTERM waits until the load balancer has noticed.
-func TestFrontGone(t *testing.T) {
+func TestBalancerDone(t *testing.T) {
 	for _, c := range []struct{ out, ends int }{{-10_000, 100}, {-300, 400}, {0, 620}} {
 		m := Machine{LongestDeadline: 50 * time.Millisecond}
 		if c.out < 0 {
