--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -21,7 +21,7 @@
 	if within != 0 {
 		until = min(until, now+within)
 	}
-	why := c.retryReason(r)
+	reason := c.retryReason(r)
 	a := &Attempt{Job: r.job, Backend: c.listed[to], core: c, req: r, previous: r.latest.Load(), number: len(r.attempts), sentAt: now,
 		Deadline: c.clock.fromMillis(until)}
 	r.attempts = append(r.attempts, a)
@@ -36,15 +36,15 @@
 		return
 	}
 	c.count.Attempts.Add(1)
-	if why != nil {
-		c.trace(c.clock.fromMillis(now), r, guard.AttemptSent, why)
+	if reason != nil {
+		c.trace(c.clock.fromMillis(now), r, guard.AttemptSent, reason)
 	}
 	a.stop = c.backends.Send(a)
 	c.timers.add(until, func() { c.stopAttempt(a, Overdue) })
 }
 
-func (x actions) Refuse(id balance.RequestID, pause balance.Millis) {
-	x.end(id, Answer{Kind: Refusal, RetryAfter: time.Duration(pause * float64(time.Millisecond))})
+func (x actions) Refuse(id balance.RequestID, retryAfter balance.Millis) {
+	x.end(id, Answer{Kind: Refusal, RetryAfter: time.Duration(retryAfter * float64(time.Millisecond))})
 }
 
 func (x actions) Fail(id balance.RequestID) { x.end(id, Answer{Kind: Failure}) }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -230,8 +230,8 @@
 // balance.Dispatcher.SetOverlap documents the parts.
 func (c *Core) SetOverlap(on bool) {
 	c.post(func() {
-		if h, ok := c.module.(overlapPolicy); ok {
-			h.SetOverlap(on)
+		if p, ok := c.module.(overlapPolicy); ok {
+			p.SetOverlap(on)
 		}
 	})
 }
@@ -263,20 +263,20 @@
 
 // Run handles events until stop is closed.
 func (c *Core) Run(stop <-chan struct{}) {
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	for {
 		c.step()
 		wait := time.Hour
 		if len(c.timers.list) > 0 {
 			wait = time.Duration((c.timers.list[0].at - c.clock.now()) * float64(time.Millisecond))
 		}
-		alarm.Reset(max(wait, 0))
+		timer.Reset(max(wait, 0))
 		select {
 		case <-stop:
 			return
 		case <-c.posted:
-		case <-alarm.C:
+		case <-timer.C:
 		}
 	}
 }
@@ -424,13 +424,13 @@
 func (c *Core) updateList(kind balance.ListKind, list []Entry) {
 	workers := make([]balance.Worker, len(list))
 	named := make(map[balance.WorkerID]bool, len(list))
-	read := c.clock.read()
-	stale := c.watchSilence(kind, read)
+	now := c.clock.read()
+	silence := c.watchSilence(kind, now)
 	for i := range list {
 		e := &list[i]
 		workers[i], named[e.ID] = e.Worker, true
 		if e.State != balance.Gone && !e.LocalStart {
-			workers[i].Started = c.startTimes.adjust(e.ID, e.Started, c.clock.millis(read), stale)
+			workers[i].Started = c.startTimes.adjust(e.ID, e.Started, c.clock.millis(now), silence)
 		}
 		b := c.listed[e.ID]
 		if b != nil && (b.Address != e.Address || e.State == balance.Gone) {
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -12,25 +12,25 @@
 // may begin, and the module decides the answers.
 
 // trace adds an event of a request to the trace.
-func (c *Core) trace(at time.Time, r *req, step guard.Step, why fmt.Stringer) {
+func (c *Core) trace(at time.Time, r *req, step guard.Step, reason fmt.Stringer) {
 	if c.Guard != nil {
-		c.Guard.Note(guard.Event{At: at, Request: r.job.ID, Step: step, Why: why})
+		c.Guard.Note(guard.Event{At: at, Request: r.job.ID, Step: step, Why: reason})
 	}
 }
 
 // Began reports that the attempt's first byte was written at a time, and how much time for the client the backend was
 // told is left. It may be called from any goroutine.
-func (a *Attempt) Began(at time.Time, told time.Duration) {
+func (a *Attempt) Began(at time.Time, timeLeft time.Duration) {
 	c, r := a.core, a.req
 	if c == nil || c.Guard == nil {
 		return
 	}
 	c.Guard.Note(guard.Event{At: at, Request: r.job.ID, Step: guard.AttemptBegan})
 	facts := guard.Begin{At: at, ClientGone: c.clock.fromStamp(r.clientGoneAt.Load()), Drained: a.Backend.unavailableSince(), Grace: c.drainGrace,
-		Ended: c.Guard.Ended(), Deadline: c.clock.fromMillis(r.deadline), Told: told, Effect: r.effect,
+		Ended: c.Guard.Ended(), Deadline: c.clock.fromMillis(r.deadline), Told: timeLeft, Effect: r.effect,
 		Window: time.Duration(r.repeatWindow * float64(time.Millisecond)), Earlier: c.earlierAttempts(a.previous)}
 	for _, rule := range facts.Check() {
-		c.Guard.Violated(rule, 0, r.job.ID, fmt.Sprintf("attempt %d at %s: backend told %v, %v left", a.number, a.Backend.Name, told, facts.Deadline.Sub(at)))
+		c.Guard.Violated(rule, 0, r.job.ID, fmt.Sprintf("attempt %d at %s: backend told %v, %v left", a.number, a.Backend.Name, timeLeft, facts.Deadline.Sub(at)))
 	}
 }
 
@@ -60,11 +60,11 @@
 		return
 	}
 	now := c.clock.read()
-	var why fmt.Stringer
+	var reason fmt.Stringer
 	if a.Kind != Result {
-		why = c.refusalReason(r, now)
+		reason = c.refusalReason(r, now)
 	}
-	c.Guard.Note(guard.Event{At: now, Request: r.job.ID, Step: guard.RequestOver, Why: why})
+	c.Guard.Note(guard.Event{At: now, Request: r.job.ID, Step: guard.RequestOver, Why: reason})
 	facts := guard.Final{At: now, Deadline: c.clock.fromMillis(r.deadline), Refused: a.Kind == Refusal, Effect: r.effect, Scope: r.dedupScope,
 		Window: time.Duration(r.repeatWindow * float64(time.Millisecond)), Again: r.answered, Attempts: c.earlierAttempts(r.latest.Load())}
 	r.answered = true
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -15,7 +15,7 @@
 	// the call. If there is no grant by until, retryAfter is the delay suggested to the client. ready may be called from any
 	// goroutine, also before Acquire returns, and doesn't block. release says that the request needs no grant any more. It
 	// is called once for each Acquire, whatever the outcome was, and ready does nothing after it.
-	Acquire(tenant, class int, until time.Time, ready func(from time.Time, pause time.Duration, ok bool)) (leave func())
+	Acquire(tenant, class int, until time.Time, ready func(from time.Time, retryAfter time.Duration, ok bool)) (release func())
 	// MaxHold is the longest time for which a grant may be held, counted from ready's from: the core ends the request and all
 	// its attempts by then. 0 means no limit.
 	MaxHold() time.Duration
@@ -39,8 +39,8 @@
 	}
 	r.queued = true
 	until := r.deadline - toMillis(quotaMargin)
-	r.releaseQuota = c.Quotas.Acquire(q.Tenant, q.Class, c.clock.fromMillis(until), func(from time.Time, pause time.Duration, ok bool) {
-		c.post(func() { c.quotaDecided(r, q, from, pause, ok) })
+	r.releaseQuota = c.Quotas.Acquire(q.Tenant, q.Class, c.clock.fromMillis(until), func(from time.Time, retryAfter time.Duration, ok bool) {
+		c.post(func() { c.quotaDecided(r, q, from, retryAfter, ok) })
 	})
 	c.timers.add(until+toMillis(quotaMargin)/2, func() {
 		if r.queued {
@@ -55,7 +55,7 @@
 }
 
 // quotaDecided handles the outcome of a request's Acquire.
-func (c *Core) quotaDecided(r *req, q balance.Request, from time.Time, pause time.Duration, ok bool) {
+func (c *Core) quotaDecided(r *req, q balance.Request, from time.Time, retryAfter time.Duration, ok bool) {
 	if !r.queued { // it was answered, or its client left, and its place was released
 		return
 	}
@@ -63,38 +63,38 @@
 	switch {
 	case r.closed.Load(): // its client is gone; the event that Abandon posted releases the quota
 	case !ok:
-		c.refuse(r, pause)
+		c.refuse(r, retryAfter)
 	case c.Versions != nil && !c.Versions.MayStart(r.policyVersion):
 		c.refuse(r, expiredRetryAfter)
 	default:
-		if most := c.Quotas.MaxHold(); most > 0 { // a client may set any deadline
-			r.deadline = min(r.deadline, c.clock.millis(from)+toMillis(most)-c.answerSlack)
+		if maxHold := c.Quotas.MaxHold(); maxHold > 0 { // a client may set any deadline
+			r.deadline = min(r.deadline, c.clock.millis(from)+toMillis(maxHold)-c.answerSlack)
 		}
 		c.arrive(r, q)
 	}
 }
 
 // refuse refuses a request that got no quota. It has begun nowhere, so another dispatcher may run it.
-func (c *Core) refuse(r *req, pause time.Duration) {
+func (c *Core) refuse(r *req, retryAfter time.Duration) {
 	r.queued = false
-	c.answer(r, Answer{Kind: Refusal, RetryAfter: pause})
+	c.answer(r, Answer{Kind: Refusal, RetryAfter: retryAfter})
 	c.forget(r)
 }
 
 // checkQueuedVersions refuses queued requests whose policy version is no longer in force.
 func (c *Core) checkQueuedVersions() {
-	left := c.queuedReqs[:0]
+	remaining := c.queuedReqs[:0]
 	for _, r := range c.queuedReqs {
 		switch {
 		case !r.queued:
 		case !c.Versions.MayStart(r.policyVersion):
 			c.refuse(r, expiredRetryAfter)
 		default:
-			left = append(left, r)
+			remaining = append(remaining, r)
 		}
 	}
-	clear(c.queuedReqs[len(left):])
-	if c.queuedReqs = left; len(left) > 0 {
+	clear(c.queuedReqs[len(remaining):])
+	if c.queuedReqs = remaining; len(remaining) > 0 {
 		c.timers.add(c.clock.now()+toMillis(versionCheckInterval), c.checkQueuedVersions)
 	}
 }
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -35,8 +35,8 @@
 }
 
 // adjust returns when, on the module's clock, a backend started that is listed with a start time. Both are Unix ms; 0 means
-// long ago. stale is how long the watch that reports it may have been silent before, negative if no watch reported it.
-func (s *startTimes) adjust(id balance.WorkerID, listed, now, stale float64) float64 {
+// long ago. silence is how long the watch that reports it may have been silent before; negative if no watch reported it.
+func (s *startTimes) adjust(id balance.WorkerID, listed, now, silence float64) float64 {
 	if listed <= 0 {
 		delete(s.byID, id)
 		return listed
@@ -45,14 +45,14 @@
 		return old.adjusted
 	}
 	age := max(now-listed, 0)
-	if stale >= 0 {
+	if silence >= 0 {
 		if s.minAge < 0 || age < s.minAge {
 			s.minAge = age
 		}
 		if s.minAge > maxCommonDelay {
 			age -= s.minAge
 		}
-		if age > stale+float64(maxReportDelay/time.Millisecond) {
+		if age > silence+float64(maxReportDelay/time.Millisecond) {
 			age = 0 // the backend's clock, or the list's, is wrong
 		}
 	}
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -16,7 +16,7 @@
 // Submit accepts a request: one final answer is due from now on. arrived is the earliest known time of its arrival, and
 // timeLeft is how long its client waits from then. If another request has the same ID, Submit returns false and no answer
 // is due, because backends would confuse the two.
-func (c *Core) Submit(q balance.Request, job *Job, came time.Time, left time.Duration, client Client) (Handle, bool) {
+func (c *Core) Submit(q balance.Request, job *Job, arrived time.Time, timeLeft time.Duration, client Client) (Handle, bool) {
 	r := &req{client: client, job: job, open: true}
 	if q.Class >= 0 && q.Class < len(c.classes) { // the module fails a request of any other class
 		class := &c.classes[q.Class]
@@ -32,9 +32,9 @@
 		}
 		return Handle{}, false
 	}
-	r.deadline = c.clock.millis(came.Add(left))
+	r.deadline = c.clock.millis(arrived.Add(timeLeft))
 	c.openCount.Add(1)
-	c.trace(came, r, guard.RequestTaken, nil)
+	c.trace(arrived, r, guard.RequestTaken, nil)
 	c.post(func() {
 		c.lastID++
 		r.id, q.ID = c.lastID, c.lastID
@@ -67,13 +67,13 @@
 // Abandon says that the client of a request is gone and can no longer get an answer. No further attempt begins once it
 // returns. With stop, outstanding attempts are cancelled where the settings allow it; otherwise they run on. over, if not
 // nil, is called once no attempt is outstanding, on the core's goroutine; it must not block.
-func (t Handle) Abandon(stop bool, over func()) {
-	t.req.closed.Store(true)
-	if t.req.clientGoneAt.CompareAndSwap(0, t.core.clock.toStamp(t.core.clock.read())) {
-		t.core.trace(t.core.clock.read(), t.req, guard.ClientGone, nil)
+func (h Handle) Abandon(stop bool, over func()) {
+	h.req.closed.Store(true)
+	if h.req.clientGoneAt.CompareAndSwap(0, h.core.clock.toStamp(h.core.clock.read())) {
+		h.core.trace(h.core.clock.read(), h.req, guard.ClientGone, nil)
 	}
-	t.core.post(func() {
-		c, r := t.core, t.req
+	h.core.post(func() {
+		c, r := h.core, h.req
 		r.onDone = over
 		if r.open {
 			c.close(r)
--- a/internal/core/versions.go
+++ b/internal/core/versions.go
@@ -7,7 +7,7 @@
 type Versions interface {
 	// Admit admits a request under the version in force. If ok, the request counts as waiting until Begun is called;
 	// otherwise retryAfter is the delay suggested to its client.
-	Admit() (version uint64, pause time.Duration, ok bool)
+	Admit() (version uint64, retryAfter time.Duration, ok bool)
 	// Begun is called once for each admitted request, when it has begun at a backend or never will.
 	Begun(version uint64)
 	// MayStart reports whether an attempt of a request admitted under a version may start now.
@@ -22,7 +22,7 @@
 // admit records the version under which a request is admitted. If no version is known to be in force, it refuses the request
 // at once: no attempt has begun, so another dispatcher may run it.
 func (c *Core) admit(r *req) bool {
-	version, pause, ok := c.Versions.Admit()
+	version, retryAfter, ok := c.Versions.Admit()
 	if ok {
 		r.policyVersion = version
 		return true
@@ -30,7 +30,7 @@
 	r.open = false
 	c.post(func() {
 		c.count.AnswersRefused.Add(1)
-		r.client.Answer(Answer{Kind: Refusal, RetryAfter: pause, JobReleased: true})
+		r.client.Answer(Answer{Kind: Refusal, RetryAfter: retryAfter, JobReleased: true})
 	})
 	return false
 }
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -107,10 +107,10 @@
 		if !e.listed && e.mark.At > 0 {
 			b.unlistedCount--
 		}
-		was := e.lastListed
+		previous := e.lastListed
 		e.lastListed, e.listed, named[list[i].Name] = list[i], true, true
 		if e.lastListed.State == balance.Gone { // such an entry carries no other information
-			e.lastListed = was
+			e.lastListed = previous
 			e.lastListed.ID, e.lastListed.Name, e.lastListed.State = list[i].ID, list[i].Name, balance.Gone
 			b.recordGone(e)
 		} else if e.goneOrder > 0 {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -231,7 +231,7 @@
 		return
 	}
 	e.round = src.round
-	was := e.isDown(src)
+	wasDown := e.isDown(src)
 	if e.reported.Health == Drain {
 		src.drainCount--
 	}
@@ -239,7 +239,7 @@
 	if b.Health == Drain {
 		src.drainCount++
 	}
-	s.recordTransition(now, src, e, was)
+	s.recordTransition(now, src, e, wasDown)
 	s.dirty[b.Name] = true
 }
 
@@ -247,9 +247,9 @@
 	if !e.missingSince.IsZero() {
 		return
 	}
-	was := e.isDown(src)
+	wasDown := e.isDown(src)
 	e.missingSince = now
-	s.recordTransition(now, src, e, was)
+	s.recordTransition(now, src, e, wasDown)
 	s.dirty[name] = true
 }
 
@@ -260,10 +260,10 @@
 }
 
 // recordTransition updates the count of backends that are down and how often this one went down.
-func (s *Set) recordTransition(now time.Time, src *source, e *entry, was bool) {
-	is := e.isDown(src)
+func (s *Set) recordTransition(now time.Time, src *source, e *entry, wasDown bool) {
+	isDown := e.isDown(src)
 	switch {
-	case is && !was:
+	case isDown && !wasDown:
 		src.downCount++
 		e.downSince = now
 		if e.wasPassing {
@@ -272,11 +272,11 @@
 				e.downTimes = e.downTimes[n:]
 			}
 		}
-	case !is && was:
+	case !isDown && wasDown:
 		src.downCount--
 		e.downSince, e.passingSince = time.Time{}, now
 	}
-	if !is && e.reported.Health != Drain {
+	if !isDown && e.reported.Health != Drain {
 		e.wasPassing = true
 	}
 }
@@ -302,25 +302,25 @@
 // checkPanic decides whether the source itself is considered wrong. It scans the list only if enough of it is down.
 func (s *Set) checkPanic(now time.Time, src *source) {
 	r := &src.rules
-	most := r.Panic * float64(len(src.list)-src.drainCount) // a drain is no sign that the source is wrong
-	tooMany := r.Panic > 0 && len(src.list)-src.drainCount > 1 && float64(src.downCount) > most
-	doubt := false
+	limit := r.Panic * float64(len(src.list)-src.drainCount) // a drain is no sign that the source is wrong
+	tooMany := r.Panic > 0 && len(src.list)-src.drainCount > 1 && float64(src.downCount) > limit
+	panicking := false
 	switch {
 	case tooMany && !src.panicSince.IsZero():
-		doubt = r.PanicHold == 0 || now.Sub(src.panicSince) < r.PanicHold
+		panicking = r.PanicHold == 0 || now.Sub(src.panicSince) < r.PanicHold
 	case tooMany:
-		together := 0
+		recent := 0
 		for _, e := range src.list {
 			if e.wasPassing && !e.downSince.IsZero() && now.Sub(e.downSince) < r.PanicWindow {
-				together++
+				recent++
 			}
 		}
-		doubt = float64(together) > most
+		panicking = float64(recent) > limit
 	}
-	if doubt == !src.panicSince.IsZero() {
+	if panicking == !src.panicSince.IsZero() {
 		return
 	}
-	if doubt {
+	if panicking {
 		src.panicSince = now
 		if r.PanicHold > 0 {
 			s.setTimer(panicKey+r.Name, now.Add(r.PanicHold))
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -64,7 +64,7 @@
 func (s *Set) merge(now time.Time, name string) {
 	var best *source
 	var chosen Member
-	drained := ""
+	drainReason := ""
 	for _, src := range s.sources {
 		e := src.list[name]
 		if e == nil || src.rules.Disabled {
@@ -81,7 +81,7 @@
 			delete(src.list, name)
 		}
 		if state == Draining && e.reported.Health == Drain {
-			drained = "told to drain by " + src.rules.Name
+			drainReason = "told to drain by " + src.rules.Name
 		}
 		if best == nil || chosen.State == Gone && state != Gone || src.rules.Rank > best.rules.Rank && state != Gone {
 			best = src
@@ -97,8 +97,8 @@
 		}
 		return
 	}
-	if drained != "" && chosen.State == Ready {
-		chosen.State, chosen.Reason = Draining, drained
+	if drainReason != "" && chosen.State == Ready {
+		chosen.State, chosen.Reason = Draining, drainReason
 	}
 	old := s.members[name]
 	if old == nil && chosen.State == Gone {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -155,16 +155,16 @@
 			o.IdleTimeout = handedOverIdleTimeout
 		}
 	}
-	for _, begun := range [...]time.Time{m.drainSince, m.shutdownSince} {
-		if begun.IsZero() {
+	for _, since := range [...]time.Time{m.drainSince, m.shutdownSince} {
+		if since.IsZero() {
 			continue
 		}
 		o.AnnounceClose = true
-		age := now.Sub(begun)
+		age := now.Sub(since)
 		switch { // a request that arrives early has its full deadline: neither the kill nor the end of the drain cuts it
 		case age < balancerDelay:
-		case age < m.killAfter() || begun.Equal(m.shutdownSince): // so that no late request escapes the limit
-			if until := begun.Add(m.killAfter() - killMargin); o.AnswerBy.IsZero() || until.Before(o.AnswerBy) {
+		case age < m.killAfter() || since.Equal(m.shutdownSince): // so that no late request escapes the limit
+			if until := since.Add(m.killAfter() - killMargin); o.AnswerBy.IsZero() || until.Before(o.AnswerBy) {
 				o.AnswerBy = until
 			}
 		case o.State == Draining:
@@ -201,7 +201,7 @@
 // a client whose request crossed the close of its session reconnects at once. Requests that arrive within one evaluation of
 // the exit are refused, so that the process doesn't read a request, send it on, and then exit and cut it.
 func (m *Machine) decideExit(now time.Time, l Load, o *Directives) {
-	called := m.refusing
+	wasRefusing := m.refusing
 	m.refusing = false
 	if !m.shutdownSince.IsZero() && (m.fullDeadlinesUntil.IsZero() || m.fullDeadlinesUntil.Before(m.BalancerCutoff())) {
 		m.fullDeadlinesUntil = now
@@ -209,23 +209,23 @@
 	if m.shutdownSince.IsZero() && m.handedOverSince.IsZero() || !o.CloseAfterAnswer {
 		return
 	}
-	left, over := l.Sessions, false
+	remaining, overdue := l.Sessions, false
 	if !m.shutdownSince.IsZero() {
 		if now.After(m.BalancerCutoff()) {
-			left = l.BeforeCutoff
+			remaining = l.BeforeCutoff
 		}
 		age := now.Sub(m.shutdownSince)
-		over = age >= m.LongestDeadline+lateAnswerSlack && l.Unanswered == 0 && l.Closing == 0 || age >= m.lastDue()+lateAnswerSlack
+		overdue = age >= m.LongestDeadline+lateAnswerSlack && l.Unanswered == 0 && l.Closing == 0 || age >= m.lastDue()+lateAnswerSlack
 		if m.handedOverSince.IsZero() && now.Before(m.balancerDone()) { // a client that is still sent here would find no process
 			m.quietCount = 0
 			return
 		}
 	}
-	if m.quietCount++; left > 0 || l.Unanswered > 0 {
+	if m.quietCount++; remaining > 0 || l.Unanswered > 0 {
 		m.quietCount = 0
 	}
-	o.Exit = called && (m.quietCount > quietEvaluations || over)
-	if (over || m.quietCount >= quietEvaluations) && (o.AnswerBy.IsZero() || now.Before(o.AnswerBy)) {
+	o.Exit = wasRefusing && (m.quietCount > quietEvaluations || overdue)
+	if (overdue || m.quietCount >= quietEvaluations) && (o.AnswerBy.IsZero() || now.Before(o.AnswerBy)) {
 		o.AnswerBy = now
 	}
 	m.refusing = !o.AnswerBy.IsZero() && !now.Before(o.AnswerBy)
