--- a/internal/network/mutate_test.go
+++ b/internal/network/mutate_test.go
@@ -288,7 +288,7 @@
 func (w *mutationWorld) directorReply(conn string, since int, now time.Duration) []mutate.Message {
 	index := w.listVersion(now)
 	entry := func(name, status string) string {
-		return fmt.Sprintf("\n {\"name\":\"%s\",\"address\":\"%s\",\"zone\":\"a\",\"type\":\"m\",\"group\":1,\"status\":\"%s\",\"weight\":4.0,\"since_ms\":0}", name, name, status)
+		return fmt.Sprintf("\n  {\"name\":\"%s\",\"address\":\"%s\",\"zone\":\"a\",\"type\":\"m\",\"group\":1,\"status\":\"%s\",\"weight\":4.0,\"since_ms\":0}", name, name, status)
 	}
 	s2 := "Ready"
 	if index == 43 {
