--- a/internal/balance/cache.go
+++ b/internal/balance/cache.go
@@ -210,8 +210,8 @@
 		if j >= n {
 			j -= n
 		}
-		m := &d.filters[j]
-		if (kind < 0 || kind == m.kind) && (maxHash >= 1 || unitHash(r.Key^m.linkID) < maxHash) {
+		f := &d.filters[j]
+		if (kind < 0 || kind == f.kind) && (maxHash >= 1 || unitHash(r.Key^f.linkID) < maxHash) {
 			d.examined++
 			break
 		}
--- a/internal/balance/cache_test.go
+++ b/internal/balance/cache_test.go
@@ -65,18 +65,18 @@
 		for _, key := range []uint64{0, 7, 900} {
 			r := &request{Request: Request{Class: class, Key: key}}
 			d.rng = rand.New(rand.NewPCG(1, 2))
-			place := d.pick(p.now, r)
+			index := d.pick(p.now, r)
 			after := d.rng.Uint64()
 			d.rng = rand.New(rand.NewPCG(1, 2))
 			clear(d.noneEligible)
 			for range 2 { // computed, then cached
 				if hopeless := d.unplaceable(p.now, r); hopeless {
 					p.unplaceable++
-					require.Equal(t, int32(-1), place)
+					require.Equal(t, int32(-1), index)
 					require.Equal(t, after, d.rng.Uint64())
 					d.rng = rand.New(rand.NewPCG(1, 2))
 				} else if len(d.ready) <= sampleSize {
-					require.NotEqual(t, int32(-1), place)
+					require.NotEqual(t, int32(-1), index)
 				}
 			}
 		}
--- a/internal/balance/cold_fleet_test.go
+++ b/internal/balance/cold_fleet_test.go
@@ -17,7 +17,7 @@
 // drawn from its seed.
 type fleetCase struct {
 	seed                   uint64
-	dispatchers, zones     int     // dispatchers, and zones of them and of the backends
+	dispatchers, zones     int     // zones are those of dispatchers and workers
 	idleShare              float64 // share of the dispatchers that get no requests
 	warm, cold             int     // numbers of workers
 	restarted              bool    // the cold workers are restarted ones with the same ID
@@ -120,7 +120,7 @@
 	zone       int
 	generation int
 	rate       float64
-	attempts   map[RequestID]int
+	attempts   map[RequestID]int // sent so far
 	requests   map[RequestID]Request
 	startKnown map[WorkerID]bool
 	known      map[WorkerID]Worker // last known entries, which its agent keeps
@@ -134,7 +134,7 @@
 	events    eventQueue
 	rng       *rand.Rand
 	workers   map[WorkerID]*fleetWorker
-	classWork [2]float64 // of the classes
+	classWork [2]float64 // mean running time of each class on a warm worker
 }
 
 func (w *fleetSimulation) after(in Millis, do func()) {
--- a/internal/balance/dispatcher.go
+++ b/internal/balance/dispatcher.go
@@ -44,18 +44,18 @@
 const (
 	smoothing       = 1.0 / 8 // weight of a new value in a moving average: about the last eight count
 	sampleSize      = 64      // most workers examined per request: 64 miss the best tenth once in 800 times
-	linksPerWorker  = 2.0     // mean number of dispatchers that prefer a worker: it evens out their traffic
+	preferredBy     = 2.0     // mean number of dispatchers that prefer a worker: it evens out their traffic
 	linksPerKey     = 4.0     // mean number of workers that a key is linked to
 	otherSlotWeight = 0.5     // weight of others' slots against own ones when a copy is placed: known late
 	crossZoneSlots  = 30.0    // mean extra slots of a worker in another zone, per CrossZone; at least 1
-	unlinkedSlots   = 0.75    // mean extra slots of an unlinked worker in the own zone
+	distantSlots    = 0.75    // mean extra slots of a worker in the own zone beyond preferredDistance
 	copyShare       = 0.2     // work of second copies as a share of the work of first attempts
 	slowRatio       = 2.0     // a worker this many times slower than its kind gets one job at a time
 	limitReserve    = 0.4     // share of slotLimit that requests of no value leave free
 	fastLead        = 0.3     // share of its slots that a fast worker fills before an idle slow one is used
 	minTimeShare    = 0.4     // no job is sent with less than this share of its mean running time left
 	assumedSlots    = 4.0     // initial guess of a worker's slots if sizes are unknown; most have about 4
-	minCount        = 8.0     // least slotLimit and number of linked workers: fewer show chance, not load
+	minCount        = 8.0     // least slotLimit and number of preferred workers: fewer show chance, not load
 	rateWindow      = 2000.0  // ms over which rates are averaged: shorter than a surge, longer than a cluster
 )
 
@@ -115,8 +115,8 @@
 // place sends the request to the best worker. If there is none and no attempt is in flight, it is held if
 // waiting may help, else answered. Waiting does not help if all listed workers drain, as by an operator.
 func (d *Dispatcher) place(now Millis, r *request) {
-	least := max(2*d.cfg.Tick, d.classTime[r.Class]*minTimeShare) // in a shutdown the deadline is near
-	if now+least < r.Deadline && len(r.attempts) < d.cfg.MaxAttempts {
+	minTime := max(2*d.cfg.Tick, d.classTime[r.Class]*minTimeShare) // in a shutdown the deadline is near
+	if now+minTime < r.Deadline && len(r.attempts) < d.cfg.MaxAttempts {
 		c, n := &d.cfg.Classes[r.Class], len(r.attempts)
 		if d.fewDispatchers() && n > 0 && n >= d.cfg.MaxAttempts-2 && r.inFlight == 0 &&
 			r.attempts[n-1].rejectedFull { // the last two attempts wait for a slot
@@ -168,13 +168,13 @@
 
 // shortestQueue is JFSQ: it returns the eligible worker with the least load of own jobs (see load), ties
 // drawn by speed. Others' slots are not counted: many dispatchers learn of them alike, and all would leave
-// one worker for the same few others at once, the more the more dispatchers there are. Unlinked workers and
+// one worker for the same few others at once, the worse the more dispatchers there are. Distant workers and
 // other zones count extra slots, drawn anew each time so that load spills over gradually. If linkShare is
 // above 0, only workers linked to the key are eligible.
 func (d *Dispatcher) shortestQueue(now Millis, r *request, linkShare float64, ignoreFailures bool) int32 {
 	d.startColdWindow(now)
 	choice, best, total, draw := int32(-1), math.Inf(1), 0.0, d.rng.Float64()
-	n, maxHash, near := len(d.ready), d.maxLinkHash(r, linkShare), d.linkDistance()
+	n, maxHash, near := len(d.ready), d.maxLinkHash(r, linkShare), d.preferredDistance()
 	for k, left, j := 0, sampleSize, d.rng.IntN(max(n, 1)); left > 0; k, j = k+1, j+1 {
 		if k, j = d.nextCandidate(r, maxHash, k, j, n); k == n {
 			break
@@ -190,7 +190,7 @@
 		if w.Zone != d.cfg.Zone {
 			count += 2 * draw * max(1, crossZoneSlots*d.cfg.Prices.CrossZone) * slot
 		} else if w.distance >= near {
-			count += 2 * draw * unlinkedSlots * slot
+			count += 2 * draw * distantSlots * slot
 		}
 		if count > best || min(w.coldBudget, d.zoneColdBudget[w.Zone]) < 1 && d.capacityShare(now, w) < 1 {
 			continue
@@ -216,16 +216,16 @@
 	if !d.fewDispatchers() {
 		return w.ownSlots, 1
 	}
-	slot, slow := 1/d.slots(w), d.kindTimeRatio[w.Kind]*w.timeRatio
+	slot, slowness := 1/d.slots(w), d.kindTimeRatio[w.Kind]*w.timeRatio
 	if d.cfg.Classes[r.Class].Effect == Unsafe {
-		slow *= slow
+		slowness *= slowness
 	}
-	return (w.ownSlots*slot+fastLead)*slow + max(0, w.ownSlots+r.Slots-d.slots(w)), slot
+	return (w.ownSlots*slot+fastLead)*slowness + max(0, w.ownSlots+r.Slots-d.slots(w)), slot
 }
 
-// distanceTo returns a worker's distance from this dispatcher, and linkDistance the distance below which
-// workers are preferred. Dispatchers and workers have places on a ring, and each dispatcher prefers the
-// nearest workers: so a few of many use a worker often, and what they learn of it is worth something.
+// distanceTo returns a worker's distance from this dispatcher, and preferredDistance the distance below which
+// workers are preferred. Dispatchers and workers have places on a ring and each dispatcher prefers the
+// nearest workers, so that a few of many dispatchers use a worker often enough to know its state.
 func (d *Dispatcher) distanceTo(w *worker) float64 {
 	if w.Zone != d.cfg.Zone {
 		return math.Inf(1)
@@ -234,15 +234,15 @@
 	return 2 * math.Abs(at-math.Round(at))
 }
 
-func (d *Dispatcher) linkDistance() float64 {
+func (d *Dispatcher) preferredDistance() float64 {
 	n := float64(d.cfg.Instances)
-	return max(linksPerWorker/n, minCount/float64(len(d.ready))) * float64(d.cfg.Zones)
+	return max(preferredBy/n, minCount/float64(len(d.ready))) * float64(d.cfg.Zones)
 }
 
 // ---- Capacity and speed learned ----
 
-// speed is a worker's weight in the draw among ties: its listed size, while cold less, times the square of
-// its speed as measured here, so that many dispatchers prefer fast workers but do not flood them.
+// speed is a worker's weight in the draw among ties: its listed size, less while it is cold, times the square
+// of its speed as measured here, so that many dispatchers prefer fast workers but do not flood them.
 func (d *Dispatcher) speed(now Millis, w *worker) float64 {
 	t := d.kindTimeRatio[w.Kind] * w.timeRatio
 	return d.capacityShare(now, w) * w.size / (t * t)
@@ -281,12 +281,12 @@
 }
 
 // learnOtherSlots records other dispatchers' slots on a worker and adapts slotLimit. An attempt that had to
-// wait (crowded) lowers it by half a slot. Any other raises it by less, so that one wait in five is taken for
-// chance, but only while more of it is in use than requests of no value, or beyond shares, may fill.
-func (d *Dispatcher) learnOtherSlots(now Millis, w *worker, others float64, crowded bool) {
+// wait (overloaded) lowers it by half a slot. Any other raises it by less, so that one wait in five is taken
+// for chance, but only while more of it is in use than requests of no value, or beyond shares, may fill.
+func (d *Dispatcher) learnOtherSlots(now Millis, w *worker, others float64, overloaded bool) {
 	w.otherSlots, w.otherSlotsAt = others, now
 	d.zoneOtherSlots[w.Zone] += (others - d.zoneOtherSlots[w.Zone]) * smoothing
-	if crowded {
+	if overloaded {
 		d.slotLimit, d.limitStep = max(minCount, d.slotLimit-0.5), smoothing
 	} else if d.busySlots > d.slotLimit*(1-limitReserve) &&
 		(d.totalQuota == 0 || d.busySlots > d.slotLimit*(1-0.8*limitReserve)) {
@@ -331,11 +331,11 @@
 
 // capacityShare returns the least share of its full capacity that a worker has by now.
 func (d *Dispatcher) capacityShare(now Millis, w *worker) float64 {
-	age, all := now-w.Started, d.cfg.Rules.WarmAfter
-	if w.Started <= 0 || age >= all {
+	age, warmAfter := now-w.Started, d.cfg.Rules.WarmAfter
+	if w.Started <= 0 || age >= warmAfter {
 		return 1
 	}
-	return d.cfg.Rules.StartCapacity + (1-d.cfg.Rules.StartCapacity)*max(0, age)/all
+	return d.cfg.Rules.StartCapacity + (1-d.cfg.Rules.StartCapacity)*max(0, age)/warmAfter
 }
 
 // startColdWindow sets the budgets of cold workers when a new window begins. Each dispatcher gets an equal
@@ -396,9 +396,9 @@
 		if a.neverRan || c.Effect == Safe {
 			continue
 		}
-		group := c.Scope == ScopeAll || c.Scope == ScopeZone && a.zone == w.Zone ||
+		sameGroup := c.Scope == ScopeAll || c.Scope == ScopeZone && a.zone == w.Zone ||
 			c.Scope == ScopeCell && a.cell == w.Cell
-		if c.Effect == Unsafe || !group || now-a.sentAt >= EffectiveRepeatWindow(c.RepeatWindow) {
+		if c.Effect == Unsafe || !sameGroup || now-a.sentAt >= EffectiveRepeatWindow(c.RepeatWindow) {
 			return false
 		}
 	}
@@ -410,9 +410,9 @@
 	c := &d.cfg.Classes[r.Class]
 	for k := range r.attempts {
 		a := &r.attempts[k]
-		known := c.Effect == Deduped && c.Scope == ScopeAll &&
+		deduped := c.Effect == Deduped && c.Scope == ScopeAll &&
 			now-a.sentAt < EffectiveRepeatWindow(c.RepeatWindow)
-		if !a.neverRan && c.Effect != Safe && !known {
+		if !a.neverRan && c.Effect != Safe && !deduped {
 			return false
 		}
 	}
@@ -537,8 +537,8 @@
 		}
 		w, c, wait := &d.workers[a.workerIndex], &d.cfg.Classes[r.Class], now-a.sentAt
 		// A longer wait is accepted if a late answer still earns, or if the aim grows with the job's work.
-		bad := c.Aim/2 + max(c.LateWorth*c.Stretch, (c.Stretch-1)/4)*d.classTime[r.Class]
-		d.learnOtherSlots(now, w, d.slots(w)*min(wait/d.meanTime, 2), wait > bad)
+		maxWait := c.Aim/2 + max(c.LateWorth*c.Stretch, (c.Stretch-1)/4)*d.classTime[r.Class]
+		d.learnOtherSlots(now, w, d.slots(w)*min(wait/d.meanTime, 2), wait > maxWait)
 	}
 }
 
@@ -602,13 +602,13 @@
 // class or tenant (Mix), all classes count the same, so that a class of little work is cheap to serve.
 func (d *Dispatcher) relativeValue(r *request) float64 {
 	worst := d.cfg.Mix.WorstClass + d.cfg.Mix.WorstTenant
-	best, own, worths, works := 0.0, 0.0, 0.0, 0.0
+	best, own, totalWorth, totalWork := 0.0, 0.0, 0.0, 0.0
 	for i := range d.classWork {
-		worths, works = worths+d.classWorth[i], works+d.classWork[i]
+		totalWorth, totalWork = totalWorth+d.classWorth[i], totalWork+d.classWork[i]
 	}
 	for i := range d.classWork {
-		v := ((1-worst)*d.classWorth[i]/max(worths, 1) + worst/float64(len(d.classWork))) *
-			works / max(d.classWork[i], 1)
+		v := ((1-worst)*d.classWorth[i]/max(totalWorth, 1) + worst/float64(len(d.classWork))) *
+			totalWork / max(d.classWork[i], 1)
 		if d.classWork[i] > 0 { // a class without requests so far is not the best
 			best = max(best, v)
 		}
--- a/internal/balance/dispatcher_test.go
+++ b/internal/balance/dispatcher_test.go
@@ -131,7 +131,7 @@
 		closed := 0
 		d.slotLimit = 100
 		at := map[int]WorkerID{}
-		for n := 1; n <= 60; n++ { // so many at once that some go to unlinked workers
+		for n := 1; n <= 60; n++ { // so many at once that some go to distant workers
 			at[n] = dispatchedTo(d, rec, Millis(n), withDeadline(newRequest(n, 0), 1e6))
 		}
 		for n := 1; n <= 60; n++ {
@@ -161,8 +161,8 @@
 	for k := 0; k < s.Instances; k++ {
 		s.Self, s.Seed = k, uint64(k+1)
 		d, rec := startDispatcher(t, s, list)
-		crowded := &d.workers[d.workerIndex[list[0].ID]]
-		d.learnOtherSlots(10, crowded, crowded.size, false)
+		loaded := &d.workers[d.workerIndex[list[0].ID]]
+		d.learnOtherSlots(10, loaded, loaded.size, false)
 		got[dispatchedTo(d, rec, 10, newRequest(1, 0))]++
 	}
 	for _, w := range list {
@@ -180,19 +180,19 @@
 		list[i].Zone = 0
 		list[i].ID = WorkerID(i * 7919)
 	}
-	linked := make([]int, len(list))
+	preferring := make([]int, len(list))
 	for k := 0; k < s.Instances; k++ {
 		s.Self = k
 		d, _ := startDispatcher(t, s, list)
 		for i := range d.workers {
-			if d.workers[i].distance < d.linkDistance() {
-				linked[i]++
+			if d.workers[i].distance < d.preferredDistance() {
+				preferring[i]++
 			}
 		}
 	}
-	for i, n := range linked {
+	for i, n := range preferring {
 		if n < 1 || n > 3 {
-			t.Errorf("worker %d is linked to %d of 60 dispatchers, want about 2", i, n)
+			t.Errorf("worker %d is preferred by %d of 60 dispatchers, want about 2", i, n)
 		}
 	}
 }
--- a/internal/balance/health_test.go
+++ b/internal/balance/health_test.go
@@ -215,8 +215,8 @@
 		dispatchedTo(d, rec, now, Request{ID: RequestID(id), Deadline: now + 9000, Slots: 1})
 		d.Progressed(now, Progress{ID: RequestID(id), Worker: w.ID, Started: true})
 		d.AttemptEnded(now+400, Outcome{ID: RequestID(id), Worker: w.ID, Took: 400, Closed: true})
-		if rests := w.avoidUntil > now+400; rests != (w.timeRatio >= slowRatio) {
-			t.Errorf("job %d, time ratio %v: paused %v", id, w.timeRatio, rests)
+		if paused := w.avoidUntil > now+400; paused != (w.timeRatio >= slowRatio) {
+			t.Errorf("job %d, time ratio %v: paused %v", id, w.timeRatio, paused)
 		}
 		now = max(now+400, w.avoidUntil)
 	}
--- a/internal/balance/limits_test.go
+++ b/internal/balance/limits_test.go
@@ -99,8 +99,8 @@
 // job until the first long wait, and slowly from then on.
 func TestLimitRisesFastWithUnknownSizes(t *testing.T) {
 	for _, c := range []struct {
-		weight WeightMeaning
-		least  float64
+		weight  WeightMeaning
+		minRise float64
 	}{{WeightNone, 15}, {WeightSize, 1}} {
 		s := testSettings()
 		s.Weight = c.weight
@@ -113,8 +113,8 @@
 			}
 			return d.slotLimit - before
 		}
-		if got := rise(); got < c.least || got > c.least+2 {
-			t.Errorf("weight %d: 16 free jobs raised the limit by %v, want about %v", c.weight, got, c.least)
+		if got := rise(); got < c.minRise || got > c.minRise+2 {
+			t.Errorf("weight %d: 16 free jobs raised the limit by %v, want about %v", c.weight, got, c.minRise)
 		}
 		d.learnOtherSlots(20, &d.workers[0], 9, true)
 		if got := rise(); got > 3 {
--- a/internal/balance/state.go
+++ b/internal/balance/state.go
@@ -23,7 +23,7 @@
 // worker is the state kept for one worker.
 type worker struct {
 	Worker
-	distance     float64 // distance from this dispatcher on the ring; those within linkDistance are preferred
+	distance     float64 // distance from this dispatcher on the ring; those within preferredDistance are preferred
 	size         float64 // largest weight listed, which is about its number of slots
 	ownSlots     float64 // slots taken by this dispatcher's jobs in flight
 	runningSlots float64 // those of ownSlots whose jobs were reported as started
--- a/internal/balance/unknown_sizes_test.go
+++ b/internal/balance/unknown_sizes_test.go
@@ -94,7 +94,7 @@
 	d, rec := startWithUnknownSizes(t, 300)
 	d.kindTimeRatio[0], d.kindTimeRatio[1], d.slotLimit = 1.01, 0.99, 100 // hardly slower
 	slow = 0
-	for i := range 8 { // one job on each worker, all linked
+	for i := range 8 { // one job on each worker, all preferred
 		dispatchedTo(d, rec, 10, newRequest(i, 0))
 	}
 	for i := range 40 { // all have one job: a finer load would send each of these to the faster kind
