--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -24,7 +24,7 @@
 type clockFixture struct {
 	*fixture
 	now    time.Time
-	ticket Handle
+	handle Handle
 }
 
 func newClockFixture(t *testing.T, class balance.Class) *clockFixture {
@@ -36,7 +36,7 @@
 	w.core.duplicateRule = true
 	w.core.HandleList(balance.ListFull, []Entry{{Worker: balance.Worker{ID: 1, State: balance.Ready, Weight: 4}}})
 	w.core.step()
-	w.ticket, _ = w.core.Submit(balance.Request{Slots: 1}, &Job{ID: "a"}, w.now, time.Minute, w)
+	w.handle, _ = w.core.Submit(balance.Request{Slots: 1}, &Job{ID: "a"}, w.now, time.Minute, w)
 	w.core.step()
 	w.dispatch()
 	return w
@@ -52,9 +52,9 @@
 		want bool
 	}{
 		"nothing happened":              {func(*clockFixture) {}, true},
-		"gone, event not handled yet":   {func(w *clockFixture) { w.ticket.Abandon(false, nil) }, false},
-		"gone":                          {func(w *clockFixture) { w.ticket.Abandon(false, nil); w.core.step() }, false},
-		"gone, attempts cancelled":      {func(w *clockFixture) { w.ticket.Abandon(true, nil); w.core.step() }, false},
+		"gone, event not handled yet":   {func(w *clockFixture) { w.handle.Abandon(false, nil) }, false},
+		"gone":                          {func(w *clockFixture) { w.handle.Abandon(false, nil); w.core.step() }, false},
+		"gone, attempts cancelled":      {func(w *clockFixture) { w.handle.Abandon(true, nil); w.core.step() }, false},
 		"answered by the other attempt": {func(w *clockFixture) { w.sent[0].Ended(Served, "r", nil); w.core.step() }, false},
 		"the other attempt failed":      {func(w *clockFixture) { w.sent[0].Ended(Broken, "", nil); w.core.step() }, true},
 	} {
@@ -87,7 +87,7 @@
 	for name, c := range map[string]struct {
 		effect balance.Effect
 		first  func(*clockFixture)
-		late   int // ms until the second attempt is about to begin
+		delay  int // ms until the second attempt is about to begin
 		want   bool
 	}{
 		"safe":                             {balance.Safe, end(Broken), 5000, true},
@@ -121,7 +121,7 @@
 		c.first(w)
 		w.dispatch()
 		require.Len(t, w.sent, 2, name)
-		pass(w, c.late)
+		pass(w, c.delay)
 		assert.Equal(t, c.want, w.sent[1].MayBegin(), name)
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -114,8 +114,8 @@
 	attempts       []*Attempt
 	latest         atomic.Pointer[Attempt] // last element of attempts, read by MayBegin on other goroutines
 	outstanding    int
-	attemptStopped bool // the core stopped an attempt, which may still be reading the job
-	onDone         func()
+	attemptStopped bool   // the core stopped an attempt, which may still be reading the job
+	onDone         func() // set by Abandon
 	queued         bool   // waits for quota; the module does not know of it yet
 	inModule       bool   // the module knows of it
 	releaseQuota   func() // releases its quota or its place in the queue for it; nil without Quotas and after the call
@@ -239,8 +239,8 @@
 // StartOverlapped tells a process that takes over that its predecessor still serves.
 func (c *Core) StartOverlapped() {
 	c.post(func() {
-		if h, ok := c.module.(overlapPolicy); ok {
-			h.StartOverlapped(c.clock.now())
+		if p, ok := c.module.(overlapPolicy); ok {
+			p.StartOverlapped(c.clock.now())
 		}
 	})
 }
@@ -318,6 +318,7 @@
 	}
 }
 
+// close records that a request is answered, or that its client is gone.
 func (c *Core) close(r *req) {
 	r.open = false
 	r.closed.Store(true)
@@ -355,13 +356,13 @@
 		delete(c.reqs, r.id)
 		c.ids.release(r.job.ID, c.clock.read())
 	}
-	if leave := r.releaseQuota; leave != nil {
+	if release := r.releaseQuota; release != nil {
 		r.releaseQuota = nil
-		leave()
+		release()
 	}
-	if gone := r.onDone; gone != nil {
+	if onDone := r.onDone; onDone != nil {
 		r.onDone = nil
-		gone()
+		onDone()
 	}
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -57,9 +57,9 @@
 // Of several events that may end a request, only the first produces an answer.
 func TestOneAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(*fixture, Handle)
-		want []AnswerKind
-		free bool
+		do          func(*fixture, Handle)
+		want        []AnswerKind
+		jobReleased bool
 	}{
 		"a result, then late events of the attempt": {func(b *fixture, _ Handle) {
 			b.sent[0].Ended(Served, "r", nil)
@@ -91,15 +91,15 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			b := newFixture(t, balance.Ready)
-			ticket := b.submit()
+			handle := b.submit()
 			require.Len(t, b.sent, 1, name)
-			c.do(b, ticket)
+			c.do(b, handle)
 			b.core.step()
 			b.after(10 * time.Second)
 			var got []AnswerKind
 			for _, a := range b.answers {
 				got = append(got, a.Kind)
-				assert.Equal(t, c.free, a.JobReleased, name)
+				assert.Equal(t, c.jobReleased, a.JobReleased, name)
 			}
 			assert.Equal(t, c.want, got, name)
 			assert.Zero(t, b.core.OpenReqs(), name)
@@ -175,21 +175,21 @@
 func TestIDsStayReserved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t, balance.Ready)
-		take := func(id string) bool {
+		submit := func(id string) bool {
 			_, fresh := b.core.Submit(balance.Request{Slots: 1}, &Job{ID: id}, time.Now(), 20*time.Second, b)
 			b.core.step()
 			return fresh
 		}
-		assert.True(t, take("a"))
-		assert.False(t, take("a"), "open")
-		assert.True(t, take("b"))
+		assert.True(t, submit("a"))
+		assert.False(t, submit("a"), "open")
+		assert.True(t, submit("b"))
 		b.after(idRetention)
-		assert.False(t, take("a"), "still open")
+		assert.False(t, submit("a"), "still open")
 		b.sent[0].Ended(Served, "r", nil)
 		b.core.step()
-		assert.False(t, take("a"), "answered just now")
+		assert.False(t, submit("a"), "answered just now")
 		b.after(idRetention)
-		assert.True(t, take("a"))
+		assert.True(t, submit("a"))
 		assert.Equal(t, int64(3), b.core.count.ReqsRepeated.Load())
 		for range maxReleasedIDs + 2 { // the number of reserved IDs is bounded
 			b.core.ids.release("x", time.Now())
@@ -208,7 +208,7 @@
 		stop      bool
 		answered  bool
 		wantStops int
-		freeAt    int // 0: freed at once; 1: when the attempt ended
+		doneStep  int // 0: freed at once; 1: when the attempt ended
 	}{
 		{"stopped", true, true, false, 1, 0},
 		{"not allowed", false, true, false, 0, 1},
@@ -218,21 +218,21 @@
 		synctest.Test(t, func(t *testing.T) {
 			b := newFixture(t, balance.Ready)
 			b.core.mayCancel = c.allowed
-			ticket := b.submit()
+			handle := b.submit()
 			require.Len(t, b.sent, 1, c.name)
 			b.sent[0].Started()
 			b.core.step()
 			if c.answered {
 				b.sent[0].Ended(Served, "r", nil)
 			}
-			freed := 0
-			ticket.Abandon(c.stop, func() { freed++ })
+			overCalls := 0
+			handle.Abandon(c.stop, func() { overCalls++ })
 			b.core.step()
 			assert.Equal(t, c.wantStops, b.stopped, c.name)
-			assert.Equal(t, 1-c.freeAt, freed, c.name)
+			assert.Equal(t, 1-c.doneStep, overCalls, c.name)
 			b.sent[0].Ended(Served, "r", nil)
 			b.core.step()
-			assert.Equal(t, 1, freed, c.name)
+			assert.Equal(t, 1, overCalls, c.name)
 			assert.Empty(t, b.core.reqs, c.name)
 			assert.Equal(t, c.answered, len(b.answers) == 1, c.name)
 		})
@@ -245,9 +245,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t, balance.Ready)
 		b.core.mayCancel = true
-		ticket, _ := b.core.Submit(balance.Request{Slots: 1}, &Job{}, time.Now(), 2*time.Second, b)
+		handle, _ := b.core.Submit(balance.Request{Slots: 1}, &Job{}, time.Now(), 2*time.Second, b)
 		freed := 0
-		ticket.Abandon(true, func() { freed++ })
+		handle.Abandon(true, func() { freed++ })
 		b.core.step()
 		b.core.step()
 		assert.Equal(t, 1, freed)
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// Began reports that the attempt's first byte was written at a time, and how much time for the client the backend was
-// told is left. It may be called from any goroutine.
+// Began reports that the attempt's first byte was written at a time. timeLeft is how long its client still waits, as stated
+// to the backend. It may be called from any goroutine.
 func (a *Attempt) Began(at time.Time, timeLeft time.Duration) {
 	c, r := a.core, a.req
 	if c == nil || c.Guard == nil {
@@ -40,8 +40,8 @@
 		return time.Time{}
 	}
 	since := b.notReadySince.Load()
-	if held := b.core.bannedSince(b.ID); held != 0 && (since == 0 || held < since) {
-		since = held
+	if banned := b.core.bannedSince(b.ID); banned != 0 && (since == 0 || banned < since) {
+		since = banned
 	}
 	return b.core.clock.fromStamp(since)
 }
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -46,7 +46,7 @@
 			begin(w, 0)
 		}, []guard.Rule{guard.BeginDrained}},
 		"client gone": {balance.Safe, func(w *clockFixture) {
-			w.ticket.Abandon(false, nil)
+			w.handle.Abandon(false, nil)
 			pass(w, guard.GoneGrace+1)
 			begin(w, 0)
 		}, []guard.Rule{guard.BeginClientGone}},
--- a/internal/core/quotas_test.go
+++ b/internal/core/quotas_test.go
@@ -65,8 +65,8 @@
 	return h
 }
 
-func (h *quotaFixture) submit(id string, left time.Duration) Handle {
-	t, _ := h.core.Submit(balance.Request{Slots: 1}, &Job{ID: id}, h.now, left, h)
+func (h *quotaFixture) submit(id string, timeLeft time.Duration) Handle {
+	t, _ := h.core.Submit(balance.Request{Slots: 1}, &Job{ID: id}, h.now, timeLeft, h)
 	h.core.Step()
 	return t
 }
@@ -84,7 +84,7 @@
 	h.core.Step()
 }
 
-func (h *quotaFixture) verdicts() []AnswerKind {
+func (h *quotaFixture) answerKinds() []AnswerKind {
 	var out []AnswerKind
 	for _, a := range h.answers {
 		out = append(out, a.Kind)
@@ -118,10 +118,10 @@
 	assert.Zero(t, h.quotas.calls[0].released)
 	h.quotas.calls[0].ready(h.now, 0, true)
 	h.core.Step()
-	assert.Len(t, h.sent, 1, "decided twice")
+	assert.Len(t, h.sent, 1, "granted twice")
 	h.sent[0].Ended(Served, "r", nil)
 	h.core.Step()
-	assert.Equal(t, []AnswerKind{Result}, h.verdicts())
+	assert.Equal(t, []AnswerKind{Result}, h.answerKinds())
 	h.assertReleased(t, "")
 
 	h.quotas.grantAtOnce = true // before Acquire returns
@@ -129,7 +129,7 @@
 	require.Len(t, h.sent, 2)
 	h.sent[1].Ended(Served, "r", nil)
 	h.core.Step()
-	assert.Equal(t, []AnswerKind{Result, Result}, h.verdicts())
+	assert.Equal(t, []AnswerKind{Result, Result}, h.answerKinds())
 	h.assertReleased(t, "at once")
 }
 
@@ -137,8 +137,8 @@
 // and releases its place once.
 func TestNoQuota(t *testing.T) {
 	for name, c := range map[string]struct {
-		do    func(*quotaFixture)
-		pause time.Duration
+		do         func(*quotaFixture)
+		retryAfter time.Duration
 	}{
 		"decided": {func(h *quotaFixture) { h.quotas.calls[0].ready(h.now, 70*time.Millisecond, false) }, 70 * time.Millisecond},
 		"decided just in time": {func(h *quotaFixture) {
@@ -153,11 +153,11 @@
 		}, 70 * time.Millisecond},
 	} {
 		h := newQuotaFixture(t, nil)
-		ticket := h.submit("a", 2*time.Second)
+		handle := h.submit("a", 2*time.Second)
 		c.do(h)
 		h.core.Step()
-		assert.False(t, ticket.req.inModule, "%s: the module must not know of it", name)
-		assert.Equal(t, []Answer{{Kind: Refusal, RetryAfter: c.pause, JobReleased: true}}, h.answers, name)
+		assert.False(t, handle.req.inModule, "%s: the module must not know of it", name)
+		assert.Equal(t, []Answer{{Kind: Refusal, RetryAfter: c.retryAfter, JobReleased: true}}, h.answers, name)
 		h.assertReleased(t, name)
 		h.pass(time.Minute)
 		assert.Len(t, h.answers, 1, name)
@@ -169,48 +169,48 @@
 // A client that leaves gives up its place in the queue and no attempt begins, in any order of the events.
 func TestClientGoneWhileQueued(t *testing.T) {
 	for name, do := range map[string]func(*quotaFixture, func(*quotaFixture) Handle) Handle{
-		"gone": func(h *quotaFixture, take func(*quotaFixture) Handle) Handle {
-			ticket := take(h)
-			ticket.Abandon(true, nil)
-			return ticket
+		"gone": func(h *quotaFixture, submit func(*quotaFixture) Handle) Handle {
+			handle := submit(h)
+			handle.Abandon(true, nil)
+			return handle
 		},
-		"gone, then granted": func(h *quotaFixture, take func(*quotaFixture) Handle) Handle {
-			ticket := take(h)
-			ticket.Abandon(false, nil)
+		"gone, then granted": func(h *quotaFixture, submit func(*quotaFixture) Handle) Handle {
+			handle := submit(h)
+			handle.Abandon(false, nil)
 			h.quotas.calls[0].ready(h.now, 0, true)
-			return ticket
+			return handle
 		},
-		"gone and handled, then granted": func(h *quotaFixture, take func(*quotaFixture) Handle) Handle {
-			ticket := take(h)
-			ticket.Abandon(false, nil)
+		"gone and handled, then granted": func(h *quotaFixture, submit func(*quotaFixture) Handle) Handle {
+			handle := submit(h)
+			handle.Abandon(false, nil)
 			h.core.Step()
 			h.quotas.calls[0].ready(h.now, 0, true)
-			return ticket
+			return handle
 		},
-		"granted, then gone before the core handled either": func(h *quotaFixture, take func(*quotaFixture) Handle) Handle {
-			ticket := take(h)
+		"granted, then gone before the core handled either": func(h *quotaFixture, submit func(*quotaFixture) Handle) Handle {
+			handle := submit(h)
 			h.quotas.calls[0].ready(h.now, 0, true)
-			ticket.Abandon(false, nil)
-			return ticket
+			handle.Abandon(false, nil)
+			return handle
 		},
-		"refused, then gone before the core handled either": func(h *quotaFixture, take func(*quotaFixture) Handle) Handle {
-			ticket := take(h)
+		"refused, then gone before the core handled either": func(h *quotaFixture, submit func(*quotaFixture) Handle) Handle {
+			handle := submit(h)
 			h.quotas.calls[0].ready(h.now, 0, false)
-			ticket.Abandon(false, nil)
-			return ticket
+			handle.Abandon(false, nil)
+			return handle
 		},
 		"gone before it asked for quota": func(h *quotaFixture, _ func(*quotaFixture) Handle) Handle {
-			ticket, _ := h.core.Submit(balance.Request{Slots: 1}, &Job{ID: "a"}, h.now, time.Second, h)
-			ticket.Abandon(false, nil)
+			handle, _ := h.core.Submit(balance.Request{Slots: 1}, &Job{ID: "a"}, h.now, time.Second, h)
+			handle.Abandon(false, nil)
 			h.core.Step()
 			assert.Empty(t, h.quotas.calls, "it must not ask")
-			return ticket
+			return handle
 		},
 	} {
 		h := newQuotaFixture(t, nil)
-		ticket := do(h, func(h *quotaFixture) Handle { return h.submit("a", time.Second) })
+		handle := do(h, func(h *quotaFixture) Handle { return h.submit("a", time.Second) })
 		h.core.Step()
-		assert.False(t, ticket.req.inModule, "%s: the module must not know of it", name)
+		assert.False(t, handle.req.inModule, "%s: the module must not know of it", name)
 		h.assertReleased(t, name)
 		h.pass(time.Minute)
 		assert.Empty(t, h.sent, name)
@@ -221,21 +221,21 @@
 		h.assertReleased(t, name)
 	}
 	h := newQuotaFixture(t, nil)
-	freed := 0
-	ticket := h.submit("a", time.Second)
-	ticket.Abandon(false, func() { freed++; assert.Equal(t, 1, h.quotas.calls[0].released) })
+	overCalls := 0
+	handle := h.submit("a", time.Second)
+	handle.Abandon(false, func() { overCalls++; assert.Equal(t, 1, h.quotas.calls[0].released) })
 	h.core.Step()
-	assert.Equal(t, 1, freed, "the over callback runs once")
+	assert.Equal(t, 1, overCalls, "the over callback runs once")
 }
 
 // An attempt that is outstanding when its client leaves keeps its quota until the attempt ends.
 func TestClientGoneKeepsQuotaUntilEnd(t *testing.T) {
 	h := newQuotaFixture(t, nil)
-	ticket := h.submit("a", time.Second)
+	handle := h.submit("a", time.Second)
 	h.quotas.calls[0].ready(h.now, 0, true)
 	h.core.Step()
 	require.Len(t, h.sent, 1)
-	ticket.Abandon(false, nil)
+	handle.Abandon(false, nil)
 	h.core.Step()
 	assert.Zero(t, h.quotas.calls[0].released, "the attempt is outstanding")
 	h.sent[0].Ended(Served, "r", nil)
@@ -247,13 +247,13 @@
 // Quota is released at the latest MaxHold after the grant by the core's clock, whatever deadline a client sets, whatever
 // backends do, and even if the policy forgets the request. After that no attempt may begin.
 func TestMaxHold(t *testing.T) {
-	const most = 3 * time.Second
+	const maxHold = 3 * time.Second
 	for name, c := range map[string]struct {
-		left   time.Duration
-		wait   time.Duration // before the grant
-		stall  time.Duration // from the grant until the core handles it
-		do     func(*quotaFixture, Handle)
-		module bool // the real module, or else a policy that never answers or ends anything
+		timeLeft time.Duration
+		wait     time.Duration // before the grant
+		stall    time.Duration // from the grant until the core handles it
+		do       func(*quotaFixture, Handle)
+		module   bool // the real module, or else a policy that never answers or ends anything
 	}{
 		"a backend that never answers":        {24 * 24 * time.Hour, 0, 0, func(*quotaFixture, Handle) {}, true},
 		"after a long wait":                   {24 * 24 * time.Hour, time.Hour, 0, func(*quotaFixture, Handle) {}, true},
@@ -265,30 +265,30 @@
 		"attempt broken, another sent":        {24 * 24 * time.Hour, 0, 0, func(h *quotaFixture, _ Handle) { h.sent[0].Ended(Broken, "", nil) }, true},
 	} {
 		h := newQuotaFixture(t, nil)
-		h.quotas.maxHold = most
+		h.quotas.maxHold = maxHold
 		if !c.module {
 			h.core.module = noopPolicy{}
 		}
-		ticket := h.submit("a", c.left)
+		handle := h.submit("a", c.timeLeft)
 		h.pass(c.wait)
-		got := h.now
+		grantedAt := h.now
 		h.quotas.calls[0].ready(h.now, 0, true)
 		h.now = h.now.Add(c.stall)
 		h.core.Step()
 		if c.module {
 			require.Len(t, h.sent, 1, name)
 		}
-		c.do(h, ticket)
+		c.do(h, handle)
 		h.core.Step()
-		for h.quotas.calls[0].released == 0 && h.now.Before(got.Add(time.Hour)) {
+		for h.quotas.calls[0].released == 0 && h.now.Before(grantedAt.Add(time.Hour)) {
 			h.pass(time.Millisecond)
 		}
-		assert.LessOrEqual(t, h.now.Sub(got), most, name)
-		if c.left > most {
-			assert.GreaterOrEqual(t, h.now.Sub(got), most-10*time.Millisecond, "%s: held until shortly before the limit", name)
+		assert.LessOrEqual(t, h.now.Sub(grantedAt), maxHold, name)
+		if c.timeLeft > maxHold {
+			assert.GreaterOrEqual(t, h.now.Sub(grantedAt), maxHold-10*time.Millisecond, "%s: held until shortly before the limit", name)
 		}
 		for _, a := range h.sent {
-			assert.False(t, a.Deadline.After(got.Add(most)), name)
+			assert.False(t, a.Deadline.After(grantedAt.Add(maxHold)), name)
 			assert.False(t, a.MayBegin(), name)
 		}
 		h.pass(time.Minute)
@@ -396,9 +396,9 @@
 // with quota.
 func TestOneAnswerOneRelease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const most = 1500 * time.Millisecond
+		const maxHold = 1500 * time.Millisecond
 		h := newQuotaFixture(t, func(s *balance.Settings) { s.MayCancel = rapid.Bool().Draw(t, "may cancel") })
-		h.quotas.maxHold = most
+		h.quotas.maxHold = maxHold
 		var p *fakeVersions
 		if rapid.Bool().Draw(t, "versions") {
 			p = &fakeVersions{version: 1, serving: true, startVersion: 1}
@@ -406,7 +406,7 @@
 		}
 		type submitted struct {
 			*testClient
-			ticket    Handle
+			handle    Handle
 			gone      bool
 			grantedAt time.Time
 			granted   bool
@@ -425,7 +425,7 @@
 				h.core.Step()
 			}
 			for i, o := range all {
-				if i < len(h.quotas.calls) && o.granted && h.quotas.calls[i].released == 0 && h.now.Sub(o.grantedAt) > most {
+				if i < len(h.quotas.calls) && o.granted && h.quotas.calls[i].released == 0 && h.now.Sub(o.grantedAt) > maxHold {
 					t.Fatalf("request %d holds its quota for %v", i, h.now.Sub(o.grantedAt))
 				}
 			}
@@ -441,7 +441,7 @@
 				h.quotas.grantAtOnce = rapid.IntRange(0, 3).Draw(t, "at once") == 0
 				o := &submitted{testClient: &testClient{}, granted: h.quotas.grantAtOnce, grantedAt: h.now}
 				left := time.Duration(rapid.IntRange(0, 4000).Draw(t, "left")) * time.Millisecond
-				o.ticket, _ = h.core.Submit(balance.Request{Slots: 1}, &Job{ID: fmt.Sprint(len(all))}, h.now, left, o)
+				o.handle, _ = h.core.Submit(balance.Request{Slots: 1}, &Job{ID: fmt.Sprint(len(all))}, h.now, left, o)
 				all = append(all, o)
 				h.core.Step() // so that requests ask for quota in the order of all
 			case what <= 4:
@@ -455,7 +455,7 @@
 				o := pick()
 				if !o.gone {
 					o.gone = true
-					o.ticket.Abandon(rapid.Bool().Draw(t, "stop"), func() { o.overCalls++ })
+					o.handle.Abandon(rapid.Bool().Draw(t, "stop"), func() { o.overCalls++ })
 				}
 			case what == 6 && len(h.sent) > 0:
 				a := h.sent[rapid.IntRange(0, len(h.sent)-1).Draw(t, "attempt")]
@@ -491,7 +491,7 @@
 			}
 		}
 		for a := range begins {
-			i := slices.IndexFunc(all, func(o *submitted) bool { return o.ticket.req == a.req })
+			i := slices.IndexFunc(all, func(o *submitted) bool { return o.handle.req == a.req })
 			if !all[i].granted {
 				t.Fatalf("an attempt of request %d began without quota", i)
 			}
--- a/internal/core/starts_test.go
+++ b/internal/core/starts_test.go
@@ -19,20 +19,20 @@
 	for name, ahead := range map[string]float64{"agrees": 0, "seconds ahead": 5000, "an hour ahead": hour, "seconds behind": -5000, "an hour behind": -hour} {
 		s := newStartTimes()
 		now := 1e12
-		truth := func(age float64) float64 { return now - ahead - age } // start time by the list's clock
-		taken := s.adjust(1, truth(30), now, 500)
-		assert.InDelta(t, now, taken, 31, "%s: the first start seen", name)
-		assert.LessOrEqual(t, taken, now, name)
+		listedStart := func(age float64) float64 { return now - ahead - age } // start time by the list's clock
+		adjusted := s.adjust(1, listedStart(30), now, 500)
+		assert.InDelta(t, now, adjusted, 31, "%s: the first start seen", name)
+		assert.LessOrEqual(t, adjusted, now, name)
 		now += 20_000
-		listed := truth(1500)
-		taken = s.adjust(2, listed, now, 2500)
-		assert.InDelta(t, now-1500, taken, 1501, "%s: reported 1.5 s late", name)
-		assert.LessOrEqual(t, taken, now, "%s: no start lies in the future", name)
+		listed := listedStart(1500)
+		adjusted = s.adjust(2, listed, now, 2500)
+		assert.InDelta(t, now-1500, adjusted, 1501, "%s: reported 1.5 s late", name)
+		assert.LessOrEqual(t, adjusted, now, "%s: no start lies in the future", name)
 		if ahead >= 0 {
-			assert.InDelta(t, now-1500, taken, 31, "%s: the first start revealed the clocks' difference", name)
+			assert.InDelta(t, now-1500, adjusted, 31, "%s: the first start revealed the clocks' difference", name)
 		}
 		now += 1000
-		assert.Equal(t, taken, s.adjust(2, listed, now, -1), "%s: reported again, by any list", name)
+		assert.Equal(t, adjusted, s.adjust(2, listed, now, -1), "%s: reported again, by any list", name)
 	}
 }
 
--- a/internal/core/versions_test.go
+++ b/internal/core/versions_test.go
@@ -37,23 +37,23 @@
 		b := newFixture(t, balance.Ready)
 		p := &fakeVersions{version: 7}
 		b.core.Versions = p
-		take := func(id string) {
+		submit := func(id string) {
 			b.core.Submit(balance.Request{Slots: 1}, &Job{ID: id}, time.Now(), 2*time.Second, b)
 			b.core.step()
 		}
-		take("a")
+		submit("a")
 		assert.Equal(t, []Answer{{Kind: Refusal, RetryAfter: time.Second, JobReleased: true}}, b.answers)
 		assert.Zero(t, b.core.OpenReqs())
 
 		p.serving, p.startVersion = true, 7
-		take("a") // the refused request did not reserve its ID
+		submit("a") // the refused request did not reserve its ID
 		require.Len(t, b.sent, 1)
 		assert.EqualValues(t, 7, b.sent[0].Version())
 		assert.Equal(t, 1, p.waiting)
 		assert.True(t, b.sent[0].MayBegin())
 		assert.Zero(t, p.waiting, "it has begun")
 
-		take("b")
+		submit("b")
 		require.Len(t, b.sent, 2)
 		p.serving, p.startVersion = false, 0 // the version is no longer in force
 		assert.False(t, b.sent[1].MayBegin())
@@ -67,7 +67,7 @@
 		assert.Equal(t, Failure, b.answers[2].Kind, "an attempt of it may have run")
 
 		p.serving, p.startVersion = true, 7
-		take("c")
+		submit("c")
 		require.Len(t, b.sent, 3)
 		assert.True(t, b.sent[2].MayBegin())
 		p.serving, p.startVersion = false, 0
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -18,7 +18,7 @@
 	LocalStart    bool // Started is the floor of a mark and not a time from the list
 }
 
-// Mark is the operators' last call on a backend; it outlives the process. Times are Unix ms: At and Floor are on the clock of
+// Mark records the operators' last offline or online call for a backend; it outlives the process. Times are Unix ms: At and Floor are on the clock of
 // the process that holds the mark (see ConvertClock), Seen is as listed.
 type Mark struct {
 	Name   string  `json:"name"`
@@ -40,8 +40,8 @@
 	return out
 }
 
-// Limits on what is remembered of backends that no list names now. Of those that are gone and not banned, only their names
-// need to stay known. Those of the second kind are named by marks from elsewhere and were never listed here.
+// Limits on what is remembered of backends that no list names now. maxGone is for backends that are gone and not banned, whose
+// names stay known. maxUnlisted is for marks from elsewhere whose names were never listed here.
 const (
 	maxGone     = 1024
 	maxUnlisted = 50_000
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -4,14 +4,14 @@
 //
 // Its rules, in order of precedence:
 //
-// 1. A drain reported by any source takes effect at once, also while other rules delay or ignore changes.
-// 2. Otherwise a source's latest report holds. A backend that the source no longer names keeps its state for a while (its
-// drop is doubted) and is then gone.
-// 3. The last reports of a source that falls silent stay in force, for as long as its rules say.
-// 4. If too large a part of a source's backends turns critical or vanishes together, the source itself is considered
-// wrong (panic) and those backends keep their state.
-// 5. A backend that keeps changing (flaps) is not ready until it has been passing for a while.
-// 6. Of the sources that name a backend, the one with the highest rank describes it.
+//  1. A drain reported by any source takes effect at once, also while other rules delay or ignore changes.
+//  2. Otherwise a source's latest report holds. A backend that the source no longer names keeps its state for a while (its
+//     drop is doubted) and is then gone.
+//  3. The last reports of a source that falls silent stay in force, for as long as its rules say.
+//  4. If too large a part of a source's backends turns critical or vanishes together, the source itself is considered
+//     wrong (panic) and those backends keep their state.
+//  5. A backend that keeps changing (flaps) is not ready until it has been passing for a while.
+//  6. Of the sources that name a backend, the one with the highest rank describes it.
 package membership
 
 import (
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -76,7 +76,7 @@
 		case step.Arg == "fails":
 			s.Failed(now, from)
 		default:
-			whole := strings.HasPrefix(step.Arg, "=")
+			full := strings.HasPrefix(step.Arg, "=")
 			var b []Backend
 			var dropped []string
 			for _, w := range strings.Fields(strings.TrimPrefix(step.Arg, "=")) {
@@ -86,7 +86,7 @@
 					b = append(b, parseBackend(w))
 				}
 			}
-			if whole {
+			if full {
 				s.ReplaceAll(now, from, b)
 			} else {
 				s.Update(now, from, b, dropped)
@@ -266,7 +266,7 @@
 				}
 			}
 		}
-		told := func(from int, list []Backend) {
+		report := func(from int, list []Backend) {
 			for _, b := range list {
 				drained[from][b.Name] = b.Health == Drain
 			}
@@ -278,11 +278,11 @@
 				list := lists.Draw(r, "whole")
 				s.ReplaceAll(now, from, list)
 				drained[from] = map[string]bool{}
-				told(from, list)
+				report(from, list)
 			case 1:
 				list := lists.Draw(r, "some")
 				s.Update(now, from, list, nil)
-				told(from, list)
+				report(from, list)
 			case 2:
 				name := "b" + strconv.Itoa(rapid.IntRange(0, 7).Draw(r, "drop"))
 				s.Update(now, from, nil, []string{name})
@@ -307,7 +307,7 @@
 			s.Expire(now)
 		}
 		drained = [2]map[string]bool{{}, {}}
-		told(1, last)
+		report(1, last)
 		check()
 		want := map[string]State{}
 		for _, b := range last {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -89,7 +89,7 @@
 	m = Machine{LongestDeadline: 5 * time.Second}
 	m.BeginShutdown(at(0))
 	assert.Equal(t, 5500, end(&m, 0, 4, 60_000))
-	assert.False(t, m.ReturnToService(), "a shutdown is not taken back")
+	assert.False(t, m.ReturnToService(), "a shutdown can't be undone")
 	m = Machine{LongestDeadline: 5 * time.Second}
 	m.TakeOutOfService(at(0))
 	m.BeginShutdown(at(10_000))
@@ -120,8 +120,8 @@
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := Machine{LongestDeadline: 5 * time.Second}
-		now, out, term, handed := 0, false, false, false
-		outAt, termAt := 0, 0
+		now, outOfService, shutdown, handedOver := 0, false, false, false
+		outAt, shutdownAt := 0, 0
 		closing := func(from int) bool { // sessions answered a moment before are spared
 			age := time.Duration(now-from) * time.Millisecond
 			return age >= m.closeAfter() && age < m.closeAfter()+lastIdleTimeout
@@ -131,38 +131,38 @@
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
 				m.TakeOutOfService(at(now))
-				if !out {
+				if !outOfService {
 					outAt = now
 				}
-				out = true
+				outOfService = true
 			case 1:
 				if m.ReturnToService() {
-					out = false
-				} else if !term || handed {
+					outOfService = false
+				} else if !shutdown || handedOver {
 					t.Fatal("ReturnToService refused")
 				}
 			case 2:
 				m.BeginShutdown(at(now))
-				if !term {
-					termAt = now
+				if !shutdown {
+					shutdownAt = now
 				}
-				term = true
+				shutdown = true
 			case 3:
 				m.HandOver(at(now))
-				handed = true
+				handedOver = true
 			case 4:
 				m.ResumeAfterHandOver()
-				handed = false
+				handedOver = false
 			}
 			o := m.Evaluate(at(now), busy(now))
-			assert.Equal(t, !out && (!term || handed), o.Ready)
-			assert.Equal(t, !handed, o.Accept)
-			assert.Equal(t, out, m.IsOutOfService())
-			if !out && !term && !handed {
+			assert.Equal(t, !outOfService && (!shutdown || handedOver), o.Ready)
+			assert.Equal(t, !handedOver, o.Accept)
+			assert.Equal(t, outOfService, m.IsOutOfService())
+			if !outOfService && !shutdown && !handedOver {
 				assert.Equal(t, Directives{Ready: true, Accept: true}, o)
 			}
 			if o.CloseAfterAnswer && o.IdleTimeout > 0 {
-				assert.True(t, handed || o.IdleTimeout == lastIdleTimeout && (out && closing(outAt) || term && closing(termAt)))
+				assert.True(t, handedOver || o.IdleTimeout == lastIdleTimeout && (outOfService && closing(outAt) || shutdown && closing(shutdownAt)))
 			}
 		}
 	})
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -21,18 +21,18 @@
 func TestShutdownAnyDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		longest := rapid.OneOf(rapid.IntRange(50, 1000), rapid.IntRange(1000, 20_000)).Draw(t, "longest")
-		look := rapid.IntRange(5, 40).Draw(t, "look")
+		interval := rapid.IntRange(5, 40).Draw(t, "interval")
 		kill := min(longest, 3000) + 700
 		var reqs []sentReq
 		for range rapid.IntRange(0, 6).Draw(t, "reqs") {
-			came := rapid.OneOf(rapid.IntRange(0, 700), rapid.IntRange(0, kill)).Draw(t, "came")
-			reqs = append(reqs, sentReq{arrived: came, timeLeft: rapid.IntRange(1, longest).Draw(t, "left"),
-				writeDelay: rapid.SampledFrom([]int{0, 0, 100, 450}).Draw(t, "write"), late: came > 600, due: -1})
+			arrived := rapid.OneOf(rapid.IntRange(0, 700), rapid.IntRange(0, kill)).Draw(t, "arrived")
+			reqs = append(reqs, sentReq{arrived: arrived, timeLeft: rapid.IntRange(1, longest).Draw(t, "time left"),
+				writeDelay: rapid.SampledFrom([]int{0, 0, 100, 450}).Draw(t, "write delay"), late: arrived > 600, due: -1})
 		}
 		m := Machine{LongestDeadline: time.Duration(longest) * time.Millisecond}
 		m.BeginShutdown(at(0))
 		o := m.Evaluate(at(0), Load{})
-		last := longest + 1200 + look
+		last := longest + 1200 + interval
 		for ms := 1; ; ms++ {
 			for i := range reqs {
 				if r := &reqs[i]; r.arrived == ms {
@@ -48,7 +48,7 @@
 					}
 				}
 			}
-			if ms%look > 0 {
+			if ms%interval > 0 {
 				continue
 			}
 			l := Load{}
@@ -63,13 +63,13 @@
 			}
 			if o = m.Evaluate(at(ms), l); !o.Exit {
 				if ms > last {
-					t.Fatalf("no end at %d ms", ms)
+					t.Fatalf("no exit at %d ms", ms)
 				}
 				assert.False(t, o.Ready)
 				assert.True(t, o.Accept)
 				continue
 			}
-			assert.GreaterOrEqual(t, ms, 600, "the front sends new connections until then")
+			assert.GreaterOrEqual(t, ms, 600, "the load balancer sends new connections until then")
 			assert.False(t, o.AnswerBy.IsZero() || o.AnswerBy.After(at(ms)), "no request is accepted any more")
 			for _, r := range reqs {
 				assert.False(t, r.arrived <= ms && r.due >= ms, "the exit at %d ms cut %+v", ms, r)
@@ -122,19 +122,19 @@
 // A process that was delayed resumes with directives that give new requests their full deadline until the next evaluation.
 // Neither that evaluation nor a later one may exit before the last of those requests is due.
 func TestDelayedProcess(t *testing.T) {
-	for _, wakes := range []int{300, 900, 1500, 3000, 60_000} {
+	for _, resumesAt := range []int{300, 900, 1500, 3000, 60_000} {
 		m := Machine{LongestDeadline: time.Second}
 		m.BeginShutdown(at(0))
 		assert.True(t, m.Evaluate(at(20), busy(20)).AnswerBy.IsZero())
-		assert.False(t, m.Evaluate(at(wakes), Load{Sessions: 9, BeforeCutoff: 9}).Exit, "%d: requests read now are not counted yet", wakes)
-		for ms := wakes + 20; ms < wakes+1050; ms += 20 {
-			assert.False(t, m.Evaluate(at(ms), busy(ms)).Exit, "%d: cut at %d", wakes, ms)
+		assert.False(t, m.Evaluate(at(resumesAt), Load{Sessions: 9, BeforeCutoff: 9}).Exit, "%d: requests read now are not counted yet", resumesAt)
+		for ms := resumesAt + 20; ms < resumesAt+1050; ms += 20 {
+			assert.False(t, m.Evaluate(at(ms), busy(ms)).Exit, "%d: cut at %d", resumesAt, ms)
 		}
-		ends := max(wakes+1060, 1500)
+		ends := max(resumesAt+1060, 1500)
 		for !m.Evaluate(at(ends), Load{Sessions: 9, BeforeCutoff: 9}).Exit {
 			ends += 20
 		}
-		assert.LessOrEqual(t, ends, max(wakes+1060, 1520), wakes)
+		assert.LessOrEqual(t, ends, max(resumesAt+1060, 1520), resumesAt)
 	}
 }
 
