--- a/internal/fleet/frames/frames_test.go
+++ b/internal/fleet/frames/frames_test.go
@@ -9,32 +9,33 @@
 	"github.com/stretchr/testify/require"
 )
 
-// letter is some message.
-type letter struct {
-	F    uint8  `msgpack:"f"`
-	Kind string `msgpack:"kind"`
-	N    uint64 `msgpack:"n"`
+// testMessage is a message with one field besides the header.
+type testMessage struct {
+	Format uint8  `msgpack:"f"`
+	Kind   string `msgpack:"kind"`
+	N      uint64 `msgpack:"n"`
 }
 
-var aLetter = letter{3, "letter", 300}
+var sample = testMessage{3, "letter", 300}
 
-// TestWay: what was written comes through a link as it was.
-func TestWay(t *testing.T) {
-	p, err := ReadFrame(bytes.NewReader(Frame(Encode(&aLetter))), 100)
+// TestRoundTrip: an encoded message is read from a connection and decoded unchanged.
+func TestRoundTrip(t *testing.T) {
+	p, err := ReadFrame(bytes.NewReader(Frame(Encode(&sample))), 100)
 	require.NoError(t, err)
 	p, err = StripChecksum(p)
 	require.NoError(t, err)
 	kind, err := Kind(p, 3)
 	require.NoError(t, err)
 	assert.Equal(t, "letter", kind)
-	var got letter
+	var got testMessage
 	require.NoError(t, Decode(p, &got))
-	assert.Equal(t, aLetter, got)
+	assert.Equal(t, sample, got)
 }
 
-// TestRefused: a frame that is too long, one that ends too soon, and maps that would be written otherwise.
-func TestRefused(t *testing.T) {
-	framed := Frame(Encode(&aLetter))
+// TestInvalidFramesAreRefused: a frame that is too long or ends too soon, a wrong checksum, and maps in another
+// encoding than that of Encode are refused.
+func TestInvalidFramesAreRefused(t *testing.T) {
+	framed := Frame(Encode(&sample))
 	_, err := ReadFrame(bytes.NewReader(framed), len(framed)-5)
 	assert.ErrorIs(t, err, ErrMessage)
 	_, err = ReadFrame(bytes.NewReader(framed[:len(framed)-1]), 100)
@@ -50,16 +51,16 @@
 	}
 	plain := whole[:len(whole)-4]
 	for what, p := range map[string][]byte{
-		"wider":        bytes.Replace(plain, []byte("\xa1n\xcd\x01\x2c"), []byte("\xa1n\xce\x00\x00\x01\x2c"), 1),
-		"another key":  bytes.Replace(plain, []byte("\xa1n"), []byte("\xa1m"), 1),
-		"a key less":   append([]byte{0x82}, plain[1:len(plain)-5]...),
-		"bytes behind": append(bytes.Clone(plain), 0xc0),
+		"a wider number":      bytes.Replace(plain, []byte("\xa1n\xcd\x01\x2c"), []byte("\xa1n\xce\x00\x00\x01\x2c"), 1),
+		"another key":         bytes.Replace(plain, []byte("\xa1n"), []byte("\xa1m"), 1),
+		"a missing key":       append([]byte{0x82}, plain[1:len(plain)-5]...),
+		"bytes after the end": append(bytes.Clone(plain), 0xc0),
 	} {
 		assert.NotEqual(t, plain, p, what)
-		assert.ErrorIs(t, Decode(p, &letter{}), ErrMessage, what)
+		assert.ErrorIs(t, Decode(p, &testMessage{}), ErrMessage, what)
 	}
-	for what, p := range map[string][]byte{"nothing": nil, "no map": {0xc0}, "a key alone": {0x81, 0xa1, 'f', 3}, "another first": {0x82, 0xa1, 'g', 3},
-		"no kind": {0x82, 0xa1, 'f', 3, 0xa1, 'k', 0xa1, 'x'}, "a kind that is none": {0x82, 0xa1, 'f', 3, 0xa4, 'k', 'i', 'n', 'd', 3}} {
+	for what, p := range map[string][]byte{"nothing": nil, "not a map": {0xc0}, "a single key": {0x81, 0xa1, 'f', 3}, "another first key": {0x82, 0xa1, 'g', 3},
+		"no kind": {0x82, 0xa1, 'f', 3, 0xa1, 'k', 0xa1, 'x'}, "a kind that is no string": {0x82, 0xa1, 'f', 3, 0xa4, 'k', 'i', 'n', 'd', 3}} {
 		_, err := Kind(p, 3)
 		assert.ErrorIs(t, err, ErrMessage, what)
 	}
--- a/internal/fleet/policy/policy.go
+++ b/internal/fleet/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy is what the fleet agrees on (docs/design/accord.md): the body of a version, as bytes
-// and as values. It decides nothing and does no I/O.
+// Package policy defines the policy that the fleet agrees on (docs/design/accord.md): the content of a version, as a
+// struct and as bytes. It makes no decisions and does no I/O.
 package policy
 
 import (
@@ -12,36 +12,36 @@
 	"slices"
 )
 
-// Limits of a policy, each against a body that sends too much.
+// Limits that protect against a policy that is too large.
 const (
-	MaxConnections     = 1_000_000 // connections a second: no budget is larger
+	MaxConnections     = 1_000_000 // connections per second; no budget is larger
 	MaxDispatcherCount = 100_000   // dispatchers
 	MaxBans            = 1000
 	MaxName            = 128 // bytes of a backend's, a team's or a class's name
 
-	MaxQuotas        = 1024        // teams: each has a line in the table of every lender and dispatcher
-	MaxInFlight      = 1_000_000   // reqs in flight: no quota and no reserve is larger
-	MinRunMS         = 100         // a shorter bound would cut nearly every req
-	MaxRunMS         = 604_800_000 // a week: what a silent dispatcher held stays counted for as long
-	MaxUrgentClasses = 64          // urgent ones
+	MaxQuotas        = 1024        // teams; each has an entry in the table of every lender and dispatcher
+	MaxInFlight      = 1_000_000   // requests in flight; no quota and no reserve is larger
+	MinRunMS         = 100         // a shorter limit would end nearly every request early
+	MaxRunMS         = 604_800_000 // a week; what a dispatcher held stays counted for this long if it falls silent
+	MaxUrgentClasses = 64          // urgent classes
 )
 
-// Policy is one version's content. Its values are the fleet's, not one dispatcher's.
+// Policy is the content of one version. Its values hold for the whole fleet, not for one dispatcher.
 type Policy struct {
-	Connections    int      `json:"connections"` // new connections to backends a second; 0: each dispatcher's own script says
-	MaxDispatchers int      `json:"most"`        // most dispatchers at once, 0: the configuration's count
-	Reserve        float64  `json:"reserve"`     // part of the whole held as reserves
-	Bans           []string `json:"bans"`        // backends that nothing is sent to, in the order of names
+	Connections    int      `json:"connections"` // new connections to backends per second; 0: as each dispatcher's own settings script says
+	MaxDispatchers int      `json:"most"`        // maximum number of dispatchers at once; 0: the count in the configuration
+	Reserve        float64  `json:"reserve"`     // fraction of the connections held as reserves
+	Bans           []string `json:"bans"`        // backends that get no requests, sorted
 
-	// What follows is left out where it says nothing, so that a policy without quotas has the bytes that it had before
-	// there were any (docs/design/quota.md).
-	Quotas        map[string]int `json:"quotas,omitempty"`         // reqs in flight at once over the whole fleet, by team; others have no bound
-	UrgentReserve int            `json:"urgent_reserve,omitempty"` // reqs in flight in each region beyond the quotas, for urgent classes alone
-	UrgentClasses []string       `json:"urgent_classes,omitempty"` // in the order of names
-	RunMS         int            `json:"run_ms,omitempty"`         // ms: no req is in flight for longer, whatever its client says
+	// The fields below are omitted if empty, so that a policy without quotas has the same bytes as before quotas were
+	// introduced (docs/design/quota.md).
+	Quotas        map[string]int `json:"quotas,omitempty"`         // limit of requests in flight over the whole fleet, by team; other teams have no limit
+	UrgentReserve int            `json:"urgent_reserve,omitempty"` // requests in flight per region beyond the quotas, for urgent classes only
+	UrgentClasses []string       `json:"urgent_classes,omitempty"` // sorted
+	RunMS         int            `json:"run_ms,omitempty"`         // ms; no request is in flight for longer, whatever deadline its client set
 }
 
-// Append writes a policy: two that say the same have the same bytes.
+// Append appends the encoded policy to b. Policies that mean the same have the same bytes.
 func (p Policy) Append(b []byte) []byte {
 	p.Bans = slices.Compact(slices.Sorted(slices.Values(p.Bans)))
 	if p.Bans == nil {
@@ -49,14 +49,14 @@
 	}
 	p.UrgentClasses = slices.Compact(slices.Sorted(slices.Values(p.UrgentClasses)))
 	text, err := json.Marshal(p)
-	if err != nil { // a number that JSON does not have: Check refuses it
+	if err != nil { // a number that JSON cannot represent, such as NaN; Check refuses it
 		return append(b, "{}"...)
 	}
 	return append(b, text...)
 }
 
-// Read reads a policy strictly: a key that this binary does not know is a fault, since to take up the
-// rest would be to decide by another policy than the others.
+// Read decodes a policy strictly. A key that this binary does not know is an error: if it were ignored, this dispatcher
+// would apply another policy than the others.
 func Read(body []byte) (Policy, error) {
 	var p Policy
 	d := json.NewDecoder(bytes.NewReader(body))
@@ -70,7 +70,7 @@
 	return p, p.Check()
 }
 
-// Check names the value that is out of range.
+// Check returns an error that names the value that is out of range.
 func (p Policy) Check() error {
 	switch {
 	case p.Connections < 0 || p.Connections > MaxConnections:
--- a/internal/fleet/policy/policy_test.go
+++ b/internal/fleet/policy/policy_test.go
@@ -9,18 +9,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSamePolicySameBytes(t *testing.T) {
+func TestEqualPoliciesHaveEqualBytes(t *testing.T) {
 	a := Policy{Connections: 600, Reserve: 0.2, Bans: []string{"w2", "w1", "w2"}}
 	b := Policy{Connections: 600, Reserve: 0.2, Bans: []string{"w1", "w2"}}
 	assert.Equal(t, a.Append(nil), b.Append(nil))
 	got, err := Read(a.Append(nil))
 	require.NoError(t, err)
 	assert.Equal(t, b, got)
-	assert.Equal(t, []string{"w2", "w1", "w2"}, a.Bans, "the caller's list stays as it was")
+	assert.Equal(t, []string{"w2", "w1", "w2"}, a.Bans, "the caller's list must not change")
 }
 
-// TestOldBodies: a policy without quotas has the bytes that it had before there were any, in every log and lease.
-func TestOldBodies(t *testing.T) {
+// TestPolicyWithoutQuotasKeepsOldBytes: a policy without quotas has the same bytes as before quotas were introduced,
+// as logs and leases contain them.
+func TestPolicyWithoutQuotasKeepsOldBytes(t *testing.T) {
 	old := `{"connections":600,"most":0,"reserve":0.2,"bans":["w1"]}`
 	assert.Equal(t, old, string(Policy{Connections: 600, Reserve: 0.2, Bans: []string{"w1"}}.Append(nil)))
 	assert.Equal(t, old, string(Policy{Connections: 600, Reserve: 0.2, Bans: []string{"w1"}, Quotas: map[string]int{}, UrgentClasses: []string{}}.Append(nil)))
@@ -29,7 +30,7 @@
 	assert.Empty(t, p.Quotas)
 }
 
-func TestQuotas(t *testing.T) {
+func TestQuotaFields(t *testing.T) {
 	a := Policy{Quotas: map[string]int{"b": 30, "a": 0}, UrgentReserve: 4, UrgentClasses: []string{"y", "x", "y"}, RunMS: 6000}
 	b := Policy{Quotas: map[string]int{"a": 0, "b": 30}, UrgentReserve: 4, UrgentClasses: []string{"x", "y"}, RunMS: 6000}
 	assert.Equal(t, a.Append(nil), b.Append(nil))
@@ -39,8 +40,8 @@
 	require.NoError(t, err)
 	b.Bans = []string{}
 	assert.Equal(t, b, got)
-	assert.Equal(t, []string{"y", "x", "y"}, a.UrgentClasses, "the caller's list stays as it was")
-	assert.NoError(t, Policy{RunMS: 6000, UrgentClasses: []string{"x"}}.Check(), "a bound and classes alone do nothing")
+	assert.Equal(t, []string{"y", "x", "y"}, a.UrgentClasses, "the caller's list must not change")
+	assert.NoError(t, Policy{RunMS: 6000, UrgentClasses: []string{"x"}}.Check(), "run_ms and classes alone are valid and have no effect")
 
 	many := map[string]int{}
 	for i := range MaxQuotas + 1 {
@@ -51,7 +52,7 @@
 	assert.ErrorContains(t, Policy{UrgentClasses: make([]string, MaxUrgentClasses+1)}.Check(), "policy.urgent_classes names 65")
 }
 
-func TestStrict(t *testing.T) {
+func TestInvalidPoliciesAreRefused(t *testing.T) {
 	for text, says := range map[string]string{
 		`{"connections":1,"slices":2}`:          "unknown field",
 		`{"connections":1}{}`:                   "after its end",
