--- a/internal/fleet/accord/wire/budget.go
+++ b/internal/fleet/accord/wire/budget.go
@@ -8,10 +8,10 @@
 	"tinsail/internal/fleet/frames"
 )
 
-// MaxUnits is the most that is wanted or lent: no budget is larger.
+// MaxUnits is the maximum of units in a request or grant. No budget is larger.
 const MaxUnits = 1_000_000
 
-// BudgetRequest is a dispatcher's ask for its share of a budget, and BudgetGrant the leader's answer to it.
+// BudgetRequest asks the leader for a dispatcher's share of a budget. BudgetGrant is the reply.
 type (
 	BudgetRequest struct {
 		Budget  string
@@ -23,8 +23,8 @@
 	}
 )
 
-type want struct {
-	F      uint8  `msgpack:"f"`
+type budgetRequest struct {
+	Format uint8  `msgpack:"f"`
 	Kind   string `msgpack:"kind"`
 	Budget string `msgpack:"budget"`
 	Peer   string `msgpack:"peer"`
@@ -33,8 +33,8 @@
 	Units  uint64 `msgpack:"units"`
 }
 
-type lent struct {
-	F      uint8  `msgpack:"f"`
+type budgetGrant struct {
+	Format uint8  `msgpack:"f"`
 	Kind   string `msgpack:"kind"`
 	Budget string `msgpack:"budget"`
 	Peer   string `msgpack:"peer"`
@@ -44,36 +44,36 @@
 	Of     uint64 `msgpack:"of"`
 }
 
-// EncodeBudgetRequest is the bytes of an ask for a share.
-func EncodeBudgetRequest(w BudgetRequest) []byte {
-	return frames.Encode(&want{Format, kindWant, w.Budget, w.Request.Peer, w.Request.Epoch, w.Request.Seq, uint64(max(w.Request.Want, 0))})
+// EncodeBudgetRequest encodes a budget request.
+func EncodeBudgetRequest(r BudgetRequest) []byte {
+	return frames.Encode(&budgetRequest{Format, kindBudgetRequest, r.Budget, r.Request.Peer, r.Request.Epoch, r.Request.Seq, uint64(max(r.Request.Want, 0))})
 }
 
-// EncodeBudgetGrant is the bytes of its answer.
-func EncodeBudgetGrant(l BudgetGrant) []byte {
-	return frames.Encode(&lent{Format, kindLent, l.Budget, l.Grant.Peer, l.Grant.Epoch, l.Grant.Seq, uint64(max(l.Grant.Units, 0)), uint64(max(l.Grant.Of, 0))})
+// EncodeBudgetGrant encodes a budget grant.
+func EncodeBudgetGrant(g BudgetGrant) []byte {
+	return frames.Encode(&budgetGrant{Format, kindBudgetGrant, g.Budget, g.Grant.Peer, g.Grant.Epoch, g.Grant.Seq, uint64(max(g.Grant.Units, 0)), uint64(max(g.Grant.Of, 0))})
 }
 
-func readWant(p []byte) (*BudgetRequest, error) {
-	var w want
-	if err := frames.Decode(p, &w); err != nil {
+func decodeBudgetRequest(p []byte) (*BudgetRequest, error) {
+	var r budgetRequest
+	if err := frames.Decode(p, &r); err != nil {
 		return nil, err
 	}
-	if w.Units > MaxUnits || badName(w.Budget) || badName(w.Peer) {
-		return nil, fmt.Errorf("%w: an ask for a share is out of range", ErrMessage)
+	if r.Units > MaxUnits || invalidName(r.Budget) || invalidName(r.Peer) {
+		return nil, fmt.Errorf("%w: a field of the budget request is out of range", ErrMessage)
 	}
-	return &BudgetRequest{w.Budget, budget.Ask{Peer: w.Peer, Epoch: w.Epoch, Seq: w.Seq, Want: int(w.Units)}}, nil
+	return &BudgetRequest{r.Budget, budget.Ask{Peer: r.Peer, Epoch: r.Epoch, Seq: r.Seq, Want: int(r.Units)}}, nil
 }
 
-func readLent(p []byte) (*BudgetGrant, error) {
-	var l lent
-	if err := frames.Decode(p, &l); err != nil {
+func decodeBudgetGrant(p []byte) (*BudgetGrant, error) {
+	var g budgetGrant
+	if err := frames.Decode(p, &g); err != nil {
 		return nil, err
 	}
-	if l.Units > MaxUnits || l.Of > MaxUnits || badName(l.Budget) || badName(l.Peer) {
-		return nil, fmt.Errorf("%w: a share is out of range", ErrMessage)
+	if g.Units > MaxUnits || g.Of > MaxUnits || invalidName(g.Budget) || invalidName(g.Peer) {
+		return nil, fmt.Errorf("%w: a field of the budget grant is out of range", ErrMessage)
 	}
-	return &BudgetGrant{l.Budget, budget.Grant{Peer: l.Peer, Epoch: l.Epoch, Seq: l.Seq, Units: int(l.Units), Of: int(l.Of)}}, nil
+	return &BudgetGrant{g.Budget, budget.Grant{Peer: g.Peer, Epoch: g.Epoch, Seq: g.Seq, Units: int(g.Units), Of: int(g.Of)}}, nil
 }
 
-func badName(name string) bool { return name == "" || len(name) > accord.MaxName }
+func invalidName(name string) bool { return name == "" || len(name) > accord.MaxName }
--- a/internal/fleet/accord/wire/wire.go
+++ b/internal/fleet/accord/wire/wire.go
@@ -1,9 +1,9 @@
-// Package wire is the bytes of the accord's messages between dispatchers, and of its entries in the
-// majority log: msgpack maps, each with a format number and a kind (docs/design/accord.md lists the
-// fields). It knows no socket and no clock.
+// Package wire encodes and decodes the accord's messages between dispatchers, the entries of the majority log and its
+// snapshots. All are msgpack maps, each with a format number and a kind (docs/design/accord.md lists the fields). The
+// package uses no socket and no clock.
 //
-// Package frames writes and reads them, strictly and with a sum: with one changed byte of a body, a version or an
-// outcome two dispatchers would hold two bodies under one number.
+// Package frames does the encoding. It decodes strictly and adds a checksum: one changed byte of a body, a version or
+// an outcome could otherwise give two dispatchers different policies under the same version number.
 package wire
 
 import (
@@ -14,19 +14,20 @@
 	"tinsail/internal/fleet/frames"
 )
 
-// Format is the number that every message carries.
+// Format is the format number in every message.
 const Format = 2
 
-// unsummed is the format before the sum. It is read from a voter's disk alone: a log outlives its binary.
-const unsummed = 1
+// formatWithoutChecksum is the earlier format, before checksums. It is still read from a voter's disk, as a log may be
+// older than the binary, but not from a connection.
+const formatWithoutChecksum = 1
 
-// MaxFrame is the most bytes of a message: two bodies and what stands around them.
+// MaxFrame is the maximum size of a message in bytes: two bodies and the other fields.
 const MaxFrame = 2*accord.MaxBody + 8<<10
 
-// ErrMessage is wrapped by every fault of a message.
+// ErrMessage is wrapped by every error about a message's bytes.
 var ErrMessage = frames.ErrMessage
 
-// Message is one message: the one of its parts that is there.
+// Message is a message of any kind. Exactly one field is set.
 type Message struct {
 	LeaseRequest  *accord.LeaseRequest
 	LeaseResponse *accord.LeaseResponse
@@ -35,114 +36,114 @@
 	BudgetGrant   *BudgetGrant
 }
 
-type ask struct {
-	F       uint8  `msgpack:"f"`
-	Kind    string `msgpack:"kind"`
-	Peer    string `msgpack:"peer"`
-	Epoch   uint64 `msgpack:"epoch"`
-	Seq     uint64 `msgpack:"seq"`
-	Version uint64 `msgpack:"version"`
-	Change  uint64 `msgpack:"change"`
-	Stance  uint8  `msgpack:"stance"`
-	Why     string `msgpack:"why"`
-	Propose uint64 `msgpack:"propose"`
-	Base    uint64 `msgpack:"base"`
-	Body    []byte `msgpack:"body"`
+type leaseRequest struct {
+	Format      uint8  `msgpack:"f"`
+	Kind        string `msgpack:"kind"`
+	Peer        string `msgpack:"peer"`
+	Epoch       uint64 `msgpack:"epoch"`
+	Seq         uint64 `msgpack:"seq"`
+	Version     uint64 `msgpack:"version"`
+	Change      uint64 `msgpack:"change"`
+	Ack         uint8  `msgpack:"stance"`
+	Reason      string `msgpack:"why"`
+	Proposal    uint64 `msgpack:"propose"`
+	BaseVersion uint64 `msgpack:"base"`
+	Body        []byte `msgpack:"body"`
 }
 
 type outcome struct {
-	ID  uint64 `msgpack:"id"`
-	End uint8  `msgpack:"end"`
-	Who string `msgpack:"who"`
-	Why string `msgpack:"why"`
+	ID     uint64 `msgpack:"id"`
+	Result uint8  `msgpack:"end"`
+	Peer   string `msgpack:"who"`
+	Reason string `msgpack:"why"`
 }
 
-type answer struct {
-	F        uint8   `msgpack:"f"`
-	Kind     string  `msgpack:"kind"`
-	Peer     string  `msgpack:"peer"`
-	Epoch    uint64  `msgpack:"epoch"`
-	Seq      uint64  `msgpack:"seq"`
-	Leads    bool    `msgpack:"leads"`
-	Leader   string  `msgpack:"leader"`
-	Term     uint64  `msgpack:"term"`
-	Version  uint64  `msgpack:"version"`
-	Lent     bool    `msgpack:"lent"`
-	Body     []byte  `msgpack:"body"`
-	Change   uint64  `msgpack:"change"`
-	Stage    uint8   `msgpack:"stage"`
-	Next     uint64  `msgpack:"next"`
-	By       string  `msgpack:"by"`
-	Draft    []byte  `msgpack:"draft"`
-	Ended    outcome `msgpack:"ended"`
-	Proposal outcome `msgpack:"proposal"`
+type leaseResponse struct {
+	Format          uint8   `msgpack:"f"`
+	Kind            string  `msgpack:"kind"`
+	Peer            string  `msgpack:"peer"`
+	Epoch           uint64  `msgpack:"epoch"`
+	Seq             uint64  `msgpack:"seq"`
+	IsLeader        bool    `msgpack:"leads"`
+	Leader          string  `msgpack:"leader"`
+	Term            uint64  `msgpack:"term"`
+	Version         uint64  `msgpack:"version"`
+	Granted         bool    `msgpack:"lent"`
+	Body            []byte  `msgpack:"body"`
+	Change          uint64  `msgpack:"change"`
+	Stage           uint8   `msgpack:"stage"`
+	NextVersion     uint64  `msgpack:"next"`
+	Proposer        string  `msgpack:"by"`
+	NextBody        []byte  `msgpack:"draft"`
+	ChangeOutcome   outcome `msgpack:"ended"`
+	ProposalOutcome outcome `msgpack:"proposal"`
 }
 
-type decide struct {
-	F        uint8  `msgpack:"f"`
+type decision struct {
+	Format   uint8  `msgpack:"f"`
 	Kind     string `msgpack:"kind"`
 	Change   uint64 `msgpack:"change"`
 	Proposal uint64 `msgpack:"proposal"`
 	Version  uint64 `msgpack:"version"`
-	By       string `msgpack:"by"`
+	Proposer string `msgpack:"by"`
 	Body     []byte `msgpack:"body"`
 }
 
-type done struct {
+type decisionID struct {
 	Change   uint64 `msgpack:"change"`
 	Proposal uint64 `msgpack:"proposal"`
 	Version  uint64 `msgpack:"version"`
 }
 
 type state struct {
-	F        uint8  `msgpack:"f"`
-	Kind     string `msgpack:"kind"`
-	Version  uint64 `msgpack:"version"`
-	Change   uint64 `msgpack:"change"`
-	Proposal uint64 `msgpack:"proposal"`
-	By       string `msgpack:"by"`
-	Body     []byte `msgpack:"body"`
-	Done     []done `msgpack:"done"`
+	Format   uint8        `msgpack:"f"`
+	Kind     string       `msgpack:"kind"`
+	Version  uint64       `msgpack:"version"`
+	Change   uint64       `msgpack:"change"`
+	Proposal uint64       `msgpack:"proposal"`
+	Proposer string       `msgpack:"by"`
+	Body     []byte       `msgpack:"body"`
+	Recent   []decisionID `msgpack:"done"`
 }
 
-// Kinds.
+// Values of a message's kind field.
 const (
-	kindAsk    = "ask"
-	kindAnswer = "answer"
-	kindNudge  = "nudge"
-	kindDecide = "decide"
-	kindState  = "state"
-	kindWant   = "want"
-	kindLent   = "lent"
+	kindLeaseRequest  = "ask"
+	kindLeaseResponse = "answer"
+	kindPoll          = "nudge"
+	kindDecision      = "decide"
+	kindState         = "state"
+	kindBudgetRequest = "want"
+	kindBudgetGrant   = "lent"
 )
 
-// EncodeLeaseRequest is the bytes of an ask.
-func EncodeLeaseRequest(a accord.LeaseRequest) []byte {
-	return frames.Encode(&ask{Format, kindAsk, a.Peer, a.Epoch, a.Seq, a.Version, a.Change, uint8(a.Ack), a.Reason, a.Proposal, a.BaseVersion, a.Body})
+// EncodeLeaseRequest encodes a lease request.
+func EncodeLeaseRequest(r accord.LeaseRequest) []byte {
+	return frames.Encode(&leaseRequest{Format, kindLeaseRequest, r.Peer, r.Epoch, r.Seq, r.Version, r.Change, uint8(r.Ack), r.Reason, r.Proposal, r.BaseVersion, r.Body})
 }
 
-// EncodeLeaseResponse is the bytes of an answer.
-func EncodeLeaseResponse(a accord.LeaseResponse) []byte {
-	return frames.Encode(&answer{Format, kindAnswer, a.Peer, a.Epoch, a.Seq, a.IsLeader, a.Leader, a.Term, a.Version, a.Granted, a.Body,
-		a.Change, uint8(a.Stage), a.NextVersion, a.Proposer, a.NextBody, fromOutcome(a.ChangeOutcome), fromOutcome(a.ProposalOutcome)})
+// EncodeLeaseResponse encodes a lease response.
+func EncodeLeaseResponse(r accord.LeaseResponse) []byte {
+	return frames.Encode(&leaseResponse{Format, kindLeaseResponse, r.Peer, r.Epoch, r.Seq, r.IsLeader, r.Leader, r.Term, r.Version, r.Granted, r.Body,
+		r.Change, uint8(r.Stage), r.NextVersion, r.Proposer, r.NextBody, encodeOutcome(r.ChangeOutcome), encodeOutcome(r.ProposalOutcome)})
 }
 
-// EncodePoll is the bytes of a nudge.
-func EncodePoll() []byte { return frames.Encode(&frames.Header{Format: Format, Kind: kindNudge}) }
+// EncodePoll encodes a poll: the leader asks a participant to send a lease request now.
+func EncodePoll() []byte { return frames.Encode(&frames.Header{Format: Format, Kind: kindPoll}) }
 
-func fromOutcome(o accord.Outcome) outcome { return outcome{o.ID, uint8(o.Result), o.Peer, o.Reason} }
+func encodeOutcome(o accord.Outcome) outcome { return outcome{o.ID, uint8(o.Result), o.Peer, o.Reason} }
 
-func (o outcome) to() (accord.Outcome, error) {
-	if o.End > uint8(accord.Withdrawn) || len(o.Who) > accord.MaxName || len(o.Why) > accord.MaxReason {
-		return accord.Outcome{}, fmt.Errorf("%w: an outcome is out of range", ErrMessage)
+func (o outcome) decode() (accord.Outcome, error) {
+	if o.Result > uint8(accord.Withdrawn) || len(o.Peer) > accord.MaxName || len(o.Reason) > accord.MaxReason {
+		return accord.Outcome{}, fmt.Errorf("%w: a field of the outcome is out of range", ErrMessage)
 	}
-	return accord.Outcome{ID: o.ID, Result: accord.Result(o.End), Peer: o.Who, Reason: o.Why}, nil
+	return accord.Outcome{ID: o.ID, Result: accord.Result(o.Result), Peer: o.Peer, Reason: o.Reason}, nil
 }
 
-// Decode reads a message of a link. Its error wraps ErrMessage; the link is of no use after one.
+// Decode decodes a message from a connection. Its errors wrap ErrMessage; after one the connection must be closed.
 func Decode(p []byte) (m Message, err error) {
 	if len(p) > MaxFrame {
-		return m, fmt.Errorf("%w: %d bytes, at most %d", ErrMessage, len(p), MaxFrame)
+		return m, fmt.Errorf("%w: message has %d bytes, limit is %d", ErrMessage, len(p), MaxFrame)
 	}
 	if p, err = frames.StripChecksum(p); err != nil {
 		return m, err
@@ -150,125 +151,125 @@
 	switch kind, err := frames.Kind(p, Format); {
 	case err != nil:
 		return m, err
-	case kind == kindAsk:
-		m.LeaseRequest, err = readAsk(p)
+	case kind == kindLeaseRequest:
+		m.LeaseRequest, err = decodeLeaseRequest(p)
 		return m, err
-	case kind == kindAnswer:
-		m.LeaseResponse, err = readAnswer(p)
+	case kind == kindLeaseResponse:
+		m.LeaseResponse, err = decodeLeaseResponse(p)
 		return m, err
-	case kind == kindWant:
-		m.BudgetRequest, err = readWant(p)
+	case kind == kindBudgetRequest:
+		m.BudgetRequest, err = decodeBudgetRequest(p)
 		return m, err
-	case kind == kindLent:
-		m.BudgetGrant, err = readLent(p)
+	case kind == kindBudgetGrant:
+		m.BudgetGrant, err = decodeBudgetGrant(p)
 		return m, err
-	case kind == kindNudge:
+	case kind == kindPoll:
 		m.Poll = true
 		return m, frames.Decode(p, &frames.Header{})
 	default:
-		return m, fmt.Errorf("%w: kind %q", ErrMessage, kind)
+		return m, fmt.Errorf("%w: unknown kind %q", ErrMessage, kind)
 	}
 }
 
-func readAsk(p []byte) (*accord.LeaseRequest, error) {
-	var a ask
-	if err := frames.Decode(p, &a); err != nil {
+func decodeLeaseRequest(p []byte) (*accord.LeaseRequest, error) {
+	var r leaseRequest
+	if err := frames.Decode(p, &r); err != nil {
 		return nil, err
 	}
 	switch {
-	case a.Peer == "" || len(a.Peer) > accord.MaxName:
-		return nil, fmt.Errorf("%w: a peer's name of %d bytes", ErrMessage, len(a.Peer))
-	case a.Stance > uint8(accord.Ready):
-		return nil, fmt.Errorf("%w: stance %d", ErrMessage, a.Stance)
-	case len(a.Why) > accord.MaxReason || len(a.Body) > accord.MaxBody:
-		return nil, fmt.Errorf("%w: a reason or a body that is too long", ErrMessage)
+	case r.Peer == "" || len(r.Peer) > accord.MaxName:
+		return nil, fmt.Errorf("%w: peer name has %d bytes", ErrMessage, len(r.Peer))
+	case r.Ack > uint8(accord.Ready):
+		return nil, fmt.Errorf("%w: unknown acknowledgement %d", ErrMessage, r.Ack)
+	case len(r.Reason) > accord.MaxReason || len(r.Body) > accord.MaxBody:
+		return nil, fmt.Errorf("%w: reason or body is too long", ErrMessage)
 	}
-	return &accord.LeaseRequest{Peer: a.Peer, Epoch: a.Epoch, Seq: a.Seq, Version: a.Version, Change: a.Change, Ack: accord.Ack(a.Stance),
-		Reason: a.Why, Proposal: a.Propose, BaseVersion: a.Base, Body: a.Body}, nil
+	return &accord.LeaseRequest{Peer: r.Peer, Epoch: r.Epoch, Seq: r.Seq, Version: r.Version, Change: r.Change, Ack: accord.Ack(r.Ack),
+		Reason: r.Reason, Proposal: r.Proposal, BaseVersion: r.BaseVersion, Body: r.Body}, nil
 }
 
-func readAnswer(p []byte) (*accord.LeaseResponse, error) {
-	var a answer
-	if err := frames.Decode(p, &a); err != nil {
+func decodeLeaseResponse(p []byte) (*accord.LeaseResponse, error) {
+	var r leaseResponse
+	if err := frames.Decode(p, &r); err != nil {
 		return nil, err
 	}
-	if a.Stage > uint8(accord.Deciding) || len(a.Body) > accord.MaxBody || len(a.Draft) > accord.MaxBody ||
-		len(a.Peer) > accord.MaxName || len(a.Leader) > accord.MaxName || len(a.By) > accord.MaxName {
-		return nil, fmt.Errorf("%w: an answer's field is out of range", ErrMessage)
+	if r.Stage > uint8(accord.Deciding) || len(r.Body) > accord.MaxBody || len(r.NextBody) > accord.MaxBody ||
+		len(r.Peer) > accord.MaxName || len(r.Leader) > accord.MaxName || len(r.Proposer) > accord.MaxName {
+		return nil, fmt.Errorf("%w: a field of the lease response is out of range", ErrMessage)
 	}
-	ended, err := a.Ended.to()
+	change, err := r.ChangeOutcome.decode()
 	if err != nil {
 		return nil, err
 	}
-	proposal, err := a.Proposal.to()
+	proposal, err := r.ProposalOutcome.decode()
 	if err != nil {
 		return nil, err
 	}
-	return &accord.LeaseResponse{Peer: a.Peer, Epoch: a.Epoch, Seq: a.Seq, IsLeader: a.Leads, Leader: a.Leader, Term: a.Term, Version: a.Version,
-		Granted: a.Lent, Body: a.Body, Change: a.Change, Stage: accord.Stage(a.Stage), NextVersion: a.Next, Proposer: a.By, NextBody: a.Draft,
-		ChangeOutcome: ended, ProposalOutcome: proposal}, nil
+	return &accord.LeaseResponse{Peer: r.Peer, Epoch: r.Epoch, Seq: r.Seq, IsLeader: r.IsLeader, Leader: r.Leader, Term: r.Term, Version: r.Version,
+		Granted: r.Granted, Body: r.Body, Change: r.Change, Stage: accord.Stage(r.Stage), NextVersion: r.NextVersion, Proposer: r.Proposer, NextBody: r.NextBody,
+		ChangeOutcome: change, ProposalOutcome: proposal}, nil
 }
 
-// EncodeDecision is the bytes of an entry of the log, ReadDecide their reading.
+// EncodeDecision encodes an entry of the log.
 func EncodeDecision(d accord.Decision) []byte {
-	return frames.Encode(&decide{Format, kindDecide, d.Change, d.Proposal, d.Version, d.Proposer, d.Body})
+	return frames.Encode(&decision{Format, kindDecision, d.Change, d.Proposal, d.Version, d.Proposer, d.Body})
 }
 
-// stored is the map of an entry or a snapshot of a voter's disk, which may be of the format before the sum.
-func stored(p []byte, want string) ([]byte, error) {
-	format := uint64(unsummed)
+// storedMap returns the msgpack map of an entry or a snapshot that a voter stored, with or without a checksum.
+func storedMap(p []byte, want string) ([]byte, error) {
+	format := uint64(formatWithoutChecksum)
 	if m, err := frames.StripChecksum(p); err == nil {
 		p, format = m, Format
 	}
 	if kind, err := frames.Kind(p, format); err != nil || kind != want {
-		return nil, fmt.Errorf("%w: damaged, or no %s that this binary reads", ErrMessage, want)
+		return nil, fmt.Errorf("%w: damaged, or not a %q of a format that this binary reads", ErrMessage, want)
 	}
 	return p, nil
 }
 
-// DecodeDecision reads an entry of the log. Its error wraps ErrMessage.
+// DecodeDecision decodes an entry of the log. Its errors wrap ErrMessage.
 func DecodeDecision(p []byte) (accord.Decision, error) {
-	var d decide
-	p, err := stored(p, kindDecide)
+	var d decision
+	p, err := storedMap(p, kindDecision)
 	if err == nil {
 		err = frames.Decode(p, &d)
 	}
 	if err != nil {
 		return accord.Decision{}, err
 	}
-	return accord.Decision{Change: d.Change, Proposal: d.Proposal, Version: d.Version, Proposer: d.By, Body: d.Body}, nil
+	return accord.Decision{Change: d.Change, Proposal: d.Proposal, Version: d.Version, Proposer: d.Proposer, Body: d.Body}, nil
 }
 
-// EncodeState is the bytes of a snapshot of the log.
+// EncodeState encodes a snapshot of the log.
 func EncodeState(s accord.State) []byte {
 	out := state{Format, kindState, s.Version, s.Change, s.Proposal, s.Proposer, s.Body, nil}
 	for _, d := range s.Recent {
-		out.Done = append(out.Done, done(d))
+		out.Recent = append(out.Recent, decisionID(d))
 	}
 	return frames.Encode(&out)
 }
 
-// DecodeState reads a snapshot. Its error wraps ErrMessage.
+// DecodeState decodes a snapshot. Its errors wrap ErrMessage.
 func DecodeState(p []byte) (accord.State, error) {
 	var s state
-	p, err := stored(p, kindState)
+	p, err := storedMap(p, kindState)
 	if err == nil {
 		err = frames.Decode(p, &s)
 	}
 	if err != nil {
 		return accord.State{}, err
 	}
-	out := accord.State{Version: s.Version, Change: s.Change, Proposal: s.Proposal, Proposer: s.By, Body: s.Body}
-	for _, d := range s.Done {
+	out := accord.State{Version: s.Version, Change: s.Change, Proposal: s.Proposal, Proposer: s.Proposer, Body: s.Body}
+	for _, d := range s.Recent {
 		out.Recent = append(out.Recent, accord.DecisionID(d))
 	}
 	return out, nil
 }
 
-// Frame puts a message's length before it.
+// Frame returns an encoded message with its length in front.
 func Frame(p []byte) []byte { return frames.Frame(p) }
 
-// ReadMessage reads one framed message from a link. A longer one than MaxFrame is not read.
+// ReadMessage reads one framed message from a connection. It refuses one that is longer than MaxFrame.
 func ReadMessage(r io.Reader) (Message, error) {
 	p, err := frames.ReadFrame(r, MaxFrame)
 	if err != nil {
--- a/internal/fleet/accord/wire/wire_test.go
+++ b/internal/fleet/accord/wire/wire_test.go
@@ -15,31 +15,31 @@
 )
 
 var (
-	anAsk = accord.LeaseRequest{Peer: "n3", Epoch: 7 << 60, Seq: 2, Version: 4, Change: 65537, Ack: accord.Refused, Reason: "unknown key",
+	sampleRequest = accord.LeaseRequest{Peer: "n3", Epoch: 7 << 60, Seq: 2, Version: 4, Change: 65537, Ack: accord.Refused, Reason: "unknown key",
 		Proposal: accord.ProposalBit | 9, BaseVersion: 4, Body: []byte(`{"connections":20}`)}
-	anAnswer = accord.LeaseResponse{Peer: "n3", Epoch: 7, Seq: 2, IsLeader: true, Leader: "n0", Term: 3, Version: 4, Granted: true, Body: []byte("x"),
+	sampleResponse = accord.LeaseResponse{Peer: "n3", Epoch: 7, Seq: 2, IsLeader: true, Leader: "n0", Term: 3, Version: 4, Granted: true, Body: []byte("x"),
 		Change: 65537, Stage: accord.Preparing, NextVersion: 5, Proposer: "n1", NextBody: []byte("y"),
 		ChangeOutcome: accord.Outcome{ID: 1, Result: accord.Withdrawn, Peer: "n2", Reason: "no"}, ProposalOutcome: accord.Outcome{ID: 2, Result: accord.InForce}}
 )
 
 func TestRoundTrips(t *testing.T) {
-	m, err := Decode(EncodeLeaseRequest(anAsk))
+	m, err := Decode(EncodeLeaseRequest(sampleRequest))
 	require.NoError(t, err)
-	assert.Equal(t, Message{LeaseRequest: &anAsk}, m)
-	m, err = ReadMessage(bytes.NewReader(Frame(EncodeLeaseResponse(anAnswer))))
+	assert.Equal(t, Message{LeaseRequest: &sampleRequest}, m)
+	m, err = ReadMessage(bytes.NewReader(Frame(EncodeLeaseResponse(sampleResponse))))
 	require.NoError(t, err)
-	assert.Equal(t, Message{LeaseResponse: &anAnswer}, m)
+	assert.Equal(t, Message{LeaseResponse: &sampleResponse}, m)
 	m, err = Decode(EncodePoll())
 	require.NoError(t, err)
 	assert.Equal(t, Message{Poll: true}, m)
-	w := BudgetRequest{"connections", budget.Ask{Peer: "n3", Epoch: 7, Seq: 2, Want: 480}}
-	m, err = Decode(EncodeBudgetRequest(w))
+	request := BudgetRequest{"connections", budget.Ask{Peer: "n3", Epoch: 7, Seq: 2, Want: 480}}
+	m, err = Decode(EncodeBudgetRequest(request))
 	require.NoError(t, err)
-	assert.Equal(t, Message{BudgetRequest: &w}, m)
-	l := BudgetGrant{"connections", budget.Grant{Peer: "n3", Epoch: 7, Seq: 2, Units: 48, Of: 600}}
-	m, err = Decode(EncodeBudgetGrant(l))
+	assert.Equal(t, Message{BudgetRequest: &request}, m)
+	grant := BudgetGrant{"connections", budget.Grant{Peer: "n3", Epoch: 7, Seq: 2, Units: 48, Of: 600}}
+	m, err = Decode(EncodeBudgetGrant(grant))
 	require.NoError(t, err)
-	assert.Equal(t, Message{BudgetGrant: &l}, m)
+	assert.Equal(t, Message{BudgetGrant: &grant}, m)
 	d := accord.Decision{Change: 1, Proposal: 2, Version: 3, Proposer: "n1", Body: []byte("b")}
 	got, err := DecodeDecision(EncodeDecision(d))
 	require.NoError(t, err)
@@ -51,12 +51,13 @@
 	assert.Equal(t, s, back)
 }
 
-// TestStrict: each way in which a message may be another's, or damaged, is refused.
-func TestStrict(t *testing.T) {
+// TestInvalidMessagesAreRefused: a message of another version of the program, or a damaged one, is refused, whichever
+// way it differs.
+func TestInvalidMessagesAreRefused(t *testing.T) {
 	fields := map[string]any{}
-	whole := mapOf(EncodeLeaseRequest(anAsk))
+	whole := withoutChecksum(EncodeLeaseRequest(sampleRequest))
 	require.NoError(t, msgpack.Unmarshal(whole, &fields))
-	again := func(change func(map[string]any)) []byte {
+	modified := func(change func(map[string]any)) []byte {
 		m := map[string]any{}
 		for k, v := range fields {
 			m[k] = v
@@ -66,28 +67,28 @@
 		require.NoError(t, err)
 		return b
 	}
-	long := anAsk
+	long := sampleRequest
 	long.Reason = strings.Repeat("x", accord.MaxReason+1)
-	noName := anAsk
+	noName := sampleRequest
 	noName.Peer = ""
-	stance := anAsk
-	stance.Ack = 9
-	stage := anAnswer
-	stage.Stage = 9
+	unknownAck := sampleRequest
+	unknownAck.Ack = 9
+	unknownStage := sampleResponse
+	unknownStage.Stage = 9
 	for what, p := range map[string][]byte{
 		"empty": {}, "cut short": whole[:len(whole)-1], "bytes after the end": append(bytes.Clone(whole), 0),
 		"another format":    bytes.Replace(whole, []byte("\xa1f\x02"), []byte("\xa1f\x01"), 1),
 		"another kind":      bytes.Replace(whole, []byte("\xa3ask"), []byte("\xa3asx"), 1),
 		"an unknown key":    bytes.Replace(whole, []byte("\xa3seq"), []byte("\xa3sex"), 1),
 		"a repeated key":    bytes.Replace(whole, []byte("\xa5epoch"), []byte("\xa4peer"), 1),
-		"a key more":        again(func(m map[string]any) { m["more"] = 1 }),
-		"a key less":        again(func(m map[string]any) { delete(m, "why") }),
-		"a reason too long": mapOf(EncodeLeaseRequest(long)), "no name": mapOf(EncodeLeaseRequest(noName)), "no such stance": mapOf(EncodeLeaseRequest(stance)),
-		"no such stage": mapOf(EncodeLeaseResponse(stage)), "too long": make([]byte, MaxFrame+1), "no budget's name": mapOf(EncodeBudgetRequest(BudgetRequest{Request: budget.Ask{Peer: "n1"}})),
-		"too many units": mapOf(EncodeBudgetGrant(BudgetGrant{"c", budget.Grant{Peer: "n1", Units: MaxUnits + 1}})), "an entry on a link": mapOf(EncodeDecision(accord.Decision{})),
-		"a sum in its place": EncodeLeaseRequest(anAsk),
+		"an extra key":      modified(func(m map[string]any) { m["more"] = 1 }),
+		"a missing key":     modified(func(m map[string]any) { delete(m, "why") }),
+		"a reason too long": withoutChecksum(EncodeLeaseRequest(long)), "no name": withoutChecksum(EncodeLeaseRequest(noName)), "unknown acknowledgement": withoutChecksum(EncodeLeaseRequest(unknownAck)),
+		"unknown stage": withoutChecksum(EncodeLeaseResponse(unknownStage)), "too long": make([]byte, MaxFrame+1), "no budget name": withoutChecksum(EncodeBudgetRequest(BudgetRequest{Request: budget.Ask{Peer: "n1"}})),
+		"too many units": withoutChecksum(EncodeBudgetGrant(BudgetGrant{"c", budget.Grant{Peer: "n1", Units: MaxUnits + 1}})), "a log entry as a message": withoutChecksum(EncodeDecision(accord.Decision{})),
+		"a second checksum": EncodeLeaseRequest(sampleRequest),
 	} {
-		_, err := Decode(frames.AppendChecksum(p)) // the sum is right: it is the map that is refused
+		_, err := Decode(frames.AppendChecksum(p)) // the checksum is right, so that the map itself is refused
 		assert.ErrorIs(t, err, ErrMessage, what)
 		assert.NotContains(t, err.Error(), "sum", what)
 	}
@@ -99,20 +100,20 @@
 	assert.ErrorIs(t, err, ErrMessage)
 }
 
-// mapOf is a message without its sum.
-func mapOf(p []byte) []byte { return p[:len(p)-4] }
+// withoutChecksum returns the map of an encoded message.
+func withoutChecksum(p []byte) []byte { return p[:len(p)-4] }
 
-// TestSum: no message, entry or snapshot with one byte changed, or cut short, is read.
-func TestSum(t *testing.T) {
+// TestDamagedMessagesAreRefused: a message, an entry or a snapshot with one byte changed, or cut short, is refused.
+func TestDamagedMessagesAreRefused(t *testing.T) {
 	var s accord.State
 	d := accord.Decision{Change: 1, Proposal: 2, Version: 1, Proposer: "n1", Body: []byte("b")}
 	s.Apply(d)
-	link := func(p []byte) error { _, err := Decode(p); return err }
+	message := func(p []byte) error { _, err := Decode(p); return err }
 	for _, c := range []struct {
 		p    []byte
 		read func([]byte) error
 	}{
-		{EncodeLeaseRequest(anAsk), link}, {EncodeLeaseResponse(anAnswer), link}, {EncodePoll(), link},
+		{EncodeLeaseRequest(sampleRequest), message}, {EncodeLeaseResponse(sampleResponse), message}, {EncodePoll(), message},
 		{EncodeDecision(d), func(p []byte) error { _, err := DecodeDecision(p); return err }},
 		{EncodeState(s), func(p []byte) error { _, err := DecodeState(p); return err }},
 	} {
@@ -128,32 +129,35 @@
 	}
 }
 
-// TestLogBeforeTheSum: entries and snapshots that a voter wrote before messages had one are read; messages are not.
-func TestLogBeforeTheSum(t *testing.T) {
-	old := func(p []byte) []byte { return bytes.Replace(mapOf(p), []byte("\xa1f\x02"), []byte("\xa1f\x01"), 1) }
+// TestEntriesWithoutChecksumAreRead: entries and snapshots that a voter stored before checksums were introduced are
+// read; messages of that format are not.
+func TestEntriesWithoutChecksumAreRead(t *testing.T) {
+	oldFormat := func(p []byte) []byte {
+		return bytes.Replace(withoutChecksum(p), []byte("\xa1f\x02"), []byte("\xa1f\x01"), 1)
+	}
 	var s accord.State
 	d := accord.Decision{Change: 1, Proposal: 2, Version: 1, Proposer: "n1", Body: []byte("b")}
 	s.Apply(d)
-	got, err := DecodeDecision(old(EncodeDecision(d)))
+	got, err := DecodeDecision(oldFormat(EncodeDecision(d)))
 	require.NoError(t, err)
 	assert.Equal(t, d, got)
-	back, err := DecodeState(old(EncodeState(s)))
+	back, err := DecodeState(oldFormat(EncodeState(s)))
 	require.NoError(t, err)
 	assert.Equal(t, s, back)
-	_, err = Decode(old(EncodeLeaseRequest(anAsk)))
+	_, err = Decode(oldFormat(EncodeLeaseRequest(sampleRequest)))
 	assert.ErrorIs(t, err, ErrMessage)
 }
 
-// FuzzRead: nothing that a peer sends panics the reader, and what it reads is written back the same.
+// FuzzRead: no bytes from a peer make Decode panic, and a decoded message is encoded to the same bytes again.
 func FuzzRead(f *testing.F) {
-	f.Add(mapOf(EncodeLeaseRequest(anAsk)))
-	f.Add(mapOf(EncodeLeaseResponse(anAnswer)))
-	f.Add(mapOf(EncodePoll()))
-	f.Add(mapOf(EncodeBudgetRequest(BudgetRequest{"connections", budget.Ask{Peer: "n3", Epoch: 7, Seq: 2, Want: 480}})))
-	f.Add(mapOf(EncodeBudgetGrant(BudgetGrant{"connections", budget.Grant{Peer: "n3", Epoch: 7, Seq: 2, Units: 48, Of: 600}})))
+	f.Add(withoutChecksum(EncodeLeaseRequest(sampleRequest)))
+	f.Add(withoutChecksum(EncodeLeaseResponse(sampleResponse)))
+	f.Add(withoutChecksum(EncodePoll()))
+	f.Add(withoutChecksum(EncodeBudgetRequest(BudgetRequest{"connections", budget.Ask{Peer: "n3", Epoch: 7, Seq: 2, Want: 480}})))
+	f.Add(withoutChecksum(EncodeBudgetGrant(BudgetGrant{"connections", budget.Grant{Peer: "n3", Epoch: 7, Seq: 2, Units: 48, Of: 600}})))
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff, 0xa1, 'f', 2})
 	f.Fuzz(func(t *testing.T, p []byte) {
-		p = frames.AppendChecksum(p) // else nothing but a message of ours is looked into
+		p = frames.AppendChecksum(p) // else hardly any input would pass the checksum
 		m, err := Decode(p)
 		if err != nil {
 			return
