--- a/internal/fleet/accord/accord.go
+++ b/internal/fleet/accord/accord.go
@@ -1,11 +1,11 @@
-// Package accord decides which version of the fleet's policy holds: one at a time, everywhere or
-// nowhere, also while some dispatchers are down (docs/design/accord.md has the promise and derives
-// the bounds). It decides alone: times and messages are handed in, what to do is handed out, and no
-// clock is read, no socket opened and no goroutine started.
+// Package accord decides which version of the fleet's policy is in force. One version is in force at a time, on every
+// dispatcher that accepts requests, also while some dispatchers are down (docs/design/accord.md states the guarantee
+// and derives the time bounds). The package is pure decision code: callers pass in times and messages and carry out
+// what it returns. It reads no clock, opens no socket and starts no goroutine.
 //
-// A Keeper is the side of the leader of a majority log (a library's, not this package's): it takes
-// proposals, has them checked, lends leases of the version in force and says when the next may be
-// decided. State is what the log's entries make. A Lessee is the side of each dispatcher.
+// A Leader runs where the leader of a majority log runs (the log itself is a library's). It receives proposals, has
+// every dispatcher check them, grants leases of the version in force and determines when the next version may be
+// decided. State is the result of applying the log's entries. A Participant runs in each dispatcher.
 package accord
 
 import (
@@ -18,152 +18,155 @@
 // of two processes are never compared.
 type Time int64
 
-// Add is t moved on by d.
+// Add returns the time t+d.
 func (t Time) Add(d time.Duration) Time { return t + Time(d) }
 
-// Never is a time that no clock reaches.
+// Never is later than any clock reading.
 const Never = Time(1<<63 - 1)
 
-// ProposalBit is set in every proposal's id and in no change's: neither is taken for the other.
+// ProposalBit is set in the id of every proposal and in no change's id, so that the two cannot be confused.
 const ProposalBit = uint64(1) << 63
 
-// Limits, each against a peer that sends too much.
+// Limits that protect against a peer that sends too much.
 const (
 	MaxBody         = 64 << 10 // bytes of a policy
 	MaxName         = 64       // bytes of a dispatcher's name
 	MaxReason       = 512      // bytes of a reason
-	MaxParticipants = 4096     // lives that a keeper remembers; one beyond gets no lease
-	keptEnds        = 64       // ends of changes that a keeper remembers
-	keptDone        = 16       // decided changes that the log's state remembers
+	MaxParticipants = 4096     // process incarnations that a leader tracks; any further one gets no lease
+	maxOutcomes     = 64       // outcomes that a leader remembers
+	maxRecent       = 16       // decisions that the log's state remembers
 )
 
-// LeaseConfig is the accord as the settings declare it: the same at all dispatchers.
+// LeaseConfig holds the lease parameters of the settings. They must be equal on all dispatchers.
 type LeaseConfig struct {
-	Lease           time.Duration // L, by the keeper's clock
+	Lease           time.Duration // L: duration of a lease by the leader's clock
 	Drift           float64       // ρ: clocks run at rates within 1 ± ρ of real time
-	ContinueWhenCut bool          // a dispatcher that is cut off goes on by the version it knew
+	ContinueWhenCut bool          // a dispatcher without contact to the leader continues with the last version it knew
 }
 
-// Check names the field that is out of range.
-func (p LeaseConfig) Check() error {
+// Check returns an error that names the field that is out of range.
+func (c LeaseConfig) Check() error {
 	switch {
-	case p.Lease < 100*time.Millisecond || p.Lease > 10*time.Minute:
+	case c.Lease < 100*time.Millisecond || c.Lease > 10*time.Minute:
 		return errors.New("accord: lease is not between 100 ms and 10 min")
-	case !(p.Drift >= 0 && p.Drift <= 0.1):
+	case !(c.Drift >= 0 && c.Drift <= 0.1):
 		return errors.New("accord: drift is not between 0 and 0.1")
 	}
 	return nil
 }
 
-// UsableLease is D = L(1−ρ)/(1+ρ): how long after its ask a lessee may start by the lease, by its own clock.
-func (p LeaseConfig) UsableLease() time.Duration {
-	return time.Duration(float64(p.Lease) * (1 - p.Drift) / (1 + p.Drift))
+// UsableLease is D = L(1−ρ)/(1+ρ): how long after it sent the lease request a participant may start attempts under
+// the lease, by its own clock.
+func (c LeaseConfig) UsableLease() time.Duration {
+	return time.Duration(float64(c.Lease) * (1 - c.Drift) / (1 + c.Drift))
 }
 
-// QuietPeriod is W = L(1+ρ)/(1−ρ), rounded up: how long a new leader decides nothing, by its own clock.
-func (p LeaseConfig) QuietPeriod() time.Duration {
-	return time.Duration(float64(p.Lease)*(1+p.Drift)/(1-p.Drift)) + 1
+// QuietPeriod is W = L(1+ρ)/(1−ρ), rounded up: how long a new leader decides nothing, by its own clock. After it all
+// leases of earlier leaders have expired.
+func (c LeaseConfig) QuietPeriod() time.Duration {
+	return time.Duration(float64(c.Lease)*(1+c.Drift)/(1-c.Drift)) + 1
 }
 
-// Drain is d: how long what was taken may still begin after its dispatcher has stopped taking.
-func (p LeaseConfig) Drain() time.Duration { return p.Lease / 6 }
+// Drain is d: how long after a dispatcher has stopped accepting requests it may still start those it had accepted.
+func (c LeaseConfig) Drain() time.Duration { return c.Lease / 6 }
 
-// RenewInterval is the time between a lessee's asks.
-func (p LeaseConfig) RenewInterval() time.Duration { return p.Lease / 3 }
+// RenewInterval is the time between two lease requests of a participant.
+func (c LeaseConfig) RenewInterval() time.Duration { return c.Lease / 3 }
 
-// patience is how long a change may be checked before it is withdrawn.
-func (p LeaseConfig) patience() time.Duration { return 4 * p.Lease }
+// checkTimeout is how long participants may check a change before it is withdrawn.
+func (c LeaseConfig) checkTimeout() time.Duration { return 4 * c.Lease }
 
-// Ack is what a lessee says of the change under way.
+// Ack is a participant's acknowledgement of the current change.
 type Ack uint8
 
-// Stances.
+// Acknowledgements.
 const (
 	NoAck    Ack = iota
-	Accepted     // its binary and configuration can take it
-	Refused      // they cannot: Why says for what
-	Ready        // it has stopped taking, and nothing begins by the old version any more
+	Accepted     // its binary and configuration can apply the next version
+	Refused      // they cannot; Reason says why
+	Ready        // it has stopped accepting requests and starts none under the old version any more
 )
 
-// Stage is how far the change under way has come.
+// Stage is the stage that the current change has reached.
 type Stage uint8
 
-// Stages. What comes before is a proposal, what comes after an End.
+// Stages. Before them there is only a proposal, and after them the change has a Result.
 const (
-	Idle      Stage = iota // no change is under way
-	Checking               // all go on by the old version and check the new one
-	Preparing              // no lease is lent; all stop
-	Deciding               // the entry was given to the log
+	Idle      Stage = iota // there is no change
+	Checking               // all continue with the old version and check the new one
+	Preparing              // no lease is granted; all stop accepting requests
+	Deciding               // the decision was submitted to the log
 )
 
-// Result is how a change ended.
+// Result is how a change or a proposal ended.
 type Result uint8
 
-// Ends.
+// Results.
 const (
-	Undecided Result = iota // it has not
-	InForce                 // decided by a majority, and the version in force
-	Withdrawn               // nowhere, for ever
+	Undecided Result = iota // not known, or not ended yet
+	InForce                 // decided by a majority: the version came into force
+	Withdrawn               // it never came into force and never will
 )
 
-// Outcome is what became of a change or of a proposal.
+// Outcome is the result of a change or of a proposal.
 type Outcome struct {
 	ID           uint64
 	Result       Result
-	Peer, Reason string // of a withdrawal: who refused it and why
+	Peer, Reason string // of a withdrawal: the dispatcher that caused it, and why
 }
 
-// LeaseRequest is what a lessee sends to the leader, each Renew and whenever it has something to say.
+// LeaseRequest is what a participant sends to the leader: at each RenewInterval, and at once when it has something to
+// report.
 type LeaseRequest struct {
 	Peer        string
 	Epoch       uint64 // new with each start of the process
-	Seq         uint64 // counts the asks of an epoch from 1
-	Version     uint64 // whose body it has and can take, 0 for none
-	Change      uint64 // that the stance is about, 0 for none
+	Seq         uint64 // numbers the requests of an epoch from 1
+	Version     uint64 // the version that the participant has and can apply, 0 for none
+	Change      uint64 // the change that Ack is about, 0 for none
 	Ack         Ack
 	Reason      string
-	Proposal    uint64 // id of its own proposal, 0 for none; sent again until its outcome is heard
+	Proposal    uint64 // id of the participant's own proposal, 0 for none; repeated until its outcome is known
 	BaseVersion uint64 // the version that the proposal changes
 	Body        []byte // of the proposal
 }
 
-// LeaseResponse is what a voter says to an ask.
+// LeaseResponse is a voter's reply to a lease request.
 type LeaseResponse struct {
 	Peer            string
-	Epoch, Seq      uint64 // of the ask
-	IsLeader        bool   // false: nothing but Leader means anything
-	Leader          string // who leads, if known
+	Epoch, Seq      uint64 // of the request
+	IsLeader        bool   // if false, the only further field that counts is Leader
+	Leader          string // the leader's name, if known
 	Term            uint64
-	Version         uint64 // decided last, 0 for none yet
-	Granted         bool   // this is a lease of Version
-	Body            []byte // of Version, where the ask's Version is another
-	Change          uint64 // under way, 0 for none
+	Version         uint64 // the version decided last, 0 for none yet
+	Granted         bool   // this response grants a lease of Version
+	Body            []byte // of Version, if the request names another version
+	Change          uint64 // the current change, 0 for none
 	Stage           Stage
-	NextVersion     uint64 // the version that Change would be
-	Proposer        string // who proposed it
-	NextBody        []byte // its body, where the ask has no stance on it
+	NextVersion     uint64 // the version that Change would bring into force
+	Proposer        string // of Change
+	NextBody        []byte // of NextVersion, while it is checked and the request has no Ack of it
 	ChangeOutcome   Outcome
-	ProposalOutcome Outcome // of the ask's own proposal, once it is over
+	ProposalOutcome Outcome // of the participant's own proposal, once it has ended
 }
 
-// Event is one step, for the log of the process that took it.
+// Event is one step of a change, to be logged by the process that took it.
 type Event struct {
 	Step                   string // as docs/design/accord.md names the events
 	Change, Version        uint64
 	BaseVersion            uint64
 	Proposer, Peer, Reason string
 	Accepted               bool
-	ExpiredLeases          int           // leases that were waited out
-	Elapsed                time.Duration // waited to be ready, or from decided to in force
+	ExpiredLeases          int           // leases that the leader let expire, as their holders did not report Ready
+	Elapsed                time.Duration // from the stop until the participant was ready
 }
 
-func cut(s string) string {
+func truncateReason(s string) string {
 	if len(s) > MaxReason {
 		return s[:MaxReason]
 	}
 	return s
 }
 
-func orders(base, version uint64) string {
+func staleBaseReason(base, version uint64) string {
 	return fmt.Sprintf("made against version %d, and %d is in force", base, version)
 }
--- a/internal/fleet/accord/accord_test.go
+++ b/internal/fleet/accord/accord_test.go
@@ -11,138 +11,140 @@
 	"pgregory.net/rapid"
 )
 
-// cases is how many schedules a run plays: few in the usual run, ACCORD_CASES for a long one.
-func cases(usual int) int {
+// scheduleCount returns how many schedules a run plays: few in the usual run, or as many as ACCORD_CASES sets.
+func scheduleCount(usual int) int {
 	if n, err := strconv.Atoi(os.Getenv("ACCORD_CASES")); err == nil {
 		return n
 	}
 	return usual
 }
 
-// TestOneVersionAtATime: whatever is lost, late, told twice, stalled, cut, crashed, elected or
-// refused, no two dispatchers may take or start by two versions at one moment, no change ends in
-// two ways, and once the faults end all are on the version decided last.
+// TestOneVersionAtATime: no two dispatchers may accept or start requests under two versions at one moment, no change
+// has two results, and once all faults have ended every dispatcher has the version decided last. The schedules
+// contain lost, late and repeated messages, stalls, cut-offs, crashes, elections and refused changes.
 func TestOneVersionAtATime(t *testing.T) {
 	total, decided := 0, 0
-	for range cases(300) / 100 {
+	for range scheduleCount(300) / 100 {
 		rapid.Check(t, func(t *rapid.T) {
-			p := LeaseConfig{Lease: time.Second, Drift: rapid.SampledFrom([]float64{0, 0.001, 0.05}).Draw(t, "drift")}
+			config := LeaseConfig{Lease: time.Second, Drift: rapid.SampledFrom([]float64{0, 0.001, 0.05}).Draw(t, "drift")}
 			n := rapid.IntRange(2, 9).Draw(t, "dispatchers")
-			p.ContinueWhenCut = rapid.IntRange(0, 9).Draw(t, "keep") == 0 // then all but the exclusion holds
-			w, bad := schedule(p, n, rapid.IntRange(5, 60).Draw(t, "steps"), rapid.Uint64().Draw(t, "seed"))
-			require.Empty(t, bad)
+			config.ContinueWhenCut = rapid.IntRange(0, 9).Draw(t, "keep") == 0 // then all holds but the mutual exclusion of versions
+			s, violation := playSchedule(config, n, rapid.IntRange(5, 60).Draw(t, "steps"), rapid.Uint64().Draw(t, "seed"))
+			require.Empty(t, violation)
 			total++
-			decided += int(w.state.Version)
+			decided += int(s.state.Version)
 		})
 	}
 	t.Logf("%d schedules, %d versions decided", total, decided)
-	assert.Greater(t, decided, total, "versions were decided: more than the first of each schedule")
+	assert.Greater(t, decided, total, "schedules must decide more than their first version")
 }
 
-// TestThreeHundred: the same at the size of the largest fleet.
+// TestThreeHundred checks the same with as many dispatchers as the largest fleet has.
 func TestThreeHundred(t *testing.T) {
-	for seed := range uint64(cases(200) / 200) {
-		w, bad := schedule(LeaseConfig{Lease: time.Second, Drift: 0.01}, 300, 12, seed)
-		require.Empty(t, bad, "seed %d", seed)
-		require.Positive(t, w.served)
+	for seed := range uint64(scheduleCount(200) / 200) {
+		s, violation := playSchedule(LeaseConfig{Lease: time.Second, Drift: 0.01}, 300, 12, seed)
+		require.Empty(t, violation, "seed %d", seed)
+		require.Positive(t, s.servingSeen)
 	}
 }
 
-// TestProposeToInForce: with no fault, at 9, 20 and 300 dispatchers, a change is in force everywhere
-// within the bound of the note: the drain, seven round trips and the checks, and the beats by which
-// this world moves. The time is printed.
+// TestProposeToInForce: without faults, with 9, 20 and 300 dispatchers, a change is in force everywhere within the
+// bound of docs/design/accord.md: the drain, seven round trips and the checks, plus the steps of this simulation. The
+// time is logged.
 func TestProposeToInForce(t *testing.T) {
-	p := LeaseConfig{Lease: 3 * time.Second, Drift: 0.001}
+	config := LeaseConfig{Lease: 3 * time.Second, Drift: 0.001}
 	for _, n := range []int{9, 20, 300} {
-		w := newWorld(p, n, 7)
-		w.mend()
-		w.propose(w.all[0], "first")
-		w.run(4 * p.Lease)
-		require.Empty(t, w.settled())
-		w.propose(w.all[1], "second")
-		start := w.now
-		for w.settled() != "" || w.state.Version != 2 {
-			w.run(time.Millisecond)
-			require.Empty(t, w.bad)
-			require.Less(t, w.now-start, int64(2*p.Lease), "%d dispatchers: %s", n, w.settled())
+		s := newSimulation(config, n, 7)
+		s.endFaults()
+		s.propose(s.dispatchers[0], "first")
+		s.run(4 * config.Lease)
+		require.Empty(t, s.unsettled())
+		s.propose(s.dispatchers[1], "second")
+		start := s.now
+		for s.unsettled() != "" || s.state.Version != 2 {
+			s.run(time.Millisecond)
+			require.Empty(t, s.violation)
+			require.Less(t, s.now-start, int64(2*config.Lease), "%d dispatchers: %s", n, s.unsettled())
 		}
-		took := time.Duration(w.now - start)
+		took := time.Duration(s.now - start)
 		t.Logf("%d dispatchers: proposed to in force everywhere in %v", n, took)
-		assert.Less(t, took, p.Drain()+p.RenewInterval()/4+200*time.Millisecond)
+		assert.Less(t, took, config.Drain()+config.RenewInterval()/4+200*time.Millisecond)
 	}
 }
 
-// pair is a keeper past its quiet time and a lessee, by one clock, with version 1 in force.
-func pair(t *testing.T, p LeaseConfig) (*Leader, *Participant, Time) {
+// newPair returns a leader past its quiet period and a participant with the same clock. Version 1 is in force.
+func newPair(t *testing.T, config LeaseConfig) (*Leader, *Participant, Time) {
 	var s State
 	require.True(t, s.Apply(Decision{Change: 1, Proposal: ProposalBit | 1, Version: 1, Body: []byte("one")}))
-	k, err := NewLeader(p, 1, 0, s)
+	l, err := NewLeader(config, 1, 0, s)
 	require.NoError(t, err)
-	l, err := NewParticipant(p, "a", 1)
+	p, err := NewParticipant(config, "a", 1)
 	require.NoError(t, err)
-	now := Time(p.QuietPeriod())
-	exchange(t, k, l, now)
-	for _, c := range l.TakeChecks() {
-		l.ReportCheck(now, c, nil)
+	now := Time(config.QuietPeriod())
+	exchange(t, l, p, now)
+	for _, c := range p.TakeChecks() {
+		p.ReportCheck(now, c, nil)
 	}
-	exchange(t, k, l, now)
-	require.True(t, l.Serving())
-	return k, l, now
+	exchange(t, l, p, now)
+	require.True(t, p.Serving())
+	return l, p, now
 }
 
-func exchange(t *testing.T, k *Leader, l *Participant, now Time) LeaseResponse {
-	l.RequestNow()
-	a, ok := l.NextRequest(now)
+func exchange(t *testing.T, l *Leader, p *Participant, now Time) LeaseResponse {
+	p.RequestNow()
+	r, ok := p.NextRequest(now)
 	require.True(t, ok)
-	answer := k.Handle(now, a)
-	l.HandleResponse(now, answer)
-	return answer
+	response := l.Handle(now, r)
+	p.HandleResponse(now, response)
+	return response
 }
 
-// TestLesseeStopsFirst: with the slowest lessee and the fastest keeper, the last moment of a lease
-// at the lessee is before its end at the keeper, in real time, also when the answer is late.
-func TestLesseeStopsFirst(t *testing.T) {
-	p := LeaseConfig{Lease: time.Second, Drift: 0.05}
+// TestLeaseEndsAtParticipantFirst: with the slowest participant clock and the fastest leader clock, a lease ends at
+// the participant before it ends at the leader, in real time, also if the response is late.
+func TestLeaseEndsAtParticipantFirst(t *testing.T) {
+	config := LeaseConfig{Lease: time.Second, Drift: 0.05}
 	for _, late := range []time.Duration{0, 100 * time.Millisecond, 2 * time.Second} {
-		slow, fast := 1-p.Drift, 1+p.Drift
-		startReal := float64(p.UsableLease()) / slow
-		endReal := float64(late) + float64(p.Lease)/fast
+		slow, fast := 1-config.Drift, 1+config.Drift
+		startReal := float64(config.UsableLease()) / slow
+		endReal := float64(late) + float64(config.Lease)/fast
 		assert.LessOrEqual(t, startReal, endReal+1)
 	}
-	assert.GreaterOrEqual(t, float64(p.QuietPeriod())/(1+p.Drift), float64(p.UsableLease())/(1-p.Drift), "and the quiet time covers it")
+	assert.GreaterOrEqual(t, float64(config.QuietPeriod())/(1+config.Drift), float64(config.UsableLease())/(1-config.Drift), "the quiet period must cover a lease of an earlier leader")
 }
 
-// TestTwoProposals: the second of two is refused by name, and the first goes on.
-func TestTwoProposals(t *testing.T) {
-	k, l, now := pair(t, LeaseConfig{Lease: time.Second})
-	k.Handle(now, LeaseRequest{Peer: "b", Epoch: 1, Seq: 1, Version: 1, Proposal: ProposalBit | 7, BaseVersion: 1, Body: []byte("two")})
-	require.NoError(t, l.Propose(ProposalBit|8, []byte("other")))
-	a := exchange(t, k, l, now)
+// TestSecondProposalIsWithdrawn: the second of two proposals is withdrawn with a reason that names the first
+// proposer, and the first goes on.
+func TestSecondProposalIsWithdrawn(t *testing.T) {
+	l, p, now := newPair(t, LeaseConfig{Lease: time.Second})
+	l.Handle(now, LeaseRequest{Peer: "b", Epoch: 1, Seq: 1, Version: 1, Proposal: ProposalBit | 7, BaseVersion: 1, Body: []byte("two")})
+	require.NoError(t, p.Propose(ProposalBit|8, []byte("other")))
+	a := exchange(t, l, p, now)
 	assert.Equal(t, Outcome{ID: ProposalBit | 8, Result: Withdrawn, Peer: "a", Reason: "another change is under way, proposed by b"}, a.ProposalOutcome)
-	assert.False(t, l.ProposalPending())
+	assert.False(t, p.ProposalPending())
 	assert.EqualValues(t, 2, a.NextVersion)
 }
 
-// TestInForceNamesItsChange: the log's line by which operators follow a change to its end names it, as all its other lines do.
-func TestInForceNamesItsChange(t *testing.T) {
-	k, l, now := pair(t, LeaseConfig{Lease: time.Second})
-	l.TakeEvents()
-	require.NoError(t, l.Propose(ProposalBit|7, []byte("two")))
+// TestInForceEventNamesItsChange: the log line "in force" carries the change's id as all its other lines do, so that
+// operators can follow a change to its end.
+func TestInForceEventNamesItsChange(t *testing.T) {
+	l, p, now := newPair(t, LeaseConfig{Lease: time.Second})
+	p.TakeEvents()
+	require.NoError(t, p.Propose(ProposalBit|7, []byte("two")))
 	for range 6 {
-		exchange(t, k, l, now)
-		for _, c := range l.TakeChecks() {
-			l.ReportCheck(now, c, nil)
+		exchange(t, l, p, now)
+		for _, c := range p.TakeChecks() {
+			p.ReportCheck(now, c, nil)
 		}
-		l.Tick(now, 0)
-		k.Tick(now)
-		if d, ok := k.TakeDecision(); ok {
-			s := k.state
+		p.Tick(now, 0)
+		l.Tick(now)
+		if d, ok := l.TakeDecision(); ok {
+			s := l.state
 			require.True(t, s.Apply(d))
-			k.Applied(now, s)
+			l.Applied(now, s)
 		}
 	}
 	changes := map[string]uint64{}
-	for _, n := range l.TakeEvents() {
+	for _, n := range p.TakeEvents() {
 		changes[n.Step] = n.Change
 	}
 	require.Contains(t, changes, "in force")
@@ -150,52 +152,54 @@
 	assert.Equal(t, changes["checked"], changes["in force"])
 }
 
-// TestRefusal: one dispatcher that cannot take the draft has it withdrawn everywhere, by name.
-func TestRefusal(t *testing.T) {
-	k, l, now := pair(t, LeaseConfig{Lease: time.Second})
-	a := k.Handle(now, LeaseRequest{Peer: "b", Epoch: 1, Seq: 1, Version: 1, Proposal: ProposalBit | 7, BaseVersion: 1, Body: []byte("two")})
+// TestRefusalWithdrawsChange: one dispatcher that refuses the next version has the change withdrawn everywhere, with
+// its name and reason.
+func TestRefusalWithdrawsChange(t *testing.T) {
+	l, p, now := newPair(t, LeaseConfig{Lease: time.Second})
+	a := l.Handle(now, LeaseRequest{Peer: "b", Epoch: 1, Seq: 1, Version: 1, Proposal: ProposalBit | 7, BaseVersion: 1, Body: []byte("two")})
 	require.Equal(t, Checking, a.Stage)
-	k.Handle(now, LeaseRequest{Peer: "b", Epoch: 1, Seq: 2, Version: 1, Change: a.Change, Ack: Refused, Reason: "unknown key x"})
-	exchange(t, k, l, now)
-	a = exchange(t, k, l, now)
+	l.Handle(now, LeaseRequest{Peer: "b", Epoch: 1, Seq: 2, Version: 1, Change: a.Change, Ack: Refused, Reason: "unknown key x"})
+	exchange(t, l, p, now)
+	a = exchange(t, l, p, now)
 	assert.Equal(t, Idle, a.Stage)
 	assert.Equal(t, Withdrawn, a.ChangeOutcome.Result)
 	assert.Equal(t, "b", a.ChangeOutcome.Peer)
 	assert.Equal(t, "unknown key x", a.ChangeOutcome.Reason)
-	_, submitted := k.TakeDecision()
+	_, submitted := l.TakeDecision()
 	assert.False(t, submitted)
 }
 
-// TestKeepGoesOn: under keep a cut-off dispatcher takes by the version it knew, and the gate says from
-// when on that counts as lapsed; under stop it takes nothing.
-func TestKeepGoesOn(t *testing.T) {
+// TestContinueWhenCut: with ContinueWhenCut a dispatcher without contact to the leader accepts requests under the
+// version it knew, and the admission says from when on that happens without a lease. Without it the dispatcher
+// accepts none.
+func TestContinueWhenCut(t *testing.T) {
 	for _, keep := range []bool{false, true} {
-		p := LeaseConfig{Lease: time.Second, ContinueWhenCut: keep}
-		_, l, now := pair(t, p)
-		later := now.Add(2 * p.Lease)
-		l.Tick(later, 0)
-		assert.Equal(t, keep, later < l.Admission().AcceptUntil)
-		assert.Equal(t, keep, l.Admission().UnleasedFrom <= later)
+		config := LeaseConfig{Lease: time.Second, ContinueWhenCut: keep}
+		_, p, now := newPair(t, config)
+		later := now.Add(2 * config.Lease)
+		p.Tick(later, 0)
+		assert.Equal(t, keep, later < p.Admission().AcceptUntil)
+		assert.Equal(t, keep, p.Admission().UnleasedFrom <= later)
 	}
 }
 
-// TestKeepAfterItWasTold: a keep dispatcher that was told to stop and then cut off takes up the old
-// version one lease later.
-func TestKeepAfterItWasTold(t *testing.T) {
-	p := LeaseConfig{Lease: time.Second, ContinueWhenCut: true}
-	_, l, now := pair(t, p)
-	l.RequestNow()
-	a, _ := l.NextRequest(now)
-	l.HandleResponse(now, LeaseResponse{Peer: "a", Epoch: 1, Seq: a.Seq, IsLeader: true, Version: 1, Change: 9, Stage: Preparing, NextVersion: 2})
-	l.Tick(now, 0)
-	assert.False(t, l.Serving())
-	l.Tick(now.Add(p.Lease/2), 0)
-	assert.False(t, l.Serving())
-	l.Tick(now.Add(p.Lease), 0)
-	assert.True(t, l.Serving())
+// TestContinueWhenCutAfterPreparing: with ContinueWhenCut a dispatcher that was asked to stop and then lost contact
+// accepts requests under the old version one lease later.
+func TestContinueWhenCutAfterPreparing(t *testing.T) {
+	config := LeaseConfig{Lease: time.Second, ContinueWhenCut: true}
+	_, p, now := newPair(t, config)
+	p.RequestNow()
+	a, _ := p.NextRequest(now)
+	p.HandleResponse(now, LeaseResponse{Peer: "a", Epoch: 1, Seq: a.Seq, IsLeader: true, Version: 1, Change: 9, Stage: Preparing, NextVersion: 2})
+	p.Tick(now, 0)
+	assert.False(t, p.Serving())
+	p.Tick(now.Add(config.Lease/2), 0)
+	assert.False(t, p.Serving())
+	p.Tick(now.Add(config.Lease), 0)
+	assert.True(t, p.Serving())
 }
 
-// TestStateDecidesOnce: an entry that does not follow, or of a proposal decided before, changes nothing.
+// TestStateDecidesOnce: an entry is ignored if its version is not the next one or its proposal was decided before.
 func TestStateDecidesOnce(t *testing.T) {
 	var s State
 	require.True(t, s.Apply(Decision{Change: 1, Proposal: 5, Version: 1, Body: []byte("a")}))
@@ -207,89 +211,90 @@
 	for v := uint64(2); v < 40; v++ {
 		require.True(t, s.Apply(Decision{Change: v, Proposal: 5 + v, Version: v}))
 	}
-	assert.Len(t, s.Recent, keptDone)
+	assert.Len(t, s.Recent, maxRecent)
 }
 
-func TestPlanCheck(t *testing.T) {
+func TestLeaseConfigCheck(t *testing.T) {
 	assert.NoError(t, LeaseConfig{Lease: time.Second, Drift: 0.001}.Check())
 	assert.ErrorContains(t, LeaseConfig{Lease: time.Millisecond}.Check(), "lease")
 	assert.ErrorContains(t, LeaseConfig{Lease: time.Second, Drift: 0.2}.Check(), "drift")
 }
 
-// TestKeeperBelievesNoOldAsk: an ask that was overtaken gets no lease and says nothing.
-func TestKeeperBelievesNoOldAsk(t *testing.T) {
-	k, _, now := pair(t, LeaseConfig{Lease: time.Second})
-	a := k.Handle(now, LeaseRequest{Peer: "b", Epoch: 1, Seq: 5, Version: 1, Proposal: ProposalBit | 7, BaseVersion: 1, Body: []byte("two")})
+// TestLeaderIgnoresOvertakenRequest: a request that was overtaken by a later one gets no lease, and its
+// acknowledgement does not count.
+func TestLeaderIgnoresOvertakenRequest(t *testing.T) {
+	l, _, now := newPair(t, LeaseConfig{Lease: time.Second})
+	a := l.Handle(now, LeaseRequest{Peer: "b", Epoch: 1, Seq: 5, Version: 1, Proposal: ProposalBit | 7, BaseVersion: 1, Body: []byte("two")})
 	require.True(t, a.Granted)
-	old := k.Handle(now, LeaseRequest{Peer: "b", Epoch: 1, Seq: 4, Version: 1, Change: a.Change, Ack: Refused})
+	old := l.Handle(now, LeaseRequest{Peer: "b", Epoch: 1, Seq: 4, Version: 1, Change: a.Change, Ack: Refused})
 	assert.False(t, old.Granted)
-	assert.Equal(t, Checking, old.Stage, "an overtaken refusal refuses nothing")
+	assert.Equal(t, Checking, old.Stage, "an overtaken refusal must not withdraw the change")
 }
 
-// TestStanceIsOnOneChange: what a lessee said of an earlier change accepts nothing now.
-func TestStanceIsOnOneChange(t *testing.T) {
-	k, _, now := pair(t, LeaseConfig{Lease: time.Second})
-	a := k.Handle(now, LeaseRequest{Peer: "a", Epoch: 1, Seq: 9, Version: 1, Proposal: ProposalBit | 7, BaseVersion: 1, Body: []byte("two")})
-	a = k.Handle(now, LeaseRequest{Peer: "a", Epoch: 1, Seq: 10, Version: 1, Change: a.Change + 1, Ack: Accepted})
+// TestAckCountsForItsChangeOnly: a participant's acknowledgement of another change does not accept the current one.
+func TestAckCountsForItsChangeOnly(t *testing.T) {
+	l, _, now := newPair(t, LeaseConfig{Lease: time.Second})
+	a := l.Handle(now, LeaseRequest{Peer: "a", Epoch: 1, Seq: 9, Version: 1, Proposal: ProposalBit | 7, BaseVersion: 1, Body: []byte("two")})
+	a = l.Handle(now, LeaseRequest{Peer: "a", Epoch: 1, Seq: 10, Version: 1, Change: a.Change + 1, Ack: Accepted})
 	assert.Equal(t, Checking, a.Stage)
-	a = k.Handle(now, LeaseRequest{Peer: "a", Epoch: 1, Seq: 11, Version: 1, Change: a.Change, Ack: Accepted})
+	a = l.Handle(now, LeaseRequest{Peer: "a", Epoch: 1, Seq: 11, Version: 1, Change: a.Change, Ack: Accepted})
 	assert.Equal(t, Preparing, a.Stage)
 }
 
-// TestProposalNamesItsBase: one made against another version than the one in force is nowhere.
-func TestProposalNamesItsBase(t *testing.T) {
-	k, _, now := pair(t, LeaseConfig{Lease: time.Second})
-	a := k.Handle(now, LeaseRequest{Peer: "b", Epoch: 1, Seq: 1, Version: 1, Proposal: ProposalBit | 7, BaseVersion: 0, Body: []byte("two")})
+// TestProposalOnOldBaseIsWithdrawn: a proposal against another version than the one in force is withdrawn.
+func TestProposalOnOldBaseIsWithdrawn(t *testing.T) {
+	l, _, now := newPair(t, LeaseConfig{Lease: time.Second})
+	a := l.Handle(now, LeaseRequest{Peer: "b", Epoch: 1, Seq: 1, Version: 1, Proposal: ProposalBit | 7, BaseVersion: 0, Body: []byte("two")})
 	assert.Equal(t, Withdrawn, a.ProposalOutcome.Result)
 	assert.Contains(t, a.ProposalOutcome.Reason, "made against version 0")
 }
 
-// TestOvertakenGrantIsNotBelieved: ask 3 overtakes ask 2 on the way there and is granted; ask 2 is
-// answered "preparing"; the grant of ask 3 comes last of all, and must not open the gate again. An
-// answer that knows only an older version is not believed either.
-func TestOvertakenGrantIsNotBelieved(t *testing.T) {
-	_, l, now := pair(t, LeaseConfig{Lease: time.Second})
-	l.RequestNow()
-	a2, _ := l.NextRequest(now)
-	l.RequestNow()
-	a3, _ := l.NextRequest(now)
-	say := LeaseResponse{Peer: "a", Epoch: 1, IsLeader: true, Version: 1}
-	stop := say
-	stop.Seq, stop.Change, stop.Stage, stop.NextVersion = a2.Seq, 9, Preparing, 2
+// TestOvertakenGrantIsIgnored: request 3 overtakes request 2 on the way to the leader and is granted a lease; request
+// 2 is answered "preparing". The grant of request 3 arrives last and must not let the dispatcher accept requests
+// again. A response with an older version is ignored too.
+func TestOvertakenGrantIsIgnored(t *testing.T) {
+	_, p, now := newPair(t, LeaseConfig{Lease: time.Second})
+	p.RequestNow()
+	r2, _ := p.NextRequest(now)
+	p.RequestNow()
+	r3, _ := p.NextRequest(now)
+	answer := LeaseResponse{Peer: "a", Epoch: 1, IsLeader: true, Version: 1}
+	stop := answer
+	stop.Seq, stop.Change, stop.Stage, stop.NextVersion = r2.Seq, 9, Preparing, 2
 	old := stop
 	old.Version = 0
-	l.HandleResponse(now, old)
-	assert.True(t, l.Serving())
-	l.HandleResponse(now, stop)
-	l.Tick(now, 0)
-	require.False(t, l.Serving())
-	grant := say
-	grant.Seq, grant.Granted = a3.Seq, true
-	l.HandleResponse(now, grant)
-	assert.False(t, l.Serving())
+	p.HandleResponse(now, old)
+	assert.True(t, p.Serving())
+	p.HandleResponse(now, stop)
+	p.Tick(now, 0)
+	require.False(t, p.Serving())
+	grant := answer
+	grant.Seq, grant.Granted = r3.Seq, true
+	p.HandleResponse(now, grant)
+	assert.False(t, p.Serving())
 }
 
-// TestAnswersThatAreNotForThisAsk: an answer to another life, or told twice, opens nothing; one that
-// tells of a newer version closes what was open.
-func TestAnswersThatAreNotForThisAsk(t *testing.T) {
-	p := LeaseConfig{Lease: time.Second}
-	_, l, now := pair(t, p)
-	g := l.Admission()
-	assert.Equal(t, g.StartUntil, g.AcceptUntil.Add(p.Drain()), "what is taken last has the drain to begin in")
-	now = now.Add(p.RenewInterval())
-	a, ok := l.NextRequest(now)
+// TestUnexpectedResponsesAreIgnored: a response to another incarnation or a repeated one does not extend the
+// admission. One with a newer version ends it.
+func TestUnexpectedResponsesAreIgnored(t *testing.T) {
+	config := LeaseConfig{Lease: time.Second}
+	_, p, now := newPair(t, config)
+	before := p.Admission()
+	assert.Equal(t, before.StartUntil, before.AcceptUntil.Add(config.Drain()), "a request accepted last has the drain to start in")
+	now = now.Add(config.RenewInterval())
+	a, ok := p.NextRequest(now)
 	require.True(t, ok)
 	other := LeaseResponse{Peer: "a", Epoch: 2, Seq: a.Seq, IsLeader: true, Version: 1, Granted: true}
-	l.HandleResponse(now, other)
-	assert.Equal(t, g, l.Admission(), "for another life")
+	p.HandleResponse(now, other)
+	assert.Equal(t, before, p.Admission(), "for another incarnation")
 	mine := other
 	mine.Epoch, mine.Granted = 1, false
-	l.HandleResponse(now, mine)
+	p.HandleResponse(now, mine)
 	mine.Granted = true
-	l.HandleResponse(now, mine)
-	assert.Equal(t, g, l.Admission(), "told twice, and differently")
-	l.RequestNow()
-	a, _ = l.NextRequest(now)
-	l.HandleResponse(now, LeaseResponse{Peer: "a", Epoch: 1, Seq: a.Seq, IsLeader: true, Version: 2, Body: []byte("two")})
-	assert.False(t, l.Serving(), "a newer version is decided")
+	p.HandleResponse(now, mine)
+	assert.Equal(t, before, p.Admission(), "repeated, with another content")
+	p.RequestNow()
+	a, _ = p.NextRequest(now)
+	p.HandleResponse(now, LeaseResponse{Peer: "a", Epoch: 1, Seq: a.Seq, IsLeader: true, Version: 2, Body: []byte("two")})
+	assert.False(t, p.Serving(), "a newer version is decided")
 }
--- a/internal/fleet/accord/leader.go
+++ b/internal/fleet/accord/leader.go
@@ -6,315 +6,320 @@
 	"time"
 )
 
-// Leader is the leader's side, from its election to the end of its term. What it remembers dies
-// with it: the next leader starts from the log alone. Not for concurrent use.
+// Leader is the part of the accord that runs at the majority log's leader, from its election to the end of its term.
+// What it remembers is lost when the term ends: the next leader starts from the log alone. Not safe for concurrent use.
 type Leader struct {
-	plan  LeaseConfig
-	term  uint64
-	born  Time
-	state State
-	at    map[life]*lessee
+	config       LeaseConfig
+	term         uint64
+	startedAt    Time
+	state        State
+	participants map[incarnation]*participantState
 
-	change *change
-	count  uint64 // of changes in this term
-	ends   map[uint64]Outcome
-	order  []uint64 // of ends, oldest first
-	last   Outcome  // of a change, told to those who ask about none
+	change       *change
+	changeCount  uint64 // changes made in this term
+	outcomes     map[uint64]Outcome
+	outcomeOrder []uint64 // ids in outcomes, oldest first
+	lastOutcome  Outcome  // of the last change that ended; for requests that name no change
 
-	submit *Decision
-	nudge  bool
-	notes  []Event
+	decision *Decision
+	poll     bool
+	events   []Event
 }
 
-type life struct {
+// incarnation is one run of a dispatcher's process, from its start to its end.
+type incarnation struct {
 	peer  string
 	epoch uint64
 }
 
-// lessee is one life of a dispatcher as the keeper knows it.
-type lessee struct {
-	seq     uint64 // the newest ask believed
-	seen    Time
-	version uint64 // as it said
-	until   Time   // it may be using a lease until then
-	stands  uint64 // the change that it has accepted
+// participantState is what the leader knows of one incarnation of a dispatcher.
+type participantState struct {
+	lastSeq        uint64 // of the newest request handled
+	lastSeen       Time
+	version        uint64 // that it reported
+	leaseEnd       Time   // it may use a lease until then
+	acceptedChange uint64 // id of the change that it has accepted
 }
 
-// change is the one under way.
+// change is a proposal that is being checked and decided. There is at most one at a time.
 type change struct {
-	id       uint64
-	proposal uint64
-	version  uint64
-	by       string
-	body     []byte
-	stage    Stage
-	since    Time
-	held     int // leases out when preparing began
-	ready    int // of them, given up
+	id        uint64
+	proposal  uint64
+	version   uint64
+	proposer  string
+	body      []byte
+	stage     Stage
+	startedAt Time
+	leases    int // in use when preparing began
+	released  int // of these, given up by participants that are ready
 }
 
-// ChangeCount is how many changes this keeper has made. A further keeper of the same term goes on from it (After),
-// so that no two changes have one id.
-func (k *Leader) ChangeCount() uint64 { return k.count }
+// ChangeCount returns how many changes this leader has made. A later Leader of the same term must continue from it
+// (see ResumeChangeCount), so that no two changes have the same id.
+func (l *Leader) ChangeCount() uint64 { return l.changeCount }
 
-// ResumeChangeCount has a new keeper count its changes from where another of its term stopped.
-func (k *Leader) ResumeChangeCount(count uint64) { k.count = count }
+// ResumeChangeCount makes a new Leader number its changes from where another Leader of its term stopped.
+func (l *Leader) ResumeChangeCount(count uint64) { l.changeCount = count }
 
-// NewLeader begins a term. state is the log's after a barrier of this term was committed: all that
-// earlier leaders decided is in it, and nothing else that they tried can be decided any more.
-func NewLeader(p LeaseConfig, term uint64, now Time, state State) (*Leader, error) {
-	if err := p.Check(); err != nil {
+// NewLeader begins a term. state must be the log's state after a barrier of this term was committed: it then holds all
+// that earlier leaders decided, and nothing else that they submitted can be decided any more.
+func NewLeader(config LeaseConfig, term uint64, now Time, state State) (*Leader, error) {
+	if err := config.Check(); err != nil {
 		return nil, err
 	}
-	if term == 0 || term >= 1<<47 {
-		return nil, errors.New("accord: a term of 0 or beyond 47 bits")
+	if term == 0 || term >= 1<<47 { // a change's id has the term above 16 bits of its count, and ProposalBit stays clear
+		return nil, errors.New("accord: term is 0 or has more than 47 bits")
 	}
-	return &Leader{plan: p, term: term, born: now, state: state, at: map[life]*lessee{}, ends: map[uint64]Outcome{}}, nil
+	return &Leader{config: config, term: term, startedAt: now, state: state, participants: map[incarnation]*participantState{}, outcomes: map[uint64]Outcome{}}, nil
 }
 
-// Handle answers an ask. The caller has a majority's word, got after the ask came, that this
-// keeper's term has not ended; without that no answer may be sent (docs/design/accord.md, "a
-// grant is confirmed").
-func (k *Leader) Handle(now Time, a LeaseRequest) LeaseResponse {
-	k.Tick(now)
-	out := LeaseResponse{Peer: a.Peer, Epoch: a.Epoch, Seq: a.Seq, IsLeader: true, Term: k.term, Version: k.state.Version}
-	l := k.at[life{a.Peer, a.Epoch}]
-	if l == nil && len(k.at) < MaxParticipants {
-		l = &lessee{}
-		k.at[life{a.Peer, a.Epoch}] = l
+// Handle handles a lease request. The caller must have confirmed with a majority, after the request arrived, that this
+// leader's term has not ended; without that it must not send the response (docs/design/accord.md, "a grant is
+// confirmed").
+func (l *Leader) Handle(now Time, r LeaseRequest) LeaseResponse {
+	l.Tick(now)
+	resp := LeaseResponse{Peer: r.Peer, Epoch: r.Epoch, Seq: r.Seq, IsLeader: true, Term: l.term, Version: l.state.Version}
+	p := l.participants[incarnation{r.Peer, r.Epoch}]
+	if p == nil && len(l.participants) < MaxParticipants {
+		p = &participantState{}
+		l.participants[incarnation{r.Peer, r.Epoch}] = p
 	}
-	believed := l != nil && a.Seq > l.seq
-	if believed {
-		l.seq, l.seen, l.version = a.Seq, now, a.Version
-		k.stance(now, l, a)
-		k.proposed(now, a)
-		k.move(now)
+	isNew := p != nil && r.Seq > p.lastSeq
+	if isNew {
+		p.lastSeq, p.lastSeen, p.version = r.Seq, now, r.Version
+		l.handleAck(now, p, r)
+		l.handleProposal(now, r)
+		l.advance(now)
 	}
-	if believed && k.lends() && k.state.Version > 0 && a.Version == k.state.Version {
-		out.Granted = true
-		l.until = max(l.until, now.Add(k.plan.Lease))
+	if isNew && l.grantsLeases() && l.state.Version > 0 && r.Version == l.state.Version {
+		resp.Granted = true
+		p.leaseEnd = max(p.leaseEnd, now.Add(l.config.Lease))
 	}
-	k.tell(&out, a)
-	return out
+	l.fillResponse(&resp, r)
+	return resp
 }
 
-// lends says whether leases of the version in force are lent now.
-func (k *Leader) lends() bool { return k.change == nil || k.change.stage == Checking }
+// grantsLeases reports whether leases of the version in force are granted now.
+func (l *Leader) grantsLeases() bool { return l.change == nil || l.change.stage == Checking }
 
-// stance takes what a lessee says of the change under way; of any other it means nothing.
-func (k *Leader) stance(now Time, l *lessee, a LeaseRequest) {
-	c := k.change
-	if c == nil || a.Change != c.id {
+// handleAck handles an acknowledgement of the current change. One of any other change is ignored.
+func (l *Leader) handleAck(now Time, p *participantState, r LeaseRequest) {
+	c := l.change
+	if c == nil || r.Change != c.id {
 		return
 	}
 	switch {
-	case a.Ack == Refused && c.stage == Checking:
-		k.end(c, Outcome{Result: Withdrawn, Peer: a.Peer, Reason: cut(a.Reason)})
-	case a.Ack == Accepted && c.stage == Checking:
-		l.stands = c.id
-	case a.Ack == Ready && c.stage == Preparing:
-		if l.until > now {
-			c.ready++
+	case r.Ack == Refused && c.stage == Checking:
+		l.endChange(c, Outcome{Result: Withdrawn, Peer: r.Peer, Reason: truncateReason(r.Reason)})
+	case r.Ack == Accepted && c.stage == Checking:
+		p.acceptedChange = c.id
+	case r.Ack == Ready && c.stage == Preparing:
+		if p.leaseEnd > now {
+			c.released++
 		}
-		l.until = 0
+		p.leaseEnd = 0
 	}
 }
 
-// proposed takes a proposal, unless what became of it is known.
-func (k *Leader) proposed(now Time, a LeaseRequest) {
-	id := a.Proposal
-	if id&ProposalBit == 0 || k.state.decided(id) || k.change != nil && k.change.proposal == id {
+// handleProposal begins a change for a proposal or withdraws the proposal. A repeated proposal, which is the current
+// change or has an outcome already, is ignored.
+func (l *Leader) handleProposal(now Time, r LeaseRequest) {
+	id := r.Proposal
+	if id&ProposalBit == 0 || l.state.proposalDecided(id) || l.change != nil && l.change.proposal == id {
 		return
 	}
-	if _, known := k.ends[id]; known {
+	if _, known := l.outcomes[id]; known {
 		return
 	}
-	no := func(why string) { k.remember(Outcome{ID: id, Result: Withdrawn, Peer: a.Peer, Reason: why}) }
+	withdraw := func(reason string) { l.recordOutcome(Outcome{ID: id, Result: Withdrawn, Peer: r.Peer, Reason: reason}) }
 	switch {
-	case k.change != nil:
-		no("another change is under way, proposed by " + k.change.by)
-	case a.BaseVersion != k.state.Version:
-		no(orders(a.BaseVersion, k.state.Version))
-	case len(a.Body) > MaxBody:
-		no("its policy is too long")
-	case k.state.Version > 0 && bytes.Equal(a.Body, k.state.Body):
-		no("it is in force already")
+	case l.change != nil:
+		withdraw("another change is under way, proposed by " + l.change.proposer)
+	case r.BaseVersion != l.state.Version:
+		withdraw(staleBaseReason(r.BaseVersion, l.state.Version))
+	case len(r.Body) > MaxBody:
+		withdraw("its policy is too long")
+	case l.state.Version > 0 && bytes.Equal(r.Body, l.state.Body):
+		withdraw("it is in force already")
 	default:
-		k.count++
-		k.change = &change{id: k.term<<16 | k.count&0xffff, proposal: id, version: k.state.Version + 1, by: a.Peer,
-			body: a.Body, stage: Checking, since: now}
-		k.nudge = true
-		k.note(Event{Step: "checking", Change: k.change.id, Version: k.change.version, Proposer: a.Peer})
+		l.changeCount++
+		l.change = &change{id: l.term<<16 | l.changeCount&0xffff, proposal: id, version: l.state.Version + 1, proposer: r.Peer,
+			body: r.Body, stage: Checking, startedAt: now}
+		l.poll = true
+		l.record(Event{Step: "checking", Change: l.change.id, Version: l.change.version, Proposer: r.Peer})
 	}
 }
 
-// Tick lets time pass: leases end, and a change that waits for that moves on.
-func (k *Leader) Tick(now Time) {
-	for who, l := range k.at {
-		if l.until <= now && l.seen.Add(2*k.plan.Lease) <= now {
-			delete(k.at, who)
+// Tick handles the passing of time: it forgets silent participants without a lease and advances the current change.
+func (l *Leader) Tick(now Time) {
+	for key, p := range l.participants {
+		if p.leaseEnd <= now && p.lastSeen.Add(2*l.config.Lease) <= now {
+			delete(l.participants, key)
 		}
 	}
-	k.move(now)
+	l.advance(now)
 }
 
-// move takes the change under way as far as it may go.
-func (k *Leader) move(now Time) {
-	c := k.change
+// advance moves the current change through as many stages as it may pass now.
+func (l *Leader) advance(now Time) {
+	c := l.change
 	if c == nil {
 		return
 	}
 	if c.stage == Checking {
-		k.checked(now, c)
+		l.finishChecking(now, c)
 	}
 	if c.stage == Preparing {
-		for _, l := range k.at {
-			if l.until > now {
+		for _, p := range l.participants {
+			if p.leaseEnd > now {
 				return
 			}
 		}
 		c.stage = Deciding
-		k.submit = &Decision{Change: c.id, Proposal: c.proposal, Version: c.version, Proposer: c.by, Body: c.body}
-		k.note(Event{Step: "deciding", Change: c.id, Version: c.version, Proposer: c.by, ExpiredLeases: c.held - c.ready})
+		l.decision = &Decision{Change: c.id, Proposal: c.proposal, Version: c.version, Proposer: c.proposer, Body: c.body}
+		l.record(Event{Step: "deciding", Change: c.id, Version: c.version, Proposer: c.proposer, ExpiredLeases: c.leases - c.released})
 	}
 }
 
-// checked ends the checking once every live lessee has accepted. Until all leases of earlier leaders
-// are over there may be lessees that this keeper does not know.
-func (k *Leader) checked(now Time, c *change) {
-	if now < k.born.Add(k.plan.QuietPeriod()) {
+// finishChecking ends the checking stage once every live participant has accepted, and withdraws the change if one
+// takes too long. During the quiet period participants may hold leases of earlier leaders that this leader does not
+// know of, so the stage lasts at least until the period is over.
+func (l *Leader) finishChecking(now Time, c *change) {
+	if now < l.startedAt.Add(l.config.QuietPeriod()) {
 		return
 	}
-	held := 0
-	for who, l := range k.at {
-		if l.until > now {
-			held++
+	leases := 0
+	for key, p := range l.participants {
+		if p.leaseEnd > now {
+			leases++
 		}
-		if k.live(now, l) && l.stands != c.id {
-			if now >= max(c.since, k.born.Add(k.plan.QuietPeriod())).Add(k.plan.patience()) {
-				k.end(c, Outcome{Result: Withdrawn, Peer: who.peer, Reason: "did not check it in time"})
+		if l.isLive(now, p) && p.acceptedChange != c.id {
+			if now >= max(c.startedAt, l.startedAt.Add(l.config.QuietPeriod())).Add(l.config.checkTimeout()) {
+				l.endChange(c, Outcome{Result: Withdrawn, Peer: key.peer, Reason: "did not check it in time"})
 			}
 			return
 		}
 	}
-	c.stage, c.held = Preparing, held
-	k.nudge = true
+	c.stage, c.leases = Preparing, leases
+	l.poll = true
 }
 
-// live says whether a lessee has a say: it may be using a lease, or it waits for one of the version in force.
-func (k *Leader) live(now Time, l *lessee) bool {
-	return l.until > now || l.version == k.state.Version && l.seen.Add(k.plan.Lease) > now
+// isLive reports whether a change needs a participant's acknowledgement: the participant may be using a lease, or it
+// waits for one of the version in force.
+func (l *Leader) isLive(now Time, p *participantState) bool {
+	return p.leaseEnd > now || p.version == l.state.Version && p.lastSeen.Add(l.config.Lease) > now
 }
 
-// Applied tells the log's state after an entry. Only then does a decided version count as one.
-func (k *Leader) Applied(now Time, state State) {
-	k.state = state
-	if c := k.change; c != nil && state.won(c.id) {
-		k.end(c, Outcome{Result: InForce})
+// Applied passes in the log's state after an entry was applied. Only then does a decided version count as in force.
+func (l *Leader) Applied(now Time, state State) {
+	l.state = state
+	if c := l.change; c != nil && state.changeDecided(c.id) {
+		l.endChange(c, Outcome{Result: InForce})
 	}
-	k.nudge = true
+	l.poll = true
 }
 
-// end ends the change under way.
-func (k *Leader) end(c *change, o Outcome) {
+// endChange records the outcome under the ids of the proposal and of the change, and clears the current change.
+func (l *Leader) endChange(c *change, o Outcome) {
 	o.ID = c.proposal
-	k.remember(o)
+	l.recordOutcome(o)
 	o.ID = c.id
-	k.remember(o)
-	k.last, k.change, k.nudge = o, nil, true
+	l.recordOutcome(o)
+	l.lastOutcome, l.change, l.poll = o, nil, true
 }
 
-func (k *Leader) remember(o Outcome) {
-	k.ends[o.ID] = o
-	if k.order = append(k.order, o.ID); len(k.order) > keptEnds {
-		delete(k.ends, k.order[0])
-		k.order = k.order[1:]
+func (l *Leader) recordOutcome(o Outcome) {
+	l.outcomes[o.ID] = o
+	if l.outcomeOrder = append(l.outcomeOrder, o.ID); len(l.outcomeOrder) > maxOutcomes {
+		delete(l.outcomes, l.outcomeOrder[0])
+		l.outcomeOrder = l.outcomeOrder[1:]
 	}
 }
 
-// tell writes into an answer how things are.
-func (k *Leader) tell(out *LeaseResponse, a LeaseRequest) {
-	if a.Version != k.state.Version {
-		out.Body = k.state.Body
+// fillResponse writes the current state into a response.
+func (l *Leader) fillResponse(resp *LeaseResponse, r LeaseRequest) {
+	if r.Version != l.state.Version {
+		resp.Body = l.state.Body
 	}
-	if c := k.change; c != nil {
-		out.Change, out.Stage, out.NextVersion, out.Proposer = c.id, c.stage, c.version, c.by
-		if c.stage == Checking && a.Change != c.id {
-			out.NextBody = c.body
+	if c := l.change; c != nil {
+		resp.Change, resp.Stage, resp.NextVersion, resp.Proposer = c.id, c.stage, c.version, c.proposer
+		if c.stage == Checking && r.Change != c.id {
+			resp.NextBody = c.body
 		}
 	}
-	out.ChangeOutcome = k.last
-	if a.Change != 0 && a.Change != out.Change {
-		out.ChangeOutcome = k.ended(a.Change)
+	resp.ChangeOutcome = l.lastOutcome
+	if r.Change != 0 && r.Change != resp.Change {
+		resp.ChangeOutcome = l.outcomeOf(r.Change)
 	}
-	if a.Proposal != 0 {
-		switch o, known := k.ends[a.Proposal]; {
+	if r.Proposal != 0 {
+		switch o, known := l.outcomes[r.Proposal]; {
 		case known:
-			out.ProposalOutcome = o
-		case k.state.decided(a.Proposal):
-			out.ProposalOutcome = Outcome{ID: a.Proposal, Result: InForce}
+			resp.ProposalOutcome = o
+		case l.state.proposalDecided(r.Proposal):
+			resp.ProposalOutcome = Outcome{ID: r.Proposal, Result: InForce}
 		}
 	}
 }
 
-// ended is what became of a change that is not under way. One of an earlier leader that the log
-// does not have, after this leader's barrier, can never be decided. Of one older than the log's state
-// remembers nothing is said: it may have been decided.
-func (k *Leader) ended(id uint64) Outcome {
-	if k.state.won(id) {
+// outcomeOf returns the outcome of a change that is not the current one. A change of an earlier leader that is not in
+// the log after this leader's barrier can never be decided. For a change older than all that the log's state remembers,
+// the result is Undecided, as it may have been decided.
+func (l *Leader) outcomeOf(id uint64) Outcome {
+	if l.state.changeDecided(id) {
 		return Outcome{ID: id, Result: InForce}
 	}
-	if o, known := k.ends[id]; known {
+	if o, known := l.outcomes[id]; known {
 		return o
 	}
-	if d := k.state.Recent; len(d) == keptDone && id < d[0].Change {
+	if d := l.state.Recent; len(d) == maxRecent && id < d[0].Change {
 		return Outcome{ID: id}
 	}
 	return Outcome{ID: id, Result: Withdrawn, Reason: "the leader that asked for it is gone"}
 }
 
-// TakeDecision is the entry to give to the log, once.
-func (k *Leader) TakeDecision() (Decision, bool) {
-	if k.submit == nil {
+// TakeDecision returns the entry to submit to the log, once.
+func (l *Leader) TakeDecision() (Decision, bool) {
+	if l.decision == nil {
 		return Decision{}, false
 	}
-	d := *k.submit
-	k.submit = nil
+	d := *l.decision
+	l.decision = nil
 	return d, true
 }
 
-// TakePoll says, once, that all lessees should ask now.
-func (k *Leader) TakePoll() bool {
-	n := k.nudge
-	k.nudge = false
-	return n
+// TakePoll reports, once, that all participants should send a lease request now.
+func (l *Leader) TakePoll() bool {
+	poll := l.poll
+	l.poll = false
+	return poll
 }
 
-// TakeEvents hands out what is to be logged.
-func (k *Leader) TakeEvents() []Event {
-	n := k.notes
-	k.notes = nil
-	return n
+// TakeEvents returns the events to be logged, each once.
+func (l *Leader) TakeEvents() []Event {
+	events := l.events
+	l.events = nil
+	return events
 }
 
-func (k *Leader) note(n Event) { k.notes = append(k.notes, n) }
+func (l *Leader) record(e Event) { l.events = append(l.events, e) }
 
-// LeasesInUse is how many leases may be in use.
-func (k *Leader) LeasesInUse(now Time) (n int) {
-	for _, l := range k.at {
-		if l.until > now {
+// LeasesInUse returns how many participants may be using a lease.
+func (l *Leader) LeasesInUse(now Time) (n int) {
+	for _, p := range l.participants {
+		if p.leaseEnd > now {
 			n++
 		}
 	}
 	return n
 }
 
-// NextTick is when time alone changes something: a lease that is waited for ends, the quiet time or a
-// change's patience is over. Never where nothing is under way.
-func (k *Leader) NextTick(now Time) Time {
-	c := k.change
+// NextTick returns when to call Tick next, as the passing of time alone may advance the current change: an awaited
+// lease expires, or the quiet period or the check timeout ends. It returns Never if there is no change, or the change
+// waits for the log alone.
+func (l *Leader) NextTick(now Time) Time {
+	c := l.change
 	if c == nil || c.stage == Deciding {
 		return Never
 	}
-	return now.Add(max(k.plan.Lease/50, 5*time.Millisecond))
+	return now.Add(max(l.config.Lease/50, 5*time.Millisecond))
 }
--- a/internal/fleet/accord/mutate_test.go
+++ b/internal/fleet/accord/mutate_test.go
@@ -18,41 +18,42 @@
 	"tinsail/internal/mutate"
 )
 
-// accordWorld is seven dispatchers and three voters that talk by the real codec, each with a clock at an edge of the
-// drift or within it. The majority log is a model: entries are bytes as the codec writes them, stored by a voter as
-// they came; one that two of three have is decided; who has the longest log leads next. A voter that cannot read an
-// entry is dead for good, as internal/network/fleet/accord has it.
-type accordWorld struct {
-	day     *accordDay
-	rnd     *rand.Rand
-	voters  []*voterNode
-	lessees []*lesseeNode
-	term    uint64
-	leader  *voterNode // nil between two terms
-	electAt time.Duration
-	lostAt  time.Duration // when the first leader was deposed
-
-	decided  map[uint64]string // the oracle's: what a majority stored
-	proposed map[string]bool
-	bad      error
+// accordFleet is seven dispatchers and three voters that exchange messages in the real encoding. Each has its own
+// clock, with a rate at an edge of the drift or in the middle. The majority log is a model: entries are the encoded
+// bytes, and a voter stores them as they arrive. An entry is decided once two of three voters have it. The voter with
+// the longest log becomes the next leader. A voter that cannot decode an entry fails for good, as in
+// internal/network/fleet/accord.
+type accordFleet struct {
+	scenario     *accordScenario
+	rnd          *rand.Rand
+	voters       []*voterNode
+	participants []*participantNode
+	term         uint64
+	leader       *voterNode // nil between two terms
+	electAt      time.Duration
+	lostAt       time.Duration // when the first leader was deposed, 0 before
+
+	decided   map[uint64]string // by version: what a majority stored
+	proposed  map[string]bool
+	violation error
 }
 
-// accordDay is what happens and when, in real time; what is 0 never does.
-type accordDay struct {
-	changes []proposalAt
-	depose  time.Duration // the leader loses its majority then,
-	decides bool          // or as it gives the second version to the log,
-	stored  bool          // ... which then reaches the others
-	cuts    time.Duration // n5, or those named, are cut off from here, or with the leader,
-	off     string
-	mends   time.Duration // for so long
-	travel  time.Duration // the longest that a message travels: 12 ms if 0
-	want    []string      // what may be in force in the end
-	from    time.Duration
-	faults  time.Duration
+// accordScenario says what happens in a run and when, in real time. What is 0 does not happen.
+type accordScenario struct {
+	changes          []scheduledProposal
+	deposeAt         time.Duration // the leader loses its majority at this time,
+	deposeOnDecision bool          // or when it submits the second version to the log,
+	entryReplicated  bool          // and that entry reaches the other voters nevertheless
+	cutAt            time.Duration // cutNodes are cut off from this time on; if 0, from the loss of the leader on
+	cutNodes         string        // n5 if empty
+	cutFor           time.Duration // how long they stay cut off
+	maxDelay         time.Duration // maximum transit time of a message; 12 ms if 0
+	wantBodies       []string      // policies that may be in force in the end
+	faultsFrom       time.Duration
+	faultsUntil      time.Duration
 }
 
-type proposalAt struct {
+type scheduledProposal struct {
 	at   time.Duration
 	node string
 	body string
@@ -65,402 +66,406 @@
 }
 
 type voterNode struct {
-	name   string
-	clock  accordClock
-	keeper *accord.Leader // while it leads
-	state  accord.State
-	log    [][]byte
-	sentAt time.Duration
-	apart  bool // no other voter hears it
-	dead   bool
+	name     string
+	clock    accordClock
+	leading  *accord.Leader // nil while it does not lead
+	state    accord.State
+	log      [][]byte
+	sentAt   time.Duration
+	isolated bool // it has no connection to the other voters
+	failed   bool
 }
 
-type lesseeNode struct {
+type participantNode struct {
 	*accord.Participant
-	name   string
-	clock  accordClock
-	to     int // the voter that it asks
-	heard  time.Duration
-	pause  time.Duration // asks nothing before
-	made   int           // proposals
-	wait   int           // reqs taken that have not begun
-	newest uint64
+	name          string
+	clock         accordClock
+	voter         int // index of the voter that it sends requests to
+	lastHeard     time.Duration
+	pausedUntil   time.Duration // sends no request before
+	proposals     int           // how many it has made
+	waiting       int           // requests accepted that have not started
+	newestVersion uint64
 }
 
 const accordTick = 10 * time.Millisecond
 
-var accordPlan = accord.LeaseConfig{Lease: 300 * time.Millisecond, Drift: 0.05}
+var accordConfig = accord.LeaseConfig{Lease: 300 * time.Millisecond, Drift: 0.05}
 
-func (d *accordDay) setup(name string) mutate.Setup {
-	p := accordPlan
-	late := 2*p.Lease/3 + accordTick
-	named := 60*time.Millisecond + p.QuietPeriod() + 5*p.Lease + p.Drain() // docs/design/accord.md, after faults end
-	return mutate.Setup{Name: "accord " + name, Seed: 1, Build: d.build, Tick: accordTick, From: d.from, Faults: d.faults, Late: late,
-		Length: d.faults + late + time.Duration(float64(named)/(1-p.Drift)) + 2*accordTick, Steps: 20_000}
+func (s *accordScenario) setup(name string) mutate.Setup {
+	config := accordConfig
+	late := 2*config.Lease/3 + accordTick
+	settle := 60*time.Millisecond + config.QuietPeriod() + 5*config.Lease + config.Drain() // the time after faults of docs/design/accord.md
+	return mutate.Setup{Name: "accord " + name, Seed: 1, Build: s.build, Tick: accordTick, From: s.faultsFrom, Faults: s.faultsUntil, Late: late,
+		Length: s.faultsUntil + late + time.Duration(float64(settle)/(1-config.Drift)) + 2*accordTick, Steps: 20_000}
 }
 
-func (d *accordDay) build(seed uint64) mutate.World {
-	w := &accordWorld{day: d, rnd: rand.New(rand.NewPCG(seed, 0)), decided: map[uint64]string{}, proposed: map[string]bool{}}
+func (s *accordScenario) build(seed uint64) mutate.World {
+	f := &accordFleet{scenario: s, rnd: rand.New(rand.NewPCG(seed, 0)), decided: map[uint64]string{}, proposed: map[string]bool{}}
 	clock := func() accordClock {
-		return accordClock{1 + accordPlan.Drift*float64(w.rnd.IntN(3)-1), 1e12 * w.rnd.Float64()}
+		return accordClock{1 + accordConfig.Drift*float64(f.rnd.IntN(3)-1), 1e12 * f.rnd.Float64()}
 	}
 	for i := range 3 {
-		w.voters = append(w.voters, &voterNode{name: fmt.Sprintf("v%d", i), clock: clock()})
+		f.voters = append(f.voters, &voterNode{name: fmt.Sprintf("v%d", i), clock: clock()})
 	}
 	for i := range 7 {
-		l := &lesseeNode{name: fmt.Sprintf("n%d", i), clock: clock()}
+		p := &participantNode{name: fmt.Sprintf("n%d", i), clock: clock()}
 		var err error
-		if l.Participant, err = accord.NewParticipant(accordPlan, l.name, 1000+uint64(i)); err != nil {
+		if p.Participant, err = accord.NewParticipant(accordConfig, p.name, 1000+uint64(i)); err != nil {
 			panic(err)
 		}
-		w.lessees = append(w.lessees, l)
+		f.participants = append(f.participants, p)
 	}
-	w.elect(0, w.voters[0])
-	return w
+	f.elect(0, f.voters[0])
+	return f
 }
 
-func (w *accordWorld) Nodes() []string {
+func (f *accordFleet) Nodes() []string {
 	return []string{"v0", "v1", "v2", "n0", "n1", "n2", "n3", "n4", "n5", "n6"}
 }
 
-func (w *accordWorld) fail(format string, a ...any) {
-	if w.bad == nil {
-		w.bad = fmt.Errorf(format, a...)
+func (f *accordFleet) fail(format string, a ...any) {
+	if f.violation == nil {
+		f.violation = fmt.Errorf(format, a...)
 	}
 }
 
-// elect begins a term. Whatever the new leader has in its log is decided by its barrier, and replaces what
-// others have.
-func (w *accordWorld) elect(now time.Duration, v *voterNode) {
+// elect begins a term. What the new leader has in its log is decided by its barrier, and replaces the logs of the
+// others.
+func (f *accordFleet) elect(now time.Duration, v *voterNode) {
 	v.state = accord.State{}
-	for _, p := range v.log {
-		if d, err := wire.DecodeDecision(p); err == nil {
-			w.decide(d)
+	for _, entry := range v.log {
+		if d, err := wire.DecodeDecision(entry); err == nil {
+			f.recordDecision(d)
 			v.state.Apply(d)
 		}
 	}
-	w.term++
-	k, err := accord.NewLeader(accordPlan, w.term, v.clock.at(now), v.state)
+	f.term++
+	leader, err := accord.NewLeader(accordConfig, f.term, v.clock.at(now), v.state)
 	if err != nil {
 		panic(err)
 	}
-	w.leader, w.electAt, v.keeper = v, 0, k
-	for _, o := range w.voters {
-		if !o.apart && !o.dead {
+	f.leader, f.electAt, v.leading = v, 0, leader
+	for _, o := range f.voters {
+		if !o.isolated && !o.failed {
 			o.log = slices.Clone(v.log)
 		}
 	}
 }
 
-// decide notes an entry that is in force for ever.
-func (w *accordWorld) decide(d accord.Decision) {
-	was, ok := w.decided[d.Version]
+// recordDecision records a decided entry. It checks that no version is decided twice and that the policy was
+// proposed.
+func (f *accordFleet) recordDecision(d accord.Decision) {
+	was, ok := f.decided[d.Version]
 	switch {
 	case ok && was != string(d.Body):
-		w.fail("version %d is decided as %q and as %q", d.Version, was, d.Body)
-	case !w.proposed[string(d.Body)]:
-		w.fail("version %d is %q, which nobody proposed", d.Version, d.Body)
+		f.fail("version %d is decided as %q and as %q", d.Version, was, d.Body)
+	case !f.proposed[string(d.Body)]:
+		f.fail("version %d is %q, which no dispatcher proposed", d.Version, d.Body)
 	}
-	w.decided[d.Version] = string(d.Body)
+	f.decided[d.Version] = string(d.Body)
 }
 
-// depose takes the leader's majority; it does not hear of it but by asking.
-func (w *accordWorld) depose(now time.Duration) {
-	w.leader.keeper, w.leader.apart = nil, true
-	w.leader, w.lostAt, w.electAt = nil, now, now+50*time.Millisecond
+// deposeLeader takes the majority away from the leader, which learns of it only when it confirms its term.
+func (f *accordFleet) deposeLeader(now time.Duration) {
+	f.leader.leading, f.leader.isolated = nil, true
+	f.leader, f.lostAt, f.electAt = nil, now, now+50*time.Millisecond
 }
 
-func (w *accordWorld) cut(now time.Duration, name string) bool {
-	from := w.day.cuts
-	if from == 0 {
-		from = w.lostAt
+func (f *accordFleet) isCutOff(now time.Duration, name string) bool {
+	start := f.scenario.cutAt
+	if start == 0 {
+		start = f.lostAt
 	}
-	return strings.Contains(cmp.Or(w.day.off, "n5"), name) && from > 0 && now >= from && now < from+w.day.mends
+	return strings.Contains(cmp.Or(f.scenario.cutNodes, "n5"), name) && start > 0 && now >= start && now < start+f.scenario.cutFor
 }
 
-func (w *accordWorld) message(now time.Duration, from, to string, b []byte) []mutate.Message {
-	if w.cut(now, from) || w.cut(now, to) {
+func (f *accordFleet) message(now time.Duration, from, to string, b []byte) []mutate.Message {
+	if f.isCutOff(now, from) || f.isCutOff(now, to) {
 		return nil
 	}
-	return []mutate.Message{{From: from, To: to, Bytes: b, Delay: time.Millisecond + time.Duration(w.rnd.Int64N(int64(cmp.Or(w.day.travel, 12*time.Millisecond))))}}
+	return []mutate.Message{{From: from, To: to, Bytes: b, Delay: time.Millisecond + time.Duration(f.rnd.Int64N(int64(cmp.Or(f.scenario.maxDelay, 12*time.Millisecond))))}}
 }
 
-func (w *accordWorld) Tick(now time.Duration, node string) []mutate.Message {
+func (f *accordFleet) Tick(now time.Duration, node string) []mutate.Message {
 	if node[0] == 'v' {
-		return w.tickVoter(now, w.voters[node[1]-'0'])
+		return f.tickVoter(now, f.voters[node[1]-'0'])
 	}
-	return w.turn(now, w.lessees[node[1]-'0'], true)
+	return f.stepParticipant(now, f.participants[node[1]-'0'], true)
 }
 
-func (w *accordWorld) tickVoter(now time.Duration, v *voterNode) (out []mutate.Message) {
-	if v.name == "v0" { // the world's own turn
-		if w.day.depose > 0 && now >= w.day.depose && w.lostAt == 0 {
-			w.depose(now)
+func (f *accordFleet) tickVoter(now time.Duration, v *voterNode) (out []mutate.Message) {
+	if v.name == "v0" { // the events of the whole fleet, once a tick
+		if f.scenario.deposeAt > 0 && now >= f.scenario.deposeAt && f.lostAt == 0 {
+			f.deposeLeader(now)
 		}
-		if w.lostAt > 0 && v.apart && now >= w.lostAt+accordPlan.Lease {
-			if v.apart = false; w.leader != nil {
-				v.log = slices.Clone(w.leader.log)
+		if f.lostAt > 0 && v.isolated && now >= f.lostAt+accordConfig.Lease {
+			if v.isolated = false; f.leader != nil {
+				v.log = slices.Clone(f.leader.log)
 			}
 		}
-		if w.electAt > 0 && now >= w.electAt {
-			var can []*voterNode
-			for _, o := range w.voters {
-				if !o.apart && !o.dead {
-					can = append(can, o)
+		if f.electAt > 0 && now >= f.electAt {
+			var candidates []*voterNode
+			for _, o := range f.voters {
+				if !o.isolated && !o.failed {
+					candidates = append(candidates, o)
 				}
 			}
-			slices.SortStableFunc(can, func(a, b *voterNode) int { return len(b.log) - len(a.log) })
-			if len(can) >= 2 {
-				w.elect(now, can[0])
+			slices.SortStableFunc(candidates, func(a, b *voterNode) int { return len(b.log) - len(a.log) })
+			if len(candidates) >= 2 {
+				f.elect(now, candidates[0])
 			}
 		}
 	}
-	if v != w.leader {
+	if v != f.leader {
 		return nil
 	}
-	v.keeper.Tick(v.clock.at(now))
-	out = w.lead(now, v)
-	if v == w.leader && now >= v.sentAt+30*time.Millisecond {
-		out = append(out, w.replicate(now, v)...)
+	v.leading.Tick(v.clock.at(now))
+	out = f.runLeader(now, v)
+	if v == f.leader && now >= v.sentAt+30*time.Millisecond {
+		out = append(out, f.replicate(now, v)...)
 	}
 	return out
 }
 
-// replicate sends the next entry to each voter that lacks one.
-func (w *accordWorld) replicate(now time.Duration, v *voterNode) (out []mutate.Message) {
+// replicate sends to each voter the next entry that it lacks.
+func (f *accordFleet) replicate(now time.Duration, v *voterNode) (out []mutate.Message) {
 	v.sentAt = now
-	for _, o := range w.voters {
-		if len(o.log) < len(v.log) && !o.dead && !o.apart {
-			out = append(out, w.message(now, v.name, o.name, v.log[len(o.log)])...)
+	for _, o := range f.voters {
+		if len(o.log) < len(v.log) && !o.failed && !o.isolated {
+			out = append(out, f.message(now, v.name, o.name, v.log[len(o.log)])...)
 		}
 	}
 	return out
 }
 
-// lead does what the keeper asks for.
-func (w *accordWorld) lead(now time.Duration, v *voterNode) (out []mutate.Message) {
-	if d, ok := v.keeper.TakeDecision(); ok {
+// runLeader carries out what the leader asks for.
+func (f *accordFleet) runLeader(now time.Duration, v *voterNode) (out []mutate.Message) {
+	if d, ok := v.leading.TakeDecision(); ok {
 		v.log = append(v.log, wire.EncodeDecision(d))
-		lose := w.day.decides && d.Version == 2 && w.lostAt == 0
-		if !lose || w.day.stored {
-			out = w.replicate(now, v)
+		lose := f.scenario.deposeOnDecision && d.Version == 2 && f.lostAt == 0
+		if !lose || f.scenario.entryReplicated {
+			out = f.replicate(now, v)
 		}
 		if lose {
-			w.depose(now)
+			f.deposeLeader(now)
 			return out
 		}
 	}
-	if v.keeper.TakePoll() {
-		for _, l := range w.lessees {
-			if w.voters[l.to] == v {
-				out = append(out, w.message(now, v.name, l.name, wire.EncodePoll())...)
+	if v.leading.TakePoll() {
+		for _, p := range f.participants {
+			if f.voters[p.voter] == v {
+				out = append(out, f.message(now, v.name, p.name, wire.EncodePoll())...)
 			}
 		}
 	}
-	v.keeper.TakeEvents()
+	v.leading.TakeEvents()
 	return out
 }
 
-// turn does what a dispatcher's driver does (internal/network/fleet/accord).
-func (w *accordWorld) turn(now time.Duration, l *lesseeNode, tick bool) (out []mutate.Message) {
-	t := l.clock.at(now)
+// stepParticipant does what a dispatcher's driver does (internal/network/fleet/accord).
+func (f *accordFleet) stepParticipant(now time.Duration, p *participantNode, tick bool) (out []mutate.Message) {
+	t := p.clock.at(now)
 	if tick {
 		switch {
-		case l.wait > 0 && w.rnd.IntN(3) == 0:
-			l.wait--
-		case t < l.Admission().AcceptUntil && w.rnd.IntN(4) == 0:
-			l.wait++
+		case p.waiting > 0 && f.rnd.IntN(3) == 0:
+			p.waiting--
+		case t < p.Admission().AcceptUntil && f.rnd.IntN(4) == 0:
+			p.waiting++
 		}
-		w.propose(now, l)
-		if now >= l.heard+accordPlan.Lease/2 {
-			l.to, l.heard = (l.to+1)%3, now
-			l.RequestNow()
+		f.propose(now, p)
+		if now >= p.lastHeard+accordConfig.Lease/2 {
+			p.voter, p.lastHeard = (p.voter+1)%3, now
+			p.RequestNow()
 		}
 	}
-	l.Tick(t, l.wait)
-	for _, c := range l.TakeChecks() {
+	p.Tick(t, p.waiting)
+	for _, c := range p.TakeChecks() {
 		var err error
-		if l.name == "n6" && strings.HasPrefix(string(c.Body), "odd") {
+		if p.name == "n6" && strings.HasPrefix(string(c.Body), "odd") {
 			err = errors.New("an unknown key")
 		}
-		l.ReportCheck(t, c, err)
+		p.ReportCheck(t, c, err)
 	}
-	if v, body, ok := l.TakeActivation(); ok && w.decided[v] != string(body) {
-		w.fail("%s puts version %d in force as %q, which is decided as %q", l.name, v, body, w.decided[v])
+	if v, body, ok := p.TakeActivation(); ok && f.decided[v] != string(body) {
+		f.fail("%s activates version %d as %q, which is decided as %q", p.name, v, body, f.decided[v])
 	}
-	l.TakeEvents()
-	if now < l.pause {
+	p.TakeEvents()
+	if now < p.pausedUntil {
 		return nil
 	}
-	if a, due := l.NextRequest(t); due {
-		out = w.message(now, l.name, w.voters[l.to].name, wire.EncodeLeaseRequest(a))
+	if r, due := p.NextRequest(t); due {
+		out = f.message(now, p.name, f.voters[p.voter].name, wire.EncodeLeaseRequest(r))
 	}
 	return out
 }
 
-// propose has a dispatcher propose what the day has, when it has no other under way.
-func (w *accordWorld) propose(now time.Duration, l *lesseeNode) {
+// propose makes the next of a dispatcher's scheduled proposals once its time has come and no other is pending.
+func (f *accordFleet) propose(now time.Duration, p *participantNode) {
 	n := 0
-	for i, p := range w.day.changes {
-		if p.node != l.name {
+	for i, change := range f.scenario.changes {
+		if change.node != p.name {
 			continue
 		}
-		if n++; n > l.made && now >= p.at && !l.ProposalPending() {
-			l.made++
-			w.proposed[p.body] = true
-			if err := l.Propose(accord.ProposalBit|uint64(i+1)<<32|w.rnd.Uint64N(1<<32), []byte(p.body)); err != nil {
+		if n++; n > p.proposals && now >= change.at && !p.ProposalPending() {
+			p.proposals++
+			f.proposed[change.body] = true
+			if err := p.Propose(accord.ProposalBit|uint64(i+1)<<32|f.rnd.Uint64N(1<<32), []byte(change.body)); err != nil {
 				panic(err)
 			}
 		}
 	}
 }
 
-func (w *accordWorld) Deliver(now time.Duration, m mutate.Message) []mutate.Message {
+func (f *accordFleet) Deliver(now time.Duration, m mutate.Message) []mutate.Message {
 	if m.To[0] == 'v' {
-		v := w.voters[m.To[1]-'0']
+		v := f.voters[m.To[1]-'0']
 		if m.From[0] == 'v' {
-			return w.store(now, v, m)
+			return f.storeEntry(now, v, m)
 		}
-		return w.asked(now, v, m)
+		return f.handleRequest(now, v, m)
 	}
-	l := w.lessees[m.To[1]-'0']
+	p := f.participants[m.To[1]-'0']
 	msg, err := wire.Decode(m.Bytes)
 	if err != nil {
 		return nil
 	}
 	switch {
 	case msg.Poll:
-		l.RequestNow()
-	case msg.LeaseResponse == nil || !msg.LeaseResponse.IsLeader && m.From != w.voters[l.to].name:
+		p.RequestNow()
+	case msg.LeaseResponse == nil || !msg.LeaseResponse.IsLeader && m.From != f.voters[p.voter].name:
 		return nil
 	case !msg.LeaseResponse.IsLeader:
-		l.heard = now
-		if next := slices.IndexFunc(w.voters, func(v *voterNode) bool { return v.name == msg.LeaseResponse.Leader }); next >= 0 {
-			l.to = next
+		p.lastHeard = now
+		if next := slices.IndexFunc(f.voters, func(v *voterNode) bool { return v.name == msg.LeaseResponse.Leader }); next >= 0 {
+			p.voter = next
 		} else {
-			l.to, l.pause = (l.to+1)%3, now+20*time.Millisecond
+			p.voter, p.pausedUntil = (p.voter+1)%3, now+20*time.Millisecond
 		}
-		l.RequestNow()
-	default: // of a link given up as well: a process that was stopped reads what waits before it looks at its clock
-		l.heard = now
-		l.HandleResponse(l.clock.at(now), *msg.LeaseResponse)
+		p.RequestNow()
+	default: // also of a connection that was given up: a process that was suspended reads buffered messages before its clock
+		p.lastHeard = now
+		p.HandleResponse(p.clock.at(now), *msg.LeaseResponse)
 	}
-	return w.turn(now, l, false)
+	return f.stepParticipant(now, p, false)
 }
 
-// store is a voter that gets an entry. What is no entry at all is not taken for one: raft's streams are apart.
-func (w *accordWorld) store(now time.Duration, v *voterNode, m mutate.Message) []mutate.Message {
+// storeEntry is the receipt of a log entry by a voter. Bytes that decode as a message are ignored: in the real
+// program raft has its own streams.
+func (f *accordFleet) storeEntry(now time.Duration, v *voterNode, m mutate.Message) []mutate.Message {
 	if _, err := wire.Decode(m.Bytes); err == nil {
 		return nil
 	}
-	from := w.voters[m.From[1]-'0']
-	if v.dead || v.apart || v == w.leader || w.leader != nil && from != w.leader || len(v.log) >= len(from.log) ||
-		slices.ContainsFunc(v.log, func(p []byte) bool { return bytes.Equal(p, m.Bytes) }) {
+	leader := f.voters[m.From[1]-'0']
+	if v.failed || v.isolated || v == f.leader || f.leader != nil && leader != f.leader || len(v.log) >= len(leader.log) ||
+		slices.ContainsFunc(v.log, func(entry []byte) bool { return bytes.Equal(entry, m.Bytes) }) {
 		return nil
 	}
 	v.log = append(v.log, m.Bytes)
 	if _, err := wire.DecodeDecision(m.Bytes); err != nil {
-		v.dead = true
+		v.failed = true
 	}
-	if from != w.leader || len(v.log) <= int(w.leader.state.Version) {
+	if leader != f.leader || len(v.log) <= int(f.leader.state.Version) {
 		return nil
 	}
-	d, err := wire.DecodeDecision(from.log[len(v.log)-1])
+	d, err := wire.DecodeDecision(leader.log[len(v.log)-1])
 	if err != nil {
 		panic(err)
 	}
-	w.decide(d)
-	from.state.Apply(d)
-	from.keeper.Applied(from.clock.at(now), from.state)
-	return w.lead(now, from)
+	f.recordDecision(d)
+	leader.state.Apply(d)
+	leader.leading.Applied(leader.clock.at(now), leader.state)
+	return f.runLeader(now, leader)
 }
 
-// asked is a voter that gets an ask: only one that a majority hears speaks as the leader.
-func (w *accordWorld) asked(now time.Duration, v *voterNode, m mutate.Message) []mutate.Message {
+// handleRequest is the receipt of a lease request by a voter. Only the leader that has a majority answers as leader.
+func (f *accordFleet) handleRequest(now time.Duration, v *voterNode, m mutate.Message) []mutate.Message {
 	msg, err := wire.Decode(m.Bytes)
-	if err != nil || msg.LeaseRequest == nil || v.dead {
+	if err != nil || msg.LeaseRequest == nil || v.failed {
 		return nil
 	}
-	if v != w.leader {
+	if v != f.leader {
 		a := accord.LeaseResponse{Peer: msg.LeaseRequest.Peer, Epoch: msg.LeaseRequest.Epoch, Seq: msg.LeaseRequest.Seq}
-		if w.leader != nil && !v.apart {
-			a.Leader = w.leader.name
+		if f.leader != nil && !v.isolated {
+			a.Leader = f.leader.name
 		}
-		return w.message(now, v.name, m.From, wire.EncodeLeaseResponse(a))
+		return f.message(now, v.name, m.From, wire.EncodeLeaseResponse(a))
 	}
-	a := v.keeper.Handle(v.clock.at(now), *msg.LeaseRequest)
-	out := w.message(now, v.name, m.From, wire.EncodeLeaseResponse(a))
-	return append(out, w.lead(now, v)...)
+	a := v.leading.Handle(v.clock.at(now), *msg.LeaseRequest)
+	out := f.message(now, v.name, m.From, wire.EncodeLeaseResponse(a))
+	return append(out, f.runLeader(now, v)...)
 }
 
-// Check: at one moment all that may take or start, may by one version; what is held is what was decided, and never
-// goes back; a number has one body, which somebody proposed.
-func (w *accordWorld) Check(now time.Duration) error {
-	by, who := uint64(0), ""
-	for _, l := range w.lessees {
-		v, body := l.Current()
-		if is, ok := w.decided[v]; v > 0 && (!ok || is != string(body)) {
-			return fmt.Errorf("%s holds version %d as %q, which is decided as %q", l.name, v, body, is)
+// Check checks that at one moment all dispatchers accept or start requests under one version, that the adopted
+// version of each is a decided one and never an older one than before, and that a version has one policy, which was
+// proposed.
+func (f *accordFleet) Check(now time.Duration) error {
+	version, node := uint64(0), ""
+	for _, p := range f.participants {
+		v, body := p.Current()
+		if is, ok := f.decided[v]; v > 0 && (!ok || is != string(body)) {
+			return fmt.Errorf("%s has version %d as %q, which is decided as %q", p.name, v, body, is)
 		}
-		if v < l.newest {
-			return fmt.Errorf("%s went from version %d back to %d", l.name, l.newest, v)
+		if v < p.newestVersion {
+			return fmt.Errorf("%s went from version %d back to %d", p.name, p.newestVersion, v)
 		}
-		l.newest = v
-		g, t := l.Admission(), l.clock.at(now)
-		if t >= g.AcceptUntil && t >= g.StartUntil {
+		p.newestVersion = v
+		a, t := p.Admission(), p.clock.at(now)
+		if t >= a.AcceptUntil && t >= a.StartUntil {
 			continue
 		}
-		if by != 0 && by != g.Version {
-			return fmt.Errorf("%s takes or starts by version %d and %s by %d", who, by, l.name, g.Version)
+		if version != 0 && version != a.Version {
+			return fmt.Errorf("%s accepts or starts under version %d and %s under %d", node, version, p.name, a.Version)
 		}
-		by, who = g.Version, l.name
+		version, node = a.Version, p.name
 	}
-	return w.bad
+	return f.violation
 }
 
-// End: all take by the version decided last, which is one that the day allows, and nothing is under way.
-func (w *accordWorld) End(now time.Duration) error {
-	last := uint64(len(w.decided))
-	if !slices.Contains(w.day.want, w.decided[last]) {
-		return fmt.Errorf("decided last is version %d, %q", last, w.decided[last])
+// End checks that all dispatchers accept requests under the version decided last, that this is one that the scenario
+// allows, and that no change is left.
+func (f *accordFleet) End(now time.Duration) error {
+	last := uint64(len(f.decided))
+	if !slices.Contains(f.scenario.wantBodies, f.decided[last]) {
+		return fmt.Errorf("decided last is version %d, %q", last, f.decided[last])
 	}
-	for _, l := range w.lessees {
-		switch v, _ := l.Current(); {
+	for _, p := range f.participants {
+		switch v, _ := p.Current(); {
 		case v != last:
-			return fmt.Errorf("%s holds version %d, and %d is decided", l.name, v, last)
-		case l.clock.at(now) >= l.Admission().AcceptUntil:
-			return fmt.Errorf("%s takes nothing: %s", l.name, l.NotAcceptingReason())
-		case l.ProposalPending():
-			return fmt.Errorf("%s knows no outcome of its proposal", l.name)
+			return fmt.Errorf("%s has version %d, and %d is decided", p.name, v, last)
+		case p.clock.at(now) >= p.Admission().AcceptUntil:
+			return fmt.Errorf("%s accepts no requests: %s", p.name, p.NotAcceptingReason())
+		case p.ProposalPending():
+			return fmt.Errorf("%s has no outcome of its proposal", p.name)
 		}
 	}
-	if v := w.leader; v == nil || v.keeper.NextTick(v.clock.at(now)) != accord.Never {
-		return errors.New("no leader, or a change is under way still")
+	if v := f.leader; v == nil || v.leading.NextTick(v.clock.at(now)) != accord.Never {
+		return errors.New("there is no leader, or a change is still in progress")
 	}
 	return nil
 }
 
-// TestAccordUnderMutation: whatever happens to any one message, the promises hold, and all take by the version
-// decided last within the time that docs/design/accord.md names.
+// TestAccordUnderMutation: whatever happens to any single message, the guarantees hold, and within the time that
+// docs/design/accord.md states all dispatchers accept requests under the version decided last.
 func TestAccordUnderMutation(t *testing.T) {
 	const ms = time.Millisecond
-	first := proposalAt{10 * ms, "n0", "first"}
-	change := proposalAt{600 * ms, "n1", "second"}
-	for name, d := range map[string]accordDay{
-		"first":         {changes: []proposalAt{first}, want: []string{"first"}, from: 1, faults: 420 * ms},
-		"change":        {changes: []proposalAt{first, change}, want: []string{"second"}, from: 560 * ms, faults: 750 * ms},
-		"refused":       {changes: []proposalAt{first, {600 * ms, "n1", "odd"}}, want: []string{"first"}, from: 560 * ms, faults: 750 * ms},
-		"two at once":   {changes: []proposalAt{first, change, {600 * ms, "n2", "other"}}, want: []string{"second", "other"}, from: 560 * ms, faults: 750 * ms},
-		"overtaking":    {changes: []proposalAt{first, change}, want: []string{"second"}, travel: 45 * ms, from: 560 * ms, faults: 800 * ms},
-		"cut off":       {changes: []proposalAt{first, change}, want: []string{"second"}, cuts: 590 * ms, off: "n2 n3 n4 n5 n6", mends: 500 * ms, from: 540 * ms, faults: 592 * ms},
-		"leader lost":   {changes: []proposalAt{first, {660 * ms, "n1", "second"}}, want: []string{"second"}, depose: 600 * ms, mends: 600 * ms, from: 480 * ms, faults: 1300 * ms},
-		"ready, stored": {changes: []proposalAt{first, change}, want: []string{"second"}, decides: true, stored: true, mends: 400 * ms, from: 560 * ms, faults: 1000 * ms},
-		"ready, gone":   {changes: []proposalAt{first, change}, want: []string{"second"}, decides: true, mends: 400 * ms, from: 560 * ms, faults: 1300 * ms},
+	first := scheduledProposal{10 * ms, "n0", "first"}
+	change := scheduledProposal{600 * ms, "n1", "second"}
+	for name, scenario := range map[string]accordScenario{
+		"first":         {changes: []scheduledProposal{first}, wantBodies: []string{"first"}, faultsFrom: 1, faultsUntil: 420 * ms},
+		"change":        {changes: []scheduledProposal{first, change}, wantBodies: []string{"second"}, faultsFrom: 560 * ms, faultsUntil: 750 * ms},
+		"refused":       {changes: []scheduledProposal{first, {600 * ms, "n1", "odd"}}, wantBodies: []string{"first"}, faultsFrom: 560 * ms, faultsUntil: 750 * ms},
+		"two at once":   {changes: []scheduledProposal{first, change, {600 * ms, "n2", "other"}}, wantBodies: []string{"second", "other"}, faultsFrom: 560 * ms, faultsUntil: 750 * ms},
+		"overtaking":    {changes: []scheduledProposal{first, change}, wantBodies: []string{"second"}, maxDelay: 45 * ms, faultsFrom: 560 * ms, faultsUntil: 800 * ms},
+		"cut off":       {changes: []scheduledProposal{first, change}, wantBodies: []string{"second"}, cutAt: 590 * ms, cutNodes: "n2 n3 n4 n5 n6", cutFor: 500 * ms, faultsFrom: 540 * ms, faultsUntil: 592 * ms},
+		"leader lost":   {changes: []scheduledProposal{first, {660 * ms, "n1", "second"}}, wantBodies: []string{"second"}, deposeAt: 600 * ms, cutFor: 600 * ms, faultsFrom: 480 * ms, faultsUntil: 1300 * ms},
+		"ready, stored": {changes: []scheduledProposal{first, change}, wantBodies: []string{"second"}, deposeOnDecision: true, entryReplicated: true, cutFor: 400 * ms, faultsFrom: 560 * ms, faultsUntil: 1000 * ms},
+		"ready, gone":   {changes: []scheduledProposal{first, change}, wantBodies: []string{"second"}, deposeOnDecision: true, cutFor: 400 * ms, faultsFrom: 560 * ms, faultsUntil: 1300 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := d.setup(name)
-			if s.Plays = 12; name == "cut off" { // where a late grant does most
+			s := scenario.setup(name)
+			if s.Plays = 12; name == "cut off" { // the scenario in which a late grant does most harm
 				s.Plays = 48
 			}
 			assert.Positive(t, mutate.Test(t, s).Played)
--- a/internal/fleet/accord/participant.go
+++ b/internal/fleet/accord/participant.go
@@ -6,358 +6,359 @@
 	"time"
 )
 
-// Admission is what a lessee allows now. Times are of its own clock.
+// Admission says which requests a participant may accept and start now. Times are by its own clock. Attempts of requests
+// that were accepted under another version than Version may not start at all.
 type Admission struct {
-	Version       uint64 // that reqs are taken by, 0 for none
-	AcceptUntil   Time   // a req may be taken before this
-	StartUntil    Time   // an attempt of a req taken by Version may start before this; none of another version may
-	UnleasedFrom  Time   // from here on what is taken is taken on no lease (keep alone); Never under stop
-	RefusalReason string // why no req is taken, where that was decided; empty while the lease alone limits
+	Version       uint64 // under which requests are accepted, 0 for none
+	AcceptUntil   Time   // a request may be accepted before this time
+	StartUntil    Time   // an attempt of a request accepted under Version may start before this time
+	UnleasedFrom  Time   // from this time on requests are accepted without a lease (only with ContinueWhenCut, else Never)
+	RefusalReason string // why no request is accepted, if that was decided; empty if the lease alone sets the limit
 }
 
-// Check is what the process must find out: whether its binary and configuration can take a body.
+// Check is a question to the process: can its binary and configuration apply this policy?
 type Check struct {
-	Change  uint64 // the draft of this change; 0: the version in force
+	Change  uint64 // the change that would bring Version into force; 0 if it is in force already
 	Version uint64
 	Body    []byte
 }
 
-// draft is the change that a lessee was asked to check.
-type draft struct {
-	id     uint64
-	next   uint64
-	by     string
-	body   []byte
-	stance Ack
-	why    string
+// pendingChange is the change that the participant was asked to check, and its answer.
+type pendingChange struct {
+	id       uint64
+	version  uint64
+	proposer string
+	body     []byte
+	ack      Ack
+	reason   string
 }
 
-// proposal is this dispatcher's own.
+// proposal is this dispatcher's own proposal.
 type proposal struct {
-	id, base uint64
-	body     []byte
-	change   uint64 // that a leader made of it, 0 while none did
+	id, baseVersion uint64
+	body            []byte
+	change          uint64 // that a leader began for it, 0 while none is known
 }
 
-// ringed is how many asks are remembered: answers to older ones are ignored.
-const ringed = 16
+// requestHistory is how many requests are remembered with their times; responses to older ones are ignored.
+const requestHistory = 16
 
-// Participant is one dispatcher's side. Not for concurrent use.
+// Participant is the part of the accord that runs in each dispatcher. Not safe for concurrent use.
 type Participant struct {
-	plan  LeaseConfig
-	peer  string
-	epoch uint64
-
-	seq      uint64
-	sent     [ringed]Time // by seq
-	answered uint64       // the newest ask that was answered
-	floor    uint64       // no grant of an ask up to this one is believed
-	due      Time
-
-	version uint64 // whose body is held, checked and in force here
-	change  uint64 // that made it, where it was checked here as a draft; else 0
-	body    []byte
-	gate    Admission
-	granted bool // a lease of version was had
-
-	draft    draft
-	mine     proposal
-	lost     []byte // of the last proposal, where that was withdrawn
-	fencing  uint64 // the change that this one has stopped for, 0 for none
-	fenced   Time
-	closed   bool // nothing begins by version any more
-	said     bool // and an ask has said so
-	heard    Time // the last answer of a leader
-	serving  bool
-	refused  uint64 // the version in force that cannot be taken here
-	checking uint64 // the version in force that is being checked here
-	coming   []byte // its body
-
-	checks []Check
-	enters bool
-	notes  []Event
+	config LeaseConfig
+	peer   string
+	epoch  uint64
+
+	seq              uint64
+	sentAt           [requestHistory]Time // by seq modulo requestHistory
+	lastAnswered     uint64               // seq of the newest request that was answered
+	ignoreGrantsUpTo uint64               // grants for requests up to this seq are ignored
+	nextRequestAt    Time
+
+	version   uint64 // the adopted version, 0 for none: its policy was checked, and requests are accepted under it
+	change    uint64 // that brought version into force, if this dispatcher checked it as a pending change; else 0
+	body      []byte
+	admission Admission
+	hasLease  bool // a lease of version was granted
+
+	pending         pendingChange
+	own             proposal
+	withdrawnBody   []byte // of the last proposal, if it was withdrawn
+	stoppedFor      uint64 // the change for which this dispatcher has stopped accepting requests, 0 for none
+	stoppedAt       Time
+	drained         bool // no attempt starts under version any more
+	drainReported   bool // and a request has reported that
+	lastHeard       Time // when the last response of a leader arrived
+	serving         bool
+	refusedVersion  uint64 // the version in force that cannot be applied here
+	checkingVersion uint64 // the version in force that is being checked here
+	checkingBody    []byte // the policy of checkingVersion
+
+	checks        []Check
+	activationDue bool
+	events        []Event
 }
 
-// NewParticipant starts a dispatcher's side: it knows no version and takes nothing. epoch must be new
-// with each start of the process.
-func NewParticipant(p LeaseConfig, peer string, epoch uint64) (*Participant, error) {
-	if err := p.Check(); err != nil {
+// NewParticipant returns a participant that knows no version and accepts no request yet. epoch must be new with each
+// start of the process.
+func NewParticipant(config LeaseConfig, peer string, epoch uint64) (*Participant, error) {
+	if err := config.Check(); err != nil {
 		return nil, err
 	}
 	if peer == "" || len(peer) > MaxName {
-		return nil, errors.New("accord: the dispatcher's name has no byte or too many")
+		return nil, errors.New("accord: the dispatcher's name is empty or too long")
 	}
-	return &Participant{plan: p, peer: peer, epoch: epoch, gate: Admission{UnleasedFrom: Never}}, nil
+	return &Participant{config: config, peer: peer, epoch: epoch, admission: Admission{UnleasedFrom: Never}}, nil
 }
 
-// NextRequest returns the ask to send now, if one is.
-func (l *Participant) NextRequest(now Time) (LeaseRequest, bool) {
-	if now < l.due {
+// NextRequest returns the lease request to send now, if one is due.
+func (p *Participant) NextRequest(now Time) (LeaseRequest, bool) {
+	if now < p.nextRequestAt {
 		return LeaseRequest{}, false
 	}
-	l.seq++
-	l.sent[l.seq%ringed] = now
-	l.due = now.Add(l.plan.RenewInterval())
-	a := LeaseRequest{Peer: l.peer, Epoch: l.epoch, Seq: l.seq, Version: l.version}
-	if d := &l.draft; d.id != 0 && d.stance != NoAck {
-		a.Change, a.Ack, a.Reason = d.id, d.stance, d.why
+	p.seq++
+	p.sentAt[p.seq%requestHistory] = now
+	p.nextRequestAt = now.Add(p.config.RenewInterval())
+	r := LeaseRequest{Peer: p.peer, Epoch: p.epoch, Seq: p.seq, Version: p.version}
+	if pending := &p.pending; pending.id != 0 && pending.ack != NoAck {
+		r.Change, r.Ack, r.Reason = pending.id, pending.ack, pending.reason
 	}
-	if l.fencing != 0 {
-		a.Change, a.Ack, a.Reason = l.fencing, NoAck, ""
-		if l.closed {
-			a.Ack = Ready
-			if !l.said { // the keeper counts nothing more of what it lent for asks before this
-				l.said, l.floor = true, l.seq-1
+	if p.stoppedFor != 0 {
+		r.Change, r.Ack, r.Reason = p.stoppedFor, NoAck, ""
+		if p.drained {
+			r.Ack = Ready
+			if !p.drainReported { // on this request the leader writes off the leases that it granted for earlier ones
+				p.drainReported, p.ignoreGrantsUpTo = true, p.seq-1
 			}
 		}
 	}
-	if l.mine.id != 0 {
-		a.Proposal, a.BaseVersion, a.Body = l.mine.id, l.mine.base, l.mine.body
+	if p.own.id != 0 {
+		r.Proposal, r.BaseVersion, r.Body = p.own.id, p.own.baseVersion, p.own.body
 	}
-	return a, true
+	return r, true
 }
 
-// RequestNow makes the next ask due: a nudge came, or a new link.
-func (l *Participant) RequestNow() { l.due = 0 }
+// RequestNow makes the next lease request due at once: the leader polled, or there is a new connection.
+func (p *Participant) RequestNow() { p.nextRequestAt = 0 }
 
-// Propose proposes a body as the version after the one in force here. id must be new.
-func (l *Participant) Propose(id uint64, body []byte) error {
+// Propose proposes a policy as the successor of the adopted version. id must be new.
+func (p *Participant) Propose(id uint64, body []byte) error {
 	switch {
-	case l.mine.id != 0:
+	case p.own.id != 0:
 		return errors.New("a proposal of this dispatcher is under way")
 	case id&ProposalBit == 0:
 		return errors.New("the id is not a proposal's")
 	case len(body) > MaxBody:
 		return errors.New("the policy is too long")
 	}
-	l.lost = nil
-	l.mine = proposal{id: id, base: l.version, body: body}
-	l.note(Event{Step: "proposed", Version: l.version + 1, BaseVersion: l.version})
-	l.RequestNow()
+	p.withdrawnBody = nil
+	p.own = proposal{id: id, baseVersion: p.version, body: body}
+	p.record(Event{Step: "proposed", Version: p.version + 1, BaseVersion: p.version})
+	p.RequestNow()
 	return nil
 }
 
-// HandleResponse takes an answer. One that is late, told twice or for another life changes nothing.
-func (l *Participant) HandleResponse(now Time, a LeaseResponse) {
-	if a.Peer != l.peer || a.Epoch != l.epoch || !a.IsLeader || a.Seq <= l.answered || a.Seq > l.seq || l.seq-a.Seq >= ringed {
+// HandleResponse handles a response. One that is out of date, repeated or for another incarnation is ignored.
+func (p *Participant) HandleResponse(now Time, r LeaseResponse) {
+	if r.Peer != p.peer || r.Epoch != p.epoch || !r.IsLeader || r.Seq <= p.lastAnswered || r.Seq > p.seq || p.seq-r.Seq >= requestHistory {
 		return
 	}
-	if a.Version < l.version {
-		return // of a leader that was deposed: its leases are not confirmed
+	if r.Version < p.version {
+		return // from a deposed leader, which no majority has confirmed: its leases do not count
 	}
-	l.answered, l.heard = a.Seq, now
-	l.ends(a)
-	l.stage(now, a)
-	if a.Version > l.version {
-		l.news(a)
+	p.lastAnswered, p.lastHeard = r.Seq, now
+	p.handleOutcomes(r)
+	p.handleStage(now, r)
+	if r.Version > p.version {
+		p.handleNewVersion(r)
 	}
-	if a.Granted && a.Version == l.version && a.Seq > l.floor {
-		l.lease(now, l.sent[a.Seq%ringed])
+	if r.Granted && r.Version == p.version && r.Seq > p.ignoreGrantsUpTo {
+		p.applyLease(now, p.sentAt[r.Seq%requestHistory])
 	}
-	l.show(now)
+	p.recordServing(now)
 }
 
-// ends takes what became of changes.
-func (l *Participant) ends(a LeaseResponse) {
-	if o := a.ProposalOutcome; o.ID != 0 && o.ID == l.mine.id && o.Result != Undecided {
-		if o.Result == Withdrawn && (l.mine.change == 0 || l.mine.change != l.draft.id) { // else told below, as a change
-			l.note(Event{Step: "withdrawn", Version: l.mine.base + 1, Peer: o.Peer, Reason: o.Reason})
+// handleOutcomes handles the outcomes of the dispatcher's own proposal and of the pending change.
+func (p *Participant) handleOutcomes(r LeaseResponse) {
+	if o := r.ProposalOutcome; o.ID != 0 && o.ID == p.own.id && o.Result != Undecided {
+		if o.Result == Withdrawn && (p.own.change == 0 || p.own.change != p.pending.id) { // else recorded below, as a change
+			p.record(Event{Step: "withdrawn", Version: p.own.baseVersion + 1, Peer: o.Peer, Reason: o.Reason})
 		}
-		l.lost = nil
+		p.withdrawnBody = nil
 		if o.Result == Withdrawn {
-			l.lost = l.mine.body
+			p.withdrawnBody = p.own.body
 		}
-		l.mine = proposal{}
+		p.own = proposal{}
 	}
-	d := &l.draft
-	if d.id == 0 || a.ChangeOutcome.ID != d.id || a.ChangeOutcome.Result == Undecided {
+	pending := &p.pending
+	if pending.id == 0 || r.ChangeOutcome.ID != pending.id || r.ChangeOutcome.Result == Undecided {
 		return
 	}
-	if a.ChangeOutcome.Result == Withdrawn {
-		l.note(Event{Step: "withdrawn", Change: d.id, Version: d.next, Proposer: d.by, Peer: a.ChangeOutcome.Peer, Reason: a.ChangeOutcome.Reason})
-		*d = draft{}
+	if r.ChangeOutcome.Result == Withdrawn {
+		p.record(Event{Step: "withdrawn", Change: pending.id, Version: pending.version, Proposer: pending.proposer, Peer: r.ChangeOutcome.Peer, Reason: r.ChangeOutcome.Reason})
+		*pending = pendingChange{}
 	}
 }
 
-// stage takes how far the change under way has come.
-func (l *Participant) stage(now Time, a LeaseResponse) {
-	if a.Change != 0 && a.Proposer == l.peer && l.mine.id != 0 {
-		l.mine.change = a.Change
+// handleStage handles the stage of the current change.
+func (p *Participant) handleStage(now Time, r LeaseResponse) {
+	if r.Change != 0 && r.Proposer == p.peer && p.own.id != 0 {
+		p.own.change = r.Change
 	}
-	if l.fencing != 0 && a.Change != l.fencing && a.Seq > l.floor {
-		l.fencing, l.closed = 0, false // it is over; what may be taken, the next lease says
+	if p.stoppedFor != 0 && r.Change != p.stoppedFor && r.Seq > p.ignoreGrantsUpTo {
+		p.stoppedFor, p.drained = 0, false // the change has ended; the next lease says what may be accepted
 	}
-	switch a.Stage {
+	switch r.Stage {
 	case Checking:
-		if l.draft.id != a.Change && a.NextBody != nil {
-			l.draft = draft{id: a.Change, next: a.NextVersion, by: a.Proposer, body: a.NextBody}
-			l.checks = append(l.checks, Check{Change: a.Change, Version: a.NextVersion, Body: a.NextBody})
+		if p.pending.id != r.Change && r.NextBody != nil {
+			p.pending = pendingChange{id: r.Change, version: r.NextVersion, proposer: r.Proposer, body: r.NextBody}
+			p.checks = append(p.checks, Check{Change: r.Change, Version: r.NextVersion, Body: r.NextBody})
 		}
 	case Preparing, Deciding:
-		if l.fencing == a.Change {
+		if p.stoppedFor == r.Change {
 			return
 		}
-		l.fencing, l.fenced, l.closed, l.said, l.floor = a.Change, now, false, false, l.seq
-		l.gate.AcceptUntil = 0
-		l.gate.UnleasedFrom = Never
-		l.gate.StartUntil = min(l.gate.StartUntil, now.Add(l.plan.Drain()))
-		l.note(Event{Step: "preparing", Change: a.Change, Version: a.NextVersion, Proposer: a.Proposer})
+		p.stoppedFor, p.stoppedAt, p.drained, p.drainReported, p.ignoreGrantsUpTo = r.Change, now, false, false, p.seq
+		p.admission.AcceptUntil = 0
+		p.admission.UnleasedFrom = Never
+		p.admission.StartUntil = min(p.admission.StartUntil, now.Add(p.config.Drain()))
+		p.record(Event{Step: "preparing", Change: r.Change, Version: r.NextVersion, Proposer: r.Proposer})
 	}
 }
 
-// news takes a version in force that is not held here: one that was checked as a draft is taken up, another
-// is checked first.
-func (l *Participant) news(a LeaseResponse) {
-	l.gate, l.granted = Admission{Version: l.version, UnleasedFrom: Never}, false // where it held still, it holds no more
+// handleNewVersion handles a version in force that is newer than the adopted one. It is adopted at once if its policy
+// was checked and accepted as the pending change; otherwise it is checked first.
+func (p *Participant) handleNewVersion(r LeaseResponse) {
+	// The old version is no longer in force, whatever lease of it is left.
+	p.admission, p.hasLease = Admission{Version: p.version, UnleasedFrom: Never}, false
 	switch {
-	case l.draft.stance == Accepted && l.draft.next == a.Version && bytes.Equal(l.draft.body, a.Body):
-		l.adopt(a.Version, a.Body)
-	case l.checking != a.Version && l.refused != a.Version:
-		l.checking, l.coming = a.Version, a.Body
-		l.checks = append(l.checks, Check{Version: a.Version, Body: a.Body})
+	case p.pending.ack == Accepted && p.pending.version == r.Version && bytes.Equal(p.pending.body, r.Body):
+		p.adopt(r.Version, r.Body)
+	case p.checkingVersion != r.Version && p.refusedVersion != r.Version:
+		p.checkingVersion, p.checkingBody = r.Version, r.Body
+		p.checks = append(p.checks, Check{Version: r.Version, Body: r.Body})
 	}
 }
 
-// adopt makes a version the one held: what is taken from the next lease on is taken by it. The old
-// one is over here, whatever lease of it was had.
-func (l *Participant) adopt(version uint64, body []byte) {
-	l.change = 0
-	if l.draft.stance == Accepted && l.draft.next == version && bytes.Equal(l.draft.body, body) {
-		l.change = l.draft.id
+// adopt adopts a version: requests are accepted under it from its first lease on. Any lease of the old version ends.
+func (p *Participant) adopt(version uint64, body []byte) {
+	p.change = 0
+	if p.pending.ack == Accepted && p.pending.version == version && bytes.Equal(p.pending.body, body) {
+		p.change = p.pending.id
 	}
-	l.version, l.body = version, body
-	l.gate = Admission{Version: version, UnleasedFrom: Never}
-	l.granted, l.checking, l.coming, l.refused = false, 0, nil, 0
-	l.draft, l.fencing, l.closed = draft{}, 0, false
-	l.floor = l.seq
-	l.RequestNow()
+	p.version, p.body = version, body
+	p.admission = Admission{Version: version, UnleasedFrom: Never}
+	p.hasLease, p.checkingVersion, p.checkingBody, p.refusedVersion = false, 0, nil, 0
+	p.pending, p.stoppedFor, p.drained = pendingChange{}, 0, false
+	p.ignoreGrantsUpTo = p.seq
+	p.RequestNow()
 }
 
-// ReportCheck tells what a Check found; err is why the body cannot be taken.
-func (l *Participant) ReportCheck(now Time, c Check, err error) {
-	why := ""
+// ReportCheck passes in the result of a Check. err says why the policy cannot be applied; it is nil if it can.
+func (p *Participant) ReportCheck(now Time, c Check, err error) {
+	reason := ""
 	if err != nil {
-		why = cut(err.Error())
+		reason = truncateReason(err.Error())
 	}
-	switch d := &l.draft; {
+	switch pending := &p.pending; {
 	case c.Change != 0:
-		if c.Change != d.id {
+		if c.Change != pending.id {
 			return
 		}
-		d.stance, d.why = Accepted, why
+		pending.ack, pending.reason = Accepted, reason
 		if err != nil {
-			d.stance = Refused
+			pending.ack = Refused
 		}
-		l.note(Event{Step: "checked", Change: d.id, Version: d.next, Proposer: d.by, Accepted: err == nil, Reason: why})
-	case c.Version != l.checking:
+		p.record(Event{Step: "checked", Change: pending.id, Version: pending.version, Proposer: pending.proposer, Accepted: err == nil, Reason: reason})
+	case c.Version != p.checkingVersion:
 		return
 	case err != nil:
-		l.refused, l.checking, l.coming = c.Version, 0, nil
-		l.note(Event{Step: "cannot take", Version: c.Version, Reason: why})
+		p.refusedVersion, p.checkingVersion, p.checkingBody = c.Version, 0, nil
+		p.record(Event{Step: "cannot take", Version: c.Version, Reason: reason})
 	default:
-		l.adopt(l.checking, l.coming)
+		p.adopt(p.checkingVersion, p.checkingBody)
 	}
-	l.RequestNow()
-	l.show(now)
+	p.RequestNow()
+	p.recordServing(now)
 }
 
-// lease takes a grant of the version held, for an ask sent at a time.
-func (l *Participant) lease(now, sent Time) {
-	until := sent.Add(l.plan.UsableLease())
-	if until <= l.gate.StartUntil && l.gate.AcceptUntil > 0 || now >= until {
+// applyLease applies a lease of the adopted version, granted for a request that was sent at the time sent.
+func (p *Participant) applyLease(now, sent Time) {
+	until := sent.Add(p.config.UsableLease())
+	if until <= p.admission.StartUntil && p.admission.AcceptUntil > 0 || now >= until {
 		return
 	}
-	l.gate = Admission{Version: l.version, AcceptUntil: until.Add(-l.plan.Drain()), StartUntil: until, UnleasedFrom: Never}
-	if l.plan.ContinueWhenCut {
-		l.gate.UnleasedFrom = l.gate.AcceptUntil
-		l.gate.AcceptUntil, l.gate.StartUntil = Never, Never
+	p.admission = Admission{Version: p.version, AcceptUntil: until.Add(-p.config.Drain()), StartUntil: until, UnleasedFrom: Never}
+	if p.config.ContinueWhenCut {
+		p.admission.UnleasedFrom = p.admission.AcceptUntil
+		p.admission.AcceptUntil, p.admission.StartUntil = Never, Never
 	}
-	if !l.granted {
-		l.granted, l.enters = true, true
-		l.note(Event{Step: "in force", Change: l.change, Version: l.version})
+	if !p.hasLease {
+		p.hasLease, p.activationDue = true, true
+		p.record(Event{Step: "in force", Change: p.change, Version: p.version})
 	}
 }
 
-// Tick lets time pass. waiting is how many reqs were taken by the version held and have begun
-// nowhere; with none left, or the drain over, a lessee that has stopped closes the version.
-func (l *Participant) Tick(now Time, waiting int) {
-	if l.fencing != 0 && !l.closed && (waiting == 0 || now >= l.fenced.Add(l.plan.Drain())) {
-		l.closed = true
-		l.gate.StartUntil = 0
-		l.note(Event{Step: "ready", Change: l.fencing, Version: l.version + 1, Elapsed: time.Duration(now - l.fenced)})
-		l.RequestNow()
+// Tick handles the passing of time. waiting is how many requests were accepted under the adopted version and have
+// not started yet. A participant that has stopped for a change is ready once none is left or the drain is over.
+func (p *Participant) Tick(now Time, waiting int) {
+	if p.stoppedFor != 0 && !p.drained && (waiting == 0 || now >= p.stoppedAt.Add(p.config.Drain())) {
+		p.drained = true
+		p.admission.StartUntil = 0
+		p.record(Event{Step: "ready", Change: p.stoppedFor, Version: p.version + 1, Elapsed: time.Duration(now - p.stoppedAt)})
+		p.RequestNow()
 	}
-	if l.plan.ContinueWhenCut && l.granted && l.gate.AcceptUntil == 0 && now >= max(l.fenced, l.heard).Add(l.plan.Lease) {
-		l.fencing, l.closed = 0, false // cut off since it was told to stop
-		l.gate = Admission{Version: l.version, AcceptUntil: Never, StartUntil: Never, UnleasedFrom: now}
+	if p.config.ContinueWhenCut && p.hasLease && p.admission.AcceptUntil == 0 && now >= max(p.stoppedAt, p.lastHeard).Add(p.config.Lease) {
+		p.stoppedFor, p.drained = 0, false // no contact to the leader since it asked to stop
+		p.admission = Admission{Version: p.version, AcceptUntil: Never, StartUntil: Never, UnleasedFrom: now}
 	}
-	l.show(now)
+	p.recordServing(now)
 }
 
-// show notes when taking begins and ends.
-func (l *Participant) show(now Time) {
-	serving := now < l.gate.AcceptUntil
-	if serving == l.serving {
+// recordServing records an event when the dispatcher starts or stops accepting requests.
+func (p *Participant) recordServing(now Time) {
+	serving := now < p.admission.AcceptUntil
+	if serving == p.serving {
 		return
 	}
-	l.serving = serving
+	p.serving = serving
 	if serving {
-		l.note(Event{Step: "serving", Version: l.version})
+		p.record(Event{Step: "serving", Version: p.version})
 		return
 	}
-	l.note(Event{Step: "fenced", Version: l.version, Reason: l.NotAcceptingReason()})
+	p.record(Event{Step: "fenced", Version: p.version, Reason: p.NotAcceptingReason()})
 }
 
-// NotAcceptingReason says why nothing is taken, where nothing is.
-func (l *Participant) NotAcceptingReason() string {
+// NotAcceptingReason returns why no request is accepted. It means nothing while requests are accepted.
+func (p *Participant) NotAcceptingReason() string {
 	switch {
-	case l.fencing != 0:
+	case p.stoppedFor != 0:
 		return "preparing"
-	case l.refused > l.version:
+	case p.refusedVersion > p.version:
 		return "cannot take"
-	case l.version == 0:
+	case p.version == 0:
 		return "no version yet"
 	}
 	return "lease over"
 }
 
-// Admission is what is allowed now, until the next event.
-func (l *Participant) Admission() Admission { return l.gate }
+// Admission returns what is allowed until the next call that changes the participant.
+func (p *Participant) Admission() Admission { return p.admission }
 
-// Serving says whether reqs are taken, as of the last event.
-func (l *Participant) Serving() bool { return l.serving }
+// Serving reports whether requests were accepted as of the last call that changed the participant.
+func (p *Participant) Serving() bool { return p.serving }
 
-// Current is the version held and its body, which is the lessee's.
-func (l *Participant) Current() (uint64, []byte) { return l.version, l.body }
+// Current returns the adopted version and its policy. The participant keeps the slice: it must not be changed.
+func (p *Participant) Current() (uint64, []byte) { return p.version, p.body }
 
-// TakeActivation hands out the version held, once, at its first lease: the process puts it in force before it opens
-// the gate to reqs.
-func (l *Participant) TakeActivation() (version uint64, body []byte, ok bool) {
-	ok, l.enters = l.enters, false
-	return l.version, l.body, ok
+// TakeActivation returns the adopted version, once, at its first lease. The process must apply it before it
+// accepts requests under the new Admission.
+func (p *Participant) TakeActivation() (version uint64, body []byte, ok bool) {
+	ok, p.activationDue = p.activationDue, false
+	return p.version, p.body, ok
 }
 
-// TakeChecks hands out what is to be checked; Checked takes what was found.
-func (l *Participant) TakeChecks() []Check {
-	c := l.checks
-	l.checks = nil
-	return c
+// TakeChecks returns the checks to be made, each once. ReportCheck takes their results.
+func (p *Participant) TakeChecks() []Check {
+	checks := p.checks
+	p.checks = nil
+	return checks
 }
 
-// TakeEvents hands out what is to be logged.
-func (l *Participant) TakeEvents() []Event {
-	n := l.notes
-	l.notes = nil
-	return n
+// TakeEvents returns the events to be logged, each once.
+func (p *Participant) TakeEvents() []Event {
+	events := p.events
+	p.events = nil
+	return events
 }
 
-func (l *Participant) note(n Event) { l.notes = append(l.notes, n) }
+func (p *Participant) record(e Event) { p.events = append(p.events, e) }
 
-// RetryCheck has a version in force that could not be taken checked again: the configuration has changed.
-func (l *Participant) RetryCheck() { l.refused = 0 }
+// RetryCheck has the version in force checked again if it could not be applied: the configuration has changed.
+func (p *Participant) RetryCheck() { p.refusedVersion = 0 }
 
-// WithdrawnProposal is the body of this dispatcher's last proposal where that was withdrawn, else nil.
-func (l *Participant) WithdrawnProposal() []byte { return l.lost }
+// WithdrawnProposal returns the policy of this dispatcher's last proposal if it was withdrawn, else nil.
+func (p *Participant) WithdrawnProposal() []byte { return p.withdrawnBody }
 
-// ProposalPending says whether a proposal of this dispatcher has no outcome yet.
-func (l *Participant) ProposalPending() bool { return l.mine.id != 0 }
+// ProposalPending reports whether a proposal of this dispatcher has no outcome yet.
+func (p *Participant) ProposalPending() bool { return p.own.id != 0 }
--- a/internal/fleet/accord/simulation_test.go
+++ b/internal/fleet/accord/simulation_test.go
@@ -8,192 +8,194 @@
 	"time"
 )
 
-// world plays a fleet in virtual time: real decision code, a model of the majority log (one leader a
-// term; a deposed one does not know it, but no majority confirms it any more; an entry that was
-// given to the log when its leader is deposed is either in the next one's log or gone for ever),
-// links that drop, delay and repeat, processes that stall and crash, clocks that drift.
-type world struct {
-	plan  LeaseConfig
-	rnd   *rand.Rand
-	now   int64 // real time, ns
-	queue events
-	count int
-
-	term    uint64
-	leader  *keeperAt
-	state   State
-	pending *Decision
-
-	all    []*dispatcher
-	faulty bool          // messages are lost and repeated, processes stall
-	delay  time.Duration // the longest that a message travels
-
-	ended  map[uint64]Result // of changes, as the notes have it
-	bad    string            // the first promise that was broken
-	served int               // how often a dispatcher was seen taking reqs
+// simulation runs a fleet in virtual time: the real decision code, a model of the majority log, connections that
+// drop, delay and repeat messages, processes that stall and crash, and clocks that drift. The log has one leader a
+// term. A deposed leader does not know that it is deposed, but no majority confirms it any more. An entry that was
+// submitted when its leader is deposed is either in the next leader's log or lost for good.
+type simulation struct {
+	config     LeaseConfig
+	rnd        *rand.Rand
+	now        int64 // real time, ns
+	queue      eventQueue
+	eventCount int
+
+	term            uint64
+	leader          *simulatedLeader
+	state           State
+	pendingDecision *Decision
+
+	dispatchers []*dispatcher
+	faulty      bool          // messages are lost and repeated, and leaders stall
+	maxDelay    time.Duration // maximum transit time of a message, without faults
+
+	results     map[uint64]Result // of changes, as the events say
+	violation   string            // the first invariant violation, empty if there is none
+	servingSeen int               // how often a dispatcher was found accepting or starting requests
 }
 
-type keeperAt struct {
+// simulatedLeader is a leader with its own clock.
+type simulatedLeader struct {
 	*Leader
-	rate float64
-	term uint64
-	dead bool
+	clockRate float64
+	term      uint64
+	crashed   bool
 }
 
+// dispatcher is a participant with its own clock, its faults and the requests that it has accepted.
 type dispatcher struct {
 	*Participant
-	id    int
-	life  uint64
-	rate  float64
-	cut   bool
-	down  bool
-	stall int64 // handles nothing until then
-	wait  int   // reqs taken that have not begun
-	older bool  // refuses odd bodies
-	enter uint64
+	id            int
+	epoch         uint64
+	clockRate     float64
+	cutOff        bool
+	down          bool
+	stalledUntil  int64 // real time; it handles nothing until then
+	waiting       int   // requests accepted that have not started
+	refusesOdd    bool  // refuses policies of odd length
+	activeVersion uint64
 }
 
-type event struct {
-	at int64
-	n  int
-	do func()
+type simulatedEvent struct {
+	at    int64
+	order int
+	run   func()
 }
 
-type events []event
+type eventQueue []simulatedEvent
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].n < e[j].n
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any     { o := *e; x := o[len(o)-1]; *e = o[:len(o)-1]; return x }
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(simulatedEvent)) }
+func (e *eventQueue) Pop() any     { o := *e; x := o[len(o)-1]; *e = o[:len(o)-1]; return x }
 
-func newWorld(p LeaseConfig, n int, seed uint64) *world {
-	w := &world{plan: p, rnd: rand.New(rand.NewPCG(seed, 1)), faulty: true, delay: 20 * time.Millisecond, ended: map[uint64]Result{}}
-	w.elect()
+func newSimulation(config LeaseConfig, n int, seed uint64) *simulation {
+	s := &simulation{config: config, rnd: rand.New(rand.NewPCG(seed, 1)), faulty: true, maxDelay: 20 * time.Millisecond, results: map[uint64]Result{}}
+	s.elect()
 	for i := range n {
-		d := &dispatcher{id: i, rate: w.rate()}
-		w.all = append(w.all, d)
-		w.start(d)
+		d := &dispatcher{id: i, clockRate: s.drawRate()}
+		s.dispatchers = append(s.dispatchers, d)
+		s.startDispatcher(d)
 	}
-	return w
+	return s
 }
 
-func (w *world) rate() float64 {
-	return 1 + w.plan.Drift*[]float64{-1, 0, 1}[w.rnd.IntN(3)]
+func (s *simulation) drawRate() float64 {
+	return 1 + s.config.Drift*[]float64{-1, 0, 1}[s.rnd.IntN(3)]
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.count++
-	heap.Push(&w.queue, event{w.now + int64(d), w.count, do})
+func (s *simulation) after(d time.Duration, run func()) {
+	s.eventCount++
+	heap.Push(&s.queue, simulatedEvent{s.now + int64(d), s.eventCount, run})
 }
 
-// run plays until a real time.
-func (w *world) run(d time.Duration) {
-	until := w.now + int64(d)
-	for len(w.queue) > 0 && w.queue[0].at <= until && w.bad == "" {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
-		e.do()
-		w.check()
+// run processes the events of the next d of real time.
+func (s *simulation) run(d time.Duration) {
+	until := s.now + int64(d)
+	for len(s.queue) > 0 && s.queue[0].at <= until && s.violation == "" {
+		e := heap.Pop(&s.queue).(simulatedEvent)
+		s.now = e.at
+		e.run()
+		s.checkOneVersion()
 	}
-	w.now = max(w.now, until)
+	s.now = max(s.now, until)
 }
 
-func (w *world) clock(rate float64) Time { return Time(float64(w.now) * rate) }
+func (s *simulation) reading(rate float64) Time { return Time(float64(s.now) * rate) }
 
-// start begins a life of a dispatcher.
-func (w *world) start(d *dispatcher) {
-	d.life++
-	d.down, d.wait, d.enter = false, 0, 0
-	d.rate, d.older = w.rate(), w.faulty && w.rnd.IntN(8) == 0
+// startDispatcher starts a new process of a dispatcher, with a new epoch.
+func (s *simulation) startDispatcher(d *dispatcher) {
+	d.epoch++
+	d.down, d.waiting, d.activeVersion = false, 0, 0
+	d.clockRate, d.refusesOdd = s.drawRate(), s.faulty && s.rnd.IntN(8) == 0
 	var err error
-	if d.Participant, err = NewParticipant(w.plan, fmt.Sprintf("n%d", d.id), d.life); err != nil {
+	if d.Participant, err = NewParticipant(s.config, fmt.Sprintf("n%d", d.id), d.epoch); err != nil {
 		panic(err)
 	}
-	w.beat(d, d.life)
+	s.stepPeriodically(d, d.epoch)
 }
 
-// beat has a life do what is due, again and again.
-func (w *world) beat(d *dispatcher, life uint64) {
-	if d.life != life || d.down {
+// stepPeriodically steps a dispatcher again and again until its process ends.
+func (s *simulation) stepPeriodically(d *dispatcher, epoch uint64) {
+	if d.epoch != epoch || d.down {
 		return
 	}
-	if w.now >= d.stall {
-		w.turn(d)
+	if s.now >= d.stalledUntil {
+		s.step(d)
 	}
-	w.after(w.plan.RenewInterval()/4, func() { w.beat(d, life) })
+	s.after(s.config.RenewInterval()/4, func() { s.stepPeriodically(d, epoch) })
 }
 
-func (w *world) turn(d *dispatcher) {
-	now := w.clock(d.rate)
-	if d.wait > 0 && w.rnd.IntN(2) == 0 {
-		d.wait--
-	} else if now < d.Admission().AcceptUntil && w.rnd.IntN(3) == 0 {
-		d.wait++
+func (s *simulation) step(d *dispatcher) {
+	now := s.reading(d.clockRate)
+	if d.waiting > 0 && s.rnd.IntN(2) == 0 {
+		d.waiting--
+	} else if now < d.Admission().AcceptUntil && s.rnd.IntN(3) == 0 {
+		d.waiting++
 	}
-	d.Tick(now, d.wait)
+	d.Tick(now, d.waiting)
 	for _, c := range d.TakeChecks() {
-		life := d.life
-		w.after(w.span(10*time.Millisecond), func() {
-			if d.life == life && !d.down {
+		epoch := d.epoch
+		s.after(s.randomDuration(10*time.Millisecond), func() {
+			if d.epoch == epoch && !d.down {
 				var err error
-				if d.older && len(c.Body)%2 == 1 {
+				if d.refusesOdd && len(c.Body)%2 == 1 {
 					err = errors.New("an unknown key")
 				}
-				d.ReportCheck(w.clock(d.rate), c, err)
-				w.turn(d)
+				d.ReportCheck(s.reading(d.clockRate), c, err)
+				s.step(d)
 			}
 		})
 	}
 	if v, body, ok := d.TakeActivation(); ok {
-		if d.older && len(body)%2 == 1 {
-			w.fail("n%d took up version %d, which it cannot take", d.id, v)
+		if d.refusesOdd && len(body)%2 == 1 {
+			s.fail("n%d activated version %d, which it refuses", d.id, v)
 		}
-		if v < d.enter {
-			w.fail("n%d went from version %d back to %d", d.id, d.enter, v)
+		if v < d.activeVersion {
+			s.fail("n%d went from version %d back to %d", d.id, d.activeVersion, v)
 		}
-		d.enter = v
+		d.activeVersion = v
 	}
-	w.heard(d.TakeEvents())
-	if a, ok := d.NextRequest(now); ok {
-		w.ask(d, a)
+	s.recordResults(d.TakeEvents())
+	if r, ok := d.NextRequest(now); ok {
+		s.sendRequest(d, r)
 	}
 }
 
-// heard keeps what the notes say of ends: no change may end in two ways.
-func (w *world) heard(notes []Event) {
-	for _, n := range notes {
-		end := Undecided
+// recordResults records the results that events report. No change may have two different results.
+func (s *simulation) recordResults(events []Event) {
+	for _, e := range events {
+		result := Undecided
 		switch {
-		case n.Step == "withdrawn" && n.Change != 0:
-			end = Withdrawn
-		case n.Step == "decided":
-			end = InForce
+		case e.Step == "withdrawn" && e.Change != 0:
+			result = Withdrawn
+		case e.Step == "decided":
+			result = InForce
 		}
-		if end == Undecided {
+		if result == Undecided {
 			continue
 		}
-		if was := w.ended[n.Change]; was != Undecided && was != end {
-			w.fail("change %x is both withdrawn and decided", n.Change)
+		if was := s.results[e.Change]; was != Undecided && was != result {
+			s.fail("change %x is both withdrawn and decided", e.Change)
 		}
-		w.ended[n.Change] = end
+		s.results[e.Change] = result
 	}
 }
 
-func (w *world) span(most time.Duration) time.Duration {
-	return time.Duration(w.rnd.Int64N(int64(most) + 1))
+func (s *simulation) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(s.rnd.Int64N(int64(limit) + 1))
 }
 
-// carry has a message arrive: late, never or twice.
-func (w *world) carry(cut bool, arrive func()) {
-	if cut {
+// deliver delivers a message after a delay. With faults it may be lost, repeated or very late.
+func (s *simulation) deliver(cutOff bool, receive func()) {
+	if cutOff {
 		return
 	}
 	times := 1
-	if w.faulty {
-		switch w.rnd.IntN(20) {
+	if s.faulty {
+		switch s.rnd.IntN(20) {
 		case 0:
 			return
 		case 1:
@@ -201,229 +203,230 @@
 		}
 	}
 	for range times {
-		late := w.span(w.delay)
-		if w.faulty && w.rnd.IntN(30) == 0 {
-			late += w.span(2 * w.plan.Lease)
+		delay := s.randomDuration(s.maxDelay)
+		if s.faulty && s.rnd.IntN(30) == 0 {
+			delay += s.randomDuration(2 * s.config.Lease)
 		}
-		w.after(late, arrive)
+		s.after(delay, receive)
 	}
 }
 
-// ask carries an ask to who leads, and back. The leader confirms its term when the ask is there,
-// and may stall between that and its answer.
-func (w *world) ask(d *dispatcher, a LeaseRequest) {
-	life, k := d.life, w.leader
-	w.carry(d.cut, func() {
-		if k.dead || k.term != w.term {
+// sendRequest carries a request to the current leader and the response back. The leader confirms its term when the
+// request arrives, and may stall between that and its response.
+func (s *simulation) sendRequest(d *dispatcher, r LeaseRequest) {
+	epoch, l := d.epoch, s.leader
+	s.deliver(d.cutOff, func() {
+		if l.crashed || l.term != s.term {
 			return
 		}
 		stall := time.Duration(0)
-		if w.faulty && w.rnd.IntN(40) == 0 {
-			stall = w.span(2 * w.plan.Lease)
+		if s.faulty && s.rnd.IntN(40) == 0 {
+			stall = s.randomDuration(2 * s.config.Lease)
 		}
-		w.after(stall, func() {
-			if k.dead {
+		s.after(stall, func() {
+			if l.crashed {
 				return
 			}
-			answer := k.Handle(w.clock(k.rate), a)
-			w.lead(k)
-			w.carry(d.cut, func() { w.hear(d, life, answer) })
+			response := l.Handle(s.reading(l.clockRate), r)
+			s.runLeader(l)
+			s.deliver(d.cutOff, func() { s.receiveResponse(d, epoch, response) })
 		})
 	})
 }
 
-func (w *world) hear(d *dispatcher, life uint64, a LeaseResponse) {
-	if d.life != life || d.down {
+func (s *simulation) receiveResponse(d *dispatcher, epoch uint64, r LeaseResponse) {
+	if d.epoch != epoch || d.down {
 		return
 	}
-	if w.now < d.stall {
-		w.after(time.Duration(d.stall-w.now), func() { w.hear(d, life, a) })
+	if s.now < d.stalledUntil {
+		s.after(time.Duration(d.stalledUntil-s.now), func() { s.receiveResponse(d, epoch, r) })
 		return
 	}
-	d.HandleResponse(w.clock(d.rate), a)
-	w.turn(d)
+	d.HandleResponse(s.reading(d.clockRate), r)
+	s.step(d)
 }
 
-// lead does what a keeper asks for.
-func (w *world) lead(k *keeperAt) {
-	w.heard(k.TakeEvents())
-	if s, ok := k.TakeDecision(); ok && k.term == w.term {
-		w.pending = &s
-		w.after(w.span(2*w.delay), func() {
-			if w.term == k.term && w.pending != nil {
-				w.commit()
-				k.Applied(w.clock(k.rate), w.state)
-				w.lead(k)
+// runLeader carries out what a leader asks for.
+func (s *simulation) runLeader(l *simulatedLeader) {
+	s.recordResults(l.TakeEvents())
+	if decision, ok := l.TakeDecision(); ok && l.term == s.term {
+		s.pendingDecision = &decision
+		s.after(s.randomDuration(2*s.maxDelay), func() {
+			if s.term == l.term && s.pendingDecision != nil {
+				s.commit()
+				l.Applied(s.reading(l.clockRate), s.state)
+				s.runLeader(l)
 			}
 		})
 	}
-	if k.TakePoll() && k.term == w.term {
-		for _, d := range w.all {
-			life := d.life
-			w.carry(d.cut, func() {
-				if d.life == life && !d.down && w.now >= d.stall {
+	if l.TakePoll() && l.term == s.term {
+		for _, d := range s.dispatchers {
+			epoch := d.epoch
+			s.deliver(d.cutOff, func() {
+				if d.epoch == epoch && !d.down && s.now >= d.stalledUntil {
 					d.RequestNow()
-					w.turn(d)
+					s.step(d)
 				}
 			})
 		}
 	}
 }
 
-func (w *world) commit() {
-	d := *w.pending
-	w.pending = nil
-	if w.state.Apply(d) {
-		w.heard([]Event{{Step: "decided", Change: d.Change, Version: d.Version}})
+func (s *simulation) commit() {
+	d := *s.pendingDecision
+	s.pendingDecision = nil
+	if s.state.Apply(d) {
+		s.recordResults([]Event{{Step: "decided", Change: d.Change, Version: d.Version}})
 	}
 }
 
-// elect makes a new leader. What the one before had given to the log is in the new one's, or lost.
-func (w *world) elect() {
-	if w.pending != nil && w.rnd.IntN(2) == 0 {
-		w.commit()
+// elect begins a new term. An entry that the previous leader had submitted is in the new leader's log, or lost.
+func (s *simulation) elect() {
+	if s.pendingDecision != nil && s.rnd.IntN(2) == 0 {
+		s.commit()
 	}
-	w.pending = nil
-	w.term++
-	rate := w.rate()
-	k, err := NewLeader(w.plan, w.term, w.clock(rate), w.state)
+	s.pendingDecision = nil
+	s.term++
+	rate := s.drawRate()
+	l, err := NewLeader(s.config, s.term, s.reading(rate), s.state)
 	if err != nil {
 		panic(err)
 	}
-	at := &keeperAt{Leader: k, rate: rate, term: w.term}
-	w.leader = at
-	w.tick(at)
+	leader := &simulatedLeader{Leader: l, clockRate: rate, term: s.term}
+	s.leader = leader
+	s.tickLeader(leader)
 }
 
-// tick lets time pass for a keeper; a deposed one goes on, too.
-func (w *world) tick(k *keeperAt) {
-	if k.dead || k.term+2 < w.term {
+// tickLeader ticks a leader again and again, also for two terms after it was deposed.
+func (s *simulation) tickLeader(l *simulatedLeader) {
+	if l.crashed || l.term+2 < s.term {
 		return
 	}
-	k.Tick(w.clock(k.rate))
-	w.lead(k)
-	w.after(w.plan.Lease/20, func() { w.tick(k) })
+	l.Tick(s.reading(l.clockRate))
+	s.runLeader(l)
+	s.after(s.config.Lease/20, func() { s.tickLeader(l) })
 }
 
-func (w *world) fail(format string, a ...any) {
-	if w.bad == "" {
-		w.bad = fmt.Sprintf(format, a...)
+func (s *simulation) fail(format string, a ...any) {
+	if s.violation == "" {
+		s.violation = fmt.Sprintf(format, a...)
 	}
 }
 
-// check holds promise 2 at this moment: all that may take or start, may by one version. An opening
-// happens at an event alone, so that looking after each misses none.
-func (w *world) check() {
-	if w.plan.ContinueWhenCut {
+// checkOneVersion checks guarantee 2 of docs/design/accord.md at this moment: all dispatchers that may accept or start
+// requests do so under one version. An admission is extended at an event only, so checking after each event misses
+// none.
+func (s *simulation) checkOneVersion() {
+	if s.config.ContinueWhenCut {
 		return
 	}
-	by, who := uint64(0), 0
-	for _, d := range w.all {
+	version, node := uint64(0), 0
+	for _, d := range s.dispatchers {
 		if d.down {
 			continue
 		}
-		g, now := d.Admission(), w.clock(d.rate)
-		if now >= g.AcceptUntil && now >= g.StartUntil {
+		a, now := d.Admission(), s.reading(d.clockRate)
+		if now >= a.AcceptUntil && now >= a.StartUntil {
 			continue
 		}
-		w.served++
-		if by != 0 && by != g.Version {
-			w.fail("at %d ns n%d takes or starts by version %d and n%d by %d", w.now, who, by, d.id, g.Version)
+		s.servingSeen++
+		if version != 0 && version != a.Version {
+			s.fail("at %d ns n%d accepts or starts under version %d and n%d under %d", s.now, node, version, d.id, a.Version)
 		}
-		by, who = g.Version, d.id
+		version, node = a.Version, d.id
 	}
 }
 
-// propose has a dispatcher propose a body.
-func (w *world) propose(d *dispatcher, body string) {
-	if !d.down && w.now >= d.stall && d.Propose(w.rnd.Uint64()|ProposalBit, []byte(body)) == nil {
-		w.turn(d)
+// propose has a dispatcher propose a policy.
+func (s *simulation) propose(d *dispatcher, body string) {
+	if !d.down && s.now >= d.stalledUntil && d.Propose(s.rnd.Uint64()|ProposalBit, []byte(body)) == nil {
+		s.step(d)
 	}
 }
 
-// mend ends all faults.
-func (w *world) mend() {
-	w.faulty, w.delay = false, 5*time.Millisecond
-	for _, d := range w.all {
-		d.cut, d.stall, d.older = false, 0, false
+// endFaults ends all faults.
+func (s *simulation) endFaults() {
+	s.faulty, s.maxDelay = false, 5*time.Millisecond
+	for _, d := range s.dispatchers {
+		d.cutOff, d.stalledUntil, d.refusesOdd = false, 0, false
 		d.RetryCheck()
 		if d.down {
-			w.start(d)
+			s.startDispatcher(d)
 		}
 	}
 }
 
-// settled is what is wrong once faults have ended and the named time has passed; empty if nothing is.
-func (w *world) settled() string {
-	for _, d := range w.all {
+// unsettled returns what is wrong once faults have ended and the documented time has passed; empty if nothing is.
+func (s *simulation) unsettled() string {
+	for _, d := range s.dispatchers {
 		v, _ := d.Current()
 		switch {
-		case w.state.Version == 0:
+		case s.state.Version == 0:
 			return "no version was ever decided"
-		case v != w.state.Version:
-			return fmt.Sprintf("n%d holds version %d, and %d is decided", d.id, v, w.state.Version)
-		case w.clock(d.rate) >= d.Admission().AcceptUntil:
-			return fmt.Sprintf("n%d takes nothing: %s", d.id, d.NotAcceptingReason())
+		case v != s.state.Version:
+			return fmt.Sprintf("n%d has version %d, and %d is decided", d.id, v, s.state.Version)
+		case s.reading(d.clockRate) >= d.Admission().AcceptUntil:
+			return fmt.Sprintf("n%d accepts no requests: %s", d.id, d.NotAcceptingReason())
 		case d.ProposalPending():
-			return fmt.Sprintf("n%d knows no outcome of its proposal", d.id)
+			return fmt.Sprintf("n%d has no outcome of its proposal", d.id)
 		}
 	}
-	if c := w.leader.change; c != nil {
-		return fmt.Sprintf("change %x is in stage %d still", c.id, c.stage)
+	if c := s.leader.change; c != nil {
+		return fmt.Sprintf("change %x is still in stage %d", c.id, c.stage)
 	}
 	return ""
 }
 
-// schedule plays random faults and proposals, mends all, and says what was broken.
-func schedule(p LeaseConfig, n, steps int, seed uint64) (*world, string) {
-	w := newWorld(p, n, seed)
-	w.propose(w.all[0], "first")
-	if w.rnd.IntN(2) == 0 {
-		w.run(3 * p.Lease)
+// playSchedule plays random faults and proposals, ends all faults, and returns which guarantee was broken.
+func playSchedule(config LeaseConfig, n, steps int, seed uint64) (*simulation, string) {
+	s := newSimulation(config, n, seed)
+	s.propose(s.dispatchers[0], "first")
+	if s.rnd.IntN(2) == 0 {
+		s.run(3 * config.Lease)
 	}
 	for range steps {
-		d := w.all[w.rnd.IntN(n)]
-		switch w.rnd.IntN(12) {
+		d := s.dispatchers[s.rnd.IntN(n)]
+		switch s.rnd.IntN(12) {
 		case 0, 1:
-			w.propose(d, fmt.Sprintf("policy %d %s", w.rnd.IntN(1000), "abcd"[:w.rnd.IntN(4)]))
+			s.propose(d, fmt.Sprintf("policy %d %s", s.rnd.IntN(1000), "abcd"[:s.rnd.IntN(4)]))
 		case 2:
-			d.cut = !d.cut
-		case 3: // crashes, and is back at once or later
+			d.cutOff = !d.cutOff
+		case 3: // crashes, and restarts at once or later
 			if d.down {
-				w.start(d)
-			} else if d.down = true; w.rnd.IntN(2) == 0 {
-				w.start(d)
+				s.startDispatcher(d)
+			} else if d.down = true; s.rnd.IntN(2) == 0 {
+				s.startDispatcher(d)
 			}
 		case 4:
-			d.stall = w.now + int64(w.span(2*p.Lease))
+			d.stalledUntil = s.now + int64(s.randomDuration(2*config.Lease))
 		case 5:
-			w.elect()
-		case 6: // the leader crashes; there is a time with none
-			w.leader.dead = true
-			w.run(w.span(p.Lease))
-			w.elect()
+			s.elect()
+		case 6: // the leader crashes, and for a while there is none
+			s.leader.crashed = true
+			s.run(s.randomDuration(config.Lease))
+			s.elect()
 		}
-		w.run(w.span(p.Lease / 2))
-		if w.bad != "" {
-			return w, w.bad
+		s.run(s.randomDuration(config.Lease / 2))
+		if s.violation != "" {
+			return s, s.violation
 		}
 	}
-	w.mend()
-	w.run(2 * (p.QuietPeriod() + 6*p.Lease))
-	if w.bad != "" {
-		return w, w.bad
+	s.endFaults()
+	s.run(2 * (config.QuietPeriod() + 6*config.Lease))
+	if s.violation != "" {
+		return s, s.violation
 	}
-	if w.state.Version > 0 && w.settled() != "" {
-		return w, w.settled()
+	if s.state.Version > 0 && s.unsettled() != "" {
+		return s, s.unsettled()
 	}
-	w.propose(w.all[w.rnd.IntN(n)], "the last") // the fleet is still able to change
-	was := w.state.Version
-	w.run(4 * p.Lease)
+	s.propose(s.dispatchers[s.rnd.IntN(n)], "the last") // the fleet must still be able to decide a change
+	was := s.state.Version
+	s.run(4 * config.Lease)
 	switch {
-	case w.bad != "":
-		return w, w.bad
-	case w.state.Version != was+1 || string(w.state.Body) != "the last":
-		return w, fmt.Sprintf("after all faults a change from version %d was not decided: %+v", was, w.leader.last)
+	case s.violation != "":
+		return s, s.violation
+	case s.state.Version != was+1 || string(s.state.Body) != "the last":
+		return s, fmt.Sprintf("after all faults a change from version %d was not decided: %+v", was, s.leader.lastOutcome)
 	}
-	return w, w.settled()
+	return s, s.unsettled()
 }
