--- a/internal/balance/api.go
+++ b/internal/balance/api.go
@@ -15,8 +15,8 @@
 type Millis = float64
 
 // MaxProcessPause is the longest time for which a process may be paused between reading its clock and
-// writing to a connection (the standing test, "More than these days"). A decision must still be valid
-// that much later.
+// writing to a connection. A decision must still be valid that much later. The figure is that of the
+// standing test ("More than these days").
 const MaxProcessPause Millis = 150
 
 // EffectiveRepeatWindow is how long after an attempt another one may be decided on, for a class whose
--- a/internal/balance/random_runs_test.go
+++ b/internal/balance/random_runs_test.go
@@ -12,7 +12,7 @@
 // checker observes events and actions and checks the rules as they are specified. It keeps its own records and shares
 // no code with the package.
 type checker struct {
-	set      Settings
+	settings Settings
 	now      Millis
 	requests map[RequestID]*checkedRequest
 	states   map[WorkerID]State
@@ -60,7 +60,7 @@
 }
 
 func (c *checker) dispatch(r *checkedRequest, a action) {
-	class, to := c.set.Classes[r.request.Class], c.workers[a.worker]
+	class, to := c.settings.Classes[r.request.Class], c.workers[a.worker]
 	if r.closed {
 		c.fault("request %d dispatched after closing", a.id)
 	}
@@ -70,7 +70,7 @@
 	if class.Kind >= 0 && class.Kind != to.Kind {
 		c.fault("request %d sent to the wrong kind", a.id)
 	}
-	if len(r.attempts) >= c.set.MaxAttempts {
+	if len(r.attempts) >= c.settings.MaxAttempts {
 		c.fault("request %d: too many attempts", a.id)
 	}
 	for _, b := range r.attempts {
@@ -87,7 +87,7 @@
 }
 
 func (c *checker) refuse(r *checkedRequest) {
-	class := c.set.Classes[r.request.Class]
+	class := c.settings.Classes[r.request.Class]
 	for _, b := range r.attempts {
 		if b.mayHaveRun() && (class.Effect == Unsafe || class.Effect == Deduped && class.Scope != ScopeAll) {
 			c.fault("request %d refused though it may have run", r.request.ID)
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &checker{set: s, requests: map[RequestID]*checkedRequest{}, states: map[WorkerID]State{}, workers: map[WorkerID]Worker{}}
+	c := &checker{settings: s, requests: map[RequestID]*checkedRequest{}, states: map[WorkerID]State{}, workers: map[WorkerID]Worker{}}
 	var all []action
 	var timers []timer
 	var pending []*checkedRequest // requests in order of arrival
