--- a/internal/network/arrival.go
+++ b/internal/network/arrival.go
@@ -16,12 +16,12 @@
 // bytes of a connection count from when accepts began to fail before it was accepted.
 //
 // It is used by the goroutine that reads the connection.
-type arrival struct {
-	raw    syscall.RawConn // nil if the system gives no such information
-	queued time.Time       // the connection may have been queued for accept since then; zero if it was not
-	last   time.Duration   // scratch of queryTCPInfo
-	info   tcpInfo         // scratch of queryTCPInfo
-	ask    func(fd uintptr)
+type arrivalClock struct {
+	raw          syscall.RawConn // nil if the system gives no such information
+	queuedSince  time.Time       // the connection may have been queued for accept since then; zero if it was not
+	recvAge      time.Duration   // scratch of queryTCPInfo
+	info         tcpInfo         // scratch of queryTCPInfo
+	queryTCPInfo func(fd uintptr)
 }
 
 // tcpInfo is the beginning of the kernel's struct tcp_info (linux/tcp.h), up to the field that is used: fetching the whole
@@ -33,33 +33,33 @@
 }
 
 // newArrivalClock returns the clock of a connection that was just accepted.
-func newArrival(conn net.Conn, queued time.Time) *arrival {
-	a := &arrival{queued: queued}
+func newArrivalClock(conn net.Conn, queued time.Time) *arrivalClock {
+	a := &arrivalClock{queuedSince: queued}
 	if c, ok := conn.(syscall.Conn); ok {
 		a.raw, _ = c.SyscallConn()
 	}
-	a.ask = func(fd uintptr) {
-		a.last = -1
+	a.queryTCPInfo = func(fd uintptr) {
+		a.recvAge = -1
 		size := uint32(unsafe.Sizeof(a.info))
 		_, _, errno := syscall.Syscall6(syscall.SYS_GETSOCKOPT, fd, syscall.IPPROTO_TCP, unix.TCP_INFO,
 			uintptr(unsafe.Pointer(&a.info)), uintptr(unsafe.Pointer(&size)), 0)
 		if errno == 0 && size == uint32(unsafe.Sizeof(a.info)) {
-			a.last = time.Duration(a.info.LastDataRecv) * time.Millisecond
+			a.recvAge = time.Duration(a.info.LastDataRecv) * time.Millisecond
 		}
 	}
 	return a
 }
 
 // timeOf returns when the bytes arrived that a read has just returned: no later than now.
-func (a *arrival) at(now time.Time) time.Time {
+func (a *arrivalClock) timeOf(now time.Time) time.Time {
 	if a == nil { // in tests without a socket
 		return now
 	}
-	queued := a.queued
-	a.queued = time.Time{} // only the first bytes can have arrived before the accept
+	queued := a.queuedSince
+	a.queuedSince = time.Time{} // only the first bytes can have arrived before the accept
 	if a.raw != nil {
-		if a.raw.Control(a.ask) == nil && a.last >= 0 {
-			return now.Add(-a.last)
+		if a.raw.Control(a.queryTCPInfo) == nil && a.recvAge >= 0 {
+			return now.Add(-a.recvAge)
 		}
 		a.raw = nil
 	}
@@ -73,14 +73,14 @@
 // the connections that they accept.
 type acceptQueue struct{ since atomic.Pointer[time.Time] }
 
-// acceptFailed reports that an accept failed.
-func (q *acceptQueue) failed(now time.Time) { q.since.CompareAndSwap(nil, &now) }
+// acceptFailed reports that an accept acceptFailed.
+func (q *acceptQueue) acceptFailed(now time.Time) { q.since.CompareAndSwap(nil, &now) }
 
-// emptied reports that an accept had to wait, so that the queue was empty.
-func (q *acceptQueue) empty() { q.since.Store(nil) }
+// emptied reports that an accept had to wait, so that the queue was emptied.
+func (q *acceptQueue) emptied() { q.since.Store(nil) }
 
 // queuedSince returns since when a connection that was just accepted may have been waiting; zero if it was not.
-func (q *acceptQueue) from() time.Time {
+func (q *acceptQueue) queuedSince() time.Time {
 	if at := q.since.Load(); at != nil {
 		return *at
 	}
--- a/internal/network/await.go
+++ b/internal/network/await.go
@@ -15,28 +15,28 @@
 // a read notices the end of a connection, and closing a connection with unread bytes resets it, which destroys an answer that
 // the client has not read yet.
 const (
-	aheadMost    = platform.MaxHead + platform.MaxBody // buffered: one more request of the longest size allowed
-	dropPiece    = 16 << 10                            // read at a time when discarding
-	dropFree     = 256 << 10                           // discarded bytes before reads are slowed down
-	dropPause    = time.Millisecond                    // after each chunk, so that a flood does not use up the processor
-	lingerMost   = 1 << 20                             // bytes read after the last answer
-	lingerWait   = 500 * time.Millisecond              // for a client to read its last answer and close
-	drainWait    = 150 * time.Millisecond              // the same while the process is about to end: a few round trips
-	hereLook     = 200 * time.Microsecond              // for bytes already received to be read, when the descriptor is needed
-	lateReadWait = 30 * time.Millisecond               // for an extended read to end by itself, once a new client has waited for closeWait
-	lateReadMost = 100 * time.Millisecond              // for a client that still sends, if its descriptor is needed but no new client has waited in vain
+	maxPipelinedBytes  = platform.MaxHead + platform.MaxBody // buffered: one more request of the longest size allowed
+	discardChunk       = 16 << 10                            // read at a time when discarding
+	discardUnthrottled = 256 << 10                           // discarded bytes before reads are slowed down
+	discardPause       = time.Millisecond                    // after each chunk, so that a flood does not use up the processor
+	maxLingerBytes     = 1 << 20                             // bytes read after the last answer
+	lingerTimeout      = 500 * time.Millisecond              // for a client to read its last answer and close
+	drainLingerTimeout = 150 * time.Millisecond              // the same while the process is about to end: a few round trips
+	bufferedReadWait   = 200 * time.Microsecond              // for bytes already received to be read, when the descriptor is needed
+	extendedReadGrace  = 30 * time.Millisecond               // for an extended read to end by itself, once a new client has waited for closeWait
+	maxExtendedRead    = 100 * time.Millisecond              // for a client that still sends, if its descriptor is needed but no new client has waited in vain
 )
 
 // discardBuffers are buffers for bytes that are read and discarded.
-var waste = sync.Pool{New: func() any { return new([dropPiece]byte) }}
+var discardBuffers = sync.Pool{New: func() any { return new([discardChunk]byte) }}
 
 // awaitAnswer waits until the answer is written, or the client closes the connection. Meanwhile it reads what the client
 // sends for its next request.
-func (s *session) await(t core.Handle, closing bool) (core.Ending, bool) {
-	gone, done := make(chan struct{}), make(chan written, 1)
-	a := &ahead{session: s}
-	go s.reply(closing, s.held > 0, a, gone, done)
-	here := a.watch()
+func (s *session) awaitAnswer(t core.Handle, closing bool) (core.Ending, bool) {
+	gone, done := make(chan struct{}), make(chan writeResult, 1)
+	a := &pipelineReader{session: s}
+	go s.writeAnswer(closing, s.bufferedBytes > 0, a, gone, done)
+	here := a.readUntilAnswered()
 	if !here {
 		t.Abandon(false, nil)
 		close(gone)
@@ -45,50 +45,50 @@
 	// Wait for the writer before the session leaves the table: a later update by the writer would put it back.
 	w := <-done
 	a.release()
-	s.done(w.free)
+	s.finishReq(w.free)
 	switch {
 	case !here || w.err != nil:
 		return core.ClientClosed, true
-	case w.closing || a.dropped > 0:
-		s.endsItself = closing || a.dropped > 0
+	case w.closing || a.discarded > 0:
+		s.clientEnds = closing || a.discarded > 0
 		return core.SessionDone, true
 	}
-	if s.in.Ahead() > 0 {
-		s.turn = time.Now()
-		s.clients.table.begun(&s.sessionState)
+	if s.parser.Ahead() > 0 {
+		s.pipelineTurn = time.Now()
+		s.clients.table.reqStarted(&s.sessionState)
 	} else {
-		s.looked = s.clients.table.over(&s.sessionState)
+		s.finalRead = s.clients.table.closeDue(&s.sessionState)
 	}
 	return 0, false
 }
 
 // pipelineReader reads what a client sends while its request waits for the answer.
-type ahead struct {
+type pipelineReader struct {
 	*session
-	kept    int  // bytes reserved of the total for all sessions
-	dropped int  // bytes read and not buffered; if any, nothing further of the session can be parsed
-	flooded bool // guarded by the table's lock: bytes were discarded
+	reserved  int  // bytes reserved of the total for all sessions
+	discarded int  // bytes read and not buffered; if any, nothing further of the session can be parsed
+	flooded   bool // guarded by the table's lock: bytes were discarded
 }
 
 // readUntilAnswered reads until the answer is written. It returns false if the client closes the connection first. Bytes are
 // buffered for the next request up to a bound; bytes beyond it are discarded, and then the session ends with its answer.
-func (a *ahead) watch() (here bool) {
+func (a *pipelineReader) readUntilAnswered() (here bool) {
 	t := &a.clients.table
-	if a.in.Ahead() > 0 { // received together with the request: no further read would report them
-		a.came = a.session.read
-		if !t.sentAhead(&a.sessionState) {
+	if a.parser.Ahead() > 0 { // received together with the request: no further read would report them
+		a.firstByteAt = a.session.lastByteAt
+		if !t.notePipelined(&a.sessionState) {
 			return true
 		}
 	}
 	for {
-		n, err := a.take()
+		n, err := a.readOnce()
 		switch {
 		case n > 0:
-			if !t.sentAhead(&a.sessionState) {
+			if !t.notePipelined(&a.sessionState) {
 				return true
 			}
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			if !t.stillOwed(&a.sessionState) {
+			if !t.awaitingAnswer(&a.sessionState) {
 				return true
 			}
 		default: // the client is gone, and its pipelined bytes are dropped
@@ -98,80 +98,80 @@
 }
 
 // readOnce reads once, into the buffer or to discard.
-func (a *ahead) take() (int, error) {
-	if a.dropped == 0 && a.room() {
-		first := a.in.Ahead() == 0
-		n, err := a.conn.Read(a.in.Space())
+func (a *pipelineReader) readOnce() (int, error) {
+	if a.discarded == 0 && a.canBuffer() {
+		first := a.parser.Ahead() == 0
+		n, err := a.conn.Read(a.parser.Space())
 		if n > 0 && first {
-			a.came = a.arrival.at(time.Now())
+			a.firstByteAt = a.arrival.timeOf(time.Now())
 		}
-		a.in.Filled(n)
+		a.parser.Filled(n)
 		return n, err
 	}
-	piece := waste.Get().(*[dropPiece]byte)
-	defer waste.Put(piece)
+	piece := discardBuffers.Get().(*[discardChunk]byte)
+	defer discardBuffers.Put(piece)
 	n, err := a.conn.Read(piece[:])
 	if n == 0 {
 		return n, err
 	}
-	if a.dropped += n; a.dropped == n {
+	if a.discarded += n; a.discarded == n {
 		a.clients.Count.SessionsFlooded.Add(1)
 		a.clients.table.mu.Lock()
 		a.flooded = true
 		a.clients.table.mu.Unlock()
 	}
-	if a.dropped > dropFree {
-		time.Sleep(dropPause)
+	if a.discarded > discardUnthrottled {
+		time.Sleep(discardPause)
 	}
 	return n, err
 }
 
 // canBuffer reports whether more bytes may be buffered, and reserves space for a whole request when it is needed.
-func (a *ahead) room() bool {
-	n := a.in.Ahead()
-	if n >= smallBody && a.kept == 0 && a.clients.hold(aheadMost) {
-		a.kept = aheadMost
+func (a *pipelineReader) canBuffer() bool {
+	n := a.parser.Ahead()
+	if n >= smallBody && a.reserved == 0 && a.clients.reserveBytes(maxPipelinedBytes) {
+		a.reserved = maxPipelinedBytes
 	}
-	return n < smallBody || n < a.kept
+	return n < smallBody || n < a.reserved
 }
 
-func (a *ahead) release() { a.clients.held.Add(-int64(a.kept)) }
+func (a *pipelineReader) release() { a.clients.bufferedBytes.Add(-int64(a.reserved)) }
 
 // status reports whether bytes follow the request that waits, and whether some of them were discarded.
-func (a *ahead) lies() (some, flooded bool) {
+func (a *pipelineReader) status() (some, flooded bool) {
 	t := &a.clients.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return a.sessionState.ahead, a.flooded
+	return a.sessionState.pipelined, a.flooded
 }
 
-func (s *session) done(free bool) {
-	s.in.Done(free)
-	s.request = "" // a slice of the request's head, which would keep the head in memory while the session is idle
+func (s *session) finishReq(free bool) {
+	s.parser.Done(free)
+	s.reqID = "" // a slice of the request's head, which would keep the head in memory while the session is idle
 	s.release()
 }
 
 // writeAnswer writes the answer once it is decided. wake says that the rest of the request's body is to be given up at once; it is
 // an argument because the reading goroutine may have ended meanwhile. A pipelined request that was read already is answered before
 // a shutdown closes the session.
-func (s *session) reply(closing, long bool, behind *ahead, gone chan struct{}, done chan written) {
+func (s *session) writeAnswer(closing, long bool, behind *pipelineReader, gone chan struct{}, done chan writeResult) {
 	var a core.Answer
 	select {
 	case a = <-s.answer:
 	case <-gone:
-		done <- written{}
+		done <- writeResult{}
 		return
 	}
 	t := &s.clients.table
-	some, flooded := behind.lies()
-	closing = closing || flooded || !some && (s.clients.told().CloseAfterAnswer || t.isShed(&s.sessionState))
+	some, flooded := behind.status()
+	closing = closing || flooded || !some && (s.clients.currentDirectives().CloseAfterAnswer || t.mustClose(&s.sessionState))
 	err := s.write(platform.AppendFinal(make([]byte, 0, 128+len(a.Result)), a, closing))
 	if closing || err != nil {
-		s.note(guard.RequestWritten, s.closes(closing, flooded, err))
+		s.note(guard.RequestWritten, s.closeCause(closing, flooded, err))
 	}
-	closing = t.answered(&s.sessionState, true, closing || err != nil, long)
-	t.trim(s.clients.usual())
-	done <- written{a.JobReleased, closing, err}
+	closing = t.reqAnswered(&s.sessionState, true, closing || err != nil, long)
+	t.trimJobSessions(s.clients.maxJobSessions())
+	done <- writeResult{a.JobReleased, closing, err}
 }
 
 // linger lets the client read its last answer: it closes the sending side, then reads and discards what the client still
@@ -183,48 +183,48 @@
 	if !ok || end.CloseWrite() != nil {
 		return
 	}
-	left := lingerMost
+	left := maxLingerBytes
 	s.note(guard.SessionLingers, nil)
-	if c.table.linger(&s.sessionState, c.most()) {
-		wait := lingerWait
-		if c.told().CloseAfterAnswer {
-			wait = drainWait
+	if c.table.startLingering(&s.sessionState, c.maxSessions()) {
+		wait := lingerTimeout
+		if c.currentDirectives().CloseAfterAnswer {
+			wait = drainLingerTimeout
 		}
-		c.table.lingerUntil(&s.sessionState, time.Now().Add(wait))
+		c.table.setLingerDeadline(&s.sessionState, time.Now().Add(wait))
 		var over bool
-		if left, over = s.dropUntil(left); over || !c.table.isShed(&s.sessionState) {
+		if left, over = s.discard(left); over || !c.table.mustClose(&s.sessionState) {
 			return
 		}
 	}
-	s.readLate(left)
+	s.readBeforeClose(left)
 }
 
 // readBeforeClose reads on when the descriptor of a session that had its last answer is needed. It reads what has been
 // received by now. If the client has sent more after its last request, it reads on until the client has read the answer and
 // closes, as a close while bytes arrive would reset the connection and destroy the answer.
-func (s *session) readLate(left int) {
-	if left == lingerMost && !s.in.Partial() {
-		s.conn.SetReadDeadline(time.Now().Add(hereLook))
+func (s *session) readBeforeClose(left int) {
+	if left == maxLingerBytes && !s.parser.Partial() {
+		s.conn.SetReadDeadline(time.Now().Add(bufferedReadWait))
 		var over bool
-		if left, over = s.dropUntil(left); over || left == lingerMost {
+		if left, over = s.discard(left); over || left == maxLingerBytes {
 			return
 		}
 	}
-	s.clients.table.readLate(&s.sessionState, time.Now().Add(lateReadMost))
-	s.dropUntil(left)
+	s.clients.table.extendRead(&s.sessionState, time.Now().Add(maxExtendedRead))
+	s.discard(left)
 }
 
 // discardFor reads and discards what arrives, for a time and up to a number of bytes, until the client closes.
-func (s *session) drop(wait time.Duration) {
+func (s *session) discardFor(wait time.Duration) {
 	s.conn.SetReadDeadline(time.Now().Add(wait))
-	s.dropUntil(lingerMost)
+	s.discard(maxLingerBytes)
 }
 
 // discard reads and discards up to limit bytes, until the deadline that is set. left is how many it did not read. over reports
 // that there is nothing more to read: the connection has ended, or limit is reached.
-func (s *session) dropUntil(most int) (left int, over bool) {
-	piece := waste.Get().(*[dropPiece]byte)
-	defer waste.Put(piece)
+func (s *session) discard(most int) (left int, over bool) {
+	piece := discardBuffers.Get().(*[discardChunk]byte)
+	defer discardBuffers.Put(piece)
 	for left = most; left > 0; {
 		n, err := s.conn.Read(piece[:])
 		if left -= n; err != nil {
--- a/internal/network/await_test.go
+++ b/internal/network/await_test.go
@@ -130,7 +130,7 @@
 			assert.Zero(t, answered, "the session did not stay until the req's time was up")
 			assert.EqualValues(t, 1, s.count.Endings[core.ClientClosed].Load())
 			assert.Equal(t, c.flooded, s.count.SessionsFlooded.Load())
-			assert.Zero(t, s.clients.held.Load(), "what was kept is given up")
+			assert.Zero(t, s.clients.bufferedBytes.Load(), "what was kept is given up")
 			assert.Empty(t, b.attempts, "a req that was sent ahead is not for anybody")
 			first.Ended(core.Served, "r", nil)
 		})
@@ -184,7 +184,7 @@
 	_, err := io.WriteString(conn, photoReq("a", "", "z")+photoReq("b", "", "z"))
 	require.NoError(t, err)
 	first := b.nextAttempt(t)
-	s.clients.orders.Store(&service.Directives{Accept: true, CloseAfterAnswer: true})
+	s.clients.directives.Store(&service.Directives{Accept: true, CloseAfterAnswer: true})
 	serveAttempt(first, "ra")
 	serveAttempt(b.nextAttempt(t), "rb")
 	_, body, closing := conn.readAnswer(t)
@@ -226,11 +226,11 @@
 			b := newManualBackends()
 			s := startServer(t, b, func(cl *Clients) {
 				if c.excess {
-					cl.MaxSessions = -excessMost
+					cl.MaxSessions = -maxExcessSessions
 				}
 			})
 			if c.orders != nil {
-				s.clients.orders.Store(c.orders)
+				s.clients.directives.Store(c.orders)
 			}
 			conn := dialClient(t, s)
 			_, err := io.WriteString(conn, c.send)
@@ -266,13 +266,13 @@
 		assert.Equal(t, 200, status)
 		assert.True(t, closing)
 		s.clients.table.mu.Lock()
-		assert.LessOrEqual(t, s.clients.table.lingers, most)
+		assert.LessOrEqual(t, s.clients.table.lingering, most)
 		s.clients.table.mu.Unlock()
 	}
 	s.waitNoSessions(t)
 	s.clients.table.mu.Lock()
 	defer s.clients.table.mu.Unlock()
-	assert.Zero(t, s.clients.table.lingers)
+	assert.Zero(t, s.clients.table.lingering)
 }
 
 // blockedConn is a connection whose first write waits until the connection is closed, and then until the dispatcher has
@@ -315,7 +315,7 @@
 	require.NoError(t, err)
 	held := &blockedConn{Conn: conn, writing: make(chan struct{}), closed: make(chan struct{}), sessionRemoved: func() bool { return s.clients.OpenSessions() == 0 }}
 	one := &session{sessionState: sessionState{conn: held}, clients: s.clients, answer: make(chan core.Answer, 1)}
-	s.clients.enter(&one.sessionState)
+	s.clients.register(&one.sessionState)
 	go one.run()
 	_, err = io.WriteString(client, photoReq("a", "", "z"))
 	require.NoError(t, err)
@@ -325,12 +325,12 @@
 	require.Eventually(t, func() bool { // the session has ended, and its writer too
 		table.mu.Lock()
 		defer table.mu.Unlock()
-		return table.count == 0 && one.job
+		return table.count == 0 && one.servedJob
 	}, 20*time.Second, time.Millisecond)
 	table.mu.Lock()
 	defer table.mu.Unlock()
-	for r := range table.rows {
-		assert.Zero(t, table.rows[r].Len(), "row %d", r)
+	for r := range table.byRank {
+		assert.Zero(t, table.byRank[r].Len(), "row %d", r)
 	}
 }
 
@@ -338,8 +338,8 @@
 // rank of its session: one that was told to close may have taken a request that was already on its way.
 func TestAnswerPendingUntilWritten(t *testing.T) {
 	for name, end := range map[string]func(*table, *sessionState){
-		"answered": func(t *table, s *sessionState) { t.answered(s, true, false, false) },
-		"gone":     func(t *table, s *sessionState) { t.leave(s) },
+		"answered": func(t *table, s *sessionState) { t.reqAnswered(s, true, false, false) },
+		"gone":     func(t *table, s *sessionState) { t.remove(s) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			var list table
@@ -347,13 +347,13 @@
 			defer near.Close()
 			defer far.Close()
 			one := &sessionState{conn: near}
-			list.enter(one, 9, nil)
-			list.shut(one, guard.ServiceEnds)
-			list.taken(one)
-			answering, closing := list.answering()
+			list.add(one, 9, nil)
+			list.requestClose(one, guard.ServiceEnds)
+			list.reqReceived(one)
+			answering, closing := list.unfinished()
 			assert.Equal(t, []int{1, 1}, []int{answering, closing})
 			end(&list, one)
-			answering, _ = list.answering()
+			answering, _ = list.unfinished()
 			assert.Zero(t, answering)
 		})
 	}
--- a/internal/network/clients.go
+++ b/internal/network/clients.go
@@ -19,13 +19,13 @@
 
 // Timeouts of a client session.
 const (
-	firstWait = 2500 * time.Millisecond // from connecting until the first request is complete
-	reqWait   = 2500 * time.Millisecond // for the rest of a later request that has begun
-	idleWait  = 3 * time.Minute         // between requests
-	writeWait = 5 * time.Second         // for an answer to be written
-	shedPause = 500 * time.Millisecond  // advice to a client that is refused for lack of descriptors
-	lastLook  = 5 * time.Millisecond    // for a request that arrives as its session is about to be closed
-	roomWait  = 20 * time.Millisecond   // for sessions that were told to close to be gone
+	firstReqTimeout = 2500 * time.Millisecond // from connecting until the first request is complete
+	reqTimeout      = 2500 * time.Millisecond // for the rest of a later request that has begun
+	idleTimeout     = 3 * time.Minute         // between requests
+	writeTimeout    = 5 * time.Second         // for an answer to be written
+	shedRetryAfter  = 500 * time.Millisecond  // advice to a client that is refused for lack of descriptors
+	finalReadWait   = 5 * time.Millisecond    // for a request that arrives as its session is about to be closed
+	closeWait       = 20 * time.Millisecond   // for sessions that were told to close to be gone
 )
 
 // Clients serves client sessions over HTTP/1.1, and keeps the table of the sessions of both fronts.
@@ -42,99 +42,99 @@
 	Log              zerolog.Logger
 	Guard            *guard.Recorder // checks the rules at run time and keeps the trace; may be nil
 
-	orders atomic.Pointer[service.Directives] // nil for a dispatcher in service
-	gate   gate
-	queue  acceptQueue
-	size   atomic.Pointer[DescriptorLimits] // set by Resize; nil for MaxSessions and MaxJobSessions
-	held   atomic.Int64
-	turned atomic.Int32 // clients of both fronts that were rejected for lack of a descriptor and still linger
-	away   turnedAway
-	table  table
+	directives        atomic.Pointer[service.Directives] // nil for a dispatcher in service
+	acceptGate        acceptGate
+	acceptQueue       acceptQueue
+	limits            atomic.Pointer[DescriptorLimits] // set by Resize; nil for MaxSessions and MaxJobSessions
+	bufferedBytes     atomic.Int64
+	rejectedLingering atomic.Int32 // clients of both fronts that were rejected for lack of a descriptor and still linger
+	rejected          rejectedSessions
+	table             table
 }
 
 // currentOrders returns what the service state asks for now.
-func (c *Clients) told() *service.Directives {
-	if o := c.orders.Load(); o != nil {
+func (c *Clients) currentDirectives() *service.Directives {
+	if o := c.directives.Load(); o != nil {
 		return o
 	}
-	return &inService
+	return &inServiceDirectives
 }
 
 // Resize sets how many sessions there may be from now on. Idle ones beyond it are closed; sessions with an unanswered request
 // go on.
 func (c *Clients) Resize(b DescriptorLimits) {
-	c.size.Store(&b)
-	c.table.shrink(b.Clients)
+	c.limits.Store(&b)
+	c.table.shrinkTo(b.Clients)
 }
 
 // OpenSessions returns how many sessions there are.
 func (c *Clients) OpenSessions() int {
-	n, _ := c.table.open(time.Time{})
+	n, _ := c.table.sessionCounts(time.Time{})
 	return n
 }
 
-func (c *Clients) most() int {
-	if b := c.size.Load(); b != nil {
+func (c *Clients) maxSessions() int {
+	if b := c.limits.Load(); b != nil {
 		return b.Clients
 	}
 	return c.MaxSessions
 }
 
-func (c *Clients) usual() int {
-	if b := c.size.Load(); b != nil {
+func (c *Clients) maxJobSessions() int {
+	if b := c.limits.Load(); b != nil {
 		return b.JobSessions
 	}
 	return c.MaxJobSessions
 }
 
-var inService = service.Directives{Ready: true, Accept: true}
+var inServiceDirectives = service.Directives{Ready: true, Accept: true}
 
 // session is one client's HTTP/1.1 connection. Its goroutine reads. The answer to a request is written by another goroutine,
 // so that a client that closes the connection meanwhile is noticed.
 type session struct {
 	sessionState
-	clients *Clients
-	arrival *arrival
-	excess  bool   // beyond the limit: refused at its first request
-	request string // id of the last request that was taken, for the trace
+	clients   *Clients
+	arrival   *arrivalClock
+	overLimit bool   // beyond the limit: refused at its first request
+	reqID     string // id of the last request that was taken, for the trace
 	// clientEnds says that the client asked for the close or sent more than is buffered: what follows the last answer is not handled.
-	endsItself bool
+	clientEnds bool
 	answer     chan core.Answer
 
 	// Used by the reading goroutine only.
-	in     platform.Requests
-	came   time.Time // when the first byte of what is being read reached this machine
-	read   time.Time // when the last byte did
-	turn   time.Time // when handling of the pipelined bytes began: the rest of their request is due from then on
-	looked bool      // its time is over, and this is the last read for a request
-	held   int64     // of the body that is being read or answered
-	until  time.Time // until then the client of the current request waits for its answer
+	parser         platform.Requests
+	firstByteAt    time.Time // when the first byte of what is being read reached this machine
+	lastByteAt     time.Time // when the last byte did
+	pipelineTurn   time.Time // when handling of the pipelined bytes began: the rest of their request is due from then on
+	finalRead      bool      // its time is over, and this is the last read for a request
+	bufferedBytes  int64     // of the body that is being read or answered
+	clientDeadline time.Time // until then the client of the current request waits for its answer
 }
 
-// writeResult tells the reading goroutine that the answer was written.
-type written struct {
+// writeResult tells the reading goroutine that the answer was writeResult.
+type writeResult struct {
 	free, closing bool
 	err           error
 }
 
 // maxExcessSessions is how many sessions beyond the limit are accepted in order to be refused.
-const excessMost = 16
+const maxExcessSessions = 16
 
 // lingerHeadroom is how many sessions beyond the limit there may be before lingering sessions are closed for new ones. The
 // rest of maxExcessSessions is for new clients while those close, so that many of them close together and not one after the
 // other.
-const lingerRoom = excessMost / 2
+const lingerHeadroom = maxExcessSessions / 2
 
 // Serve accepts connections until the listener is closed. It accepts without delay, as a request counts as taken as soon as
 // the kernel has it.
 func (c *Clients) Serve(l net.Listener) { c.accept(l, c.admit) }
 
 func (c *Clients) accept(l net.Listener, admit func(net.Conn)) {
-	c.gate.add(l)
-	loop := accepting.Loop{Admit: admit, AwaitResume: c.gate.wait, OnQueueEmpty: c.queue.empty, Log: c.Log, Name: "clients"}
+	c.acceptGate.add(l)
+	loop := accepting.Loop{Admit: admit, AwaitResume: c.acceptGate.waitOpen, OnQueueEmpty: c.acceptQueue.emptied, Log: c.Log, Name: "clients"}
 	loop.OnError = func(error) {
 		c.Count.AcceptsFailed.Add(1)
-		c.queue.failed(time.Now())
+		c.acceptQueue.acceptFailed(time.Now())
 	}
 	loop.Run(l)
 }
@@ -143,11 +143,11 @@
 // so that they can be refused, and further ones are rejected unread: waiting for them would leave regular clients in the
 // kernel's queue behind those who fill it.
 func (c *Clients) admit(conn net.Conn) {
-	s := &session{sessionState: sessionState{conn: conn}, clients: c, arrival: newArrival(conn, c.queue.from()), answer: make(chan core.Answer, 1)}
-	s.in.Admit = s.hold
-	excess, room := c.enter(&s.sessionState)
-	if s.excess = excess; !room {
-		c.turnAway(s)
+	s := &session{sessionState: sessionState{conn: conn}, clients: c, arrival: newArrivalClock(conn, c.acceptQueue.queuedSince()), answer: make(chan core.Answer, 1)}
+	s.parser.Admit = s.reserveBody
+	excess, room := c.register(&s.sessionState)
+	if s.overLimit = excess; !room {
+		c.reject(s)
 		return
 	}
 	go s.run()
@@ -155,11 +155,11 @@
 
 // register adds a session of either front to the table. excess reports that it is beyond the limit and no other could be
 // closed for it, room whether it can be read in order to be refused.
-func (c *Clients) enter(s *sessionState) (excess, room bool) {
+func (c *Clients) register(s *sessionState) (excess, room bool) {
 	c.Count.ClientSessions.Add(1)
-	most := c.most()
-	n, all, shed := c.table.enter(s, most, c.Guard)
-	if room = all <= most+excessMost || c.waitRoom(most+excessMost); !room {
+	most := c.maxSessions()
+	n, all, shed := c.table.add(s, most, c.Guard)
+	if room = all <= most+maxExcessSessions || c.waitForRoom(most+maxExcessSessions); !room {
 		c.Count.SessionsRefused.Add(1)
 		return true, false
 	}
@@ -168,12 +168,12 @@
 
 // waitForRoom waits until there are no more than n sessions. Sessions whose clients still send get longer to end by
 // themselves; one of them is cut only if none did.
-func (c *Clients) waitRoom(n int) bool {
+func (c *Clients) waitForRoom(n int) bool {
 	t := &c.table
-	if t.waitBelow(n, roomWait) {
+	if t.waitForCount(n, closeWait) {
 		return true
 	}
-	return t.lateReader() != nil && (t.waitBelow(n, lateReadWait) || t.cutLateReader() && t.waitBelow(n, roomWait))
+	return t.oldestExtendedRead() != nil && (t.waitForCount(n, extendedReadGrace) || t.cutExtendedRead() && t.waitForCount(n, closeWait))
 }
 
 func (s *session) run() {
@@ -181,18 +181,18 @@
 	if e != core.ClientClosed {
 		s.linger()
 	}
-	s.checkOwed(e)
+	s.checkUnanswered(e)
 	s.conn.Close()
 	s.release()
 	s.clients.Count.Endings[e].Add(1)
-	s.clients.table.leave(&s.sessionState)
+	s.clients.table.remove(&s.sessionState)
 	s.note(guard.SessionClosed, e)
 }
 
 // serve reads requests and has them answered, one at a time.
 func (s *session) serve() core.Ending {
 	for {
-		q, err := s.in.Next()
+		q, err := s.parser.Next()
 		if err != nil {
 			return s.refuse(err)
 		}
@@ -202,21 +202,21 @@
 			}
 			continue
 		}
-		if s.in.Continue() {
+		if s.parser.Continue() {
 			s.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
-		partial := s.in.Partial()
-		s.wait(partial)
-		n, err := s.conn.Read(s.in.Space())
+		partial := s.parser.Partial()
+		s.setReadDeadline(partial)
+		n, err := s.conn.Read(s.parser.Space())
 		if n == 0 && err != nil {
 			// A read after its deadline returns without checking for bytes. One more read does check.
-			if !partial && !s.looked && errors.Is(err, os.ErrDeadlineExceeded) {
-				s.looked = true
+			if !partial && !s.finalRead && errors.Is(err, os.ErrDeadlineExceeded) {
+				s.finalRead = true
 				continue
 			}
 			return s.readEnding(err, partial)
 		}
-		s.filled(n, partial)
+		s.received(n, partial)
 	}
 }
 
@@ -225,21 +225,21 @@
 
 // reserveBody reserves space for the body of the incoming request in the total for all sessions: all of it if its head tells
 // the length, else more as it grows. A body that does not fit is not read.
-func (s *session) hold(n int) error {
+func (s *session) reserveBody(n int) error {
 	if n <= smallBody {
 		return nil
 	}
-	if !s.clients.hold(n - int(s.held)) {
-		return &platform.Bad{Status: 503, Reason: "no room for the body now", Pause: shedPause}
+	if !s.clients.reserveBytes(n - int(s.bufferedBytes)) {
+		return &platform.Bad{Status: 503, Reason: "no room for the body now", Pause: shedRetryAfter}
 	}
-	s.held = int64(n)
+	s.bufferedBytes = int64(n)
 	return nil
 }
 
 // reserveBytes reserves n bytes in the total for all sessions, if they are free.
-func (c *Clients) hold(n int) bool {
-	if c.held.Add(int64(n)) > c.MaxBufferedBytes {
-		c.held.Add(-int64(n))
+func (c *Clients) reserveBytes(n int) bool {
+	if c.bufferedBytes.Add(int64(n)) > c.MaxBufferedBytes {
+		c.bufferedBytes.Add(-int64(n))
 		c.Count.BodiesShed.Add(1)
 		return false
 	}
@@ -247,42 +247,42 @@
 }
 
 func (s *session) release() {
-	s.clients.held.Add(-s.held)
-	s.held = 0
+	s.clients.bufferedBytes.Add(-s.bufferedBytes)
+	s.bufferedBytes = 0
 }
 
 // received takes in n bytes that were read. A request begins with its first byte.
-func (s *session) filled(n int, partial bool) {
-	s.read = s.arrival.at(time.Now())
+func (s *session) received(n int, partial bool) {
+	s.lastByteAt = s.arrival.timeOf(time.Now())
 	if !partial {
-		s.came = s.read
+		s.firstByteAt = s.lastByteAt
 	}
-	s.in.Filled(n)
-	s.looked = false
-	s.clients.table.begun(&s.sessionState)
+	s.parser.Filled(n)
+	s.finalRead = false
+	s.clients.table.reqStarted(&s.sessionState)
 }
 
-// setReadDeadline sets how long to wait for bytes. The first request has a fixed time from connecting, whatever arrives: a
+// setReadDeadline sets how long to setReadDeadline for bytes. The first request has a fixed time from connecting, whatever arrives: a
 // client that sends nothing, or an incomplete request, must not keep a descriptor.
-func (s *session) wait(partial bool) {
+func (s *session) setReadDeadline(partial bool) {
 	t := &s.clients.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
-	case partial && s.used:
-		from := s.came
-		if s.turn.After(from) {
-			from = s.turn
+	case partial && s.hadAnswer:
+		from := s.firstByteAt
+		if s.pipelineTurn.After(from) {
+			from = s.pipelineTurn
 		}
-		s.conn.SetReadDeadline(from.Add(reqWait))
-	case partial && s.shed:
+		s.conn.SetReadDeadline(from.Add(reqTimeout))
+	case partial && s.closeRequested:
 		s.conn.SetReadDeadline(time.Now())
-	case !partial && (s.shed || s.looked):
-		s.conn.SetReadDeadline(time.Now().Add(lastLook))
-	case !s.used:
-		s.conn.SetReadDeadline(s.since.Add(firstWait))
+	case !partial && (s.closeRequested || s.finalRead):
+		s.conn.SetReadDeadline(time.Now().Add(finalReadWait))
+	case !s.hadAnswer:
+		s.conn.SetReadDeadline(s.idleSince.Add(firstReqTimeout))
 	default:
-		s.conn.SetReadDeadline(s.since.Add(idleWait))
+		s.conn.SetReadDeadline(s.idleSince.Add(idleTimeout))
 	}
 }
 
@@ -292,16 +292,16 @@
 		return core.ClientClosed
 	}
 	e := core.ClientSilent
-	if s.clients.table.isShed(&s.sessionState) {
+	if s.clients.table.mustClose(&s.sessionState) {
 		e = core.SessionShed
 	}
 	switch {
 	case !partial:
 	case e == core.SessionShed:
-		if s.clients.told().HandedOver {
+		if s.clients.currentDirectives().HandedOver {
 			s.clients.Count.HandoverCut.Add(1)
 		}
-		s.write(platform.AppendAnswer(nil, 503, shedPause, true, ""))
+		s.write(platform.AppendAnswer(nil, 503, shedRetryAfter, true, ""))
 	default:
 		s.write(platform.AppendAnswer(nil, 408, 0, true, "408: the rest of the request did not come\n"))
 	}
@@ -327,9 +327,9 @@
 
 func (s *session) write(b []byte) error {
 	// Not shorter than the client's own deadline: an answer that it has begun to read must not be cut off before.
-	by := time.Now().Add(writeWait)
-	if s.until.After(by) {
-		by = s.until
+	by := time.Now().Add(writeTimeout)
+	if s.clientDeadline.After(by) {
+		by = s.clientDeadline
 	}
 	s.conn.SetWriteDeadline(by)
 	_, err := s.conn.Write(b)
@@ -339,61 +339,61 @@
 // handle answers one request. ends reports that the session ends with it.
 func (s *session) handle(q *platform.Request) (e core.Ending, ends bool) {
 	if q.Method != "POST" {
-		return s.plain(q)
+		return s.answerDirectly(q)
 	}
 	c := s.clients
 	w, err := c.Names.Read(q)
 	if err != nil {
 		return s.refuse(err), true
 	}
-	if s.excess {
-		return s.refuse(&platform.Bad{Status: 503, Reason: "too many clients", Pause: shedPause}), true
+	if s.overLimit {
+		return s.refuse(&platform.Bad{Status: 503, Reason: "too many clients", Pause: shedRetryAfter}), true
 	}
-	left := c.patience(w.Left, s.came)
-	s.until = s.came.Add(left)
-	c.table.taken(&s.sessionState)
-	s.request = w.ID
-	c.table.trim(c.usual()) // now that one more is busy, as the next client may find no connection left
+	left := c.timeLeft(w.Left, s.firstByteAt)
+	s.clientDeadline = s.firstByteAt.Add(left)
+	c.table.reqReceived(&s.sessionState)
+	s.reqID = w.ID
+	c.table.trimJobSessions(c.maxJobSessions()) // now that one more is busy, as the next client may find no connection left
 	job := &core.Job{Method: q.Method, Target: q.Target, ID: w.ID, IdempotencyKey: w.IdempotencyKey, Body: q.Body}
-	ticket, fresh := c.Core.Submit(w.Ask, job, s.came, left, s)
+	ticket, fresh := c.Core.Submit(w.Ask, job, s.firstByteAt, left, s)
 	if !fresh {
 		return s.refuse(&platform.Bad{Status: 409, Reason: "this X-Correlation-Id has been used"}), true
 	}
 	c.Count.ReqsTaken.Add(1)
 	s.conn.SetReadDeadline(time.Time{})
-	return s.await(ticket, q.Close)
+	return s.awaitAnswer(ticket, q.Close)
 }
 
 // timeLeft returns how long a request that arrived at a time may take: in a shutdown, no longer than the shutdown lasts.
-func (c *Clients) patience(left time.Duration, came time.Time) time.Duration {
-	if until := c.told().AnswerBy; !until.IsZero() {
+func (c *Clients) timeLeft(left time.Duration, came time.Time) time.Duration {
+	if until := c.currentDirectives().AnswerBy; !until.IsZero() {
 		left = max(min(left, until.Sub(came)), 0)
 	}
 	return left
 }
 
 // answerDirectly answers a request that is not a job.
-func (s *session) plain(q *platform.Request) (core.Ending, bool) {
+func (s *session) answerDirectly(q *platform.Request) (core.Ending, bool) {
 	c := s.clients
-	status, body := c.look(q.Method, q.Path())
-	closing := q.Close || c.told().CloseAfterAnswer
-	s.done(true)
+	status, body := c.statusResponse(q.Method, q.Path())
+	closing := q.Close || c.currentDirectives().CloseAfterAnswer
+	s.finishReq(true)
 	if s.write(platform.AppendAnswer(nil, status, 0, closing, body)) != nil {
 		return core.ClientClosed, true
 	}
-	return core.SessionDone, c.table.answered(&s.sessionState, false, closing, false)
+	return core.SessionDone, c.table.reqAnswered(&s.sessionState, false, closing, false)
 }
 
 // statusResponse answers the read-only requests about the dispatcher's state.
-func (c *Clients) look(method, path string) (status int, body string) {
+func (c *Clients) statusResponse(method, path string) (status int, body string) {
 	switch {
 	case method != "GET":
 		return 405, ""
 	case path == "/health/ready":
-		if !c.told().Ready || c.Core.ReadyBackends() == 0 || !c.Core.Serves() {
+		if !c.currentDirectives().Ready || c.Core.ReadyBackends() == 0 || !c.Core.Serves() {
 			return 503, ""
 		}
-		if !c.Guard.Ended().IsZero() && !c.told().HandedOver { // if handed over, another process serves in the dispatcher's name
+		if !c.Guard.Ended().IsZero() && !c.currentDirectives().HandedOver { // if handed over, another process serves in the dispatcher's name
 			c.Guard.Violated(guard.ServeNotReady, 0, "", "ready after the process had decided to end")
 		}
 		return 200, ""
--- a/internal/network/descriptors.go
+++ b/internal/network/descriptors.go
@@ -13,7 +13,7 @@
 
 // reservedDescriptors are left for the runtime, the listener, the director and the log (a dozen or so in all), and for the
 // clients beyond the limit that are only told to come back.
-const kept = 16 + excessMost
+const reservedDescriptors = 16 + maxExcessSessions
 
 // MaxDescriptors returns how many descriptors the process may hold: the configured number, or the system's limit if that is
 // lower. Beyond the system's limit no connection to discovery, to a backend or from an operator could be made.
@@ -30,6 +30,6 @@
 // limit at most, including idle sessions: a client at its limit cannot send a request, however idle this dispatcher is.
 // JobSessions stays below that.
 func SplitDescriptors(limit int) DescriptorLimits {
-	free := max(limit-kept, 2)
+	free := max(limit-reservedDescriptors, 2)
 	return DescriptorLimits{Clients: free * 9 / 20, JobSessions: limit / 5, Backends: free - free*9/20}
 }
--- a/internal/network/http2_client_test.go
+++ b/internal/network/http2_client_test.go
@@ -97,9 +97,9 @@
 }
 
 // sessions returns the front's connections.
-func (s *testServer) sessions() (all []*streams) {
-	s.http2.open.Range(func(key, _ any) bool {
-		all = append(all, key.(*streams))
+func (s *testServer) sessions() (all []*http2Session) {
+	s.http2.sessions.Range(func(key, _ any) bool {
+		all = append(all, key.(*http2Session))
 		return true
 	})
 	return all
@@ -253,7 +253,7 @@
 func (s *testServer) checkNoSessions(t *testing.T) {
 	t.Helper()
 	eventually(t, "no session", func() bool { return s.clients.OpenSessions() == 0 && len(s.sessions()) == 0 })
-	assert.Zero(t, s.clients.held.Load(), "bytes are held for nobody")
+	assert.Zero(t, s.clients.bufferedBytes.Load(), "bytes are held for nobody")
 }
 
 // blockWriter connects a client that has a request open and then reads nothing, so that the front's writer waits for it. What
--- a/internal/network/http2_crossing_test.go
+++ b/internal/network/http2_crossing_test.go
@@ -144,7 +144,7 @@
 func (l *lingeringConn) SetReadDeadline(until time.Time) error {
 	now := time.Now()
 	wakes := !until.IsZero() && !until.After(now)
-	if !wakes && until.Before(now.Add(lastLook+time.Millisecond)) && !until.IsZero() { // a final read, made longer for a loaded machine
+	if !wakes && until.Before(now.Add(finalReadWait+time.Millisecond)) && !until.IsZero() { // a final read, made longer for a loaded machine
 		until = now.Add(time.Second)
 	}
 	if wakes && l.written() && !l.inRead.Load() { // after flushed was closed: this could undo what the reader sets
@@ -204,7 +204,7 @@
 			c.flush()
 		},
 		"a drain": func(s *testServer, c *http2Client, a *core.Attempt) {
-			s.http2.hint()
+			s.http2.announceDrain()
 			c.readUntil("ping")
 			c.framer.WritePing(true, [8]byte{0x74, 0x61, 0x69, 0x6c})
 			c.flush()
@@ -245,7 +245,7 @@
 				case "/in a shutdown":
 					NewService(s.clients, s.http2).BeginShutdown()
 				case "/when its time is up":
-					time.Sleep(lingerWait)
+					time.Sleep(lingerTimeout)
 				}
 				c.framer.WriteData(3, false, []byte(bigResult[:1000])) // crosses the end
 				c.flush()
--- a/internal/network/http2_real_test.go
+++ b/internal/network/http2_real_test.go
@@ -170,7 +170,7 @@
 	}
 	all.Wait()
 	assert.Equal(t, int64(300), s.count.AnswersServed.Load())
-	assert.Zero(t, s.clients.held.Load())
+	assert.Zero(t, s.clients.bufferedBytes.Load())
 }
 
 // TestCurl sends requests with curl, another well-known client.
--- a/internal/network/http2_reqs.go
+++ b/internal/network/http2_reqs.go
@@ -11,15 +11,15 @@
 	"tinsail/internal/platform"
 )
 
-// handleEvents carries out the events of the state machine. s.mu is held.
-func (s *streams) events() {
+// handleEvents carries out the handleEvents of the state machine. s.mu is held.
+func (s *http2Session) handleEvents() {
 	c := s.front.Clients
-	for e, ok := s.m.Next(); ok; e, ok = s.m.Next() {
+	for e, ok := s.machine.Next(); ok; e, ok = s.machine.Next() {
 		switch e.Kind {
 		case http2.Opened:
-			s.opened(e.Stream)
+			s.streamOpened(e.Stream)
 		case http2.Whole:
-			s.whole(e.Stream)
+			s.reqComplete(e.Stream)
 		case http2.Gone:
 			c.Count.HTTP2Resets.Add(1)
 			c.Count.Endings[core.StreamReset].Add(1)
@@ -28,13 +28,13 @@
 			if ok && r.taken {
 				r.abandon()
 			} else {
-				s.m.Free(e.Stream.ID)
+				s.machine.Free(e.Stream.ID)
 			}
 		case http2.Dropped:
 			c.Count.ReqsBad.Add(1)
 		case http2.Over:
-			s.over = true
-			s.giveUp()
+			s.ended = true
+			s.abandonLost()
 			switch {
 			case e.Reason != "":
 				s.ending = core.ClientBad
@@ -42,14 +42,14 @@
 			case s.ending == 0:
 				s.ending = core.SessionDone
 			}
-			s.nudge()
+			s.signalWriter()
 		}
 	}
-	s.settle()
+	s.noteIdle()
 }
 
-// fieldsByHTTP2Name maps the field names of HTTP/2, which are lower case, to the fields of a request.
-var names = func() map[string]platform.Field {
+// fieldsByHTTP2Name maps the field fieldsByHTTP2Name of HTTP/2, which are lower case, to the fields of a request.
+var fieldsByHTTP2Name = func() map[string]platform.Field {
 	m := map[string]platform.Field{}
 	for f, name := range platform.FieldNames {
 		b := []byte(name)
@@ -63,9 +63,9 @@
 	return m
 }()
 
-func fields(list []hpack.HeaderField) (f platform.Fields) {
+func parseFields(list []hpack.HeaderField) (f platform.Fields) {
 	for i := range list {
-		if name, ok := names[list[i].Name]; ok {
+		if name, ok := fieldsByHTTP2Name[list[i].Name]; ok {
 			f.Add(name, list[i].Value)
 		}
 	}
@@ -75,19 +75,19 @@
 // streamOpened handles the head of a request. Whether it is answered without the core is known by then. In that case its body
 // is counted but not kept, and the answer is given once the body is complete: an error of the client that shows only at the
 // end of the body is reported before any other.
-func (s *streams) opened(st *http2.Stream) {
+func (s *http2Session) streamOpened(st *http2.Stream) {
 	c := s.front.Clients
 	st.Data = nil
-	if !s.busy {
-		s.busy = true
-		c.table.taken(&s.sessionState)
+	if !s.hasStreams {
+		s.hasStreams = true
+		c.table.reqReceived(&s.sessionState)
 	}
-	q := platform.Request{Method: st.Head.Method, Target: st.Head.Path, Fields: fields(st.Head.Fields)}
+	q := platform.Request{Method: st.Head.Method, Target: st.Head.Path, Fields: parseFields(st.Head.Fields)}
 	var err error
 	var w platform.Work
 	switch {
 	case q.Method == "GET" || q.Method == "HEAD":
-		st.Data, st.Discard = look{q.Path()}, true
+		st.Data, st.Discard = statusQuery{q.Path()}, true
 		return
 	case q.Method != "POST":
 		err = &platform.Bad{Status: 405, Reason: "a method that is not POST"}
@@ -98,29 +98,29 @@
 		st.Data, st.Discard = err, true
 		return
 	}
-	if s.excess { // the dispatch module has not seen it, so another dispatcher may take it
+	if s.overLimit { // the dispatch module has not seen it, so another dispatcher may take it
 		c.Count.ReqsShed.Add(1)
-		s.m.Reset(st.ID, http2.Refused)
+		s.machine.Reset(st.ID, http2.Refused)
 		return
 	}
-	r := &streamReq{s: s, id: st.ID, came: s.came, work: w}
+	r := &streamReq{session: s, id: st.ID, arrivedAt: s.lastByteAt, work: w}
 	r.job = core.Job{Method: q.Method, Target: q.Target, ID: w.ID, IdempotencyKey: w.IdempotencyKey}
 	st.Data = r
 }
 
 // statusQuery is a stream that asks for the dispatcher's state.
-type look struct{ path string }
+type statusQuery struct{ path string }
 
 // reqComplete passes a complete request to the core.
-func (s *streams) whole(st *http2.Stream) {
+func (s *http2Session) reqComplete(st *http2.Stream) {
 	c := s.front.Clients
 	var r *streamReq
 	switch d := st.Data.(type) {
 	case *streamReq:
 		r = d
-	case look:
-		status, body := c.look("GET", d.path)
-		s.m.Answer(st.ID, status, 0, body, time.Now())
+	case statusQuery:
+		status, body := c.statusResponse("GET", d.path)
+		s.machine.Answer(st.ID, status, 0, body, time.Now())
 		return
 	case error:
 		s.refuse(st, d)
@@ -129,7 +129,7 @@
 	r.job.Body = st.Body
 	r.taken = true // before its answer can come
 	var fresh bool
-	if r.ticket, fresh = c.Core.Submit(r.work.Ask, &r.job, r.came, c.patience(r.work.Left, r.came), r); !fresh {
+	if r.ticket, fresh = c.Core.Submit(r.work.Ask, &r.job, r.arrivedAt, c.timeLeft(r.work.Left, r.arrivedAt), r); !fresh {
 		r.taken = false
 		s.refuse(st, &platform.Bad{Status: 409, Reason: "this X-Correlation-Id has been used"})
 		return
@@ -137,10 +137,10 @@
 	c.Count.ReqsTaken.Add(1)
 }
 
-func (s *streams) refuse(st *http2.Stream, err error) {
+func (s *http2Session) refuse(st *http2.Stream, err error) {
 	bad := &platform.Bad{Status: 400}
 	errors.As(err, &bad)
 	s.front.Clients.Count.ReqsBad.Add(1)
-	s.m.Answer(st.ID, bad.Status, bad.Pause, err.Error()+"\n", time.Now())
-	s.m.Blame()
+	s.machine.Answer(st.ID, bad.Status, bad.Pause, err.Error()+"\n", time.Now())
+	s.machine.Blame()
 }
--- a/internal/network/http2_shutdown_test.go
+++ b/internal/network/http2_shutdown_test.go
@@ -39,7 +39,7 @@
 				f := s.sessions()[0]
 				f.mu.Lock()
 				defer f.mu.Unlock()
-				return early == 0 || f.m.Partial() && f.shedRank == half
+				return early == 0 || f.machine.Partial() && f.rank == rankPartial
 			})
 			end := NewService(s.clients, s.http2)
 			end.BeginShutdown()
@@ -134,9 +134,9 @@
 	a.Ended(core.Served, "decided", nil)
 	s.waitOpenReqs(t, 0)
 	// No request is open any more, and the shutdown has begun to close sessions.
-	eventually(t, "the shutdown closes sessions", func() bool { return s.clients.told().CloseAfterAnswer })
+	eventually(t, "the shutdown closes sessions", func() bool { return s.clients.currentDirectives().CloseAfterAnswer })
 	for range 2 * 5 { // more updates than the end would take without a session
-		end.look()
+		end.refresh()
 		select {
 		case <-end.Ended():
 			t.Fatal("ended with an answer unwritten")
@@ -210,7 +210,7 @@
 		f := s.sessions()[0]
 		s.clients.table.mu.Lock()
 		defer s.clients.table.mu.Unlock()
-		return f.shedRank == resting
+		return f.rank == rankIdle
 	})
 	hold.Store(true)
 	c.appendPost(3)
--- a/internal/network/http2_test.go
+++ b/internal/network/http2_test.go
@@ -178,7 +178,7 @@
 				assert.Regexp(t, "^POST /ingest r", p.nextMessage(false))
 				assert.Equal(t, "closed", p.nextMessage(false))
 			}
-			assert.Zero(t, w.clients.held.Load())
+			assert.Zero(t, w.clients.bufferedBytes.Load())
 		})
 }
 
@@ -211,7 +211,7 @@
 				assert.Regexp(t, "^rst .* CANCEL$", w.peers["h1"].nextFrame())
 			}
 			assert.Equal(t, int64(100), w.count.HTTP2Abuse[http2.Stalled].Load())
-			assert.Zero(t, w.clients.held.Load())
+			assert.Zero(t, w.clients.bufferedBytes.Load())
 		}, `
 		h1 expect goaway 199 ENHANCE_YOUR_CALM the window stays shut
 		h1 expect closed
@@ -318,7 +318,7 @@
 		s1/1 send {started 9b}{done 9b r}
 		c1 expect 200 r`)
 	runScenario(t, newEntries(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *fixture) {
-		for i := range excessMost {
+		for i := range maxExcessSessions {
 			w.play(fmt.Sprintf("cx%d send", i))
 		}
 	}, `
--- a/internal/network/http2_unread_test.go
+++ b/internal/network/http2_unread_test.go
@@ -23,16 +23,16 @@
 	a.Ended(core.Served, "decided", nil)
 	f := s.sessions()[0]
 	eventually(t, "the answer in the mail", func() bool {
-		f.mail.Lock()
-		defer f.mail.Unlock()
-		return len(f.mail.list) == 1
+		f.inbox.Lock()
+		defer f.inbox.Unlock()
+		return len(f.inbox.items) == 1
 	})
 	c.appendInvalid()
 	c.flush()
 	eventually(t, "the error is read", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return f.over
+		return f.ended
 	})
 	close(l.resume)
 	whole, last := c.readAnswers()
@@ -66,7 +66,7 @@
 	}
 	s.waitOpenReqs(t, 0)
 	fit := s.clients.MaxBufferedBytes / 4 / size
-	eventually(t, "the answers are held", func() bool { return s.clients.held.Load() == 1<<20+fit*size })
+	eventually(t, "the answers are held", func() bool { return s.clients.bufferedBytes.Load() == 1<<20+fit*size })
 	close(l.resume)
 	whole, reset := map[uint32]bool{}, 0
 	for len(whole)+reset < reqs+2 {
@@ -98,7 +98,7 @@
 	s := startWithLongReply(t, h, time.Hour)
 	c, a, l := s.pauseWriter(t, h.attempts)
 	a.Ended(core.Served, strings.Repeat("r", 100<<10), nil)
-	eventually(t, "the answer is held", func() bool { return s.clients.held.Load() == 1<<20+100<<10 })
+	eventually(t, "the answer is held", func() bool { return s.clients.bufferedBytes.Load() == 1<<20+100<<10 })
 	c.conn.Close()
 	s.checkNoSessions(t) // the writer still waits
 	close(l.resume)
@@ -141,12 +141,12 @@
 // TestHTTP2RejectedUnread: a client that there is no descriptor for reads the reason, although what it sent is not handled.
 func TestHTTP2RejectedUnread(t *testing.T) {
 	s := startWithLongDeadlines(t, newHoldingBackends(), func(c *Clients) { c.MaxSessions = 1 })
-	for range s.clients.MaxSessions + excessMost { // sessions with a pending answer
+	for range s.clients.MaxSessions + maxExcessSessions { // sessions with a pending answer
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
 		busy := &sessionState{conn: near}
-		s.clients.table.enter(busy, s.clients.MaxSessions+excessMost, nil)
-		s.clients.table.taken(busy)
+		s.clients.table.add(busy, s.clients.MaxSessions+maxExcessSessions, nil)
+		s.clients.table.reqReceived(busy)
 	}
 	sent := make(chan struct{})
 	c := dialHTTP2(t, s.listenHTTP2(t, func(conn *net.TCPConn) net.Conn {
@@ -161,8 +161,8 @@
 	word, _ := c.nextFrame()
 	assert.Equal(t, "end", word)
 	c.conn.Close()
-	eventually(t, "it is gone", func() bool { return s.clients.turned.Load() == 0 })
+	eventually(t, "it is gone", func() bool { return s.clients.rejectedLingering.Load() == 0 })
 	assert.Equal(t, int64(1), s.count.Endings[core.SessionShed].Load())
-	assert.Equal(t, s.clients.MaxSessions+excessMost, s.clients.OpenSessions())
+	assert.Equal(t, s.clients.MaxSessions+maxExcessSessions, s.clients.OpenSessions())
 	assert.Zero(t, s.count.ReqsTaken.Load())
 }
--- a/internal/network/linger_crossing_test.go
+++ b/internal/network/linger_crossing_test.go
@@ -71,7 +71,7 @@
 		least  time.Duration                // minimum for which it stays from then on
 		most   time.Duration
 	}{
-		"sent nothing more": {then: func(*fixture, net.Conn) {}, most: hereLook},
+		"sent nothing more": {then: func(*fixture, net.Conn) {}, most: bufferedReadWait},
 		"its bytes come, and it goes": {behind: "x", then: func(w *fixture, c net.Conn) {
 			for range 8 {
 				time.Sleep(time.Millisecond)
@@ -80,7 +80,7 @@
 			c.Close()
 		}, least: 8 * time.Millisecond, most: 9 * time.Millisecond},
 		"its bytes come from now on": {then: func(w *fixture, c net.Conn) {
-			time.Sleep(hereLook / 2)
+			time.Sleep(bufferedReadWait / 2)
 			for range 8 {
 				w.clientWrite(c, piece)
 				time.Sleep(time.Millisecond)
@@ -93,20 +93,20 @@
 				time.Sleep(time.Millisecond)
 				synctest.Wait()
 			}
-		}, least: lateReadMost, most: lateReadMost + time.Millisecond},
+		}, least: maxExtendedRead, most: maxExtendedRead + time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, newEntries(balance.Ready, "s1"), 1, func(w *fixture) {
 				one := w.connectClient("c1")
 				w.clientWrite(one, "NONSENSE\r\n\r\n"+c.behind)
-				w.connectSilent(0, lingerRoom)
+				w.connectSilent(0, lingerHeadroom)
 				assert.True(t, w.isOpen("c1"), "nobody needs its descriptor")
 				w.clientWrite(one, c.behind)
-				w.play(fmt.Sprintf("cx%d send", lingerRoom))
+				w.play(fmt.Sprintf("cx%d send", lingerHeadroom))
 				from := time.Now()
 				c.then(w, one)
 				for w.isOpen("c1") {
-					time.Sleep(hereLook / 2)
+					time.Sleep(bufferedReadWait / 2)
 					synctest.Wait()
 				}
 				stayed := time.Since(from)
@@ -114,8 +114,8 @@
 				assert.LessOrEqual(t, stayed, c.most)
 				w.clients.table.mu.Lock()
 				defer w.clients.table.mu.Unlock()
-				assert.Zero(t, w.clients.table.lingers)
-				assert.Equal(t, lingerRoom+1, w.clients.table.count)
+				assert.Zero(t, w.clients.table.lingering)
+				assert.Equal(t, lingerHeadroom+1, w.clients.table.count)
 			})
 		})
 	}
@@ -129,7 +129,7 @@
 		w.clientWrite(one, "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
 		time.Sleep(time.Millisecond)
 		w.connectSilent(0, 1)
-		assert.Equal(t, 1, w.clients.table.rows[leaving].Len(), "it is told to go")
+		assert.Equal(t, 1, w.clients.table.byRank[rankClosing].Len(), "it is told to go")
 		for _, text := range []string{"NONSENSE\r\n\r\n", "x", "x", "x", "x"} {
 			w.clientWrite(one, text)
 			time.Sleep(2 * time.Millisecond)
@@ -175,10 +175,10 @@
 				answered = strings.HasPrefix(string(p.received), "HTTP/1.1 400")
 				p.mu.Unlock()
 			}
-			assert.LessOrEqual(t, time.Since(from), roomWait+lateReadWait+2*time.Millisecond)
-			assert.LessOrEqual(t, w.clients.OpenSessions(), 1+excessMost)
+			assert.LessOrEqual(t, time.Since(from), closeWait+extendedReadGrace+2*time.Millisecond)
+			assert.LessOrEqual(t, w.clients.OpenSessions(), 1+maxExcessSessions)
 		}
-		assert.LessOrEqual(t, time.Since(begun), 100*lateReadMost/8)
+		assert.LessOrEqual(t, time.Since(begun), 100*maxExtendedRead/8)
 		assert.Zero(t, w.count.SessionsRefused.Load())
 	}, `
 		c3 send {req 9b x}
@@ -191,8 +191,8 @@
 // Two at a time linger, and each may send on until later ones need its slot.
 func TestRejectedClientsBounded(t *testing.T) {
 	runScenario(t, newEntries(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *fixture) {
-		w.connectSilent(0, excessMost)
-		const each = turnedLook + lastLook
+		w.connectSilent(0, maxExcessSessions)
+		const each = rejectedReadWait + finalReadWait
 		begun := time.Now()
 		for i := range 8 {
 			w.connectClient(fmt.Sprint("away", i))
@@ -202,19 +202,19 @@
 			for k := range i + 1 {
 				if w.isOpen(fmt.Sprint("away", k)) {
 					lives++
-					assert.Less(t, i-k, turnedMost, "the first that came goes first")
+					assert.Less(t, i-k, maxRejectedLingering, "the first that came goes first")
 					_, err := w.peer(fmt.Sprint("away", k)).conn.Write([]byte("x"))
 					assert.NoError(t, err)
 				}
 			}
-			assert.Equal(t, min(i+1, turnedMost), lives)
-			assert.Equal(t, 1+excessMost+lives, w.clients.OpenSessions())
+			assert.Equal(t, min(i+1, maxRejectedLingering), lives)
+			assert.Equal(t, 1+maxExcessSessions+lives, w.clients.OpenSessions())
 		}
 		assert.Less(t, time.Since(begun), 100*time.Millisecond)
-		time.Sleep(turnedWait)
+		time.Sleep(rejectedLingerTimeout)
 		synctest.Wait()
-		assert.Equal(t, 1+excessMost, w.clients.OpenSessions())
-		assert.Zero(t, w.clients.turned.Load())
+		assert.Equal(t, 1+maxExcessSessions, w.clients.OpenSessions())
+		assert.Zero(t, w.clients.rejectedLingering.Load())
 		assert.EqualValues(t, 8, w.count.SessionsRefused.Load())
 	}, `
 		s1/1 send {started 9a}{done 9a r}
--- a/internal/network/rejected.go
+++ b/internal/network/rejected.go
@@ -11,74 +11,74 @@
 // wait while one is rejected, so clients that never close are processed at a fixed pace: rejectedReadWait plus finalReadWait
 // for each.
 const (
-	turnedMost = 2                     // that linger at a time, of both fronts: within the descriptors that SplitDescriptors reserves
-	turnedLook = 2 * time.Millisecond  // for the bytes that such a client sent to arrive
-	turnedWait = 50 * time.Millisecond // for such a client to read its answer, if no other is rejected meanwhile
+	maxRejectedLingering  = 2                     // that linger at a time, of both fronts: within the descriptors that SplitDescriptors reserves
+	rejectedReadWait      = 2 * time.Millisecond  // for the bytes that such a client sent to arrive
+	rejectedLingerTimeout = 50 * time.Millisecond // for such a client to read its answer, if no other is rejected meanwhile
 )
 
 // rejectedSessions are the rejected HTTP/1.1 clients that linger, oldest first.
-type turnedAway struct {
+type rejectedSessions struct {
 	mu   sync.Mutex
-	list []*turned
+	list []*rejectedSession
 }
 
-type turned struct {
+type rejectedSession struct {
 	*session
-	gone chan struct{} // closed once its descriptor is free
+	closed chan struct{} // closed once its descriptor is free
 }
 
 // reject answers 503 to a client that there is no descriptor for, without parsing its request. Its bytes are read and discarded,
 // so that the close does not reset the connection, until it closes or later rejected clients need its slot.
-func (c *Clients) turnAway(s *session) {
+func (c *Clients) reject(s *session) {
 	gone := func() {
 		s.conn.Close()
-		c.table.leave(&s.sessionState)
+		c.table.remove(&s.sessionState)
 	}
 	end, ok := s.conn.(interface{ CloseWrite() error })
 	if !ok {
-		s.write(platform.AppendAnswer(nil, 503, shedPause, true, ""))
+		s.write(platform.AppendAnswer(nil, 503, shedRetryAfter, true, ""))
 		gone()
 		return
 	}
-	s.drop(turnedLook)
-	s.write(platform.AppendAnswer(nil, 503, shedPause, true, ""))
+	s.discardFor(rejectedReadWait)
+	s.write(platform.AppendAnswer(nil, 503, shedRetryAfter, true, ""))
 	end.CloseWrite()
-	if !c.turnedPlace() {
-		s.drop(lastLook)
+	if !c.reserveRejectedSlot() {
+		s.discardFor(finalReadWait)
 		gone()
 		return
 	}
-	t := &turned{s, make(chan struct{})}
-	s.conn.SetReadDeadline(time.Now().Add(turnedWait)) // before another client can take its slot
-	a := &c.away
+	t := &rejectedSession{s, make(chan struct{})}
+	s.conn.SetReadDeadline(time.Now().Add(rejectedLingerTimeout)) // before another client can take its slot
+	a := &c.rejected
 	a.mu.Lock()
 	a.list = append(a.list, t)
 	a.mu.Unlock()
 	go func() {
-		s.dropUntil(lingerMost)
+		s.discard(maxLingerBytes)
 		gone()
-		a.leave(t)
-		c.turned.Add(-1)
-		close(t.gone)
+		a.remove(t)
+		c.rejectedLingering.Add(-1)
+		close(t.closed)
 	}()
 }
 
 // reserveRejectedSlot takes a slot for a lingering rejected client. If all are taken it frees that of the oldest one, which
 // gets finalReadWait first. It returns false if clients of the HTTP/2 front hold all slots.
-func (c *Clients) turnedPlace() bool {
+func (c *Clients) reserveRejectedSlot() bool {
 	for range 2 {
-		if c.turned.Add(1) <= turnedMost {
+		if c.rejectedLingering.Add(1) <= maxRejectedLingering {
 			return true
 		}
-		c.turned.Add(-1)
-		if !c.away.cut() {
+		c.rejectedLingering.Add(-1)
+		if !c.rejected.evictOldest() {
 			return false
 		}
 	}
 	return false
 }
 
-func (a *turnedAway) leave(t *turned) {
+func (a *rejectedSessions) remove(t *rejectedSession) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for i := range a.list {
@@ -90,7 +90,7 @@
 }
 
 // evictOldest waits for the oldest one to close, and ends it after finalReadWait. It returns false if there is none.
-func (a *turnedAway) cut() bool {
+func (a *rejectedSessions) evictOldest() bool {
 	a.mu.Lock()
 	if len(a.list) == 0 {
 		a.mu.Unlock()
@@ -98,13 +98,13 @@
 	}
 	first := a.list[0]
 	a.mu.Unlock()
-	timer := time.NewTimer(lastLook)
+	timer := time.NewTimer(finalReadWait)
 	defer timer.Stop()
 	select {
-	case <-first.gone:
+	case <-first.closed:
 	case <-timer.C:
 		first.conn.SetReadDeadline(time.Now())
-		<-first.gone // its read has ended, and it writes nothing
+		<-first.closed // its read has ended, and it writes nothing
 	}
 	return true
 }
--- a/internal/network/service.go
+++ b/internal/network/service.go
@@ -11,63 +11,63 @@
 
 // acceptGate pauses the accept loops of all fronts. While it is closed nothing is accepted: new connections stay in the
 // listeners' queues, for this process or for another one that holds the same listening sockets.
-type gate struct {
-	mu   sync.Mutex
-	list []net.Listener
-	shut chan struct{} // nil while the gate is open; closed when it opens again
+type acceptGate struct {
+	mu        sync.Mutex
+	listeners []net.Listener
+	reopened  chan struct{} // nil while the gate is open; closed when it opens again
 }
 
 // deadlineListener is a listener whose Accept can be interrupted without closing it.
-type deadliner interface{ SetDeadline(time.Time) error }
+type deadlineListener interface{ SetDeadline(time.Time) error }
 
-func (g *gate) add(l net.Listener) {
+func (g *acceptGate) add(l net.Listener) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.list = append(g.list, l)
-	if d, ok := l.(deadliner); ok && g.shut != nil {
+	g.listeners = append(g.listeners, l)
+	if d, ok := l.(deadlineListener); ok && g.reopened != nil {
 		d.SetDeadline(time.Unix(1, 0))
 	}
 }
 
 // setOpen opens or closes the gate.
-func (g *gate) set(open bool) {
+func (g *acceptGate) setOpen(open bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if open == (g.shut == nil) {
+	if open == (g.reopened == nil) {
 		return
 	}
 	at := time.Unix(1, 0)
 	if open {
 		at = time.Time{}
-		close(g.shut)
-		g.shut = nil
+		close(g.reopened)
+		g.reopened = nil
 	} else {
-		g.shut = make(chan struct{})
+		g.reopened = make(chan struct{})
 	}
-	for _, l := range g.list {
-		if d, ok := l.(deadliner); ok {
+	for _, l := range g.listeners {
+		if d, ok := l.(deadlineListener); ok {
 			d.SetDeadline(at)
 		}
 	}
 }
 
 // waitOpen blocks until the gate is open.
-func (g *gate) wait() {
+func (g *acceptGate) waitOpen() {
 	g.mu.Lock()
-	shut := g.shut
+	shut := g.reopened
 	g.mu.Unlock()
 	if shut != nil {
 		<-shut
 	}
 }
 
-// unfinished returns how many sessions are reading or answering a request, and how many were told to close (closing). The core
+// unfinished returns how many sessions are reading or unfinished a request, and how many were told to close (closing). The core
 // stops counting a request once its answer is decided; the session that writes the answer counts here until the last byte is
 // written. This includes a session that was told to close while a request was already on its way.
-func (t *table) answering() (answering, closing int) {
+func (t *table) unfinished() (answering, closing int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return max(t.rows[working].Len(), t.owed), t.rows[leaving].Len()
+	return max(t.byRank[rankBusy].Len(), t.pendingAnswers), t.byRank[rankClosing].Len()
 }
 
 // Service applies the state decided by package service to the fronts. Its methods may be called from any goroutine, and
@@ -77,17 +77,17 @@
 	HTTP2         *HTTP2                       // nil if HTTP/2 is off
 	OnStateChange func(old, now service.State) // may be nil; must not block
 
-	mu    sync.Mutex
-	m     service.Machine
-	last  service.Directives
-	timer *time.Timer
-	over  bool
-	ended chan struct{}
+	mu         sync.Mutex
+	machine    service.Machine
+	directives service.Directives
+	timer      *time.Timer
+	finished   bool
+	ended      chan struct{}
 }
 
 // NewService returns a Service whose process is in service.
 func NewService(c *Clients, h *HTTP2) *Service {
-	return &Service{Clients: c, HTTP2: h, m: service.Machine{LongestDeadline: c.LongestDeadline}, last: inService, ended: make(chan struct{})}
+	return &Service{Clients: c, HTTP2: h, machine: service.Machine{LongestDeadline: c.LongestDeadline}, directives: inServiceDirectives, ended: make(chan struct{})}
 }
 
 // Ended is closed when the process has to end: everything is answered after a SIGTERM or a hand-over.
@@ -97,35 +97,39 @@
 func (s *Service) State() service.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.last.State
+	return s.directives.State
 }
 
 // IsOutOfService reports whether the dispatcher was taken out of service.
 func (s *Service) IsOutOfService() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.m.IsOutOfService()
+	return s.machine.IsOutOfService()
 }
 
 // TakeOutOfService starts to take the dispatcher out of service.
-func (s *Service) TakeOutOfService() { s.do(func(now time.Time) { s.m.TakeOutOfService(now) }) }
+func (s *Service) TakeOutOfService() {
+	s.update(func(now time.Time) { s.machine.TakeOutOfService(now) })
+}
 
 // ReturnToService puts the dispatcher back in service. It returns false if the process is shutting down.
 func (s *Service) ReturnToService() (ok bool) {
-	s.do(func(time.Time) { ok = s.m.ReturnToService() })
+	s.update(func(time.Time) { ok = s.machine.ReturnToService() })
 	return ok
 }
 
 // BeginShutdown starts the shutdown, as on SIGTERM.
-func (s *Service) BeginShutdown() { s.do(func(now time.Time) { s.m.BeginShutdown(now) }) }
+func (s *Service) BeginShutdown() { s.update(func(now time.Time) { s.machine.BeginShutdown(now) }) }
 
 // HandOver reports that another process accepts connections in place of this one.
-func (s *Service) HandOver() { s.do(func(now time.Time) { s.m.HandOver(now) }) }
+func (s *Service) HandOver() { s.update(func(now time.Time) { s.machine.HandOver(now) }) }
 
 // ResumeAfterHandOver reports that the process that had taken over is gone; this one serves again.
-func (s *Service) ResumeAfterHandOver() { s.do(func(time.Time) { s.m.ResumeAfterHandOver() }) }
+func (s *Service) ResumeAfterHandOver() {
+	s.update(func(time.Time) { s.machine.ResumeAfterHandOver() })
+}
 
-func (s *Service) look() { s.do(func(time.Time) {}) }
+func (s *Service) refresh() { s.update(func(time.Time) {}) }
 
 // closeReason returns the reason for closing sessions under these orders.
 func closeReason(o service.Directives) guard.Reason {
@@ -136,35 +140,35 @@
 }
 
 // update applies an event to the state machine and carries out the resulting orders.
-func (s *Service) do(f func(now time.Time)) {
+func (s *Service) update(f func(now time.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over {
+	if s.finished {
 		return
 	}
 	now := time.Now()
 	f(now)
 	c := s.Clients
-	all, early := c.table.open(s.m.BalancerCutoff())
+	all, early := c.table.sessionCounts(s.machine.BalancerCutoff())
 	owed := c.Core.OpenReqs() // read first: an answer decided after this is covered by the session counts below
-	answering, closing := c.table.answering()
-	o := s.m.Evaluate(now, service.Load{Sessions: all, BeforeCutoff: early, Unanswered: max(owed, answering), Closing: closing})
-	old := s.last
-	s.last = o
-	c.orders.Store(&o)
-	c.gate.set(o.Accept && !o.Exit) // connections queued in a listener that another process shares are left to that process
+	answering, closing := c.table.unfinished()
+	o := s.machine.Evaluate(now, service.Load{Sessions: all, BeforeCutoff: early, Unanswered: max(owed, answering), Closing: closing})
+	old := s.directives
+	s.directives = o
+	c.directives.Store(&o)
+	c.acceptGate.setOpen(o.Accept && !o.Exit) // connections queued in a listener that another process shares are left to that process
 	if s.HTTP2 != nil {
 		if o.AnnounceClose && !old.AnnounceClose {
-			s.HTTP2.hint()
+			s.HTTP2.announceDrain()
 		}
 		// Clients that reconnect at once would prolong the shutdown, and their requests would still be open
 		// when it ends.
 		if o.State == service.ShuttingDown && !o.AnswerBy.IsZero() {
-			s.HTTP2.shut()
+			s.HTTP2.closeListener()
 		}
 	}
 	if o.CloseAfterAnswer {
-		c.table.shutIdle(o.IdleTimeout, closeReason(o))
+		c.table.closeIdle(o.IdleTimeout, closeReason(o))
 	}
 	if o.State != old.State {
 		c.Guard.Note(guard.Event{At: now, Step: guard.ServiceState, Why: o.State})
@@ -177,12 +181,12 @@
 		if o.HandedOver {
 			c.Count.HandoverLeft.Add(int64(all))
 		}
-		s.over = true
+		s.finished = true
 		c.Guard.End(now)
 		close(s.ended)
-	case !s.m.Changing():
+	case !s.machine.Changing():
 	case s.timer == nil:
-		s.timer = time.AfterFunc(service.PollInterval, s.look)
+		s.timer = time.AfterFunc(service.PollInterval, s.refresh)
 	default:
 		s.timer.Reset(service.PollInterval)
 	}
--- a/internal/network/shutdown_test.go
+++ b/internal/network/shutdown_test.go
@@ -111,7 +111,7 @@
 func TestReqAfterDecisionToEnd(t *testing.T) {
 	l := &deadlineRecorder{}
 	runScenario(t, newEntries(balance.Ready, "s1"), 9, func(w *fixture) {
-		w.clients.gate.add(l)
+		w.clients.acceptGate.add(l)
 		w.service.BeginShutdown()
 	}, `
 		wait 3050ms
@@ -120,7 +120,7 @@
 		func(w *fixture) {
 			require.True(t, w.service.hasEnded())
 			assert.False(t, l.until.IsZero(), "the listener is shut")
-			assert.NotNil(t, w.clients.gate.shut)
+			assert.NotNil(t, w.clients.acceptGate.reopened)
 		}, `
 		c1 send x
 		c1 expect 503 after 0.120 close
--- a/internal/network/table_test.go
+++ b/internal/network/table_test.go
@@ -31,7 +31,7 @@
 func TestSplitDescriptors(t *testing.T) {
 	for _, limit := range []int{64, 160, 1024} {
 		b := SplitDescriptors(limit)
-		assert.LessOrEqual(t, b.Clients+b.Backends+kept, limit)
+		assert.LessOrEqual(t, b.Clients+b.Backends+reservedDescriptors, limit)
 		assert.GreaterOrEqual(t, b.Backends, b.Clients)
 		assert.Positive(t, b.Clients)
 		assert.Less(t, b.JobSessions, limit/3)
@@ -105,7 +105,7 @@
 // TestAllSessionsBusy: where all sessions have an open request, new clients are refused at once, and accepting goes on.
 func TestAllSessionsBusy(t *testing.T) {
 	runScenario(t, newEntries(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *fixture) {
-		for i := range excessMost + 1 {
+		for i := range maxExcessSessions + 1 {
 			w.play(fmt.Sprintf("cx%d send", i))
 		}
 	}, `
--- a/internal/network/trace.go
+++ b/internal/network/trace.go
@@ -19,13 +19,13 @@
 
 func (s *session) note(step guard.Step, why fmt.Stringer) {
 	if s.sessionState.guard != nil {
-		s.sessionState.guard.Note(guard.Event{At: time.Now(), Session: s.id, Request: s.request, Step: step, Why: why})
+		s.sessionState.guard.Note(guard.Event{At: time.Now(), Session: s.id, Request: s.reqID, Step: step, Why: why})
 	}
 }
 
 // closeCause returns why a session ends with the answer that was written, or nil if it goes on.
-func (s *session) closes(closing, flooded bool, err error) fmt.Stringer {
-	switch o := s.clients.told(); {
+func (s *session) closeCause(closing, flooded bool, err error) fmt.Stringer {
+	switch o := s.clients.currentDirectives(); {
 	case err != nil:
 		return guard.ClientEnded
 	case !closing:
@@ -34,7 +34,7 @@
 		return guard.ClientFlooded
 	case o.CloseAfterAnswer:
 		return closeReason(*o)
-	case s.clients.table.isShed(&s.sessionState):
+	case s.clients.table.mustClose(&s.sessionState):
 		return guard.RoomWanted
 	}
 	return guard.ClientAsked
@@ -43,20 +43,20 @@
 // checkUnanswered counts a violation if this side closes a session although a request that was read has no answer. A client that
 // closed the connection, asked for the close, sent an invalid request or sent more than is buffered is excepted: what follows
 // its last answer need not be answered.
-func (s *session) checkOwed(e core.Ending) {
+func (s *session) checkUnanswered(e core.Ending) {
 	if s.sessionState.guard == nil {
 		return
 	}
 	t := &s.clients.table
 	t.mu.Lock()
-	owed := s.owed
+	owed := s.answerPending
 	t.mu.Unlock()
 	switch {
 	case e == core.ClientClosed:
 	case owed:
-		s.sessionState.guard.Violated(guard.CloseOwed, s.id, s.request, "closed before its answer")
-	case e == core.SessionShed || e == core.SessionDone && !s.endsItself:
-		if q, _ := s.in.Next(); q != nil && q.Method == "POST" {
+		s.sessionState.guard.Violated(guard.CloseOwed, s.id, s.reqID, "closed before its answer")
+	case e == core.SessionShed || e == core.SessionDone && !s.clientEnds:
+		if q, _ := s.parser.Next(); q != nil && q.Method == "POST" {
 			s.sessionState.guard.Violated(guard.CloseOwed, s.id, "", "closed with a request read behind the last answer")
 		}
 	}
@@ -64,7 +64,7 @@
 
 // checkUnanswered counts a violation if this side closes a connection, for no fault of its client, with a request that was taken
 // and not answered.
-func (s *streams) checkOwed(r *streamReq, e core.Ending) {
+func (s *http2Session) checkUnanswered(r *streamReq, e core.Ending) {
 	if s.guard != nil && r.taken && e != core.ClientClosed && e != core.ClientBad {
 		s.guard.Violated(guard.CloseOwed, s.id, r.job.ID, "its connection was closed before its answer")
 	}
--- a/internal/network/trace_test.go
+++ b/internal/network/trace_test.go
@@ -32,9 +32,9 @@
 		"a check of health behind":  {behind: "GET / HTTP/1.1\r\n\r\n", ending: core.SessionShed},
 	} {
 		r := &guard.Recorder{}
-		s := &session{sessionState: sessionState{guard: r, owed: c.owed}, clients: &Clients{}, endsItself: c.itself}
-		s.in.Filled(copy(s.in.Space(), c.behind))
-		s.checkOwed(c.ending)
+		s := &session{sessionState: sessionState{guard: r, answerPending: c.owed}, clients: &Clients{}, clientEnds: c.itself}
+		s.parser.Filled(copy(s.parser.Space(), c.behind))
+		s.checkUnanswered(c.ending)
 		assert.Equal(t, c.want, r.Violations(guard.CloseOwed), name)
 	}
 }
@@ -44,11 +44,11 @@
 	runScenario(t, newEntries(balance.Ready, "s1"), 9, func(w *fixture) {
 		r := &guard.Recorder{}
 		w.clients.Guard = r
-		status, _ := w.clients.look("GET", "/health/ready")
+		status, _ := w.clients.statusResponse("GET", "/health/ready")
 		assert.Equal(t, 200, status)
 		assert.Zero(t, r.Violations(guard.ServeNotReady))
 		r.End(time.Now()) // while its orders do not say so
-		_, _ = w.clients.look("GET", "/health/ready")
+		_, _ = w.clients.statusResponse("GET", "/health/ready")
 		assert.EqualValues(t, 1, r.Violations(guard.ServeNotReady))
 	})
 }
