--- a/internal/fleet/accord/accord.go
+++ b/internal/fleet/accord/accord.go
@@ -41,7 +41,7 @@
 type LeaseConfig struct {
 	Lease           time.Duration // L: duration of a lease by the leader's clock
 	Drift           float64       // ρ: clocks run at rates within 1 ± ρ of real time
-	ContinueWhenCut bool          // a dispatcher without contact to the leader continues with the last version it knew
+	ContinueWhenCut bool          // a dispatcher without contact to the leader continues with the last version it knew, even if a newer one is decided
 }
 
 // Check returns an error that names the field that is out of range.
@@ -81,10 +81,10 @@
 
 // Acknowledgements.
 const (
-	NoAck    Ack = iota
-	Accepted     // its binary and configuration can apply the next version
-	Refused      // they cannot; Reason says why
-	Ready        // it has stopped accepting requests and starts none under the old version any more
+	NoAck    Ack = iota // nothing to report yet
+	Accepted            // its binary and configuration can apply the next version
+	Refused             // they cannot; Reason says why
+	Ready               // it has stopped accepting requests and starts none under the old version any more
 )
 
 // Stage is the stage that the current change has reached.
@@ -142,10 +142,10 @@
 	Body            []byte // of Version, if the request names another version
 	Change          uint64 // the current change, 0 for none
 	Stage           Stage
-	NextVersion     uint64 // the version that Change would bring into force
-	Proposer        string // of Change
-	NextBody        []byte // of NextVersion, while it is checked and the request has no Ack of it
-	ChangeOutcome   Outcome
+	NextVersion     uint64  // the version that Change would bring into force
+	Proposer        string  // of Change
+	NextBody        []byte  // of NextVersion, while it is checked and the request has no Ack of it
+	ChangeOutcome   Outcome // of the change that the request names, else of the last one that ended
 	ProposalOutcome Outcome // of the participant's own proposal, once it has ended
 }
 
--- a/internal/fleet/accord/wire/budget.go
+++ b/internal/fleet/accord/wire/budget.go
@@ -23,6 +23,7 @@
 	}
 )
 
+// budgetRequest is the encoded form of BudgetRequest.
 type budgetRequest struct {
 	Format uint8  `msgpack:"f"`
 	Kind   string `msgpack:"kind"`
@@ -33,6 +34,7 @@
 	Units  uint64 `msgpack:"units"`
 }
 
+// budgetGrant is the encoded form of BudgetGrant.
 type budgetGrant struct {
 	Format uint8  `msgpack:"f"`
 	Kind   string `msgpack:"kind"`
--- a/internal/fleet/accord/wire/wire.go
+++ b/internal/fleet/accord/wire/wire.go
@@ -36,6 +36,7 @@
 	BudgetGrant   *BudgetGrant
 }
 
+// leaseRequest is the encoded form of accord.LeaseRequest.
 type leaseRequest struct {
 	Format      uint8  `msgpack:"f"`
 	Kind        string `msgpack:"kind"`
@@ -51,6 +52,7 @@
 	Body        []byte `msgpack:"body"`
 }
 
+// outcome is the encoded form of accord.Outcome.
 type outcome struct {
 	ID     uint64 `msgpack:"id"`
 	Result uint8  `msgpack:"end"`
@@ -58,6 +60,7 @@
 	Reason string `msgpack:"why"`
 }
 
+// leaseResponse is the encoded form of accord.LeaseResponse.
 type leaseResponse struct {
 	Format          uint8   `msgpack:"f"`
 	Kind            string  `msgpack:"kind"`
@@ -79,6 +82,7 @@
 	ProposalOutcome outcome `msgpack:"proposal"`
 }
 
+// decision is the encoded form of accord.Decision.
 type decision struct {
 	Format   uint8  `msgpack:"f"`
 	Kind     string `msgpack:"kind"`
@@ -89,12 +93,14 @@
 	Body     []byte `msgpack:"body"`
 }
 
+// decisionID is the encoded form of accord.DecisionID.
 type decisionID struct {
 	Change   uint64 `msgpack:"change"`
 	Proposal uint64 `msgpack:"proposal"`
 	Version  uint64 `msgpack:"version"`
 }
 
+// state is the encoded form of accord.State.
 type state struct {
 	Format   uint8        `msgpack:"f"`
 	Kind     string       `msgpack:"kind"`
--- a/internal/fleet/policy/policy.go
+++ b/internal/fleet/policy/policy.go
@@ -55,8 +55,8 @@
 	return append(b, text...)
 }
 
-// Read decodes a policy strictly. A key that this binary does not know is an error: if it were ignored, this dispatcher
-// would apply another policy than the others.
+// Read decodes and checks a policy. A key that this binary does not know is an error: if it were ignored, this
+// dispatcher would apply another policy than the others.
 func Read(body []byte) (Policy, error) {
 	var p Policy
 	d := json.NewDecoder(bytes.NewReader(body))
