--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -150,7 +150,7 @@
 	mayCancel  bool
 	readyCount atomic.Int32                               // number of backends that may be sent to
 	openCount  atomic.Int32                               // number of unanswered requests
-	hasList    atomic.Bool                                // a list of backends has arrived
+	hasList    atomic.Bool                                // a list that names any backend has arrived
 	banned     atomic.Pointer[map[balance.WorkerID]int64] // stamps of when each banned backend was banned
 
 	ids ids
@@ -245,7 +245,7 @@
 	})
 }
 
-// HasList reports whether any list of backends has arrived.
+// HasList reports whether a list that names any backend has arrived.
 func (c *Core) HasList() bool { return c.hasList.Load() }
 
 // OpenReqs returns how many requests are unanswered.
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -190,7 +190,7 @@
 	assert.Empty(t, old.Merge([]Mark{{Name: "", At: 9e9, Banned: true}, {Name: "x", Banned: true}}))
 }
 
-// Marks of names that no list names are kept up to a bound; a name that is listed later no longer counts.
+// The number of marks whose names were never listed is bounded; a name that is listed later no longer counts.
 func TestUnlistedMarksAreBounded(t *testing.T) {
 	var b Bans
 	for i := range maxUnlisted + 10 {
@@ -204,7 +204,7 @@
 }
 
 func TestSavedState(t *testing.T) {
-	k := SavedState{Out: true, Marks: []Mark{{Name: "a", Banned: true, At: 1.5}}}
+	k := SavedState{OutOfService: true, Marks: []Mark{{Name: "a", Banned: true, At: 1.5}}}
 	text := k.Append(nil)
 	got, err := ReadState(text)
 	require.NoError(t, err)
--- a/internal/network/maintain/maintain.go
+++ b/internal/network/maintain/maintain.go
@@ -65,10 +65,10 @@
 		return false
 	}
 	d.mu.Lock()
-	d.out = k.Out
+	d.out = k.OutOfService
 	d.mu.Unlock()
 	d.Merge(k.Marks)
-	return k.Out
+	return k.OutOfService
 }
 
 // Listed handles a list of a source, in place of the core, and passes it on with the bans applied.
@@ -212,7 +212,7 @@
 	if s == nil {
 		return nil
 	}
-	err := s.Write(maintenance.SavedState{Out: d.out, Marks: d.outward(d.bans.Marks())}.Append(nil))
+	err := s.Write(maintenance.SavedState{OutOfService: d.out, Marks: d.outward(d.bans.Marks())}.Append(nil))
 	if err == nil {
 		d.unkept, d.pause = false, 0
 		return nil
--- a/internal/network/maintain/maintain_test.go
+++ b/internal/network/maintain/maintain_test.go
@@ -73,7 +73,7 @@
 // TestDamagedFile: a file that is damaged, truncated or of another version is not used, and the next call writes a valid
 // one.
 func TestBadFile(t *testing.T) {
-	good := maintenance.SavedState{Out: true, Marks: []maintenance.Mark{{Name: "a", Banned: true, At: 1}}}.Append(nil)
+	good := maintenance.SavedState{OutOfService: true, Marks: []maintenance.Mark{{Name: "a", Banned: true, At: 1}}}.Append(nil)
 	for _, text := range []string{"", "x", string(good[:len(good)-2]), "tinsail-maintenance 9 00000000\n{}", string(good) + " "} {
 		path := filepath.Join(t.TempDir(), "bans") // without a former generation
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -121,7 +121,7 @@
 // that the dispatcher restarted before this one is back.
 func (m *Machine) closeAfter() time.Duration { return m.killAfter() - killMargin - lastAnswersTime }
 
-// Load counts what clients have open now.
+// Load counts the sessions and requests that clients have open now.
 type Load struct {
 	Sessions     int // all sessions
 	BeforeCutoff int // sessions that connected before BalancerCutoff
