--- a/internal/network/arrival.go
+++ b/internal/network/arrival.go
@@ -73,10 +73,10 @@
 // the connections that they accept.
 type acceptQueue struct{ since atomic.Pointer[time.Time] }
 
-// acceptFailed reports that an accept acceptFailed.
+// acceptFailed reports that an accept failed.
 func (q *acceptQueue) acceptFailed(now time.Time) { q.since.CompareAndSwap(nil, &now) }
 
-// emptied reports that an accept had to wait, so that the queue was emptied.
+// emptied reports that an accept had to wait, so that the queue was empty.
 func (q *acceptQueue) emptied() { q.since.Store(nil) }
 
 // queuedSince returns since when a connection that was just accepted may have been waiting; zero if it was not.
--- a/internal/network/await.go
+++ b/internal/network/await.go
@@ -32,14 +32,14 @@
 
 // awaitAnswer waits until the answer is written, or the client closes the connection. Meanwhile it reads what the client
 // sends for its next request.
-func (s *session) awaitAnswer(t core.Handle, closing bool) (core.Ending, bool) {
-	gone, done := make(chan struct{}), make(chan writeResult, 1)
+func (s *session) awaitAnswer(handle core.Handle, closing bool) (core.Ending, bool) {
+	clientGone, done := make(chan struct{}), make(chan writeResult, 1)
 	a := &pipelineReader{session: s}
-	go s.writeAnswer(closing, s.bufferedBytes > 0, a, gone, done)
-	here := a.readUntilAnswered()
-	if !here {
-		t.Abandon(false, nil)
-		close(gone)
+	go s.writeAnswer(closing, s.bufferedBytes > 0, a, clientGone, done)
+	connected := a.readUntilAnswered()
+	if !connected {
+		handle.Abandon(false, nil)
+		close(clientGone)
 		s.conn.Close() // interrupts a write of the answer that is under way
 	}
 	// Wait for the writer before the session leaves the table: a later update by the writer would put it back.
@@ -47,7 +47,7 @@
 	a.release()
 	s.finishReq(w.free)
 	switch {
-	case !here || w.err != nil:
+	case !connected || w.err != nil:
 		return core.ClientClosed, true
 	case w.closing || a.discarded > 0:
 		s.clientEnds = closing || a.discarded > 0
@@ -72,7 +72,7 @@
 
 // readUntilAnswered reads until the answer is written. It returns false if the client closes the connection first. Bytes are
 // buffered for the next request up to a bound; bytes beyond it are discarded, and then the session ends with its answer.
-func (a *pipelineReader) readUntilAnswered() (here bool) {
+func (a *pipelineReader) readUntilAnswered() (connected bool) {
 	t := &a.clients.table
 	if a.parser.Ahead() > 0 { // received together with the request: no further read would report them
 		a.firstByteAt = a.session.lastByteAt
@@ -108,9 +108,9 @@
 		a.parser.Filled(n)
 		return n, err
 	}
-	piece := discardBuffers.Get().(*[discardChunk]byte)
-	defer discardBuffers.Put(piece)
-	n, err := a.conn.Read(piece[:])
+	chunk := discardBuffers.Get().(*[discardChunk]byte)
+	defer discardBuffers.Put(chunk)
+	n, err := a.conn.Read(chunk[:])
 	if n == 0 {
 		return n, err
 	}
@@ -138,7 +138,7 @@
 func (a *pipelineReader) release() { a.clients.bufferedBytes.Add(-int64(a.reserved)) }
 
 // status reports whether bytes follow the request that waits, and whether some of them were discarded.
-func (a *pipelineReader) status() (some, flooded bool) {
+func (a *pipelineReader) status() (pipelined, flooded bool) {
 	t := &a.clients.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -154,22 +154,22 @@
 // writeAnswer writes the answer once it is decided. wake says that the rest of the request's body is to be given up at once; it is
 // an argument because the reading goroutine may have ended meanwhile. A pipelined request that was read already is answered before
 // a shutdown closes the session.
-func (s *session) writeAnswer(closing, long bool, behind *pipelineReader, gone chan struct{}, done chan writeResult) {
+func (s *session) writeAnswer(closing, wake bool, reader *pipelineReader, clientGone chan struct{}, done chan writeResult) {
 	var a core.Answer
 	select {
 	case a = <-s.answer:
-	case <-gone:
+	case <-clientGone:
 		done <- writeResult{}
 		return
 	}
 	t := &s.clients.table
-	some, flooded := behind.status()
-	closing = closing || flooded || !some && (s.clients.currentDirectives().CloseAfterAnswer || t.mustClose(&s.sessionState))
+	pipelined, flooded := reader.status()
+	closing = closing || flooded || !pipelined && (s.clients.currentDirectives().CloseAfterAnswer || t.mustClose(&s.sessionState))
 	err := s.write(platform.AppendFinal(make([]byte, 0, 128+len(a.Result)), a, closing))
 	if closing || err != nil {
 		s.note(guard.RequestWritten, s.closeCause(closing, flooded, err))
 	}
-	closing = t.reqAnswered(&s.sessionState, true, closing || err != nil, long)
+	closing = t.reqAnswered(&s.sessionState, true, closing || err != nil, wake)
 	t.trimJobSessions(s.clients.maxJobSessions())
 	done <- writeResult{a.JobReleased, closing, err}
 }
@@ -179,8 +179,8 @@
 // ones hold no more descriptors than all sessions may, and are the first to be closed for new ones.
 func (s *session) linger() {
 	c := s.clients
-	end, ok := s.conn.(interface{ CloseWrite() error })
-	if !ok || end.CloseWrite() != nil {
+	conn, ok := s.conn.(interface{ CloseWrite() error })
+	if !ok || conn.CloseWrite() != nil {
 		return
 	}
 	left := maxLingerBytes
@@ -222,11 +222,11 @@
 
 // discard reads and discards up to limit bytes, until the deadline that is set. left is how many it did not read. over reports
 // that there is nothing more to read: the connection has ended, or limit is reached.
-func (s *session) discard(most int) (left int, over bool) {
-	piece := discardBuffers.Get().(*[discardChunk]byte)
-	defer discardBuffers.Put(piece)
-	for left = most; left > 0; {
-		n, err := s.conn.Read(piece[:])
+func (s *session) discard(limit int) (left int, over bool) {
+	chunk := discardBuffers.Get().(*[discardChunk]byte)
+	defer discardBuffers.Put(chunk)
+	for left = limit; left > 0; {
+		n, err := s.conn.Read(chunk[:])
 		if left -= n; err != nil {
 			return left, !errors.Is(err, os.ErrDeadlineExceeded)
 		}
--- a/internal/network/await_test.go
+++ b/internal/network/await_test.go
@@ -34,7 +34,7 @@
 	return func() {}
 }
 
-// nextAttempt returns the nextAttempt attempt that arrives.
+// nextAttempt returns the next attempt that arrives.
 func (b manualBackends) nextAttempt(t *testing.T) *core.Attempt {
 	t.Helper()
 	select {
--- a/internal/network/clients.go
+++ b/internal/network/clients.go
@@ -52,19 +52,19 @@
 	table             table
 }
 
-// currentOrders returns what the service state asks for now.
+// currentDirectives returns what the service state asks for now.
 func (c *Clients) currentDirectives() *service.Directives {
-	if o := c.directives.Load(); o != nil {
-		return o
+	if d := c.directives.Load(); d != nil {
+		return d
 	}
 	return &inServiceDirectives
 }
 
 // Resize sets how many sessions there may be from now on. Idle ones beyond it are closed; sessions with an unanswered request
 // go on.
-func (c *Clients) Resize(b DescriptorLimits) {
-	c.limits.Store(&b)
-	c.table.shrinkTo(b.Clients)
+func (c *Clients) Resize(limits DescriptorLimits) {
+	c.limits.Store(&limits)
+	c.table.shrinkTo(limits.Clients)
 }
 
 // OpenSessions returns how many sessions there are.
@@ -74,15 +74,15 @@
 }
 
 func (c *Clients) maxSessions() int {
-	if b := c.limits.Load(); b != nil {
-		return b.Clients
+	if limits := c.limits.Load(); limits != nil {
+		return limits.Clients
 	}
 	return c.MaxSessions
 }
 
 func (c *Clients) maxJobSessions() int {
-	if b := c.limits.Load(); b != nil {
-		return b.JobSessions
+	if limits := c.limits.Load(); limits != nil {
+		return limits.JobSessions
 	}
 	return c.MaxJobSessions
 }
@@ -97,7 +97,8 @@
 	arrival   *arrivalClock
 	overLimit bool   // beyond the limit: refused at its first request
 	reqID     string // id of the last request that was taken, for the trace
-	// clientEnds says that the client asked for the close or sent more than is buffered: what follows the last answer is not handled.
+	// clientEnds says that the client asked for the close or sent more than is buffered. What follows the last answer is then
+	// not handled.
 	clientEnds bool
 	answer     chan core.Answer
 
@@ -111,7 +112,7 @@
 	clientDeadline time.Time // until then the client of the current request waits for its answer
 }
 
-// writeResult tells the reading goroutine that the answer was writeResult.
+// writeResult tells the reading goroutine how the write of the answer ended.
 type writeResult struct {
 	free, closing bool
 	err           error
@@ -157,13 +158,13 @@
 // closed for it, room whether it can be read in order to be refused.
 func (c *Clients) register(s *sessionState) (excess, room bool) {
 	c.Count.ClientSessions.Add(1)
-	most := c.maxSessions()
-	n, all, shed := c.table.add(s, most, c.Guard)
-	if room = all <= most+maxExcessSessions || c.waitForRoom(most+maxExcessSessions); !room {
+	limit := c.maxSessions()
+	n, all, shed := c.table.add(s, limit, c.Guard)
+	if room = all <= limit+maxExcessSessions || c.waitForRoom(limit+maxExcessSessions); !room {
 		c.Count.SessionsRefused.Add(1)
 		return true, false
 	}
-	return n > most && !shed, true
+	return n > limit && !shed, true
 }
 
 // waitForRoom waits until there are no more than n sessions. Sessions whose clients still send get longer to end by
@@ -262,7 +263,7 @@
 	s.clients.table.reqStarted(&s.sessionState)
 }
 
-// setReadDeadline sets how long to setReadDeadline for bytes. The first request has a fixed time from connecting, whatever arrives: a
+// setReadDeadline sets how long to wait for bytes. The first request has a fixed time from connecting, whatever arrives: a
 // client that sends nothing, or an incomplete request, must not keep a descriptor.
 func (s *session) setReadDeadline(partial bool) {
 	t := &s.clients.table
@@ -327,11 +328,11 @@
 
 func (s *session) write(b []byte) error {
 	// Not shorter than the client's own deadline: an answer that it has begun to read must not be cut off before.
-	by := time.Now().Add(writeTimeout)
-	if s.clientDeadline.After(by) {
-		by = s.clientDeadline
+	deadline := time.Now().Add(writeTimeout)
+	if s.clientDeadline.After(deadline) {
+		deadline = s.clientDeadline
 	}
-	s.conn.SetWriteDeadline(by)
+	s.conn.SetWriteDeadline(deadline)
 	_, err := s.conn.Write(b)
 	return err
 }
@@ -342,32 +343,32 @@
 		return s.answerDirectly(q)
 	}
 	c := s.clients
-	w, err := c.Names.Read(q)
+	work, err := c.Names.Read(q)
 	if err != nil {
 		return s.refuse(err), true
 	}
 	if s.overLimit {
 		return s.refuse(&platform.Bad{Status: 503, Reason: "too many clients", Pause: shedRetryAfter}), true
 	}
-	left := c.timeLeft(w.Left, s.firstByteAt)
+	left := c.timeLeft(work.Left, s.firstByteAt)
 	s.clientDeadline = s.firstByteAt.Add(left)
 	c.table.reqReceived(&s.sessionState)
-	s.reqID = w.ID
+	s.reqID = work.ID
 	c.table.trimJobSessions(c.maxJobSessions()) // now that one more is busy, as the next client may find no connection left
-	job := &core.Job{Method: q.Method, Target: q.Target, ID: w.ID, IdempotencyKey: w.IdempotencyKey, Body: q.Body}
-	ticket, fresh := c.Core.Submit(w.Ask, job, s.firstByteAt, left, s)
+	job := &core.Job{Method: q.Method, Target: q.Target, ID: work.ID, IdempotencyKey: work.IdempotencyKey, Body: q.Body}
+	handle, fresh := c.Core.Submit(work.Ask, job, s.firstByteAt, left, s)
 	if !fresh {
 		return s.refuse(&platform.Bad{Status: 409, Reason: "this X-Correlation-Id has been used"}), true
 	}
 	c.Count.ReqsTaken.Add(1)
 	s.conn.SetReadDeadline(time.Time{})
-	return s.awaitAnswer(ticket, q.Close)
+	return s.awaitAnswer(handle, q.Close)
 }
 
 // timeLeft returns how long a request that arrived at a time may take: in a shutdown, no longer than the shutdown lasts.
-func (c *Clients) timeLeft(left time.Duration, came time.Time) time.Duration {
-	if until := c.currentDirectives().AnswerBy; !until.IsZero() {
-		left = max(min(left, until.Sub(came)), 0)
+func (c *Clients) timeLeft(left time.Duration, arrivedAt time.Time) time.Duration {
+	if deadline := c.currentDirectives().AnswerBy; !deadline.IsZero() {
+		left = max(min(left, deadline.Sub(arrivedAt)), 0)
 	}
 	return left
 }
--- a/internal/network/director_fixture_test.go
+++ b/internal/network/director_fixture_test.go
@@ -98,7 +98,7 @@
 }
 
 // lateness returns how much later a change arrived than a drain may take effect; a change that never arrived counts as an hour
-// lateness.
+// late.
 func (w *directorFixture) lateness(c standin.Change) time.Duration {
 	state := balance.Ready
 	if c.Status == "Terminating" {
--- a/internal/network/http2.go
+++ b/internal/network/http2.go
@@ -83,7 +83,7 @@
 	work      platform.Work
 	job       core.Job
 	taken     bool
-	ticket    core.Handle
+	handle    core.Handle
 }
 
 // Answer leaves the final answer in the inbox.
@@ -91,7 +91,7 @@
 
 func (r *streamReq) abandon() {
 	if r.taken {
-		r.ticket.Abandon(r.session.limits.CancelOnReset, func() { r.session.post(inboxItem{streamID: r.id, free: true}) })
+		r.handle.Abandon(r.session.limits.CancelOnReset, func() { r.session.post(inboxItem{streamID: r.id, free: true}) })
 	}
 }
 
@@ -179,9 +179,9 @@
 			continue
 		}
 		now := time.Now()
-		came := s.arrival.timeOf(now)
+		arrivedAt := s.arrival.timeOf(now)
 		s.mu.Lock()
-		s.lastByteAt = came
+		s.lastByteAt = arrivedAt
 		s.processInbox() // answers decided before these bytes were read must not be lost by what the bytes say
 		s.machine.Filled(n, now)
 		if !begun { // bytes that are no complete preface don't protect a session any longer than silence
@@ -201,7 +201,7 @@
 	}
 }
 
-// setReadDeadline sets how long to setReadDeadline for bytes: for the preface from connecting on, between requests as long as HTTP/1.1
+// setReadDeadline sets how long to wait for bytes: for the preface from connecting on, between requests as long as HTTP/1.1
 // does, and without limit while streams are open, which have timeouts of their own. s.mu is held.
 func (s *http2Session) setReadDeadline(begun bool, live int) {
 	t := &s.front.Clients.table
@@ -223,13 +223,13 @@
 // or its client was silent for too long.
 func (s *http2Session) readTimedOut() (core.Ending, bool) {
 	t := &s.front.Clients.table
-	shed := t.mustClose(&s.sessionState)
+	mustClose := t.mustClose(&s.sessionState)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.ended:
 		return 0, false
-	case shed:
+	case mustClose:
 		s.ending = core.SessionShed
 		s.machine.Settle(time.Now())
 	case s.machine.Live() > 0:
@@ -252,7 +252,7 @@
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	var spare []byte
-	var last time.Time // deadline for all remaining bytes, once the connection has ended
+	var finalDeadline time.Time // deadline for all remaining bytes, once the connection has ended
 	for {
 		select {
 		case <-s.wakeWriter:
@@ -282,10 +282,10 @@
 			s.mu.Unlock()
 			if len(b) > 0 {
 				until := time.Now().Add(s.limits.StallTimeout)
-				if over && last.IsZero() {
-					last = until
+				if over && finalDeadline.IsZero() {
+					finalDeadline = until
 				} else if over {
-					until = last
+					until = finalDeadline
 				}
 				s.conn.SetWriteDeadline(until)
 				if _, err := s.conn.Write(b); err != nil {
--- a/internal/network/http2_client_test.go
+++ b/internal/network/http2_client_test.go
@@ -89,7 +89,7 @@
 	return conn
 }
 
-// changeLimits changes the changeLimits of connections from now on.
+// changeLimits changes the limits of connections from now on.
 func (s *testServer) changeLimits(change func(*HTTP2Limits)) {
 	l := *s.http2.limits.Load()
 	change(&l)
@@ -172,7 +172,7 @@
 	c.out.Reset()
 }
 
-// nextFrame returns the nextFrame frame and a short text of it: "end" once the peer has closed, "reset" if the connection broke.
+// nextFrame returns the next frame and a short text of it: "end" once the peer has closed, "reset" if the connection broke.
 func (c *http2Client) nextFrame() (word string, f http2.Frame) {
 	c.conn.SetReadDeadline(time.Now().Add(testTimeout))
 	f, err := c.framer.ReadFrame()
--- a/internal/network/http2_close.go
+++ b/internal/network/http2_close.go
@@ -49,11 +49,11 @@
 // come to read them.
 func (s *http2Session) linger() {
 	if _, ok := s.conn.(halfCloser); ok {
-		waste := make([]byte, 4<<10)
+		buf := make([]byte, 4<<10)
 		var until time.Time // set once all is written
 		for left, stays := maxHTTP2LingerBytes, true; left > 0 && stays; {
 			stays = s.keepLingering(&until)
-			n, err := s.conn.Read(waste)
+			n, err := s.conn.Read(buf)
 			left -= n
 			if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 				break
--- a/internal/network/http2_inbox.go
+++ b/internal/network/http2_inbox.go
@@ -24,22 +24,22 @@
 // post puts an item into the inbox. It is called from the core's goroutine, which must not wait for a connection. Answers
 // stay here while a client reads nothing, and are counted like any other bytes buffered for clients. One connection may hold
 // no more of them than of answers that wait for its flow-control windows.
-func (s *http2Session) post(l inboxItem) {
+func (s *http2Session) post(item inboxItem) {
 	c := s.front.Clients
 	s.inbox.Lock()
 	if s.inbox.closed {
 		s.inbox.Unlock()
 		return
 	}
-	if n := len(l.answer.Result); n > smallAnswer {
+	if n := len(item.answer.Result); n > smallAnswer {
 		if s.inbox.bufferedBytes+n > int(c.MaxBufferedBytes/4) || !c.reserveBytes(n) {
-			l.lost, l.answer.Result = true, ""
+			item.lost, item.answer.Result = true, ""
 		} else {
-			l.bufferedBytes = n
+			item.bufferedBytes = n
 			s.inbox.bufferedBytes += n
 		}
 	}
-	s.inbox.items = append(s.inbox.items, l)
+	s.inbox.items = append(s.inbox.items, item)
 	s.inbox.Unlock()
 	s.signalWriter()
 }
@@ -56,8 +56,8 @@
 func (s *http2Session) processInbox() {
 	c := s.front.Clients
 	s.inbox.Lock()
-	list := s.inbox.items
-	if len(list) == 0 {
+	items := s.inbox.items
+	if len(items) == 0 {
 		s.inbox.Unlock()
 		return
 	}
@@ -66,24 +66,24 @@
 	s.inbox.bufferedBytes = 0
 	s.inbox.Unlock()
 	now := time.Now()
-	for i := range list {
-		l := &list[i]
+	for i := range items {
+		item := &items[i]
 		switch {
-		case l.free:
-			s.machine.Free(l.streamID)
-		case l.lost:
+		case item.free:
+			s.machine.Free(item.streamID)
+		case item.lost:
 			c.Count.HTTP2Abuse[http2.Unread].Add(1)
-			s.machine.Reset(l.streamID, http2.EnhanceYou)
-		case l.answer.Kind == core.Result:
-			s.machine.Answer(l.streamID, 200, 0, l.answer.Result, now)
-		case l.answer.Kind == core.Refusal:
-			s.machine.Answer(l.streamID, 503, l.answer.RetryAfter, "", now)
+			s.machine.Reset(item.streamID, http2.EnhanceYou)
+		case item.answer.Kind == core.Result:
+			s.machine.Answer(item.streamID, 200, 0, item.answer.Result, now)
+		case item.answer.Kind == core.Refusal:
+			s.machine.Answer(item.streamID, 503, item.answer.RetryAfter, "", now)
 		default:
-			s.machine.Answer(l.streamID, 502, 0, "", now)
+			s.machine.Answer(item.streamID, 502, 0, "", now)
 		}
 	}
-	clear(list)
-	if s.inbox.spare = list; cap(list) > 1024 {
+	clear(items)
+	if s.inbox.spare = items; cap(items) > 1024 {
 		s.inbox.spare = nil
 	}
 	s.noteIdle()
--- a/internal/network/http2_reqs.go
+++ b/internal/network/http2_reqs.go
@@ -11,7 +11,7 @@
 	"tinsail/internal/platform"
 )
 
-// handleEvents carries out the handleEvents of the state machine. s.mu is held.
+// handleEvents carries out the events of the state machine. s.mu is held.
 func (s *http2Session) handleEvents() {
 	c := s.front.Clients
 	for e, ok := s.machine.Next(); ok; e, ok = s.machine.Next() {
@@ -48,7 +48,7 @@
 	s.noteIdle()
 }
 
-// fieldsByHTTP2Name maps the field fieldsByHTTP2Name of HTTP/2, which are lower case, to the fields of a request.
+// fieldsByHTTP2Name maps the field names of HTTP/2, which are lower case, to the fields of a request.
 var fieldsByHTTP2Name = func() map[string]platform.Field {
 	m := map[string]platform.Field{}
 	for f, name := range platform.FieldNames {
@@ -84,7 +84,7 @@
 	}
 	q := platform.Request{Method: st.Head.Method, Target: st.Head.Path, Fields: parseFields(st.Head.Fields)}
 	var err error
-	var w platform.Work
+	var work platform.Work
 	switch {
 	case q.Method == "GET" || q.Method == "HEAD":
 		st.Data, st.Discard = statusQuery{q.Path()}, true
@@ -92,7 +92,7 @@
 	case q.Method != "POST":
 		err = &platform.Bad{Status: 405, Reason: "a method that is not POST"}
 	default:
-		w, err = c.Names.Read(&q)
+		work, err = c.Names.Read(&q)
 	}
 	if err != nil {
 		st.Data, st.Discard = err, true
@@ -103,8 +103,8 @@
 		s.machine.Reset(st.ID, http2.Refused)
 		return
 	}
-	r := &streamReq{session: s, id: st.ID, arrivedAt: s.lastByteAt, work: w}
-	r.job = core.Job{Method: q.Method, Target: q.Target, ID: w.ID, IdempotencyKey: w.IdempotencyKey}
+	r := &streamReq{session: s, id: st.ID, arrivedAt: s.lastByteAt, work: work}
+	r.job = core.Job{Method: q.Method, Target: q.Target, ID: work.ID, IdempotencyKey: work.IdempotencyKey}
 	st.Data = r
 }
 
@@ -129,7 +129,7 @@
 	r.job.Body = st.Body
 	r.taken = true // before its answer can come
 	var fresh bool
-	if r.ticket, fresh = c.Core.Submit(r.work.Ask, &r.job, r.arrivedAt, c.timeLeft(r.work.Left, r.arrivedAt), r); !fresh {
+	if r.handle, fresh = c.Core.Submit(r.work.Ask, &r.job, r.arrivedAt, c.timeLeft(r.work.Left, r.arrivedAt), r); !fresh {
 		r.taken = false
 		s.refuse(st, &platform.Bad{Status: 409, Reason: "this X-Correlation-Id has been used"})
 		return
--- a/internal/network/http2_test.go
+++ b/internal/network/http2_test.go
@@ -142,7 +142,7 @@
 		func(w *fixture) { assert.Equal(t, int64(1), w.count.Endings[core.StreamReset].Load()) })
 }
 
-// hundredPosts opens a hundredPosts streams at once, the first numbered 1.
+// hundredPosts opens a hundred streams at once, the first numbered 1.
 func hundredPosts() string {
 	var b strings.Builder
 	for i := range 100 {
--- a/internal/network/mutate_test.go
+++ b/internal/network/mutate_test.go
@@ -277,7 +277,7 @@
 	return 44
 }
 
-// parseWatch returns the version that a parseWatch to the director has, -1 if it asks for the whole list.
+// parseWatch returns the version that a call to the director names, -1 if it asks for the whole list.
 func (w *mutationWorld) parseWatch(q *http.Request) int {
 	since := -1
 	fmt.Sscan(q.URL.Query().Get("since"), &since)
--- a/internal/network/rejected.go
+++ b/internal/network/rejected.go
@@ -30,22 +30,22 @@
 // reject answers 503 to a client that there is no descriptor for, without parsing its request. Its bytes are read and discarded,
 // so that the close does not reset the connection, until it closes or later rejected clients need its slot.
 func (c *Clients) reject(s *session) {
-	gone := func() {
+	closeAndRemove := func() {
 		s.conn.Close()
 		c.table.remove(&s.sessionState)
 	}
-	end, ok := s.conn.(interface{ CloseWrite() error })
+	conn, ok := s.conn.(interface{ CloseWrite() error })
 	if !ok {
 		s.write(platform.AppendAnswer(nil, 503, shedRetryAfter, true, ""))
-		gone()
+		closeAndRemove()
 		return
 	}
 	s.discardFor(rejectedReadWait)
 	s.write(platform.AppendAnswer(nil, 503, shedRetryAfter, true, ""))
-	end.CloseWrite()
+	conn.CloseWrite()
 	if !c.reserveRejectedSlot() {
 		s.discardFor(finalReadWait)
-		gone()
+		closeAndRemove()
 		return
 	}
 	t := &rejectedSession{s, make(chan struct{})}
@@ -56,7 +56,7 @@
 	a.mu.Unlock()
 	go func() {
 		s.discard(maxLingerBytes)
-		gone()
+		closeAndRemove()
 		a.remove(t)
 		c.rejectedLingering.Add(-1)
 		close(t.closed)
--- a/internal/network/scenario_test.go
+++ b/internal/network/scenario_test.go
@@ -154,7 +154,7 @@
 
 var macroPattern = regexp.MustCompile(`\{(\w+) ?([^\s}]*) ?([^}]*)\}`)
 
-// expand replaces the macros for frequent messages: {request ID BODY} of a client, {started ID}, {done ID RESULT} and {failed ID} of
+// expand replaces the macros for frequent messages: {req ID BODY} of a client, {started ID}, {done ID RESULT} and {failed ID} of
 // a backend, {last ID RESULT} without the end of the reply.
 func expand(s string) string {
 	return macroPattern.ReplaceAllStringFunc(s, func(m string) string {
@@ -248,7 +248,7 @@
 	return first
 }
 
-// nextMessage returns the nextMessage HTTP/1.1 message that has arrived, as the standard library parses it.
+// nextMessage returns the next HTTP/1.1 message that has arrived, as the standard library parses it.
 func (p *peer) nextMessage(client bool) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/network/service.go
+++ b/internal/network/service.go
@@ -36,9 +36,9 @@
 	if open == (g.reopened == nil) {
 		return
 	}
-	at := time.Unix(1, 0)
+	deadline := time.Unix(1, 0)
 	if open {
-		at = time.Time{}
+		deadline = time.Time{}
 		close(g.reopened)
 		g.reopened = nil
 	} else {
@@ -46,7 +46,7 @@
 	}
 	for _, l := range g.listeners {
 		if d, ok := l.(deadlineListener); ok {
-			d.SetDeadline(at)
+			d.SetDeadline(deadline)
 		}
 	}
 }
@@ -54,15 +54,15 @@
 // waitOpen blocks until the gate is open.
 func (g *acceptGate) waitOpen() {
 	g.mu.Lock()
-	shut := g.reopened
+	reopened := g.reopened
 	g.mu.Unlock()
-	if shut != nil {
-		<-shut
+	if reopened != nil {
+		<-reopened
 	}
 }
 
-// unfinished returns how many sessions are reading or unfinished a request, and how many were told to close (closing). The core
-// stops counting a request once its answer is decided; the session that writes the answer counts here until the last byte is
+// unfinished returns how many sessions are reading or answering a request, and how many were told to close. The core stops
+// counting a request once its answer is decided; the session that writes the answer counts here until the last byte is
 // written. This includes a session that was told to close while a request was already on its way.
 func (t *table) unfinished() (answering, closing int) {
 	t.mu.Lock()
@@ -131,54 +131,54 @@
 
 func (s *Service) refresh() { s.update(func(time.Time) {}) }
 
-// closeReason returns the reason for closing sessions under these orders.
-func closeReason(o service.Directives) guard.Reason {
-	if o.HandedOver {
+// closeReason returns the reason for closing sessions under these directives.
+func closeReason(d service.Directives) guard.Reason {
+	if d.HandedOver {
 		return guard.HandedOver
 	}
 	return guard.ServiceEnds
 }
 
-// update applies an event to the state machine and carries out the resulting orders.
-func (s *Service) update(f func(now time.Time)) {
+// update applies an event to the state machine and carries out the resulting directives.
+func (s *Service) update(event func(now time.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.finished {
 		return
 	}
 	now := time.Now()
-	f(now)
+	event(now)
 	c := s.Clients
-	all, early := c.table.sessionCounts(s.machine.BalancerCutoff())
-	owed := c.Core.OpenReqs() // read first: an answer decided after this is covered by the session counts below
+	all, beforeCutoff := c.table.sessionCounts(s.machine.BalancerCutoff())
+	openReqs := c.Core.OpenReqs() // read first: an answer decided after this is covered by the session counts below
 	answering, closing := c.table.unfinished()
-	o := s.machine.Evaluate(now, service.Load{Sessions: all, BeforeCutoff: early, Unanswered: max(owed, answering), Closing: closing})
+	d := s.machine.Evaluate(now, service.Load{Sessions: all, BeforeCutoff: beforeCutoff, Unanswered: max(openReqs, answering), Closing: closing})
 	old := s.directives
-	s.directives = o
-	c.directives.Store(&o)
-	c.acceptGate.setOpen(o.Accept && !o.Exit) // connections queued in a listener that another process shares are left to that process
+	s.directives = d
+	c.directives.Store(&d)
+	c.acceptGate.setOpen(d.Accept && !d.Exit) // connections queued in a listener that another process shares are left to that process
 	if s.HTTP2 != nil {
-		if o.AnnounceClose && !old.AnnounceClose {
+		if d.AnnounceClose && !old.AnnounceClose {
 			s.HTTP2.announceDrain()
 		}
 		// Clients that reconnect at once would prolong the shutdown, and their requests would still be open
 		// when it ends.
-		if o.State == service.ShuttingDown && !o.AnswerBy.IsZero() {
+		if d.State == service.ShuttingDown && !d.AnswerBy.IsZero() {
 			s.HTTP2.closeListener()
 		}
 	}
-	if o.CloseAfterAnswer {
-		c.table.closeIdle(o.IdleTimeout, closeReason(o))
+	if d.CloseAfterAnswer {
+		c.table.closeIdle(d.IdleTimeout, closeReason(d))
 	}
-	if o.State != old.State {
-		c.Guard.Note(guard.Event{At: now, Step: guard.ServiceState, Why: o.State})
+	if d.State != old.State {
+		c.Guard.Note(guard.Event{At: now, Step: guard.ServiceState, Why: d.State})
 	}
-	if o.State != old.State && s.OnStateChange != nil {
-		s.OnStateChange(old.State, o.State)
+	if d.State != old.State && s.OnStateChange != nil {
+		s.OnStateChange(old.State, d.State)
 	}
 	switch {
-	case o.Exit:
-		if o.HandedOver {
+	case d.Exit:
+		if d.HandedOver {
 			c.Count.HandoverLeft.Add(int64(all))
 		}
 		s.finished = true
--- a/internal/network/table.go
+++ b/internal/network/table.go
@@ -71,20 +71,20 @@
 // add registers a new session. If there are more than limit, one is shed where that is allowed. Lingering sessions don't count
 // towards limit as long as they fit into lingerHeadroom beyond it. Beyond that they are the first to be closed for a new
 // session, and not before: bytes of their clients may still be on their way.
-func (t *table) add(s *sessionState, most int, trace *guard.Recorder) (n, all int, shed bool) {
+func (t *table) add(s *sessionState, limit int, recorder *guard.Recorder) (n, all int, shed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lastID++
-	s.guard, s.id = trace, t.lastID
+	s.guard, s.id = recorder, t.lastID
 	s.note(guard.SessionOpened, nil)
 	if t.sessionEnded == nil {
 		t.sessionEnded = make(chan struct{}, 1)
 	}
 	t.count++
-	if n = t.count - t.lingering; n > most {
+	if n = t.count - t.lingering; n > limit {
 		shed = t.shedOne(rankUnused)
 	}
-	if e := t.byRank[rankLingering].Front(); e != nil && t.count > most+lingerHeadroom {
+	if e := t.byRank[rankLingering].Front(); e != nil && t.count > limit+lingerHeadroom {
 		t.requestClose(e.Value.(*sessionState), guard.RoomWanted)
 	}
 	s.connectedAt = time.Now()
@@ -111,8 +111,8 @@
 
 // waitForCount waits until there are no more than n sessions. It gives up after maxWait, and at once if no session is about
 // to close.
-func (t *table) waitForCount(n int, most time.Duration) bool {
-	timer := time.NewTimer(most)
+func (t *table) waitForCount(n int, maxWait time.Duration) bool {
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	for {
 		t.mu.Lock()
@@ -172,7 +172,7 @@
 
 // notePipelined records that bytes were received after the request that waits for its answer, so that the answer wakes the
 // session's goroutine for them. It returns false, and records nothing, if the answer has been written.
-func (t *table) notePipelined(s *sessionState) (owed bool) {
+func (t *table) notePipelined(s *sessionState) (pending bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s.pipelined = s.pipelined || s.answerPending
@@ -190,8 +190,8 @@
 	return s.answerPending
 }
 
-// reqAnswered reports that a request was reqAnswered, and returns whether the session has to close. A session that was told to close
-// stays open if more of its client's bytes have been read, as those are reqAnswered first. The session's goroutine is woken to
+// reqAnswered reports that a request was answered, and returns whether the session has to close. A session that was told to close
+// stays open if more of its client's bytes have been read, as those are answered first. The session's goroutine is woken to
 // close, to handle pipelined bytes, or to give up a long body (wake). The deadline that wakes it is set under the lock, so
 // that it does not undo the one set by requestClose.
 func (t *table) reqAnswered(s *sessionState, job, closing, wake bool) bool {
@@ -216,10 +216,10 @@
 
 // startLingering keeps a session open after its last answer until the client has read it, if no more than limit sessions do
 // so. A session whose descriptor is needed stays at rankClosing.
-func (t *table) startLingering(s *sessionState, most int) bool {
+func (t *table) startLingering(s *sessionState, limit int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.lingering >= most {
+	if t.lingering >= limit {
 		return false
 	}
 	t.lingering++
@@ -284,12 +284,12 @@
 }
 
 // shedProtected reports whether a session is still within its minimum time, or has been idle for less than minIdle.
-func (s *sessionState) shedProtected(rest time.Duration) bool {
+func (s *sessionState) shedProtected(minIdle time.Duration) bool {
 	from := s.idleSince
 	if s.rank == rankPartial {
 		from = s.partialByteAt
 	}
-	return time.Since(from) < max(shedProtection[s.rank], rest)
+	return time.Since(from) < max(shedProtection[s.rank], minIdle)
 }
 
 // shedOne tells the first session of rank from or a later one that may be shed to close. t.mu is held.
@@ -304,19 +304,19 @@
 }
 
 // shrinkTo sheds sessions until there are no more than limit, or no other may be shed.
-func (t *table) shrinkTo(most int) {
+func (t *table) shrinkTo(limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for over := t.count - t.byRank[rankClosing].Len() - most; over > 0 && t.shedOne(rankLingering); over-- {
+	for over := t.count - t.byRank[rankClosing].Len() - limit; over > 0 && t.shedOne(rankLingering); over-- {
 	}
 }
 
 // trimJobSessions closes an idle session if more than limit sessions serve jobs. A session idle for less than trimMinIdle is
 // left, since it is likely to be used again at once.
-func (t *table) trimJobSessions(most int) {
+func (t *table) trimJobSessions(limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.byRank[rankIdle].Len()+t.byRank[rankBusy].Len() <= most {
+	if t.byRank[rankIdle].Len()+t.byRank[rankBusy].Len() <= limit {
 		return
 	}
 	if e := t.byRank[rankIdle].Front(); e != nil && time.Since(e.Value.(*sessionState).idleSince) >= trimMinIdle {
@@ -333,11 +333,11 @@
 }
 
 // closeIdle tells sessions to close that have been idle for minIdle. New sessions keep their minimum time.
-func (t *table) closeIdle(rest time.Duration, why guard.Reason) {
+func (t *table) closeIdle(minIdle time.Duration, why guard.Reason) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for r := rankLingering; r < rankBusy; r++ {
-		for e := t.byRank[r].Front(); e != nil && !e.Value.(*sessionState).shedProtected(rest); e = t.byRank[r].Front() {
+		for e := t.byRank[r].Front(); e != nil && !e.Value.(*sessionState).shedProtected(minIdle); e = t.byRank[r].Front() {
 			t.requestClose(e.Value.(*sessionState), why)
 		}
 	}
@@ -345,17 +345,17 @@
 
 // sessionCounts returns how many sessions there are, and how many of them connected before a time. The zero time costs
 // nothing and gives 0.
-func (t *table) sessionCounts(before time.Time) (all, early int) {
+func (t *table) sessionCounts(before time.Time) (all, earlier int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !before.IsZero() {
 		for r := range t.byRank {
 			for e := t.byRank[r].Front(); e != nil; e = e.Next() {
 				if e.Value.(*sessionState).connectedAt.Before(before) {
-					early++
+					earlier++
 				}
 			}
 		}
 	}
-	return t.count, early
+	return t.count, earlier
 }
--- a/internal/network/trace.go
+++ b/internal/network/trace.go
@@ -25,15 +25,15 @@
 
 // closeCause returns why a session ends with the answer that was written, or nil if it goes on.
 func (s *session) closeCause(closing, flooded bool, err error) fmt.Stringer {
-	switch o := s.clients.currentDirectives(); {
+	switch d := s.clients.currentDirectives(); {
 	case err != nil:
 		return guard.ClientEnded
 	case !closing:
 		return nil
 	case flooded:
 		return guard.ClientFlooded
-	case o.CloseAfterAnswer:
-		return closeReason(*o)
+	case d.CloseAfterAnswer:
+		return closeReason(*d)
 	case s.clients.table.mustClose(&s.sessionState):
 		return guard.RoomWanted
 	}
@@ -49,11 +49,11 @@
 	}
 	t := &s.clients.table
 	t.mu.Lock()
-	owed := s.answerPending
+	pending := s.answerPending
 	t.mu.Unlock()
 	switch {
 	case e == core.ClientClosed:
-	case owed:
+	case pending:
 		s.sessionState.guard.Violated(guard.CloseOwed, s.id, s.reqID, "closed before its answer")
 	case e == core.SessionShed || e == core.SessionDone && !s.clientEnds:
 		if q, _ := s.parser.Next(); q != nil && q.Method == "POST" {
--- a/internal/network/trace_test.go
+++ b/internal/network/trace_test.go
@@ -47,7 +47,7 @@
 		status, _ := w.clients.statusResponse("GET", "/health/ready")
 		assert.Equal(t, 200, status)
 		assert.Zero(t, r.Violations(guard.ServeNotReady))
-		r.End(time.Now()) // while its orders do not say so
+		r.End(time.Now()) // while its directives do not say so
 		_, _ = w.clients.statusResponse("GET", "/health/ready")
 		assert.EqualValues(t, 1, r.Violations(guard.ServeNotReady))
 	})
