--- a/internal/network/accepting/accepting.go
+++ b/internal/network/accepting/accepting.go
@@ -16,12 +16,12 @@
 // Delays after a failed accept, doubled from the first to the last: a process without descriptors must not spin, and
 // must accept again soon after it has some.
 const (
-	leastPause = time.Millisecond
-	mostPause  = 20 * time.Millisecond
+	minBackoff = time.Millisecond
+	maxBackoff = 20 * time.Millisecond
 )
 
 // emptyQueueAfter is how long an accept has to take to count as having found the queue empty.
-const waited = time.Millisecond
+const emptyQueueAfter = time.Millisecond
 
 // Loop holds the callbacks of an accept loop. Only Admit must be set.
 type Loop struct {
@@ -35,14 +35,14 @@
 
 // Run accepts until the listener is closed.
 func (a *Loop) Run(l net.Listener) {
-	pause := leastPause
+	backoff := minBackoff
 	for {
 		begun := time.Now()
 		conn, err := l.Accept()
 		switch {
 		case err == nil:
-			pause = leastPause
-			if a.OnQueueEmpty != nil && time.Since(begun) >= waited {
+			backoff = minBackoff
+			if a.OnQueueEmpty != nil && time.Since(begun) >= emptyQueueAfter {
 				a.OnQueueEmpty()
 			}
 			a.Admit(conn)
@@ -55,8 +55,8 @@
 			if ofOneConnection(err) {
 				continue
 			}
-			time.Sleep(pause)
-			pause = min(2*pause, mostPause)
+			time.Sleep(backoff)
+			backoff = min(2*backoff, maxBackoff)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 		a.OnError(err)
 	}
 	e := a.Log.Warn()
-	if broken(err) { // it will not recover by itself
+	if listenerBroken(err) { // it will not recover by itself
 		e = a.Log.Error()
 	}
 	e.Str("listener", a.Name).Err(err).Msg("accept failed")
@@ -78,7 +78,7 @@
 }
 
 // listenerBroken says that the listener itself cannot be used.
-func broken(err error) bool {
+func listenerBroken(err error) bool {
 	for _, e := range []error{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP} {
 		if errors.Is(err, e) {
 			return true
--- a/internal/network/accepting/accepting_test.go
+++ b/internal/network/accepting/accepting_test.go
@@ -35,7 +35,7 @@
 	return nil, net.ErrClosed
 }
 
-func fault(errno syscall.Errno) error {
+func acceptError(errno syscall.Errno) error {
 	return &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}
 }
 
@@ -47,9 +47,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			steps := []any{&net.TCPConn{}}
 			for range 100 {
-				steps = append(steps, fault(errno))
+				steps = append(steps, acceptError(errno))
 			}
-			steps = append(steps, &net.TCPConn{}, time.Second, &net.TCPConn{}, os.ErrDeadlineExceeded, fault(errno), &net.TCPConn{})
+			steps = append(steps, &net.TCPConn{}, time.Second, &net.TCPConn{}, os.ErrDeadlineExceeded, acceptError(errno), &net.TCPConn{})
 			admitted, failed, paused, waited := 0, 0, 0, 0
 			loop := Loop{Admit: func(net.Conn) { admitted++ }, OnError: func(err error) { assert.ErrorIs(t, err, errno); failed++ },
 				AwaitResume: func() { paused++ }, OnQueueEmpty: func() { waited++ }, Log: zerolog.Nop()}
@@ -64,15 +64,15 @@
 				assert.Zero(t, took, name)
 			} else {
 				assert.Greater(t, took, time.Second, "%s: it does not spin", name)
-				assert.LessOrEqual(t, took, 101*mostPause, name)
+				assert.LessOrEqual(t, took, 101*maxBackoff, name)
 			}
 		})
 	}
 }
 
 // TestListenerBroken: an error of the listener itself is distinguished from a temporary one.
-func TestBroken(t *testing.T) {
-	assert.True(t, broken(fault(syscall.EBADF)))
-	assert.False(t, broken(fault(syscall.EMFILE)))
-	assert.False(t, broken(errors.New("x")))
+func TestListenerBroken(t *testing.T) {
+	assert.True(t, listenerBroken(acceptError(syscall.EBADF)))
+	assert.False(t, listenerBroken(acceptError(syscall.EMFILE)))
+	assert.False(t, listenerBroken(errors.New("x")))
 }
--- a/internal/network/admin/admin.go
+++ b/internal/network/admin/admin.go
@@ -19,11 +19,11 @@
 
 // Time limits of a caller.
 const (
-	callWait   = 3 * time.Second        // from connecting until the call is complete
-	writeWait  = 500 * time.Millisecond // for writing the answer
-	lingerWait = 100 * time.Millisecond // for the caller to read the answer before the close, which may reset the connection
-	roomWait   = 50 * time.Millisecond  // for an evicted caller's connection to be closed
-	lastLook   = 5 * time.Millisecond   // for an evicted caller's call that has arrived, or is about to
+	callTimeout   = 3 * time.Second        // from connecting until the call is complete
+	writeTimeout  = 500 * time.Millisecond // for writing the answer
+	lingerTimeout = 100 * time.Millisecond // for the caller to read the answer before the close, which may reset the connection
+	evictionWait  = 50 * time.Millisecond  // for an evicted caller's connection to be closed
+	lastReadWait  = 5 * time.Millisecond   // for an evicted caller's call that has arrived, or is about to
 )
 
 // Answer is the answer to a call.
@@ -56,10 +56,10 @@
 	Log        zerolog.Logger
 	Count      Counts
 
-	mu   sync.Mutex
-	rows [2]linked.List // callers that may be evicted, by row and within a row the oldest first
-	open int
-	left chan struct{} // signals that a caller has gone
+	mu         sync.Mutex
+	evictable  [2]linked.List // callers that may be evicted, by row and within a row the oldest first
+	open       int
+	callerLeft chan struct{} // signals that a caller has gone
 }
 
 // Rows of callers that may be evicted, in the order of eviction.
@@ -70,16 +70,16 @@
 
 // caller is the connection of one caller.
 type caller struct {
-	conn  net.Conn
-	row   int
-	place *linked.Element // nil while the call is being answered, and after an eviction
-	shed  bool
+	conn    net.Conn
+	row     int
+	element *linked.Element // nil while the call is being answered, and after an eviction
+	evicted bool
 }
 
 // Serve accepts until the listener is closed.
 func (s *Server) Serve(l net.Listener) {
 	s.mu.Lock()
-	s.left = make(chan struct{}, 1)
+	s.callerLeft = make(chan struct{}, 1)
 	s.mu.Unlock()
 	loop := accepting.Loop{Admit: s.admit, Log: s.Log, Name: "operators"}
 	loop.Run(l)
@@ -87,10 +87,10 @@
 
 func (s *Server) admit(conn net.Conn) {
 	s.Count.Callers.Add(1)
-	conn.SetReadDeadline(time.Now().Add(callWait)) // before it can be evicted
+	conn.SetReadDeadline(time.Now().Add(callTimeout)) // before it can be evicted
 	c := s.enter(conn)
 	go s.serve(c)
-	s.makeRoom()
+	s.awaitEviction()
 }
 
 // enter adds a caller. Beyond the limit one caller is evicted: one that has its answer, else the one that has been
@@ -100,34 +100,36 @@
 	defer s.mu.Unlock()
 	c := &caller{conn: conn}
 	if s.open++; s.open > s.MaxCallers {
-		for row := range s.rows {
-			if e := s.rows[row].Front(); e != nil {
+		for row := range s.evictable {
+			if e := s.evictable[row].Front(); e != nil {
 				s.Count.Shed.Add(1)
-				old := s.rows[row].Remove(e).(*caller)
-				old.place, old.shed = nil, true
+				old := s.evictable[row].Remove(e).(*caller)
+				old.element, old.evicted = nil, true
 				old.conn.SetReadDeadline(time.Now()) // wakes its goroutine, which closes it
 				break
 			}
 		}
 	}
-	s.sit(c, unfinished)
+	s.addEvictable(c, unfinished)
 	return c
 }
 
 // addEvictable puts a caller among those that may be evicted. s.mu is held.
-func (s *Server) sit(c *caller, row int) { c.row, c.place = row, s.rows[row].PushBack(c) }
+func (s *Server) addEvictable(c *caller, row int) {
+	c.row, c.element = row, s.evictable[row].PushBack(c)
+}
 
 // removeEvictable takes a caller out of those that may be evicted. s.mu is held.
-func (s *Server) stand(c *caller) {
-	if c.place != nil {
-		s.rows[c.row].Remove(c.place)
-		c.place = nil
+func (s *Server) removeEvictable(c *caller) {
+	if c.element != nil {
+		s.evictable[c.row].Remove(c.element)
+		c.element = nil
 	}
 }
 
 // awaitEviction waits for an evicted caller's descriptor to be freed, before the next connection is accepted.
-func (s *Server) makeRoom() {
-	timer := time.NewTimer(roomWait)
+func (s *Server) awaitEviction() {
+	timer := time.NewTimer(evictionWait)
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
@@ -137,7 +139,7 @@
 			return
 		}
 		select {
-		case <-s.left:
+		case <-s.callerLeft:
 		case <-timer.C:
 			return
 		}
@@ -145,43 +147,43 @@
 }
 
 // protect records that a call is complete: its caller is not evicted any more.
-func (s *Server) whole(c *caller) {
+func (s *Server) protect(c *caller) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stand(c)
+	s.removeEvictable(c)
 }
 
 // allowLastRead gives an evicted caller one more short read, and returns whether it did: a call that has arrived already
 // and was not read yet is answered all the same.
-func (s *Server) wait(c *caller, looked bool) bool {
+func (s *Server) allowLastRead(c *caller, lastReadDone bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.shed && !looked {
-		c.conn.SetReadDeadline(time.Now().Add(lastLook))
+	if c.evicted && !lastReadDone {
+		c.conn.SetReadDeadline(time.Now().Add(lastReadWait))
 		return true
 	}
 	return false
 }
 
-func (s *Server) leave(c *caller) {
+func (s *Server) remove(c *caller) {
 	c.conn.Close()
 	s.mu.Lock()
-	s.stand(c)
+	s.removeEvictable(c)
 	s.open--
 	s.mu.Unlock()
 	select {
-	case s.left <- struct{}{}:
+	case s.callerLeft <- struct{}{}:
 	default:
 	}
 }
 
 func (s *Server) serve(c *caller) {
-	defer s.leave(c)
-	m, looked := door.NewCaller(), false
+	defer s.remove(c)
+	m, lastReadDone := door.NewCaller(), false
 	for {
 		call, ok, err := m.Next()
 		if ok || err != nil {
-			s.whole(c)
+			s.protect(c)
 			s.answer(c, m, call, err)
 			return
 		}
@@ -192,10 +194,10 @@
 			continue
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return
-		case s.wait(c, looked):
-			looked = true
+		case s.allowLastRead(c, lastReadDone):
+			lastReadDone = true
 			continue
-		case !looked:
+		case !lastReadDone:
 			s.Count.Silent.Add(1)
 			if m.Begun() {
 				s.write(c, m, Answer{Status: 408, Message: "the rest of the call did not come"})
@@ -210,10 +212,10 @@
 	begun := time.Now()
 	var a Answer
 	e := s.Log.Info()
-	var no *door.Refusal
-	if errors.As(err, &no) {
+	var refusal *door.Refusal
+	if errors.As(err, &refusal) {
 		s.Count.Refused.Add(1)
-		a = Answer{no.Status, no.Allow, no.Reason}
+		a = Answer{refusal.Status, refusal.Allow, refusal.Reason}
 	} else {
 		s.Count.Calls.Add(1)
 		a = s.Handle(call)
@@ -235,7 +237,7 @@
 // write sends an answer. What the caller still sends is read and dropped for a moment: closing with unread bytes
 // would reset the connection, and the answer would be lost.
 func (s *Server) write(c *caller, m *door.Caller, a Answer) {
-	c.conn.SetWriteDeadline(time.Now().Add(writeWait))
+	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := c.conn.Write(door.AppendAnswer(make([]byte, 0, 256), a.Status, a.Allow, a.Message)); err != nil {
 		return
 	}
@@ -244,9 +246,9 @@
 		return
 	}
 	s.mu.Lock()
-	c.conn.SetReadDeadline(time.Now().Add(lingerWait)) // under the lock: it must not undo the deadline that an eviction sets
-	if s.stand(c); !c.shed {
-		s.sit(c, answered)
+	c.conn.SetReadDeadline(time.Now().Add(lingerTimeout)) // under the lock: it must not undo the deadline that an eviction sets
+	if s.removeEvictable(c); !c.evicted {
+		s.addEvictable(c, answered)
 	}
 	s.mu.Unlock()
 	waste := m.Waste()
--- a/internal/network/admin/admin_test.go
+++ b/internal/network/admin/admin_test.go
@@ -16,11 +16,11 @@
 	"tinsail/internal/door"
 )
 
-func open(t *testing.T, most int) (*Server, string) {
+func open(t *testing.T, maxCallers int) (*Server, string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	s := &Server{MaxCallers: most, Log: zerolog.Nop(), Handle: func(c door.Call) Answer { return Answer{Status: 200, Message: c.Op.String() + " " + c.Backend} }}
+	s := &Server{MaxCallers: maxCallers, Log: zerolog.Nop(), Handle: func(c door.Call) Answer { return Answer{Status: 200, Message: c.Op.String() + " " + c.Backend} }}
 	go s.Serve(l)
 	return s, l.Addr().String()
 }
@@ -75,7 +75,7 @@
 }
 
 // TestMisbehavingCallers: bytes behind a call, invalid calls, and a caller that never reads do not affect other callers.
-func TestOddCallers(t *testing.T) {
+func TestMisbehavingCallers(t *testing.T) {
 	s, at := open(t, 4)
 	assert.Equal(t, "200 ready", read(t, dial(t, at, "GET /control/ready HTTP/1.1\r\n\r\nPOST /control/out-of-service HTTP/1.1\r\n\r\n"+strings.Repeat("x", 10_000))))
 	assert.Equal(t, "405 this call is a POST", read(t, dial(t, at, "GET /control/in-service HTTP/1.1\r\n\r\n")))
--- a/internal/network/backends.go
+++ b/internal/network/backends.go
@@ -37,110 +37,110 @@
 	// under which the request was accepted.
 	DispatcherName string
 
-	connected atomic.Pointer[time.Time] // when the last connection was established
+	lastConnected atomic.Pointer[time.Time] // when the last connection was established
 
 	mu   sync.Mutex
-	idle map[balance.WorkerID][]*link // most recently used last
+	idle map[balance.WorkerID][]*backendConn // most recently used last
 	open int
 }
 
 // exchange is one request to a backend and its reply. Its callbacks are called from the connection's goroutines.
 type exchange struct {
-	backend *core.Backend
-	ctx     context.Context
-	cancel  context.CancelFunc
-	unhook  func() bool // stops the abort that follows a cancel of ctx
-	head    func(left time.Duration) []byte
-	body    []byte
-	until   time.Time
-	probe   bool // the reply's body is a load report, not lines
-	id      string
-	may     func() bool
-	wanted  func() bool                            // false once the request was answered, its client has gone or the attempt was stopped
-	began   func(at time.Time, told time.Duration) // the first byte was written; nil for a probe
-	started func()
-	share   func(float64)
-	ended   func(core.Ending, string, []float32)
+	backend     *core.Backend
+	ctx         context.Context
+	cancel      context.CancelFunc
+	stopAbort   func() bool // stops the abort that follows a cancel of ctx
+	makeHead    func(left time.Duration) []byte
+	body        []byte
+	deadline    time.Time
+	probe       bool // the reply's body is a load report, not lines
+	id          string
+	mayBegin    func() bool
+	stillWanted func() bool                            // false once the request was answered, its client has gone or the attempt was stopped
+	onBegan     func(at time.Time, told time.Duration) // the first byte was written; nil for a probe
+	onStarted   func()
+	onProgress  func(float64)
+	onEnded     func(core.Ending, string, []float32)
 }
 
 // outcome is how an exchange ended.
-type verdict struct {
-	ending core.Ending
-	result string
-	report []float32
-	whole  bool // the reply was read to its end, and the connection may carry another request
-	due    bool // the outcome is known, and the end of the reply is still to come
+type outcome struct {
+	ending     core.Ending
+	result     string
+	report     []float32
+	reusable   bool // the reply was read to its end, and the connection may carry another request
+	endPending bool // the outcome is known, and the end of the reply is still to come
 }
 
 // Send starts an attempt and returns the function that stops it.
 func (p *Pool) Send(a *core.Attempt) func() {
-	x := &exchange{backend: a.Backend, body: a.Job.Body, until: a.Deadline, id: a.Job.ID, may: a.MayBegin, wanted: a.Wanted, began: a.Began,
-		started: a.Started, share: a.Progress, ended: a.Ended}
-	x.head = func(left time.Duration) []byte {
+	x := &exchange{backend: a.Backend, body: a.Job.Body, deadline: a.Deadline, id: a.Job.ID, mayBegin: a.MayBegin, stillWanted: a.Wanted, onBegan: a.Began,
+		onStarted: a.Started, onProgress: a.Progress, onEnded: a.Ended}
+	x.makeHead = func(left time.Duration) []byte {
 		var stamp *platform.Stamp
 		if p.DispatcherName != "" {
 			stamp = &platform.Stamp{Version: a.Version(), By: p.DispatcherName}
 		}
 		return platform.AppendJob(make([]byte, 0, 384), a.Job, a.Backend.Address, left, stamp)
 	}
-	return p.begin(x)
+	return p.startExchange(x)
 }
 
 // probeTimeout limits a probe: a slower one tells nothing that an attempt would not.
-const probeWait = 2 * time.Second
+const probeTimeout = 2 * time.Second
 
 // Probe asks a backend for its load report and calls done once.
 func (p *Pool) Probe(b *core.Backend, done func(core.Ending, []float32)) {
-	x := &exchange{backend: b, until: time.Now().Add(probeWait), probe: true, may: func() bool { return !b.Banned() },
-		wanted: func() bool { return !b.Banned() }}
-	x.head = func(time.Duration) []byte { return platform.AppendGet(nil, "/stats", b.Address) }
+	x := &exchange{backend: b, deadline: time.Now().Add(probeTimeout), probe: true, mayBegin: func() bool { return !b.Banned() },
+		stillWanted: func() bool { return !b.Banned() }}
+	x.makeHead = func(time.Duration) []byte { return platform.AppendGet(nil, "/stats", b.Address) }
 	var once sync.Once
 	end := func(e core.Ending, report []float32) { once.Do(func() { done(e, report) }) }
-	x.ended = func(e core.Ending, _ string, report []float32) { end(e, report) }
-	stop := p.begin(x)
-	time.AfterFunc(probeWait, func() { stop(); end(core.Overdue, nil) })
+	x.onEnded = func(e core.Ending, _ string, report []float32) { end(e, report) }
+	stop := p.startExchange(x)
+	time.AfterFunc(probeTimeout, func() { stop(); end(core.Overdue, nil) })
 }
 
 // startExchange finds or establishes a connection in the background. The function it returns aborts the exchange by
 // closing the connection that carries it.
-func (p *Pool) begin(x *exchange) func() {
+func (p *Pool) startExchange(x *exchange) func() {
 	x.ctx, x.cancel = context.WithCancel(context.Background())
 	go p.run(x)
 	return x.cancel
 }
 
 func (p *Pool) run(x *exchange) {
-	if l := p.take(x.backend); l != nil {
-		l.send(x, false)
+	if c := p.takeIdle(x.backend); c != nil {
+		c.send(x, false)
 		return
 	}
 	if !p.reserve() {
-		x.end(verdict{ending: core.Unsent})
+		x.end(outcome{ending: core.Unsent})
 		return
 	}
-	if !p.pass(x.ctx) {
+	if !p.waitForLimiter(x.ctx) {
 		p.release()
-		x.end(verdict{ending: core.Unsent})
+		x.end(outcome{ending: core.Unsent})
 		return
 	}
-	conn, rested, e := p.connect(x)
+	conn, reuse, e := p.connect(x)
 	if conn == nil {
 		p.release()
-		if rested != nil {
-			rested.send(x, false)
+		if reuse != nil {
+			reuse.send(x, false)
 		} else {
-			x.end(verdict{ending: e})
+			x.end(outcome{ending: e})
 		}
 		return
 	}
 	p.Count.BackendConnections.Add(1)
-	l := newLink(p, conn, x.backend)
-	go l.read()
-	l.send(x, true)
+	c := newBackendConn(p, conn, x.backend)
+	go c.readLoop()
+	c.send(x, true)
 }
 
 // waitForLimiter waits until the budget of new connections allows one more, and says whether it did in time.
-func (p *Pool) pass(ctx context.Context) bool {
+func (p *Pool) waitForLimiter(ctx context.Context) bool {
 	if p.Limiter == nil {
 		return true
 	}
@@ -152,54 +152,54 @@
 // connect establishes a connection for an exchange. It retries after faults of this machine, which do not count against
 // the backend. If a connection to the backend becomes idle meanwhile, that one is claimed and returned as reuse. If there
 // is neither, e is the ending of the exchange.
-func (p *Pool) connect(x *exchange) (conn net.Conn, rested *link, e core.Ending) {
-	begun, elsewhere := time.Now(), false
-	d := dialling{dial: p.Dial, address: x.backend.Address, each: p.ConnectTimeout, count: p.Count, between: func(kind localFault) bool {
-		if kind == descriptors { // an idle connection's descriptor serves better for the new one
-			p.closeOldest()
+func (p *Pool) connect(x *exchange) (conn net.Conn, reuse *backendConn, e core.Ending) {
+	begun, othersReached := time.Now(), false
+	d := retryDialer{dial: p.Dial, address: x.backend.Address, timeout: p.ConnectTimeout, count: p.Count, beforeRetry: func(kind localFault) bool {
+		if kind == faultDescriptors { // an idle connection's descriptor serves better for the new one
+			p.closeOldestIdle()
 		}
-		rested = p.take(x.backend)
-		elsewhere = kind.ofOnePeer() && p.connectedSince(begun)
-		return rested != nil || elsewhere || !x.wanted()
+		reuse = p.takeIdle(x.backend)
+		othersReached = kind.mayBeOfOneAddress() && p.connectedSince(begun)
+		return reuse != nil || othersReached || !x.stillWanted()
 	}}
-	conn, local, err := d.do(x.ctx)
+	conn, local, err := d.connect(x.ctx)
 	switch {
 	case err == nil:
 		now := time.Now()
-		p.connected.Store(&now)
+		p.lastConnected.Store(&now)
 		return conn, nil, 0
-	case local != noFault && !elsewhere:
-		return nil, rested, core.Unsent
+	case local != noFault && !othersReached:
+		return nil, reuse, core.Unsent
 	}
-	return nil, rested, core.Unreached
+	return nil, reuse, core.Unreached
 }
 
 // connectedSince says whether any connection was established since then.
 func (p *Pool) connectedSince(then time.Time) bool {
-	at := p.connected.Load()
+	at := p.lastConnected.Load()
 	return at != nil && !at.Before(then)
 }
 
 // closeOldestIdle closes the connection that has been idle longest, if there is one.
-func (p *Pool) closeOldest() {
+func (p *Pool) closeOldestIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if l := p.oldest(); l != nil {
-		p.drop(l)
-		l.conn.Close()
+	if c := p.oldestIdle(); c != nil {
+		p.removeIdle(c)
+		c.conn.Close()
 	}
 }
 
-func (x *exchange) end(v verdict) {
-	if x.unhook != nil {
-		x.unhook()
+func (x *exchange) end(v outcome) {
+	if x.stopAbort != nil {
+		x.stopAbort()
 	}
 	x.cancel()
-	x.ended(v.ending, v.result, v.report)
+	x.onEnded(v.ending, v.result, v.report)
 }
 
 // takeIdle claims the most recently used idle connection to a backend, or returns nil.
-func (p *Pool) take(b *core.Backend) *link {
+func (p *Pool) takeIdle(b *core.Backend) *backendConn {
 	for {
 		p.mu.Lock()
 		list := p.idle[b.ID]
@@ -207,13 +207,13 @@
 			p.mu.Unlock()
 			return nil
 		}
-		l := list[len(list)-1]
+		c := list[len(list)-1]
 		p.idle[b.ID] = list[:len(list)-1]
 		p.mu.Unlock()
-		if l.backend == b && l.claim() {
-			return l
+		if c.backend == b && c.claim() {
+			return c
 		}
-		l.conn.Close() // it leads to the backend's former address, or its idle timeout has passed
+		c.conn.Close() // it leads to the backend's former address, or its idle timeout has passed
 	}
 }
 
@@ -223,11 +223,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open >= p.MaxConnections {
-		oldest := p.oldest()
+		oldest := p.oldestIdle()
 		if oldest == nil {
 			return false
 		}
-		p.drop(oldest)
+		p.removeIdle(oldest)
 		oldest.conn.Close() // its reader sees that, and lowers p.open a moment later
 	}
 	p.open++
@@ -240,11 +240,11 @@
 	defer p.mu.Unlock()
 	p.MaxConnections = most
 	for closing := p.open - most; closing > 0; closing-- {
-		l := p.oldest()
+		l := p.oldestIdle()
 		if l == nil {
 			return
 		}
-		p.drop(l)
+		p.removeIdle(l)
 		l.conn.Close() // its reader lowers p.open a moment later
 	}
 }
@@ -257,9 +257,9 @@
 }
 
 // oldestIdle returns the connection that has been idle longest, or nil. p.mu is held.
-func (p *Pool) oldest() (oldest *link) {
+func (p *Pool) oldestIdle() (oldest *backendConn) {
 	for _, list := range p.idle {
-		if len(list) > 0 && (oldest == nil || list[0].since.Before(oldest.since)) {
+		if len(list) > 0 && (oldest == nil || list[0].idleSince.Before(oldest.idleSince)) {
 			oldest = list[0]
 		}
 	}
@@ -273,11 +273,11 @@
 }
 
 // removeIdle takes a connection out of the idle ones. p.mu is held.
-func (p *Pool) drop(l *link) {
-	list := p.idle[l.backend.ID]
+func (p *Pool) removeIdle(c *backendConn) {
+	list := p.idle[c.backend.ID]
 	for i := range list {
-		if list[i] == l {
-			p.idle[l.backend.ID] = append(list[:i], list[i+1:]...)
+		if list[i] == c {
+			p.idle[c.backend.ID] = append(list[:i], list[i+1:]...)
 			return
 		}
 	}
@@ -292,7 +292,7 @@
 	list := p.idle[id]
 	delete(p.idle, id)
 	p.mu.Unlock()
-	for _, l := range list {
-		l.conn.Close()
+	for _, c := range list {
+		c.conn.Close()
 	}
 }
--- a/internal/network/begin_crossing_test.go
+++ b/internal/network/begin_crossing_test.go
@@ -19,37 +19,37 @@
 
 // coreRig is a core with a pool, on a clock that the test advances. Its backends are raw, and each dial to them waits for
 // the test to let it go.
-type desk struct {
-	*rig
-	core    *core.Core
-	all     []*rawBackend
-	ahead   atomic.Int64 // of the real clock, in ns
-	dials   chan chan struct{}
-	answers chan core.Answer
+type coreRig struct {
+	*poolRig
+	core        *core.Core
+	backends    []*rawBackend
+	clockOffset atomic.Int64 // of the real clock, in ns
+	dials       chan chan struct{}
+	answers     chan core.Answer
 }
 
-func (d *desk) Answer(a core.Answer) { d.answers <- a }
-func (d *desk) Subscribe()           {}
+func (d *coreRig) Answer(a core.Answer) { d.answers <- a }
+func (d *coreRig) Subscribe()           {}
 
-func newDesk(t *testing.T, class balance.Class, also ...*rawBackend) *desk {
-	d := &desk{rig: newRig(t), dials: make(chan chan struct{}, 16), answers: make(chan core.Answer, 16)}
+func newCoreRig(t *testing.T, class balance.Class, others ...*rawBackend) *coreRig {
+	d := &coreRig{poolRig: newPoolRig(t), dials: make(chan chan struct{}, 16), answers: make(chan core.Answer, 16)}
 	dial := d.pool.Dial
 	d.pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-		let := make(chan struct{})
-		d.dials <- let
-		<-let
+		release := make(chan struct{})
+		d.dials <- release
+		<-release
 		return dial(context.WithoutCancel(ctx), address)
 	}
 	class.Worth, class.Aim, class.Deadline, class.Kind = 1, 4000, 5000, -1
 	began := time.Now()
 	var err error
-	d.core, err = core.NewAt(func() time.Time { return began.Add(time.Duration(d.ahead.Load())) },
+	d.core, err = core.NewAt(func() time.Time { return began.Add(time.Duration(d.clockOffset.Load())) },
 		balance.Settings{Seed: 1, Instances: 1, Zones: 1, Kinds: 1, MaxAttempts: 3, TellsStart: true, ConnectTimeout: 120, Tick: 2,
 			Rules: balance.Rules{AnswerSlack: 8}, Classes: []balance.Class{class}}, d.pool, d, d.pool.Count)
 	require.NoError(t, err)
 	var entries []core.Entry
-	d.all = append(also, d.rawBackend)
-	for i, b := range d.all {
+	d.backends = append(others, d.rawBackend)
+	for i, b := range d.backends {
 		entries = append(entries, core.Entry{Name: fmt.Sprint(i), Address: b.address(),
 			Worker: balance.Worker{ID: balance.WorkerID(i + 1), State: balance.Ready, Weight: 4}})
 	}
@@ -58,10 +58,10 @@
 	return d
 }
 
-// first returns the next connection to any backend.
-func (d *desk) first() *rawConn {
+// nextConn returns the next connection to any backend.
+func (d *coreRig) nextConn() *rawConn {
 	for {
-		for _, b := range d.all {
+		for _, b := range d.backends {
 			select {
 			case c := <-b.conns:
 				return c
@@ -72,7 +72,7 @@
 	}
 }
 
-func (d *desk) take(id string) core.Handle {
+func (d *coreRig) takeReq(id string) core.Handle {
 	job := &core.Job{Method: "POST", Target: "/ingest", ID: id, IdempotencyKey: "k" + id}
 	t, fresh := d.core.Submit(balance.Request{Slots: 1}, job, time.Now(), 5*time.Second, d)
 	require.True(d.t, fresh)
@@ -80,8 +80,8 @@
 	return t
 }
 
-// steps steps the core until a condition holds.
-func (d *desk) steps(until func() bool) {
+// stepUntil steps the core until a condition holds.
+func (d *coreRig) stepUntil(until func() bool) {
 	for end := time.Now().Add(hang); !until(); time.Sleep(50 * time.Microsecond) {
 		d.core.Step()
 		if !time.Now().Before(end) {
@@ -91,61 +91,61 @@
 	}
 }
 
-func (d *desk) ended(e core.Ending) func() bool {
+func (d *coreRig) ended(e core.Ending) func() bool {
 	return func() bool { return d.pool.Count.Endings[e].Load() > 0 }
 }
 
 // TestClientGoneWhileConnecting: a connection is established after its request's client has gone. The connection becomes
 // idle, and the first request that it carries is another one. The core need not have processed the client's end yet.
-func TestGoneWhileConnecting(t *testing.T) {
-	for _, heard := range []bool{true, false} {
-		d := newDesk(t, balance.Class{Effect: balance.Safe})
-		ticket := d.take("a")
-		let := <-d.dials
+func TestClientGoneWhileConnecting(t *testing.T) {
+	for _, processed := range []bool{true, false} {
+		d := newCoreRig(t, balance.Class{Effect: balance.Safe})
+		ticket := d.takeReq("a")
+		release := <-d.dials
 		ticket.Abandon(false, nil)
-		if heard {
+		if processed {
 			d.core.Step()
 		}
-		close(let)
+		close(release)
 		c := d.accept()
-		d.steps(d.ended(core.Unsent))
-		d.take("b")
+		d.stepUntil(d.ended(core.Unsent))
+		d.takeReq("b")
 		got, err := c.req()
 		require.NoError(t, err)
-		assert.Equal(t, "b", got, "heard %v", heard)
+		assert.Equal(t, "b", got, "heard %v", processed)
 	}
 }
 
 // TestRepeatWindowEndsWhileConnecting: a repeat is decided within the repeat window, and its connection is established
 // after the window's end. The repeat must not be sent then.
-func TestWindowWhileConnecting(t *testing.T) {
+func TestRepeatWindowEndsWhileConnecting(t *testing.T) {
 	const window = 1000 // ms
 	for _, c := range []struct {
 		late   time.Duration
 		begins bool
 	}{{849 * time.Millisecond, true}, {850 * time.Millisecond, false}, {1500 * time.Millisecond, false}} {
-		d := newDesk(t, balance.Class{Effect: balance.Deduped, RepeatWindow: window}, newRaw(t))
-		d.take("a")
+		d := newCoreRig(t, balance.Class{Effect: balance.Deduped, RepeatWindow: window}, newRawBackend(t))
+		d.takeReq("a")
 		close(<-d.dials)
-		first := d.first()
+		first := d.nextConn()
 		_, err := first.req()
 		require.NoError(t, err)
 		first.Close() // after this the request may have run
-		d.steps(func() bool { return len(d.dials) > 0 })
-		let := <-d.dials
-		d.ahead.Store(int64(c.late))
-		close(let)
-		second := d.first()
+		d.stepUntil(func() bool { return len(d.dials) > 0 })
+		release := <-d.dials
+		d.clockOffset.Store(int64(c.late))
+		close(release)
+		second := d.nextConn()
 		if c.begins {
 			got, err := second.req()
 			require.NoError(t, err)
 			assert.Equal(t, "a", got)
 			continue
 		}
-		d.steps(d.ended(core.Unsent))
+		d.stepUntil(d.ended(core.Unsent))
 		assert.Equal(t, core.Failure, (<-d.answers).Kind)
 		d.pool.CloseIdleByID(1)
 		d.pool.CloseIdleByID(2)
-		second.closed()
+		second.expectClosed()
 	}
 }
--- a/internal/network/budgets/budgets.go
+++ b/internal/network/budgets/budgets.go
@@ -116,8 +116,8 @@
 	clock Clock
 	plan  budget.Plan
 
-	mu sync.Mutex
-	h  *budget.Holder
+	mu     sync.Mutex
+	holder *budget.Holder
 }
 
 // NewHolder starts a holder that asks the keeper at the other end of conn until Close. epoch must differ at each start
@@ -127,9 +127,9 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Holder{conn: conn, name: p.Name, clock: NewClock(), plan: p, h: h}
-	go d.ask()
-	go d.hear()
+	d := &Holder{conn: conn, name: p.Name, clock: NewClock(), plan: p, holder: h}
+	go d.sendAsks()
+	go d.receive()
 	return d, nil
 }
 
@@ -137,7 +137,7 @@
 func (d *Holder) Share() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.h.Share(d.clock.Now())
+	return d.holder.Share(d.clock.Now())
 }
 
 // Replan puts a changed plan in force (budget.Holder.Replan). If it is smaller, the share
@@ -149,19 +149,19 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.h.Replan(p)
+	return d.holder.Replan(p)
 }
 
 // Close stops asking; the share falls to the reserve when the lease ends.
 func (d *Holder) Close() { d.conn.Close() }
 
-func (d *Holder) ask() {
+func (d *Holder) sendAsks() {
 	tick := time.NewTicker(d.plan.Renew() / 4)
 	defer tick.Stop()
 	var out []byte
 	for range tick.C {
 		d.mu.Lock()
-		a, due := d.h.Due(d.clock.Now())
+		a, due := d.holder.Due(d.clock.Now())
 		d.mu.Unlock()
 		if !due {
 			continue
@@ -173,7 +173,7 @@
 	}
 }
 
-func (d *Holder) hear() {
+func (d *Holder) receive() {
 	buf := make([]byte, wire.MaxMessage+1)
 	for {
 		n, err := d.conn.Read(buf)
@@ -188,7 +188,7 @@
 			continue
 		}
 		d.mu.Lock()
-		d.h.Granted(d.clock.Now(), *m.Grant)
+		d.holder.Granted(d.clock.Now(), *m.Grant)
 		d.mu.Unlock()
 	}
 }
--- a/internal/network/budgets/budgets_test.go
+++ b/internal/network/budgets/budgets_test.go
@@ -19,14 +19,14 @@
 // fleet is a keeper and holders on real UDP sockets, each holder behind a relay of its own, and a
 // goroutine that adds up the holders' shares every millisecond.
 type fleet struct {
-	plan    budget.Plan
-	keeper  *Keeper
-	at      *net.UDPAddr
-	relays  []*faultnet.UDP
-	holders []*Holder
-	most    atomic.Int64 // the largest sum seen
-	stop    chan struct{}
-	halt    func() // stops that goroutine and waits for it; further calls do nothing
+	plan         budget.Plan
+	keeper       *Keeper
+	keeperAddr   *net.UDPAddr
+	relays       []*faultnet.UDP
+	holders      []*Holder
+	maxSum       atomic.Int64 // the largest sum seen
+	stop         chan struct{}
+	stopWatching func() // stops that goroutine and waits for it; further calls do nothing
 }
 
 func startKeeper(t *testing.T, p budget.Plan, at *net.UDPAddr) *Keeper {
@@ -40,9 +40,9 @@
 func newFleet(t *testing.T, p budget.Plan, n int) *fleet {
 	f := &fleet{plan: p, stop: make(chan struct{})}
 	f.keeper = startKeeper(t, p, &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-	f.at = f.keeper.conn.LocalAddr().(*net.UDPAddr)
+	f.keeperAddr = f.keeper.conn.LocalAddr().(*net.UDPAddr)
 	for i := range n {
-		r, err := faultnet.ListenUDP(f.at.String())
+		r, err := faultnet.ListenUDP(f.keeperAddr.String())
 		require.NoError(t, err)
 		t.Cleanup(r.Close)
 		to, err := net.ResolveUDPAddr("udp", r.Addr())
@@ -56,7 +56,7 @@
 	}
 	var done sync.WaitGroup
 	done.Add(1)
-	f.halt = sync.OnceFunc(func() { close(f.stop); done.Wait() })
+	f.stopWatching = sync.OnceFunc(func() { close(f.stop); done.Wait() })
 	go func() {
 		defer done.Done()
 		tick := time.NewTicker(time.Millisecond)
@@ -66,13 +66,13 @@
 			case <-f.stop:
 				return
 			case <-tick.C:
-				if s := int64(f.sum()); s > f.most.Load() {
-					f.most.Store(s)
+				if s := int64(f.sum()); s > f.maxSum.Load() {
+					f.maxSum.Store(s)
 				}
 			}
 		}
 	}()
-	t.Cleanup(func() { f.halt(); f.keeper.conn.Close() })
+	t.Cleanup(func() { f.stopWatching(); f.keeper.conn.Close() })
 	return f
 }
 
@@ -119,13 +119,13 @@
 	f.settled(t, "n0 back, a third of the datagrams lost", 8)
 
 	f.keeper.conn.Close() // the keeper crashes ...
-	f.keeper = startKeeper(t, p, f.at)
+	f.keeper = startKeeper(t, p, f.keeperAddr)
 	require.Eventually(t, func() bool { return f.sum() == 8*p.Reserve() }, 10*time.Second, time.Millisecond,
 		"... all fall to their reserves while the new keeper is quiet")
 	f.settled(t, "after the keeper's restart", 8)
 
-	f.halt()
-	assert.LessOrEqual(t, f.most.Load(), int64(p.Total), "the most that the holders could spend at once")
+	f.stopWatching()
+	assert.LessOrEqual(t, f.maxSum.Load(), int64(p.Total), "the most that the holders could spend at once")
 	assert.Positive(t, f.relays[1].Counts().Swallowed, "datagrams were lost")
-	t.Logf("most spent at once %d of %d", f.most.Load(), p.Total)
+	t.Logf("most spent at once %d of %d", f.maxSum.Load(), p.Total)
 }
--- a/internal/network/budgets/gate.go
+++ b/internal/network/budgets/gate.go
@@ -32,23 +32,23 @@
 // spent at once and the rest at an even rate, so that no second, wherever it begins, spends more than the
 // share (a burst b and a rate share − b).
 type Limiter struct {
-	of      Sharer
+	share   Sharer
 	mu      sync.Mutex
-	lim     *rate.Limiter
+	limiter *rate.Limiter
 	Passed  atomic.Int64 // units allowed, at once or after waiting
 	Waited  atomic.Int64 // units that had to wait
 	Refused atomic.Int64 // units refused, as they could not be allowed within the time given
 }
 
 // NewLimiter returns a limiter to a share.
-func NewLimiter(of Sharer) *Limiter {
-	limit, burst := pace(of.Share())
-	return &Limiter{of: of, lim: rate.NewLimiter(limit, burst)}
+func NewLimiter(share Sharer) *Limiter {
+	limit, burst := limitAndBurst(share.Share())
+	return &Limiter{share: share, limiter: rate.NewLimiter(limit, burst)}
 }
 
 // limitAndBurst returns the rate and burst of a share. Together they allow no more than the share in any second, except
 // for a share of 1, which may spend 2 in a second that holds the burst and one more.
-func pace(share int) (rate.Limit, int) {
+func limitAndBurst(share int) (rate.Limit, int) {
 	if share <= 0 {
 		return 0, 0
 	}
@@ -59,19 +59,19 @@
 // Wait takes one unit and waits until it is allowed or ctx is done. It fails at once if the unit would be allowed
 // only after ctx's deadline.
 func (g *Limiter) Wait(ctx context.Context) error {
-	limit, burst := pace(g.of.Share())
+	limit, burst := limitAndBurst(g.share.Share())
 	g.mu.Lock()
-	if g.lim.Limit() != limit || g.lim.Burst() != burst {
-		g.lim.SetLimit(limit)
-		g.lim.SetBurst(burst)
+	if g.limiter.Limit() != limit || g.limiter.Burst() != burst {
+		g.limiter.SetLimit(limit)
+		g.limiter.SetBurst(burst)
 	}
 	g.mu.Unlock()
-	if g.lim.Allow() {
+	if g.limiter.Allow() {
 		g.Passed.Add(1)
 		return nil
 	}
 	g.Waited.Add(1)
-	err := g.lim.Wait(ctx)
+	err := g.limiter.Wait(ctx)
 	if err != nil {
 		g.Refused.Add(1)
 	} else {
--- a/internal/network/director.go
+++ b/internal/network/director.go
@@ -35,7 +35,7 @@
 
 // publishedWithin is when a change counts as published at the latest, counted from when discovery had it and could be
 // reached, whatever calls failed, were refused or were given up before.
-const toldAnyhow = 6 * time.Second
+const publishedWithin = 6 * time.Second
 
 // PollTimings are for a discovery service that handles the calls of all dispatchers in turn. askEvery is the settings'
 // interval of asking; it may be long, and is no bound by itself.
@@ -49,9 +49,9 @@
 // MaxBackoff takes all the time that this leaves, and half of each delay is random (see backoff), so that a fleet whose
 // calls overload discovery spreads them. A call whose connection fails only after ConnectTimeout
 // was silent until then, and counts as a silence of its own.
-func PollTimings(ask time.Duration) WatchTimings {
+func PollTimings(askEvery time.Duration) WatchTimings {
 	p := WatchTimings{PollWait: 2500 * time.Millisecond, SilenceSlack: 1500 * time.Millisecond, GiveUpSlack: 3500 * time.Millisecond, ConnectTimeout: time.Second}
-	p.MaxBackoff = min(max(ask/5, 100*time.Millisecond), toldAnyhow-p.PollWait-p.SilenceSlack-p.ConnectTimeout)
+	p.MaxBackoff = min(max(askEvery/5, 100*time.Millisecond), publishedWithin-p.PollWait-p.SilenceSlack-p.ConnectTimeout)
 	return p
 }
 
@@ -65,13 +65,13 @@
 
 // minGrace is the shortest grace that Within uses: with a shorter one, calls during an agent's outage would follow each
 // other without a delay.
-const leastGrace = 50 * time.Millisecond
+const minGrace = 50 * time.Millisecond
 
 // WithinGrace fits AgentTimings to the settings' grace period, within which sends to a drained backend have to end. An agent
 // that answers again is called after BackupWait and SilenceSlack, or after ConnectTimeout and MaxBackoff: within four
 // fifths of the grace period in either case.
 func (p WatchTimings) WithinGrace(grace time.Duration) WatchTimings {
-	fifth := max(grace, leastGrace) / 5
+	fifth := max(grace, minGrace) / 5
 	p.BackupWait, p.SilenceSlack = min(p.BackupWait, fifth), min(p.SilenceSlack, 2*fifth)
 	p.ConnectTimeout, p.MaxBackoff = min(p.ConnectTimeout, 2*fifth), min(p.MaxBackoff, 2*fifth)
 	return p
@@ -90,69 +90,69 @@
 	OnAnswer func() // called after each good answer, once its list was passed on; may be nil
 
 	// Used by the watching goroutine alone.
-	index uint64
-	whole bool    // the next call asks for the full list
-	out   []*call // calls under way, oldest first: one, or two if the first counts as silent
-	begun int     // number of calls so far
-	taken int     // number of the newest call whose answer was used
-	spare *line   // connection left open by the last answer
-	ended chan *call
-
-	on    atomic.Bool
-	off   atomic.Bool // Disable was called, and the watch has not been started since
-	mu    sync.Mutex
-	place *place // where calls go now; nil until the first one
+	index      uint64
+	wantFull   bool          // the next call asks for the full list
+	calls      []*call       // calls under way, oldest first: one, or two if the first counts as silent
+	callCount  int           // number of calls so far
+	newestUsed int           // number of the newest call whose answer was used
+	idleConn   *directorConn // connection left open by the last answer
+	ended      chan *call
+
+	watching atomic.Bool
+	disabled atomic.Bool // Disable was called, and the watch has not been started since
+	mu       sync.Mutex
+	dest     *destination // where calls go now; nil until the first one
 }
 
 // directorConn is a connection to the director.
-type line struct {
-	conn net.Conn
-	in   *platform.Replies
+type directorConn struct {
+	netConn net.Conn
+	replies *platform.Replies
 }
 
 // call is one call to the director, made by a goroutine of its own.
 type call struct {
 	number int
 	target string
-	whole  bool
+	full   bool
 	wait   time.Duration
 	ctx    context.Context
 	cancel context.CancelFunc
 
 	// Set by the call's goroutine before it reports the end of the call.
-	line   *line // still open, and may carry another call; else nil
+	conn   *directorConn // still open, and may carry another call; else nil
 	list   platform.List
 	ending core.Ending
 }
 
 // destination is one address of the director for as long as it is the current one. Its context ends then, and with it
 // what is under way there: a call, a connection attempt, a delay after a failure.
-type place struct {
-	address string
-	moved   bool // it replaced another address
-	ctx     context.Context
-	leave   context.CancelFunc
+type destination struct {
+	address  string
+	replaced bool // it replaced another address
+	ctx      context.Context
+	cancel   context.CancelFunc
 }
 
 // Subscribe starts the watch unless it runs already. It goes on by itself through all failures.
 func (d *Director) Subscribe() {
-	if d.on.CompareAndSwap(false, true) {
+	if d.watching.CompareAndSwap(false, true) {
 		go d.watch()
 	}
 }
 
 // Disable makes Subscribe do nothing: backends come from another source.
 func (d *Director) Disable() {
-	d.off.Store(true)
-	d.on.Store(true)
+	d.disabled.Store(true)
+	d.watching.Store(true)
 }
 
 // Enable undoes Disable and starts the watch. The first call asks for the full list, as what was known at the start may
 // be out of date. Enable does nothing while the watch runs, and must not be called before SetIndex.
 func (d *Director) Enable() {
-	if d.off.CompareAndSwap(true, false) {
-		d.whole = true
-		d.on.Store(false)
+	if d.disabled.CompareAndSwap(true, false) {
+		d.wantFull = true
+		d.watching.Store(false)
 		d.Subscribe()
 	}
 }
@@ -163,7 +163,7 @@
 // RequestFullList makes the first call ask for the full list. It must be called before Subscribe.
 func (d *Director) RequestFullList() {
 	d.mu.Lock() // the watch takes it before it reads the field
-	d.whole = true
+	d.wantFull = true
 	d.mu.Unlock()
 }
 
@@ -176,76 +176,76 @@
 		return
 	}
 	d.Address = address
-	if d.place != nil {
-		d.place.leave()
+	if d.dest != nil {
+		d.dest.cancel()
 	}
-	d.place = newPlace(address, true)
+	d.dest = newDestination(address, true)
 }
 
-func newPlace(address string, moved bool) *place {
-	p := &place{address: address, moved: moved}
-	p.ctx, p.leave = context.WithCancel(context.Background())
+func newDestination(address string, replaced bool) *destination {
+	p := &destination{address: address, replaced: replaced}
+	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p
 }
 
 // currentDestination returns where the next call goes.
-func (d *Director) here() *place {
+func (d *Director) currentDestination() *destination {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.place == nil {
-		d.place = newPlace(d.Address, false)
+	if d.dest == nil {
+		d.dest = newDestination(d.Address, false)
 	}
-	return d.place
+	return d.dest
 }
 
 func (d *Director) watch() {
 	d.ended = make(chan *call)
-	var last *place
+	var last *destination
 	var due time.Time // when the next call is due: after a delay, or when the newest call counts as silent
 	for failed := 0; ; {
-		at := d.here()
-		if at != last && at.moved {
+		dest := d.currentDestination()
+		if dest != last && dest.replaced {
 			// Versions are counted per address: changes since a version of the old address may leave out
 			// changes at the new one. The full list is asked for until it has come.
-			d.forget(len(d.out))
-			d.hangUp()
-			d.whole, failed, due = true, 0, time.Time{}
+			d.giveUp(len(d.calls))
+			d.closeIdle()
+			d.wantFull, failed, due = true, 0, time.Time{}
 		}
-		last = at
-		if len(d.out) == 0 && !due.After(time.Now()) {
-			due = d.begin(at, d.wait(failed > 0))
+		last = dest
+		if len(d.calls) == 0 && !due.After(time.Now()) {
+			due = d.startCall(dest, d.pollWait(failed > 0))
 		}
 		timer := time.NewTimer(time.Until(due))
 		select {
 		case c := <-d.ended:
-			switch i := slices.Index(d.out, c); {
-			case at.ctx.Err() != nil: // redirected meanwhile: an old list must not overwrite a newer one
+			switch i := slices.Index(d.calls, c); {
+			case dest.ctx.Err() != nil: // redirected meanwhile: an old list must not overwrite a newer one
 				c.close()
 			case i < 0: // given up meanwhile: it says nothing about the present state of discovery
 				c.close()
-			case d.took(c, i):
-				if failed = 0; len(d.out) == 0 {
+			case d.handleEnded(c, i):
+				if failed = 0; len(d.calls) == 0 {
 					due = time.Time{}
 				}
-			case c.number == d.begun:
+			case c.number == d.callCount:
 				due = time.Now().Add(d.backoff(failed))
 				failed++
-				d.broke()
+				d.reportFailure()
 			default: // a call that counted as silent: its backup call, or the time when that is due, stands
-				d.broke()
+				d.reportFailure()
 			}
 		case <-timer.C:
-			if len(d.out) == 0 {
+			if len(d.calls) == 0 {
 				break
 			}
 			// The newest call is kept: if the director is merely late, giving the call up would cost the time that it waited.
-			d.forget(len(d.out) - 1)
+			d.giveUp(len(d.calls) - 1)
 			d.Count.DirectorSilent.Add(1)
-			due = d.begin(at, d.wait(true))
-		case <-at.ctx.Done():
+			due = d.startCall(dest, d.pollWait(true))
+		case <-dest.ctx.Done():
 		case <-d.Stop:
-			d.forget(len(d.out))
-			d.hangUp()
+			d.giveUp(len(d.calls))
+			d.closeIdle()
 			timer.Stop()
 			return
 		}
@@ -254,15 +254,15 @@
 }
 
 // reportFailure tells the core if no call is left that may bring a list.
-func (d *Director) broke() {
-	if len(d.out) == 0 {
+func (d *Director) reportFailure() {
+	if len(d.calls) == 0 {
 		d.OnList(balance.ListFailed, nil)
 	}
 }
 
 // pollWait returns how long the next call may wait at the director. doubt says that the director may still be silent:
 // then the call is to end soon, if the timings say so.
-func (d *Director) wait(doubt bool) time.Duration {
+func (d *Director) pollWait(doubt bool) time.Duration {
 	if doubt && d.Timings.BackupWait > 0 {
 		return d.Timings.BackupWait
 	}
@@ -270,9 +270,9 @@
 }
 
 // handleEnded handles the end of the i-th call under way. It returns false if the call brought no usable answer.
-func (d *Director) took(c *call, i int) bool {
-	d.out = slices.Delete(d.out, i, i+1)
-	if c.ending == core.ListReceived && c.whole && !c.list.Full { // changes are of no use without the list that they change
+func (d *Director) handleEnded(c *call, i int) bool {
+	d.calls = slices.Delete(d.calls, i, i+1)
+	if c.ending == core.ListReceived && c.full && !c.list.Full { // changes are of no use without the list that they change
 		c.ending = core.ListInvalid
 	}
 	d.Count.Endings[c.ending].Add(1)
@@ -280,49 +280,49 @@
 		c.close()
 		return false
 	}
-	d.forget(i) // calls that were made earlier and have no answer yet are silent
-	d.hangUp()
-	d.spare = c.line
+	d.giveUp(i) // calls that were made earlier and have no answer yet are silent
+	d.closeIdle()
+	d.idleConn = c.conn
 	// The answer of a call that was made before the last one used may be older than what is known.
-	if c.number > d.taken || c.list.Index > d.index {
-		d.take(c.list)
+	if c.number > d.newestUsed || c.list.Index > d.index {
+		d.apply(c.list)
 	}
-	d.taken = max(d.taken, c.number)
+	d.newestUsed = max(d.newestUsed, c.number)
 	if d.OnAnswer != nil {
 		d.OnAnswer()
 	}
 	// Other calls are given up if they no longer fit. One that asks for the full list asks for what has just come, and
 	// waits for no change. One that asks for changes after versions restarted may wait long for a version far ahead.
-	if len(d.out) > 0 && d.out[0].whole != d.whole {
-		d.forget(len(d.out))
+	if len(d.calls) > 0 && d.calls[0].full != d.wantFull {
+		d.giveUp(len(d.calls))
 	}
 	return true
 }
 
 // giveUp cancels the n oldest calls.
-func (d *Director) forget(n int) {
-	for _, c := range d.out[:n] {
+func (d *Director) giveUp(n int) {
+	for _, c := range d.calls[:n] {
 		c.cancel()
 		d.Count.Endings[core.ListUnanswered].Add(1)
 	}
-	d.out = slices.Delete(d.out, 0, n)
+	d.calls = slices.Delete(d.calls, 0, n)
 }
 
 // backoff returns the delay after a number of consecutive failures: longer each time, so that
 // dispatchers do not add to an overload, but within the time that may pass without a call.
 func (d *Director) backoff(failed int) time.Duration {
-	most := min(100*time.Millisecond<<min(failed, 8), d.Timings.MaxBackoff)
-	return most/2 + rand.N(most/2+1)
+	limit := min(100*time.Millisecond<<min(failed, 8), d.Timings.MaxBackoff)
+	return limit/2 + rand.N(limit/2+1)
 }
 
 // apply passes a list on, unless it shows that the versions have restarted.
-func (d *Director) take(list platform.List) {
+func (d *Director) apply(list platform.List) {
 	switch {
 	case list.Full:
-		d.index, d.whole = list.Index, false
+		d.index, d.wantFull = list.Index, false
 		d.OnList(balance.ListFull, list.Entries)
 	case list.Index < d.index: // versions have restarted: changes would not apply
-		d.whole = true
+		d.wantFull = true
 	default:
 		d.index = list.Index
 		if len(list.Entries) > 0 {
@@ -332,27 +332,27 @@
 }
 
 // closeIdle closes the connection that the last answer left open.
-func (d *Director) hangUp() {
-	if d.spare != nil {
-		d.spare.conn.Close()
-		d.spare = nil
+func (d *Director) closeIdle() {
+	if d.idleConn != nil {
+		d.idleConn.netConn.Close()
+		d.idleConn = nil
 	}
 }
 
 // startCall makes a call, on the connection that the last answer left open if there is one, and returns when the call
 // will count as silent.
-func (d *Director) begin(at *place, wait time.Duration) time.Time {
+func (d *Director) startCall(dest *destination, wait time.Duration) time.Time {
 	d.Count.DirectorCalls.Add(1)
-	d.begun++
-	c := &call{number: d.begun, target: string(platform.AppendWatch(nil, d.index, wait)), wait: wait, whole: d.whole, line: d.spare}
-	if d.whole {
+	d.callCount++
+	c := &call{number: d.callCount, target: string(platform.AppendWatch(nil, d.index, wait)), wait: wait, full: d.wantFull, conn: d.idleConn}
+	if d.wantFull {
 		c.target, c.wait = platform.ListTarget, 0
 	}
-	d.spare = nil
-	c.ctx, c.cancel = context.WithCancel(at.ctx)
-	d.out = append(d.out, c)
+	d.idleConn = nil
+	c.ctx, c.cancel = context.WithCancel(dest.ctx)
+	d.calls = append(d.calls, c)
 	go func() {
-		c.list, c.ending = d.call(c, at.address)
+		c.list, c.ending = d.perform(c, dest.address)
 		select {
 		case d.ended <- c:
 		case <-c.ctx.Done():
@@ -365,54 +365,54 @@
 // close cancels the call and closes its connection.
 func (c *call) close() {
 	c.cancel()
-	if c.line != nil {
-		c.line.conn.Close()
+	if c.conn != nil {
+		c.conn.netConn.Close()
 	}
 }
 
 // perform makes a call. It runs in the call's goroutine.
-func (d *Director) call(c *call, address string) (platform.List, core.Ending) {
-	if c.line == nil {
+func (d *Director) perform(c *call, address string) (platform.List, core.Ending) {
+	if c.conn == nil {
 		ctx, cancel := context.WithTimeout(c.ctx, d.Timings.ConnectTimeout)
-		dial := dialling{dial: d.Dial, address: address, each: d.Timings.ConnectTimeout, count: d.Count}
-		conn, _, err := dial.do(ctx)
+		dial := retryDialer{dial: d.Dial, address: address, timeout: d.Timings.ConnectTimeout, count: d.Count}
+		conn, _, err := dial.connect(ctx)
 		cancel()
 		if err != nil {
 			return platform.List{}, core.ListUnanswered
 		}
-		c.line = &line{conn, platform.NewReplies(true, platform.MaxList)}
+		c.conn = &directorConn{conn, platform.NewReplies(true, platform.MaxList)}
 	}
-	conn := c.line.conn
+	conn := c.conn.netConn
 	stop := context.AfterFunc(c.ctx, func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(c.wait + d.Timings.GiveUpSlack))
 	if _, err := conn.Write(platform.AppendGet(nil, c.target, address)); err != nil {
 		stop()
 		return platform.List{}, core.ListUnanswered
 	}
-	list, e := c.line.read(d.Names)
+	list, e := c.conn.read(d.Names)
 	stop()
-	if e != core.ListReceived || !c.line.in.Keep || c.line.in.Partial() { // unsolicited bytes must not pass for the next answer
+	if e != core.ListReceived || !c.conn.replies.Keep || c.conn.replies.Partial() { // unsolicited bytes must not pass for the next answer
 		conn.Close()
-		c.line = nil
+		c.conn = nil
 	}
 	return list, e
 }
 
 // read reads the answer of the call that was written to the connection.
-func (l *line) read(names *platform.Names) (list platform.List, e core.Ending) {
+func (c *directorConn) read(names *platform.Names) (list platform.List, e core.Ending) {
 	e = core.ListInvalid
 	var closed error
 	for {
-		part, body, err := l.in.Next()
+		part, body, err := c.replies.Next()
 		switch {
 		case err != nil:
 			return list, core.ListInvalid
-		case part == platform.Line && l.in.Status == 200:
+		case part == platform.Line && c.replies.Status == 200:
 			if list, err = names.ReadList(body); err == nil {
 				e = core.ListReceived
 			}
 		case part == platform.End:
-			if l.in.Status != 200 {
+			if c.replies.Status != 200 {
 				return list, core.ListRefused
 			}
 			return list, e
@@ -420,9 +420,9 @@
 			if closed != nil {
 				return list, core.ListUnanswered
 			}
-			n, err := l.conn.Read(l.in.Space())
-			l.in.Filled(n)
-			if err != nil && !(errors.Is(err, io.EOF) && l.in.Closed()) {
+			n, err := c.netConn.Read(c.replies.Space())
+			c.replies.Filled(n)
+			if err != nil && !(errors.Is(err, io.EOF) && c.replies.Closed()) {
 				closed = err
 			}
 		}
--- a/internal/network/director_loopback_test.go
+++ b/internal/network/director_loopback_test.go
@@ -23,21 +23,21 @@
 // loopback is a director on 127.0.0.1 that a test plays by hand, and a watch of it. Its times are long enough for a slow
 // machine and short enough to be waited for; no assertion depends on them.
 type loopback struct {
-	t    *testing.T
-	l    *net.TCPListener
-	dir  *Director
-	told chan []core.Entry
+	t     *testing.T
+	l     *net.TCPListener
+	dir   *Director
+	lists chan []core.Entry
 }
 
-func newLoopback(t *testing.T, pace WatchTimings) *loopback {
+func newLoopback(t *testing.T, timings WatchTimings) *loopback {
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
-	b := &loopback{t: t, l: l, told: make(chan []core.Entry, 100)}
+	b := &loopback{t: t, l: l, lists: make(chan []core.Entry, 100)}
 	stop := make(chan struct{})
-	b.dir = &Director{Names: &platform.Names{}, Count: &counters.Set{}, Address: l.Addr().String(), Dial: DialTCP, Stop: stop, Timings: pace,
+	b.dir = &Director{Names: &platform.Names{}, Count: &counters.Set{}, Address: l.Addr().String(), Dial: DialTCP, Stop: stop, Timings: timings,
 		OnList: func(kind balance.ListKind, list []core.Entry) {
 			if kind != balance.ListFailed {
-				b.told <- list
+				b.lists <- list
 			}
 		}}
 	t.Cleanup(func() { close(stop); l.Close() })
@@ -45,7 +45,7 @@
 }
 
 // shortTimings make calls count as silent soon, and do not give them up before the test is over.
-var shortly = WatchTimings{PollWait: 50 * time.Millisecond, SilenceSlack: 50 * time.Millisecond, GiveUpSlack: time.Minute, ConnectTimeout: time.Minute, MaxBackoff: 20 * time.Millisecond}
+var shortTimings = WatchTimings{PollWait: 50 * time.Millisecond, SilenceSlack: 50 * time.Millisecond, GiveUpSlack: time.Minute, ConnectTimeout: time.Minute, MaxBackoff: 20 * time.Millisecond}
 
 // call returns the connection and the head of the next call.
 func (b *loopback) call() (*net.TCPConn, string) {
@@ -64,8 +64,8 @@
 	return string(head)
 }
 
-// chunked returns a complete answer with that list, in chunks.
-func chunked(list string) string {
+// chunkedAnswer returns a complete answer with that list, in chunks.
+func chunkedAnswer(list string) string {
 	var out bytes.Buffer
 	w := httputil.NewChunkedWriter(&out)
 	for at := 0; at < len(list); at += 1000 {
@@ -75,8 +75,8 @@
 	return listHead + out.String() + "\r\n"
 }
 
-// indented returns a list with n backends as indented JSON.
-func indented(index, n int, status string) string {
+// indentedList returns a list with n backends as indented JSON.
+func indentedList(index, n int, status string) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "{\n  \"index\": %d,\n  \"snapshot\": true,\n  \"endpoints\": [", index)
 	for i := range n {
@@ -91,8 +91,8 @@
 
 // TestTruncatedAnswers: an answer is cut off within its head, its framing or its list, by a close or a reset.
 // None of it is applied, and the next call gets the complete answer.
-func TestAnswersThatBreakOff(t *testing.T) {
-	whole := chunked(indented(7, 3, "Terminating"))
+func TestTruncatedAnswers(t *testing.T) {
+	whole := chunkedAnswer(indentedList(7, 3, "Terminating"))
 	var cuts []int
 	for cut := 0; cut < len(whole); cut += 37 {
 		cuts = append(cuts, cut)
@@ -101,9 +101,9 @@
 		cuts = append(cuts, cut)
 	}
 	for i, cut := range cuts {
-		pace := shortly
-		pace.SilenceSlack = time.Minute
-		b := newLoopback(t, pace)
+		timings := shortTimings
+		timings.SilenceSlack = time.Minute
+		b := newLoopback(t, timings)
 		b.dir.Subscribe()
 		c, _ := b.call()
 		_, _ = io.WriteString(c, whole[:cut])
@@ -113,24 +113,24 @@
 		c.Close()
 		c, head := b.call()
 		assert.Contains(t, head, "since=0&", "cut at %d: nothing was taken", cut)
-		assert.Empty(t, b.told, "cut at %d", cut)
+		assert.Empty(t, b.lists, "cut at %d", cut)
 		_, _ = io.WriteString(c, whole)
-		assert.Len(t, <-b.told, 3, "cut at %d", cut)
+		assert.Len(t, <-b.lists, 3, "cut at %d", cut)
 	}
 }
 
 // TestMaxSizeList: an indented list of just the maximal size is read, after an answer that was cut off in its middle.
-func TestListOfAMiB(t *testing.T) {
+func TestMaxSizeList(t *testing.T) {
 	n := 4000
 	for step := 256; step > 0; step /= 4 {
-		for len(indented(7, n+step, "Ready")) <= platform.MaxList {
+		for len(indentedList(7, n+step, "Ready")) <= platform.MaxList {
 			n += step
 		}
 	}
-	whole := chunked(indented(7, n, "Ready"))
-	pace := shortly
-	pace.SilenceSlack = time.Minute
-	b := newLoopback(t, pace)
+	whole := chunkedAnswer(indentedList(7, n, "Ready"))
+	timings := shortTimings
+	timings.SilenceSlack = time.Minute
+	b := newLoopback(t, timings)
 	b.dir.Subscribe()
 	c, _ := b.call()
 	_, _ = io.WriteString(c, whole[:len(whole)/2])
@@ -138,16 +138,16 @@
 	c.Close()
 	c, _ = b.call()
 	_, _ = io.WriteString(c, whole)
-	assert.Len(t, <-b.told, n)
+	assert.Len(t, <-b.lists, n)
 	assert.Contains(t, b.head(c), "since=7&", "the watch goes on, on the same connection")
 }
 
 // TestEndlessListAnswer: an answer goes on byte by byte and never ends, or never begins. The backup call gets the list, and
 // the first call is closed.
-func TestAnswerWithoutEnd(t *testing.T) {
+func TestEndlessListAnswer(t *testing.T) {
 	for name, begins := range map[string]string{"nothing": "", "half a head": "HTTP/1.1 20", "a chunk": listHead + "100000\r\n{"} {
 		t.Run(name, func(t *testing.T) {
-			b := newLoopback(t, shortly)
+			b := newLoopback(t, shortTimings)
 			b.dir.Subscribe()
 			first, _ := b.call()
 			_, _ = io.WriteString(first, begins)
@@ -166,8 +166,8 @@
 			}()
 			second, head := b.call()
 			assert.Contains(t, head, "since=0&")
-			_, _ = io.WriteString(second, chunked(indented(7, 1, "Terminating")))
-			assert.Len(t, <-b.told, 1)
+			_, _ = io.WriteString(second, chunkedAnswer(indentedList(7, 1, "Terminating")))
+			assert.Len(t, <-b.lists, 1)
 			<-ended
 			assert.Contains(t, b.head(second), "since=7&")
 		})
@@ -176,19 +176,19 @@
 
 // TestHangingConnect: a connection attempt hangs. It is given up after the connect timeout and the call is made
 // again; after a redirect this happens at once.
-func TestConnectingThatHangs(t *testing.T) {
+func TestHangingConnect(t *testing.T) {
 	for _, moved := range []bool{false, true} {
-		pace := shortly
-		pace.SilenceSlack = time.Minute
-		if pace.ConnectTimeout = 20 * time.Millisecond; moved {
-			pace.ConnectTimeout = time.Minute
+		timings := shortTimings
+		timings.SilenceSlack = time.Minute
+		if timings.ConnectTimeout = 20 * time.Millisecond; moved {
+			timings.ConnectTimeout = time.Minute
 		}
-		b := newLoopback(t, pace)
-		hung, let := make(chan struct{}, 1), false
+		b := newLoopback(t, timings)
+		hung, hungOnce := make(chan struct{}, 1), false
 		at := b.dir.Address
 		b.dir.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-			if !let { // one call at a time: the first has ended before the second begins
-				let = true
+			if !hungOnce { // one call at a time: the first has ended before the second begins
+				hungOnce = true
 				hung <- struct{}{}
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -202,7 +202,7 @@
 		}
 		c, head := b.call()
 		assert.Equal(t, moved, !strings.Contains(head, "since="), "the full list is asked for at a new address")
-		_, _ = io.WriteString(c, chunked(indented(7, 1, "Ready")))
-		assert.Len(t, <-b.told, 1)
+		_, _ = io.WriteString(c, chunkedAnswer(indentedList(7, 1, "Ready")))
+		assert.Len(t, <-b.lists, 1)
 	}
 }
--- a/internal/network/director_rig_test.go
+++ b/internal/network/director_rig_test.go
@@ -23,29 +23,29 @@
 // Times of the drain rule: a change counts as published 6 s after discovery had it and could be reached, and sends
 // to a drained backend have to end within the settings' grace period after that.
 const (
-	toldIn   = 6 * time.Second
-	graceNow = 500 * time.Millisecond
+	publishedAfter = 6 * time.Second
+	drainGrace     = 500 * time.Millisecond
 )
 
 // fault is what happens to a call to discovery.
 type fault string
 
 const (
-	well    fault = "well"
-	refused fault = "refused" // the connection is refused; an open one is reset
-	hangs   fault = "hangs"   // the connection is never established; an open one is silent from then on
-	mute    fault = "silent"
-	resets  fault = "reset"   // once the call has arrived
-	unready fault = "503"     // answered with 503, as by another machine
-	breaks  fault = "breaks"  // the connection is closed in the middle of an answer
-	endless fault = "endless" // an answer that goes on byte by byte
-	spoilt  fault = "spoilt"  // a complete answer that is not a list
+	healthy     fault = "well"
+	refused     fault = "refused" // the connection is refused; an open one is reset
+	hangs       fault = "hangs"   // the connection is never established; an open one is silent from then on
+	mute        fault = "silent"
+	resets      fault = "reset"   // once the call has arrived
+	unavailable fault = "503"     // answered with 503, as by another machine
+	truncated   fault = "breaks"  // the connection is closed in the middle of an answer
+	endless     fault = "endless" // an answer that goes on byte by byte
+	malformed   fault = "spoilt"  // a complete answer that is not a list
 )
 
-var faults = []fault{refused, hangs, mute, resets, unready, breaks, endless, spoilt}
+var faults = []fault{refused, hangs, mute, resets, unavailable, truncated, endless, malformed}
 
-// quick says that a call fails at once or after its connect timeout.
-func (f fault) quick() bool { return f != hangs && f != mute && f != endless }
+// failsFast says that a call fails at once or after its connect timeout.
+func (f fault) failsFast() bool { return f != hangs && f != mute && f != endless }
 
 const listHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -57,26 +57,26 @@
 
 // watchRig is the watch of the director alone, on the fake clock. Its calls reach stand-ins through a
 // relay, in which faults are injected at chosen moments.
-type crossing struct {
-	d, other *standin.Director // at address "d", and at "e" for a Redirect
-	dir      *Director
-	count    *counters.Set
-	began    time.Time
-	spells   []spell
-	pipes    map[string]*faultnet.Pipes
+type watchRig struct {
+	director, otherDirector *standin.Director // at address "d", and at "e" for a Redirect
+	watch                   *Director
+	count                   *counters.Set
+	began                   time.Time
+	spells                  []spell
+	pipes                   map[string]*faultnet.Pipes
 
-	mu    sync.Mutex
-	anew  bool    // "d" is another machine now, whose versions have restarted
-	next  []fault // faults of the next connections, whatever the time
-	lines map[*relayed]bool
-	heard map[string]time.Time // when NAME/STATE was listed first
-	state map[string]balance.State
-	dials []time.Time
+	mu         sync.Mutex
+	restarted  bool    // "d" is another machine now, whose versions have restarted
+	nextFaults []fault // faults of the next connections, whatever the time
+	conns      map[*relayedConn]bool
+	listedAt   map[string]time.Time // when NAME/STATE was listed first
+	state      map[string]balance.State
+	dials      []time.Time
 }
 
-// relayed is one connection to a stand-in.
-type relayed struct {
-	c    *crossing
+// relayedConn is one connection to a stand-in.
+type relayedConn struct {
+	c    *watchRig
 	near net.Conn // the relay's end of what the dispatcher holds
 	far  net.Conn // to the stand-in; nil if the relay answers itself
 	own  fault    // of this connection alone; "" for the one of the current spell
@@ -84,73 +84,73 @@
 }
 
 // withWatch calls play with a watch of those timings. Its stand-ins list b0 to b3 as Ready.
-func crossed(t *testing.T, pace WatchTimings, play func(c *crossing)) {
+func withWatch(t *testing.T, timings WatchTimings, play func(c *watchRig)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		c := &crossing{count: &counters.Set{}, began: time.Now(), lines: map[*relayed]bool{}, heard: map[string]time.Time{}, state: map[string]balance.State{}}
+		c := &watchRig{count: &counters.Set{}, began: time.Now(), conns: map[*relayedConn]bool{}, listedAt: map[string]time.Time{}, state: map[string]balance.State{}}
 		at := map[string]*faultnet.Pipes{"d": faultnet.ListenPipes("d"), "e": faultnet.ListenPipes("e")}
 		c.pipes = at
-		c.d, c.other = standin.NewDirector(at["d"]), standin.NewDirector(at["e"])
+		c.director, c.otherDirector = standin.NewDirector(at["d"]), standin.NewDirector(at["e"])
 		for i := range 4 {
-			set(c.d, i, "Ready")
-			set(c.other, i, "Ready")
+			setStatus(c.director, i, "Ready")
+			setStatus(c.otherDirector, i, "Ready")
 		}
 		stop := make(chan struct{})
-		c.dir = &Director{Names: &platform.Names{}, Count: c.count, Address: "d", Stop: stop, Timings: pace,
-			Dial: func(ctx context.Context, address string) (net.Conn, error) { return c.dial(ctx, at[address]) }, OnList: c.told}
+		c.watch = &Director{Names: &platform.Names{}, Count: c.count, Address: "d", Stop: stop, Timings: timings,
+			Dial: func(ctx context.Context, address string) (net.Conn, error) { return c.dial(ctx, at[address]) }, OnList: c.onList}
 		play(c)
 		close(stop)
-		c.d.Close()
-		c.other.Close()
+		c.director.Close()
+		c.otherDirector.Close()
 		time.Sleep(time.Minute) // all that still waits times out
 	})
 }
 
-func set(d *standin.Director, i int, status string) standin.Change {
+func setStatus(d *standin.Director, i int, status string) standin.Change {
 	name := fmt.Sprint("b", i)
 	return d.Set(standin.Entry{Name: name, Address: name, Status: status, Weight: 4})
 }
 
-func (c *crossing) told(_ balance.ListKind, list []core.Entry) {
+func (c *watchRig) onList(_ balance.ListKind, list []core.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, e := range list {
-		if k := fmt.Sprint(e.Name, "/", e.State); c.heard[k].IsZero() {
-			c.heard[k] = time.Now()
+		if k := fmt.Sprint(e.Name, "/", e.State); c.listedAt[k].IsZero() {
+			c.listedAt[k] = time.Now()
 		}
 		c.state[e.Name] = e.State
 	}
 }
 
 // drained returns when a backend was first listed as draining; an hour from now if it never was.
-func (c *crossing) drained(i int) time.Time {
+func (c *watchRig) drained(i int) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if at := c.heard[fmt.Sprint("b", i, "/", balance.Draining)]; !at.IsZero() {
+	if at := c.listedAt[fmt.Sprint("b", i, "/", balance.Draining)]; !at.IsZero() {
 		return at
 	}
 	return time.Now().Add(time.Hour)
 }
 
 // begin starts the watch and the timers of the spells.
-func (c *crossing) begin() {
+func (c *watchRig) begin() {
 	for _, s := range c.spells {
-		time.AfterFunc(s.from-time.Since(c.began), func() { c.hit(s.fault) })
+		time.AfterFunc(s.from-time.Since(c.began), func() { c.injectAll(s.fault) })
 	}
-	c.dir.Subscribe()
+	c.watch.Subscribe()
 }
 
 // until sleeps until a time after the beginning.
-func (c *crossing) until(d time.Duration) { time.Sleep(d - time.Since(c.began)) }
+func (c *watchRig) until(d time.Duration) { time.Sleep(d - time.Since(c.began)) }
 
-// meets injects these faults into the next connections, and returns when the first of them is made.
-func (c *crossing) meets(next ...fault) time.Time {
+// injectNext injects these faults into the next connections, and returns when the first of them is made.
+func (c *watchRig) injectNext(next ...fault) time.Time {
 	c.mu.Lock()
-	c.next = next
+	c.nextFaults = next
 	c.mu.Unlock()
 	for range 10 * 60 * 100 {
 		c.mu.Lock()
-		left := len(c.next)
+		left := len(c.nextFaults)
 		c.mu.Unlock()
 		if left < len(next) {
 			break
@@ -161,7 +161,7 @@
 }
 
 // busiest returns the largest number of connections within any second.
-func (c *crossing) busiest() (most int) {
+func (c *watchRig) busiest() (most int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, j := 0, 0; j < len(c.dials); j++ {
@@ -173,47 +173,47 @@
 	return most
 }
 
-// hit injects a fault into the calls under way.
-func (c *crossing) hit(f fault) {
+// injectAll injects a fault into the calls under way.
+func (c *watchRig) injectAll(f fault) {
 	c.mu.Lock()
-	var open []*relayed
-	for l := range c.lines {
+	var open []*relayedConn
+	for l := range c.conns {
 		open = append(open, l)
 	}
 	c.mu.Unlock()
 	for _, l := range open {
-		l.meet(f)
+		l.inject(f)
 	}
 }
 
-// now returns the fault of the current spell.
-func (c *crossing) now() fault {
+// currentFault returns the fault of the current spell.
+func (c *watchRig) currentFault() fault {
 	for _, s := range c.spells {
 		if at := time.Since(c.began); at >= s.from && at < s.to {
 			return s.fault
 		}
 	}
-	return well
+	return healthy
 }
 
-func (c *crossing) dial(ctx context.Context, to *faultnet.Pipes) (net.Conn, error) {
+func (c *watchRig) dial(ctx context.Context, to *faultnet.Pipes) (net.Conn, error) {
 	c.mu.Lock()
 	own := fault("")
-	if len(c.next) > 0 {
-		own, c.next = c.next[0], c.next[1:]
+	if len(c.nextFaults) > 0 {
+		own, c.nextFaults = c.nextFaults[0], c.nextFaults[1:]
 	}
 	c.dials = append(c.dials, time.Now())
-	if c.anew {
+	if c.restarted {
 		to = c.pipes["e"]
 	}
-	hot := len(c.dials) > maxUnthrottledDials && time.Since(c.dials[len(c.dials)-maxUnthrottledDials]) < time.Second
+	looping := len(c.dials) > maxUnthrottledDials && time.Since(c.dials[len(c.dials)-maxUnthrottledDials]) < time.Second
 	c.mu.Unlock()
-	if hot { // a loop without a delay would stop the fake clock
+	if looping { // a loop without a delay would stop the fake clock
 		time.Sleep(time.Second)
 	}
 	f := own
 	if f == "" {
-		f = c.now()
+		f = c.currentFault()
 	}
 	switch f {
 	case refused:
@@ -227,23 +227,23 @@
 		return nil, err
 	}
 	ours, near := net.Pipe()
-	l := &relayed{c: c, near: near, far: far, own: own}
+	l := &relayedConn{c: c, near: near, far: far, own: own}
 	c.mu.Lock()
-	c.lines[l] = true
+	c.conns[l] = true
 	c.mu.Unlock()
-	go l.up()
-	go l.down()
+	go l.relayCalls()
+	go l.relayAnswers()
 	return ours, nil
 }
 
-// up relays calls to the stand-in, or injects a fault.
-func (l *relayed) up() {
+// relayCalls relays calls to the stand-in, or injects a fault.
+func (l *relayedConn) relayCalls() {
 	b := make([]byte, 4096)
 	for {
 		n, err := l.near.Read(b)
 		if err != nil {
 			l.c.mu.Lock()
-			delete(l.c.lines, l)
+			delete(l.c.conns, l)
 			l.c.mu.Unlock()
 			l.far.Close()
 			l.near.Close()
@@ -251,18 +251,18 @@
 		}
 		f := l.own
 		if f == "" {
-			f = l.c.now()
+			f = l.c.currentFault()
 		}
-		if f != well {
-			l.meet(f)
+		if f != healthy {
+			l.inject(f)
 			continue
 		}
 		_, _ = l.far.Write(b[:n])
 	}
 }
 
-// down relays answers, until a fault was injected.
-func (l *relayed) down() {
+// relayAnswers relays answers, until a fault was injected.
+func (l *relayedConn) relayAnswers() {
 	b := make([]byte, 64<<10)
 	for {
 		n, err := l.far.Read(b)
@@ -275,18 +275,18 @@
 	}
 }
 
-// meet injects a fault into the connection; only the first one takes effect.
-func (l *relayed) meet(f fault) {
+// inject injects a fault into the connection; only the first one takes effect.
+func (l *relayedConn) inject(f fault) {
 	l.once.Do(func() {
 		l.far.Close() // nothing more comes from there
 		switch f {
 		case refused, resets:
 			l.near.Close()
-		case unready:
+		case unavailable:
 			go l.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\n\r\nno")
-		case breaks:
+		case truncated:
 			go func() { l.say(listHead + "100\r\n{\"index\":9,\"snapshot\":true,"); l.near.Close() }()
-		case spoilt:
+		case malformed:
 			go l.say(listHead + "f\r\n{\"index\":\"gone\"\r\n0\r\n\r\n")
 		case endless:
 			go func() {
@@ -298,7 +298,7 @@
 	})
 }
 
-func (l *relayed) say(text string) bool {
+func (l *relayedConn) say(text string) bool {
 	_, err := l.near.Write([]byte(text))
 	return err == nil
 }
@@ -316,7 +316,7 @@
 	}
 }
 
-func (w *worst) judge(t *testing.T) {
+func (w *worst) check(t *testing.T) {
 	t.Logf("worst of %d: %v relative to the latest allowed moment, %s", w.runs, w.late, w.when)
 	assert.LessOrEqual(t, w.late, time.Duration(0), "later than the grace period after a change counted as published: %s", w.when)
 }
--- a/internal/network/director_test.go
+++ b/internal/network/director_test.go
@@ -11,7 +11,7 @@
 
 // TestDirectorWatch: after each answer the next call follows at once, from the version of the answer; a list
 // that cannot be read changes nothing.
-func TestDirector(t *testing.T) {
+func TestDirectorWatch(t *testing.T) {
 	runScenario(t, newEntries(balance.Ready, "s1"), 9, `
 		wait 2600ms
 		d/1 expect GET /registry/instances?since=41&timeout_ms=2500
@@ -75,7 +75,7 @@
 
 // TestRequestFullList: a process that took over a list asks for the full list first: versions are counted per address, and
 // its own address may be another one.
-func TestAfresh(t *testing.T) {
+func TestRequestFullList(t *testing.T) {
 	runScenario(t, newEntries(balance.Ready, "s1"), 9,
 		func(w *fixture) { w.director.RequestFullList() }, `
 		wait 3s
--- a/internal/network/handoff/handoff.go
+++ b/internal/network/handoff/handoff.go
@@ -18,17 +18,17 @@
 )
 
 // sendTimeout limits the time to send a message: the other process reads at once unless it is stopped.
-const sendWait = 300 * time.Millisecond
+const sendTimeout = 300 * time.Millisecond
 
 // maxFiles limits the descriptors that come with a state.
-const mostFiles = 8
+const maxFiles = 8
 
 // maxSocketName is the longest path that is used as a socket's address, a little less than sun_path holds (unix(7)).
-const longestName = 100
+const maxSocketName = 100
 
 // withShortName calls f with a name for the path that fits into a socket's address.
-func within(path string, f func(name string) error) error {
-	if len(path) <= longestName {
+func withShortName(path string, f func(name string) error) error {
+	if len(path) <= maxSocketName {
 		return f(path)
 	}
 	dir, err := os.Open(filepath.Dir(path))
@@ -41,9 +41,9 @@
 
 // Link is the connection between the two processes of a hand-over, once the state has been sent.
 type Link struct {
-	conn *net.UnixConn
-	in   handover.Reader
-	mu   sync.Mutex // of writes
+	conn   *net.UnixConn
+	reader handover.Reader
+	mu     sync.Mutex // of writes
 }
 
 // Send sends a message to the other process. An error means that the process is gone or does not read: the
@@ -57,7 +57,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.conn.SetWriteDeadline(time.Now().Add(sendWait))
+	l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 	if len(rights) > 0 { // sent with the first byte, so that they arrive before the message is complete
 		n, _, err := l.conn.WriteMsgUnix(text[:1], rights, nil)
 		if err != nil {
@@ -96,15 +96,15 @@
 
 // message returns the next message, and appends to files the descriptors that came with it.
 func (l *Link) message(files []*os.File) ([]byte, []*os.File, error) {
-	buf, oob := make([]byte, 16<<10), make([]byte, syscall.CmsgSpace(4*mostFiles))
+	buf, oob := make([]byte, 16<<10), make([]byte, syscall.CmsgSpace(4*maxFiles))
 	for {
-		text, err := l.in.Next()
+		text, err := l.reader.Next()
 		if text != nil || err != nil {
 			return text, files, err
 		}
 		n, oobn, _, _, err := l.conn.ReadMsgUnix(buf, oob)
 		if oobn > 0 {
-			files = append(files, received(oob[:oobn])...)
+			files = append(files, receivedFiles(oob[:oobn])...)
 		}
 		if err == nil && n == 0 && oobn == 0 {
 			err = net.ErrClosed
@@ -112,11 +112,11 @@
 		if err != nil {
 			return nil, files, err
 		}
-		l.in.Fill(buf[:n])
+		l.reader.Fill(buf[:n])
 	}
 }
 
-func received(oob []byte) (files []*os.File) {
+func receivedFiles(oob []byte) (files []*os.File) {
 	list, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil {
 		return nil
@@ -149,8 +149,8 @@
 // *Refusal if it refused, and another one if its answer did not come in time or could not be read.
 func Join(path string, me handover.Hello) (l *Link, s handover.State, files []*os.File, err error) {
 	var conn net.Conn
-	err = within(path, func(name string) (err error) {
-		conn, err = net.DialTimeout("unix", name, sendWait)
+	err = withShortName(path, func(name string) (err error) {
+		conn, err = net.DialTimeout("unix", name, sendTimeout)
 		return err
 	})
 	if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
@@ -159,7 +159,7 @@
 	if err != nil {
 		return nil, s, nil, err
 	}
-	l = &Link{conn: conn.(*net.UnixConn), in: handover.Reader{Most: handover.MaxState}}
+	l = &Link{conn: conn.(*net.UnixConn), reader: handover.Reader{Most: handover.MaxState}}
 	defer func() {
 		if err != nil {
 			l.Close()
@@ -181,7 +181,7 @@
 		return l, s, files, err
 	}
 	l.conn.SetReadDeadline(time.Time{})
-	l.in.Most = handover.MaxNews
+	l.reader.Most = handover.MaxNews
 	if err = json.Unmarshal(text, &s); err != nil {
 		return l, s, files, err
 	}
--- a/internal/network/handoff/server.go
+++ b/internal/network/handoff/server.go
@@ -28,11 +28,11 @@
 	OnJoined      func(*Link)                             // the new process has the state; later changes go to it over the link
 	OnGone        func(accept bool)                       // the new process is gone; accept says that this process is to accept again
 
-	mu     sync.Mutex
-	stage  handover.Old
-	l      *net.UnixListener
-	moved  bool // the path is another process's by now
-	closed bool
+	mu        sync.Mutex
+	stage     handover.Old
+	listener  *net.UnixListener
+	pathTaken bool // the path is another process's by now
+	closed    bool
 }
 
 // Listen waits for new processes. The socket is bound under another name and renamed to the path, so that
@@ -51,7 +51,7 @@
 	name := fmt.Sprintf("%s.%d", s.Path, os.Getpid())
 	os.Remove(name) // left by a dead process with this PID
 	var l *net.UnixListener
-	err := within(name, func(short string) (err error) {
+	err := withShortName(name, func(short string) (err error) {
 		l, err = net.ListenUnix("unix", &net.UnixAddr{Name: short, Net: "unix"})
 		return err
 	})
@@ -64,10 +64,10 @@
 		os.Remove(name)
 		return err
 	}
-	if s.l != nil {
-		s.l.Close()
+	if s.listener != nil {
+		s.listener.Close()
 	}
-	s.l, s.moved = l, false
+	s.listener, s.pathTaken = l, false
 	go s.serve(l)
 	return nil
 }
@@ -76,12 +76,12 @@
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || s.l == nil {
+	if s.closed || s.listener == nil {
 		return
 	}
 	s.closed = true
-	s.l.Close()
-	if !s.moved {
+	s.listener.Close()
+	if !s.pathTaken {
 		os.Remove(s.Path)
 	}
 }
@@ -89,19 +89,19 @@
 // maxPendingHellos limits the connections whose hello is not complete: each takes a descriptor that is in no budget. When
 // one more connects, the oldest of them is closed (its Join returns an error), so that silent callers cannot keep a new
 // process of this dispatcher out. A connection with a complete hello does not count any more.
-const mostHellos = 4
+const maxPendingHellos = 4
 
 // pendingHellos are the connections whose hello is not complete yet, oldest first.
-type unheard struct {
+type pendingHellos struct {
 	mu    sync.Mutex
 	conns []*net.UnixConn
 }
 
 // add adds c, and closes the oldest connection if the limit is reached.
-func (u *unheard) add(c *net.UnixConn) {
+func (u *pendingHellos) add(c *net.UnixConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(u.conns) == mostHellos {
+	if len(u.conns) == maxPendingHellos {
 		u.conns[0].Close() // its reader fails, and its goroutine removes it
 		u.conns = u.conns[1:]
 	}
@@ -109,7 +109,7 @@
 }
 
 // remove removes c: its hello is complete, or it has ended.
-func (u *unheard) heard(c *net.UnixConn) {
+func (u *pendingHellos) remove(c *net.UnixConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for i, o := range u.conns {
@@ -121,21 +121,21 @@
 }
 
 func (s *Server) serve(l *net.UnixListener) {
-	var waiting unheard
+	var pending pendingHellos
 	loop := accepting.Loop{Log: s.Log, Name: "hand-over", Admit: func(c net.Conn) {
 		conn := c.(*net.UnixConn)
-		waiting.add(conn)
-		go s.take(&Link{conn: conn, in: handover.Reader{Most: handover.MaxHello}}, &waiting)
+		pending.add(conn)
+		go s.handle(&Link{conn: conn, reader: handover.Reader{Most: handover.MaxHello}}, &pending)
 	}}
 	loop.Run(l)
 }
 
 // handle reads a process's hello and hands over to it, or refuses.
-func (s *Server) take(l *Link, waiting *unheard) {
+func (s *Server) handle(l *Link, pending *pendingHellos) {
 	defer l.Close()
 	l.conn.SetReadDeadline(time.Now().Add(handover.HelloWait))
 	text, files, err := l.message(nil)
-	waiting.heard(l.conn)
+	pending.remove(l.conn)
 	for _, f := range files { // none are expected
 		f.Close()
 	}
@@ -158,7 +158,7 @@
 		_ = l.send(handover.State{Version: handover.Version, Refused: refused, Busy: busy}, nil)
 		return
 	}
-	err = s.with(l)
+	err = s.handOver(l)
 	s.mu.Lock()
 	accept := s.stage.Gone()
 	if accept && !s.closed { // the path belonged to the process that is gone
@@ -172,7 +172,7 @@
 }
 
 // handOver sends the state and listeners, and returns when the new process is gone.
-func (s *Server) with(l *Link) error {
+func (s *Server) handOver(l *Link) error {
 	begun := time.Now()
 	state, conns := s.GiveState()
 	rights, err := rightsOf(conns)
@@ -183,17 +183,17 @@
 	if err := l.send(state, rights); err != nil {
 		return err
 	}
-	l.in.Most = handover.MaxNews
+	l.reader.Most = handover.MaxNews
 	s.Log.Info().Int("sockets", state.Sockets).Int("backends", len(state.List)).Int("marks", len(state.Marks)).Msg("hand-over: state told")
 	s.OnJoined(l)
 	l.conn.SetReadDeadline(time.Now().Add(handover.ReadyWait)) // until it accepts
 	return l.Read(func(n handover.News) {
 		if n.Ready {
 			s.mu.Lock()
-			hand := s.stage.Ready()
-			s.moved = s.moved || hand
+			taken := s.stage.Ready()
+			s.pathTaken = s.pathTaken || taken
 			s.mu.Unlock()
-			if hand {
+			if taken {
 				l.conn.SetReadDeadline(time.Time{})
 				s.StopAccepting()
 				_ = l.Send(handover.News{Taken: true})
--- a/internal/network/handoff/server_test.go
+++ b/internal/network/handoff/server_test.go
@@ -14,12 +14,12 @@
 
 // TestSilentCallersDoNotBlockHello: silent connections reach the limit of pending hellos. A process that
 // connects after them still gets its answer, a refusal with its reason, instead of being closed.
-func TestSilentOnesKeepNobodyOut(t *testing.T) {
+func TestSilentCallersDoNotBlockHello(t *testing.T) {
 	me := handover.Hello{Version: handover.Version, Name: "regina", Listen: "127.0.0.1:1"}
 	s := &Server{Path: filepath.Join(t.TempDir(), "h.sock"), Hello: me, Log: zerolog.Nop()}
 	require.NoError(t, s.Listen())
 	t.Cleanup(s.Close)
-	for range mostHellos + 2 {
+	for range maxPendingHellos + 2 {
 		c, err := net.Dial("unix", s.Path)
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
@@ -28,8 +28,8 @@
 	other.Name = "moose-jaw"
 	_, _, files, err := Join(s.Path, other)
 	assert.Empty(t, files)
-	var no *Refusal
-	require.ErrorAs(t, err, &no, "its hello is answered, with a reason")
-	assert.False(t, no.Busy)
-	assert.Contains(t, no.Error(), "moose-jaw")
+	var refusal *Refusal
+	require.ErrorAs(t, err, &refusal, "its hello is answered, with a reason")
+	assert.False(t, refusal.Busy)
+	assert.Contains(t, refusal.Error(), "moose-jaw")
 }
--- a/internal/network/link_rig_test.go
+++ b/internal/network/link_rig_test.go
@@ -42,7 +42,7 @@
 	r *bufio.Reader
 }
 
-func newRaw(t *testing.T) *rawBackend {
+func newRawBackend(t *testing.T) *rawBackend {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	b := &rawBackend{t: t, l: l, conns: make(chan *rawConn, 64)}
@@ -88,13 +88,13 @@
 	return q.Header.Get("X-Correlation-Id"), err
 }
 
-func (c *rawConn) say(text string) {
+func (c *rawConn) send(text string) {
 	_, err := io.WriteString(c, text)
 	assert.NoError(c.t, err)
 }
 
-// arrived waits until the remote kernel has received all that was written here.
-func (c *rawConn) arrived() {
+// awaitDelivery waits until the remote kernel has received all that was written here.
+func (c *rawConn) awaitDelivery() {
 	raw, err := c.SyscallConn()
 	require.NoError(c.t, err)
 	for left := int32(1); left > 0; time.Sleep(50 * time.Microsecond) {
@@ -105,8 +105,8 @@
 	}
 }
 
-// shut waits until the kernel has received the remote side's close or reset of a connection.
-func shut(t *testing.T, c net.Conn) {
+// awaitRemoteClose waits until the kernel has received the remote side's close or reset of a connection.
+func awaitRemoteClose(t *testing.T, c net.Conn) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
 	const established = 1
@@ -123,96 +123,96 @@
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 const (
-	ok200 = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	end0  = "0\r\n\r\n"
-	never = "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
+	ok200          = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	end0           = "0\r\n\r\n"
+	unprocessed503 = "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-func lineOf(id, state, rest string) string {
+func replyLine(id, state, rest string) string {
 	return chunk(fmt.Sprintf(`{"id":"%s","from":"s","state":"%s"%s}`+"\n", id, state, rest))
 }
 
-func done(id string) string { return lineOf(id, "done", `,"result":"of `+id+`"`) }
+func doneLine(id string) string { return replyLine(id, "done", `,"result":"of `+id+`"`) }
 
-// told is how an exchange ended.
-type told struct {
+// exchangeEnd is how an exchange ended.
+type exchangeEnd struct {
 	ending core.Ending
 	result string
 }
 
-// try is a test's exchange and its end.
-type try struct {
+// testExchange is a test's exchange and its end.
+type testExchange struct {
 	*exchange
-	ends  chan told
+	ends  chan exchangeEnd
 	begun atomic.Bool
 }
 
-func (y *try) wait(t *testing.T) told {
+func (y *testExchange) wait(t *testing.T) exchangeEnd {
 	select {
 	case e := <-y.ends:
 		return e
 	case <-time.After(hang):
 		require.Fail(t, "the exchange never ended")
-		return told{}
+		return exchangeEnd{}
 	}
 }
 
-// rig is a pool with one raw backend.
-type rig struct {
+// poolRig is a pool with one raw backend.
+type poolRig struct {
 	*rawBackend
 	pool    *Pool
 	backend *core.Backend
 	mu      sync.Mutex
-	ours    []net.Conn // in the order in which they were dialled
+	dialled []net.Conn // in the order in which they were dialled
 }
 
-func newRig(t *testing.T) *rig {
-	r := &rig{rawBackend: newRaw(t)}
+func newPoolRig(t *testing.T) *poolRig {
+	r := &poolRig{rawBackend: newRawBackend(t)}
 	r.backend = &core.Backend{ID: 1, Name: "s", Address: r.address()}
 	r.pool = &Pool{Names: &platform.Names{}, Count: &counters.Set{}, ConnectTimeout: hang, IdleTimeout: time.Hour, MaxConnections: 8}
 	r.pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 		c, err := DialTCP(ctx, address)
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.ours = append(r.ours, c)
+		r.dialled = append(r.dialled, c)
 		return c, err
 	}
 	return r
 }
 
-func (r *rig) try(id string, body []byte) *try {
+func (r *poolRig) newExchange(id string, body []byte) *testExchange {
 	job := &core.Job{Method: "POST", Target: "/ingest", ID: id, Body: body}
-	y := &try{ends: make(chan told, 4)}
-	y.exchange = &exchange{backend: r.backend, body: body, until: time.Now().Add(time.Hour), id: id, may: func() bool { return true },
-		started: func() {}, share: func(float64) {}}
-	y.head = func(left time.Duration) []byte { return platform.AppendJob(nil, job, "s", left, nil) }
-	y.ended = func(e core.Ending, result string, _ []float32) { y.ends <- told{e, result} }
+	y := &testExchange{ends: make(chan exchangeEnd, 4)}
+	y.exchange = &exchange{backend: r.backend, body: body, deadline: time.Now().Add(time.Hour), id: id, mayBegin: func() bool { return true },
+		onStarted: func() {}, onProgress: func(float64) {}}
+	y.makeHead = func(left time.Duration) []byte { return platform.AppendJob(nil, job, "s", left, nil) }
+	y.onEnded = func(e core.Ending, result string, _ []float32) { y.ends <- exchangeEnd{e, result} }
 	return y
 }
 
-// serve has one request served on a new connection, which is idle from then on.
-func (r *rig) serve(id string) *rawConn {
-	y := r.try(id, nil)
-	r.pool.begin(y.exchange)
+// serveOne has one request served on a new connection, which is idle from then on.
+func (r *poolRig) serveOne(id string) *rawConn {
+	y := r.newExchange(id, nil)
+	r.pool.startExchange(y.exchange)
 	c := r.accept()
 	got, err := c.req()
 	require.NoError(r.t, err)
 	require.Equal(r.t, id, got)
-	c.say(ok200 + done(id) + end0)
-	require.Equal(r.t, told{core.Served, "of " + id}, y.wait(r.t))
+	c.send(ok200 + doneLine(id) + end0)
+	require.Equal(r.t, exchangeEnd{core.Served, "of " + id}, y.wait(r.t))
 	return c
 }
 
-// closed checks that the pool closes a connection, and writes nothing more to it.
-func (c *rawConn) closed() {
+// expectClosed checks that the pool closes a connection, and writes nothing more to it.
+func (c *rawConn) expectClosed() {
 	n, err := c.r.Read(make([]byte, 1))
 	assert.Zero(c.t, n, "the old connection carries the request")
 	assert.Error(c.t, err)
 	assert.NotErrorIs(c.t, err, os.ErrDeadlineExceeded, "the connection is still open")
 }
 
-// elsewhere checks that a request comes on a new connection and is served there, and that the old one carried nothing of it.
-func (r *rig) elsewhere(old *rawConn, y *try) {
+// expectOnNewConn checks that a request comes on a new connection and is served there, and that the old one carried nothing of it.
+func (r *poolRig) expectOnNewConn(old *rawConn, y *testExchange) {
 	var c *rawConn
 	select {
 	case c = <-r.conns:
@@ -224,9 +224,9 @@
 	got, err := c.req()
 	require.NoError(r.t, err)
 	assert.Equal(r.t, y.id, got)
-	c.say(ok200 + done(y.id) + end0)
-	assert.Equal(r.t, told{core.Served, "of " + y.id}, y.wait(r.t))
+	c.send(ok200 + doneLine(y.id) + end0)
+	assert.Equal(r.t, exchangeEnd{core.Served, "of " + y.id}, y.wait(r.t))
 	if old != nil {
-		old.closed()
+		old.expectClosed()
 	}
 }
--- a/internal/network/localfault.go
+++ b/internal/network/localfault.go
@@ -19,14 +19,14 @@
 type localFault uint8
 
 const (
-	noFault         localFault = iota
-	descriptors                // EMFILE, ENFILE
-	memory                     // ENOBUFS, ENOMEM
-	ports                      // EADDRNOTAVAIL, EAGAIN: no free local port
-	route                      // ENETUNREACH, ENETDOWN
-	denied                     // EACCES, EPERM: a packet filter of this machine
-	heldUp                     // the process was not scheduled while a timeout passed
-	localFaultCount            // number of kinds
+	noFault           localFault = iota
+	faultDescriptors             // EMFILE, ENFILE
+	faultMemory                  // ENOBUFS, ENOMEM
+	faultPorts                   // EADDRNOTAVAIL, EAGAIN: no free local port
+	faultRoute                   // ENETUNREACH, ENETDOWN
+	faultDenied                  // EACCES, EPERM: a packet filter of this machine
+	faultNotScheduled            // the process was not scheduled while a timeout passed
+	localFaultCount              // number of kinds
 )
 
 var localFaultNames = [localFaultCount]string{"none", "descriptors", "memory", "ports", "route", "denied", "held_up"}
@@ -44,14 +44,16 @@
 
 // mayBeOfOneAddress says whether the fault may concern the route to one address alone. If other addresses can be reached
 // meanwhile, it does.
-func (f localFault) ofOnePeer() bool { return f == ports || f == route || f == denied }
-
-var localErrors = map[syscall.Errno]localFault{
-	syscall.EMFILE: descriptors, syscall.ENFILE: descriptors,
-	syscall.ENOBUFS: memory, syscall.ENOMEM: memory,
-	syscall.EADDRNOTAVAIL: ports, syscall.EAGAIN: ports,
-	syscall.ENETUNREACH: route, syscall.ENETDOWN: route,
-	syscall.EACCES: denied, syscall.EPERM: denied,
+func (f localFault) mayBeOfOneAddress() bool {
+	return f == faultPorts || f == faultRoute || f == faultDenied
+}
+
+var localFaultByErrno = map[syscall.Errno]localFault{
+	syscall.EMFILE: faultDescriptors, syscall.ENFILE: faultDescriptors,
+	syscall.ENOBUFS: faultMemory, syscall.ENOMEM: faultMemory,
+	syscall.EADDRNOTAVAIL: faultPorts, syscall.EAGAIN: faultPorts,
+	syscall.ENETUNREACH: faultRoute, syscall.ENETDOWN: faultRoute,
+	syscall.EACCES: faultDenied, syscall.EPERM: faultDenied,
 }
 
 // localFaultOf returns which fault of this machine made a connection attempt fail, or noFault. due is when the attempt's
@@ -59,45 +61,45 @@
 func localFaultOf(err error, due, now time.Time) localFault {
 	var errno syscall.Errno
 	if errors.As(err, &errno) { // the system's verdict; ETIMEDOUT means that the remote side was silent
-		return localErrors[errno]
+		return localFaultByErrno[errno]
 	}
-	var ours net.Error
-	if errors.As(err, &ours) && ours.Timeout() && now.Sub(due) > heldUpAfter {
-		return heldUp
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() && now.Sub(due) > notScheduledAfter {
+		return faultNotScheduled
 	}
 	return noFault
 }
 
 // notScheduledAfter is how late a timeout must be noticed to count as a fault of scheduling. In a process that is
 // scheduled, timers fire within a few milliseconds.
-const heldUpAfter = 50 * time.Millisecond
+const notScheduledAfter = 50 * time.Millisecond
 
 // Delays between retries while the local fault lasts, doubled from the first to the last.
 const (
-	leastFaultPause = 2 * time.Millisecond
-	mostFaultPause  = 20 * time.Millisecond
+	minFaultBackoff = 2 * time.Millisecond
+	maxFaultBackoff = 20 * time.Millisecond
 )
 
 // retryDialer establishes one connection and retries after faults of this machine.
-type dialling struct {
+type retryDialer struct {
 	dial    Dial
 	address string
-	each    time.Duration // limit for one try
+	timeout time.Duration // limit for one try
 	count   *counters.Set
-	// between, if set, is called before each retry; true ends the attempt, as the connection is not needed any more.
-	between func(localFault) (over bool)
+	// beforeRetry, if set, is called before each retry; true ends the attempt, as the connection is not needed any more.
+	beforeRetry func(localFault) (over bool)
 }
 
-// errNotNeeded is returned if between ended the attempt.
-var errNoNeed = errors.New("no connection is needed any more")
+// errNotNeeded is returned if beforeRetry ended the attempt.
+var errNotNeeded = errors.New("no connection is needed any more")
 
 // connect establishes the connection. The error is a failure or timeout of the remote side, errNotNeeded, or the last
 // error once ctx is done. local tells whether the last failure was a fault of this machine, and which.
-func (d *dialling) do(ctx context.Context) (conn net.Conn, local localFault, err error) {
-	for pause := leastFaultPause; ; pause = min(2*pause, mostFaultPause) {
-		due := time.Now().Add(d.each)
-		try, cancel := context.WithDeadline(ctx, due)
-		conn, err = d.dial(try, d.address)
+func (d *retryDialer) connect(ctx context.Context) (conn net.Conn, local localFault, err error) {
+	for backoff := minFaultBackoff; ; backoff = min(2*backoff, maxFaultBackoff) {
+		due := time.Now().Add(d.timeout)
+		tryCtx, cancel := context.WithDeadline(ctx, due)
+		conn, err = d.dial(tryCtx, d.address)
 		cancel()
 		if err == nil {
 			return conn, noFault, nil
@@ -106,15 +108,15 @@
 			return nil, noFault, err
 		}
 		d.count.LocalFaults[local].Add(1)
-		timer := time.NewTimer(pause)
+		timer := time.NewTimer(backoff)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
 			return nil, local, err
 		}
-		if d.between != nil && d.between(local) {
-			return nil, local, errNoNeed
+		if d.beforeRetry != nil && d.beforeRetry(local) {
+			return nil, local, errNotNeeded
 		}
 	}
 }
--- a/internal/network/localfault_test.go
+++ b/internal/network/localfault_test.go
@@ -16,8 +16,8 @@
 	"tinsail/internal/core"
 )
 
-// failing returns a Dial that fails with an error for a while from now on.
-func failing(dial Dial, errno syscall.Errno, lasts time.Duration) Dial {
+// failingDial returns a Dial that fails with an error for a while from now on.
+func failingDial(dial Dial, errno syscall.Errno, lasts time.Duration) Dial {
 	until := time.Now().Add(lasts)
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		if time.Now().Before(until) {
@@ -32,11 +32,11 @@
 
 // TestLocalFaultIsNoBackendFailure: for 0.3 s this machine cannot establish a connection. A request that comes meanwhile is
 // served as soon as it can, the backend gets no cooldown, and the next request goes there at once.
-func TestLocalFaultIsNoStrike(t *testing.T) {
+func TestLocalFaultIsNoBackendFailure(t *testing.T) {
 	for _, errno := range localErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			runScenario(t, newEntries(balance.Ready, "s1"), 9, func(w *fixture) {
-				w.pool.Dial = failing(w.dial, errno, 300*time.Millisecond)
+				w.pool.Dial = failingDial(w.dial, errno, 300*time.Millisecond)
 				w.play("c1 send {req 9a x}")
 				time.Sleep(330 * time.Millisecond)
 				synctest.Wait()
@@ -60,7 +60,7 @@
 
 // TestFaultOnOneRoute: the network of one backend's address cannot be reached, while others can. The requests go to the
 // others, and do not wait for that backend until their deadline.
-func TestFaultOnOneWay(t *testing.T) {
+func TestFaultOnOneRoute(t *testing.T) {
 	runScenario(t, newEntries(balance.Ready, "s1", "s2"), 9, func(w *fixture) {
 		w.pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 			if address == "s1" {
@@ -80,10 +80,10 @@
 
 // TestLocalFaultOnDirectorCall: the same for calls to the director: none counts as failed, and the list is asked for as soon
 // as a connection can be established.
-func TestLocalFaultOfDiscovery(t *testing.T) {
+func TestLocalFaultOnDirectorCall(t *testing.T) {
 	for _, errno := range localErrnos {
 		runScenario(t, newEntries(balance.Ready, "s1"), 9, func(w *fixture) {
-			w.director.Dial = failing(w.dial, errno, 300*time.Millisecond)
+			w.director.Dial = failingDial(w.dial, errno, 300*time.Millisecond)
 			w.director.Subscribe()
 			time.Sleep(330 * time.Millisecond)
 			synctest.Wait()
--- a/internal/network/long_quiet_test.go
+++ b/internal/network/long_quiet_test.go
@@ -13,7 +13,7 @@
 
 // TestLongIdlePeriod: no request comes for ten minutes, in which a backend drops its connections without closing them. The
 // first request after that goes out at once, on a new connection, and is served; the list was watched all the time.
-func TestLongQuiet(t *testing.T) {
+func TestLongIdlePeriod(t *testing.T) {
 	runScenario(t, newEntries(balance.Ready, "s1"), 9, func(w *fixture) {
 		w.play("c1 send {req 9a x}\ns1/1 send {started 9a}{done 9a r}\nc1 expect 200 r")
 		time.Sleep(10 * time.Minute)
--- a/internal/network/maintain/maintain_test.go
+++ b/internal/network/maintain/maintain_test.go
@@ -17,23 +17,23 @@
 )
 
 // recorder stands in for the core and the pool around a Manager, and records the order of its calls.
-type bench struct {
-	did  []string
-	held map[balance.WorkerID]struct{}
-	last map[string]balance.State
+type recorder struct {
+	calls    []string
+	withheld map[balance.WorkerID]struct{}
+	states   map[string]balance.State
 }
 
-func newManager(path string) (*Manager, *bench) {
-	b := &bench{last: map[string]balance.State{}}
+func newManager(path string) (*Manager, *recorder) {
+	b := &recorder{states: map[string]balance.State{}}
 	return &Manager{Path: path, Log: zerolog.Nop(),
 		OnList: func(_ balance.ListKind, list []core.Entry) {
-			b.did = append(b.did, "told")
+			b.calls = append(b.calls, "told")
 			for i := range list {
-				b.last[list[i].Name] = list[i].State
+				b.states[list[i].Name] = list[i].State
 			}
 		},
-		Withhold:  func(ids map[balance.WorkerID]struct{}) { b.did, b.held = append(b.did, "withheld"), ids },
-		CloseIdle: func(balance.WorkerID) { b.did = append(b.did, "hung up") }}, b
+		Withhold:  func(ids map[balance.WorkerID]struct{}) { b.calls, b.withheld = append(b.calls, "withheld"), ids },
+		CloseIdle: func(balance.WorkerID) { b.calls = append(b.calls, "hung up") }}, b
 }
 
 func ready(names ...string) (list []core.Entry) {
@@ -45,16 +45,16 @@
 
 // TestOfflineTakesEffect: when a call returns, the core withholds requests, idle connections are closed, the list was passed
 // on, in this order, and the file holds the ban.
-func TestYesHolds(t *testing.T) {
+func TestOfflineTakesEffect(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bans")
 	d, b := newManager(path)
 	assert.False(t, d.Load(), "no file yet")
 	d.Listed(balance.ListFull, ready("a", "b"))
-	b.did = nil
+	b.calls = nil
 	require.NoError(t, d.Offline("a"))
-	assert.Equal(t, []string{"withheld", "hung up", "told"}, b.did)
-	assert.Contains(t, b.held, balance.WorkerID(platform.Hash("a")))
-	assert.Equal(t, balance.Draining, b.last["a"])
+	assert.Equal(t, []string{"withheld", "hung up", "told"}, b.calls)
+	assert.Contains(t, b.withheld, balance.WorkerID(platform.Hash("a")))
+	assert.Equal(t, balance.Draining, b.states["a"])
 	require.NoError(t, d.SetOutOfService(true))
 	files, err := filepath.Glob(filepath.Join(filepath.Dir(path), "*"))
 	require.NoError(t, err)
@@ -62,17 +62,17 @@
 
 	next, b2 := newManager(path)
 	assert.True(t, next.Load(), "out of service, as the former process was")
-	assert.Contains(t, b2.held, balance.WorkerID(platform.Hash("a")))
+	assert.Contains(t, b2.withheld, balance.WorkerID(platform.Hash("a")))
 	next.Listed(balance.ListCached, ready("a", "b"))
-	assert.Equal(t, map[string]balance.State{"a": balance.Draining, "b": balance.Ready}, b2.last)
+	assert.Equal(t, map[string]balance.State{"a": balance.Draining, "b": balance.Ready}, b2.states)
 	require.NoError(t, next.Online("a"))
-	assert.Empty(t, b2.held)
-	assert.Equal(t, balance.Ready, b2.last["a"])
+	assert.Empty(t, b2.withheld)
+	assert.Equal(t, balance.Ready, b2.states["a"])
 }
 
 // TestDamagedFile: a file that is damaged, truncated or of another version is not used, and the next call writes a valid
 // one.
-func TestBadFile(t *testing.T) {
+func TestDamagedFile(t *testing.T) {
 	good := maintenance.SavedState{OutOfService: true, Marks: []maintenance.Mark{{Name: "a", Banned: true, At: 1}}}.Append(nil)
 	for _, text := range []string{"", "x", string(good[:len(good)-2]), "tinsail-maintenance 9 00000000\n{}", string(good) + " "} {
 		path := filepath.Join(t.TempDir(), "bans") // without a former generation
@@ -80,7 +80,7 @@
 		d, b := newManager(path)
 		assert.False(t, d.Load())
 		d.Listed(balance.ListFull, ready("a"))
-		assert.Equal(t, balance.Ready, b.last["a"], text)
+		assert.Equal(t, balance.Ready, b.states["a"], text)
 		require.NoError(t, d.Offline("a"))
 		next, _ := newManager(path)
 		next.Load()
@@ -89,7 +89,7 @@
 }
 
 // TestShareWithOtherProcess: a call is sent to the other process, and marks that come from there are not sent back.
-func TestShared(t *testing.T) {
+func TestShareWithOtherProcess(t *testing.T) {
 	d, _ := newManager("")
 	d.Listed(balance.ListFull, ready("a", "b"))
 	require.NoError(t, d.Offline("b"))
@@ -107,7 +107,7 @@
 // TestBanAcrossWallClockStep: the wall clock is stepped by an hour, forward or back, before or during a ban. After the ban
 // the backend counts as started at the end of the ban by the core's clock: in this process, in one that takes over and in
 // one that reads the file.
-func TestBanOverAWallStep(t *testing.T) {
+func TestBanAcrossWallClockStep(t *testing.T) {
 	const hour = 3_600_000.0
 	for _, step := range []float64{hour, -hour} {
 		for _, during := range []bool{false, true} {
@@ -137,7 +137,7 @@
 				wall += step
 			}
 			require.NoError(t, d.Online("a"))
-			assert.Equal(t, balance.Ready, b.last["a"])
+			assert.Equal(t, balance.Ready, b.states["a"])
 			assert.Equal(t, mono, started["a"], "step %v", step)
 
 			mono, wall = mono+2000, wall+2000
--- a/internal/network/maintain/store.go
+++ b/internal/network/maintain/store.go
@@ -98,7 +98,7 @@
 }
 
 func (s fileStore) Read() (texts [][]byte, err error) {
-	s.clear()
+	s.removeStale()
 	for _, name := range []string{s.path, s.path + oldSuffix} {
 		text, e := os.ReadFile(name)
 		switch {
@@ -111,8 +111,8 @@
 	return texts, err
 }
 
-// clear removes the incomplete files of processes that were killed while they wrote.
-func (s fileStore) clear() {
+// removeStale removes the incomplete files of processes that were killed while they wrote.
+func (s fileStore) removeStale() {
 	names, _ := filepath.Glob(s.path + ".*")
 	for _, name := range names {
 		pid, err := strconv.Atoi(strings.TrimPrefix(name, s.path+"."))
--- a/internal/network/maintain/store_test.go
+++ b/internal/network/maintain/store_test.go
@@ -39,7 +39,7 @@
 
 // TestStoreFails: writes fail for a while. The ban is in force, and the call returns an error as the ban is not stored. The
 // counter shows this until a retry succeeds, which needs no further call; the number of retries is limited.
-func TestFolderFails(t *testing.T) {
+func TestStoreFails(t *testing.T) {
 	for _, errno := range []error{syscall.ENOSPC, syscall.EIO} {
 		synctest.Test(t, func(t *testing.T) {
 			d, b := newManager("")
@@ -52,7 +52,7 @@
 			}
 			d.Listed(balance.ListFull, ready("a"))
 			assert.ErrorIs(t, d.Offline("a"), errno)
-			assert.Equal(t, balance.Draining, b.last["a"], "in force in this process")
+			assert.Equal(t, balance.Draining, b.states["a"], "in force in this process")
 			assert.EqualValues(t, 1, counts()["bans_unkept"])
 			time.Sleep(13 * time.Second)
 			synctest.Wait()
@@ -70,7 +70,7 @@
 
 // TestKillDuringWrite: whatever a kill leaves of a write, the next process finds the last valid generation, and the
 // incomplete file is removed.
-func TestKillDuringKeep(t *testing.T) {
+func TestKillDuringWrite(t *testing.T) {
 	dead := exec.Command("/bin/true")
 	require.NoError(t, dead.Run())
 	for name, leave := range map[string]func(path string){
@@ -91,7 +91,7 @@
 		next.Load()
 		assert.Equal(t, []string{"a"}, next.Banned(), name)
 		next.Listed(balance.ListFull, ready("a", "b"))
-		assert.Equal(t, balance.Draining, b.last["a"], name)
+		assert.Equal(t, balance.Draining, b.states["a"], name)
 		require.NoError(t, next.Online("a"))
 		files, err := filepath.Glob(path + "*")
 		require.NoError(t, err)
@@ -101,7 +101,7 @@
 
 // TestTwoProcessesWrite: the two processes of a hand-over write at the same time. Neither makes the other fail, and both
 // generations are valid afterwards.
-func TestTwoProcessesKeep(t *testing.T) {
+func TestTwoProcessesWrite(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bans")
 	for _, name := range []string{"a", "b"} { // the incomplete file of another process
 		require.NoError(t, os.WriteFile(fmt.Sprintf("%s.%d", path, os.Getpid()+1), []byte("half"), 0o600))
--- a/internal/network/maintain_test.go
+++ b/internal/network/maintain_test.go
@@ -15,13 +15,13 @@
 // established. Its idle connections are closed, and requests that run there finish. After the ban it gets requests
 // again, whatever was known of it before.
 func TestBan(t *testing.T) {
-	var desk *maintain.Manager
+	var manager *maintain.Manager
 	begin := func(w *fixture) {
-		desk = &maintain.Manager{OnList: w.core.HandleList, Withhold: w.core.SetBanned, CloseIdle: w.pool.CloseIdleByID}
-		desk.Listed(balance.ListCached, newEntries(balance.Ready, "s1"))
+		manager = &maintain.Manager{OnList: w.core.HandleList, Withhold: w.core.SetBanned, CloseIdle: w.pool.CloseIdleByID}
+		manager.Listed(balance.ListCached, newEntries(balance.Ready, "s1"))
 	}
-	offline := func(*fixture) { require.NoError(t, desk.Offline("s1")) }
-	online := func(*fixture) { require.NoError(t, desk.Online("s1")) }
+	offline := func(*fixture) { require.NoError(t, manager.Offline("s1")) }
+	online := func(*fixture) { require.NoError(t, manager.Online("s1")) }
 	runScenario(t, nil, 9, begin, `
 		c1 send {req 9a x}
 		s1/1 expect POST /ingest?v=1 9a k9a 2000 x
@@ -40,9 +40,9 @@
 		wait 100ms
 		s1/3 expect no connection`,
 		func(w *fixture) { // whatever the director lists meanwhile
-			desk.Listed(balance.ListFull, newEntries(balance.Ready, "s1"))
-			desk.Listed(balance.ListFull, nil)
-			desk.Listed(balance.ListDelta, newEntries(balance.Ready, "s1"))
+			manager.Listed(balance.ListFull, newEntries(balance.Ready, "s1"))
+			manager.Listed(balance.ListFull, nil)
+			manager.Listed(balance.ListDelta, newEntries(balance.Ready, "s1"))
 		}, `
 		wait 1s
 		s1/3 expect no connection`, online, `
@@ -54,19 +54,19 @@
 	runScenario(t, nil, 9, begin, func(w *fixture) {
 		w.dialDelays["s1"] = 50 * time.Millisecond
 		w.play(`c1 send {req 9a x}`)
-		require.NoError(t, desk.Offline("s1"))
+		require.NoError(t, manager.Offline("s1"))
 		w.play(`wait 60ms
 			s1/1 expect closed`)
 	})
-	assert.ErrorIs(t, desk.Offline("s9"), maintain.ErrUnknown)
+	assert.ErrorIs(t, manager.Offline("s9"), maintain.ErrUnknown)
 }
 
 // TestBanAfterFaults: a backend that failed before its ban gets requests again after it.
 func TestBanAfterFaults(t *testing.T) {
-	var desk *maintain.Manager
+	var manager *maintain.Manager
 	runScenario(t, nil, 9, func(w *fixture) {
-		desk = &maintain.Manager{OnList: w.core.HandleList, Withhold: w.core.SetBanned, CloseIdle: w.pool.CloseIdleByID}
-		desk.Listed(balance.ListCached, newEntries(balance.Ready, "s1"))
+		manager = &maintain.Manager{OnList: w.core.HandleList, Withhold: w.core.SetBanned, CloseIdle: w.pool.CloseIdleByID}
+		manager.Listed(balance.ListCached, newEntries(balance.Ready, "s1"))
 	}, `
 		s1 close
 		c1 send {req 9a x}
@@ -76,9 +76,9 @@
 		c1 send {req 9c x}
 		c1 expect 503 after 0.120`,
 		func(w *fixture) {
-			require.NoError(t, desk.Offline("s1"))
+			require.NoError(t, manager.Offline("s1"))
 			time.Sleep(time.Millisecond)
-			require.NoError(t, desk.Online("s1"))
+			require.NoError(t, manager.Online("s1"))
 			w.mu.Lock()
 			w.refusedDials["s1"] = false
 			w.mu.Unlock()
--- a/internal/network/members/members.go
+++ b/internal/network/members/members.go
@@ -14,23 +14,23 @@
 
 // List is the merged list of backends of a dispatcher that has several sources.
 type List struct {
-	mu    sync.Mutex
-	set   *membership.Set
-	told  func(balance.ListKind, []core.Entry)
-	timer *time.Timer
-	at    time.Time // when the timer is due; zero if it is not set
+	mu       sync.Mutex
+	set      *membership.Set
+	onChange func(balance.ListKind, []core.Entry)
+	timer    *time.Timer
+	timerAt  time.Time // when the timer is due; zero if it is not set
 }
 
 // New returns a list with one source for each of the rules. It calls onChange with its changes, in their order; onChange
 // must not block.
-func New(told func(balance.ListKind, []core.Entry), rules ...membership.Rules) *List {
-	return &List{set: membership.New(rules...), told: told}
+func New(onChange func(balance.ListKind, []core.Entry), rules ...membership.Rules) *List {
+	return &List{set: membership.New(rules...), onChange: onChange}
 }
 
 // Source is the input of one source to a list. Its methods may be called from any goroutine.
 type Source struct {
-	list *List
-	at   int
+	list  *List
+	index int
 }
 
 // Source returns the i-th source, in the order of the rules given to New.
@@ -38,23 +38,23 @@
 
 // ReplaceAll sets the source's full list.
 func (s Source) ReplaceAll(list []membership.Backend) {
-	s.list.do(func(now time.Time) { s.list.set.ReplaceAll(now, s.at, list) })
+	s.list.apply(func(now time.Time) { s.list.set.ReplaceAll(now, s.index, list) })
 }
 
 // Update adds or changes backends of the source's list, and removes the dropped ones.
 func (s Source) Update(list []membership.Backend, dropped []string) {
-	s.list.do(func(now time.Time) { s.list.set.Update(now, s.at, list, dropped) })
+	s.list.apply(func(now time.Time) { s.list.set.Update(now, s.index, list, dropped) })
 }
 
 // Unchanged records that the source answered and nothing has changed.
-func (s Source) Unchanged() { s.list.do(func(now time.Time) { s.list.set.Unchanged(now, s.at) }) }
+func (s Source) Unchanged() { s.list.apply(func(now time.Time) { s.list.set.Unchanged(now, s.index) }) }
 
 // Failed records that the source does not answer.
-func (s Source) Failed() { s.list.do(func(now time.Time) { s.list.set.Failed(now, s.at) }) }
+func (s Source) Failed() { s.list.apply(func(now time.Time) { s.list.set.Failed(now, s.index) }) }
 
 // SetRules replaces the source's rules.
 func (s Source) SetRules(r membership.Rules) {
-	s.list.do(func(now time.Time) { s.list.set.SetRules(now, s.at, r) })
+	s.list.apply(func(now time.Time) { s.list.set.SetRules(now, s.index, r) })
 }
 
 // DirectorList handles a list, or a failure, of the platform's director.
@@ -85,20 +85,20 @@
 }
 
 // apply calls f, then passes on what has changed and sets the timer.
-func (l *List) do(f func(now time.Time)) {
+func (l *List) apply(f func(now time.Time)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	f(now)
 	l.set.Expire(now)
 	if changes := l.set.Changes(); len(changes) > 0 {
-		l.told(balance.ListDelta, Entries(changes))
+		l.onChange(balance.ListDelta, Entries(changes))
 	}
 	next := l.set.Next()
-	if next.Equal(l.at) {
+	if next.Equal(l.timerAt) {
 		return
 	}
-	l.at = next
+	l.timerAt = next
 	switch {
 	case next.IsZero():
 		l.timer.Stop()
@@ -109,7 +109,7 @@
 	}
 }
 
-func (l *List) expire() { l.do(func(time.Time) {}) }
+func (l *List) expire() { l.apply(func(time.Time) {}) }
 
 // Close stops the timer.
 func (l *List) Close() {
--- a/internal/network/network_test.go
+++ b/internal/network/network_test.go
@@ -253,10 +253,10 @@
 			p := &Pool{Names: &platform.Names{}, Count: &counters.Set{}, ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConnections: 1}
 			p.Dial = func(context.Context, string) (net.Conn, error) { return &breakingConn{near, room}, nil }
 			var got []core.Ending
-			x := &exchange{backend: &core.Backend{}, body: job.Body, until: time.Now().Add(time.Minute), id: job.ID,
-				may: func() bool { return true }, ended: func(e core.Ending, _ string, _ []float32) { got = append(got, e) }}
-			x.head = func(left time.Duration) []byte { return platform.AppendJob(nil, job, "s1", left, nil) }
-			p.begin(x)
+			x := &exchange{backend: &core.Backend{}, body: job.Body, deadline: time.Now().Add(time.Minute), id: job.ID,
+				mayBegin: func() bool { return true }, onEnded: func(e core.Ending, _ string, _ []float32) { got = append(got, e) }}
+			x.makeHead = func(left time.Duration) []byte { return platform.AppendJob(nil, job, "s1", left, nil) }
+			p.startExchange(x)
 			synctest.Wait()
 			far.Close()
 			synctest.Wait()
--- a/internal/network/silence_test.go
+++ b/internal/network/silence_test.go
@@ -16,7 +16,7 @@
 // TestDrainsDuringSilence: a watch falls silent, at any moment of its long poll and of the next one, while
 // drains are published. Each arrives within half a second after it counts as published, whether lists
 // are polled or pushed to an agent.
-func TestSilenceSweep(t *testing.T) {
+func TestDrainsDuringSilence(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("pushed %v", pushed), func(t *testing.T) {
 			worst, when, bad := -time.Hour, time.Duration(0), 0
@@ -51,8 +51,8 @@
 // TestAgentOutage: an agent is silent or refuses connections for a while, and then has a list that changed twice. The
 // newest change arrives within half a second after it counts as published, and the number of calls in the outage is
 // limited, though the settings name no interval of asking.
-func TestAgentsOutage(t *testing.T) {
-	const callsMost = 20 // per second: one in 50 ms
+func TestAgentOutage(t *testing.T) {
+	const maxCallsPerSecond = 20 // per second: one in 50 ms
 	for _, refused := range []bool{false, true} {
 		t.Run(fmt.Sprintf("refused %v", refused), func(t *testing.T) {
 			worst, when, most := -time.Hour, "", 0
@@ -77,7 +77,7 @@
 			}
 			t.Logf("worst %v, in an outage %s; most connections or calls in a second %d", worst, when, most)
 			assert.LessOrEqual(t, worst, time.Duration(0), "later than half a second after a change counted as told, by this much")
-			assert.LessOrEqual(t, most, callsMost, "connections or calls to the agent in a second")
+			assert.LessOrEqual(t, most, maxCallsPerSecond, "connections or calls to the agent in a second")
 		})
 	}
 }
@@ -100,20 +100,20 @@
 // TestNoSendToDrainedBackend: clients keep a dispatcher busy while its watch falls silent and drains are
 // published. According to the backends, no new attempt is sent to one of them later than half a second
 // after its drain counts as published, and each request gets exactly one answer.
-func TestNothingToADrained(t *testing.T) {
+func TestNoSendToDrainedBackend(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		for after := 200 * time.Millisecond; after < 4500*time.Millisecond; after += 2100 * time.Millisecond {
-			siting(t, pushed, balance.Deduped, func(s *site) {
+			withSite(t, pushed, balance.Deduped, func(s *site) {
 				all := s.load(2, 40*time.Millisecond, 14*time.Second)
 				time.Sleep(after)
 				s.seat.Silence()
 				time.Sleep(10 * time.Millisecond)
-				gone := []standin.Change{s.d.Set(s.backends[0].Entry("", "", 1, "Terminating"))}
+				gone := []standin.Change{s.director.Set(s.backends[0].Entry("", "", 1, "Terminating"))}
 				time.Sleep(3 * time.Second)
-				gone = append(gone, s.d.Set(s.backends[1].Entry("", "", 1, "Terminating")))
+				gone = append(gone, s.director.Set(s.backends[1].Entry("", "", 1, "Terminating")))
 				all.Wait()
 				for _, c := range gone {
-					s.h.Drained(history.Drain{Node: "n", Backend: c.Name, From: s.seat.Told(c, s.terms)})
+					s.history.Drained(history.Drain{Node: "n", Backend: c.Name, From: s.seat.Told(c, s.terms)})
 				}
 				b := s.judge()
 				assert.Empty(t, b[:min(len(b), 3)], "pushed %v, silent after %v: %d breaches", pushed, after, len(b))
--- a/internal/network/site_test.go
+++ b/internal/network/site_test.go
@@ -28,16 +28,16 @@
 // site is a whole dispatcher on the fake clock with stand-ins for the director and three backends,
 // and a history of what clients and backends saw.
 type site struct {
-	d        *standin.Director
+	director *standin.Director
 	seat     *standin.Seat
 	terms    standin.Terms
 	backends []*standin.Backend
 	clients  *Clients
-	h        *history.History
+	history  *history.History
 }
 
 // withSite calls play with a site of one class. If lists are pushed, the settings name no AskEvery.
-func siting(t *testing.T, pushed bool, effect balance.Effect, play func(s *site)) {
+func withSite(t *testing.T, pushed bool, effect balance.Effect, play func(s *site)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		set := balance.Settings{Seed: 1, Instances: 1, Zones: 1, Kinds: 1, MaxAttempts: 5, MayDuplicate: true, MayCancel: true,
@@ -48,16 +48,16 @@
 			set.Rules.AskEvery = 10_000
 		}
 		names := &platform.Names{Classes: []string{"ingest"}, Keyed: []bool{effect == balance.Deduped}, Limits: []time.Duration{5 * time.Second}}
-		s := &site{h: &history.History{}, terms: standin.Terms{Began: time.Now(), AskEvery: time.Duration(set.Rules.AskEvery) * time.Millisecond}}
+		s := &site{history: &history.History{}, terms: standin.Terms{Began: time.Now(), AskEvery: time.Duration(set.Rules.AskEvery) * time.Millisecond}}
 		at := map[string]*faultnet.Pipes{"d": faultnet.ListenPipes("d")}
-		s.d = standin.NewDirector(faultnet.ListenPipes("unused"))
-		s.seat = s.d.Seat(at["d"], pushed)
+		s.director = standin.NewDirector(faultnet.ListenPipes("unused"))
+		s.seat = s.director.Seat(at["d"], pushed)
 		for i := range 3 {
 			name := fmt.Sprint("b", i)
 			at[name] = faultnet.ListenPipes(name)
 			b := standin.NewBackend(at[name], name, 8, func(string) time.Duration { return 10 * time.Millisecond })
 			s.backends = append(s.backends, b)
-			s.d.Set(b.Entry("", "", 1, "Ready")) // one group: only its class limits a request's repeats
+			s.director.Set(b.Entry("", "", 1, "Ready")) // one group: only its class limits a request's repeats
 		}
 		dial := func(ctx context.Context, address string) (net.Conn, error) { return at[address].Dial(ctx, address) }
 		count, stop := &counters.Set{}, make(chan struct{})
@@ -79,7 +79,7 @@
 			b.Close()
 		}
 		close(stop)
-		s.d.Close()
+		s.director.Close()
 		time.Sleep(time.Minute) // all that still waits times out
 	})
 }
@@ -97,19 +97,19 @@
 	if err == nil {
 		r.Taken = time.Now()
 	}
-	s.h.Asked(r)
+	s.history.Asked(r)
 	a, err := http.ReadResponse(bufio.NewReader(far), nil)
 	if err != nil {
-		s.h.Reset(id, err.Error())
+		s.history.Reset(id, err.Error())
 		return 0, time.Since(began)
 	}
 	defer a.Body.Close()
 	text, err := io.ReadAll(a.Body)
 	if err != nil {
-		s.h.Reset(id, err.Error())
+		s.history.Reset(id, err.Error())
 		return 0, time.Since(began)
 	}
-	s.h.Answered(history.Answer{ID: id, At: time.Now(), Status: a.StatusCode, Body: string(text)})
+	s.history.Answered(history.Answer{ID: id, At: time.Now(), Status: a.StatusCode, Body: string(text)})
 	return a.StatusCode, time.Since(began)
 }
 
@@ -130,9 +130,9 @@
 // judge checks the history against the rules.
 func (s *site) judge() []history.Breach {
 	for _, b := range s.backends {
-		s.h.Attempted(b.Attempts()...)
+		s.history.Attempted(b.Attempts()...)
 	}
-	return s.h.Judge(history.Published(500 * time.Millisecond))
+	return s.history.Judge(history.Published(500 * time.Millisecond))
 }
 
 // TestUnsafeReset: the connection of a request that must not run twice is reset. Before its last byte
@@ -145,7 +145,7 @@
 		standin.BeforeLast: {200, 1}, standin.BeforeStart: {502, 1}, standin.AfterStart: {502, 1},
 	} {
 		for round := range 8 { // the backend that is tried first is random
-			siting(t, false, balance.Unsafe, func(s *site) {
+			withSite(t, false, balance.Unsafe, func(s *site) {
 				for i, b := range s.backends {
 					if point != standin.BeforeLast || i != round%3 { // the backend without a fault is found
 						b.Set(standin.Faults{Reset: point})
--- a/internal/network/site_variants_test.go
+++ b/internal/network/site_variants_test.go
@@ -27,7 +27,7 @@
 
 // configuredSite is a dispatcher built from a configuration alone, as the program does it, on the fake clock
 // with stand-ins: two backends in each zone, and one group per zone.
-type elsewhere struct {
+type configuredSite struct {
 	cfg      *config.Config
 	clients  *Clients
 	backends []*standin.Backend
@@ -36,7 +36,7 @@
 
 // withConfiguredSite calls play with a site that is built from a file in package config's test data, after change was
 // applied to its text.
-func at(t *testing.T, file string, change *strings.Replacer, play func(s *elsewhere)) {
+func withConfiguredSite(t *testing.T, file string, change *strings.Replacer, play func(s *configuredSite)) {
 	t.Helper()
 	text, err := os.ReadFile("../config/testdata/" + file)
 	require.NoError(t, err)
@@ -48,7 +48,7 @@
 	cfg, err := config.Parse(text, func(string) string { return "" })
 	require.NoError(t, err)
 	synctest.Test(t, func(t *testing.T) {
-		s := &elsewhere{cfg: cfg}
+		s := &configuredSite{cfg: cfg}
 		ports := map[string]*faultnet.Pipes{cfg.Discovery: faultnet.ListenPipes(cfg.Discovery)}
 		d := standin.NewDirector(faultnet.ListenPipes("unused"))
 		d.Seat(ports[cfg.Discovery], !cfg.Settings.Subscribe)
@@ -88,7 +88,7 @@
 
 // ask sends a request of a class as that class's clients do: with a key if its effect needs one, and
 // with all the time that the settings give. It returns the status, 0 for no answer, and how long that took.
-func (s *elsewhere) ask(class int, id, body string) (status int, took time.Duration) {
+func (s *configuredSite) ask(class int, id, body string) (status int, took time.Duration) {
 	c, name := s.cfg.Settings.Classes[class], s.cfg.Names.Classes[class]
 	near, far := net.Pipe()
 	defer far.Close()
@@ -113,14 +113,14 @@
 }
 
 // set injects these faults into all backends.
-func (s *elsewhere) set(f standin.Faults) {
+func (s *configuredSite) set(f standin.Faults) {
 	for _, b := range s.backends {
 		b.Set(f)
 	}
 }
 
 // whole returns the attempts whose last byte a backend has received, by backend.
-func (s *elsewhere) whole() map[int][]history.Attempt {
+func (s *configuredSite) whole() map[int][]history.Attempt {
 	all := map[int][]history.Attempt{}
 	for i, b := range s.backends {
 		for _, a := range b.Attempts() {
@@ -135,7 +135,7 @@
 // TestOtherSitesServe: each class of either site is served, configured by its settings and the list alone.
 func TestOtherSitesServe(t *testing.T) {
 	for _, file := range []string{"short.json", "long.json"} {
-		at(t, file, nil, func(s *elsewhere) {
+		withConfiguredSite(t, file, nil, func(s *configuredSite) {
 			for i, name := range s.cfg.Names.Classes {
 				status, took := s.ask(i, "r"+name, "photo")
 				assert.Equal(t, 200, status, name)
@@ -150,7 +150,7 @@
 func TestOtherSitesDeadlines(t *testing.T) {
 	for _, file := range []string{"short.json", "long.json"} {
 		for class := range 4 {
-			at(t, file, nil, func(s *elsewhere) {
+			withConfiguredSite(t, file, nil, func(s *configuredSite) {
 				if class >= len(s.cfg.Names.Classes) {
 					return
 				}
@@ -175,7 +175,7 @@
 	body := strings.Repeat("z", 60_000)
 	for point, status := range map[standin.Point]int{standin.BeforeLast: 200, standin.BeforeStart: 502, standin.AfterStart: 502} {
 		for round := range 6 {
-			at(t, "short.json", nil, func(s *elsewhere) {
+			withConfiguredSite(t, "short.json", nil, func(s *configuredSite) {
 				require.Equal(t, balance.Unsafe, s.cfg.Settings.Classes[2].Effect)
 				for i, b := range s.backends {
 					if point != standin.BeforeLast || i != round { // the backend without a fault is found, or the attempts are used up
@@ -208,7 +208,7 @@
 	const window = 300 * time.Millisecond
 	for after, repeated := range map[time.Duration]bool{75 * time.Millisecond: true, 140 * time.Millisecond: true, 160 * time.Millisecond: false, 450 * time.Millisecond: false} {
 		change := strings.NewReplacer(`"RepeatWindowMs":1500.0`, `"RepeatWindowMs":300.0`)
-		at(t, "short.json", change, func(s *elsewhere) {
+		withConfiguredSite(t, "short.json", change, func(s *configuredSite) {
 			require.Equal(t, balance.Millis(300), s.cfg.Settings.Classes[1].RepeatWindow)
 			s.set(standin.Faults{Hold: true})
 			type end struct {
--- a/internal/network/slow_reader_test.go
+++ b/internal/network/slow_reader_test.go
@@ -14,7 +14,7 @@
 
 // TestSlowReaderLongDeadline: a client that waits up to 40 s, and begins to read 6 s after its answer is ready, gets all of it.
 func TestSlowReaderLongDeadline(t *testing.T) {
-	at(t, "long.json", nil, func(s *elsewhere) {
+	withConfiguredSite(t, "long.json", nil, func(s *configuredSite) {
 		near, far := net.Pipe() // buffers no byte: the write of the answer waits for the reader
 		defer far.Close()
 		go s.clients.admit(near)
