--- a/cmd/tinsail/serve.go
+++ b/cmd/tinsail/serve.go
@@ -141,14 +141,14 @@
 	d.core.Log, d.core.Guard = log, d.guard
 	d.core.OffsetWallClock(system.wallOff)
 	if d.listed = d.tellCore; cfg.Admin != "" || set.Accord != nil {
-		d.bans = &maintain.Manager{OnList: d.tellCore, Withhold: d.core.SetBanned, CloseIdle: d.pool.CloseIdleByID, Now: d.core.Now, WallClock: system.wall, Log: log}
+		d.bans = &maintain.Manager{OnList: d.tellCore, SetBanned: d.core.SetBanned, CloseIdle: d.pool.CloseIdleByID, Now: d.core.Now, WallClock: system.wall, Log: log}
 		if cfg.Admin != "" {
 			d.bans.Path = keptPath(cfg, "bans")
 			if system.store != nil {
 				d.bans.Store = system.store(maintain.File(d.bans.Path))
 			}
 		}
-		d.listed = d.bans.Listed
+		d.listed = d.bans.HandleList
 	}
 	d.director.OnList, d.director.OnAnswer = d.listed, d.core.DirectorAnswered
 	d.clients = &network.Clients{Names: &cfg.Names, Count: d.count, Core: d.core, MaxSessions: share.Clients, MaxJobSessions: share.JobSessions,
--- a/internal/fleet/quota/region.go
+++ b/internal/fleet/quota/region.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// RegionLender is a region's lender: a Holder toward the root, and a Lender toward the dispatchers whose capacity is what the
+// Region is a region's lender: a Holder toward the root, and a Lender toward the dispatchers whose capacity is what the
 // Holder holds.
-type RegionLender struct {
+type Region struct {
 	holder *Holder
 	lender *Lender
 }
@@ -13,117 +13,117 @@
 // covers a further one at any time.
 const leases = 4
 
-// NewRegionLender starts a life of a region's lender. life rises with each (the start in Unix nanoseconds). Lives of one region
+// NewRegion starts a life of a region's lender. life rises with each (the start in Unix nanoseconds). Lives of one region
 // exclude each other: the caller sees to it, or the region lends its units twice. up is the plan toward the root, down
 // that toward dispatchers.
-func NewRegionLender(up, down LeaseConfig, name string, life uint64, now Time) (*RegionLender, error) {
+func NewRegion(up, down Plan, name string, life uint64, now Time) (*Region, error) {
 	h, err := NewHolder(up, name, life, true)
 	if err != nil {
 		return nil, err
 	}
-	l, err := NewLender(down, life, now, LenderOptions{Intermediate: true})
+	l, err := NewLender(down, life, now, Options{Middle: true})
 	if err != nil {
 		return nil, err
 	}
 	if up.Lease < leases*down.Lease {
 		return nil, fmt.Errorf("quota: a region's lease of %v is not %d times its dispatchers', %v", up.Lease, leases, down.Lease)
 	}
-	return &RegionLender{h, l}, nil
+	return &Region{h, l}, nil
 }
 
-// SkipRecovery tells that no life of this region's lender lent before: nothing is waited for. To be called at the start, and only
+// Starts tells that no life of this region's lender lent before: nothing is waited for. To be called at the start, and only
 // where that is known, as by a data folder that did not exist.
-func (r *RegionLender) SkipRecovery(now Time) {
+func (r *Region) Starts(now Time) {
 	r.lender.grown(now)
-	r.holder.FinishRecovery()
+	r.holder.Known()
 }
 
-// SetReserve sets the urgent reserve, which is this region's own. To be called at the start and at each change.
-func (r *RegionLender) SetReserve(now Time, units int) {
-	r.lender.AssumeLent(now, []Allocation{{ReserveAccount, units}})
-	r.lender.SetCapacity(now, ReserveAccount, units)
+// Reserve sets the urgent reserve, which is this region's own. To be called at the start and at each change.
+func (r *Region) Reserve(now Time, units int) {
+	r.lender.Inherit(now, []Share{{Urgent, units}})
+	r.lender.Capacity(now, Urgent, units)
 }
 
-// Handle answers a dispatcher's ask; false: nothing is to be sent.
-func (r *RegionLender) Handle(now Time, a LeaseRequest) (LeaseResponse, bool) {
-	out, ok := r.lender.Handle(now, a)
+// Take answers a dispatcher's ask; false: nothing is to be sent.
+func (r *Region) Take(now Time, a Ask) (Answer, bool) {
+	out, ok := r.lender.Take(now, a)
 	r.needs()
 	return out, ok
 }
 
 // needs tells the holder what is lent and wanted. What past lives and earlier lives of this lender may have running is
 // wanted too: without it there would be no room for what the dispatchers want.
-func (r *RegionLender) needs() {
+func (r *Region) needs() {
 	for name := range r.lender.moved {
 		delete(r.lender.moved, name)
 		a := r.lender.accounts[name]
 		if a == nil {
-			r.holder.SetUsage(name, 0, 0)
-		} else if name != ReserveAccount {
+			r.holder.Need(name, 0, 0)
+		} else if name != Urgent {
 			legacy := r.lender.legacy(a)
-			r.holder.SetUsage(name, a.counted+legacy, a.want+a.past+legacy)
+			r.holder.Need(name, a.counted+legacy, a.want+a.past+legacy)
 		}
 	}
 }
 
 // sync lends what is held.
-func (r *RegionLender) sync(now Time) {
-	r.lender.SetLeaseEnd(now, r.holder.LeaseEnd())
+func (r *Region) sync(now Time) {
+	r.lender.Cover(now, r.holder.Until())
 	for _, name := range r.lender.Accounts() {
-		if k := r.holder.at[name]; name != ReserveAccount && k == nil {
-			r.lender.SetCapacity(now, name, 0)
+		if k := r.holder.at[name]; name != Urgent && k == nil {
+			r.lender.Capacity(now, name, 0)
 		}
 	}
 	r.holder.Each(func(name string, units int) {
-		if name != ReserveAccount {
-			r.lender.SetCapacity(now, name, units)
+		if name != Urgent {
+			r.lender.Capacity(now, name, units)
 		}
 	})
 }
 
-// NextRequest says whether an ask is to be sent to the root, and makes it.
-func (r *RegionLender) NextRequest(now Time) (LeaseRequest, bool) {
+// Due says whether an ask is to be sent to the root, and makes it.
+func (r *Region) Due(now Time) (Ask, bool) {
 	r.Tick(now)
-	a, due := r.holder.NextRequest(now)
+	a, due := r.holder.Due(now)
 	if due { // some may have been given back
 		r.sync(now)
 	}
 	return a, due
 }
 
-// HandleResponse takes the root's answer.
-func (r *RegionLender) HandleResponse(now Time, a LeaseResponse) {
+// Answered takes the root's answer.
+func (r *Region) Answered(now Time, a Answer) {
 	r.lender.Tick(now)
-	r.holder.HandleResponse(now, a)
-	r.lender.AssumeLent(now, r.holder.inherited)
+	r.holder.Answered(now, a)
+	r.lender.Inherit(now, r.holder.inherited)
 	r.holder.inherited = nil
 	r.sync(now)
 	r.needs()
 }
 
-// HandlePoll takes the root's nudge.
-func (r *RegionLender) HandlePoll() { r.holder.HandlePoll() }
+// Nudged takes the root's nudge.
+func (r *Region) Nudged() { r.holder.Nudged() }
 
-// TakePolls are the dispatchers that should ask now, once each.
-func (r *RegionLender) TakePolls() []string { return r.lender.TakePolls() }
+// Nudges are the dispatchers that should ask now, once each.
+func (r *Region) Nudges() []string { return r.lender.Nudges() }
 
 // Tick lets time pass.
-func (r *RegionLender) Tick(now Time) {
+func (r *Region) Tick(now Time) {
 	r.lender.Tick(now)
-	if !r.lender.Recovering() {
-		r.holder.FinishRecovery()
+	if !r.lender.Young() {
+		r.holder.Known()
 	}
 	r.needs()
 }
 
-// NextTick is when Due or Tick has something to do, if nothing else happens before.
-func (r *RegionLender) NextTick() Time { return min(r.holder.NextRequestTime(), r.lender.NextTick()) }
+// Next is when Due or Tick has something to do, if nothing else happens before.
+func (r *Region) Next() Time { return min(r.holder.Next(), r.lender.Next()) }
 
-// TakeEvents hands out what is to be logged.
-func (r *RegionLender) TakeEvents() []Event { return r.lender.TakeEvents() }
+// Notes hands out what is to be logged.
+func (r *Region) Notes() []Note { return r.lender.Notes() }
 
 // Lender is the side toward the dispatchers, to be read only.
-func (r *RegionLender) Lender() *Lender { return r.lender }
+func (r *Region) Lender() *Lender { return r.lender }
 
 // Holder is the side toward the root, to be read only.
-func (r *RegionLender) Holder() *Holder { return r.holder }
+func (r *Region) Holder() *Holder { return r.holder }
--- a/internal/network/backend_conn.go
+++ b/internal/network/backend_conn.go
@@ -176,7 +176,7 @@
 // hasUnsolicitedInput says whether bytes or the connection's end have arrived before a request is written. They cannot be
 // its reply, and a reply to an earlier request that was left unread must not be taken for it. It peeks at the kernel's
 // buffer without consuming, since the reader may not have woken yet; what the reader consumed, it recorded under the lock.
-// l.mu is held.
+// c.mu is held.
 func (c *backendConn) hasUnsolicitedInput() bool {
 	if c.raw == nil {
 		return false
@@ -230,7 +230,7 @@
 	}
 }
 
-// endExchange ends the exchange that is under way and has no write in progress. l.mu is held, and released here.
+// endExchange ends the exchange that is under way and has no write in progress. c.mu is held, and released here.
 func (c *backendConn) endExchange(x *exchange, v outcome) {
 	c.current = nil
 	switch {
@@ -338,7 +338,7 @@
 
 var errClosedByBackend = errors.New("the backend closed the connection")
 
-// checkSolicited marks the connection as closed if a read brought input while no reply was due. l.mu is held.
+// checkSolicited marks the connection as closed if a read brought input while no reply was due. c.mu is held.
 func (c *backendConn) checkSolicited(n int, err error) error {
 	if c.replyDue || n == 0 && (err == nil || errors.Is(err, os.ErrDeadlineExceeded)) {
 		return err
--- a/internal/network/backend_conn_race_test.go
+++ b/internal/network/backend_conn_race_test.go
@@ -24,12 +24,12 @@
 
 // unsolicited is what a backend may write on an idle connection.
 var unsolicited = map[string]func(c *rawConn){
-	"half a line":                      func(c *rawConn) { c.send("HTTP/1.1 503 B") },
-	"half a line of a reply's body":    func(c *rawConn) { c.send(`{"id":"b","sta`) },
-	"a whole surplus line":             func(c *rawConn) { c.send(doneLine("b")) },
-	"a reply that another never asked": func(c *rawConn) { c.send(unprocessed503) },
-	"a second answer":                  func(c *rawConn) { c.send(ok200 + doneLine("a") + end0) },
-	"one byte":                         func(c *rawConn) { c.send("\n") },
+	"half a line":                   func(c *rawConn) { c.send("HTTP/1.1 503 B") },
+	"half a line of a reply's body": func(c *rawConn) { c.send(`{"id":"b","sta`) },
+	"a whole surplus line":          func(c *rawConn) { c.send(doneLine("b")) },
+	"a reply without a request":     func(c *rawConn) { c.send(unprocessed503) },
+	"a second answer":               func(c *rawConn) { c.send(ok200 + doneLine("a") + end0) },
+	"one byte":                      func(c *rawConn) { c.send("\n") },
 }
 
 // TestUnsolicitedBytesWhileIdle: bytes that arrive on an idle connection are not taken for the answer to the next request,
@@ -151,11 +151,11 @@
 // TestTwoRepliesWhileWriting: two replies arrive before the write of the request has returned. The first one counts.
 func TestTwoRepliesWhileWriting(t *testing.T) {
 	r := newPoolRig(t)
-	dial, judged := r.pool.Dial, make(chan struct{})
+	dial, handled := r.pool.Dial, make(chan struct{})
 	r.pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-		ours, err := dial(ctx, address)
-		reads, once := 0, sync.OnceFunc(func() { close(judged) })
-		return &hookedConn{Conn: ours, beforeDeadline: func(time.Time) {}, afterWrite: func() { <-judged }, beforeClose: once, beforeRead: func() {
+		conn, err := dial(ctx, address)
+		reads, once := 0, sync.OnceFunc(func() { close(handled) })
+		return &hookedConn{Conn: conn, beforeDeadline: func(time.Time) {}, afterWrite: func() { <-handled }, beforeClose: once, beforeRead: func() {
 			if reads++; reads > 1 { // the input of the first read has been handled
 				once()
 			}
@@ -193,7 +193,7 @@
 		r := newPoolRig(t)
 		dial := r.pool.Dial
 		r.pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-			ours, err := dial(ctx, address)
+			conn, err := dial(ctx, address)
 			if err == nil {
 				if c := r.accept(); reset {
 					c.SetLinger(0)
@@ -201,9 +201,9 @@
 				} else {
 					c.CloseWrite()
 				}
-				awaitRemoteClose(t, ours)
+				awaitRemoteClose(t, conn)
 			}
-			return ours, err
+			return conn, err
 		}
 		a := r.newExchange("a", nil)
 		r.pool.startExchange(a.exchange)
@@ -217,11 +217,11 @@
 	r := newPoolRig(t)
 	dial := r.pool.Dial
 	r.pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-		ours, err := dial(ctx, address)
+		conn, err := dial(ctx, address)
 		c := r.accept()
 		c.send(unprocessed503)
 		c.awaitDelivery()
-		return ours, err
+		return conn, err
 	}
 	a := r.newExchange("a", nil)
 	r.pool.startExchange(a.exchange)
@@ -309,9 +309,9 @@
 	r := newPoolRig(t)
 	dial := r.pool.Dial
 	r.pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-		ours, err := dial(ctx, address)
+		conn, err := dial(ctx, address)
 		c := r.accept()
-		return &hookedConn{Conn: ours, beforeDeadline: func(at time.Time) {
+		return &hookedConn{Conn: conn, beforeDeadline: func(at time.Time) {
 			if !at.IsZero() {
 				c.Close()
 				for r.pool.OpenConnections() > 0 { // until its reader has ended
@@ -336,12 +336,12 @@
 	y := r.newExchange("b", nil)
 	dial, first := r.pool.Dial, true
 	r.pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-		ours, err := dial(ctx, address)
+		conn, err := dial(ctx, address)
 		if !first {
-			return ours, err
+			return conn, err
 		}
 		first = false
-		return &hookedConn{Conn: ours, beforeDeadline: func(at time.Time) {
+		return &hookedConn{Conn: conn, beforeDeadline: func(at time.Time) {
 			if !at.IsZero() && y.begun.CompareAndSwap(false, true) {
 				r.pool.startExchange(y.exchange)
 				r.expectOnNewConn(nil, y)
@@ -359,8 +359,8 @@
 	dial, woken := r.pool.Dial, make(chan struct{}, 1000)
 	var reading atomic.Bool
 	r.pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-		ours, err := dial(ctx, address)
-		return &hookedConn{Conn: ours, beforeDeadline: func(time.Time) {}, beforeRead: func() { reading.Store(true) }, afterRead: func(err error) {
+		conn, err := dial(ctx, address)
+		return &hookedConn{Conn: conn, beforeDeadline: func(time.Time) {}, beforeRead: func() { reading.Store(true) }, afterRead: func(err error) {
 			reading.Store(false)
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				select {
--- a/internal/network/backend_conn_rig_test.go
+++ b/internal/network/backend_conn_rig_test.go
@@ -24,9 +24,9 @@
 )
 
 // These tests force each order of two concurrent events on a connection to a backend, over loopback sockets: by a callback
-// during which the backend writes, or by a dial that waits. hang is the timeout of a test that would never end; no
+// during which the backend writes, or by a dial that waits. rigTimeout is the timeout of a test that would never end; no
 // assertion depends on it.
-const hang = 20 * time.Second
+const rigTimeout = 20 * time.Second
 
 // rawBackend is a listener whose connections a test reads and writes byte by byte.
 type rawBackend struct {
@@ -54,7 +54,7 @@
 				return
 			}
 			b.made.Add(1)
-			c.SetDeadline(time.Now().Add(hang))
+			c.SetDeadline(time.Now().Add(rigTimeout))
 			t.Cleanup(func() { c.Close() })
 			select {
 			case b.conns <- &rawConn{t, c.(*net.TCPConn), bufio.NewReader(c)}:
@@ -72,7 +72,7 @@
 	select {
 	case c := <-b.conns:
 		return c
-	case <-time.After(hang):
+	case <-time.After(rigTimeout):
 		require.Fail(b.t, "no connection came")
 		return nil
 	}
@@ -151,7 +151,7 @@
 	select {
 	case e := <-y.ends:
 		return e
-	case <-time.After(hang):
+	case <-time.After(rigTimeout):
 		require.Fail(t, "the exchange never ended")
 		return exchangeEnd{}
 	}
@@ -169,7 +169,7 @@
 func newPoolRig(t *testing.T) *poolRig {
 	r := &poolRig{rawBackend: newRawBackend(t)}
 	r.backend = &core.Backend{ID: 1, Name: "s", Address: r.address()}
-	r.pool = &Pool{Names: &platform.Names{}, Count: &counters.Set{}, ConnectTimeout: hang, IdleTimeout: time.Hour, MaxConnections: 8}
+	r.pool = &Pool{Names: &platform.Names{}, Count: &counters.Set{}, ConnectTimeout: rigTimeout, IdleTimeout: time.Hour, MaxConnections: 8}
 	r.pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 		c, err := DialTCP(ctx, address)
 		r.mu.Lock()
@@ -218,7 +218,7 @@
 	case c = <-r.conns:
 	case e := <-y.ends:
 		require.Fail(r.t, "the request ended on the old connection", "%v %q", e.ending, e.result)
-	case <-time.After(hang):
+	case <-time.After(rigTimeout):
 		require.Fail(r.t, "the request came on no new connection")
 	}
 	got, err := c.req()
--- a/internal/network/backends.go
+++ b/internal/network/backends.go
@@ -56,8 +56,8 @@
 	probe       bool // the reply's body is a load report, not lines
 	id          string
 	mayBegin    func() bool
-	stillWanted func() bool                            // false once the request was answered, its client has gone or the attempt was stopped
-	onBegan     func(at time.Time, told time.Duration) // the first byte was written; nil for a probe
+	stillWanted func() bool                                  // false once the request was answered, its client has gone or the attempt was stopped
+	onBegan     func(at time.Time, advertised time.Duration) // the first byte was written; nil for a probe
 	onStarted   func()
 	onProgress  func(float64)
 	onEnded     func(core.Ending, string, []float32)
@@ -235,17 +235,17 @@
 }
 
 // Resize changes the limit of connections. Idle ones beyond it are closed; those that carry a request go on.
-func (p *Pool) Resize(most int) {
+func (p *Pool) Resize(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.MaxConnections = most
-	for closing := p.open - most; closing > 0; closing-- {
-		l := p.oldestIdle()
-		if l == nil {
+	p.MaxConnections = limit
+	for closing := p.open - limit; closing > 0; closing-- {
+		c := p.oldestIdle()
+		if c == nil {
 			return
 		}
-		p.removeIdle(l)
-		l.conn.Close() // its reader lowers p.open a moment later
+		p.removeIdle(c)
+		c.conn.Close() // its reader lowers p.open a moment later
 	}
 }
 
--- a/internal/network/budgets/budgets.go
+++ b/internal/network/budgets/budgets.go
@@ -134,49 +134,49 @@
 }
 
 // Share returns what this dispatcher may spend now, in units per second.
-func (d *Holder) Share() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.holder.Share(d.clock.Now())
+func (h *Holder) Share() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.holder.Share(h.clock.Now())
 }
 
 // Replan puts a changed plan in force (budget.Holder.Replan). If it is smaller, the share
 // falls to the new reserve at once and the holder asks again. The lease and the interval of asking
 // stay as they were at the start.
-func (d *Holder) Replan(p budget.Plan) error {
-	if p.Name != d.name {
-		return fmt.Errorf("plan of budget %q given to the holder of budget %q", p.Name, d.name)
+func (h *Holder) Replan(p budget.Plan) error {
+	if p.Name != h.name {
+		return fmt.Errorf("plan of budget %q given to the holder of budget %q", p.Name, h.name)
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.holder.Replan(p)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.holder.Replan(p)
 }
 
 // Close stops asking; the share falls to the reserve when the lease ends.
-func (d *Holder) Close() { d.conn.Close() }
+func (h *Holder) Close() { h.conn.Close() }
 
-func (d *Holder) sendAsks() {
-	tick := time.NewTicker(d.plan.Renew() / 4)
+func (h *Holder) sendAsks() {
+	tick := time.NewTicker(h.plan.Renew() / 4)
 	defer tick.Stop()
 	var out []byte
 	for range tick.C {
-		d.mu.Lock()
-		a, due := d.holder.Due(d.clock.Now())
-		d.mu.Unlock()
+		h.mu.Lock()
+		a, due := h.holder.Due(h.clock.Now())
+		h.mu.Unlock()
 		if !due {
 			continue
 		}
-		out = wire.AppendAsk(out[:0], d.name, a)
-		if _, err := d.conn.Write(out); err != nil && isClosed(err) {
+		out = wire.AppendAsk(out[:0], h.name, a)
+		if _, err := h.conn.Write(out); err != nil && isClosed(err) {
 			return
 		}
 	}
 }
 
-func (d *Holder) receive() {
+func (h *Holder) receive() {
 	buf := make([]byte, wire.MaxMessage+1)
 	for {
-		n, err := d.conn.Read(buf)
+		n, err := h.conn.Read(buf)
 		if err != nil {
 			if isClosed(err) {
 				return
@@ -184,12 +184,12 @@
 			continue // a datagram was refused: the keeper does not run at the moment
 		}
 		m, err := wire.Read(buf[:n])
-		if err != nil || m.Grant == nil || m.Budget != d.name {
+		if err != nil || m.Grant == nil || m.Budget != h.name {
 			continue
 		}
-		d.mu.Lock()
-		d.holder.Granted(d.clock.Now(), *m.Grant)
-		d.mu.Unlock()
+		h.mu.Lock()
+		h.holder.Granted(h.clock.Now(), *m.Grant)
+		h.mu.Unlock()
 	}
 }
 
--- a/internal/network/configured_site_test.go
+++ b/internal/network/configured_site_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// whole returns the attempts whose last byte a backend has received, by backend.
-func (s *configuredSite) whole() map[int][]history.Attempt {
+// fullyReceived returns the attempts whose last byte a backend has received, by backend.
+func (s *configuredSite) fullyReceived() map[int][]history.Attempt {
 	all := map[int][]history.Attempt{}
 	for i, b := range s.backends {
 		for _, a := range b.Attempts() {
@@ -191,7 +191,7 @@
 				}
 				time.Sleep(5 * time.Second) // for any later attempt
 				runs := 0
-				for _, list := range s.whole() {
+				for _, list := range s.fullyReceived() {
 					runs += len(list)
 				}
 				assert.LessOrEqual(t, runs, 1, "point %d", point)
@@ -221,7 +221,7 @@
 				ended <- end{status, took}
 			}()
 			synctest.Wait()
-			first := s.whole()
+			first := s.fullyReceived()
 			require.Len(t, first, 1)
 			time.Sleep(after)
 			for i := range s.backends {
@@ -236,7 +236,7 @@
 			time.Sleep(5 * time.Second)
 			for i, list := range first {
 				sent := list[0].Last
-				for j, more := range s.whole() {
+				for j, more := range s.fullyReceived() {
 					if j == i {
 						assert.Len(t, more, 1)
 						continue
--- a/internal/network/connect_race_test.go
+++ b/internal/network/connect_race_test.go
@@ -82,7 +82,7 @@
 
 // stepUntil steps the core until a condition holds.
 func (d *coreRig) stepUntil(until func() bool) {
-	for end := time.Now().Add(hang); !until(); time.Sleep(50 * time.Microsecond) {
+	for end := time.Now().Add(rigTimeout); !until(); time.Sleep(50 * time.Microsecond) {
 		d.core.Step()
 		if !time.Now().Before(end) {
 			d.pool.Count.Print(os.Stderr, counters.Names{Endings: core.Endings()})
@@ -112,7 +112,7 @@
 		d.takeReq("b")
 		got, err := c.req()
 		require.NoError(t, err)
-		assert.Equal(t, "b", got, "heard %v", processed)
+		assert.Equal(t, "b", got, "the client's end processed: %v", processed)
 	}
 }
 
--- a/internal/network/director.go
+++ b/internal/network/director.go
@@ -183,9 +183,9 @@
 }
 
 func newDestination(address string, replaced bool) *destination {
-	p := &destination{address: address, replaced: replaced}
-	p.ctx, p.cancel = context.WithCancel(context.Background())
-	return p
+	dest := &destination{address: address, replaced: replaced}
+	dest.ctx, dest.cancel = context.WithCancel(context.Background())
+	return dest
 }
 
 // currentDestination returns where the next call goes.
--- a/internal/network/director_fault_test.go
+++ b/internal/network/director_fault_test.go
@@ -90,7 +90,7 @@
 					for b := range 3 {
 						w.add(c.drained(b).Sub(c.began.Add(end))-grace, "grace %v: %s from %v, %s from %v to %v, drain %d", grace, first, from, second, mid, end, b)
 					}
-					assert.LessOrEqual(t, c.busiest(), int(10*time.Second/min(grace, drainGrace)), "connections in a second, grace %v", grace)
+					assert.LessOrEqual(t, c.peakRate(), int(10*time.Second/min(grace, drainGrace)), "connections in a second, grace %v", grace)
 				})
 			}
 		}
--- a/internal/network/director_loopback_test.go
+++ b/internal/network/director_loopback_test.go
@@ -25,7 +25,7 @@
 type loopback struct {
 	t     *testing.T
 	l     *net.TCPListener
-	dir   *Director
+	watch *Director
 	lists chan []core.Entry
 }
 
@@ -34,7 +34,7 @@
 	require.NoError(t, err)
 	b := &loopback{t: t, l: l, lists: make(chan []core.Entry, 100)}
 	stop := make(chan struct{})
-	b.dir = &Director{Names: &platform.Names{}, Count: &counters.Set{}, Address: l.Addr().String(), Dial: DialTCP, Stop: stop, Timings: timings,
+	b.watch = &Director{Names: &platform.Names{}, Count: &counters.Set{}, Address: l.Addr().String(), Dial: DialTCP, Stop: stop, Timings: timings,
 		OnList: func(kind balance.ListKind, list []core.Entry) {
 			if kind != balance.ListFailed {
 				b.lists <- list
@@ -104,7 +104,7 @@
 		timings := shortTimings
 		timings.SilenceSlack = time.Minute
 		b := newLoopback(t, timings)
-		b.dir.Subscribe()
+		b.watch.Subscribe()
 		c, _ := b.call()
 		_, _ = io.WriteString(c, whole[:cut])
 		if i%2 == 1 {
@@ -131,7 +131,7 @@
 	timings := shortTimings
 	timings.SilenceSlack = time.Minute
 	b := newLoopback(t, timings)
-	b.dir.Subscribe()
+	b.watch.Subscribe()
 	c, _ := b.call()
 	_, _ = io.WriteString(c, whole[:len(whole)/2])
 	require.NoError(t, c.SetLinger(0))
@@ -148,7 +148,7 @@
 	for name, begins := range map[string]string{"nothing": "", "half a head": "HTTP/1.1 20", "a chunk": listHead + "100000\r\n{"} {
 		t.Run(name, func(t *testing.T) {
 			b := newLoopback(t, shortTimings)
-			b.dir.Subscribe()
+			b.watch.Subscribe()
 			first, _ := b.call()
 			_, _ = io.WriteString(first, begins)
 			ended := make(chan struct{})
@@ -184,21 +184,21 @@
 			timings.ConnectTimeout = time.Minute
 		}
 		b := newLoopback(t, timings)
-		hung, hungOnce := make(chan struct{}, 1), false
-		at := b.dir.Address
-		b.dir.Dial = func(ctx context.Context, address string) (net.Conn, error) {
+		hanging, hungOnce := make(chan struct{}, 1), false
+		at := b.watch.Address
+		b.watch.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 			if !hungOnce { // one call at a time: the first has ended before the second begins
 				hungOnce = true
-				hung <- struct{}{}
+				hanging <- struct{}{}
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
 			return DialTCP(ctx, at)
 		}
-		b.dir.Subscribe()
-		<-hung
+		b.watch.Subscribe()
+		<-hanging
 		if moved {
-			b.dir.Redirect("elsewhere")
+			b.watch.Redirect("elsewhere")
 		}
 		c, head := b.call()
 		assert.Equal(t, moved, !strings.Contains(head, "since="), "the full list is asked for at a new address")
--- a/internal/network/director_rig_test.go
+++ b/internal/network/director_rig_test.go
@@ -31,15 +31,15 @@
 type fault string
 
 const (
-	healthy     fault = "well"
+	healthy     fault = "healthy"
 	refused     fault = "refused" // the connection is refused; an open one is reset
 	hangs       fault = "hangs"   // the connection is never established; an open one is silent from then on
 	mute        fault = "silent"
-	resets      fault = "reset"   // once the call has arrived
-	unavailable fault = "503"     // answered with 503, as by another machine
-	truncated   fault = "breaks"  // the connection is closed in the middle of an answer
-	endless     fault = "endless" // an answer that goes on byte by byte
-	malformed   fault = "spoilt"  // a complete answer that is not a list
+	resets      fault = "reset"     // once the call has arrived
+	unavailable fault = "503"       // answered with 503, as by another machine
+	truncated   fault = "breaks"    // the connection is closed in the middle of an answer
+	endless     fault = "endless"   // an answer that goes on byte by byte
+	malformed   fault = "malformed" // a complete answer that is not a list
 )
 
 var faults = []fault{refused, hangs, mute, resets, unavailable, truncated, endless, malformed}
@@ -160,17 +160,17 @@
 	return time.Now()
 }
 
-// busiest returns the largest number of connections within any second.
-func (c *watchRig) busiest() (most int) {
+// peakRate returns the largest number of connections within any second.
+func (c *watchRig) peakRate() (peak int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, j := 0, 0; j < len(c.dials); j++ {
 		for c.dials[j].Sub(c.dials[i]) >= time.Second {
 			i++
 		}
-		most = max(most, j-i+1)
+		peak = max(peak, j-i+1)
 	}
-	return most
+	return peak
 }
 
 // injectAll injects a fault into the calls under way.
@@ -226,14 +226,14 @@
 	if err != nil {
 		return nil, err
 	}
-	ours, near := net.Pipe()
+	dialled, near := net.Pipe()
 	l := &relayedConn{c: c, near: near, far: far, own: own}
 	c.mu.Lock()
 	c.conns[l] = true
 	c.mu.Unlock()
 	go l.relayCalls()
 	go l.relayAnswers()
-	return ours, nil
+	return dialled, nil
 }
 
 // relayCalls relays calls to the stand-in, or injects a fault.
@@ -283,14 +283,14 @@
 		case refused, resets:
 			l.near.Close()
 		case unavailable:
-			go l.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\n\r\nno")
+			go l.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\n\r\nno")
 		case truncated:
-			go func() { l.say(listHead + "100\r\n{\"index\":9,\"snapshot\":true,"); l.near.Close() }()
+			go func() { l.write(listHead + "100\r\n{\"index\":9,\"snapshot\":true,"); l.near.Close() }()
 		case malformed:
-			go l.say(listHead + "f\r\n{\"index\":\"gone\"\r\n0\r\n\r\n")
+			go l.write(listHead + "f\r\n{\"index\":\"gone\"\r\n0\r\n\r\n")
 		case endless:
 			go func() {
-				for ok := l.say(listHead); ok; ok = l.say("1\r\n \r\n") {
+				for ok := l.write(listHead); ok; ok = l.write("1\r\n \r\n") {
 					time.Sleep(300 * time.Millisecond)
 				}
 			}()
@@ -298,7 +298,7 @@
 	})
 }
 
-func (l *relayedConn) say(text string) bool {
+func (l *relayedConn) write(text string) bool {
 	_, err := l.near.Write([]byte(text))
 	return err == nil
 }
--- a/internal/network/director_silence_test.go
+++ b/internal/network/director_silence_test.go
@@ -43,7 +43,7 @@
 				})
 			}
 			t.Logf("worst %v, where the watch fell silent %v after its start; %d changes late", worst, when, bad)
-			assert.LessOrEqual(t, worst, time.Duration(0), "later than half a second after a change counted as told, by this much")
+			assert.LessOrEqual(t, worst, time.Duration(0), "later than half a second after a change counted as published, by this much")
 		})
 	}
 }
@@ -52,10 +52,10 @@
 // newest change arrives within half a second after it counts as published, and the number of calls in the outage is
 // limited, though the settings name no interval of asking.
 func TestAgentOutage(t *testing.T) {
-	const maxCallsPerSecond = 20 // per second: one in 50 ms
+	const maxCallRate = 20 // per second: one in 50 ms
 	for _, refused := range []bool{false, true} {
 		t.Run(fmt.Sprintf("refused %v", refused), func(t *testing.T) {
-			worst, when, most := -time.Hour, "", 0
+			worst, when, peak := -time.Hour, "", 0
 			for _, length := range []time.Duration{time.Second, 3 * time.Second, 6 * time.Second, 8 * time.Second, 15 * time.Second} {
 				for after := time.Duration(0); after < 4500*time.Millisecond; after += 450 * time.Millisecond {
 					runDirector(t, true, func(w *directorFixture) {
@@ -71,30 +71,30 @@
 						if l := w.lateness(last); l > worst {
 							worst, when = l, fmt.Sprintf("%v into the watch, for %v", after, length)
 						}
-						most = max(most, w.busiest())
+						peak = max(peak, w.peakRate())
 					})
 				}
 			}
-			t.Logf("worst %v, in an outage %s; most connections or calls in a second %d", worst, when, most)
-			assert.LessOrEqual(t, worst, time.Duration(0), "later than half a second after a change counted as told, by this much")
-			assert.LessOrEqual(t, most, maxCallsPerSecond, "connections or calls to the agent in a second")
+			t.Logf("worst %v, in an outage %s; most connections or calls in a second %d", worst, when, peak)
+			assert.LessOrEqual(t, worst, time.Duration(0), "later than half a second after a change counted as published, by this much")
+			assert.LessOrEqual(t, peak, maxCallRate, "connections or calls to the agent in a second")
 		})
 	}
 }
 
-// busiest returns the largest number of connections or calls in one second of the clock.
-func (w *directorFixture) busiest() (most int) {
+// peakRate returns the largest number of connections or calls in one second of the clock.
+func (w *directorFixture) peakRate() (peak int) {
 	calls := map[int64]int{}
 	for _, c := range w.seat.Calls() {
 		calls[c.At.Unix()]++
-		most = max(most, calls[c.At.Unix()])
+		peak = max(peak, calls[c.At.Unix()])
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range w.dials {
-		most = max(most, n)
+		peak = max(peak, n)
 	}
-	return most
+	return peak
 }
 
 // TestNoSendToDrainedBackend: clients keep a dispatcher busy while its watch falls silent and drains are
@@ -108,11 +108,11 @@
 				time.Sleep(after)
 				s.seat.Silence()
 				time.Sleep(10 * time.Millisecond)
-				gone := []standin.Change{s.director.Set(s.backends[0].Entry("", "", 1, "Terminating"))}
+				drains := []standin.Change{s.director.Set(s.backends[0].Entry("", "", 1, "Terminating"))}
 				time.Sleep(3 * time.Second)
-				gone = append(gone, s.director.Set(s.backends[1].Entry("", "", 1, "Terminating")))
+				drains = append(drains, s.director.Set(s.backends[1].Entry("", "", 1, "Terminating")))
 				all.Wait()
-				for _, c := range gone {
+				for _, c := range drains {
 					s.history.Drained(history.Drain{Node: "n", Backend: c.Name, From: s.seat.Told(c, s.terms)})
 				}
 				b := s.judge()
--- a/internal/network/director_test.go
+++ b/internal/network/director_test.go
@@ -96,20 +96,20 @@
 		c1 send GET /health/ready HTTP/1.1\r\n\r\n
 		c1 expect 200`
 	for name, rest := range map[string]string{
-		"the new one tells": `
+		"the backup call answers": `
 			d/2 send ` + drainedListReply + `
 			d/1 expect closed
 			c1 send GET /health/ready HTTP/1.1\r\n\r\n
 			c1 expect 503
 			d/2 expect GET /registry/instances?since=44&timeout_ms=2500`,
-		"the old one was only late": `
+		"the silent call was only late": `
 			d/1 send ` + drainedListReply + `
 			c1 send GET /health/ready HTTP/1.1\r\n\r\n
 			c1 expect 503
 			d/2 expect nothing
 			d/2 send HTTP/1.1 200 OK\r\nContent-Length: 44\r\n\r\n{"index":44,"snapshot":false,"endpoints":[]}
 			d/2 expect GET /registry/instances?since=44&timeout_ms=2500`,
-		"the old one says what is past": `
+		"the silent call is given up": `
 			d/2 send HTTP/1.1 200 OK\r\nContent-Length: 44\r\n\r\n{"index":45,"snapshot":false,"endpoints":[]}
 			d/1 expect closed
 			d/2 expect GET /registry/instances?since=45&timeout_ms=2500
--- a/internal/network/handoff/server.go
+++ b/internal/network/handoff/server.go
@@ -98,23 +98,23 @@
 }
 
 // add adds c, and closes the oldest connection if the limit is reached.
-func (u *pendingHellos) add(c *net.UnixConn) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if len(u.conns) == maxPendingHellos {
-		u.conns[0].Close() // its reader fails, and its goroutine removes it
-		u.conns = u.conns[1:]
-	}
-	u.conns = append(u.conns, c)
+func (p *pendingHellos) add(c *net.UnixConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.conns) == maxPendingHellos {
+		p.conns[0].Close() // its reader fails, and its goroutine removes it
+		p.conns = p.conns[1:]
+	}
+	p.conns = append(p.conns, c)
 }
 
 // remove removes c: its hello is complete, or it has ended.
-func (u *pendingHellos) remove(c *net.UnixConn) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for i, o := range u.conns {
+func (p *pendingHellos) remove(c *net.UnixConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for i, o := range p.conns {
 		if o == c {
-			u.conns = append(u.conns[:i], u.conns[i+1:]...)
+			p.conns = append(p.conns[:i], p.conns[i+1:]...)
 			return
 		}
 	}
--- a/internal/network/maintain/maintain.go
+++ b/internal/network/maintain/maintain.go
@@ -20,7 +20,7 @@
 	Path      string // of the file; empty for none
 	Store     Store  // used in place of a file at Path, if set
 	OnList    func(balance.ListKind, []core.Entry)
-	Withhold  func(map[balance.WorkerID]struct{}) // has the core send nothing to these backends; in force when it returns
+	SetBanned func(map[balance.WorkerID]struct{}) // has the core send nothing to these backends; in force when it returns
 	CloseIdle func(balance.WorkerID)              // closes the idle connections to a backend
 	Now       func() float64                      // the core's clock, in Unix ms; nil for the wall clock
 	WallClock func() time.Time                    // nil for the system's clock
@@ -71,8 +71,8 @@
 	return stored.OutOfService
 }
 
-// Listed handles a list of a source, in place of the core, and passes it on with the bans applied.
-func (m *Manager) Listed(kind balance.ListKind, list []core.Entry) {
+// HandleList handles a list of a source, in place of the core, and passes it on with the bans applied.
+func (m *Manager) HandleList(kind balance.ListKind, list []core.Entry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	in := make([]maintenance.Backend, len(list))
@@ -141,12 +141,12 @@
 
 // apply applies the bans and the changed states of backends to the core and the pool. m.mu is held.
 func (m *Manager) apply(change []maintenance.Backend) {
-	withheld := map[balance.WorkerID]struct{}{}
+	banned := map[balance.WorkerID]struct{}{}
 	for _, name := range m.bans.AllBanned() {
-		withheld[balance.WorkerID(platform.Hash(name))] = struct{}{}
+		banned[balance.WorkerID(platform.Hash(name))] = struct{}{}
 	}
-	m.Withhold(withheld)
-	for id := range withheld {
+	m.SetBanned(banned)
+	for id := range banned {
 		m.CloseIdle(id)
 	}
 	if len(change) > 0 {
--- a/internal/network/maintain/maintain_test.go
+++ b/internal/network/maintain/maintain_test.go
@@ -18,22 +18,22 @@
 
 // recorder stands in for the core and the pool around a Manager, and records the order of its calls.
 type recorder struct {
-	calls    []string
-	withheld map[balance.WorkerID]struct{}
-	states   map[string]balance.State
+	calls  []string
+	banned map[balance.WorkerID]struct{}
+	states map[string]balance.State
 }
 
 func newManager(path string) (*Manager, *recorder) {
 	b := &recorder{states: map[string]balance.State{}}
 	return &Manager{Path: path, Log: zerolog.Nop(),
 		OnList: func(_ balance.ListKind, list []core.Entry) {
-			b.calls = append(b.calls, "told")
+			b.calls = append(b.calls, "list")
 			for i := range list {
 				b.states[list[i].Name] = list[i].State
 			}
 		},
-		Withhold:  func(ids map[balance.WorkerID]struct{}) { b.calls, b.withheld = append(b.calls, "withheld"), ids },
-		CloseIdle: func(balance.WorkerID) { b.calls = append(b.calls, "hung up") }}, b
+		SetBanned: func(ids map[balance.WorkerID]struct{}) { b.calls, b.banned = append(b.calls, "set banned"), ids },
+		CloseIdle: func(balance.WorkerID) { b.calls = append(b.calls, "close idle") }}, b
 }
 
 func ready(names ...string) (list []core.Entry) {
@@ -49,11 +49,11 @@
 	path := filepath.Join(t.TempDir(), "bans")
 	d, b := newManager(path)
 	assert.False(t, d.Load(), "no file yet")
-	d.Listed(balance.ListFull, ready("a", "b"))
+	d.HandleList(balance.ListFull, ready("a", "b"))
 	b.calls = nil
 	require.NoError(t, d.Offline("a"))
-	assert.Equal(t, []string{"withheld", "hung up", "told"}, b.calls)
-	assert.Contains(t, b.withheld, balance.WorkerID(platform.Hash("a")))
+	assert.Equal(t, []string{"set banned", "close idle", "list"}, b.calls)
+	assert.Contains(t, b.banned, balance.WorkerID(platform.Hash("a")))
 	assert.Equal(t, balance.Draining, b.states["a"])
 	require.NoError(t, d.SetOutOfService(true))
 	files, err := filepath.Glob(filepath.Join(filepath.Dir(path), "*"))
@@ -62,11 +62,11 @@
 
 	next, b2 := newManager(path)
 	assert.True(t, next.Load(), "out of service, as the former process was")
-	assert.Contains(t, b2.withheld, balance.WorkerID(platform.Hash("a")))
-	next.Listed(balance.ListCached, ready("a", "b"))
+	assert.Contains(t, b2.banned, balance.WorkerID(platform.Hash("a")))
+	next.HandleList(balance.ListCached, ready("a", "b"))
 	assert.Equal(t, map[string]balance.State{"a": balance.Draining, "b": balance.Ready}, b2.states)
 	require.NoError(t, next.Online("a"))
-	assert.Empty(t, b2.withheld)
+	assert.Empty(t, b2.banned)
 	assert.Equal(t, balance.Ready, b2.states["a"])
 }
 
@@ -79,7 +79,7 @@
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		d, b := newManager(path)
 		assert.False(t, d.Load())
-		d.Listed(balance.ListFull, ready("a"))
+		d.HandleList(balance.ListFull, ready("a"))
 		assert.Equal(t, balance.Ready, b.states["a"], text)
 		require.NoError(t, d.Offline("a"))
 		next, _ := newManager(path)
@@ -91,16 +91,16 @@
 // TestShareWithOtherProcess: a call is sent to the other process, and marks that come from there are not sent back.
 func TestShareWithOtherProcess(t *testing.T) {
 	d, _ := newManager("")
-	d.Listed(balance.ListFull, ready("a", "b"))
+	d.HandleList(balance.ListFull, ready("a", "b"))
 	require.NoError(t, d.Offline("b"))
-	var told []maintenance.Mark
-	assert.Len(t, d.ShareWith(func(m maintenance.Mark) { told = append(told, m) }), 1)
+	var sent []maintenance.Mark
+	assert.Len(t, d.ShareWith(func(m maintenance.Mark) { sent = append(sent, m) }), 1)
 	require.NoError(t, d.Offline("a"))
-	require.Len(t, told, 1)
-	assert.Equal(t, "a", told[0].Name)
-	d.Merge([]maintenance.Mark{{Name: "a", At: told[0].At + 1}})
+	require.Len(t, sent, 1)
+	assert.Equal(t, "a", sent[0].Name)
+	d.Merge([]maintenance.Mark{{Name: "a", At: sent[0].At + 1}})
 	assert.Equal(t, []string{"b"}, d.Banned())
-	assert.Len(t, told, 1)
+	assert.Len(t, sent, 1)
 	assert.ErrorIs(t, d.Online("c"), ErrUnknown)
 }
 
@@ -120,14 +120,14 @@
 			d, b := newManager(path)
 			clocked(d, 0)
 			started := map[string]float64{}
-			told := d.OnList
+			onList := d.OnList
 			d.OnList = func(kind balance.ListKind, list []core.Entry) {
-				told(kind, list)
+				onList(kind, list)
 				for i := range list {
 					started[list[i].Name] = list[i].Started
 				}
 			}
-			d.Listed(balance.ListFull, ready("a"))
+			d.HandleList(balance.ListFull, ready("a"))
 			if !during {
 				wall += step
 			}
@@ -149,13 +149,13 @@
 				}
 			}
 			next.Load()
-			next.Listed(balance.ListCached, ready("a"))
+			next.HandleList(balance.ListCached, ready("a"))
 			assert.InDelta(t, mono+777_000-2000, started["a"], 1, "by the file")
 			other, _ := newManager("")
 			clocked(other, -5000)
 			other.OnList = next.OnList
 			other.Merge(d.ShareWith(func(maintenance.Mark) {}))
-			other.Listed(balance.ListCached, ready("a"))
+			other.HandleList(balance.ListCached, ready("a"))
 			assert.InDelta(t, mono-5000-2000, started["a"], 1, "by a hand-over")
 		}
 	}
--- a/internal/network/maintain/store_test.go
+++ b/internal/network/maintain/store_test.go
@@ -50,7 +50,7 @@
 				d.Each(func(name string, n int64) { all[name] = n })
 				return all
 			}
-			d.Listed(balance.ListFull, ready("a"))
+			d.HandleList(balance.ListFull, ready("a"))
 			assert.ErrorIs(t, d.Offline("a"), errno)
 			assert.Equal(t, balance.Draining, b.states["a"], "in force in this process")
 			assert.EqualValues(t, 1, counts()["bans_unkept"])
@@ -83,14 +83,14 @@
 	} {
 		path := filepath.Join(t.TempDir(), "bans")
 		d, _ := newManager(path)
-		d.Listed(balance.ListFull, ready("a", "b"))
+		d.HandleList(balance.ListFull, ready("a", "b"))
 		require.NoError(t, d.Offline("a"))
 		require.NoError(t, d.SetOutOfService(true)) // the former generation holds the ban as well
 		leave(path)
 		next, b := newManager(path)
 		next.Load()
 		assert.Equal(t, []string{"a"}, next.Banned(), name)
-		next.Listed(balance.ListFull, ready("a", "b"))
+		next.HandleList(balance.ListFull, ready("a", "b"))
 		assert.Equal(t, balance.Draining, b.states["a"], name)
 		require.NoError(t, next.Online("a"))
 		files, err := filepath.Glob(path + "*")
@@ -106,7 +106,7 @@
 	for _, name := range []string{"a", "b"} { // the incomplete file of another process
 		require.NoError(t, os.WriteFile(fmt.Sprintf("%s.%d", path, os.Getpid()+1), []byte("half"), 0o600))
 		d, _ := newManager(path)
-		d.Listed(balance.ListFull, ready("a", "b"))
+		d.HandleList(balance.ListFull, ready("a", "b"))
 		require.NoError(t, d.Offline(name))
 	}
 	texts, err := fileStore{path}.Read()
--- a/internal/network/maintain_test.go
+++ b/internal/network/maintain_test.go
@@ -17,8 +17,8 @@
 func TestBan(t *testing.T) {
 	var manager *maintain.Manager
 	begin := func(w *fixture) {
-		manager = &maintain.Manager{OnList: w.core.HandleList, Withhold: w.core.SetBanned, CloseIdle: w.pool.CloseIdleByID}
-		manager.Listed(balance.ListCached, newEntries(balance.Ready, "s1"))
+		manager = &maintain.Manager{OnList: w.core.HandleList, SetBanned: w.core.SetBanned, CloseIdle: w.pool.CloseIdleByID}
+		manager.HandleList(balance.ListCached, newEntries(balance.Ready, "s1"))
 	}
 	offline := func(*fixture) { require.NoError(t, manager.Offline("s1")) }
 	online := func(*fixture) { require.NoError(t, manager.Online("s1")) }
@@ -40,9 +40,9 @@
 		wait 100ms
 		s1/3 expect no connection`,
 		func(w *fixture) { // whatever the director lists meanwhile
-			manager.Listed(balance.ListFull, newEntries(balance.Ready, "s1"))
-			manager.Listed(balance.ListFull, nil)
-			manager.Listed(balance.ListDelta, newEntries(balance.Ready, "s1"))
+			manager.HandleList(balance.ListFull, newEntries(balance.Ready, "s1"))
+			manager.HandleList(balance.ListFull, nil)
+			manager.HandleList(balance.ListDelta, newEntries(balance.Ready, "s1"))
 		}, `
 		wait 1s
 		s1/3 expect no connection`, online, `
@@ -65,8 +65,8 @@
 func TestBanAfterFaults(t *testing.T) {
 	var manager *maintain.Manager
 	runScenario(t, nil, 9, func(w *fixture) {
-		manager = &maintain.Manager{OnList: w.core.HandleList, Withhold: w.core.SetBanned, CloseIdle: w.pool.CloseIdleByID}
-		manager.Listed(balance.ListCached, newEntries(balance.Ready, "s1"))
+		manager = &maintain.Manager{OnList: w.core.HandleList, SetBanned: w.core.SetBanned, CloseIdle: w.pool.CloseIdleByID}
+		manager.HandleList(balance.ListCached, newEntries(balance.Ready, "s1"))
 	}, `
 		s1 close
 		c1 send {req 9a x}
--- a/internal/network/site_test.go
+++ b/internal/network/site_test.go
@@ -114,13 +114,13 @@
 }
 
 // load starts clients that each send requests, with a pause after each answer, for a duration.
-func (s *site) load(clients int, rest, long time.Duration) *sync.WaitGroup {
-	all, until := &sync.WaitGroup{}, time.Now().Add(long)
+func (s *site) load(clients int, pause, duration time.Duration) *sync.WaitGroup {
+	all, until := &sync.WaitGroup{}, time.Now().Add(duration)
 	for c := range clients {
 		all.Go(func() {
 			for i := 0; time.Now().Before(until); i++ {
 				s.ask(fmt.Sprintf("%d-%d", c, i), "photo")
-				time.Sleep(rest)
+				time.Sleep(pause)
 			}
 		})
 	}
@@ -141,7 +141,7 @@
 func TestUnsafeReset(t *testing.T) {
 	const atOnce = 200 * time.Millisecond // on the fake clock: time for a new connection and a run, of a deadline of 5 s
 	body := strings.Repeat("z", 60_000)
-	for point, want := range map[standin.Point]struct{ status, whole int }{
+	for point, want := range map[standin.Point]struct{ status, received int }{
 		standin.BeforeLast: {200, 1}, standin.BeforeStart: {502, 1}, standin.AfterStart: {502, 1},
 	} {
 		for round := range 8 { // the backend that is tried first is random
@@ -156,15 +156,15 @@
 				assert.LessOrEqual(t, took, atOnce, "point %d", point)
 				time.Sleep(6 * time.Second) // for any later attempt
 				assert.Empty(t, s.judge(), "point %d", point)
-				whole := 0
+				received := 0
 				for _, b := range s.backends {
 					for _, a := range b.Attempts() {
 						if !a.Last.IsZero() {
-							whole++
+							received++
 						}
 					}
 				}
-				assert.Equal(t, want.whole, whole, "point %d", point)
+				assert.Equal(t, want.received, received, "point %d", point)
 			})
 		}
 	}
