--- a/cmd/tinsail/quotas_test.go
+++ b/cmd/tinsail/quotas_test.go
@@ -19,7 +19,7 @@
 // teamed is a configuration with teams and classes.
 func teamed() *config.Config {
 	return &config.Config{Name: "a", Names: platform.Names{Tenants: []string{"atelier", "press"}, Classes: []string{"photo", "express"},
-		Limits: []time.Duration{5 * time.Second, 2 * time.Second}}, Settings: balance.Settings{Rules: balance.Rules{AnswerSlack: 8}}}
+		Deadlines: []time.Duration{5 * time.Second, 2 * time.Second}}, Settings: balance.Settings{Rules: balance.Rules{AnswerSlack: 8}}}
 }
 
 func parsed(t *testing.T, script string) *settings.Settings {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -135,8 +135,8 @@
 		if v := c.Settings.Classes[i].Deadline; v <= 0 {
 			r.fault(at+"HardLimitMs", "is %v, want more than 0", v)
 		}
-		c.Names.Keyed = append(c.Names.Keyed, c.Settings.Classes[i].Effect == balance.Deduped)
-		c.Names.Limits = append(c.Names.Limits, millis(c.Settings.Classes[i].Deadline))
+		c.Names.RequiresKey = append(c.Names.RequiresKey, c.Settings.Classes[i].Effect == balance.Deduped)
+		c.Names.Deadlines = append(c.Names.Deadlines, millis(c.Settings.Classes[i].Deadline))
 	}
 	if r.faults != nil {
 		return
@@ -176,7 +176,7 @@
 // Longest is the longest deadline of a class.
 func (c *Config) Longest() time.Duration {
 	most := time.Duration(0)
-	for _, l := range c.Names.Limits {
+	for _, l := range c.Names.Deadlines {
 		most = max(most, l)
 	}
 	return most
--- a/internal/config/variants_test.go
+++ b/internal/config/variants_test.go
@@ -31,7 +31,7 @@
 	c, _ := variant(t, "testdata/short.json")
 	assert.Equal(t, 900*time.Millisecond, c.Longest())
 	assert.Equal(t, 2*time.Second, c.ConnIdle)
-	assert.Equal(t, []bool{false, true, false, true}, c.Names.Keyed)
+	assert.Equal(t, []bool{false, true, false, true}, c.Names.RequiresKey)
 	assert.Equal(t, balance.Class{Worth: 2, Aim: 100, Stretch: 2, Deadline: 600, Effect: balance.Deduped, Scope: balance.ScopeZone,
 		RepeatWindow: 1500, Kind: -1, Priority: 1}, c.Settings.Classes[1])
 	assert.Equal(t, balance.Unsafe, c.Settings.Classes[2].Effect)
@@ -43,7 +43,7 @@
 	c, _ = variant(t, "testdata/long.json")
 	assert.Equal(t, 40*time.Second, c.Longest())
 	assert.Equal(t, 20*time.Second, c.ConnIdle)
-	assert.Equal(t, []bool{true, false}, c.Names.Keyed)
+	assert.Equal(t, []bool{true, false}, c.Names.RequiresKey)
 	assert.Equal(t, balance.Millis(20_000), c.Settings.Classes[0].RepeatWindow)
 	assert.True(t, c.Settings.Subscribe && c.Settings.MayCancel && c.Settings.MayDuplicate && c.Settings.WorthByWork)
 	assert.Zero(t, c.Settings.MaxPause, "clients are not told a pause here")
@@ -137,21 +137,21 @@
 				if key != "" {
 					q.Fields.Add(platform.IdempotencyKey, key)
 				}
-				w, err := c.Names.Read(q)
+				w, err := c.Names.ReadJobRequest(q)
 				if key == "" && c.Settings.Classes[i].Effect == balance.Deduped {
 					assert.ErrorContains(t, err, "400: no Idempotency-Key", name)
 					continue
 				}
 				require.NoError(t, err, name)
-				assert.Equal(t, i, w.Ask.Class)
+				assert.Equal(t, i, w.Request.Class)
 				assert.Equal(t, key, w.IdempotencyKey)
-				assert.Equal(t, millis(c.Settings.Classes[i].Deadline), w.Left, name)
+				assert.Equal(t, millis(c.Settings.Classes[i].Deadline), w.TimeLeft, name)
 			}
 		}
 		for _, name := range []string{"photo-ingest", "ingest", "render"} {
 			q := &platform.Request{Method: "POST", Target: "/" + name}
 			q.Fields.Add(platform.CorrelationID, "r1")
-			_, err := c.Names.Read(q)
+			_, err := c.Names.ReadJobRequest(q)
 			assert.ErrorContains(t, err, "404", "no class of another site is known")
 		}
 	}
@@ -177,8 +177,8 @@
 		for _, f := range c.fields {
 			q.Fields.Add(platform.Account, f)
 		}
-		w, err := c.cfg.Names.Read(q)
+		w, err := c.cfg.Names.ReadJobRequest(q)
 		require.NoError(t, err)
-		assert.Equal(t, c.want, w.Ask.Tenant, "%v among %v", c.fields, c.cfg.Names.Tenants)
+		assert.Equal(t, c.want, w.Request.Tenant, "%v among %v", c.fields, c.cfg.Names.Tenants)
 	}
 }
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -53,7 +53,7 @@
 
 // Caller is one connection's calls. It hands out one and no more.
 type Caller struct {
-	in   platform.Requests
+	in   platform.RequestParser
 	done bool
 }
 
@@ -62,7 +62,7 @@
 	c := &Caller{}
 	c.in.Admit = func(n int) error {
 		if n > MaxBody {
-			return &platform.Bad{Status: 413, Reason: "the body is too long: no call needs one"}
+			return &platform.RequestError{Status: 413, Reason: "the body is too long: no call needs one"}
 		}
 		return nil
 	}
@@ -76,7 +76,7 @@
 func (c *Caller) Filled(n int) { c.in.Filled(n) }
 
 // Waste is space for bytes that nobody will read.
-func (c *Caller) Waste() []byte { return c.in.Waste() }
+func (c *Caller) Waste() []byte { return c.in.DiscardSpace() }
 
 // Next returns the call once it is whole; ok is false while more bytes are due. The error is a
 // *Refusal. What comes behind the call is never looked at.
@@ -87,7 +87,7 @@
 	q, err := c.in.Next()
 	if err != nil {
 		c.done = true
-		bad := &platform.Bad{Status: 400, Reason: "a bad head"}
+		bad := &platform.RequestError{Status: 400, Reason: "a bad head"}
 		errors.As(err, &bad)
 		return Call{}, false, &Refusal{Status: bad.Status, Reason: bad.Reason}
 	}
@@ -172,5 +172,5 @@
 	if allow != "" {
 		allow = "Allow: " + allow + "\r\n"
 	}
-	return platform.AppendAnswerWith(b, status, 0, true, allow, body+"\n")
+	return platform.AppendAnswerWithFields(b, status, 0, true, allow, body+"\n")
 }
--- a/internal/network/await.go
+++ b/internal/network/await.go
@@ -53,7 +53,7 @@
 		s.clientEnds = closing || a.discarded > 0
 		return core.SessionDone, true
 	}
-	if s.parser.Ahead() > 0 {
+	if s.parser.Buffered() > 0 {
 		s.pipelineTurn = time.Now()
 		s.clients.table.reqStarted(&s.sessionState)
 	} else {
@@ -74,7 +74,7 @@
 // buffered for the next request up to a bound; bytes beyond it are discarded, and then the session ends with its answer.
 func (a *pipelineReader) readUntilAnswered() (connected bool) {
 	t := &a.clients.table
-	if a.parser.Ahead() > 0 { // received together with the request: no further read would report them
+	if a.parser.Buffered() > 0 { // received together with the request: no further read would report them
 		a.firstByteAt = a.session.lastByteAt
 		if !t.notePipelined(&a.sessionState) {
 			return true
@@ -100,7 +100,7 @@
 // readOnce reads once, into the buffer or to discard.
 func (a *pipelineReader) readOnce() (int, error) {
 	if a.discarded == 0 && a.canBuffer() {
-		first := a.parser.Ahead() == 0
+		first := a.parser.Buffered() == 0
 		n, err := a.conn.Read(a.parser.Space())
 		if n > 0 && first {
 			a.firstByteAt = a.arrival.timeOf(time.Now())
@@ -128,7 +128,7 @@
 
 // canBuffer reports whether more bytes may be buffered, and reserves space for a whole request when it is needed.
 func (a *pipelineReader) canBuffer() bool {
-	n := a.parser.Ahead()
+	n := a.parser.Buffered()
 	if n >= smallBody && a.reserved == 0 && a.clients.reserveBytes(maxPipelinedBytes) {
 		a.reserved = maxPipelinedBytes
 	}
@@ -165,7 +165,7 @@
 	t := &s.clients.table
 	pipelined, flooded := reader.status()
 	closing = closing || flooded || !pipelined && (s.clients.currentDirectives().CloseAfterAnswer || t.mustClose(&s.sessionState))
-	err := s.write(platform.AppendFinal(make([]byte, 0, 128+len(a.Result)), a, closing))
+	err := s.write(platform.AppendFinalAnswer(make([]byte, 0, 128+len(a.Result)), a, closing))
 	if closing || err != nil {
 		s.note(guard.RequestWritten, s.closeCause(closing, flooded, err))
 	}
--- a/internal/network/backend_conn.go
+++ b/internal/network/backend_conn.go
@@ -21,9 +21,9 @@
 	conn        net.Conn
 	raw         syscall.RawConn // of conn; nil if it has none, such as a pipe
 	backend     *core.Backend
-	replies     *platform.Replies // used by the reading goroutine alone
-	idleSince   time.Time         // since when it is idle; guarded by the pool's lock
-	readerEnded bool              // the reading goroutine has ended; guarded by the pool's lock
+	replies     *platform.ReplyParser // used by the reading goroutine alone
+	idleSince   time.Time             // since when it is idle; guarded by the pool's lock
+	readerEnded bool                  // the reading goroutine has ended; guarded by the pool's lock
 
 	mu           sync.Mutex
 	state        connState
@@ -59,7 +59,7 @@
 
 // newBackendConn wraps a connection that is to carry a request at once. The caller starts its reading goroutine.
 func newBackendConn(p *Pool, conn net.Conn, b *core.Backend) *backendConn {
-	c := &backendConn{pool: p, conn: conn, backend: b, replies: platform.NewReplies(false, platform.MaxLine), state: stateClaimed, lastUsed: time.Now()}
+	c := &backendConn{pool: p, conn: conn, backend: b, replies: platform.NewReplyParser(false, platform.MaxLine), state: stateClaimed, lastUsed: time.Now()}
 	if sc, ok := conn.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
 			c.raw, c.readFunc = raw, c.tryRead
@@ -280,7 +280,7 @@
 		c.replies.Filled(n)
 		r.bytes += n
 		bad := c.handleParts(&r) || r.bytes > maxReplyBytes
-		if err != nil && c.replies.Closed() {
+		if err != nil && c.replies.ConnectionClosed() {
 			bad = c.handleParts(&r) || bad
 		}
 		switch {
@@ -381,7 +381,7 @@
 		x := c.current
 		c.mu.Unlock()
 		switch part {
-		case platform.More:
+		case platform.NeedMore:
 			if r.decided && x != nil { // the outcome need not wait for the end of the reply
 				v := r.outcome
 				v.endPending = true
@@ -446,7 +446,7 @@
 		r.outcome.ending, r.decided = core.Served, true
 	}
 	v := r.outcome
-	v.reusable = c.replies.Keep && r.decided && !c.replies.Partial()
+	v.reusable = c.replies.KeepAlive && r.decided && !c.replies.HasExtraBytes()
 	// The outcome ends with this reply. If it were kept, it would be reported for the connection's
 	// next request as soon as that one fails, or before the head of its reply is complete.
 	*r = reply{outcome: outcome{ending: core.Broken}}
--- a/internal/network/backends.go
+++ b/internal/network/backends.go
@@ -77,9 +77,9 @@
 	x := &exchange{backend: a.Backend, body: a.Job.Body, deadline: a.Deadline, id: a.Job.ID, mayBegin: a.MayBegin, stillWanted: a.Wanted, onBegan: a.Began,
 		onStarted: a.Started, onProgress: a.Progress, onEnded: a.Ended}
 	x.makeHead = func(left time.Duration) []byte {
-		var stamp *platform.Stamp
+		var stamp *platform.PolicyStamp
 		if p.DispatcherName != "" {
-			stamp = &platform.Stamp{Version: a.Version(), By: p.DispatcherName}
+			stamp = &platform.PolicyStamp{Version: a.Version(), Dispatcher: p.DispatcherName}
 		}
 		return platform.AppendJob(make([]byte, 0, 384), a.Job, a.Backend.Address, left, stamp)
 	}
--- a/internal/network/clients.go
+++ b/internal/network/clients.go
@@ -103,7 +103,7 @@
 	answer     chan core.Answer
 
 	// Used by the reading goroutine only.
-	parser         platform.Requests
+	parser         platform.RequestParser
 	firstByteAt    time.Time // when the first byte of what is being read reached this machine
 	lastByteAt     time.Time // when the last byte did
 	pipelineTurn   time.Time // when handling of the pipelined bytes began: the rest of their request is due from then on
@@ -203,7 +203,7 @@
 			}
 			continue
 		}
-		if s.parser.Continue() {
+		if s.parser.WantsContinue() {
 			s.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
 		partial := s.parser.Partial()
@@ -231,7 +231,7 @@
 		return nil
 	}
 	if !s.clients.reserveBytes(n - int(s.bufferedBytes)) {
-		return &platform.Bad{Status: 503, Reason: "no room for the body now", Pause: shedRetryAfter}
+		return &platform.RequestError{Status: 503, Reason: "no room for the body now", RetryAfter: shedRetryAfter}
 	}
 	s.bufferedBytes = int64(n)
 	return nil
@@ -312,7 +312,7 @@
 // refuse answers an invalid request, or one that is not taken, with the reason. Nothing further is read from the client.
 func (s *session) refuse(err error) core.Ending {
 	c := s.clients
-	bad, e := &platform.Bad{Status: 400}, core.ClientBad
+	bad, e := &platform.RequestError{Status: 400}, core.ClientBad
 	errors.As(err, &bad)
 	if bad.Status == 503 {
 		c.Count.ReqsShed.Add(1)
@@ -320,7 +320,7 @@
 	} else {
 		c.Count.ReqsBad.Add(1)
 	}
-	if s.write(platform.AppendAnswer(nil, bad.Status, bad.Pause, true, err.Error()+"\n")) != nil {
+	if s.write(platform.AppendAnswer(nil, bad.Status, bad.RetryAfter, true, err.Error()+"\n")) != nil {
 		return core.ClientClosed
 	}
 	return e
@@ -343,22 +343,22 @@
 		return s.answerDirectly(q)
 	}
 	c := s.clients
-	work, err := c.Names.Read(q)
+	work, err := c.Names.ReadJobRequest(q)
 	if err != nil {
 		return s.refuse(err), true
 	}
 	if s.overLimit {
-		return s.refuse(&platform.Bad{Status: 503, Reason: "too many clients", Pause: shedRetryAfter}), true
+		return s.refuse(&platform.RequestError{Status: 503, Reason: "too many clients", RetryAfter: shedRetryAfter}), true
 	}
-	left := c.timeLeft(work.Left, s.firstByteAt)
+	left := c.timeLeft(work.TimeLeft, s.firstByteAt)
 	s.clientDeadline = s.firstByteAt.Add(left)
 	c.table.reqReceived(&s.sessionState)
 	s.reqID = work.ID
 	c.table.trimJobSessions(c.maxJobSessions()) // now that one more is busy, as the next client may find no connection left
 	job := &core.Job{Method: q.Method, Target: q.Target, ID: work.ID, IdempotencyKey: work.IdempotencyKey, Body: q.Body}
-	handle, fresh := c.Core.Submit(work.Ask, job, s.firstByteAt, left, s)
+	handle, fresh := c.Core.Submit(work.Request, job, s.firstByteAt, left, s)
 	if !fresh {
-		return s.refuse(&platform.Bad{Status: 409, Reason: "this X-Correlation-Id has been used"}), true
+		return s.refuse(&platform.RequestError{Status: 409, Reason: "this X-Correlation-Id has been used"}), true
 	}
 	c.Count.ReqsTaken.Add(1)
 	s.conn.SetReadDeadline(time.Time{})
--- a/internal/network/director.go
+++ b/internal/network/director.go
@@ -107,7 +107,7 @@
 // directorConn is a connection to the director.
 type directorConn struct {
 	netConn net.Conn
-	replies *platform.Replies
+	replies *platform.ReplyParser
 }
 
 // call is one call to the director, made by a goroutine of its own.
@@ -344,7 +344,7 @@
 func (d *Director) startCall(dest *destination, wait time.Duration) time.Time {
 	d.Count.DirectorCalls.Add(1)
 	d.callCount++
-	c := &call{number: d.callCount, target: string(platform.AppendWatch(nil, d.index, wait)), wait: wait, full: d.wantFull, conn: d.idleConn}
+	c := &call{number: d.callCount, target: string(platform.AppendWatchTarget(nil, d.index, wait)), wait: wait, full: d.wantFull, conn: d.idleConn}
 	if d.wantFull {
 		c.target, c.wait = platform.ListTarget, 0
 	}
@@ -380,7 +380,7 @@
 		if err != nil {
 			return platform.List{}, core.ListUnanswered
 		}
-		c.conn = &directorConn{conn, platform.NewReplies(true, platform.MaxList)}
+		c.conn = &directorConn{conn, platform.NewReplyParser(true, platform.MaxList)}
 	}
 	conn := c.conn.netConn
 	stop := context.AfterFunc(c.ctx, func() { conn.Close() })
@@ -391,7 +391,7 @@
 	}
 	list, e := c.conn.read(d.Names)
 	stop()
-	if e != core.ListReceived || !c.conn.replies.Keep || c.conn.replies.Partial() { // unsolicited bytes must not pass for the next answer
+	if e != core.ListReceived || !c.conn.replies.KeepAlive || c.conn.replies.HasExtraBytes() { // unsolicited bytes must not pass for the next answer
 		conn.Close()
 		c.conn = nil
 	}
@@ -416,13 +416,13 @@
 				return list, core.ListRefused
 			}
 			return list, e
-		case part == platform.More:
+		case part == platform.NeedMore:
 			if closed != nil {
 				return list, core.ListUnanswered
 			}
 			n, err := c.netConn.Read(c.replies.Space())
 			c.replies.Filled(n)
-			if err != nil && !(errors.Is(err, io.EOF) && c.replies.Closed()) {
+			if err != nil && !(errors.Is(err, io.EOF) && c.replies.ConnectionClosed()) {
 				closed = err
 			}
 		}
--- a/internal/network/http2.go
+++ b/internal/network/http2.go
@@ -80,7 +80,7 @@
 	session   *http2Session
 	id        uint32
 	arrivedAt time.Time
-	work      platform.Work
+	work      platform.JobRequest
 	job       core.Job
 	taken     bool
 	handle    core.Handle
--- a/internal/network/http2_bench_test.go
+++ b/internal/network/http2_bench_test.go
@@ -240,14 +240,14 @@
 		return
 	}
 	q := platformRequest(r, body)
-	work, err := s.clients.Names.Read(&q)
+	work, err := s.clients.Names.ReadJobRequest(&q)
 	if err != nil {
 		w.WriteHeader(400)
 		return
 	}
 	answer := make(answerChan, 1)
 	job := jobOf(&q, &work)
-	if _, fresh := s.clients.Core.Submit(work.Ask, job, time.Now(), work.Left, answer); !fresh {
+	if _, fresh := s.clients.Core.Submit(work.Request, job, time.Now(), work.TimeLeft, answer); !fresh {
 		w.WriteHeader(409)
 		return
 	}
--- a/internal/network/http2_client_test.go
+++ b/internal/network/http2_client_test.go
@@ -305,7 +305,7 @@
 
 // startWithLongDeadlines starts a dispatcher whose requests have an hour, so that no deadline ends them in a test.
 func startWithLongDeadlines(t *testing.T, b core.Backends, change ...func(*Clients)) *testServer {
-	long := func(c *Clients) { c.Names.Limits, c.LongestDeadline = []time.Duration{time.Hour}, time.Hour }
+	long := func(c *Clients) { c.Names.Deadlines, c.LongestDeadline = []time.Duration{time.Hour}, time.Hour }
 	return startServer(t, b, append([]func(*Clients){long}, change...)...)
 }
 
--- a/internal/network/http2_real_test.go
+++ b/internal/network/http2_real_test.go
@@ -59,7 +59,7 @@
 	c.HandleList(balance.ListFull, newEntries(balance.Ready, "s1", "s2"))
 	stop := make(chan struct{})
 	go c.Run(stop)
-	names := &platform.Names{Classes: []string{"photo"}, Keyed: []bool{false}, Limits: []time.Duration{5 * time.Second}}
+	names := &platform.Names{Classes: []string{"photo"}, RequiresKey: []bool{false}, Deadlines: []time.Duration{5 * time.Second}}
 	s.clients = &Clients{Names: names, Count: s.count, Core: c, MaxSessions: 400, MaxJobSessions: 400, MaxBufferedBytes: 24 << 20, LongestDeadline: 5 * time.Second, Stats: func() string { return "counters\n" }}
 	for _, f := range change {
 		f(s.clients)
@@ -126,7 +126,7 @@
 	return q
 }
 
-func jobOf(q *platform.Request, w *platform.Work) *core.Job {
+func jobOf(q *platform.Request, w *platform.JobRequest) *core.Job {
 	return &core.Job{Method: q.Method, Target: q.Target, ID: w.ID, IdempotencyKey: w.IdempotencyKey, Body: q.Body}
 }
 
--- a/internal/network/http2_reqs.go
+++ b/internal/network/http2_reqs.go
@@ -84,15 +84,15 @@
 	}
 	q := platform.Request{Method: st.Head.Method, Target: st.Head.Path, Fields: parseFields(st.Head.Fields)}
 	var err error
-	var work platform.Work
+	var work platform.JobRequest
 	switch {
 	case q.Method == "GET" || q.Method == "HEAD":
 		st.Data, st.Discard = statusQuery{q.Path()}, true
 		return
 	case q.Method != "POST":
-		err = &platform.Bad{Status: 405, Reason: "a method that is not POST"}
+		err = &platform.RequestError{Status: 405, Reason: "a method that is not POST"}
 	default:
-		work, err = c.Names.Read(&q)
+		work, err = c.Names.ReadJobRequest(&q)
 	}
 	if err != nil {
 		st.Data, st.Discard = err, true
@@ -129,18 +129,18 @@
 	r.job.Body = st.Body
 	r.taken = true // before its answer can come
 	var fresh bool
-	if r.handle, fresh = c.Core.Submit(r.work.Ask, &r.job, r.arrivedAt, c.timeLeft(r.work.Left, r.arrivedAt), r); !fresh {
+	if r.handle, fresh = c.Core.Submit(r.work.Request, &r.job, r.arrivedAt, c.timeLeft(r.work.TimeLeft, r.arrivedAt), r); !fresh {
 		r.taken = false
-		s.refuse(st, &platform.Bad{Status: 409, Reason: "this X-Correlation-Id has been used"})
+		s.refuse(st, &platform.RequestError{Status: 409, Reason: "this X-Correlation-Id has been used"})
 		return
 	}
 	c.Count.ReqsTaken.Add(1)
 }
 
 func (s *http2Session) refuse(st *http2.Stream, err error) {
-	bad := &platform.Bad{Status: 400}
+	bad := &platform.RequestError{Status: 400}
 	errors.As(err, &bad)
 	s.front.Clients.Count.ReqsBad.Add(1)
-	s.machine.Answer(st.ID, bad.Status, bad.Pause, err.Error()+"\n", time.Now())
+	s.machine.Answer(st.ID, bad.Status, bad.RetryAfter, err.Error()+"\n", time.Now())
 	s.machine.Blame()
 }
--- a/internal/network/mutate_test.go
+++ b/internal/network/mutate_test.go
@@ -64,7 +64,7 @@
 	if safe {
 		s.MayDuplicate, s.Classes[0].Effect = true, balance.Safe
 	}
-	names := &platform.Names{Classes: []string{"ingest"}, Keyed: []bool{true}, Limits: []time.Duration{5 * time.Second}, Columns: []string{"x0"}}
+	names := &platform.Names{Classes: []string{"ingest"}, RequiresKey: []bool{true}, Deadlines: []time.Duration{5 * time.Second}, Columns: []string{"x0"}}
 	w := &mutationWorld{reqs: reqs, safe: safe, watched: watched, fixture: &fixture{t: t, count: &counters.Set{}, peers: map[string]*peer{}, refusedDials: map[string]bool{}, dialDelays: map[string]time.Duration{}, dialCounts: map[string]int{}},
 		start: time.Now(), stop: make(chan struct{}), arrivals: map[string]int{}, calls: map[string]int{}, waiting: map[string]int{}, answers: map[string][]core.Answer{}}
 	w.pool = &Pool{Names: names, Count: w.count, ConnectTimeout: 120 * time.Millisecond, IdleTimeout: 7 * time.Second, MaxConnections: 50, Dial: w.dial}
--- a/internal/network/scenario_test.go
+++ b/internal/network/scenario_test.go
@@ -112,7 +112,7 @@
 			TellsStart: true, MaxPause: 2000, ConnectTimeout: 120, Tick: 2, Subscribe: true,
 			Rules:   balance.Rules{AnswerSlack: 8, AskEvery: 10000, FallMultiple: 3, FallWindow: 2000, StartCapacity: 0.31, WarmAfter: 9000, DrainGrace: 500},
 			Classes: []balance.Class{{Worth: 1, Aim: 120, Stretch: 2, Deadline: 5000, Kind: -1, Effect: balance.Deduped, Scope: balance.ScopeCell, RepeatWindow: 7500}}}
-		names := &platform.Names{Classes: []string{"ingest"}, Keyed: []bool{true}, Limits: []time.Duration{5 * time.Second}, Columns: []string{"x0"}}
+		names := &platform.Names{Classes: []string{"ingest"}, RequiresKey: []bool{true}, Deadlines: []time.Duration{5 * time.Second}, Columns: []string{"x0"}}
 		w := &fixture{t: t, count: &counters.Set{}, peers: map[string]*peer{}, refusedDials: map[string]bool{},
 			dialDelays: map[string]time.Duration{}, dialCounts: map[string]int{}}
 		w.pool = &Pool{Names: names, Count: w.count, ConnectTimeout: 120 * time.Millisecond, IdleTimeout: 7 * time.Second, MaxConnections: most, Dial: w.dial}
--- a/internal/network/site_test.go
+++ b/internal/network/site_test.go
@@ -47,7 +47,7 @@
 		if !pushed {
 			set.Rules.AskEvery = 10_000
 		}
-		names := &platform.Names{Classes: []string{"ingest"}, Keyed: []bool{effect == balance.Deduped}, Limits: []time.Duration{5 * time.Second}}
+		names := &platform.Names{Classes: []string{"ingest"}, RequiresKey: []bool{effect == balance.Deduped}, Deadlines: []time.Duration{5 * time.Second}}
 		s := &site{history: &history.History{}, terms: standin.Terms{Began: time.Now(), AskEvery: time.Duration(set.Rules.AskEvery) * time.Millisecond}}
 		at := map[string]*faultnet.Pipes{"d": faultnet.ListenPipes("d")}
 		s.director = standin.NewDirector(faultnet.ListenPipes("unused"))
@@ -91,7 +91,7 @@
 	defer far.Close()
 	go s.clients.admit(near)
 	began := time.Now()
-	r := history.Req{Node: "n", ID: id, Unsafe: !s.clients.Names.Keyed[0], Until: began.Add(5 * time.Second)}
+	r := history.Req{Node: "n", ID: id, Unsafe: !s.clients.Names.RequiresKey[0], Until: began.Add(5 * time.Second)}
 	_, err := fmt.Fprintf(far, "POST /ingest/1 HTTP/1.1\r\nX-Correlation-Id: %s\r\nIdempotency-Key: k%s\r\nX-Time-Left-Ms: 5000\r\nContent-Length: %d\r\n\r\n%s",
 		id, id, len(body), body)
 	if err == nil {
--- a/internal/network/versions_bench_test.go
+++ b/internal/network/versions_bench_test.go
@@ -24,9 +24,9 @@
 		a.Ended(core.Unsent, "", nil)
 		return func() {}
 	}
-	var stamp *platform.Stamp
+	var stamp *platform.PolicyStamp
 	if x.dispatcher != "" {
-		stamp = &platform.Stamp{Version: a.Version(), By: x.dispatcher}
+		stamp = &platform.PolicyStamp{Version: a.Version(), Dispatcher: x.dispatcher}
 	}
 	platform.AppendJob(make([]byte, 0, 384), a.Job, "127.0.0.1:1", time.Second, stamp)
 	return x.instantBackends.Send(a)
--- a/internal/platform/chunks.go
+++ b/internal/platform/chunks.go
@@ -93,7 +93,7 @@
 			return badRequest("a bad chunk")
 		}
 		if c.left = int(n); len(c.body)+c.left > MaxBody {
-			return &Bad{Status: 413, Reason: "the body is too long"}
+			return &RequestError{Status: 413, Reason: "the body is too long"}
 		}
 		if c.state = chunkData; n == 0 {
 			c.state = chunkTrailer
@@ -105,7 +105,7 @@
 		c.state = chunkSize
 	case chunkTrailer:
 		if c.trailer += len(text) + 2; c.trailer > MaxHead {
-			return &Bad{Status: 431, Reason: "too many fields behind the body"}
+			return &RequestError{Status: 431, Reason: "too many fields behind the body"}
 		}
 		if len(text) == 0 {
 			c.state = chunkDone
--- a/internal/platform/mutate_test.go
+++ b/internal/platform/mutate_test.go
@@ -75,7 +75,7 @@
 // replyConn is what a driver does around the machine (network.link), in few words.
 type replyConn struct {
 	name     string
-	m        *Replies
+	m        *ReplyParser
 	at       int // the req that is out; -1 none
 	last     bool
 	got      outcome
@@ -93,7 +93,7 @@
 	return func(uint64) mutate.World {
 		w := &replyWorld{strict: strict, conns: map[string]*replyConn{}}
 		for name := range dialogues {
-			w.conns[name] = &replyConn{name: name, m: NewReplies(false, MaxLine), at: -1}
+			w.conns[name] = &replyConn{name: name, m: NewReplyParser(false, MaxLine), at: -1}
 		}
 		return w
 	}
@@ -156,10 +156,10 @@
 	for !c.closed {
 		part, line, err := c.m.Next()
 		switch {
-		case err != nil || part != More && c.at < 0:
+		case err != nil || part != NeedMore && c.at < 0:
 			bad()
-		case part == More:
-			if c.at < 0 && c.m.Partial() {
+		case part == NeedMore:
+			if c.at < 0 && c.m.HasExtraBytes() {
 				bad()
 			}
 			return
@@ -179,7 +179,7 @@
 				c.got.ending = core.Broken
 			}
 			c.end(c.got.ending)
-			c.closed = !c.m.Keep
+			c.closed = !c.m.KeepAlive
 		}
 	}
 }
@@ -279,7 +279,7 @@
 // listWorld is the director's connection: its answers, and the lists that the reader took.
 type listWorld struct {
 	strict bool
-	m      *Replies
+	m      *ReplyParser
 	came   []byte // all that was delivered
 	took   []List // by whole reply; Entries nil and Index 0 where it was refused
 	closed bool
@@ -313,7 +313,7 @@
 		var got List
 		for {
 			part, body, err := w.m.Next()
-			if w.closed = err != nil; w.closed || part == More {
+			if w.closed = err != nil; w.closed || part == NeedMore {
 				break
 			}
 			if part == Line && w.m.Status == 200 {
@@ -420,7 +420,7 @@
 
 func listSetup(name string, strict bool, kinds ...mutate.Kind) mutate.Setup {
 	return mutate.Setup{Name: name, Seed: 1, Tick: reqEvery, Length: 7 * reqEvery, Late: reqEvery, Kinds: kinds, Draws: 100, Splits: -1,
-		Build: func(uint64) mutate.World { return &listWorld{strict: strict, m: NewReplies(true, MaxList)} }}
+		Build: func(uint64) mutate.World { return &listWorld{strict: strict, m: NewReplyParser(true, MaxList)} }}
 }
 
 // TestListsUnderMutation: a list is taken as the standard library reads it, or not at all; and
--- a/internal/platform/reply.go
+++ b/internal/platform/reply.go
@@ -17,20 +17,20 @@
 
 // Parts of a reply.
 const (
-	More Part = iota // more bytes are due
-	Head             // a head: see Status, Load and the rest
-	Line             // a line of the body, or all of it at once
-	End              // the reply is whole; Keep says whether another may follow
+	NeedMore Part = iota // more bytes are due
+	Head                 // a head: see Status, Load and the rest
+	Line                 // a line of the body, or all of it at once
+	End                  // the reply is whole; Keep says whether another may follow
 )
 
-// Replies takes in what a backend or the director sends: a head, and a body in chunks, of a
+// ReplyParser takes in what a backend or the director sends: a head, and a body in chunks, of a
 // stated length, or up to the connection's end.
-type Replies struct {
+type ReplyParser struct {
 	buffer
 	Status      int
 	Unprocessed bool   // it says that the req never ran
 	Load        string // a load report in the head
-	Keep        bool
+	KeepAlive   bool
 	whole       bool // bodies come as one part
 	most        int  // bytes of a part
 	state       replyState
@@ -51,13 +51,13 @@
 	inTail // handing out what is left of the body
 )
 
-// NewReplies makes a machine that hands out bodies by line, or whole.
-func NewReplies(whole bool, most int) *Replies { return &Replies{whole: whole, most: most} }
+// NewReplyParser makes a machine that hands out bodies by line, or whole.
+func NewReplyParser(whole bool, most int) *ReplyParser { return &ReplyParser{whole: whole, most: most} }
 
 var errReply = errors.New("not a reply of the protocol")
 
 // Space is where the next bytes are to be read.
-func (m *Replies) Space() []byte {
+func (m *ReplyParser) Space() []byte {
 	if len(m.b)-m.w < room/4 { // what is decoded moves on with what is not
 		start := min(m.from, m.r)
 		if m.from == m.to {
@@ -73,7 +73,7 @@
 }
 
 // Next returns the next part. The bytes of a Line stay as they are until Space is called.
-func (m *Replies) Next() (Part, []byte, error) {
+func (m *ReplyParser) Next() (Part, []byte, error) {
 	for {
 		switch m.state {
 		case inHead:
@@ -82,10 +82,10 @@
 			}
 			block, err := m.block()
 			if block == nil {
-				return More, nil, err
+				return NeedMore, nil, err
 			}
 			if err := m.readHead(block); err != nil {
-				return More, nil, err
+				return NeedMore, nil, err
 			}
 			if m.Status < 200 {
 				continue // an interim answer
@@ -108,7 +108,7 @@
 				m.left -= n
 			}
 			if m.to-m.from > m.most {
-				return More, nil, errReply
+				return NeedMore, nil, errReply
 			}
 			if m.left == 0 {
 				if m.state = inTail; m.chunked {
@@ -119,7 +119,7 @@
 				return Line, line, nil
 			}
 			if m.left != 0 {
-				return More, nil, nil
+				return NeedMore, nil, nil
 			}
 		case inBreak, inSize, inTrailer:
 			if line := m.line(); line != nil { // lines that the last chunk still holds
@@ -128,12 +128,12 @@
 			text, ok := m.text()
 			if !ok {
 				if m.w-m.r > MaxHead {
-					return More, nil, errReply
+					return NeedMore, nil, errReply
 				}
-				return More, nil, nil
+				return NeedMore, nil, nil
 			}
 			if err := m.frame(text); err != nil {
-				return More, nil, err
+				return NeedMore, nil, err
 			}
 		case inTail:
 			if line := m.line(); line != nil {
@@ -150,8 +150,8 @@
 	}
 }
 
-// Closed tells that the connection ended. A body without a stated length is whole by that.
-func (m *Replies) Closed() (whole bool) {
+// ConnectionClosed tells that the connection ended. A body without a stated length is whole by that.
+func (m *ReplyParser) ConnectionClosed() (whole bool) {
 	if m.state == inData && m.left < 0 {
 		m.state, m.left = inTail, 0
 		return true
@@ -159,7 +159,7 @@
 	return false
 }
 
-func (m *Replies) line() []byte {
+func (m *ReplyParser) line() []byte {
 	if m.whole {
 		return nil
 	}
@@ -180,7 +180,7 @@
 }
 
 // text is the next line of the framing, without its LF.
-func (m *Replies) text() (string, bool) {
+func (m *ReplyParser) text() (string, bool) {
 	i := bytes.IndexByte(m.rest(), '\n')
 	if i < 0 {
 		return "", false
@@ -192,7 +192,7 @@
 
 // frame takes a line of the framing. One of chunks ends in CR LF, as net/http has it: two readings of
 // the framing would let a body pass for a second reply.
-func (m *Replies) frame(text string) error {
+func (m *ReplyParser) frame(text string) error {
 	text, cr := strings.CutSuffix(text, "\r")
 	if !cr && m.state != inTrailer {
 		return errReply
@@ -222,7 +222,7 @@
 	return nil
 }
 
-func (m *Replies) readHead(block []byte) error {
+func (m *ReplyParser) readHead(block []byte) error {
 	h, err := parseHead(block)
 	if err != nil {
 		return errReply
@@ -240,7 +240,7 @@
 	unprocessed, once := h.one("X-Unprocessed")
 	m.Unprocessed = once && unprocessed == "1" // two of them prove nothing
 	m.Load, _ = h.one("X-Backend-Load")
-	m.Keep = !h.has("Connection", "close") && version != "HTTP/1.0"
+	m.KeepAlive = !h.has("Connection", "close") && version != "HTTP/1.0"
 	m.chunked = h.has("Transfer-Encoding", "chunked")
 	m.state = inData
 	if m.chunked && version == "HTTP/1.0" { // knows no chunks (RFC 9112 section 6.1)
@@ -258,13 +258,13 @@
 		return errReply
 	}
 	if m.left < 0 {
-		m.Keep = false
+		m.KeepAlive = false
 	}
 	return nil
 }
 
-// News is what a line of a backend says.
-type News struct {
+// JobUpdate is what a line of a backend says.
+type JobUpdate struct {
 	Last     bool // the attempt has ended, as Ending
 	Ending   core.Ending
 	Started  bool
@@ -278,7 +278,7 @@
 var json = jsoniter.ConfigDefault
 
 // ReadLine reads a backend's line about the req with this id.
-func (n *Names) ReadLine(line []byte, id string) (news News, err error) {
+func (n *Names) ReadLine(line []byte, id string) (news JobUpdate, err error) {
 	it := json.BorrowIterator(line)
 	defer json.ReturnIterator(it)
 	var got, state string
@@ -305,7 +305,7 @@
 		}
 	}
 	if !ended(it) || got != id {
-		return News{}, errLine
+		return JobUpdate{}, errLine
 	}
 	news.Last = true
 	switch state {
@@ -315,7 +315,7 @@
 		news.Last = false
 	case "done":
 		if news.Ending = core.Served; !result {
-			return News{}, errLine
+			return JobUpdate{}, errLine
 		}
 	case "failed":
 		news.Ending = core.Failed
@@ -324,7 +324,7 @@
 	case "lost":
 		news.Ending = core.Lost
 	default:
-		return News{}, errLine
+		return JobUpdate{}, errLine
 	}
 	return news, nil
 }
@@ -374,7 +374,7 @@
 }
 
 // Ending is how an attempt ended that was answered with this head, if it is not 200.
-func (m *Replies) Ending() core.Ending {
+func (m *ReplyParser) Ending() core.Ending {
 	if m.Unprocessed && (m.Status == 503 || m.Status == 504) {
 		return core.Returned
 	}
@@ -384,5 +384,5 @@
 	return core.Failed
 }
 
-// Partial says whether bytes are there that no request asked for.
-func (m *Replies) Partial() bool { return m.r < m.w }
+// HasExtraBytes says whether bytes are there that no request asked for.
+func (m *ReplyParser) HasExtraBytes() bool { return m.r < m.w }
--- a/internal/platform/reply_test.go
+++ b/internal/platform/reply_test.go
@@ -12,7 +12,7 @@
 )
 
 // back lets a scenario run on the machine of a backend's connection.
-type back struct{ *Replies }
+type back struct{ *ReplyParser }
 
 func (b back) next() string {
 	part, line, err := b.Next()
@@ -25,7 +25,7 @@
 		return "head"
 	case part == Line:
 		return "line " + strings.ReplaceAll(string(line), "\n", `\n`)
-	case part == End && b.Keep:
+	case part == End && b.KeepAlive:
 		return "end"
 	case part == End:
 		return "end close"
@@ -34,7 +34,7 @@
 }
 
 func (b back) closed() string {
-	if b.Closed() {
+	if b.ConnectionClosed() {
 		return ""
 	}
 	return "cut"
@@ -44,7 +44,7 @@
 `
 
 func TestReplies(t *testing.T) {
-	play(t, func() machine { return back{NewReplies(false, MaxLine)} }, []script{
+	play(t, func() machine { return back{NewReplyParser(false, MaxLine)} }, []script{
 		{"lines in chunks of their own, then another reply", chunked + `
 			expect head
 			send 3\r\nab\n\r\n3;x=y\r\ncd\n\r\n0\r\nX-Trailer: 1\r\n\r\n
@@ -117,7 +117,7 @@
 
 // TestWholeBody: the director's list comes as one part, however it is framed.
 func TestWholeBody(t *testing.T) {
-	play(t, func() machine { return back{NewReplies(true, MaxList)} }, []script{
+	play(t, func() machine { return back{NewReplyParser(true, MaxList)} }, []script{
 		{"in chunks", chunked + `
 			send 2\r\n{"\r\n5\r\nindex\r\n0\r\n\r\n
 			expect head
@@ -133,7 +133,7 @@
 
 func TestReadLine(t *testing.T) {
 	load := []float32{0, 2.5} // absent columns are zero, in the settings' order
-	for line, want := range map[string]News{
+	for line, want := range map[string]JobUpdate{
 		`{"id":"9b","from":"s","state":"started"}`:                                           {Started: true},
 		`{"id":"9b","state":"running","share":0.4}`:                                          {Progress: 0.4},
 		`{"state":"done","load":{"x0":2.5,"new":[1]},"result":"a\"\u00e9","id":"9b","z":{}}`: {Last: true, Result: `a"é`, Report: load},
@@ -183,7 +183,7 @@
 	f.Fuzz(func(t *testing.T, bytes []byte, piece int, whole bool) {
 		_, _ = testNames.ReadLine(bytes, "9b")
 		_, _ = testNames.ReadList(bytes)
-		m := NewReplies(whole, 1000)
+		m := NewReplyParser(whole, 1000)
 		for piece = max(piece, 1); len(bytes) > 0; {
 			n := copy(m.Space(), bytes[:min(piece, len(bytes))])
 			m.Filled(n)
@@ -194,7 +194,7 @@
 				if err != nil {
 					return
 				}
-				if part == More {
+				if part == NeedMore {
 					break
 				}
 			}
@@ -208,7 +208,7 @@
 		"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.120":             {Kind: core.Refusal, RetryAfter: 120e6},
 		"HTTP/1.1 502 Bad Gateway\r\n":                                       {Kind: core.Failure},
 	} {
-		got := string(AppendFinal(nil, a, true))
+		got := string(AppendFinalAnswer(nil, a, true))
 		assert.True(t, strings.HasPrefix(got, want), got)
 	}
 }
@@ -219,7 +219,7 @@
 	done := `{"from":"s-3d5f7874","id":"9b","load":{"failed_ps":0.0,"x0":3.1},"result":"` + strings.Repeat("e4", 600) + `","state":"done"}` + "\n"
 	text := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n",
 		len(started), started, len(done), done)
-	m := NewReplies(false, MaxLine)
+	m := NewReplyParser(false, MaxLine)
 	b.ReportAllocs()
 	for b.Loop() {
 		m.Filled(copy(m.Space(), text))
@@ -231,7 +231,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			if part == More {
+			if part == NeedMore {
 				break
 			}
 		}
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -12,14 +12,14 @@
 	"tinsail/internal/balance"
 )
 
-// Bad is why a client's bytes are refused, as the status of the answer.
-type Bad struct {
-	Status int
-	Reason string
-	Pause  time.Duration // advice when to come back, 0 for none
+// RequestError is why a client's bytes are refused, as the status of the answer.
+type RequestError struct {
+	Status     int
+	Reason     string
+	RetryAfter time.Duration // advice when to come back, 0 for none
 }
 
-func (b *Bad) Error() string { return fmt.Sprintf("%d: %s", b.Status, b.Reason) }
+func (b *RequestError) Error() string { return fmt.Sprintf("%d: %s", b.Status, b.Reason) }
 
 // Request is a whole message of a client. Body is a slice of the buffer it came in.
 type Request struct {
@@ -72,8 +72,8 @@
 	}
 }
 
-// Requests takes in what a client sends.
-type Requests struct {
+// RequestParser takes in what a client sends.
+type RequestParser struct {
 	buffer
 	// Admit, if set, is asked before there is space for so many bytes of a body in all, and refuses
 	// it by an error. Of a body in chunks it is asked again as it grows.
@@ -87,7 +87,7 @@
 
 // Next returns the next whole request, or nil while more bytes are due. An error is a *Bad
 // and ends the session.
-func (m *Requests) Next() (*Request, error) {
+func (m *RequestParser) Next() (*Request, error) {
 	if m.bad != nil {
 		return nil, m.bad
 	}
@@ -140,26 +140,26 @@
 	return q, nil
 }
 
-func (m *Requests) fail(status int, reason string) error {
-	m.bad = &Bad{Status: status, Reason: reason}
+func (m *RequestParser) fail(status int, reason string) error {
+	m.bad = &RequestError{Status: status, Reason: reason}
 	return m.bad
 }
 
-// Continue says, once for each such request, that the client waits to be told to send on.
-func (m *Requests) Continue() bool {
+// WantsContinue says, once for each such request, that the client waits to be told to send on.
+func (m *RequestParser) WantsContinue() bool {
 	c := m.cont
 	m.cont = false
 	return c
 }
 
 // Partial says whether a request has begun and is not whole.
-func (m *Requests) Partial() bool { return m.cur != nil || m.r < m.w }
+func (m *RequestParser) Partial() bool { return m.cur != nil || m.r < m.w }
 
-// Ahead is how many bytes lie behind the last request that Next returned.
-func (m *Requests) Ahead() int { return m.w - m.r }
+// Buffered is how many bytes lie behind the last request that Next returned.
+func (m *RequestParser) Buffered() int { return m.w - m.r }
 
-// Waste is space for bytes that nobody will read.
-func (m *Requests) Waste() []byte {
+// DiscardSpace is space for bytes that nobody will read.
+func (m *RequestParser) DiscardSpace() []byte {
 	if len(m.b) < room {
 		m.b = make([]byte, room)
 	}
@@ -167,13 +167,13 @@
 }
 
 // Done tells that the last request is answered; free, that its bytes are in no use.
-func (m *Requests) Done(free bool) {
+func (m *RequestParser) Done(free bool) {
 	if free {
 		m.rewind()
 	}
 }
 
-func badRequest(reason string) error { return &Bad{Status: 400, Reason: reason} }
+func badRequest(reason string) error { return &RequestError{Status: 400, Reason: reason} }
 
 func readRequest(block []byte) (*Request, int, error) {
 	h, err := parseHead(block)
@@ -195,7 +195,7 @@
 		case parts[2] == "HTTP/1.0":
 			return nil, 0, badRequest("a Transfer-Encoding in HTTP/1.0")
 		case !once || !strings.EqualFold(coding, "chunked"): // nothing else that we could decode, nor guess the end of
-			return nil, 0, &Bad{Status: 501, Reason: "an unknown Transfer-Encoding"}
+			return nil, 0, &RequestError{Status: 501, Reason: "an unknown Transfer-Encoding"}
 		}
 	}
 	n, err := h.length()
@@ -234,27 +234,29 @@
 
 // Names are the names that stand on the sockets for the module's numbers.
 type Names struct {
-	Classes []string
-	Keyed   []bool          // a class's reqs carry an Idempotency-Key
-	Limits  []time.Duration // how long a client of each class waits in all
-	Tenants []string
-	Zones   []string
-	Kinds   []string
-	Columns []string // of a load report
+	Classes     []string
+	RequiresKey []bool          // a class's reqs carry an Idempotency-Key
+	Deadlines   []time.Duration // how long a client of each class waits in all
+	Tenants     []string
+	Zones       []string
+	Kinds       []string
+	Columns     []string // of a load report
 }
 
-// Work is what a client asks for.
-type Work struct {
-	Ask            balance.Request // ID and Deadline are the core's to set
+// JobRequest is what a client asks for.
+type JobRequest struct {
+	Request        balance.Request // ID and Deadline are the core's to set
 	ID             string
 	IdempotencyKey string
-	Left           time.Duration
+	TimeLeft       time.Duration
 }
 
-// Read makes a req of a POST. What is absent stays zero, as it does for the simulator's
+// ReadJobRequest makes a req of a POST. What is absent stays zero, as it does for the simulator's
 // adapter.
-func (n *Names) Read(q *Request) (w Work, err error) {
-	bad := func(status int, reason string) (Work, error) { return Work{}, &Bad{Status: status, Reason: reason} }
+func (n *Names) ReadJobRequest(q *Request) (w JobRequest, err error) {
+	bad := func(status int, reason string) (JobRequest, error) {
+		return JobRequest{}, &RequestError{Status: status, Reason: reason}
+	}
 	if !plain(q.Target) {
 		return bad(400, "a bad path")
 	}
@@ -280,46 +282,46 @@
 	if class != first { // two readings of one request: backends could take another than we do
 		return bad(404, "a path that is not of the class")
 	}
-	w.Ask.Class = -1
+	w.Request.Class = -1
 	for i, name := range n.Classes {
 		if name == class {
-			w.Ask.Class = i
+			w.Request.Class = i
 		}
 	}
-	if w.Ask.Class < 0 {
+	if w.Request.Class < 0 {
 		return bad(404, "an unknown class")
 	}
-	if n.Keyed[w.Ask.Class] && w.IdempotencyKey == "" { // no backend could tell its repeat
+	if n.RequiresKey[w.Request.Class] && w.IdempotencyKey == "" { // no backend could tell its repeat
 		return bad(400, "no Idempotency-Key")
 	}
-	if w.Left = n.Limits[w.Ask.Class]; left != "" {
+	if w.TimeLeft = n.Deadlines[w.Request.Class]; left != "" {
 		ms, err := strconv.ParseUint(left, 10, 31)
 		if err != nil {
 			return bad(400, "a bad X-Time-Left-Ms")
 		}
-		w.Left = time.Duration(ms) * time.Millisecond
+		w.TimeLeft = time.Duration(ms) * time.Millisecond
 	}
 	if hint := q.Fields[WeightHint].Text; hint != "" { // a guess at the work, in microseconds
 		us, err := strconv.ParseFloat(hint, 64)
 		if err != nil || !(us >= 0 && us <= maxHint) {
 			return bad(400, "a bad X-Weight-Hint")
 		}
-		w.Ask.Work = us / 1000
+		w.Request.Work = us / 1000
 	}
-	w.Ask.Tenant = slices.Index(n.Tenants, q.Fields[Account].Text)
-	if w.Ask.Tenant < 0 { // absent, or none that the settings name: in no tenant's share
-		w.Ask.Tenant = len(n.Tenants)
+	w.Request.Tenant = slices.Index(n.Tenants, q.Fields[Account].Text)
+	if w.Request.Tenant < 0 { // absent, or none that the settings name: in no tenant's share
+		w.Request.Tenant = len(n.Tenants)
 	}
-	w.Ask.Retry = q.Fields[Repeat].Text == "1"
-	w.Ask.Key = key(rest)
+	w.Request.Retry = q.Fields[Repeat].Text == "1"
+	w.Request.Key = key(rest)
 	for fact := range strings.SplitSeq(q.Fields[Facts].Text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(fact), "=")
 		var to *float64
 		switch name {
 		case "slots":
-			to = &w.Ask.Slots
+			to = &w.Request.Slots
 		case "memory":
-			to = &w.Ask.Memory
+			to = &w.Request.Memory
 		default:
 			continue
 		}
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -13,27 +13,27 @@
 	"tinsail/internal/balance"
 )
 
-var testNames = &Names{Classes: []string{"ingest", "keyed"}, Keyed: []bool{false, true}, Limits: []time.Duration{5 * time.Second, time.Second},
+var testNames = &Names{Classes: []string{"ingest", "keyed"}, RequiresKey: []bool{false, true}, Deadlines: []time.Duration{5 * time.Second, time.Second},
 	Zones: []string{"a", "b"}, Kinds: []string{"fast", "std"}, Columns: []string{"failed_ps", "x0"}}
 
 // front lets a scenario run on the machine of a client session. Each request is answered at
 // once, its bytes given up by turns.
 type front struct {
-	Requests
+	RequestParser
 	n int
 }
 
 func (f *front) next() string {
-	if f.Continue() {
+	if f.WantsContinue() {
 		return "continue"
 	}
 	q, err := f.Next()
-	var bad *Bad
+	var bad *RequestError
 	switch {
 	case errors.As(err, &bad):
 		return fmt.Sprint("bad ", bad.Status)
 	case q == nil:
-		if f.Continue() {
+		if f.WantsContinue() {
 			return "continue"
 		}
 		return "more"
@@ -167,31 +167,31 @@
 		{"a path of another class", "2/7f", id + "X-Service-Class: ingest\r\n", balance.Request{}, 0, 404},
 		{"an unknown class", "", id + "X-Service-Class: other\r\n", balance.Request{}, 0, 404},
 	} {
-		var m Requests
+		var m RequestParser
 		m.Filled(copy(m.Space(), fmt.Sprintf(head, c.path, c.fields)))
 		q, err := m.Next()
 		require.NoError(t, err, c.name)
-		w, err := testNames.Read(q)
-		var bad *Bad
+		w, err := testNames.ReadJobRequest(q)
+		var bad *RequestError
 		if errors.As(err, &bad) {
 			assert.Equal(t, c.bad, bad.Status, c.name)
 			continue
 		}
 		require.Zero(t, c.bad, c.name)
-		assert.Equal(t, c.want, w.Ask, c.name)
-		assert.Equal(t, c.left, w.Left, c.name)
+		assert.Equal(t, c.want, w.Request, c.name)
+		assert.Equal(t, c.left, w.TimeLeft, c.name)
 		assert.Equal(t, "9b", w.ID, c.name)
 	}
 }
 
 // TestKeyed: a req of a class whose backends know repeats by a key must have one.
 func TestKeyed(t *testing.T) {
-	for fields, want := range map[string]error{"": &Bad{Status: 400, Reason: "no Idempotency-Key"}, "Idempotency-Key: k\r\n": nil} {
-		var m Requests
+	for fields, want := range map[string]error{"": &RequestError{Status: 400, Reason: "no Idempotency-Key"}, "Idempotency-Key: k\r\n": nil} {
+		var m RequestParser
 		m.Filled(copy(m.Space(), "POST /keyed HTTP/1.1\r\nX-Correlation-Id: 9b\r\n"+fields+"\r\n"))
 		q, err := m.Next()
 		require.NoError(t, err)
-		if _, err = testNames.Read(q); want != nil {
+		if _, err = testNames.ReadJobRequest(q); want != nil {
 			assert.Equal(t, want, err)
 		} else {
 			assert.NoError(t, err)
@@ -201,8 +201,8 @@
 
 // TestAdmit: the length of a body is known before there is space for it.
 func TestAdmit(t *testing.T) {
-	var m Requests
-	m.Admit = func(n int) error { return &Bad{Status: 503, Reason: fmt.Sprint(n)} }
+	var m RequestParser
+	m.Admit = func(n int) error { return &RequestError{Status: 503, Reason: fmt.Sprint(n)} }
 	m.Filled(copy(m.Space(), "POST /c HTTP/1.1\r\nContent-Length: 60000\r\n\r\n"))
 	_, err := m.Next()
 	assert.ErrorContains(t, err, "60000")
@@ -216,7 +216,7 @@
 	f.Add([]byte("POST /c HTTP/1.1\r\nContent-Length: -1\r\nContent-Length:\r\n\r\n"), 1)
 	f.Add([]byte("POST /keyed HTTP/1.1\r\nX-Correlation-Id:\r\nX-Time-Left-Ms: x\r\n\r\n"), 2)
 	f.Fuzz(func(t *testing.T, bytes []byte, piece int) {
-		var m Requests
+		var m RequestParser
 		for piece = max(piece, 1); len(bytes) > 0; {
 			n := copy(m.Space(), bytes[:min(piece, len(bytes))])
 			m.Filled(n)
@@ -227,7 +227,7 @@
 					break
 				}
 				assert.LessOrEqual(t, len(q.Body), MaxBody)
-				_, _ = testNames.Read(q)
+				_, _ = testNames.ReadJobRequest(q)
 				m.Done(true)
 			}
 		}
@@ -240,12 +240,12 @@
 	text := []byte("POST /ingest HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: debdb788934a96db\r\nX-Service-Class: ingest\r\n" +
 		"X-Time-Left-Ms: 4998\r\nIdempotency-Key: 71593e6acbef1ca7795da9e901c059a9\r\nX-Facts: slots=1,memory=1.433\r\n" +
 		"Content-Length: 800\r\n\r\n" + strings.Repeat("x", 800))
-	var m Requests
+	var m RequestParser
 	b.ReportAllocs()
 	for b.Loop() {
 		m.Filled(copy(m.Space(), text))
 		q, _ := m.Next()
-		if _, err := testNames.Read(q); err != nil {
+		if _, err := testNames.ReadJobRequest(q); err != nil {
 			b.Fatal(err)
 		}
 		m.Done(true)
--- a/internal/platform/write.go
+++ b/internal/platform/write.go
@@ -7,15 +7,15 @@
 	"tinsail/internal/core"
 )
 
-// Stamp is the version of the fleet's policy that a job was taken by, and by which dispatcher.
-type Stamp struct {
-	Version uint64 // 0 for none: then nothing of it is written
-	By      string
+// PolicyStamp is the version of the fleet's policy that a job was taken by, and by which dispatcher.
+type PolicyStamp struct {
+	Version    uint64 // 0 for none: then nothing of it is written
+	Dispatcher string
 }
 
 // AppendJob writes the head of a job for a backend; the body follows as it is. v is nil where
 // dispatchers agree on no policy.
-func AppendJob(b []byte, j *core.Job, host string, left time.Duration, v *Stamp) []byte {
+func AppendJob(b []byte, j *core.Job, host string, left time.Duration, v *PolicyStamp) []byte {
 	b = append(b, j.Method...)
 	b = append(b, ' ')
 	b = append(b, j.Target...)
@@ -31,7 +31,7 @@
 		b = append(b, "\r\nX-Policy-Version: "...)
 		b = strconv.AppendUint(b, v.Version, 10)
 		b = append(b, "\r\nX-Dispatcher: "...)
-		b = append(b, v.By...)
+		b = append(b, v.Dispatcher...)
 	}
 	b = append(b, "\r\nX-Time-Left-Ms: "...)
 	b = strconv.AppendInt(b, max(left.Milliseconds(), 1), 10)
@@ -50,8 +50,8 @@
 // ListTarget is the target of a call for the whole list.
 const ListTarget = "/registry/instances"
 
-// AppendWatch is the target of a watch for what is newer than index.
-func AppendWatch(b []byte, index uint64, wait time.Duration) []byte {
+// AppendWatchTarget is the target of a watch for what is newer than index.
+func AppendWatchTarget(b []byte, index uint64, wait time.Duration) []byte {
 	b = append(b, "/registry/instances?since="...)
 	b = strconv.AppendUint(b, index, 10)
 	b = append(b, "&timeout_ms="...)
@@ -64,11 +64,11 @@
 
 // AppendAnswer writes an answer to a client.
 func AppendAnswer(b []byte, status int, pause time.Duration, closing bool, body string) []byte {
-	return AppendAnswerWith(b, status, pause, closing, "", body)
+	return AppendAnswerWithFields(b, status, pause, closing, "", body)
 }
 
-// AppendAnswerWith writes an answer with further fields: whole lines, each with its end.
-func AppendAnswerWith(b []byte, status int, pause time.Duration, closing bool, fields, body string) []byte {
+// AppendAnswerWithFields writes an answer with further fields: whole lines, each with its end.
+func AppendAnswerWithFields(b []byte, status int, pause time.Duration, closing bool, fields, body string) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(append(b, ' '), reasons[status]...)
@@ -86,8 +86,8 @@
 	return append(b, body...)
 }
 
-// AppendFinal writes a req's final answer. Only a backend's result is ever a 200.
-func AppendFinal(b []byte, a core.Answer, closing bool) []byte {
+// AppendFinalAnswer writes a req's final answer. Only a backend's result is ever a 200.
+func AppendFinalAnswer(b []byte, a core.Answer, closing bool) []byte {
 	switch a.Kind {
 	case core.Result:
 		return AppendAnswer(b, 200, 0, closing, a.Result)
