--- a/internal/network/connect_race_test.go
+++ b/internal/network/connect_race_test.go
@@ -23,7 +23,7 @@
 	*poolRig
 	core        *core.Core
 	backends    []*rawBackend
-	clockOffset atomic.Int64 // of the real clock, in ns
+	clockOffset atomic.Int64 // added to the real clock, in ns
 	dials       chan chan struct{}
 	answers     chan core.Answer
 }
@@ -72,7 +72,7 @@
 	}
 }
 
-func (d *coreRig) takeReq(id string) core.Handle {
+func (d *coreRig) submitReq(id string) core.Handle {
 	job := &core.Job{Method: "POST", Target: "/ingest", ID: id, IdempotencyKey: "k" + id}
 	t, fresh := d.core.Submit(balance.Request{Slots: 1}, job, time.Now(), 5*time.Second, d)
 	require.True(d.t, fresh)
@@ -100,16 +100,16 @@
 func TestClientGoneWhileConnecting(t *testing.T) {
 	for _, processed := range []bool{true, false} {
 		d := newCoreRig(t, balance.Class{Effect: balance.Safe})
-		ticket := d.takeReq("a")
+		handle := d.submitReq("a")
 		release := <-d.dials
-		ticket.Abandon(false, nil)
+		handle.Abandon(false, nil)
 		if processed {
 			d.core.Step()
 		}
 		close(release)
 		c := d.accept()
 		d.stepUntil(d.ended(core.Unsent))
-		d.takeReq("b")
+		d.submitReq("b")
 		got, err := c.req()
 		require.NoError(t, err)
 		assert.Equal(t, "b", got, "the client's end processed: %v", processed)
@@ -125,7 +125,7 @@
 		begins bool
 	}{{849 * time.Millisecond, true}, {850 * time.Millisecond, false}, {1500 * time.Millisecond, false}} {
 		d := newCoreRig(t, balance.Class{Effect: balance.Deduped, RepeatWindow: window}, newRawBackend(t))
-		d.takeReq("a")
+		d.submitReq("a")
 		close(<-d.dials)
 		first := d.nextConn()
 		_, err := first.req()
--- a/internal/network/director.go
+++ b/internal/network/director.go
@@ -24,7 +24,7 @@
 type WatchTimings struct {
 	PollWait     time.Duration // of a long poll; short, so that a director that falls silent is noticed
 	SilenceSlack time.Duration // beyond PollWait until the call counts as silent: calls queue at the director
-	GiveUpSlack  time.Duration // beyond PollWait until the call fails
+	GiveUpSlack  time.Duration // beyond PollWait until the call itself times out
 	BackupWait   time.Duration // long poll of a backup call; 0 stands for PollWait
 
 	// A connection that is not established by then counts as failed: the director's machine is cut off, and waiting
@@ -46,9 +46,9 @@
 //
 //	PollWait + SilenceSlack + ConnectTimeout + MaxBackoff <= publishedWithin
 //
-// MaxBackoff takes all the time that this leaves, and half of each delay is random (see backoff), so that a fleet whose
-// calls overload discovery spreads them. A call whose connection fails only after ConnectTimeout
-// was silent until then, and counts as a silence of its own.
+// MaxBackoff is at most all the time that this leaves. Half of each delay is random (see backoff), so that a fleet whose
+// calls overload discovery spreads them. A call whose connection fails only after ConnectTimeout was silent until then,
+// and counts as a silence of its own.
 func PollTimings(askEvery time.Duration) WatchTimings {
 	p := WatchTimings{PollWait: 2500 * time.Millisecond, SilenceSlack: 1500 * time.Millisecond, GiveUpSlack: 3500 * time.Millisecond, ConnectTimeout: time.Second}
 	p.MaxBackoff = min(max(askEvery/5, 100*time.Millisecond), publishedWithin-p.PollWait-p.SilenceSlack-p.ConnectTimeout)
@@ -63,7 +63,7 @@
 		BackupWait: 100 * time.Millisecond, ConnectTimeout: 200 * time.Millisecond, MaxBackoff: 200 * time.Millisecond}
 }
 
-// minGrace is the shortest grace that Within uses: with a shorter one, calls during an agent's outage would follow each
+// minGrace is the shortest grace period that WithinGrace uses: with a shorter one, calls during an agent's outage would follow each
 // other without a delay.
 const minGrace = 50 * time.Millisecond
 
--- a/internal/network/director_rig_test.go
+++ b/internal/network/director_rig_test.go
@@ -37,7 +37,7 @@
 	mute        fault = "silent"
 	resets      fault = "reset"     // once the call has arrived
 	unavailable fault = "503"       // answered with 503, as by another machine
-	truncated   fault = "breaks"    // the connection is closed in the middle of an answer
+	truncated   fault = "truncated" // the connection is closed in the middle of an answer
 	endless     fault = "endless"   // an answer that goes on byte by byte
 	malformed   fault = "malformed" // a complete answer that is not a list
 )
@@ -76,11 +76,11 @@
 
 // relayedConn is one connection to a stand-in.
 type relayedConn struct {
-	c    *watchRig
-	near net.Conn // the relay's end of what the dispatcher holds
-	far  net.Conn // to the stand-in; nil if the relay answers itself
-	own  fault    // of this connection alone; "" for the one of the current spell
-	once sync.Once
+	rig      *watchRig
+	near     net.Conn // the relay's end of what the dispatcher holds
+	far      net.Conn // to the stand-in; nil if the relay answers itself
+	ownFault fault    // of this connection alone; "" for the one of the current spell
+	once     sync.Once
 }
 
 // withWatch calls play with a watch of those timings. Its stand-ins list b0 to b3 as Ready.
@@ -227,7 +227,7 @@
 		return nil, err
 	}
 	dialled, near := net.Pipe()
-	l := &relayedConn{c: c, near: near, far: far, own: own}
+	l := &relayedConn{rig: c, near: near, far: far, ownFault: own}
 	c.mu.Lock()
 	c.conns[l] = true
 	c.mu.Unlock()
@@ -242,16 +242,16 @@
 	for {
 		n, err := l.near.Read(b)
 		if err != nil {
-			l.c.mu.Lock()
-			delete(l.c.conns, l)
-			l.c.mu.Unlock()
+			l.rig.mu.Lock()
+			delete(l.rig.conns, l)
+			l.rig.mu.Unlock()
 			l.far.Close()
 			l.near.Close()
 			return
 		}
-		f := l.own
+		f := l.ownFault
 		if f == "" {
-			f = l.c.currentFault()
+			f = l.rig.currentFault()
 		}
 		if f != healthy {
 			l.inject(f)
