--- a/cmd/tinsail/serve.go
+++ b/cmd/tinsail/serve.go
@@ -66,7 +66,7 @@
 	sig.mind(minded{
 		reload: func() { cfg, set = d.reload(cfg, set, o.settings) },
 		stats:  d.tell,
-		trace:  d.guard.Dump,
+		trace:  d.guard.LogTrace,
 		drain:  d.drain,
 	}, o.every, d.service.Ended())
 	d.end()
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -14,7 +14,7 @@
 // trace adds an event of a request to the trace.
 func (c *Core) trace(at time.Time, r *req, step guard.Step, reason fmt.Stringer) {
 	if c.Guard != nil {
-		c.Guard.Note(guard.Event{At: at, Request: r.job.ID, Step: step, Why: reason})
+		c.Guard.Record(guard.Event{At: at, Request: r.job.ID, Step: step, Reason: reason})
 	}
 }
 
@@ -25,12 +25,12 @@
 	if c == nil || c.Guard == nil {
 		return
 	}
-	c.Guard.Note(guard.Event{At: at, Request: r.job.ID, Step: guard.AttemptBegan})
-	facts := guard.Begin{At: at, ClientGone: c.clock.fromStamp(r.clientGoneAt.Load()), Drained: a.Backend.unavailableSince(), Grace: c.drainGrace,
-		Ended: c.Guard.Ended(), Deadline: c.clock.fromMillis(r.deadline), Told: timeLeft, Effect: r.effect,
-		Window: time.Duration(r.repeatWindow * float64(time.Millisecond)), Earlier: c.earlierAttempts(a.previous)}
+	c.Guard.Record(guard.Event{At: at, Request: r.job.ID, Step: guard.AttemptStarted})
+	facts := guard.AttemptStart{At: at, ClientGone: c.clock.fromStamp(r.clientGoneAt.Load()), Drained: a.Backend.unavailableSince(), Grace: c.drainGrace,
+		ShutdownAt: c.Guard.ShutdownTime(), Deadline: c.clock.fromMillis(r.deadline), SentTimeLeft: timeLeft, Effect: r.effect,
+		Window: time.Duration(r.repeatWindow * float64(time.Millisecond)), Prior: c.earlierAttempts(a.previous)}
 	for _, rule := range facts.Check() {
-		c.Guard.Violated(rule, 0, r.job.ID, fmt.Sprintf("attempt %d at %s: backend told %v, %v left", a.number, a.Backend.Name, timeLeft, facts.Deadline.Sub(at)))
+		c.Guard.ReportViolation(rule, 0, r.job.ID, fmt.Sprintf("attempt %d at %s: backend told %v, %v left", a.number, a.Backend.Name, timeLeft, facts.Deadline.Sub(at)))
 	}
 }
 
@@ -47,9 +47,9 @@
 }
 
 // earlierAttempts describes an attempt and all before it; nil, without allocation, if there is none.
-func (c *Core) earlierAttempts(a *Attempt) (out []guard.Earlier) {
+func (c *Core) earlierAttempts(a *Attempt) (out []guard.PriorAttempt) {
 	for ; a != nil; a = a.previous {
-		out = append(out, guard.Earlier{Began: c.clock.fromStamp(a.begunAt.Load()), Never: a.neverRan.Load()})
+		out = append(out, guard.PriorAttempt{StartedAt: c.clock.fromStamp(a.begunAt.Load()), NeverRan: a.neverRan.Load()})
 	}
 	return out
 }
@@ -64,12 +64,12 @@
 	if a.Kind != Result {
 		reason = c.refusalReason(r, now)
 	}
-	c.Guard.Note(guard.Event{At: now, Request: r.job.ID, Step: guard.RequestOver, Why: reason})
-	facts := guard.Final{At: now, Deadline: c.clock.fromMillis(r.deadline), Refused: a.Kind == Refusal, Effect: r.effect, Scope: r.dedupScope,
-		Window: time.Duration(r.repeatWindow * float64(time.Millisecond)), Again: r.answered, Attempts: c.earlierAttempts(r.latest.Load())}
+	c.Guard.Record(guard.Event{At: now, Request: r.job.ID, Step: guard.RequestDecided, Reason: reason})
+	facts := guard.FinalAnswer{At: now, Deadline: c.clock.fromMillis(r.deadline), Refused: a.Kind == Refusal, Effect: r.effect, Scope: r.dedupScope,
+		Window: time.Duration(r.repeatWindow * float64(time.Millisecond)), Duplicate: r.answered, Attempts: c.earlierAttempts(r.latest.Load())}
 	r.answered = true
 	for _, rule := range facts.Check() {
-		c.Guard.Violated(rule, 0, r.job.ID, fmt.Sprintf("answer kind %d after %d attempts, %v past the deadline", a.Kind, len(r.attempts), now.Sub(facts.Deadline)))
+		c.Guard.ReportViolation(rule, 0, r.job.ID, fmt.Sprintf("answer kind %d after %d attempts, %v past the deadline", a.Kind, len(r.attempts), now.Sub(facts.Deadline)))
 	}
 }
 
@@ -80,13 +80,13 @@
 	case c.readyCount.Load() == 0:
 		return guard.NoBackend
 	case c.clock.millis(now) >= r.deadline:
-		return guard.OutOfTime
+		return guard.DeadlinePassed
 	case last == nil:
-		return guard.NotTaken
+		return guard.NoAttempt
 	case !last.neverRan.Load() && last.begunAt.Load() != 0 && r.effect != balance.Safe:
 		return guard.MayHaveRun
 	case last.number > 0:
-		return guard.TriesSpent
+		return guard.AttemptsExhausted
 	}
 	return guard.Unclassified
 }
@@ -104,7 +104,7 @@
 	case Returned:
 		return guard.AfterReturned
 	case Unreached:
-		return guard.AfterUnreached
+		return guard.AfterUnreachable
 	case Unsent:
 		return guard.AfterUnsent
 	}
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -30,34 +30,34 @@
 	}{
 		"no violation":           {balance.Unsafe, func(w *clockFixture) { begin(w, 0) }, nil},
 		"draining, within grace": {balance.Safe, func(w *clockFixture) { drain(w); pass(w, grace); begin(w, 0) }, nil},
-		"draining, after grace":  {balance.Safe, func(w *clockFixture) { drain(w); pass(w, grace+1); begin(w, 0) }, []guard.Rule{guard.BeginDrained}},
+		"draining, after grace":  {balance.Safe, func(w *clockFixture) { drain(w); pass(w, grace+1); begin(w, 0) }, []guard.Rule{guard.StartedAfterDrain}},
 		"draining, listed as draining again": {balance.Safe, func(w *clockFixture) {
 			drain(w)
 			pass(w, grace)
 			drain(w)
 			pass(w, 1)
 			begin(w, 0)
-		}, []guard.Rule{guard.BeginDrained}},
+		}, []guard.Rule{guard.StartedAfterDrain}},
 		"banned": {balance.Safe, func(w *clockFixture) {
 			w.core.SetBanned(map[balance.WorkerID]struct{}{1: {}})
 			pass(w, grace)
 			w.core.SetBanned(map[balance.WorkerID]struct{}{1: {}, 2: {}}) // another backend is added; the first keeps the time of its ban
 			pass(w, 1)
 			begin(w, 0)
-		}, []guard.Rule{guard.BeginDrained}},
+		}, []guard.Rule{guard.StartedAfterDrain}},
 		"client gone": {balance.Safe, func(w *clockFixture) {
 			w.handle.Abandon(false, nil)
-			pass(w, guard.GoneGrace+1)
+			pass(w, guard.ClientGoneGrace+1)
 			begin(w, 0)
-		}, []guard.Rule{guard.BeginClientGone}},
+		}, []guard.Rule{guard.StartedAfterClientGone}},
 		"after the end": {balance.Safe, func(w *clockFixture) {
-			w.core.Guard.End(w.now)
+			w.core.Guard.MarkShutdown(w.now)
 			pass(w, 1)
 			begin(w, 0)
-		}, []guard.Rule{guard.BeginEnded}},
+		}, []guard.Rule{guard.StartedAfterShutdown}},
 		"backend told too much time": {balance.Safe, func(w *clockFixture) {
-			w.sent[0].Began(w.now, time.Minute+guard.TimeSlack+1)
-		}, []guard.Rule{guard.TimeTold}},
+			w.sent[0].Began(w.now, time.Minute+guard.TimeLeftSlack+1)
+		}, []guard.Rule{guard.TimeLeftTooLong}},
 		"begun twice": {balance.Unsafe, func(w *clockFixture) {
 			begin(w, 0)
 			w.dispatch()
@@ -75,7 +75,7 @@
 			w.dispatch()
 			pass(w, time.Second+1)
 			begin(w, 1)
-		}, []guard.Rule{guard.RepeatWindow}},
+		}, []guard.Rule{guard.RepeatOutsideWindow}},
 		"refused though it may have run": {balance.Unsafe, func(w *clockFixture) {
 			begin(w, 0)
 			actions{w.core}.Refuse(1, 0)
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -34,7 +34,7 @@
 	}
 	r.deadline = c.clock.millis(arrived.Add(timeLeft))
 	c.openCount.Add(1)
-	c.trace(arrived, r, guard.RequestTaken, nil)
+	c.trace(arrived, r, guard.RequestAccepted, nil)
 	c.post(func() {
 		c.lastID++
 		r.id, q.ID = c.lastID, c.lastID
--- a/internal/guard/recorder.go
+++ b/internal/guard/recorder.go
@@ -24,26 +24,26 @@
 	listed = 200
 )
 
-// Note adds an event to the trace, and counts its reason.
-func (r *Recorder) Note(e Event) {
+// Record adds an event to the trace, and counts its reason.
+func (r *Recorder) Record(e Event) {
 	if r == nil {
 		return
 	}
-	if why, ok := e.Why.(Reason); ok {
+	if why, ok := e.Reason.(Reason); ok {
 		r.reasons[why].Add(1)
 	}
 	r.trace.add(&e)
 }
 
-// End notes that the process has decided to end.
-func (r *Recorder) End(at time.Time) {
+// MarkShutdown notes that the process has decided to end.
+func (r *Recorder) MarkShutdown(at time.Time) {
 	if r != nil {
 		r.ended.CompareAndSwap(nil, &at)
 	}
 }
 
-// Ended is when the process decided to end; zero if it has not.
-func (r *Recorder) Ended() time.Time {
+// ShutdownTime is when the process decided to end; zero if it has not.
+func (r *Recorder) ShutdownTime() time.Time {
 	if r == nil {
 		return time.Time{}
 	}
@@ -53,8 +53,8 @@
 	return time.Time{}
 }
 
-// Violated counts a broken rule and logs it with the last events of the request, or of the session where that is known.
-func (r *Recorder) Violated(rule Rule, session uint64, request, says string) {
+// ReportViolation counts a broken rule and logs it with the last events of the request, or of the session where that is known.
+func (r *Recorder) ReportViolation(rule Rule, session uint64, request, says string) {
 	if r == nil {
 		return
 	}
@@ -91,8 +91,8 @@
 	}
 }
 
-// Dump logs the newest events of the trace.
-func (r *Recorder) Dump() {
+// LogTrace logs the newest events of the trace.
+func (r *Recorder) LogTrace() {
 	if r == nil {
 		return
 	}
--- a/internal/guard/trace.go
+++ b/internal/guard/trace.go
@@ -11,20 +11,20 @@
 
 // Steps.
 const (
-	SessionOpened Step = iota
-	SessionTold        // told to close, with a Reason
-	SessionLingers
+	SessionOpened         Step = iota
+	SessionCloseAnnounced      // told to close, with a Reason
+	SessionLingering
 	SessionClosed // with the core's ending
-	RequestTaken
+	RequestAccepted
 	AttemptSent    // given to the pool; the reason says why a further one
-	AttemptBegan   // its first byte was written
+	AttemptStarted // its first byte was written
 	AttemptEnded   // with the core's ending
-	RequestOver    // the final answer was decided, with a Reason where it was refused
-	RequestWritten // the final answer's last byte was written
+	RequestDecided // the final answer was decided, with a Reason where it was refused
+	AnswerWritten  // the final answer's last byte was written
 	ClientGone
 	BackendListed // with its state
 	ServiceState  // with the state
-	ListEnded     // a call for the list, with the core's ending
+	ListCallEnded // a call for the list, with the core's ending
 	steps
 )
 
@@ -42,31 +42,31 @@
 	NoReason Reason = iota
 
 	// Why a session closes.
-	ClientAsked   // by Connection: close
-	ClientEnded   // the client went, or a write to it failed
-	ClientFaulty  // it sent what is not a request
-	ClientFlooded // it sent more behind a request than is kept
-	HalfRequest   // the rest of a request did not come
+	ClientRequestedClose // by Connection: close
+	ClientDisconnected   // the client went, or a write to it failed
+	InvalidRequest       // it sent what is not a request
+	ClientFlooded        // it sent more behind a request than is kept
+	IncompleteRequest    // the rest of a request did not come
 	IdleTooLong
-	RoomWanted // its descriptor is needed
-	NoRoom     // turned away at the budget
-	ServiceEnds
+	DescriptorNeeded // its descriptor is needed
+	NoDescriptor     // turned away at the budget
+	ShuttingDown
 	HandedOver
 
 	// Why a further attempt is sent: how the one before it ended.
 	AfterReturned
-	AfterUnreached
+	AfterUnreachable
 	AfterUnsent
 	AfterFailure // it may have run
 	SecondCopy   // the one before it is still out
 
 	// Why a request is refused or failed.
-	NoBackend    // none is listed as ready
-	NotTaken     // no attempt was sent: no room, or none would be in time
-	OutOfTime    // the client's time is over
-	TriesSpent   // all attempts that are allowed
-	MayHaveRun   // nothing may follow what may have run
-	Unclassified // none of these
+	NoBackend         // none is listed as ready
+	NoAttempt         // no attempt was sent: no room, or none would be in time
+	DeadlinePassed    // the client's time is over
+	AttemptsExhausted // all attempts that are allowed
+	MayHaveRun        // nothing may follow what may have run
+	Unclassified      // none of these
 	reasons
 )
 
@@ -82,7 +82,7 @@
 	Session uint64
 	Request string
 	Step    Step
-	Why     fmt.Stringer // a Reason, the core's Ending or a state; may be nil
+	Reason  fmt.Stringer // a Reason, the core's Ending or a state; may be nil
 }
 
 // mostID is how much of a request's id the trace keeps. The id itself may be a slice of a whole head, which is not to be
@@ -100,7 +100,7 @@
 }
 
 func (e *entry) take(v *Event) {
-	e.at, e.session, e.why, e.step = v.At, v.Session, v.Why, v.Step
+	e.at, e.session, e.why, e.step = v.At, v.Session, v.Reason, v.Step
 	e.length = uint8(copy(e.id[:], v.Request))
 }
 
--- a/internal/network/await.go
+++ b/internal/network/await.go
@@ -167,7 +167,7 @@
 	closing = closing || flooded || !pipelined && (s.clients.currentDirectives().CloseAfterAnswer || t.mustClose(&s.sessionState))
 	err := s.write(platform.AppendFinalAnswer(make([]byte, 0, 128+len(a.Result)), a, closing))
 	if closing || err != nil {
-		s.note(guard.RequestWritten, s.closeCause(closing, flooded, err))
+		s.note(guard.AnswerWritten, s.closeCause(closing, flooded, err))
 	}
 	closing = t.reqAnswered(&s.sessionState, true, closing || err != nil, wake)
 	t.trimJobSessions(s.clients.maxJobSessions())
@@ -184,7 +184,7 @@
 		return
 	}
 	left := maxLingerBytes
-	s.note(guard.SessionLingers, nil)
+	s.note(guard.SessionLingering, nil)
 	if c.table.startLingering(&s.sessionState, c.maxSessions()) {
 		wait := lingerTimeout
 		if c.currentDirectives().CloseAfterAnswer {
--- a/internal/network/await_test.go
+++ b/internal/network/await_test.go
@@ -348,7 +348,7 @@
 			defer far.Close()
 			one := &sessionState{conn: near}
 			list.add(one, 9, nil)
-			list.requestClose(one, guard.ServiceEnds)
+			list.requestClose(one, guard.ShuttingDown)
 			list.reqReceived(one)
 			answering, closing := list.unfinished()
 			assert.Equal(t, []int{1, 1}, []int{answering, closing})
--- a/internal/network/clients.go
+++ b/internal/network/clients.go
@@ -394,8 +394,8 @@
 		if !c.currentDirectives().Ready || c.Core.ReadyBackends() == 0 || !c.Core.Serves() {
 			return 503, ""
 		}
-		if !c.Guard.Ended().IsZero() && !c.currentDirectives().HandedOver { // if handed over, another process serves in the dispatcher's name
-			c.Guard.Violated(guard.ServeNotReady, 0, "", "ready after the process had decided to end")
+		if !c.Guard.ShutdownTime().IsZero() && !c.currentDirectives().HandedOver { // if handed over, another process serves in the dispatcher's name
+			c.Guard.ReportViolation(guard.ReadyAfterShutdown, 0, "", "ready after the process had decided to end")
 		}
 		return 200, ""
 	case path == "/health/live":
--- a/internal/network/service.go
+++ b/internal/network/service.go
@@ -136,7 +136,7 @@
 	if d.HandedOver {
 		return guard.HandedOver
 	}
-	return guard.ServiceEnds
+	return guard.ShuttingDown
 }
 
 // update applies an event to the state machine and carries out the resulting directives.
@@ -171,7 +171,7 @@
 		c.table.closeIdle(d.IdleTimeout, closeReason(d))
 	}
 	if d.State != old.State {
-		c.Guard.Note(guard.Event{At: now, Step: guard.ServiceState, Why: d.State})
+		c.Guard.Record(guard.Event{At: now, Step: guard.ServiceState, Reason: d.State})
 	}
 	if d.State != old.State && s.OnStateChange != nil {
 		s.OnStateChange(old.State, d.State)
@@ -182,7 +182,7 @@
 			c.Count.HandoverLeft.Add(int64(all))
 		}
 		s.finished = true
-		c.Guard.End(now)
+		c.Guard.MarkShutdown(now)
 		close(s.ended)
 	case !s.machine.Changing():
 	case s.timer == nil:
--- a/internal/network/table.go
+++ b/internal/network/table.go
@@ -85,7 +85,7 @@
 		shed = t.shedOne(rankUnused)
 	}
 	if e := t.byRank[rankLingering].Front(); e != nil && t.count > limit+lingerHeadroom {
-		t.requestClose(e.Value.(*sessionState), guard.RoomWanted)
+		t.requestClose(e.Value.(*sessionState), guard.DescriptorNeeded)
 	}
 	s.connectedAt = time.Now()
 	s.idleSince = s.connectedAt
@@ -296,7 +296,7 @@
 func (t *table) shedOne(from shedRank) bool {
 	for r := from; r < rankBusy; r++ {
 		if e := t.byRank[r].Front(); e != nil && !e.Value.(*sessionState).shedProtected(0) {
-			t.requestClose(e.Value.(*sessionState), guard.RoomWanted)
+			t.requestClose(e.Value.(*sessionState), guard.DescriptorNeeded)
 			return true
 		}
 	}
@@ -320,15 +320,15 @@
 		return
 	}
 	if e := t.byRank[rankIdle].Front(); e != nil && time.Since(e.Value.(*sessionState).idleSince) >= trimMinIdle {
-		t.requestClose(e.Value.(*sessionState), guard.RoomWanted)
+		t.requestClose(e.Value.(*sessionState), guard.DescriptorNeeded)
 	}
 }
 
 // requestClose wakes a session's goroutine, which checks whether a request came after all, and closes. t.mu is held.
 func (t *table) requestClose(s *sessionState, why guard.Reason) {
 	t.move(s, rankClosing)
-	s.note(guard.SessionTold, why)
-	s.closeRequested, s.descriptorNeeded = true, s.descriptorNeeded || why == guard.RoomWanted
+	s.note(guard.SessionCloseAnnounced, why)
+	s.closeRequested, s.descriptorNeeded = true, s.descriptorNeeded || why == guard.DescriptorNeeded
 	s.conn.SetReadDeadline(time.Now())
 }
 
--- a/internal/network/trace.go
+++ b/internal/network/trace.go
@@ -13,13 +13,13 @@
 // note adds an event of the session to the trace.
 func (s *sessionState) note(step guard.Step, why fmt.Stringer) {
 	if s.guard != nil {
-		s.guard.Note(guard.Event{At: time.Now(), Session: s.id, Step: step, Why: why})
+		s.guard.Record(guard.Event{At: time.Now(), Session: s.id, Step: step, Reason: why})
 	}
 }
 
 func (s *session) note(step guard.Step, why fmt.Stringer) {
 	if s.sessionState.guard != nil {
-		s.sessionState.guard.Note(guard.Event{At: time.Now(), Session: s.id, Request: s.reqID, Step: step, Why: why})
+		s.sessionState.guard.Record(guard.Event{At: time.Now(), Session: s.id, Request: s.reqID, Step: step, Reason: why})
 	}
 }
 
@@ -27,7 +27,7 @@
 func (s *session) closeCause(closing, flooded bool, err error) fmt.Stringer {
 	switch d := s.clients.currentDirectives(); {
 	case err != nil:
-		return guard.ClientEnded
+		return guard.ClientDisconnected
 	case !closing:
 		return nil
 	case flooded:
@@ -35,9 +35,9 @@
 	case d.CloseAfterAnswer:
 		return closeReason(*d)
 	case s.clients.table.mustClose(&s.sessionState):
-		return guard.RoomWanted
+		return guard.DescriptorNeeded
 	}
-	return guard.ClientAsked
+	return guard.ClientRequestedClose
 }
 
 // checkUnanswered counts a violation if this side closes a session although a request that was read has no answer. A client that
@@ -54,10 +54,10 @@
 	switch {
 	case e == core.ClientClosed:
 	case pending:
-		s.sessionState.guard.Violated(guard.CloseOwed, s.id, s.reqID, "closed before its answer")
+		s.sessionState.guard.ReportViolation(guard.ClosedUnanswered, s.id, s.reqID, "closed before its answer")
 	case e == core.SessionShed || e == core.SessionDone && !s.clientEnds:
 		if q, _ := s.parser.Next(); q != nil && q.Method == "POST" {
-			s.sessionState.guard.Violated(guard.CloseOwed, s.id, "", "closed with a request read behind the last answer")
+			s.sessionState.guard.ReportViolation(guard.ClosedUnanswered, s.id, "", "closed with a request read behind the last answer")
 		}
 	}
 }
@@ -66,6 +66,6 @@
 // and not answered.
 func (s *http2Session) checkUnanswered(r *streamReq, e core.Ending) {
 	if s.guard != nil && r.taken && e != core.ClientClosed && e != core.ClientBad {
-		s.guard.Violated(guard.CloseOwed, s.id, r.job.ID, "its connection was closed before its answer")
+		s.guard.ReportViolation(guard.ClosedUnanswered, s.id, r.job.ID, "its connection was closed before its answer")
 	}
 }
--- a/internal/network/trace_test.go
+++ b/internal/network/trace_test.go
@@ -35,7 +35,7 @@
 		s := &session{sessionState: sessionState{guard: r, answerPending: c.owed}, clients: &Clients{}, clientEnds: c.itself}
 		s.parser.Filled(copy(s.parser.Space(), c.behind))
 		s.checkUnanswered(c.ending)
-		assert.Equal(t, c.want, r.Violations(guard.CloseOwed), name)
+		assert.Equal(t, c.want, r.Violations(guard.ClosedUnanswered), name)
 	}
 }
 
@@ -46,9 +46,9 @@
 		w.clients.Guard = r
 		status, _ := w.clients.statusResponse("GET", "/health/ready")
 		assert.Equal(t, 200, status)
-		assert.Zero(t, r.Violations(guard.ServeNotReady))
-		r.End(time.Now()) // while its directives do not say so
+		assert.Zero(t, r.Violations(guard.ReadyAfterShutdown))
+		r.MarkShutdown(time.Now()) // while its directives do not say so
 		_, _ = w.clients.statusResponse("GET", "/health/ready")
-		assert.EqualValues(t, 1, r.Violations(guard.ServeNotReady))
+		assert.EqualValues(t, 1, r.Violations(guard.ReadyAfterShutdown))
 	})
 }
