--- a/internal/http2/calm.go
+++ b/internal/http2/calm.go
@@ -11,23 +11,23 @@
 
 // Kinds of abuse, with the attacks that they stop.
 const (
-	RapidReset   Abuse = iota // resets, the client's and those it provokes: CVE-2023-44487, CVE-2025-8671, CVE-2019-9514
-	Continuation              // a field block without end: CVE-2023-45288
-	HeaderList                // a list longer than allowed, an HPACK bomb among them: CVE-2016-6581
-	Ping                      // CVE-2019-9512
-	Settings                  // CVE-2019-9515
-	Priority                  // CVE-2019-9513
-	WindowUpdate              // by bytes as small as one: CVE-2019-9511
-	Empty                     // DATA with nothing in it, or padding alone: CVE-2019-9518
-	Unknown                   // frames that the protocol has us ignore
-	Crossing                  // frames for streams that are over
-	Overflow                  // a window beyond its limit, or more than it allows
-	OverLimit                 // more streams than were announced
-	Unfinished                // a stream that is not sent to its end
-	Stalled                   // an answer that is not taken: CVE-2019-9517
-	Unread                    // output that is provoked and not read: CVE-2019-9512
-	NoRoom                    // a body that there is no room for
-	NoUse                     // requests that can only be turned away
+	RapidReset      Abuse = iota // resets, the client's and those it provokes: CVE-2023-44487, CVE-2025-8671, CVE-2019-9514
+	Continuation                 // a field block without end: CVE-2023-45288
+	HeaderList                   // a list longer than allowed, an HPACK bomb among them: CVE-2016-6581
+	Ping                         // CVE-2019-9512
+	Settings                     // CVE-2019-9515
+	Priority                     // CVE-2019-9513
+	WindowUpdate                 // by bytes as small as one: CVE-2019-9511
+	EmptyData                    // DATA with nothing in it, or padding alone: CVE-2019-9518
+	Unknown                      // frames that the protocol has us ignore
+	ClosedStream                 // frames for streams that are over
+	Overflow                     // a window beyond its limit, or more than it allows
+	OverLimit                    // more streams than were announced
+	UnfinishedBody               // a stream that is not sent to its end
+	StalledAnswer                // an answer that is not taken: CVE-2019-9517
+	UnreadOutput                 // output that is provoked and not read: CVE-2019-9512
+	NoCapacity                   // a body that there is no room for
+	RejectedRequest              // requests that can only be turned away
 	Abuses
 )
 
@@ -69,8 +69,8 @@
 func (m *calm) use(worth int) { m.useless = max(m.useless-worth, 0) }
 
 func (c *Conn) count(a Abuse) {
-	if c.cfg.Count != nil {
-		c.cfg.Count(a)
+	if c.cfg.OnAbuse != nil {
+		c.cfg.OnAbuse(a)
 	}
 }
 
@@ -78,7 +78,7 @@
 func (c *Conn) abuse(a Abuse) {
 	if !c.over {
 		c.count(a)
-		c.fail(EnhanceYou, a.String())
+		c.fail(EnhanceYourCalm, a.String())
 	}
 }
 
@@ -101,5 +101,5 @@
 	return false
 }
 
-// Blame tells that the driver had to turn a request away for a fault of the client's.
-func (c *Conn) Blame() { c.blame(NoUse) }
+// CountRejected tells that the driver had to turn a request away for a fault of the client's.
+func (c *Conn) CountRejected() { c.blame(RejectedRequest) }
--- a/internal/http2/conn.go
+++ b/internal/http2/conn.go
@@ -28,32 +28,32 @@
 
 // Codes that drivers use.
 const (
-	NoError    = http2.ErrCodeNo
-	Internal   = http2.ErrCodeInternal
-	Refused    = http2.ErrCodeRefusedStream
-	Cancel     = http2.ErrCodeCancel
-	EnhanceYou = http2.ErrCodeEnhanceYourCalm
+	NoError         = http2.ErrCodeNo
+	InternalError   = http2.ErrCodeInternal
+	RefusedStream   = http2.ErrCodeRefusedStream
+	Cancel          = http2.ErrCodeCancel
+	EnhanceYourCalm = http2.ErrCodeEnhanceYourCalm
 )
 
 // Config is what a connection is told at its start. All of it stays as it is.
 type Config struct {
-	Streams     int           // open at once, those that were reset and whose work still runs among them
-	HeaderBytes int           // of a decoded header list (RFC 9113 section 6.5.2)
-	FrameBytes  int           // of a frame's payload, 16,384 to 16,777,215
-	BodyBytes   int           // of a stream's body
-	Window      int           // bytes of bodies that the client may send ahead on the connection
-	BodyWait    time.Duration // between two pieces of a body
-	WholeWait   time.Duration // from a stream's head to the end of its body
-	Queue       int           // bytes of answers that may wait for the client's windows
-	Stall       time.Duration // that an answer waits for the client's window
-	DrainWait   time.Duration // that Drain waits for the client's acknowledgement
+	MaxStreams       int           // open at once, those that were reset and whose work still runs among them
+	MaxHeaderBytes   int           // of a decoded header list (RFC 9113 section 6.5.2)
+	MaxFrameBytes    int           // of a frame's payload, 16,384 to 16,777,215
+	MaxBodyBytes     int           // of a stream's body
+	ConnectionWindow int           // bytes of bodies that the client may send ahead on the connection
+	BodyIdleTimeout  time.Duration // between two pieces of a body
+	BodyTimeout      time.Duration // from a stream's head to the end of its body
+	MaxQueuedBytes   int           // bytes of answers that may wait for the client's windows
+	StallTimeout     time.Duration // that an answer waits for the client's window
+	DrainTimeout     time.Duration // that Drain waits for the client's acknowledgement
 	// Admit is asked before n more bytes of bodies or of longer answers are held, and Release
 	// told when they are not held any more. Where Admit says no to a body, the stream is refused
 	// unprocessed; an answer that there is no room for becomes a reset.
 	Admit   func(n int) bool
 	Release func(n int)
-	// Count is told what a client did that costs without use. May be nil.
-	Count func(Abuse)
+	// OnAbuse is told what a client did that costs without use. May be nil.
+	OnAbuse func(Abuse)
 }
 
 // Kind is what an Event tells.
@@ -64,16 +64,16 @@
 	// Opened: a stream's head is here, whole and well formed. Its fields are valid until the
 	// next call of Next. The driver may answer at once; else a Whole or a Gone follows.
 	Opened Kind = iota
-	// Whole: the body of a stream is here too. It is the driver's until it calls Free.
-	Whole
-	// Gone: the client reset a stream that had been Opened. It takes no answer. If it was
+	// BodyComplete: the body of a stream is here too. It is the driver's until it calls Free.
+	BodyComplete
+	// ClientReset: the client reset a stream that had been Opened. It takes no answer. If it was
 	// Whole, it keeps its place among the Streams until Free.
-	Gone
-	// Dropped: the machine ended a stream that was Opened and not Whole, by an answer or a
+	ClientReset
+	// Aborted: the machine ended a stream that was Opened and not Whole, by an answer or a
 	// reset of its own.
-	Dropped
-	// Over: the connection has ended, for Code. What Take still holds is to be written.
-	Over
+	Aborted
+	// Ended: the connection has ended, for Code. What Take still holds is to be written.
+	Ended
 )
 
 // Event is what a client's bytes meant.
@@ -166,12 +166,12 @@
 		initial: defaultWindow, peerMax: dataMost, room: defaultWindow}
 	c.fr = http2.NewFramer(writer{c}, &c.src)
 	c.fr.SetReuseFrames()
-	c.fr.SetMaxReadFrameSize(uint32(cfg.FrameBytes))
+	c.fr.SetMaxReadFrameSize(uint32(cfg.MaxFrameBytes))
 	c.dec = hpack.NewDecoder(tableMost, c.field)
-	c.dec.SetMaxStringLength(2 * (cfg.HeaderBytes + blockExtra))
+	c.dec.SetMaxStringLength(2 * (cfg.MaxHeaderBytes + blockExtra))
 	c.enc = hpack.NewEncoder(&c.pack)
 	c.enc.SetMaxDynamicTableSizeLimit(tableMost)
-	c.calm = newCalm(cfg.Streams)
+	c.calm = newCalm(cfg.MaxStreams)
 	return c
 }
 
@@ -210,7 +210,7 @@
 // against the limit once the header is here.
 func (c *Conn) frameLength() int {
 	if rest := c.in[c.r:c.w]; c.begun && len(rest) >= frameHeader {
-		return min(frameHeader+length(rest), frameHeader+c.cfg.FrameBytes)
+		return min(frameHeader+length(rest), frameHeader+c.cfg.MaxFrameBytes)
 	}
 	return 0
 }
@@ -228,11 +228,11 @@
 // Partial says whether something has begun to come in and is not whole: the preface, a frame.
 func (c *Conn) Partial() bool { return !c.set || c.r < c.w }
 
-// Begun says whether the client has shown that it speaks HTTP/2.
-func (c *Conn) Begun() bool { return c.set }
+// SettingsReceived says whether the client has shown that it speaks HTTP/2.
+func (c *Conn) SettingsReceived() bool { return c.set }
 
-// Live is how many streams are open, from their first frame to their answer's last byte.
-func (c *Conn) Live() int { return c.live }
+// OpenStreams is how many streams are open, from their first frame to their answer's last byte.
+func (c *Conn) OpenStreams() int { return c.live }
 
 // Next returns what the bytes mean that are here, one event at a time.
 func (c *Conn) Next() (Event, bool) {
@@ -240,7 +240,7 @@
 		for c.next < len(c.events) {
 			e := c.events[c.next]
 			c.next++
-			if e.Kind == Whole && e.Stream.answered { // at its Opened, by the driver
+			if e.Kind == BodyComplete && e.Stream.answered { // at its Opened, by the driver
 				continue
 			}
 			return e, true
@@ -264,7 +264,7 @@
 		return false
 	}
 	n := frameHeader + length(rest)
-	if n > frameHeader+c.cfg.FrameBytes {
+	if n > frameHeader+c.cfg.MaxFrameBytes {
 		c.fail(http2.ErrCodeFrameSize, "a frame that is too long")
 		return true
 	}
@@ -287,7 +287,7 @@
 	}
 	c.frame(f)
 	if len(c.out) > outMost {
-		c.abuse(Unread)
+		c.abuse(UnreadOutput)
 	}
 	return true
 }
--- a/internal/http2/conn_test.go
+++ b/internal/http2/conn_test.go
@@ -352,7 +352,7 @@
 		c send {post 7 x content-length=100}
 		d expect opened 7 POST /photo/1 x-correlation-id=r7 content-length=100`)
 	assert.Equal(t, 100, p.held)
-	assert.Equal(t, 2, p.seen[NoRoom])
+	assert.Equal(t, 2, p.seen[NoCapacity])
 }
 
 // TestDrain: what was taken before the client knew is served, and nothing after.
@@ -423,10 +423,10 @@
 		{Settings, many(40, "{set 4 9}")},
 		{Priority, many(2100, "{priority 5 3}")},
 		{WindowUpdate, many(2100, "{window 0 1}")},
-		{Empty, "{post 1 x}" + many(2100, "{data 1 x}")},
+		{EmptyData, "{post 1 x}" + many(2100, "{data 1 x}")},
 		{Unknown, many(2100, "{frame 99 1}")},
 		{Unknown, many(130, "{frame 99 16384}")},
-		{Crossing, "{post 1 x content-length=99999}" + many(2100, "{data 1 x}")},
+		{ClosedStream, "{post 1 x content-length=99999}" + many(2100, "{data 1 x}")},
 		{OverLimit, streams(200, "{post N e}")},
 	} {
 		p := newPlayer(t, 1<<14, nil)
@@ -474,7 +474,7 @@
 
 // TestUnread: a client that provokes output and reads none of it is cut off before much is held.
 func TestUnread(t *testing.T) {
-	p := newPlayer(t, 1<<14, func(c *Config) { c.Streams = 1000 })
+	p := newPlayer(t, 1<<14, func(c *Config) { c.MaxStreams = 1000 })
 	p.feed(p.frames.Bytes("{hello}"))
 	out := 0
 	for i := 0; i < 100_000 && !p.m.over; i++ {
@@ -486,6 +486,6 @@
 		}
 		out = len(p.m.out)
 	}
-	assert.Equal(t, 1, p.seen[Unread])
+	assert.Equal(t, 1, p.seen[UnreadOutput])
 	assert.Less(t, out, outMost+100)
 }
--- a/internal/http2/ending.go
+++ b/internal/http2/ending.go
@@ -15,20 +15,20 @@
 	}
 	if !c.begun {
 		c.over = true
-		c.event(Event{Kind: Over, Code: NoError})
+		c.event(Event{Kind: Ended, Code: NoError})
 		return
 	}
-	c.drain, c.drainBy = asking, now.Add(c.cfg.DrainWait)
-	c.arm(c.cfg.DrainWait)
+	c.drain, c.drainBy = asking, now.Add(c.cfg.DrainTimeout)
+	c.arm(c.cfg.DrainTimeout)
 	_ = c.fr.WriteGoAway(unusedID, NoError, nil)
 	var mark [8]byte
 	binary.BigEndian.PutUint32(mark[:], drainMark)
 	_ = c.fr.WritePing(false, mark)
 }
 
-// Settle ends the wait that Drain began, or drains at once: what has been opened is served,
+// StopNewStreams ends the wait that Drain began, or drains at once: what has been opened is served,
 // and nothing later is taken.
-func (c *Conn) Settle(now time.Time) {
+func (c *Conn) StopNewStreams(now time.Time) {
 	c.now = now
 	if c.drain == draining || c.over {
 		return
@@ -50,7 +50,7 @@
 func (c *Conn) finish() {
 	if c.drain == draining && c.live == 0 && !c.over {
 		c.over = true
-		c.event(Event{Kind: Over, Code: NoError})
+		c.event(Event{Kind: Ended, Code: NoError})
 	}
 }
 
@@ -61,20 +61,20 @@
 	}
 	c.over = true
 	_ = c.fr.WriteGoAway(c.lastID, code, []byte(reason))
-	c.event(Event{Kind: Over, Code: code, Reason: reason})
+	c.event(Event{Kind: Ended, Code: code, Reason: reason})
 }
 
-// End ends the connection from the driver's side, with a reason for the client.
-func (c *Conn) End(code Code, reason string) {
+// Terminate ends the connection from the driver's side, with a reason for the client.
+func (c *Conn) Terminate(code Code, reason string) {
 	if !c.begun && !c.over {
 		c.greet()
 	}
 	c.fail(code, reason)
 }
 
-// Lost returns the streams that were Opened and not answered nor told as Gone. Once the connection is
+// Unanswered returns the streams that were Opened and not answered nor told as Gone. Once the connection is
 // over, none of them can have an answer any more.
-func (c *Conn) Lost() (lost []*Stream) {
+func (c *Conn) Unanswered() (lost []*Stream) {
 	for _, s := range c.streams {
 		if s.opened && !s.gone && !s.answered {
 			lost = append(lost, s)
@@ -105,8 +105,8 @@
 // arm sees to it that Expire looks at what has begun now, once it may be due.
 func (c *Conn) arm(in time.Duration) { c.due = earlier(c.due, c.now.Add(in)) }
 
-// Due is when Expire may next have something to do; zero is never.
-func (c *Conn) Due() time.Time { return c.due }
+// NextDeadline is when Expire may next have something to do; zero is never.
+func (c *Conn) NextDeadline() time.Time { return c.due }
 
 // Expire does what is due at a time, and returns Due. It looks at the streams only when one of
 // them may be due, however often it is called.
@@ -130,17 +130,17 @@
 		case s.gone:
 			continue
 		case !s.ended && !s.answered:
-			due = earlier(s.since.Add(c.cfg.BodyWait), s.opensAt.Add(c.cfg.WholeWait))
+			due = earlier(s.since.Add(c.cfg.BodyIdleTimeout), s.opensAt.Add(c.cfg.BodyTimeout))
 			if !now.Before(due) {
-				c.count(Unfinished)
+				c.count(UnfinishedBody)
 				c.turnAway(s, "408")
 				continue
 			}
 		case s.waiting:
-			due = s.since.Add(c.cfg.Stall)
+			due = s.since.Add(c.cfg.StallTimeout)
 			if !now.Before(due) {
 				stalled++
-				c.count(Stalled)
+				c.count(StalledAnswer)
 				c.resetStream(s, Cancel)
 				continue
 			}
@@ -150,8 +150,8 @@
 		c.due = earlier(c.due, due)
 	}
 	// Where not one byte of any answer moved for as long, the client has stopped reading.
-	if stalled > 0 && now.Sub(c.moved) >= c.cfg.Stall {
-		c.fail(EnhanceYou, "the window stays shut")
+	if stalled > 0 && now.Sub(c.moved) >= c.cfg.StallTimeout {
+		c.fail(EnhanceYourCalm, "the window stays shut")
 	}
 	return c.due
 }
--- a/internal/http2/fuzz_test.go
+++ b/internal/http2/fuzz_test.go
@@ -30,8 +30,8 @@
 
 func watch(t testing.TB) *watcher {
 	w := &watcher{t: t, now: time.Unix(1e9, 0), owed: map[uint32]bool{}, open: map[uint32]bool{}, ends: map[uint32]int{}}
-	w.m = New(Config{Streams: 8, HeaderBytes: 2048, FrameBytes: 16384, BodyBytes: 65536, Window: 65536, Queue: 4000,
-		BodyWait: time.Second, WholeWait: 2 * time.Second, Stall: time.Second, DrainWait: time.Second,
+	w.m = New(Config{MaxStreams: 8, MaxHeaderBytes: 2048, MaxFrameBytes: 16384, MaxBodyBytes: 65536, ConnectionWindow: 65536, MaxQueuedBytes: 4000,
+		BodyIdleTimeout: time.Second, BodyTimeout: 2 * time.Second, StallTimeout: time.Second, DrainTimeout: time.Second,
 		Admit: func(n int) bool {
 			if n <= 0 || w.held+n > watchedRoom {
 				return false
@@ -49,7 +49,7 @@
 		for e, ok := w.m.Next(); ok; e, ok = w.m.Next() {
 			w.event(e, rng)
 		}
-		w.frames(w.m.Take(nil))
+		w.frames(w.m.TakeOutput(nil))
 	}
 	require.LessOrEqual(w.t, w.held, watchedRoom)
 	require.GreaterOrEqual(w.t, w.held, 0)
@@ -66,7 +66,7 @@
 				delete(w.owed, id)
 			}
 		case 1:
-			w.m.Reset(id, Refused)
+			w.m.Reset(id, RefusedStream)
 			delete(w.owed, id)
 		}
 	}
@@ -90,19 +90,19 @@
 		require.False(w.t, w.open[id], "opened twice")
 		w.open[id] = true
 		e.Stream.Discard = rng.IntN(4) == 0
-	case Whole:
+	case BodyComplete:
 		require.True(w.t, w.open[id])
 		w.owed[id] = true
-	case Gone:
+	case ClientReset:
 		require.True(w.t, w.open[id], "gone without having been opened")
 		delete(w.owed, id)
 		delete(w.open, id)
-		w.m.Free(id)
-	case Dropped:
+		w.m.ReleaseStream(id)
+	case Aborted:
 		require.True(w.t, w.open[id])
 		require.False(w.t, w.owed[id])
 		delete(w.open, id)
-	case Over:
+	case Ended:
 		w.over = true
 	}
 }
--- a/internal/http2/head.go
+++ b/internal/http2/head.go
@@ -49,10 +49,10 @@
 		return
 	case c.drain == draining: // never taken: the client knows by GOAWAY
 		b.refuse = NoError
-	case len(c.streams) >= c.cfg.Streams:
+	case len(c.streams) >= c.cfg.MaxStreams:
 		c.lastID = f.StreamID
 		c.count(OverLimit)
-		b.refuse = Refused
+		b.refuse = RefusedStream
 	default:
 		c.lastID = f.StreamID
 		b.stream = c.open(f.StreamID)
@@ -77,7 +77,7 @@
 	b := &c.block
 	b.parts++
 	b.bytes += len(p)
-	if b.bytes > c.cfg.HeaderBytes+blockExtra || b.parts > continuations {
+	if b.bytes > c.cfg.MaxHeaderBytes+blockExtra || b.parts > continuations {
 		c.abuse(Continuation)
 		return
 	}
@@ -99,7 +99,7 @@
 // field takes in one field of a block, as the decoder finds it.
 func (c *Conn) field(f hpack.HeaderField) {
 	b := &c.block
-	if b.size += len(f.Name) + len(f.Value) + 32; b.size > c.cfg.HeaderBytes {
+	if b.size += len(f.Name) + len(f.Value) + 32; b.size > c.cfg.MaxHeaderBytes {
 		b.large = true
 		c.dec.SetEmitEnabled(false) // a short block can stand for a very long list
 		return
@@ -183,14 +183,14 @@
 	// A block can take longer to come than its stream may: the stream has had its answer, and may be gone.
 	if s != nil && (s.answered || c.streams[s.ID] != s) {
 		s.ended = s.ended || b.ends
-		c.useless(Crossing, b.bytes)
+		c.useless(ClosedStream, b.bytes)
 		return
 	}
 	switch {
 	case s == nil:
 		switch b.refuse {
 		case NoError:
-			c.useless(Crossing, b.bytes)
+			c.useless(ClosedStream, b.bytes)
 		default:
 			c.streamError(b.id, b.refuse)
 		}
@@ -211,7 +211,7 @@
 	default:
 		s.Head = b.head
 		s.Head.Fields = b.fields
-		if s.Head.Length > int64(c.cfg.BodyBytes) {
+		if s.Head.Length > int64(c.cfg.MaxBodyBytes) {
 			c.turnAway(s, "413")
 			return
 		}
--- a/internal/http2/preface.go
+++ b/internal/http2/preface.go
@@ -29,11 +29,11 @@
 		c.out = append(c.out, "HTTP/1.1 505 HTTP Version Not Supported\r\nConnection: close\r\nContent-Type: text/plain\r\nContent-Length: "...)
 		c.out = append(c.out, byte('0'+len(text)/10), byte('0'+len(text)%10))
 		c.out = append(append(c.out, "\r\n\r\n"...), text...)
-		c.event(Event{Kind: Over, Code: http2.ErrCodeHTTP11Required, Reason: "HTTP/1"})
+		c.event(Event{Kind: Ended, Code: http2.ErrCodeHTTP11Required, Reason: "HTTP/1"})
 		return true
 	}
 	_ = c.fr.WriteGoAway(0, http2.ErrCodeProtocol, nil)
-	c.event(Event{Kind: Over, Code: http2.ErrCodeProtocol, Reason: "not the preface"})
+	c.event(Event{Kind: Ended, Code: http2.ErrCodeProtocol, Reason: "not the preface"})
 	return true
 }
 
@@ -54,12 +54,12 @@
 // greet writes our SETTINGS and widens the connection's window to what may be sent ahead.
 func (c *Conn) greet() {
 	_ = c.fr.WriteSettings(
-		http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(c.cfg.Streams)},
+		http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(c.cfg.MaxStreams)},
 		http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(c.streamRoom())},
-		http2.Setting{ID: http2.SettingMaxFrameSize, Val: uint32(c.cfg.FrameBytes)},
-		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(c.cfg.HeaderBytes)})
+		http2.Setting{ID: http2.SettingMaxFrameSize, Val: uint32(c.cfg.MaxFrameBytes)},
+		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(c.cfg.MaxHeaderBytes)})
 	c.settings++
-	if more := int64(c.cfg.Window) - c.room; more > 0 {
+	if more := int64(c.cfg.ConnectionWindow) - c.room; more > 0 {
 		_ = c.fr.WriteWindowUpdate(0, uint32(more))
 		c.room += more
 	}
@@ -68,4 +68,4 @@
 // streamRoom is the window of a new stream: a whole body, so that only padding is ever given
 // back. It holds from the client's acknowledgement on; until then a client may send the
 // default, which is less or hardly more.
-func (c *Conn) streamRoom() int { return max(c.cfg.BodyBytes, defaultWindow) }
+func (c *Conn) streamRoom() int { return max(c.cfg.MaxBodyBytes, defaultWindow) }
--- a/internal/http2/scenario_test.go
+++ b/internal/http2/scenario_test.go
@@ -36,8 +36,8 @@
 
 func newPlayer(t *testing.T, piece int, change func(*Config)) *player {
 	p := &player{t: t, now: time.Unix(1e9, 0), piece: piece, room: 1 << 20, seen: map[Abuse]int{}}
-	cfg := Config{Streams: 4, HeaderBytes: 2048, FrameBytes: 16384, BodyBytes: 65536, Window: 65536, Queue: 3000,
-		BodyWait: 2500 * time.Millisecond, WholeWait: 5 * time.Second, Stall: 5 * time.Second, DrainWait: 300 * time.Millisecond,
+	cfg := Config{MaxStreams: 4, MaxHeaderBytes: 2048, MaxFrameBytes: 16384, MaxBodyBytes: 65536, ConnectionWindow: 65536, MaxQueuedBytes: 3000,
+		BodyIdleTimeout: 2500 * time.Millisecond, BodyTimeout: 5 * time.Second, StallTimeout: 5 * time.Second, DrainTimeout: 300 * time.Millisecond,
 		Admit: func(n int) bool {
 			if p.held+n > p.room {
 				return false
@@ -47,7 +47,7 @@
 			return true
 		},
 		Release: func(n int) { p.held -= n },
-		Count:   func(a Abuse) { p.seen[a]++ }}
+		OnAbuse: func(a Abuse) { p.seen[a]++ }}
 	if change != nil {
 		change(&cfg)
 	}
@@ -70,9 +70,9 @@
 // look takes down the events and what came out.
 func (p *player) look() {
 	p.told()
-	p.m.Pending()
+	p.m.HasOutput()
 	p.told() // framing an answer can end a connection that drains
-	p.came = append(p.came, p.frames.Words(p.m.Take(nil))...)
+	p.came = append(p.came, p.frames.Words(p.m.TakeOutput(nil))...)
 	p.told()
 }
 
@@ -86,13 +86,13 @@
 				names = append(names, f.Name+"="+f.Value)
 			}
 			p.events = append(p.events, strings.TrimSpace(fmt.Sprintf("opened %d %s %s %s", s.ID, s.Head.Method, s.Head.Path, strings.Join(names, " "))))
-		case Whole:
+		case BodyComplete:
 			p.events = append(p.events, strings.TrimSpace(fmt.Sprintf("whole %d %s", s.ID, s.Body)))
-		case Gone:
+		case ClientReset:
 			p.events = append(p.events, fmt.Sprintf("gone %d", s.ID))
-		case Dropped:
+		case Aborted:
 			p.events = append(p.events, fmt.Sprintf("dropped %d", s.ID))
-		case Over:
+		case Ended:
 			p.events = append(p.events, strings.TrimSpace(fmt.Sprintf("over %v %s", e.Code, e.Reason)))
 		}
 	}
@@ -117,15 +117,15 @@
 		}
 		p.m.Answer(uint32(id), status, pause, arg(3), p.now)
 	case "reset":
-		p.m.Reset(uint32(id), Refused)
+		p.m.Reset(uint32(id), RefusedStream)
 	case "free":
-		p.m.Free(uint32(id))
+		p.m.ReleaseStream(uint32(id))
 	case "drain":
 		p.m.Drain(p.now)
 	case "settle":
-		p.m.Settle(p.now)
+		p.m.StopNewStreams(p.now)
 	case "end":
-		p.m.End(EnhanceYou, "too many clients")
+		p.m.Terminate(EnhanceYourCalm, "too many clients")
 	default:
 		p.t.Fatal("no such order: ", text)
 	}
--- a/internal/http2/send.go
+++ b/internal/http2/send.go
@@ -8,7 +8,7 @@
 // enqueue has a stream's answer framed when its turn comes.
 func (c *Conn) enqueue(s *Stream) {
 	s.waiting = true
-	c.arm(c.cfg.Stall)
+	c.arm(c.cfg.StallTimeout)
 	if !s.queued {
 		s.queued = true
 		c.queue = append(c.queue, s)
@@ -22,14 +22,14 @@
 	}
 }
 
-// Pending says whether Take has something to hand out.
-func (c *Conn) Pending() bool {
+// HasOutput says whether Take has something to hand out.
+func (c *Conn) HasOutput() bool {
 	c.pull()
 	return len(c.out) > 0
 }
 
-// Take hands out the bytes that are to be written, and takes a buffer for the next.
-func (c *Conn) Take(spare []byte) []byte {
+// TakeOutput hands out the bytes that are to be written, and takes a buffer for the next.
+func (c *Conn) TakeOutput(spare []byte) []byte {
 	c.pull()
 	b := c.out
 	c.out = spare[:0]
--- a/internal/http2/stream.go
+++ b/internal/http2/stream.go
@@ -52,7 +52,7 @@
 	s.ID, s.window, s.room, s.opensAt, s.since = id, c.initial, int64(c.streamRoom()), c.now, c.now
 	c.streams[id] = s
 	c.live++
-	c.arm(min(c.cfg.BodyWait, c.cfg.WholeWait))
+	c.arm(min(c.cfg.BodyIdleTimeout, c.cfg.BodyTimeout))
 	return s
 }
 
@@ -86,8 +86,8 @@
 	c.finish()
 }
 
-// Free tells that the work for a stream that was told as Gone is over: its place is free.
-func (c *Conn) Free(id uint32) {
+// ReleaseStream tells that the work for a stream that was told as Gone is over: its place is free.
+func (c *Conn) ReleaseStream(id uint32) {
 	if s := c.streams[id]; s != nil && s.gone {
 		c.forget(s)
 	}
@@ -102,7 +102,7 @@
 		return
 	}
 	if s.opened && !s.ended && !s.answered {
-		c.event(Event{Kind: Dropped, Stream: s})
+		c.event(Event{Kind: Aborted, Stream: s})
 	}
 	s.gone = true
 	c.end(s)
@@ -113,7 +113,7 @@
 	s.gone, s.waiting = true, false
 	c.letGo(s)
 	c.live--
-	c.event(Event{Kind: Gone, Stream: s})
+	c.event(Event{Kind: ClientReset, Stream: s})
 	c.finish()
 }
 
@@ -174,7 +174,7 @@
 			c.vanish(s)
 			return
 		}
-		c.event(Event{Kind: Gone, Stream: s})
+		c.event(Event{Kind: ClientReset, Stream: s})
 	}
 	s.gone = true
 	c.end(s)
@@ -189,7 +189,7 @@
 		c.fail(http2.ErrCodeFlowControl, "more than the window allows")
 		return
 	}
-	if c.owed += n; c.owed*2 >= int64(c.cfg.Window) {
+	if c.owed += n; c.owed*2 >= int64(c.cfg.ConnectionWindow) {
 		_ = c.fr.WriteWindowUpdate(0, uint32(c.owed))
 		c.room += c.owed
 		c.owed = 0
@@ -201,10 +201,10 @@
 		return
 	case s != nil && s.answered && !s.ended: // its answer came first, and its reset will
 		s.ended = f.StreamEnded()
-		c.useless(Crossing, int(n))
+		c.useless(ClosedStream, int(n))
 		return
 	case s == nil && c.crossed(f.StreamID), s != nil && s.gone && !s.ended, c.later(f.StreamID):
-		c.useless(Crossing, int(n))
+		c.useless(ClosedStream, int(n))
 		return
 	case s == nil || s.gone || s.ended:
 		c.streamError(f.StreamID, http2.ErrCodeStreamClosed)
@@ -217,12 +217,12 @@
 	}
 	piece := f.Data()
 	if len(piece) == 0 && !f.StreamEnded() {
-		c.useless(Empty, int(n)) // CVE-2019-9518
+		c.useless(EmptyData, int(n)) // CVE-2019-9518
 	}
 	if pad := n - int64(len(piece)); pad > 0 && !f.StreamEnded() {
 		s.room += pad
 		_ = c.fr.WriteWindowUpdate(s.ID, uint32(pad))
-		c.useless(Empty, int(pad))
+		c.useless(EmptyData, int(pad))
 	}
 	if !c.keep(s, piece) {
 		return
@@ -241,7 +241,7 @@
 		c.streamError(s.ID, http2.ErrCodeProtocol) // RFC 9113 section 8.1.1
 		return false
 	}
-	if all > c.cfg.BodyBytes {
+	if all > c.cfg.MaxBodyBytes {
 		c.turnAway(s, "413")
 		return false
 	}
@@ -249,7 +249,7 @@
 		return true
 	}
 	if all > cap(s.Body) {
-		size := max(all, min(2*all, c.cfg.BodyBytes))
+		size := max(all, min(2*all, c.cfg.MaxBodyBytes))
 		if s.Head.Length >= 0 {
 			size = int(s.Head.Length)
 		}
@@ -270,9 +270,9 @@
 		return true
 	}
 	if !c.cfg.Admit(more) {
-		c.count(NoRoom)
-		if !c.blame(NoRoom) {
-			c.resetStream(s, Refused)
+		c.count(NoCapacity)
+		if !c.blame(NoCapacity) {
+			c.resetStream(s, RefusedStream)
 		}
 		return false
 	}
@@ -287,7 +287,7 @@
 	}
 	s.ended = true
 	if !s.answered {
-		c.event(Event{Kind: Whole, Stream: s})
+		c.event(Event{Kind: BodyComplete, Stream: s})
 	}
 }
 
@@ -295,12 +295,12 @@
 // reset that does not void it (RFC 9113 section 8.1).
 func (c *Conn) turnAway(s *Stream, status string) {
 	if s.opened && !s.answered && !s.ended {
-		c.event(Event{Kind: Dropped, Stream: s})
+		c.event(Event{Kind: Aborted, Stream: s})
 	}
 	if s.answered { // its own answer is on its way; the rest of its body is not wanted
 		return
 	}
-	if c.blame(NoUse) {
+	if c.blame(RejectedRequest) {
 		return
 	}
 	s.answered, s.status = true, status
@@ -328,9 +328,9 @@
 	}
 	// What the client does not take is not gathered up for it without end.
 	if len(body) > smallAnswer {
-		if c.waiting+len(body) > c.cfg.Queue || !c.cfg.Admit(len(body)) {
-			c.count(Unread)
-			c.resetStream(s, EnhanceYou)
+		if c.waiting+len(body) > c.cfg.MaxQueuedBytes || !c.cfg.Admit(len(body)) {
+			c.count(UnreadOutput)
+			c.resetStream(s, EnhanceYourCalm)
 			return true
 		}
 		s.kept = len(body)
--- a/internal/network/http2.go
+++ b/internal/network/http2.go
@@ -107,17 +107,17 @@
 	s := &http2Session{sessionState: sessionState{conn: conn}, front: f, limits: l, wakeWriter: make(chan struct{}, 1),
 		flushed: make(chan struct{}), readerDone: make(chan struct{}), arrival: newArrivalClock(conn, c.acceptQueue.queuedSince())}
 	window := int(min(max(c.MaxBufferedBytes/8, minWindow), maxWindow))
-	s.machine = http2.New(http2.Config{Streams: l.MaxStreams, HeaderBytes: l.MaxHeaderBytes, FrameBytes: l.MaxFrameBytes,
-		BodyBytes: platform.MaxBody, Window: window, Queue: int(c.MaxBufferedBytes / 4), BodyWait: reqTimeout, WholeWait: max(c.LongestDeadline, reqTimeout),
-		Stall: l.StallTimeout, DrainWait: l.DrainTimeout,
+	s.machine = http2.New(http2.Config{MaxStreams: l.MaxStreams, MaxHeaderBytes: l.MaxHeaderBytes, MaxFrameBytes: l.MaxFrameBytes,
+		MaxBodyBytes: platform.MaxBody, ConnectionWindow: window, MaxQueuedBytes: int(c.MaxBufferedBytes / 4), BodyIdleTimeout: reqTimeout, BodyTimeout: max(c.LongestDeadline, reqTimeout),
+		StallTimeout: l.StallTimeout, DrainTimeout: l.DrainTimeout,
 		Admit: c.reserveBytes, Release: func(n int) { c.bufferedBytes.Add(-int64(n)) },
-		Count: func(a http2.Abuse) { c.Count.HTTP2Abuse[a].Add(1) }}, time.Now())
+		OnAbuse: func(a http2.Abuse) { c.Count.HTTP2Abuse[a].Add(1) }}, time.Now())
 	c.Count.HTTP2Sessions.Add(1)
 	excess, room := c.register(&s.sessionState)
 	if s.overLimit = excess; !room {
-		s.machine.End(http2.EnhanceYou, "too many clients")
+		s.machine.Terminate(http2.EnhanceYourCalm, "too many clients")
 		s.conn.SetWriteDeadline(time.Now().Add(l.StallTimeout))
-		s.conn.Write(s.machine.Take(nil))
+		s.conn.Write(s.machine.TakeOutput(nil))
 		c.table.remove(&s.sessionState)
 		s.reject()
 		return
@@ -160,9 +160,9 @@
 func (s *http2Session) read() (e core.Ending, over bool) {
 	for {
 		s.mu.Lock()
-		space, over, begun := s.machine.Space(), s.ended, s.machine.Begun()
+		space, over, begun := s.machine.Space(), s.ended, s.machine.SettingsReceived()
 		if !over { // under the lock, so that the writer's wake-up at the end is not undone
-			s.setReadDeadline(begun, s.machine.Live())
+			s.setReadDeadline(begun, s.machine.OpenStreams())
 		}
 		s.mu.Unlock()
 		if over {
@@ -188,12 +188,12 @@
 			s.front.Clients.table.reqStarted(&s.sessionState)
 		}
 		s.handleEvents()
-		if s.front.Clients.currentDirectives().AnnounceClose && s.machine.Begun() { // it began after announceDrain had run
+		if s.front.Clients.currentDirectives().AnnounceClose && s.machine.SettingsReceived() { // it began after announceDrain had run
 			s.machine.Drain(time.Now())
 			s.handleEvents()
 		}
-		due := s.machine.Due()
-		pending := s.machine.Pending() || !due.IsZero() && (s.writerWakeAt.IsZero() || due.Before(s.writerWakeAt))
+		due := s.machine.NextDeadline()
+		pending := s.machine.HasOutput() || !due.IsZero() && (s.writerWakeAt.IsZero() || due.Before(s.writerWakeAt))
 		s.mu.Unlock()
 		if pending {
 			s.signalWriter()
@@ -231,16 +231,16 @@
 		return 0, false
 	case mustClose:
 		s.ending = core.SessionShed
-		s.machine.Settle(time.Now())
-	case s.machine.Live() > 0:
+		s.machine.StopNewStreams(time.Now())
+	case s.machine.OpenStreams() > 0:
 		return 0, false
-	case !s.machine.Begun():
+	case !s.machine.SettingsReceived():
 		return core.ClientSilent, true
 	case !t.closeDue(&s.sessionState):
 		return 0, false
 	default:
 		s.ending = core.ClientSilent
-		s.machine.Settle(time.Now())
+		s.machine.StopNewStreams(time.Now())
 	}
 	s.handleEvents()
 	s.signalWriter()
@@ -268,9 +268,9 @@
 			s.processInbox()
 			next := s.machine.Expire(time.Now())
 			s.handleEvents()
-			s.machine.Pending()
+			s.machine.HasOutput()
 			s.handleEvents() // a connection that drains ends when its last answer has been framed
-			b := s.machine.Take(spare)
+			b := s.machine.TakeOutput(spare)
 			over := s.ended
 			if next != s.writerWakeAt {
 				if s.writerWakeAt = next; next.IsZero() {
@@ -315,18 +315,18 @@
 
 // noteIdle tells the table when the last stream has ended. s.mu is held.
 func (s *http2Session) noteIdle() {
-	if !s.hasStreams || s.machine.Live() > 0 || s.ended {
+	if !s.hasStreams || s.machine.OpenStreams() > 0 || s.ended {
 		return
 	}
-	s.machine.Pending() // frames the pending output: a stream ends with that
-	if s.machine.Live() > 0 {
+	s.machine.HasOutput() // frames the pending output: a stream ends with that
+	if s.machine.OpenStreams() > 0 {
 		return
 	}
 	s.hasStreams = false
 	t := &s.front.Clients.table
 	if t.reqAnswered(&s.sessionState, true, false, false) {
 		s.ending = core.SessionShed
-		s.machine.Settle(time.Now())
+		s.machine.StopNewStreams(time.Now())
 	}
 	t.trimJobSessions(s.front.Clients.maxJobSessions())
 }
@@ -338,7 +338,7 @@
 		s := key.(*http2Session)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.machine.Begun() { // a connection whose first bytes are still on their way is told by its reader
+		if s.machine.SettingsReceived() { // a connection whose first bytes are still on their way is told by its reader
 			s.machine.Drain(time.Now())
 			s.handleEvents()
 			s.signalWriter()
--- a/internal/network/http2_close.go
+++ b/internal/network/http2_close.go
@@ -23,7 +23,7 @@
 // abandonLost abandons the requests that can have no answer any more, as soon as the connection has ended. It does not wait
 // for the client to read what was sent last. s.mu is held.
 func (s *http2Session) abandonLost() {
-	for _, st := range s.machine.Lost() {
+	for _, st := range s.machine.Unanswered() {
 		if r, ok := st.Data.(*streamReq); ok {
 			st.Data = nil
 			r.abandon()
@@ -113,7 +113,7 @@
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return
 	}
-	s.front.Clients.Count.HTTP2Abuse[http2.Stalled].Add(1)
+	s.front.Clients.Count.HTTP2Abuse[http2.StalledAnswer].Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.ended {
--- a/internal/network/http2_flood_test.go
+++ b/internal/network/http2_flood_test.go
@@ -54,7 +54,7 @@
 				c.framer.WriteRawFrame(99, 0, 0, nil)
 			}
 		},
-		ours.Empty: func(c *http2Client) {
+		ours.EmptyData: func(c *http2Client) {
 			c.appendHead(1, true)
 			for range 3000 {
 				c.framer.WriteData(1, false, nil)
--- a/internal/network/http2_inbox.go
+++ b/internal/network/http2_inbox.go
@@ -70,10 +70,10 @@
 		item := &items[i]
 		switch {
 		case item.free:
-			s.machine.Free(item.streamID)
+			s.machine.ReleaseStream(item.streamID)
 		case item.lost:
-			c.Count.HTTP2Abuse[http2.Unread].Add(1)
-			s.machine.Reset(item.streamID, http2.EnhanceYou)
+			c.Count.HTTP2Abuse[http2.UnreadOutput].Add(1)
+			s.machine.Reset(item.streamID, http2.EnhanceYourCalm)
 		case item.answer.Kind == core.Result:
 			s.machine.Answer(item.streamID, 200, 0, item.answer.Result, now)
 		case item.answer.Kind == core.Refusal:
--- a/internal/network/http2_reqs.go
+++ b/internal/network/http2_reqs.go
@@ -18,9 +18,9 @@
 		switch e.Kind {
 		case http2.Opened:
 			s.streamOpened(e.Stream)
-		case http2.Whole:
+		case http2.BodyComplete:
 			s.reqComplete(e.Stream)
-		case http2.Gone:
+		case http2.ClientReset:
 			c.Count.HTTP2Resets.Add(1)
 			c.Count.Endings[core.StreamReset].Add(1)
 			r, ok := e.Stream.Data.(*streamReq)
@@ -28,11 +28,11 @@
 			if ok && r.taken {
 				r.abandon()
 			} else {
-				s.machine.Free(e.Stream.ID)
+				s.machine.ReleaseStream(e.Stream.ID)
 			}
-		case http2.Dropped:
+		case http2.Aborted:
 			c.Count.ReqsBad.Add(1)
-		case http2.Over:
+		case http2.Ended:
 			s.ended = true
 			s.abandonLost()
 			switch {
@@ -100,7 +100,7 @@
 	}
 	if s.overLimit { // the dispatch module has not seen it, so another dispatcher may take it
 		c.Count.ReqsShed.Add(1)
-		s.machine.Reset(st.ID, http2.Refused)
+		s.machine.Reset(st.ID, http2.RefusedStream)
 		return
 	}
 	r := &streamReq{session: s, id: st.ID, arrivedAt: s.lastByteAt, work: work}
@@ -142,5 +142,5 @@
 	errors.As(err, &bad)
 	s.front.Clients.Count.ReqsBad.Add(1)
 	s.machine.Answer(st.ID, bad.Status, bad.RetryAfter, err.Error()+"\n", time.Now())
-	s.machine.Blame()
+	s.machine.CountRejected()
 }
--- a/internal/network/http2_test.go
+++ b/internal/network/http2_test.go
@@ -210,7 +210,7 @@
 			for range 100 {
 				assert.Regexp(t, "^rst .* CANCEL$", w.peers["h1"].nextFrame())
 			}
-			assert.Equal(t, int64(100), w.count.HTTP2Abuse[http2.Stalled].Load())
+			assert.Equal(t, int64(100), w.count.HTTP2Abuse[http2.StalledAnswer].Load())
 			assert.Zero(t, w.clients.bufferedBytes.Load())
 		}, `
 		h1 expect goaway 199 ENHANCE_YOUR_CALM the window stays shut
--- a/internal/network/http2_unread_test.go
+++ b/internal/network/http2_unread_test.go
@@ -87,7 +87,7 @@
 		}
 	}
 	assert.GreaterOrEqual(t, reset, reqs-int(fit))
-	assert.Equal(t, int64(reset), s.count.HTTP2Abuse[ours.Unread].Load())
+	assert.Equal(t, int64(reset), s.count.HTTP2Abuse[ours.UnreadOutput].Load())
 	c.conn.Close()
 	s.checkNoSessions(t)
 }
@@ -119,7 +119,7 @@
 	s.checkNoSessions(t)
 	assert.Equal(t, int64(1), s.count.Endings[core.ClientBad].Load())
 	assert.Zero(t, s.count.Endings[core.ClientClosed].Load())
-	assert.Equal(t, int64(1), s.count.HTTP2Abuse[ours.Stalled].Load())
+	assert.Equal(t, int64(1), s.count.HTTP2Abuse[ours.StalledAnswer].Load())
 }
 
 // TestHTTP2StalledClientDoesNotBlockOthers: while one client reads nothing, another is served.
