--- a/cmd/tinsail/handover.go
+++ b/cmd/tinsail/handover.go
@@ -28,7 +28,7 @@
 type handed struct {
 	link  *handoff.Link
 	state handover.State
-	stage handover.New
+	stage handover.NewProcess
 	files []*os.File // in the order of state.Listeners
 }
 
@@ -60,7 +60,7 @@
 	link, state, files, err := handoff.Join(keptPath(cfg, "sock"), helloOf(cfg))
 	h := handed{link: link, state: state, files: files}
 	if err == nil {
-		if bad := h.stage.State(&state, len(files)); bad != "" {
+		if bad := h.stage.HandleState(&state, len(files)); bad != "" {
 			err = errors.New(bad)
 			h.close()
 		}
@@ -68,7 +68,7 @@
 	var no *handoff.Refusal
 	switch {
 	case err == nil:
-		log.Info().Int("sockets", state.Sockets).Int("backends", len(state.List)).Bool("out", state.Out).Msg("hand-over: state taken")
+		log.Info().Int("sockets", state.MaxSockets).Int("backends", len(state.List)).Bool("out", state.OutOfService).Msg("hand-over: state taken")
 		return h, nil
 	case errors.Is(err, handoff.ErrNoProcess):
 	case errors.As(err, &no) && no.Busy:
@@ -104,7 +104,7 @@
 	from   handed
 
 	mu     sync.Mutex
-	stage  handover.New
+	stage  handover.NewProcess
 	peer   *handoff.Link // the other process while there is one
 	have   int           // descriptors that this process may hold ...
 	memory int64         // ... and bytes
@@ -121,7 +121,7 @@
 	t.server = &handoff.Server{Path: keptPath(d.cfg, "sock"), Hello: helloOf(d.cfg), Log: d.log,
 		GiveState: t.give, StopAccepting: t.hand, OnNews: t.news, OnJoined: t.joined, OnGone: t.gone}
 	if from.link != nil {
-		t.have, t.memory, t.stage = from.state.Sockets, from.state.Memory, from.stage
+		t.have, t.memory, t.stage = from.state.MaxSockets, from.state.MemoryBytes, from.stage
 		t.taken.Add(1)
 	}
 	d.resize(t.have, t.memory)
@@ -132,10 +132,10 @@
 // at each address of the director, and this process may have been given another address than the old one had.
 func (d *dispatcher) inherit() (list []core.Entry) {
 	s := &d.handover.from.state
-	if s.Out {
+	if s.OutOfService {
 		d.service.TakeOutOfService()
 	}
-	if err := d.bans.SetOutOfService(s.Out); err != nil {
+	if err := d.bans.SetOutOfService(s.OutOfService); err != nil {
 		d.log.Error().Err(err).Msg("bans not kept")
 	}
 	d.bans.Merge(s.Marks)
@@ -167,10 +167,10 @@
 		}
 		d.accept()
 		t.mu.Lock()
-		tell := t.stage.Serves(time.Now())
+		tell := t.stage.StartServing(time.Now())
 		t.mu.Unlock()
 		if tell {
-			_ = t.from.link.Send(handover.News{Ready: true}) // if it is gone, so much the better
+			_ = t.from.link.Send(handover.StatusUpdate{Ready: true}) // if it is gone, so much the better
 		}
 		for !t.serves() {
 			time.Sleep(service.PollInterval)
@@ -206,21 +206,21 @@
 func (t *takeover) serves() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.stage.May(time.Now())
+	return t.stage.MayReportServing(time.Now())
 }
 
 // news takes what the other process says, at either end.
-func (t *takeover) news(n handover.News) {
+func (t *takeover) news(n handover.StatusUpdate) {
 	switch {
-	case n.Taken:
+	case n.StoppedAccepting:
 		t.mu.Lock()
-		t.stage.Taken()
+		t.stage.HandleStopAccepting()
 		t.mu.Unlock()
-	case n.Sockets > 0:
+	case n.MaxSockets > 0:
 		t.mu.Lock()
-		more := n.Sockets > t.have && n.Sockets < t.d.cfg.Sockets
+		more := n.MaxSockets > t.have && n.MaxSockets < t.d.cfg.Sockets
 		if more {
-			t.have = n.Sockets
+			t.have = n.MaxSockets
 		}
 		sockets, memory := t.have, t.memory
 		t.mu.Unlock()
@@ -229,8 +229,8 @@
 		}
 	case n.Mark != nil:
 		t.d.bans.Merge([]maintenance.Mark{*n.Mark})
-	case n.Out != nil:
-		t.d.setOut(*n.Out)
+	case n.OutOfService != nil:
+		t.d.setOut(*n.OutOfService)
 	}
 }
 
@@ -251,8 +251,8 @@
 	t.mu.Lock()
 	t.peer = l
 	t.mu.Unlock()
-	for _, m := range t.d.bans.ShareWith(func(m maintenance.Mark) { _ = l.Send(handover.News{Mark: &m}) }) {
-		_ = l.Send(handover.News{Mark: &m})
+	for _, m := range t.d.bans.ShareWith(func(m maintenance.Mark) { _ = l.Send(handover.StatusUpdate{Mark: &m}) }) {
+		_ = l.Send(handover.StatusUpdate{Mark: &m})
 	}
 }
 
@@ -265,7 +265,7 @@
 	l := t.peer
 	t.mu.Unlock()
 	if l != nil {
-		_ = l.Send(handover.News{Out: &out})
+		_ = l.Send(handover.StatusUpdate{OutOfService: &out})
 	}
 }
 
@@ -274,7 +274,7 @@
 func (t *takeover) oldGone(err error) {
 	t.mu.Lock()
 	at, alone := t.stage.Stage(), t.peer == t.from.link
-	t.stage.Gone()
+	t.stage.HandleDisconnect()
 	if t.total = t.d.cfg.Sockets; alone {
 		t.peer, t.have, t.memory = nil, t.d.cfg.Sockets, t.d.cfg.Memory
 	}
@@ -296,14 +296,14 @@
 func (t *takeover) give() (handover.State, []syscall.Conn) {
 	d := t.d
 	t.mu.Lock()
-	keep, give := handover.Split(t.have, t.used(), t.spare())
+	keep, give := handover.SplitDescriptors(t.have, t.used(), t.spare())
 	t.total, t.have, t.memory = t.have, keep, t.memory/2
 	t.giving = make(chan struct{})
 	memory := t.memory
 	t.mu.Unlock()
 	d.resize(keep, memory)
 	d.core.SetOverlap(true)
-	s := handover.State{Sockets: give, Memory: memory, Out: d.service.IsOutOfService()}
+	s := handover.State{MaxSockets: give, MemoryBytes: memory, OutOfService: d.service.IsOutOfService()}
 	list, marks := d.bans.State()
 	s.Marks = marks
 	for _, b := range list {
@@ -347,7 +347,7 @@
 			t.mu.Unlock()
 			if less {
 				t.d.pool.Resize(t.d.pool.OpenConnections() + 8)
-				_ = l.Send(handover.News{Sockets: all - keep})
+				_ = l.Send(handover.StatusUpdate{MaxSockets: all - keep})
 			}
 		}
 	}()
--- a/cmd/tinsail/shutdown_handover_test.go
+++ b/cmd/tinsail/shutdown_handover_test.go
@@ -69,9 +69,9 @@
 			defer clients.Close()
 			joined, handed := make(chan *handoff.Link, 1), make(chan struct{})
 			old := &handoff.Server{Path: h.socket(), Hello: h.hello(), Log: zerolog.Nop(), OnJoined: func(l *handoff.Link) { joined <- l },
-				StopAccepting: func() { close(handed) }, OnNews: func(handover.News) {}, OnGone: func(bool) {},
+				StopAccepting: func() { close(handed) }, OnNews: func(handover.StatusUpdate) {}, OnGone: func(bool) {},
 				GiveState: func() (handover.State, []syscall.Conn) {
-					return handover.State{Sockets: 300, Memory: 64 << 20, Listeners: []string{"http1"}}, []syscall.Conn{clients.(*net.TCPListener)}
+					return handover.State{MaxSockets: 300, MemoryBytes: 64 << 20, Listeners: []string{"http1"}}, []syscall.Conn{clients.(*net.TCPListener)}
 				}}
 			require.NoError(t, old.Listen())
 			t.Cleanup(old.Close)
--- a/cmd/tinsail/takeover_test.go
+++ b/cmd/tinsail/takeover_test.go
@@ -38,9 +38,9 @@
 				joined, hand = func(l *handoff.Link) { link = l }, func() { link.Close() }
 			}
 			old := &handoff.Server{Path: h.socket(), Hello: h.hello(), Log: zerolog.Nop(), OnJoined: joined, StopAccepting: hand,
-				OnNews: func(handover.News) {}, OnGone: func(bool) {},
+				OnNews: func(handover.StatusUpdate) {}, OnGone: func(bool) {},
 				GiveState: func() (handover.State, []syscall.Conn) {
-					s := handover.State{Sockets: 300, Memory: 64 << 20, Listeners: []string{"http1"},
+					s := handover.State{MaxSockets: 300, MemoryBytes: 64 << 20, Listeners: []string{"http1"},
 						Marks: []maintenance.Mark{{Name: "b1", Banned: true, At: 1}}}
 					for i, b := range h.backends {
 						s.List = append(s.List, handover.Backend{Name: b.Name, Address: b.Address, Cell: i, State: 1, Weight: 4})
--- a/cmd/tinsail/upgrade_test.go
+++ b/cmd/tinsail/upgrade_test.go
@@ -296,7 +296,7 @@
 	for _, ready := range []bool{false, true, true} {
 		l, state, files, err := handoff.Join(h.socket(), h.hello())
 		require.NoError(t, err)
-		assert.Equal(t, 512, state.Sockets)
+		assert.Equal(t, 512, state.MaxSockets)
 		assert.Len(t, state.List, 3)
 		require.Len(t, files, 1)
 		_, _, _, err = handoff.Join(h.socket(), h.hello())
@@ -310,10 +310,10 @@
 		require.ErrorAs(t, third.cmd.Wait(), &code)
 		assert.Equal(t, exitFailed, code.ExitCode(), "a third is refused cleanly")
 		if ready {
-			require.NoError(t, l.Send(handover.News{Ready: true}))
+			require.NoError(t, l.Send(handover.StatusUpdate{Ready: true}))
 			done := make(chan struct{})
-			go l.Read(func(n handover.News) {
-				if n.Taken {
+			go l.Read(func(n handover.StatusUpdate) {
+				if n.StoppedAccepting {
 					close(done)
 				}
 			})
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -13,62 +13,62 @@
 var me = Hello{Version: Version, Name: "n", Listen: "127.0.0.1:1"}
 
 func TestOldStages(t *testing.T) {
-	var o Old
+	var o OldProcess
 	for _, h := range []Hello{{Version: 2, Name: "n", Listen: me.Listen}, {Version: Version, Name: "m", Listen: me.Listen}, {Version: Version, Name: "n"}} {
-		refused, busy := o.Hello(h, me)
+		refused, busy := o.HandleHello(h, me)
 		assert.NotEmpty(t, refused)
 		assert.False(t, busy)
 	}
-	assert.False(t, o.Ready(), "nobody has come")
-	refused, _ := o.Hello(me, me)
+	assert.False(t, o.HandleReady(), "nobody has come")
+	refused, _ := o.HandleHello(me, me)
 	assert.Empty(t, refused)
-	refused, busy := o.Hello(me, me)
+	refused, busy := o.HandleHello(me, me)
 	assert.NotEmpty(t, refused)
 	assert.True(t, busy)
-	assert.False(t, o.Gone(), "it accepted all the time")
-	_, _ = o.Hello(me, me)
-	assert.True(t, o.Ready())
-	assert.False(t, o.Ready(), "told twice")
-	assert.Equal(t, Handed, o.Stage())
-	assert.True(t, o.Gone(), "it accepts again")
-	refused, _ = o.Hello(me, me)
+	assert.False(t, o.HandleDisconnect(), "it accepted all the time")
+	_, _ = o.HandleHello(me, me)
+	assert.True(t, o.HandleReady())
+	assert.False(t, o.HandleReady(), "told twice")
+	assert.Equal(t, HandedOver, o.Stage())
+	assert.True(t, o.HandleDisconnect(), "it accepts again")
+	refused, _ = o.HandleHello(me, me)
 	assert.Empty(t, refused)
 }
 
 func TestNewStages(t *testing.T) {
 	now := time.Unix(1000, 0)
-	good := State{Version: Version, Listeners: []string{"http1"}, Sockets: 100, Memory: 1 << 20}
+	good := State{Version: Version, Listeners: []string{"http1"}, MaxSockets: 100, MemoryBytes: 1 << 20}
 	for _, f := range []func(*State){
-		func(s *State) { s.Version = 7 }, func(s *State) { s.Refused = "no" }, func(s *State) { s.Sockets = 0 },
-		func(s *State) { s.Memory = -1 }, func(s *State) { s.Listeners = nil }, func(s *State) { s.Listeners = append(s.Listeners, "x") },
+		func(s *State) { s.Version = 7 }, func(s *State) { s.Refused = "no" }, func(s *State) { s.MaxSockets = 0 },
+		func(s *State) { s.MemoryBytes = -1 }, func(s *State) { s.Listeners = nil }, func(s *State) { s.Listeners = append(s.Listeners, "x") },
 	} {
 		bad := good
 		f(&bad)
-		var n New
-		assert.NotEmpty(t, n.State(&bad, 1))
-		assert.Equal(t, Alone, n.Stage())
+		var n NewProcess
+		assert.NotEmpty(t, n.HandleState(&bad, 1))
+		assert.Equal(t, Idle, n.Stage())
 	}
-	var n New
-	assert.True(t, n.May(now), "alone")
-	assert.False(t, n.Serves(now), "nobody to tell")
-	assert.Empty(t, n.State(&good, 1))
-	assert.False(t, n.May(now), "the old one serves")
-	n.Taken()
-	assert.False(t, n.May(now), "not asked for")
-	assert.True(t, n.Serves(now))
-	assert.False(t, n.May(now))
-	assert.True(t, n.May(now.Add(TakenWait)), "the old one has stalled")
-	n.Taken()
-	assert.True(t, n.May(now))
-	n.Gone()
-	assert.Equal(t, Alone, n.Stage())
+	var n NewProcess
+	assert.True(t, n.MayReportServing(now), "alone")
+	assert.False(t, n.StartServing(now), "nobody to tell")
+	assert.Empty(t, n.HandleState(&good, 1))
+	assert.False(t, n.MayReportServing(now), "the old one serves")
+	n.HandleStopAccepting()
+	assert.False(t, n.MayReportServing(now), "not asked for")
+	assert.True(t, n.StartServing(now))
+	assert.False(t, n.MayReportServing(now))
+	assert.True(t, n.MayReportServing(now.Add(StopAcceptingTimeout)), "the old one has stalled")
+	n.HandleStopAccepting()
+	assert.True(t, n.MayReportServing(now))
+	n.HandleDisconnect()
+	assert.Equal(t, Idle, n.Stage())
 }
 
 // TestSplit: both together never hold more than the limit, and neither is left with next to nothing.
 func TestSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(64, 5000).Draw(t, "limit")
-		keep, give := Split(limit, rapid.IntRange(0, limit).Draw(t, "used"), 50)
+		keep, give := SplitDescriptors(limit, rapid.IntRange(0, limit).Draw(t, "used"), 50)
 		assert.Equal(t, limit, keep+give)
 		assert.GreaterOrEqual(t, give, limit/4)
 		assert.GreaterOrEqual(t, keep, limit/2)
@@ -82,10 +82,10 @@
 		var err error
 		want := rapid.SliceOfN(rapid.StringN(0, 20, 40), 1, 5).Draw(t, "names")
 		for _, name := range want {
-			bytes, err = Append(bytes, Hello{Version: 1, Name: name})
+			bytes, err = AppendMessage(bytes, Hello{Version: 1, Name: name})
 			require.NoError(t, err)
 		}
-		r := Reader{Most: MaxHello}
+		r := Reader{MaxBytes: MaxHello}
 		var got []string
 		for len(bytes) > 0 {
 			n := rapid.IntRange(1, len(bytes)).Draw(t, "piece")
@@ -101,7 +101,7 @@
 		assert.Equal(t, want, got)
 	})
 	for _, bad := range []string{"X", "THO2", "THO1\xff\xff\xff\xff", "THO1\x00\x00\x10\x01"} {
-		r := Reader{Most: MaxHello}
+		r := Reader{MaxBytes: MaxHello}
 		r.Fill([]byte(bad))
 		_, err := r.Next()
 		assert.Error(t, err)
@@ -109,7 +109,7 @@
 		_, err = r.Next()
 		assert.Error(t, err)
 	}
-	r := Reader{Most: MaxHello}
+	r := Reader{MaxBytes: MaxHello}
 	r.Fill([]byte("THO1\x00\x00"))
 	text, err := r.Next()
 	assert.NoError(t, err)
@@ -119,7 +119,7 @@
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("THO1\x00\x00\x00\x02{}THO1"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		r := Reader{Most: 64}
+		r := Reader{MaxBytes: 64}
 		r.Fill(b)
 		for text, err := r.Next(); text != nil; text, err = r.Next() {
 			require.NoError(t, err)
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -17,11 +17,11 @@
 // A message is four bytes of magic, four of length (big-endian), and JSON. Bounds hold for both ends:
 // what is longer is not read.
 const (
-	magic    = "THO1"
-	frameLen = len(magic) + 4
-	MaxHello = 4 << 10
-	MaxState = 8 << 20
-	MaxNews  = 64 << 10
+	magic           = "THO1"
+	frameLen        = len(magic) + 4
+	MaxHello        = 4 << 10
+	MaxState        = 8 << 20
+	MaxStatusUpdate = 64 << 10
 )
 
 // Hello is what a new process says first.
@@ -34,15 +34,15 @@
 // State is what it is told: all that the old process knows, or why it is told nothing. Descriptors come
 // along in the order of Listeners.
 type State struct {
-	Version   int                `json:"version"`
-	Refused   string             `json:"refused,omitempty"`
-	Busy      bool               `json:"busy,omitempty"` // refused since another hand-over is under way
-	Listeners []string           `json:"listeners,omitempty"`
-	Sockets   int                `json:"sockets"` // descriptors that the new process may hold
-	Memory    int64              `json:"memory"`  // bytes
-	Out       bool               `json:"out"`     // of service
-	Marks     []maintenance.Mark `json:"marks,omitempty"`
-	List      []Backend          `json:"list,omitempty"`
+	Version      int                `json:"version"`
+	Refused      string             `json:"refused,omitempty"`
+	Busy         bool               `json:"busy,omitempty"` // refused since another hand-over is under way
+	Listeners    []string           `json:"listeners,omitempty"`
+	MaxSockets   int                `json:"sockets"` // descriptors that the new process may hold
+	MemoryBytes  int64              `json:"memory"`  // bytes
+	OutOfService bool               `json:"out"`     // of service
+	Marks        []maintenance.Mark `json:"marks,omitempty"`
+	List         []Backend          `json:"list,omitempty"`
 }
 
 // Backend is a line of the list, as the source has it.
@@ -57,17 +57,17 @@
 	Started float64 `json:"started"`
 }
 
-// News are what either says afterwards, one thing a message.
-type News struct {
-	Ready   bool              `json:"ready,omitempty"`   // new: it accepts
-	Taken   bool              `json:"taken,omitempty"`   // old: it does not accept any more
-	Sockets int               `json:"sockets,omitempty"` // old: so many the new one may hold from now on
-	Mark    *maintenance.Mark `json:"mark,omitempty"`    // either
-	Out     *bool             `json:"out,omitempty"`     // either: of service, or back
+// StatusUpdate are what either says afterwards, one thing a message.
+type StatusUpdate struct {
+	Ready            bool              `json:"ready,omitempty"`   // new: it accepts
+	StoppedAccepting bool              `json:"taken,omitempty"`   // old: it does not accept any more
+	MaxSockets       int               `json:"sockets,omitempty"` // old: so many the new one may hold from now on
+	Mark             *maintenance.Mark `json:"mark,omitempty"`    // either
+	OutOfService     *bool             `json:"out,omitempty"`     // either: of service, or back
 }
 
-// Append writes a message.
-func Append(b []byte, message any) ([]byte, error) {
+// AppendMessage writes a message.
+func AppendMessage(b []byte, message any) ([]byte, error) {
 	text, err := json.Marshal(message)
 	if err != nil {
 		return b, err
@@ -79,9 +79,9 @@
 
 // Reader takes messages out of the bytes that come. Most bounds the next one.
 type Reader struct {
-	Most int
-	b    []byte
-	bad  error
+	MaxBytes int
+	b        []byte
+	bad      error
 }
 
 var errMagic = errors.New("not a message of a hand-over")
@@ -104,8 +104,8 @@
 		return nil, nil
 	}
 	size := int(binary.BigEndian.Uint32(r.b[len(magic):frameLen]))
-	if size > r.Most {
-		r.bad = fmt.Errorf("a message of %d bytes, at most %d are read", size, r.Most)
+	if size > r.MaxBytes {
+		r.bad = fmt.Errorf("a message of %d bytes, at most %d are read", size, r.MaxBytes)
 		return nil, r.bad
 	}
 	if len(r.b) < frameLen+size {
--- a/internal/network/handoff/handoff.go
+++ b/internal/network/handoff/handoff.go
@@ -48,10 +48,10 @@
 
 // Send sends a message to the other process. An error means that the process is gone or does not read: the
 // link is closed, and Read returns.
-func (l *Link) Send(n handover.News) error { return l.send(n, nil) }
+func (l *Link) Send(n handover.StatusUpdate) error { return l.send(n, nil) }
 
 func (l *Link) send(message any, rights []byte) error {
-	text, err := handover.Append(nil, message)
+	text, err := handover.AppendMessage(nil, message)
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 }
 
 // Read calls f for each message until the link ends, and returns the reason.
-func (l *Link) Read(f func(handover.News)) error {
+func (l *Link) Read(f func(handover.StatusUpdate)) error {
 	defer l.conn.Close()
 	for {
 		text, files, err := l.message(nil)
@@ -83,7 +83,7 @@
 		if err != nil {
 			return err
 		}
-		var n handover.News
+		var n handover.StatusUpdate
 		if err := json.Unmarshal(text, &n); err != nil {
 			return err
 		}
@@ -159,7 +159,7 @@
 	if err != nil {
 		return nil, s, nil, err
 	}
-	l = &Link{conn: conn.(*net.UnixConn), reader: handover.Reader{Most: handover.MaxState}}
+	l = &Link{conn: conn.(*net.UnixConn), reader: handover.Reader{MaxBytes: handover.MaxState}}
 	defer func() {
 		if err != nil {
 			l.Close()
@@ -175,13 +175,13 @@
 	if err = l.send(me, nil); err != nil {
 		return l, s, files, err
 	}
-	l.conn.SetReadDeadline(time.Now().Add(handover.StateWait))
+	l.conn.SetReadDeadline(time.Now().Add(handover.StateTimeout))
 	var text []byte
 	if text, files, err = l.message(files); err != nil {
 		return l, s, files, err
 	}
 	l.conn.SetReadDeadline(time.Time{})
-	l.reader.Most = handover.MaxNews
+	l.reader.MaxBytes = handover.MaxStatusUpdate
 	if err = json.Unmarshal(text, &s); err != nil {
 		return l, s, files, err
 	}
--- a/internal/network/handoff/server.go
+++ b/internal/network/handoff/server.go
@@ -24,12 +24,12 @@
 
 	GiveState     func() (handover.State, []syscall.Conn) // returns the state and listeners; on return this process no longer uses what the state passes on
 	StopAccepting func()                                  // stops accepting; no connection is accepted after it returns
-	OnNews        func(handover.News)                     // handles a message of the new process
+	OnNews        func(handover.StatusUpdate)             // handles a message of the new process
 	OnJoined      func(*Link)                             // the new process has the state; later changes go to it over the link
 	OnGone        func(accept bool)                       // the new process is gone; accept says that this process is to accept again
 
 	mu        sync.Mutex
-	stage     handover.Old
+	stage     handover.OldProcess
 	listener  *net.UnixListener
 	pathTaken bool // the path is another process's by now
 	closed    bool
@@ -125,7 +125,7 @@
 	loop := accepting.Loop{Log: s.Log, Name: "hand-over", Admit: func(c net.Conn) {
 		conn := c.(*net.UnixConn)
 		pending.add(conn)
-		go s.handle(&Link{conn: conn, reader: handover.Reader{Most: handover.MaxHello}}, &pending)
+		go s.handle(&Link{conn: conn, reader: handover.Reader{MaxBytes: handover.MaxHello}}, &pending)
 	}}
 	loop.Run(l)
 }
@@ -133,7 +133,7 @@
 // handle reads a process's hello and hands over to it, or refuses.
 func (s *Server) handle(l *Link, pending *pendingHellos) {
 	defer l.Close()
-	l.conn.SetReadDeadline(time.Now().Add(handover.HelloWait))
+	l.conn.SetReadDeadline(time.Now().Add(handover.HelloTimeout))
 	text, files, err := l.message(nil)
 	pending.remove(l.conn)
 	for _, f := range files { // none are expected
@@ -151,7 +151,7 @@
 		return
 	}
 	s.mu.Lock()
-	refused, busy := s.stage.Hello(h, s.Hello)
+	refused, busy := s.stage.HandleHello(h, s.Hello)
 	s.mu.Unlock()
 	if refused != "" {
 		s.Log.Warn().Str("why", refused).Msg("hand-over refused")
@@ -160,7 +160,7 @@
 	}
 	err = s.handOver(l)
 	s.mu.Lock()
-	accept := s.stage.Gone()
+	accept := s.stage.HandleDisconnect()
 	if accept && !s.closed { // the path belonged to the process that is gone
 		if err := s.listen(); err != nil {
 			s.Log.Error().Err(err).Msg("hand-over: cannot listen for the next process")
@@ -183,20 +183,20 @@
 	if err := l.send(state, rights); err != nil {
 		return err
 	}
-	l.reader.Most = handover.MaxNews
-	s.Log.Info().Int("sockets", state.Sockets).Int("backends", len(state.List)).Int("marks", len(state.Marks)).Msg("hand-over: state told")
+	l.reader.MaxBytes = handover.MaxStatusUpdate
+	s.Log.Info().Int("sockets", state.MaxSockets).Int("backends", len(state.List)).Int("marks", len(state.Marks)).Msg("hand-over: state told")
 	s.OnJoined(l)
-	l.conn.SetReadDeadline(time.Now().Add(handover.ReadyWait)) // until it accepts
-	return l.Read(func(n handover.News) {
+	l.conn.SetReadDeadline(time.Now().Add(handover.ReadyTimeout)) // until it accepts
+	return l.Read(func(n handover.StatusUpdate) {
 		if n.Ready {
 			s.mu.Lock()
-			taken := s.stage.Ready()
+			taken := s.stage.HandleReady()
 			s.pathTaken = s.pathTaken || taken
 			s.mu.Unlock()
 			if taken {
 				l.conn.SetReadDeadline(time.Time{})
 				s.StopAccepting()
-				_ = l.Send(handover.News{Taken: true})
+				_ = l.Send(handover.StatusUpdate{StoppedAccepting: true})
 				s.Log.Info().Dur("after_ms", time.Since(begun)).Msg("hand-over: the new process accepts")
 			}
 		}
