--- a/cmd/drill/cost_test.go
+++ b/cmd/drill/cost_test.go
@@ -36,7 +36,7 @@
 			for rest := in.Records; len(rest) > 0; {
 				var code byte
 				var f wire.Fields
-				if code, f, rest, err = wire.Next(rest); err != nil {
+				if code, f, rest, err = wire.NextRecord(rest); err != nil {
 					b.Fatal(err)
 				}
 				switch code {
--- a/cmd/drill/drill_test.go
+++ b/cmd/drill/drill_test.go
@@ -135,7 +135,7 @@
 	if err := h.step(bytes.NewReader(begin(&batch{clock: 1}, 1, 0xaa).frame()), &out); err != nil {
 		t.Fatal(err)
 	}
-	*h.instances[1].d = balance.Dispatcher{} // knows no actions
+	*h.instances[1].dispatcher = balance.Dispatcher{} // knows no actions
 	out.Reset()
 	if err := h.step(bytes.NewReader(request((&batch{clock: 2}).add(80, uint16(1)).add(30, uint64(1)<<63), 1).frame()), &out); err != nil {
 		t.Fatal(err)
--- a/cmd/drill/host.go
+++ b/cmd/drill/host.go
@@ -11,22 +11,22 @@
 
 // host routes the events of a batch to the dispatchers of this process.
 type host struct {
-	instances map[uint16]*instance
-	sheets    [16][]balance.Worker
-	buf       []byte
-	reply     wire.Reply
-	report    []float32
-	cur       *instance
-	curID     uint16
-	spoke     uint16 // the instance that the reply's last actions belong to
-	anySpoke  bool
+	instances   map[uint16]*instance
+	workerLists [16][]balance.Worker
+	buf         []byte
+	reply       wire.Reply
+	report      []float32
+	current     *instance
+	currentID   uint16
+	repliedID   uint16 // the instance that the reply's last actions belong to
+	replied     bool
 }
 
 // instance is one dispatcher and the way its actions take into the reply.
 type instance struct {
-	h  *host
-	id uint16
-	d  *balance.Dispatcher
+	host       *host
+	id         uint16
+	dispatcher *balance.Dispatcher
 }
 
 func newHost() *host { return &host{instances: map[uint16]*instance{}} }
@@ -39,8 +39,8 @@
 		return err
 	}
 	h.reply.Reset()
-	h.cur, h.anySpoke = nil, false
-	if err := h.guarded(b); err != nil {
+	h.current, h.replied = nil, false
+	if err := h.handleBatchRecovering(b); err != nil {
 		return err
 	}
 	if _, err := w.Write(h.reply.Frame()); err != nil {
@@ -49,25 +49,25 @@
 	return nil
 }
 
-func (h *host) guarded(b wire.Batch) (err error) {
+func (h *host) handleBatchRecovering(b wire.Batch) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			h.reply.Bug(fmt.Sprint("panic: ", p))
 			err = nil
 		}
 	}()
-	return h.batch(b)
+	return h.handleBatch(b)
 }
 
-func (h *host) batch(b wire.Batch) error {
+func (h *host) handleBatch(b wire.Batch) error {
 	rest := b.Records
 	for i := 0; i < b.Count; i++ {
-		code, f, after, err := wire.Next(rest)
+		code, f, after, err := wire.NextRecord(rest)
 		if err != nil {
 			return fmt.Errorf("batch at %v, record %d of %d: %w", b.Clock, i+1, b.Count, err)
 		}
 		rest = after
-		if err := h.record(b.Clock, code, f); err != nil {
+		if err := h.handleRecord(b.Clock, code, f); err != nil {
 			return fmt.Errorf("batch at %v, record %d of %d: %w", b.Clock, i+1, b.Count, err)
 		}
 	}
@@ -77,43 +77,43 @@
 	return nil
 }
 
-func (h *host) record(now float64, code byte, f wire.Fields) error {
+func (h *host) handleRecord(now float64, code byte, f wire.Fields) error {
 	switch code {
 	case wire.EvInstance:
-		h.curID = f.U16()
-		h.cur = h.instances[h.curID]
-		if h.cur == nil {
-			h.cur = &instance{h: h, id: h.curID}
+		h.currentID = f.U16()
+		h.current = h.instances[h.currentID]
+		if h.current == nil {
+			h.current = &instance{host: h, id: h.currentID}
 		}
 		return nil
-	case wire.EvSheet:
-		return h.sheet(f)
+	case wire.EvWorkerList:
+		return h.readWorkerList(f)
 	case wire.EvConfigure, wire.EvStop, wire.EvUpdate, wire.EvRequest, wire.EvAbandoned,
 		wire.EvAnswer, wire.EvProgress, wire.EvProbed, wire.EvWake:
-		if h.cur == nil {
+		if h.current == nil {
 			return fmt.Errorf("record %d names no instance", code)
 		}
-		return h.event(now, code, f)
+		return h.handleEvent(now, code, f)
 	}
 	return nil // a record that this version does not know
 }
 
-func (h *host) event(now float64, code byte, f wire.Fields) error {
+func (h *host) handleEvent(now float64, code byte, f wire.Fields) error {
 	switch code {
 	case wire.EvConfigure:
 		return h.configure(f)
 	case wire.EvStop:
-		delete(h.instances, h.curID)
-		h.cur.d = nil
+		delete(h.instances, h.currentID)
+		h.current.dispatcher = nil
 		return nil
 	}
-	d := h.cur.d
+	d := h.current.dispatcher
 	if d == nil {
-		return fmt.Errorf("record %d for instance %d, which has no settings", code, h.curID)
+		return fmt.Errorf("record %d for instance %d, which has no settings", code, h.currentID)
 	}
 	switch code {
 	case wire.EvUpdate:
-		return h.update(now, d, f)
+		return h.applyList(now, d, f)
 	case wire.EvRequest:
 		d.Arrive(now, decodeRequest(&f))
 	case wire.EvAbandoned:
@@ -131,7 +131,7 @@
 		d.Progressed(now, p)
 	case wire.EvProbed:
 		p := balance.ProbeResult{Worker: balance.WorkerID(f.Worker())}
-		res, err := result(f.U16())
+		res, err := decodeResult(f.U16())
 		if err != nil {
 			return err
 		}
@@ -149,30 +149,30 @@
 	seed := f.U64()
 	text, err := f.Bytes()
 	if err != nil {
-		return fmt.Errorf("settings of instance %d: %w", h.curID, err)
+		return fmt.Errorf("settings of instance %d: %w", h.currentID, err)
 	}
 	s, err := wire.ParseSettings(seed, text)
 	if err != nil {
-		return fmt.Errorf("instance %d: %w", h.curID, err)
+		return fmt.Errorf("instance %d: %w", h.currentID, err)
 	}
-	in := &instance{h: h, id: h.curID}
-	if in.d, err = balance.New(s, in); err != nil {
-		return fmt.Errorf("instance %d: %w", h.curID, err)
+	in := &instance{host: h, id: h.currentID}
+	if in.dispatcher, err = balance.New(s, in); err != nil {
+		return fmt.Errorf("instance %d: %w", h.currentID, err)
 	}
-	h.instances[h.curID], h.cur = in, in
+	h.instances[h.currentID], h.current = in, in
 	return nil
 }
 
-func (h *host) sheet(f wire.Fields) error {
+func (h *host) readWorkerList(f wire.Fields) error {
 	slot := f.U16()
-	if int(slot) >= len(h.sheets) {
+	if int(slot) >= len(h.workerLists) {
 		return fmt.Errorf("sheet %d does not exist", slot)
 	}
 	n := int(f.U32())
-	if n*wire.EntrySize > f.Rest() {
-		return fmt.Errorf("sheet %d says %d entries in %d bytes", slot, n, f.Rest())
+	if n*wire.EntrySize > f.Remaining() {
+		return fmt.Errorf("sheet %d says %d entries in %d bytes", slot, n, f.Remaining())
 	}
-	list := h.sheets[slot][:0]
+	list := h.workerLists[slot][:0]
 	for ; n > 0; n-- {
 		var w balance.Worker
 		w.Started = f.F64()
@@ -184,13 +184,13 @@
 		w.Zone = int(f.U8())
 		list = append(list, w)
 	}
-	h.sheets[slot] = list
+	h.workerLists[slot] = list
 	return nil
 }
 
 var states = [...]balance.State{balance.Gone, balance.Ready, balance.Draining, balance.Draining}
 
-func (h *host) update(now float64, d *balance.Dispatcher, f wire.Fields) error {
+func (h *host) applyList(now float64, d *balance.Dispatcher, f wire.Fields) error {
 	kind := f.U8()
 	f.U32() // the list's version: deltas come in order and without gaps
 	slot := f.U16()
@@ -199,10 +199,10 @@
 		return fmt.Errorf("update of unknown kind %d", kind)
 	case kind == 3:
 		d.Workers(now, balance.ListFailed, nil)
-	case int(slot) >= len(h.sheets):
+	case int(slot) >= len(h.workerLists):
 		return fmt.Errorf("update names sheet %d, which does not exist", slot)
 	default:
-		d.Workers(now, balance.ListKind(kind), h.sheets[slot])
+		d.Workers(now, balance.ListKind(kind), h.workerLists[slot])
 	}
 	return nil
 }
@@ -226,7 +226,7 @@
 	o := balance.Outcome{ID: balance.RequestID(f.U32()), Attempt: int(f.U8())}
 	o.Worker = balance.WorkerID(f.Worker())
 	var err error
-	o.Result, err = result(f.U16())
+	o.Result, err = decodeResult(f.U16())
 	o.Took = f.F64()
 	o.Closed = f.U8() != 0
 	f.U8() // the family's note
@@ -235,35 +235,35 @@
 	return o, err
 }
 
-func result(code uint16) (balance.Result, error) {
+func decodeResult(code uint16) (balance.Result, error) {
 	if code < 10 || code > 80 || code%10 != 0 {
 		return 0, errors.New("unknown outcome " + fmt.Sprint(code))
 	}
 	return balance.Result(code/10 - 1), nil
 }
 
-// say names the instance in the reply, where the last action was another's.
-func (in *instance) say() *wire.Reply {
-	h := in.h
-	if !h.anySpoke || h.spoke != in.id {
-		h.reply.For(in.id)
-		h.spoke, h.anySpoke = in.id, true
+// replyTo names the instance in the reply, where the last action was another's.
+func (in *instance) replyTo() *wire.Reply {
+	h := in.host
+	if !h.replied || h.repliedID != in.id {
+		h.reply.SelectInstance(in.id)
+		h.repliedID, h.replied = in.id, true
 	}
 	return &h.reply
 }
 
 func (in *instance) Dispatch(id balance.RequestID, to balance.WorkerID, within float64) {
-	in.say().Dispatch(uint32(id), uint64(to), within)
+	in.replyTo().Dispatch(uint32(id), uint64(to), within)
 }
 func (in *instance) Refuse(id balance.RequestID, pause float64) {
-	in.say().Refuse(uint32(id), pause)
+	in.replyTo().Refuse(uint32(id), pause)
 }
-func (in *instance) Fail(id balance.RequestID) { in.say().Fail(uint32(id)) }
+func (in *instance) Fail(id balance.RequestID) { in.replyTo().Fail(uint32(id)) }
 func (in *instance) Cancel(id balance.RequestID, attempt int) {
-	in.say().Cancel(uint32(id), uint8(attempt))
+	in.replyTo().Cancel(uint32(id), uint8(attempt))
 }
-func (in *instance) CloseIdle(to balance.WorkerID)    { in.say().HangUp(uint64(to)) }
-func (in *instance) Probe(to balance.WorkerID)        { in.say().Probe(uint64(to)) }
-func (in *instance) Wake(after float64, token uint64) { in.say().Wake(after, token) }
-func (in *instance) Subscribe()                       { in.say().Subscribe() }
-func (in *instance) Log(line string)                  { in.say().Log(line) }
+func (in *instance) CloseIdle(to balance.WorkerID)    { in.replyTo().CloseIdle(uint64(to)) }
+func (in *instance) Probe(to balance.WorkerID)        { in.replyTo().Probe(uint64(to)) }
+func (in *instance) Wake(after float64, token uint64) { in.replyTo().Wake(after, token) }
+func (in *instance) Subscribe()                       { in.replyTo().Subscribe() }
+func (in *instance) Log(line string)                  { in.replyTo().Log(line) }
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -90,7 +90,7 @@
 		r.fault("settings", "%v", err)
 	}
 	for _, f := range all {
-		r.fault("settings."+f.Key, "%s", f.Says)
+		r.fault("settings."+f.Key, "%s", f.Problem)
 	}
 }
 
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -17,7 +17,7 @@
 	DirectorCalls, Overlooked, Reloads, ReloadsBad                              atomic.Int64
 	DirectorSilent                                                              atomic.Int64 // calls held for silent, another made beside them
 	HTTP2Sessions, HTTP2Resets                                                  atomic.Int64
-	HandoverCut, HandoverLeft                                                   atomic.Int64 // sessions closed with a part of a req, or open at the end, after a hand-over
+	HandoverReqsCut, HandoverSessionsLeft                                       atomic.Int64 // sessions closed with a part of a req, or open at the end, after a hand-over
 	ReadyMS                                                                     atomic.Int64 // from the process's start until it could serve, at least 1; 0: not yet
 	ReadyFromKnown, ReadyFromDirector                                           atomic.Int64 // 1 for where the first backend to be sent to came from
 	ReadyFromHandover, ReadyFromSources                                         atomic.Int64
@@ -45,7 +45,7 @@
 		{"ready_after_ms", &s.ReadyMS}, {"ready_from_known", &s.ReadyFromKnown}, {"ready_from_director", &s.ReadyFromDirector},
 		{"ready_from_handover", &s.ReadyFromHandover}, {"ready_from_sources", &s.ReadyFromSources},
 		{"http2_sessions", &s.HTTP2Sessions}, {"http2_resets", &s.HTTP2Resets},
-		{"handover_reqs_cut", &s.HandoverCut}, {"handover_sessions_left", &s.HandoverLeft},
+		{"handover_reqs_cut", &s.HandoverReqsCut}, {"handover_sessions_left", &s.HandoverSessionsLeft},
 	} {
 		f(c.name, c.n.Load())
 	}
--- a/internal/network/clients.go
+++ b/internal/network/clients.go
@@ -300,7 +300,7 @@
 	case !partial:
 	case e == core.SessionShed:
 		if s.clients.currentDirectives().HandedOver {
-			s.clients.Count.HandoverCut.Add(1)
+			s.clients.Count.HandoverReqsCut.Add(1)
 		}
 		s.write(platform.AppendAnswer(nil, 503, shedRetryAfter, true, ""))
 	default:
--- a/internal/network/service.go
+++ b/internal/network/service.go
@@ -179,7 +179,7 @@
 	switch {
 	case d.Exit:
 		if d.HandedOver {
-			c.Count.HandoverLeft.Add(int64(all))
+			c.Count.HandoverSessionsLeft.Add(int64(all))
 		}
 		s.finished = true
 		c.Guard.MarkShutdown(now)
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -12,27 +12,27 @@
 
 // Event codes.
 const (
-	EvProbed    = 10
-	EvRequest   = 20
-	EvWake      = 30
-	EvProgress  = 40
-	EvPeer      = 50
-	EvFirstByte = 60
-	EvAbandoned = 70
-	EvInstance  = 80
-	EvAnswer    = 90
-	EvStop      = 100
-	EvConfigure = 110
-	EvUpdate    = 120
-	EvSheet     = 130
+	EvProbed     = 10
+	EvRequest    = 20
+	EvWake       = 30
+	EvProgress   = 40
+	EvPeer       = 50
+	EvFirstByte  = 60
+	EvAbandoned  = 70
+	EvInstance   = 80
+	EvAnswer     = 90
+	EvStop       = 100
+	EvConfigure  = 110
+	EvUpdate     = 120
+	EvWorkerList = 130
 )
 
 // Action codes.
 const (
 	ActFail      = 10
 	ActBug       = 20
-	ActHangUp    = 30
-	ActFor       = 40
+	ActCloseIdle = 30
+	ActInstance  = 40
 	ActProbe     = 50
 	ActDispatch  = 60
 	ActCancel    = 70
@@ -83,8 +83,8 @@
 	return Batch{Clock: clock, Count: int(binary.LittleEndian.Uint32(buf[8:])), Records: buf[12:]}, buf, nil
 }
 
-// Next splits off the first record of a batch's remaining records.
-func Next(rest []byte) (code byte, f Fields, after []byte, err error) {
+// NextRecord splits off the first record of a batch's remaining records.
+func NextRecord(rest []byte) (code byte, f Fields, after []byte, err error) {
 	if len(rest) < 5 {
 		return 0, f, nil, errors.New("a record's head is cut short")
 	}
@@ -99,7 +99,7 @@
 // read as zero: absent values are zero on this wire.
 type Fields struct{ b []byte }
 
-func (f *Fields) take(n int) []byte {
+func (f *Fields) next(n int) []byte {
 	if len(f.b) < n {
 		f.b = nil
 		return nil
@@ -111,7 +111,7 @@
 
 // U8 reads one byte.
 func (f *Fields) U8() uint8 {
-	if p := f.take(1); p != nil {
+	if p := f.next(1); p != nil {
 		return p[0]
 	}
 	return 0
@@ -119,7 +119,7 @@
 
 // U16 reads two bytes.
 func (f *Fields) U16() uint16 {
-	if p := f.take(2); p != nil {
+	if p := f.next(2); p != nil {
 		return binary.LittleEndian.Uint16(p)
 	}
 	return 0
@@ -127,7 +127,7 @@
 
 // U32 reads four bytes.
 func (f *Fields) U32() uint32 {
-	if p := f.take(4); p != nil {
+	if p := f.next(4); p != nil {
 		return binary.LittleEndian.Uint32(p)
 	}
 	return 0
@@ -135,7 +135,7 @@
 
 // U64 reads eight bytes.
 func (f *Fields) U64() uint64 {
-	if p := f.take(8); p != nil {
+	if p := f.next(8); p != nil {
 		return binary.LittleEndian.Uint64(p)
 	}
 	return 0
@@ -149,7 +149,7 @@
 
 // Worker reads four bytes of address and a port, packed into one number.
 func (f *Fields) Worker() uint64 {
-	p := f.take(6)
+	p := f.next(6)
 	if p == nil {
 		return 0
 	}
@@ -162,7 +162,7 @@
 	if n > len(f.b) {
 		return nil, fmt.Errorf("a text of %d bytes is cut short at %d", n, len(f.b))
 	}
-	return f.take(n), nil
+	return f.next(n), nil
 }
 
 // Report reads a load report into dst.
@@ -174,8 +174,8 @@
 	return dst
 }
 
-// Rest tells how many bytes have not been read.
-func (f *Fields) Rest() int { return len(f.b) }
+// Remaining tells how many bytes have not been read.
+func (f *Fields) Remaining() int { return len(f.b) }
 
 // Reply collects the actions of one reply.
 type Reply struct{ b []byte }
@@ -189,7 +189,7 @@
 	return r.b
 }
 
-func (r *Reply) head(code byte, size int) {
+func (r *Reply) recordHead(code byte, size int) {
 	r.b = append(r.b, code)
 	r.b = binary.LittleEndian.AppendUint32(r.b, uint32(size))
 }
@@ -207,50 +207,54 @@
 	if len(s) > math.MaxUint16 {
 		s = s[:math.MaxUint16]
 	}
-	r.head(code, 2+len(s))
+	r.recordHead(code, 2+len(s))
 	r.u16(uint16(len(s)))
 	r.b = append(r.b, s...)
 }
 
-// For names the instance that the following actions belong to.
-func (r *Reply) For(instance uint16) { r.head(ActFor, 2); r.u16(instance) }
+// SelectInstance names the instance that the following actions belong to.
+func (r *Reply) SelectInstance(instance uint16) { r.recordHead(ActInstance, 2); r.u16(instance) }
 
 // Dispatch sends an attempt.
 func (r *Reply) Dispatch(id uint32, worker uint64, within float64) {
-	r.head(ActDispatch, 18)
+	r.recordHead(ActDispatch, 18)
 	r.u32(id)
 	r.worker(worker)
 	r.f64(within)
 }
 
 // Refuse is the final answer that promises a repeat does no harm.
-func (r *Reply) Refuse(id uint32, pause float64) { r.head(ActRefuse, 12); r.u32(id); r.f64(pause) }
+func (r *Reply) Refuse(id uint32, pause float64) {
+	r.recordHead(ActRefuse, 12)
+	r.u32(id)
+	r.f64(pause)
+}
 
 // Fail is the final answer that promises nothing.
-func (r *Reply) Fail(id uint32) { r.head(ActFail, 4); r.u32(id) }
+func (r *Reply) Fail(id uint32) { r.recordHead(ActFail, 4); r.u32(id) }
 
 // Cancel withdraws an attempt.
 func (r *Reply) Cancel(id uint32, attempt uint8) {
-	r.head(ActCancel, 5)
+	r.recordHead(ActCancel, 5)
 	r.u32(id)
 	r.b = append(r.b, attempt)
 }
 
-// HangUp closes the idle connections to a worker.
-func (r *Reply) HangUp(worker uint64) { r.head(ActHangUp, 6); r.worker(worker) }
+// CloseIdle closes the idle connections to a worker.
+func (r *Reply) CloseIdle(worker uint64) { r.recordHead(ActCloseIdle, 6); r.worker(worker) }
 
 // Probe asks a worker for its load.
-func (r *Reply) Probe(worker uint64) { r.head(ActProbe, 6); r.worker(worker) }
+func (r *Reply) Probe(worker uint64) { r.recordHead(ActProbe, 6); r.worker(worker) }
 
 // Wake sets a timer.
 func (r *Reply) Wake(in float64, token uint64) {
-	r.head(ActWake, 16)
+	r.recordHead(ActWake, 16)
 	r.f64(in)
 	r.b = binary.LittleEndian.AppendUint64(r.b, token)
 }
 
 // Subscribe asks for the list and its changes.
-func (r *Reply) Subscribe() { r.head(ActSubscribe, 1); r.b = append(r.b, 1) }
+func (r *Reply) Subscribe() { r.recordHead(ActSubscribe, 1); r.b = append(r.b, 1) }
 
 // Log writes a report line.
 func (r *Reply) Log(line string) { r.text(ActLog, line) }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -89,7 +89,7 @@
 }
 
 // Fault is a value that no settings may have; Key is its path within them.
-type Fault struct{ Key, Says string }
+type Fault struct{ Key, Problem string }
 
 // Faults are all that were found. It is an error of ParseNamed.
 type Faults []Fault
@@ -97,7 +97,7 @@
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
-		lines[i] = f[i].Key + " " + f[i].Says
+		lines[i] = f[i].Key + " " + f[i].Problem
 	}
 	return strings.Join(lines, "; ")
 }
@@ -156,9 +156,9 @@
 		s.Classes = append(s.Classes, balance.Class{
 			Worth: c.Worth, LateWorth: c.LateShare, Aim: c.AimMs, Deadline: c.HardLimitMs,
 			Effect: effect, Scope: scope, RepeatWindow: c.RepeatWindowMs,
-			Stretch:  c.AimStretch + at(j.FamilyInfo.ClassStretch, i, 0),
-			Kind:     at(j.FamilyInfo.ClassKind, i, -1),
-			Priority: at(j.FamilyInfo.ClassPriority, i, 0),
+			Stretch:  c.AimStretch + valueAt(j.FamilyInfo.ClassStretch, i, 0),
+			Kind:     valueAt(j.FamilyInfo.ClassKind, i, -1),
+			Priority: valueAt(j.FamilyInfo.ClassPriority, i, 0),
 		})
 	}
 	if faults != nil {
@@ -167,8 +167,8 @@
 	return s, names, nil
 }
 
-// at is the i-th value of a list, or def where the list is shorter.
-func at[T any](list []T, i int, def T) T {
+// valueAt is the i-th value of a list, or def where the list is shorter.
+func valueAt[T any](list []T, i int, def T) T {
 	if i < len(list) {
 		return list[i]
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -31,11 +31,11 @@
 	if b.Clock != 8412.25 || b.Count != 2 {
 		t.Errorf("clock %v, %d records, want 8412.25 and 2", b.Clock, b.Count)
 	}
-	code, f, rest, err := Next(b.Records)
+	code, f, rest, err := NextRecord(b.Records)
 	if err != nil || code != EvInstance || f.U16() != 3 {
 		t.Errorf("first record: code %d, error %v", code, err)
 	}
-	code, f, _, err = Next(rest)
+	code, f, _, err = NextRecord(rest)
 	if err != nil || code != EvWake || f.U64() != 77 {
 		t.Errorf("second record: code %d, error %v", code, err)
 	}
@@ -58,7 +58,7 @@
 		t.Errorf("at the end of input: %v, want io.EOF", err)
 	}
 	for _, text := range []string{"50", "50 05000000 0300"} {
-		if _, _, _, err := Next(unhex(t, text)); err == nil {
+		if _, _, _, err := NextRecord(unhex(t, text)); err == nil {
 			t.Errorf("record %s: no error", text)
 		}
 	}
@@ -82,11 +82,11 @@
 		do   func(*Reply)
 		want string
 	}{
-		{"for", func(r *Reply) { r.For(3) }, "28 02000000 0300"},
+		{"for", func(r *Reply) { r.SelectInstance(3) }, "28 02000000 0300"},
 		{"dispatch", func(r *Reply) { r.Dispatch(0x5d3a91c4, id, 80) },
 			"3c 12000000 c4913a5d 0a124a07 c32b 0000000000005440"},
 		{"refuse", func(r *Reply) { r.Refuse(0x0e6f2b19, 250) }, "6e 0c000000 192b6f0e 0000000000406f40"},
-		{"hang up", func(r *Reply) { r.HangUp(0x2bec_f211_900a) }, "1e 06000000 0a9011f2 ec2b"},
+		{"hang up", func(r *Reply) { r.CloseIdle(0x2bec_f211_900a) }, "1e 06000000 0a9011f2 ec2b"},
 		{"probe", func(r *Reply) { r.Probe(0x2bec_f211_900a) }, "32 06000000 0a9011f2 ec2b"},
 		{"fail", func(r *Reply) { r.Fail(0x0e6f2b19) }, "0a 04000000 192b6f0e"},
 		{"cancel", func(r *Reply) { r.Cancel(0x5d3a91c4, 0) }, "46 05000000 c4913a5d 00"},
