--- a/internal/guard/recorder.go
+++ b/internal/guard/recorder.go
@@ -12,16 +12,16 @@
 type Recorder struct {
 	Log zerolog.Logger
 
-	violations [rules]atomic.Int64
-	reasons    [reasons]atomic.Int64
-	ended      atomic.Pointer[time.Time]
+	violations [ruleCount]atomic.Int64
+	reasons    [reasonCount]atomic.Int64
+	shutdownAt atomic.Pointer[time.Time]
 	trace      trace
 }
 
-// dumped is how many events of a request go into the log with a violation, and listed how many of all on demand.
+// violationEvents is how many events of a request go into the log with a violation, and dumpEvents how many of all on demand.
 const (
-	dumped = 24
-	listed = 200
+	violationEvents = 24
+	dumpEvents      = 200
 )
 
 // Record adds an event to the trace, and counts its reason.
@@ -38,7 +38,7 @@
 // MarkShutdown notes that the process has decided to end.
 func (r *Recorder) MarkShutdown(at time.Time) {
 	if r != nil {
-		r.ended.CompareAndSwap(nil, &at)
+		r.shutdownAt.CompareAndSwap(nil, &at)
 	}
 }
 
@@ -47,7 +47,7 @@
 	if r == nil {
 		return time.Time{}
 	}
-	if at := r.ended.Load(); at != nil {
+	if at := r.shutdownAt.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
@@ -59,11 +59,11 @@
 		return
 	}
 	r.violations[rule].Add(1)
-	events := r.trace.last(dumped, func(e *entry) bool {
-		return request != "" && e.request() == request[:min(len(request), mostID)] || session != 0 && e.session == session
+	events := r.trace.last(violationEvents, func(e *entry) bool {
+		return request != "" && e.request() == request[:min(len(request), maxIDBytes)] || session != 0 && e.session == session
 	})
 	r.Log.Error().Stringer("rule", rule).Str("request", request).Uint64("session", session).Str("says", says).
-		Strs("trace", texts(events)).Msg("invariant violated")
+		Strs("trace", formatEvents(events)).Msg("invariant violated")
 }
 
 // Violations is how often a rule was broken.
@@ -79,7 +79,7 @@
 	if r == nil {
 		return
 	}
-	for why := NoReason + 1; why < reasons; why++ {
+	for why := NoReason + 1; why < reasonCount; why++ {
 		kind := "close_"
 		switch {
 		case why >= NoBackend:
@@ -96,11 +96,11 @@
 	if r == nil {
 		return
 	}
-	r.Log.Info().Strs("trace", texts(r.trace.last(listed, func(*entry) bool { return true }))).Msg("trace")
+	r.Log.Info().Strs("trace", formatEvents(r.trace.last(dumpEvents, func(*entry) bool { return true }))).Msg("trace")
 }
 
-// texts writes events with their times relative to the last one.
-func texts(events []entry) []string {
+// formatEvents writes events with their times relative to the last one.
+func formatEvents(events []entry) []string {
 	out := make([]string, len(events))
 	for i := range events {
 		out[i] = events[i].text(events[len(events)-1].at)
--- a/internal/guard/rule.go
+++ b/internal/guard/rule.go
@@ -27,10 +27,10 @@
 	RefuseMayHaveRun                   // a request was refused though it may have run, and a repeat is not harmless
 	ClosedUnanswered                   // a session was closed from here with a request that was read and not answered
 	ReadyAfterShutdown                 // the check of health said yes after the process had decided to end
-	rules
+	ruleCount
 )
 
-var ruleNames = [rules]string{"begin_client_gone", "begin_drained", "begin_ended", "repeat_unsafe", "repeat_window", "time_told",
+var ruleNames = [ruleCount]string{"begin_client_gone", "begin_drained", "begin_ended", "repeat_unsafe", "repeat_window", "time_told",
 	"answer_twice", "answer_late", "refuse_may_have_run", "close_owed", "serve_not_ready"}
 
 func (r Rule) String() string { return ruleNames[r] }
@@ -47,7 +47,7 @@
 
 // Rules lists every rule.
 func Rules() []Rule {
-	all := make([]Rule, rules)
+	all := make([]Rule, ruleCount)
 	for i := range all {
 		all[i] = Rule(i)
 	}
@@ -96,12 +96,12 @@
 		broken = append(broken, TimeLeftTooLong)
 	}
 	if b.Effect != balance.Safe {
-		broken = append(broken, b.repeat()...)
+		broken = append(broken, b.checkRepeat()...)
 	}
 	return broken
 }
 
-func (b *AttemptStart) repeat() (broken []Rule) {
+func (b *AttemptStart) checkRepeat() (broken []Rule) {
 	for _, e := range b.Prior {
 		switch {
 		case e.StartedAt.IsZero() || e.NeverRan:
--- a/internal/guard/rule_test.go
+++ b/internal/guard/rule_test.go
@@ -11,9 +11,9 @@
 	"tinsail/internal/balance"
 )
 
-var zero = time.Unix(1000, 0)
+var epoch = time.Unix(1000, 0)
 
-func at(ms int) time.Time { return zero.Add(time.Duration(ms) * time.Millisecond) }
+func at(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
 // TestBeginSaysNo: what is in order passes up to the last millisecond, and each rule that is broken alone is named, and no
 // other.
@@ -84,7 +84,7 @@
 func TestRecorder(t *testing.T) {
 	var log bytes.Buffer
 	r := &Recorder{Log: zerolog.New(&log)}
-	for i := range traced + 10 {
+	for i := range traceLength + 10 {
 		r.Record(Event{At: at(i), Request: "other", Step: RequestAccepted})
 	}
 	r.Record(Event{At: at(0), Request: "a", Step: RequestAccepted})
@@ -100,7 +100,7 @@
 	assert.EqualValues(t, 1, counts["again_returned"])
 	assert.Contains(t, counts, "close_room_wanted")
 	assert.Contains(t, counts, "refuse_out_of_time")
-	assert.Len(t, r.trace.last(traced+100, func(*entry) bool { return true }), traced)
+	assert.Len(t, r.trace.last(traceLength+100, func(*entry) bool { return true }), traceLength)
 	assert.Zero(t, r.ShutdownTime())
 	r.MarkShutdown(at(1))
 	r.MarkShutdown(at(2))
@@ -127,10 +127,10 @@
 		assert.False(t, seen[rule.String()])
 		seen[rule.String()] = true
 	}
-	for why := NoReason + 1; why < reasons; why++ {
+	for why := NoReason + 1; why < reasonCount; why++ {
 		assert.NotEmpty(t, why.String())
 	}
-	for s := Step(0); s < steps; s++ {
+	for s := Step(0); s < stepCount; s++ {
 		assert.NotEmpty(t, s.String())
 	}
 	assert.True(t, TimeLeftTooLong.TimingDependent())
--- a/internal/guard/trace.go
+++ b/internal/guard/trace.go
@@ -25,10 +25,10 @@
 	BackendListed // with its state
 	ServiceState  // with the state
 	ListCallEnded // a call for the list, with the core's ending
-	steps
+	stepCount
 )
 
-var stepNames = [steps]string{"session opened", "session told to close", "session lingers", "session closed", "request taken",
+var stepNames = [stepCount]string{"session opened", "session told to close", "session lingers", "session closed", "request taken",
 	"attempt sent", "attempt began", "attempt ended", "request over", "answer written", "client gone", "backend listed",
 	"service", "list call ended"}
 
@@ -67,10 +67,10 @@
 	AttemptsExhausted // all attempts that are allowed
 	MayHaveRun        // nothing may follow what may have run
 	Unclassified      // none of these
-	reasons
+	reasonCount
 )
 
-var reasonNames = [reasons]string{"", "client_asked", "client_ended", "client_faulty", "client_flooded", "half_request", "idle",
+var reasonNames = [reasonCount]string{"", "client_asked", "client_ended", "client_faulty", "client_flooded", "half_request", "idle",
 	"room_wanted", "no_room", "service_ends", "handed_over", "returned", "unreached", "unsent", "failure", "second_copy",
 	"no_backend", "not_taken", "out_of_time", "tries_spent", "may_have_run", "unclassified"}
 
@@ -85,22 +85,22 @@
 	Reason  fmt.Stringer // a Reason, the core's Ending or a state; may be nil
 }
 
-// mostID is how much of a request's id the trace keeps. The id itself may be a slice of a whole head, which is not to be
+// maxIDBytes is how much of a request's id the trace keeps. The id itself may be a slice of a whole head, which is not to be
 // held for its sake.
-const mostID = 40
+const maxIDBytes = 40
 
 // entry is an Event as the trace keeps it.
 type entry struct {
 	at      time.Time
 	session uint64
-	why     fmt.Stringer
-	id      [mostID]byte
+	reason  fmt.Stringer
+	id      [maxIDBytes]byte
 	length  uint8
 	step    Step
 }
 
-func (e *entry) take(v *Event) {
-	e.at, e.session, e.why, e.step = v.At, v.Session, v.Reason, v.Step
+func (e *entry) set(v *Event) {
+	e.at, e.session, e.reason, e.step = v.At, v.Session, v.Reason, v.Step
 	e.length = uint8(copy(e.id[:], v.Request))
 }
 
@@ -108,14 +108,14 @@
 
 func (e *entry) text(from time.Time) string {
 	why := ""
-	if e.why != nil {
-		why = ": " + e.why.String()
+	if e.reason != nil {
+		why = ": " + e.reason.String()
 	}
 	return fmt.Sprintf("%+.1fms session %d request %q %s%s", float64(e.at.Sub(from))/float64(time.Millisecond), e.session, e.request(), e.step, why)
 }
 
-// traced is how many events are kept: some seconds of a dispatcher's traffic, in 208 KiB.
-const traced = 2048
+// traceLength is how many events are kept: some seconds of a dispatcher's traffic, in 208 KiB.
+const traceLength = 2048
 
 // trace keeps the last events.
 type trace struct {
@@ -127,13 +127,13 @@
 func (t *trace) add(e *Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.ring) < traced {
+	if len(t.ring) < traceLength {
 		t.ring = append(t.ring, entry{})
-		t.ring[len(t.ring)-1].take(e)
+		t.ring[len(t.ring)-1].set(e)
 		return
 	}
-	t.ring[t.next].take(e)
-	t.next = (t.next + 1) % traced
+	t.ring[t.next].set(e)
+	t.next = (t.next + 1) % traceLength
 }
 
 // last are the newest events that match, oldest first, at most so many.
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -25,9 +25,9 @@
 // Limits on one event. A backend that refuses every connection or a client that sends nonsense
 // at full speed must not fill the disk; what was left out is told with the next line.
 const (
-	burst  = 50 // lines at once
-	perSec = 5  // lines a second from then on
-	events = 256
+	burstLines     = 50 // lines at once
+	linesPerSecond = 5  // lines a second from then on
+	maxEvents      = 256
 )
 
 // New makes a logger that writes to w. Level is one of trace, debug, info, warn, error and off,
@@ -48,7 +48,7 @@
 	if f, ok := w.(*os.File); format == Text || format == Auto && ok && isatty.IsTerminal(f.Fd()) {
 		w = zerolog.ConsoleWriter{Out: w, TimeFormat: "15:04:05.000", NoColor: format == Text}
 	}
-	return zerolog.New(w).Level(l).Hook(&flood{seen: map[string]*gate{}}).With().Timestamp().Logger(), nil
+	return zerolog.New(w).Level(l).Hook(&rateLimit{events: map[string]*eventLimit{}}).With().Timestamp().Logger(), nil
 }
 
 func init() {
@@ -56,36 +56,36 @@
 	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00"
 }
 
-// flood lets so many lines of an event pass and counts the rest.
-type flood struct {
-	mu   sync.Mutex
-	seen map[string]*gate
+// rateLimit lets so many lines of an event pass and counts the rest.
+type rateLimit struct {
+	mu     sync.Mutex
+	events map[string]*eventLimit
 }
 
-type gate struct {
-	limit *rate.Limiter
-	lost  int
+type eventLimit struct {
+	limiter *rate.Limiter
+	dropped int
 }
 
 // Run is zerolog's hook: it drops the line or adds how many were dropped before it.
-func (f *flood) Run(e *zerolog.Event, _ zerolog.Level, event string) {
+func (f *rateLimit) Run(e *zerolog.Event, _ zerolog.Level, event string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	g := f.seen[event]
+	g := f.events[event]
 	if g == nil {
-		if len(f.seen) >= events { // an event that is no constant after all: no memory for it
+		if len(f.events) >= maxEvents { // an event that is no constant after all: no memory for it
 			return
 		}
-		g = &gate{limit: rate.NewLimiter(perSec, burst)}
-		f.seen[event] = g
+		g = &eventLimit{limiter: rate.NewLimiter(linesPerSecond, burstLines)}
+		f.events[event] = g
 	}
-	if !g.limit.Allow() {
-		g.lost++
+	if !g.limiter.Allow() {
+		g.dropped++
 		e.Discard()
 		return
 	}
-	if g.lost > 0 {
-		e.Int("left_out", g.lost)
-		g.lost = 0
+	if g.dropped > 0 {
+		e.Int("left_out", g.dropped)
+		g.dropped = 0
 	}
 }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -43,7 +43,7 @@
 		for range 1000 {
 			l.Info().Msg("refused")
 		}
-		assert.Equal(t, burst, strings.Count(b.String(), "refused"))
+		assert.Equal(t, burstLines, strings.Count(b.String(), "refused"))
 		l.Info().Msg("other")
 		assert.Equal(t, 1, strings.Count(b.String(), "other"))
 		time.Sleep(time.Second)
--- a/internal/platform/chunks.go
+++ b/internal/platform/chunks.go
@@ -8,14 +8,14 @@
 // maxChunkLine is the longest line of the framing: a size with what a client may add to it.
 const maxChunkLine = 256
 
-// chunks takes a body in chunks (RFC 9112 section 7.1) out of the bytes that come. Lines must end
+// chunkedBody takes a body in chunkedBody (RFC 9112 section 7.1) out of the bytes that come. Lines must end
 // in CR LF and sizes be plain digits: a second reading of the framing would let a body pass for a
 // second req. What clients add to sizes, and fields behind the last chunk, are read and left aside.
-type chunks struct {
-	state   chunkState
-	left    int // of the chunk
-	trailer int // bytes of the fields behind the last chunk
-	body    []byte
+type chunkedBody struct {
+	state        chunkState
+	remaining    int // of the chunk
+	trailerBytes int // bytes of the fields behind the last chunk
+	body         []byte
 }
 
 type chunkState uint8
@@ -28,26 +28,26 @@
 	chunkDone
 )
 
-// take takes what has come, and returns whether the body is whole. admit is asked before there are n
+// decode takes what has come, and returns whether the body is whole. admit is asked before there are n
 // bytes of the body in all.
-func (c *chunks) take(b *buffer, admit func(n int) error) (whole bool, err error) {
+func (c *chunkedBody) decode(b *buffer, admit func(n int) error) (whole bool, err error) {
 	for c.state != chunkDone {
 		if c.state == chunkData {
-			n := min(b.w-b.r, c.left)
+			n := min(b.end-b.start, c.remaining)
 			if n == 0 {
 				return false, nil
 			}
-			if err := c.room(n, admit); err != nil {
+			if err := c.reserve(n, admit); err != nil {
 				return false, err
 			}
-			c.body = append(c.body, b.b[b.r:b.r+n]...)
-			b.r += n
-			if c.left -= n; c.left == 0 {
+			c.body = append(c.body, b.data[b.start:b.start+n]...)
+			b.start += n
+			if c.remaining -= n; c.remaining == 0 {
 				c.state = chunkEnd
 			}
 			continue
 		}
-		rest := b.rest()
+		rest := b.unread()
 		i := bytes.IndexByte(rest, '\n')
 		if i > maxChunkLine || i < 0 && len(rest) > maxChunkLine {
 			return false, badRequest("a chunk's line is too long")
@@ -58,21 +58,21 @@
 		if i == 0 || rest[i-1] != '\r' {
 			return false, badRequest("a chunk's line without CR")
 		}
-		b.r += i + 1
-		if err := c.line(rest[:i-1]); err != nil {
+		b.start += i + 1
+		if err := c.handleLine(rest[:i-1]); err != nil {
 			return false, err
 		}
 	}
 	return true, nil
 }
 
-// room makes space for n more bytes. It grows by doubling, and asks for what it takes.
-func (c *chunks) room(n int, admit func(n int) error) error {
+// reserve makes space for n more bytes. It grows by doubling, and asks for what it takes.
+func (c *chunkedBody) reserve(n int, admit func(n int) error) error {
 	need := len(c.body) + n
 	if need <= cap(c.body) {
 		return nil
 	}
-	size := min(max(need, 2*cap(c.body), room/8), MaxBody)
+	size := min(max(need, 2*cap(c.body), minReadSpace/8), MaxBody)
 	if admit != nil {
 		if err := admit(size); err != nil {
 			return err
@@ -82,7 +82,7 @@
 	return nil
 }
 
-func (c *chunks) line(text []byte) error {
+func (c *chunkedBody) handleLine(text []byte) error {
 	switch c.state {
 	case chunkSize:
 		if i := bytes.IndexByte(text, ';'); i >= 0 {
@@ -92,7 +92,7 @@
 		if err != nil || text[0] == '+' || text[0] == '-' {
 			return badRequest("a bad chunk")
 		}
-		if c.left = int(n); len(c.body)+c.left > MaxBody {
+		if c.remaining = int(n); len(c.body)+c.remaining > MaxBody {
 			return &RequestError{Status: 413, Reason: "the body is too long"}
 		}
 		if c.state = chunkData; n == 0 {
@@ -104,7 +104,7 @@
 		}
 		c.state = chunkSize
 	case chunkTrailer:
-		if c.trailer += len(text) + 2; c.trailer > MaxHead {
+		if c.trailerBytes += len(text) + 2; c.trailerBytes > MaxHead {
 			return &RequestError{Status: 431, Reason: "too many fields behind the body"}
 		}
 		if len(text) == 0 {
--- a/internal/platform/list.go
+++ b/internal/platform/list.go
@@ -20,13 +20,13 @@
 	Entries []core.Entry
 }
 
-var errList = errors.New("not a list of the protocol")
+var errMalformedList = errors.New("not a list of the protocol")
 
 // ReadList reads a list. One that is bad in any entry is bad as a whole: half a list would
 // drop backends that are there.
 func (n *Names) ReadList(text []byte) (List, error) {
 	if !stdjson.Valid(text) { // the iterator takes a second { for a comma, and more of the kind
-		return List{}, errList
+		return List{}, errMalformedList
 	}
 	it := json.BorrowIterator(text)
 	defer json.ReturnIterator(it)
@@ -44,9 +44,9 @@
 		case "endpoints":
 			endpoints = true
 			for it.ReadArray() {
-				e, ok := n.entry(it)
+				e, ok := n.readEntry(it)
 				if !ok {
-					return List{}, errList
+					return List{}, errMalformedList
 				}
 				list.Entries = append(list.Entries, e)
 			}
@@ -54,21 +54,21 @@
 			it.Skip()
 		}
 	}
-	if !ended(it) || !index || !endpoints {
-		return List{}, errList
+	if !atEnd(it) || !index || !endpoints {
+		return List{}, errMalformedList
 	}
 	return list, nil
 }
 
-// ended says whether a text was read without a fault and has nothing behind what was read.
+// atEnd says whether a text was read without a fault and has nothing behind what was read.
 // WhatIsNext alone does not tell: it calls an end and a byte that begins no value by one name.
-func ended(it *jsoniter.Iterator) bool {
+func atEnd(it *jsoniter.Iterator) bool {
 	return it.Error == nil && it.WhatIsNext() == jsoniter.InvalidValue && it.Error == io.EOF
 }
 
-// entry reads one line of a list. An unknown zone or kind reads as the first, an unknown
+// readEntry reads one line of a list. An unknown zone or kind reads as the first, an unknown
 // status as Terminating: nothing new goes to a backend in a state that is not known.
-func (n *Names) entry(it *jsoniter.Iterator) (e core.Entry, ok bool) {
+func (n *Names) readEntry(it *jsoniter.Iterator) (e core.Entry, ok bool) {
 	status := ""
 	for field := it.ReadObject(); field != ""; field = it.ReadObject() {
 		switch field {
--- a/internal/platform/reply.go
+++ b/internal/platform/reply.go
@@ -27,17 +27,17 @@
 // stated length, or up to the connection's end.
 type ReplyParser struct {
 	buffer
-	Status      int
-	Unprocessed bool   // it says that the req never ran
-	Load        string // a load report in the head
-	KeepAlive   bool
-	whole       bool // bodies come as one part
-	most        int  // bytes of a part
-	state       replyState
-	chunked     bool
-	left        int // of the chunk or body; -1 for all up to the connection's end
-	from, to    int // what is decoded and not handed out lies in the buffer from here to here
-	scanned     int // no line ends before this
+	Status                   int
+	Unprocessed              bool   // it says that the req never ran
+	Load                     string // a load report in the head
+	KeepAlive                bool
+	wholeBody                bool // bodies come as one part
+	maxPart                  int  // bytes of a part
+	state                    replyState
+	chunked                  bool
+	remaining                int // of the chunk or body; -1 for all up to the connection's end
+	pendingStart, pendingEnd int // what is decoded and not handed out lies in the buffer from here to here
+	scanned                  int // no line ends before this
 }
 
 type replyState uint8
@@ -46,30 +46,32 @@
 	inHead replyState = iota
 	inSize
 	inData
-	inBreak // the line end behind a chunk
+	inChunkEnd // the line end behind a chunk
 	inTrailer
-	inTail // handing out what is left of the body
+	inRemainder // handing out what is left of the body
 )
 
 // NewReplyParser makes a machine that hands out bodies by line, or whole.
-func NewReplyParser(whole bool, most int) *ReplyParser { return &ReplyParser{whole: whole, most: most} }
+func NewReplyParser(whole bool, most int) *ReplyParser {
+	return &ReplyParser{wholeBody: whole, maxPart: most}
+}
 
-var errReply = errors.New("not a reply of the protocol")
+var errMalformedReply = errors.New("not a reply of the protocol")
 
 // Space is where the next bytes are to be read.
 func (m *ReplyParser) Space() []byte {
-	if len(m.b)-m.w < room/4 { // what is decoded moves on with what is not
-		start := min(m.from, m.r)
-		if m.from == m.to {
-			start = m.r
+	if len(m.data)-m.end < minReadSpace/4 { // what is decoded moves on with what is not
+		start := min(m.pendingStart, m.start)
+		if m.pendingStart == m.pendingEnd {
+			start = m.start
 		}
-		size := m.w - start
-		next := make([]byte, max(2*size, size+room))
-		copy(next, m.b[start:m.w])
-		m.from, m.to, m.scanned = max(m.from-start, 0), max(m.to-start, 0), max(m.scanned-start, 0)
-		m.b, m.r, m.w = next, m.r-start, size
+		size := m.end - start
+		next := make([]byte, max(2*size, size+minReadSpace))
+		copy(next, m.data[start:m.end])
+		m.pendingStart, m.pendingEnd, m.scanned = max(m.pendingStart-start, 0), max(m.pendingEnd-start, 0), max(m.scanned-start, 0)
+		m.data, m.start, m.end = next, m.start-start, size
 	}
-	return m.b[m.w:]
+	return m.data[m.end:]
 }
 
 // Next returns the next part. The bytes of a Line stay as they are until Space is called.
@@ -77,10 +79,10 @@
 	for {
 		switch m.state {
 		case inHead:
-			if m.r == m.w { // nothing that was handed out is in use when the next reply begins
-				m.r, m.w = 0, 0
+			if m.start == m.end { // nothing that was handed out is in use when the next reply begins
+				m.start, m.end = 0, 0
 			}
-			block, err := m.block()
+			block, err := m.headBlock()
 			if block == nil {
 				return NeedMore, nil, err
 			}
@@ -90,58 +92,58 @@
 			if m.Status < 200 {
 				continue // an interim answer
 			}
-			m.from, m.to, m.scanned = m.r, m.r, m.r
+			m.pendingStart, m.pendingEnd, m.scanned = m.start, m.start, m.start
 			return Head, nil, nil
 		case inData:
-			n := m.w - m.r
-			if m.left >= 0 {
-				n = min(n, m.left)
+			n := m.end - m.start
+			if m.remaining >= 0 {
+				n = min(n, m.remaining)
 			}
-			if m.from == m.to {
-				m.from, m.to, m.scanned = m.r, m.r, m.r
+			if m.pendingStart == m.pendingEnd {
+				m.pendingStart, m.pendingEnd, m.scanned = m.start, m.start, m.start
 			}
-			if m.to != m.r { // close the gap that the framing left
-				copy(m.b[m.to:], m.b[m.r:m.r+n])
+			if m.pendingEnd != m.start { // close the gap that the framing left
+				copy(m.data[m.pendingEnd:], m.data[m.start:m.start+n])
 			}
-			m.to, m.r = m.to+n, m.r+n
-			if m.left >= 0 {
-				m.left -= n
+			m.pendingEnd, m.start = m.pendingEnd+n, m.start+n
+			if m.remaining >= 0 {
+				m.remaining -= n
 			}
-			if m.to-m.from > m.most {
-				return NeedMore, nil, errReply
+			if m.pendingEnd-m.pendingStart > m.maxPart {
+				return NeedMore, nil, errMalformedReply
 			}
-			if m.left == 0 {
-				if m.state = inTail; m.chunked {
-					m.state = inBreak
+			if m.remaining == 0 {
+				if m.state = inRemainder; m.chunked {
+					m.state = inChunkEnd
 				}
 			}
-			if line := m.line(); line != nil {
+			if line := m.nextLine(); line != nil {
 				return Line, line, nil
 			}
-			if m.left != 0 {
+			if m.remaining != 0 {
 				return NeedMore, nil, nil
 			}
-		case inBreak, inSize, inTrailer:
-			if line := m.line(); line != nil { // lines that the last chunk still holds
+		case inChunkEnd, inSize, inTrailer:
+			if line := m.nextLine(); line != nil { // lines that the last chunk still holds
 				return Line, line, nil
 			}
-			text, ok := m.text()
+			text, ok := m.framingLine()
 			if !ok {
-				if m.w-m.r > MaxHead {
-					return NeedMore, nil, errReply
+				if m.end-m.start > MaxHead {
+					return NeedMore, nil, errMalformedReply
 				}
 				return NeedMore, nil, nil
 			}
-			if err := m.frame(text); err != nil {
+			if err := m.handleFramingLine(text); err != nil {
 				return NeedMore, nil, err
 			}
-		case inTail:
-			if line := m.line(); line != nil {
+		case inRemainder:
+			if line := m.nextLine(); line != nil {
 				return Line, line, nil
 			}
-			if m.from < m.to {
-				tail := m.b[m.from:m.to]
-				m.from = m.to
+			if m.pendingStart < m.pendingEnd {
+				tail := m.data[m.pendingStart:m.pendingEnd]
+				m.pendingStart = m.pendingEnd
 				return Line, tail, nil
 			}
 			m.state = inHead
@@ -152,26 +154,26 @@
 
 // ConnectionClosed tells that the connection ended. A body without a stated length is whole by that.
 func (m *ReplyParser) ConnectionClosed() (whole bool) {
-	if m.state == inData && m.left < 0 {
-		m.state, m.left = inTail, 0
+	if m.state == inData && m.remaining < 0 {
+		m.state, m.remaining = inRemainder, 0
 		return true
 	}
 	return false
 }
 
-func (m *ReplyParser) line() []byte {
-	if m.whole {
+func (m *ReplyParser) nextLine() []byte {
+	if m.wholeBody {
 		return nil
 	}
-	for m.scanned < m.to {
-		i := bytes.IndexByte(m.b[m.scanned:m.to], '\n')
+	for m.scanned < m.pendingEnd {
+		i := bytes.IndexByte(m.data[m.scanned:m.pendingEnd], '\n')
 		if i < 0 {
-			m.scanned = m.to
+			m.scanned = m.pendingEnd
 			break
 		}
-		line := bytes.TrimSpace(m.b[m.from : m.scanned+i])
+		line := bytes.TrimSpace(m.data[m.pendingStart : m.scanned+i])
 		m.scanned += i + 1
-		m.from = m.scanned
+		m.pendingStart = m.scanned
 		if len(line) > 0 {
 			return line
 		}
@@ -179,44 +181,44 @@
 	return nil
 }
 
-// text is the next line of the framing, without its LF.
-func (m *ReplyParser) text() (string, bool) {
-	i := bytes.IndexByte(m.rest(), '\n')
+// framingLine is the next line of the framing, without its LF.
+func (m *ReplyParser) framingLine() (string, bool) {
+	i := bytes.IndexByte(m.unread(), '\n')
 	if i < 0 {
 		return "", false
 	}
-	s := string(m.b[m.r : m.r+i])
-	m.r += i + 1
+	s := string(m.data[m.start : m.start+i])
+	m.start += i + 1
 	return s, true
 }
 
-// frame takes a line of the framing. One of chunks ends in CR LF, as net/http has it: two readings of
+// handleFramingLine takes a line of the framing. One of chunks ends in CR LF, as net/http has it: two readings of
 // the framing would let a body pass for a second reply.
-func (m *ReplyParser) frame(text string) error {
+func (m *ReplyParser) handleFramingLine(text string) error {
 	text, cr := strings.CutSuffix(text, "\r")
 	if !cr && m.state != inTrailer {
-		return errReply
+		return errMalformedReply
 	}
 	switch m.state {
-	case inBreak:
+	case inChunkEnd:
 		m.state = inSize
 		if text != "" {
-			return errReply
+			return errMalformedReply
 		}
 	case inSize:
 		size, _, _ := strings.Cut(text, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
-		if err != nil || int(n) > m.most {
-			return errReply
+		if err != nil || int(n) > m.maxPart {
+			return errMalformedReply
 		}
-		if m.left, m.state = int(n), inData; n == 0 {
+		if m.remaining, m.state = int(n), inData; n == 0 {
 			m.state = inTrailer
 		}
 	case inTrailer:
 		if text == "" {
-			m.state = inTail
+			m.state = inRemainder
 		} else if strings.IndexByte(text, ':') <= 0 { // no field: the next reply's head must not pass for one
-			return errReply
+			return errMalformedReply
 		}
 	}
 	return nil
@@ -225,39 +227,39 @@
 func (m *ReplyParser) readHead(block []byte) error {
 	h, err := parseHead(block)
 	if err != nil {
-		return errReply
+		return errMalformedReply
 	}
-	version, rest, _ := strings.Cut(h.first, " ")
+	version, rest, _ := strings.Cut(h.firstLine, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.ParseUint(code, 10, 10)
 	if err != nil || status < 100 || status > 599 || version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return errReply
+		return errMalformedReply
 	}
 	m.Status = int(status)
 	if status < 200 {
 		return nil
 	}
-	unprocessed, once := h.one("X-Unprocessed")
+	unprocessed, once := h.single("X-Unprocessed")
 	m.Unprocessed = once && unprocessed == "1" // two of them prove nothing
-	m.Load, _ = h.one("X-Backend-Load")
-	m.KeepAlive = !h.has("Connection", "close") && version != "HTTP/1.0"
-	m.chunked = h.has("Transfer-Encoding", "chunked")
+	m.Load, _ = h.single("X-Backend-Load")
+	m.KeepAlive = !h.hasToken("Connection", "close") && version != "HTTP/1.0"
+	m.chunked = h.hasToken("Transfer-Encoding", "chunked")
 	m.state = inData
 	if m.chunked && version == "HTTP/1.0" { // knows no chunks (RFC 9112 section 6.1)
-		return errReply
+		return errMalformedReply
 	}
 	if status == 204 || status == 304 { // no body, whatever the head says (section 6.3)
-		m.left, m.chunked = 0, false
+		m.remaining, m.chunked = 0, false
 		return nil
 	}
 	if m.chunked {
-		m.state, m.left = inSize, 0
+		m.state, m.remaining = inSize, 0
 		return nil
 	}
-	if m.left, err = h.length(); err != nil || m.left > m.most {
-		return errReply
+	if m.remaining, err = h.contentLength(); err != nil || m.remaining > m.maxPart {
+		return errMalformedReply
 	}
-	if m.left < 0 {
+	if m.remaining < 0 {
 		m.KeepAlive = false
 	}
 	return nil
@@ -273,7 +275,7 @@
 	Report   []float32
 }
 
-var errLine = errors.New("not a line of the protocol")
+var errMalformedLine = errors.New("not a line of the protocol")
 
 var json = jsoniter.ConfigDefault
 
@@ -299,13 +301,13 @@
 				news.Result = string(it.SkipAndReturnBytes())
 			}
 		case "load":
-			news.Report = n.report(it)
+			news.Report = n.readReport(it)
 		default:
 			it.Skip()
 		}
 	}
-	if !ended(it) || got != id {
-		return JobUpdate{}, errLine
+	if !atEnd(it) || got != id {
+		return JobUpdate{}, errMalformedLine
 	}
 	news.Last = true
 	switch state {
@@ -315,7 +317,7 @@
 		news.Last = false
 	case "done":
 		if news.Ending = core.Served; !result {
-			return JobUpdate{}, errLine
+			return JobUpdate{}, errMalformedLine
 		}
 	case "failed":
 		news.Ending = core.Failed
@@ -324,14 +326,14 @@
 	case "lost":
 		news.Ending = core.Lost
 	default:
-		return JobUpdate{}, errLine
+		return JobUpdate{}, errMalformedLine
 	}
 	return news, nil
 }
 
-// report reads a load report into the settings' order of columns. A column that is absent
+// readReport reads a load readReport into the settings' order of columns. A column that is absent
 // is zero, as on the simulator's wire.
-func (n *Names) report(it *jsoniter.Iterator) []float32 {
+func (n *Names) readReport(it *jsoniter.Iterator) []float32 {
 	if it.WhatIsNext() != jsoniter.ObjectValue {
 		it.Skip()
 		return nil
@@ -367,7 +369,7 @@
 	}
 	it := json.BorrowIterator([]byte(text))
 	defer json.ReturnIterator(it)
-	if values := n.report(it); it.Error == nil {
+	if values := n.readReport(it); it.Error == nil {
 		return values
 	}
 	return nil
@@ -385,4 +387,4 @@
 }
 
 // HasExtraBytes says whether bytes are there that no request asked for.
-func (m *ReplyParser) HasExtraBytes() bool { return m.r < m.w }
+func (m *ReplyParser) HasExtraBytes() bool { return m.start < m.end }
--- a/internal/platform/reply_test.go
+++ b/internal/platform/reply_test.go
@@ -11,10 +11,10 @@
 	"tinsail/internal/core"
 )
 
-// back lets a scenario run on the machine of a backend's connection.
-type back struct{ *ReplyParser }
+// replyHarness lets a scenario run on the machine of a backend's connection.
+type replyHarness struct{ *ReplyParser }
 
-func (b back) next() string {
+func (b replyHarness) next() string {
 	part, line, err := b.Next()
 	switch {
 	case err != nil:
@@ -33,7 +33,7 @@
 	return "more"
 }
 
-func (b back) closed() string {
+func (b replyHarness) closed() string {
 	if b.ConnectionClosed() {
 		return ""
 	}
@@ -44,7 +44,7 @@
 `
 
 func TestReplies(t *testing.T) {
-	play(t, func() machine { return back{NewReplyParser(false, MaxLine)} }, []script{
+	runScripts(t, func() parserHarness { return replyHarness{NewReplyParser(false, MaxLine)} }, []script{
 		{"lines in chunks of their own, then another reply", chunked + `
 			expect head
 			send 3\r\nab\n\r\n3;x=y\r\ncd\n\r\n0\r\nX-Trailer: 1\r\n\r\n
@@ -117,7 +117,7 @@
 
 // TestWholeBody: the director's list comes as one part, however it is framed.
 func TestWholeBody(t *testing.T) {
-	play(t, func() machine { return back{NewReplyParser(true, MaxList)} }, []script{
+	runScripts(t, func() parserHarness { return replyHarness{NewReplyParser(true, MaxList)} }, []script{
 		{"in chunks", chunked + `
 			send 2\r\n{"\r\n5\r\nindex\r\n0\r\n\r\n
 			expect head
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -23,12 +23,12 @@
 
 // Request is a whole message of a client. Body is a slice of the buffer it came in.
 type Request struct {
-	Method, Target string
-	Body           []byte
-	Close          bool // the client will send no more on this connection
-	Fields         Fields
-	expects        bool // it waits to be told to send its body
-	chunked        bool // its body comes in chunks
+	Method, Target  string
+	Body            []byte
+	Close           bool // the client will send no more on this connection
+	Fields          Fields
+	expectsContinue bool // it waits to be told to send its body
+	chunked         bool // its body comes in chunks
 }
 
 // Field is a field of a head that reqs are made of.
@@ -47,8 +47,8 @@
 	fieldCount
 )
 
-// maxHint is the heaviest work that a client may guess, in microseconds: a day.
-const maxHint = 24 * 3600 * 1e6
+// maxWeightHint is the heaviest work that a client may guess, in microseconds: a day.
+const maxWeightHint = 24 * 3600 * 1e6
 
 // FieldNames are the fields' names, as HTTP/1.1 writes them; in HTTP/2 they are in lower case.
 var FieldNames = [fieldCount]string{"X-Correlation-Id", "X-Service-Class", "X-Time-Left-Ms", "Idempotency-Key", "X-Repeat", "X-Facts",
@@ -77,93 +77,93 @@
 	buffer
 	// Admit, if set, is asked before there is space for so many bytes of a body in all, and refuses
 	// it by an error. Of a body in chunks it is asked again as it grows.
-	Admit  func(length int) error
-	cur    *Request
-	need   int // bytes of the body
-	chunks chunks
-	bad    error
-	cont   bool
+	Admit       func(length int) error
+	current     *Request
+	bodyLength  int // bytes of the body
+	chunks      chunkedBody
+	err         error
+	continueDue bool
 }
 
 // Next returns the next whole request, or nil while more bytes are due. An error is a *Bad
 // and ends the session.
 func (m *RequestParser) Next() (*Request, error) {
-	if m.bad != nil {
-		return nil, m.bad
+	if m.err != nil {
+		return nil, m.err
 	}
-	if m.cur == nil {
-		for m.r < m.w && (m.b[m.r] == '\r' || m.b[m.r] == '\n') { // empty lines before a request
-			m.r++
+	if m.current == nil {
+		for m.start < m.end && (m.data[m.start] == '\r' || m.data[m.start] == '\n') { // empty lines before a request
+			m.start++
 		}
-		block, err := m.block()
+		block, err := m.headBlock()
 		if err != nil {
 			return nil, m.fail(431, err.Error())
 		}
 		if block == nil {
 			return nil, nil
 		}
-		if m.cur, m.need, err = readRequest(block); err != nil {
-			m.bad = err
+		if m.current, m.bodyLength, err = readRequest(block); err != nil {
+			m.err = err
 			return nil, err
 		}
-		if m.need > MaxBody {
+		if m.bodyLength > MaxBody {
 			return nil, m.fail(413, "the body is too long")
 		}
 		if m.Admit != nil {
-			if m.bad = m.Admit(m.need); m.bad != nil {
-				return nil, m.bad
+			if m.err = m.Admit(m.bodyLength); m.err != nil {
+				return nil, m.err
 			}
 		}
-		m.chunks = chunks{}
-		m.cont = (m.need > 0 || m.cur.chunked) && m.cur.expects
-		if len(m.b)-m.r < m.need {
-			m.grow(m.need)
+		m.chunks = chunkedBody{}
+		m.continueDue = (m.bodyLength > 0 || m.current.chunked) && m.current.expectsContinue
+		if len(m.data)-m.start < m.bodyLength {
+			m.grow(m.bodyLength)
 		}
 	}
-	if m.cur.chunked {
-		whole, err := m.chunks.take(&m.buffer, m.Admit)
-		if m.bad = err; err != nil || !whole {
+	if m.current.chunked {
+		whole, err := m.chunks.decode(&m.buffer, m.Admit)
+		if m.err = err; err != nil || !whole {
 			return nil, err
 		}
-		q := m.cur
+		q := m.current
 		q.Body = m.chunks.body
-		m.cur, m.cont, m.chunks = nil, false, chunks{}
+		m.current, m.continueDue, m.chunks = nil, false, chunkedBody{}
 		return q, nil
 	}
-	if m.w-m.r < m.need {
+	if m.end-m.start < m.bodyLength {
 		return nil, nil
 	}
-	q := m.cur
-	q.Body = m.b[m.r : m.r+m.need : m.r+m.need]
-	m.r += m.need
-	m.cur, m.cont = nil, false
+	q := m.current
+	q.Body = m.data[m.start : m.start+m.bodyLength : m.start+m.bodyLength]
+	m.start += m.bodyLength
+	m.current, m.continueDue = nil, false
 	return q, nil
 }
 
 func (m *RequestParser) fail(status int, reason string) error {
-	m.bad = &RequestError{Status: status, Reason: reason}
-	return m.bad
+	m.err = &RequestError{Status: status, Reason: reason}
+	return m.err
 }
 
 // WantsContinue says, once for each such request, that the client waits to be told to send on.
 func (m *RequestParser) WantsContinue() bool {
-	c := m.cont
-	m.cont = false
+	c := m.continueDue
+	m.continueDue = false
 	return c
 }
 
 // Partial says whether a request has begun and is not whole.
-func (m *RequestParser) Partial() bool { return m.cur != nil || m.r < m.w }
+func (m *RequestParser) Partial() bool { return m.current != nil || m.start < m.end }
 
 // Buffered is how many bytes lie behind the last request that Next returned.
-func (m *RequestParser) Buffered() int { return m.w - m.r }
+func (m *RequestParser) Buffered() int { return m.end - m.start }
 
 // DiscardSpace is space for bytes that nobody will read.
 func (m *RequestParser) DiscardSpace() []byte {
-	if len(m.b) < room {
-		m.b = make([]byte, room)
+	if len(m.data) < minReadSpace {
+		m.data = make([]byte, minReadSpace)
 	}
-	return m.b
+	return m.data
 }
 
 // Done tells that the last request is answered; free, that its bytes are in no use.
@@ -180,14 +180,14 @@
 	if err != nil {
 		return nil, 0, badRequest("a bad head")
 	}
-	parts := strings.Split(h.first, " ")
+	parts := strings.Split(h.firstLine, " ")
 	if len(parts) != 3 || parts[0] == "" || !strings.HasPrefix(parts[1], "/") || !strings.HasPrefix(parts[2], "HTTP/1.") {
 		return nil, 0, badRequest("a bad request line")
 	}
-	if !plain(parts[0] + parts[1]) {
+	if !visibleASCII(parts[0] + parts[1]) {
 		return nil, 0, badRequest("a bad request line")
 	}
-	coding, once := h.one("Transfer-Encoding")
+	coding, once := h.single("Transfer-Encoding")
 	if coded := len(h.fields["Transfer-Encoding"]) > 0; coded {
 		switch {
 		case len(h.fields["Content-Length"]) > 0: // RFC 9112 section 6.1: the body may hide another req
@@ -198,23 +198,23 @@
 			return nil, 0, &RequestError{Status: 501, Reason: "an unknown Transfer-Encoding"}
 		}
 	}
-	n, err := h.length()
+	n, err := h.contentLength()
 	if err != nil {
 		return nil, 0, badRequest(err.Error())
 	}
-	q := &Request{Method: parts[0], Target: parts[1], expects: h.has("Expect", "100-continue"), chunked: coding != ""}
+	q := &Request{Method: parts[0], Target: parts[1], expectsContinue: h.hasToken("Expect", "100-continue"), chunked: coding != ""}
 	for f, name := range FieldNames {
 		for _, text := range h.fields[name] {
 			q.Fields.Add(Field(f), text)
 		}
 	}
-	q.Close = h.has("Connection", "close") || parts[2] == "HTTP/1.0" && !h.has("Connection", "keep-alive")
+	q.Close = h.hasToken("Connection", "close") || parts[2] == "HTTP/1.0" && !h.hasToken("Connection", "keep-alive")
 	return q, max(n, 0), nil
 }
 
-// plain says whether a text may go into a head of our own: with a stray line end, one req
+// visibleASCII says whether a text may go into a head of our own: with a stray line end, one req
 // could pass for two.
-func plain(text string) bool {
+func visibleASCII(text string) bool {
 	for _, c := range []byte(text) {
 		if c <= ' ' || c >= 0x7f {
 			return false
@@ -257,7 +257,7 @@
 	bad := func(status int, reason string) (JobRequest, error) {
 		return JobRequest{}, &RequestError{Status: status, Reason: reason}
 	}
-	if !plain(q.Target) {
+	if !visibleASCII(q.Target) {
 		return bad(400, "a bad path")
 	}
 	for f := range q.Fields {
@@ -272,7 +272,7 @@
 	}
 	class, left := q.Fields[ServiceClass].Text, q.Fields[TimeLeft].Text
 	w.ID, w.IdempotencyKey = q.Fields[CorrelationID].Text, q.Fields[IdempotencyKey].Text
-	if w.ID == "" || !plain(w.ID) || !plain(w.IdempotencyKey) || len(w.ID) > maxID || len(w.IdempotencyKey) > maxID {
+	if w.ID == "" || !visibleASCII(w.ID) || !visibleASCII(w.IdempotencyKey) || len(w.ID) > maxID || len(w.IdempotencyKey) > maxID {
 		return bad(400, "a bad X-Correlation-Id or Idempotency-Key")
 	}
 	first, rest, _ := strings.Cut(strings.TrimPrefix(q.Path(), "/"), "/")
@@ -303,7 +303,7 @@
 	}
 	if hint := q.Fields[WeightHint].Text; hint != "" { // a guess at the work, in microseconds
 		us, err := strconv.ParseFloat(hint, 64)
-		if err != nil || !(us >= 0 && us <= maxHint) {
+		if err != nil || !(us >= 0 && us <= maxWeightHint) {
 			return bad(400, "a bad X-Weight-Hint")
 		}
 		w.Request.Work = us / 1000
@@ -313,7 +313,7 @@
 		w.Request.Tenant = len(n.Tenants)
 	}
 	w.Request.Retry = q.Fields[Repeat].Text == "1"
-	w.Request.Key = key(rest)
+	w.Request.Key = requestKey(rest)
 	for fact := range strings.SplitSeq(q.Fields[Facts].Text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(fact), "=")
 		var to *float64
@@ -334,9 +334,9 @@
 	return w, nil
 }
 
-// key is what a request concerns: the last part of a path that has more than the class.
+// requestKey is what a request concerns: the last part of a path that has more than the class.
 // A hexadecimal number is taken as it is, other text by its hash; 0 is none.
-func key(rest string) uint64 {
+func requestKey(rest string) uint64 {
 	last := rest[strings.LastIndexByte(rest, '/')+1:]
 	if last == "" {
 		return 0
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -16,14 +16,14 @@
 var testNames = &Names{Classes: []string{"ingest", "keyed"}, RequiresKey: []bool{false, true}, Deadlines: []time.Duration{5 * time.Second, time.Second},
 	Zones: []string{"a", "b"}, Kinds: []string{"fast", "std"}, Columns: []string{"failed_ps", "x0"}}
 
-// front lets a scenario run on the machine of a client session. Each request is answered at
+// requestHarness lets a scenario run on the machine of a client session. Each request is answered at
 // once, its bytes given up by turns.
-type front struct {
+type requestHarness struct {
 	RequestParser
-	n int
+	count int
 }
 
-func (f *front) next() string {
+func (f *requestHarness) next() string {
 	if f.WantsContinue() {
 		return "continue"
 	}
@@ -42,12 +42,12 @@
 	if q.Close {
 		s += " close"
 	}
-	f.n++
-	f.Done(f.n%2 == 1)
+	f.count++
+	f.Done(f.count%2 == 1)
 	return s
 }
 
-func (f *front) closed() string {
+func (f *requestHarness) closed() string {
 	if f.Partial() {
 		return "cut"
 	}
@@ -55,7 +55,7 @@
 }
 
 func TestRequests(t *testing.T) {
-	play(t, func() machine { return &front{} }, []script{
+	runScripts(t, func() parserHarness { return &requestHarness{} }, []script{
 		{"one after another", `
 			send POST /c HTTP/1.1\r\nContent-Length: 3\r\n\r\none
 			expect POST /c "one"
@@ -127,10 +127,10 @@
 
 // TestLongestBody: a body of 64 KiB moves to a buffer that holds it, and the next req starts small.
 func TestLongestBody(t *testing.T) {
-	f := &front{}
-	playOne(t, f, `send POST /c HTTP/1.1\r\nContent-Length: 65536\r\n\r\n{{65536*z}}`+
+	f := &requestHarness{}
+	runScript(t, f, `send POST /c HTTP/1.1\r\nContent-Length: 65536\r\n\r\n{{65536*z}}`+
 		"\nsend GET /h HTTP/1.1\\r\\n\\r\\n\nexpect POST /c \""+strings.Repeat("z", MaxBody)+"\"\nexpect GET /h \"\"", 1000)
-	assert.LessOrEqual(t, len(f.b), 4*room)
+	assert.LessOrEqual(t, len(f.data), 4*minReadSpace)
 }
 
 // TestReadWork compares what the module is given with what the simulator's adapter gives it:
@@ -206,7 +206,7 @@
 	m.Filled(copy(m.Space(), "POST /c HTTP/1.1\r\nContent-Length: 60000\r\n\r\n"))
 	_, err := m.Next()
 	assert.ErrorContains(t, err, "60000")
-	assert.Len(t, m.b, room)
+	assert.Len(t, m.data, minReadSpace)
 }
 
 func FuzzRequests(f *testing.F) {
--- a/internal/platform/scenario_test.go
+++ b/internal/platform/scenario_test.go
@@ -15,8 +15,8 @@
 // nothing new. Each is run with its bytes in one piece, byte by byte, and in threes: how a
 // peer's bytes are split must change nothing.
 
-// machine is what a scenario runs on. next says what was found, in one word or a few.
-type machine interface {
+// parserHarness is what a scenario runs on. next says what was found, in one word or a few.
+type parserHarness interface {
 	Space() []byte
 	Filled(int)
 	next() string
@@ -25,16 +25,16 @@
 
 type script struct{ name, text string }
 
-func play(t *testing.T, fresh func() machine, scripts []script) {
+func runScripts(t *testing.T, fresh func() parserHarness, scripts []script) {
 	t.Helper()
 	for _, s := range scripts {
 		for _, piece := range []int{1 << 20, 1, 3} {
-			t.Run(fmt.Sprintf("%s/%d", s.name, piece), func(t *testing.T) { playOne(t, fresh(), s.text, piece) })
+			t.Run(fmt.Sprintf("%s/%d", s.name, piece), func(t *testing.T) { runScript(t, fresh(), s.text, piece) })
 		}
 	}
 }
 
-func playOne(t *testing.T, m machine, text string, piece int) {
+func runScript(t *testing.T, m parserHarness, text string, piece int) {
 	var found []string
 	over := false // a machine that has found its bytes bad gets no more
 	look := func() {
--- a/internal/platform/write.go
+++ b/internal/platform/write.go
@@ -58,7 +58,7 @@
 	return strconv.AppendInt(b, wait.Milliseconds(), 10)
 }
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 411: "Length Required", 413: "Content Too Large", 431: "Request Header Fields Too Large",
 	501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable"}
 
@@ -71,7 +71,7 @@
 func AppendAnswerWithFields(b []byte, status int, pause time.Duration, closing bool, fields, body string) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
-	b = append(append(b, ' '), reasons[status]...)
+	b = append(append(b, ' '), reasonPhrases[status]...)
 	if pause > 0 {
 		b = append(b, "\r\nRetry-After: "...)
 		b = strconv.AppendFloat(b, pause.Seconds(), 'f', 3, 64)
