--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -18,7 +18,7 @@
 // what is longer is not read.
 const (
 	magic           = "THO1"
-	frameLen        = len(magic) + 4
+	headerLength    = len(magic) + 4
 	MaxHello        = 4 << 10
 	MaxState        = 8 << 20
 	MaxStatusUpdate = 64 << 10
@@ -81,7 +81,7 @@
 type Reader struct {
 	MaxBytes int
 	b        []byte
-	bad      error
+	err      error
 }
 
 var errMagic = errors.New("not a message of a hand-over")
@@ -92,26 +92,26 @@
 // Next returns the next message's JSON, or nil while more bytes are due. What it returned before may be
 // overwritten by Fill. After an error there is no going on.
 func (r *Reader) Next() ([]byte, error) {
-	if r.bad != nil {
-		return nil, r.bad
+	if r.err != nil {
+		return nil, r.err
 	}
 	n := min(len(r.b), len(magic))
 	if string(r.b[:n]) != magic[:n] {
-		r.bad = errMagic
-		return nil, r.bad
+		r.err = errMagic
+		return nil, r.err
 	}
-	if len(r.b) < frameLen {
+	if len(r.b) < headerLength {
 		return nil, nil
 	}
-	size := int(binary.BigEndian.Uint32(r.b[len(magic):frameLen]))
+	size := int(binary.BigEndian.Uint32(r.b[len(magic):headerLength]))
 	if size > r.MaxBytes {
-		r.bad = fmt.Errorf("a message of %d bytes, at most %d are read", size, r.MaxBytes)
-		return nil, r.bad
+		r.err = fmt.Errorf("a message of %d bytes, at most %d are read", size, r.MaxBytes)
+		return nil, r.err
 	}
-	if len(r.b) < frameLen+size {
+	if len(r.b) < headerLength+size {
 		return nil, nil
 	}
-	text := r.b[frameLen : frameLen+size : frameLen+size]
-	r.b = r.b[frameLen+size:]
+	text := r.b[headerLength : headerLength+size : headerLength+size]
+	r.b = r.b[headerLength+size:]
 	return text, nil
 }
--- a/internal/handover/stages.go
+++ b/internal/handover/stages.go
@@ -68,8 +68,8 @@
 
 // NewProcess is the end of a process that takes over. The zero value is alone.
 type NewProcess struct {
-	stage Stage
-	since time.Time // of Ready
+	stage      Stage
+	readySince time.Time // of Ready
 }
 
 // Stage is where it stands.
@@ -96,7 +96,7 @@
 	if n.stage != Connected {
 		return false
 	}
-	n.stage, n.since = Ready, now
+	n.stage, n.readySince = Ready, now
 	return true
 }
 
@@ -113,7 +113,7 @@
 // MayReportServing says whether this process may say that it serves in the dispatcher's name: the old one has
 // stopped accepting, is gone, or has not said so in its time. In that last case both accept, which loses nothing.
 func (n *NewProcess) MayReportServing(now time.Time) bool {
-	return n.stage == Idle || n.stage == HandedOver || n.stage == Ready && now.Sub(n.since) >= StopAcceptingTimeout
+	return n.stage == Idle || n.stage == HandedOver || n.stage == Ready && now.Sub(n.readySince) >= StopAcceptingTimeout
 }
 
 // SplitDescriptors shares descriptors out when a new process comes: how many the old one keeps, which
--- a/internal/http2/calm.go
+++ b/internal/http2/calm.go
@@ -51,55 +51,55 @@
 const (
 	pingBurst, pingPerSec         = 200, 20
 	settingsBurst, settingsPerSec = 20, 1
-	uselessMost                   = 2048 // frames or KiB since the last that was of use
+	maxUnproductive               = 2048 // frames or KiB since the last that was of use
 )
 
-// calm holds what a client may still do that is of no use.
-type calm struct {
+// abuseLimits holds what a client may still do that is of no use.
+type abuseLimits struct {
 	pings, settings, resets *rate.Limiter
-	useless                 int
+	unproductive            int
 }
 
-func newCalm(streams int) calm {
-	return calm{pings: rate.NewLimiter(pingPerSec, pingBurst), settings: rate.NewLimiter(settingsPerSec, settingsBurst),
+func newAbuseLimits(streams int) abuseLimits {
+	return abuseLimits{pings: rate.NewLimiter(pingPerSec, pingBurst), settings: rate.NewLimiter(settingsPerSec, settingsBurst),
 		resets: rate.NewLimiter(rate.Limit(streams), 100+2*streams)}
 }
 
-// use tells that something of use was done, worth so many useless frames.
-func (m *calm) use(worth int) { m.useless = max(m.useless-worth, 0) }
+// credit tells that something of credit was done, worth so many useless frames.
+func (m *abuseLimits) credit(worth int) { m.unproductive = max(m.unproductive-worth, 0) }
 
-func (c *Conn) count(a Abuse) {
+func (c *Conn) reportAbuse(a Abuse) {
 	if c.cfg.OnAbuse != nil {
 		c.cfg.OnAbuse(a)
 	}
 }
 
-// abuse ends the connection for what its client does.
-func (c *Conn) abuse(a Abuse) {
-	if !c.over {
-		c.count(a)
+// failAbuse ends the connection for what its client does.
+func (c *Conn) failAbuse(a Abuse) {
+	if !c.ended {
+		c.reportAbuse(a)
 		c.fail(EnhanceYourCalm, a.String())
 	}
 }
 
-// useless takes in a frame that serves nothing by itself, with so many bytes.
-func (c *Conn) useless(a Abuse, bytes int) {
-	if c.calm.useless += 1 + bytes>>10; c.calm.useless > uselessMost {
-		c.abuse(a)
+// countUnproductive takes in a frame that serves nothing by itself, with so many bytes.
+func (c *Conn) countUnproductive(a Abuse, bytes int) {
+	if c.limits.unproductive += 1 + bytes>>10; c.limits.unproductive > maxUnproductive {
+		c.failAbuse(a)
 	}
 }
 
-// blame takes in a stream that ended for nothing, and says whether that was one too many.
-func (c *Conn) blame(a Abuse) bool {
-	if c.over {
+// chargeReset takes in a stream that ended for nothing, and says whether that was one too many.
+func (c *Conn) chargeReset(a Abuse) bool {
+	if c.ended {
 		return true
 	}
-	if !c.calm.resets.AllowN(c.now, 1) {
-		c.abuse(a)
+	if !c.limits.resets.AllowN(c.now, 1) {
+		c.failAbuse(a)
 		return true
 	}
 	return false
 }
 
 // CountRejected tells that the driver had to turn a request away for a fault of the client's.
-func (c *Conn) CountRejected() { c.blame(RejectedRequest) }
+func (c *Conn) CountRejected() { c.chargeReset(RejectedRequest) }
--- a/internal/http2/conn.go
+++ b/internal/http2/conn.go
@@ -93,85 +93,85 @@
 
 // Bounds that are the same for all connections.
 const (
-	defaultWindow   = 65535      // RFC 9113 section 6.9.2
-	largestWindow   = 1<<31 - 1  // section 6.9.1
-	blockExtra      = 4 << 10    // of a compressed field block beyond HeaderBytes: Huffman can lengthen a text
-	continuations   = 32         // frames of a field block (CVE-2023-45288)
-	outPull         = 64 << 10   // bytes of output beyond which no more of answers is framed
-	outMost         = 256 << 10  // bytes of output that a client may provoke without reading (CVE-2019-9512, 9515)
-	tableMost       = 4096       // bytes of either HPACK table: what RFC 9113 starts with, and no more
-	dataMost        = 16 << 10   // bytes of a DATA frame of ours: small, so that streams take turns
-	readRoom        = 4 << 10    // least space offered for a read
-	resetsKept      = 128        // streams of which late frames are known to cross our reset
-	drainMark       = 0x7461696c // payload of the PING that asks whether the first GOAWAY has been read
-	smallAnswer     = 1 << 10    // of an answer's body, held without asking
-	smallHead       = 1 << 10    // of a header list, held without asking
-	prefaceLineMost = 8 << 10    // of a line that may be HTTP/1.1
-	unusedID        = 1<<31 - 1  // of a GOAWAY that leaves open which stream is the last
+	defaultWindow    = 65535      // RFC 9113 section 6.9.2
+	largestWindow    = 1<<31 - 1  // section 6.9.1
+	fieldBlockSlack  = 4 << 10    // of a compressed field block beyond HeaderBytes: Huffman can lengthen a text
+	maxBlockFrames   = 32         // frames of a field block (CVE-2023-45288)
+	outputTarget     = 64 << 10   // bytes of output beyond which no more of answers is framed
+	maxOutput        = 256 << 10  // bytes of output that a client may provoke without reading (CVE-2019-9512, 9515)
+	maxTableSize     = 4096       // bytes of either HPACK table: what RFC 9113 starts with, and no more
+	maxDataFrame     = 16 << 10   // bytes of a DATA frame of ours: small, so that streams take turns
+	minReadSpace     = 4 << 10    // least space offered for a read
+	rememberedResets = 128        // streams of which late frames are known to cross our reset
+	drainPingMark    = 0x7461696c // payload of the PING that asks whether the first GOAWAY has been read
+	smallAnswer      = 1 << 10    // of an answer's body, held without asking
+	smallHead        = 1 << 10    // of a header list, held without asking
+	maxPrefaceLine   = 8 << 10    // of a line that may be HTTP/1.1
+	maxStreamID      = 1<<31 - 1  // of a GOAWAY that leaves open which stream is the last
 )
 
 // Conn is one connection.
 type Conn struct {
-	cfg    Config
-	now    time.Time
-	begun  bool // the preface is here
-	set    bool // the client's first SETTINGS frame is here
-	over   bool
-	events []Event
-	next   int // event that Next returns
-
-	in   []byte
-	r, w int
-	src  bytes.Reader
-	fr   *http2.Framer
-	dec  *hpack.Decoder
-	enc  *hpack.Encoder
-	pack bytes.Buffer // of enc
-
-	out []byte
-
-	streams  map[uint32]*Stream
-	live     int    // streams that are neither gone nor ended
-	lastID   uint32 // highest that the client has opened
-	block    block
-	reset    [resetsKept]uint32
-	resets   int
-	window   int64 // the client's, for our DATA
-	initial  int64 // the client's, of a new stream
-	peerMax  int   // payload of our frames
-	room     int64 // ours, for the client's DATA
-	owed     int64 // of room, taken in and not given back yet
-	queue    []*Stream
-	waiting  int // bytes of longer answers that are not framed to their end
-	moved    time.Time
-	drain    drainState
-	drainBy  time.Time
-	due      time.Time // before which Expire has nothing to do; zero is never
-	calm     calm
-	free     *Stream // streams for use again
-	settings int     // SETTINGS of ours that are not acknowledged
+	cfg              Config
+	now              time.Time
+	prefaceReceived  bool // the preface is here
+	settingsReceived bool // the client's first SETTINGS frame is here
+	ended            bool
+	events           []Event
+	nextEvent        int // event that Next returns
+
+	input                []byte
+	inputStart, inputEnd int
+	frameSource          bytes.Reader
+	framer               *http2.Framer
+	decoder              *hpack.Decoder
+	encoder              *hpack.Encoder
+	encoded              bytes.Buffer // of enc
+
+	output []byte
+
+	streams           map[uint32]*Stream
+	openStreams       int    // streams that are neither gone nor ended
+	lastID            uint32 // highest that the client has opened
+	block             block
+	recentResets      [rememberedResets]uint32
+	resetCount        int
+	sendWindow        int64 // the client's, for our DATA
+	initialSendWindow int64 // the client's, of a new stream
+	maxSendFrame      int   // payload of our frames
+	recvWindow        int64 // ours, for the client's DATA
+	recvUncredited    int64 // of room, taken in and not given back yet
+	sendQueue         []*Stream
+	queuedBytes       int // bytes of longer answers that are not framed to their end
+	lastProgress      time.Time
+	drain             drainState
+	drainDeadline     time.Time
+	nextDeadline      time.Time // before which Expire has nothing to do; zero is never
+	limits            abuseLimits
+	freeStreams       *Stream // streams for use again
+	unackedSettings   int     // SETTINGS of ours that are not acknowledged
 }
 
 type drainState uint8
 
 const (
-	serving  drainState = iota
-	asking              // the first GOAWAY is out
-	draining            // the second one is: what comes later is not taken
+	notDraining    drainState = iota
+	drainAnnounced            // the first GOAWAY is out
+	draining                  // the second one is: what comes later is not taken
 )
 
 // New makes a connection at a time. The client speaks first.
 func New(cfg Config, now time.Time) *Conn {
-	c := &Conn{cfg: cfg, now: now, moved: now, streams: map[uint32]*Stream{}, window: defaultWindow,
-		initial: defaultWindow, peerMax: dataMost, room: defaultWindow}
-	c.fr = http2.NewFramer(writer{c}, &c.src)
-	c.fr.SetReuseFrames()
-	c.fr.SetMaxReadFrameSize(uint32(cfg.MaxFrameBytes))
-	c.dec = hpack.NewDecoder(tableMost, c.field)
-	c.dec.SetMaxStringLength(2 * (cfg.MaxHeaderBytes + blockExtra))
-	c.enc = hpack.NewEncoder(&c.pack)
-	c.enc.SetMaxDynamicTableSizeLimit(tableMost)
-	c.calm = newCalm(cfg.MaxStreams)
+	c := &Conn{cfg: cfg, now: now, lastProgress: now, streams: map[uint32]*Stream{}, sendWindow: defaultWindow,
+		initialSendWindow: defaultWindow, maxSendFrame: maxDataFrame, recvWindow: defaultWindow}
+	c.framer = http2.NewFramer(writer{c}, &c.frameSource)
+	c.framer.SetReuseFrames()
+	c.framer.SetMaxReadFrameSize(uint32(cfg.MaxFrameBytes))
+	c.decoder = hpack.NewDecoder(maxTableSize, c.handleField)
+	c.decoder.SetMaxStringLength(2 * (cfg.MaxHeaderBytes + fieldBlockSlack))
+	c.encoder = hpack.NewEncoder(&c.encoded)
+	c.encoder.SetMaxDynamicTableSizeLimit(maxTableSize)
+	c.limits = newAbuseLimits(cfg.MaxStreams)
 	return c
 }
 
@@ -179,74 +179,74 @@
 type writer struct{ c *Conn }
 
 func (w writer) Write(p []byte) (int, error) {
-	w.c.out = append(w.c.out, p...)
+	w.c.output = append(w.c.output, p...)
 	return len(p), nil
 }
 
 // Space is where the next bytes are to be read.
 func (c *Conn) Space() []byte {
-	if c.r == c.w || c.over { // nothing is read any more of what comes after the end
-		c.r, c.w = 0, 0
-		if len(c.in) > readRoom && len(c.streams) == 0 { // one large frame must not be paid for as long as the connection lives
-			c.in = nil
+	if c.inputStart == c.inputEnd || c.ended { // nothing is read any more of what comes after the end
+		c.inputStart, c.inputEnd = 0, 0
+		if len(c.input) > minReadSpace && len(c.streams) == 0 { // one large frame must not be paid for as long as the connection lives
+			c.input = nil
 			clear(c.block.fields)
 		}
 	}
-	if len(c.in)-c.w < readRoom/4 {
-		n := max(c.w-c.r, c.frameLength()) + readRoom
-		if n <= len(c.in) {
-			c.w = copy(c.in, c.in[c.r:c.w])
+	if len(c.input)-c.inputEnd < minReadSpace/4 {
+		n := max(c.inputEnd-c.inputStart, c.pendingFrameLength()) + minReadSpace
+		if n <= len(c.input) {
+			c.inputEnd = copy(c.input, c.input[c.inputStart:c.inputEnd])
 		} else {
 			next := make([]byte, n)
-			c.w = copy(next, c.in[c.r:c.w])
-			c.in = next
+			c.inputEnd = copy(next, c.input[c.inputStart:c.inputEnd])
+			c.input = next
 		}
-		c.r = 0
+		c.inputStart = 0
 	}
-	return c.in[c.w:]
+	return c.input[c.inputEnd:]
 }
 
-// frameLength is how long the frame is that is coming in, with its header; it has been checked
+// pendingFrameLength is how long the frame is that is coming in, with its header; it has been checked
 // against the limit once the header is here.
-func (c *Conn) frameLength() int {
-	if rest := c.in[c.r:c.w]; c.begun && len(rest) >= frameHeader {
-		return min(frameHeader+length(rest), frameHeader+c.cfg.MaxFrameBytes)
+func (c *Conn) pendingFrameLength() int {
+	if rest := c.input[c.inputStart:c.inputEnd]; c.prefaceReceived && len(rest) >= frameHeaderLength {
+		return min(frameHeaderLength+payloadLength(rest), frameHeaderLength+c.cfg.MaxFrameBytes)
 	}
 	return 0
 }
 
-const frameHeader = 9 // RFC 9113 section 4.1
+const frameHeaderLength = 9 // RFC 9113 section 4.1
 
-func length(b []byte) int { return int(b[0])<<16 | int(b[1])<<8 | int(b[2]) }
+func payloadLength(b []byte) int { return int(b[0])<<16 | int(b[1])<<8 | int(b[2]) }
 
 // Filled tells that n bytes have been read into Space, and when.
 func (c *Conn) Filled(n int, now time.Time) {
-	c.w += n
+	c.inputEnd += n
 	c.now = now
 }
 
 // Partial says whether something has begun to come in and is not whole: the preface, a frame.
-func (c *Conn) Partial() bool { return !c.set || c.r < c.w }
+func (c *Conn) Partial() bool { return !c.settingsReceived || c.inputStart < c.inputEnd }
 
 // SettingsReceived says whether the client has shown that it speaks HTTP/2.
-func (c *Conn) SettingsReceived() bool { return c.set }
+func (c *Conn) SettingsReceived() bool { return c.settingsReceived }
 
 // OpenStreams is how many streams are open, from their first frame to their answer's last byte.
-func (c *Conn) OpenStreams() int { return c.live }
+func (c *Conn) OpenStreams() int { return c.openStreams }
 
 // Next returns what the bytes mean that are here, one event at a time.
 func (c *Conn) Next() (Event, bool) {
 	for {
-		for c.next < len(c.events) {
-			e := c.events[c.next]
-			c.next++
+		for c.nextEvent < len(c.events) {
+			e := c.events[c.nextEvent]
+			c.nextEvent++
 			if e.Kind == BodyComplete && e.Stream.answered { // at its Opened, by the driver
 				continue
 			}
 			return e, true
 		}
-		c.events, c.next = c.events[:0], 0
-		if c.over || !c.step() {
+		c.events, c.nextEvent = c.events[:0], 0
+		if c.ended || !c.step() {
 			return Event{}, false
 		}
 	}
@@ -256,51 +256,51 @@
 
 // step takes in one frame, or the preface, and says whether it was whole.
 func (c *Conn) step() bool {
-	rest := c.in[c.r:c.w]
-	if !c.begun {
-		return c.preface(rest)
+	rest := c.input[c.inputStart:c.inputEnd]
+	if !c.prefaceReceived {
+		return c.readPreface(rest)
 	}
-	if len(rest) < frameHeader {
+	if len(rest) < frameHeaderLength {
 		return false
 	}
-	n := frameHeader + length(rest)
-	if n > frameHeader+c.cfg.MaxFrameBytes {
+	n := frameHeaderLength + payloadLength(rest)
+	if n > frameHeaderLength+c.cfg.MaxFrameBytes {
 		c.fail(http2.ErrCodeFrameSize, "a frame that is too long")
 		return true
 	}
 	if len(rest) < n {
 		return false
 	}
-	c.r += n
-	c.src.Reset(rest[:n])
-	f, err := c.fr.ReadFrame()
+	c.inputStart += n
+	c.frameSource.Reset(rest[:n])
+	f, err := c.framer.ReadFrame()
 	if err != nil {
-		c.faulty(rest, err)
+		c.handleReadError(rest, err)
 		return true
 	}
-	if !c.set {
+	if !c.settingsReceived {
 		if s, ok := f.(*http2.SettingsFrame); !ok || s.IsAck() {
 			c.fail(http2.ErrCodeProtocol, "the first frame is not SETTINGS")
 			return true
 		}
-		c.set = true
+		c.settingsReceived = true
 	}
-	c.frame(f)
-	if len(c.out) > outMost {
-		c.abuse(UnreadOutput)
+	c.handleFrame(f)
+	if len(c.output) > maxOutput {
+		c.failAbuse(UnreadOutput)
 	}
 	return true
 }
 
-// faulty ends what the Framer could not read: a stream where that is allowed, else all.
-func (c *Conn) faulty(raw []byte, err error) {
+// handleReadError ends what the Framer could not read: a stream where that is allowed, else all.
+func (c *Conn) handleReadError(raw []byte, err error) {
 	var se http2.StreamError
 	var ce http2.ConnectionError
 	switch {
 	// A field block that is not decoded leaves the tables unequal: no other stream could be
 	// read any more (RFC 9113 section 4.3).
 	case errors.As(err, &se) && http2.FrameType(raw[3]) != http2.FrameHeaders:
-		if c.set {
+		if c.settingsReceived {
 			c.streamError(se.StreamID, se.Code)
 			return
 		}
@@ -316,52 +316,52 @@
 	}
 }
 
-func (c *Conn) frame(f http2.Frame) {
+func (c *Conn) handleFrame(f http2.Frame) {
 	switch f := f.(type) {
 	case *http2.DataFrame:
-		c.data(f)
+		c.handleData(f)
 	case *http2.HeadersFrame:
-		c.headers(f)
+		c.handleHeaders(f)
 	case *http2.ContinuationFrame:
-		c.continuation(f)
+		c.handleContinuation(f)
 	case *http2.SettingsFrame:
-		c.settingsFrame(f)
+		c.handleSettings(f)
 	case *http2.WindowUpdateFrame:
-		c.windowUpdate(f)
+		c.handleWindowUpdate(f)
 	case *http2.RSTStreamFrame:
-		c.rst(f)
+		c.handleReset(f)
 	case *http2.PingFrame:
-		c.ping(f)
+		c.handlePing(f)
 	case *http2.PriorityFrame:
 		if f.StreamDep == f.StreamID { // RFC 7540 section 5.3.1; RFC 9113 does not say
-			if c.idle(f.StreamID) {
+			if c.isIdle(f.StreamID) {
 				c.fail(http2.ErrCodeProtocol, "a stream that depends on itself")
 			} else {
 				c.streamError(f.StreamID, http2.ErrCodeProtocol)
 			}
 			return
 		}
-		c.useless(Priority, 0)
+		c.countUnproductive(Priority, 0)
 	case *http2.GoAwayFrame: // the client opens no more streams by itself; those it has are served
-		c.useless(Unknown, int(f.Length))
+		c.countUnproductive(Unknown, int(f.Length))
 	case *http2.PushPromiseFrame:
 		c.fail(http2.ErrCodeProtocol, "a client that pushes")
 	default: // to be ignored (RFC 9113 section 5.5)
-		c.useless(Unknown, int(f.Header().Length))
+		c.countUnproductive(Unknown, int(f.Header().Length))
 	}
 }
 
-func (c *Conn) settingsFrame(f *http2.SettingsFrame) {
+func (c *Conn) handleSettings(f *http2.SettingsFrame) {
 	if f.IsAck() {
-		if c.settings == 0 {
-			c.useless(Settings, 0)
+		if c.unackedSettings == 0 {
+			c.countUnproductive(Settings, 0)
 			return
 		}
-		c.settings--
+		c.unackedSettings--
 		return
 	}
-	if !c.calm.settings.AllowN(c.now, 1) {
-		c.abuse(Settings)
+	if !c.limits.settings.AllowN(c.now, 1) {
+		c.failAbuse(Settings)
 		return
 	}
 	err := f.ForeachSetting(func(s http2.Setting) error {
@@ -370,11 +370,11 @@
 		}
 		switch s.ID {
 		case http2.SettingHeaderTableSize:
-			c.enc.SetMaxDynamicTableSize(min(s.Val, tableMost))
+			c.encoder.SetMaxDynamicTableSize(min(s.Val, maxTableSize))
 		case http2.SettingInitialWindowSize:
-			return c.rewindow(int64(s.Val))
+			return c.adjustWindows(int64(s.Val))
 		case http2.SettingMaxFrameSize:
-			c.peerMax = min(int(s.Val), dataMost)
+			c.maxSendFrame = min(int(s.Val), maxDataFrame)
 		}
 		return nil
 	})
@@ -383,16 +383,16 @@
 		c.fail(Code(ce), "a bad setting")
 		return
 	}
-	_ = c.fr.WriteSettingsAck()
+	_ = c.framer.WriteSettingsAck()
 }
 
-// rewindow changes the windows of all streams by what the initial one changes (RFC 9113
+// adjustWindows changes the windows of all streams by what the initial one changes (RFC 9113
 // section 6.9.2); they may fall below zero.
-func (c *Conn) rewindow(initial int64) error {
-	by := initial - c.initial
-	c.initial = initial
+func (c *Conn) adjustWindows(initial int64) error {
+	by := initial - c.initialSendWindow
+	c.initialSendWindow = initial
 	for _, s := range c.streams {
-		if s.window += by; s.window > largestWindow {
+		if s.sendWindow += by; s.sendWindow > largestWindow {
 			return http2.ConnectionError(http2.ErrCodeFlowControl)
 		}
 	}
@@ -404,51 +404,51 @@
 	return nil
 }
 
-func (c *Conn) windowUpdate(f *http2.WindowUpdateFrame) {
+func (c *Conn) handleWindowUpdate(f *http2.WindowUpdateFrame) {
 	by := int64(f.Increment)
 	if f.StreamID == 0 {
-		if c.window += by; c.window > largestWindow {
-			c.count(Overflow)
+		if c.sendWindow += by; c.sendWindow > largestWindow {
+			c.reportAbuse(Overflow)
 			c.fail(http2.ErrCodeFlowControl, "a window that is too large")
 			return
 		}
-		c.useless(WindowUpdate, 0)
+		c.countUnproductive(WindowUpdate, 0)
 		return
 	}
 	s := c.streams[f.StreamID]
-	if s == nil || s.gone {
-		if c.idle(f.StreamID) {
+	if s == nil || s.closed {
+		if c.isIdle(f.StreamID) {
 			c.fail(http2.ErrCodeProtocol, "WINDOW_UPDATE for a stream that is idle")
 			return
 		}
-		c.useless(WindowUpdate, 0)
+		c.countUnproductive(WindowUpdate, 0)
 		return
 	}
-	if s.window += by; s.window > largestWindow {
-		c.count(Overflow)
+	if s.sendWindow += by; s.sendWindow > largestWindow {
+		c.reportAbuse(Overflow)
 		c.streamError(s.ID, http2.ErrCodeFlowControl)
 		return
 	}
 	c.unblock(s)
-	c.useless(WindowUpdate, 0)
+	c.countUnproductive(WindowUpdate, 0)
 }
 
-// idle says whether a stream has not been opened yet. Even ones would be ours, and we open none.
+// isIdle says whether a stream has not been opened yet. Even ones would be ours, and we open none.
 // In a drain, those after the last one that is served are known to the client, not to us.
-func (c *Conn) idle(id uint32) bool { return id > c.lastID && c.drain != draining || id%2 == 0 }
+func (c *Conn) isIdle(id uint32) bool { return id > c.lastID && c.drain != draining || id%2 == 0 }
 
-func (c *Conn) ping(f *http2.PingFrame) {
+func (c *Conn) handlePing(f *http2.PingFrame) {
 	if f.IsAck() {
-		if c.drain == asking && binary.BigEndian.Uint32(f.Data[:]) == drainMark {
-			c.settle()
+		if c.drain == drainAnnounced && binary.BigEndian.Uint32(f.Data[:]) == drainPingMark {
+			c.sendFinalGoAway()
 			return
 		}
-		c.useless(Ping, 0)
+		c.countUnproductive(Ping, 0)
 		return
 	}
-	if !c.calm.pings.AllowN(c.now, 1) {
-		c.abuse(Ping)
+	if !c.limits.pings.AllowN(c.now, 1) {
+		c.failAbuse(Ping)
 		return
 	}
-	_ = c.fr.WritePing(true, f.Data)
+	_ = c.framer.WritePing(true, f.Data)
 }
--- a/internal/http2/conn_test.go
+++ b/internal/http2/conn_test.go
@@ -10,8 +10,8 @@
 	"golang.org/x/net/http2"
 )
 
-// begin is how every connection begins that goes well.
-const begin = `
+// handshake is how every connection begins that goes well.
+const handshake = `
 	c send {hello}{ack}
 	c expect settings
 	c expect window 0 1
@@ -20,20 +20,20 @@
 
 func TestStreams(t *testing.T) {
 	playAll(t, []script{
-		{"served", begin + `
+		{"served", handshake + `
 			c send {post 1 x}{data 1 e photo}
 			d expect opened 1 POST /photo/1 x-correlation-id=r1
 			d expect whole 1 photo
 			d send answer 1 200 small
 			c expect head 1 200
 			c expect data 1 small end`},
-		{"refused, with the time to come back", begin + `
+		{"refused, with the time to come back", handshake + `
 			c send {post 1 e}
 			d expect opened 1 POST /photo/1 x-correlation-id=r1
 			d expect whole 1
 			d send answer 1 503
 			c expect head 1 503 retry-after=0.120 end`},
-		{"answers come in any order", begin + `
+		{"answers come in any order", handshake + `
 			c send {post 1 e}{post 3 e}
 			d expect opened 1 POST /photo/1 x-correlation-id=r1
 			d expect whole 1
@@ -45,7 +45,7 @@
 			d send answer 1 200 a
 			c expect head 1 200
 			c expect data 1 a end`},
-		{"only the first answer counts", begin + `
+		{"only the first answer counts", handshake + `
 			c send {post 1 e}
 			d expect opened 1 POST /photo/1 x-correlation-id=r1
 			d expect whole 1
@@ -54,7 +54,7 @@
 			d send reset 1
 			c expect head 1 200
 			c expect data 1 a end`},
-		{"answered before its body: the rest is not wanted, and what crosses is ignored", begin + `
+		{"answered before its body: the rest is not wanted, and what crosses is ignored", handshake + `
 			c send {post 1 x}
 			d expect opened 1 POST /photo/1 x-correlation-id=r1
 			d send answer 1 404 no
@@ -62,7 +62,7 @@
 			c expect data 1 no end
 			c expect rst 1 NO_ERROR
 			c send {data 1 x abc}{data 1 e def}`},
-		{"a reset after the job has started keeps its place until that is over", begin + `
+		{"a reset after the job has started keeps its place until that is over", handshake + `
 			c send {post 1 e}{post 3 e}{post 5 e}{post 7 e}
 			d expect opened 1 POST /photo/1 x-correlation-id=r1
 			d expect whole 1
@@ -81,7 +81,7 @@
 			c send {post 11 e}
 			d expect opened 11 POST /photo/1 x-correlation-id=r11
 			d expect whole 11`},
-		{"a reset that crosses the answer", begin + `
+		{"a reset that crosses the answer", handshake + `
 			c send {set 4 0}
 			c expect ack
 			c send {post 1 e}
@@ -92,19 +92,19 @@
 			c send {rst 1}{window 1 99}{post 3 e}
 			d expect opened 3 POST /photo/1 x-correlation-id=r3
 			d expect whole 3`},
-		{"a reset before the body is whole", begin + `
+		{"a reset before the body is whole", handshake + `
 			c send {post 1 x}{data 1 x ab}{rst 1}
 			d expect opened 1 POST /photo/1 x-correlation-id=r1
 			d expect gone 1
 			c send {data 1 e c}
 			c expect rst 1 STREAM_CLOSED`},
-		{"the connection is lost with a stream open", begin + `
+		{"the connection is lost with a stream open", handshake + `
 			c send {post 1 e}
 			d expect opened 1 POST /photo/1 x-correlation-id=r1
 			d expect whole 1
 			c close
 			d expect left 1`},
-		{"trailers end a stream, padding counts for nothing", begin + `
+		{"trailers end a stream, padding counts for nothing", handshake + `
 			c send {post 1 p}{data 1 p ab}{head 1 e x-sum=1}
 			d expect opened 1 POST /photo/1 x-correlation-id=r1
 			c expect window 1 9
@@ -112,13 +112,13 @@
 			d send answer 1 200 r
 			c expect head 1 200
 			c expect data 1 r end`},
-		{"a field block in many frames", begin + `
+		{"a field block in many frames", handshake + `
 			c send {head 1 eo :method=POST :scheme=http}{more 1 o :path=/photo/2}{more 1 x x-repeat=1}
 			d expect opened 1 POST /photo/2 x-repeat=1
 			d expect whole 1
 			d send reset 1
 			c expect rst 1 REFUSED_STREAM`},
-		{"the client waits to be told to send its body", begin + `
+		{"the client waits to be told to send its body", handshake + `
 			c send {post 1 x expect=100-continue content-length=2}
 			d expect opened 1 POST /photo/1 x-correlation-id=r1 expect=100-continue content-length=2
 			c expect head 1 100
@@ -126,7 +126,7 @@
 			d expect whole 1 ab
 			d send answer 1 200
 			c expect head 1 200 end`},
-		{"what is to be ignored is", begin + `
+		{"what is to be ignored is", handshake + `
 			c send {frame 99 5}{priority 3 1}{goaway}{ping 7}
 			c expect pong
 			c send {head 1 e :method=HEAD :scheme=http :path=/health/live}
@@ -134,7 +134,7 @@
 			d expect whole 1
 			d send answer 1 200 body
 			c expect head 1 200 end`},
-		{"not to be read to its end", begin + `
+		{"not to be read to its end", handshake + `
 			c send {post 1 x}{data 1 x {{9*a}}}
 			d expect opened 1 POST /photo/1 x-correlation-id=r1
 			wait 2499ms
@@ -145,7 +145,7 @@
 			d expect dropped 1
 			c expect head 1 408 end
 			c expect rst 1 NO_ERROR`},
-		{"nor dripping for ever", begin + `
+		{"nor dripping for ever", handshake + `
 			c send {post 1 x}
 			d expect opened 1 POST /photo/1 x-correlation-id=r1
 			wait 2s
@@ -156,11 +156,11 @@
 			d expect dropped 1
 			c expect head 1 408 end
 			c expect rst 1 NO_ERROR`},
-		{"a body that is too long by its head", begin + `
+		{"a body that is too long by its head", handshake + `
 			c send {post 1 x content-length=65537}
 			c expect head 1 413 end
 			c expect rst 1 NO_ERROR`},
-		{"a list of fields that is too long", begin + `
+		{"a list of fields that is too long", handshake + `
 			c send {post 1 e x={{1900*a}}}{post 3 e}
 			c expect head 1 431 end
 			d expect opened 3 POST /photo/1 x-correlation-id=r3
@@ -200,7 +200,7 @@
 			}
 			opens += "\nd expect dropped 1\n"
 		}
-		scripts = append(scripts, script{name, begin + "c send " + s + "\n" + opens + "c expect rst 1 PROTOCOL_ERROR\nc send {post 3 e}\nd expect opened 3 POST /photo/1 x-correlation-id=r3\nd expect whole 3"})
+		scripts = append(scripts, script{name, handshake + "c send " + s + "\n" + opens + "c expect rst 1 PROTOCOL_ERROR\nc send {post 3 e}\nd expect opened 3 POST /photo/1 x-correlation-id=r3\nd expect whole 3"})
 	}
 	for name, s := range map[string][2]string{
 		"an even stream":              {"{post 2 e}", "PROTOCOL_ERROR a stream with an even number"},
@@ -230,7 +230,7 @@
 		if last == 3 {
 			events = "d expect opened 3 POST /photo/1 x-correlation-id=r3\nd expect gone 3\n"
 		}
-		scripts = append(scripts, script{name, begin + "c send " + s[0] + "\n" + events + "d expect over " + s[1] + fmt.Sprintf("\nc expect goaway %d %s", last, s[1])})
+		scripts = append(scripts, script{name, handshake + "c send " + s[0] + "\n" + events + "d expect over " + s[1] + fmt.Sprintf("\nc expect goaway %d %s", last, s[1])})
 	}
 	scripts = append(scripts,
 		script{"no SETTINGS first", "c send {text PRI * HTTP/2.0\\r\\n\\r\\nSM\\r\\n\\r\\n}{ping 1}\nc expect settings\nc expect window 0 1\nd expect over PROTOCOL_ERROR the first frame is not SETTINGS\nc expect goaway 0 PROTOCOL_ERROR the first frame is not SETTINGS"},
@@ -244,7 +244,7 @@
 
 // TestFlow: answers go out as the windows allow, in turns, and what is not taken has an end.
 func TestFlow(t *testing.T) {
-	two := begin + `
+	two := handshake + `
 		c send {set 4 2}
 		c expect ack
 		c send {post 1 e}{post 3 e}
@@ -315,7 +315,7 @@
 			d expect gone 1`},
 	}, nil)
 	big := strings.Repeat("z", 16384)
-	full := begin + "c send {post 1 x}\nd expect opened 1 POST /photo/1 x-correlation-id=r1\n"
+	full := handshake + "c send {post 1 x}\nd expect opened 1 POST /photo/1 x-correlation-id=r1\n"
 	playAll(t, []script{
 		{"the client's window opens as bodies come in", full + `
 			c send {data 1 x ` + big + `}{data 1 x ` + big + `}
@@ -336,8 +336,8 @@
 // TestNoRoom: a body that there is no room for is refused unprocessed, and its room given back.
 func TestNoRoom(t *testing.T) {
 	p := newPlayer(t, 7, nil)
-	p.room = 100
-	p.play(begin + `
+	p.capacity = 100
+	p.play(handshake + `
 		c send {post 1 x content-length=90}
 		d expect opened 1 POST /photo/1 x-correlation-id=r1 content-length=90
 		c send {post 3 x content-length=11}
@@ -352,12 +352,12 @@
 		c send {post 7 x content-length=100}
 		d expect opened 7 POST /photo/1 x-correlation-id=r7 content-length=100`)
 	assert.Equal(t, 100, p.held)
-	assert.Equal(t, 2, p.seen[NoCapacity])
+	assert.Equal(t, 2, p.abuses[NoCapacity])
 }
 
 // TestDrain: what was taken before the client knew is served, and nothing after.
 func TestDrain(t *testing.T) {
-	const running = begin + `
+	const running = handshake + `
 		c send {post 1 e}
 		d expect opened 1 POST /photo/1 x-correlation-id=r1
 		d expect whole 1
@@ -392,7 +392,7 @@
 			c expect goaway 1 NO_ERROR
 			d expect gone 1
 			d expect over NO_ERROR`},
-		{"nothing open", begin + `
+		{"nothing open", handshake + `
 			d send settle
 			c expect goaway 0 NO_ERROR
 			d expect over NO_ERROR`},
@@ -440,9 +440,9 @@
 		}
 		p.feed(p.frames.Bytes("{hello}"))
 		p.feed(p.frames.Bytes(send))
-		assert.NotZero(t, p.seen[c.abuse], "%v is counted", c.abuse)
-		assert.Equal(t, http2.ErrCodeEnhanceYourCalm.String(), lastCode(p.events), "%v ends the connection: %v", c.abuse, p.seen)
-		p.m.Close()
+		assert.NotZero(t, p.abuses[c.abuse], "%v is counted", c.abuse)
+		assert.Equal(t, http2.ErrCodeEnhanceYourCalm.String(), lastCode(p.events), "%v ends the connection: %v", c.abuse, p.abuses)
+		p.conn.Close()
 		assert.Zero(t, p.held, c.abuse)
 	}
 }
@@ -467,7 +467,7 @@
 	var frame []byte
 	frame = append(frame, 0, byte(len(block)>>8), byte(len(block)), 1, 5, 0, 0, 0, 3)
 	p.feed(append(frame, block...))
-	assert.Equal(t, 1, p.seen[HeaderList])
+	assert.Equal(t, 1, p.abuses[HeaderList])
 	p.feed(p.frames.Bytes("{post 5 e}"))
 	assert.Equal(t, "whole 5", p.events[len(p.events)-1])
 }
@@ -477,15 +477,15 @@
 	p := newPlayer(t, 1<<14, func(c *Config) { c.MaxStreams = 1000 })
 	p.feed(p.frames.Bytes("{hello}"))
 	out := 0
-	for i := 0; i < 100_000 && !p.m.over; i++ {
+	for i := 0; i < 100_000 && !p.conn.ended; i++ {
 		p.now = p.now.Add(time.Hour) // no limit on a rate is in the way
 		b := p.frames.Bytes("{ping 1}")
-		n := copy(p.m.Space(), b)
-		p.m.Filled(n, p.now)
-		for _, ok := p.m.Next(); ok; _, ok = p.m.Next() {
+		n := copy(p.conn.Space(), b)
+		p.conn.Filled(n, p.now)
+		for _, ok := p.conn.Next(); ok; _, ok = p.conn.Next() {
 		}
-		out = len(p.m.out)
+		out = len(p.conn.output)
 	}
-	assert.Equal(t, 1, p.seen[UnreadOutput])
-	assert.Less(t, out, outMost+100)
+	assert.Equal(t, 1, p.abuses[UnreadOutput])
+	assert.Less(t, out, maxOutput+100)
 }
--- a/internal/http2/fuzz_test.go
+++ b/internal/http2/fuzz_test.go
@@ -14,26 +14,26 @@
 	"tinsail/internal/scenario"
 )
 
-// watcher holds a machine to what it promises, whatever the client sends and the driver orders.
-type watcher struct {
-	t    testing.TB
-	m    *Conn
-	now  time.Time
-	held int
-	over bool
-	owed map[uint32]bool // streams that are Whole and neither answered nor gone
-	open map[uint32]bool // streams that are Opened, and of which nothing final was told or seen
-	ends map[uint32]int  // answers' ends and resets that came out, by stream
+// invariantChecker holds a machine to what it promises, whatever the client sends and the driver orders.
+type invariantChecker struct {
+	t           testing.TB
+	conn        *Conn
+	now         time.Time
+	held        int
+	ended       bool
+	unanswered  map[uint32]bool // streams that are Whole and neither answered nor gone
+	opened      map[uint32]bool // streams that are Opened, and of which nothing final was told or seen
+	finalFrames map[uint32]int  // answers' ends and resets that came out, by stream
 }
 
-const watchedRoom = 100_000
+const checkerCapacity = 100_000
 
-func watch(t testing.TB) *watcher {
-	w := &watcher{t: t, now: time.Unix(1e9, 0), owed: map[uint32]bool{}, open: map[uint32]bool{}, ends: map[uint32]int{}}
-	w.m = New(Config{MaxStreams: 8, MaxHeaderBytes: 2048, MaxFrameBytes: 16384, MaxBodyBytes: 65536, ConnectionWindow: 65536, MaxQueuedBytes: 4000,
+func newInvariantChecker(t testing.TB) *invariantChecker {
+	w := &invariantChecker{t: t, now: time.Unix(1e9, 0), unanswered: map[uint32]bool{}, opened: map[uint32]bool{}, finalFrames: map[uint32]int{}}
+	w.conn = New(Config{MaxStreams: 8, MaxHeaderBytes: 2048, MaxFrameBytes: 16384, MaxBodyBytes: 65536, ConnectionWindow: 65536, MaxQueuedBytes: 4000,
 		BodyIdleTimeout: time.Second, BodyTimeout: 2 * time.Second, StallTimeout: time.Second, DrainTimeout: time.Second,
 		Admit: func(n int) bool {
-			if n <= 0 || w.held+n > watchedRoom {
+			if n <= 0 || w.held+n > checkerCapacity {
 				return false
 			}
 			w.held += n
@@ -44,73 +44,73 @@
 }
 
 // step drains events and output, and answers some streams by chance.
-func (w *watcher) step(rng *rand.Rand) {
+func (w *invariantChecker) step(rng *rand.Rand) {
 	for range 3 {
-		for e, ok := w.m.Next(); ok; e, ok = w.m.Next() {
-			w.event(e, rng)
+		for e, ok := w.conn.Next(); ok; e, ok = w.conn.Next() {
+			w.checkEvent(e, rng)
 		}
-		w.frames(w.m.TakeOutput(nil))
+		w.checkFrames(w.conn.TakeOutput(nil))
 	}
-	require.LessOrEqual(w.t, w.held, watchedRoom)
+	require.LessOrEqual(w.t, w.held, checkerCapacity)
 	require.GreaterOrEqual(w.t, w.held, 0)
-	require.LessOrEqual(w.t, len(w.m.out), outMost+1<<17)
-	require.LessOrEqual(w.t, len(w.m.in), 16384+frameHeader+2*readRoom)
-	require.LessOrEqual(w.t, len(w.m.streams), 8)
-	if w.over {
+	require.LessOrEqual(w.t, len(w.conn.output), maxOutput+1<<17)
+	require.LessOrEqual(w.t, len(w.conn.input), 16384+frameHeaderLength+2*minReadSpace)
+	require.LessOrEqual(w.t, len(w.conn.streams), 8)
+	if w.ended {
 		return
 	}
-	for id := range w.owed {
+	for id := range w.unanswered {
 		switch rng.IntN(6) {
 		case 0:
-			if w.m.Answer(id, 200, 0, strings.Repeat("r", []int{0, 9, 90, 1500}[rng.IntN(4)]), w.now) {
-				delete(w.owed, id)
+			if w.conn.Answer(id, 200, 0, strings.Repeat("r", []int{0, 9, 90, 1500}[rng.IntN(4)]), w.now) {
+				delete(w.unanswered, id)
 			}
 		case 1:
-			w.m.Reset(id, RefusedStream)
-			delete(w.owed, id)
+			w.conn.Reset(id, RefusedStream)
+			delete(w.unanswered, id)
 		}
 	}
 	switch rng.IntN(40) {
 	case 0:
-		w.m.Drain(w.now)
+		w.conn.Drain(w.now)
 	case 1:
 		w.now = w.now.Add(time.Duration(rng.IntN(600)) * time.Millisecond)
-		w.m.Expire(w.now)
+		w.conn.Expire(w.now)
 	}
 }
 
-func (w *watcher) event(e Event, rng *rand.Rand) {
-	require.False(w.t, w.over, "nothing is told after the end")
+func (w *invariantChecker) checkEvent(e Event, rng *rand.Rand) {
+	require.False(w.t, w.ended, "nothing is told after the end")
 	id := uint32(0)
 	if e.Stream != nil {
 		id = e.Stream.ID
 	}
 	switch e.Kind {
 	case Opened:
-		require.False(w.t, w.open[id], "opened twice")
-		w.open[id] = true
+		require.False(w.t, w.opened[id], "opened twice")
+		w.opened[id] = true
 		e.Stream.Discard = rng.IntN(4) == 0
 	case BodyComplete:
-		require.True(w.t, w.open[id])
-		w.owed[id] = true
+		require.True(w.t, w.opened[id])
+		w.unanswered[id] = true
 	case ClientReset:
-		require.True(w.t, w.open[id], "gone without having been opened")
-		delete(w.owed, id)
-		delete(w.open, id)
-		w.m.ReleaseStream(id)
+		require.True(w.t, w.opened[id], "gone without having been opened")
+		delete(w.unanswered, id)
+		delete(w.opened, id)
+		w.conn.ReleaseStream(id)
 	case Aborted:
-		require.True(w.t, w.open[id])
-		require.False(w.t, w.owed[id])
-		delete(w.open, id)
+		require.True(w.t, w.opened[id])
+		require.False(w.t, w.unanswered[id])
+		delete(w.opened, id)
 	case Ended:
-		w.over = true
+		w.ended = true
 	}
 }
 
-func (w *watcher) frames(b []byte) {
+func (w *invariantChecker) checkFrames(b []byte) {
 	for len(b) > 0 {
 		require.GreaterOrEqual(w.t, len(b), 9, "half a frame")
-		n := 9 + length(b)
+		n := 9 + payloadLength(b)
 		if string(b[:4]) == "HTTP" {
 			return
 		}
@@ -120,10 +120,10 @@
 		if kind == http2.FrameRSTStream || kind <= http2.FrameHeaders && flags&1 != 0 {
 			// A reset that asks a client to stop sending, after an answer, does not void it.
 			late := kind == http2.FrameRSTStream && Code(binary.BigEndian.Uint32(b[9:])) == NoError
-			if !late && w.open[id] {
-				w.ends[id]++
-				require.Equal(w.t, 1, w.ends[id], "stream %d has two final answers or resets", id)
-				delete(w.open, id)
+			if !late && w.opened[id] {
+				w.finalFrames[id]++
+				require.Equal(w.t, 1, w.finalFrames[id], "stream %d has two final answers or resets", id)
+				delete(w.opened, id)
 			}
 		}
 		b = b[n:]
@@ -131,20 +131,20 @@
 }
 
 // close ends the connection: each stream still open was told as left, and nothing stays held.
-func (w *watcher) close() {
-	for _, s := range w.m.Close() {
-		delete(w.open, s.ID)
-		delete(w.owed, s.ID)
+func (w *invariantChecker) close() {
+	for _, s := range w.conn.Close() {
+		delete(w.opened, s.ID)
+		delete(w.unanswered, s.ID)
 	}
-	require.Empty(w.t, w.owed, "streams that nobody will answer")
+	require.Empty(w.t, w.unanswered, "streams that nobody will answer")
 	require.Zero(w.t, w.held)
 }
 
-func (w *watcher) feed(b []byte, piece int, rng *rand.Rand) {
-	for len(b) > 0 && !w.over {
-		n := copy(w.m.Space(), b[:min(piece, len(b))])
+func (w *invariantChecker) feed(b []byte, piece int, rng *rand.Rand) {
+	for len(b) > 0 && !w.ended {
+		n := copy(w.conn.Space(), b[:min(piece, len(b))])
 		require.Positive(w.t, n)
-		w.m.Filled(n, w.now)
+		w.conn.Filled(n, w.now)
 		b = b[n:]
 		w.step(rng)
 	}
@@ -165,7 +165,7 @@
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"), uint64(0), byte(3))
 	f.Fuzz(func(t *testing.T, b []byte, seed uint64, piece byte) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		w := watch(t)
+		w := newInvariantChecker(t)
 		if seed%2 == 1 && !strings.HasPrefix(string(b), "PRI") {
 			w.feed([]byte(http2.ClientPreface+"\x00\x00\x00\x04\x00\x00\x00\x00\x00"), 1000, rng)
 		}
@@ -180,7 +180,7 @@
 	rapid.Check(t, func(r *rapid.T) {
 		fr := scenario.NewFrames(t)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 2))
-		w := watch(t)
+		w := newInvariantChecker(t)
 		w.feed(fr.Bytes("{hello}{ack}"), 1000, rng)
 		next := 1
 		for range rapid.IntRange(1, 60).Draw(r, "frames") {
--- a/internal/http2/preface.go
+++ b/internal/http2/preface.go
@@ -6,33 +6,33 @@
 	"golang.org/x/net/http2"
 )
 
-// preface reads the client's (RFC 9113 section 3.4). What looks like HTTP/1 is told so in its
+// readPreface reads the client's (RFC 9113 section 3.4). What looks like HTTP/1 is told so in its
 // own words; anything else is cut off.
-func (c *Conn) preface(rest []byte) bool {
+func (c *Conn) readPreface(rest []byte) bool {
 	n := min(len(rest), len(http2.ClientPreface))
 	if string(rest[:n]) == http2.ClientPreface[:n] {
 		if n < len(http2.ClientPreface) {
 			return false
 		}
-		c.r += n
-		c.begun = true
-		c.greet()
+		c.inputStart += n
+		c.prefaceReceived = true
+		c.sendSettings()
 		return true
 	}
 	end := bytes.IndexByte(rest, '\n')
-	if end < 0 && len(rest) < prefaceLineMost && printable(rest) {
+	if end < 0 && len(rest) < maxPrefaceLine && printable(rest) {
 		return false
 	}
-	c.over = true
+	c.ended = true
 	if end >= 0 && isHTTP1(rest[:end]) {
 		const text = "505: this port speaks HTTP/2 with prior knowledge only\n"
-		c.out = append(c.out, "HTTP/1.1 505 HTTP Version Not Supported\r\nConnection: close\r\nContent-Type: text/plain\r\nContent-Length: "...)
-		c.out = append(c.out, byte('0'+len(text)/10), byte('0'+len(text)%10))
-		c.out = append(append(c.out, "\r\n\r\n"...), text...)
+		c.output = append(c.output, "HTTP/1.1 505 HTTP Version Not Supported\r\nConnection: close\r\nContent-Type: text/plain\r\nContent-Length: "...)
+		c.output = append(c.output, byte('0'+len(text)/10), byte('0'+len(text)%10))
+		c.output = append(append(c.output, "\r\n\r\n"...), text...)
 		c.event(Event{Kind: Ended, Code: http2.ErrCodeHTTP11Required, Reason: "HTTP/1"})
 		return true
 	}
-	_ = c.fr.WriteGoAway(0, http2.ErrCodeProtocol, nil)
+	_ = c.framer.WriteGoAway(0, http2.ErrCodeProtocol, nil)
 	c.event(Event{Kind: Ended, Code: http2.ErrCodeProtocol, Reason: "not the preface"})
 	return true
 }
@@ -51,21 +51,21 @@
 	return len(parts) == 3 && bytes.HasPrefix(parts[2], []byte("HTTP/1."))
 }
 
-// greet writes our SETTINGS and widens the connection's window to what may be sent ahead.
-func (c *Conn) greet() {
-	_ = c.fr.WriteSettings(
+// sendSettings writes our SETTINGS and widens the connection's window to what may be sent ahead.
+func (c *Conn) sendSettings() {
+	_ = c.framer.WriteSettings(
 		http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(c.cfg.MaxStreams)},
-		http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(c.streamRoom())},
+		http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(c.initialRecvWindow())},
 		http2.Setting{ID: http2.SettingMaxFrameSize, Val: uint32(c.cfg.MaxFrameBytes)},
 		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: uint32(c.cfg.MaxHeaderBytes)})
-	c.settings++
-	if more := int64(c.cfg.ConnectionWindow) - c.room; more > 0 {
-		_ = c.fr.WriteWindowUpdate(0, uint32(more))
-		c.room += more
+	c.unackedSettings++
+	if more := int64(c.cfg.ConnectionWindow) - c.recvWindow; more > 0 {
+		_ = c.framer.WriteWindowUpdate(0, uint32(more))
+		c.recvWindow += more
 	}
 }
 
-// streamRoom is the window of a new stream: a whole body, so that only padding is ever given
+// initialRecvWindow is the window of a new stream: a whole body, so that only padding is ever given
 // back. It holds from the client's acknowledgement on; until then a client may send the
 // default, which is less or hardly more.
-func (c *Conn) streamRoom() int { return max(c.cfg.MaxBodyBytes, defaultWindow) }
+func (c *Conn) initialRecvWindow() int { return max(c.cfg.MaxBodyBytes, defaultWindow) }
--- a/internal/http2/scenario_test.go
+++ b/internal/http2/scenario_test.go
@@ -21,37 +21,37 @@
 
 // player is a machine between a client and a driver, both of which only listen.
 type player struct {
-	t      *testing.T
-	m      *Conn
-	now    time.Time
-	piece  int
-	frames *scenario.Frames
-	came   []string
-	events []string
-	held   int
-	most   int // of held
-	room   int
-	seen   map[Abuse]int
+	t        *testing.T
+	conn     *Conn
+	now      time.Time
+	piece    int
+	frames   *scenario.Frames
+	received []string
+	events   []string
+	held     int
+	maxHeld  int // of held
+	capacity int
+	abuses   map[Abuse]int
 }
 
 func newPlayer(t *testing.T, piece int, change func(*Config)) *player {
-	p := &player{t: t, now: time.Unix(1e9, 0), piece: piece, room: 1 << 20, seen: map[Abuse]int{}}
+	p := &player{t: t, now: time.Unix(1e9, 0), piece: piece, capacity: 1 << 20, abuses: map[Abuse]int{}}
 	cfg := Config{MaxStreams: 4, MaxHeaderBytes: 2048, MaxFrameBytes: 16384, MaxBodyBytes: 65536, ConnectionWindow: 65536, MaxQueuedBytes: 3000,
 		BodyIdleTimeout: 2500 * time.Millisecond, BodyTimeout: 5 * time.Second, StallTimeout: 5 * time.Second, DrainTimeout: 300 * time.Millisecond,
 		Admit: func(n int) bool {
-			if p.held+n > p.room {
+			if p.held+n > p.capacity {
 				return false
 			}
 			p.held += n
-			p.most = max(p.most, p.held)
+			p.maxHeld = max(p.maxHeld, p.held)
 			return true
 		},
 		Release: func(n int) { p.held -= n },
-		OnAbuse: func(a Abuse) { p.seen[a]++ }}
+		OnAbuse: func(a Abuse) { p.abuses[a]++ }}
 	if change != nil {
 		change(&cfg)
 	}
-	p.m = New(cfg, p.now)
+	p.conn = New(cfg, p.now)
 	p.frames = scenario.NewFrames(t)
 	return p
 }
@@ -59,25 +59,25 @@
 // feed gives the machine bytes in pieces.
 func (p *player) feed(b []byte) {
 	for len(b) > 0 {
-		space := p.m.Space()
+		space := p.conn.Space()
 		n := copy(space, b[:min(p.piece, len(b))])
-		p.m.Filled(n, p.now)
+		p.conn.Filled(n, p.now)
 		b = b[n:]
-		p.look()
+		p.collect()
 	}
 }
 
-// look takes down the events and what came out.
-func (p *player) look() {
-	p.told()
-	p.m.HasOutput()
-	p.told() // framing an answer can end a connection that drains
-	p.came = append(p.came, p.frames.Words(p.m.TakeOutput(nil))...)
-	p.told()
+// collect takes down the events and what came out.
+func (p *player) collect() {
+	p.collectEvents()
+	p.conn.HasOutput()
+	p.collectEvents() // framing an answer can end a connection that drains
+	p.received = append(p.received, p.frames.Words(p.conn.TakeOutput(nil))...)
+	p.collectEvents()
 }
 
-func (p *player) told() {
-	for e, ok := p.m.Next(); ok; e, ok = p.m.Next() {
+func (p *player) collectEvents() {
+	for e, ok := p.conn.Next(); ok; e, ok = p.conn.Next() {
 		s := e.Stream
 		switch e.Kind {
 		case Opened:
@@ -98,7 +98,7 @@
 	}
 }
 
-func (p *player) order(text string) {
+func (p *player) driverOrder(text string) {
 	args := strings.SplitN(text, " ", 4)
 	arg := func(i int) string {
 		if i < len(args) {
@@ -115,21 +115,21 @@
 		if status == 503 {
 			pause = 120 * time.Millisecond
 		}
-		p.m.Answer(uint32(id), status, pause, arg(3), p.now)
+		p.conn.Answer(uint32(id), status, pause, arg(3), p.now)
 	case "reset":
-		p.m.Reset(uint32(id), RefusedStream)
+		p.conn.Reset(uint32(id), RefusedStream)
 	case "free":
-		p.m.ReleaseStream(uint32(id))
+		p.conn.ReleaseStream(uint32(id))
 	case "drain":
-		p.m.Drain(p.now)
+		p.conn.Drain(p.now)
 	case "settle":
-		p.m.StopNewStreams(p.now)
+		p.conn.StopNewStreams(p.now)
 	case "end":
-		p.m.Terminate(EnhanceYourCalm, "too many clients")
+		p.conn.Terminate(EnhanceYourCalm, "too many clients")
 	default:
 		p.t.Fatal("no such order: ", text)
 	}
-	p.look()
+	p.collect()
 }
 
 func (p *player) play(text string) {
@@ -147,23 +147,23 @@
 			d, err := time.ParseDuration(s.Arg)
 			require.NoError(p.t, err, s.Line)
 			p.now = p.now.Add(d)
-			p.m.Expire(p.now)
-			p.look()
+			p.conn.Expire(p.now)
+			p.collect()
 		case s.Verb == "send" && s.Who == "c":
 			p.feed(p.frames.Bytes(s.Arg))
 		case s.Verb == "send":
-			p.order(s.Arg)
+			p.driverOrder(s.Arg)
 		case s.Verb == "expect" && s.Who == "c":
-			require.Equal(p.t, s.Arg, next(&p.came), s.Line)
+			require.Equal(p.t, s.Arg, next(&p.received), s.Line)
 		case s.Verb == "expect":
 			require.Equal(p.t, s.Arg, next(&p.events), s.Line)
 		case s.Verb == "close":
-			for _, st := range p.m.Close() {
+			for _, st := range p.conn.Close() {
 				p.events = append(p.events, fmt.Sprintf("left %d", st.ID))
 			}
 		}
 	}
-	require.Empty(p.t, p.came, "came and not expected")
+	require.Empty(p.t, p.received, "came and not expected")
 	require.Empty(p.t, p.events, "told and not expected")
 }
 
@@ -174,8 +174,8 @@
 			t.Run(fmt.Sprintf("%s/%d", s.name, piece), func(t *testing.T) {
 				p := newPlayer(t, piece, change)
 				p.play(s.text)
-				for _, st := range p.m.Close() {
-					require.False(t, st.gone)
+				for _, st := range p.conn.Close() {
+					require.False(t, st.closed)
 				}
 				require.Zero(t, p.held, "held for nobody")
 			})
--- a/internal/http2/send.go
+++ b/internal/http2/send.go
@@ -7,109 +7,109 @@
 
 // enqueue has a stream's answer framed when its turn comes.
 func (c *Conn) enqueue(s *Stream) {
-	s.waiting = true
-	c.arm(c.cfg.StallTimeout)
+	s.answerPending = true
+	c.scheduleExpiry(c.cfg.StallTimeout)
 	if !s.queued {
 		s.queued = true
-		c.queue = append(c.queue, s)
+		c.sendQueue = append(c.sendQueue, s)
 	}
 }
 
 // unblock puts a stream back in the queue, whose window was shut.
 func (c *Conn) unblock(s *Stream) {
-	if s.waiting && !s.queued && s.window > 0 {
+	if s.answerPending && !s.queued && s.sendWindow > 0 {
 		c.enqueue(s)
 	}
 }
 
 // HasOutput says whether Take has something to hand out.
 func (c *Conn) HasOutput() bool {
-	c.pull()
-	return len(c.out) > 0
+	c.frameAnswers()
+	return len(c.output) > 0
 }
 
 // TakeOutput hands out the bytes that are to be written, and takes a buffer for the next.
 func (c *Conn) TakeOutput(spare []byte) []byte {
-	c.pull()
-	b := c.out
-	c.out = spare[:0]
+	c.frameAnswers()
+	b := c.output
+	c.output = spare[:0]
 	return b
 }
 
-// pull frames answers, a frame of each stream in turn, until there is enough to write or the
+// frameAnswers frames answers, a frame of each stream in turn, until there is enough to write or the
 // windows are shut. What waits stays where it is: unframed text, not a second copy of it.
-func (c *Conn) pull() {
-	for turns := len(c.queue); turns > 0 && len(c.out) < outPull && len(c.queue) > 0; turns-- {
-		s := c.queue[0]
-		c.queue[0] = nil
-		if c.queue = c.queue[1:]; len(c.queue) == 0 {
-			c.queue = nil
+func (c *Conn) frameAnswers() {
+	for turns := len(c.sendQueue); turns > 0 && len(c.output) < outputTarget && len(c.sendQueue) > 0; turns-- {
+		s := c.sendQueue[0]
+		c.sendQueue[0] = nil
+		if c.sendQueue = c.sendQueue[1:]; len(c.sendQueue) == 0 {
+			c.sendQueue = nil
 		}
 		s.queued = false
-		if s.gone || c.streams[s.ID] != s {
+		if s.closed || c.streams[s.ID] != s {
 			continue
 		}
-		if !s.headed {
-			c.writeHead(s)
-			if s.out == "" {
-				c.sent(s)
+		if !s.headersFramed {
+			c.writeHeaders(s)
+			if s.unsent == "" {
+				c.finishAnswer(s)
 				continue
 			}
 		}
-		n := min(int64(len(s.out)), c.window, s.window, int64(c.peerMax))
+		n := min(int64(len(s.unsent)), c.sendWindow, s.sendWindow, int64(c.maxSendFrame))
 		if n > 0 {
 			c.writeData(s, int(n))
-			turns = max(turns, 1+len(c.queue)) // something moved: others may get another turn
+			turns = max(turns, 1+len(c.sendQueue)) // something moved: others may get another turn
 		}
 		switch {
-		case s.out == "":
-			c.sent(s)
-		case s.window <= 0: // until its WINDOW_UPDATE
+		case s.unsent == "":
+			c.finishAnswer(s)
+		case s.sendWindow <= 0: // until its WINDOW_UPDATE
 		default:
 			s.queued = true
-			c.queue = append(c.queue, s)
+			c.sendQueue = append(c.sendQueue, s)
 		}
 	}
 }
 
-func (c *Conn) writeHead(s *Stream) {
-	s.headed = true
-	c.pack.Reset()
-	_ = c.enc.WriteField(hpack.HeaderField{Name: ":status", Value: s.status})
-	if s.pause != "" {
-		_ = c.enc.WriteField(hpack.HeaderField{Name: "retry-after", Value: s.pause})
+func (c *Conn) writeHeaders(s *Stream) {
+	s.headersFramed = true
+	c.encoded.Reset()
+	_ = c.encoder.WriteField(hpack.HeaderField{Name: ":status", Value: s.status})
+	if s.retryAfter != "" {
+		_ = c.encoder.WriteField(hpack.HeaderField{Name: "retry-after", Value: s.retryAfter})
 	}
-	_ = c.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: s.ID, BlockFragment: c.pack.Bytes(), EndHeaders: true, EndStream: s.out == ""})
-	c.moved, s.since = c.now, c.now
+	_ = c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: s.ID, BlockFragment: c.encoded.Bytes(), EndHeaders: true, EndStream: s.unsent == ""})
+	c.lastProgress, s.lastProgress = c.now, c.now
 }
 
-// interim tells a client that waits for it to send its body (RFC 9110 section 10.1.1).
-func (c *Conn) interim(s *Stream) {
-	c.pack.Reset()
-	_ = c.enc.WriteField(hpack.HeaderField{Name: ":status", Value: "100"})
-	_ = c.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: s.ID, BlockFragment: c.pack.Bytes(), EndHeaders: true})
+// writeContinue tells a client that waits for it to send its body (RFC 9110 section 10.1.1).
+func (c *Conn) writeContinue(s *Stream) {
+	c.encoded.Reset()
+	_ = c.encoder.WriteField(hpack.HeaderField{Name: ":status", Value: "100"})
+	_ = c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: s.ID, BlockFragment: c.encoded.Bytes(), EndHeaders: true})
 }
 
 func (c *Conn) writeData(s *Stream, n int) {
-	c.pack.Reset()
-	c.pack.WriteString(s.out[:n])
-	s.out = s.out[n:]
-	_ = c.fr.WriteData(s.ID, s.out == "", c.pack.Bytes())
-	c.window -= int64(n)
-	s.window -= int64(n)
-	c.moved, s.since = c.now, c.now
-	c.calm.use(n >> 7) // not by the frame: a window that opens byte by byte is no use (CVE-2019-9511)
+	c.encoded.Reset()
+	c.encoded.WriteString(s.unsent[:n])
+	s.unsent = s.unsent[n:]
+	_ = c.framer.WriteData(s.ID, s.unsent == "", c.encoded.Bytes())
+	c.sendWindow -= int64(n)
+	s.sendWindow -= int64(n)
+	c.lastProgress, s.lastProgress = c.now, c.now
+	c.limits.credit(n >> 7) // not by the frame: a window that opens byte by byte is no use (CVE-2019-9511)
 }
 
-// sent closes a stream whose answer is framed to its end. Where the client is still sending,
+// finishAnswer closes a stream whose answer is framed to its end. Where the client is still sending,
 // it is told to stop, by a reset that does not void the answer.
-func (c *Conn) sent(s *Stream) {
-	s.waiting = false
-	c.calm.use(4)
-	if !s.ended {
-		_ = c.fr.WriteRSTStream(s.ID, NoError)
-		c.remember(s.ID)
+func (c *Conn) finishAnswer(s *Stream) {
+	s.answerPending = false
+	c.limits.credit(4)
+	if !s.remoteClosed {
+		_ = c.framer.WriteRSTStream(s.ID, NoError)
+		c.rememberReset(s.ID)
 	}
-	s.gone = true
-	c.end(s)
+	s.closed = true
+	c.closeStream(s)
 }
