--- a/cmd/drill/host.go
+++ b/cmd/drill/host.go
@@ -18,11 +18,11 @@
 	report      []float32
 	current     *instance
 	currentID   uint16
-	repliedID   uint16 // the instance that the reply's last actions belong to
-	replied     bool
+	repliedID   uint16 // the instance that the last actions in the reply belong to
+	replied     bool   // the reply holds actions of an instance
 }
 
-// instance is one dispatcher and the way its actions take into the reply.
+// instance is one dispatcher; it writes the dispatcher's actions into the reply.
 type instance struct {
 	host       *host
 	id         uint16
@@ -31,8 +31,8 @@
 
 func newHost() *host { return &host{instances: map[uint16]*instance{}} }
 
-// step reads one batch and writes its reply. A panic of a dispatcher is reported
-// as a bug: it must not end the process silently.
+// step reads one batch and writes its reply. A panic of a dispatcher is reported as a bug: it must
+// not end the process silently.
 func (h *host) step(r io.Reader, w io.Writer) (err error) {
 	var b wire.Batch
 	if b, h.buf, err = wire.ReadBatch(r, h.buf); err != nil {
@@ -91,11 +91,11 @@
 	case wire.EvConfigure, wire.EvStop, wire.EvUpdate, wire.EvRequest, wire.EvAbandoned,
 		wire.EvAnswer, wire.EvProgress, wire.EvProbed, wire.EvWake:
 		if h.current == nil {
-			return fmt.Errorf("record %d names no instance", code)
+			return fmt.Errorf("record %d without an instance before it", code)
 		}
 		return h.handleEvent(now, code, f)
 	}
-	return nil // a record that this version does not know
+	return nil // a record type that this version does not know
 }
 
 func (h *host) handleEvent(now float64, code byte, f wire.Fields) error {
@@ -166,11 +166,11 @@
 func (h *host) readWorkerList(f wire.Fields) error {
 	slot := f.U16()
 	if int(slot) >= len(h.workerLists) {
-		return fmt.Errorf("sheet %d does not exist", slot)
+		return fmt.Errorf("worker list %d does not exist", slot)
 	}
 	n := int(f.U32())
 	if n*wire.EntrySize > f.Remaining() {
-		return fmt.Errorf("sheet %d says %d entries in %d bytes", slot, n, f.Remaining())
+		return fmt.Errorf("worker list %d states %d entries in %d bytes", slot, n, f.Remaining())
 	}
 	list := h.workerLists[slot][:0]
 	for ; n > 0; n-- {
@@ -192,7 +192,7 @@
 
 func (h *host) applyList(now float64, d *balance.Dispatcher, f wire.Fields) error {
 	kind := f.U8()
-	f.U32() // the list's version: deltas come in order and without gaps
+	f.U32() // version of the list: deltas arrive in order and without gaps
 	slot := f.U16()
 	switch {
 	case kind > 3:
@@ -200,7 +200,7 @@
 	case kind == 3:
 		d.Workers(now, balance.ListFailed, nil)
 	case int(slot) >= len(h.workerLists):
-		return fmt.Errorf("update names sheet %d, which does not exist", slot)
+		return fmt.Errorf("update refers to worker list %d, which does not exist", slot)
 	default:
 		d.Workers(now, balance.ListKind(kind), h.workerLists[slot])
 	}
@@ -229,7 +229,7 @@
 	o.Result, err = decodeResult(f.U16())
 	o.Took = f.F64()
 	o.Closed = f.U8() != 0
-	f.U8() // the family's note
+	f.U8() // note of the job family, not used
 	h.report = f.Report(h.report)
 	o.Report = h.report
 	return o, err
@@ -242,7 +242,7 @@
 	return balance.Result(code/10 - 1), nil
 }
 
-// replyTo names the instance in the reply, where the last action was another's.
+// replyTo returns the reply. It first selects this instance if the last action was another's.
 func (in *instance) replyTo() *wire.Reply {
 	h := in.host
 	if !h.replied || h.repliedID != in.id {
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,5 @@
-// Command drill hosts many dispatchers and speaks the simulator's wire on standard
-// input and output: one reply for each batch. It decides nothing itself.
+// Command drill hosts many dispatchers and speaks the simulator's protocol on standard input and
+// output: one reply for each batch. It makes no decisions itself.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	}
 }
 
-// run answers batches until the end of input.
+// run answers batches until the end of the input.
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
 	h := newHost()
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,4 +1,4 @@
-// Package counters counts what the dispatcher takes in, sends and answers.
+// Package counters counts what the dispatcher receives, sends and answers.
 package counters
 
 import (
@@ -7,29 +7,30 @@
 	"sync/atomic"
 )
 
-// Set holds all counters. Endings is indexed by the core's endings and HTTP2Abuse by the kinds of
-// package http2, LocalFaults by those of package network, which Each is told the names of.
+// Set holds all counters. Endings is indexed by the core's endings, HTTP2Abuse by the kinds of
+// abuse in package http2, and LocalFaults by the local faults in package network. Names gives Each
+// their names.
 type Set struct {
 	AcceptsFailed, ClientSessions, SessionsRefused, SessionsFlooded, BodiesShed atomic.Int64
 	ReqsTaken, ReqsBad, ReqsShed, ReqsRepeated                                  atomic.Int64
 	AnswersServed, AnswersRefused, AnswersFailed                                atomic.Int64
 	Attempts, Probes, BackendConnections, BackendRetired                        atomic.Int64
 	DirectorCalls, Overlooked, Reloads, ReloadsBad                              atomic.Int64
-	DirectorSilent                                                              atomic.Int64 // calls held for silent, another made beside them
+	DirectorSilent                                                              atomic.Int64 // calls that counted as silent, so that a backup call was made
 	HTTP2Sessions, HTTP2Resets                                                  atomic.Int64
-	HandoverReqsCut, HandoverSessionsLeft                                       atomic.Int64 // sessions closed with a part of a req, or open at the end, after a hand-over
-	ReadyMS                                                                     atomic.Int64 // from the process's start until it could serve, at least 1; 0: not yet
-	ReadyFromKnown, ReadyFromDirector                                           atomic.Int64 // 1 for where the first backend to be sent to came from
+	HandoverReqsCut, HandoverSessionsLeft                                       atomic.Int64 // sessions closed with an incomplete request, or still open at the end, after a hand-over
+	ReadyMS                                                                     atomic.Int64 // from the start of the process until it could serve, at least 1; 0 until then
+	ReadyFromKnown, ReadyFromDirector                                           atomic.Int64 // 1 for the source of the first usable backend, 0 for the others
 	ReadyFromHandover, ReadyFromSources                                         atomic.Int64
 	Endings                                                                     [32]atomic.Int64
 	HTTP2Abuse                                                                  [32]atomic.Int64
-	LocalFaults                                                                 [8]atomic.Int64 // connections that failed for a reason of this machine's
+	LocalFaults                                                                 [8]atomic.Int64 // connections that failed for a reason on this machine
 }
 
-// Names are those of the counters that are kept by number.
+// Names are the names of the counters that are kept by index.
 type Names struct{ Endings, HTTP2Abuse, LocalFaults []fmt.Stringer }
 
-// Each calls f for every counter, in a fixed order, those that are kept by number last.
+// Each calls f for every counter in a fixed order, those kept by index last.
 func (s *Set) Each(names Names, f func(name string, n int64)) {
 	for _, c := range []struct {
 		name string
@@ -60,7 +61,7 @@
 	}
 }
 
-// Print writes a line for each counter.
+// Print writes one line for each counter.
 func (s *Set) Print(w io.Writer, names Names) {
 	s.Each(names, func(name string, n int64) { fmt.Fprintf(w, "counter %s %d\n", name, n) })
 }
--- a/internal/guard/recorder.go
+++ b/internal/guard/recorder.go
@@ -7,8 +7,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Recorder counts violations and reasons and keeps the trace. A nil Recorder records nothing. Its methods may be called
-// from any goroutine.
+// Recorder counts violations and reasons and keeps the trace. A nil Recorder records nothing. Its
+// methods may be called from any goroutine.
 type Recorder struct {
 	Log zerolog.Logger
 
@@ -18,13 +18,14 @@
 	trace      trace
 }
 
-// violationEvents is how many events of a request go into the log with a violation, and dumpEvents how many of all on demand.
+// Limits on the events that are logged: of one request with a violation, and of the whole trace on
+// demand.
 const (
 	violationEvents = 24
 	dumpEvents      = 200
 )
 
-// Record adds an event to the trace, and counts its reason.
+// Record adds an event to the trace and counts its reason.
 func (r *Recorder) Record(e Event) {
 	if r == nil {
 		return
@@ -35,14 +36,14 @@
 	r.trace.add(&e)
 }
 
-// MarkShutdown notes that the process has decided to end.
+// MarkShutdown records when the process decided to end. Only the first call counts.
 func (r *Recorder) MarkShutdown(at time.Time) {
 	if r != nil {
 		r.shutdownAt.CompareAndSwap(nil, &at)
 	}
 }
 
-// ShutdownTime is when the process decided to end; zero if it has not.
+// ShutdownTime returns when the process decided to end, or zero if it has not.
 func (r *Recorder) ShutdownTime() time.Time {
 	if r == nil {
 		return time.Time{}
@@ -53,8 +54,9 @@
 	return time.Time{}
 }
 
-// ReportViolation counts a broken rule and logs it with the last events of the request, or of the session where that is known.
-func (r *Recorder) ReportViolation(rule Rule, session uint64, request, says string) {
+// ReportViolation counts a broken rule and logs it with the last events of the request, or of the
+// session if that is known.
+func (r *Recorder) ReportViolation(rule Rule, session uint64, request, details string) {
 	if r == nil {
 		return
 	}
@@ -62,11 +64,11 @@
 	events := r.trace.last(violationEvents, func(e *entry) bool {
 		return request != "" && e.request() == request[:min(len(request), maxIDBytes)] || session != 0 && e.session == session
 	})
-	r.Log.Error().Stringer("rule", rule).Str("request", request).Uint64("session", session).Str("says", says).
+	r.Log.Error().Stringer("rule", rule).Str("request", request).Uint64("session", session).Str("says", details).
 		Strs("trace", formatEvents(events)).Msg("invariant violated")
 }
 
-// Violations is how often a rule was broken.
+// Violations returns how often a rule was broken.
 func (r *Recorder) Violations(rule Rule) int64 {
 	if r == nil {
 		return 0
@@ -74,7 +76,7 @@
 	return r.violations[rule].Load()
 }
 
-// Each calls f for the count of every reason, by its name.
+// Each calls f with the name and count of every reason.
 func (r *Recorder) Each(f func(name string, n int64)) {
 	if r == nil {
 		return
@@ -99,7 +101,7 @@
 	r.Log.Info().Strs("trace", formatEvents(r.trace.last(dumpEvents, func(*entry) bool { return true }))).Msg("trace")
 }
 
-// formatEvents writes events with their times relative to the last one.
+// formatEvents formats events with their times relative to the last one.
 func formatEvents(events []entry) []string {
 	out := make([]string, len(events))
 	for i := range events {
--- a/internal/guard/rule.go
+++ b/internal/guard/rule.go
@@ -1,8 +1,10 @@
-// Package guard checks at run time that the dispatcher keeps its rules. It reports and never decides: a check is handed
-// facts and times, counts what is broken by rule, and logs one event with the request's id and the last moments of that
-// request from a bounded trace. It does no I/O but for the log, and never ends the process.
+// Package guard checks at run time that the dispatcher keeps its own invariants. It only reports
+// and never decides. A check is given facts and times, and names the rules they break. The recorder
+// counts violations by rule and logs one event with the request's id and the last events of that
+// request from a bounded trace. The package does no I/O except the log, and never ends the process.
 //
-// The figures are those of the platform's pages: PROTOCOL ("The rules on sockets") and the standing test.
+// The limits are those of the platform's pages: PROTOCOL ("The rules on sockets") and the standing
+// test.
 package guard
 
 import (
@@ -14,19 +16,19 @@
 // Rule is one invariant.
 type Rule uint8
 
-// The invariants.
+// Rules, each described by what breaks it.
 const (
-	StartedAfterClientGone Rule = iota // an attempt began more than GoneGrace after its client had gone
-	StartedAfterDrain                  // an attempt began at a draining, gone or banned backend after the grace
-	StartedAfterShutdown               // an attempt began when the process had decided to end
-	RepeatUnsafe                       // an attempt began whose class must not repeat, and one before it may have run
-	RepeatOutsideWindow                // a keyed repeat began outside the window of an attempt that may have run
-	TimeLeftTooLong                    // a backend was told more time than the client has left, with TimeSlack
+	StartedAfterClientGone Rule = iota // an attempt started more than ClientGoneGrace after its client disconnected
+	StartedAfterDrain                  // an attempt started at a draining, gone or banned backend after the grace period
+	StartedAfterShutdown               // an attempt started after the process had decided to end
+	RepeatUnsafe                       // an attempt started although its class must not repeat and an earlier one may have run
+	RepeatOutsideWindow                // a keyed repeat started outside the repeat window of an attempt that may have run
+	TimeLeftTooLong                    // a backend was sent more time than the client has left plus TimeLeftSlack
 	AnswerTwice                        // a request got a second final answer
-	AnswerLate                         // a final answer was decided more than LateSlack after the client's time
-	RefuseMayHaveRun                   // a request was refused though it may have run, and a repeat is not harmless
-	ClosedUnanswered                   // a session was closed from here with a request that was read and not answered
-	ReadyAfterShutdown                 // the check of health said yes after the process had decided to end
+	AnswerLate                         // a final answer was decided more than LateSlack after the client's deadline
+	RefuseMayHaveRun                   // a request was refused although it may have run and a repeat is not harmless
+	ClosedUnanswered                   // the dispatcher closed a session with a request that was read and not answered
+	ReadyAfterShutdown                 // the health check reported ready after the process had decided to end
 	ruleCount
 )
 
@@ -35,8 +37,8 @@
 
 func (r Rule) String() string { return ruleNames[r] }
 
-// TimingDependent says that a process which the machine did not run for a while can break the rule by that alone: between a look
-// at the clock and the write that follows it.
+// TimingDependent reports whether a pause of the process alone can break the rule: the machine may
+// not run the process between its reading of the clock and the write that follows.
 func (r Rule) TimingDependent() bool {
 	switch r {
 	case StartedAfterClientGone, StartedAfterDrain, RepeatOutsideWindow, TimeLeftTooLong, AnswerLate:
@@ -45,7 +47,7 @@
 	return false
 }
 
-// Rules lists every rule.
+// Rules returns all rules.
 func Rules() []Rule {
 	all := make([]Rule, ruleCount)
 	for i := range all {
@@ -54,34 +56,34 @@
 	return all
 }
 
-// Figures of the pages.
+// Limits from the platform's pages.
 const (
-	ClientGoneGrace = 100 * time.Millisecond // after its client has gone an attempt may still begin for so long
-	TimeLeftSlack   = 150 * time.Millisecond // the time told may exceed the client's by so much
-	LateSlack       = 500 * time.Millisecond // an answer later than its time by more is lost
+	ClientGoneGrace = 100 * time.Millisecond // an attempt may still start for this long after its client disconnected
+	TimeLeftSlack   = 150 * time.Millisecond // the time left sent to a backend may exceed the client's by this much
+	LateSlack       = 500 * time.Millisecond // an answer later than its deadline by more counts as lost
 )
 
-// PriorAttempt is an attempt of the same request that began before.
+// PriorAttempt is an earlier attempt of the same request.
 type PriorAttempt struct {
-	StartedAt time.Time // its first byte was written; zero: none was
-	NeverRan  bool      // it is proven never to have run
+	StartedAt time.Time // when its first byte was written; zero if none was
+	NeverRan  bool      // the attempt is proven never to have run
 }
 
-// AttemptStart are the facts of an attempt at the moment its first byte had been written.
+// AttemptStart holds the facts of an attempt at the moment its first byte had been written.
 type AttemptStart struct {
 	At           time.Time
-	ClientGone   time.Time // zero: it is there
-	Drained      time.Time // since when the backend is known to take nothing new; zero: it takes more
+	ClientGone   time.Time // when the client disconnected; zero if it has not
+	Drained      time.Time // since when the backend is known to accept nothing new; zero if it accepts requests
 	Grace        time.Duration
-	ShutdownAt   time.Time     // the process had decided to end; zero: it had not
+	ShutdownAt   time.Time     // when the process decided to end; zero if it has not
 	Deadline     time.Time     // of the client
-	SentTimeLeft time.Duration // to the backend
+	SentTimeLeft time.Duration // as sent to the backend
 	Effect       balance.Effect
-	Window       time.Duration // for repeats
+	Window       time.Duration // repeat window
 	Prior        []PriorAttempt
 }
 
-// Check names the rules that the attempt broke.
+// Check returns the rules that the attempt broke.
 func (b *AttemptStart) Check() (broken []Rule) {
 	if !b.ClientGone.IsZero() && b.At.Sub(b.ClientGone) > ClientGoneGrace {
 		broken = append(broken, StartedAfterClientGone)
@@ -114,7 +116,7 @@
 	return broken
 }
 
-// FinalAnswer are the facts of a final answer at the moment it was decided.
+// FinalAnswer holds the facts of a final answer at the moment it was decided.
 type FinalAnswer struct {
 	At        time.Time
 	Deadline  time.Time
@@ -123,10 +125,10 @@
 	Scope     balance.Scope
 	Window    time.Duration
 	Attempts  []PriorAttempt
-	Duplicate bool // the request has had its final answer
+	Duplicate bool // the request already had a final answer
 }
 
-// Check names the rules that the answer broke.
+// Check returns the rules that the answer broke.
 func (f *FinalAnswer) Check() (broken []Rule) {
 	if f.Duplicate {
 		broken = append(broken, AnswerTwice)
--- a/internal/guard/trace.go
+++ b/internal/guard/trace.go
@@ -12,19 +12,19 @@
 // Steps.
 const (
 	SessionOpened         Step = iota
-	SessionCloseAnnounced      // told to close, with a Reason
-	SessionLingering
-	SessionClosed // with the core's ending
+	SessionCloseAnnounced      // with a Reason
+	SessionLingering           // the dispatcher has closed its side and still reads
+	SessionClosed              // with the core's ending
 	RequestAccepted
-	AttemptSent    // given to the pool; the reason says why a further one
+	AttemptSent    // given to the connection pool; for a further attempt, with a Reason
 	AttemptStarted // its first byte was written
 	AttemptEnded   // with the core's ending
-	RequestDecided // the final answer was decided, with a Reason where it was refused
-	AnswerWritten  // the final answer's last byte was written
+	RequestDecided // the final answer was decided, with a Reason if the request was refused
+	AnswerWritten  // the last byte of the final answer was written
 	ClientGone
-	BackendListed // with its state
-	ServiceState  // with the state
-	ListCallEnded // a call for the list, with the core's ending
+	BackendListed // with the backend's state
+	ServiceState  // with the new state
+	ListCallEnded // a call to the director for the list ended, with the core's ending
 	stepCount
 )
 
@@ -37,19 +37,19 @@
 // Reason is why a session was closed, an attempt followed another, or a request was refused.
 type Reason uint8
 
-// Reasons, by what they explain.
+// Reasons, grouped by what they explain.
 const (
 	NoReason Reason = iota
 
-	// Why a session closes.
-	ClientRequestedClose // by Connection: close
-	ClientDisconnected   // the client went, or a write to it failed
-	InvalidRequest       // it sent what is not a request
-	ClientFlooded        // it sent more behind a request than is kept
-	IncompleteRequest    // the rest of a request did not come
+	// Why a session is closed.
+	ClientRequestedClose // Connection: close
+	ClientDisconnected   // the client closed the connection, or a write to it failed
+	InvalidRequest       // the client sent something that is not a valid request
+	ClientFlooded        // the client sent more after a request than is buffered
+	IncompleteRequest    // the rest of a request did not arrive in time
 	IdleTooLong
-	DescriptorNeeded // its descriptor is needed
-	NoDescriptor     // turned away at the budget
+	DescriptorNeeded // the session's file descriptor is needed for another client
+	NoDescriptor     // refused: the descriptor limit is reached
 	ShuttingDown
 	HandedOver
 
@@ -57,15 +57,15 @@
 	AfterReturned
 	AfterUnreachable
 	AfterUnsent
-	AfterFailure // it may have run
-	SecondCopy   // the one before it is still out
+	AfterFailure // the attempt may have run
+	SecondCopy   // the attempt before it is still running
 
 	// Why a request is refused or failed.
-	NoBackend         // none is listed as ready
-	NoAttempt         // no attempt was sent: no room, or none would be in time
-	DeadlinePassed    // the client's time is over
-	AttemptsExhausted // all attempts that are allowed
-	MayHaveRun        // nothing may follow what may have run
+	NoBackend         // no backend is listed as ready
+	NoAttempt         // no attempt was sent: no backend had capacity, or none would answer in time
+	DeadlinePassed    // the client's deadline has passed
+	AttemptsExhausted // all allowed attempts were made
+	MayHaveRun        // an attempt may have run and must not be repeated
 	Unclassified      // none of these
 	reasonCount
 )
@@ -76,7 +76,7 @@
 
 func (r Reason) String() string { return reasonNames[r] }
 
-// Event is one entry of the trace. Session is 0 and Request empty where it concerns none.
+// Event is one entry of the trace. Session is 0 and Request is empty where the event concerns none.
 type Event struct {
 	At      time.Time
 	Session uint64
@@ -85,11 +85,11 @@
 	Reason  fmt.Stringer // a Reason, the core's Ending or a state; may be nil
 }
 
-// maxIDBytes is how much of a request's id the trace keeps. The id itself may be a slice of a whole head, which is not to be
-// held for its sake.
+// maxIDBytes is how much of a request's id the trace keeps. The id is copied: it may be a slice of
+// a whole request head, which the trace would otherwise keep in memory.
 const maxIDBytes = 40
 
-// entry is an Event as the trace keeps it.
+// entry is an Event as the trace stores it.
 type entry struct {
 	at      time.Time
 	session uint64
@@ -114,10 +114,10 @@
 	return fmt.Sprintf("%+.1fms session %d request %q %s%s", float64(e.at.Sub(from))/float64(time.Millisecond), e.session, e.request(), e.step, why)
 }
 
-// traceLength is how many events are kept: some seconds of a dispatcher's traffic, in 208 KiB.
+// traceLength is the number of events kept: a few seconds of a dispatcher's traffic, in 208 KiB.
 const traceLength = 2048
 
-// trace keeps the last events.
+// trace is a ring buffer of the last events.
 type trace struct {
 	mu   sync.Mutex
 	ring []entry
@@ -136,11 +136,11 @@
 	t.next = (t.next + 1) % traceLength
 }
 
-// last are the newest events that match, oldest first, at most so many.
-func (t *trace) last(most int, match func(*entry) bool) (out []entry) {
+// last returns the newest events that match, at most limit of them, oldest first.
+func (t *trace) last(limit int, match func(*entry) bool) (out []entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for i := len(t.ring) - 1; i >= 0 && len(out) < most; i-- {
+	for i := len(t.ring) - 1; i >= 0 && len(out) < limit; i-- {
 		if e := &t.ring[(t.next+i)%len(t.ring)]; match(e) {
 			out = append(out, *e)
 		}
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -1,5 +1,5 @@
-// Package handover decides how one process of a dispatcher takes over from another, and holds the
-// messages that they exchange. It is fed bytes and times; it knows no socket and reads no clock.
+// Package handover decides how one process of a dispatcher takes over from another, and defines the
+// messages that they exchange. It is given bytes and times; it does no I/O and reads no clock.
 package handover
 
 import (
@@ -11,11 +11,12 @@
 	"tinsail/internal/maintenance"
 )
 
-// Version of the messages. One that is not known is refused, and the new process serves on a listener of its own.
+// Version is the version of the messages. A process refuses any other version, and the new process
+// then serves on a listener of its own.
 const Version = 1
 
-// A message is four bytes of magic, four of length (big-endian), and JSON. Bounds hold for both ends:
-// what is longer is not read.
+// A message is four bytes of magic, four bytes of length (big-endian), and JSON. The limits hold at
+// both ends: a longer message is not read.
 const (
 	magic           = "THO1"
 	headerLength    = len(magic) + 4
@@ -24,28 +25,28 @@
 	MaxStatusUpdate = 64 << 10
 )
 
-// Hello is what a new process says first.
+// Hello is the first message of a new process.
 type Hello struct {
 	Version int    `json:"version"`
 	Name    string `json:"name"`
 	Listen  string `json:"listen"`
 }
 
-// State is what it is told: all that the old process knows, or why it is told nothing. Descriptors come
-// along in the order of Listeners.
+// State is the old process's reply: all that it knows, or why it refuses the hand-over. The
+// descriptors of the listeners are sent with it, in the order of Listeners.
 type State struct {
 	Version      int                `json:"version"`
 	Refused      string             `json:"refused,omitempty"`
-	Busy         bool               `json:"busy,omitempty"` // refused since another hand-over is under way
+	Busy         bool               `json:"busy,omitempty"` // refused because another hand-over is under way
 	Listeners    []string           `json:"listeners,omitempty"`
 	MaxSockets   int                `json:"sockets"` // descriptors that the new process may hold
-	MemoryBytes  int64              `json:"memory"`  // bytes
-	OutOfService bool               `json:"out"`     // of service
+	MemoryBytes  int64              `json:"memory"`  // memory that the new process may use
+	OutOfService bool               `json:"out"`     // the operators took the dispatcher out of service
 	Marks        []maintenance.Mark `json:"marks,omitempty"`
 	List         []Backend          `json:"list,omitempty"`
 }
 
-// Backend is a line of the list, as the source has it.
+// Backend is one entry of the list of backends, as the source reports it.
 type Backend struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -57,16 +58,16 @@
 	Started float64 `json:"started"`
 }
 
-// StatusUpdate are what either says afterwards, one thing a message.
+// StatusUpdate is a later message from either process. Each message carries one piece of news.
 type StatusUpdate struct {
-	Ready            bool              `json:"ready,omitempty"`   // new: it accepts
-	StoppedAccepting bool              `json:"taken,omitempty"`   // old: it does not accept any more
-	MaxSockets       int               `json:"sockets,omitempty"` // old: so many the new one may hold from now on
-	Mark             *maintenance.Mark `json:"mark,omitempty"`    // either
-	OutOfService     *bool             `json:"out,omitempty"`     // either: of service, or back
+	Ready            bool              `json:"ready,omitempty"`   // from the new process: it accepts connections
+	StoppedAccepting bool              `json:"taken,omitempty"`   // from the old process: it no longer accepts
+	MaxSockets       int               `json:"sockets,omitempty"` // from the old process: descriptors that the new one may hold from now on
+	Mark             *maintenance.Mark `json:"mark,omitempty"`    // from either
+	OutOfService     *bool             `json:"out,omitempty"`     // from either: taken out of service, or returned
 }
 
-// AppendMessage writes a message.
+// AppendMessage encodes a message and appends it to b.
 func AppendMessage(b []byte, message any) ([]byte, error) {
 	text, err := json.Marshal(message)
 	if err != nil {
@@ -77,20 +78,21 @@
 	return append(b, text...), nil
 }
 
-// Reader takes messages out of the bytes that come. Most bounds the next one.
+// Reader splits received bytes into messages. MaxBytes is the limit of the next one; the owner may
+// change it between messages.
 type Reader struct {
 	MaxBytes int
 	b        []byte
 	err      error
 }
 
-var errMagic = errors.New("not a message of a hand-over")
+var errMagic = errors.New("not a hand-over message")
 
-// Fill takes in bytes; they are copied.
+// Fill adds received bytes; they are copied.
 func (r *Reader) Fill(b []byte) { r.b = append(r.b, b...) }
 
-// Next returns the next message's JSON, or nil while more bytes are due. What it returned before may be
-// overwritten by Fill. After an error there is no going on.
+// Next returns the JSON of the next message, or nil while more bytes are needed. The result is
+// valid until the next call of Fill. After an error the reader returns only that error.
 func (r *Reader) Next() ([]byte, error) {
 	if r.err != nil {
 		return nil, r.err
@@ -105,7 +107,7 @@
 	}
 	size := int(binary.BigEndian.Uint32(r.b[len(magic):headerLength]))
 	if size > r.MaxBytes {
-		r.err = fmt.Errorf("a message of %d bytes, at most %d are read", size, r.MaxBytes)
+		r.err = fmt.Errorf("message of %d bytes exceeds the limit of %d", size, r.MaxBytes)
 		return nil, r.err
 	}
 	if len(r.b) < headerLength+size {
--- a/internal/handover/stages.go
+++ b/internal/handover/stages.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// Times of a hand-over. The platform gives a new process 6 s to say that it serves.
+// Timeouts of a hand-over. The platform gives a new process 6 s to report that it serves.
 const (
-	HelloTimeout         = time.Second     // for a hello to be whole, from connecting
-	StateTimeout         = 2 * time.Second // for the old process's state, from the hello
-	StopAcceptingTimeout = time.Second     // for the old process to have stopped accepting
-	ReadyTimeout         = 8 * time.Second // for the new process to accept, from its hello
+	HelloTimeout         = time.Second     // from the connection to the complete hello
+	StateTimeout         = 2 * time.Second // from the hello to the old process's state
+	StopAcceptingTimeout = time.Second     // for the old process to stop accepting
+	ReadyTimeout         = 8 * time.Second // from its hello until the new process accepts
 )
 
-// Stage is where a hand-over stands, at either end.
+// Stage is how far a hand-over has got, as seen by either process.
 type Stage uint8
 
 // Stages.
 const (
-	Idle       Stage = iota // no other process
-	Connected               // old: a new process has the state; new: it has it, and does not serve yet
-	Ready                   // new: it accepts, and the old one may still
-	HandedOver              // old: it accepts no more; new: it alone accepts
+	Idle       Stage = iota // no other process is known
+	Connected               // old: a new process has the state; new: it has the state and does not serve yet
+	Ready                   // new: it accepts, and the old process may still accept too
+	HandedOver              // old: it no longer accepts; new: it alone accepts
 )
 
 var stageNames = [...]string{"alone", "connected", "ready", "handed"}
 
 func (s Stage) String() string { return stageNames[s] }
 
-// OldProcess is the end of the process that serves. The zero value is alone.
+// OldProcess is the state of the process that serves. The zero value is idle.
 type OldProcess struct{ stage Stage }
 
-// Stage is where it stands.
+// Stage returns the current stage.
 func (o *OldProcess) Stage() Stage { return o.stage }
 
-// HandleHello takes a new process's hello. It returns why that is refused, or nothing: then the state
-// is to be sent, with less room for this process from before it is sent on.
+// HandleHello handles the hello of a new process. It returns why the hand-over is refused, or an
+// empty text if it is accepted: then the caller reduces this process's own limits and sends the
+// state.
 func (o *OldProcess) HandleHello(h, me Hello) (refused string, busy bool) {
 	switch {
 	case h.Version != me.Version:
@@ -49,7 +50,8 @@
 	return "", false
 }
 
-// HandleReady takes the news that the new process accepts. It returns whether this one is to stop.
+// HandleReady handles the message that the new process accepts. It reports whether this process is
+// to stop accepting.
 func (o *OldProcess) HandleReady() bool {
 	if o.stage != Connected {
 		return false
@@ -58,25 +60,26 @@
 	return true
 }
 
-// HandleDisconnect takes the news that the new process is gone, or was given up: all its room is this one's
-// again. It returns whether this one is to accept again.
+// HandleDisconnect records that the new process is gone or was given up: all descriptors and memory
+// are this process's again. It reports whether this process is to accept again.
 func (o *OldProcess) HandleDisconnect() (accept bool) {
 	accept = o.stage == HandedOver
 	o.stage = Idle
 	return accept
 }
 
-// NewProcess is the end of a process that takes over. The zero value is alone.
+// NewProcess is the state of a process that takes over. The zero value is idle.
 type NewProcess struct {
 	stage      Stage
-	readySince time.Time // of Ready
+	readySince time.Time // when Ready was reached
 }
 
-// Stage is where it stands.
+// Stage returns the current stage.
 func (n *NewProcess) Stage() Stage { return n.stage }
 
-// HandleState takes the old process's state. It returns why it cannot be used, or nothing.
-func (n *NewProcess) HandleState(s *State, descriptors int) (bad string) {
+// HandleState handles the old process's state. It returns why the state cannot be used, or an empty
+// text.
+func (n *NewProcess) HandleState(s *State, descriptors int) (problem string) {
 	switch {
 	case s.Refused != "":
 		return "refused: " + s.Refused
@@ -91,7 +94,8 @@
 	return ""
 }
 
-// StartServing tells that this process has a list and accepts. It returns whether the old one is to be told.
+// StartServing records that this process has a list and accepts. It reports whether the old process
+// is to be informed.
 func (n *NewProcess) StartServing(now time.Time) bool {
 	if n.stage != Connected {
 		return false
@@ -100,24 +104,27 @@
 	return true
 }
 
-// HandleStopAccepting takes the news that the old process accepts no more.
+// HandleStopAccepting handles the message that the old process no longer accepts.
 func (n *NewProcess) HandleStopAccepting() {
 	if n.stage == Ready {
 		n.stage = HandedOver
 	}
 }
 
-// HandleDisconnect takes the news that the old process is gone: all room is this one's.
+// HandleDisconnect records that the old process is gone: all descriptors and memory are this
+// process's.
 func (n *NewProcess) HandleDisconnect() { n.stage = Idle }
 
-// MayReportServing says whether this process may say that it serves in the dispatcher's name: the old one has
-// stopped accepting, is gone, or has not said so in its time. In that last case both accept, which loses nothing.
+// MayReportServing reports whether this process may state that it serves for the dispatcher: the
+// old process has stopped accepting, is gone, or has not confirmed within StopAcceptingTimeout. In
+// the last case both processes accept, which loses nothing.
 func (n *NewProcess) MayReportServing(now time.Time) bool {
 	return n.stage == Idle || n.stage == HandedOver || n.stage == Ready && now.Sub(n.readySince) >= StopAcceptingTimeout
 }
 
-// SplitDescriptors shares descriptors out when a new process comes: how many the old one keeps, which
-// holds used of them. The new one has the rest, a quarter at least; the old one then closes what is idle.
+// SplitDescriptors divides the descriptors when a new process connects. The old process, which
+// holds used of them, keeps the first number and then closes idle connections; the new process gets
+// the rest, at least a quarter of the limit.
 func SplitDescriptors(limit, used, spare int) (keep, give int) {
 	keep = min(max(limit/2, used+spare), limit-limit/4)
 	return keep, limit - keep
--- a/internal/http2/abuse.go
+++ b/internal/http2/abuse.go
@@ -6,29 +6,29 @@
 	"golang.org/x/time/rate"
 )
 
-// Abuse is something that costs us and serves no request.
+// Abuse is a kind of client behaviour that costs resources without serving a request.
 type Abuse uint8
 
-// Kinds of abuse, with the attacks that they stop.
+// Kinds of abuse, with the attacks that limiting them prevents.
 const (
-	RapidReset      Abuse = iota // resets, the client's and those it provokes: CVE-2023-44487, CVE-2025-8671, CVE-2019-9514
+	RapidReset      Abuse = iota // resets by the client and resets it provokes: CVE-2023-44487, CVE-2025-8671, CVE-2019-9514
 	Continuation                 // a field block without end: CVE-2023-45288
-	HeaderList                   // a list longer than allowed, an HPACK bomb among them: CVE-2016-6581
+	HeaderList                   // a header list above the limit, also from an HPACK bomb: CVE-2016-6581
 	Ping                         // CVE-2019-9512
 	Settings                     // CVE-2019-9515
 	Priority                     // CVE-2019-9513
-	WindowUpdate                 // by bytes as small as one: CVE-2019-9511
-	EmptyData                    // DATA with nothing in it, or padding alone: CVE-2019-9518
-	Unknown                      // frames that the protocol has us ignore
-	ClosedStream                 // frames for streams that are over
-	Overflow                     // a window beyond its limit, or more than it allows
-	OverLimit                    // more streams than were announced
-	UnfinishedBody               // a stream that is not sent to its end
-	StalledAnswer                // an answer that is not taken: CVE-2019-9517
-	UnreadOutput                 // output that is provoked and not read: CVE-2019-9512
-	NoCapacity                   // a body that there is no room for
-	RejectedRequest              // requests that can only be turned away
-	Abuses
+	WindowUpdate                 // updates as small as one byte: CVE-2019-9511
+	EmptyData                    // DATA that is empty or only padding: CVE-2019-9518
+	Unknown                      // frames that the protocol requires us to ignore
+	ClosedStream                 // frames for closed streams
+	Overflow                     // a window above its limit, or more data than it allows
+	OverLimit                    // more streams than announced
+	UnfinishedBody               // a request body that is not sent to its end
+	StalledAnswer                // an answer that the client does not read: CVE-2019-9517
+	UnreadOutput                 // output that the client provokes and does not read: CVE-2019-9512
+	NoCapacity                   // a body for which no memory was granted
+	RejectedRequest              // requests that can only be rejected
+	Abuses                       // number of kinds
 )
 
 var abuseNames = [Abuses]string{"rapid_reset", "continuation", "header_list", "ping", "settings", "priority", "window_update",
@@ -36,7 +36,7 @@
 
 func (a Abuse) String() string { return abuseNames[a] }
 
-// AllAbuses lists every kind, for counters.
+// AllAbuses returns all kinds, for counters.
 func AllAbuses() []fmt.Stringer {
 	all := make([]fmt.Stringer, Abuses)
 	for i := range all {
@@ -45,16 +45,16 @@
 	return all
 }
 
-// Limits of a connection. What they allow is far beyond what clients need that mean well: a
+// Limits of a connection. They are far above the needs of well-behaved clients: a
 // phone that goes to sleep resets all its streams at once, and some clients ping with every
-// request; none goes on and on.
+// request, but neither continues without end.
 const (
 	pingBurst, pingPerSec         = 200, 20
 	settingsBurst, settingsPerSec = 20, 1
-	maxUnproductive               = 2048 // frames or KiB since the last that was of use
+	maxUnproductive               = 2048 // frames or KiB without enough useful work between them
 )
 
-// abuseLimits holds what a client may still do that is of no use.
+// abuseLimits holds how much unproductive work a client may still cause.
 type abuseLimits struct {
 	pings, settings, resets *rate.Limiter
 	unproductive            int
@@ -65,7 +65,7 @@
 		resets: rate.NewLimiter(rate.Limit(streams), 100+2*streams)}
 }
 
-// credit tells that something of credit was done, worth so many useless frames.
+// credit records useful work, which offsets worth unproductive frames.
 func (m *abuseLimits) credit(worth int) { m.unproductive = max(m.unproductive-worth, 0) }
 
 func (c *Conn) reportAbuse(a Abuse) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// failAbuse ends the connection for what its client does.
+// failAbuse ends the connection because of its client's abuse.
 func (c *Conn) failAbuse(a Abuse) {
 	if !c.ended {
 		c.reportAbuse(a)
@@ -82,14 +82,15 @@
 	}
 }
 
-// countUnproductive takes in a frame that serves nothing by itself, with so many bytes.
+// countUnproductive records a frame of so many bytes that serves no request by itself.
 func (c *Conn) countUnproductive(a Abuse, bytes int) {
 	if c.limits.unproductive += 1 + bytes>>10; c.limits.unproductive > maxUnproductive {
 		c.failAbuse(a)
 	}
 }
 
-// chargeReset takes in a stream that ended for nothing, and says whether that was one too many.
+// chargeReset records a stream that ended without use. It reports whether the connection has ended,
+// possibly because the limit was exceeded.
 func (c *Conn) chargeReset(a Abuse) bool {
 	if c.ended {
 		return true
@@ -101,5 +102,5 @@
 	return false
 }
 
-// CountRejected tells that the driver had to turn a request away for a fault of the client's.
+// CountRejected records that the driver rejected a request because of a fault of the client's.
 func (c *Conn) CountRejected() { c.chargeReset(RejectedRequest) }
--- a/internal/http2/conn.go
+++ b/internal/http2/conn.go
@@ -1,15 +1,15 @@
-// Package http2 is the server's side of an HTTP/2 connection in cleartext with prior knowledge
-// (RFC 9113) as a state machine: it is fed the bytes that a client sent, tells what they mean,
-// and holds the bytes that are to go out. It knows no socket and no clock; time is handed in.
-// golang.org/x/net/http2's Framer and hpack read and write the frames.
+// Package http2 implements the server side of an HTTP/2 connection in cleartext with prior
+// knowledge (RFC 9113) as a state machine. It is given the bytes that a client sent, returns
+// events, and holds the bytes to be written. It does no I/O and reads no clock; the time is a
+// parameter. The Framer and the hpack package of golang.org/x/net/http2 read and write the frames.
 //
-// A driver reads into Space, tells how much by Filled, takes Events by Next until there is none,
-// and writes what Take hands out. It owes every stream of a Whole event one Answer; a stream
-// ends with that answer's last byte or with one reset, never both and never neither, unless
-// the connection ends first. Methods are not for concurrent use.
+// A driver reads into Space, reports the number of bytes with Filled, calls Next until there are no
+// more events, and writes what TakeOutput returns. It must answer every stream of a BodyComplete
+// event once. A stream ends with either the last byte of that answer or one reset, unless the
+// connection ends first. Methods are not safe for concurrent use.
 //
-// What a client can make the machine hold is bounded: one frame, one field block, the bodies
-// that Admit allowed, and the answers that the driver gave.
+// The memory that a client can occupy is limited to one frame, one field block, the bodies that
+// Admit granted, and the answers that the driver gave.
 package http2
 
 import (
@@ -23,10 +23,10 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// Code is why a stream was reset or a connection ended (RFC 9113 section 7).
+// Code is the reason for a reset of a stream or the end of a connection (RFC 9113 section 7).
 type Code = http2.ErrCode
 
-// Codes that drivers use.
+// Error codes that drivers use.
 const (
 	NoError         = http2.ErrCodeNo
 	InternalError   = http2.ErrCodeInternal
@@ -35,90 +35,91 @@
 	EnhanceYourCalm = http2.ErrCodeEnhanceYourCalm
 )
 
-// Config is what a connection is told at its start. All of it stays as it is.
+// Config holds the parameters of a connection. They do not change later.
 type Config struct {
-	MaxStreams       int           // open at once, those that were reset and whose work still runs among them
-	MaxHeaderBytes   int           // of a decoded header list (RFC 9113 section 6.5.2)
-	MaxFrameBytes    int           // of a frame's payload, 16,384 to 16,777,215
-	MaxBodyBytes     int           // of a stream's body
-	ConnectionWindow int           // bytes of bodies that the client may send ahead on the connection
+	MaxStreams       int           // open at once, including reset streams whose work still runs
+	MaxHeaderBytes   int           // decoded header list (RFC 9113 section 6.5.2)
+	MaxFrameBytes    int           // payload of a frame, 16,384 to 16,777,215
+	MaxBodyBytes     int           // body of a stream
+	ConnectionWindow int           // body bytes that the client may send ahead on the connection
 	BodyIdleTimeout  time.Duration // between two pieces of a body
 	BodyTimeout      time.Duration // from a stream's head to the end of its body
-	MaxQueuedBytes   int           // bytes of answers that may wait for the client's windows
-	StallTimeout     time.Duration // that an answer waits for the client's window
-	DrainTimeout     time.Duration // that Drain waits for the client's acknowledgement
-	// Admit is asked before n more bytes of bodies or of longer answers are held, and Release
-	// told when they are not held any more. Where Admit says no to a body, the stream is refused
-	// unprocessed; an answer that there is no room for becomes a reset.
+	MaxQueuedBytes   int           // bytes of answers that may wait for the client's flow control windows
+	StallTimeout     time.Duration // how long an answer waits for the client's window
+	DrainTimeout     time.Duration // how long Drain waits for the client's acknowledgement
+	// Admit is called before n more bytes of bodies or of longer answers are held, and Release
+	// when they no longer are. If Admit refuses a body, the stream is refused unprocessed; if it
+	// refuses an answer, the stream is reset.
 	Admit   func(n int) bool
 	Release func(n int)
-	// OnAbuse is told what a client did that costs without use. May be nil.
+	// OnAbuse, if set, is called for each occurrence of abuse.
 	OnAbuse func(Abuse)
 }
 
-// Kind is what an Event tells.
+// Kind is the kind of an Event.
 type Kind uint8
 
-// Kinds of events.
+// Event kinds.
 const (
-	// Opened: a stream's head is here, whole and well formed. Its fields are valid until the
-	// next call of Next. The driver may answer at once; else a Whole or a Gone follows.
+	// Opened: the complete and well-formed head of a stream has arrived. Its fields are valid
+	// until the next call of Next. The driver may answer at once; otherwise a BodyComplete,
+	// ClientReset or Aborted follows.
 	Opened Kind = iota
-	// BodyComplete: the body of a stream is here too. It is the driver's until it calls Free.
+	// BodyComplete: the whole body of a stream has arrived.
 	BodyComplete
-	// ClientReset: the client reset a stream that had been Opened. It takes no answer. If it was
-	// Whole, it keeps its place among the Streams until Free.
+	// ClientReset: the client reset a stream that had been Opened. It cannot be answered. If its
+	// body was complete, it still counts against MaxStreams until ReleaseStream.
 	ClientReset
-	// Aborted: the machine ended a stream that was Opened and not Whole, by an answer or a
-	// reset of its own.
+	// Aborted: this package ended a stream that was Opened and whose body was not complete, by an
+	// answer or a reset of its own.
 	Aborted
-	// Ended: the connection has ended, for Code. What Take still holds is to be written.
+	// Ended: the connection has ended with Code. The remaining output is still to be written.
 	Ended
 )
 
-// Event is what a client's bytes meant.
+// Event is what the received bytes mean.
 type Event struct {
 	Kind   Kind
 	Stream *Stream
 	Code   Code
-	Reason string // of Over; empty where the client did nothing wrong
+	Reason string // of Ended; empty where the client did nothing wrong
 }
 
-// Head is a request's head.
+// Head is the head of a request.
 type Head struct {
 	Method, Scheme, Path, Authority string
 	Fields                          []hpack.HeaderField // without the pseudo-fields, names in lower case
-	Length                          int64               // of Content-Length, -1 if there is none
+	Length                          int64               // Content-Length, -1 if there is none
 }
 
-// Bounds that are the same for all connections.
+// Limits and sizes that are the same for all connections.
 const (
 	defaultWindow    = 65535      // RFC 9113 section 6.9.2
 	largestWindow    = 1<<31 - 1  // section 6.9.1
-	fieldBlockSlack  = 4 << 10    // of a compressed field block beyond HeaderBytes: Huffman can lengthen a text
+	fieldBlockSlack  = 4 << 10    // of a compressed field block beyond MaxHeaderBytes: Huffman coding can lengthen a text
 	maxBlockFrames   = 32         // frames of a field block (CVE-2023-45288)
-	outputTarget     = 64 << 10   // bytes of output beyond which no more of answers is framed
-	maxOutput        = 256 << 10  // bytes of output that a client may provoke without reading (CVE-2019-9512, 9515)
-	maxTableSize     = 4096       // bytes of either HPACK table: what RFC 9113 starts with, and no more
-	maxDataFrame     = 16 << 10   // bytes of a DATA frame of ours: small, so that streams take turns
+	outputTarget     = 64 << 10   // bytes of output beyond which no further answers are framed
+	maxOutput        = 256 << 10  // bytes of output that a client may provoke without reading it (CVE-2019-9512, 9515)
+	maxTableSize     = 4096       // bytes of either HPACK table: the default of RFC 9113, never raised
+	maxDataFrame     = 16 << 10   // bytes of a DATA frame that we send: small, so that streams take turns
 	minReadSpace     = 4 << 10    // least space offered for a read
-	rememberedResets = 128        // streams of which late frames are known to cross our reset
-	drainPingMark    = 0x7461696c // payload of the PING that asks whether the first GOAWAY has been read
-	smallAnswer      = 1 << 10    // of an answer's body, held without asking
-	smallHead        = 1 << 10    // of a header list, held without asking
-	maxPrefaceLine   = 8 << 10    // of a line that may be HTTP/1.1
-	maxStreamID      = 1<<31 - 1  // of a GOAWAY that leaves open which stream is the last
+	rememberedResets = 128        // recent resets of ours, after which late frames of the client are tolerated
+	drainPingMark    = 0x7461696c // payload of the PING that shows whether the client has read the first GOAWAY
+	smallAnswer      = 1 << 10    // bytes of an answer's body held without calling Admit
+	smallHead        = 1 << 10    // bytes of a header list held without calling Admit
+	maxPrefaceLine   = 8 << 10    // bytes of a first line that may be HTTP/1.1
+	maxStreamID      = 1<<31 - 1  // in a GOAWAY that does not yet name the last stream
 )
 
-// Conn is one connection.
+// Conn is the state of one connection.
 type Conn struct {
 	cfg              Config
 	now              time.Time
-	prefaceReceived  bool // the preface is here
-	settingsReceived bool // the client's first SETTINGS frame is here
+	prefaceReceived  bool
+	settingsReceived bool // the client's first SETTINGS frame has arrived
 	ended            bool
 	events           []Event
-	nextEvent        int // event that Next returns
+	nextEvent        int // index of the event that Next returns
 
 	input                []byte
 	inputStart, inputEnd int
@@ -126,41 +127,41 @@
 	framer               *http2.Framer
 	decoder              *hpack.Decoder
 	encoder              *hpack.Encoder
-	encoded              bytes.Buffer // of enc
+	encoded              bytes.Buffer // output of encoder
 
 	output []byte
 
 	streams           map[uint32]*Stream
-	openStreams       int    // streams that are neither gone nor ended
-	lastID            uint32 // highest that the client has opened
+	openStreams       int    // neither closed nor detached
+	lastID            uint32 // highest id that the client has opened
 	block             block
 	recentResets      [rememberedResets]uint32
 	resetCount        int
-	sendWindow        int64 // the client's, for our DATA
-	initialSendWindow int64 // the client's, of a new stream
-	maxSendFrame      int   // payload of our frames
-	recvWindow        int64 // ours, for the client's DATA
-	recvUncredited    int64 // of room, taken in and not given back yet
+	sendWindow        int64 // the client's window for our DATA
+	initialSendWindow int64 // the client's window of a new stream
+	maxSendFrame      int   // payload of frames that we send
+	recvWindow        int64 // our window for the client's DATA
+	recvUncredited    int64 // bytes received and not yet returned by WINDOW_UPDATE
 	sendQueue         []*Stream
-	queuedBytes       int // bytes of longer answers that are not framed to their end
+	queuedBytes       int // bytes of longer answers that are not completely framed
 	lastProgress      time.Time
 	drain             drainState
 	drainDeadline     time.Time
-	nextDeadline      time.Time // before which Expire has nothing to do; zero is never
+	nextDeadline      time.Time // before it Expire has nothing to do; zero means never
 	limits            abuseLimits
-	freeStreams       *Stream // streams for use again
-	unackedSettings   int     // SETTINGS of ours that are not acknowledged
+	freeStreams       *Stream // for reuse
+	unackedSettings   int     // our SETTINGS that the client has not acknowledged
 }
 
 type drainState uint8
 
 const (
 	notDraining    drainState = iota
-	drainAnnounced            // the first GOAWAY is out
-	draining                  // the second one is: what comes later is not taken
+	drainAnnounced            // the first GOAWAY is sent
+	draining                  // the second GOAWAY is sent: later streams are not accepted
 )
 
-// New makes a connection at a time. The client speaks first.
+// New returns a connection that began at the given time. The client sends first.
 func New(cfg Config, now time.Time) *Conn {
 	c := &Conn{cfg: cfg, now: now, lastProgress: now, streams: map[uint32]*Stream{}, sendWindow: defaultWindow,
 		initialSendWindow: defaultWindow, maxSendFrame: maxDataFrame, recvWindow: defaultWindow}
@@ -175,7 +176,7 @@
 	return c
 }
 
-// writer is where the Framer writes.
+// writer appends the Framer's frames to the output.
 type writer struct{ c *Conn }
 
 func (w writer) Write(p []byte) (int, error) {
@@ -183,11 +184,11 @@
 	return len(p), nil
 }
 
-// Space is where the next bytes are to be read.
+// Space returns the space for the next read.
 func (c *Conn) Space() []byte {
-	if c.inputStart == c.inputEnd || c.ended { // nothing is read any more of what comes after the end
+	if c.inputStart == c.inputEnd || c.ended { // input after the end is discarded
 		c.inputStart, c.inputEnd = 0, 0
-		if len(c.input) > minReadSpace && len(c.streams) == 0 { // one large frame must not be paid for as long as the connection lives
+		if len(c.input) > minReadSpace && len(c.streams) == 0 { // do not hold the memory of one large frame for the rest of the connection
 			c.input = nil
 			clear(c.block.fields)
 		}
@@ -206,8 +207,8 @@
 	return c.input[c.inputEnd:]
 }
 
-// pendingFrameLength is how long the frame is that is coming in, with its header; it has been checked
-// against the limit once the header is here.
+// pendingFrameLength returns the length of the frame that is arriving, with its header, or 0 if the
+// header is not complete. The result is at most the limit.
 func (c *Conn) pendingFrameLength() int {
 	if rest := c.input[c.inputStart:c.inputEnd]; c.prefaceReceived && len(rest) >= frameHeaderLength {
 		return min(frameHeaderLength+payloadLength(rest), frameHeaderLength+c.cfg.MaxFrameBytes)
@@ -219,28 +220,29 @@
 
 func payloadLength(b []byte) int { return int(b[0])<<16 | int(b[1])<<8 | int(b[2]) }
 
-// Filled tells that n bytes have been read into Space, and when.
+// Filled records that n bytes have been read into Space, and when.
 func (c *Conn) Filled(n int, now time.Time) {
 	c.inputEnd += n
 	c.now = now
 }
 
-// Partial says whether something has begun to come in and is not whole: the preface, a frame.
+// Partial reports whether the preface, the first SETTINGS or a frame has not arrived completely.
 func (c *Conn) Partial() bool { return !c.settingsReceived || c.inputStart < c.inputEnd }
 
-// SettingsReceived says whether the client has shown that it speaks HTTP/2.
+// SettingsReceived reports whether the client has shown that it speaks HTTP/2.
 func (c *Conn) SettingsReceived() bool { return c.settingsReceived }
 
-// OpenStreams is how many streams are open, from their first frame to their answer's last byte.
+// OpenStreams returns the number of open streams. A stream is open from its first frame to the last
+// byte of its answer.
 func (c *Conn) OpenStreams() int { return c.openStreams }
 
-// Next returns what the bytes mean that are here, one event at a time.
+// Next returns the next event that the received bytes cause.
 func (c *Conn) Next() (Event, bool) {
 	for {
 		for c.nextEvent < len(c.events) {
 			e := c.events[c.nextEvent]
 			c.nextEvent++
-			if e.Kind == BodyComplete && e.Stream.answered { // at its Opened, by the driver
+			if e.Kind == BodyComplete && e.Stream.answered { // the driver answered it when it was Opened
 				continue
 			}
 			return e, true
@@ -254,7 +256,7 @@
 
 func (c *Conn) event(e Event) { c.events = append(c.events, e) }
 
-// step takes in one frame, or the preface, and says whether it was whole.
+// step handles one frame or the preface, and reports whether it was complete.
 func (c *Conn) step() bool {
 	rest := c.input[c.inputStart:c.inputEnd]
 	if !c.prefaceReceived {
@@ -292,13 +294,14 @@
 	return true
 }
 
-// handleReadError ends what the Framer could not read: a stream where that is allowed, else all.
+// handleReadError handles a frame that the Framer could not read. It resets the stream where the
+// protocol allows that, otherwise it ends the connection.
 func (c *Conn) handleReadError(raw []byte, err error) {
 	var se http2.StreamError
 	var ce http2.ConnectionError
 	switch {
-	// A field block that is not decoded leaves the tables unequal: no other stream could be
-	// read any more (RFC 9113 section 4.3).
+	// A field block that is not decoded leaves the HPACK tables of both ends different, so
+	// that no other stream could be read (RFC 9113 section 4.3).
 	case errors.As(err, &se) && http2.FrameType(raw[3]) != http2.FrameHeaders:
 		if c.settingsReceived {
 			c.streamError(se.StreamID, se.Code)
@@ -309,7 +312,7 @@
 		c.fail(se.Code, "a bad HEADERS frame")
 	case errors.As(err, &ce):
 		c.fail(Code(ce), "a bad frame")
-	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.EOF): // a field that its frame has no room for
+	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.EOF): // the frame is too short for one of its fields
 		c.fail(http2.ErrCodeFrameSize, "a frame that is too short")
 	default:
 		c.fail(http2.ErrCodeProtocol, "a bad frame")
@@ -333,7 +336,7 @@
 	case *http2.PingFrame:
 		c.handlePing(f)
 	case *http2.PriorityFrame:
-		if f.StreamDep == f.StreamID { // RFC 7540 section 5.3.1; RFC 9113 does not say
+		if f.StreamDep == f.StreamID { // RFC 7540 section 5.3.1; RFC 9113 leaves it open
 			if c.isIdle(f.StreamID) {
 				c.fail(http2.ErrCodeProtocol, "a stream that depends on itself")
 			} else {
@@ -342,11 +345,11 @@
 			return
 		}
 		c.countUnproductive(Priority, 0)
-	case *http2.GoAwayFrame: // the client opens no more streams by itself; those it has are served
+	case *http2.GoAwayFrame: // the client stops opening streams by itself; the open ones are served
 		c.countUnproductive(Unknown, int(f.Length))
 	case *http2.PushPromiseFrame:
 		c.fail(http2.ErrCodeProtocol, "a client that pushes")
-	default: // to be ignored (RFC 9113 section 5.5)
+	default: // must be ignored (RFC 9113 section 5.5)
 		c.countUnproductive(Unknown, int(f.Header().Length))
 	}
 }
@@ -386,8 +389,8 @@
 	_ = c.framer.WriteSettingsAck()
 }
 
-// adjustWindows changes the windows of all streams by what the initial one changes (RFC 9113
-// section 6.9.2); they may fall below zero.
+// adjustWindows changes the windows of all streams by the change of the initial window (RFC 9113
+// section 6.9.2); they may become negative.
 func (c *Conn) adjustWindows(initial int64) error {
 	by := initial - c.initialSendWindow
 	c.initialSendWindow = initial
@@ -433,8 +436,9 @@
 	c.countUnproductive(WindowUpdate, 0)
 }
 
-// isIdle says whether a stream has not been opened yet. Even ones would be ours, and we open none.
-// In a drain, those after the last one that is served are known to the client, not to us.
+// isIdle reports whether a stream has not been opened yet. Streams with even ids would be ours, and
+// we open none. While draining, streams above lastID may have been opened by the client without our
+// knowledge, so they do not count as idle.
 func (c *Conn) isIdle(id uint32) bool { return id > c.lastID && c.drain != draining || id%2 == 0 }
 
 func (c *Conn) handlePing(f *http2.PingFrame) {
--- a/internal/http2/head.go
+++ b/internal/http2/head.go
@@ -9,21 +9,22 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// block is the field block that is coming in, and what has been found in it. Blocks come one
-// at a time (RFC 9113 section 4.3), and each must be decoded, wanted or not.
+// block is the field block that is arriving, and what has been found in it so far. Blocks arrive
+// one at a time (RFC 9113 section 4.3), and each must be decoded to keep the HPACK table correct,
+// even if its stream is not accepted.
 type block struct {
 	inProgress      bool
 	id              uint32
-	stream          *Stream // nil where it is decoded for the table alone
+	stream          *Stream // nil if the block is decoded only for the HPACK table
 	trailer         bool
-	endStream       bool // of the stream
-	frames          int  // frames
-	compressedBytes int  // compressed
-	listSize        int  // decoded, as SETTINGS_MAX_HEADER_LIST_SIZE counts
+	endStream       bool
+	frames          int
+	compressedBytes int
+	listSize        int // decoded, as SETTINGS_MAX_HEADER_LIST_SIZE counts
 	tooLarge        bool
-	malformed       bool // malformed
-	regularSeen     bool // a field that is no pseudo-field has come
-	refuseCode      Code // of a stream that is not taken; NoError if it is
+	malformed       bool
+	regularSeen     bool // a field other than a pseudo-header field has been decoded
+	refuseCode      Code // reset code of a stream that is not accepted; NoError: ignore the block
 	head            Head
 	lengthSeen      bool
 	fields          []hpack.HeaderField
@@ -42,12 +43,12 @@
 		b.malformed = !b.endStream
 	case s != nil && s.remoteClosed:
 		b.refuseCode = http2.ErrCodeStreamClosed
-	case f.StreamID <= c.lastID && c.recentlyReset(f.StreamID): // what crossed our reset
+	case f.StreamID <= c.lastID && c.recentlyReset(f.StreamID): // sent before the client read our reset
 		b.refuseCode = NoError
 	case f.StreamID <= c.lastID:
 		c.fail(http2.ErrCodeStreamClosed, "HEADERS for a stream that is closed")
 		return
-	case c.drain == draining: // never taken: the client knows by GOAWAY
+	case c.drain == draining: // not accepted: the client knows from the GOAWAY
 		b.refuseCode = NoError
 	case len(c.streams) >= c.cfg.MaxStreams:
 		c.lastID = f.StreamID
@@ -64,15 +65,15 @@
 	c.decodeFragment(f.HeaderBlockFragment(), f.HeadersEnded())
 }
 
-// openedAfterDrain says whether a stream was opened after the last one that is served.
+// openedAfterDrain reports whether a stream was opened after the last one that is served.
 func (c *Conn) openedAfterDrain(id uint32) bool { return c.drain == draining && id > c.lastID }
 
 func (c *Conn) handleContinuation(f *http2.ContinuationFrame) {
 	c.decodeFragment(f.HeaderBlockFragment(), f.HeadersEnded())
 }
 
-// decodeFragment decodes a part of a block. A block without end is cut off by its length and by the
-// number of its frames, before it costs much (CVE-2023-45288, CVE-2019-9516).
+// decodeFragment decodes a part of a block. The size and the number of frames of a block are
+// limited before an endless block costs much (CVE-2023-45288, CVE-2019-9516).
 func (c *Conn) decodeFragment(p []byte, last bool) {
 	b := &c.block
 	b.frames++
@@ -96,12 +97,12 @@
 	c.handleBlockEnd()
 }
 
-// handleField takes in one handleField of a block, as the decoder finds it.
+// handleField handles one decoded field of a block.
 func (c *Conn) handleField(f hpack.HeaderField) {
 	b := &c.block
 	if b.listSize += len(f.Name) + len(f.Value) + 32; b.listSize > c.cfg.MaxHeaderBytes {
 		b.tooLarge = true
-		c.decoder.SetEmitEnabled(false) // a short block can stand for a very long list
+		c.decoder.SetEmitEnabled(false) // a short block can encode a very long list
 		return
 	}
 	switch {
@@ -114,8 +115,8 @@
 	}
 }
 
-// addPseudoField takes a addPseudoField-field: each once, before all others, none in trailers (RFC 9113
-// section 8.3).
+// addPseudoField handles a pseudo-header field: each at most once, before all other fields, none in
+// trailers (RFC 9113 section 8.3).
 func (b *block) addPseudoField(f hpack.HeaderField) {
 	var to *string
 	switch f.Name {
@@ -135,7 +136,7 @@
 	*to = f.Value
 }
 
-// addRegularField takes any other field (RFC 9113 sections 8.2.1 and 8.2.2).
+// addRegularField handles any other field (RFC 9113 sections 8.2.1 and 8.2.2).
 func (b *block) addRegularField(f hpack.HeaderField) {
 	switch f.Name {
 	case "connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade":
@@ -176,11 +177,11 @@
 
 func isSpace(c byte) bool { return c == ' ' || c == '\t' }
 
-// handleBlockEnd has a whole block, and judges it.
+// handleBlockEnd validates a complete block and opens the stream, ends it, or rejects it.
 func (c *Conn) handleBlockEnd() {
 	b := &c.block
 	s := b.stream
-	// A block can take longer to come than its stream may: the stream has had its answer, and may be gone.
+	// A block can take longer to arrive than its stream's timeout: the stream has been answered and may be closed.
 	if s != nil && (s.answered || c.streams[s.ID] != s) {
 		s.remoteClosed = s.remoteClosed || b.endStream
 		c.countUnproductive(ClosedStream, b.compressedBytes)
@@ -215,7 +216,7 @@
 			c.reject(s, "413")
 			return
 		}
-		if b.listSize > smallHead { // its path may be long, and stays as long as the stream does
+		if b.listSize > smallHead { // the path may be long, and is held as long as the stream
 			s.reservedHead = b.listSize
 		}
 		if !c.reserve(s, s.reservedHead+int(max(s.Head.Length, 0))) {
@@ -232,7 +233,7 @@
 	}
 }
 
-// complete says whether a request has the pseudo-fields that it must have (RFC 9113 section
+// complete reports whether a request has the required pseudo-header fields (RFC 9113 section
 // 8.3.1); CONNECT has fewer (section 8.5).
 func (h *Head) complete() bool {
 	if h.Method == "CONNECT" {
--- a/internal/http2/preface.go
+++ b/internal/http2/preface.go
@@ -6,8 +6,8 @@
 	"golang.org/x/net/http2"
 )
 
-// readPreface reads the client's (RFC 9113 section 3.4). What looks like HTTP/1 is told so in its
-// own words; anything else is cut off.
+// readPreface reads the client's connection preface (RFC 9113 section 3.4). A client that appears
+// to speak HTTP/1 gets an HTTP/1.1 error; anything else is ended with GOAWAY.
 func (c *Conn) readPreface(rest []byte) bool {
 	n := min(len(rest), len(http2.ClientPreface))
 	if string(rest[:n]) == http2.ClientPreface[:n] {
@@ -51,7 +51,7 @@
 	return len(parts) == 3 && bytes.HasPrefix(parts[2], []byte("HTTP/1."))
 }
 
-// sendSettings writes our SETTINGS and widens the connection's window to what may be sent ahead.
+// sendSettings writes our SETTINGS and raises the connection window to ConnectionWindow.
 func (c *Conn) sendSettings() {
 	_ = c.framer.WriteSettings(
 		http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(c.cfg.MaxStreams)},
@@ -65,7 +65,7 @@
 	}
 }
 
-// initialRecvWindow is the window of a new stream: a whole body, so that only padding is ever given
-// back. It holds from the client's acknowledgement on; until then a client may send the
-// default, which is less or hardly more.
+// initialRecvWindow returns the receive window of a new stream: a whole body, so that only padding
+// is ever returned by WINDOW_UPDATE. It applies from the client's acknowledgement of our SETTINGS
+// on; until then a client may send the default, which is less or hardly more.
 func (c *Conn) initialRecvWindow() int { return max(c.cfg.MaxBodyBytes, defaultWindow) }
--- a/internal/http2/send.go
+++ b/internal/http2/send.go
@@ -5,7 +5,7 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// enqueue has a stream's answer framed when its turn comes.
+// enqueue schedules a stream's answer to be framed in turn.
 func (c *Conn) enqueue(s *Stream) {
 	s.answerPending = true
 	c.scheduleExpiry(c.cfg.StallTimeout)
@@ -15,20 +15,20 @@
 	}
 }
 
-// unblock puts a stream back in the queue, whose window was shut.
+// unblock puts a stream back into the queue after its window has opened.
 func (c *Conn) unblock(s *Stream) {
 	if s.answerPending && !s.queued && s.sendWindow > 0 {
 		c.enqueue(s)
 	}
 }
 
-// HasOutput says whether Take has something to hand out.
+// HasOutput reports whether TakeOutput has something to return.
 func (c *Conn) HasOutput() bool {
 	c.frameAnswers()
 	return len(c.output) > 0
 }
 
-// TakeOutput hands out the bytes that are to be written, and takes a buffer for the next.
+// TakeOutput returns the bytes to be written, and keeps spare as the buffer for the next output.
 func (c *Conn) TakeOutput(spare []byte) []byte {
 	c.frameAnswers()
 	b := c.output
@@ -36,8 +36,8 @@
 	return b
 }
 
-// frameAnswers frames answers, a frame of each stream in turn, until there is enough to write or the
-// windows are shut. What waits stays where it is: unframed text, not a second copy of it.
+// frameAnswers frames answers, one frame of each stream in turn, until there is enough output or
+// the windows are closed. Answers that wait stay unframed, so that no second copy of them is held.
 func (c *Conn) frameAnswers() {
 	for turns := len(c.sendQueue); turns > 0 && len(c.output) < outputTarget && len(c.sendQueue) > 0; turns-- {
 		s := c.sendQueue[0]
@@ -59,12 +59,12 @@
 		n := min(int64(len(s.unsent)), c.sendWindow, s.sendWindow, int64(c.maxSendFrame))
 		if n > 0 {
 			c.writeData(s, int(n))
-			turns = max(turns, 1+len(c.sendQueue)) // something moved: others may get another turn
+			turns = max(turns, 1+len(c.sendQueue)) // progress was made: the others may get another turn
 		}
 		switch {
 		case s.unsent == "":
 			c.finishAnswer(s)
-		case s.sendWindow <= 0: // until its WINDOW_UPDATE
+		case s.sendWindow <= 0: // waits for WINDOW_UPDATE
 		default:
 			s.queued = true
 			c.sendQueue = append(c.sendQueue, s)
@@ -83,7 +83,8 @@
 	c.lastProgress, s.lastProgress = c.now, c.now
 }
 
-// writeContinue tells a client that waits for it to send its body (RFC 9110 section 10.1.1).
+// writeContinue sends 100 Continue to a client that waits for it before it sends its body (RFC 9110
+// section 10.1.1).
 func (c *Conn) writeContinue(s *Stream) {
 	c.encoded.Reset()
 	_ = c.encoder.WriteField(hpack.HeaderField{Name: ":status", Value: "100"})
@@ -98,11 +99,11 @@
 	c.sendWindow -= int64(n)
 	s.sendWindow -= int64(n)
 	c.lastProgress, s.lastProgress = c.now, c.now
-	c.limits.credit(n >> 7) // not by the frame: a window that opens byte by byte is no use (CVE-2019-9511)
+	c.limits.credit(n >> 7) // by bytes, not frames: a window opened byte by byte is abuse (CVE-2019-9511)
 }
 
-// finishAnswer closes a stream whose answer is framed to its end. Where the client is still sending,
-// it is told to stop, by a reset that does not void the answer.
+// finishAnswer closes a stream whose answer is completely framed. If the client is still sending, a
+// reset with NO_ERROR tells it to stop, which does not void the answer.
 func (c *Conn) finishAnswer(s *Stream) {
 	s.answerPending = false
 	c.limits.credit(4)
--- a/internal/http2/shutdown.go
+++ b/internal/http2/shutdown.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Drain begins a shutdown without loss (RFC 9113 section 6.8): a first GOAWAY leaves open which
-// stream is the last; once the client has shown that it read it, or DrainWait is over, a
-// second one names the last that was opened, and later ones are not taken.
+// Drain begins a graceful shutdown (RFC 9113 section 6.8). A first GOAWAY does not yet name the
+// last stream. Once the client has shown that it read it, or after DrainTimeout, a second one names
+// the last stream that was opened, and later streams are not accepted.
 func (c *Conn) Drain(now time.Time) {
 	c.now = now
 	if c.drain != notDraining || c.ended {
@@ -26,8 +26,8 @@
 	_ = c.framer.WritePing(false, mark)
 }
 
-// StopNewStreams ends the wait that Drain began, or drains at once: what has been opened is served,
-// and nothing later is taken.
+// StopNewStreams ends the wait that Drain began, or drains at once: streams that are open are
+// served, and no later stream is accepted.
 func (c *Conn) StopNewStreams(now time.Time) {
 	c.now = now
 	if c.drain == draining || c.ended {
@@ -46,7 +46,7 @@
 	c.endIfDrained()
 }
 
-// endIfDrained ends a connection that drains and has no stream left.
+// endIfDrained ends a draining connection that has no open stream left.
 func (c *Conn) endIfDrained() {
 	if c.drain == draining && c.openStreams == 0 && !c.ended {
 		c.ended = true
@@ -54,7 +54,7 @@
 	}
 }
 
-// fail ends the connection for a fault of the client's (RFC 9113 section 5.4.1).
+// fail ends the connection because of a fault of the client's (RFC 9113 section 5.4.1).
 func (c *Conn) fail(code Code, reason string) {
 	if c.ended {
 		return
@@ -64,7 +64,7 @@
 	c.event(Event{Kind: Ended, Code: code, Reason: reason})
 }
 
-// Terminate ends the connection from the driver's side, with a reason for the client.
+// Terminate ends the connection on the driver's behalf, with a reason for the client.
 func (c *Conn) Terminate(code Code, reason string) {
 	if !c.prefaceReceived && !c.ended {
 		c.sendSettings()
@@ -72,8 +72,8 @@
 	c.fail(code, reason)
 }
 
-// Unanswered returns the streams that were Opened and not answered nor told as Gone. Once the connection is
-// over, none of them can have an answer any more.
+// Unanswered returns the streams that were Opened and neither answered nor reported as ClientReset.
+// Once the connection has ended, none of them can be answered any more.
 func (c *Conn) Unanswered() (lost []*Stream) {
 	for _, s := range c.streams {
 		if s.opened && !s.closed && !s.answered {
@@ -83,8 +83,8 @@
 	return lost
 }
 
-// Close lets go of all that is held for streams, when the connection is gone. It returns the
-// streams that were Opened, not answered in full and not told as Gone.
+// Close releases all that is held for streams, when the underlying connection is closed. It returns
+// the streams that were Opened, not completely answered and not reported as ClientReset.
 func (c *Conn) Close() (left []*Stream) {
 	c.ended = true
 	for _, s := range c.streams {
@@ -102,16 +102,16 @@
 	return left
 }
 
-// scheduleExpiry sees to it that Expire looks at what has begun now, once it may be due.
+// scheduleExpiry makes sure that Expire examines the streams once the given time has passed.
 func (c *Conn) scheduleExpiry(in time.Duration) {
 	c.nextDeadline = earlier(c.nextDeadline, c.now.Add(in))
 }
 
-// NextDeadline is when Expire may next have something to do; zero is never.
+// NextDeadline returns when Expire may next have something to do; zero means never.
 func (c *Conn) NextDeadline() time.Time { return c.nextDeadline }
 
-// Expire does what is due at a time, and returns Due. It looks at the streams only when one of
-// them may be due, however often it is called.
+// Expire applies the timeouts that have passed and returns NextDeadline. It examines the streams
+// only when one of them may be due, however often it is called.
 func (c *Conn) Expire(now time.Time) time.Time {
 	c.now = now
 	if c.ended || c.nextDeadline.IsZero() || now.Before(c.nextDeadline) {
@@ -151,14 +151,14 @@
 		}
 		c.nextDeadline = earlier(c.nextDeadline, due)
 	}
-	// Where not one byte of any answer moved for as long, the client has stopped reading.
+	// If no byte of any answer has moved for StallTimeout, the client has stopped reading.
 	if stalled > 0 && now.Sub(c.lastProgress) >= c.cfg.StallTimeout {
 		c.fail(EnhanceYourCalm, "the window stays shut")
 	}
 	return c.nextDeadline
 }
 
-// earlier is the earlier of two times of which zero is none.
+// earlier returns the earlier of two times; a zero time means none.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
--- a/internal/http2/stream.go
+++ b/internal/http2/stream.go
@@ -7,40 +7,40 @@
 	"golang.org/x/net/http2"
 )
 
-// Stream is one of a client's, from its head on. Fields in capitals are the driver's to read;
-// Data is the driver's own.
+// Stream is one stream of a client, from its head on. The driver may read the exported fields; Data
+// is for its own use.
 type Stream struct {
 	ID   uint32
 	Head Head
-	Body []byte // whole from the Whole event on, and the driver's to keep
+	Body []byte // complete from the BodyComplete event on; the driver may keep it
 	Data any
 
-	// Discard has the body counted and not kept; a driver that knows at Opened what it will
-	// answer sets it then. A body that ends too soon is still the client's fault.
+	// Discard makes the body be counted but not kept. A driver that already knows its answer at
+	// Opened sets it then. A body that ends too early is still the client's fault.
 	Discard bool
 
-	bodyReceived   int   // bytes of its body
-	sendWindow     int64 // the client's, for our DATA
-	recvWindow     int64 // ours, for the client's
-	reservedBody   int   // bytes that Admit allowed for it
-	reservedHead   int   // ... of which for its head
+	bodyReceived   int   // bytes of the body
+	sendWindow     int64 // the client's window for our DATA
+	recvWindow     int64 // our window for the client's DATA
+	reservedBody   int   // bytes granted by Admit for the head and the body
+	reservedHead   int   // the part of them for the head
 	openedAt       time.Time
-	lastProgress   time.Time // of the last piece of its body, or of its answer that moved
-	opened         bool      // told as Opened
-	remoteClosed   bool      // the client has sent all
-	answered       bool      // Answer was called
-	closed         bool      // reset; only its place is still taken
-	answerPending  bool      // in the queue or for its window
+	lastProgress   time.Time // of the last piece of the body, or of the answer
+	opened         bool      // the Opened event was created
+	remoteClosed   bool      // the client has sent END_STREAM
+	answered       bool      // an answer or reset was decided
+	closed         bool      // reset or finished; it may still count against MaxStreams
+	answerPending  bool      // in the queue or waiting for its window
 	queued         bool
-	headersFramed  bool // the answer's HEADERS are framed
+	headersFramed  bool // the HEADERS of the answer are framed
 	status         string
 	retryAfter     string
-	unsent         string // of the answer's body, not yet framed
-	reservedAnswer int    // bytes that Admit allowed for it
+	unsent         string // rest of the answer's body
+	reservedAnswer int    // bytes granted by Admit for the answer
 	nextFree       *Stream
 }
 
-// open makes a stream for a head that has begun.
+// open creates the stream of a head that has begun.
 func (c *Conn) open(id uint32) *Stream {
 	s := c.freeStreams
 	if s == nil {
@@ -56,7 +56,7 @@
 	return s
 }
 
-// releaseBody gives back what is held for a stream's body.
+// releaseBody releases what is held for a stream's head and body.
 func (c *Conn) releaseBody(s *Stream) {
 	if s.reservedBody > 0 {
 		c.cfg.Release(s.reservedBody)
@@ -65,7 +65,7 @@
 	s.Body = nil
 }
 
-// removeStream drops a stream that nothing is to be heard of any more.
+// removeStream removes a stream about which no further event follows.
 func (c *Conn) removeStream(s *Stream) {
 	c.releaseBody(s)
 	delete(c.streams, s.ID)
@@ -74,30 +74,32 @@
 		c.cfg.Release(s.reservedAnswer)
 		s.reservedAnswer = 0
 	}
-	if !s.queued { // its event may still be waiting; no stream is opened before that is taken
+	if !s.queued { // an event about it may still be pending; no stream is opened before that event is taken
 		s.nextFree, c.freeStreams = c.freeStreams, s
 	}
 }
 
-// closeStream closes a stream that has had its answer or its reset.
+// closeStream closes a stream that was answered or reset.
 func (c *Conn) closeStream(s *Stream) {
 	c.openStreams--
 	c.removeStream(s)
 	c.endIfDrained()
 }
 
-// ReleaseStream tells that the work for a stream that was told as Gone is over: its place is free.
+// ReleaseStream records that the work for a stream reported as ClientReset is over, so that it no
+// longer counts against MaxStreams.
 func (c *Conn) ReleaseStream(id uint32) {
 	if s := c.streams[id]; s != nil && s.closed {
 		c.removeStream(s)
 	}
 }
 
-// resetStream ends a stream by a reset of ours. Frames for it that have crossed it are ignored.
+// resetStream sends a reset of a stream. Frames for the stream that the client sent before it read
+// the reset are ignored.
 func (c *Conn) resetStream(s *Stream, code Code) {
 	_ = c.framer.WriteRSTStream(s.ID, code)
 	c.rememberReset(s.ID)
-	if s.opened && s.remoteClosed && !s.answered { // its work goes on, and holds its place
+	if s.opened && s.remoteClosed && !s.answered { // its work goes on, and counts against MaxStreams
 		c.detachStream(s)
 		return
 	}
@@ -108,7 +110,8 @@
 	c.closeStream(s)
 }
 
-// detachStream leaves of a stream nothing but its place: the driver still has to Free it.
+// detachStream closes a stream whose work still runs. It counts against MaxStreams until the driver
+// calls ReleaseStream.
 func (c *Conn) detachStream(s *Stream) {
 	s.closed, s.answerPending = true, false
 	c.releaseBody(s)
@@ -122,7 +125,8 @@
 	c.resetCount++
 }
 
-// recentlyReset says whether a frame for a stream that is over may have recentlyReset our reset of it.
+// recentlyReset reports whether we reset a stream recently, so that frames for it may have been
+// sent before the client read the reset.
 func (c *Conn) recentlyReset(id uint32) bool {
 	for _, r := range c.recentResets[:min(c.resetCount, rememberedResets)] {
 		if r == id {
@@ -132,8 +136,8 @@
 	return false
 }
 
-// streamError resets a stream for a fault of the client's. Each is counted: a client can have
-// us reset as cheaply as it can reset (CVE-2025-8671).
+// streamError resets a stream because of a fault of the client's. Each is counted: a client can
+// provoke our resets as cheaply as it can send its own (CVE-2025-8671).
 func (c *Conn) streamError(id uint32, code Code) {
 	if c.chargeReset(RapidReset) {
 		return
@@ -146,17 +150,17 @@
 	c.rememberReset(id)
 }
 
-// Reset ends a stream by a reset of the driver's.
+// Reset ends a stream with a reset on the driver's behalf.
 func (c *Conn) Reset(id uint32, code Code) {
 	s := c.streams[id]
 	if c.ended || s == nil || s.closed || s.answered {
 		return
 	}
-	s.answered = true // nothing is owed any more, and nothing to be told
+	s.answered = true // no answer and no event follow
 	c.resetStream(s, code)
 }
 
-// handleReset takes in a reset of the client's.
+// handleReset handles a reset by the client.
 func (c *Conn) handleReset(f *http2.RSTStreamFrame) {
 	if c.isIdle(f.StreamID) {
 		c.fail(http2.ErrCodeProtocol, "RST_STREAM for a stream that is idle")
@@ -180,8 +184,8 @@
 	c.closeStream(s)
 }
 
-// handleData takes in a piece of a body. What is not kept is given back to the connection's window at
-// once, and so is what is: bodies are bounded by Admit, not by the window.
+// handleData handles a piece of a body. Bytes are returned to the connection window at once,
+// whether they are kept or not: bodies are limited by Admit, not by the window.
 func (c *Conn) handleData(f *http2.DataFrame) {
 	n := int64(f.Length) // padding counts (RFC 9113 section 6.9)
 	if c.recvWindow -= n; c.recvWindow < 0 {
@@ -199,7 +203,7 @@
 	case c.isIdle(f.StreamID):
 		c.fail(http2.ErrCodeProtocol, "DATA for a stream that is idle")
 		return
-	case s != nil && s.answered && !s.remoteClosed: // its answer came first, and its reset will
+	case s != nil && s.answered && !s.remoteClosed: // answered before its body was complete; our reset follows the answer
 		s.remoteClosed = f.StreamEnded()
 		c.countUnproductive(ClosedStream, int(n))
 		return
@@ -233,7 +237,7 @@
 	}
 }
 
-// appendBody adds a piece to a stream's body, within the bounds.
+// appendBody adds a piece to a stream's body, within the limits.
 func (c *Conn) appendBody(s *Stream, piece []byte) bool {
 	s.bodyReceived += len(piece)
 	all := s.bodyReceived
@@ -262,8 +266,8 @@
 	return true
 }
 
-// reserve takes the room for a body of a size; where there is none, the stream is refused, and
-// the client may send it again.
+// reserve asks Admit for the memory of a body. If it is refused, the stream is refused, and the
+// client may send the request again.
 func (c *Conn) reserve(s *Stream, size int) bool {
 	more := size - s.reservedBody
 	if more <= 0 {
@@ -280,6 +284,7 @@
 	return true
 }
 
+// completeBody handles the end of a stream's body.
 func (c *Conn) completeBody(s *Stream) {
 	if s.Head.Length >= 0 && int64(s.bodyReceived) != s.Head.Length {
 		c.streamError(s.ID, http2.ErrCodeProtocol)
@@ -291,13 +296,13 @@
 	}
 }
 
-// reject answers a stream that is not to be read to its end: an answer without a body, then a
+// reject answers a stream before its body has arrived completely: an answer without a body, then a
 // reset that does not void it (RFC 9113 section 8.1).
 func (c *Conn) reject(s *Stream, status string) {
 	if s.opened && !s.answered && !s.remoteClosed {
 		c.event(Event{Kind: Aborted, Stream: s})
 	}
-	if s.answered { // its own answer is on its way; the rest of its body is not wanted
+	if s.answered { // its answer is being sent; the rest of its body is not needed
 		return
 	}
 	if c.chargeReset(RejectedRequest) {
@@ -307,17 +312,18 @@
 	c.enqueue(s)
 }
 
-// Answer gives a stream its final answer. A pause above zero goes into Retry-After, in seconds.
-// It says whether the stream was still there to be answered; body must not change after.
-func (c *Conn) Answer(id uint32, status int, pause time.Duration, body string, now time.Time) bool {
+// Answer gives a stream its final answer. A retryAfter above zero is sent in the Retry-After field,
+// in seconds. It reports whether the stream could still be answered; body must not change
+// afterwards.
+func (c *Conn) Answer(id uint32, status int, retryAfter time.Duration, body string, now time.Time) bool {
 	c.now = now
 	s := c.streams[id]
 	if c.ended || s == nil || s.closed || s.answered {
 		return false
 	}
-	s.answered, s.status, s.Data = true, statusText(status), nil // a stream is used again, and must not keep a body until then
-	if pause > 0 {
-		s.retryAfter = strconv.FormatFloat(pause.Seconds(), 'f', 3, 64)
+	s.answered, s.status, s.Data = true, statusText(status), nil // streams are reused, and must not hold driver data until then
+	if retryAfter > 0 {
+		s.retryAfter = strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64)
 	}
 	s.lastProgress = now
 	if s.remoteClosed {
@@ -326,7 +332,7 @@
 	if s.Head.Method == "HEAD" {
 		body = ""
 	}
-	// What the client does not take is not gathered up for it without end.
+	// Limits the bytes of answers that the client does not read.
 	if len(body) > smallAnswer {
 		if c.queuedBytes+len(body) > c.cfg.MaxQueuedBytes || !c.cfg.Admit(len(body)) {
 			c.reportAbuse(UnreadOutput)
@@ -342,7 +348,7 @@
 }
 
 func statusText(status int) string {
-	switch status { // the usual ones cost nothing
+	switch status { // the usual ones without an allocation
 	case 200:
 		return "200"
 	case 502:
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,7 +1,7 @@
-// Package logs makes the program's logger: one event a line, with fields, on zerolog.
+// Package logs creates the program's logger: one event per line, with fields, on zerolog.
 //
-// The message of a line is the name of its event, a constant text, written under the key
-// "event"; all that varies is a field. The limit on floods rests on that: it counts by event.
+// The message of a line is the name of its event: a constant text, written under the key "event".
+// Everything that varies is a field. The rate limit relies on that, as it counts by event.
 package logs
 
 import (
@@ -22,16 +22,16 @@
 	Text = "text"
 )
 
-// Limits on one event. A backend that refuses every connection or a client that sends nonsense
-// at full speed must not fill the disk; what was left out is told with the next line.
+// Rate limit of one event. A backend that refuses every connection or a client that sends garbage
+// at full speed must not fill the disk. The next line that passes states how many were dropped.
 const (
-	burstLines     = 50 // lines at once
-	linesPerSecond = 5  // lines a second from then on
-	maxEvents      = 256
+	burstLines     = 50  // lines at once
+	linesPerSecond = 5   // sustained rate
+	maxEvents      = 256 // names of events that are limited
 )
 
-// New makes a logger that writes to w. Level is one of trace, debug, info, warn, error and off,
-// format one of Auto, JSON and Text; what is neither is an error that names the wanted.
+// New returns a logger that writes to w. Level is one of trace, debug, info, warn, error and off;
+// format is one of Auto, JSON and Text. Any other value is an error that lists the valid ones.
 func New(w io.Writer, level, format string) (zerolog.Logger, error) {
 	l, err := zerolog.ParseLevel(level)
 	if level == "off" {
@@ -56,24 +56,25 @@
 	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00"
 }
 
-// rateLimit lets so many lines of an event pass and counts the rest.
+// rateLimit is a zerolog hook that limits the lines of each event and counts the dropped ones.
 type rateLimit struct {
 	mu     sync.Mutex
 	events map[string]*eventLimit
 }
 
+// eventLimit is the limit of one event.
 type eventLimit struct {
 	limiter *rate.Limiter
 	dropped int
 }
 
-// Run is zerolog's hook: it drops the line or adds how many were dropped before it.
+// Run drops the line, or adds to it how many lines of its event were dropped before it.
 func (f *rateLimit) Run(e *zerolog.Event, _ zerolog.Level, event string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	g := f.events[event]
 	if g == nil {
-		if len(f.events) >= maxEvents { // an event that is no constant after all: no memory for it
+		if len(f.events) >= maxEvents { // the event's text is not constant: do not use memory for it
 			return
 		}
 		g = &eventLimit{limiter: rate.NewLimiter(linesPerSecond, burstLines)}
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -12,7 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLines: a line is one JSON object with its event and fields; a level leaves lines out.
+// TestLines checks that a line is one JSON object with its event and fields, and that the level
+// filters lines.
 func TestLines(t *testing.T) {
 	var b bytes.Buffer
 	l, err := New(&b, "info", Auto)
@@ -33,8 +34,8 @@
 	}
 }
 
-// TestFlood: of a thousand lines of one event the first are written, another event is not held
-// up by them, and the next line after a while says how many were left out.
+// TestFlood checks that only the first of a thousand lines of one event are written, that another
+// event is not affected, and that the next line after a while states how many were dropped.
 func TestFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var b bytes.Buffer
--- a/internal/platform/buffer.go
+++ b/internal/platform/buffer.go
@@ -1,6 +1,6 @@
-// Package platform speaks the platform's protocol as state machines: they are fed the bytes
-// that a connection brought, and know no socket. What they hand out are slices of the buffer
-// that the bytes were read into.
+// Package platform parses and writes the platform's HTTP/1.1 protocol as state machines. They are
+// fed the bytes read from a connection and do no I/O themselves. What they return are slices of the
+// buffer that the bytes were read into.
 package platform
 
 import (
@@ -13,23 +13,24 @@
 	"sync"
 )
 
-// Bounds on what a peer may send.
+// Limits on what a peer may send, in bytes.
 const (
 	MaxHead      = 16 << 10
 	MaxBody      = 64 << 10
-	MaxLine      = 2 * MaxBody // a result of a full body, escaped
+	MaxLine      = 2 * MaxBody // a result of a full body, JSON-escaped
 	MaxList      = 1 << 20
 	minReadSpace = 4 << 10 // least space offered for a read
 )
 
-// buffer is what a connection's bytes are read into. Bytes from r to w are not yet taken.
+// buffer holds the bytes read from a connection. The bytes data[start:end] have not been consumed
+// yet.
 type buffer struct {
 	data       []byte
 	start, end int
 }
 
-// Space is where the next bytes are to be read. It never moves bytes that were handed out:
-// when the end is near, what is not yet taken goes on in a new buffer.
+// Space returns the space for the next read. It never moves bytes that were handed out: when the
+// buffer is nearly full, the unread bytes move to a new buffer.
 func (b *buffer) Space() []byte {
 	if len(b.data)-b.end < minReadSpace/4 {
 		b.grow(minReadSpace)
@@ -37,10 +38,10 @@
 	return b.data[b.end:]
 }
 
-// Filled tells that n bytes have been read into Space.
+// Filled records that n bytes have been read into Space.
 func (b *buffer) Filled(n int) { b.end += n }
 
-// grow moves what is not taken to a new buffer with space for n more bytes.
+// grow moves the unread bytes to a new buffer with space for n more.
 func (b *buffer) grow(n int) {
 	rest := b.data[b.start:b.end]
 	next := make([]byte, len(rest)+n)
@@ -48,9 +49,10 @@
 	b.data, b.start = next, 0
 }
 
-// rewind uses the buffer from its start again. Nothing that was handed out may be in use.
+// rewind moves the unread bytes to the start of the buffer. Nothing that was handed out may still
+// be in use.
 func (b *buffer) rewind() {
-	if len(b.data) > 4*minReadSpace { // one large body must not be paid for as long as the session lives
+	if len(b.data) > 4*minReadSpace { // do not hold the memory of one large body for the rest of the session
 		b.grow(minReadSpace)
 		return
 	}
@@ -62,7 +64,8 @@
 
 var errHeadTooLong = errors.New("the head is too long")
 
-// headBlock frames a head: it returns the bytes up to the empty line, or nil while more are due.
+// headBlock returns the bytes of a message head up to and including the empty line, or nil while
+// more bytes are needed.
 func (b *buffer) headBlock() ([]byte, error) {
 	rest := b.unread()
 	for at := 0; ; {
@@ -82,14 +85,14 @@
 	}
 }
 
-// messageHead is a messageHead that was parsed: its first line and its fields.
+// messageHead is a parsed message head: its first line and its fields.
 type messageHead struct {
 	firstLine string
 	fields    textproto.MIMEHeader
 }
 
-// headParser lets textproto read a framed block. textproto wants a reader and copies what
-// it returns; bodies, lines and lists stay slices.
+// headParser lets textproto parse a complete head. textproto needs a reader and copies what it
+// returns; bodies, lines and lists stay slices of the buffer.
 type headParser struct {
 	source bytes.Reader
 	reader *bufio.Reader
@@ -110,7 +113,7 @@
 	return h, err
 }
 
-// single is the value of a field, and whether it stands there just once or not at all.
+// single returns the value of a field, and whether the field occurs at most once.
 func (h *messageHead) single(name string) (string, bool) {
 	v := h.fields[name]
 	if len(v) == 0 {
@@ -119,7 +122,7 @@
 	return v[0], len(v) == 1
 }
 
-// hasToken says whether a field that holds a list of tokens names one.
+// hasToken reports whether a field that holds a list of tokens contains one.
 func (h *messageHead) hasToken(name, token string) bool {
 	for _, v := range h.fields[name] {
 		for part := range strings.SplitSeq(v, ",") {
@@ -131,8 +134,8 @@
 	return false
 }
 
-// contentLength is the Content-Length, -1 if there is none. Anything but plain digits is an error:
-// two readings of one contentLength would let a body pass for a second message.
+// contentLength returns the Content-Length, or -1 if there is none. Anything but plain digits is an
+// error: if two parties read a length differently, a body could pass for a second message.
 func (h *messageHead) contentLength() (int, error) {
 	v := h.fields["Content-Length"]
 	if len(v) == 0 {
--- a/internal/platform/chunks.go
+++ b/internal/platform/chunks.go
@@ -5,16 +5,17 @@
 	"strconv"
 )
 
-// maxChunkLine is the longest line of the framing: a size with what a client may add to it.
+// maxChunkLine is the longest line of the chunked framing: a chunk size with the extensions that a
+// client may add.
 const maxChunkLine = 256
 
-// chunkedBody takes a body in chunkedBody (RFC 9112 section 7.1) out of the bytes that come. Lines must end
-// in CR LF and sizes be plain digits: a second reading of the framing would let a body pass for a
-// second req. What clients add to sizes, and fields behind the last chunk, are read and left aside.
+// chunkedBody decodes a body in the chunked transfer coding (RFC 9112 section 7.1) from a buffer.
+// Lines must end in CR LF and sizes be plain digits: if a backend read the framing differently, a
+// body could pass for a second request. Chunk extensions and trailer fields are read and ignored.
 type chunkedBody struct {
 	state        chunkState
-	remaining    int // of the chunk
-	trailerBytes int // bytes of the fields behind the last chunk
+	remaining    int // of the current chunk
+	trailerBytes int // bytes of trailer fields so far
 	body         []byte
 }
 
@@ -23,13 +24,13 @@
 const (
 	chunkSize chunkState = iota
 	chunkData
-	chunkEnd // the line end behind a chunk's bytes
+	chunkEnd // the line end after a chunk's data
 	chunkTrailer
 	chunkDone
 )
 
-// decode takes what has come, and returns whether the body is whole. admit is asked before there are n
-// bytes of the body in all.
+// decode consumes the bytes in the buffer and reports whether the body is complete. It calls admit
+// with the new total size before the body's memory grows.
 func (c *chunkedBody) decode(b *buffer, admit func(n int) error) (whole bool, err error) {
 	for c.state != chunkDone {
 		if c.state == chunkData {
@@ -66,7 +67,8 @@
 	return true, nil
 }
 
-// reserve makes space for n more bytes. It grows by doubling, and asks for what it takes.
+// reserve makes space for n more bytes. The space grows by doubling, and admit is called with each
+// new size.
 func (c *chunkedBody) reserve(n int, admit func(n int) error) error {
 	need := len(c.body) + n
 	if need <= cap(c.body) {
--- a/internal/platform/list.go
+++ b/internal/platform/list.go
@@ -13,19 +13,19 @@
 	"tinsail/internal/core"
 )
 
-// List is what the director tells.
+// List is a list of backends as the director sends it.
 type List struct {
 	Index   uint64
 	Full    bool
 	Entries []core.Entry
 }
 
-var errMalformedList = errors.New("not a list of the protocol")
+var errMalformedList = errors.New("malformed list of backends")
 
-// ReadList reads a list. One that is bad in any entry is bad as a whole: half a list would
-// drop backends that are there.
+// ReadList parses a list. One invalid entry makes the whole list invalid: using the rest of it
+// would drop backends that exist.
 func (n *Names) ReadList(text []byte) (List, error) {
-	if !stdjson.Valid(text) { // the iterator takes a second { for a comma, and more of the kind
+	if !stdjson.Valid(text) { // jsoniter accepts some invalid JSON, such as a second { in place of a comma
 		return List{}, errMalformedList
 	}
 	it := json.BorrowIterator(text)
@@ -60,14 +60,15 @@
 	return list, nil
 }
 
-// atEnd says whether a text was read without a fault and has nothing behind what was read.
-// WhatIsNext alone does not tell: it calls an end and a byte that begins no value by one name.
+// atEnd reports whether the text was read without an error and nothing follows what was read.
+// WhatIsNext alone is not enough: it returns InvalidValue both at the end and for a byte that
+// begins no value.
 func atEnd(it *jsoniter.Iterator) bool {
 	return it.Error == nil && it.WhatIsNext() == jsoniter.InvalidValue && it.Error == io.EOF
 }
 
-// readEntry reads one line of a list. An unknown zone or kind reads as the first, an unknown
-// status as Terminating: nothing new goes to a backend in a state that is not known.
+// readEntry parses one entry of a list. An unknown zone or kind becomes the first one. An unknown
+// status counts as Terminating, so that no new request goes to a backend in an unknown state.
 func (n *Names) readEntry(it *jsoniter.Iterator) (e core.Entry, ok bool) {
 	status := ""
 	for field := it.ReadObject(); field != ""; field = it.ReadObject() {
--- a/internal/platform/reply.go
+++ b/internal/platform/reply.go
@@ -12,32 +12,32 @@
 	"tinsail/internal/core"
 )
 
-// Part is what Replies finds in a peer's bytes.
+// Part is what ReplyParser.Next found.
 type Part uint8
 
 // Parts of a reply.
 const (
-	NeedMore Part = iota // more bytes are due
-	Head                 // a head: see Status, Load and the rest
-	Line                 // a line of the body, or all of it at once
-	End                  // the reply is whole; Keep says whether another may follow
+	NeedMore Part = iota // more bytes are needed
+	Head                 // a head: see Status, Load and the other fields
+	Line                 // one line of the body, or the whole body
+	End                  // the reply is complete; KeepAlive reports whether another may follow
 )
 
-// ReplyParser takes in what a backend or the director sends: a head, and a body in chunks, of a
-// stated length, or up to the connection's end.
+// ReplyParser parses the replies of a backend or the director: a head, and a body that is chunked,
+// has a Content-Length, or ends with the connection.
 type ReplyParser struct {
 	buffer
 	Status                   int
-	Unprocessed              bool   // it says that the req never ran
-	Load                     string // a load report in the head
+	Unprocessed              bool   // the backend states that the request never ran
+	Load                     string // load report from the head
 	KeepAlive                bool
-	wholeBody                bool // bodies come as one part
-	maxPart                  int  // bytes of a part
+	wholeBody                bool // return each body as one part
+	maxPart                  int  // limit of a part, in bytes
 	state                    replyState
 	chunked                  bool
-	remaining                int // of the chunk or body; -1 for all up to the connection's end
-	pendingStart, pendingEnd int // what is decoded and not handed out lies in the buffer from here to here
-	scanned                  int // no line ends before this
+	remaining                int // of the chunk or body; -1 if the body ends with the connection
+	pendingStart, pendingEnd int // range of the buffer that is decoded and not handed out
+	scanned                  int // no line ends before this offset
 }
 
 type replyState uint8
@@ -46,21 +46,22 @@
 	inHead replyState = iota
 	inSize
 	inData
-	inChunkEnd // the line end behind a chunk
+	inChunkEnd // the line end after a chunk
 	inTrailer
-	inRemainder // handing out what is left of the body
+	inRemainder // handing out the rest of the body
 )
 
-// NewReplyParser makes a machine that hands out bodies by line, or whole.
-func NewReplyParser(whole bool, most int) *ReplyParser {
-	return &ReplyParser{wholeBody: whole, maxPart: most}
+// NewReplyParser returns a parser that hands out bodies line by line, or whole, with at most
+// maxPart bytes in one part.
+func NewReplyParser(whole bool, maxPart int) *ReplyParser {
+	return &ReplyParser{wholeBody: whole, maxPart: maxPart}
 }
 
-var errMalformedReply = errors.New("not a reply of the protocol")
+var errMalformedReply = errors.New("malformed reply")
 
-// Space is where the next bytes are to be read.
+// Space returns the space for the next read.
 func (m *ReplyParser) Space() []byte {
-	if len(m.data)-m.end < minReadSpace/4 { // what is decoded moves on with what is not
+	if len(m.data)-m.end < minReadSpace/4 { // move the decoded bytes together with the unread ones
 		start := min(m.pendingStart, m.start)
 		if m.pendingStart == m.pendingEnd {
 			start = m.start
@@ -74,12 +75,12 @@
 	return m.data[m.end:]
 }
 
-// Next returns the next part. The bytes of a Line stay as they are until Space is called.
+// Next returns the next part. The bytes of a Line stay valid until Space is called.
 func (m *ReplyParser) Next() (Part, []byte, error) {
 	for {
 		switch m.state {
 		case inHead:
-			if m.start == m.end { // nothing that was handed out is in use when the next reply begins
+			if m.start == m.end { // no handed-out bytes are in use when the next reply begins
 				m.start, m.end = 0, 0
 			}
 			block, err := m.headBlock()
@@ -90,7 +91,7 @@
 				return NeedMore, nil, err
 			}
 			if m.Status < 200 {
-				continue // an interim answer
+				continue // an interim response
 			}
 			m.pendingStart, m.pendingEnd, m.scanned = m.start, m.start, m.start
 			return Head, nil, nil
@@ -102,7 +103,7 @@
 			if m.pendingStart == m.pendingEnd {
 				m.pendingStart, m.pendingEnd, m.scanned = m.start, m.start, m.start
 			}
-			if m.pendingEnd != m.start { // close the gap that the framing left
+			if m.pendingEnd != m.start { // close the gap left by the chunk framing
 				copy(m.data[m.pendingEnd:], m.data[m.start:m.start+n])
 			}
 			m.pendingEnd, m.start = m.pendingEnd+n, m.start+n
@@ -124,7 +125,7 @@
 				return NeedMore, nil, nil
 			}
 		case inChunkEnd, inSize, inTrailer:
-			if line := m.nextLine(); line != nil { // lines that the last chunk still holds
+			if line := m.nextLine(); line != nil { // lines completed by the last chunk
 				return Line, line, nil
 			}
 			text, ok := m.framingLine()
@@ -152,7 +153,8 @@
 	}
 }
 
-// ConnectionClosed tells that the connection ended. A body without a stated length is whole by that.
+// ConnectionClosed records that the connection ended, and reports whether that completes a body
+// without a stated length.
 func (m *ReplyParser) ConnectionClosed() (whole bool) {
 	if m.state == inData && m.remaining < 0 {
 		m.state, m.remaining = inRemainder, 0
@@ -161,6 +163,7 @@
 	return false
 }
 
+// nextLine returns the next non-empty line of the body that is complete, or nil.
 func (m *ReplyParser) nextLine() []byte {
 	if m.wholeBody {
 		return nil
@@ -181,7 +184,7 @@
 	return nil
 }
 
-// framingLine is the next line of the framing, without its LF.
+// framingLine returns the next line of the chunked framing, without its LF.
 func (m *ReplyParser) framingLine() (string, bool) {
 	i := bytes.IndexByte(m.unread(), '\n')
 	if i < 0 {
@@ -192,8 +195,9 @@
 	return s, true
 }
 
-// handleFramingLine takes a line of the framing. One of chunks ends in CR LF, as net/http has it: two readings of
-// the framing would let a body pass for a second reply.
+// handleFramingLine handles one line of the chunked framing. Lines of chunks must end in CR LF, as
+// net/http requires: if the framing could be read in two ways, a body could pass for a second
+// reply.
 func (m *ReplyParser) handleFramingLine(text string) error {
 	text, cr := strings.CutSuffix(text, "\r")
 	if !cr && m.state != inTrailer {
@@ -217,7 +221,7 @@
 	case inTrailer:
 		if text == "" {
 			m.state = inRemainder
-		} else if strings.IndexByte(text, ':') <= 0 { // no field: the next reply's head must not pass for one
+		} else if strings.IndexByte(text, ':') <= 0 { // not a field: the head of the next reply must not pass for a trailer
 			return errMalformedReply
 		}
 	}
@@ -240,15 +244,15 @@
 		return nil
 	}
 	unprocessed, once := h.single("X-Unprocessed")
-	m.Unprocessed = once && unprocessed == "1" // two of them prove nothing
+	m.Unprocessed = once && unprocessed == "1" // a repeated field proves nothing
 	m.Load, _ = h.single("X-Backend-Load")
 	m.KeepAlive = !h.hasToken("Connection", "close") && version != "HTTP/1.0"
 	m.chunked = h.hasToken("Transfer-Encoding", "chunked")
 	m.state = inData
-	if m.chunked && version == "HTTP/1.0" { // knows no chunks (RFC 9112 section 6.1)
+	if m.chunked && version == "HTTP/1.0" { // HTTP/1.0 has no chunked coding (RFC 9112 section 6.1)
 		return errMalformedReply
 	}
-	if status == 204 || status == 304 { // no body, whatever the head says (section 6.3)
+	if status == 204 || status == 304 { // no body, whatever the head states (section 6.3)
 		m.remaining, m.chunked = 0, false
 		return nil
 	}
@@ -265,21 +269,21 @@
 	return nil
 }
 
-// JobUpdate is what a line of a backend says.
+// JobUpdate is one status line that a backend sends about a job.
 type JobUpdate struct {
-	Last     bool // the attempt has ended, as Ending
+	Last     bool // the attempt has ended, as Ending says
 	Ending   core.Ending
 	Started  bool
 	Progress float64
-	Result   string // a copy: it goes to the client when the buffer is another req's
+	Result   string // a copy: it is sent to the client after the buffer is reused
 	Report   []float32
 }
 
-var errMalformedLine = errors.New("not a line of the protocol")
+var errMalformedLine = errors.New("malformed status line of a job")
 
 var json = jsoniter.ConfigDefault
 
-// ReadLine reads a backend's line about the req with this id.
+// ReadLine parses a backend's line about the request with this id.
 func (n *Names) ReadLine(line []byte, id string) (news JobUpdate, err error) {
 	it := json.BorrowIterator(line)
 	defer json.ReturnIterator(it)
@@ -331,8 +335,8 @@
 	return news, nil
 }
 
-// readReport reads a load readReport into the settings' order of columns. A column that is absent
-// is zero, as on the simulator's wire.
+// readReport reads a load report into the settings' order of columns. An absent column is zero, as
+// in the simulator's protocol.
 func (n *Names) readReport(it *jsoniter.Iterator) []float32 {
 	if it.WhatIsNext() != jsoniter.ObjectValue {
 		it.Skip()
@@ -362,7 +366,7 @@
 	return values
 }
 
-// ReadLoad reads a load report that stands alone; one that cannot be read is none.
+// ReadLoad parses a load report from a header field. It returns nil for one that cannot be parsed.
 func (n *Names) ReadLoad(text string) []float32 {
 	if text == "" {
 		return nil
@@ -375,7 +379,7 @@
 	return nil
 }
 
-// Ending is how an attempt ended that was answered with this head, if it is not 200.
+// Ending returns how an attempt ended whose reply has this head, for a status other than 200.
 func (m *ReplyParser) Ending() core.Ending {
 	if m.Unprocessed && (m.Status == 503 || m.Status == 504) {
 		return core.Returned
@@ -386,5 +390,5 @@
 	return core.Failed
 }
 
-// HasExtraBytes says whether bytes are there that no request asked for.
+// HasExtraBytes reports whether the buffer holds bytes that belong to no request.
 func (m *ReplyParser) HasExtraBytes() bool { return m.start < m.end }
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -12,29 +12,29 @@
 	"tinsail/internal/balance"
 )
 
-// RequestError is why a client's bytes are refused, as the status of the answer.
+// RequestError is why a client's request is refused, with the status of the answer.
 type RequestError struct {
 	Status     int
 	Reason     string
-	RetryAfter time.Duration // advice when to come back, 0 for none
+	RetryAfter time.Duration // value of Retry-After, 0 for none
 }
 
 func (b *RequestError) Error() string { return fmt.Sprintf("%d: %s", b.Status, b.Reason) }
 
-// Request is a whole message of a client. Body is a slice of the buffer it came in.
+// Request is one complete request of a client. Body is a slice of the buffer it was read into.
 type Request struct {
 	Method, Target  string
 	Body            []byte
-	Close           bool // the client will send no more on this connection
+	Close           bool // the client will send no further request on this connection
 	Fields          Fields
-	expectsContinue bool // it waits to be told to send its body
-	chunked         bool // its body comes in chunks
+	expectsContinue bool // Expect: 100-continue
+	chunked         bool // the body has the chunked transfer coding
 }
 
-// Field is a field of a head that reqs are made of.
+// Field identifies a header field that the dispatcher reads from a request.
 type Field uint8
 
-// Fields of a req. Clients write them as FieldNames has them.
+// Header fields of a request, named in FieldNames.
 const (
 	CorrelationID Field = iota
 	ServiceClass
@@ -47,23 +47,24 @@
 	fieldCount
 )
 
-// maxWeightHint is the heaviest work that a client may guess, in microseconds: a day.
+// maxWeightHint is the largest estimate of work that a client may give, in microseconds: one day.
 const maxWeightHint = 24 * 3600 * 1e6
 
-// FieldNames are the fields' names, as HTTP/1.1 writes them; in HTTP/2 they are in lower case.
+// FieldNames are the fields' names as HTTP/1.1 writes them. HTTP/2 writes them in lower case.
 var FieldNames = [fieldCount]string{"X-Correlation-Id", "X-Service-Class", "X-Time-Left-Ms", "Idempotency-Key", "X-Repeat", "X-Facts",
 	"X-Weight-Hint", "X-Account"}
 
-// Value is what stands in a field: its first text, and how often it stands there.
+// Value is the first value of a field, and how often the field occurs.
 type Value struct {
 	Text  string
 	Count int
 }
 
-// Fields are those of one head. A front fills them as it finds them; Read judges them.
+// Fields are the header fields of one request. A front fills them in as received; ReadJobRequest
+// validates them.
 type Fields [fieldCount]Value
 
-// Add takes a field down, as it stands in a head.
+// Add records one occurrence of a field.
 func (f *Fields) Add(name Field, text string) {
 	if v := &f[name]; v.Count == 0 {
 		*v = Value{text, 1}
@@ -72,27 +73,27 @@
 	}
 }
 
-// RequestParser takes in what a client sends.
+// RequestParser parses the requests that a client sends on one connection.
 type RequestParser struct {
 	buffer
-	// Admit, if set, is asked before there is space for so many bytes of a body in all, and refuses
-	// it by an error. Of a body in chunks it is asked again as it grows.
+	// Admit, if set, is called with the size of a body before memory is allocated for it; an error
+	// refuses the request. For a chunked body it is called again as the body grows.
 	Admit       func(length int) error
 	current     *Request
-	bodyLength  int // bytes of the body
+	bodyLength  int // bytes of the current body, if it is not chunked
 	chunks      chunkedBody
 	err         error
 	continueDue bool
 }
 
-// Next returns the next whole request, or nil while more bytes are due. An error is a *Bad
-// and ends the session.
+// Next returns the next complete request, or nil while more bytes are needed. An error is a
+// *RequestError and ends the session.
 func (m *RequestParser) Next() (*Request, error) {
 	if m.err != nil {
 		return nil, m.err
 	}
 	if m.current == nil {
-		for m.start < m.end && (m.data[m.start] == '\r' || m.data[m.start] == '\n') { // empty lines before a request
+		for m.start < m.end && (m.data[m.start] == '\r' || m.data[m.start] == '\n') { // skip empty lines before a request
 			m.start++
 		}
 		block, err := m.headBlock()
@@ -145,20 +146,21 @@
 	return m.err
 }
 
-// WantsContinue says, once for each such request, that the client waits to be told to send on.
+// WantsContinue reports, once for each such request, that the client waits for 100 Continue before
+// it sends the body.
 func (m *RequestParser) WantsContinue() bool {
 	c := m.continueDue
 	m.continueDue = false
 	return c
 }
 
-// Partial says whether a request has begun and is not whole.
+// Partial reports whether a request has begun and is not complete.
 func (m *RequestParser) Partial() bool { return m.current != nil || m.start < m.end }
 
-// Buffered is how many bytes lie behind the last request that Next returned.
+// Buffered returns the number of bytes after the last request that Next returned.
 func (m *RequestParser) Buffered() int { return m.end - m.start }
 
-// DiscardSpace is space for bytes that nobody will read.
+// DiscardSpace returns space to read bytes into that will be discarded.
 func (m *RequestParser) DiscardSpace() []byte {
 	if len(m.data) < minReadSpace {
 		m.data = make([]byte, minReadSpace)
@@ -166,7 +168,8 @@
 	return m.data
 }
 
-// Done tells that the last request is answered; free, that its bytes are in no use.
+// Done records that the last request is answered. If free is set, its bytes are no longer in use
+// and the buffer is reused.
 func (m *RequestParser) Done(free bool) {
 	if free {
 		m.rewind()
@@ -190,11 +193,11 @@
 	coding, once := h.single("Transfer-Encoding")
 	if coded := len(h.fields["Transfer-Encoding"]) > 0; coded {
 		switch {
-		case len(h.fields["Content-Length"]) > 0: // RFC 9112 section 6.1: the body may hide another req
+		case len(h.fields["Content-Length"]) > 0: // RFC 9112 section 6.1: the body may hide another request
 			return nil, 0, badRequest("a length and a Transfer-Encoding")
 		case parts[2] == "HTTP/1.0":
 			return nil, 0, badRequest("a Transfer-Encoding in HTTP/1.0")
-		case !once || !strings.EqualFold(coding, "chunked"): // nothing else that we could decode, nor guess the end of
+		case !once || !strings.EqualFold(coding, "chunked"): // no other coding can be decoded, nor its end found
 			return nil, 0, &RequestError{Status: 501, Reason: "an unknown Transfer-Encoding"}
 		}
 	}
@@ -212,8 +215,8 @@
 	return q, max(n, 0), nil
 }
 
-// visibleASCII says whether a text may go into a head of our own: with a stray line end, one req
-// could pass for two.
+// visibleASCII reports whether a text may be copied into the head of a request to a backend. With a
+// stray line end in it, one request could pass for two.
 func visibleASCII(text string) bool {
 	for _, c := range []byte(text) {
 		if c <= ' ' || c >= 0x7f {
@@ -223,36 +226,38 @@
 	return true
 }
 
-// Path is the target without its query.
+// Path returns the target without its query.
 func (q *Request) Path() string {
 	path, _, _ := strings.Cut(q.Target, "?")
 	return path
 }
 
-// maxID is the longest id or key that is passed on. Ids are remembered for a while.
+// maxID is the longest id or key that is forwarded. Ids are remembered for a while, so their size
+// is bounded.
 const maxID = 256
 
-// Names are the names that stand on the sockets for the module's numbers.
+// Names maps the names used in requests, replies and lists to the indexes that the settings give
+// them.
 type Names struct {
 	Classes     []string
-	RequiresKey []bool          // a class's reqs carry an Idempotency-Key
-	Deadlines   []time.Duration // how long a client of each class waits in all
+	RequiresKey []bool          // by class: requests must carry an Idempotency-Key
+	Deadlines   []time.Duration // by class: how long a client waits in all
 	Tenants     []string
 	Zones       []string
 	Kinds       []string
 	Columns     []string // of a load report
 }
 
-// JobRequest is what a client asks for.
+// JobRequest is what a client asks for, parsed and validated.
 type JobRequest struct {
-	Request        balance.Request // ID and Deadline are the core's to set
+	Request        balance.Request // ID and Deadline are set by the core
 	ID             string
 	IdempotencyKey string
 	TimeLeft       time.Duration
 }
 
-// ReadJobRequest makes a req of a POST. What is absent stays zero, as it does for the simulator's
-// adapter.
+// ReadJobRequest validates a POST request and converts it for the core. What is absent stays zero,
+// as in the simulator's adapter.
 func (n *Names) ReadJobRequest(q *Request) (w JobRequest, err error) {
 	bad := func(status int, reason string) (JobRequest, error) {
 		return JobRequest{}, &RequestError{Status: status, Reason: reason}
@@ -261,7 +266,7 @@
 		return bad(400, "a bad path")
 	}
 	for f := range q.Fields {
-		if v := &q.Fields[f]; v.Count > 0 && v.Text == "" && Field(f) <= IdempotencyKey { // not the same as absent: it was to say something
+		if v := &q.Fields[f]; v.Count > 0 && v.Text == "" && Field(f) <= IdempotencyKey { // an empty value differs from an absent field: the client meant to state something
 			return bad(400, "an empty "+FieldNames[f])
 		}
 	}
@@ -279,7 +284,7 @@
 	if class == "" {
 		class = first
 	}
-	if class != first { // two readings of one request: backends could take another than we do
+	if class != first { // a backend that reads the class from the other place would run another request
 		return bad(404, "a path that is not of the class")
 	}
 	w.Request.Class = -1
@@ -291,7 +296,7 @@
 	if w.Request.Class < 0 {
 		return bad(404, "an unknown class")
 	}
-	if n.RequiresKey[w.Request.Class] && w.IdempotencyKey == "" { // no backend could tell its repeat
+	if n.RequiresKey[w.Request.Class] && w.IdempotencyKey == "" { // without a key no backend could recognise a repeat
 		return bad(400, "no Idempotency-Key")
 	}
 	if w.TimeLeft = n.Deadlines[w.Request.Class]; left != "" {
@@ -301,7 +306,7 @@
 		}
 		w.TimeLeft = time.Duration(ms) * time.Millisecond
 	}
-	if hint := q.Fields[WeightHint].Text; hint != "" { // a guess at the work, in microseconds
+	if hint := q.Fields[WeightHint].Text; hint != "" { // the client's estimate of the work, in microseconds
 		us, err := strconv.ParseFloat(hint, 64)
 		if err != nil || !(us >= 0 && us <= maxWeightHint) {
 			return bad(400, "a bad X-Weight-Hint")
@@ -309,7 +314,7 @@
 		w.Request.Work = us / 1000
 	}
 	w.Request.Tenant = slices.Index(n.Tenants, q.Fields[Account].Text)
-	if w.Request.Tenant < 0 { // absent, or none that the settings name: in no tenant's share
+	if w.Request.Tenant < 0 { // absent or not in the settings: counted in no tenant's share
 		w.Request.Tenant = len(n.Tenants)
 	}
 	w.Request.Retry = q.Fields[Repeat].Text == "1"
@@ -325,7 +330,7 @@
 		default:
 			continue
 		}
-		v, err := strconv.ParseFloat(value, 32) // as wide as the simulator's
+		v, err := strconv.ParseFloat(value, 32) // single precision, as in the simulator's protocol
 		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			return bad(400, "a bad X-Facts")
 		}
@@ -334,8 +339,9 @@
 	return w, nil
 }
 
-// requestKey is what a request concerns: the last part of a path that has more than the class.
-// A hexadecimal number is taken as it is, other text by its hash; 0 is none.
+// requestKey returns the key of the object that a request concerns, from the last segment of a path
+// that has more than the class. A hexadecimal number is used as it is, other text is hashed; 0
+// means none.
 func requestKey(rest string) uint64 {
 	last := rest[strings.LastIndexByte(rest, '/')+1:]
 	if last == "" {
@@ -347,7 +353,7 @@
 	return Hash(last)
 }
 
-// Hash spreads a name over 64 bits, alike at every dispatcher.
+// Hash maps a name to 64 bits, identically in every dispatcher.
 func Hash(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
--- a/internal/platform/write.go
+++ b/internal/platform/write.go
@@ -7,14 +7,15 @@
 	"tinsail/internal/core"
 )
 
-// PolicyStamp is the version of the fleet's policy that a job was taken by, and by which dispatcher.
+// PolicyStamp is the version of the fleet's policy under which a job was accepted, and the
+// dispatcher that accepted it.
 type PolicyStamp struct {
-	Version    uint64 // 0 for none: then nothing of it is written
+	Version    uint64 // 0: neither field is written
 	Dispatcher string
 }
 
-// AppendJob writes the head of a job for a backend; the body follows as it is. v is nil where
-// dispatchers agree on no policy.
+// AppendJob appends the head of a job for a backend. The caller sends the body after it. v is nil
+// where the dispatchers agree on no policy.
 func AppendJob(b []byte, j *core.Job, host string, left time.Duration, v *PolicyStamp) []byte {
 	b = append(b, j.Method...)
 	b = append(b, ' ')
@@ -40,17 +41,17 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// AppendGet writes a request without a body.
+// AppendGet appends a GET request.
 func AppendGet(b []byte, target, host string) []byte {
 	b = append(append(b, "GET "...), target...)
 	b = append(append(b, " HTTP/1.1\r\nHost: "...), host...)
 	return append(b, "\r\n\r\n"...)
 }
 
-// ListTarget is the target of a call for the whole list.
+// ListTarget is the request target for the full list.
 const ListTarget = "/registry/instances"
 
-// AppendWatchTarget is the target of a watch for what is newer than index.
+// AppendWatchTarget appends the request target of a watch for changes after index.
 func AppendWatchTarget(b []byte, index uint64, wait time.Duration) []byte {
 	b = append(b, "/registry/instances?since="...)
 	b = strconv.AppendUint(b, index, 10)
@@ -62,19 +63,20 @@
 	408: "Request Timeout", 409: "Conflict", 411: "Length Required", 413: "Content Too Large", 431: "Request Header Fields Too Large",
 	501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable"}
 
-// AppendAnswer writes an answer to a client.
-func AppendAnswer(b []byte, status int, pause time.Duration, closing bool, body string) []byte {
-	return AppendAnswerWithFields(b, status, pause, closing, "", body)
+// AppendAnswer appends an answer to a client.
+func AppendAnswer(b []byte, status int, retryAfter time.Duration, closing bool, body string) []byte {
+	return AppendAnswerWithFields(b, status, retryAfter, closing, "", body)
 }
 
-// AppendAnswerWithFields writes an answer with further fields: whole lines, each with its end.
-func AppendAnswerWithFields(b []byte, status int, pause time.Duration, closing bool, fields, body string) []byte {
+// AppendAnswerWithFields appends an answer with further header fields: complete lines, each with
+// its line end.
+func AppendAnswerWithFields(b []byte, status int, retryAfter time.Duration, closing bool, fields, body string) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(append(b, ' '), reasonPhrases[status]...)
-	if pause > 0 {
+	if retryAfter > 0 {
 		b = append(b, "\r\nRetry-After: "...)
-		b = strconv.AppendFloat(b, pause.Seconds(), 'f', 3, 64)
+		b = strconv.AppendFloat(b, retryAfter.Seconds(), 'f', 3, 64)
 	}
 	if closing {
 		b = append(b, "\r\nConnection: close"...)
@@ -86,7 +88,8 @@
 	return append(b, body...)
 }
 
-// AppendFinalAnswer writes a req's final answer. Only a backend's result is ever a 200.
+// AppendFinalAnswer appends the final answer to a request. Only a backend's result is sent as a
+// 200.
 func AppendFinalAnswer(b []byte, a core.Answer, closing bool) []byte {
 	switch a.Kind {
 	case core.Result:
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the frames, codes and settings of the wire that
-// the dispatcher's adapter speaks. It decides nothing.
+// Package wire encodes and decodes the frames, codes and settings of the simulator's protocol,
+// which the dispatcher's adapter speaks. It makes no decisions.
 package wire
 
 import (
@@ -42,10 +42,10 @@
 	ActSubscribe = 120
 )
 
-// EntrySize is the size of one entry of a sheet.
+// EntrySize is the size of one entry of a worker list, in bytes.
 const EntrySize = 24
 
-// maxFrame bounds a frame's announced size, so that nonsense is not allocated.
+// maxFrame limits the announced size of a frame, so that an invalid length is not allocated.
 const maxFrame = 1 << 30
 
 // Batch is one frame of events.
@@ -55,19 +55,19 @@
 	Records []byte
 }
 
-// ReadBatch reads one frame into buf, growing it as needed. It returns io.EOF only
-// at a clean end between frames.
+// ReadBatch reads one frame into buf, growing it as needed. It returns io.EOF only at a clean end
+// between frames.
 func ReadBatch(r io.Reader, buf []byte) (Batch, []byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		if errors.Is(err, io.EOF) {
 			return Batch{}, buf, io.EOF
 		}
-		return Batch{}, buf, fmt.Errorf("reading a frame's length: %w", err)
+		return Batch{}, buf, fmt.Errorf("reading the length of a frame: %w", err)
 	}
 	n := binary.LittleEndian.Uint32(head[:])
 	if n < 12 || n > maxFrame {
-		return Batch{}, buf, fmt.Errorf("a frame of %d bytes makes no sense", n)
+		return Batch{}, buf, fmt.Errorf("invalid frame length of %d bytes", n)
 	}
 	if cap(buf) < int(n) {
 		buf = make([]byte, n)
@@ -78,7 +78,7 @@
 	}
 	clock := math.Float64frombits(binary.LittleEndian.Uint64(buf))
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
-		return Batch{}, buf, errors.New("the clock is not a number")
+		return Batch{}, buf, errors.New("the clock is not a finite number")
 	}
 	return Batch{Clock: clock, Count: int(binary.LittleEndian.Uint32(buf[8:])), Records: buf[12:]}, buf, nil
 }
@@ -86,17 +86,17 @@
 // NextRecord splits off the first record of a batch's remaining records.
 func NextRecord(rest []byte) (code byte, f Fields, after []byte, err error) {
 	if len(rest) < 5 {
-		return 0, f, nil, errors.New("a record's head is cut short")
+		return 0, f, nil, errors.New("truncated record header")
 	}
 	n := int(binary.LittleEndian.Uint32(rest[1:]))
 	if n > len(rest)-5 {
-		return 0, f, nil, fmt.Errorf("record %d says %d bytes, %d are left", rest[0], n, len(rest)-5)
+		return 0, f, nil, fmt.Errorf("record %d states a length of %d bytes, but only %d are left", rest[0], n, len(rest)-5)
 	}
 	return rest[0], Fields{b: rest[5 : 5+n]}, rest[5+n:], nil
 }
 
-// Fields reads a record's fields in sequence. Fields that a shorter record lacks
-// read as zero: absent values are zero on this wire.
+// Fields decodes a record's fields in sequence. Fields that a shorter record lacks are read as
+// zero: absent values are zero in this protocol.
 type Fields struct{ b []byte }
 
 func (f *Fields) next(n int) []byte {
@@ -109,7 +109,7 @@
 	return p
 }
 
-// U8 reads one byte.
+// U8 reads an unsigned byte.
 func (f *Fields) U8() uint8 {
 	if p := f.next(1); p != nil {
 		return p[0]
@@ -117,7 +117,7 @@
 	return 0
 }
 
-// U16 reads two bytes.
+// U16 reads a 16-bit unsigned integer.
 func (f *Fields) U16() uint16 {
 	if p := f.next(2); p != nil {
 		return binary.LittleEndian.Uint16(p)
@@ -125,7 +125,7 @@
 	return 0
 }
 
-// U32 reads four bytes.
+// U32 reads a 32-bit unsigned integer.
 func (f *Fields) U32() uint32 {
 	if p := f.next(4); p != nil {
 		return binary.LittleEndian.Uint32(p)
@@ -133,7 +133,7 @@
 	return 0
 }
 
-// U64 reads eight bytes.
+// U64 reads a 64-bit unsigned integer.
 func (f *Fields) U64() uint64 {
 	if p := f.next(8); p != nil {
 		return binary.LittleEndian.Uint64(p)
@@ -141,13 +141,13 @@
 	return 0
 }
 
-// F32 reads a short float.
+// F32 reads a 32-bit float.
 func (f *Fields) F32() float64 { return float64(math.Float32frombits(f.U32())) }
 
-// F64 reads a long float.
+// F64 reads a 64-bit float.
 func (f *Fields) F64() float64 { return math.Float64frombits(f.U64()) }
 
-// Worker reads four bytes of address and a port, packed into one number.
+// Worker reads a worker's id: four bytes of IPv4 address and two of port, packed into one number.
 func (f *Fields) Worker() uint64 {
 	p := f.next(6)
 	if p == nil {
@@ -156,11 +156,11 @@
 	return uint64(binary.LittleEndian.Uint32(p)) | uint64(binary.LittleEndian.Uint16(p[4:]))<<32
 }
 
-// Bytes reads a count of four bytes and as many bytes, failing if they are missing.
+// Bytes reads a four-byte count and that many bytes. It fails if they are missing.
 func (f *Fields) Bytes() ([]byte, error) {
 	n := int(f.U32())
 	if n > len(f.b) {
-		return nil, fmt.Errorf("a text of %d bytes is cut short at %d", n, len(f.b))
+		return nil, fmt.Errorf("a text of %d bytes is truncated at %d", n, len(f.b))
 	}
 	return f.next(n), nil
 }
@@ -174,10 +174,10 @@
 	return dst
 }
 
-// Remaining tells how many bytes have not been read.
+// Remaining returns the number of bytes that have not been read.
 func (f *Fields) Remaining() int { return len(f.b) }
 
-// Reply collects the actions of one reply.
+// Reply collects the actions of one reply frame.
 type Reply struct{ b []byte }
 
 // Reset empties the reply.
@@ -223,17 +223,17 @@
 	r.f64(within)
 }
 
-// Refuse is the final answer that promises a repeat does no harm.
+// Refuse sends the final answer that promises that a repeat does no harm.
 func (r *Reply) Refuse(id uint32, pause float64) {
 	r.recordHead(ActRefuse, 12)
 	r.u32(id)
 	r.f64(pause)
 }
 
-// Fail is the final answer that promises nothing.
+// Fail sends the final answer that promises nothing.
 func (r *Reply) Fail(id uint32) { r.recordHead(ActFail, 4); r.u32(id) }
 
-// Cancel withdraws an attempt.
+// Cancel cancels an attempt.
 func (r *Reply) Cancel(id uint32, attempt uint8) {
 	r.recordHead(ActCancel, 5)
 	r.u32(id)
@@ -246,18 +246,18 @@
 // Probe asks a worker for its load.
 func (r *Reply) Probe(worker uint64) { r.recordHead(ActProbe, 6); r.worker(worker) }
 
-// Wake sets a timer.
+// Wake sets a timer; the token is sent back when it expires.
 func (r *Reply) Wake(in float64, token uint64) {
 	r.recordHead(ActWake, 16)
 	r.f64(in)
 	r.b = binary.LittleEndian.AppendUint64(r.b, token)
 }
 
-// Subscribe asks for the list and its changes.
+// Subscribe requests the worker list and its changes.
 func (r *Reply) Subscribe() { r.recordHead(ActSubscribe, 1); r.b = append(r.b, 1) }
 
-// Log writes a report line.
+// Log writes a line of the report.
 func (r *Reply) Log(line string) { r.text(ActLog, line) }
 
-// Bug declares the decision code broken.
+// Bug reports that the decision code failed.
 func (r *Reply) Bug(text string) { r.text(ActBug, text) }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -81,17 +81,17 @@
 	"live":    balance.WeightLive,
 }
 
-// Names is what the settings hold for those who speak with names, on sockets, and the module
-// does not need.
+// Names holds the names from the settings. Those who exchange names over connections need them;
+// package balance works with indexes only.
 type Names struct {
 	Classes, Tenants, Zones, Models, Columns []string
-	ConnIdleMs                               *float64 // nil if not told
+	ConnIdleMs                               *float64 // nil if absent
 }
 
-// Fault is a value that no settings may have; Key is its path within them.
+// Fault is an invalid value in the settings. Key is its path within them.
 type Fault struct{ Key, Problem string }
 
-// Faults are all that were found. It is an error of ParseNamed.
+// Faults are all invalid values that were found, as an error of ParseNamed.
 type Faults []Fault
 
 func (f Faults) Error() string {
@@ -102,13 +102,13 @@
 	return strings.Join(lines, "; ")
 }
 
-// ParseSettings reads an instance's settings. Keys it does not know are ignored.
+// ParseSettings parses an instance's settings. Unknown keys are ignored.
 func ParseSettings(seed uint64, text []byte) (balance.Settings, error) {
 	s, _, err := ParseNamed(seed, text)
 	return s, err
 }
 
-// ParseNamed reads an instance's settings with their names.
+// ParseNamed parses an instance's settings together with their names.
 func ParseNamed(seed uint64, text []byte) (balance.Settings, Names, error) {
 	var j settingsJSON
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(text, &j); err != nil {
@@ -167,7 +167,7 @@
 	return s, names, nil
 }
 
-// valueAt is the i-th value of a list, or def where the list is shorter.
+// valueAt returns the i-th value of a list, or def if the list is shorter.
 func valueAt[T any](list []T, i int, def T) T {
 	if i < len(list) {
 		return list[i]
