--- a/cmd/drill/cost_test.go
+++ b/cmd/drill/cost_test.go
@@ -10,21 +10,21 @@
 	"tinsail/internal/wire"
 )
 
-// BenchmarkWire is what a req costs besides its decisions: one op is a batch of 100 reqs with three records each
-// (arrival, start, answer with a report). decode reads them; batch reads them, decides and writes the reply.
+// BenchmarkWire measures the cost of a request besides its decisions. One op is a batch of 100 requests with three records each
+// (arrival, start, answer with a report): decode only reads them; batch reads them, decides and writes the reply.
 func BenchmarkWire(b *testing.B) {
 	const reqs = 100
 	to := entry(7)[10:16]
 	records := &batch{clock: 100}
 	records.add(80, uint16(1))
 	for id := range uint32(reqs) {
-		request(records, id)
+		addRequest(records, id)
 		records.add(40, id, uint8(0), uint8(1), to, float32(0))
 		records.add(90, id, uint8(0), to, uint16(10), float64(20), uint8(1), uint8(0), uint8(3), float32(1), float32(2), float32(3))
 	}
 	frame := records.frame()
 	first := &batch{clock: 50}
-	begin(first, 1, 7)
+	addInstance(first, 1, 7)
 	h := newHost()
 	require.NoError(b, h.step(bytes.NewReader(first.frame()), io.Discard))
 	b.Run("decode", func(b *testing.B) {
--- a/cmd/drill/drill_test.go
+++ b/cmd/drill/drill_test.go
@@ -49,41 +49,42 @@
 	return e
 }
 
-// begin configures an instance and gives it the worker id.
-func begin(b *batch, instance uint16, id byte) *batch {
+// addInstance configures an instance and gives it one worker with this id.
+func addInstance(b *batch, instance uint16, id byte) *batch {
 	b.add(80, instance)
 	b.add(110, uint64(1), uint32(len(settings)), []byte(settings))
 	b.add(130, uint16(15), uint32(1), entry(id))
 	return b.add(120, uint8(2), uint32(1), uint16(15))
 }
 
-func request(b *batch, id uint32) *batch {
+func addRequest(b *batch, id uint32) *batch {
 	return b.add(20, id, uint8(0), uint32(0), uint64(0), b.clock+900, float64(0), float32(1), float32(1), uint8(0), uint16(7))
 }
 
-func drive(t *testing.T, frames ...[]byte) (string, error) {
+func runFrames(t *testing.T, frames ...[]byte) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
 	err := run(bytes.NewReader(bytes.Join(frames, nil)), &out)
 	return hex.EncodeToString(out.Bytes()), err
 }
 
-// TestSheetsAreResolvedInOrder: a list's number is used again within one batch.
-func TestSheetsAreResolvedInOrder(t *testing.T) {
+// TestWorkerListsAreResolvedInOrder checks that the number of a list can be reused within one
+// batch.
+func TestWorkerListsAreResolvedInOrder(t *testing.T) {
 	b := &batch{clock: 10}
-	begin(b, 1, 0xaa)
-	begin(b, 2, 0xbb)
-	b.add(99, uint16(1)) // a record of a later version
+	addInstance(b, 1, 0xaa)
+	addInstance(b, 2, 0xbb)
+	b.add(99, uint16(1)) // a record type of a later version
 	b.add(80, uint16(1))
-	request(b, 7)
+	addRequest(b, 7)
 	b.add(80, uint16(2))
-	request(b, 8)
-	out, err := drive(t, (&batch{}).frame(), b.frame())
+	addRequest(b, 8)
+	out, err := runFrames(t, (&batch{}).frame(), b.frame())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !strings.HasPrefix(out, "00000000") {
-		t.Errorf("an empty batch was answered with %s", out)
+		t.Errorf("reply to an empty batch: %s", out)
 	}
 	for _, want := range []string{"28020000000100" + "3c1200000007000000aa0000000000", "28020000000200" + "3c1200000008000000bb0000000000"} {
 		if !strings.Contains(out, want) {
@@ -92,27 +93,27 @@
 	}
 }
 
-func TestStopForgets(t *testing.T) {
+func TestStopRemovesInstance(t *testing.T) {
 	b := &batch{clock: 10}
-	begin(b, 1, 0xaa).add(100)
-	begin(b, 1, 0xbb)
-	request(b, 9)
-	out, err := drive(t, b.frame())
+	addInstance(b, 1, 0xaa).add(100)
+	addInstance(b, 1, 0xbb)
+	addRequest(b, 9)
+	out, err := runFrames(t, b.frame())
 	if err != nil || !strings.Contains(out, "3c1200000009000000bb") {
 		t.Errorf("after a restart: %s, error %v", out, err)
 	}
 }
 
 func TestMalformedInput(t *testing.T) {
-	known := func() *batch { return begin(&batch{clock: 10}, 1, 0xaa) }
+	known := func() *batch { return addInstance(&batch{clock: 10}, 1, 0xaa) }
 	whole := known().frame()
 	long := known()
 	long.records = append(long.records, 0)
 	cases := map[string][]byte{
 		"cut short":          whole[:len(whole)-3],
 		"bytes left over":    long.frame(),
-		"no instance":        request(&batch{}, 1).frame(),
-		"no settings":        request((&batch{}).add(80, uint16(4)), 1).frame(),
+		"no instance":        addRequest(&batch{}, 1).frame(),
+		"no settings":        addRequest((&batch{}).add(80, uint16(4)), 1).frame(),
 		"bad settings":       (&batch{}).add(80, uint16(4)).add(110, uint64(1), uint32(2), []byte("{}")).frame(),
 		"settings cut short": (&batch{}).add(80, uint16(4)).add(110, uint64(1), uint32(90), []byte("{}")).frame(),
 		"sheet too high":     (&batch{}).add(130, uint16(16), uint32(0)).frame(),
@@ -122,25 +123,25 @@
 			float64(1), uint8(0)).frame(),
 	}
 	for name, frame := range cases {
-		if _, err := drive(t, frame); err == nil {
+		if _, err := runFrames(t, frame); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
 }
 
-// TestPanicIsReported spoils an instance on purpose.
+// TestPanicIsReported replaces a dispatcher by one that panics.
 func TestPanicIsReported(t *testing.T) {
 	h := newHost()
 	var out bytes.Buffer
-	if err := h.step(bytes.NewReader(begin(&batch{clock: 1}, 1, 0xaa).frame()), &out); err != nil {
+	if err := h.step(bytes.NewReader(addInstance(&batch{clock: 1}, 1, 0xaa).frame()), &out); err != nil {
 		t.Fatal(err)
 	}
-	*h.instances[1].dispatcher = balance.Dispatcher{} // knows no actions
+	*h.instances[1].dispatcher = balance.Dispatcher{} // panics on its first action
 	out.Reset()
-	if err := h.step(bytes.NewReader(request((&batch{clock: 2}).add(80, uint16(1)).add(30, uint64(1)<<63), 1).frame()), &out); err != nil {
+	if err := h.step(bytes.NewReader(addRequest((&batch{clock: 2}).add(80, uint16(1)).add(30, uint64(1)<<63), 1).frame()), &out); err != nil {
 		t.Fatal(err)
 	}
 	if b := out.Bytes(); len(b) < 5 || !bytes.Contains(b, []byte("panic")) {
-		t.Errorf("a panic was answered with % x", b)
+		t.Errorf("reply after a panic: % x", b)
 	}
 }
--- a/internal/guard/rule_test.go
+++ b/internal/guard/rule_test.go
@@ -15,9 +15,9 @@
 
 func at(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
-// TestBeginSaysNo: what is in order passes up to the last millisecond, and each rule that is broken alone is named, and no
-// other.
-func TestBeginSaysNo(t *testing.T) {
+// TestAttemptStartCheck checks that an attempt within the limits passes up to the last millisecond,
+// and that a rule broken alone is reported alone.
+func TestAttemptStartCheck(t *testing.T) {
 	good := AttemptStart{At: at(100), Grace: 500 * time.Millisecond, Deadline: at(1000), SentTimeLeft: 900 * time.Millisecond, Effect: balance.Deduped,
 		Window: time.Second}
 	ran := PriorAttempt{StartedAt: at(50)}
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestFinalSaysNo is the same for final answers.
-func TestFinalSaysNo(t *testing.T) {
+// TestFinalAnswerCheck does the same for final answers.
+func TestFinalAnswerCheck(t *testing.T) {
 	good := FinalAnswer{At: at(1500), Deadline: at(1000), Effect: balance.Unsafe, Window: 2 * time.Second}
 	ran := []PriorAttempt{{StartedAt: at(0)}}
 	for name, c := range map[string]struct {
@@ -79,8 +79,9 @@
 	}
 }
 
-// TestRecorder: violations are counted by rule and logged with the request's last events alone, reasons are counted, the
-// trace keeps the newest, and a nil recorder takes everything.
+// TestRecorder checks that violations are counted by rule and logged with the last events of their
+// request only, that reasons are counted, that the trace keeps the newest events, and that a nil
+// recorder accepts every call.
 func TestRecorder(t *testing.T) {
 	var log bytes.Buffer
 	r := &Recorder{Log: zerolog.New(&log)}
@@ -119,8 +120,8 @@
 	assert.Zero(t, none.ShutdownTime())
 }
 
-// TestNames: every rule, step and reason has a name of its own.
-func TestNames(t *testing.T) {
+// TestNamesAreUnique checks that rules have unique names and that no step or reason lacks one.
+func TestNamesAreUnique(t *testing.T) {
 	seen := map[string]bool{}
 	for _, rule := range Rules() {
 		assert.NotEmpty(t, rule.String())
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -10,32 +10,36 @@
 	"pgregory.net/rapid"
 )
 
-var me = Hello{Version: Version, Name: "n", Listen: "127.0.0.1:1"}
+var ownHello = Hello{Version: Version, Name: "n", Listen: "127.0.0.1:1"}
 
-func TestOldStages(t *testing.T) {
+// TestOldProcessStages checks which hellos the old process refuses, and when it stops accepting and
+// accepts again.
+func TestOldProcessStages(t *testing.T) {
 	var o OldProcess
-	for _, h := range []Hello{{Version: 2, Name: "n", Listen: me.Listen}, {Version: Version, Name: "m", Listen: me.Listen}, {Version: Version, Name: "n"}} {
-		refused, busy := o.HandleHello(h, me)
+	for _, h := range []Hello{{Version: 2, Name: "n", Listen: ownHello.Listen}, {Version: Version, Name: "m", Listen: ownHello.Listen}, {Version: Version, Name: "n"}} {
+		refused, busy := o.HandleHello(h, ownHello)
 		assert.NotEmpty(t, refused)
 		assert.False(t, busy)
 	}
-	assert.False(t, o.HandleReady(), "nobody has come")
-	refused, _ := o.HandleHello(me, me)
+	assert.False(t, o.HandleReady(), "no hello was received")
+	refused, _ := o.HandleHello(ownHello, ownHello)
 	assert.Empty(t, refused)
-	refused, busy := o.HandleHello(me, me)
+	refused, busy := o.HandleHello(ownHello, ownHello)
 	assert.NotEmpty(t, refused)
 	assert.True(t, busy)
-	assert.False(t, o.HandleDisconnect(), "it accepted all the time")
-	_, _ = o.HandleHello(me, me)
+	assert.False(t, o.HandleDisconnect(), "it never stopped accepting")
+	_, _ = o.HandleHello(ownHello, ownHello)
 	assert.True(t, o.HandleReady())
-	assert.False(t, o.HandleReady(), "told twice")
+	assert.False(t, o.HandleReady(), "reported twice")
 	assert.Equal(t, HandedOver, o.Stage())
 	assert.True(t, o.HandleDisconnect(), "it accepts again")
-	refused, _ = o.HandleHello(me, me)
+	refused, _ = o.HandleHello(ownHello, ownHello)
 	assert.Empty(t, refused)
 }
 
-func TestNewStages(t *testing.T) {
+// TestNewProcessStages checks which states the new process refuses, and when it may report that it
+// serves.
+func TestNewProcessStages(t *testing.T) {
 	now := time.Unix(1000, 0)
 	good := State{Version: Version, Listeners: []string{"http1"}, MaxSockets: 100, MemoryBytes: 1 << 20}
 	for _, f := range []func(*State){
@@ -50,22 +54,23 @@
 	}
 	var n NewProcess
 	assert.True(t, n.MayReportServing(now), "alone")
-	assert.False(t, n.StartServing(now), "nobody to tell")
+	assert.False(t, n.StartServing(now), "no other process")
 	assert.Empty(t, n.HandleState(&good, 1))
-	assert.False(t, n.MayReportServing(now), "the old one serves")
+	assert.False(t, n.MayReportServing(now), "the old process serves")
 	n.HandleStopAccepting()
-	assert.False(t, n.MayReportServing(now), "not asked for")
+	assert.False(t, n.MayReportServing(now), "StopAccepting without a report of serving")
 	assert.True(t, n.StartServing(now))
 	assert.False(t, n.MayReportServing(now))
-	assert.True(t, n.MayReportServing(now.Add(StopAcceptingTimeout)), "the old one has stalled")
+	assert.True(t, n.MayReportServing(now.Add(StopAcceptingTimeout)), "the old process has stalled")
 	n.HandleStopAccepting()
 	assert.True(t, n.MayReportServing(now))
 	n.HandleDisconnect()
 	assert.Equal(t, Idle, n.Stage())
 }
 
-// TestSplit: both together never hold more than the limit, and neither is left with next to nothing.
-func TestSplit(t *testing.T) {
+// TestSplitDescriptors checks that both processes together never exceed the limit, and that neither
+// gets too few.
+func TestSplitDescriptors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(64, 5000).Draw(t, "limit")
 		keep, give := SplitDescriptors(limit, rapid.IntRange(0, limit).Draw(t, "used"), 50)
@@ -75,7 +80,8 @@
 	})
 }
 
-// TestReader: messages come out whole however the bytes come; what is none, or too long, is an error for good.
+// TestReader checks that messages are read correctly however their bytes are split, and that
+// invalid or too long input is a permanent error.
 func TestReader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var bytes []byte
--- a/internal/http2/conn_test.go
+++ b/internal/http2/conn_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/net/http2"
 )
 
-// handshake is how every connection begins that goes well.
+// handshake is the start of every connection that succeeds.
 const handshake = `
 	c send {hello}{ack}
 	c expect settings
@@ -168,8 +168,9 @@
 	}, nil)
 }
 
-// TestFaults: each is the stream's or the connection's, as RFC 9113 says.
-func TestFaults(t *testing.T) {
+// TestProtocolErrors checks that each fault resets the stream or ends the connection, as RFC 9113
+// requires.
+func TestProtocolErrors(t *testing.T) {
 	var scripts []script
 	for name, s := range map[string]string{
 		"DATA longer than its length":         "{post 1 x content-length=2}{data 1 x abc}",
@@ -242,8 +243,9 @@
 	playAll(t, scripts, nil)
 }
 
-// TestFlow: answers go out as the windows allow, in turns, and what is not taken has an end.
-func TestFlow(t *testing.T) {
+// TestFlowControl checks that answers are sent as the windows allow, in turns, and that an answer
+// that is not read is given up.
+func TestFlowControl(t *testing.T) {
 	two := handshake + `
 		c send {set 4 2}
 		c expect ack
@@ -333,8 +335,9 @@
 	}, nil)
 }
 
-// TestNoRoom: a body that there is no room for is refused unprocessed, and its room given back.
-func TestNoRoom(t *testing.T) {
+// TestBodyRefusedWithoutCapacity checks that a body for which Admit has no capacity is refused
+// unprocessed, and that what was reserved for it is released.
+func TestBodyRefusedWithoutCapacity(t *testing.T) {
 	p := newPlayer(t, 7, nil)
 	p.capacity = 100
 	p.play(handshake + `
@@ -355,7 +358,8 @@
 	assert.Equal(t, 2, p.abuses[NoCapacity])
 }
 
-// TestDrain: what was taken before the client knew is served, and nothing after.
+// TestDrain checks that streams opened before the client knew of the shutdown are served, and later
+// ones are not.
 func TestDrain(t *testing.T) {
 	const running = handshake + `
 		c send {post 1 e}
@@ -400,7 +404,7 @@
 	}, nil)
 }
 
-// TestAbuse: each has an end, and is counted by its name.
+// TestAbuse checks that each kind of abuse ends the connection and is counted by its name.
 func TestAbuse(t *testing.T) {
 	many := func(n int, frame string) string { return strings.Repeat(frame, n) }
 	streams := func(n int, frames string) string {
@@ -415,7 +419,7 @@
 		send  string
 	}{
 		{RapidReset, streams(120, "{post N e}{rst N}")},
-		{RapidReset, streams(120, "{post N e connection=x}")}, // the client has us reset
+		{RapidReset, streams(120, "{post N e connection=x}")}, // the client provokes our resets
 		{Continuation, "{post 1 o}" + many(40, "{more 1 o}")},
 		{Continuation, "{post 1 o}" + "{more 1 o a={{4000*b}}}{more 1 o b={{4000*c}}}{more 1 o c={{4000*d}}}"},
 		{HeaderList, streams(120, "{post N e a={{2000*b}}}")},
@@ -441,7 +445,7 @@
 		p.feed(p.frames.Bytes("{hello}"))
 		p.feed(p.frames.Bytes(send))
 		assert.NotZero(t, p.abuses[c.abuse], "%v is counted", c.abuse)
-		assert.Equal(t, http2.ErrCodeEnhanceYourCalm.String(), lastCode(p.events), "%v ends the connection: %v", c.abuse, p.abuses)
+		assert.Equal(t, http2.ErrCodeEnhanceYourCalm.String(), lastCode(p.events), "%v ends the connection; abuse counted: %v", c.abuse, p.abuses)
 		p.conn.Close()
 		assert.Zero(t, p.held, c.abuse)
 	}
@@ -455,8 +459,8 @@
 	return f[1]
 }
 
-// TestHPACKBomb: a few bytes that stand for megabytes of fields cost neither memory nor the
-// connection: the table stays whole for the next stream.
+// TestHPACKBomb checks that a few bytes that encode megabytes of fields cost neither memory nor the
+// connection: the HPACK table stays valid for the next stream.
 func TestHPACKBomb(t *testing.T) {
 	p := newPlayer(t, 1<<14, nil)
 	p.feed(p.frames.Bytes("{hello}{post 1 e big=" + strings.Repeat("x", 1800) + "}"))
@@ -472,13 +476,14 @@
 	assert.Equal(t, "whole 5", p.events[len(p.events)-1])
 }
 
-// TestUnread: a client that provokes output and reads none of it is cut off before much is held.
-func TestUnread(t *testing.T) {
+// TestUnreadOutputEndsConnection checks that a client that provokes output and reads none of it is
+// disconnected before much is held.
+func TestUnreadOutputEndsConnection(t *testing.T) {
 	p := newPlayer(t, 1<<14, func(c *Config) { c.MaxStreams = 1000 })
 	p.feed(p.frames.Bytes("{hello}"))
 	out := 0
 	for i := 0; i < 100_000 && !p.conn.ended; i++ {
-		p.now = p.now.Add(time.Hour) // no limit on a rate is in the way
+		p.now = p.now.Add(time.Hour) // so that no rate limit applies
 		b := p.frames.Bytes("{ping 1}")
 		n := copy(p.conn.Space(), b)
 		p.conn.Filled(n, p.now)
--- a/internal/http2/fuzz_test.go
+++ b/internal/http2/fuzz_test.go
@@ -14,16 +14,16 @@
 	"tinsail/internal/scenario"
 )
 
-// invariantChecker holds a machine to what it promises, whatever the client sends and the driver orders.
+// invariantChecker checks the guarantees of a Conn, whatever the client sends and the driver does.
 type invariantChecker struct {
 	t           testing.TB
 	conn        *Conn
 	now         time.Time
 	held        int
 	ended       bool
-	unanswered  map[uint32]bool // streams that are Whole and neither answered nor gone
-	opened      map[uint32]bool // streams that are Opened, and of which nothing final was told or seen
-	finalFrames map[uint32]int  // answers' ends and resets that came out, by stream
+	unanswered  map[uint32]bool // streams reported as BodyComplete and neither answered nor reset
+	opened      map[uint32]bool // streams reported as Opened, without a final event or frame so far
+	finalFrames map[uint32]int  // ends of answers and resets in the output, by stream
 }
 
 const checkerCapacity = 100_000
@@ -43,7 +43,7 @@
 	return w
 }
 
-// step drains events and output, and answers some streams by chance.
+// step handles events and output, and answers some streams at random.
 func (w *invariantChecker) step(rng *rand.Rand) {
 	for range 3 {
 		for e, ok := w.conn.Next(); ok; e, ok = w.conn.Next() {
@@ -80,7 +80,7 @@
 }
 
 func (w *invariantChecker) checkEvent(e Event, rng *rand.Rand) {
-	require.False(w.t, w.ended, "nothing is told after the end")
+	require.False(w.t, w.ended, "an event after Ended")
 	id := uint32(0)
 	if e.Stream != nil {
 		id = e.Stream.ID
@@ -94,7 +94,7 @@
 		require.True(w.t, w.opened[id])
 		w.unanswered[id] = true
 	case ClientReset:
-		require.True(w.t, w.opened[id], "gone without having been opened")
+		require.True(w.t, w.opened[id], "ClientReset of a stream that was not opened")
 		delete(w.unanswered, id)
 		delete(w.opened, id)
 		w.conn.ReleaseStream(id)
@@ -109,16 +109,16 @@
 
 func (w *invariantChecker) checkFrames(b []byte) {
 	for len(b) > 0 {
-		require.GreaterOrEqual(w.t, len(b), 9, "half a frame")
+		require.GreaterOrEqual(w.t, len(b), 9, "incomplete frame")
 		n := 9 + payloadLength(b)
 		if string(b[:4]) == "HTTP" {
 			return
 		}
-		require.GreaterOrEqual(w.t, len(b), n, "half a frame")
+		require.GreaterOrEqual(w.t, len(b), n, "incomplete frame")
 		id := binary.BigEndian.Uint32(b[5:])
 		kind, flags := http2.FrameType(b[3]), b[4]
 		if kind == http2.FrameRSTStream || kind <= http2.FrameHeaders && flags&1 != 0 {
-			// A reset that asks a client to stop sending, after an answer, does not void it.
+			// A reset after an answer only asks the client to stop sending; it does not void the answer.
 			late := kind == http2.FrameRSTStream && Code(binary.BigEndian.Uint32(b[9:])) == NoError
 			if !late && w.opened[id] {
 				w.finalFrames[id]++
@@ -130,13 +130,14 @@
 	}
 }
 
-// close ends the connection: each stream still open was told as left, and nothing stays held.
+// close ends the connection and checks that every stream still open is returned by Close and that
+// nothing stays held.
 func (w *invariantChecker) close() {
 	for _, s := range w.conn.Close() {
 		delete(w.opened, s.ID)
 		delete(w.unanswered, s.ID)
 	}
-	require.Empty(w.t, w.unanswered, "streams that nobody will answer")
+	require.Empty(w.t, w.unanswered, "streams that will never be answered")
 	require.Zero(w.t, w.held)
 }
 
@@ -150,7 +151,7 @@
 	}
 }
 
-// FuzzConn feeds any bytes after a good beginning, and none.
+// FuzzConn feeds arbitrary bytes, with and without a valid preface before them.
 func FuzzConn(f *testing.F) {
 	fr := scenario.NewFrames(f)
 	for _, text := range []string{
@@ -174,8 +175,8 @@
 	})
 }
 
-// TestAnyOrder sends frames of all kinds in any order, most of them well formed, in any pieces,
-// with answers, resets, drains and pauses between them.
+// TestAnyOrder sends frames of all kinds in any order, most of them well formed, split at any
+// place, with answers, resets, drains and pauses between them.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		fr := scenario.NewFrames(t)
--- a/internal/http2/late_block_test.go
+++ b/internal/http2/late_block_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestLateBlock: a field block that ends after its stream had its 408 opens nothing. Its req was
-// answered, and must not be sent on.
-func TestLateBlock(t *testing.T) {
+// TestFieldBlockAfterTimeout checks that a field block that ends after its stream got a 408 opens
+// nothing: its request was answered, and must not be sent on.
+func TestFieldBlockAfterTimeout(t *testing.T) {
 	late := `
 		wait 2500ms
 		c expect head 1 408 end
--- a/internal/http2/scenario_test.go
+++ b/internal/http2/scenario_test.go
@@ -12,14 +12,14 @@
 	"tinsail/internal/scenario"
 )
 
-// Scenarios run on the machine. "c" is the client: it sends and expects frames, in the words of
+// Scenarios run on a Conn. "c" is the client: it sends and expects frames, in the notation of
 // scenario.Frames. "d" is the driver: it sends orders (answer, reset, free,
-// drain, settle, end) and expects events. wait lets time pass. Each scenario is run with its
+// drain, settle, end) and expects events. wait advances the time. Each scenario is run with its
 // bytes in one piece, byte by byte and in threes.
 
 type script struct{ name, text string }
 
-// player is a machine between a client and a driver, both of which only listen.
+// player runs a scenario on a Conn, as its client and its driver.
 type player struct {
 	t        *testing.T
 	conn     *Conn
@@ -29,7 +29,7 @@
 	received []string
 	events   []string
 	held     int
-	maxHeld  int // of held
+	maxHeld  int // highest value of held
 	capacity int
 	abuses   map[Abuse]int
 }
@@ -56,7 +56,7 @@
 	return p
 }
 
-// feed gives the machine bytes in pieces.
+// feed passes bytes to the Conn in pieces.
 func (p *player) feed(b []byte) {
 	for len(b) > 0 {
 		space := p.conn.Space()
@@ -67,11 +67,11 @@
 	}
 }
 
-// collect takes down the events and what came out.
+// collect records events and output.
 func (p *player) collect() {
 	p.collectEvents()
 	p.conn.HasOutput()
-	p.collectEvents() // framing an answer can end a connection that drains
+	p.collectEvents() // framing an answer can end a draining connection
 	p.received = append(p.received, p.frames.Words(p.conn.TakeOutput(nil))...)
 	p.collectEvents()
 }
@@ -163,8 +163,8 @@
 			}
 		}
 	}
-	require.Empty(p.t, p.received, "came and not expected")
-	require.Empty(p.t, p.events, "told and not expected")
+	require.Empty(p.t, p.received, "received but not expected")
+	require.Empty(p.t, p.events, "events that were not expected")
 }
 
 func playAll(t *testing.T, scripts []script, change func(*Config)) {
@@ -177,7 +177,7 @@
 				for _, st := range p.conn.Close() {
 					require.False(t, st.closed)
 				}
-				require.Zero(t, p.held, "held for nobody")
+				require.Zero(t, p.held, "memory still held after Close")
 			})
 		}
 	}
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestFlood checks that only the first of a thousand lines of one event are written, that another
+// TestRateLimit checks that only the first of a thousand lines of one event are written, that another
 // event is not affected, and that the next line after a while states how many were dropped.
-func TestFlood(t *testing.T) {
+func TestRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var b bytes.Buffer
 		l, err := New(&b, "info", JSON)
--- a/internal/platform/mutate_test.go
+++ b/internal/platform/mutate_test.go
@@ -21,7 +21,8 @@
 	"tinsail/internal/mutate"
 )
 
-// scriptedReply is what a backend sends for one req, each string a write of its own, and how that must end.
+// scriptedReply is what a backend sends for one request, each string in a write of its own, and the
+// expected outcome.
 type scriptedReply struct {
 	id     string
 	writes []string
@@ -44,7 +45,8 @@
 	return s
 }
 
-// scriptedReplies are what two backends say on a connection each: every row of the protocol's table.
+// scriptedReplies are the replies of two backends, on one connection each. They cover every row of
+// the protocol's table.
 var scriptedReplies = map[string][]scriptedReply{
 	"c1": {
 		lineReply("9b1f03aa", core.Served, "one", `{"id":"ID","from":"s-1","state":"started"}`,
@@ -65,20 +67,20 @@
 	},
 }
 
-// replyModel is two connections, each with its machine, on which one req after another goes out
-// every reqEvery; the answer begins half of that later.
+// replyModel is two connections, each with its parser. Every reqEvery the next request is sent on
+// each; its reply begins half that time later.
 type replyModel struct {
-	strict bool // nothing may be lost: the run without mutations, and splits
+	strict bool // every request must get its scripted outcome: the run without mutations, and splits
 	conns  map[string]*replyClient
 }
 
 const reqEvery = 100 * time.Millisecond
 
-// replyClient is what a driver does around the machine (network.link), in few words.
+// replyClient imitates what the driver around the parser does (network.link).
 type replyClient struct {
 	name           string
 	parser         *ReplyParser
-	current        int // the req that is out; -1 none
+	current        int // index of the request that is being answered; -1 for none
 	ended          bool
 	currentOutcome outcome
 	closed         bool
@@ -106,7 +108,7 @@
 func (w *replyModel) Tick(now time.Duration, node string) (out []mutate.Message) {
 	k := int(now / reqEvery)
 	c := w.conns[node]
-	if c == nil { // a backend answers the k-th req
+	if c == nil { // a backend answers the k-th request
 		c = w.conns["c"+node[1:]]
 		if d := scriptedReplies[c.name]; now%reqEvery == reqEvery/2 && k < len(d) {
 			for i, b := range d[k].writes {
@@ -118,7 +120,7 @@
 	if now%reqEvery != 0 {
 		return nil
 	}
-	if c.current >= 0 { // the one before was never answered
+	if c.current >= 0 { // the previous request was never answered
 		c.end(core.Overdue)
 		c.closed = true
 	}
@@ -186,7 +188,7 @@
 	}
 }
 
-// Check: a result is that of its req, only what was never run is said to be, and what is held is
+// Check verifies that each result belongs to its request, that only requests that never ran are reported as such, and that the buffer is
 // bounded.
 func (w *replyModel) Check(time.Duration) error {
 	for name, c := range w.conns {
@@ -194,11 +196,11 @@
 			want := scriptedReplies[name][i]
 			switch {
 			case o.id != want.id:
-				return fmt.Errorf("%s: outcome %d is of %s", name, i, o.id)
+				return fmt.Errorf("%s: outcome %d belongs to %s", name, i, o.id)
 			case o.ending == core.Served && (want.ending != core.Served || o.result != want.result):
 				return fmt.Errorf("%s: %s was given the result %q", name, o.id, o.result)
 			case o.ending == core.Returned && want.ending != core.Returned:
-				return fmt.Errorf("%s: %s is said never to have run", name, o.id)
+				return fmt.Errorf("%s: %s is reported as never run", name, o.id)
 			}
 		}
 		if len(c.parser.data) > 2*(MaxLine+MaxHead+2*minReadSpace) {
@@ -208,7 +210,7 @@
 	return nil
 }
 
-// End: each req has one outcome.
+// End verifies that each request has one outcome.
 func (w *replyModel) End(time.Duration) error {
 	for name, c := range w.conns {
 		if len(c.outcomes) != len(scriptedReplies[name]) {
@@ -223,19 +225,20 @@
 	return nil
 }
 
-// acceptedReplyFault names what the protocol's bytes cannot show.
-func acceptedReplyFault(p mutate.Play, of, as mutate.Message) string {
+// undetectableReplyFault returns why a fault cannot be detected from the protocol's bytes, or an empty
+// text.
+func undetectableReplyFault(p mutate.Play, of, as mutate.Message) string {
 	const unprocessed = "X-Unprocessed: 1"
 	switch {
 	case p.Kind == mutate.Changed && differsInsideResult(of.Bytes, as.Bytes):
-		return "a byte of the result itself: the protocol has no sum of it"
+		return "a byte of the result itself: the protocol has no checksum of it"
 	case (p.Kind == mutate.Replayed || p.Kind == mutate.Misrouted) && bytes.Contains(as.Bytes, []byte(unprocessed)):
-		return "a head names no req: another's 'never ran' reads as this one's"
+		return "a head does not identify its request: the 'never ran' of another request is taken for this one's"
 	}
 	return ""
 }
 
-// differsInsideResult says whether the byte that differs lies inside a result's quotes.
+// differsInsideResult reports whether the only difference lies inside the quotes of a result.
 func differsInsideResult(a, b []byte) bool {
 	const key = `"result":"`
 	from := bytes.Index(a, []byte(key)) + len(key)
@@ -248,17 +251,18 @@
 
 func replySetup(name string, strict bool, kinds ...mutate.Kind) mutate.Setup {
 	return mutate.Setup{Name: name, Seed: 1, Build: buildReplies(strict), Tick: reqEvery / 2, Length: 8 * reqEvery,
-		Late: reqEvery, Kinds: kinds, Draws: 12, Splits: -1, Excuse: acceptedReplyFault}
+		Late: reqEvery, Kinds: kinds, Draws: 12, Splits: -1, Excuse: undetectableReplyFault}
 }
 
-// TestRepliesUnderMutation: what a faulty network or backend does to one write of a dialogue gives
-// no req another's result or a false "never ran". However the bytes are split, nothing changes.
+// TestRepliesUnderMutation checks that a fault of the network or a backend in one write of a dialogue gives
+// no request another's result or a false "never ran", and that splitting the bytes changes nothing.
 func TestRepliesUnderMutation(t *testing.T) {
 	assert.Positive(t, mutate.Test(t, replySetup("replies", false, mutate.Datagrams...)).Played)
 	assert.Positive(t, mutate.Test(t, replySetup("replies split", true, mutate.Split)).Played)
 }
 
-// indentedList is a list as a person would write it; flat are answers to watches after it.
+// indentedList is a list with line breaks and indentation. directorLists adds compact answers to
+// the watches after it.
 const indentedList = `{
   "index": 41,
   "snapshot": true,
@@ -278,12 +282,12 @@
 	`{"index":44,"snapshot":false,"endpoints":[{"name":"s-2","status":"Gone"}]}`,
 	indentedList}
 
-// listModel is the director's connection: its answers, and the lists that the reader took.
+// listModel is the director's connection: its replies, and the lists that the reader accepted.
 type listModel struct {
 	strict   bool
-	m        *ReplyParser
+	parser   *ReplyParser
 	received []byte // all that was delivered
-	accepted []List // by whole reply; Entries nil and Index 0 where it was refused
+	accepted []List // by complete reply; Entries nil and Index 0 where it was refused
 	closed   bool
 }
 
@@ -295,7 +299,7 @@
 		return nil
 	}
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(directorLists[k]))
-	if k == 1 { // in chunks, and refused once
+	if k == 1 { // chunked, after one 503
 		head = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 		return []mutate.Message{{From: node, To: "us", Bytes: []byte(head)},
 			{From: node, To: "us", Bytes: []byte(chunkOf(directorLists[k]) + "0\r\n\r\n"), Delay: time.Millisecond}}
@@ -309,16 +313,16 @@
 	}
 	w.received = append(w.received, m.Bytes...)
 	for b := m.Bytes; len(b) > 0 && !w.closed; {
-		n := copy(w.m.Space(), b)
-		w.m.Filled(n)
+		n := copy(w.parser.Space(), b)
+		w.parser.Filled(n)
 		b = b[n:]
 		var got List
 		for {
-			part, body, err := w.m.Next()
+			part, body, err := w.parser.Next()
 			if w.closed = err != nil; w.closed || part == NeedMore {
 				break
 			}
-			if part == Line && w.m.Status == 200 {
+			if part == Line && w.parser.Status == 200 {
 				got, _ = testNames.ReadList(body)
 			}
 			if part == End {
@@ -330,14 +334,14 @@
 }
 
 func (w *listModel) Check(time.Duration) error {
-	if len(w.m.data) > 2*(MaxList+MaxHead+2*minReadSpace) {
-		return fmt.Errorf("a buffer of %d bytes", len(w.m.data))
+	if len(w.parser.data) > 2*(MaxList+MaxHead+2*minReadSpace) {
+		return fmt.Errorf("a buffer of %d bytes", len(w.parser.data))
 	}
 	return nil
 }
 
-// End: what was taken is what net/http and encoding/json read from the same bytes, and where those
-// refuse a list nothing was taken.
+// End verifies that an accepted list equals what net/http and encoding/json read from the same bytes, and that nothing
+// was accepted where they refuse a list.
 func (w *listModel) End(time.Duration) error {
 	if w.strict && len(w.accepted) != len(directorLists)+1 {
 		return fmt.Errorf("%d replies", len(w.accepted))
@@ -345,22 +349,22 @@
 	r := bufio.NewReader(bytes.NewReader(w.received))
 	for i, got := range w.accepted {
 		want, err := referenceList(r)
-		if got.Entries == nil && got.Index == 0 { // refused: nothing changes
+		if got.Entries == nil && got.Index == 0 { // refused
 			if w.strict && i != 1 {
 				return fmt.Errorf("reply %d was refused", i)
 			}
 			continue
 		}
 		if err != nil {
-			return fmt.Errorf("reply %d was taken as %v, and is bad: %w", i, got, err)
+			return fmt.Errorf("reply %d was accepted as %v, but is invalid: %w", i, got, err)
 		}
-		for i := range got.Entries { // bytes that are not UTF-8 stay as they are here
+		for i := range got.Entries { // the parser keeps bytes that are not UTF-8; encoding/json replaces them
 			e := &got.Entries[i]
 			e.Name, e.Address = strings.ToValidUTF8(e.Name, "\uFFFD"), strings.ToValidUTF8(e.Address, "\uFFFD")
 			e.ID = balance.WorkerID(Hash(e.Name))
 		}
 		if !reflect.DeepEqual(want, got) {
-			return fmt.Errorf("reply %d was taken as %v, and is %v", i, got, want)
+			return fmt.Errorf("reply %d was accepted as %v, but is %v", i, got, want)
 		}
 	}
 	return nil
@@ -368,7 +372,7 @@
 
 var fieldName = regexp.MustCompile(`"[^"]*"\s*:`)
 
-// referenceList reads the next reply by the standard library.
+// referenceList reads the next reply with the standard library.
 func referenceList(r *bufio.Reader) (List, error) {
 	resp, err := http.ReadResponse(r, nil)
 	for err == nil && resp.StatusCode < 200 { // interim
@@ -392,7 +396,7 @@
 		Snapshot  bool
 		Endpoints *[]entry
 	}
-	// Unmarshal takes a field's name in any case, the protocol does not.
+	// Unmarshal matches field names in any case, the protocol does not.
 	body = fieldName.ReplaceAllFunc(body, func(key []byte) []byte {
 		if bytes.Equal(key, bytes.ToLower(key)) {
 			return key
@@ -422,11 +426,11 @@
 
 func listSetup(name string, strict bool, kinds ...mutate.Kind) mutate.Setup {
 	return mutate.Setup{Name: name, Seed: 1, Tick: reqEvery, Length: 7 * reqEvery, Late: reqEvery, Kinds: kinds, Draws: 100, Splits: -1,
-		Build: func(uint64) mutate.World { return &listModel{strict: strict, m: NewReplyParser(true, MaxList)} }}
+		Build: func(uint64) mutate.World { return &listModel{strict: strict, parser: NewReplyParser(true, MaxList)} }}
 }
 
-// TestListsUnderMutation: a list is taken as the standard library reads it, or not at all; and
-// however its bytes are split, each is taken.
+// TestListsUnderMutation checks that a list is accepted as the standard library reads it, or not at all, and
+// that every list is accepted however its bytes are split.
 func TestListsUnderMutation(t *testing.T) {
 	s := listSetup("lists", false, mutate.Datagrams...)
 	s.Plays = 900
--- a/internal/platform/reply_test.go
+++ b/internal/platform/reply_test.go
@@ -11,7 +11,7 @@
 	"tinsail/internal/core"
 )
 
-// replyHarness lets a scenario run on the machine of a backend's connection.
+// replyHarness lets a scenario run on a ReplyParser.
 type replyHarness struct{ *ReplyParser }
 
 func (b replyHarness) next() string {
@@ -115,8 +115,8 @@
 	})
 }
 
-// TestWholeBody: the director's list comes as one part, however it is framed.
-func TestWholeBody(t *testing.T) {
+// TestWholeBodyAsOnePart checks that the director's list is one part, however it is framed.
+func TestWholeBodyAsOnePart(t *testing.T) {
 	runScripts(t, func() parserHarness { return replyHarness{NewReplyParser(true, MaxList)} }, []script{
 		{"in chunks", chunked + `
 			send 2\r\n{"\r\n5\r\nindex\r\n0\r\n\r\n
@@ -146,7 +146,7 @@
 		assert.NoError(t, err, line)
 		assert.Equal(t, want, got, line)
 	}
-	// Nothing that is not plainly this req's result may reach its client.
+	// A line that is not clearly the result of this request must not reach its client.
 	for _, line := range []string{``, `[]`, `{"id":"9b","state":"done"}`, `{"id":"other","state":"done","result":""}`,
 		`{"state":"done","result":""}`, `{"id":"9b","state":"odd"}`, `{"id":"9b","state":"done","result":"cut`,
 		`{"id":"9b","state":"started"} {}`, `{"id":"9b","state":"done","result":"a"}x`, `{"id":"9b","state":"lost",}`} {
@@ -202,7 +202,7 @@
 	})
 }
 
-func TestAppendFinal(t *testing.T) {
+func TestAppendFinalAnswer(t *testing.T) {
 	for want, a := range map[string]core.Answer{
 		"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\nr": {Kind: core.Result, Result: "r"},
 		"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.120":             {Kind: core.Refusal, RetryAfter: 120e6},
@@ -213,7 +213,7 @@
 	}
 }
 
-// BenchmarkReply is a reply of the usual size: framing, head, two lines read as JSON.
+// BenchmarkReply measures a reply of the usual size: framing, head, two lines parsed as JSON.
 func BenchmarkReply(b *testing.B) {
 	started := `{"from":"s-3d5f7874","id":"9b","state":"started"}` + "\n"
 	done := `{"from":"s-3d5f7874","id":"9b","load":{"failed_ps":0.0,"x0":3.1},"result":"` + strings.Repeat("e4", 600) + `","state":"done"}` + "\n"
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -16,8 +16,8 @@
 var testNames = &Names{Classes: []string{"ingest", "keyed"}, RequiresKey: []bool{false, true}, Deadlines: []time.Duration{5 * time.Second, time.Second},
 	Zones: []string{"a", "b"}, Kinds: []string{"fast", "std"}, Columns: []string{"failed_ps", "x0"}}
 
-// requestHarness lets a scenario run on the machine of a client session. Each request is answered at
-// once, its bytes given up by turns.
+// requestHarness lets a scenario run on a RequestParser. Each request is answered at once, and the
+// bytes of every other request are released.
 type requestHarness struct {
 	RequestParser
 	count int
@@ -125,7 +125,8 @@
 	})
 }
 
-// TestLongestBody: a body of 64 KiB moves to a buffer that holds it, and the next req starts small.
+// TestLongestBody checks that a body of 64 KiB moves to a larger buffer, and that the next request
+// starts with a small one again.
 func TestLongestBody(t *testing.T) {
 	f := &requestHarness{}
 	runScript(t, f, `send POST /c HTTP/1.1\r\nContent-Length: 65536\r\n\r\n{{65536*z}}`+
@@ -133,9 +134,9 @@
 	assert.LessOrEqual(t, len(f.data), 4*minReadSpace)
 }
 
-// TestReadWork compares what the module is given with what the simulator's adapter gives it:
-// the same figures for the same request, zero for what is absent.
-func TestReadWork(t *testing.T) {
+// TestReadJobRequest compares the core's request with what the simulator's adapter passes on: the
+// same figures for the same request, zero for what is absent.
+func TestReadJobRequest(t *testing.T) {
 	const head = "POST /ingest%s HTTP/1.1\r\n%s\r\n"
 	const id = "X-Correlation-Id: 9b\r\n"
 	for _, c := range []struct {
@@ -184,8 +185,9 @@
 	}
 }
 
-// TestKeyed: a req of a class whose backends know repeats by a key must have one.
-func TestKeyed(t *testing.T) {
+// TestKeyedClassRequiresIdempotencyKey checks that a request is refused without a key if backends
+// recognise repeats of its class by key.
+func TestKeyedClassRequiresIdempotencyKey(t *testing.T) {
 	for fields, want := range map[string]error{"": &RequestError{Status: 400, Reason: "no Idempotency-Key"}, "Idempotency-Key: k\r\n": nil} {
 		var m RequestParser
 		m.Filled(copy(m.Space(), "POST /keyed HTTP/1.1\r\nX-Correlation-Id: 9b\r\n"+fields+"\r\n"))
@@ -199,8 +201,9 @@
 	}
 }
 
-// TestAdmit: the length of a body is known before there is space for it.
-func TestAdmit(t *testing.T) {
+// TestAdmitBeforeAllocation checks that the length of a body is known before memory is allocated
+// for it.
+func TestAdmitBeforeAllocation(t *testing.T) {
 	var m RequestParser
 	m.Admit = func(n int) error { return &RequestError{Status: 503, Reason: fmt.Sprint(n)} }
 	m.Filled(copy(m.Space(), "POST /c HTTP/1.1\r\nContent-Length: 60000\r\n\r\n"))
@@ -234,8 +237,8 @@
 	})
 }
 
-// BenchmarkRequest is a req of the usual size: framing, textproto's reading of its head, and
-// what the dispatcher takes from it.
+// BenchmarkRequest measures a request of the usual size: framing, textproto's parsing of its head,
+// and the conversion for the core.
 func BenchmarkRequest(b *testing.B) {
 	text := []byte("POST /ingest HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: debdb788934a96db\r\nX-Service-Class: ingest\r\n" +
 		"X-Time-Left-Ms: 4998\r\nIdempotency-Key: 71593e6acbef1ca7795da9e901c059a9\r\nX-Facts: slots=1,memory=1.433\r\n" +
--- a/internal/platform/scenario_test.go
+++ b/internal/platform/scenario_test.go
@@ -10,12 +10,12 @@
 	"tinsail/internal/scenario"
 )
 
-// Scenarios run on the machines: send gives a machine a peer's bytes, expect is what it finds
-// next ("more" where it wants more bytes), close ends the connection, wait asks it again with
-// nothing new. Each is run with its bytes in one piece, byte by byte, and in threes: how a
-// peer's bytes are split must change nothing.
+// Scenarios run on the parsers: send passes a peer's bytes to the parser, expect is what it finds
+// next ("more" if it needs more bytes), close ends the connection, and wait calls it again with
+// no new bytes. Each is run with its bytes in one piece, byte by byte, and in threes: how a
+// peer's bytes are split must not change the result.
 
-// parserHarness is what a scenario runs on. next says what was found, in one word or a few.
+// parserHarness is a parser that scenarios run on. next describes what was found in a few words.
 type parserHarness interface {
 	Space() []byte
 	Filled(int)
@@ -36,7 +36,7 @@
 
 func runScript(t *testing.T, m parserHarness, text string, piece int) {
 	var found []string
-	over := false // a machine that has found its bytes bad gets no more
+	over := false // after an error a parser gets no more bytes
 	look := func() {
 		for f := "more"; !over; found = append(found, f) {
 			if f = m.next(); f == "more" {
@@ -69,5 +69,5 @@
 			require.Equal(t, s.Arg, got, s.Line)
 		}
 	}
-	require.Empty(t, found, "found and not expected")
+	require.Empty(t, found, "found but not expected")
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -22,7 +22,7 @@
 func TestReadBatch(t *testing.T) {
 	frame := unhex(t, `28000000 00000000206ec040 02000000
 		50 02000000 0300
-		1e 08000000 4d00000000000000 0000`) // two bytes too many: the host's to judge
+		1e 08000000 4d00000000000000 0000`) // two bytes too many, which the host checks
 	frame[0] = byte(len(frame) - 4)
 	b, _, err := ReadBatch(bytes.NewReader(frame), nil)
 	if err != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestReadBatchRefusesNonsense(t *testing.T) {
+func TestReadBatchRefusesInvalidFrames(t *testing.T) {
 	cases := map[string]string{
 		"cut in the length": "0c00",
 		"cut in the frame":  "0c000000 0000",
@@ -51,7 +51,7 @@
 	}
 	for name, text := range cases {
 		if _, _, err := ReadBatch(bytes.NewReader(unhex(t, text)), nil); err == nil || err == io.EOF {
-			t.Errorf("%s: error %v, want one that says what is wrong", name, err)
+			t.Errorf("%s: error %v, want one that describes the fault", name, err)
 		}
 	}
 	if _, _, err := ReadBatch(bytes.NewReader(nil), nil); err != io.EOF {
@@ -67,15 +67,15 @@
 func TestShortRecordsReadAsZero(t *testing.T) {
 	f := Fields{b: []byte{1, 2}}
 	if f.U32() != 0 || f.U8() != 0 || f.F64() != 0 || f.Worker() != 0 || len(f.Report(nil)) != 0 {
-		t.Error("a field that is not there does not read as zero")
+		t.Error("a missing field is not read as zero")
 	}
 }
 
-// TestReply compares each action with the bytes of the wire's description.
+// TestReply compares each action with the bytes of the protocol's description.
 func TestReply(t *testing.T) {
 	id := uint64(0x2bc3_074a_120a)
 	if f := (Fields{b: unhex(t, "0a124a07c32b")}); f.Worker() != id {
-		t.Fatalf("a worker's address reads as another than %x", id)
+		t.Fatalf("the worker's id is not %x", id)
 	}
 	cases := []struct {
 		name string
@@ -122,14 +122,14 @@
 	if s.Instances != 4 || s.Self != 2 || s.Zone != 1 || s.Zones != 2 || !s.Subscribe || !s.WorthByWork ||
 		s.MaxPause != 2000 || !s.MayCancel || s.Seed != 9 || s.Tenants[0].QuotaPerS != 20 ||
 		s.Weight != balance.WeightLive || s.Rules.FallWindow != 1500 || !s.ByPriority || !s.ReportInAnswer {
-		t.Errorf("settings read wrong: %+v", s)
+		t.Errorf("wrong settings: %+v", s)
 	}
 	if c.Effect != balance.Deduped || c.Scope != balance.ScopeCell || c.Stretch != 3 || c.Kind != 0 {
-		t.Errorf("class read wrong: %+v", c)
+		t.Errorf("wrong class: %+v", c)
 	}
 	if m := s.Metrics; len(m) != 3 || m[0] != balance.MetricServiceMs || m[1] != balance.MetricOther ||
 		m[2] != balance.MetricFreeSlots {
-		t.Errorf("metrics read wrong: %v", m)
+		t.Errorf("wrong metrics: %v", m)
 	}
 	for name, text := range map[string]string{
 		"not JSON":       `{"Balancers": `,
