--- a/internal/http2/conn.go
+++ b/internal/http2/conn.go
@@ -67,9 +67,9 @@
 	Opened Kind = iota
 	// BodyComplete: the whole body of a stream has arrived.
 	BodyComplete
-	// ClientReset: the client reset a stream that had been Opened. It cannot be answered. If its
+	// StreamReset: the client reset a stream that had been Opened. It cannot be answered. If its
 	// body was complete, it still counts against MaxStreams until ReleaseStream.
-	ClientReset
+	StreamReset
 	// Aborted: this package ended a stream that was Opened and whose body was not complete, by an
 	// answer or a reset of its own.
 	Aborted
--- a/internal/http2/fuzz_test.go
+++ b/internal/http2/fuzz_test.go
@@ -93,7 +93,7 @@
 	case BodyComplete:
 		require.True(w.t, w.opened[id])
 		w.unanswered[id] = true
-	case ClientReset:
+	case StreamReset:
 		require.True(w.t, w.opened[id], "ClientReset of a stream that was not opened")
 		delete(w.unanswered, id)
 		delete(w.opened, id)
--- a/internal/http2/scenario_test.go
+++ b/internal/http2/scenario_test.go
@@ -88,7 +88,7 @@
 			p.events = append(p.events, strings.TrimSpace(fmt.Sprintf("opened %d %s %s %s", s.ID, s.Head.Method, s.Head.Path, strings.Join(names, " "))))
 		case BodyComplete:
 			p.events = append(p.events, strings.TrimSpace(fmt.Sprintf("whole %d %s", s.ID, s.Body)))
-		case ClientReset:
+		case StreamReset:
 			p.events = append(p.events, fmt.Sprintf("gone %d", s.ID))
 		case Aborted:
 			p.events = append(p.events, fmt.Sprintf("dropped %d", s.ID))
--- a/internal/http2/stream.go
+++ b/internal/http2/stream.go
@@ -116,7 +116,7 @@
 	s.closed, s.answerPending = true, false
 	c.releaseBody(s)
 	c.openStreams--
-	c.event(Event{Kind: ClientReset, Stream: s})
+	c.event(Event{Kind: StreamReset, Stream: s})
 	c.endIfDrained()
 }
 
@@ -178,7 +178,7 @@
 			c.detachStream(s)
 			return
 		}
-		c.event(Event{Kind: ClientReset, Stream: s})
+		c.event(Event{Kind: StreamReset, Stream: s})
 	}
 	s.closed = true
 	c.closeStream(s)
--- a/internal/network/http2_reqs.go
+++ b/internal/network/http2_reqs.go
@@ -20,7 +20,7 @@
 			s.streamOpened(e.Stream)
 		case http2.BodyComplete:
 			s.reqComplete(e.Stream)
-		case http2.ClientReset:
+		case http2.StreamReset:
 			c.Count.HTTP2Resets.Add(1)
 			c.Count.Endings[core.StreamReset].Add(1)
 			r, ok := e.Stream.Data.(*streamReq)
