--- a/internal/balance/state.go
+++ b/internal/balance/state.go
@@ -207,11 +207,11 @@
 	case s.MaxAttempts < 1:
 		return fmt.Errorf("MaxAttempts is %d, want at least 1", s.MaxAttempts)
 	case s.Instances < 1 || s.Zones < 1 || s.Kinds < 1:
-		return errors.New("Instances, Zones and Kinds must be at least 1")
+		return errors.New("each of Instances, Zones and Kinds must be at least 1")
 	case s.Rules.StartCapacity < 0 || s.Rules.StartCapacity > 1 || s.Rules.FallMultiple < 0:
 		return errors.New("StartCapacity must be between 0 and 1 and FallMultiple not negative")
 	case s.Subscribe && s.Rules.AskEvery <= 0:
-		return errors.New("Subscribe requires a positive AskEvery")
+		return errors.New("settings with Subscribe require a positive AskEvery")
 	}
 	for i, c := range s.Classes {
 		if c.Aim <= 0 || c.Deadline <= 0 || c.Worth < 0 || c.Kind >= s.Kinds {
