--- a/cmd/tinsail/quotas.go
+++ b/cmd/tinsail/quotas.go
@@ -202,7 +202,7 @@
 		d.log.Error().Err(err).Msg("epoch not kept: a wall clock that was stepped back has lenders take this process for an earlier one")
 	}
 	cfg := quota.Config{Name: d.cfg.Name, Epoch: epoch, Region: set.Quotas.Region, RegionLease: millis(set.Quotas.RegionLeaseMS), Log: d.log,
-		Plan: lending.Plan{Lease: millis(set.Quotas.LeaseMS), Run: longestRun(d.cfg), Drift: set.Accord.Drift}}
+		Plan: lending.LeaseConfig{Lease: millis(set.Quotas.LeaseMS), MaxRunTime: longestRun(d.cfg), Drift: set.Accord.Drift}}
 	if from.link != nil { // the process that hands over goes on with what it holds until it is drained: no earlier life of this one
 		cfg.Name = fmt.Sprintf("%s.%x", d.cfg.Name, epoch)
 	}
--- a/internal/fleet/quota/cost_test.go
+++ b/internal/fleet/quota/cost_test.go
@@ -14,34 +14,34 @@
 	for _, each := range []int{10, 30, 100} {
 		for _, changes := range []bool{false, true} {
 			b.Run(fmt.Sprintf("lines=%d/changes=%v", each, changes), func(b *testing.B) {
-				l, err := NewLender(shortPlan, 7, 0, Options{Starts: true})
+				l, err := NewLender(shortPlan, 7, 0, LenderOptions{SkipRecovery: true})
 				require.NoError(b, err)
 				for t := range teams {
-					l.Capacity(0, fmt.Sprint("team", t), 10)
+					l.SetCapacity(0, fmt.Sprint("team", t), 10)
 				}
 				var holders []*Holder
 				for i := range disps {
 					h, err := NewHolder(shortPlan, fmt.Sprint("d", i), 1, false)
 					require.NoError(b, err)
 					for t := range each {
-						h.Need(fmt.Sprint("team", (i*7+t)%teams), 0, 1)
+						h.SetUsage(fmt.Sprint("team", (i*7+t)%teams), 0, 1)
 					}
 					holders = append(holders, h)
 				}
 				now, n := Time(0), 0
 				ask := func(h *Holder) {
-					a, due := h.Due(now)
+					a, due := h.NextRequest(now)
 					if !due {
 						return
 					}
 					n++
-					if answer, ok := l.Take(now, a); ok {
-						h.Answered(now, answer)
+					if answer, ok := l.Handle(now, a); ok {
+						h.HandleResponse(now, answer)
 					}
 				}
 				for range 5 {
 					for _, h := range holders {
-						h.Linked()
+						h.HandleReconnect()
 						ask(h)
 					}
 					now += second / 2
@@ -51,14 +51,14 @@
 				for b.Loop() {
 					h := holders[i%disps]
 					if changes {
-						h.Need(fmt.Sprint("team", (i%disps*7+i%each)%teams), i/disps%2, 1+i/disps%2)
+						h.SetUsage(fmt.Sprint("team", (i%disps*7+i%each)%teams), i/disps%2, 1+i/disps%2)
 					}
-					h.Linked()
+					h.HandleReconnect()
 					ask(h)
-					for _, name := range l.Nudges() {
+					for _, name := range l.TakePolls() {
 						_ = name
 					}
-					l.Notes()
+					l.TakeEvents()
 					now += second / 100
 					i++
 				}
--- a/internal/fleet/quota/desk.go
+++ b/internal/fleet/quota/desk.go
@@ -5,9 +5,9 @@
 	"container/list"
 )
 
-// Desk says which reqs of one dispatcher begin: of an account first in, first out, urgent ones first. It counts what is
+// Limiter says which reqs of one dispatcher begin: of an account first in, first out, urgent ones first. It counts what is
 // in flight of all accounts, also of those without a quota, which may gain one.
-type Desk struct {
+type Limiter struct {
 	quotas  map[string]bool
 	reqs    map[uint64]*req
 	tabs    map[string]*tab
@@ -36,15 +36,15 @@
 	heap     int           // its place in waiting
 }
 
-// NewDesk makes a desk at which no account has a quota.
-func NewDesk() *Desk {
-	return &Desk{quotas: map[string]bool{}, reqs: map[uint64]*req{}, tabs: map[string]*tab{}, urgent: list.New(),
+// NewLimiter makes a desk at which no account has a quota.
+func NewLimiter() *Limiter {
+	return &Limiter{quotas: map[string]bool{}, reqs: map[uint64]*req{}, tabs: map[string]*tab{}, urgent: list.New(),
 		queued: map[string]bool{}, told: map[string]bool{}, changed: map[string]bool{}}
 }
 
 // SetQuotas puts in force which accounts have a quota; Urgent among them where there is a reserve. What is in flight of an
 // account that gains one counts as used. What waits of one that loses its quota begins at the next Turn.
-func (d *Desk) SetQuotas(now Time, accounts []string) {
+func (d *Limiter) SetQuotas(now Time, accounts []string) {
 	clear(d.quotas)
 	for _, a := range accounts {
 		d.quotas[a] = true
@@ -55,7 +55,7 @@
 	}
 }
 
-func (d *Desk) tab(account string) *tab {
+func (d *Limiter) tab(account string) *tab {
 	t := d.tabs[account]
 	if t == nil {
 		t = &tab{urgent: list.New(), other: list.New()}
@@ -64,10 +64,10 @@
 	return t
 }
 
-// Take asks room for a req whose id no other has: true, and it begins now, since its account has no quota; false, and it
+// Acquire asks room for a req whose id no other has: true, and it begins now, since its account has no quota; false, and it
 // waits until at most the time given. The next Turn may begin it.
-func (d *Desk) Take(now Time, id uint64, account string, urgent bool, until Time) (begins bool) {
-	if account == Urgent { // reqs that name no account have no quota: this name is the reserve's
+func (d *Limiter) Acquire(now Time, id uint64, account string, urgent bool, until Time) (begins bool) {
+	if account == ReserveAccount { // reqs that name no account have no quota: this name is the reserve's
 		return true
 	}
 	if d.reqs[id] != nil {
@@ -85,25 +85,25 @@
 		r.at = t.other.PushBack(r)
 	} else {
 		r.at, r.also = t.urgent.PushBack(r), d.urgent.PushBack(r)
-		d.changed[Urgent] = true
+		d.changed[ReserveAccount] = true
 	}
 	heap.Push(&d.waiting, r)
 	return false
 }
 
-func (d *Desk) begin(r *req, charged string) {
+func (d *Limiter) begin(r *req, charged string) {
 	r.begun, r.charged = true, charged
 	d.tab(charged).used++
 	d.changed[charged] = true
 }
 
 // unqueue takes a req out of all that wait.
-func (d *Desk) unqueue(r *req) {
+func (d *Limiter) unqueue(r *req) {
 	t := d.tab(r.account)
 	if d.changed[r.account] = true; r.urgent {
 		t.urgent.Remove(r.at)
 		d.urgent.Remove(r.also)
-		d.changed[Urgent] = true
+		d.changed[ReserveAccount] = true
 	} else {
 		t.other.Remove(r.at)
 	}
@@ -113,8 +113,8 @@
 	}
 }
 
-// Leave tells that a req is over, or gone while it waited. One that is not known is no error.
-func (d *Desk) Leave(id uint64) {
+// Release tells that a req is over, or gone while it waited. One that is not known is no error.
+func (d *Limiter) Release(id uint64) {
 	r := d.reqs[id]
 	if r == nil {
 		return
@@ -129,15 +129,15 @@
 	d.tidy(r.account)
 }
 
-func (d *Desk) tidy(account string) {
+func (d *Limiter) tidy(account string) {
 	if t := d.tabs[account]; t != nil && t.used == 0 && t.urgent.Len()+t.other.Len() == 0 {
 		delete(d.tabs, account)
 	}
 }
 
-// Turn says which of those waiting begin now, by the units that units tells, and which are out of patience: those are
+// Admit says which of those waiting begin now, by the units that units tells, and which are out of patience: those are
 // forgotten, nothing of them was begun. An urgent one takes a unit of its own account first, then one of the reserve.
-func (d *Desk) Turn(now Time, units func(account string) int) (begin, refuse []uint64) {
+func (d *Limiter) Admit(now Time, units func(account string) int) (begin, refuse []uint64) {
 	for len(d.waiting) > 0 && d.waiting[0].until <= now {
 		r := d.waiting[0]
 		d.unqueue(r)
@@ -164,28 +164,28 @@
 			start(first.Value.(*req), account)
 		}
 	}
-	if d.quotas[Urgent] && d.urgent.Len() > 0 {
-		for room := units(Urgent) - d.used(Urgent); room > 0 && d.urgent.Len() > 0; room-- {
-			start(d.urgent.Front().Value.(*req), Urgent)
+	if d.quotas[ReserveAccount] && d.urgent.Len() > 0 {
+		for room := units(ReserveAccount) - d.used(ReserveAccount); room > 0 && d.urgent.Len() > 0; room-- {
+			start(d.urgent.Front().Value.(*req), ReserveAccount)
 		}
 	}
 	return begin, refuse
 }
 
-func (d *Desk) used(account string) int {
+func (d *Limiter) used(account string) int {
 	if t := d.tabs[account]; t != nil {
 		return t.used
 	}
 	return 0
 }
 
-// Needs tells what is used and wanted of each account with a quota of which that may have changed since it was told
+// TakeUsageChanges tells what is used and wanted of each account with a quota of which that may have changed since it was told
 // last, and once 0 and 0 of each that lost its quota; of a reserve that is no more, once nothing runs by it. Of the reserve one unit is wanted ahead of need.
-func (d *Desk) Needs(tell func(account string, used, want int)) {
+func (d *Limiter) TakeUsageChanges(tell func(account string, used, want int)) {
 	for account := range d.changed {
 		delete(d.changed, account)
 		if !d.quotas[account] {
-			if used := d.used(account); account == Urgent && used > 0 { // a reserve that comes back finds them counted
+			if used := d.used(account); account == ReserveAccount && used > 0 { // a reserve that comes back finds them counted
 				d.told[account] = true
 				tell(account, used, used)
 			} else if d.told[account] {
@@ -200,15 +200,15 @@
 		if t := d.tabs[account]; t != nil {
 			want += t.urgent.Len() + t.other.Len()
 		}
-		if account == Urgent {
+		if account == ReserveAccount {
 			want = used + d.urgent.Len() + 1
 		}
 		tell(account, used, want)
 	}
 }
 
-// Charged is the account whose unit a req in flight has: its own, or Urgent; false where it has none.
-func (d *Desk) Charged(id uint64) (account string, ok bool) {
+// ChargedAccount is the account whose unit a req in flight has: its own, or Urgent; false where it has none.
+func (d *Limiter) ChargedAccount(id uint64) (account string, ok bool) {
 	r := d.reqs[id]
 	if r == nil || !r.begun {
 		return "", false
@@ -216,8 +216,8 @@
 	return r.charged, true
 }
 
-// Next is when the patience of a waiting req is over first; Never for none.
-func (d *Desk) Next() Time {
+// NextTimeout is when the patience of a waiting req is over first; Never for none.
+func (d *Limiter) NextTimeout() Time {
 	if len(d.waiting) == 0 {
 		return Never
 	}
--- a/internal/fleet/quota/division.go
+++ b/internal/fleet/quota/division.go
@@ -9,7 +9,7 @@
 
 // able is what of an account may be lent now.
 func (l *Lender) able(now Time, name string, a *account) int {
-	if name != Urgent && !l.covered(now) {
+	if name != ReserveAccount && !l.covered(now) {
 		return 0
 	}
 	return a.capacity
@@ -68,7 +68,7 @@
 	}
 	units := l.able(now, name, a) - a.past - l.legacy(a)
 	ahead := 0
-	if name == Urgent {
+	if name == ReserveAccount {
 		ahead = 1
 	}
 	var need, more []wish
@@ -78,9 +78,9 @@
 		case c.lapsed:
 			units -= ln.count()
 		case c.unsure:
-			need = append(need, wish{child, min(ln.Want, max(ln.Held, ln.Used)), has, 0})
+			need = append(need, wish{child, min(ln.Demand, max(ln.Held, ln.Used)), has, 0})
 		default:
-			want := max(ln.Want, ln.floor)
+			want := max(ln.Demand, ln.floor)
 			need = append(need, wish{child, max(want-ahead, 0), has, 0})
 			more = append(more, wish{child, min(want, ahead), has, 0})
 		}
@@ -93,7 +93,7 @@
 	if ahead > 0 {
 		units, _ = fill(units, more, a.targets, 0)
 	}
-	if l.options.Spread {
+	if l.options.Preallocate {
 		more = more[:0]
 		for child, c := range l.children {
 			if !c.unsure && !c.lapsed {
@@ -111,9 +111,9 @@
 	ln, t := a.lines[child], targets[child]
 	units, want := 0, 0
 	if ln != nil {
-		units, want = ln.units, ln.Want
+		units, want = ln.units, ln.Demand
 	}
-	if l.options.Spread {
+	if l.options.Preallocate {
 		return units < min(want, t) || 2*units < t
 	}
 	return units < t
@@ -131,12 +131,12 @@
 
 // grant decides what a child may begin by of each account that it has, and of all where the lender spreads, and names
 // what differs from what it said that it holds.
-func (l *Lender) grant(now Time, c *child) (out []Share) {
+func (l *Lender) grant(now Time, c *child) (out []Allocation) {
 	names := make([]string, 0, len(c.lines))
 	for name := range c.lines {
 		names = append(names, name)
 	}
-	if l.options.Spread {
+	if l.options.Preallocate {
 		for name, a := range l.accounts {
 			if a.capacity > 0 && c.lines[name] == nil {
 				names = append(names, name)
@@ -154,10 +154,10 @@
 			l.set(c, name, ln)
 		}
 		if units != ln.Held {
-			out = append(out, Share{name, units})
+			out = append(out, Allocation{name, units})
 		}
 	}
-	slices.SortFunc(out, func(a, b Share) int { return cmp.Compare(a.Account, b.Account) })
+	slices.SortFunc(out, func(a, b Allocation) int { return cmp.Compare(a.Account, b.Account) })
 	return out
 }
 
@@ -167,7 +167,7 @@
 	a := l.account(name)
 	targets := l.targets(now, name, a)
 	t := targets[c.name]
-	if l.options.Spread && t < ln.Held && !l.lacking(a, targets, c.name) {
+	if l.options.Preallocate && t < ln.Held && !l.lacking(a, targets, c.name) {
 		t = ln.Held // nobody needs it
 	}
 	room := l.able(now, name, a) - l.legacy(a) - (a.counted - ln.count())
@@ -229,7 +229,7 @@
 // call nudges a child, unless it has been a moment ago and has not asked since.
 func (l *Lender) call(now Time, name string) bool {
 	c := l.children[name]
-	if c == nil || c.lapsed || now < c.nudged.Add(l.plan.Retry()) {
+	if c == nil || c.lapsed || now < c.nudged.Add(l.plan.RetryDelay()) {
 		return false
 	}
 	c.nudged = now
--- a/internal/fleet/quota/dump_test.go
+++ b/internal/fleet/quota/dump_test.go
@@ -34,7 +34,7 @@
 	for n, a := range l.accounts {
 		fmt.Fprintf(os.Stderr, "  account %q cap %d counted %d past %d base %d first %d short %v targets %v\n", n, a.capacity, a.counted, a.past, a.base, a.first, l.short[n], a.targets)
 		for c, ln := range a.lines {
-			fmt.Fprintf(os.Stderr, "     %s %+v units %d floor %d lapsed %v unsure %v reported %v\n", c, ln.Line, ln.units, ln.floor, l.children[c].lapsed, l.children[c].unsure, l.children[c].reported)
+			fmt.Fprintf(os.Stderr, "     %s %+v units %d floor %d lapsed %v unsure %v reported %v\n", c, ln.AccountReport, ln.units, ln.floor, l.children[c].lapsed, l.children[c].unsure, l.children[c].reported)
 		}
 	}
 }
--- a/internal/fleet/quota/ends.go
+++ b/internal/fleet/quota/ends.go
@@ -8,7 +8,7 @@
 
 // Tick lets time pass: leases lapse, what had begun by them is over, earlier lives of the lender have no say any more.
 func (l *Lender) Tick(now Time) {
-	if now < l.Next() {
+	if now < l.NextTick() {
 		return
 	}
 	if l.young && now >= l.ends() {
@@ -19,13 +19,13 @@
 		l.lapse(now)
 	}
 	if now >= l.turns() {
-		l.turn = int64(now-l.born) / int64(l.plan.Turn())
+		l.turn = int64(now-l.born) / int64(l.plan.RotationPeriod())
 		for _, name := range sorted(l.round) {
 			l.accounts[name].targets = nil
 			l.settle(now, name)
 		}
 	}
-	if now >= l.settled.Add(l.plan.Retry()) {
+	if now >= l.settled.Add(l.plan.RetryDelay()) {
 		l.settled = now
 		for _, name := range sorted(l.short) {
 			l.settle(now, name)
@@ -33,8 +33,8 @@
 	}
 }
 
-// Next is when Tick has something to do.
-func (l *Lender) Next() Time {
+// NextTick is when Tick has something to do.
+func (l *Lender) NextTick() Time {
 	next := l.scan
 	if l.young {
 		next = min(next, l.ends())
@@ -46,13 +46,13 @@
 		next = min(next, l.turns())
 	}
 	if len(l.short) > 0 {
-		next = min(next, l.settled.Add(l.plan.Retry()))
+		next = min(next, l.settled.Add(l.plan.RetryDelay()))
 	}
 	return next
 }
 
 // turns is when units go round.
-func (l *Lender) turns() Time { return l.born.Add(time.Duration(l.turn+1) * l.plan.Turn()) }
+func (l *Lender) turns() Time { return l.born.Add(time.Duration(l.turn+1) * l.plan.RotationPeriod()) }
 
 // grown ends the time in which earlier lives may have lent something unheard of.
 func (l *Lender) grown(now Time) {
@@ -78,8 +78,8 @@
 		switch lapses := c.heard.Add(l.plan.Lease); {
 		case now < lapses:
 			l.scan = min(l.scan, lapses)
-		case now < lapses.Add(l.plan.Tail()):
-			l.scan = min(l.scan, lapses.Add(l.plan.Tail()))
+		case now < lapses.Add(l.plan.DrainPeriod()):
+			l.scan = min(l.scan, lapses.Add(l.plan.DrainPeriod()))
 			l.silence(c, moved)
 		case len(c.lines) > 0 || !l.young:
 			for account := range c.lines {
@@ -118,7 +118,7 @@
 	sum := 0
 	for account, ln := range c.lines {
 		n := *ln
-		n.Want = 0
+		n.Demand = 0
 		sum += n.count()
 		l.set(c, account, n)
 		moved[account] = true
--- a/internal/fleet/quota/fault_test.go
+++ b/internal/fleet/quota/fault_test.go
@@ -24,7 +24,7 @@
 				s := drawSetup(t)
 				if s.flaw = f; f.wholeLease { // seen only where clocks differ much and what runs is short beside the lease
 					s.up.Drift, s.down.Drift = 0.1, 0.1
-					s.up.Run, s.down.Run = s.down.Lease/8, s.down.Lease/8
+					s.up.MaxRunTime, s.down.MaxRunTime = s.down.Lease/8, s.down.Lease/8
 				}
 				return schedule(t, s)
 			})
--- a/internal/fleet/quota/hard_test.go
+++ b/internal/fleet/quota/hard_test.go
@@ -12,8 +12,8 @@
 // fleet is three regions 150 ms apart with leases as an operator would set them, on links that lose nothing.
 func fleet(t *testing.T, disps int, quotas map[string]int, reserve int) *world {
 	w := newWorld(setup{
-		up:     Plan{Lease: 600 * time.Second, Run: 20 * time.Second, Drift: 0.001},
-		down:   Plan{Lease: 3 * time.Second, Run: 20 * time.Second, Drift: 0.001},
+		up:     LeaseConfig{Lease: 600 * time.Second, MaxRunTime: 20 * time.Second, Drift: 0.001},
+		down:   LeaseConfig{Lease: 3 * time.Second, MaxRunTime: 20 * time.Second, Drift: 0.001},
 		quotas: quotas, reserve: reserve, regions: 3, disps: disps, seed: 1,
 		near: time.Millisecond, far: 150 * time.Millisecond, steady: true, first: true,
 	})
@@ -222,7 +222,7 @@
 	w.flood(0, 60, "a", false)
 	w.until(t, 5*time.Second, "all to one region", func() bool { return w.disps[0].runs("a") == 30 })
 	for id := range w.disps[0].waits { // nobody waits there any more, and the units are let go of one by one
-		w.disps[0].d.Leave(id)
+		w.disps[0].d.Release(id)
 		delete(w.disps[0].waits, id)
 	}
 	w.until(t, 25*time.Second, "they end", func() bool { return w.truth.running["a"] == 0 })
--- a/internal/fleet/quota/lender.go
+++ b/internal/fleet/quota/lender.go
@@ -10,9 +10,9 @@
 // children may begin by or have in flight, what ended lives of theirs may (past), and what earlier lives of its own may
 // have lent to children not heard of since (legacy): it lends no more than its capacity less all of that.
 type Lender struct {
-	plan     Plan
+	plan     LeaseConfig
 	life     uint64
-	options  Options
+	options  LenderOptions
 	born     Time
 	young    bool // earlier lives may have lent what is not heard of yet
 	cover    Time // Never for the root
@@ -28,7 +28,7 @@
 	moved    map[string]bool // accounts whose counts or wants changed, for the region
 	nudge    map[string]bool
 	before   map[*account]line // while an ask is taken: the asker's lines that it changes, as they were
-	notes    []Note
+	notes    []Event
 }
 
 // child is the newest life of one child.
@@ -48,7 +48,7 @@
 // line is one account of a child. It counts as the most of what it said that it holds and uses, of what the answer to
 // its newest ask gave it, and, of a fresh life, of what the lives before were counted at.
 type line struct {
-	Line
+	AccountReport
 	units int
 	floor int
 }
@@ -77,36 +77,36 @@
 // NewLender starts a life of a lender, which knows nothing of what earlier lives lent. life is not 0 and differs from
 // that of each earlier life. It counts what earlier lives may have lent as lent until children have reported it, all
 // children that are known by name have, or Quiet and Tail have passed.
-func NewLender(p Plan, life uint64, now Time, o Options) (*Lender, error) {
+func NewLender(p LeaseConfig, life uint64, now Time, o LenderOptions) (*Lender, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
 	if life == 0 {
 		return nil, errors.New("quota: a lender's life is 0")
 	}
-	l := &Lender{plan: p, life: life, options: o, born: now, young: !o.Starts, cover: Never, scan: now, settled: now,
+	l := &Lender{plan: p, life: life, options: o, born: now, young: !o.SkipRecovery, cover: Never, scan: now, settled: now,
 		children: map[string]*child{}, accounts: map[string]*account{}, short: map[string]bool{}, round: map[string]bool{}, moved: map[string]bool{}, nudge: map[string]bool{}}
-	if l.lit = !o.Middle; o.Middle {
+	if l.lit = !o.Intermediate; o.Intermediate {
 		l.cover = now
 	}
 	return l, nil
 }
 
-// Capacity sets what may be lent of an account. Lowered below what is counted it lends nothing until there is room.
-func (l *Lender) Capacity(now Time, name string, units int) {
+// SetCapacity sets what may be lent of an account. Lowered below what is counted it lends nothing until there is room.
+func (l *Lender) SetCapacity(now Time, name string, units int) {
 	a := l.account(name)
 	if a.capacity == units {
 		return
 	}
 	a.capacity, a.targets = units, nil
-	if !l.options.Middle {
+	if !l.options.Intermediate {
 		l.inherit(name, units)
 	}
 	l.settle(now, name)
 }
 
-// Inherit tells what earlier lives of a middle lender may have lent.
-func (l *Lender) Inherit(now Time, shares []Share) {
+// AssumeLent tells what earlier lives of a middle lender may have lent.
+func (l *Lender) AssumeLent(now Time, shares []Allocation) {
 	for _, s := range shares {
 		l.inherit(s.Account, s.Units)
 		l.settle(now, s.Account)
@@ -120,10 +120,10 @@
 	}
 }
 
-// Cover sets until when a middle lender may itself begin: what it lends ends before. Uncovered it lends the urgent
+// SetLeaseEnd sets until when a middle lender may itself begin: what it lends ends before. Uncovered it lends the urgent
 // reserve alone, which is its own, and nothing at all in its first Quiet, so that a cover that comes soon finds its
 // children's leases standing.
-func (l *Lender) Cover(now, until Time) {
+func (l *Lender) SetLeaseEnd(now, until Time) {
 	l.cover = until
 	l.relight(now)
 }
@@ -159,10 +159,10 @@
 }
 
 // ends is when nothing is legacy any more.
-func (l *Lender) ends() Time { return l.born.Add(l.plan.Quiet()).Add(l.plan.Tail()) }
+func (l *Lender) ends() Time { return l.born.Add(l.plan.QuietPeriod()).Add(l.plan.DrainPeriod()) }
 
-// Young says whether earlier lives may have lent what is not heard of yet.
-func (l *Lender) Young() bool { return l.young }
+// Recovering says whether earlier lives may have lent what is not heard of yet.
+func (l *Lender) Recovering() bool { return l.young }
 
 func (l *Lender) account(name string) *account {
 	a := l.accounts[name]
@@ -181,8 +181,8 @@
 	return max(a.base-a.first, 0)
 }
 
-// Lent is what may be in use of an account: what children hold or use, and what ended or earlier lives may.
-func (l *Lender) Lent(now Time, account string) int {
+// Outstanding is what may be in use of an account: what children hold or use, and what ended or earlier lives may.
+func (l *Lender) Outstanding(now Time, account string) int {
 	l.Tick(now)
 	a := l.accounts[account]
 	if a == nil {
@@ -191,8 +191,8 @@
 	return a.counted + l.legacy(a)
 }
 
-// Want is what the children use and could use of an account, by their newest asks.
-func (l *Lender) Want(account string) (used, want int) {
+// Usage is what the children use and could use of an account, by their newest asks.
+func (l *Lender) Usage(account string) (used, want int) {
 	if a := l.accounts[account]; a != nil {
 		for _, n := range a.lines {
 			used += n.Used
@@ -205,15 +205,15 @@
 // Accounts are those that the lender knows, in order.
 func (l *Lender) Accounts() []string { return slices.Sorted(maps.Keys(l.accounts)) }
 
-// Nudges are the children that should ask now, once each.
-func (l *Lender) Nudges() []string {
+// TakePolls are the children that should ask now, once each.
+func (l *Lender) TakePolls() []string {
 	out := slices.Sorted(maps.Keys(l.nudge))
 	clear(l.nudge)
 	return out
 }
 
-// Notes hands out what is to be logged.
-func (l *Lender) Notes() []Note {
+// TakeEvents hands out what is to be logged.
+func (l *Lender) TakeEvents() []Event {
 	n := l.notes
 	l.notes = nil
 	return n
@@ -221,13 +221,13 @@
 
 func (l *Lender) note(step, account, child string, units int) {
 	if len(l.notes) < mostNotes {
-		l.notes = append(l.notes, Note{step, account, child, units})
+		l.notes = append(l.notes, Event{step, account, child, units})
 	}
 }
 
 // touch notes for the region that an account's count or wants changed.
 func (l *Lender) touch(name string) {
-	if l.options.Middle {
+	if l.options.Intermediate {
 		l.moved[name] = true
 	}
 }
--- a/internal/fleet/quota/linked.go
+++ b/internal/fleet/quota/linked.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Linked tells that a link to the lender was made anew: an ask in flight on the one before is lost, and one is due at
+// HandleReconnect tells that a link to the lender was made anew: an ask in flight on the one before is lost, and one is due at
 // once. Nothing is given back for it.
-func (h *Holder) Linked() { h.flying, h.asap = false, true }
+func (h *Holder) HandleReconnect() { h.flying, h.asap = false, true }
 
-// Linked tells that a link to the root was made anew.
-func (r *Region) Linked() { r.holder.Linked() }
+// HandleReconnect tells that a link to the root was made anew.
+func (r *RegionLender) HandleReconnect() { r.holder.HandleReconnect() }
 
-// Run tells that reqs may run for so long from now on. A shorter time than before changes nothing in this life of the
+// SetMaxRunTime tells that reqs may run for so long from now on. A shorter time than before changes nothing in this life of the
 // lender: what began by the longer one may still run.
-func (l *Lender) Run(now Time, run time.Duration) {
-	if run > l.plan.Run {
-		l.plan.Run, l.scan = run, min(l.scan, now)
+func (l *Lender) SetMaxRunTime(now Time, run time.Duration) {
+	if run > l.plan.MaxRunTime {
+		l.plan.MaxRunTime, l.scan = run, min(l.scan, now)
 	}
 }
 
-// Run tells the region's lender how long reqs may run.
-func (r *Region) Run(now Time, run time.Duration) { r.lender.Run(now, run) }
+// SetMaxRunTime tells the region's lender how long reqs may run.
+func (r *RegionLender) SetMaxRunTime(now Time, run time.Duration) { r.lender.SetMaxRunTime(now, run) }
--- a/internal/fleet/quota/mutate_test.go
+++ b/internal/fleet/quota/mutate_test.go
@@ -76,7 +76,7 @@
 type regionMember struct {
 	name string
 	rate
-	r  *quota.Region
+	r  *quota.RegionLender
 	to int
 }
 
@@ -85,14 +85,14 @@
 	rate
 	life     uint64
 	h        *quota.Holder
-	d        *quota.Desk
+	d        *quota.Limiter
 	waits    map[uint64]string
 	draining bool
 }
 
 var (
-	downPlan = quota.Plan{Lease: 300 * time.Millisecond, Run: 200 * time.Millisecond, Drift: 0.05}
-	upPlan   = quota.Plan{Lease: 1200 * time.Millisecond, Run: 200 * time.Millisecond, Drift: 0.05}
+	downPlan = quota.LeaseConfig{Lease: 300 * time.Millisecond, MaxRunTime: 200 * time.Millisecond, Drift: 0.05}
+	upPlan   = quota.LeaseConfig{Lease: 1200 * time.Millisecond, MaxRunTime: 200 * time.Millisecond, Drift: 0.05}
 )
 
 const (
@@ -103,7 +103,7 @@
 func (d *quotaDay) setup(name string) mutate.Setup {
 	late := downPlan.Lease
 	// docs/design/quota.md: after faults end
-	named := downPlan.Quiet() + downPlan.Tail() + upPlan.Renew() + 2*upPlan.Tell() + 4*downPlan.Renew() + 400*time.Millisecond
+	named := downPlan.QuietPeriod() + downPlan.DrainPeriod() + upPlan.RenewInterval() + 2*upPlan.ReportDelay() + 4*downPlan.RenewInterval() + 400*time.Millisecond
 	return mutate.Setup{Name: "quota " + name, Seed: 1, Build: d.build, Tick: mutateTick, From: d.from, Faults: d.end, Late: late,
 		Length: d.end + late + time.Duration(float64(named)/(1-downPlan.Drift)), Steps: 200_000}
 }
@@ -121,7 +121,7 @@
 		r := &regionMember{name: name, rate: clock()}
 		w.regions = append(w.regions, r)
 		w.startRegion(0, r)
-		r.r.Starts(r.at(0))
+		r.r.SkipRecovery(r.at(0))
 	}
 	for i := range 5 {
 		n := &dispMember{name: fmt.Sprint("d", i), region: []string{"east", "west"}[i%2], rate: clock()}
@@ -134,7 +134,7 @@
 
 func (w *quotaWorld) elect(now time.Duration, i int, first bool) {
 	r := w.roots[i]
-	l, err := quota.NewLender(upPlan, w.term, r.at(now), quota.Options{Spread: true, Known: []string{"east", "west"}, Starts: first})
+	l, err := quota.NewLender(upPlan, w.term, r.at(now), quota.LenderOptions{Preallocate: true, Children: []string{"east", "west"}, SkipRecovery: first})
 	if err != nil {
 		panic(err)
 	}
@@ -142,24 +142,24 @@
 	for _, c := range w.changes {
 		most = max(most, c.units)
 	}
-	l.Inherit(r.at(now), []quota.Share{{Account: "team", Units: most}})
+	l.AssumeLent(r.at(now), []quota.Allocation{{Account: "team", Units: most}})
 	for _, a := range []string{"team", "other"} {
-		l.Capacity(r.at(now), a, w.quota[a])
+		l.SetCapacity(r.at(now), a, w.quota[a])
 	}
 	r.l, w.leads = l, i
 	for _, g := range w.regions {
 		g.to = i
-		g.r.Linked()
+		g.r.HandleReconnect()
 	}
 }
 
 func (w *quotaWorld) startRegion(now time.Duration, r *regionMember) {
 	w.lives++
 	var err error
-	if r.r, err = quota.NewRegion(upPlan, downPlan, r.name, w.lives, r.at(now)); err != nil {
+	if r.r, err = quota.NewRegionLender(upPlan, downPlan, r.name, w.lives, r.at(now)); err != nil {
 		panic(err)
 	}
-	r.r.Reserve(r.at(now), reserve)
+	r.r.SetReserve(r.at(now), reserve)
 }
 
 func (w *quotaWorld) startDisp(n *dispMember) {
@@ -168,8 +168,8 @@
 	if n.h, err = quota.NewHolder(downPlan, n.name, w.lives, false); err != nil {
 		panic(err)
 	}
-	n.life, n.d, n.waits, n.draining = w.lives, quota.NewDesk(), map[uint64]string{}, false
-	n.d.SetQuotas(0, []string{"team", "other", quota.Urgent})
+	n.life, n.d, n.waits, n.draining = w.lives, quota.NewLimiter(), map[uint64]string{}, false
+	n.d.SetQuotas(0, []string{"team", "other", quota.ReserveAccount})
 }
 
 func (w *quotaWorld) Nodes() []string {
@@ -210,7 +210,7 @@
 		w.changes = append(w.changes, change{now, units})
 		if w.leads >= 0 {
 			r := w.roots[w.leads]
-			r.l.Capacity(r.at(now), "team", units)
+			r.l.SetCapacity(r.at(now), "team", units)
 		}
 	}
 	if w.once("lowered", d.lowered, now) {
@@ -227,7 +227,7 @@
 		w.startRegion(now, w.regions[0])
 		for _, n := range w.disps {
 			if n.region == "east" {
-				n.h.Linked()
+				n.h.HandleReconnect()
 			}
 		}
 	}
@@ -243,7 +243,7 @@
 			return false
 		}
 		if w.runs[r.of]--; r.node.life == r.life {
-			r.node.d.Leave(r.id)
+			r.node.d.Release(r.id)
 		}
 		return true
 	})
@@ -282,7 +282,7 @@
 		for range wants[a] - waiting[a] {
 			w.ids++
 			n.waits[w.ids] = a
-			if n.d.Take(n.at(now), w.ids, a, a == "other" && w.rnd.IntN(2) == 0, n.at(now).Add(time.Second)) {
+			if n.d.Acquire(n.at(now), w.ids, a, a == "other" && w.rnd.IntN(2) == 0, n.at(now).Add(time.Second)) {
 				w.fail("%s begins a req that has a quota at once", n.name)
 			}
 		}
@@ -292,7 +292,7 @@
 func (w *quotaWorld) dispTurn(now time.Duration, n *dispMember) (out []mutate.Message) {
 	t := n.at(now)
 	if !n.draining {
-		begin, refuse := n.d.Turn(t, func(a string) int { return n.h.Units(t, a) })
+		begin, refuse := n.d.Admit(t, func(a string) int { return n.h.Units(t, a) })
 		for _, id := range append(slices.Clone(begin), refuse...) {
 			if _, waits := n.waits[id]; !waits {
 				w.fail("%s gives req %d a second verdict", n.name, id)
@@ -304,34 +304,34 @@
 		}
 	} else {
 		for id := range n.waits {
-			n.d.Leave(id)
+			n.d.Release(id)
 		}
 		clear(n.waits)
 	}
-	n.d.Needs(n.h.Need)
+	n.d.TakeUsageChanges(n.h.SetUsage)
 	if n.draining && !slices.ContainsFunc(w.ends, func(r running) bool { return r.life == n.life }) {
 		n.h.Close()
-		n.h.Linked()
-		if a, due := n.h.Due(t); due {
-			out = w.message(now, n.name, n.region, wire.WriteAsk(wire.Ask{To: n.region, Ask: a}))
+		n.h.HandleReconnect()
+		if a, due := n.h.NextRequest(t); due {
+			out = w.message(now, n.name, n.region, wire.EncodeLeaseRequest(wire.LeaseRequest{To: n.region, LeaseRequest: a}))
 		}
 		w.startDisp(n)
 		return out
 	}
-	if a, due := n.h.Due(t); due {
-		out = w.message(now, n.name, n.region, wire.WriteAsk(wire.Ask{To: n.region, Ask: a}))
+	if a, due := n.h.NextRequest(t); due {
+		out = w.message(now, n.name, n.region, wire.EncodeLeaseRequest(wire.LeaseRequest{To: n.region, LeaseRequest: a}))
 	}
 	return out
 }
 
 func (w *quotaWorld) begin(now time.Duration, n *dispMember, id uint64) {
-	of, ok := n.d.Charged(id)
+	of, ok := n.d.ChargedAccount(id)
 	if !ok {
 		w.fail("%s begins req %d by no unit", n.name, id)
 	}
-	most, window := w.quota[of], time.Duration(float64(upPlan.Usable())/(1-upPlan.Drift))+2
+	most, window := w.quota[of], time.Duration(float64(upPlan.UsableLease())/(1-upPlan.Drift))+2
 	switch of {
-	case quota.Urgent:
+	case quota.ReserveAccount:
 		of, most = n.region, reserve
 	case "team":
 		most = 0
@@ -344,19 +344,19 @@
 	if w.runs[of]++; w.runs[of] > most {
 		w.fail("%d of %s run when %s begins one, of %d", w.runs[of], of, n.name, most)
 	}
-	w.ends = append(w.ends, running{now + time.Duration(float64(downPlan.Run)/n.rate.rate) - mutateTick, n, n.life, id, of})
+	w.ends = append(w.ends, running{now + time.Duration(float64(downPlan.MaxRunTime)/n.rate.rate) - mutateTick, n, n.life, id, of})
 }
 
 func (w *quotaWorld) regionTurn(now time.Duration, r *regionMember) (out []mutate.Message) {
 	t := r.at(now)
 	r.r.Tick(t)
-	if a, due := r.r.Due(t); due {
-		out = w.message(now, r.name, w.roots[r.to].name, wire.WriteAsk(wire.Ask{Ask: a}))
+	if a, due := r.r.NextRequest(t); due {
+		out = w.message(now, r.name, w.roots[r.to].name, wire.EncodeLeaseRequest(wire.LeaseRequest{LeaseRequest: a}))
 	}
-	for _, name := range r.r.Nudges() {
-		out = append(out, w.message(now, r.name, name, wire.WriteNudge(r.name))...)
+	for _, name := range r.r.TakePolls() {
+		out = append(out, w.message(now, r.name, name, wire.EncodePoll(r.name))...)
 	}
-	r.r.Notes()
+	r.r.TakeEvents()
 	return out
 }
 
@@ -366,53 +366,53 @@
 		return nil
 	}
 	r.l.Tick(r.at(now))
-	for _, name := range r.l.Nudges() {
-		out = append(out, w.message(now, r.name, name, wire.WriteNudge(""))...)
+	for _, name := range r.l.TakePolls() {
+		out = append(out, w.message(now, r.name, name, wire.EncodePoll(""))...)
 	}
-	r.l.Notes()
+	r.l.TakeEvents()
 	return out
 }
 
 // Deliver does what the drivers do: a lender takes asks that are meant for it, of the child that the link is of; a holder
 // answers of its own lender.
 func (w *quotaWorld) Deliver(now time.Duration, m mutate.Message) []mutate.Message {
-	msg, err := wire.Read(m.Bytes)
+	msg, err := wire.Decode(m.Bytes)
 	if err != nil {
 		return nil
 	}
 	switch {
 	case m.To[:2] == "ro":
 		i := int(m.To[4] - '0')
-		if msg.Ask == nil || msg.Ask.To != "" || w.leads != i {
+		if msg.Request == nil || msg.Request.To != "" || w.leads != i {
 			return nil
 		}
-		a, ok := w.roots[i].l.Take(w.roots[i].at(now), msg.Ask.Ask)
+		a, ok := w.roots[i].l.Handle(w.roots[i].at(now), msg.Request.LeaseRequest)
 		out := w.nudges(now, i)
 		if ok {
-			out = append(out, w.message(now, m.To, m.From, wire.WriteAnswer(wire.Answer{Answer: a}))...)
+			out = append(out, w.message(now, m.To, m.From, wire.EncodeLeaseResponse(wire.LeaseResponse{LeaseResponse: a}))...)
 		}
 		return out
 	case m.To[0] == 'd':
 		n := w.disps[m.To[1]-'0']
 		switch {
-		case msg.Answer != nil && msg.Answer.From == n.region:
-			n.h.Answered(n.at(now), msg.Answer.Answer)
-		case msg.Nudge != nil && *msg.Nudge == n.region:
-			n.h.Nudged()
+		case msg.Response != nil && msg.Response.From == n.region:
+			n.h.HandleResponse(n.at(now), msg.Response.LeaseResponse)
+		case msg.Poll != nil && *msg.Poll == n.region:
+			n.h.HandlePoll()
 		}
 		return w.dispTurn(now, n)
 	}
 	r := w.region(m.To)
 	var out []mutate.Message
 	switch {
-	case msg.Ask != nil && msg.Ask.To == r.name:
-		if a, ok := r.r.Take(r.at(now), msg.Ask.Ask); ok {
-			out = w.message(now, r.name, m.From, wire.WriteAnswer(wire.Answer{From: r.name, Answer: a}))
+	case msg.Request != nil && msg.Request.To == r.name:
+		if a, ok := r.r.Handle(r.at(now), msg.Request.LeaseRequest); ok {
+			out = w.message(now, r.name, m.From, wire.EncodeLeaseResponse(wire.LeaseResponse{From: r.name, LeaseResponse: a}))
 		}
-	case msg.Answer != nil && msg.Answer.From == "":
-		r.r.Answered(r.at(now), msg.Answer.Answer)
-	case msg.Nudge != nil && *msg.Nudge == "":
-		r.r.Nudged()
+	case msg.Response != nil && msg.Response.From == "":
+		r.r.HandleResponse(r.at(now), msg.Response.LeaseResponse)
+	case msg.Poll != nil && *msg.Poll == "":
+		r.r.HandlePoll()
 	}
 	return append(out, w.regionTurn(now, r)...)
 }
--- a/internal/fleet/quota/oracle_test.go
+++ b/internal/fleet/quota/oracle_test.go
@@ -58,7 +58,7 @@
 // largest is the largest quota that was in force within a window before now. A team that had none is without a bound for
 // longer by what was begun then and nobody counted: it may run beside what was lent by those who had not heard of it.
 func (o *oracle) largest(account string, now, window time.Duration) int {
-	return largest(o.history[account], now, window, window+stretch(o.w.setup.down.Run, o.w.setup.down.Drift))
+	return largest(o.history[account], now, window, window+stretch(o.w.setup.down.MaxRunTime, o.w.setup.down.Drift))
 }
 
 func stretch(d time.Duration, drift float64) time.Duration {
@@ -69,19 +69,19 @@
 // it holds by an ask sent before the decision, and by its own clock.
 func (o *oracle) hears() time.Duration {
 	up := o.w.setup.up
-	return stretch(up.Usable(), up.Drift)
+	return stretch(up.UsableLease(), up.Drift)
 }
 
 // runs is how long after a decision what was begun by the quota before may run.
 func (o *oracle) runs() time.Duration {
-	return o.hears() + stretch(o.w.setup.down.Run, o.w.setup.down.Drift)
+	return o.hears() + stretch(o.w.setup.down.MaxRunTime, o.w.setup.down.Drift)
 }
 
 func (o *oracle) begin(account, charged, region string) {
 	o.all[account]++
 	o.begun[account]++
 	o.begun[region]++
-	if charged == Urgent {
+	if charged == ReserveAccount {
 		o.urgent[region]++
 		if most := largest(o.reserve, o.w.now, o.runs(), o.runs()); o.urgent[region] > most {
 			o.fail("%d reqs run by the urgent reserve in %s, which is %d", o.urgent[region], region, most)
@@ -99,7 +99,7 @@
 }
 
 func (o *oracle) end(account, charged, region string) {
-	if o.all[account]--; charged == Urgent {
+	if o.all[account]--; charged == ReserveAccount {
 		o.urgent[region]--
 		return
 	}
--- a/internal/fleet/quota/play_test.go
+++ b/internal/fleet/quota/play_test.go
@@ -20,8 +20,8 @@
 	drift := rapid.SampledFrom([]float64{0, 0.001, 0.02, 0.1, 0.1}).Draw(t, "drift")
 	run := time.Duration(rapid.IntRange(100, 4000).Draw(t, "run_ms")) * time.Millisecond
 	s := setup{
-		up:      Plan{Lease: short * time.Duration(rapid.IntRange(4, 12).Draw(t, "leases")), Run: run, Drift: drift},
-		down:    Plan{Lease: short, Run: run, Drift: drift},
+		up:      LeaseConfig{Lease: short * time.Duration(rapid.IntRange(4, 12).Draw(t, "leases")), MaxRunTime: run, Drift: drift},
+		down:    LeaseConfig{Lease: short, MaxRunTime: run, Drift: drift},
 		quotas:  map[string]int{"a": rapid.IntRange(0, 40).Draw(t, "a"), "b": rapid.IntRange(0, 6).Draw(t, "b")},
 		reserve: rapid.IntRange(0, 3).Draw(t, "reserve"),
 		regions: rapid.IntRange(2, 3).Draw(t, "regions"),
@@ -115,7 +115,7 @@
 	}
 	n.draining = true
 	for _, id := range slices.Sorted(maps.Keys(n.waits)) {
-		n.d.Leave(id)
+		n.d.Release(id)
 	}
 	clear(n.waits)
 	clear(n.waiting)
@@ -127,10 +127,10 @@
 		case len(n.d.reqs) > 0 || n.stalled:
 			w.after(20*time.Millisecond, n.name, n.name, wait)
 		default:
-			n.d.Needs(n.h.Need)
+			n.d.TakeUsageChanges(n.h.SetUsage)
 			n.h.Close()
 			n.h.flying = false
-			if a, due := n.h.Due(n.at(w.now)); due {
+			if a, due := n.h.NextRequest(n.at(w.now)); due {
 				w.ask(n, a)
 			}
 			w.newDisp(i)
@@ -148,7 +148,7 @@
 	_, had := w.quotas[account]
 	w.quotas[account] = units
 	w.truth.quota(account, units)
-	w.root.l.Capacity(w.root.at(w.now), account, units)
+	w.root.l.SetCapacity(w.root.at(w.now), account, units)
 	w.rootNudges()
 	if !had {
 		w.tellAccounts()
@@ -161,7 +161,7 @@
 	}
 	delete(w.quotas, account)
 	w.truth.quota(account, MaxUnits)
-	w.root.l.Capacity(w.root.at(w.now), account, 0)
+	w.root.l.SetCapacity(w.root.at(w.now), account, 0)
 	w.tellAccounts()
 }
 
@@ -170,7 +170,7 @@
 	w.reserve = units
 	w.truth.reserve = append(w.truth.reserve, decided{w.now, units})
 	for i, r := range w.regions {
-		r.r.Reserve(r.at(w.now), units)
+		r.r.SetReserve(r.at(w.now), units)
 		w.regionTurn(i, r)
 	}
 	w.tellAccounts()
@@ -206,7 +206,7 @@
 func (w *world) named() time.Duration {
 	up, down := w.setup.up, w.setup.down
 	slow := 1 - down.Drift
-	return time.Duration(float64(down.Quiet()+down.Tail()+min(mostRetry, up.Renew())+2*up.Tell()+4*down.Renew())/slow) + 20*w.setup.far + 20*w.setup.near + 10*20*time.Millisecond + w.setup.late
+	return time.Duration(float64(down.QuietPeriod()+down.DrainPeriod()+min(mostRetry, up.RenewInterval())+2*up.ReportDelay()+4*down.RenewInterval())/slow) + 20*w.setup.far + 20*w.setup.near + 10*20*time.Millisecond + w.setup.late
 }
 
 // crowd has more reqs wait at each dispatcher than any quota has units.
@@ -261,7 +261,7 @@
 	const samples = 100
 	sum, full := map[string]int{}, map[string]bool{}
 	for range samples {
-		w.advance(2 * w.setup.down.Turn() / samples)
+		w.advance(2 * w.setup.down.RotationPeriod() / samples)
 		for _, a := range []string{"a", "b"} {
 			sum[a] += w.truth.running[a]
 			full[a] = full[a] || w.truth.running[a] == w.quotas[a]
--- a/internal/fleet/quota/quota.go
+++ b/internal/fleet/quota/quota.go
@@ -25,8 +25,8 @@
 // always is a time that every clock has reached.
 const always = Time(-1 << 63)
 
-// Urgent is the account of the urgent reserve: units of a region, which the root never lends.
-const Urgent = ""
+// ReserveAccount is the account of the urgent reserve: units of a region, which the root never lends.
+const ReserveAccount = ""
 
 // Limits, each against a peer that sends too much.
 const (
@@ -38,19 +38,19 @@
 	mostNotes   = 256     // notes kept until they are fetched
 )
 
-// Plan is one level as the settings declare it: the same at its lender and all its holders.
-type Plan struct {
-	Lease time.Duration // L, by the lender's clock
-	Run   time.Duration // a req ends at most so long after it began, by its dispatcher's clock
-	Drift float64       // ρ: clocks run at rates within 1 ± ρ of real time
+// LeaseConfig is one level as the settings declare it: the same at its lender and all its holders.
+type LeaseConfig struct {
+	Lease      time.Duration // L, by the lender's clock
+	MaxRunTime time.Duration // a req ends at most so long after it began, by its dispatcher's clock
+	Drift      float64       // ρ: clocks run at rates within 1 ± ρ of real time
 }
 
 // Check names the field that is out of range.
-func (p Plan) Check() error {
+func (p LeaseConfig) Check() error {
 	switch {
 	case p.Lease < 100*time.Millisecond || p.Lease > 24*time.Hour:
 		return errors.New("quota: lease is not between 100 ms and 24 h")
-	case p.Run < 0 || p.Run > 7*24*time.Hour:
+	case p.MaxRunTime < 0 || p.MaxRunTime > 7*24*time.Hour:
 		return errors.New("quota: run is not between 0 and 7 days")
 	case !(p.Drift >= 0 && p.Drift <= 0.1):
 		return errors.New("quota: drift is not between 0 and 0.1")
@@ -58,90 +58,90 @@
 	return nil
 }
 
-// Usable is D = L(1−ρ)/(1+ρ): how long after its ask a holder may begin by the lease, by its own clock.
-func (p Plan) Usable() time.Duration {
+// UsableLease is D = L(1−ρ)/(1+ρ): how long after its ask a holder may begin by the lease, by its own clock.
+func (p LeaseConfig) UsableLease() time.Duration {
 	return time.Duration(float64(p.Lease) * (1 - p.Drift) / (1 + p.Drift))
 }
 
-// Quiet is W = L(1+ρ)/(1−ρ), rounded up: by then all that an earlier life of a lender lent has lapsed, by the new life's
+// QuietPeriod is W = L(1+ρ)/(1−ρ), rounded up: by then all that an earlier life of a lender lent has lapsed, by the new life's
 // clock.
-func (p Plan) Quiet() time.Duration {
+func (p LeaseConfig) QuietPeriod() time.Duration {
 	return time.Duration(float64(p.Lease)*(1+p.Drift)/(1-p.Drift)) + 1
 }
 
-// Tail is T = Run(1+ρ)/(1−ρ), rounded up: by then what had begun when a lease lapsed is over, by the lender's clock.
-func (p Plan) Tail() time.Duration {
-	return time.Duration(float64(p.Run)*(1+p.Drift)/(1-p.Drift)) + 1
+// DrainPeriod is T = Run(1+ρ)/(1−ρ), rounded up: by then what had begun when a lease lapsed is over, by the lender's clock.
+func (p LeaseConfig) DrainPeriod() time.Duration {
+	return time.Duration(float64(p.MaxRunTime)*(1+p.Drift)/(1-p.Drift)) + 1
 }
 
-// Renew is the time between a holder's asks when nothing happens: two may be lost before the lease ends.
-func (p Plan) Renew() time.Duration { return p.Usable() / 3 }
+// RenewInterval is the time between a holder's asks when nothing happens: two may be lost before the lease ends.
+func (p LeaseConfig) RenewInterval() time.Duration { return p.UsableLease() / 3 }
 
-// Retry is how long a first ask waits for its answer before the next is sent. Each further one waits twice as long, up
+// RetryDelay is how long a first ask waits for its answer before the next is sent. Each further one waits twice as long, up
 // to mostRetry and Renew.
-func (p Plan) Retry() time.Duration { return min(p.Renew(), time.Second) }
+func (p LeaseConfig) RetryDelay() time.Duration { return min(p.RenewInterval(), time.Second) }
 
 // mostRetry bounds the wait for an answer, so that a region that was cut off asks soon after it is back.
 const mostRetry = 8 * time.Second
 
-// Tell is how long after its last ask a holder tells what has changed where nothing is due at once.
-func (p Plan) Tell() time.Duration { return min(p.Renew(), 2*time.Second) }
+// ReportDelay is how long after its last ask a holder tells what has changed where nothing is due at once.
+func (p LeaseConfig) ReportDelay() time.Duration { return min(p.RenewInterval(), 2*time.Second) }
 
-// Turn is how long units of which there are fewer than children that want one stay before they go round.
-func (p Plan) Turn() time.Duration { return min(2*p.Lease, 30*time.Second) }
+// RotationPeriod is how long units of which there are fewer than children that want one stay before they go round.
+func (p LeaseConfig) RotationPeriod() time.Duration { return min(2*p.Lease, 30*time.Second) }
 
-// Line is what a holder says of one account.
-type Line struct {
+// AccountReport is what a holder says of one account.
+type AccountReport struct {
 	Account string
 	Held    int // units that it may begin by, from sending the ask on until the answer
 	Used    int // in flight; of a region: all that it counts as lent
-	Want    int // units that it could use in all
+	Demand  int // units that it could use in all
 }
 
-// Share is what a lender says of one account: the units that the holder may begin by from now on.
-type Share struct {
+// Allocation is what a lender says of one account: the units that the holder may begin by from now on.
+type Allocation struct {
 	Account string
 	Units   int
 }
 
-// Ask is what a holder sends: each Renew, when it is short, when it was nudged, and when it was given less. One is on its
+// LeaseRequest is what a holder sends: each Renew, when it is short, when it was nudged, and when it was given less. One is on its
 // way at a time.
-type Ask struct {
-	Child  string
-	Epoch  uint64 // rises with each life of the child: its start in Unix nanoseconds
-	Seq    uint64 // counts the asks of an epoch from 1
-	Lender uint64 // the life of the lender heard last, 0 for none: of another life the ask is only answered by Again
-	All    bool   // Lines are all there are; else those changed since ask Base
-	Base   uint64 // the newest ask that was answered; 0 where All is set
-	Fresh  bool   // an earlier life of this region's lender may have lent what this life has not heard of yet
-	Lines  []Line
+type LeaseRequest struct {
+	Child             string
+	Epoch             uint64 // rises with each life of the child: its start in Unix nanoseconds
+	Seq               uint64 // counts the asks of an epoch from 1
+	LenderIncarnation uint64 // the life of the lender heard last, 0 for none: of another life the ask is only answered by Again
+	Full              bool   // Lines are all there are; else those changed since ask Base
+	BaseSeq           uint64 // the newest ask that was answered; 0 where All is set
+	Recovering        bool   // an earlier life of this region's lender may have lent what this life has not heard of yet
+	Reports           []AccountReport
 }
 
-// Answer is what a lender says to an ask. It is a grant unless Again is set, or the ask was fresh and Unsure is not: then
+// LeaseResponse is what a lender says to an ask. It is a grant unless Again is set, or the ask was fresh and Unsure is not: then
 // the shares are what earlier lives of the child may have running, which it counts from now on, and the next ask is the
 // first that may be given something to begin by.
-type Answer struct {
-	Child      string
-	Epoch, Seq uint64        // of the ask
-	Lender     uint64        // the lender's life
-	Lease      time.Duration // that the lender counts: a holder whose plan has a longer one goes by this
-	Again      bool          // nothing is granted: ask again, with all lines, for this life of the lender
-	Unsure     bool          // to a fresh ask: what earlier lives of the child lent is not known here, so go on saying Fresh
-	Shares     []Share       // of the accounts whose units differ from the Held told
+type LeaseResponse struct {
+	Child             string
+	Epoch, Seq        uint64        // of the ask
+	LenderIncarnation uint64        // the lender's life
+	Lease             time.Duration // that the lender counts: a holder whose plan has a longer one goes by this
+	ResendFull        bool          // nothing is granted: ask again, with all lines, for this life of the lender
+	NoRecord          bool          // to a fresh ask: what earlier lives of the child lent is not known here, so go on saying Fresh
+	Allocations       []Allocation  // of the accounts whose units differ from the Held told
 }
 
-// Note is one step, for the log of the process that took it.
-type Note struct {
+// Event is one step, for the log of the process that took it.
+type Event struct {
 	Step    string // as docs/design/quota.md names the events
 	Account string
 	Child   string
 	Units   int
 }
 
-// Options of a lender.
-type Options struct {
-	Spread bool     // what nobody wants is lent evenly, ahead of need (the root)
-	Middle bool     // it lends what a parent lent it: what an earlier life may have lent is told by Inherit, not by Capacity
-	Known  []string // all children there are, where they are known by name; others get no answer
-	Starts bool     // no earlier life lent: nothing is waited for
+// LenderOptions of a lender.
+type LenderOptions struct {
+	Preallocate  bool     // what nobody wants is lent evenly, ahead of need (the root)
+	Intermediate bool     // it lends what a parent lent it: what an earlier life may have lent is told by Inherit, not by Capacity
+	Children     []string // all children there are, where they are known by name; others get no answer
+	SkipRecovery bool     // no earlier life lent: nothing is waited for
 }
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -11,27 +11,27 @@
 )
 
 var (
-	shortPlan = Plan{Lease: 3 * time.Second, Run: 10 * time.Second, Drift: 0.001}
-	longPlan  = Plan{Lease: 600 * time.Second, Run: 10 * time.Second, Drift: 0.001}
+	shortPlan = LeaseConfig{Lease: 3 * time.Second, MaxRunTime: 10 * time.Second, Drift: 0.001}
+	longPlan  = LeaseConfig{Lease: 600 * time.Second, MaxRunTime: 10 * time.Second, Drift: 0.001}
 )
 
 const second = Time(time.Second)
 
 func TestPlan(t *testing.T) {
-	p := Plan{Lease: 1100 * time.Millisecond, Run: 900 * time.Millisecond, Drift: 0.1}
+	p := LeaseConfig{Lease: 1100 * time.Millisecond, MaxRunTime: 900 * time.Millisecond, Drift: 0.1}
 	require.NoError(t, p.Check())
-	assert.InDelta(t, float64(900*time.Millisecond), float64(p.Usable()), 2)
-	assert.InDelta(t, float64(p.Lease)*1.1/0.9, float64(p.Quiet()), 2)
-	assert.InDelta(t, float64(1100*time.Millisecond), float64(p.Tail()), 2)
-	assert.InDelta(t, float64(300*time.Millisecond), float64(p.Renew()), 2)
-	for _, bad := range []Plan{{Lease: time.Millisecond}, {Lease: time.Second, Run: -1}, {Lease: time.Second, Drift: 0.2}, {Lease: 48 * time.Hour}} {
+	assert.InDelta(t, float64(900*time.Millisecond), float64(p.UsableLease()), 2)
+	assert.InDelta(t, float64(p.Lease)*1.1/0.9, float64(p.QuietPeriod()), 2)
+	assert.InDelta(t, float64(1100*time.Millisecond), float64(p.DrainPeriod()), 2)
+	assert.InDelta(t, float64(300*time.Millisecond), float64(p.RenewInterval()), 2)
+	for _, bad := range []LeaseConfig{{Lease: time.Millisecond}, {Lease: time.Second, MaxRunTime: -1}, {Lease: time.Second, Drift: 0.2}, {Lease: 48 * time.Hour}} {
 		assert.Error(t, bad.Check())
 	}
 	_, err := NewHolder(shortPlan, "", 1, false)
 	assert.Error(t, err)
-	_, err = NewLender(shortPlan, 0, 0, Options{})
+	_, err = NewLender(shortPlan, 0, 0, LenderOptions{})
 	assert.Error(t, err)
-	_, err = NewRegion(shortPlan, shortPlan, "east", 1, 0)
+	_, err = NewRegionLender(shortPlan, shortPlan, "east", 1, 0)
 	assert.ErrorContains(t, err, "4 times")
 }
 
@@ -42,7 +42,7 @@
 	all map[string]*Holder
 }
 
-func newPair(t *testing.T, p Plan, o Options, names ...string) *pair {
+func newPair(t *testing.T, p LeaseConfig, o LenderOptions, names ...string) *pair {
 	l, err := NewLender(p, 7, 0, o)
 	require.NoError(t, err)
 	x := &pair{t, l, map[string]*Holder{}}
@@ -52,7 +52,7 @@
 	return x
 }
 
-func (x *pair) join(p Plan, name string, epoch uint64) {
+func (x *pair) join(p LeaseConfig, name string, epoch uint64) {
 	h, err := NewHolder(p, name, epoch, false)
 	require.NoError(x.t, err)
 	x.all[name] = h
@@ -64,22 +64,22 @@
 	x.l.Tick(now)
 	for again := true; again; {
 		again = false
-		for _, n := range x.l.Nudges() {
+		for _, n := range x.l.TakePolls() {
 			if h := x.all[n]; h != nil {
-				h.Nudged()
+				h.HandlePoll()
 			}
 		}
 		for _, n := range slices.Sorted(maps.Keys(x.all)) {
 			h := x.all[n]
-			a, due := h.Due(now)
+			a, due := h.NextRequest(now)
 			if !due {
 				continue
 			}
 			again = true
 			asks++
 			require.Less(x.t, asks, 200, "a storm of asks")
-			if answer, ok := x.l.Take(now, a); ok {
-				h.Answered(now, answer)
+			if answer, ok := x.l.Handle(now, a); ok {
+				h.HandleResponse(now, answer)
 			}
 		}
 	}
@@ -107,10 +107,10 @@
 		"nobody wants":    {5, map[string]int{"a": 0, "b": 0}, map[string]int{"a": 0, "b": 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := newPair(t, shortPlan, Options{Starts: true}, "a", "b", "c")
-			x.l.Capacity(0, "team", c.capacity)
+			x := newPair(t, shortPlan, LenderOptions{SkipRecovery: true}, "a", "b", "c")
+			x.l.SetCapacity(0, "team", c.capacity)
 			for n, w := range c.wants {
-				x.all[n].Need("team", 0, w)
+				x.all[n].SetUsage("team", 0, w)
 			}
 			x.turn(0)
 			x.turn(0)
@@ -123,43 +123,43 @@
 
 // TestSpread: the root parts ahead of need what nobody wants, and moves it to who does.
 func TestSpread(t *testing.T) {
-	x := newPair(t, longPlan, Options{Spread: true, Starts: true, Known: []string{"a", "b", "c"}}, "a", "b", "c")
-	x.l.Capacity(0, "team", 10)
+	x := newPair(t, longPlan, LenderOptions{Preallocate: true, SkipRecovery: true, Children: []string{"a", "b", "c"}}, "a", "b", "c")
+	x.l.SetCapacity(0, "team", 10)
 	x.turn(0)
 	got := x.units(0, "team")
 	assert.Equal(t, 10, got["a"]+got["b"]+got["c"])
 	assert.GreaterOrEqual(t, min(got["a"], got["b"], got["c"]), 3)
-	x.all["b"].Need("team", 3, 9)
+	x.all["b"].SetUsage("team", 3, 9)
 	x.turn(1)
 	assert.GreaterOrEqual(t, x.all["b"].Units(1, "team"), 9, "called back at once from those who don't want it")
-	assert.LessOrEqual(t, x.l.Lent(1, "team"), 10)
+	assert.LessOrEqual(t, x.l.Outstanding(1, "team"), 10)
 
-	_, ok := x.l.Take(2, Ask{Child: "stranger", Epoch: 1, Seq: 1, Lender: 7, All: true})
+	_, ok := x.l.Handle(2, LeaseRequest{Child: "stranger", Epoch: 1, Seq: 1, LenderIncarnation: 7, Full: true})
 	assert.False(t, ok, "where all children are known by name others get no answer")
 }
 
 // TestLowered: a quota lowered under what runs: nothing begins until there is room.
 func TestLowered(t *testing.T) {
-	x := newPair(t, shortPlan, Options{Starts: true}, "a", "b")
-	x.l.Capacity(0, "team", 10)
-	x.all["a"].Need("team", 6, 6)
-	x.all["b"].Need("team", 4, 4)
+	x := newPair(t, shortPlan, LenderOptions{SkipRecovery: true}, "a", "b")
+	x.l.SetCapacity(0, "team", 10)
+	x.all["a"].SetUsage("team", 6, 6)
+	x.all["b"].SetUsage("team", 4, 4)
 	x.turn(0)
 	x.turn(0)
 	require.Equal(t, map[string]int{"a": 6, "b": 4}, x.units(0, "team"))
-	x.l.Capacity(1, "team", 4)
+	x.l.SetCapacity(1, "team", 4)
 	x.turn(1)
-	assert.Equal(t, 10, x.l.Lent(1, "team"), "what runs is counted")
+	assert.Equal(t, 10, x.l.Outstanding(1, "team"), "what runs is counted")
 	for used := 6; used >= 0; used-- {
-		x.all["a"].Need("team", used, used)
+		x.all["a"].SetUsage("team", used, used)
 		x.turn(2)
 		for n, h := range x.all {
 			begins := h.Units(2, "team") - map[string]int{"a": used, "b": 4}[n]
 			assert.LessOrEqual(t, begins, 0, "%s begins beside %d", n, used+4)
 		}
 	}
-	x.all["b"].Need("team", 3, 3)
-	x.all["a"].Need("team", 0, 5)
+	x.all["b"].SetUsage("team", 3, 3)
+	x.all["a"].SetUsage("team", 0, 5)
 	x.turn(2 * second)
 	assert.Equal(t, 1, x.all["a"].Units(2*second, "team"))
 }
@@ -168,15 +168,15 @@
 // comes back of it says is taken in its place.
 func TestSilentChild(t *testing.T) {
 	p := shortPlan
-	x := newPair(t, p, Options{Starts: true}, "a", "b")
-	x.l.Capacity(0, "team", 5)
-	x.all["a"].Need("team", 5, 5)
+	x := newPair(t, p, LenderOptions{SkipRecovery: true}, "a", "b")
+	x.l.SetCapacity(0, "team", 5)
+	x.all["a"].SetUsage("team", 5, 5)
 	x.turn(0)
 	x.turn(0)
 	a := x.all["a"]
 	delete(x.all, "a")
-	x.all["b"].Need("team", 0, 5)
-	free := Time(p.Lease + p.Tail())
+	x.all["b"].SetUsage("team", 0, 5)
+	free := Time(p.Lease + p.DrainPeriod())
 	for now := Time(0); now < free; now += second {
 		x.turn(now)
 		require.Zero(t, x.all["b"].Units(now, "team"), "at %v", now)
@@ -184,14 +184,14 @@
 	assert.Zero(t, a.Units(Time(p.Lease), "team"))
 	x.turn(free + second)
 	assert.Equal(t, 5, x.all["b"].Units(free+second, "team"))
-	x.all["b"].Need("team", 5, 5)
-	assert.Contains(t, x.l.Notes(), Note{Step: "lapsed", Child: "a", Units: 5})
+	x.all["b"].SetUsage("team", 5, 5)
+	assert.Contains(t, x.l.TakeEvents(), Event{Step: "lapsed", Child: "a", Units: 5})
 
 	x.all["a"] = a // stopped, and woken with its grant in hand
 	assert.Zero(t, a.Units(free+second, "team"))
 	x.turn(free + 2*second)
-	assert.Equal(t, 10, x.l.Lent(free+2*second, "team"), "it runs 5 still, and says so")
-	a.Need("team", 0, 5)
+	assert.Equal(t, 10, x.l.Outstanding(free+2*second, "team"), "it runs 5 still, and says so")
+	a.SetUsage("team", 0, 5)
 	x.turn(free + 3*second)
 	x.turn(free + 3*second)
 	assert.LessOrEqual(t, a.Units(free+3*second, "team")+x.all["b"].Units(free+3*second, "team"), 5)
@@ -199,85 +199,85 @@
 
 // TestNewLife: what the life before may have running stays counted; one that ended in order leaves nothing.
 func TestNewLife(t *testing.T) {
-	x := newPair(t, shortPlan, Options{Starts: true}, "a", "b")
-	x.l.Capacity(0, "team", 6)
-	x.all["a"].Need("team", 4, 4)
-	x.all["b"].Need("team", 2, 2)
+	x := newPair(t, shortPlan, LenderOptions{SkipRecovery: true}, "a", "b")
+	x.l.SetCapacity(0, "team", 6)
+	x.all["a"].SetUsage("team", 4, 4)
+	x.all["b"].SetUsage("team", 2, 2)
 	x.turn(0)
 	x.turn(0)
 	x.join(shortPlan, "a", 2)
-	x.all["a"].Need("team", 0, 4)
+	x.all["a"].SetUsage("team", 0, 4)
 	x.turn(second)
 	assert.Zero(t, x.all["a"].Units(second, "team"))
-	assert.Equal(t, 6, x.l.Lent(second, "team"))
+	assert.Equal(t, 6, x.l.Outstanding(second, "team"))
 
 	x.all["b"].Close()
 	x.turn(2 * second)
 	x.turn(2 * second)
 	assert.Equal(t, 2, x.all["a"].Units(2*second, "team"), "given back at once")
-	_, ok := x.l.Take(3*second, Ask{Child: "a", Epoch: 1, Seq: 99, Lender: 7, All: true, Lines: []Line{{"team", 9, 9, 9}}})
+	_, ok := x.l.Handle(3*second, LeaseRequest{Child: "a", Epoch: 1, Seq: 99, LenderIncarnation: 7, Full: true, Reports: []AccountReport{{"team", 9, 9, 9}}})
 	assert.False(t, ok, "a life that was replaced")
-	assert.Equal(t, 6, x.l.Lent(3*second, "team"))
+	assert.Equal(t, 6, x.l.Outstanding(3*second, "team"))
 }
 
 // TestOnlyTheNewestAnswer: late, doubled and foreign answers and asks change nothing.
 func TestOnlyTheNewestAnswer(t *testing.T) {
-	x := newPair(t, shortPlan, Options{Starts: true}, "a")
-	x.l.Capacity(0, "team", 5)
+	x := newPair(t, shortPlan, LenderOptions{SkipRecovery: true}, "a")
+	x.l.SetCapacity(0, "team", 5)
 	h := x.all["a"]
-	h.Need("team", 0, 1)
+	h.SetUsage("team", 0, 1)
 	x.turn(0)
 	x.turn(0)
 	require.Equal(t, 1, h.Units(0, "team"))
-	h.Need("team", 1, 5)
-	first, due := h.Due(1)
+	h.SetUsage("team", 1, 5)
+	first, due := h.NextRequest(1)
 	require.True(t, due)
-	late, ok := x.l.Take(1, first)
+	late, ok := x.l.Handle(1, first)
 	require.True(t, ok)
-	assert.Equal(t, 5, x.l.Lent(1, "team"))
-	second, due := h.Due(1 + Time(shortPlan.Retry()))
+	assert.Equal(t, 5, x.l.Outstanding(1, "team"))
+	second, due := h.NextRequest(1 + Time(shortPlan.RetryDelay()))
 	require.True(t, due)
-	h.Answered(2*Time(time.Second), late)
+	h.HandleResponse(2*Time(time.Second), late)
 	assert.Equal(t, 1, h.Units(2*Time(time.Second), "team"))
-	_, ok = x.l.Take(2, first)
+	_, ok = x.l.Handle(2, first)
 	assert.False(t, ok)
-	answer, ok := x.l.Take(2, second)
+	answer, ok := x.l.Handle(2, second)
 	require.True(t, ok)
-	for _, a := range []Answer{{Child: "b", Epoch: 1, Seq: second.Seq, Lender: 7}, {Child: "a", Epoch: 2, Seq: second.Seq, Lender: 7}} {
-		a.Shares = []Share{{"team", 99}}
-		h.Answered(2*Time(time.Second), a)
+	for _, a := range []LeaseResponse{{Child: "b", Epoch: 1, Seq: second.Seq, LenderIncarnation: 7}, {Child: "a", Epoch: 2, Seq: second.Seq, LenderIncarnation: 7}} {
+		a.Allocations = []Allocation{{"team", 99}}
+		h.HandleResponse(2*Time(time.Second), a)
 	}
-	h.Answered(2*Time(time.Second), answer)
-	h.Answered(2*Time(time.Second), answer)
+	h.HandleResponse(2*Time(time.Second), answer)
+	h.HandleResponse(2*Time(time.Second), answer)
 	assert.Equal(t, 5, h.Units(2*Time(time.Second), "team"))
 	assert.Equal(t, second.Seq, h.seq)
 }
 
 // TestNewLender: a new life of a lender lends only what children report until what earlier lives lent is over.
 func TestNewLender(t *testing.T) {
-	x := newPair(t, shortPlan, Options{Starts: true}, "a", "b")
-	x.l.Capacity(0, "team", 10)
-	x.all["a"].Need("team", 4, 4)
-	x.all["b"].Need("team", 3, 3)
+	x := newPair(t, shortPlan, LenderOptions{SkipRecovery: true}, "a", "b")
+	x.l.SetCapacity(0, "team", 10)
+	x.all["a"].SetUsage("team", 4, 4)
+	x.all["b"].SetUsage("team", 3, 3)
 	x.turn(0)
 	x.turn(0)
 	var err error
-	x.l, err = NewLender(shortPlan, 8, second, Options{})
+	x.l, err = NewLender(shortPlan, 8, second, LenderOptions{})
 	require.NoError(t, err)
-	x.l.Capacity(second, "team", 10)
+	x.l.SetCapacity(second, "team", 10)
 	b := x.all["b"]
 	delete(x.all, "b")
-	x.all["a"].Need("team", 4, 10)
+	x.all["a"].SetUsage("team", 4, 10)
 	x.turn(second)
 	x.turn(2 * second)
 	assert.Equal(t, 4, x.all["a"].Units(2*second, "team"), "renewed, and no more")
-	assert.Equal(t, 10, x.l.Lent(2*second, "team"))
+	assert.Equal(t, 10, x.l.Outstanding(2*second, "team"))
 	x.all["b"] = b
-	b.Need("team", 1, 1)
+	b.SetUsage("team", 1, 1)
 	x.turn(5 * second / 2)
 	x.turn(5 * second / 2)
 	assert.Equal(t, 6, x.all["a"].Units(5*second/2, "team"), "what reported children give back is lent again")
-	end := second + Time(shortPlan.Quiet()+shortPlan.Tail())
+	end := second + Time(shortPlan.QuietPeriod()+shortPlan.DrainPeriod())
 	for now := 3 * second; now < end; now += second {
 		x.turn(now)
 		require.LessOrEqual(t, x.all["a"].Units(now, "team"), 6, "at %v", now)
@@ -290,12 +290,12 @@
 // TestGoRound: three units over eight dispatchers that all want one reach each of them.
 func TestGoRound(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
-	x := newPair(t, shortPlan, Options{Starts: true}, names...)
-	x.l.Capacity(0, "team", 3)
+	x := newPair(t, shortPlan, LenderOptions{SkipRecovery: true}, names...)
+	x.l.SetCapacity(0, "team", 3)
 	had := map[string]int{}
 	for now := Time(0); now < 120*second; now += second / 2 {
 		for n, h := range x.all {
-			h.Need("team", min(h.Units(now, "team"), 1), 2)
+			h.SetUsage("team", min(h.Units(now, "team"), 1), 2)
 			if h.Units(now, "team") > 0 {
 				had[n]++
 			}
@@ -309,21 +309,21 @@
 
 // TestLimits: an ask beyond a limit gets no answer.
 func TestLimits(t *testing.T) {
-	l, err := NewLender(shortPlan, 7, 0, Options{Starts: true})
+	l, err := NewLender(shortPlan, 7, 0, LenderOptions{SkipRecovery: true})
 	require.NoError(t, err)
 	long := make([]byte, MaxName+1)
-	for name, a := range map[string]Ask{
+	for name, a := range map[string]LeaseRequest{
 		"no name":      {Epoch: 1, Seq: 1},
 		"long name":    {Child: string(long), Epoch: 1, Seq: 1},
 		"no epoch":     {Child: "a", Seq: 1},
 		"no seq":       {Child: "a", Epoch: 1},
-		"negative":     {Child: "a", Epoch: 1, Seq: 1, Lines: []Line{{"x", -1, 0, 0}}},
-		"too many":     {Child: "a", Epoch: 1, Seq: 1, Lines: []Line{{"x", MaxUnits + 1, 0, 0}}},
-		"twice":        {Child: "a", Epoch: 1, Seq: 1, Lines: []Line{{"x", 1, 0, 0}, {"x", 0, 0, 0}}},
-		"long account": {Child: "a", Epoch: 1, Seq: 1, Lines: []Line{{string(long), 1, 0, 0}}},
-		"many lines":   {Child: "a", Epoch: 1, Seq: 1, Lines: make([]Line, MaxAccounts+1)},
+		"negative":     {Child: "a", Epoch: 1, Seq: 1, Reports: []AccountReport{{"x", -1, 0, 0}}},
+		"too many":     {Child: "a", Epoch: 1, Seq: 1, Reports: []AccountReport{{"x", MaxUnits + 1, 0, 0}}},
+		"twice":        {Child: "a", Epoch: 1, Seq: 1, Reports: []AccountReport{{"x", 1, 0, 0}, {"x", 0, 0, 0}}},
+		"long account": {Child: "a", Epoch: 1, Seq: 1, Reports: []AccountReport{{string(long), 1, 0, 0}}},
+		"many lines":   {Child: "a", Epoch: 1, Seq: 1, Reports: make([]AccountReport, MaxAccounts+1)},
 	} {
-		_, ok := l.Take(0, a)
+		_, ok := l.Handle(0, a)
 		assert.False(t, ok, name)
 	}
 }
--- a/internal/fleet/quota/take.go
+++ b/internal/fleet/quota/take.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// Take answers an ask; false: nothing is to be sent. What the ask says is exact from its sending on: the child believes
+// Handle answers an ask; false: nothing is to be sent. What the ask says is exact from its sending on: the child believes
 // no answer to an older one.
-func (l *Lender) Take(now Time, a Ask) (Answer, bool) {
+func (l *Lender) Handle(now Time, a LeaseRequest) (LeaseResponse, bool) {
 	l.Tick(now)
 	if !l.fits(a) {
-		return Answer{}, false
+		return LeaseResponse{}, false
 	}
 	c := l.children[a.Child]
 	if c != nil && (a.Epoch < c.epoch || a.Epoch == c.epoch && a.Seq <= c.seq) {
-		return Answer{}, false // late, or twice
+		return LeaseResponse{}, false // late, or twice
 	}
-	out := Answer{Child: a.Child, Epoch: a.Epoch, Seq: a.Seq, Lender: l.life, Lease: l.plan.Lease}
-	if a.Lender != l.life || !a.All && (c == nil || c.epoch != a.Epoch || c.lapsed || c.seq < a.Base) {
-		out.Again = true
+	out := LeaseResponse{Child: a.Child, Epoch: a.Epoch, Seq: a.Seq, LenderIncarnation: l.life, Lease: l.plan.Lease}
+	if a.LenderIncarnation != l.life || !a.Full && (c == nil || c.epoch != a.Epoch || c.lapsed || c.seq < a.BaseSeq) {
+		out.ResendFull = true
 		return out, true
 	}
 	joins := c == nil || c.epoch != a.Epoch
@@ -26,12 +26,12 @@
 	c = l.hear(now, c, a)
 	l.said(c, a)
 	l.report(now, c, a)
-	lends := l.covered(now) || now >= l.born.Add(l.plan.Quiet())
+	lends := l.covered(now) || now >= l.born.Add(l.plan.QuietPeriod())
 	if lends {
-		if out.Unsure = c.unsure; a.Fresh && !c.unsure {
-			out.Shares = c.running()
+		if out.NoRecord = c.unsure; a.Recovering && !c.unsure {
+			out.Allocations = c.running()
 		} else {
-			out.Shares = l.grant(now, c)
+			out.Allocations = l.grant(now, c)
 		}
 	}
 	l.follow(now, c, joins)
@@ -41,7 +41,7 @@
 // follow settles the accounts of which an ask or its answer changed something.
 func (l *Lender) follow(now Time, c *child, joins bool) {
 	before := l.before
-	if l.before = nil; joins && l.options.Spread { // it has a part in each
+	if l.before = nil; joins && l.options.Preallocate { // it has a part in each
 		l.resettle(now)
 		return
 	}
@@ -62,17 +62,17 @@
 }
 
 // fits says whether an ask keeps to the limits and comes from a child that there is.
-func (l *Lender) fits(a Ask) bool {
-	if a.Child == "" || len(a.Child) > MaxName || a.Epoch == 0 || a.Seq == 0 || len(a.Lines) > MaxAccounts ||
-		l.options.Known != nil && !slices.Contains(l.options.Known, a.Child) ||
+func (l *Lender) fits(a LeaseRequest) bool {
+	if a.Child == "" || len(a.Child) > MaxName || a.Epoch == 0 || a.Seq == 0 || len(a.Reports) > MaxAccounts ||
+		l.options.Children != nil && !slices.Contains(l.options.Children, a.Child) ||
 		l.children[a.Child] == nil && len(l.children) >= MaxChildren {
 		return false
 	}
 	further := 0
-	seen := make(map[string]bool, len(a.Lines))
-	for _, n := range a.Lines {
+	seen := make(map[string]bool, len(a.Reports))
+	for _, n := range a.Reports {
 		if len(n.Account) > MaxName || seen[n.Account] ||
-			min(n.Held, n.Used, n.Want) < 0 || max(n.Held, n.Used, n.Want) > MaxUnits {
+			min(n.Held, n.Used, n.Demand) < 0 || max(n.Held, n.Used, n.Demand) > MaxUnits {
 			return false
 		}
 		if seen[n.Account] = true; l.accounts[n.Account] == nil {
@@ -83,15 +83,15 @@
 }
 
 // hear notes who asks. A new life leaves what the life before may have running to past; a fresh one inherits it.
-func (l *Lender) hear(now Time, c *child, a Ask) *child {
+func (l *Lender) hear(now Time, c *child, a LeaseRequest) *child {
 	if c == nil || c.epoch != a.Epoch {
 		n := &child{name: a.Child, epoch: a.Epoch, lines: map[string]*line{}, first: map[string]int{}}
 		if c != nil {
 			n.reported, n.first = c.reported, c.first
-			l.replace(c, n, a.Fresh)
+			l.replace(c, n, a.Recovering)
 		}
 		l.children[a.Child] = n
-		if l.options.Spread {
+		if l.options.Preallocate {
 			l.redivide()
 		}
 		c = n
@@ -99,7 +99,7 @@
 	if c.lapsed { // what it may have running was left out of what is parted
 		l.redivide()
 	}
-	c.seq, c.heard, c.lapsed, c.nudged = a.Seq, now, false, now.Add(-l.plan.Retry())
+	c.seq, c.heard, c.lapsed, c.nudged = a.Seq, now, false, now.Add(-l.plan.RetryDelay())
 	l.scan = min(l.scan, now.Add(l.plan.Lease))
 	delete(l.nudge, a.Child)
 	return c
@@ -114,7 +114,7 @@
 		l.set(c, name, line{})
 	}
 	if !fresh {
-		l.addPast(pastLife{c.name, c.heard.Add(l.plan.Lease).Add(l.plan.Tail()), units})
+		l.addPast(pastLife{c.name, c.heard.Add(l.plan.Lease).Add(l.plan.DrainPeriod()), units})
 		return
 	}
 	for i := len(l.past) - 1; i >= 0; i-- {
@@ -134,10 +134,10 @@
 }
 
 // running is what lives of a child may have running.
-func (c *child) running() (out []Share) {
+func (c *child) running() (out []Allocation) {
 	for _, name := range slices.Sorted(maps.Keys(c.lines)) {
 		if u := c.lines[name].count(); u > 0 {
-			out = append(out, Share{name, u})
+			out = append(out, Allocation{name, u})
 		}
 	}
 	return out
@@ -150,38 +150,38 @@
 		old = &line{}
 		c.lines[name], a.lines[c.name] = old, old
 	}
-	if n.Account = name; n.Want != old.Want || n.floor != old.floor || c.unsure {
+	if n.Account = name; n.Demand != old.Demand || n.floor != old.floor || c.unsure {
 		a.targets = nil
 	}
 	if l.touch(name); l.before != nil {
 		if _, noted := l.before[a]; !noted {
-			l.before[a] = line{Line: Line{Account: name, Held: old.Held, Used: old.Used, Want: old.Want}, units: old.units, floor: old.floor}
+			l.before[a] = line{AccountReport: AccountReport{Account: name, Held: old.Held, Used: old.Used, Demand: old.Demand}, units: old.units, floor: old.floor}
 		}
 	}
 	a.counted -= old.count()
-	a.want += n.Want - old.Want
+	a.want += n.Demand - old.Demand
 	*old = n
 	a.counted += old.count()
-	if n == (line{Line: Line{Account: name}}) {
+	if n == (line{AccountReport: AccountReport{Account: name}}) {
 		delete(c.lines, name)
 		delete(a.lines, c.name)
 	}
 }
 
 // said takes an ask's lines. What was answered before counts no more: the child believed it, and says so, or never will.
-func (l *Lender) said(c *child, a Ask) {
-	said := make(map[string]bool, len(a.Lines))
-	for _, n := range a.Lines {
+func (l *Lender) said(c *child, a LeaseRequest) {
+	said := make(map[string]bool, len(a.Reports))
+	for _, n := range a.Reports {
 		said[n.Account] = true
-		l.set(c, n.Account, line{Line: n, floor: c.floor(n.Account, a.Fresh)})
+		l.set(c, n.Account, line{AccountReport: n, floor: c.floor(n.Account, a.Recovering)})
 	}
 	for name, ln := range c.lines {
-		switch floor := c.floor(name, a.Fresh); {
+		switch floor := c.floor(name, a.Recovering); {
 		case said[name]:
-		case a.All:
+		case a.Full:
 			l.set(c, name, line{floor: floor})
 		case ln.units != ln.Held || ln.floor != floor:
-			l.set(c, name, line{Line: ln.Line, floor: floor})
+			l.set(c, name, line{AccountReport: ln.AccountReport, floor: floor})
 		}
 	}
 }
@@ -197,7 +197,7 @@
 // report counts what a child says first as found of what earlier lives lent. A fresh child whose earlier lives are not
 // known here goes on reporting, as its own children come back to it; meanwhile it is given no more than it reports, so
 // that nothing lent since is taken for found.
-func (l *Lender) report(now Time, c *child, a Ask) {
+func (l *Lender) report(now Time, c *child, a LeaseRequest) {
 	if l.young && !c.reported {
 		for name, ln := range c.lines {
 			if more := max(ln.Held, ln.Used) - c.first[name]; more > 0 {
@@ -208,20 +208,20 @@
 			}
 		}
 	}
-	if !a.Fresh {
+	if !a.Recovering {
 		c.reported, c.first = true, nil
 	}
 	missing := l.missing()
-	if l.young && a.Fresh && slices.Equal(missing, []string{c.name}) {
+	if l.young && a.Recovering && slices.Equal(missing, []string{c.name}) {
 		l.leave(c)
 		missing = nil
 	}
-	if unsure := a.Fresh && l.young && !c.reported; unsure != c.unsure {
+	if unsure := a.Recovering && l.young && !c.reported; unsure != c.unsure {
 		c.unsure = unsure
 		l.redivide()
 	}
 	switch {
-	case !l.young || l.options.Known == nil:
+	case !l.young || l.options.Children == nil:
 	case len(missing) == 0:
 		l.grown(now)
 	case len(missing) == 1 && l.children[missing[0]] != nil:
@@ -231,7 +231,7 @@
 
 // missing are the children known by name that have not said all that earlier lives of this lender lent to them.
 func (l *Lender) missing() (out []string) {
-	for _, name := range l.options.Known {
+	for _, name := range l.options.Children {
 		if c := l.children[name]; c == nil || !c.reported {
 			out = append(out, name)
 		}
--- a/internal/fleet/quota/wire/wire.go
+++ b/internal/fleet/quota/wire/wire.go
@@ -29,27 +29,27 @@
 // ErrMessage is wrapped by every fault of a message.
 var ErrMessage = frames.ErrMessage
 
-// Ask is a holder's ask of a lender.
-type Ask struct {
+// LeaseRequest is a holder's ask of a lender.
+type LeaseRequest struct {
 	To string
-	quota.Ask
+	quota.LeaseRequest
 }
 
-// Answer is a lender's answer to an ask.
-type Answer struct {
+// LeaseResponse is a lender's answer to an ask.
+type LeaseResponse struct {
 	From string
-	quota.Answer
+	quota.LeaseResponse
 }
 
-// Away says that this voter does not lend as From, and, of the root, which voter does as far as it knows.
-type Away struct{ From, Leader string }
+// Redirect says that this voter does not lend as From, and, of the root, which voter does as far as it knows.
+type Redirect struct{ From, Leader string }
 
 // Message is one message: the one of its parts that is there.
 type Message struct {
-	Ask    *Ask
-	Answer *Answer
-	Nudge  *string // from this lender: ask now
-	Away   *Away
+	Request  *LeaseRequest
+	Response *LeaseResponse
+	Poll     *string // from this lender: ask now
+	Redirect *Redirect
 }
 
 type line struct {
@@ -138,49 +138,51 @@
 	kindAway   = "away"
 )
 
-// WriteAsk is the bytes of an ask, its lines in the order of accounts.
-func WriteAsk(a Ask) []byte {
-	base := a.Base
-	if a.All {
+// EncodeLeaseRequest is the bytes of an ask, its lines in the order of accounts.
+func EncodeLeaseRequest(a LeaseRequest) []byte {
+	base := a.BaseSeq
+	if a.Full {
 		base = 0
 	}
-	out := ask{Format, kindAsk, a.To, a.Child, a.Epoch, a.Seq, a.Lender, base, a.Fresh, make(lines, 0, len(a.Lines))}
-	for _, l := range a.Lines {
-		out.Lines = append(out.Lines, line{l.Account, units(l.Held), units(l.Used), units(l.Want)})
+	out := ask{Format, kindAsk, a.To, a.Child, a.Epoch, a.Seq, a.LenderIncarnation, base, a.Recovering, make(lines, 0, len(a.Reports))}
+	for _, l := range a.Reports {
+		out.Lines = append(out.Lines, line{l.Account, units(l.Held), units(l.Used), units(l.Demand)})
 	}
 	slices.SortFunc(out.Lines, func(a, b line) int { return strings.Compare(a.Account, b.Account) })
 	return frames.Encode(&out)
 }
 
-// WriteAnswer is the bytes of an answer, its shares in the order of accounts.
-func WriteAnswer(a Answer) []byte {
-	out := answer{Format, kindAnswer, a.From, a.Child, a.Epoch, a.Seq, a.Lender, uint32(min(max(a.Lease.Milliseconds(), 0), math.MaxUint32)), a.Again, a.Unsure, make(shares, 0, len(a.Shares))}
-	for _, s := range a.Shares {
+// EncodeLeaseResponse is the bytes of an answer, its shares in the order of accounts.
+func EncodeLeaseResponse(a LeaseResponse) []byte {
+	out := answer{Format, kindAnswer, a.From, a.Child, a.Epoch, a.Seq, a.LenderIncarnation, uint32(min(max(a.Lease.Milliseconds(), 0), math.MaxUint32)), a.ResendFull, a.NoRecord, make(shares, 0, len(a.Allocations))}
+	for _, s := range a.Allocations {
 		out.Shares = append(out.Shares, share{s.Account, units(s.Units)})
 	}
 	slices.SortFunc(out.Shares, func(a, b share) int { return strings.Compare(a.Account, b.Account) })
 	return frames.Encode(&out)
 }
 
-// WriteNudge is the bytes of a lender's nudge.
-func WriteNudge(from string) []byte { return frames.Encode(&nudge{Format, kindNudge, from}) }
+// EncodePoll is the bytes of a lender's nudge.
+func EncodePoll(from string) []byte { return frames.Encode(&nudge{Format, kindNudge, from}) }
 
-// WriteAway is the bytes of a word that this voter does not lend.
-func WriteAway(a Away) []byte { return frames.Encode(&away{Format, kindAway, a.From, a.Leader}) }
+// EncodeRedirect is the bytes of a word that this voter does not lend.
+func EncodeRedirect(a Redirect) []byte {
+	return frames.Encode(&away{Format, kindAway, a.From, a.Leader})
+}
 
 func units(n int) uint64 { return uint64(min(max(n, 0), quota.MaxUnits)) }
 
-// Next reads one framed message from a link. A longer one than MaxFrame is not read.
-func Next(r io.Reader) (Message, error) {
+// ReadMessage reads one framed message from a link. A longer one than MaxFrame is not read.
+func ReadMessage(r io.Reader) (Message, error) {
 	p, err := frames.ReadFrame(r, MaxFrame)
 	if err != nil {
 		return Message{}, err
 	}
-	return Read(p)
+	return Decode(p)
 }
 
-// Read reads a message. Its error wraps ErrMessage; the link is of no use after one.
-func Read(p []byte) (m Message, err error) {
+// Decode reads a message. Its error wraps ErrMessage; the link is of no use after one.
+func Decode(p []byte) (m Message, err error) {
 	if len(p) > MaxFrame {
 		return m, fmt.Errorf("%w: %d bytes, at most %d", ErrMessage, len(p), MaxFrame)
 	}
@@ -193,18 +195,18 @@
 	}
 	switch kind {
 	case kindAsk:
-		m.Ask, err = readAsk(p)
+		m.Request, err = readAsk(p)
 	case kindAnswer:
-		m.Answer, err = readAnswer(p)
+		m.Response, err = readAnswer(p)
 	case kindNudge:
 		var n nudge
 		if err = frames.Decode(p, &n); err == nil {
-			m.Nudge, err = &n.From, names(n.From)
+			m.Poll, err = &n.From, names(n.From)
 		}
 	case kindAway:
 		var a away
 		if err = frames.Decode(p, &a); err == nil {
-			m.Away, err = &Away{a.From, a.Leader}, names(a.From, a.Leader)
+			m.Redirect, err = &Redirect{a.From, a.Leader}, names(a.From, a.Leader)
 		}
 	default:
 		err = fmt.Errorf("%w: kind %q", ErrMessage, kind)
@@ -215,7 +217,7 @@
 	return m, nil
 }
 
-func readAsk(p []byte) (*Ask, error) {
+func readAsk(p []byte) (*LeaseRequest, error) {
 	var a ask
 	if err := frames.Decode(p, &a); err != nil {
 		return nil, err
@@ -223,17 +225,17 @@
 	if err := common(a.To, a.Child, len(a.Lines), func(i int) string { return a.Lines[i].Account }); err != nil {
 		return nil, err
 	}
-	out := &Ask{a.To, quota.Ask{Child: a.Child, Epoch: a.Epoch, Seq: a.Seq, Lender: a.Lender, All: a.Base == 0, Base: a.Base, Fresh: a.Fresh}}
+	out := &LeaseRequest{a.To, quota.LeaseRequest{Child: a.Child, Epoch: a.Epoch, Seq: a.Seq, LenderIncarnation: a.Lender, Full: a.Base == 0, BaseSeq: a.Base, Recovering: a.Fresh}}
 	for _, l := range a.Lines {
 		if max(l.Held, l.Used, l.Want) > quota.MaxUnits {
 			return nil, fmt.Errorf("%w: an ask has more than %d units", ErrMessage, quota.MaxUnits)
 		}
-		out.Lines = append(out.Lines, quota.Line{Account: l.Account, Held: int(l.Held), Used: int(l.Used), Want: int(l.Want)})
+		out.Reports = append(out.Reports, quota.AccountReport{Account: l.Account, Held: int(l.Held), Used: int(l.Used), Demand: int(l.Want)})
 	}
 	return out, nil
 }
 
-func readAnswer(p []byte) (*Answer, error) {
+func readAnswer(p []byte) (*LeaseResponse, error) {
 	var a answer
 	if err := frames.Decode(p, &a); err != nil {
 		return nil, err
@@ -241,13 +243,13 @@
 	if err := common(a.From, a.Child, len(a.Shares), func(i int) string { return a.Shares[i].Account }); err != nil {
 		return nil, err
 	}
-	out := &Answer{a.From, quota.Answer{Lease: time.Duration(a.Lease) * time.Millisecond,
-		Child: a.Child, Epoch: a.Epoch, Seq: a.Seq, Lender: a.Lender, Again: a.Again, Unsure: a.Unsure}}
+	out := &LeaseResponse{a.From, quota.LeaseResponse{Lease: time.Duration(a.Lease) * time.Millisecond,
+		Child: a.Child, Epoch: a.Epoch, Seq: a.Seq, LenderIncarnation: a.Lender, ResendFull: a.Again, NoRecord: a.Unsure}}
 	for _, s := range a.Shares {
 		if s.Units > quota.MaxUnits {
 			return nil, fmt.Errorf("%w: an answer has more than %d units", ErrMessage, quota.MaxUnits)
 		}
-		out.Shares = append(out.Shares, quota.Share{Account: s.Account, Units: int(s.Units)})
+		out.Allocations = append(out.Allocations, quota.Allocation{Account: s.Account, Units: int(s.Units)})
 	}
 	return out, nil
 }
--- a/internal/fleet/quota/wire/wire_test.go
+++ b/internal/fleet/quota/wire/wire_test.go
@@ -16,60 +16,60 @@
 )
 
 var (
-	anAsk = Ask{"east", quota.Ask{Child: "n3", Epoch: 7 << 60, Seq: 2, Lender: 9, All: true, Fresh: true,
-		Lines: []quota.Line{{Account: "", Held: 1, Used: 2, Want: 3}, {Account: "team1", Held: 300, Used: 70_000, Want: quota.MaxUnits}}}}
-	anAnswer = Answer{"", quota.Answer{Child: "east", Epoch: 7, Seq: 2, Lender: 3, Lease: 600 * time.Second, Again: true, Unsure: true,
-		Shares: []quota.Share{{Account: "team1", Units: 5}, {Account: "team2", Units: 0}}}}
+	anAsk = LeaseRequest{"east", quota.LeaseRequest{Child: "n3", Epoch: 7 << 60, Seq: 2, LenderIncarnation: 9, Full: true, Recovering: true,
+		Reports: []quota.AccountReport{{Account: "", Held: 1, Used: 2, Demand: 3}, {Account: "team1", Held: 300, Used: 70_000, Demand: quota.MaxUnits}}}}
+	anAnswer = LeaseResponse{"", quota.LeaseResponse{Child: "east", Epoch: 7, Seq: 2, LenderIncarnation: 3, Lease: 600 * time.Second, ResendFull: true, NoRecord: true,
+		Allocations: []quota.Allocation{{Account: "team1", Units: 5}, {Account: "team2", Units: 0}}}}
 	aNudge  = "east"
-	anAway  = Away{"", "v2"}
-	written = map[string][]byte{"ask": WriteAsk(anAsk), "answer": WriteAnswer(anAnswer), "nudge": WriteNudge(aNudge), "away": WriteAway(anAway),
-		"an ask with no lines": WriteAsk(Ask{"east", quota.Ask{Child: "n3", Epoch: 1, Seq: 1}})}
+	anAway  = Redirect{"", "v2"}
+	written = map[string][]byte{"ask": EncodeLeaseRequest(anAsk), "answer": EncodeLeaseResponse(anAnswer), "nudge": EncodePoll(aNudge), "away": EncodeRedirect(anAway),
+		"an ask with no lines": EncodeLeaseRequest(LeaseRequest{"east", quota.LeaseRequest{Child: "n3", Epoch: 1, Seq: 1}})}
 )
 
 // write is the bytes of what was read.
 func write(m Message) []byte {
 	switch {
-	case m.Ask != nil:
-		return WriteAsk(*m.Ask)
-	case m.Answer != nil:
-		return WriteAnswer(*m.Answer)
-	case m.Nudge != nil:
-		return WriteNudge(*m.Nudge)
+	case m.Request != nil:
+		return EncodeLeaseRequest(*m.Request)
+	case m.Response != nil:
+		return EncodeLeaseResponse(*m.Response)
+	case m.Poll != nil:
+		return EncodePoll(*m.Poll)
 	default:
-		return WriteAway(*m.Away)
+		return EncodeRedirect(*m.Redirect)
 	}
 }
 
 func TestRoundTrips(t *testing.T) {
-	for what, m := range map[string]Message{"ask": {Ask: &anAsk}, "answer": {Answer: &anAnswer}, "nudge": {Nudge: &aNudge}, "away": {Away: &anAway}} {
-		got, err := Next(bytes.NewReader(frames.Frame(written[what])))
+	for what, m := range map[string]Message{"ask": {Request: &anAsk}, "answer": {Response: &anAnswer}, "nudge": {Poll: &aNudge}, "away": {Redirect: &anAway}} {
+		got, err := ReadMessage(bytes.NewReader(frames.Frame(written[what])))
 		require.NoError(t, err, what)
 		assert.Equal(t, m, got, what)
 	}
 	for what, p := range written {
-		m, err := Read(p)
+		m, err := Decode(p)
 		require.NoError(t, err, what)
 		assert.Equal(t, p, write(m), what)
 	}
 	back := anAsk
-	back.Lines = []quota.Line{anAsk.Lines[1], anAsk.Lines[0]}
-	assert.Equal(t, WriteAsk(anAsk), WriteAsk(back), "lines are written in the order of accounts")
+	back.Reports = []quota.AccountReport{anAsk.Reports[1], anAsk.Reports[0]}
+	assert.Equal(t, EncodeLeaseRequest(anAsk), EncodeLeaseRequest(back), "lines are written in the order of accounts")
 }
 
 // TestLargest: the largest message that the bounds allow fits the frame, and one line more is refused.
 func TestLargest(t *testing.T) {
-	largest := func(n int) Ask {
-		a := Ask{strings.Repeat("r", quota.MaxName), quota.Ask{Child: strings.Repeat("c", quota.MaxName), Epoch: 1<<64 - 1, Seq: 1<<64 - 1, Lender: 1<<64 - 1}}
+	largest := func(n int) LeaseRequest {
+		a := LeaseRequest{strings.Repeat("r", quota.MaxName), quota.LeaseRequest{Child: strings.Repeat("c", quota.MaxName), Epoch: 1<<64 - 1, Seq: 1<<64 - 1, LenderIncarnation: 1<<64 - 1}}
 		for i := range n {
-			a.Lines = append(a.Lines, quota.Line{Account: fmt.Sprintf("%0*d", quota.MaxName, i), Held: quota.MaxUnits, Used: quota.MaxUnits, Want: quota.MaxUnits})
+			a.Reports = append(a.Reports, quota.AccountReport{Account: fmt.Sprintf("%0*d", quota.MaxName, i), Held: quota.MaxUnits, Used: quota.MaxUnits, Demand: quota.MaxUnits})
 		}
 		return a
 	}
-	p := WriteAsk(largest(quota.MaxAccounts))
+	p := EncodeLeaseRequest(largest(quota.MaxAccounts))
 	assert.LessOrEqual(t, len(p), MaxFrame)
-	_, err := Read(p)
+	_, err := Decode(p)
 	assert.NoError(t, err)
-	_, err = Read(WriteAsk(largest(quota.MaxAccounts + 1)))
+	_, err = Decode(EncodeLeaseRequest(largest(quota.MaxAccounts + 1)))
 	assert.ErrorIs(t, err, ErrMessage)
 }
 
@@ -84,14 +84,14 @@
 		require.NoError(t, err)
 		return b
 	}
-	ask := func(change func(*Ask)) []byte {
+	ask := func(change func(*LeaseRequest)) []byte {
 		a := anAsk
-		a.Lines = append([]quota.Line(nil), anAsk.Lines...)
+		a.Reports = append([]quota.AccountReport(nil), anAsk.Reports...)
 		change(&a)
-		return mapOf(WriteAsk(a))
+		return mapOf(EncodeLeaseRequest(a))
 	}
 	swapped, tooMany := anAnswer, anAnswer
-	swapped.Shares = []quota.Share{{Account: "team1"}, {Account: "team1"}}
+	swapped.Allocations = []quota.Allocation{{Account: "team1"}, {Account: "team1"}}
 	tooMany.From = strings.Repeat("x", quota.MaxName+1)
 	for what, p := range map[string][]byte{
 		"empty": {}, "cut short": whole[:len(whole)-1], "bytes after the end": append(bytes.Clone(whole), 0),
@@ -104,26 +104,26 @@
 		"a key more":              again(func(m map[string]any) { m["more"] = 1 }),
 		"a key less":              again(func(m map[string]any) { delete(m, "lender") }),
 		"lines that are nil":      again(func(m map[string]any) { m["lines"] = nil }),
-		"no child":                ask(func(a *Ask) { a.Child = "" }),
-		"a child too long":        ask(func(a *Ask) { a.Child = strings.Repeat("x", quota.MaxName+1) }),
-		"a lender too long":       ask(func(a *Ask) { a.To = strings.Repeat("x", quota.MaxName+1) }),
-		"an account too long":     ask(func(a *Ask) { a.Lines[1].Account = strings.Repeat("x", quota.MaxName+1) }),
-		"an account twice":        ask(func(a *Ask) { a.Lines[1].Account = "" }),
-		"a share twice":           mapOf(WriteAnswer(swapped)),
-		"an answer's name":        mapOf(WriteAnswer(tooMany)),
+		"no child":                ask(func(a *LeaseRequest) { a.Child = "" }),
+		"a child too long":        ask(func(a *LeaseRequest) { a.Child = strings.Repeat("x", quota.MaxName+1) }),
+		"a lender too long":       ask(func(a *LeaseRequest) { a.To = strings.Repeat("x", quota.MaxName+1) }),
+		"an account too long":     ask(func(a *LeaseRequest) { a.Reports[1].Account = strings.Repeat("x", quota.MaxName+1) }),
+		"an account twice":        ask(func(a *LeaseRequest) { a.Reports[1].Account = "" }),
+		"a share twice":           mapOf(EncodeLeaseResponse(swapped)),
+		"an answer's name":        mapOf(EncodeLeaseResponse(tooMany)),
 		"too many units":          bytes.Replace(whole, []byte("\xa1w\xce\x40\x00\x00\x00"), []byte("\xa1w\xce\x40\x00\x00\x01"), 1),
-		"a nudge's name too long": mapOf(WriteNudge(strings.Repeat("x", quota.MaxName+1))),
-		"a leader too long":       mapOf(WriteAway(Away{"", strings.Repeat("x", quota.MaxName+1)})),
+		"a nudge's name too long": mapOf(EncodePoll(strings.Repeat("x", quota.MaxName+1))),
+		"a leader too long":       mapOf(EncodeRedirect(Redirect{"", strings.Repeat("x", quota.MaxName+1)})),
 		"too long":                make([]byte, MaxFrame+1), "a sum in its place": written["ask"],
 	} {
 		assert.NotEqual(t, whole, p, "%s: nothing was changed", what)
-		_, err := Read(frames.AppendChecksum(p)) // the sum is right: it is the map that is refused
+		_, err := Decode(frames.AppendChecksum(p)) // the sum is right: it is the map that is refused
 		assert.ErrorIs(t, err, ErrMessage, what)
 		if err != nil {
 			assert.NotContains(t, err.Error(), "sum", what)
 		}
 	}
-	_, err := Next(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff}))
+	_, err := ReadMessage(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff}))
 	assert.ErrorIs(t, err, ErrMessage)
 }
 
@@ -134,12 +134,12 @@
 func TestSum(t *testing.T) {
 	for what, p := range written {
 		for i := range p {
-			_, err := Read(p[:i])
+			_, err := Decode(p[:i])
 			require.ErrorIs(t, err, ErrMessage, what)
 			for _, x := range []byte{1, 2, 4, 8, 16, 32, 64, 128, 0x55, 0xff} {
 				q := bytes.Clone(p)
 				q[i] ^= x
-				_, err := Read(q)
+				_, err := Decode(q)
 				require.ErrorIs(t, err, ErrMessage, "byte %d of %s", i, what)
 			}
 		}
@@ -155,7 +155,7 @@
 	f.Add(bytes.Replace(mapOf(written["ask"]), []byte("\xa5lines\x92"), []byte("\xa5lines\xdd\xff\xff\xff\xff"), 1))
 	f.Fuzz(func(t *testing.T, p []byte) {
 		p = frames.AppendChecksum(p) // else nothing but a message of ours is looked into
-		if m, err := Read(p); err == nil {
+		if m, err := Decode(p); err == nil {
 			assert.Equal(t, p, write(m))
 		}
 	})
@@ -163,13 +163,13 @@
 
 // TestBase: an ask says whether its lines are all by the ask that they changed since.
 func TestBase(t *testing.T) {
-	for _, a := range []quota.Ask{
-		{Child: "n3", Epoch: 1, Seq: 9, Lender: 3, Base: 8, Lines: []quota.Line{}},
-		{Child: "n3", Epoch: 1, Seq: 9, Lender: 3, All: true, Lines: []quota.Line{}},
+	for _, a := range []quota.LeaseRequest{
+		{Child: "n3", Epoch: 1, Seq: 9, LenderIncarnation: 3, BaseSeq: 8, Reports: []quota.AccountReport{}},
+		{Child: "n3", Epoch: 1, Seq: 9, LenderIncarnation: 3, Full: true, Reports: []quota.AccountReport{}},
 	} {
-		m, err := Read(WriteAsk(Ask{To: "east", Ask: a}))
+		m, err := Decode(EncodeLeaseRequest(LeaseRequest{To: "east", LeaseRequest: a}))
 		require.NoError(t, err)
-		assert.Equal(t, a.All, m.Ask.All)
-		assert.Equal(t, a.Base, m.Ask.Base)
+		assert.Equal(t, a.Full, m.Request.Full)
+		assert.Equal(t, a.BaseSeq, m.Request.BaseSeq)
 	}
 }
--- a/internal/fleet/quota/world_test.go
+++ b/internal/fleet/quota/world_test.go
@@ -36,7 +36,7 @@
 }
 
 type setup struct {
-	up, down Plan
+	up, down LeaseConfig
 	quotas   map[string]int
 	reserve  int
 	regions  int
@@ -75,7 +75,7 @@
 
 type regionNode struct {
 	name string
-	r    *Region
+	r    *RegionLender
 	clock
 	cut     bool // from the root
 	stalled bool
@@ -87,7 +87,7 @@
 	name   string
 	region int
 	h      *Holder
-	d      *Desk
+	d      *Limiter
 	clock
 	cut      bool
 	stalled  bool
@@ -161,7 +161,7 @@
 		out = append(out, a)
 	}
 	if w.reserve > 0 {
-		out = append(out, Urgent)
+		out = append(out, ReserveAccount)
 	}
 	return out
 }
@@ -176,19 +176,19 @@
 	}
 	p := w.setup.up
 	if w.setup.flaw.noTail {
-		p.Run = 0
+		p.MaxRunTime = 0
 	}
 	var err error
-	n.l, err = NewLender(p, w.term, n.at(w.now), Options{Spread: true, Known: known, Starts: first || w.setup.flaw.noLegacy})
+	n.l, err = NewLender(p, w.term, n.at(w.now), LenderOptions{Preallocate: true, Children: known, SkipRecovery: first || w.setup.flaw.noLegacy})
 	must(err)
 	for a := range w.setup.quotas {
-		n.l.Inherit(n.at(w.now), []Share{{a, w.truth.largest(a, w.now, w.truth.runs())}})
-		n.l.Capacity(n.at(w.now), a, w.quotas[a])
+		n.l.AssumeLent(n.at(w.now), []Allocation{{a, w.truth.largest(a, w.now, w.truth.runs())}})
+		n.l.SetCapacity(n.at(w.now), a, w.quotas[a])
 	}
 	w.root = n
 	for _, r := range w.regions {
 		if w.setup.steady || w.rnd.IntN(2) == 0 { // a link to the new leader is seen to be new
-			r.r.Linked()
+			r.r.HandleReconnect()
 		}
 	}
 }
@@ -204,19 +204,19 @@
 	r.clock, r.inbox, r.stalled = w.clock(w.setup.up.Drift), nil, false
 	down := w.setup.down
 	if w.setup.flaw.noTail {
-		down.Run = 0
+		down.MaxRunTime = 0
 	}
 	var err error
 	up := w.setup.up
 	if w.setup.flaw.wholeLease {
 		up.Drift = 0
 	}
-	r.r, err = NewRegion(up, down, r.name, w.life, r.at(w.now))
+	r.r, err = NewRegionLender(up, down, r.name, w.life, r.at(w.now))
 	must(err)
 	if w.setup.flaw.noLegacy || w.setup.first && w.now == 0 {
-		r.r.Starts(r.at(w.now))
+		r.r.SkipRecovery(r.at(w.now))
 	}
-	r.r.Reserve(r.at(w.now), w.reserve)
+	r.r.SetReserve(r.at(w.now), w.reserve)
 }
 
 func (w *world) newDisp(i int) {
@@ -230,7 +230,7 @@
 	var err error
 	n.h, err = NewHolder(p, n.name, w.life, false)
 	must(err)
-	n.d, n.waits, n.waiting = NewDesk(), map[uint64]string{}, map[string]int{}
+	n.d, n.waits, n.waiting = NewLimiter(), map[uint64]string{}, map[string]int{}
 	n.d.SetQuotas(n.at(w.now), w.accounts())
 }
 
@@ -296,7 +296,7 @@
 		w.rootNudges()
 	}
 	for i, r := range w.regions {
-		if r.r.Next() <= r.at(w.now) {
+		if r.r.NextTick() <= r.at(w.now) {
 			w.regionTurn(i, r)
 		}
 		if r.old != nil {
@@ -304,22 +304,22 @@
 		}
 	}
 	for _, n := range w.disps {
-		if !n.stalled && (n.h.Next() <= n.at(w.now) || n.d.Next() <= n.at(w.now)) {
+		if !n.stalled && (n.h.NextRequestTime() <= n.at(w.now) || n.d.NextTimeout() <= n.at(w.now)) {
 			w.dispTurn(n)
 		}
 	}
 }
 
 func (w *world) rootNudges() {
-	for _, name := range w.root.l.Nudges() {
+	for _, name := range w.root.l.TakePolls() {
 		i := slices.IndexFunc(w.regions, func(r *regionNode) bool { return r.name == name })
 		if r := w.regions[i]; !r.cut {
 			w.post("root", r.name, w.setup.far, func() {
-				w.regionGets(i, func(r *regionNode) { r.r.Nudged() })
+				w.regionGets(i, func(r *regionNode) { r.r.HandlePoll() })
 			})
 		}
 	}
-	w.root.l.Notes()
+	w.root.l.TakeEvents()
 }
 
 // regionGets hands something to a region's lender, now or when it wakes.
@@ -343,28 +343,28 @@
 	}
 	now := r.at(w.now)
 	r.r.Tick(now)
-	if a, due := r.r.Due(now); due && !r.cut {
+	if a, due := r.r.NextRequest(now); due && !r.cut {
 		w.post(r.name, "root", w.setup.far, func() { w.rootGets(i, r, a) })
 	}
-	for _, name := range r.r.Nudges() {
+	for _, name := range r.r.TakePolls() {
 		for _, n := range w.disps {
 			if n.name == name && !n.cut {
 				w.post(r.name, name, w.setup.near, func() {
-					w.dispGets(n, func() { n.h.Nudged() })
+					w.dispGets(n, func() { n.h.HandlePoll() })
 				})
 			}
 		}
 	}
-	r.r.Notes()
+	r.r.TakeEvents()
 }
 
 // rootGets is an ask at whoever leads then; what it says is sent once a majority has confirmed that it leads still.
-func (w *world) rootGets(i int, from *regionNode, a Ask) {
+func (w *world) rootGets(i int, from *regionNode, a LeaseRequest) {
 	root := w.root
 	if root == nil {
 		return
 	}
-	answer, ok := root.l.Take(root.at(w.now), a)
+	answer, ok := root.l.Handle(root.at(w.now), a)
 	w.rootNudges()
 	if !ok {
 		return
@@ -378,7 +378,7 @@
 			return
 		}
 		w.post("root", from.name, w.setup.far, func() {
-			w.regionGets(i, func(r *regionNode) { r.r.Answered(r.at(w.now), answer) })
+			w.regionGets(i, func(r *regionNode) { r.r.HandleResponse(r.at(w.now), answer) })
 		})
 	})
 }
@@ -399,7 +399,7 @@
 	}
 	now := n.at(w.now)
 	if !n.draining {
-		begin, refuse := n.d.Turn(now, func(a string) int { return n.h.Units(now, a) })
+		begin, refuse := n.d.Admit(now, func(a string) int { return n.h.Units(now, a) })
 		for _, id := range refuse {
 			w.verdict(n, id)
 		}
@@ -407,20 +407,20 @@
 			w.begin(n, id)
 		}
 	}
-	n.d.Needs(n.h.Need)
-	if a, due := n.h.Due(now); due {
+	n.d.TakeUsageChanges(n.h.SetUsage)
+	if a, due := n.h.NextRequest(now); due {
 		w.ask(n, a)
 	}
 }
 
-func (w *world) ask(n *dispNode, a Ask) {
+func (w *world) ask(n *dispNode, a LeaseRequest) {
 	if n.cut {
 		return
 	}
 	i := n.region
 	w.post(n.name, w.regions[i].name, w.setup.near, func() {
 		w.regionGets(i, func(r *regionNode) {
-			answer, ok := r.r.Take(r.at(w.now), a)
+			answer, ok := r.r.Handle(r.at(w.now), a)
 			if !ok || n.cut {
 				return
 			}
@@ -429,7 +429,7 @@
 					if w.setup.flaw.older && n.h.epoch == answer.Epoch {
 						answer.Seq = n.h.seq
 					}
-					n.h.Answered(n.at(w.now), answer)
+					n.h.HandleResponse(n.at(w.now), answer)
 				})
 			})
 		})
@@ -457,7 +457,7 @@
 	if patience > 0 {
 		until = n.at(w.now).Add(patience)
 	}
-	if n.d.Take(n.at(w.now), id, account, urgent, until) {
+	if n.d.Acquire(n.at(w.now), id, account, urgent, until) {
 		w.begin(n, id)
 	}
 	w.dispTurn(n)
@@ -469,8 +469,8 @@
 func (w *world) begin(n *dispNode, id uint64) {
 	account := n.waits[id]
 	w.verdict(n, id)
-	charged, _ := n.d.Charged(id)
-	most := int64(float64(w.setup.down.Run)/n.rate) - 1
+	charged, _ := n.d.ChargedAccount(id)
+	most := int64(float64(w.setup.down.MaxRunTime)/n.rate) - 1
 	runs := time.Duration(most)
 	if !w.setup.steady && !w.crowded && w.rnd.IntN(3) > 0 {
 		runs = time.Duration(w.rnd.Int64N(most + 1))
@@ -482,7 +482,7 @@
 		if n.h == h {
 			w.dispGets(n, func() {
 				if n.h == h {
-					n.d.Leave(id)
+					n.d.Release(id)
 				}
 			})
 		}
--- a/internal/lab/sim/desk.go
+++ b/internal/lab/sim/desk.go
@@ -12,7 +12,7 @@
 	clock
 	q      *quotas
 	side   *side
-	desk   *quota.Desk
+	desk   *quota.Limiter
 	holder *quota.Holder
 	last   uint64
 	ready  map[uint64]func(time.Time, time.Duration, bool)
@@ -29,7 +29,7 @@
 
 func newDesk(s *side) (*deskAt, error) {
 	q := s.w.quotas
-	d := &deskAt{clock: q.clock(), q: q, side: s, desk: quota.NewDesk(), ready: map[uint64]func(time.Time, time.Duration, bool){}, held: map[string]int{}, flying: map[uint64]account{}}
+	d := &deskAt{clock: q.clock(), q: q, side: s, desk: quota.NewLimiter(), ready: map[uint64]func(time.Time, time.Duration, bool){}, held: map[string]int{}, flying: map[uint64]account{}}
 	var err error
 	if d.holder, err = quota.NewHolder(q.set.down(), fmt.Sprint("n", s.at), q.life(), false); err != nil {
 		return nil, err
@@ -58,7 +58,7 @@
 	}
 	a := account{name, d.q.urgent[class], w.now}
 	patience := float64(until.Sub(origin))/1e6 - w.now
-	if d.desk.Take(d.now(w), id, name, a.urgent, d.now(w)+quota.Time(patience*1e6*d.rate)) {
+	if d.desk.Acquire(d.now(w), id, name, a.urgent, d.now(w)+quota.Time(patience*1e6*d.rate)) {
 		d.begun(id, a)
 		ready(w.time(), 0, true)
 	} else {
@@ -72,7 +72,7 @@
 	}
 	return func() {
 		delete(d.ready, id)
-		d.desk.Leave(id)
+		d.desk.Release(id)
 		d.ended(id)
 		d.soon()
 	}
@@ -107,20 +107,20 @@
 	w := d.q.w
 	w.at(w.now+2*w.sc.Latency, func() {
 		for id := range d.flying {
-			d.desk.Leave(id)
+			d.desk.Release(id)
 			d.ended(id)
 		}
 		if !orderly {
 			return
 		}
 		for id := range d.ready {
-			d.desk.Leave(id)
+			d.desk.Release(id)
 		}
 		d.desk.SetQuotas(d.now(w), nil) // nothing is wanted ahead of need
-		d.desk.Needs(d.holder.Need)
-		d.holder.Nudged()
-		d.holder.Linked() // it waits for no answer
-		if a, ok := d.holder.Due(d.now(w)); ok {
+		d.desk.TakeUsageChanges(d.holder.SetUsage)
+		d.holder.HandlePoll()
+		d.holder.HandleReconnect() // it waits for no answer
+		if a, ok := d.holder.NextRequest(d.now(w)); ok {
 			d.ask(a)
 		}
 	})
@@ -141,7 +141,7 @@
 		return
 	}
 	w := d.q.w
-	begin, refuse := d.desk.Turn(d.now(w), d.units)
+	begin, refuse := d.desk.Admit(d.now(w), d.units)
 	for _, id := range begin {
 		d.say(id, 0, true)
 	}
@@ -149,11 +149,11 @@
 		w.res.Quotas.Refused++
 		d.say(id, refusedPause, false)
 	}
-	d.desk.Needs(d.holder.Need)
-	if a, ok := d.holder.Due(d.now(w)); ok {
+	d.desk.TakeUsageChanges(d.holder.SetUsage)
+	if a, ok := d.holder.NextRequest(d.now(w)); ok {
 		d.ask(a)
 	}
-	d.again(w, min(d.holder.Next(), d.desk.Next()), d.turn)
+	d.again(w, min(d.holder.NextRequestTime(), d.desk.NextTimeout()), d.turn)
 }
 
 // refusedPause is advised to clients of reqs that had no room in time.
@@ -167,7 +167,7 @@
 	}
 }
 
-func (d *deskAt) ask(a quota.Ask) {
+func (d *deskAt) ask(a quota.LeaseRequest) {
 	q := d.q
 	q.w.res.Quotas.Asks++
 	q.near(d.side.at, sizeOfAsk(a))
@@ -175,9 +175,9 @@
 	q.carry(region, region, func() { q.regions[region].take(d, a) })
 }
 
-func (d *deskAt) answered(a quota.Answer) {
+func (d *deskAt) answered(a quota.LeaseResponse) {
 	if !d.side.dead {
-		d.holder.Answered(d.now(d.q.w), a)
+		d.holder.HandleResponse(d.now(d.q.w), a)
 		d.turn()
 	}
 }
--- a/internal/lab/sim/quotas.go
+++ b/internal/lab/sim/quotas.go
@@ -104,12 +104,12 @@
 	return q.down().Check()
 }
 
-func (q *Quotas) up() quota.Plan {
-	return quota.Plan{Lease: span(q.RegionLease), Run: span(q.Run), Drift: q.Drift}
+func (q *Quotas) up() quota.LeaseConfig {
+	return quota.LeaseConfig{Lease: span(q.RegionLease), MaxRunTime: span(q.Run), Drift: q.Drift}
 }
 
-func (q *Quotas) down() quota.Plan {
-	return quota.Plan{Lease: span(q.Lease), Run: span(q.Run), Drift: q.Drift}
+func (q *Quotas) down() quota.LeaseConfig {
+	return quota.LeaseConfig{Lease: span(q.Lease), MaxRunTime: span(q.Run), Drift: q.Drift}
 }
 
 // quotas is all of it in a run.
@@ -198,7 +198,7 @@
 		out = append(out, t.Name)
 	}
 	if q.set.Reserve > 0 {
-		out = append(out, quota.Urgent)
+		out = append(out, quota.ReserveAccount)
 	}
 	slices.Sort(out)
 	return out
@@ -269,13 +269,13 @@
 		known = append(known, g.Name)
 	}
 	var err error
-	r.lender, err = quota.NewLender(q.set.up(), q.life(), r.now(q.w), quota.Options{Spread: true, Known: known, Starts: first})
+	r.lender, err = quota.NewLender(q.set.up(), q.life(), r.now(q.w), quota.LenderOptions{Preallocate: true, Children: known, SkipRecovery: first})
 	if err != nil {
 		return err
 	}
 	for _, a := range q.accounts() {
-		if a != quota.Urgent {
-			r.lender.Capacity(r.now(q.w), a, q.now[a])
+		if a != quota.ReserveAccount {
+			r.lender.SetCapacity(r.now(q.w), a, q.now[a])
 		}
 	}
 	q.root = r
@@ -284,7 +284,7 @@
 }
 
 // take answers a region's ask, once another voter has confirmed by a round trip that this one leads.
-func (r *rootAt) take(g *regionAt, a quota.Ask) {
+func (r *rootAt) take(g *regionAt, a quota.LeaseRequest) {
 	q, nearest := r.q, -1
 	for i := range q.regions {
 		if i != r.region && !q.severed(i, r.region) && (nearest < 0 || q.far(i, r.region) < q.far(nearest, r.region)) {
@@ -298,7 +298,7 @@
 		if r.gone {
 			return
 		}
-		if answer, ok := r.lender.Take(r.now(q.w), a); ok {
+		if answer, ok := r.lender.Handle(r.now(q.w), a); ok {
 			q.far2(sizeOfAnswer(answer))
 			q.carry(r.region, g.at, func() { g.answered(answer) })
 		}
@@ -317,18 +317,18 @@
 	}
 	q := r.q
 	r.lender.Tick(r.now(q.w))
-	for _, name := range r.lender.Nudges() {
+	for _, name := range r.lender.TakePolls() {
 		g := q.regions[slices.IndexFunc(q.w.sc.Regions, func(x Region) bool { return x.Name == name })]
 		q.far2(sizeOfNudge)
 		q.carry(r.region, g.at, func() {
 			if !g.dead {
-				g.region.Nudged()
+				g.region.HandlePoll()
 				g.turn()
 			}
 		})
 	}
-	q.notes("root ", r.lender.Notes())
-	r.again(q.w, r.lender.Next(), r.turn)
+	q.notes("root ", r.lender.TakeEvents())
+	r.again(q.w, r.lender.NextTick(), r.turn)
 }
 
 func (q *quotas) far2(bytes int) {
@@ -336,7 +336,7 @@
 	q.w.res.Quotas.FarBytes += bytes
 }
 
-func (q *quotas) notes(level string, list []quota.Note) {
+func (q *quotas) notes(level string, list []quota.Event) {
 	for _, n := range list {
 		q.w.res.Quotas.Notes[level+n.Step]++
 	}
@@ -347,38 +347,38 @@
 	clock
 	q      *quotas
 	at     int
-	region *quota.Region
+	region *quota.RegionLender
 	dead   bool
 }
 
 func (g *regionAt) start() (err error) {
 	q := g.q
 	g.clock, g.dead = q.clock(), false
-	g.region, err = quota.NewRegion(q.set.up(), q.set.down(), q.w.sc.Regions[g.at].Name, q.life(), g.now(q.w))
+	g.region, err = quota.NewRegionLender(q.set.up(), q.set.down(), q.w.sc.Regions[g.at].Name, q.life(), g.now(q.w))
 	if err == nil {
 		if q.root == nil { // the run's first lives
-			g.region.Starts(g.now(q.w))
+			g.region.SkipRecovery(g.now(q.w))
 		}
-		g.region.Reserve(g.now(q.w), q.set.Reserve)
+		g.region.SetReserve(g.now(q.w), q.set.Reserve)
 		q.w.at(q.w.now, g.turn)
 	}
 	return err
 }
 
-func (g *regionAt) answered(a quota.Answer) {
+func (g *regionAt) answered(a quota.LeaseResponse) {
 	if !g.dead {
-		g.region.Answered(g.now(g.q.w), a)
+		g.region.HandleResponse(g.now(g.q.w), a)
 		g.turn()
 	}
 }
 
 // take answers a dispatcher's ask.
-func (g *regionAt) take(d *deskAt, a quota.Ask) {
+func (g *regionAt) take(d *deskAt, a quota.LeaseRequest) {
 	if g.dead {
 		return
 	}
 	q := g.q
-	if answer, ok := g.region.Take(g.now(q.w), a); ok {
+	if answer, ok := g.region.Handle(g.now(q.w), a); ok {
 		q.w.res.Quotas.Answers++
 		q.near(d.side.at, sizeOfAnswer(answer))
 		q.carry(g.at, g.at, func() { d.answered(answer) })
@@ -392,25 +392,25 @@
 	}
 	q := g.q
 	g.region.Tick(g.now(q.w))
-	if a, ok := g.region.Due(g.now(q.w)); ok {
+	if a, ok := g.region.NextRequest(g.now(q.w)); ok {
 		q.far2(sizeOfAsk(a))
 		root := q.root
 		q.carry(g.at, root.region, func() { root.take(g, a) })
 	}
-	for _, name := range g.region.Nudges() {
+	for _, name := range g.region.TakePolls() {
 		node := 0
 		_, _ = fmt.Sscanf(name, "n%d", &node)
 		q.w.res.Quotas.Nudges++
 		q.near(node, sizeOfNudge)
 		q.carry(g.at, g.at, func() {
 			if d := q.w.sides[node].desk; !d.side.dead {
-				d.holder.Nudged()
+				d.holder.HandlePoll()
 				d.turn()
 			}
 		})
 	}
-	q.notes("region ", g.region.Notes())
-	g.again(q.w, g.region.Next(), g.turn)
+	q.notes("region ", g.region.TakeEvents())
+	g.again(q.w, g.region.NextTick(), g.turn)
 }
 
 // near counts the bytes of a message between a dispatcher and its region's lender.
@@ -448,7 +448,7 @@
 		w.at(r.At, func() {
 			q.decide(r.Tenant, r.Quota)
 			if !q.root.gone {
-				q.root.lender.Capacity(q.root.now(w), r.Tenant, r.Quota)
+				q.root.lender.SetCapacity(q.root.now(w), r.Tenant, r.Quota)
 				q.root.turn()
 			}
 		})
@@ -481,10 +481,12 @@
 }
 
 // What messages cost, as the codec writes them.
-var sizeOfNudge = len(wire.WriteNudge("v1"))
+var sizeOfNudge = len(wire.EncodePoll("v1"))
 
-func sizeOfAsk(a quota.Ask) int { return len(wire.WriteAsk(wire.Ask{To: "v1", Ask: a})) }
+func sizeOfAsk(a quota.LeaseRequest) int {
+	return len(wire.EncodeLeaseRequest(wire.LeaseRequest{To: "v1", LeaseRequest: a}))
+}
 
-func sizeOfAnswer(a quota.Answer) int {
-	return len(wire.WriteAnswer(wire.Answer{From: "v1", Answer: a}))
+func sizeOfAnswer(a quota.LeaseResponse) int {
+	return len(wire.EncodeLeaseResponse(wire.LeaseResponse{From: "v1", LeaseResponse: a}))
 }
--- a/internal/network/fleet/quota/cost_test.go
+++ b/internal/network/fleet/quota/cost_test.go
@@ -17,24 +17,24 @@
 
 // alone is a dispatcher's side with no lender to reach, which holds so many units of each of some accounts.
 func alone(t testing.TB, accounts, units int) *Quota {
-	q := &Quota{cfg: Config{Name: "n0", Epoch: 1 << 60, Region: "east", Plan: quota.Plan{Lease: time.Hour, Run: time.Second}, Log: zerolog.Nop()}, start: time.Now()}
+	q := &Quota{cfg: Config{Name: "n0", Epoch: 1 << 60, Region: "east", Plan: quota.LeaseConfig{Lease: time.Hour, MaxRunTime: time.Second}, Log: zerolog.Nop()}, start: time.Now()}
 	var err error
 	q.desk, err = newDesk(q, "")
 	require.NoError(t, err)
 	t.Cleanup(q.Close)
 	p := policy.Policy{Quotas: map[string]int{}}
-	a := quota.Answer{Child: "n0", Epoch: 1 << 60, Lender: 1 << 60, Lease: 3 * time.Second}
+	a := quota.LeaseResponse{Child: "n0", Epoch: 1 << 60, LenderIncarnation: 1 << 60, Lease: 3 * time.Second}
 	for i := range accounts {
 		name := fmt.Sprintf("team%03d", i)
 		p.Quotas[name] = units
-		a.Shares = append(a.Shares, quota.Share{Account: name, Units: units})
+		a.Allocations = append(a.Allocations, quota.Allocation{Account: name, Units: units})
 	}
 	q.Enter(p)
 	for range 2 { // the first is of a life not heard before, and grants nothing
 		ask, ok := q.desk.due()
 		require.True(t, ok)
 		a.Seq = ask.Seq
-		q.desk.heard(wire.Message{Answer: &wire.Answer{From: "east", Answer: a}})
+		q.desk.heard(wire.Message{Response: &wire.LeaseResponse{From: "east", LeaseResponse: a}})
 	}
 	return q
 }
@@ -46,15 +46,15 @@
 	q.desk.linked()
 	ask, ok := q.desk.due() // all that it was lent is told once
 	require.True(t, ok)
-	assert.Len(t, ask.Lines, 310)
-	first := len(frames.Frame(wire.WriteAsk(wire.Ask{To: "east", Ask: ask})))
-	q.desk.heard(wire.Message{Answer: &wire.Answer{From: "east", Answer: quota.Answer{Child: "n0", Epoch: 1 << 60, Seq: ask.Seq, Lender: 1 << 60, Lease: 3 * time.Second}}})
+	assert.Len(t, ask.Reports, 310)
+	first := len(frames.Frame(wire.EncodeLeaseRequest(wire.LeaseRequest{To: "east", LeaseRequest: ask})))
+	q.desk.heard(wire.Message{Response: &wire.LeaseResponse{From: "east", LeaseResponse: quota.LeaseResponse{Child: "n0", Epoch: 1 << 60, Seq: ask.Seq, LenderIncarnation: 1 << 60, Lease: 3 * time.Second}}})
 	q.desk.linked()
 	ask, ok = q.desk.due()
 	require.True(t, ok)
-	assert.Empty(t, ask.Lines)
-	quiet := len(frames.Frame(wire.WriteAsk(wire.Ask{To: "east", Ask: ask})))
-	answer := len(frames.Frame(wire.WriteAnswer(wire.Answer{From: "east", Answer: quota.Answer{Child: "n0", Epoch: 1 << 60, Seq: ask.Seq, Lender: 1 << 60, Lease: 3 * time.Second}})))
+	assert.Empty(t, ask.Reports)
+	quiet := len(frames.Frame(wire.EncodeLeaseRequest(wire.LeaseRequest{To: "east", LeaseRequest: ask})))
+	answer := len(frames.Frame(wire.EncodeLeaseResponse(wire.LeaseResponse{From: "east", LeaseResponse: quota.LeaseResponse{Child: "n0", Epoch: 1 << 60, Seq: ask.Seq, LenderIncarnation: 1 << 60, Lease: 3 * time.Second}})))
 	t.Logf("an ask %d bytes, its answer %d; an ask with 310 lines %d", quiet, answer, first)
 	assert.LessOrEqual(t, quiet+answer, 200)
 	assert.LessOrEqual(t, first, 310*30+100)
--- a/internal/network/fleet/quota/desk.go
+++ b/internal/network/fleet/quota/desk.go
@@ -19,7 +19,7 @@
 	done  sync.WaitGroup
 
 	mu      sync.Mutex
-	desk    *quota.Desk
+	desk    *quota.Limiter
 	holder  *quota.Holder
 	given   uint64           // ids to reqs
 	waiting map[uint64]*room // reqs that wait
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &desk{q: q, woken: make(chan struct{}, 1), stop: make(chan struct{}), desk: quota.NewDesk(), holder: h,
+	d := &desk{q: q, woken: make(chan struct{}, 1), stop: make(chan struct{}), desk: quota.NewLimiter(), holder: h,
 		waiting: map[uint64]*room{}, used: map[string]int{}}
 	d.link = newAsker(q, q.cfg.Region, d, func() string { return to })
 	d.link.start()
@@ -57,7 +57,7 @@
 func (d *desk) run() {
 	for {
 		d.mu.Lock()
-		next := d.desk.Next()
+		next := d.desk.NextTimeout()
 		d.mu.Unlock()
 		var due <-chan time.Time
 		var over *time.Timer
@@ -85,7 +85,7 @@
 	d.given++
 	id := d.given
 	now := d.q.now()
-	if d.desk.Take(now, id, account, urgent, d.q.of(until)) {
+	if d.desk.Acquire(now, id, account, urgent, d.q.of(until)) {
 		r.said.Store(true)
 		d.mu.Unlock()
 		ready(d.q.at(now), 0, true)
@@ -101,7 +101,7 @@
 		r.said.Store(true)
 		d.mu.Lock()
 		delete(d.waiting, id)
-		d.desk.Leave(id)
+		d.desk.Release(id)
 		d.turn()
 	}
 }
@@ -112,7 +112,7 @@
 		accounts = append(accounts, account)
 	}
 	if p.UrgentReserve > 0 {
-		accounts = append(accounts, quota.Urgent)
+		accounts = append(accounts, quota.ReserveAccount)
 	}
 	d.mu.Lock()
 	d.desk.SetQuotas(d.q.now(), accounts)
@@ -123,14 +123,14 @@
 // tells the reqs.
 func (d *desk) turn() {
 	now := d.q.now() // before the lease is looked at: room counts from here
-	begin, refuse := d.desk.Turn(now, func(account string) int { return d.holder.Units(now, account) })
+	begin, refuse := d.desk.Admit(now, func(account string) int { return d.holder.Units(now, account) })
 	var said []*room
 	for _, id := range append(begin, refuse...) {
 		said = append(said, d.waiting[id])
 		delete(d.waiting, id)
 	}
 	d.needs()
-	due := d.holder.Next() <= now
+	due := d.holder.NextRequestTime() <= now
 	if n := len(refuse); n > 0 {
 		d.q.Count.Refused.Add(int64(n))
 		if d.refused += n; time.Since(d.told) >= time.Second {
@@ -148,15 +148,15 @@
 		case i < len(begin):
 			r.ready(d.q.at(now), 0, true)
 		default:
-			r.ready(time.Time{}, d.q.cfg.Plan.Renew(), false)
+			r.ready(time.Time{}, d.q.cfg.Plan.RenewInterval(), false)
 		}
 	}
 }
 
 // needs tells the holder what is used and wanted. d.mu is held.
 func (d *desk) needs() {
-	d.desk.Needs(func(account string, used, want int) {
-		if d.holder.Need(account, used, want); used > 0 {
+	d.desk.TakeUsageChanges(func(account string, used, want int) {
+		if d.holder.SetUsage(account, used, want); used > 0 {
 			d.used[account] = used
 		} else {
 			delete(d.used, account)
@@ -181,42 +181,42 @@
 func (d *desk) linked() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.holder.Linked()
+	d.holder.HandleReconnect()
 }
 
-func (d *desk) due() (quota.Ask, bool) {
+func (d *desk) due() (quota.LeaseRequest, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.holder.Due(d.q.now())
+	return d.holder.NextRequest(d.q.now())
 }
 
 func (d *desk) next() quota.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.holder.Next()
+	return d.holder.NextRequestTime()
 }
 
 func (d *desk) heard(m wire.Message) {
 	d.mu.Lock()
-	if m.Answer != nil {
-		d.holder.Answered(d.q.now(), m.Answer.Answer)
+	if m.Response != nil {
+		d.holder.HandleResponse(d.q.now(), m.Response.LeaseResponse)
 	} else {
-		d.holder.Nudged()
+		d.holder.HandlePoll()
 		d.q.Count.Nudged.Add(1)
 	}
 	d.turn()
 }
 
 // last gives all back, where nothing is in flight.
-func (d *desk) last() (quota.Ask, bool) {
+func (d *desk) last() (quota.LeaseRequest, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.used) > 0 {
-		return quota.Ask{}, false
+		return quota.LeaseRequest{}, false
 	}
-	d.holder.Linked() // whatever is on its way
+	d.holder.HandleReconnect() // whatever is on its way
 	d.holder.Close()
-	return d.holder.Due(d.q.now())
+	return d.holder.NextRequest(d.q.now())
 }
 
 func wake(c chan struct{}) {
--- a/internal/network/fleet/quota/link.go
+++ b/internal/network/fleet/quota/link.go
@@ -18,11 +18,11 @@
 
 // side is a holder as its link sees it. Its methods are called from the link's goroutines.
 type side interface {
-	linked()                 // a link was made: what was asked on the one before is lost
-	due() (quota.Ask, bool)  // the ask to be sent now
-	next() quota.Time        // when one may be due, if nothing happens before
-	heard(wire.Message)      // an answer or a nudge
-	last() (quota.Ask, bool) // the ask to end with, if the holder's life ends in order
+	linked()                          // a link was made: what was asked on the one before is lost
+	due() (quota.LeaseRequest, bool)  // the ask to be sent now
+	next() quota.Time                 // when one may be due, if nothing happens before
+	heard(wire.Message)               // an answer or a nudge
+	last() (quota.LeaseRequest, bool) // the ask to end with, if the holder's life ends in order
 }
 
 // asker keeps a holder's link to its lender.
@@ -120,7 +120,7 @@
 			}
 			sent = now
 			answered.Store(false)
-			if send(frames.Frame(wire.WriteAsk(wire.Ask{To: k.level, Ask: a}))) != nil {
+			if send(frames.Frame(wire.EncodeLeaseRequest(wire.LeaseRequest{To: k.level, LeaseRequest: a}))) != nil {
 				return
 			}
 			k.q.Count.Asks.Add(1)
@@ -141,7 +141,7 @@
 			return
 		case <-k.ctx.Done():
 			if a, ok := k.side.last(); ok {
-				_ = send(frames.Frame(wire.WriteAsk(wire.Ask{To: k.level, Ask: a}))) // else its lease ends by itself
+				_ = send(frames.Frame(wire.EncodeLeaseRequest(wire.LeaseRequest{To: k.level, LeaseRequest: a}))) // else its lease ends by itself
 			}
 			return
 		default:
@@ -154,17 +154,17 @@
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for {
-		m, err := wire.Next(r)
+		m, err := wire.ReadMessage(r)
 		switch {
 		case err != nil:
 			if errors.Is(err, wire.ErrMessage) {
 				k.q.Count.Bad.Add(1)
 			}
 			return
-		case m.Answer != nil && m.Answer.From == k.level:
+		case m.Response != nil && m.Response.From == k.level:
 			answered.Store(true)
-		case m.Nudge != nil && *m.Nudge == k.level:
-		case m.Away != nil && m.Away.From == k.level: // the root is elsewhere; a region's lender only by a fault of the settings
+		case m.Poll != nil && *m.Poll == k.level:
+		case m.Redirect != nil && m.Redirect.From == k.level: // the root is elsewhere; a region's lender only by a fault of the settings
 			if k.level != "" {
 				k.strayed.Do(func() {
 					k.q.cfg.Log.Error().Str("process", k.q.cfg.Name).Str("lender", k.level).Msg("quota: no such lender where the settings name it")
--- a/internal/network/fleet/quota/links_test.go
+++ b/internal/network/fleet/quota/links_test.go
@@ -27,7 +27,7 @@
 }
 
 func asks(to, child string, seq uint64) []byte {
-	return frames.Frame(wire.WriteAsk(wire.Ask{To: to, Ask: quota.Ask{Child: child, Epoch: 1, Seq: seq, All: true}}))
+	return frames.Frame(wire.EncodeLeaseRequest(wire.LeaseRequest{To: to, LeaseRequest: quota.LeaseRequest{Child: child, Epoch: 1, Seq: seq, Full: true}}))
 }
 
 // closed reads until the link is closed.
@@ -47,8 +47,8 @@
 	for i, p := range [][]byte{
 		[]byte("\x00\x00\x00\x02{}"),
 		[]byte("\xff\xff\xff\xff"),
-		frames.Frame(wire.WriteNudge("east")),
-		frames.Frame(wire.WriteAnswer(wire.Answer{From: "east", Answer: quota.Answer{Child: "x"}})),
+		frames.Frame(wire.EncodePoll("east")),
+		frames.Frame(wire.EncodeLeaseResponse(wire.LeaseResponse{From: "east", LeaseResponse: quota.LeaseResponse{Child: "x"}})),
 		append(asks("east", "x", 1), asks("east", "y", 2)...),
 		append(asks("east", "x", 3), asks("west", "x", 4)...),
 	} {
@@ -71,12 +71,12 @@
 		_, err := conn.Write(p)
 		require.NoError(t, err)
 		conn.SetReadDeadline(time.Now().Add(20 * time.Second))
-		m, err := wire.Next(conn)
+		m, err := wire.ReadMessage(conn)
 		require.NoError(t, err)
 		return m
 	}
-	assert.Equal(t, &wire.Away{From: "west"}, hear(0, asks("west", "x", 1)).Away)
-	assert.Equal(t, &wire.Away{From: "", Leader: named(leader)}, hear((leader+1)%3, asks("", "north", 1)).Away)
+	assert.Equal(t, &wire.Redirect{From: "west"}, hear(0, asks("west", "x", 1)).Redirect)
+	assert.Equal(t, &wire.Redirect{From: "", Leader: named(leader)}, hear((leader+1)%3, asks("", "north", 1)).Redirect)
 	conn := r.dial(leader)
 	_, err := conn.Write(asks("", "north", 1))
 	require.NoError(t, err)
@@ -102,7 +102,7 @@
 
 // TestSlowReader: a link that takes no answers is closed, and holds up nobody.
 func TestSlowReader(t *testing.T) {
-	q := &Quota{cfg: Config{Plan: quota.Plan{Lease: time.Second}}, start: time.Now()}
+	q := &Quota{cfg: Config{Plan: quota.LeaseConfig{Lease: time.Second}}, start: time.Now()}
 	near, far := net.Pipe()
 	defer near.Close()
 	l := &link{v: &votes{q: q}, conn: far, out: make(chan []byte, linkHeld)}
@@ -123,7 +123,7 @@
 
 // TestNew: what a configuration lacks is said.
 func TestNew(t *testing.T) {
-	plan := quota.Plan{Lease: time.Second, Run: time.Second}
+	plan := quota.LeaseConfig{Lease: time.Second, MaxRunTime: time.Second}
 	for says, cfg := range map[string]Config{
 		"lease":              {},
 		"shorter":            {Plan: plan, RegionLease: 500 * time.Millisecond},
--- a/internal/network/fleet/quota/quota.go
+++ b/internal/network/fleet/quota/quota.go
@@ -29,13 +29,13 @@
 	Epoch       uint64 // new and higher with each start of the process
 	Region      string // this dispatcher's
 	Lenders     []Lender
-	Plan        quota.Plan    // between a region's lender and its dispatchers
-	RegionLease time.Duration // between the root and the regions; the rest of the plan is the same
+	Plan        quota.LeaseConfig // between a region's lender and its dispatchers
+	RegionLease time.Duration     // between the root and the regions; the rest of the plan is the same
 	Log         zerolog.Logger
 }
 
 // up is the plan between the root and the regions.
-func (c *Config) up() quota.Plan {
+func (c *Config) up() quota.LeaseConfig {
 	p := c.Plan
 	p.Lease = c.RegionLease
 	return p
@@ -177,7 +177,7 @@
 }
 
 // tell logs the steps of a lender, and counts those that the counters tell. level is its region, empty for the root.
-func (q *Quota) tell(level string, notes []quota.Note) {
+func (q *Quota) tell(level string, notes []quota.Event) {
 	for _, n := range notes {
 		if n.Step == "called back" {
 			q.Count.CalledBack.Add(1)
--- a/internal/network/fleet/quota/region.go
+++ b/internal/network/fleet/quota/region.go
@@ -15,7 +15,7 @@
 	link *asker // to the root
 
 	mu       sync.Mutex
-	region   *quota.Region
+	region   *quota.RegionLender
 	version  uint64 // of the policy whose reserve and run are in force
 	root     uint64 // the term of the root that knows all that is held and lent here
 	children children
@@ -23,12 +23,12 @@
 
 func newRegion(v *votes, name string) (*region, error) {
 	cfg := &v.q.cfg
-	r, err := quota.NewRegion(cfg.up(), cfg.Plan, name, cfg.Epoch, v.q.now())
+	r, err := quota.NewRegionLender(cfg.up(), cfg.Plan, name, cfg.Epoch, v.q.now())
 	if err != nil {
 		return nil, err
 	}
 	if v.accord.Begins() {
-		r.Starts(v.q.now())
+		r.SkipRecovery(v.q.now())
 	}
 	return &region{v: v, name: name, region: r, children: children{}}, nil
 }
@@ -40,7 +40,7 @@
 		r.follow()
 		r.region.Tick(r.v.q.now())
 		r.turn()
-		next := r.region.Next()
+		next := r.region.NextTick()
 		r.mu.Unlock()
 		if !r.v.sleep(next) {
 			return
@@ -68,27 +68,27 @@
 func (r *region) follow() {
 	if version, p, ok := r.v.decided(r.version); ok {
 		r.version = version
-		r.region.Reserve(r.v.q.now(), p.UrgentReserve)
-		r.region.Run(r.v.q.now(), time.Duration(p.RunMS)*time.Millisecond)
+		r.region.SetReserve(r.v.q.now(), p.UrgentReserve)
+		r.region.SetMaxRunTime(r.v.q.now(), time.Duration(p.RunMS)*time.Millisecond)
 	}
 }
 
 // turn does what the lender asks for. r.mu is held.
 func (r *region) turn() {
-	r.children.nudge(r.region.Nudges())
-	r.v.q.tell(r.name, r.region.Notes())
-	if r.link != nil && r.region.Holder().Next() <= r.v.q.now() {
+	r.children.nudge(r.region.TakePolls())
+	r.v.q.tell(r.name, r.region.TakeEvents())
+	if r.link != nil && r.region.Holder().NextRequestTime() <= r.v.q.now() {
 		r.link.wake()
 	}
 }
 
 // take answers a dispatcher's ask.
-func (r *region) take(l *link, a quota.Ask) {
+func (r *region) take(l *link, a quota.LeaseRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.children[l.child] = l
-	if answer, ok := r.region.Take(r.v.q.now(), a); ok {
-		l.send(wire.WriteAnswer(wire.Answer{From: r.name, Answer: answer}))
+	if answer, ok := r.region.Handle(r.v.q.now(), a); ok {
+		l.send(wire.EncodeLeaseResponse(wire.LeaseResponse{From: r.name, LeaseResponse: answer}))
 	}
 	r.turn()
 }
@@ -107,7 +107,7 @@
 
 func lent(l *quota.Lender, now quota.Time) (n int64) {
 	for _, account := range l.Accounts() {
-		n += int64(l.Lent(now, account))
+		n += int64(l.Outstanding(now, account))
 	}
 	return n
 }
@@ -117,31 +117,31 @@
 func (r *region) linked() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.region.Linked()
+	r.region.HandleReconnect()
 }
 
-func (r *region) due() (quota.Ask, bool) {
+func (r *region) due() (quota.LeaseRequest, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.region.Due(r.v.q.now())
+	return r.region.NextRequest(r.v.q.now())
 }
 
 func (r *region) next() quota.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.region.Holder().Next()
+	return r.region.Holder().NextRequestTime()
 }
 
 func (r *region) heard(m wire.Message) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if m.Answer != nil {
-		r.region.Answered(r.v.q.now(), m.Answer.Answer)
-		if a := m.Answer.Answer; !a.Again && !a.Unsure {
-			r.root = a.Lender
+	if m.Response != nil {
+		r.region.HandleResponse(r.v.q.now(), m.Response.LeaseResponse)
+		if a := m.Response.LeaseResponse; !a.ResendFull && !a.NoRecord {
+			r.root = a.LenderIncarnation
 		}
 	} else {
-		r.region.Nudged()
+		r.region.HandlePoll()
 		r.v.q.Count.Nudged.Add(1)
 	}
 	r.turn()
@@ -155,4 +155,4 @@
 }
 
 // last is nothing: what is lent goes on, and the next life inherits it.
-func (r *region) last() (quota.Ask, bool) { return quota.Ask{}, false }
+func (r *region) last() (quota.LeaseRequest, bool) { return quota.LeaseRequest{}, false }
--- a/internal/network/fleet/quota/rig_test.go
+++ b/internal/network/fleet/quota/rig_test.go
@@ -45,7 +45,7 @@
 // further dispatchers, each in the region of its number. Each reaches each voter but itself through a relay of its own.
 type rig struct {
 	t      *testing.T
-	plan   quota.Plan
+	plan   quota.LeaseConfig
 	region time.Duration
 	first  string
 	voters []string          // where they listen
@@ -78,7 +78,7 @@
 }
 
 func newRig(t *testing.T, n int, region time.Duration, first string) *rig {
-	r := &rig{t: t, plan: quota.Plan{Lease: 400 * time.Millisecond, Run: 300 * time.Millisecond, Drift: 0.001}, region: region, first: first,
+	r := &rig{t: t, plan: quota.LeaseConfig{Lease: 400 * time.Millisecond, MaxRunTime: 300 * time.Millisecond, Drift: 0.001}, region: region, first: first,
 		relays: make([][]*faultnet.TCP, n), all: make([]*member, n), stop: make(chan struct{}), runs: map[string]*running{}}
 	var held []net.Listener
 	for range regions {
@@ -323,7 +323,7 @@
 	if !root.leads() {
 		return 1 << 30
 	}
-	return root.lender.Lent(root.v.q.now(), account)
+	return root.lender.Outstanding(root.v.q.now(), account)
 }
 
 func (r *rig) begun(of func(i int) bool) (n int64) {
--- a/internal/network/fleet/quota/root.go
+++ b/internal/network/fleet/quota/root.go
@@ -26,7 +26,7 @@
 
 type asked struct {
 	from *link
-	ask  quota.Ask
+	ask  quota.LeaseRequest
 }
 
 func newRoot(v *votes) *root {
@@ -38,7 +38,7 @@
 }
 
 // ask queues a region's ask for the majority's word.
-func (r *root) ask(l *link, a quota.Ask) {
+func (r *root) ask(l *link, a quota.LeaseRequest) {
 	select {
 	case r.asks <- asked{l, a}:
 	default: // it asks again
@@ -53,7 +53,7 @@
 		if r.leads() {
 			r.lender.Tick(r.v.q.now())
 			r.turn()
-			next = r.lender.Next()
+			next = r.lender.NextTick()
 		}
 		r.mu.Unlock()
 	}
@@ -68,28 +68,28 @@
 	}
 	if r.lender == nil || r.term != term {
 		version, _ := r.v.accord.Decided()
-		l, err := quota.NewLender(r.v.q.cfg.up(), term, r.v.q.now(), quota.Options{Spread: true, Known: r.known,
-			Starts: version == 0}) // none was ever decided: there was nothing to lend
+		l, err := quota.NewLender(r.v.q.cfg.up(), term, r.v.q.now(), quota.LenderOptions{Preallocate: true, Children: r.known,
+			SkipRecovery: version == 0}) // none was ever decided: there was nothing to lend
 		if err != nil { // the plan was checked: a fault of ours
 			r.v.q.cfg.Log.Error().Err(err).Msg("quota: cannot lend")
 			return false
 		}
 		r.lender, r.term, r.version, r.accounts = l, term, 0, nil
 		r.inherit()
-		r.v.q.tell("", []quota.Note{{Step: "lends"}})
+		r.v.q.tell("", []quota.Event{{Step: "lends"}})
 	}
 	if version, p, ok := r.v.decided(r.version); ok {
 		now := r.v.q.now()
 		for _, account := range r.accounts {
 			if _, has := p.Quotas[account]; !has {
-				r.lender.Capacity(now, account, 0)
+				r.lender.SetCapacity(now, account, 0)
 			}
 		}
-		r.lender.Run(now, time.Duration(p.RunMS)*time.Millisecond)
+		r.lender.SetMaxRunTime(now, time.Duration(p.RunMS)*time.Millisecond)
 		r.version, r.accounts = version, nil
 		for account, units := range p.Quotas {
 			r.accounts = append(r.accounts, account)
-			r.lender.Capacity(now, account, units)
+			r.lender.SetCapacity(now, account, units)
 		}
 		slices.Sort(r.accounts)
 	}
@@ -101,22 +101,22 @@
 	plan := r.v.q.cfg.up()
 	for _, p := range r.v.accord.Past() {
 		before, err := policy.Read(p.Body)
-		if err != nil || time.Since(p.Until) > plan.Quiet()+plan.Tail() {
+		if err != nil || time.Since(p.Until) > plan.QuietPeriod()+plan.DrainPeriod() {
 			continue
 		}
-		var shares []quota.Share
+		var shares []quota.Allocation
 		for account, units := range before.Quotas {
-			shares = append(shares, quota.Share{Account: account, Units: units})
+			shares = append(shares, quota.Allocation{Account: account, Units: units})
 		}
-		r.lender.Inherit(r.v.q.now(), shares)
-		r.lender.Run(r.v.q.now(), time.Duration(before.RunMS)*time.Millisecond)
+		r.lender.AssumeLent(r.v.q.now(), shares)
+		r.lender.SetMaxRunTime(r.v.q.now(), time.Duration(before.RunMS)*time.Millisecond)
 	}
 }
 
 // turn does what the lender asks for. r.mu is held.
 func (r *root) turn() {
-	r.children.nudge(r.lender.Nudges())
-	r.v.q.tell("", r.lender.Notes())
+	r.children.nudge(r.lender.TakePolls())
+	r.v.q.tell("", r.lender.TakeEvents())
 }
 
 // confirm answers asks in batches: those that are there get a majority's word together that this voter's term has not
@@ -167,8 +167,8 @@
 		return
 	}
 	r.children[a.ask.Child] = a.from
-	if answer, ok := r.lender.Take(r.v.q.now(), a.ask); ok {
-		a.from.send(wire.WriteAnswer(wire.Answer{Answer: answer}))
+	if answer, ok := r.lender.Handle(r.v.q.now(), a.ask); ok {
+		a.from.send(wire.EncodeLeaseResponse(wire.LeaseResponse{LeaseResponse: answer}))
 	}
 }
 
--- a/internal/network/fleet/quota/votes.go
+++ b/internal/network/fleet/quota/votes.go
@@ -57,7 +57,7 @@
 // nudge queues a nudge: a hint, never a reason to close a link.
 func (l *link) nudge() {
 	if len(l.out) < linkHeld/2 {
-		l.send(wire.WriteNudge(l.level))
+		l.send(wire.EncodePoll(l.level))
 	}
 }
 
@@ -183,14 +183,14 @@
 	pace := rate.NewLimiter(asksMost, asksMost)
 	for {
 		l.conn.SetReadDeadline(time.Now().Add(4 * q.cfg.RegionLease)) // a region's holder asks each third of its lease
-		m, err := wire.Next(r)
+		m, err := wire.ReadMessage(r)
 		switch {
 		case errors.Is(err, wire.ErrMessage):
 			q.Count.Bad.Add(1)
 			return
 		case err != nil:
 			return
-		case m.Ask == nil || l.child != "" && (m.Ask.Child != l.child || m.Ask.To != l.level):
+		case m.Request == nil || l.child != "" && (m.Request.Child != l.child || m.Request.To != l.level):
 			q.Count.Bad.Add(1)
 			return
 		case !pace.Allow():
@@ -198,14 +198,14 @@
 			return
 		}
 		if l.child == "" {
-			l.child, l.level = m.Ask.Child, m.Ask.To
+			l.child, l.level = m.Request.Child, m.Request.To
 		}
 		q.Count.Taken.Add(1)
 		switch {
 		case l.level == "":
-			l.v.root.ask(l, m.Ask.Ask)
+			l.v.root.ask(l, m.Request.LeaseRequest)
 		case l.v.region != nil && l.v.region.name == l.level:
-			l.v.region.take(l, m.Ask.Ask)
+			l.v.region.take(l, m.Request.LeaseRequest)
 		default:
 			l.away("")
 		}
@@ -215,7 +215,7 @@
 // away says that the lender that was asked is not here.
 func (l *link) away(leader string) {
 	l.v.q.Count.Away.Add(1)
-	l.send(wire.WriteAway(wire.Away{From: l.level, Leader: leader}))
+	l.send(wire.EncodeRedirect(wire.Redirect{From: l.level, Leader: leader}))
 }
 
 // children are a lender's links by the child's name: the last that it asked on.
