--- a/internal/fleet/quota/desk.go
+++ b/internal/fleet/quota/desk.go
@@ -8,38 +8,38 @@
 // Limiter says which reqs of one dispatcher begin: of an account first in, first out, urgent ones first. It counts what is
 // in flight of all accounts, also of those without a quota, which may gain one.
 type Limiter struct {
-	quotas  map[string]bool
-	reqs    map[uint64]*req
-	tabs    map[string]*tab
-	urgent  *list.List // urgent reqs that wait, of all accounts, oldest first
-	waiting patience
-	queued  map[string]bool // accounts of which some wait
-	told    map[string]bool // accounts whose needs were told and may have to be taken back
-	changed map[string]bool
-}
-
-// tab is one account at the desk.
-type tab struct {
+	quotas          map[string]bool
+	reqs            map[uint64]*req
+	queues          map[string]*accountQueue
+	urgent          *list.List // urgent reqs that wait, of all accounts, oldest first
+	waiting         deadlineHeap
+	waitingAccounts map[string]bool // accounts of which some wait
+	reported        map[string]bool // accounts whose needs were told and may have to be taken back
+	changed         map[string]bool
+}
+
+// accountQueue is one account at the desk.
+type accountQueue struct {
 	used          int
 	urgent, other *list.List // *req that wait
 }
 
 // req is one that waits or is in flight.
 type req struct {
-	id       uint64
-	account  string
-	urgent   bool
-	until    Time
-	charged  string // the account of its unit, once it began
-	begun    bool
-	at, also *list.Element // its places in tab's list and in Desk.urgent
-	heap     int           // its place in waiting
+	id                  uint64
+	account             string
+	urgent              bool
+	deadline            Time
+	charged             string // the account of its unit, once it began
+	started             bool
+	inAccount, inUrgent *list.Element // its places in tab's list and in Desk.urgent
+	heapIndex           int           // its place in waiting
 }
 
 // NewLimiter makes a desk at which no account has a quota.
 func NewLimiter() *Limiter {
-	return &Limiter{quotas: map[string]bool{}, reqs: map[uint64]*req{}, tabs: map[string]*tab{}, urgent: list.New(),
-		queued: map[string]bool{}, told: map[string]bool{}, changed: map[string]bool{}}
+	return &Limiter{quotas: map[string]bool{}, reqs: map[uint64]*req{}, queues: map[string]*accountQueue{}, urgent: list.New(),
+		waitingAccounts: map[string]bool{}, reported: map[string]bool{}, changed: map[string]bool{}}
 }
 
 // SetQuotas puts in force which accounts have a quota; Urgent among them where there is a reserve. What is in flight of an
@@ -50,16 +50,16 @@
 		d.quotas[a] = true
 		d.changed[a] = true
 	}
-	for a := range d.told {
+	for a := range d.reported {
 		d.changed[a] = true
 	}
 }
 
-func (d *Limiter) tab(account string) *tab {
-	t := d.tabs[account]
+func (d *Limiter) queue(account string) *accountQueue {
+	t := d.queues[account]
 	if t == nil {
-		t = &tab{urgent: list.New(), other: list.New()}
-		d.tabs[account] = t
+		t = &accountQueue{urgent: list.New(), other: list.New()}
+		d.queues[account] = t
 	}
 	return t
 }
@@ -73,43 +73,43 @@
 	if d.reqs[id] != nil {
 		return false
 	}
-	r := &req{id: id, account: account, urgent: urgent, until: until}
+	r := &req{id: id, account: account, urgent: urgent, deadline: until}
 	d.reqs[id] = r
 	if !d.quotas[account] {
-		d.begin(r, account)
+		d.start(r, account)
 		return true
 	}
-	t := d.tab(account)
-	d.queued[account] = true
+	t := d.queue(account)
+	d.waitingAccounts[account] = true
 	if d.changed[account] = true; !urgent {
-		r.at = t.other.PushBack(r)
+		r.inAccount = t.other.PushBack(r)
 	} else {
-		r.at, r.also = t.urgent.PushBack(r), d.urgent.PushBack(r)
+		r.inAccount, r.inUrgent = t.urgent.PushBack(r), d.urgent.PushBack(r)
 		d.changed[ReserveAccount] = true
 	}
 	heap.Push(&d.waiting, r)
 	return false
 }
 
-func (d *Limiter) begin(r *req, charged string) {
-	r.begun, r.charged = true, charged
-	d.tab(charged).used++
+func (d *Limiter) start(r *req, charged string) {
+	r.started, r.charged = true, charged
+	d.queue(charged).used++
 	d.changed[charged] = true
 }
 
-// unqueue takes a req out of all that wait.
-func (d *Limiter) unqueue(r *req) {
-	t := d.tab(r.account)
+// dequeue takes a req out of all that wait.
+func (d *Limiter) dequeue(r *req) {
+	t := d.queue(r.account)
 	if d.changed[r.account] = true; r.urgent {
-		t.urgent.Remove(r.at)
-		d.urgent.Remove(r.also)
+		t.urgent.Remove(r.inAccount)
+		d.urgent.Remove(r.inUrgent)
 		d.changed[ReserveAccount] = true
 	} else {
-		t.other.Remove(r.at)
+		t.other.Remove(r.inAccount)
 	}
-	heap.Remove(&d.waiting, r.heap)
+	heap.Remove(&d.waiting, r.heapIndex)
 	if t.urgent.Len()+t.other.Len() == 0 {
-		delete(d.queued, r.account)
+		delete(d.waitingAccounts, r.account)
 	}
 }
 
@@ -119,42 +119,42 @@
 	if r == nil {
 		return
 	}
-	if delete(d.reqs, id); r.begun {
-		d.tab(r.charged).used--
+	if delete(d.reqs, id); r.started {
+		d.queue(r.charged).used--
 		d.changed[r.charged] = true
-		d.tidy(r.charged)
+		d.dropIfEmpty(r.charged)
 		return
 	}
-	d.unqueue(r)
-	d.tidy(r.account)
+	d.dequeue(r)
+	d.dropIfEmpty(r.account)
 }
 
-func (d *Limiter) tidy(account string) {
-	if t := d.tabs[account]; t != nil && t.used == 0 && t.urgent.Len()+t.other.Len() == 0 {
-		delete(d.tabs, account)
+func (d *Limiter) dropIfEmpty(account string) {
+	if t := d.queues[account]; t != nil && t.used == 0 && t.urgent.Len()+t.other.Len() == 0 {
+		delete(d.queues, account)
 	}
 }
 
 // Admit says which of those waiting begin now, by the units that units tells, and which are out of patience: those are
 // forgotten, nothing of them was begun. An urgent one takes a unit of its own account first, then one of the reserve.
 func (d *Limiter) Admit(now Time, units func(account string) int) (begin, refuse []uint64) {
-	for len(d.waiting) > 0 && d.waiting[0].until <= now {
+	for len(d.waiting) > 0 && d.waiting[0].deadline <= now {
 		r := d.waiting[0]
-		d.unqueue(r)
+		d.dequeue(r)
 		delete(d.reqs, r.id)
-		d.tidy(r.account)
+		d.dropIfEmpty(r.account)
 		refuse = append(refuse, r.id)
 	}
 	start := func(r *req, charged string) {
-		d.unqueue(r)
-		d.begin(r, charged)
-		d.tidy(r.account)
+		d.dequeue(r)
+		d.start(r, charged)
+		d.dropIfEmpty(r.account)
 		begin = append(begin, r.id)
 	}
-	for _, account := range sorted(d.queued) {
-		t, room := d.tabs[account], MaxUnits
+	for _, account := range sortedKeys(d.waitingAccounts) {
+		t, room := d.queues[account], MaxUnits
 		if d.quotas[account] {
-			room = units(account) - d.tabs[account].used
+			room = units(account) - d.queues[account].used
 		}
 		for ; room > 0 && t.urgent.Len()+t.other.Len() > 0; room-- {
 			first := t.urgent.Front()
@@ -173,7 +173,7 @@
 }
 
 func (d *Limiter) used(account string) int {
-	if t := d.tabs[account]; t != nil {
+	if t := d.queues[account]; t != nil {
 		return t.used
 	}
 	return 0
@@ -186,18 +186,18 @@
 		delete(d.changed, account)
 		if !d.quotas[account] {
 			if used := d.used(account); account == ReserveAccount && used > 0 { // a reserve that comes back finds them counted
-				d.told[account] = true
+				d.reported[account] = true
 				tell(account, used, used)
-			} else if d.told[account] {
-				delete(d.told, account)
+			} else if d.reported[account] {
+				delete(d.reported, account)
 				tell(account, 0, 0)
 			}
 			continue
 		}
-		d.told[account] = true
+		d.reported[account] = true
 		used := d.used(account)
 		want := used
-		if t := d.tabs[account]; t != nil {
+		if t := d.queues[account]; t != nil {
 			want += t.urgent.Len() + t.other.Len()
 		}
 		if account == ReserveAccount {
@@ -210,7 +210,7 @@
 // ChargedAccount is the account whose unit a req in flight has: its own, or Urgent; false where it has none.
 func (d *Limiter) ChargedAccount(id uint64) (account string, ok bool) {
 	r := d.reqs[id]
-	if r == nil || !r.begun {
+	if r == nil || !r.started {
 		return "", false
 	}
 	return r.charged, true
@@ -221,27 +221,27 @@
 	if len(d.waiting) == 0 {
 		return Never
 	}
-	return d.waiting[0].until
+	return d.waiting[0].deadline
 }
 
-// patience is the reqs that wait, the first to be refused first.
-type patience []*req
+// deadlineHeap is the reqs that wait, the first to be refused first.
+type deadlineHeap []*req
 
-func (p patience) Len() int           { return len(p) }
-func (p patience) Less(i, j int) bool { return p[i].until < p[j].until }
-func (p patience) Swap(i, j int) {
+func (p deadlineHeap) Len() int           { return len(p) }
+func (p deadlineHeap) Less(i, j int) bool { return p[i].deadline < p[j].deadline }
+func (p deadlineHeap) Swap(i, j int) {
 	p[i], p[j] = p[j], p[i]
-	p[i].heap, p[j].heap = i, j
+	p[i].heapIndex, p[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (p *patience) Push(x any) {
-	x.(*req).heap = len(*p)
+func (p *deadlineHeap) Push(x any) {
+	x.(*req).heapIndex = len(*p)
 	*p = append(*p, x.(*req))
 }
 
 // Pop implements heap.Interface.
-func (p *patience) Pop() any {
+func (p *deadlineHeap) Pop() any {
 	last := (*p)[len(*p)-1]
 	*p = (*p)[:len(*p)-1]
 	return last
--- a/internal/fleet/quota/desk_test.go
+++ b/internal/fleet/quota/desk_test.go
@@ -87,9 +87,9 @@
 	for _, id := range []uint64{0, 1, 2, 7} {
 		d.Release(id)
 	}
-	assert.Empty(t, d.tabs, "nothing is kept")
+	assert.Empty(t, d.queues, "nothing is kept")
 	assert.Empty(t, d.reqs)
-	assert.Empty(t, d.queued)
+	assert.Empty(t, d.waitingAccounts)
 }
 
 // TestDeskVerdicts: each req gets one verdict, none begins beyond the units, urgent ones take the reserve's only where
@@ -146,7 +146,7 @@
 		for r := range id + 1 {
 			d.Release(r)
 		}
-		assert.Empty(t, d.tabs)
+		assert.Empty(t, d.queues)
 		assert.Equal(t, Never, d.NextTimeout())
 	})
 }
--- a/internal/fleet/quota/ends.go
+++ b/internal/fleet/quota/ends.go
@@ -11,168 +11,170 @@
 	if now < l.NextTick() {
 		return
 	}
-	if l.young && now >= l.ends() {
-		l.grown(now)
+	if l.recovering && now >= l.recoveryEnd() {
+		l.finishRecovery(now)
 	}
-	l.relight(now)
-	if now >= l.scan {
-		l.lapse(now)
+	l.updateCoverage(now)
+	if now >= l.nextExpiry {
+		l.expire(now)
 	}
-	if now >= l.turns() {
-		l.turn = int64(now-l.born) / int64(l.plan.RotationPeriod())
-		for _, name := range sorted(l.round) {
+	if now >= l.nextRotation() {
+		l.rotation = int64(now-l.startedAt) / int64(l.cfg.RotationPeriod())
+		for _, name := range sortedKeys(l.rotating) {
 			l.accounts[name].targets = nil
-			l.settle(now, name)
+			l.rebalance(now, name)
 		}
 	}
-	if now >= l.settled.Add(l.plan.RetryDelay()) {
-		l.settled = now
-		for _, name := range sorted(l.short) {
-			l.settle(now, name)
+	if now >= l.lastRebalance.Add(l.cfg.RetryDelay()) {
+		l.lastRebalance = now
+		for _, name := range sortedKeys(l.unbalanced) {
+			l.rebalance(now, name)
 		}
 	}
 }
 
 // NextTick is when Tick has something to do.
 func (l *Lender) NextTick() Time {
-	next := l.scan
-	if l.young {
-		next = min(next, l.ends())
+	next := l.nextExpiry
+	if l.recovering {
+		next = min(next, l.recoveryEnd())
 	}
-	if l.lit && l.cover != Never {
-		next = min(next, l.cover.Add(-l.plan.Lease+1))
+	if l.wasCovered && l.leaseEnd != Never {
+		next = min(next, l.leaseEnd.Add(-l.cfg.Lease+1))
 	}
-	if len(l.round) > 0 {
-		next = min(next, l.turns())
+	if len(l.rotating) > 0 {
+		next = min(next, l.nextRotation())
 	}
-	if len(l.short) > 0 {
-		next = min(next, l.settled.Add(l.plan.RetryDelay()))
+	if len(l.unbalanced) > 0 {
+		next = min(next, l.lastRebalance.Add(l.cfg.RetryDelay()))
 	}
 	return next
 }
 
-// turns is when units go round.
-func (l *Lender) turns() Time { return l.born.Add(time.Duration(l.turn+1) * l.plan.RotationPeriod()) }
+// nextRotation is when units go round.
+func (l *Lender) nextRotation() Time {
+	return l.startedAt.Add(time.Duration(l.rotation+1) * l.cfg.RotationPeriod())
+}
 
-// grown ends the time in which earlier lives may have lent something unheard of.
-func (l *Lender) grown(now Time) {
+// finishRecovery ends the time in which earlier lives may have lent something unheard of.
+func (l *Lender) finishRecovery(now Time) {
 	sum := 0
 	for name, a := range l.accounts {
-		sum += l.legacy(a)
-		l.touch(name)
+		sum += l.unreported(a)
+		l.markChanged(name)
 	}
-	l.young, l.scan = false, now
+	l.recovering, l.nextExpiry = false, now
 	for _, c := range l.children {
-		c.unsure, c.first = false, nil
+		c.noRecord, c.reportedUnits = false, nil
 	}
-	l.note("known", "", "", sum)
-	l.resettle(now)
+	l.record("known", "", "", sum)
+	l.rebalanceAll(now)
 }
 
-// lapse ends leases that are over, and forgets what has run its time since.
-func (l *Lender) lapse(now Time) {
-	l.scan = Never
+// expire ends leases that are over, and forgets what has run its time since.
+func (l *Lender) expire(now Time) {
+	l.nextExpiry = Never
 	moved := map[string]bool{}
 	for _, name := range slices.Sorted(maps.Keys(l.children)) {
 		c := l.children[name]
-		switch lapses := c.heard.Add(l.plan.Lease); {
+		switch lapses := c.lastRequest.Add(l.cfg.Lease); {
 		case now < lapses:
-			l.scan = min(l.scan, lapses)
-		case now < lapses.Add(l.plan.DrainPeriod()):
-			l.scan = min(l.scan, lapses.Add(l.plan.DrainPeriod()))
-			l.silence(c, moved)
-		case len(c.lines) > 0 || !l.young:
-			for account := range c.lines {
+			l.nextExpiry = min(l.nextExpiry, lapses)
+		case now < lapses.Add(l.cfg.DrainPeriod()):
+			l.nextExpiry = min(l.nextExpiry, lapses.Add(l.cfg.DrainPeriod()))
+			l.expireLease(c, moved)
+		case len(c.loans) > 0 || !l.recovering:
+			for account := range c.loans {
 				moved[account] = true
-				l.set(c, account, line{})
+				l.setLoan(c, account, loan{})
 			}
-			if c.lapsed = true; !l.young { // while young it is remembered what it reported
+			if c.expired = true; !l.recovering { // while young it is remembered what it reported
 				delete(l.children, name)
 			}
-			l.redivide()
+			l.invalidateTargets()
 		}
 	}
-	for i := len(l.past) - 1; i >= 0; i-- {
-		if p := l.past[i]; now < p.until {
-			l.scan = min(l.scan, p.until)
+	for i := len(l.ended) - 1; i >= 0; i-- {
+		if p := l.ended[i]; now < p.until {
+			l.nextExpiry = min(l.nextExpiry, p.until)
 		} else {
 			for account := range p.units {
 				moved[account] = true
 			}
-			l.dropPast(i)
+			l.dropEnded(i)
 		}
 	}
-	for _, account := range sorted(moved) {
-		l.settle(now, account)
+	for _, account := range sortedKeys(moved) {
+		l.rebalance(now, account)
 	}
-	l.tidy()
+	l.dropEmptyAccounts()
 }
 
-// silence notes that a child's lease is over: it begins nothing any more and wants nothing, and what it may have begun
+// expireLease notes that a child's lease is over: it begins nothing any more and wants nothing, and what it may have begun
 // runs on.
-func (l *Lender) silence(c *child, moved map[string]bool) {
-	if c.lapsed {
+func (l *Lender) expireLease(c *child, moved map[string]bool) {
+	if c.expired {
 		return
 	}
-	c.lapsed = true
+	c.expired = true
 	sum := 0
-	for account, ln := range c.lines {
+	for account, ln := range c.loans {
 		n := *ln
 		n.Demand = 0
-		sum += n.count()
-		l.set(c, account, n)
+		sum += n.counted()
+		l.setLoan(c, account, n)
 		moved[account] = true
 	}
-	l.redivide()
-	l.note("lapsed", "", c.name, sum)
+	l.invalidateTargets()
+	l.record("lapsed", "", c.name, sum)
 }
 
-// addPast counts an ended life of a child.
-func (l *Lender) addPast(p pastLife) {
+// addEnded counts an ended life of a child.
+func (l *Lender) addEnded(p endedIncarnation) {
 	sum, lives, last := 0, 0, 0
 	for account, u := range p.units {
 		a := l.account(account)
-		a.counted, a.past, a.targets = a.counted+u, a.past+u, nil
-		l.touch(account)
+		a.counted, a.ended, a.targets = a.counted+u, a.ended+u, nil
+		l.markChanged(account)
 		sum += u
 	}
 	if sum == 0 {
 		return
 	}
-	l.note("replaced", "", p.child, sum)
-	for i, o := range l.past {
+	l.record("replaced", "", p.child, sum)
+	for i, o := range l.ended {
 		if o.child == p.child {
 			lives, last = lives+1, i
 		}
 	}
-	if lives < mostPast {
-		l.past = append(l.past, p)
+	if lives < maxEnded {
+		l.ended = append(l.ended, p)
 	} else { // added up, until the later end
-		o := &l.past[last]
+		o := &l.ended[last]
 		o.until = max(o.until, p.until)
 		for account, u := range p.units {
 			o.units[account] += u
 		}
 	}
-	l.scan = min(l.scan, p.until)
+	l.nextExpiry = min(l.nextExpiry, p.until)
 }
 
-func (l *Lender) dropPast(i int) {
-	for account, u := range l.past[i].units {
+func (l *Lender) dropEnded(i int) {
+	for account, u := range l.ended[i].units {
 		a := l.account(account)
-		a.counted, a.past, a.targets = a.counted-u, a.past-u, nil
-		l.touch(account)
+		a.counted, a.ended, a.targets = a.counted-u, a.ended-u, nil
+		l.markChanged(account)
 	}
-	l.past = slices.Delete(l.past, i, i+1)
+	l.ended = slices.Delete(l.ended, i, i+1)
 }
 
-// tidy forgets accounts of which nothing is left.
-func (l *Lender) tidy() {
+// dropEmptyAccounts forgets accounts of which nothing is left.
+func (l *Lender) dropEmptyAccounts() {
 	for name, a := range l.accounts {
-		if a.capacity == 0 && a.counted == 0 && len(a.lines) == 0 && l.legacy(a) == 0 && !l.young {
+		if a.capacity == 0 && a.counted == 0 && len(a.loans) == 0 && l.unreported(a) == 0 && !l.recovering {
 			delete(l.accounts, name)
-			delete(l.short, name)
-			delete(l.round, name)
+			delete(l.unbalanced, name)
+			delete(l.rotating, name)
 		}
 	}
 }
--- a/internal/fleet/quota/linked.go
+++ b/internal/fleet/quota/linked.go
@@ -4,7 +4,7 @@
 
 // HandleReconnect tells that a link to the lender was made anew: an ask in flight on the one before is lost, and one is due at
 // once. Nothing is given back for it.
-func (h *Holder) HandleReconnect() { h.flying, h.asap = false, true }
+func (h *Holder) HandleReconnect() { h.inFlight, h.requestDue = false, true }
 
 // HandleReconnect tells that a link to the root was made anew.
 func (r *RegionLender) HandleReconnect() { r.holder.HandleReconnect() }
@@ -12,8 +12,8 @@
 // SetMaxRunTime tells that reqs may run for so long from now on. A shorter time than before changes nothing in this life of the
 // lender: what began by the longer one may still run.
 func (l *Lender) SetMaxRunTime(now Time, run time.Duration) {
-	if run > l.plan.MaxRunTime {
-		l.plan.MaxRunTime, l.scan = run, min(l.scan, now)
+	if run > l.cfg.MaxRunTime {
+		l.cfg.MaxRunTime, l.nextExpiry = run, min(l.nextExpiry, now)
 	}
 }
 
--- a/internal/fleet/quota/lives_test.go
+++ b/internal/fleet/quota/lives_test.go
@@ -61,7 +61,7 @@
 		assert.True(t, answer.ResendFull)
 		assert.Empty(t, answer.Allocations)
 	}
-	assert.Zero(t, x.l.accounts["team"].first)
+	assert.Zero(t, x.l.accounts["team"].reported)
 	assert.Equal(t, 10, x.l.Outstanding(2*second, "team"))
 }
 
@@ -71,8 +71,8 @@
 	x := newPair(t, longPlan, LenderOptions{Preallocate: true, Children: []string{"east", "west", "north"}}, "west")
 	x.l.SetCapacity(0, "team", 10)
 	west := x.all["west"]
-	west.at["team"] = &held{units: 4, used: 2, want: 9, told: AccountReport{Account: "team"}} // by an earlier leader
-	west.stale["team"], west.until = true, second
+	west.accounts["team"] = &heldAccount{units: 4, used: 2, demand: 9, reported: AccountReport{Account: "team"}} // by an earlier leader
+	west.dirty["team"], west.leaseEnd = true, second
 	east, err := NewHolder(longPlan, "east", 2, true)
 	require.NoError(t, err)
 	x.all["east"] = east
@@ -180,7 +180,7 @@
 	h.SetUsage(ReserveAccount, 0, 1)
 	turn(0)
 	assert.Zero(t, h.Units(0, ReserveAccount), "nothing in the first moments: the cover may come soon")
-	r.holder.lender = 9
+	r.holder.lenderIncarnation = 9
 	a, due := r.NextRequest(0)
 	require.True(t, due)
 	r.HandleResponse(0, LeaseResponse{Child: "east", Epoch: 1, Seq: a.Seq, LenderIncarnation: 9, Lease: longPlan.Lease, Allocations: []Allocation{{"team", 2}}})
@@ -237,7 +237,7 @@
 func TestKnownWhileAFreshAskFlies(t *testing.T) {
 	h, err := NewHolder(longPlan, "east", 2, true)
 	require.NoError(t, err)
-	h.lender = 7
+	h.lenderIncarnation = 7
 	a, due := h.NextRequest(0)
 	require.True(t, due)
 	require.True(t, a.Recovering)
--- a/internal/fleet/quota/play_test.go
+++ b/internal/fleet/quota/play_test.go
@@ -129,7 +129,7 @@
 		default:
 			n.d.TakeUsageChanges(n.h.SetUsage)
 			n.h.Close()
-			n.h.flying = false
+			n.h.inFlight = false
 			if a, due := n.h.NextRequest(n.at(w.now)); due {
 				w.ask(n, a)
 			}
@@ -206,7 +206,7 @@
 func (w *world) named() time.Duration {
 	up, down := w.setup.up, w.setup.down
 	slow := 1 - down.Drift
-	return time.Duration(float64(down.QuietPeriod()+down.DrainPeriod()+min(mostRetry, up.RenewInterval())+2*up.ReportDelay()+4*down.RenewInterval())/slow) + 20*w.setup.far + 20*w.setup.near + 10*20*time.Millisecond + w.setup.late
+	return time.Duration(float64(down.QuietPeriod()+down.DrainPeriod()+min(maxRetryDelay, up.RenewInterval())+2*up.ReportDelay()+4*down.RenewInterval())/slow) + 20*w.setup.far + 20*w.setup.near + 10*20*time.Millisecond + w.setup.late
 }
 
 // crowd has more reqs wait at each dispatcher than any quota has units.
--- a/internal/fleet/quota/quota.go
+++ b/internal/fleet/quota/quota.go
@@ -22,8 +22,8 @@
 // Never is a time that no clock reaches.
 const Never = Time(1<<63 - 1)
 
-// always is a time that every clock has reached.
-const always = Time(-1 << 63)
+// distantPast is a time that every clock has reached.
+const distantPast = Time(-1 << 63)
 
 // ReserveAccount is the account of the urgent reserve: units of a region, which the root never lends.
 const ReserveAccount = ""
@@ -34,8 +34,8 @@
 	MaxAccounts = 4096    // accounts of a lender, and lines of an ask
 	MaxChildren = 4096    // children that a lender remembers; one beyond gets no answer
 	MaxUnits    = 1 << 30 // units of a line or a share
-	mostPast    = 4       // ended lives of a child that are kept apart; more are added up
-	mostNotes   = 256     // notes kept until they are fetched
+	maxEnded    = 4       // ended lives of a child that are kept apart; more are added up
+	maxEvents   = 256     // notes kept until they are fetched
 )
 
 // LeaseConfig is one level as the settings declare it: the same at its lender and all its holders.
@@ -81,8 +81,8 @@
 // to mostRetry and Renew.
 func (p LeaseConfig) RetryDelay() time.Duration { return min(p.RenewInterval(), time.Second) }
 
-// mostRetry bounds the wait for an answer, so that a region that was cut off asks soon after it is back.
-const mostRetry = 8 * time.Second
+// maxRetryDelay bounds the wait for an answer, so that a region that was cut off asks soon after it is back.
+const maxRetryDelay = 8 * time.Second
 
 // ReportDelay is how long after its last ask a holder tells what has changed where nothing is due at once.
 func (p LeaseConfig) ReportDelay() time.Duration { return min(p.RenewInterval(), 2*time.Second) }
--- a/internal/fleet/quota/region.go
+++ b/internal/fleet/quota/region.go
@@ -9,9 +9,9 @@
 	lender *Lender
 }
 
-// leases is how many of its dispatchers' leases a region's own has to last at least: renewed each third of Usable, it
+// minLeaseRatio is how many of its dispatchers' minLeaseRatio a region's own has to last at least: renewed each third of Usable, it
 // covers a further one at any time.
-const leases = 4
+const minLeaseRatio = 4
 
 // NewRegionLender starts a life of a region's lender. life rises with each (the start in Unix nanoseconds). Lives of one region
 // exclude each other: the caller sees to it, or the region lends its units twice. up is the plan toward the root, down
@@ -25,8 +25,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if up.Lease < leases*down.Lease {
-		return nil, fmt.Errorf("quota: a region's lease of %v is not %d times its dispatchers', %v", up.Lease, leases, down.Lease)
+	if up.Lease < minLeaseRatio*down.Lease {
+		return nil, fmt.Errorf("quota: a region's lease of %v is not %d times its dispatchers', %v", up.Lease, minLeaseRatio, down.Lease)
 	}
 	return &RegionLender{h, l}, nil
 }
@@ -34,7 +34,7 @@
 // SkipRecovery tells that no life of this region's lender lent before: nothing is waited for. To be called at the start, and only
 // where that is known, as by a data folder that did not exist.
 func (r *RegionLender) SkipRecovery(now Time) {
-	r.lender.grown(now)
+	r.lender.finishRecovery(now)
 	r.holder.FinishRecovery()
 }
 
@@ -47,30 +47,30 @@
 // Handle answers a dispatcher's ask; false: nothing is to be sent.
 func (r *RegionLender) Handle(now Time, a LeaseRequest) (LeaseResponse, bool) {
 	out, ok := r.lender.Handle(now, a)
-	r.needs()
+	r.updateUsage()
 	return out, ok
 }
 
-// needs tells the holder what is lent and wanted. What past lives and earlier lives of this lender may have running is
+// updateUsage tells the holder what is lent and wanted. What past lives and earlier lives of this lender may have running is
 // wanted too: without it there would be no room for what the dispatchers want.
-func (r *RegionLender) needs() {
-	for name := range r.lender.moved {
-		delete(r.lender.moved, name)
+func (r *RegionLender) updateUsage() {
+	for name := range r.lender.changed {
+		delete(r.lender.changed, name)
 		a := r.lender.accounts[name]
 		if a == nil {
 			r.holder.SetUsage(name, 0, 0)
 		} else if name != ReserveAccount {
-			legacy := r.lender.legacy(a)
-			r.holder.SetUsage(name, a.counted+legacy, a.want+a.past+legacy)
+			legacy := r.lender.unreported(a)
+			r.holder.SetUsage(name, a.counted+legacy, a.demand+a.ended+legacy)
 		}
 	}
 }
 
-// sync lends what is held.
-func (r *RegionLender) sync(now Time) {
+// syncCapacity lends what is held.
+func (r *RegionLender) syncCapacity(now Time) {
 	r.lender.SetLeaseEnd(now, r.holder.LeaseEnd())
 	for _, name := range r.lender.Accounts() {
-		if k := r.holder.at[name]; name != ReserveAccount && k == nil {
+		if k := r.holder.accounts[name]; name != ReserveAccount && k == nil {
 			r.lender.SetCapacity(now, name, 0)
 		}
 	}
@@ -86,7 +86,7 @@
 	r.Tick(now)
 	a, due := r.holder.NextRequest(now)
 	if due { // some may have been given back
-		r.sync(now)
+		r.syncCapacity(now)
 	}
 	return a, due
 }
@@ -97,8 +97,8 @@
 	r.holder.HandleResponse(now, a)
 	r.lender.AssumeLent(now, r.holder.inherited)
 	r.holder.inherited = nil
-	r.sync(now)
-	r.needs()
+	r.syncCapacity(now)
+	r.updateUsage()
 }
 
 // HandlePoll takes the root's nudge.
@@ -113,7 +113,7 @@
 	if !r.lender.Recovering() {
 		r.holder.FinishRecovery()
 	}
-	r.needs()
+	r.updateUsage()
 }
 
 // NextTick is when Due or Tick has something to do, if nothing else happens before.
--- a/internal/fleet/quota/wire/wire.go
+++ b/internal/fleet/quota/wire/wire.go
@@ -52,28 +52,32 @@
 	Redirect *Redirect
 }
 
-type line struct {
+type accountReport struct {
 	Account string `msgpack:"a"`
 	Held    uint64 `msgpack:"h"`
 	Used    uint64 `msgpack:"u"`
-	Want    uint64 `msgpack:"w"`
+	Demand  uint64 `msgpack:"w"`
 }
 
-type share struct {
+type allocation struct {
 	Account string `msgpack:"a"`
 	Units   uint64 `msgpack:"n"`
 }
 
 // Lists are read by their own length first: the library makes room for as many as the message says there are.
 type (
-	lines  []line
-	shares []share
+	accountReports []accountReport
+	allocations    []allocation
 )
 
-func (l *lines) DecodeMsgpack(d *msgpack.Decoder) error  { return list(d, (*[]line)(l)) }
-func (s *shares) DecodeMsgpack(d *msgpack.Decoder) error { return list(d, (*[]share)(s)) }
+func (l *accountReports) DecodeMsgpack(d *msgpack.Decoder) error {
+	return decodeList(d, (*[]accountReport)(l))
+}
+func (s *allocations) DecodeMsgpack(d *msgpack.Decoder) error {
+	return decodeList(d, (*[]allocation)(s))
+}
 
-func list[T any](d *msgpack.Decoder, to *[]T) error {
+func decodeList[T any](d *msgpack.Decoder, to *[]T) error {
 	n, err := d.DecodeArrayLen()
 	if err != nil {
 		return err
@@ -90,41 +94,41 @@
 	return nil
 }
 
-type ask struct {
-	F      uint8  `msgpack:"f"`
-	Kind   string `msgpack:"kind"`
-	To     string `msgpack:"to"`
-	Child  string `msgpack:"child"`
-	Epoch  uint64 `msgpack:"epoch"`
-	Seq    uint64 `msgpack:"seq"`
-	Lender uint64 `msgpack:"lender"`
-	Base   uint64 `msgpack:"b"` // 0: all lines are here
-	Fresh  bool   `msgpack:"fresh"`
-	Lines  lines  `msgpack:"lines"`
+type leaseRequest struct {
+	Format            uint8          `msgpack:"f"`
+	Kind              string         `msgpack:"kind"`
+	To                string         `msgpack:"to"`
+	Child             string         `msgpack:"child"`
+	Epoch             uint64         `msgpack:"epoch"`
+	Seq               uint64         `msgpack:"seq"`
+	LenderIncarnation uint64         `msgpack:"lender"`
+	BaseSeq           uint64         `msgpack:"b"` // 0: all lines are here
+	Recovering        bool           `msgpack:"fresh"`
+	Reports           accountReports `msgpack:"lines"`
 }
 
-type answer struct {
-	F      uint8  `msgpack:"f"`
-	Kind   string `msgpack:"kind"`
-	From   string `msgpack:"from"`
-	Child  string `msgpack:"child"`
-	Epoch  uint64 `msgpack:"epoch"`
-	Seq    uint64 `msgpack:"seq"`
-	Lender uint64 `msgpack:"lender"`
-	Lease  uint32 `msgpack:"l"` // ms
-	Again  bool   `msgpack:"again"`
-	Unsure bool   `msgpack:"unsure"`
-	Shares shares `msgpack:"shares"`
+type leaseResponse struct {
+	Format            uint8       `msgpack:"f"`
+	Kind              string      `msgpack:"kind"`
+	From              string      `msgpack:"from"`
+	Child             string      `msgpack:"child"`
+	Epoch             uint64      `msgpack:"epoch"`
+	Seq               uint64      `msgpack:"seq"`
+	LenderIncarnation uint64      `msgpack:"lender"`
+	Lease             uint32      `msgpack:"l"` // ms
+	ResendFull        bool        `msgpack:"again"`
+	NoRecord          bool        `msgpack:"unsure"`
+	Allocations       allocations `msgpack:"shares"`
 }
 
-type nudge struct {
-	F    uint8  `msgpack:"f"`
-	Kind string `msgpack:"kind"`
-	From string `msgpack:"from"`
+type poll struct {
+	Format uint8  `msgpack:"f"`
+	Kind   string `msgpack:"kind"`
+	From   string `msgpack:"from"`
 }
 
-type away struct {
-	F      uint8  `msgpack:"f"`
+type redirect struct {
+	Format uint8  `msgpack:"f"`
 	Kind   string `msgpack:"kind"`
 	From   string `msgpack:"from"`
 	Leader string `msgpack:"leader"`
@@ -132,10 +136,10 @@
 
 // Kinds.
 const (
-	kindAsk    = "ask"
-	kindAnswer = "answer"
-	kindNudge  = "nudge"
-	kindAway   = "away"
+	kindLeaseRequest  = "ask"
+	kindLeaseResponse = "answer"
+	kindPoll          = "nudge"
+	kindRedirect      = "away"
 )
 
 // EncodeLeaseRequest is the bytes of an ask, its lines in the order of accounts.
@@ -144,33 +148,33 @@
 	if a.Full {
 		base = 0
 	}
-	out := ask{Format, kindAsk, a.To, a.Child, a.Epoch, a.Seq, a.LenderIncarnation, base, a.Recovering, make(lines, 0, len(a.Reports))}
+	out := leaseRequest{Format, kindLeaseRequest, a.To, a.Child, a.Epoch, a.Seq, a.LenderIncarnation, base, a.Recovering, make(accountReports, 0, len(a.Reports))}
 	for _, l := range a.Reports {
-		out.Lines = append(out.Lines, line{l.Account, units(l.Held), units(l.Used), units(l.Demand)})
+		out.Reports = append(out.Reports, accountReport{l.Account, clampUnits(l.Held), clampUnits(l.Used), clampUnits(l.Demand)})
 	}
-	slices.SortFunc(out.Lines, func(a, b line) int { return strings.Compare(a.Account, b.Account) })
+	slices.SortFunc(out.Reports, func(a, b accountReport) int { return strings.Compare(a.Account, b.Account) })
 	return frames.Encode(&out)
 }
 
 // EncodeLeaseResponse is the bytes of an answer, its shares in the order of accounts.
 func EncodeLeaseResponse(a LeaseResponse) []byte {
-	out := answer{Format, kindAnswer, a.From, a.Child, a.Epoch, a.Seq, a.LenderIncarnation, uint32(min(max(a.Lease.Milliseconds(), 0), math.MaxUint32)), a.ResendFull, a.NoRecord, make(shares, 0, len(a.Allocations))}
+	out := leaseResponse{Format, kindLeaseResponse, a.From, a.Child, a.Epoch, a.Seq, a.LenderIncarnation, uint32(min(max(a.Lease.Milliseconds(), 0), math.MaxUint32)), a.ResendFull, a.NoRecord, make(allocations, 0, len(a.Allocations))}
 	for _, s := range a.Allocations {
-		out.Shares = append(out.Shares, share{s.Account, units(s.Units)})
+		out.Allocations = append(out.Allocations, allocation{s.Account, clampUnits(s.Units)})
 	}
-	slices.SortFunc(out.Shares, func(a, b share) int { return strings.Compare(a.Account, b.Account) })
+	slices.SortFunc(out.Allocations, func(a, b allocation) int { return strings.Compare(a.Account, b.Account) })
 	return frames.Encode(&out)
 }
 
 // EncodePoll is the bytes of a lender's nudge.
-func EncodePoll(from string) []byte { return frames.Encode(&nudge{Format, kindNudge, from}) }
+func EncodePoll(from string) []byte { return frames.Encode(&poll{Format, kindPoll, from}) }
 
 // EncodeRedirect is the bytes of a word that this voter does not lend.
 func EncodeRedirect(a Redirect) []byte {
-	return frames.Encode(&away{Format, kindAway, a.From, a.Leader})
+	return frames.Encode(&redirect{Format, kindRedirect, a.From, a.Leader})
 }
 
-func units(n int) uint64 { return uint64(min(max(n, 0), quota.MaxUnits)) }
+func clampUnits(n int) uint64 { return uint64(min(max(n, 0), quota.MaxUnits)) }
 
 // ReadMessage reads one framed message from a link. A longer one than MaxFrame is not read.
 func ReadMessage(r io.Reader) (Message, error) {
@@ -194,19 +198,19 @@
 		return m, err
 	}
 	switch kind {
-	case kindAsk:
-		m.Request, err = readAsk(p)
-	case kindAnswer:
-		m.Response, err = readAnswer(p)
-	case kindNudge:
-		var n nudge
+	case kindLeaseRequest:
+		m.Request, err = decodeLeaseRequest(p)
+	case kindLeaseResponse:
+		m.Response, err = decodeLeaseResponse(p)
+	case kindPoll:
+		var n poll
 		if err = frames.Decode(p, &n); err == nil {
-			m.Poll, err = &n.From, names(n.From)
+			m.Poll, err = &n.From, checkNames(n.From)
 		}
-	case kindAway:
-		var a away
+	case kindRedirect:
+		var a redirect
 		if err = frames.Decode(p, &a); err == nil {
-			m.Redirect, err = &Redirect{a.From, a.Leader}, names(a.From, a.Leader)
+			m.Redirect, err = &Redirect{a.From, a.Leader}, checkNames(a.From, a.Leader)
 		}
 	default:
 		err = fmt.Errorf("%w: kind %q", ErrMessage, kind)
@@ -217,35 +221,35 @@
 	return m, nil
 }
 
-func readAsk(p []byte) (*LeaseRequest, error) {
-	var a ask
+func decodeLeaseRequest(p []byte) (*LeaseRequest, error) {
+	var a leaseRequest
 	if err := frames.Decode(p, &a); err != nil {
 		return nil, err
 	}
-	if err := common(a.To, a.Child, len(a.Lines), func(i int) string { return a.Lines[i].Account }); err != nil {
+	if err := checkCommon(a.To, a.Child, len(a.Reports), func(i int) string { return a.Reports[i].Account }); err != nil {
 		return nil, err
 	}
-	out := &LeaseRequest{a.To, quota.LeaseRequest{Child: a.Child, Epoch: a.Epoch, Seq: a.Seq, LenderIncarnation: a.Lender, Full: a.Base == 0, BaseSeq: a.Base, Recovering: a.Fresh}}
-	for _, l := range a.Lines {
-		if max(l.Held, l.Used, l.Want) > quota.MaxUnits {
+	out := &LeaseRequest{a.To, quota.LeaseRequest{Child: a.Child, Epoch: a.Epoch, Seq: a.Seq, LenderIncarnation: a.LenderIncarnation, Full: a.BaseSeq == 0, BaseSeq: a.BaseSeq, Recovering: a.Recovering}}
+	for _, l := range a.Reports {
+		if max(l.Held, l.Used, l.Demand) > quota.MaxUnits {
 			return nil, fmt.Errorf("%w: an ask has more than %d units", ErrMessage, quota.MaxUnits)
 		}
-		out.Reports = append(out.Reports, quota.AccountReport{Account: l.Account, Held: int(l.Held), Used: int(l.Used), Demand: int(l.Want)})
+		out.Reports = append(out.Reports, quota.AccountReport{Account: l.Account, Held: int(l.Held), Used: int(l.Used), Demand: int(l.Demand)})
 	}
 	return out, nil
 }
 
-func readAnswer(p []byte) (*LeaseResponse, error) {
-	var a answer
+func decodeLeaseResponse(p []byte) (*LeaseResponse, error) {
+	var a leaseResponse
 	if err := frames.Decode(p, &a); err != nil {
 		return nil, err
 	}
-	if err := common(a.From, a.Child, len(a.Shares), func(i int) string { return a.Shares[i].Account }); err != nil {
+	if err := checkCommon(a.From, a.Child, len(a.Allocations), func(i int) string { return a.Allocations[i].Account }); err != nil {
 		return nil, err
 	}
 	out := &LeaseResponse{a.From, quota.LeaseResponse{Lease: time.Duration(a.Lease) * time.Millisecond,
-		Child: a.Child, Epoch: a.Epoch, Seq: a.Seq, LenderIncarnation: a.Lender, ResendFull: a.Again, NoRecord: a.Unsure}}
-	for _, s := range a.Shares {
+		Child: a.Child, Epoch: a.Epoch, Seq: a.Seq, LenderIncarnation: a.LenderIncarnation, ResendFull: a.ResendFull, NoRecord: a.NoRecord}}
+	for _, s := range a.Allocations {
 		if s.Units > quota.MaxUnits {
 			return nil, fmt.Errorf("%w: an answer has more than %d units", ErrMessage, quota.MaxUnits)
 		}
@@ -254,12 +258,12 @@
 	return out, nil
 }
 
-// common checks what asks and answers have alike: the accounts rise, so that none stands twice.
-func common(lender, child string, n int, account func(int) string) error {
+// checkCommon checks what asks and answers have alike: the accounts rise, so that none stands twice.
+func checkCommon(lender, child string, n int, account func(int) string) error {
 	if child == "" {
 		return fmt.Errorf("%w: no child's name", ErrMessage)
 	}
-	if err := names(lender, child); err != nil {
+	if err := checkNames(lender, child); err != nil {
 		return err
 	}
 	if n > quota.MaxAccounts {
@@ -276,7 +280,7 @@
 	return nil
 }
 
-func names(all ...string) error {
+func checkNames(all ...string) error {
 	for _, name := range all {
 		if len(name) > quota.MaxName {
 			return fmt.Errorf("%w: a name of %d bytes", ErrMessage, len(name))
