--- a/internal/fleet/quota/allocation.go
+++ b/internal/fleet/quota/allocation.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// lendable is what of an account may be lent now.
+// lendable returns the units of an account that may be lent now.
 func (l *Lender) lendable(now Time, name string, a *account) int {
 	if name != ReserveAccount && !l.covered(now) {
 		return 0
@@ -15,36 +15,37 @@
 	return a.capacity
 }
 
-// claim is what one child could use of an account, and what it has.
+// claim is what one child could use of an account and what it holds.
 type claim struct {
 	child        string
 	demand, held int
-	rank         uint64
+	rank         uint64 // the lower ranks get the units that cannot be divided evenly
 }
 
-// allocateMaxMin gives each wish its max-min share of whole units, adds it to targets and returns what is left. Units that cannot be
-// parted evenly stay with those that have them, and go by name where nobody does, so that shares move only for a reason.
-// Where there are fewer units than wishes they go round, drawn anew each turn: else some had one for ever and others none.
-func allocateMaxMin(units int, wishes []claim, targets map[string]int, turn int64) (left int, round bool) {
-	slices.SortFunc(wishes, func(a, b claim) int { return cmp.Or(a.demand-b.demand, cmp.Compare(a.child, b.child)) })
-	for i, w := range wishes {
-		rest := len(wishes) - i
-		if w.demand*rest <= units {
-			targets[w.child] += w.demand
-			units -= w.demand
+// allocateMaxMin gives each claim its max-min fair share of whole units, adds it to targets and returns the units that are
+// left. Units that cannot be divided evenly stay with the children that hold them, and otherwise go by name, so that units
+// move only for a reason. If there are fewer units than claims, the children take turns, by a new order in each rotation.
+// Otherwise some children would have a unit forever and others would never have one.
+func allocateMaxMin(units int, claims []claim, targets map[string]int, rotation int64) (left int, rotates bool) {
+	slices.SortFunc(claims, func(a, b claim) int { return cmp.Or(a.demand-b.demand, cmp.Compare(a.child, b.child)) })
+	for i, c := range claims {
+		remaining := len(claims) - i
+		if c.demand*remaining <= units {
+			targets[c.child] += c.demand
+			units -= c.demand
 			continue
 		}
-		share, odd := units/rest, units%rest
-		capped := wishes[i:]
-		for j, w := range capped {
-			if capped[j].rank = uint64(share + 1 - min(w.held, share+1)); share == 0 {
-				capped[j].rank = rotationRank(w.child, turn)
+		share, remainder := units/remaining, units%remaining
+		capped := claims[i:]
+		for j, c := range capped {
+			if capped[j].rank = uint64(share + 1 - min(c.held, share+1)); share == 0 {
+				capped[j].rank = rotationRank(c.child, rotation)
 			}
 		}
 		slices.SortFunc(capped, func(a, b claim) int { return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.child, b.child)) })
-		for j, w := range capped {
-			if targets[w.child] += share; j < odd {
-				targets[w.child]++
+		for j, c := range capped {
+			if targets[c.child] += share; j < remainder {
+				targets[c.child]++
 			}
 		}
 		return 0, share == 0
@@ -52,74 +53,74 @@
 	return units, false
 }
 
-// rotationRank is a child's rotationRank in a turn.
-func rotationRank(child string, turn int64) uint64 {
+// rotationRank returns a child's rank in a rotation: a hash, so that each rotation has another order.
+func rotationRank(child string, rotation int64) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write(binary.LittleEndian.AppendUint64([]byte(child), uint64(turn)))
+	_, _ = h.Write(binary.LittleEndian.AppendUint64([]byte(child), uint64(rotation)))
 	return h.Sum64()
 }
 
-// targets are the units that each child should have of an account, of all that is not counted for lives that ended: by
-// max-min of what they want, and the rest evenly where the lender spreads. Of the urgent reserve each wants one ahead of
-// need; real need goes first.
+// targets returns the units that each child should have of an account. It divides all units that no ended incarnation and
+// no unreported loan may use: max-min fair by demand, and the rest evenly if the lender preallocates. Each child demands one
+// unit of the urgent reserve in advance; demand by requests goes first.
 func (l *Lender) targets(now Time, name string, a *account) map[string]int {
 	if a.targets != nil {
 		return a.targets
 	}
 	units := l.lendable(now, name, a) - a.ended - l.unreported(a)
-	ahead := 0
+	inAdvance := 0
 	if name == ReserveAccount {
-		ahead = 1
+		inAdvance = 1
 	}
-	var need, more []claim
+	var claims, advance []claim
 	for child, ln := range a.loans {
-		has := max(ln.granted, ln.Held)
+		held := max(ln.granted, ln.Held)
 		switch c := l.children[child]; {
 		case c.expired:
 			units -= ln.counted()
 		case c.noRecord:
-			need = append(need, claim{child, min(ln.Demand, max(ln.Held, ln.Used)), has, 0})
+			claims = append(claims, claim{child, min(ln.Demand, max(ln.Held, ln.Used)), held, 0})
 		default:
-			want := max(ln.Demand, ln.inherited)
-			need = append(need, claim{child, max(want-ahead, 0), has, 0})
-			more = append(more, claim{child, min(want, ahead), has, 0})
+			demand := max(ln.Demand, ln.inherited)
+			claims = append(claims, claim{child, max(demand-inAdvance, 0), held, 0})
+			advance = append(advance, claim{child, min(demand, inAdvance), held, 0})
 		}
 	}
-	a.targets = make(map[string]int, len(need))
-	units, round := allocateMaxMin(max(units, 0), need, a.targets, l.rotation)
-	if delete(l.rotating, name); round {
+	a.targets = make(map[string]int, len(claims))
+	units, rotates := allocateMaxMin(max(units, 0), claims, a.targets, l.rotation)
+	if delete(l.rotating, name); rotates {
 		l.rotating[name] = true
 	}
-	if ahead > 0 {
-		units, _ = allocateMaxMin(units, more, a.targets, 0)
+	if inAdvance > 0 {
+		units, _ = allocateMaxMin(units, advance, a.targets, 0)
 	}
 	if l.options.Preallocate {
-		more = more[:0]
+		advance = advance[:0]
 		for child, c := range l.children {
 			if !c.noRecord && !c.expired {
-				more = append(more, claim{child, units, 0, 0})
+				advance = append(advance, claim{child, units, 0, 0})
 			}
 		}
-		allocateMaxMin(units, more, a.targets, 0)
+		allocateMaxMin(units, advance, a.targets, 0)
 	}
 	return a.targets
 }
 
-// belowTarget says whether a child has too little of an account. Of what is spread ahead of need it has too little at less than
-// half its part, so that small changes of what others want move nothing.
+// belowTarget reports whether a child has too few units of an account. A lender that preallocates tolerates half the target
+// if the demand is met, so that small changes of other children's demand move no units.
 func (l *Lender) belowTarget(a *account, child string, targets map[string]int) bool {
-	ln, t := a.loans[child], targets[child]
-	units, want := 0, 0
+	ln, target := a.loans[child], targets[child]
+	units, demand := 0, 0
 	if ln != nil {
-		units, want = ln.granted, ln.Demand
+		units, demand = ln.granted, ln.Demand
 	}
 	if l.options.Preallocate {
-		return units < min(want, t) || 2*units < t
+		return units < min(demand, target) || 2*units < target
 	}
-	return units < t
+	return units < target
 }
 
-// anyBelowTarget says whether a child other than one has too little of an account.
+// anyBelowTarget reports whether a child other than except has too few units of an account.
 func (l *Lender) anyBelowTarget(a *account, targets map[string]int, except string) bool {
 	for child := range targets {
 		if child != except && l.belowTarget(a, child, targets) {
@@ -129,8 +130,8 @@
 	return false
 }
 
-// grant decides what a child may begin by of each account that it has, and of all where the lender spreads, and names
-// what differs from what it said that it holds.
+// grant decides which units a child may use of each account that it has, or of all accounts if the lender preallocates. It
+// returns those that differ from what the child reported as held.
 func (l *Lender) grant(now Time, c *child) (out []Allocation) {
 	names := make([]string, 0, len(c.loans))
 	for name := range c.loans {
@@ -161,34 +162,35 @@
 	return out
 }
 
-// grantable is a child's target as far as there is room beside all else that is counted. While more is counted than may be
-// lent nobody begins, whatever its target: each has room only once the others' units are over.
+// grantable returns a child's target, limited by the units that remain beside all others that are counted. While more units
+// are counted than may be lent, no child may start a request, whatever its target: units become free only when those of the
+// others are no longer in use.
 func (l *Lender) grantable(now Time, name string, c *child, ln loan) int {
 	a := l.account(name)
 	targets := l.targets(now, name, a)
-	t := targets[c.name]
-	if l.options.Preallocate && t < ln.Held && !l.anyBelowTarget(a, targets, c.name) {
-		t = ln.Held // nobody needs it
+	units := targets[c.name]
+	if l.options.Preallocate && units < ln.Held && !l.anyBelowTarget(a, targets, c.name) {
+		units = ln.Held // no other child needs them
 	}
-	room := l.lendable(now, name, a) - l.unreported(a) - (a.counted - ln.counted())
+	free := l.lendable(now, name, a) - l.unreported(a) - (a.counted - ln.counted())
 	if c.noRecord {
-		room = min(room, max(ln.Held, ln.Used))
+		free = min(free, max(ln.Held, ln.Used))
 	}
-	return max(min(t, room), 0)
+	return max(min(units, free), 0)
 }
 
-// rebalance nudges who should ask now: where an account is short or over its capacity, those that hold more than their
-// targets; where there is room, those that lack some.
+// rebalance polls the children that should send a request now. If children lack units of an account or it exceeds its
+// capacity, those are the children that hold more than their targets; if units are free, those that lack some.
 func (l *Lender) rebalance(now Time, name string) {
 	a := l.accounts[name]
 	if a == nil {
 		return
 	}
-	able := l.lendable(now, name, a)
+	lendable := l.lendable(now, name, a)
 	targets := l.targets(now, name, a)
-	free := able - l.unreported(a) - a.counted
-	short := l.anyBelowTarget(a, targets, "")
-	if !short && free >= 0 {
+	free := lendable - l.unreported(a) - a.counted
+	lacking := l.anyBelowTarget(a, targets, "")
+	if !lacking && free >= 0 {
 		delete(l.unbalanced, name)
 		return
 	}
@@ -226,7 +228,8 @@
 	}
 }
 
-// poll nudges a child, unless it has been a moment ago and has not asked since.
+// poll marks a child to be polled. It does nothing if the child was polled less than a RetryDelay ago and has sent no
+// request since.
 func (l *Lender) poll(now Time, name string) bool {
 	c := l.children[name]
 	if c == nil || c.expired || now < c.lastPoll.Add(l.cfg.RetryDelay()) {
--- a/internal/fleet/quota/cost_test.go
+++ b/internal/fleet/quota/cost_test.go
@@ -7,21 +7,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkAsk is what an ask costs a region's lender, its answer's taking included: a hundred dispatchers, each with
+// BenchmarkHandle is what an ask costs a region's lender, its answer's taking included: a hundred dispatchers, each with
 // some of 310 teams in flight; at rest, and where each ask tells of a req that began or ended.
-func BenchmarkAsk(b *testing.B) {
+func BenchmarkHandle(b *testing.B) {
 	const disps, teams = 100, 310
 	for _, each := range []int{10, 30, 100} {
 		for _, changes := range []bool{false, true} {
 			b.Run(fmt.Sprintf("lines=%d/changes=%v", each, changes), func(b *testing.B) {
-				l, err := NewLender(shortPlan, 7, 0, LenderOptions{SkipRecovery: true})
+				l, err := NewLender(shortLease, 7, 0, LenderOptions{SkipRecovery: true})
 				require.NoError(b, err)
 				for t := range teams {
 					l.SetCapacity(0, fmt.Sprint("team", t), 10)
 				}
 				var holders []*Holder
 				for i := range disps {
-					h, err := NewHolder(shortPlan, fmt.Sprint("d", i), 1, false)
+					h, err := NewHolder(shortLease, fmt.Sprint("d", i), 1, false)
 					require.NoError(b, err)
 					for t := range each {
 						h.SetUsage(fmt.Sprint("team", (i*7+t)%teams), 0, 1)
--- a/internal/fleet/quota/dump_test.go
+++ b/internal/fleet/quota/dump_test.go
@@ -6,28 +6,28 @@
 )
 
 // dump writes what everybody knows, where QUOTA_DUMP is set and a schedule fails.
-func (w *world) dump() {
+func (sim *simulation) dump() {
 	f := os.Stderr
-	if w.root != nil {
-		l := w.root.l
-		fmt.Fprintf(f, "root young %v now %v ends %v\n", l.recovering, w.root.at(w.now)-l.startedAt, l.recoveryEnd()-l.startedAt)
+	if sim.root != nil {
+		l := sim.root.lender
+		fmt.Fprintf(f, "root young %v now %v ends %v\n", l.recovering, sim.root.at(sim.now)-l.startedAt, l.recoveryEnd()-l.startedAt)
 		l.dump()
 	}
-	for _, r := range w.regions {
-		fmt.Fprintf(f, "region %s holder %s: fresh %v seq %d flying %v asap %v until %v stale %v\n", r.name, "", r.r.holder.recovering, r.r.holder.seq, r.r.holder.inFlight, r.r.holder.requestDue, r.r.holder.leaseEnd-r.at(w.now), r.r.holder.dirty)
-		for a, k := range r.r.holder.accounts {
+	for _, r := range sim.regions {
+		fmt.Fprintf(f, "region %s holder %s: fresh %v seq %d flying %v asap %v until %v stale %v\n", r.name, "", r.lender.holder.recovering, r.lender.holder.seq, r.lender.holder.inFlight, r.lender.holder.requestDue, r.lender.holder.leaseEnd-r.at(sim.now), r.lender.holder.dirty)
+		for a, k := range r.lender.holder.accounts {
 			fmt.Fprintf(f, "   %s %+v\n", a, *k)
 		}
-		fmt.Fprintf(f, "  young %v lit %v past %v\n", r.r.lender.recovering, r.r.lender.wasCovered, r.r.lender.ended)
-		r.r.lender.dump()
+		fmt.Fprintf(f, "  young %v lit %v past %v\n", r.lender.lender.recovering, r.lender.lender.wasCovered, r.lender.lender.ended)
+		r.lender.lender.dump()
 	}
-	for _, n := range w.disps {
-		fmt.Fprintf(f, "disp %s region %d seq %d flying %v asap %v until %v\n", n.name, n.region, n.h.seq, n.h.inFlight, n.h.requestDue, n.h.leaseEnd-n.at(w.now))
-		for a, k := range n.h.accounts {
+	for _, n := range sim.dispatchers {
+		fmt.Fprintf(f, "disp %s region %d seq %d flying %v asap %v until %v\n", n.name, n.region, n.holder.seq, n.holder.inFlight, n.holder.requestDue, n.holder.leaseEnd-n.at(sim.now))
+		for a, k := range n.holder.accounts {
 			fmt.Fprintf(f, "   %s %+v\n", a, *k)
 		}
 	}
-	fmt.Fprintf(f, "running %v\n", w.truth.running)
+	fmt.Fprintf(f, "running %v\n", sim.oracle.running)
 }
 
 func (l *Lender) dump() {
--- a/internal/fleet/quota/expiry.go
+++ b/internal/fleet/quota/expiry.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Tick lets time pass: leases lapse, what had begun by them is over, earlier lives of the lender have no say any more.
+// Tick advances the lender to now. Leases expire, requests that were in flight under them end, and loans of earlier
+// incarnations of the lender are no longer assumed once the recovery ends.
 func (l *Lender) Tick(now Time) {
 	if now < l.NextTick() {
 		return
@@ -33,7 +34,7 @@
 	}
 }
 
-// NextTick is when Tick has something to do.
+// NextTick returns when Tick next has something to do.
 func (l *Lender) NextTick() Time {
 	next := l.nextExpiry
 	if l.recovering {
@@ -51,12 +52,12 @@
 	return next
 }
 
-// nextRotation is when units go round.
+// nextRotation returns when scarce units are next assigned anew.
 func (l *Lender) nextRotation() Time {
 	return l.startedAt.Add(time.Duration(l.rotation+1) * l.cfg.RotationPeriod())
 }
 
-// finishRecovery ends the time in which earlier lives may have lent something unheard of.
+// finishRecovery ends the time in which earlier incarnations may have lent units that no child has reported yet.
 func (l *Lender) finishRecovery(now Time) {
 	sum := 0
 	for name, a := range l.accounts {
@@ -71,24 +72,24 @@
 	l.rebalanceAll(now)
 }
 
-// expire ends leases that are over, and forgets what has run its time since.
+// expire ends leases that are over, and forgets units after the DrainPeriod, when no request can use them any more.
 func (l *Lender) expire(now Time) {
 	l.nextExpiry = Never
-	moved := map[string]bool{}
+	changed := map[string]bool{}
 	for _, name := range slices.Sorted(maps.Keys(l.children)) {
 		c := l.children[name]
-		switch lapses := c.lastRequest.Add(l.cfg.Lease); {
-		case now < lapses:
-			l.nextExpiry = min(l.nextExpiry, lapses)
-		case now < lapses.Add(l.cfg.DrainPeriod()):
-			l.nextExpiry = min(l.nextExpiry, lapses.Add(l.cfg.DrainPeriod()))
-			l.expireLease(c, moved)
+		switch expires := c.lastRequest.Add(l.cfg.Lease); {
+		case now < expires:
+			l.nextExpiry = min(l.nextExpiry, expires)
+		case now < expires.Add(l.cfg.DrainPeriod()):
+			l.nextExpiry = min(l.nextExpiry, expires.Add(l.cfg.DrainPeriod()))
+			l.expireLease(c, changed)
 		case len(c.loans) > 0 || !l.recovering:
 			for account := range c.loans {
-				moved[account] = true
+				changed[account] = true
 				l.setLoan(c, account, loan{})
 			}
-			if c.expired = true; !l.recovering { // while young it is remembered what it reported
+			if c.expired = true; !l.recovering { // during recovery the reports of the child are still needed
 				delete(l.children, name)
 			}
 			l.invalidateTargets()
@@ -99,39 +100,39 @@
 			l.nextExpiry = min(l.nextExpiry, p.until)
 		} else {
 			for account := range p.units {
-				moved[account] = true
+				changed[account] = true
 			}
 			l.dropEnded(i)
 		}
 	}
-	for _, account := range sortedKeys(moved) {
+	for _, account := range sortedKeys(changed) {
 		l.rebalance(now, account)
 	}
 	l.dropEmptyAccounts()
 }
 
-// expireLease notes that a child's lease is over: it begins nothing any more and wants nothing, and what it may have begun
-// runs on.
-func (l *Lender) expireLease(c *child, moved map[string]bool) {
+// expireLease records that a child's lease has ended. The child may start no request any more and has no demand. Its
+// requests in flight may continue.
+func (l *Lender) expireLease(c *child, changed map[string]bool) {
 	if c.expired {
 		return
 	}
 	c.expired = true
 	sum := 0
 	for account, ln := range c.loans {
-		n := *ln
-		n.Demand = 0
-		sum += n.counted()
-		l.setLoan(c, account, n)
-		moved[account] = true
+		remaining := *ln
+		remaining.Demand = 0
+		sum += remaining.counted()
+		l.setLoan(c, account, remaining)
+		changed[account] = true
 	}
 	l.invalidateTargets()
 	l.record("lapsed", "", c.name, sum)
 }
 
-// addEnded counts an ended life of a child.
+// addEnded counts the units that an ended incarnation of a child may have in use.
 func (l *Lender) addEnded(p endedIncarnation) {
-	sum, lives, last := 0, 0, 0
+	sum, incarnations, last := 0, 0, 0
 	for account, u := range p.units {
 		a := l.account(account)
 		a.counted, a.ended, a.targets = a.counted+u, a.ended+u, nil
@@ -144,12 +145,12 @@
 	l.record("replaced", "", p.child, sum)
 	for i, o := range l.ended {
 		if o.child == p.child {
-			lives, last = lives+1, i
+			incarnations, last = incarnations+1, i
 		}
 	}
-	if lives < maxEnded {
+	if incarnations < maxEnded {
 		l.ended = append(l.ended, p)
-	} else { // added up, until the later end
+	} else { // merged, until the later of both ends
 		o := &l.ended[last]
 		o.until = max(o.until, p.until)
 		for account, u := range p.units {
@@ -159,6 +160,7 @@
 	l.nextExpiry = min(l.nextExpiry, p.until)
 }
 
+// dropEnded forgets an ended incarnation.
 func (l *Lender) dropEnded(i int) {
 	for account, u := range l.ended[i].units {
 		a := l.account(account)
@@ -168,7 +170,7 @@
 	l.ended = slices.Delete(l.ended, i, i+1)
 }
 
-// dropEmptyAccounts forgets accounts of which nothing is left.
+// dropEmptyAccounts forgets accounts without capacity, loans and assumed loans.
 func (l *Lender) dropEmptyAccounts() {
 	for name, a := range l.accounts {
 		if a.capacity == 0 && a.counted == 0 && len(a.loans) == 0 && l.unreported(a) == 0 && !l.recovering {
--- a/internal/fleet/quota/holder.go
+++ b/internal/fleet/quota/holder.go
@@ -7,74 +7,77 @@
 	"time"
 )
 
-// Holder is the side that is lent to: a dispatcher toward its region's lender, a region toward the root. It asks, one
-// ask at a time, and may begin by what the answer to its newest ask gave it until Usable after that ask was sent.
+// Holder is the borrowing side: a dispatcher that borrows from its region's lender, or a region that borrows from the root.
+// It sends one request at a time. It may use what the response to its newest request granted until UsableLease after that
+// request was sent.
 type Holder struct {
 	cfg               LeaseConfig
 	name              string
 	epoch             uint64
 	recovering        bool
 	seq               uint64
-	lenderIncarnation uint64 // the life heard last
-	baseSeq           uint64 // the newest ask that was answered by it
-	sendFull          bool   // the next ask carries all lines
+	lenderIncarnation uint64 // in the last response
+	baseSeq           uint64 // the newest request that this incarnation answered
+	sendFull          bool   // the next request must report all accounts
 	accounts          map[string]*heldAccount
-	dirty             map[string]bool // accounts whose line the lender may not know
+	dirty             map[string]bool // accounts whose current state the lender may not know
 
-	inherited []Allocation // what earlier lives may have running, by the answer that said so
+	inherited []Allocation // units that earlier incarnations may have in use, from the response that said so
 
-	sentRecovered bool // the newest ask was not fresh
-	inFlight      bool // the newest ask has no answer yet
-	requestDue    bool // something is to be said
-	polled        bool
-	sentAt        Time // the newest ask
-	retryDelay    time.Duration
-	leaseEnd      Time
+	sentRecovered bool          // the newest request did not have Recovering set
+	inFlight      bool          // the newest request has no response yet
+	requestDue    bool          // a request must be sent as soon as none is in flight
+	polled        bool          // since the newest request
+	sentAt        Time          // of the newest request
+	retryDelay    time.Duration // from sentAt until the request is repeated
+	leaseEnd      Time          // as LeaseEnd returns it
 }
 
-// heldAccount is one account as the holder knows it.
+// heldAccount is the state of one account of a holder.
 type heldAccount struct {
 	units, used, demand int
-	reported            AccountReport // in the newest ask that had it
+	reported            AccountReport // in the newest request that included the account
 }
 
-// NewHolder starts a life of a holder. epoch is higher than that of each earlier life: the start in Unix nanoseconds will
-// do. fresh: an earlier life may have lent what this one has yet to hear of (a region's lender; a dispatcher never).
-func NewHolder(p LeaseConfig, name string, epoch uint64, fresh bool) (*Holder, error) {
-	if err := p.Check(); err != nil {
+// NewHolder starts an incarnation of a holder. The epoch must be higher than that of each earlier incarnation; its start in
+// Unix nanoseconds is suitable. recovering states that an earlier incarnation may have lent units that have not been
+// reported to this one yet, which is so for a region's lender and never for a dispatcher.
+func NewHolder(cfg LeaseConfig, name string, epoch uint64, recovering bool) (*Holder, error) {
+	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
 	if name == "" || len(name) > MaxName || epoch == 0 {
 		return nil, errors.New("quota: a holder's name is empty or too long, or its epoch is 0")
 	}
-	return &Holder{cfg: p, name: name, epoch: epoch, recovering: fresh, sendFull: true, requestDue: true,
+	return &Holder{cfg: cfg, name: name, epoch: epoch, recovering: recovering, sendFull: true, requestDue: true,
 		accounts: map[string]*heldAccount{}, dirty: map[string]bool{}, leaseEnd: distantPast}, nil
 }
 
-// SetUsage tells what is used of an account now, and what could be used in all. Where that is more than is held and than the
-// lender was told, an ask is due at once.
-func (h *Holder) SetUsage(account string, used, want int) {
+// SetUsage sets the units of an account in use and the demand, which includes them. If the demand is higher than both the
+// held units and the demand that the lender knows, a request is due at once.
+func (h *Holder) SetUsage(account string, used, demand int) {
 	k := h.accounts[account]
 	if k == nil {
-		if used <= 0 && want <= 0 || len(h.accounts) >= MaxAccounts {
+		if used <= 0 && demand <= 0 || len(h.accounts) >= MaxAccounts {
 			return
 		}
 		k = &heldAccount{reported: AccountReport{Account: account}}
 		h.accounts[account] = k
 	}
-	if k.used == used && k.demand == want {
+	if k.used == used && k.demand == demand {
 		return
 	}
-	k.used, k.demand = used, want
+	k.used, k.demand = used, demand
 	h.dirty[account] = true
-	// Short of what the lender knows of; or fewer run of more than is held, and somebody may wait for that.
-	if want > k.units && want > k.reported.Demand || k.reported.Used > k.reported.Held && used < k.reported.Used {
+	// Either the lender does not know of the demand yet, or units in use beyond those held have become free, and
+	// another holder may be waiting for them.
+	if demand > k.units && demand > k.reported.Demand || k.reported.Used > k.reported.Held && used < k.reported.Used {
 		h.requestDue = true
 	}
 }
 
-// Units is how many units of an account may be in use by what begins now: none once the lease is over. A holder that uses
-// as many or more begins nothing.
+// Units returns how many units of an account may be in use when a request starts now; it is 0 after the lease has ended. A
+// holder that uses as many or more may start no request.
 func (h *Holder) Units(now Time, account string) int {
 	if k := h.accounts[account]; k != nil && now < h.leaseEnd {
 		return k.units
@@ -82,23 +85,23 @@
 	return 0
 }
 
-// LeaseEnd is the end of the right to begin, by the holder's own clock.
+// LeaseEnd returns the time until which the held units may be used to start requests, by the holder's own clock.
 func (h *Holder) LeaseEnd() Time { return h.leaseEnd }
 
-// Recovering says whether an earlier life may have lent what this one has yet to hear of.
+// Recovering reports whether an earlier incarnation may have lent units that have not been reported to this one yet.
 func (h *Holder) Recovering() bool { return h.recovering }
 
-// FinishRecovery tells that nothing that an earlier life lent can be unheard of any more.
+// FinishRecovery states that all units that earlier incarnations lent have been reported or are no longer in use.
 func (h *Holder) FinishRecovery() {
 	if h.recovering {
 		h.recovering, h.requestDue = false, true
 	}
 }
 
-// HandlePoll takes a nudge: the holder asks now, and gives back what it does not want.
+// HandlePoll handles a poll: the holder sends a request now and returns the units for which it has no demand.
 func (h *Holder) HandlePoll() { h.polled, h.requestDue = true, true }
 
-// Close tells that this life ends in order and nothing is in flight: the ask that is due then gives all back.
+// Close ends this incarnation in an orderly way, while nothing is in flight. The request that is due then returns all units.
 func (h *Holder) Close() {
 	for account := range h.accounts {
 		h.SetUsage(account, 0, 0)
@@ -106,14 +109,14 @@
 	h.HandlePoll()
 }
 
-// Each tells the units of each account, whether the lease is over or not.
-func (h *Holder) Each(tell func(account string, units int)) {
-	for _, account := range slices.Sorted(maps.Keys(h.accounts)) { // in one order, so that a run stays the same
-		tell(account, h.accounts[account].units)
+// Each calls f with the units of each account, also after the lease has ended.
+func (h *Holder) Each(f func(account string, units int)) {
+	for _, account := range slices.Sorted(maps.Keys(h.accounts)) { // sorted, so that simulated runs can be repeated
+		f(account, h.accounts[account].units)
 	}
 }
 
-// NextRequestTime is when Due says yes if nothing else happens before.
+// NextRequestTime returns when NextRequest returns a request if nothing else happens before.
 func (h *Holder) NextRequestTime() Time {
 	switch {
 	case h.seq == 0 || h.requestDue && !h.inFlight:
@@ -126,8 +129,8 @@
 	return h.sentAt.Add(h.cfg.RenewInterval())
 }
 
-// NextRequest says whether an ask is to be sent at now, and makes it. What it says is held is all that may be begun by until its
-// answer comes, whatever older answers come.
+// NextRequest returns the request that is to be sent at now, if one is due. Until its response arrives the holder uses only
+// what the request reports as held, whatever responses to older requests arrive.
 func (h *Holder) NextRequest(now Time) (LeaseRequest, bool) {
 	if now < h.NextRequestTime() {
 		return LeaseRequest{}, false
@@ -150,7 +153,8 @@
 	if h.sendFull {
 		h.baseSeq = 0
 	}
-	return LeaseRequest{Child: h.name, Epoch: h.epoch, Seq: h.seq, LenderIncarnation: h.lenderIncarnation, Full: h.sendFull, BaseSeq: h.baseSeq, Recovering: h.recovering, Reports: h.reports()}, true
+	return LeaseRequest{Child: h.name, Epoch: h.epoch, Seq: h.seq, LenderIncarnation: h.lenderIncarnation,
+		Full: h.sendFull, BaseSeq: h.baseSeq, Recovering: h.recovering, Reports: h.reports()}, true
 }
 
 func (h *Holder) backoff() time.Duration {
@@ -160,7 +164,7 @@
 	return min(2*h.retryDelay, max(maxRetryDelay, h.cfg.RetryDelay()), h.cfg.RenewInterval())
 }
 
-// reports are those to be sent, by account.
+// reports returns the accounts that the request must include, sorted.
 func (h *Holder) reports() (out []AccountReport) {
 	names := h.dirty
 	if h.sendFull {
@@ -173,39 +177,39 @@
 		k := h.accounts[account]
 		k.reported = AccountReport{Account: account, Held: k.units, Used: k.used, Demand: k.demand}
 		if h.dirty[account] = true; h.sendFull && k.units == 0 && k.used == 0 && k.demand == 0 {
-			continue // said by leaving it out
+			continue // a full request reports such an account by omitting it
 		}
 		out = append(out, k.reported)
 	}
 	return out
 }
 
-// HandleResponse takes an answer at now. Only one to the newest ask is believed; of a life of the lender that was not heard
-// before it grants nothing.
-func (h *Holder) HandleResponse(now Time, a LeaseResponse) {
-	if a.Child != h.name || a.Epoch != h.epoch || a.Seq != h.seq || !h.inFlight {
+// HandleResponse handles a response that arrived at now. It ignores any but the one to the newest request. The first
+// response of another incarnation of the lender grants nothing.
+func (h *Holder) HandleResponse(now Time, r LeaseResponse) {
+	if r.Child != h.name || r.Epoch != h.epoch || r.Seq != h.seq || !h.inFlight {
 		return
 	}
 	h.inFlight = false
-	if a.ResendFull || a.LenderIncarnation != h.lenderIncarnation {
-		h.lenderIncarnation, h.sendFull, h.requestDue = a.LenderIncarnation, true, true
+	if r.ResendFull || r.LenderIncarnation != h.lenderIncarnation {
+		h.lenderIncarnation, h.sendFull, h.requestDue = r.LenderIncarnation, true, true
 		return
 	}
-	if !h.sentRecovered && !a.NoRecord { // no grant, also where all has become known since the ask was sent
-		h.recovering, h.sendFull, h.requestDue, h.inherited = false, true, true, a.Allocations
+	if !h.sentRecovered && !r.NoRecord { // not a grant, even if the recovery has ended since the request was sent
+		h.recovering, h.sendFull, h.requestDue, h.inherited = false, true, true, r.Allocations
 		return
 	}
-	counted := h.cfg
-	counted.Lease = max(min(counted.Lease, a.Lease), 0)
-	h.leaseEnd = h.sentAt.Add(counted.UsableLease())
-	h.sendFull, h.baseSeq = h.recovering, a.Seq
+	cfg := h.cfg
+	cfg.Lease = max(min(cfg.Lease, r.Lease), 0)
+	h.leaseEnd = h.sentAt.Add(cfg.UsableLease())
+	h.sendFull, h.baseSeq = h.recovering, r.Seq
 	for account := range h.dirty {
 		if k := h.accounts[account]; k.reported == (AccountReport{account, k.units, k.used, k.demand}) {
 			delete(h.dirty, account)
 		}
 	}
-	for _, s := range a.Allocations {
-		h.applyAllocation(s)
+	for _, allocation := range r.Allocations {
+		h.applyAllocation(allocation)
 	}
 	for account, k := range h.accounts {
 		if k.units == 0 && k.used == 0 && k.demand == 0 && !h.dirty[account] {
@@ -214,22 +218,23 @@
 	}
 }
 
-// applyAllocation takes what an answer says of one account. Less than was told is said back at once: only then may another have it.
-func (h *Holder) applyAllocation(s Allocation) {
-	k := h.accounts[s.Account]
+// applyAllocation applies a response to one account. If the holder got fewer units than it reported as held, it confirms
+// that at once, because only then may another holder get them.
+func (h *Holder) applyAllocation(a Allocation) {
+	k := h.accounts[a.Account]
 	if k == nil {
-		if s.Units <= 0 || len(h.accounts) >= MaxAccounts {
+		if a.Units <= 0 || len(h.accounts) >= MaxAccounts {
 			return
 		}
-		k = &heldAccount{reported: AccountReport{Account: s.Account}}
-		h.accounts[s.Account] = k
+		k = &heldAccount{reported: AccountReport{Account: a.Account}}
+		h.accounts[a.Account] = k
 	}
-	if s.Units = min(max(s.Units, 0), MaxUnits); s.Units == k.units {
+	if a.Units = min(max(a.Units, 0), MaxUnits); a.Units == k.units {
 		return
 	}
-	if s.Units < k.units {
+	if a.Units < k.units {
 		h.requestDue = true
 	}
-	k.units = s.Units
-	h.dirty[s.Account] = true
+	k.units = a.Units
+	h.dirty[a.Account] = true
 }
--- a/internal/fleet/quota/lender.go
+++ b/internal/fleet/quota/lender.go
@@ -6,56 +6,58 @@
 	"slices"
 )
 
-// Lender lends units to its children: the root to regions, a region to dispatchers. Of each account it counts what
-// children may begin by or have in flight, what ended lives of theirs may (past), and what earlier lives of its own may
-// have lent to children not heard of since (legacy): it lends no more than its capacity less all of that.
+// Lender lends units to its children: the root to regions, a region to dispatchers. For each account it counts three sorts
+// of units: those that children may use or have in flight, those that ended incarnations of children may have in flight,
+// and those that its own earlier incarnations may have lent to children that have not reported since. It lends at most its
+// capacity less all of these.
 type Lender struct {
 	cfg           LeaseConfig
 	incarnation   uint64
 	options       LenderOptions
 	startedAt     Time
-	recovering    bool // earlier lives may have lent what is not heard of yet
-	leaseEnd      Time // Never for the root
-	wasCovered    bool // covered, when it was looked at last
+	recovering    bool // earlier incarnations may have lent units that no child has reported yet
+	leaseEnd      Time // end of the lender's own lease; Never for the root
+	wasCovered    bool // result of covered at the last check
 	children      map[string]*child
 	ended         []endedIncarnation
 	accounts      map[string]*account
-	nextExpiry    Time            // no lease ends before
-	rotation      int64           // of units that go round
-	lastRebalance Time            // when those short were looked at last
-	unbalanced    map[string]bool // accounts of which some lack units, or more is counted than may be lent
-	rotating      map[string]bool // accounts whose units go round
-	changed       map[string]bool // accounts whose counts or wants changed, for the region
-	toPoll        map[string]bool
-	loansBefore   map[*account]loan // while an ask is taken: the asker's lines that it changes, as they were
+	nextExpiry    Time              // no lease or ended incarnation expires before
+	rotation      int64             // number of the current rotation of scarce units
+	lastRebalance Time              // when the unbalanced accounts were last rebalanced
+	unbalanced    map[string]bool   // accounts of which children lack units, or more units are counted than may be lent
+	rotating      map[string]bool   // accounts with fewer units than children with demand, whose units rotate
+	changed       map[string]bool   // accounts whose counted units or demand changed, for RegionLender
+	toPoll        map[string]bool   // children to be polled
+	loansBefore   map[*account]loan // while a request is handled: the previous state of the child's loans that it changes
 	events        []Event
 }
 
-// child is the newest life of one child.
+// child is the newest incarnation of one child.
 type child struct {
 	name           string
 	epoch          uint64
 	seq            uint64
 	lastRequest    Time
 	expired        bool
-	reportComplete bool           // what it said was all that earlier lives of this lender lent to it
-	noRecord       bool           // fresh, and its earlier lives are not known here
-	reportedUnits  map[string]int // while unsure: what it reported at most
-	lastPoll       Time           // at
+	reportComplete bool           // it has reported all that earlier incarnations of this lender lent to it
+	noRecord       bool           // it is recovering, and there is no record of its earlier incarnations
+	reportedUnits  map[string]int // until reportComplete: the most units that it reported, by account
+	lastPoll       Time
 	loans          map[string]*loan
 }
 
-// loan is one account of a child. It counts as the most of what it said that it holds and uses, of what the answer to
-// its newest ask gave it, and, of a fresh life, of what the lives before were counted at.
+// loan is what one child has of one account. It counts as the highest of these: the units that the child reported as held
+// or used, those that the response to its newest request granted, and, while the child is recovering, those counted for its
+// earlier incarnations.
 type loan struct {
 	AccountReport
 	granted   int
 	inherited int
 }
 
-func (n *loan) counted() int { return max(n.granted, n.inherited, n.Held, n.Used) }
+func (ln *loan) counted() int { return max(ln.granted, ln.inherited, ln.Held, ln.Used) }
 
-// endedIncarnation is an ended life of a child, of which something may run until a time.
+// endedIncarnation is an ended incarnation of a child. Its requests may be in flight until the given time.
 type endedIncarnation struct {
 	child string
 	until Time
@@ -65,34 +67,38 @@
 // account is one team's units.
 type account struct {
 	capacity    int
-	counted     int              // of lines and past lives
-	demand      int              // of lines
-	ended       int              // of past lives alone
-	assumedLent int              // what earlier lives may have lent at most, while young
-	reported    int              // of it, what children reported
+	counted     int              // units of loans and of ended incarnations
+	demand      int              // of all loans
+	ended       int              // units of ended incarnations alone
+	assumedLent int              // during recovery: the most units that earlier incarnations may have lent
+	reported    int              // of assumedLent: the units that children have reported
 	loans       map[string]*loan // by child
-	targets     map[string]int   // nil: to be worked out
+	targets     map[string]int   // by child; nil if they must be computed
 }
 
-// NewLender starts a life of a lender, which knows nothing of what earlier lives lent. life is not 0 and differs from
-// that of each earlier life. It counts what earlier lives may have lent as lent until children have reported it, all
-// children that are known by name have, or Quiet and Tail have passed.
-func NewLender(p LeaseConfig, life uint64, now Time, o LenderOptions) (*Lender, error) {
-	if err := p.Check(); err != nil {
+// NewLender starts an incarnation of a lender, which knows nothing of what earlier ones lent. The incarnation's number must
+// not be 0 and must differ from that of each earlier one. Units that earlier incarnations may have lent count as lent until
+// children have reported them, until all children that are known by name have reported, or until QuietPeriod and
+// DrainPeriod have passed.
+func NewLender(cfg LeaseConfig, incarnation uint64, now Time, options LenderOptions) (*Lender, error) {
+	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	if life == 0 {
-		return nil, errors.New("quota: a lender's life is 0")
+	if incarnation == 0 {
+		return nil, errors.New("quota: lender incarnation is 0")
 	}
-	l := &Lender{cfg: p, incarnation: life, options: o, startedAt: now, recovering: !o.SkipRecovery, leaseEnd: Never, nextExpiry: now, lastRebalance: now,
-		children: map[string]*child{}, accounts: map[string]*account{}, unbalanced: map[string]bool{}, rotating: map[string]bool{}, changed: map[string]bool{}, toPoll: map[string]bool{}}
-	if l.wasCovered = !o.Intermediate; o.Intermediate {
+	l := &Lender{cfg: cfg, incarnation: incarnation, options: options, startedAt: now, recovering: !options.SkipRecovery,
+		leaseEnd: Never, nextExpiry: now, lastRebalance: now,
+		children: map[string]*child{}, accounts: map[string]*account{}, unbalanced: map[string]bool{},
+		rotating: map[string]bool{}, changed: map[string]bool{}, toPoll: map[string]bool{}}
+	if l.wasCovered = !options.Intermediate; options.Intermediate {
 		l.leaseEnd = now
 	}
 	return l, nil
 }
 
-// SetCapacity sets what may be lent of an account. Lowered below what is counted it lends nothing until there is room.
+// SetCapacity sets how many units of an account may be lent. If more are counted already, the lender lends none until there
+// are fewer.
 func (l *Lender) SetCapacity(now Time, name string, units int) {
 	a := l.account(name)
 	if a.capacity == units {
@@ -105,9 +111,10 @@
 	l.rebalance(now, name)
 }
 
-// AssumeLent tells what earlier lives of a middle lender may have lent.
-func (l *Lender) AssumeLent(now Time, shares []Allocation) {
-	for _, s := range shares {
+// AssumeLent states how many units earlier incarnations may have lent; a lower number than before is ignored. An
+// intermediate lender learns it in this way only.
+func (l *Lender) AssumeLent(now Time, lent []Allocation) {
+	for _, s := range lent {
 		l.assumeLent(s.Account, s.Units)
 		l.rebalance(now, s.Account)
 	}
@@ -120,18 +127,20 @@
 	}
 }
 
-// SetLeaseEnd sets until when a middle lender may itself begin: what it lends ends before. Uncovered it lends the urgent
-// reserve alone, which is its own, and nothing at all in its first Quiet, so that a cover that comes soon finds its
-// children's leases standing.
+// SetLeaseEnd sets the end of an intermediate lender's own lease. All leases that the lender grants end before it. Without
+// cover the lender lends only the urgent reserve, which is its own. In its first QuietPeriod it then grants nothing at all,
+// so that its children's leases are still valid if its own lease begins soon.
 func (l *Lender) SetLeaseEnd(now, until Time) {
 	l.leaseEnd = until
 	l.updateCoverage(now)
 }
 
+// covered reports whether a lease granted now ends within the lender's own lease.
 func (l *Lender) covered(now Time) bool {
 	return l.leaseEnd == Never || now.Add(l.cfg.Lease) <= l.leaseEnd
 }
 
+// updateCoverage rebalances all accounts when covered has changed. A lender that is covered again polls all children.
 func (l *Lender) updateCoverage(now Time) {
 	if l.covered(now) == l.wasCovered {
 		return
@@ -145,14 +154,14 @@
 	}
 }
 
-// invalidateTargets forgets all targets: who has a part in them has changed.
+// invalidateTargets discards all targets, because the children that share in them have changed.
 func (l *Lender) invalidateTargets() {
 	for _, a := range l.accounts {
 		a.targets = nil
 	}
 }
 
-// rebalanceAll works all accounts out anew.
+// rebalanceAll computes all targets anew and polls children accordingly.
 func (l *Lender) rebalanceAll(now Time) {
 	l.invalidateTargets()
 	for _, name := range l.Accounts() {
@@ -160,12 +169,12 @@
 	}
 }
 
-// recoveryEnd is when nothing is legacy any more.
+// recoveryEnd returns when nothing that earlier incarnations lent can be in use any more.
 func (l *Lender) recoveryEnd() Time {
 	return l.startedAt.Add(l.cfg.QuietPeriod()).Add(l.cfg.DrainPeriod())
 }
 
-// Recovering says whether earlier lives may have lent what is not heard of yet.
+// Recovering reports whether earlier incarnations may have lent units that no child has reported yet.
 func (l *Lender) Recovering() bool { return l.recovering }
 
 func (l *Lender) account(name string) *account {
@@ -177,7 +186,7 @@
 	return a
 }
 
-// unreported is what earlier lives may have lent of an account that no child has reported.
+// unreported returns the units of an account that earlier incarnations may have lent and no child has reported.
 func (l *Lender) unreported(a *account) int {
 	if !l.recovering {
 		return 0
@@ -185,7 +194,8 @@
 	return max(a.assumedLent-a.reported, 0)
 }
 
-// Outstanding is what may be in use of an account: what children hold or use, and what ended or earlier lives may.
+// Outstanding returns the units of an account that may be in use: those that children hold or use, and those that ended
+// incarnations of children or earlier incarnations of the lender may have in use.
 func (l *Lender) Outstanding(now Time, account string) int {
 	l.Tick(now)
 	a := l.accounts[account]
@@ -195,32 +205,32 @@
 	return a.counted + l.unreported(a)
 }
 
-// Usage is what the children use and could use of an account, by their newest asks.
-func (l *Lender) Usage(account string) (used, want int) {
+// Usage returns the units of an account that the children use and their demand, by their newest requests.
+func (l *Lender) Usage(account string) (used, demand int) {
 	if a := l.accounts[account]; a != nil {
 		for _, n := range a.loans {
 			used += n.Used
 		}
-		want = a.demand
+		demand = a.demand
 	}
-	return used, want
+	return used, demand
 }
 
-// Accounts are those that the lender knows, in order.
+// Accounts returns the accounts that the lender tracks, sorted.
 func (l *Lender) Accounts() []string { return slices.Sorted(maps.Keys(l.accounts)) }
 
-// TakePolls are the children that should ask now, once each.
+// TakePolls returns the children that should send a request now, each once.
 func (l *Lender) TakePolls() []string {
 	out := slices.Sorted(maps.Keys(l.toPoll))
 	clear(l.toPoll)
 	return out
 }
 
-// TakeEvents hands out what is to be logged.
+// TakeEvents returns the events to be logged, each once.
 func (l *Lender) TakeEvents() []Event {
-	n := l.events
+	events := l.events
 	l.events = nil
-	return n
+	return events
 }
 
 func (l *Lender) record(step, account, child string, units int) {
@@ -229,7 +239,7 @@
 	}
 }
 
-// markChanged notes for the region that an account's count or wants changed.
+// markChanged records for RegionLender that an account's counted units or demand changed.
 func (l *Lender) markChanged(name string) {
 	if l.options.Intermediate {
 		l.changed[name] = true
--- a/internal/fleet/quota/limiter.go
+++ b/internal/fleet/quota/limiter.go
@@ -5,244 +5,249 @@
 	"container/list"
 )
 
-// Limiter says which reqs of one dispatcher begin: of an account first in, first out, urgent ones first. It counts what is
-// in flight of all accounts, also of those without a quota, which may gain one.
+// Limiter decides which requests of one dispatcher start. Within an account urgent requests go first, and otherwise the
+// oldest first. It counts the requests in flight of all accounts, also of those without a quota, which may get one later.
 type Limiter struct {
 	quotas          map[string]bool
 	reqs            map[uint64]*req
 	queues          map[string]*accountQueue
-	urgent          *list.List // urgent reqs that wait, of all accounts, oldest first
+	urgent          *list.List // waiting urgent requests of all accounts, oldest first
 	waiting         deadlineHeap
-	waitingAccounts map[string]bool // accounts of which some wait
-	reported        map[string]bool // accounts whose needs were told and may have to be taken back
-	changed         map[string]bool
+	waitingAccounts map[string]bool // accounts with waiting requests
+	reported        map[string]bool // accounts whose usage was reported and must be reported as 0 once they lose their quota
+	changed         map[string]bool // accounts whose usage may have changed since it was reported
 }
 
-// accountQueue is one account at the desk.
+// accountQueue is the requests of one account.
 type accountQueue struct {
-	used          int
-	urgent, other *list.List // *req that wait
+	used          int        // units in use
+	urgent, other *list.List // waiting *req, oldest first
 }
 
-// req is one that waits or is in flight.
+// req is a request that waits or is in flight.
 type req struct {
 	id                  uint64
 	account             string
 	urgent              bool
 	deadline            Time
-	charged             string // the account of its unit, once it began
+	charged             string // the account of its unit, once it has started
 	started             bool
-	inAccount, inUrgent *list.Element // its places in tab's list and in Desk.urgent
-	heapIndex           int           // its place in waiting
+	inAccount, inUrgent *list.Element // its elements in the lists of accountQueue and in Limiter.urgent
+	heapIndex           int           // its index in Limiter.waiting
 }
 
-// NewLimiter makes a desk at which no account has a quota.
+// NewLimiter creates a limiter for which no account has a quota.
 func NewLimiter() *Limiter {
 	return &Limiter{quotas: map[string]bool{}, reqs: map[uint64]*req{}, queues: map[string]*accountQueue{}, urgent: list.New(),
 		waitingAccounts: map[string]bool{}, reported: map[string]bool{}, changed: map[string]bool{}}
 }
 
-// SetQuotas puts in force which accounts have a quota; Urgent among them where there is a reserve. What is in flight of an
-// account that gains one counts as used. What waits of one that loses its quota begins at the next Turn.
-func (d *Limiter) SetQuotas(now Time, accounts []string) {
-	clear(d.quotas)
+// SetQuotas sets which accounts have a quota; ReserveAccount is one of them if there is an urgent reserve. When an account
+// gets a quota, its requests in flight count as used units. When it loses its quota, its waiting requests start at the next
+// call of Admit.
+func (l *Limiter) SetQuotas(now Time, accounts []string) {
+	clear(l.quotas)
 	for _, a := range accounts {
-		d.quotas[a] = true
-		d.changed[a] = true
+		l.quotas[a] = true
+		l.changed[a] = true
 	}
-	for a := range d.reported {
-		d.changed[a] = true
+	for a := range l.reported {
+		l.changed[a] = true
 	}
 }
 
-func (d *Limiter) queue(account string) *accountQueue {
-	t := d.queues[account]
-	if t == nil {
-		t = &accountQueue{urgent: list.New(), other: list.New()}
-		d.queues[account] = t
+func (l *Limiter) queue(account string) *accountQueue {
+	q := l.queues[account]
+	if q == nil {
+		q = &accountQueue{urgent: list.New(), other: list.New()}
+		l.queues[account] = q
 	}
-	return t
+	return q
 }
 
-// Acquire asks room for a req whose id no other has: true, and it begins now, since its account has no quota; false, and it
-// waits until at most the time given. The next Turn may begin it.
-func (d *Limiter) Acquire(now Time, id uint64, account string, urgent bool, until Time) (begins bool) {
-	if account == ReserveAccount { // reqs that name no account have no quota: this name is the reserve's
+// Acquire asks for a unit for a request with a unique id. It returns true if the request may start at once because its
+// account has no quota. Otherwise the request waits for Admit to start it, at most until the given time.
+func (l *Limiter) Acquire(now Time, id uint64, account string, urgent bool, until Time) (starts bool) {
+	if account == ReserveAccount { // a request without an account has no quota; the empty name is the reserve's
 		return true
 	}
-	if d.reqs[id] != nil {
+	if l.reqs[id] != nil {
 		return false
 	}
 	r := &req{id: id, account: account, urgent: urgent, deadline: until}
-	d.reqs[id] = r
-	if !d.quotas[account] {
-		d.start(r, account)
+	l.reqs[id] = r
+	if !l.quotas[account] {
+		l.start(r, account)
 		return true
 	}
-	t := d.queue(account)
-	d.waitingAccounts[account] = true
-	if d.changed[account] = true; !urgent {
-		r.inAccount = t.other.PushBack(r)
+	q := l.queue(account)
+	l.waitingAccounts[account] = true
+	if l.changed[account] = true; !urgent {
+		r.inAccount = q.other.PushBack(r)
 	} else {
-		r.inAccount, r.inUrgent = t.urgent.PushBack(r), d.urgent.PushBack(r)
-		d.changed[ReserveAccount] = true
+		r.inAccount, r.inUrgent = q.urgent.PushBack(r), l.urgent.PushBack(r)
+		l.changed[ReserveAccount] = true
 	}
-	heap.Push(&d.waiting, r)
+	heap.Push(&l.waiting, r)
 	return false
 }
 
-func (d *Limiter) start(r *req, charged string) {
+func (l *Limiter) start(r *req, charged string) {
 	r.started, r.charged = true, charged
-	d.queue(charged).used++
-	d.changed[charged] = true
+	l.queue(charged).used++
+	l.changed[charged] = true
 }
 
-// dequeue takes a req out of all that wait.
-func (d *Limiter) dequeue(r *req) {
-	t := d.queue(r.account)
-	if d.changed[r.account] = true; r.urgent {
-		t.urgent.Remove(r.inAccount)
-		d.urgent.Remove(r.inUrgent)
-		d.changed[ReserveAccount] = true
+// dequeue removes a request from all lists of waiting requests.
+func (l *Limiter) dequeue(r *req) {
+	q := l.queue(r.account)
+	if l.changed[r.account] = true; r.urgent {
+		q.urgent.Remove(r.inAccount)
+		l.urgent.Remove(r.inUrgent)
+		l.changed[ReserveAccount] = true
 	} else {
-		t.other.Remove(r.inAccount)
+		q.other.Remove(r.inAccount)
 	}
-	heap.Remove(&d.waiting, r.heapIndex)
-	if t.urgent.Len()+t.other.Len() == 0 {
-		delete(d.waitingAccounts, r.account)
+	heap.Remove(&l.waiting, r.heapIndex)
+	if q.urgent.Len()+q.other.Len() == 0 {
+		delete(l.waitingAccounts, r.account)
 	}
 }
 
-// Release tells that a req is over, or gone while it waited. One that is not known is no error.
-func (d *Limiter) Release(id uint64) {
-	r := d.reqs[id]
+// Release reports that a request has ended, or that it no longer waits. An unknown id is ignored.
+func (l *Limiter) Release(id uint64) {
+	r := l.reqs[id]
 	if r == nil {
 		return
 	}
-	if delete(d.reqs, id); r.started {
-		d.queue(r.charged).used--
-		d.changed[r.charged] = true
-		d.dropIfEmpty(r.charged)
+	if delete(l.reqs, id); r.started {
+		l.queue(r.charged).used--
+		l.changed[r.charged] = true
+		l.dropIfEmpty(r.charged)
 		return
 	}
-	d.dequeue(r)
-	d.dropIfEmpty(r.account)
+	l.dequeue(r)
+	l.dropIfEmpty(r.account)
 }
 
-func (d *Limiter) dropIfEmpty(account string) {
-	if t := d.queues[account]; t != nil && t.used == 0 && t.urgent.Len()+t.other.Len() == 0 {
-		delete(d.queues, account)
+// dropIfEmpty forgets an account without requests.
+func (l *Limiter) dropIfEmpty(account string) {
+	if q := l.queues[account]; q != nil && q.used == 0 && q.urgent.Len()+q.other.Len() == 0 {
+		delete(l.queues, account)
 	}
 }
 
-// Admit says which of those waiting begin now, by the units that units tells, and which are out of patience: those are
-// forgotten, nothing of them was begun. An urgent one takes a unit of its own account first, then one of the reserve.
-func (d *Limiter) Admit(now Time, units func(account string) int) (begin, refuse []uint64) {
-	for len(d.waiting) > 0 && d.waiting[0].deadline <= now {
-		r := d.waiting[0]
-		d.dequeue(r)
-		delete(d.reqs, r.id)
-		d.dropIfEmpty(r.account)
-		refuse = append(refuse, r.id)
+// Admit returns the waiting requests that start now, limited by the units that the callback returns for an account, and
+// those whose deadline has passed. The latter are forgotten and were never started. An urgent request takes a unit of its
+// own account if there is one, otherwise one of the reserve.
+func (l *Limiter) Admit(now Time, units func(account string) int) (started, expired []uint64) {
+	for len(l.waiting) > 0 && l.waiting[0].deadline <= now {
+		r := l.waiting[0]
+		l.dequeue(r)
+		delete(l.reqs, r.id)
+		l.dropIfEmpty(r.account)
+		expired = append(expired, r.id)
 	}
 	start := func(r *req, charged string) {
-		d.dequeue(r)
-		d.start(r, charged)
-		d.dropIfEmpty(r.account)
-		begin = append(begin, r.id)
-	}
-	for _, account := range sortedKeys(d.waitingAccounts) {
-		t, room := d.queues[account], MaxUnits
-		if d.quotas[account] {
-			room = units(account) - d.queues[account].used
+		l.dequeue(r)
+		l.start(r, charged)
+		l.dropIfEmpty(r.account)
+		started = append(started, r.id)
+	}
+	for _, account := range sortedKeys(l.waitingAccounts) {
+		q, free := l.queues[account], MaxUnits
+		if l.quotas[account] {
+			free = units(account) - l.queues[account].used
 		}
-		for ; room > 0 && t.urgent.Len()+t.other.Len() > 0; room-- {
-			first := t.urgent.Front()
+		for ; free > 0 && q.urgent.Len()+q.other.Len() > 0; free-- {
+			first := q.urgent.Front()
 			if first == nil {
-				first = t.other.Front()
+				first = q.other.Front()
 			}
 			start(first.Value.(*req), account)
 		}
 	}
-	if d.quotas[ReserveAccount] && d.urgent.Len() > 0 {
-		for room := units(ReserveAccount) - d.used(ReserveAccount); room > 0 && d.urgent.Len() > 0; room-- {
-			start(d.urgent.Front().Value.(*req), ReserveAccount)
+	if l.quotas[ReserveAccount] && l.urgent.Len() > 0 {
+		for free := units(ReserveAccount) - l.used(ReserveAccount); free > 0 && l.urgent.Len() > 0; free-- {
+			start(l.urgent.Front().Value.(*req), ReserveAccount)
 		}
 	}
-	return begin, refuse
+	return started, expired
 }
 
-func (d *Limiter) used(account string) int {
-	if t := d.queues[account]; t != nil {
-		return t.used
+func (l *Limiter) used(account string) int {
+	if q := l.queues[account]; q != nil {
+		return q.used
 	}
 	return 0
 }
 
-// TakeUsageChanges tells what is used and wanted of each account with a quota of which that may have changed since it was told
-// last, and once 0 and 0 of each that lost its quota; of a reserve that is no more, once nothing runs by it. Of the reserve one unit is wanted ahead of need.
-func (d *Limiter) TakeUsageChanges(tell func(account string, used, want int)) {
-	for account := range d.changed {
-		delete(d.changed, account)
-		if !d.quotas[account] {
-			if used := d.used(account); account == ReserveAccount && used > 0 { // a reserve that comes back finds them counted
-				d.reported[account] = true
-				tell(account, used, used)
-			} else if d.reported[account] {
-				delete(d.reported, account)
-				tell(account, 0, 0)
+// TakeUsageChanges reports the used units and the demand of each account with a quota for which they may have changed since
+// the last call. An account that lost its quota is reported once with 0 and 0; a removed reserve is reported so only when
+// no request uses it any more. The demand for the reserve includes one unit in advance.
+func (l *Limiter) TakeUsageChanges(report func(account string, used, demand int)) {
+	for account := range l.changed {
+		delete(l.changed, account)
+		if !l.quotas[account] {
+			if used := l.used(account); account == ReserveAccount && used > 0 { // still counted if the reserve is set again
+				l.reported[account] = true
+				report(account, used, used)
+			} else if l.reported[account] {
+				delete(l.reported, account)
+				report(account, 0, 0)
 			}
 			continue
 		}
-		d.reported[account] = true
-		used := d.used(account)
-		want := used
-		if t := d.queues[account]; t != nil {
-			want += t.urgent.Len() + t.other.Len()
+		l.reported[account] = true
+		used := l.used(account)
+		demand := used
+		if q := l.queues[account]; q != nil {
+			demand += q.urgent.Len() + q.other.Len()
 		}
 		if account == ReserveAccount {
-			want = used + d.urgent.Len() + 1
+			demand = used + l.urgent.Len() + 1
 		}
-		tell(account, used, want)
+		report(account, used, demand)
 	}
 }
 
-// ChargedAccount is the account whose unit a req in flight has: its own, or Urgent; false where it has none.
-func (d *Limiter) ChargedAccount(id uint64) (account string, ok bool) {
-	r := d.reqs[id]
+// ChargedAccount returns the account whose unit a request in flight uses: its own or ReserveAccount. ok is false if the
+// request is not in flight.
+func (l *Limiter) ChargedAccount(id uint64) (account string, ok bool) {
+	r := l.reqs[id]
 	if r == nil || !r.started {
 		return "", false
 	}
 	return r.charged, true
 }
 
-// NextTimeout is when the patience of a waiting req is over first; Never for none.
-func (d *Limiter) NextTimeout() Time {
-	if len(d.waiting) == 0 {
+// NextTimeout returns the earliest deadline of a waiting request, or Never if none waits.
+func (l *Limiter) NextTimeout() Time {
+	if len(l.waiting) == 0 {
 		return Never
 	}
-	return d.waiting[0].deadline
+	return l.waiting[0].deadline
 }
 
-// deadlineHeap is the reqs that wait, the first to be refused first.
+// deadlineHeap is the waiting requests, earliest deadline first.
 type deadlineHeap []*req
 
-func (p deadlineHeap) Len() int           { return len(p) }
-func (p deadlineHeap) Less(i, j int) bool { return p[i].deadline < p[j].deadline }
-func (p deadlineHeap) Swap(i, j int) {
-	p[i], p[j] = p[j], p[i]
-	p[i].heapIndex, p[j].heapIndex = i, j
+func (h deadlineHeap) Len() int           { return len(h) }
+func (h deadlineHeap) Less(i, j int) bool { return h[i].deadline < h[j].deadline }
+func (h deadlineHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (p *deadlineHeap) Push(x any) {
-	x.(*req).heapIndex = len(*p)
-	*p = append(*p, x.(*req))
+func (h *deadlineHeap) Push(x any) {
+	x.(*req).heapIndex = len(*h)
+	*h = append(*h, x.(*req))
 }
 
 // Pop implements heap.Interface.
-func (p *deadlineHeap) Pop() any {
-	last := (*p)[len(*p)-1]
-	*p = (*p)[:len(*p)-1]
+func (h *deadlineHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
--- a/internal/fleet/quota/reconnect.go
+++ b/internal/fleet/quota/reconnect.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// HandleReconnect tells that a link to the lender was made anew: an ask in flight on the one before is lost, and one is due at
-// once. Nothing is given back for it.
+// HandleReconnect states that there is a new connection to the lender. A request in flight on the previous one is lost, and
+// a new one is due at once. The holder returns no units because of it.
 func (h *Holder) HandleReconnect() { h.inFlight, h.requestDue = false, true }
 
-// HandleReconnect tells that a link to the root was made anew.
+// HandleReconnect states that there is a new connection to the root.
 func (r *RegionLender) HandleReconnect() { r.holder.HandleReconnect() }
 
-// SetMaxRunTime tells that reqs may run for so long from now on. A shorter time than before changes nothing in this life of the
-// lender: what began by the longer one may still run.
-func (l *Lender) SetMaxRunTime(now Time, run time.Duration) {
-	if run > l.cfg.MaxRunTime {
-		l.cfg.MaxRunTime, l.nextExpiry = run, min(l.nextExpiry, now)
+// SetMaxRunTime sets how long requests may be in flight from now on. A shorter time than before is ignored in this
+// incarnation of the lender, because requests that started under the longer one may still be in flight.
+func (l *Lender) SetMaxRunTime(now Time, limit time.Duration) {
+	if limit > l.cfg.MaxRunTime {
+		l.cfg.MaxRunTime, l.nextExpiry = limit, min(l.nextExpiry, now)
 	}
 }
 
-// SetMaxRunTime tells the region's lender how long reqs may run.
-func (r *RegionLender) SetMaxRunTime(now Time, run time.Duration) { r.lender.SetMaxRunTime(now, run) }
+// SetMaxRunTime sets how long requests of the region's dispatchers may be in flight.
+func (r *RegionLender) SetMaxRunTime(now Time, limit time.Duration) {
+	r.lender.SetMaxRunTime(now, limit)
+}
--- a/internal/fleet/quota/region.go
+++ b/internal/fleet/quota/region.go
@@ -2,57 +2,59 @@
 
 import "fmt"
 
-// RegionLender is a region's lender: a Holder toward the root, and a Lender toward the dispatchers whose capacity is what the
-// Holder holds.
+// RegionLender is a region's lender. It combines a Holder that borrows from the root with a Lender for the region's
+// dispatchers, whose capacity is the units that the Holder holds.
 type RegionLender struct {
 	holder *Holder
 	lender *Lender
 }
 
-// minLeaseRatio is how many of its dispatchers' minLeaseRatio a region's own has to last at least: renewed each third of Usable, it
-// covers a further one at any time.
+// minLeaseRatio is how many times as long as its dispatchers' leases a region's own lease must be at least. The region
+// renews its lease after a third of UsableLease, so that a further dispatchers' lease fits into it at any time.
 const minLeaseRatio = 4
 
-// NewRegionLender starts a life of a region's lender. life rises with each (the start in Unix nanoseconds). Lives of one region
-// exclude each other: the caller sees to it, or the region lends its units twice. up is the plan toward the root, down
-// that toward dispatchers.
-func NewRegionLender(up, down LeaseConfig, name string, life uint64, now Time) (*RegionLender, error) {
-	h, err := NewHolder(up, name, life, true)
+// NewRegionLender starts an incarnation of a region's lender. The incarnation's number must rise with each one; its start in
+// Unix nanoseconds is suitable. The caller must ensure that a region has only one incarnation at a time, or the region's
+// units are lent twice. up configures the level above, toward the root, and down the level of the dispatchers.
+func NewRegionLender(up, down LeaseConfig, name string, incarnation uint64, now Time) (*RegionLender, error) {
+	h, err := NewHolder(up, name, incarnation, true)
 	if err != nil {
 		return nil, err
 	}
-	l, err := NewLender(down, life, now, LenderOptions{Intermediate: true})
+	l, err := NewLender(down, incarnation, now, LenderOptions{Intermediate: true})
 	if err != nil {
 		return nil, err
 	}
 	if up.Lease < minLeaseRatio*down.Lease {
-		return nil, fmt.Errorf("quota: a region's lease of %v is not %d times its dispatchers', %v", up.Lease, minLeaseRatio, down.Lease)
+		return nil, fmt.Errorf("quota: a region's lease of %v is shorter than %d times its dispatchers' lease of %v",
+			up.Lease, minLeaseRatio, down.Lease)
 	}
 	return &RegionLender{h, l}, nil
 }
 
-// SkipRecovery tells that no life of this region's lender lent before: nothing is waited for. To be called at the start, and only
-// where that is known, as by a data folder that did not exist.
+// SkipRecovery states that no earlier incarnation of this region's lender lent anything, so that there is nothing to
+// recover. It must be called at the start, and only if that is certain, for example because the data folder did not exist.
 func (r *RegionLender) SkipRecovery(now Time) {
 	r.lender.finishRecovery(now)
 	r.holder.FinishRecovery()
 }
 
-// SetReserve sets the urgent reserve, which is this region's own. To be called at the start and at each change.
+// SetReserve sets the urgent reserve, which belongs to this region. It must be called at the start and at each change.
 func (r *RegionLender) SetReserve(now Time, units int) {
 	r.lender.AssumeLent(now, []Allocation{{ReserveAccount, units}})
 	r.lender.SetCapacity(now, ReserveAccount, units)
 }
 
-// Handle answers a dispatcher's ask; false: nothing is to be sent.
-func (r *RegionLender) Handle(now Time, a LeaseRequest) (LeaseResponse, bool) {
-	out, ok := r.lender.Handle(now, a)
+// Handle answers a dispatcher's request. It returns false if no response is to be sent.
+func (r *RegionLender) Handle(now Time, request LeaseRequest) (LeaseResponse, bool) {
+	response, ok := r.lender.Handle(now, request)
 	r.updateUsage()
-	return out, ok
+	return response, ok
 }
 
-// updateUsage tells the holder what is lent and wanted. What past lives and earlier lives of this lender may have running is
-// wanted too: without it there would be no room for what the dispatchers want.
+// updateUsage passes changes of the outstanding units and the demand on to the holder. The demand includes the units that
+// ended incarnations of dispatchers or earlier incarnations of this lender may have in use. Otherwise the region would have
+// no units for the demand of its current dispatchers.
 func (r *RegionLender) updateUsage() {
 	for name := range r.lender.changed {
 		delete(r.lender.changed, name)
@@ -60,13 +62,13 @@
 		if a == nil {
 			r.holder.SetUsage(name, 0, 0)
 		} else if name != ReserveAccount {
-			legacy := r.lender.unreported(a)
-			r.holder.SetUsage(name, a.counted+legacy, a.demand+a.ended+legacy)
+			unreported := r.lender.unreported(a)
+			r.holder.SetUsage(name, a.counted+unreported, a.demand+a.ended+unreported)
 		}
 	}
 }
 
-// syncCapacity lends what is held.
+// syncCapacity sets the lender's capacity and lease end to those of the holder.
 func (r *RegionLender) syncCapacity(now Time) {
 	r.lender.SetLeaseEnd(now, r.holder.LeaseEnd())
 	for _, name := range r.lender.Accounts() {
@@ -81,33 +83,33 @@
 	})
 }
 
-// NextRequest says whether an ask is to be sent to the root, and makes it.
+// NextRequest returns the request that is to be sent to the root, if one is due.
 func (r *RegionLender) NextRequest(now Time) (LeaseRequest, bool) {
 	r.Tick(now)
-	a, due := r.holder.NextRequest(now)
-	if due { // some may have been given back
+	request, due := r.holder.NextRequest(now)
+	if due { // the holder may have returned units
 		r.syncCapacity(now)
 	}
-	return a, due
+	return request, due
 }
 
-// HandleResponse takes the root's answer.
-func (r *RegionLender) HandleResponse(now Time, a LeaseResponse) {
+// HandleResponse handles the root's response.
+func (r *RegionLender) HandleResponse(now Time, response LeaseResponse) {
 	r.lender.Tick(now)
-	r.holder.HandleResponse(now, a)
+	r.holder.HandleResponse(now, response)
 	r.lender.AssumeLent(now, r.holder.inherited)
 	r.holder.inherited = nil
 	r.syncCapacity(now)
 	r.updateUsage()
 }
 
-// HandlePoll takes the root's nudge.
+// HandlePoll handles the root's poll.
 func (r *RegionLender) HandlePoll() { r.holder.HandlePoll() }
 
-// TakePolls are the dispatchers that should ask now, once each.
+// TakePolls returns the dispatchers that should send a request now, each once.
 func (r *RegionLender) TakePolls() []string { return r.lender.TakePolls() }
 
-// Tick lets time pass.
+// Tick advances the lender to now.
 func (r *RegionLender) Tick(now Time) {
 	r.lender.Tick(now)
 	if !r.lender.Recovering() {
@@ -116,14 +118,14 @@
 	r.updateUsage()
 }
 
-// NextTick is when Due or Tick has something to do, if nothing else happens before.
+// NextTick returns when NextRequest or Tick next has something to do, if nothing else happens before.
 func (r *RegionLender) NextTick() Time { return min(r.holder.NextRequestTime(), r.lender.NextTick()) }
 
-// TakeEvents hands out what is to be logged.
+// TakeEvents returns the events to be logged, each once.
 func (r *RegionLender) TakeEvents() []Event { return r.lender.TakeEvents() }
 
-// Lender is the side toward the dispatchers, to be read only.
+// Lender returns the side toward the dispatchers. Callers may only read it.
 func (r *RegionLender) Lender() *Lender { return r.lender }
 
-// Holder is the side toward the root, to be read only.
+// Holder returns the side toward the root. Callers may only read it.
 func (r *RegionLender) Holder() *Holder { return r.holder }
--- a/internal/fleet/quota/request.go
+++ b/internal/fleet/quota/request.go
@@ -5,54 +5,55 @@
 	"slices"
 )
 
-// Handle answers an ask; false: nothing is to be sent. What the ask says is exact from its sending on: the child believes
-// no answer to an older one.
-func (l *Lender) Handle(now Time, a LeaseRequest) (LeaseResponse, bool) {
+// Handle answers a request. It returns false if no response is to be sent. A request's reports are exact from the time it
+// was sent, because the child ignores responses to older requests.
+func (l *Lender) Handle(now Time, r LeaseRequest) (LeaseResponse, bool) {
 	l.Tick(now)
-	if !l.valid(a) {
+	if !l.valid(r) {
 		return LeaseResponse{}, false
 	}
-	c := l.children[a.Child]
-	if c != nil && (a.Epoch < c.epoch || a.Epoch == c.epoch && a.Seq <= c.seq) {
-		return LeaseResponse{}, false // late, or twice
+	c := l.children[r.Child]
+	if c != nil && (r.Epoch < c.epoch || r.Epoch == c.epoch && r.Seq <= c.seq) {
+		return LeaseResponse{}, false // delayed or duplicated
 	}
-	out := LeaseResponse{Child: a.Child, Epoch: a.Epoch, Seq: a.Seq, LenderIncarnation: l.incarnation, Lease: l.cfg.Lease}
-	if a.LenderIncarnation != l.incarnation || !a.Full && (c == nil || c.epoch != a.Epoch || c.expired || c.seq < a.BaseSeq) {
-		out.ResendFull = true
-		return out, true
+	response := LeaseResponse{Child: r.Child, Epoch: r.Epoch, Seq: r.Seq, LenderIncarnation: l.incarnation, Lease: l.cfg.Lease}
+	if r.LenderIncarnation != l.incarnation || !r.Full && (c == nil || c.epoch != r.Epoch || c.expired || c.seq < r.BaseSeq) {
+		response.ResendFull = true
+		return response, true
 	}
-	joins := c == nil || c.epoch != a.Epoch
+	isNew := c == nil || c.epoch != r.Epoch
 	l.loansBefore = map[*account]loan{}
-	c = l.recordRequest(now, c, a)
-	l.applyReports(c, a)
-	l.recordRecovery(now, c, a)
-	lends := l.covered(now) || now >= l.startedAt.Add(l.cfg.QuietPeriod())
-	if lends {
-		if out.NoRecord = c.noRecord; a.Recovering && !c.noRecord {
-			out.Allocations = c.outstanding()
+	c = l.recordRequest(now, c, r)
+	l.applyReports(c, r)
+	l.recordRecovery(now, c, r)
+	respond := l.covered(now) || now >= l.startedAt.Add(l.cfg.QuietPeriod())
+	if respond {
+		if response.NoRecord = c.noRecord; r.Recovering && !c.noRecord {
+			response.Allocations = c.outstanding()
 		} else {
-			out.Allocations = l.grant(now, c)
+			response.Allocations = l.grant(now, c)
 		}
 	}
-	l.rebalanceChanged(now, c, joins)
-	return out, lends
+	l.rebalanceChanged(now, c, isNew)
+	return response, respond
 }
 
-// rebalanceChanged settles the accounts of which an ask or its answer changed something.
-func (l *Lender) rebalanceChanged(now Time, c *child, joins bool) {
+// rebalanceChanged rebalances the accounts that a request or its response changed. isNew is set at the first request of an
+// incarnation.
+func (l *Lender) rebalanceChanged(now Time, c *child, isNew bool) {
 	before := l.loansBefore
-	if l.loansBefore = nil; joins && l.options.Preallocate { // it has a part in each
+	if l.loansBefore = nil; isNew && l.options.Preallocate { // it shares in every account
 		l.rebalanceAll(now)
 		return
 	}
 	var names []string
-	for a, was := range before {
-		is := loan{}
+	for a, previous := range before {
+		current := loan{}
 		if ln := a.loans[c.name]; ln != nil {
-			is = *ln
+			current = *ln
 		}
-		if is != was {
-			names = append(names, was.Account)
+		if current != previous {
+			names = append(names, previous.Account)
 		}
 	}
 	slices.Sort(names)
@@ -61,64 +62,66 @@
 	}
 }
 
-// valid says whether an ask keeps to the limits and comes from a child that there is.
-func (l *Lender) valid(a LeaseRequest) bool {
-	if a.Child == "" || len(a.Child) > MaxName || a.Epoch == 0 || a.Seq == 0 || len(a.Reports) > MaxAccounts ||
-		l.options.Children != nil && !slices.Contains(l.options.Children, a.Child) ||
-		l.children[a.Child] == nil && len(l.children) >= MaxChildren {
+// valid reports whether a request keeps to the limits and comes from a child that may be known.
+func (l *Lender) valid(r LeaseRequest) bool {
+	if r.Child == "" || len(r.Child) > MaxName || r.Epoch == 0 || r.Seq == 0 || len(r.Reports) > MaxAccounts ||
+		l.options.Children != nil && !slices.Contains(l.options.Children, r.Child) ||
+		l.children[r.Child] == nil && len(l.children) >= MaxChildren {
 		return false
 	}
-	further := 0
-	seen := make(map[string]bool, len(a.Reports))
-	for _, n := range a.Reports {
-		if len(n.Account) > MaxName || seen[n.Account] ||
-			min(n.Held, n.Used, n.Demand) < 0 || max(n.Held, n.Used, n.Demand) > MaxUnits {
+	added := 0
+	seen := make(map[string]bool, len(r.Reports))
+	for _, report := range r.Reports {
+		if len(report.Account) > MaxName || seen[report.Account] ||
+			min(report.Held, report.Used, report.Demand) < 0 || max(report.Held, report.Used, report.Demand) > MaxUnits {
 			return false
 		}
-		if seen[n.Account] = true; l.accounts[n.Account] == nil {
-			further++
+		if seen[report.Account] = true; l.accounts[report.Account] == nil {
+			added++
 		}
 	}
-	return further == 0 || len(l.accounts)+further <= MaxAccounts
+	return added == 0 || len(l.accounts)+added <= MaxAccounts
 }
 
-// recordRequest notes who asks. A new life leaves what the life before may have running to past; a fresh one inherits it.
-func (l *Lender) recordRequest(now Time, c *child, a LeaseRequest) *child {
-	if c == nil || c.epoch != a.Epoch {
-		n := &child{name: a.Child, epoch: a.Epoch, loans: map[string]*loan{}, reportedUnits: map[string]int{}}
+// recordRequest records the sender of a request. If it is a new incarnation, the units that the previous one may have in use
+// count for an ended incarnation. A recovering child inherits them instead.
+func (l *Lender) recordRequest(now Time, c *child, r LeaseRequest) *child {
+	if c == nil || c.epoch != r.Epoch {
+		next := &child{name: r.Child, epoch: r.Epoch, loans: map[string]*loan{}, reportedUnits: map[string]int{}}
 		if c != nil {
-			n.reportComplete, n.reportedUnits = c.reportComplete, c.reportedUnits
-			l.replaceIncarnation(c, n, a.Recovering)
+			next.reportComplete, next.reportedUnits = c.reportComplete, c.reportedUnits
+			l.replaceIncarnation(c, next, r.Recovering)
 		}
-		l.children[a.Child] = n
+		l.children[r.Child] = next
 		if l.options.Preallocate {
 			l.invalidateTargets()
 		}
-		c = n
+		c = next
 	}
-	if c.expired { // what it may have running was left out of what is parted
+	if c.expired { // its units were excluded from the targets
 		l.invalidateTargets()
 	}
-	c.seq, c.lastRequest, c.expired, c.lastPoll = a.Seq, now, false, now.Add(-l.cfg.RetryDelay())
+	c.seq, c.lastRequest, c.expired, c.lastPoll = r.Seq, now, false, now.Add(-l.cfg.RetryDelay())
 	l.nextExpiry = min(l.nextExpiry, now.Add(l.cfg.Lease))
-	delete(l.toPoll, a.Child)
+	delete(l.toPoll, r.Child)
 	return c
 }
 
-func (l *Lender) replaceIncarnation(c, n *child, fresh bool) {
+// replaceIncarnation moves the units of previous to an ended incarnation, or to next if that one is recovering.
+func (l *Lender) replaceIncarnation(previous, next *child, recovering bool) {
 	units := map[string]int{}
-	for name, ln := range c.loans {
+	for name, ln := range previous.loans {
 		if ln.counted() > 0 {
 			units[name] = ln.counted()
 		}
-		l.setLoan(c, name, loan{})
+		l.setLoan(previous, name, loan{})
 	}
-	if !fresh {
-		l.addEnded(endedIncarnation{c.name, c.lastRequest.Add(l.cfg.Lease).Add(l.cfg.DrainPeriod()), units})
+	if !recovering {
+		l.addEnded(endedIncarnation{previous.name, previous.lastRequest.Add(l.cfg.Lease).Add(l.cfg.DrainPeriod()), units})
 		return
 	}
 	for i := len(l.ended) - 1; i >= 0; i-- {
-		if p := l.ended[i]; p.child == c.name {
+		if p := l.ended[i]; p.child == previous.name {
 			for name, u := range p.units {
 				units[name] += u
 			}
@@ -127,13 +130,13 @@
 	}
 	sum := 0
 	for name, u := range units {
-		l.setLoan(n, name, loan{inherited: u})
+		l.setLoan(next, name, loan{inherited: u})
 		sum += u
 	}
-	l.record("inherited", "", c.name, sum)
+	l.record("inherited", "", previous.name, sum)
 }
 
-// outstanding is what lives of a child may have outstanding.
+// outstanding returns the units that incarnations of a child may have in use.
 func (c *child) outstanding() (out []Allocation) {
 	for _, name := range slices.Sorted(maps.Keys(c.loans)) {
 		if u := c.loans[name].counted(); u > 0 {
@@ -143,81 +146,83 @@
 	return out
 }
 
-// setLoan puts a line in place of what was counted.
-func (l *Lender) setLoan(c *child, name string, n loan) {
+// setLoan replaces a loan and updates the sums of its account.
+func (l *Lender) setLoan(c *child, name string, next loan) {
 	a, old := l.account(name), c.loans[name]
 	if old == nil {
 		old = &loan{}
 		c.loans[name], a.loans[c.name] = old, old
 	}
-	if n.Account = name; n.Demand != old.Demand || n.inherited != old.inherited || c.noRecord {
+	if next.Account = name; next.Demand != old.Demand || next.inherited != old.inherited || c.noRecord {
 		a.targets = nil
 	}
 	if l.markChanged(name); l.loansBefore != nil {
 		if _, noted := l.loansBefore[a]; !noted {
-			l.loansBefore[a] = loan{AccountReport: AccountReport{Account: name, Held: old.Held, Used: old.Used, Demand: old.Demand}, granted: old.granted, inherited: old.inherited}
+			l.loansBefore[a] = loan{AccountReport: AccountReport{Account: name, Held: old.Held, Used: old.Used, Demand: old.Demand},
+				granted: old.granted, inherited: old.inherited}
 		}
 	}
 	a.counted -= old.counted()
-	a.demand += n.Demand - old.Demand
-	*old = n
+	a.demand += next.Demand - old.Demand
+	*old = next
 	a.counted += old.counted()
-	if n == (loan{AccountReport: AccountReport{Account: name}}) {
+	if next == (loan{AccountReport: AccountReport{Account: name}}) {
 		delete(c.loans, name)
 		delete(a.loans, c.name)
 	}
 }
 
-// applyReports takes an ask's lines. What was answered before counts no more: the child believed it, and says so, or never will.
-func (l *Lender) applyReports(c *child, a LeaseRequest) {
-	said := make(map[string]bool, len(a.Reports))
-	for _, n := range a.Reports {
-		said[n.Account] = true
-		l.setLoan(c, n.Account, loan{AccountReport: n, inherited: c.inheritedUnits(n.Account, a.Recovering)})
+// applyReports applies a request's reports. What the previous response granted does not count any more: the child has either
+// applied it, and reports it as held, or never will.
+func (l *Lender) applyReports(c *child, r LeaseRequest) {
+	reported := make(map[string]bool, len(r.Reports))
+	for _, report := range r.Reports {
+		reported[report.Account] = true
+		l.setLoan(c, report.Account, loan{AccountReport: report, inherited: c.inheritedUnits(report.Account, r.Recovering)})
 	}
 	for name, ln := range c.loans {
-		switch floor := c.inheritedUnits(name, a.Recovering); {
-		case said[name]:
-		case a.Full:
-			l.setLoan(c, name, loan{inherited: floor})
-		case ln.granted != ln.Held || ln.inherited != floor:
-			l.setLoan(c, name, loan{AccountReport: ln.AccountReport, inherited: floor})
+		switch inherited := c.inheritedUnits(name, r.Recovering); {
+		case reported[name]:
+		case r.Full:
+			l.setLoan(c, name, loan{inherited: inherited})
+		case ln.granted != ln.Held || ln.inherited != inherited:
+			l.setLoan(c, name, loan{AccountReport: ln.AccountReport, inherited: inherited})
 		}
 	}
 }
 
-// inheritedUnits is what a child counts for at least while it is fresh.
-func (c *child) inheritedUnits(account string, fresh bool) int {
-	if ln := c.loans[account]; ln != nil && fresh {
+// inheritedUnits returns the units that count for a recovering child at least.
+func (c *child) inheritedUnits(account string, recovering bool) int {
+	if ln := c.loans[account]; ln != nil && recovering {
 		return ln.inherited
 	}
 	return 0
 }
 
-// recordRecovery counts what a child says first as found of what earlier lives lent. A fresh child whose earlier lives are not
-// known here goes on reporting, as its own children come back to it; meanwhile it is given no more than it reports, so
-// that nothing lent since is taken for found.
-func (l *Lender) recordRecovery(now Time, c *child, a LeaseRequest) {
+// recordRecovery counts what a child reports first as part of what earlier incarnations of this lender lent. A recovering
+// child without a record here continues to report as its own children return to it. Meanwhile it is granted no more than it
+// reports, so that units lent since then are not mistaken for such earlier loans.
+func (l *Lender) recordRecovery(now Time, c *child, r LeaseRequest) {
 	if l.recovering && !c.reportComplete {
 		for name, ln := range c.loans {
 			if more := max(ln.Held, ln.Used) - c.reportedUnits[name]; more > 0 {
-				acc := l.account(name)
-				acc.reported, acc.targets = acc.reported+more, nil
+				a := l.account(name)
+				a.reported, a.targets = a.reported+more, nil
 				l.markChanged(name)
 				c.reportedUnits[name] += more
 			}
 		}
 	}
-	if !a.Recovering {
+	if !r.Recovering {
 		c.reportComplete, c.reportedUnits = true, nil
 	}
 	missing := l.unreportedChildren()
-	if l.recovering && a.Recovering && slices.Equal(missing, []string{c.name}) {
+	if l.recovering && r.Recovering && slices.Equal(missing, []string{c.name}) {
 		l.assignUnreported(c)
 		missing = nil
 	}
-	if unsure := a.Recovering && l.recovering && !c.reportComplete; unsure != c.noRecord {
-		c.noRecord = unsure
+	if noRecord := r.Recovering && l.recovering && !c.reportComplete; noRecord != c.noRecord {
+		c.noRecord = noRecord
 		l.invalidateTargets()
 	}
 	switch {
@@ -229,7 +234,8 @@
 	}
 }
 
-// unreportedChildren are the children known by name that have not said all that earlier lives of this lender lent to them.
+// unreportedChildren returns the children known by name that have not reported all that earlier incarnations of this lender
+// lent to them.
 func (l *Lender) unreportedChildren() (out []string) {
 	for _, name := range l.options.Children {
 		if c := l.children[name]; c == nil || !c.reportComplete {
@@ -239,21 +245,21 @@
 	return out
 }
 
-// assignUnreported leaves all that earlier lives of this lender lent and nobody reported to the one child, a fresh one, that has not
-// said all: its earlier lives have it.
+// assignUnreported assigns all units that earlier incarnations of this lender lent and nobody has reported to the only
+// child, a recovering one, that has not reported completely: its earlier incarnations must have them.
 func (l *Lender) assignUnreported(c *child) {
 	for name, a := range l.accounts {
-		legacy := l.unreported(a)
-		if legacy == 0 {
+		unreported := l.unreported(a)
+		if unreported == 0 {
 			continue
 		}
 		var ln loan
 		if old := c.loans[name]; old != nil {
 			ln = *old
 		}
-		ln.inherited = max(ln.inherited, ln.Held, ln.Used, c.reportedUnits[name]) + legacy
+		ln.inherited = max(ln.inherited, ln.Held, ln.Used, c.reportedUnits[name]) + unreported
 		l.setLoan(c, name, ln)
-		a.reported += legacy
+		a.reported += unreported
 	}
 	c.reportComplete, c.reportedUnits = true, nil
 }
--- a/internal/fleet/quota/wire/wire.go
+++ b/internal/fleet/quota/wire/wire.go
@@ -1,8 +1,8 @@
-// Package wire is the bytes of the messages by which quotas are lent (docs/design/quota.md): msgpack maps with a
-// format number, a kind and a sum, as package frames writes and reads them. It knows no socket and no clock.
+// Package wire encodes the messages by which quotas are lent (docs/design/quota.md). A message is a msgpack map with a
+// format number, a kind and a checksum, in the encoding of package frames. The package uses no socket and no clock.
 //
-// Each message names the lender that it goes to or comes from: a region's by the region's name, the root by the
-// empty text.
+// Each message names the lender that it goes to or comes from: a region's lender by the region's name, the root by the
+// empty string.
 package wire
 
 import (
@@ -19,39 +19,41 @@
 	"tinsail/internal/fleet/quota"
 )
 
-// Format is the number that every message carries.
+// Format is the format number of every message.
 const Format = 1
 
-// MaxFrame is the most bytes of a message, against a peer that sends too much: as many lines as a lender has
-// accounts, with their keys and numbers, and what stands around them.
+// MaxFrame is the most bytes of a message, a limit that protects against a peer that sends too much. It has space for as
+// many reports as a lender has accounts, with their keys and numbers, and for the message's other fields.
 const MaxFrame = quota.MaxAccounts*(quota.MaxName+32) + 1024
 
-// ErrMessage is wrapped by every fault of a message.
+// ErrMessage is wrapped by every error about a message's bytes.
 var ErrMessage = frames.ErrMessage
 
-// LeaseRequest is a holder's ask of a lender.
+// LeaseRequest is a holder's request to the lender To.
 type LeaseRequest struct {
 	To string
 	quota.LeaseRequest
 }
 
-// LeaseResponse is a lender's answer to an ask.
+// LeaseResponse is the response of the lender From.
 type LeaseResponse struct {
 	From string
 	quota.LeaseResponse
 }
 
-// Redirect says that this voter does not lend as From, and, of the root, which voter does as far as it knows.
+// Redirect says that the voter that sent it does not lend as From. For the root it also names the voter that does, as far as
+// the sender knows.
 type Redirect struct{ From, Leader string }
 
-// Message is one message: the one of its parts that is there.
+// Message is a message of any kind. Exactly one field is set.
 type Message struct {
 	Request  *LeaseRequest
 	Response *LeaseResponse
-	Poll     *string // from this lender: ask now
+	Poll     *string // from this lender: the holder should send a request now
 	Redirect *Redirect
 }
 
+// accountReport is the encoded form of quota.AccountReport.
 type accountReport struct {
 	Account string `msgpack:"a"`
 	Held    uint64 `msgpack:"h"`
@@ -59,12 +61,14 @@
 	Demand  uint64 `msgpack:"w"`
 }
 
+// allocation is the encoded form of quota.Allocation.
 type allocation struct {
 	Account string `msgpack:"a"`
 	Units   uint64 `msgpack:"n"`
 }
 
-// Lists are read by their own length first: the library makes room for as many as the message says there are.
+// Lists have decoders of their own that check the length first: the library allocates as many elements as the message
+// claims to have.
 type (
 	accountReports []accountReport
 	allocations    []allocation
@@ -77,13 +81,14 @@
 	return decodeList(d, (*[]allocation)(s))
 }
 
+// decodeList decodes a list of at most quota.MaxAccounts elements.
 func decodeList[T any](d *msgpack.Decoder, to *[]T) error {
 	n, err := d.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
 	if n < 0 || n > quota.MaxAccounts {
-		return fmt.Errorf("a list of %d accounts, at most %d", n, quota.MaxAccounts)
+		return fmt.Errorf("list has %d accounts, limit is %d", n, quota.MaxAccounts)
 	}
 	*to = make([]T, n)
 	for i := range *to {
@@ -94,6 +99,7 @@
 	return nil
 }
 
+// leaseRequest is the encoded form of LeaseRequest.
 type leaseRequest struct {
 	Format            uint8          `msgpack:"f"`
 	Kind              string         `msgpack:"kind"`
@@ -102,11 +108,12 @@
 	Epoch             uint64         `msgpack:"epoch"`
 	Seq               uint64         `msgpack:"seq"`
 	LenderIncarnation uint64         `msgpack:"lender"`
-	BaseSeq           uint64         `msgpack:"b"` // 0: all lines are here
+	BaseSeq           uint64         `msgpack:"b"` // 0: the request is full
 	Recovering        bool           `msgpack:"fresh"`
 	Reports           accountReports `msgpack:"lines"`
 }
 
+// leaseResponse is the encoded form of LeaseResponse.
 type leaseResponse struct {
 	Format            uint8       `msgpack:"f"`
 	Kind              string      `msgpack:"kind"`
@@ -121,12 +128,14 @@
 	Allocations       allocations `msgpack:"shares"`
 }
 
+// poll is the encoded form of a poll.
 type poll struct {
 	Format uint8  `msgpack:"f"`
 	Kind   string `msgpack:"kind"`
 	From   string `msgpack:"from"`
 }
 
+// redirect is the encoded form of Redirect.
 type redirect struct {
 	Format uint8  `msgpack:"f"`
 	Kind   string `msgpack:"kind"`
@@ -134,7 +143,7 @@
 	Leader string `msgpack:"leader"`
 }
 
-// Kinds.
+// Kinds of messages.
 const (
 	kindLeaseRequest  = "ask"
 	kindLeaseResponse = "answer"
@@ -142,41 +151,45 @@
 	kindRedirect      = "away"
 )
 
-// EncodeLeaseRequest is the bytes of an ask, its lines in the order of accounts.
-func EncodeLeaseRequest(a LeaseRequest) []byte {
-	base := a.BaseSeq
-	if a.Full {
+// EncodeLeaseRequest encodes a request with its reports sorted by account.
+func EncodeLeaseRequest(r LeaseRequest) []byte {
+	base := r.BaseSeq
+	if r.Full {
 		base = 0
 	}
-	out := leaseRequest{Format, kindLeaseRequest, a.To, a.Child, a.Epoch, a.Seq, a.LenderIncarnation, base, a.Recovering, make(accountReports, 0, len(a.Reports))}
-	for _, l := range a.Reports {
-		out.Reports = append(out.Reports, accountReport{l.Account, clampUnits(l.Held), clampUnits(l.Used), clampUnits(l.Demand)})
+	out := leaseRequest{Format, kindLeaseRequest, r.To, r.Child, r.Epoch, r.Seq, r.LenderIncarnation, base, r.Recovering,
+		make(accountReports, 0, len(r.Reports))}
+	for _, report := range r.Reports {
+		out.Reports = append(out.Reports, accountReport{report.Account, clampUnits(report.Held), clampUnits(report.Used),
+			clampUnits(report.Demand)})
 	}
 	slices.SortFunc(out.Reports, func(a, b accountReport) int { return strings.Compare(a.Account, b.Account) })
 	return frames.Encode(&out)
 }
 
-// EncodeLeaseResponse is the bytes of an answer, its shares in the order of accounts.
-func EncodeLeaseResponse(a LeaseResponse) []byte {
-	out := leaseResponse{Format, kindLeaseResponse, a.From, a.Child, a.Epoch, a.Seq, a.LenderIncarnation, uint32(min(max(a.Lease.Milliseconds(), 0), math.MaxUint32)), a.ResendFull, a.NoRecord, make(allocations, 0, len(a.Allocations))}
-	for _, s := range a.Allocations {
-		out.Allocations = append(out.Allocations, allocation{s.Account, clampUnits(s.Units)})
+// EncodeLeaseResponse encodes a response with its allocations sorted by account.
+func EncodeLeaseResponse(r LeaseResponse) []byte {
+	out := leaseResponse{Format, kindLeaseResponse, r.From, r.Child, r.Epoch, r.Seq, r.LenderIncarnation,
+		uint32(min(max(r.Lease.Milliseconds(), 0), math.MaxUint32)), r.ResendFull, r.NoRecord, make(allocations, 0, len(r.Allocations))}
+	for _, allocated := range r.Allocations {
+		out.Allocations = append(out.Allocations, allocation{allocated.Account, clampUnits(allocated.Units)})
 	}
 	slices.SortFunc(out.Allocations, func(a, b allocation) int { return strings.Compare(a.Account, b.Account) })
 	return frames.Encode(&out)
 }
 
-// EncodePoll is the bytes of a lender's nudge.
+// EncodePoll encodes a poll by the lender from.
 func EncodePoll(from string) []byte { return frames.Encode(&poll{Format, kindPoll, from}) }
 
-// EncodeRedirect is the bytes of a word that this voter does not lend.
-func EncodeRedirect(a Redirect) []byte {
-	return frames.Encode(&redirect{Format, kindRedirect, a.From, a.Leader})
+// EncodeRedirect encodes a redirect.
+func EncodeRedirect(r Redirect) []byte {
+	return frames.Encode(&redirect{Format, kindRedirect, r.From, r.Leader})
 }
 
+// clampUnits limits units to what the receiver accepts.
 func clampUnits(n int) uint64 { return uint64(min(max(n, 0), quota.MaxUnits)) }
 
-// ReadMessage reads one framed message from a link. A longer one than MaxFrame is not read.
+// ReadMessage reads one framed message from a connection. It refuses one longer than MaxFrame.
 func ReadMessage(r io.Reader) (Message, error) {
 	p, err := frames.ReadFrame(r, MaxFrame)
 	if err != nil {
@@ -185,10 +198,10 @@
 	return Decode(p)
 }
 
-// Decode reads a message. Its error wraps ErrMessage; the link is of no use after one.
+// Decode decodes a message. Its errors wrap ErrMessage; after one the connection must be closed.
 func Decode(p []byte) (m Message, err error) {
 	if len(p) > MaxFrame {
-		return m, fmt.Errorf("%w: %d bytes, at most %d", ErrMessage, len(p), MaxFrame)
+		return m, fmt.Errorf("%w: message has %d bytes, limit is %d", ErrMessage, len(p), MaxFrame)
 	}
 	if p, err = frames.StripChecksum(p); err != nil {
 		return m, err
@@ -213,7 +226,7 @@
 			m.Redirect, err = &Redirect{a.From, a.Leader}, checkNames(a.From, a.Leader)
 		}
 	default:
-		err = fmt.Errorf("%w: kind %q", ErrMessage, kind)
+		err = fmt.Errorf("%w: unknown kind %q", ErrMessage, kind)
 	}
 	if err != nil {
 		return Message{}, err
@@ -222,68 +235,72 @@
 }
 
 func decodeLeaseRequest(p []byte) (*LeaseRequest, error) {
-	var a leaseRequest
-	if err := frames.Decode(p, &a); err != nil {
+	var r leaseRequest
+	if err := frames.Decode(p, &r); err != nil {
 		return nil, err
 	}
-	if err := checkCommon(a.To, a.Child, len(a.Reports), func(i int) string { return a.Reports[i].Account }); err != nil {
+	if err := checkCommon(r.To, r.Child, len(r.Reports), func(i int) string { return r.Reports[i].Account }); err != nil {
 		return nil, err
 	}
-	out := &LeaseRequest{a.To, quota.LeaseRequest{Child: a.Child, Epoch: a.Epoch, Seq: a.Seq, LenderIncarnation: a.LenderIncarnation, Full: a.BaseSeq == 0, BaseSeq: a.BaseSeq, Recovering: a.Recovering}}
-	for _, l := range a.Reports {
-		if max(l.Held, l.Used, l.Demand) > quota.MaxUnits {
-			return nil, fmt.Errorf("%w: an ask has more than %d units", ErrMessage, quota.MaxUnits)
+	out := &LeaseRequest{r.To, quota.LeaseRequest{Child: r.Child, Epoch: r.Epoch, Seq: r.Seq, LenderIncarnation: r.LenderIncarnation,
+		Full: r.BaseSeq == 0, BaseSeq: r.BaseSeq, Recovering: r.Recovering}}
+	for _, report := range r.Reports {
+		if max(report.Held, report.Used, report.Demand) > quota.MaxUnits {
+			return nil, fmt.Errorf("%w: lease request has more than %d units", ErrMessage, quota.MaxUnits)
 		}
-		out.Reports = append(out.Reports, quota.AccountReport{Account: l.Account, Held: int(l.Held), Used: int(l.Used), Demand: int(l.Demand)})
+		out.Reports = append(out.Reports, quota.AccountReport{Account: report.Account, Held: int(report.Held), Used: int(report.Used),
+			Demand: int(report.Demand)})
 	}
 	return out, nil
 }
 
 func decodeLeaseResponse(p []byte) (*LeaseResponse, error) {
-	var a leaseResponse
-	if err := frames.Decode(p, &a); err != nil {
+	var r leaseResponse
+	if err := frames.Decode(p, &r); err != nil {
 		return nil, err
 	}
-	if err := checkCommon(a.From, a.Child, len(a.Allocations), func(i int) string { return a.Allocations[i].Account }); err != nil {
+	if err := checkCommon(r.From, r.Child, len(r.Allocations), func(i int) string { return r.Allocations[i].Account }); err != nil {
 		return nil, err
 	}
-	out := &LeaseResponse{a.From, quota.LeaseResponse{Lease: time.Duration(a.Lease) * time.Millisecond,
-		Child: a.Child, Epoch: a.Epoch, Seq: a.Seq, LenderIncarnation: a.LenderIncarnation, ResendFull: a.ResendFull, NoRecord: a.NoRecord}}
-	for _, s := range a.Allocations {
-		if s.Units > quota.MaxUnits {
-			return nil, fmt.Errorf("%w: an answer has more than %d units", ErrMessage, quota.MaxUnits)
+	out := &LeaseResponse{r.From, quota.LeaseResponse{Lease: time.Duration(r.Lease) * time.Millisecond,
+		Child: r.Child, Epoch: r.Epoch, Seq: r.Seq, LenderIncarnation: r.LenderIncarnation,
+		ResendFull: r.ResendFull, NoRecord: r.NoRecord}}
+	for _, allocated := range r.Allocations {
+		if allocated.Units > quota.MaxUnits {
+			return nil, fmt.Errorf("%w: lease response has more than %d units", ErrMessage, quota.MaxUnits)
 		}
-		out.Allocations = append(out.Allocations, quota.Allocation{Account: s.Account, Units: int(s.Units)})
+		out.Allocations = append(out.Allocations, quota.Allocation{Account: allocated.Account, Units: int(allocated.Units)})
 	}
 	return out, nil
 }
 
-// checkCommon checks what asks and answers have alike: the accounts rise, so that none stands twice.
+// checkCommon checks what requests and responses have in common. Accounts must be sorted, so that none occurs twice.
 func checkCommon(lender, child string, n int, account func(int) string) error {
 	if child == "" {
-		return fmt.Errorf("%w: no child's name", ErrMessage)
+		return fmt.Errorf("%w: child has no name", ErrMessage)
 	}
 	if err := checkNames(lender, child); err != nil {
 		return err
 	}
 	if n > quota.MaxAccounts {
-		return fmt.Errorf("%w: %d accounts, at most %d", ErrMessage, n, quota.MaxAccounts)
+		return fmt.Errorf("%w: message has %d accounts, limit is %d", ErrMessage, n, quota.MaxAccounts)
 	}
 	for i := range n {
 		if len(account(i)) > quota.MaxName {
-			return fmt.Errorf("%w: an account of %d bytes", ErrMessage, len(account(i)))
+			return fmt.Errorf("%w: account name of %d bytes is too long", ErrMessage, len(account(i)))
 		}
 		if i > 0 && account(i-1) >= account(i) {
-			return fmt.Errorf("%w: an account is repeated or out of order", ErrMessage)
+			return fmt.Errorf("%w: account is repeated or out of order", ErrMessage)
 		}
 	}
 	return nil
 }
 
+// checkNames checks the length of names.
 func checkNames(all ...string) error {
 	for _, name := range all {
 		if len(name) > quota.MaxName {
-			return fmt.Errorf("%w: a name of %d bytes", ErrMessage, len(name))
+			return fmt.Errorf("%w: name of %d bytes is too long", ErrMessage, len(name))
 		}
 	}
 	return nil
--- a/internal/fleet/quota/wire/wire_test.go
+++ b/internal/fleet/quota/wire/wire_test.go
@@ -16,18 +16,18 @@
 )
 
 var (
-	anAsk = LeaseRequest{"east", quota.LeaseRequest{Child: "n3", Epoch: 7 << 60, Seq: 2, LenderIncarnation: 9, Full: true, Recovering: true,
+	sampleRequest = LeaseRequest{"east", quota.LeaseRequest{Child: "n3", Epoch: 7 << 60, Seq: 2, LenderIncarnation: 9, Full: true, Recovering: true,
 		Reports: []quota.AccountReport{{Account: "", Held: 1, Used: 2, Demand: 3}, {Account: "team1", Held: 300, Used: 70_000, Demand: quota.MaxUnits}}}}
-	anAnswer = LeaseResponse{"", quota.LeaseResponse{Child: "east", Epoch: 7, Seq: 2, LenderIncarnation: 3, Lease: 600 * time.Second, ResendFull: true, NoRecord: true,
+	sampleResponse = LeaseResponse{"", quota.LeaseResponse{Child: "east", Epoch: 7, Seq: 2, LenderIncarnation: 3, Lease: 600 * time.Second, ResendFull: true, NoRecord: true,
 		Allocations: []quota.Allocation{{Account: "team1", Units: 5}, {Account: "team2", Units: 0}}}}
-	aNudge  = "east"
-	anAway  = Redirect{"", "v2"}
-	written = map[string][]byte{"ask": EncodeLeaseRequest(anAsk), "answer": EncodeLeaseResponse(anAnswer), "nudge": EncodePoll(aNudge), "away": EncodeRedirect(anAway),
+	samplePoll     = "east"
+	sampleRedirect = Redirect{"", "v2"}
+	encoded        = map[string][]byte{"ask": EncodeLeaseRequest(sampleRequest), "answer": EncodeLeaseResponse(sampleResponse), "nudge": EncodePoll(samplePoll), "away": EncodeRedirect(sampleRedirect),
 		"an ask with no lines": EncodeLeaseRequest(LeaseRequest{"east", quota.LeaseRequest{Child: "n3", Epoch: 1, Seq: 1}})}
 )
 
-// write is the bytes of what was read.
-func write(m Message) []byte {
+// encode is the bytes of what was read.
+func encode(m Message) []byte {
 	switch {
 	case m.Request != nil:
 		return EncodeLeaseRequest(*m.Request)
@@ -41,23 +41,23 @@
 }
 
 func TestRoundTrips(t *testing.T) {
-	for what, m := range map[string]Message{"ask": {Request: &anAsk}, "answer": {Response: &anAnswer}, "nudge": {Poll: &aNudge}, "away": {Redirect: &anAway}} {
-		got, err := ReadMessage(bytes.NewReader(frames.Frame(written[what])))
+	for what, m := range map[string]Message{"ask": {Request: &sampleRequest}, "answer": {Response: &sampleResponse}, "nudge": {Poll: &samplePoll}, "away": {Redirect: &sampleRedirect}} {
+		got, err := ReadMessage(bytes.NewReader(frames.Frame(encoded[what])))
 		require.NoError(t, err, what)
 		assert.Equal(t, m, got, what)
 	}
-	for what, p := range written {
+	for what, p := range encoded {
 		m, err := Decode(p)
 		require.NoError(t, err, what)
-		assert.Equal(t, p, write(m), what)
+		assert.Equal(t, p, encode(m), what)
 	}
-	back := anAsk
-	back.Reports = []quota.AccountReport{anAsk.Reports[1], anAsk.Reports[0]}
-	assert.Equal(t, EncodeLeaseRequest(anAsk), EncodeLeaseRequest(back), "lines are written in the order of accounts")
+	back := sampleRequest
+	back.Reports = []quota.AccountReport{sampleRequest.Reports[1], sampleRequest.Reports[0]}
+	assert.Equal(t, EncodeLeaseRequest(sampleRequest), EncodeLeaseRequest(back), "lines are written in the order of accounts")
 }
 
-// TestLargest: the largest message that the bounds allow fits the frame, and one line more is refused.
-func TestLargest(t *testing.T) {
+// TestLargestRequest: the largest message that the bounds allow fits the frame, and one line more is refused.
+func TestLargestRequest(t *testing.T) {
 	largest := func(n int) LeaseRequest {
 		a := LeaseRequest{strings.Repeat("r", quota.MaxName), quota.LeaseRequest{Child: strings.Repeat("c", quota.MaxName), Epoch: 1<<64 - 1, Seq: 1<<64 - 1, LenderIncarnation: 1<<64 - 1}}
 		for i := range n {
@@ -73,9 +73,9 @@
 	assert.ErrorIs(t, err, ErrMessage)
 }
 
-// TestStrict: each way in which a message may be another's, or damaged, is refused.
-func TestStrict(t *testing.T) {
-	whole := mapOf(written["ask"])
+// TestInvalidMessagesAreRefused: each way in which a message may be another's, or damaged, is refused.
+func TestInvalidMessagesAreRefused(t *testing.T) {
+	whole := withoutChecksum(encoded["ask"])
 	again := func(change func(map[string]any)) []byte {
 		m := map[string]any{}
 		require.NoError(t, msgpack.Unmarshal(whole, &m))
@@ -85,12 +85,12 @@
 		return b
 	}
 	ask := func(change func(*LeaseRequest)) []byte {
-		a := anAsk
-		a.Reports = append([]quota.AccountReport(nil), anAsk.Reports...)
+		a := sampleRequest
+		a.Reports = append([]quota.AccountReport(nil), sampleRequest.Reports...)
 		change(&a)
-		return mapOf(EncodeLeaseRequest(a))
+		return withoutChecksum(EncodeLeaseRequest(a))
 	}
-	swapped, tooMany := anAnswer, anAnswer
+	swapped, tooMany := sampleResponse, sampleResponse
 	swapped.Allocations = []quota.Allocation{{Account: "team1"}, {Account: "team1"}}
 	tooMany.From = strings.Repeat("x", quota.MaxName+1)
 	for what, p := range map[string][]byte{
@@ -109,12 +109,12 @@
 		"a lender too long":       ask(func(a *LeaseRequest) { a.To = strings.Repeat("x", quota.MaxName+1) }),
 		"an account too long":     ask(func(a *LeaseRequest) { a.Reports[1].Account = strings.Repeat("x", quota.MaxName+1) }),
 		"an account twice":        ask(func(a *LeaseRequest) { a.Reports[1].Account = "" }),
-		"a share twice":           mapOf(EncodeLeaseResponse(swapped)),
-		"an answer's name":        mapOf(EncodeLeaseResponse(tooMany)),
+		"a share twice":           withoutChecksum(EncodeLeaseResponse(swapped)),
+		"an answer's name":        withoutChecksum(EncodeLeaseResponse(tooMany)),
 		"too many units":          bytes.Replace(whole, []byte("\xa1w\xce\x40\x00\x00\x00"), []byte("\xa1w\xce\x40\x00\x00\x01"), 1),
-		"a nudge's name too long": mapOf(EncodePoll(strings.Repeat("x", quota.MaxName+1))),
-		"a leader too long":       mapOf(EncodeRedirect(Redirect{"", strings.Repeat("x", quota.MaxName+1)})),
-		"too long":                make([]byte, MaxFrame+1), "a sum in its place": written["ask"],
+		"a nudge's name too long": withoutChecksum(EncodePoll(strings.Repeat("x", quota.MaxName+1))),
+		"a leader too long":       withoutChecksum(EncodeRedirect(Redirect{"", strings.Repeat("x", quota.MaxName+1)})),
+		"too long":                make([]byte, MaxFrame+1), "a sum in its place": encoded["ask"],
 	} {
 		assert.NotEqual(t, whole, p, "%s: nothing was changed", what)
 		_, err := Decode(frames.AppendChecksum(p)) // the sum is right: it is the map that is refused
@@ -127,12 +127,12 @@
 	assert.ErrorIs(t, err, ErrMessage)
 }
 
-// mapOf is a message without its sum.
-func mapOf(p []byte) []byte { return p[:len(p)-4] }
+// withoutChecksum is a message without its sum.
+func withoutChecksum(p []byte) []byte { return p[:len(p)-4] }
 
-// TestSum: no message with one byte changed, or cut short, is read.
-func TestSum(t *testing.T) {
-	for what, p := range written {
+// TestDamagedMessagesAreRefused: no message with one byte changed, or cut short, is read.
+func TestDamagedMessagesAreRefused(t *testing.T) {
+	for what, p := range encoded {
 		for i := range p {
 			_, err := Decode(p[:i])
 			require.ErrorIs(t, err, ErrMessage, what)
@@ -148,21 +148,21 @@
 
 // FuzzRead: nothing that a peer sends panics the reader, and what it reads is written back the same.
 func FuzzRead(f *testing.F) {
-	for _, p := range written {
-		f.Add(mapOf(p))
+	for _, p := range encoded {
+		f.Add(withoutChecksum(p))
 	}
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff, 0xa1, 'f', 1})
-	f.Add(bytes.Replace(mapOf(written["ask"]), []byte("\xa5lines\x92"), []byte("\xa5lines\xdd\xff\xff\xff\xff"), 1))
+	f.Add(bytes.Replace(withoutChecksum(encoded["ask"]), []byte("\xa5lines\x92"), []byte("\xa5lines\xdd\xff\xff\xff\xff"), 1))
 	f.Fuzz(func(t *testing.T, p []byte) {
 		p = frames.AppendChecksum(p) // else nothing but a message of ours is looked into
 		if m, err := Decode(p); err == nil {
-			assert.Equal(t, p, write(m))
+			assert.Equal(t, p, encode(m))
 		}
 	})
 }
 
-// TestBase: an ask says whether its lines are all by the ask that they changed since.
-func TestBase(t *testing.T) {
+// TestFullAndDeltaRequests: an ask says whether its lines are all by the ask that they changed since.
+func TestFullAndDeltaRequests(t *testing.T) {
 	for _, a := range []quota.LeaseRequest{
 		{Child: "n3", Epoch: 1, Seq: 9, LenderIncarnation: 3, BaseSeq: 8, Reports: []quota.AccountReport{}},
 		{Child: "n3", Epoch: 1, Seq: 9, LenderIncarnation: 3, Full: true, Reports: []quota.AccountReport{}},
