--- a/cmd/tinsail/accord.go
+++ b/cmd/tinsail/accord.go
@@ -17,7 +17,7 @@
 
 // accordPlan is the plan of leases that the settings declare.
 func accordPlan(a *settings.Accord) leases.LeaseConfig {
-	return leases.LeaseConfig{Lease: millis(a.LeaseMS), Drift: a.Drift, ContinueWhenCut: a.Keep()}
+	return leases.LeaseConfig{Lease: millis(a.LeaseMS), Drift: a.Drift, ContinueWhenCut: a.ContinueWhenCut()}
 }
 
 // accordName is what a dispatcher may be called: backends are told its name in a header.
--- a/cmd/tinsail/consul_test.go
+++ b/cmd/tinsail/consul_test.go
@@ -368,8 +368,8 @@
 				}
 				before := heap()
 				sink := &counter{set: membership.New(membership.Defaults("consul", 1)), first: make(chan struct{})}
-				w := &consul.Watch{Sink: sink, Count: &consul.Counts{}, Config: consul.Config{Addresses: []string{a.Address}, Scheme: "http",
-					Service: "photo", Stale: true, Wait: 5 * time.Second, Timeout: 5 * time.Second, MaxBody: 64 << 20, PerSec: 10, Entries: 100_000}}
+				w := &consul.Watch{Sink: sink, Counts: &consul.Counts{}, Config: consul.Config{Addresses: []string{a.Address}, Scheme: "http",
+					Service: "photo", AllowStale: true, WaitTime: 5 * time.Second, Timeout: 5 * time.Second, MaxBodyBytes: 64 << 20, CallsPerSecond: 10, MaxEntries: 100_000}}
 				require.NoError(b, w.Init())
 				ctx, cancel := context.WithCancel(context.Background())
 				begun := time.Now()
@@ -378,13 +378,13 @@
 				<-sink.first
 				b.ReportMetric(float64(time.Since(begun).Microseconds())/1000, "first-ms")
 				b.ReportMetric(float64(heap()-before)/1024, "heap-KiB")
-				used, lists := processor(), w.Count.Lists.Load()
+				used, lists := processor(), w.Counts.Lists.Load()
 				for i := range n / 10 {
 					a.Check("i"+strconv.Itoa(i), []string{"warning", "passing"}[i%2])
 					time.Sleep(time.Second / time.Duration(n/10))
 				}
 				b.ReportMetric(float64((processor()-used).Microseconds())/1000, "cpu-ms/s")
-				b.ReportMetric(float64(w.Count.Lists.Load()-lists), "lists/s")
+				b.ReportMetric(float64(w.Counts.Lists.Load()-lists), "lists/s")
 				b.ReportMetric(float64(sink.spent.Microseconds())/1000, "merge-ms")
 				cancel()
 				<-ended
--- a/cmd/tinsail/control.go
+++ b/cmd/tinsail/control.go
@@ -19,7 +19,7 @@
 
 // call makes one call at a dispatcher's door. err is set if there was no answer.
 func call(address string, c door.Call) (yes bool, says string, err error) {
-	method, path := c.Path()
+	method, path := c.MethodAndPath()
 	q, err := http.NewRequest(method, "http://"+address+path, nil)
 	if err != nil {
 		return false, "", err
@@ -54,7 +54,7 @@
 	c.PersistentFlags().StringVar(&at, "admin", "", "address of the door, host:port")
 	for _, sub := range []struct {
 		use, short string
-		op         door.Op
+		op         door.Operation
 	}{
 		{"ready", "Ask whether this process serves", door.Ready},
 		{"offline ID", "Send nothing more to a backend", door.Offline},
@@ -77,7 +77,7 @@
 				if _, _, err := net.SplitHostPort(at); err != nil {
 					return faulty{fmt.Errorf("--admin is %q, want the host:port of a dispatcher's door", at)}
 				}
-				what := door.Call{Op: sub.op}
+				what := door.Call{Operation: sub.op}
 				if named {
 					what.Backend = args[0]
 				}
--- a/cmd/tinsail/descriptors_test.go
+++ b/cmd/tinsail/descriptors_test.go
@@ -221,7 +221,7 @@
 
 // ask asks the door for metrics, which it always has.
 func (p *limited) ask() bool {
-	yes, _, err := call(p.admin, door.Call{Op: door.Metrics})
+	yes, _, err := call(p.admin, door.Call{Operation: door.Metrics})
 	return err == nil && yes
 }
 
--- a/cmd/tinsail/door.go
+++ b/cmd/tinsail/door.go
@@ -52,7 +52,7 @@
 		return admin.Answer{Status: 500, Message: "holds in this process, but would not outlive it: " + err.Error()}
 	}
 	no := func(status int, says string) admin.Answer { return admin.Answer{Status: status, Message: says} }
-	switch c.Op {
+	switch c.Operation {
 	case door.Ready:
 		switch state := d.service.State(); {
 		case state == service.HandedOver, state == service.ShuttingDown:
--- a/cmd/tinsail/door_test.go
+++ b/cmd/tinsail/door_test.go
@@ -99,7 +99,7 @@
 	for i := range 100 {
 		p.sit(t, i)
 		if i%4 == 3 {
-			assert.True(t, p.call(door.Op(i/4%2)*door.Offline, "b0"))
+			assert.True(t, p.call(door.Operation(i/4%2)*door.Offline, "b0"))
 		}
 	}
 	stop()
--- a/cmd/tinsail/handover.go
+++ b/cmd/tinsail/handover.go
@@ -117,7 +117,7 @@
 
 // addHandover makes this process's part. d.service and d.bans are there.
 func (d *dispatcher) addHandover(from handed) {
-	t := &takeover{d: d, from: from, have: d.cfg.Sockets, memory: d.cfg.Memory}
+	t := &takeover{d: d, from: from, have: d.cfg.Sockets, memory: d.cfg.MemoryBytes}
 	t.server = &handoff.Server{Path: keptPath(d.cfg, "sock"), Hello: helloOf(d.cfg), Log: d.log,
 		GiveState: t.give, StopAccepting: t.hand, OnNews: t.news, OnJoined: t.joined, OnGone: t.gone}
 	if from.link != nil {
@@ -276,12 +276,12 @@
 	at, alone := t.stage.Stage(), t.peer == t.from.link
 	t.stage.HandleDisconnect()
 	if t.total = t.d.cfg.Sockets; alone {
-		t.peer, t.have, t.memory = nil, t.d.cfg.Sockets, t.d.cfg.Memory
+		t.peer, t.have, t.memory = nil, t.d.cfg.Sockets, t.d.cfg.MemoryBytes
 	}
 	t.mu.Unlock()
 	if alone {
 		t.d.bans.ShareWith(nil)
-		t.d.resize(t.d.cfg.Sockets, t.d.cfg.Memory)
+		t.d.resize(t.d.cfg.Sockets, t.d.cfg.MemoryBytes)
 		t.d.core.SetOverlap(false) // the whole budget of cold backends is this process's again
 	}
 	t.d.log.Info().Stringer("stage", at).AnErr("link", err).Msg("hand-over: the old process is gone")
--- a/cmd/tinsail/quotas.go
+++ b/cmd/tinsail/quotas.go
@@ -107,7 +107,7 @@
 // longestRun is the longest that a req of the configuration's classes is in flight, where its client states no patience of its
 // own; in whole milliseconds, rounded up.
 func longestRun(cfg *config.Config) time.Duration {
-	run := cfg.Longest() + time.Duration(cfg.Settings.Rules.AnswerSlack*float64(time.Millisecond))
+	run := cfg.LongestDeadline() + time.Duration(cfg.Settings.Rules.AnswerSlack*float64(time.Millisecond))
 	return (run + time.Millisecond - 1).Truncate(time.Millisecond)
 }
 
@@ -219,7 +219,7 @@
 	}
 	d.quotas.keep(q)
 	d.core.Quotas = d.quotas
-	if !set.Accord.Keep() {
+	if !set.Accord.ContinueWhenCut() {
 		d.log.Warn().Str("when_cut", set.Accord.WhenCut).Msg("quotas: a region that is cut off from the accord's leader takes nothing, whatever " +
 			"units it holds: accord.when_cut is \"stop\", \"keep\" would let it live on them")
 	}
--- a/cmd/tinsail/serve.go
+++ b/cmd/tinsail/serve.go
@@ -119,7 +119,7 @@
 
 func limits(h *settings.HTTP2) network.HTTP2Limits {
 	return network.HTTP2Limits{MaxStreams: h.MaxStreams, MaxHeaderBytes: h.MaxHeaderBytes, MaxFrameBytes: h.MaxFrameBytes,
-		StallTimeout: h.Stall(), DrainTimeout: h.Drain(), CancelOnReset: h.Stop()}
+		StallTimeout: h.StallTimeout(), DrainTimeout: h.DrainTimeout(), CancelOnReset: h.CancelOnReset()}
 }
 
 // assemble makes the parts and opens the listeners; nothing runs yet.
@@ -128,7 +128,7 @@
 	d := &dispatcher{cfg: cfg, log: log, count: &counters.Set{}, guard: &guard.Recorder{Log: log}}
 	d.ready.begun = time.Now()
 	share := network.SplitDescriptors(network.MaxDescriptors(cfg.Sockets) - doorSockets(cfg))
-	d.pool = &network.Pool{Names: &cfg.Names, Count: d.count, MaxConnections: share.Backends, Dial: system.dial, IdleTimeout: cfg.ConnIdle * 7 / 10,
+	d.pool = &network.Pool{Names: &cfg.Names, Count: d.count, MaxConnections: share.Backends, Dial: system.dial, IdleTimeout: cfg.BackendIdleTimeout * 7 / 10,
 		ConnectTimeout: time.Duration(cfg.Settings.ConnectTimeout * float64(time.Millisecond))}
 	d.director = &network.Director{Names: &cfg.Names, Count: d.count, Address: cfg.Discovery, Dial: system.dial}
 	if d.director.Timings = network.AgentTimings().WithinGrace(time.Duration(cfg.Settings.Rules.DrainGrace * float64(time.Millisecond))); cfg.Settings.Subscribe {
@@ -152,7 +152,7 @@
 	}
 	d.director.OnList, d.director.OnAnswer = d.listed, d.core.DirectorAnswered
 	d.clients = &network.Clients{Names: &cfg.Names, Count: d.count, Core: d.core, MaxSessions: share.Clients, MaxJobSessions: share.JobSessions,
-		MaxBufferedBytes: cfg.Memory / 8, LongestDeadline: cfg.Longest(), Stats: d.stats, Log: log, Guard: d.guard}
+		MaxBufferedBytes: cfg.MemoryBytes / 8, LongestDeadline: cfg.LongestDeadline(), Stats: d.stats, Log: log, Guard: d.guard}
 	if d.listener, err = from.listen(cfg, "http1", cfg.Listen); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
@@ -180,7 +180,7 @@
 		d.close()
 		return nil, err
 	}
-	d.resize(cfg.Sockets, cfg.Memory)
+	d.resize(cfg.Sockets, cfg.MemoryBytes)
 	if cfg.Admin != "" {
 		d.addHandover(from)
 	}
@@ -203,13 +203,13 @@
 	if d.bans != nil && d.bans.Load() && d.handover.from.link == nil {
 		d.service.TakeOutOfService()
 	}
-	known := d.cfg.Known.Entries
+	known := d.cfg.KnownBackends.Entries
 	if d.handover != nil && d.handover.from.link != nil {
 		known = d.inherit()
 		d.director.RequestFullList()
 		d.core.StartOverlapped()
 	} else {
-		d.director.SetIndex(d.cfg.Known.Index)
+		d.director.SetIndex(d.cfg.KnownBackends.Index)
 	}
 	// The module sizes itself by its first list: one that names nobody to send to would leave it with room for a
 	// few jobs until they have shown that there is more.
@@ -259,7 +259,7 @@
 func (d *dispatcher) drain() {
 	d.service.BeginShutdown() // at once: checks of health turn, and the kill's clock runs, whatever the catalogue's agent takes
 	if d.sources != nil && d.sources.self != nil {
-		d.sources.self.Drain()
+		d.sources.self.EnterMaintenance()
 	}
 }
 
@@ -269,7 +269,7 @@
 		d.handover.server.Close()
 	}
 	if d.sources != nil && d.sources.self != nil {
-		d.sources.self.End()
+		d.sources.self.Deregister()
 	}
 	if d.quotas != nil { // all is answered: what it held is given back
 		d.quotas.kept.Load().Close()
@@ -363,7 +363,7 @@
 	}
 	d.count.Reloads.Add(1)
 	d.director.Redirect(next.Discovery)
-	now, later := set.Change(nextSet)
+	now, later := set.Changes(nextSet)
 	if d.http2 != nil && nextSet.HTTP2 != nil {
 		d.http2.SetLimits(limits(nextSet.HTTP2))
 	}
@@ -372,7 +372,7 @@
 		d.log.Error().Err(err).Msg("budgets not reloaded")
 	}
 	d.reloadAccord(set, nextSet)
-	later = append(cfg.Fixed(next), later...)
+	later = append(cfg.ChangedFixedKeys(next), later...)
 	d.log.Info().Str("discovery", next.Discovery).Strs("changed", now).Strs("next_start", later).Msg("reloaded")
 	return next, nextSet
 }
--- a/cmd/tinsail/sources.go
+++ b/cmd/tinsail/sources.go
@@ -75,7 +75,7 @@
 	d.clients.Members = s.describe
 	if set.Consul != nil && set.Consul.Register != "" {
 		s.self = &consul.Registration{Config: consulConfig(set.Consul), Name: set.Consul.Register, ID: set.Consul.Register + "-" + d.cfg.Name,
-			Address: d.listener.Addr().String(), TTL: millis(set.Consul.RegisterTTLMS), HTTP: set.Consul.RegisterCheck == "http", Log: d.log}
+			Address: d.listener.Addr().String(), TTL: millis(set.Consul.RegisterTTLMS), HTTPCheck: set.Consul.RegisterCheck == "http", Log: d.log}
 		if err := s.self.Init(); err != nil {
 			return faulty{err}
 		}
@@ -88,9 +88,9 @@
 func consulConfig(c *settings.Consul) consul.Config {
 	out := consul.Config{Addresses: c.Address, Scheme: c.Scheme, Service: c.Service, Tags: c.Tags, Filter: c.Filter,
 		Datacenter: c.DC, Namespace: c.Namespace, Partition: c.Partition, TokenFile: c.TokenFile,
-		TLS:   api.TLSConfig{CAFile: c.CAFile, CertFile: c.CertFile, KeyFile: c.KeyFile},
-		Stale: c.Stale, MaxStale: millis(c.MaxStaleMS), Wait: millis(c.WaitMS), Timeout: millis(c.TimeoutMS),
-		MaxBody: int64(c.MaxBodyKB) << 10, PerSec: float64(c.CallsPerS), Entries: c.MaxEntries}
+		TLS:        api.TLSConfig{CAFile: c.CAFile, CertFile: c.CertFile, KeyFile: c.KeyFile},
+		AllowStale: c.Stale, MaxStaleness: millis(c.MaxStaleMS), WaitTime: millis(c.WaitMS), Timeout: millis(c.TimeoutMS),
+		MaxBodyBytes: int64(c.MaxBodyKB) << 10, CallsPerSecond: float64(c.CallsPerS), MaxEntries: c.MaxEntries}
 	if c.TokenFile == "" && c.TokenEnv != "" {
 		out.Token = os.Getenv(c.TokenEnv)
 	}
@@ -101,8 +101,8 @@
 	if c == nil {
 		return nil, nil
 	}
-	w := &consul.Watch{Config: consulConfig(c), Sink: d.sources.consul, Count: &d.sources.count, Log: d.log,
-		Fields: consul.Fields{Kind: c.KindMeta, Zone: c.ZoneMeta, Group: c.GroupMeta, Weight: c.WeightMeta, Started: c.StartedMeta,
+	w := &consul.Watch{Config: consulConfig(c), Sink: d.sources.consul, Counts: &d.sources.count, Log: d.log,
+		Meta: consul.MetaMapping{Kind: c.KindMeta, Zone: c.ZoneMeta, Group: c.GroupMeta, Weight: c.WeightMeta, Started: c.StartedMeta,
 			Kinds: d.cfg.Names.Kinds, Zones: d.cfg.Names.Zones}}
 	if err := w.Init(); err != nil {
 		return nil, faulty{err}
@@ -117,7 +117,7 @@
 		return
 	}
 	if usesDirector(set) {
-		s.director.DirectorList(balance.ListCached, d.cfg.Known.Entries)
+		s.director.DirectorList(balance.ListCached, d.cfg.KnownBackends.Entries)
 	}
 	s.static.ReplaceAll(static(set.Backends))
 	d.follow(set.Consul)
--- a/cmd/tinsail/upgrade_test.go
+++ b/cmd/tinsail/upgrade_test.go
@@ -115,8 +115,8 @@
 }
 
 // call makes a call at the process's door, and returns whether it said yes.
-func (p *process) call(op door.Op, backend string) bool {
-	yes, _, err := call(p.admin, door.Call{Op: op, Backend: backend})
+func (p *process) call(op door.Operation, backend string) bool {
+	yes, _, err := call(p.admin, door.Call{Operation: op, Backend: backend})
 	return err == nil && yes
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,12 +20,12 @@
 	Name, Listen, Discovery string
 	Admin                   string // where operators call; empty for no door
 	Cores                   float64
-	Memory                  int64 // bytes
+	MemoryBytes             int64 // bytes
 	Sockets                 int
 	Settings                balance.Settings
 	Names                   platform.Names
-	ConnIdle                time.Duration // a backend closes an idle connection after this
-	Known                   platform.List // as last held, maybe old
+	BackendIdleTimeout      time.Duration // a backend closes an idle connection after this
+	KnownBackends           platform.List // as last held, maybe old
 }
 
 // Load reads the file that ROUTER_CONFIG names. The other variables stand in for keys that
@@ -33,11 +33,11 @@
 func Load(env func(string) string) (*Config, error) {
 	path := env("ROUTER_CONFIG")
 	if path == "" {
-		return nil, Faults{{Key: "ROUTER_CONFIG", Says: "is not set"}}
+		return nil, Faults{{Key: "ROUTER_CONFIG", Problem: "is not set"}}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, Faults{{Key: "ROUTER_CONFIG", Says: err.Error()}}
+		return nil, Faults{{Key: "ROUTER_CONFIG", Problem: err.Error()}}
 	}
 	return Parse(text, env)
 }
@@ -49,8 +49,8 @@
 	top := r.object("", text)
 	limits := r.object("limits", top["limits"])
 	c := &Config{Name: or(r.text1("name", top), env("ROUTER_NAME")), Listen: or(r.text1("listen", top), env("ROUTER_LISTEN")),
-		Discovery: or(r.text1("discovery", top), env("ROUTER_DISCOVERY")), Admin: or(r.text1("admin", top), env("ROUTER_ADMIN")), Cores: 1, Memory: 192 << 20, Sockets: 1024,
-		ConnIdle: 10 * time.Second}
+		Discovery: or(r.text1("discovery", top), env("ROUTER_DISCOVERY")), Admin: or(r.text1("admin", top), env("ROUTER_ADMIN")), Cores: 1, MemoryBytes: 192 << 20, Sockets: 1024,
+		BackendIdleTimeout: 10 * time.Second}
 	for _, a := range [][2]string{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if _, _, err := net.SplitHostPort(a[1]); err != nil {
 			r.fault(a[0], "is %q, want host:port", a[1])
@@ -68,7 +68,7 @@
 		}
 	}
 	if v, ok := r.number("limits.memory_mb", limits["memory_mb"]); ok {
-		if c.Memory = int64(v * (1 << 20)); v < 16 {
+		if c.MemoryBytes = int64(v * (1 << 20)); v < 16 {
 			r.fault("limits.memory_mb", "is %v, want at least 16", v)
 		}
 	}
@@ -79,7 +79,7 @@
 	}
 	c.settings(&r, seed, top["settings"])
 	if known := top["known"]; len(known) > 0 && string(known) != "null" {
-		if c.Known, err = c.Names.ReadList(known); err != nil {
+		if c.KnownBackends, err = c.Names.ReadList(known); err != nil {
 			r.fault("known", "is %v", err)
 		}
 	}
@@ -118,7 +118,7 @@
 		if *v <= 0 {
 			r.fault("settings.Allowed.ConnIdleMs", "is %v, want more than 0", *v)
 		}
-		c.ConnIdle = millis(*v)
+		c.BackendIdleTimeout = millis(*v)
 	}
 	if c.Settings.ConnectTimeout <= 0 {
 		r.fault("settings.Allowed.ConnectTimeoutMs", "is %v, want more than 0", c.Settings.ConnectTimeout)
@@ -149,16 +149,16 @@
 // inert stands where the module wants actions and is asked for none.
 type inert struct{ balance.Actions }
 
-// Fixed names the keys that another configuration changes and that hold from the start of
+// ChangedFixedKeys names the keys that another configuration changes and that hold from the start of
 // the program to its end. What is known of backends is no such key: it is old by then.
-func (c *Config) Fixed(other *Config) (keys []string) {
+func (c *Config) ChangedFixedKeys(other *Config) (keys []string) {
 	for _, k := range []struct {
 		key  string
 		same bool
 	}{
 		{"name", c.Name == other.Name}, {"listen", c.Listen == other.Listen}, {"admin", c.Admin == other.Admin},
-		{"limits", c.Cores == other.Cores && c.Memory == other.Memory && c.Sockets == other.Sockets},
-		{"settings", c.ConnIdle == other.ConnIdle && reflect.DeepEqual(c.Names, other.Names) && sameSettings(c.Settings, other.Settings)},
+		{"limits", c.Cores == other.Cores && c.MemoryBytes == other.MemoryBytes && c.Sockets == other.Sockets},
+		{"settings", c.BackendIdleTimeout == other.BackendIdleTimeout && reflect.DeepEqual(c.Names, other.Names) && sameSettings(c.Settings, other.Settings)},
 	} {
 		if !k.same {
 			keys = append(keys, k.key)
@@ -173,8 +173,8 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// Longest is the longest deadline of a class.
-func (c *Config) Longest() time.Duration {
+// LongestDeadline is the longest deadline of a class.
+func (c *Config) LongestDeadline() time.Duration {
 	most := time.Duration(0)
 	for _, l := range c.Names.Deadlines {
 		most = max(most, l)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,13 +25,13 @@
 	assert.Equal(t, "n3", c.Name)
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), c.Settings.Seed)
 	assert.Equal(t, 0.4, c.Cores)
-	assert.Equal(t, int64(100<<20), c.Memory)
+	assert.Equal(t, int64(100<<20), c.MemoryBytes)
 	assert.Equal(t, 512, c.Sockets)
-	assert.Equal(t, 8*time.Second, c.ConnIdle)
-	assert.Equal(t, 5*time.Second, c.Longest())
-	assert.Equal(t, uint64(41), c.Known.Index)
-	assert.Equal(t, 1, c.Known.Entries[0].Kind)
-	assert.Equal(t, balance.Ready, c.Known.Entries[0].State)
+	assert.Equal(t, 8*time.Second, c.BackendIdleTimeout)
+	assert.Equal(t, 5*time.Second, c.LongestDeadline())
+	assert.Equal(t, uint64(41), c.KnownBackends.Index)
+	assert.Equal(t, 1, c.KnownBackends.Entries[0].Kind)
+	assert.Equal(t, balance.Ready, c.KnownBackends.Entries[0].State)
 	assert.Equal(t, []string{"failed_ps", "x0"}, c.Names.Columns)
 }
 
@@ -45,7 +45,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, "127.0.0.9:2", c.Admin)
 	assert.Equal(t, "127.0.0.9:1", c.Listen)
-	assert.Equal(t, []any{1.0, int64(192 << 20), 1024, 10 * time.Second}, []any{c.Cores, c.Memory, c.Sockets, c.ConnIdle})
+	assert.Equal(t, []any{1.0, int64(192 << 20), 1024, 10 * time.Second}, []any{c.Cores, c.MemoryBytes, c.Sockets, c.BackendIdleTimeout})
 }
 
 // TestFaultsNameTheKey: whoever reads the message must know what to mend.
@@ -100,6 +100,6 @@
 	} {
 		other, err := Parse([]byte(strings.Replace(good, f.from, f.to, 1)), none)
 		require.NoError(t, err)
-		assert.Equal(t, f.want, c.Fixed(other), f.to)
+		assert.Equal(t, f.want, c.ChangedFixedKeys(other), f.to)
 	}
 }
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -16,9 +16,9 @@
 // Fault is one thing that is wrong with the configuration. Line counts from 1; it is 0 where
 // no line of the file is meant.
 type Fault struct {
-	Key  string
-	Line int
-	Says string
+	Key     string
+	Line    int
+	Problem string
 }
 
 func (f Fault) Error() string {
@@ -27,9 +27,9 @@
 		where += " line " + strconv.Itoa(f.Line)
 	}
 	if f.Key == "" {
-		return where + ": " + f.Says
+		return where + ": " + f.Problem
 	}
-	return where + ": " + f.Key + " " + f.Says
+	return where + ": " + f.Key + " " + f.Problem
 }
 
 // Faults are all that was found. It is the error of Load and Parse.
@@ -52,7 +52,7 @@
 }
 
 func (r *reader) fault(key, format string, args ...any) {
-	r.faults = append(r.faults, Fault{Key: key, Line: line(r.text, key), Says: fmt.Sprintf(format, args...)})
+	r.faults = append(r.faults, Fault{Key: key, Line: line(r.text, key), Problem: fmt.Sprintf(format, args...)})
 }
 
 // object splits an object into its keys' texts; what is absent has none.
--- a/internal/config/variants_test.go
+++ b/internal/config/variants_test.go
@@ -29,8 +29,8 @@
 // TestVariants: what the two sites' settings tell is what the program goes by.
 func TestVariants(t *testing.T) {
 	c, _ := variant(t, "testdata/short.json")
-	assert.Equal(t, 900*time.Millisecond, c.Longest())
-	assert.Equal(t, 2*time.Second, c.ConnIdle)
+	assert.Equal(t, 900*time.Millisecond, c.LongestDeadline())
+	assert.Equal(t, 2*time.Second, c.BackendIdleTimeout)
 	assert.Equal(t, []bool{false, true, false, true}, c.Names.RequiresKey)
 	assert.Equal(t, balance.Class{Worth: 2, Aim: 100, Stretch: 2, Deadline: 600, Effect: balance.Deduped, Scope: balance.ScopeZone,
 		RepeatWindow: 1500, Kind: -1, Priority: 1}, c.Settings.Classes[1])
@@ -41,8 +41,8 @@
 	assert.Len(t, c.Settings.Tenants, 2)
 
 	c, _ = variant(t, "testdata/long.json")
-	assert.Equal(t, 40*time.Second, c.Longest())
-	assert.Equal(t, 20*time.Second, c.ConnIdle)
+	assert.Equal(t, 40*time.Second, c.LongestDeadline())
+	assert.Equal(t, 20*time.Second, c.BackendIdleTimeout)
 	assert.Equal(t, []bool{true, false}, c.Names.RequiresKey)
 	assert.Equal(t, balance.Millis(20_000), c.Settings.Classes[0].RepeatWindow)
 	assert.True(t, c.Settings.Subscribe && c.Settings.MayCancel && c.Settings.MayDuplicate && c.Settings.WorthByWork)
@@ -111,7 +111,7 @@
 			require.NoError(t, err)
 			got, err := Parse(changed, none)
 			counted[key] = counted[key] || err != nil || !reflect.DeepEqual(plain.Settings, got.Settings) ||
-				!reflect.DeepEqual(plain.Names, got.Names) || plain.ConnIdle != got.ConnIdle
+				!reflect.DeepEqual(plain.Names, got.Names) || plain.BackendIdleTimeout != got.BackendIdleTimeout
 		})
 	}
 	require.Greater(t, len(counted), 50)
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -77,8 +77,8 @@
 
 func begin(t *testing.T, n int, change func(*Config)) *rig {
 	r := &rig{got: make(recorder, 10_000), log: &lines{}}
-	c := Config{Scheme: "http", Service: "photo", Stale: true, MaxStale: 10 * time.Second, Wait: time.Second, Timeout: 5 * time.Second,
-		MaxBody: 64 << 10, PerSec: 1000, Entries: 1000}
+	c := Config{Scheme: "http", Service: "photo", AllowStale: true, MaxStaleness: 10 * time.Second, WaitTime: time.Second, Timeout: 5 * time.Second,
+		MaxBodyBytes: 64 << 10, CallsPerSecond: 1000, MaxEntries: 1000}
 	for range n {
 		a, err := standin.Start()
 		require.NoError(t, err)
@@ -90,8 +90,8 @@
 	if change != nil {
 		change(&c)
 	}
-	r.watch = &Watch{Config: c, Sink: r.got, Count: &Counts{}, Log: zerolog.New(r.log),
-		Fields: Fields{Kind: "kind", Zone: "zone", Group: "group", Weight: "weight", Started: "started_ms", Kinds: []string{"a", "b"}, Zones: []string{"x", "y"}}}
+	r.watch = &Watch{Config: c, Sink: r.got, Counts: &Counts{}, Log: zerolog.New(r.log),
+		Meta: MetaMapping{Kind: "kind", Zone: "zone", Group: "group", Weight: "weight", Started: "started_ms", Kinds: []string{"a", "b"}, Zones: []string{"x", "y"}}}
 	require.NoError(t, r.watch.Init())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -128,10 +128,10 @@
 		count func(*Counts) int64
 	}{
 		{"500", standin.Faults{Status: 500}, func(c *Counts) int64 { return c.Errors.Load() }},
-		{"429", standin.Faults{Status: 429}, func(c *Counts) int64 { return c.Limited.Load() }},
+		{"429", standin.Faults{Status: 429}, func(c *Counts) int64 { return c.RateLimited.Load() }},
 		{"403", standin.Faults{Status: 403}, func(c *Counts) int64 { return c.Forbidden.Load() }},
 		{"reset", standin.Faults{Reset: true}, func(c *Counts) int64 { return c.Unreachable.Load() }},
-		{"half a body", standin.Faults{Half: true}, func(c *Counts) int64 { return c.Unread.Load() }},
+		{"half a body", standin.Faults{Half: true}, func(c *Counts) int64 { return c.Unreadable.Load() }},
 		{"no leader", standin.Faults{NoLeader: true}, func(c *Counts) int64 { return c.NoLeader.Load() }},
 		{"stale", standin.Faults{Stale: time.Minute}, func(c *Counts) int64 { return c.TooStale.Load() }},
 	} {
@@ -140,7 +140,7 @@
 			r.got.until(t, "[p1=81/0]")
 			r.agents[0].Set(c.fault)
 			r.got.until(t, "failed")
-			assert.Positive(t, c.count(r.watch.Count))
+			assert.Positive(t, c.count(r.watch.Counts))
 			r.agents[0].Put(standin.Service{ID: "p2", Service: "photo", Port: 82})
 			r.agents[0].Set(standin.Faults{})
 			r.got.until(t, "[p1=81/0 p2=82/0]")
@@ -164,7 +164,7 @@
 	r := begin(t, 1, nil)
 	r.got.until(t, "[p1=81/0]")
 	r.agents[0].Set(standin.Faults{Back: 5, Empty: true})
-	for r.watch.Count.Restarted.Load() == 0 {
+	for r.watch.Counts.Restarted.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	r.agents[0].Set(standin.Faults{})
@@ -178,7 +178,7 @@
 	r.got.until(t, "[p1=81/0]")
 	r.agents[0].Close()
 	r.got.until(t, "[p1=81/0 p2=82/0]")
-	assert.Positive(t, r.watch.Count.Failover.Load())
+	assert.Positive(t, r.watch.Counts.Failovers.Load())
 }
 
 // TestBadEntries: each is refused by itself and named, and of two with one id the newer holds.
@@ -190,7 +190,7 @@
 	a.Put(standin.Service{ID: "p2", Service: "photo", Port: 82, Meta: map[string]string{"weight": "much"}})
 	a.Put(standin.Service{ID: "p3", Service: "photo", Port: 83, Meta: map[string]string{"weight": "8", "kind": "b", "zone": "y", "group": "7"}})
 	r.got.until(t, "[p1=81/0 p3=83/0]")
-	assert.Positive(t, r.watch.Count.Duplicates.Load())
+	assert.Positive(t, r.watch.Counts.Duplicates.Load())
 	for _, want := range []string{"no address", "a port that is none", "a bad id", `con\\x01trol`, "a number in its meta", "consul entry refused"} {
 		assert.Contains(t, r.log.String(), want)
 	}
@@ -198,19 +198,19 @@
 
 // TestTooLong: an answer beyond the bound is not read, and a list beyond its is cut.
 func TestTooLong(t *testing.T) {
-	r := begin(t, 1, func(c *Config) { c.MaxBody = 2000 })
+	r := begin(t, 1, func(c *Config) { c.MaxBodyBytes = 2000 })
 	r.got.until(t, "[p1=81/0]")
 	for i := range 20 {
 		r.agents[0].Put(standin.Service{ID: fmt.Sprint("x", i), Service: "photo", Port: 1})
 	}
 	r.got.until(t, "failed")
-	for r.watch.Count.Unread.Load() == 0 {
+	for r.watch.Counts.Unreadable.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	r = begin(t, 1, func(c *Config) { c.Entries = 1 })
+	r = begin(t, 1, func(c *Config) { c.MaxEntries = 1 })
 	r.agents[0].Put(standin.Service{ID: "p0", Service: "photo", Port: 80})
 	r.got.until(t, "[p0=80/0]")
-	assert.Positive(t, r.watch.Count.Refused.Load())
+	assert.Positive(t, r.watch.Counts.EntriesRefused.Load())
 }
 
 // TestToken: it is sent, and never logged.
@@ -220,14 +220,14 @@
 	r.agents[0].Token("secret-2")
 	r.got.until(t, "failed")
 	assert.NotContains(t, r.log.String(), "secret")
-	assert.Positive(t, r.watch.Count.Forbidden.Load())
+	assert.Positive(t, r.watch.Counts.Forbidden.Load())
 }
 
 // TestFields: kind, zone, group and weight come from where the settings say.
 func TestFields(t *testing.T) {
 	r := begin(t, 1, nil)
 	r.got.until(t, "[p1=81/0]")
-	f := r.watch.Fields
+	f := r.watch.Meta
 	agents, err := r.watch.Config.agents()
 	require.NoError(t, err)
 	r.agents[0].Put(standin.Service{ID: "p3", Service: "photo", Port: 83, Weights: standin.Weights{Passing: 10, Warning: 2},
@@ -254,8 +254,8 @@
 	a, err := standin.Start()
 	require.NoError(t, err)
 	defer a.Close()
-	r := &Registration{Config: Config{Addresses: []string{a.Address}, Scheme: "http", MaxBody: 1 << 20}, Name: "tinsail", ID: "tinsail-1",
-		Address: "127.0.0.1:8081", TTL: 60 * time.Millisecond, HTTP: http}
+	r := &Registration{Config: Config{Addresses: []string{a.Address}, Scheme: "http", MaxBodyBytes: 1 << 20}, Name: "tinsail", ID: "tinsail-1",
+		Address: "127.0.0.1:8081", TTL: 60 * time.Millisecond, HTTPCheck: http}
 	require.NoError(t, r.Init())
 	r.Start()
 	state := func(want string) {
@@ -268,11 +268,11 @@
 	state(up)
 	a.Forget()
 	state(up)
-	r.Drain()
+	r.EnterMaintenance()
 	state("maintenance")
 	a.Forget()
 	state("maintenance")
-	r.End()
+	r.Deregister()
 	state("")
 }
 
@@ -282,7 +282,7 @@
 	f.Add("", "", -1, "NaN", "1e99")
 	f.Fuzz(func(t *testing.T, id, address string, port int, weight, group string) {
 		a := entry(id, address, port, map[string]string{"weight": weight, "group": group})
-		fields := Fields{Weight: "weight", Group: "group"}
+		fields := MetaMapping{Weight: "weight", Group: "group"}
 		b, why := fields.backend(a)
 		if why == "" {
 			assert.NotEmpty(t, b.Name)
--- a/internal/consul/entries.go
+++ b/internal/consul/entries.go
@@ -15,9 +15,9 @@
 	"tinsail/internal/membership"
 )
 
-// Fields say where an instance's meta holds what Consul has no field for, and which numbers the
+// MetaMapping say where an instance's meta holds what Consul has no field for, and which numbers the
 // names stand for. A name that is not known, or no name, stands for the first.
-type Fields struct {
+type MetaMapping struct {
 	Kind, Zone, Group, Weight, Started string // keys of Service.Meta; empty if there is none
 	Kinds, Zones                       []string
 }
@@ -32,8 +32,8 @@
 // read turns an answer into backends. An entry that cannot be used is refused by itself, named in
 // the log and counted; the rest holds.
 func (w *Watch) read(list []*api.ServiceEntry) []membership.Backend {
-	if n := w.Config.Entries; n > 0 && len(list) > n {
-		w.Count.Refused.Add(int64(len(list) - n))
+	if n := w.Config.MaxEntries; n > 0 && len(list) > n {
+		w.Counts.EntriesRefused.Add(int64(len(list) - n))
 		w.Log.Warn().Int("entries", len(list)).Int("most", n).Msg("consul list too long")
 		list = list[:n]
 	}
@@ -41,9 +41,9 @@
 	seen := make(map[string]int, len(list))
 	index := make([]uint64, 0, len(list))
 	for _, e := range list {
-		b, why := w.Fields.backend(e)
+		b, why := w.Meta.backend(e)
 		if why != "" {
-			w.Count.Refused.Add(1)
+			w.Counts.EntriesRefused.Add(1)
 			id := ""
 			if e != nil && e.Service != nil {
 				id = e.Service.ID
@@ -52,7 +52,7 @@
 			continue
 		}
 		if at, ok := seen[b.Name]; ok { // agents that disagree, or a node that moved: the newer one holds
-			w.Count.Duplicates.Add(1)
+			w.Counts.Duplicates.Add(1)
 			if e.Service.ModifyIndex > index[at] {
 				out[at], index[at] = b, e.Service.ModifyIndex
 			}
@@ -67,7 +67,7 @@
 const maxName = 256
 
 // backend reads one entry, or says why it cannot be used.
-func (f *Fields) backend(e *api.ServiceEntry) (b membership.Backend, why string) {
+func (f *MetaMapping) backend(e *api.ServiceEntry) (b membership.Backend, why string) {
 	if e == nil || e.Service == nil {
 		return b, "no service"
 	}
--- a/internal/consul/register.go
+++ b/internal/consul/register.go
@@ -15,13 +15,13 @@
 // time or an HTTP check that the agent makes, taken up again when the agent has forgotten it, put into maintenance when a drain begins,
 // and dropped at the end.
 type Registration struct {
-	Config  Config // addresses, scheme, token and TLS; the rest is not used
-	Name    string // of the service
-	ID      string // of this instance
-	Address string // host:port, where clients reach it
-	TTL     time.Duration
-	HTTP    bool // the agent asks /health/ready at Address; else a TTL check is passed from here
-	Log     zerolog.Logger
+	Config    Config // addresses, scheme, token and TLS; the rest is not used
+	Name      string // of the service
+	ID        string // of this instance
+	Address   string // host:port, where clients reach it
+	TTL       time.Duration
+	HTTPCheck bool // the agent asks /health/ready at Address; else a TTL check is passed from here
+	Log       zerolog.Logger
 
 	agents []*api.Client
 	mu     sync.Mutex
@@ -60,7 +60,7 @@
 			}
 			switch {
 			case err != nil:
-			case r.HTTP: // only whether the agent still knows it
+			case r.HTTPCheck: // only whether the agent still knows it
 				_, _, err = agent.Service(r.ID, q)
 			default:
 				err = agent.UpdateTTLOpts("service:"+r.ID, "", api.HealthPassing, q)
@@ -93,7 +93,7 @@
 		return err
 	}
 	check := &api.AgentServiceCheck{CheckID: "service:" + r.ID, DeregisterCriticalServiceAfter: max(20*r.TTL, time.Minute).String()}
-	if r.HTTP {
+	if r.HTTPCheck {
 		check.HTTP, check.Interval = "http://"+r.Address+"/health/ready", r.TTL.String()
 	} else {
 		check.TTL = r.TTL.String()
@@ -102,17 +102,17 @@
 		api.ServiceRegisterOpts{}.WithContext(ctx))
 }
 
-// Drain puts the instance into maintenance, at every agent that can be reached: the one that has
+// EnterMaintenance puts the instance into maintenance, at every agent that can be reached: the one that has
 // it knows it. It returns within a second.
-func (r *Registration) Drain() {
+func (r *Registration) EnterMaintenance() {
 	r.mu.Lock()
 	r.maint = true
 	r.mu.Unlock()
 	r.all(func(a *api.Agent, q *api.QueryOptions) error { return a.EnableServiceMaintenanceOpts(r.ID, "drain", q) })
 }
 
-// End drops the instance and ends what Start began.
-func (r *Registration) End() {
+// Deregister drops the instance and ends what Start began.
+func (r *Registration) Deregister() {
 	r.stop()
 	<-r.done
 	r.all(func(a *api.Agent, q *api.QueryOptions) error { return a.ServiceDeregisterOpts(r.ID, q) })
--- a/internal/consul/watch.go
+++ b/internal/consul/watch.go
@@ -33,20 +33,20 @@
 	Token, TokenFile string // an ACL token, or the file that holds it; never logged
 	TLS              api.TLSConfig
 
-	Stale    bool          // any server may answer, not the leader alone
-	MaxStale time.Duration // of an answer; one that is older is not believed
-	Wait     time.Duration // of a blocking query
-	Timeout  time.Duration // beyond Wait
-	MaxBody  int64         // bytes of an answer
-	PerSec   float64       // calls a second, at most
-	Entries  int           // instances of an answer, at most; the rest is refused
+	AllowStale     bool          // any server may answer, not the leader alone
+	MaxStaleness   time.Duration // of an answer; one that is older is not believed
+	WaitTime       time.Duration // of a blocking query
+	Timeout        time.Duration // beyond Wait
+	MaxBodyBytes   int64         // bytes of an answer
+	CallsPerSecond float64       // calls a second, at most
+	MaxEntries     int           // instances of an answer, at most; the rest is refused
 }
 
 // Counts are what a watch has seen.
 type Counts struct {
-	Calls, Lists, Same, Restarted                     atomic.Int64
-	Forbidden, Limited, Errors, Unreachable, Unread   atomic.Int64 // 403, 429, other statuses, no answer, no JSON or too long
-	NoLeader, TooStale, Refused, Duplicates, Failover atomic.Int64
+	Calls, Lists, Unchanged, Restarted                        atomic.Int64
+	Forbidden, RateLimited, Errors, Unreachable, Unreadable   atomic.Int64 // 403, 429, other statuses, no answer, no JSON or too long
+	NoLeader, TooStale, EntriesRefused, Duplicates, Failovers atomic.Int64
 }
 
 // Each calls f for every counter.
@@ -55,10 +55,10 @@
 		name string
 		n    *atomic.Int64
 	}{
-		{"calls", &c.Calls}, {"lists", &c.Lists}, {"same", &c.Same}, {"restarted", &c.Restarted}, {"forbidden", &c.Forbidden},
-		{"limited", &c.Limited}, {"errors", &c.Errors}, {"unreachable", &c.Unreachable}, {"unread", &c.Unread},
-		{"no_leader", &c.NoLeader}, {"too_stale", &c.TooStale}, {"entries_refused", &c.Refused},
-		{"entries_double", &c.Duplicates}, {"failovers", &c.Failover},
+		{"calls", &c.Calls}, {"lists", &c.Lists}, {"same", &c.Unchanged}, {"restarted", &c.Restarted}, {"forbidden", &c.Forbidden},
+		{"limited", &c.RateLimited}, {"errors", &c.Errors}, {"unreachable", &c.Unreachable}, {"unread", &c.Unreadable},
+		{"no_leader", &c.NoLeader}, {"too_stale", &c.TooStale}, {"entries_refused", &c.EntriesRefused},
+		{"entries_double", &c.Duplicates}, {"failovers", &c.Failovers},
 	} {
 		f("consul_"+x.name, x.n.Load())
 	}
@@ -74,9 +74,9 @@
 // Watch follows one service.
 type Watch struct {
 	Config Config
-	Fields Fields
+	Meta   MetaMapping
 	Sink   Sink
-	Count  *Counts
+	Counts *Counts
 	Log    zerolog.Logger
 
 	agents []*api.Client
@@ -127,7 +127,7 @@
 			transport.TLSClientConfig = tls
 		}
 		client, err := api.NewClient(&api.Config{Address: address, Scheme: c.Scheme, Datacenter: c.Datacenter, Namespace: c.Namespace,
-			Partition: c.Partition, Token: c.Token, TokenFile: c.TokenFile, HttpClient: &http.Client{Transport: bounded{transport, c.MaxBody}}})
+			Partition: c.Partition, Token: c.Token, TokenFile: c.TokenFile, HttpClient: &http.Client{Transport: bounded{transport, c.MaxBodyBytes}}})
 		if err != nil {
 			return nil, fmt.Errorf("consul: %s: %w", address, err)
 		}
@@ -142,7 +142,7 @@
 // Init checks the configuration. It must be called before Run.
 func (w *Watch) Init() (err error) {
 	w.agents, err = w.Config.agents()
-	w.limit = rate.NewLimiter(rate.Limit(w.Config.PerSec), max(1, int(w.Config.PerSec)))
+	w.limit = rate.NewLimiter(rate.Limit(w.Config.CallsPerSecond), max(1, int(w.Config.CallsPerSecond)))
 	return err
 }
 
@@ -170,7 +170,7 @@
 		w.Log.Warn().Str("agent", w.Config.Addresses[at]).Err(err).Msg("consul call failed")
 		if index = 0; len(w.agents) > 1 { // another agent's index is another's
 			at = (at + 1) % len(w.agents)
-			w.Count.Failover.Add(1)
+			w.Counts.Failovers.Add(1)
 		}
 		select {
 		case <-time.After(pause/2 + rand.N(pause/2)):
@@ -184,31 +184,31 @@
 // ask makes one call and hands on what it brought. It returns the index for the next one.
 func (w *Watch) ask(ctx context.Context, agent *api.Client, index uint64) (uint64, error) {
 	c := &w.Config
-	q := &api.QueryOptions{WaitIndex: index, WaitTime: c.Wait, AllowStale: c.Stale, RequireConsistent: !c.Stale, Filter: c.Filter}
+	q := &api.QueryOptions{WaitIndex: index, WaitTime: c.WaitTime, AllowStale: c.AllowStale, RequireConsistent: !c.AllowStale, Filter: c.Filter}
 	// The agent adds up to a sixteenth to a wait, by chance.
-	ctx, cancel := context.WithTimeout(ctx, c.Wait+c.Wait/16+c.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, c.WaitTime+c.WaitTime/16+c.Timeout)
 	defer cancel()
-	w.Count.Calls.Add(1)
+	w.Counts.Calls.Add(1)
 	list, meta, err := agent.Health().ServiceMultipleTags(c.Service, c.Tags, false, q.WithContext(ctx))
 	if err != nil {
 		return 0, w.blame(err)
 	}
 	switch {
 	case !meta.KnownLeader: // what it knows may be long past
-		w.Count.NoLeader.Add(1)
+		w.Counts.NoLeader.Add(1)
 		return 0, errors.New("the agent knows no leader")
-	case c.MaxStale > 0 && meta.LastContact > c.MaxStale:
-		w.Count.TooStale.Add(1)
+	case c.MaxStaleness > 0 && meta.LastContact > c.MaxStaleness:
+		w.Counts.TooStale.Add(1)
 		return 0, fmt.Errorf("the answer is %v old", meta.LastContact)
 	case meta.LastIndex < index: // a leader was lost, or the agent's data: start anew, believe nothing of this
-		w.Count.Restarted.Add(1)
+		w.Counts.Restarted.Add(1)
 		return 0, nil
 	case meta.LastIndex == index && index != 0: // the wait was over, or something else changed
-		w.Count.Same.Add(1)
+		w.Counts.Unchanged.Add(1)
 		w.Sink.Unchanged()
 		return index, nil
 	}
-	w.Count.Lists.Add(1)
+	w.Counts.Lists.Add(1)
 	w.Sink.ReplaceAll(w.read(list))
 	return max(meta.LastIndex, 1), nil // 0 would not wait
 }
@@ -220,18 +220,18 @@
 	case errors.As(err, &status):
 		switch status.Code {
 		case http.StatusForbidden:
-			w.Count.Forbidden.Add(1)
+			w.Counts.Forbidden.Add(1)
 			return errors.New("403: the ACL token does not allow it")
 		case http.StatusTooManyRequests:
-			w.Count.Limited.Add(1)
+			w.Counts.RateLimited.Add(1)
 			return errors.New("429: the agent's limit on calls")
 		}
-		w.Count.Errors.Add(1)
+		w.Counts.Errors.Add(1)
 		return fmt.Errorf("status %d", status.Code)
 	case errors.Is(err, errTooLong), isJSON(err):
-		w.Count.Unread.Add(1)
+		w.Counts.Unreadable.Add(1)
 	default:
-		w.Count.Unreachable.Add(1)
+		w.Counts.Unreachable.Add(1)
 	}
 	return err
 }
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -11,12 +11,12 @@
 	"tinsail/internal/platform"
 )
 
-// Op is what a call asks for.
-type Op uint8
+// Operation is what a call asks for.
+type Operation uint8
 
 // Calls.
 const (
-	Ready Op = iota
+	Ready Operation = iota
 	Offline
 	Online
 	OutOfService
@@ -27,19 +27,19 @@
 
 var opNames = [ops]string{"ready", "offline", "online", "out_of_service", "in_service", "metrics"}
 
-func (o Op) String() string { return opNames[o] }
+func (o Operation) String() string { return opNames[o] }
 
 // Call is one call. Backend is set for Offline and Online.
 type Call struct {
-	Op      Op
-	Backend string
+	Operation Operation
+	Backend   string
 }
 
 // Bounds on what a caller may send. No call needs a body; a short one is read and left aside,
 // since some callers send one with every POST.
 const (
-	MaxBody = 1 << 10
-	MaxID   = 256
+	MaxBody      = 1 << 10
+	MaxBackendID = 256
 )
 
 // Refusal is why there is no call: the status of the answer, and for 405 what is allowed.
@@ -51,15 +51,15 @@
 
 func (r *Refusal) Error() string { return r.Reason }
 
-// Caller is one connection's calls. It hands out one and no more.
-type Caller struct {
+// Parser is one connection's calls. It hands out one and no more.
+type Parser struct {
 	in   platform.RequestParser
 	done bool
 }
 
-// NewCaller makes a machine for a connection.
-func NewCaller() *Caller {
-	c := &Caller{}
+// NewParser makes a machine for a connection.
+func NewParser() *Parser {
+	c := &Parser{}
 	c.in.Admit = func(n int) error {
 		if n > MaxBody {
 			return &platform.RequestError{Status: 413, Reason: "the body is too long: no call needs one"}
@@ -70,17 +70,17 @@
 }
 
 // Space is where the next bytes are to be read, Filled tells how many were.
-func (c *Caller) Space() []byte { return c.in.Space() }
+func (c *Parser) Space() []byte { return c.in.Space() }
 
 // Filled tells that n bytes have been read into Space.
-func (c *Caller) Filled(n int) { c.in.Filled(n) }
+func (c *Parser) Filled(n int) { c.in.Filled(n) }
 
-// Waste is space for bytes that nobody will read.
-func (c *Caller) Waste() []byte { return c.in.DiscardSpace() }
+// DiscardSpace is space for bytes that nobody will read.
+func (c *Parser) DiscardSpace() []byte { return c.in.DiscardSpace() }
 
 // Next returns the call once it is whole; ok is false while more bytes are due. The error is a
 // *Refusal. What comes behind the call is never looked at.
-func (c *Caller) Next() (call Call, ok bool, err error) {
+func (c *Parser) Next() (call Call, ok bool, err error) {
 	if c.done {
 		return Call{}, false, &Refusal{Status: 400, Reason: "one call to a connection"}
 	}
@@ -95,19 +95,19 @@
 		return Call{}, false, nil
 	}
 	c.done = true
-	if call, err = Read(q.Method, q.Path()); err != nil {
+	if call, err = ParseCall(q.Method, q.Path()); err != nil {
 		return Call{}, false, err
 	}
 	return call, true, nil
 }
 
-// Begun says whether the caller has sent anything.
-func (c *Caller) Begun() bool { return c.in.Partial() }
+// HasInput says whether the caller has sent anything.
+func (c *Parser) HasInput() bool { return c.in.Partial() }
 
 // plain are the calls that name nothing.
 var plain = map[string]struct {
 	method string
-	op     Op
+	op     Operation
 }{
 	"/control/ready":          {"GET", Ready},
 	"/control/out-of-service": {"POST", OutOfService},
@@ -118,12 +118,12 @@
 // prefix is of the calls that name a backend.
 const prefix = "/control/photo-workers/"
 
-// Read makes a call of a method and a path. The error is a *Refusal.
-func Read(method, path string) (Call, error) {
+// ParseCall makes a call of a method and a path. The error is a *Refusal.
+func ParseCall(method, path string) (Call, error) {
 	unknown := &Refusal{Status: 404, Reason: "no such call"}
 	call, want := Call{}, "POST"
 	if p, ok := plain[path]; ok {
-		call.Op, want = p.op, p.method
+		call.Operation, want = p.op, p.method
 	} else {
 		rest, ok := strings.CutPrefix(path, prefix)
 		id, verb, ok2 := strings.Cut(rest, "/")
@@ -132,9 +132,9 @@
 		}
 		switch verb {
 		case "offline":
-			call.Op = Offline
+			call.Operation = Offline
 		case "online":
-			call.Op = Online
+			call.Operation = Online
 		default:
 			return Call{}, unknown
 		}
@@ -142,7 +142,7 @@
 		if err != nil {
 			return Call{}, &Refusal{Status: 400, Reason: "an id that cannot be decoded"}
 		}
-		if name == "" || len(name) > MaxID {
+		if name == "" || len(name) > MaxBackendID {
 			return Call{}, &Refusal{Status: 404, Reason: "no backend has such an id"}
 		}
 		call.Backend = name
@@ -153,14 +153,14 @@
 	return call, nil
 }
 
-// Path is a call's method and path, percent-coded, for those who make it.
-func (c Call) Path() (method, path string) {
-	switch c.Op {
+// MethodAndPath is a call's method and path, percent-coded, for those who make it.
+func (c Call) MethodAndPath() (method, path string) {
+	switch c.Operation {
 	case Offline, Online:
-		return "POST", prefix + url.PathEscape(c.Backend) + "/" + c.Op.String()
+		return "POST", prefix + url.PathEscape(c.Backend) + "/" + c.Operation.String()
 	}
 	for path, p := range plain {
-		if p.op == c.Op {
+		if p.op == c.Operation {
 			return p.method, path
 		}
 	}
--- a/internal/door/door_test.go
+++ b/internal/door/door_test.go
@@ -12,7 +12,7 @@
 
 // play feeds bytes in pieces of a size and says what the machine made of them.
 func play(text string, size int) string {
-	c := NewCaller()
+	c := NewParser()
 	for {
 		call, ok, err := c.Next()
 		var no *Refusal
@@ -20,7 +20,7 @@
 		case errors.As(err, &no):
 			return strings.TrimSpace(fmt.Sprint(no.Status, " ", no.Allow))
 		case ok:
-			return strings.TrimSpace(call.Op.String() + " " + call.Backend)
+			return strings.TrimSpace(call.Operation.String() + " " + call.Backend)
 		case text == "":
 			return "more"
 		}
@@ -67,11 +67,11 @@
 func TestPath(t *testing.T) {
 	for op := range ops {
 		for _, id := range []string{"s-1", "a/b c%2f?#", "é\x00"} {
-			c := Call{Op: op}
+			c := Call{Operation: op}
 			if op == Offline || op == Online {
 				c.Backend = id
 			}
-			got, err := Read(c.Path())
+			got, err := ParseCall(c.MethodAndPath())
 			require.NoError(t, err)
 			assert.Equal(t, c, got)
 		}
--- a/internal/fleet/slices/choose.go
+++ b/internal/fleet/slices/choose.go
@@ -2,23 +2,23 @@
 
 import "math"
 
-// Choice is how a device is chosen among those that fit; docs/design/slices.md has them measured.
-type Choice uint8
+// Strategy is how a device is chosen among those that fit; docs/design/slices.md has them measured.
+type Strategy uint8
 
 // The choices.
 const (
-	FirstFit Choice = iota // the first device, in the order in which they came
-	BestFit                // the fewest parts left
-	Dot                    // the demand that points most as the room does (cosine)
-	Gradient               // the unusable remainder for the typical mix grows least
-	Pattern                // what no combination of the typical mix can use grows least, then as Gradient
+	FirstFit   Strategy = iota // the first device, in the order in which they came
+	BestFit                    // the fewest parts left
+	DotProduct                 // the demand that points most as the room does (cosine)
+	Gradient                   // the unusable remainder for the typical mix grows least
+	Pattern                    // what no combination of the typical mix can use grows least, then as Gradient
 )
 
 // gradientPart is how much of Gradient's score counts beside Pattern's own; above 0.3 the figures get worse.
 const gradientPart = 0.1
 
-// Typical is one kind of demand in the mix that the fleet expects, and how often it comes (any unit).
-type Typical struct {
+// TypicalDemand is one kind of demand in the mix that the fleet expects, and how often it comes (any unit).
+type TypicalDemand struct {
 	Demand Demand
 	Weight float64
 }
@@ -33,7 +33,7 @@
 		}
 		return nil, Amount{}
 	}
-	t.fuel = MaxFuel
+	t.fuel = MaxWasteEvaluations
 	charges := t.charges[:0]
 	for i := range t.classes {
 		a, why := t.classes[i].charge(d)
@@ -63,10 +63,10 @@
 	for i := range x.list {
 		b := &x.list[i]
 		a := charges[b.class]
-		if a.Parts < 0 || !b.free.holds(a) || d.Isolation == Whole && !b.empty {
+		if a.Parts < 0 || !b.free.holds(a) || d.Isolation == Exclusive && !b.empty {
 			continue
 		}
-		if d.Isolation == Tenant && !b.empty && !b.sole {
+		if d.Isolation == SharedWithTenant && !b.empty && !b.sole {
 			continue
 		}
 		if s := t.score(b, a, least); s < least {
@@ -81,7 +81,7 @@
 	c := &t.classes[b.class]
 	left := b.free.minus(a)
 	switch t.choice {
-	case Dot:
+	case DotProduct:
 		p, m := float64(c.size.Parts), float64(c.size.Memory)
 		x, y := float64(b.free.Parts)/p, float64(b.free.Memory)/m
 		u, v := float64(a.Parts)/p, float64(a.Memory)/m
@@ -113,7 +113,7 @@
 		w := t.mix[i].Weight
 		all += w
 		a := c.typical[i]
-		if a.Parts == 0 || !free.holds(a) || t.mix[i].Demand.Isolation == Whole && !empty {
+		if a.Parts == 0 || !free.holds(a) || t.mix[i].Demand.Isolation == Exclusive && !empty {
 			sum += w
 		}
 	}
@@ -134,12 +134,12 @@
 	return sum, devices
 }
 
-// MaxFuel bounds the rooms whose waste is worked out for one demand, against a mix of very small demands: above
+// MaxWasteEvaluations bounds the rooms whose waste is worked out for one demand, against a mix of very small demands: above
 // it a room's waste is taken for what the combinations tried so far leave.
-const MaxFuel = 4096
+const MaxWasteEvaluations = 4096
 
-// MaxPatterns bounds the rooms whose waste is remembered, for each class; above it they are begun anew.
-const MaxPatterns = 1 << 16
+// MaxCachedWastes bounds the rooms whose waste is remembered, for each class; above it they are begun anew.
+const MaxCachedWastes = 1 << 16
 
 // waste is the least part of a device's room (0 to 1, of both dimensions' mean) that is left over by any
 // combination of the typical mix.
@@ -162,7 +162,7 @@
 	if t.fuel <= 0 {
 		return best // not remembered: it may be too high
 	}
-	if len(c.wastes) >= MaxPatterns {
+	if len(c.wastes) >= MaxCachedWastes {
 		clear(c.wastes)
 	}
 	c.wastes[free] = best
--- a/internal/fleet/slices/fit.go
+++ b/internal/fleet/slices/fit.go
@@ -16,13 +16,13 @@
 	if d.Zone != "" && d.Zone != c.zone {
 		return a, "zone"
 	}
-	if d.Isolation == Whole {
+	if d.Isolation == Exclusive {
 		if !c.size.holds(d.Size) {
 			return a, c.short(d)
 		}
 		return c.size, ""
 	}
-	if d.Isolation == Own && len(c.profiles) == 0 {
+	if d.Isolation == Partitioned && len(c.profiles) == 0 {
 		return a, "isolation: no fixed profiles"
 	}
 	if !c.size.holds(d.Size) {
@@ -73,7 +73,7 @@
 	if why != "" {
 		return a, why
 	}
-	if len(v.slices) >= t.limits.Slices {
+	if len(v.slices) >= t.limits.MaxSlices {
 		return a, "slices a device"
 	}
 	mine := false
@@ -84,7 +84,7 @@
 			return a, "isolation"
 		}
 	}
-	if !mine && len(v.tenants) >= t.limits.Tenants {
+	if !mine && len(v.tenants) >= t.limits.MaxTenants {
 		return a, "tenants a device"
 	}
 	if !v.free(t).holds(a) {
@@ -102,14 +102,14 @@
 // never is why no device known could ever hold the demand; "" if one could. Of several reasons it names
 // that of the device which came nearest, by the order of the checks.
 func (t *Table) never(d *Demand) string {
-	if d.ID == "" || len(d.ID) > MaxName || len(d.Tenant) > MaxName {
+	if d.ID == "" || len(d.ID) > MaxNameBytes || len(d.Tenant) > MaxNameBytes {
 		return "id or tenant: length"
 	}
-	if d.Size.Parts < 1 || d.Size.Memory < 1 || d.Size.Parts > MaxParts || d.Size.Memory > MaxMemory || d.Isolation > Whole {
+	if d.Size.Parts < 1 || d.Size.Memory < 1 || d.Size.Parts > MaxParts || d.Size.Memory > MaxMemory || d.Isolation > Exclusive {
 		return "demand out of range"
 	}
-	if d.Lifetime <= 0 || d.Lifetime > t.limits.Lifetime {
-		return fmt.Sprintf("lifetime: %v, above 0 and at most %v", d.Lifetime, t.limits.Lifetime)
+	if d.Lifetime <= 0 || d.Lifetime > t.limits.MaxLifetime {
+		return fmt.Sprintf("lifetime: %v, above 0 and at most %v", d.Lifetime, t.limits.MaxLifetime)
 	}
 	nearest, rank := "no device", -1
 	for i := range t.classes {
--- a/internal/fleet/slices/index.go
+++ b/internal/fleet/slices/index.go
@@ -50,22 +50,22 @@
 		}
 	}
 	v.members = v.members[:0]
-	if t.choice == FirstFit || !v.ready || v.keptFor != nil || len(v.slices) >= t.limits.Slices {
+	if t.choice == FirstFit || !v.ready || v.keptFor != nil || len(v.slices) >= t.limits.MaxSlices {
 		return
 	}
 	locked := false
 	for _, s := range v.slices {
-		if s.demand.Isolation == Whole {
+		if s.demand.Isolation == Exclusive {
 			return
 		}
-		locked = locked || s.demand.Isolation == Tenant
+		locked = locked || s.demand.Isolation == SharedWithTenant
 	}
 	free := v.free(t)
 	if free.Parts <= 0 || free.Memory <= 0 {
 		return
 	}
 	sh := shape{class: v.class, free: free, empty: len(v.slices) == 0}
-	full := len(v.tenants) >= t.limits.Tenants
+	full := len(v.tenants) >= t.limits.MaxTenants
 	if !locked && !full {
 		t.add(t.open, v, sh)
 	}
@@ -88,7 +88,7 @@
 		b = &bucket{shape: sh, at: len(x.list)}
 		e := entry{shape: sh, unusable: t.unusable(&t.classes[sh.class], sh.free, sh.empty), bucket: b}
 		if t.choice == Pattern {
-			t.fuel = MaxFuel
+			t.fuel = MaxWasteEvaluations
 			e.waste = t.waste(&t.classes[sh.class], sh.free)
 		}
 		x.byShape[sh] = b
--- a/internal/fleet/slices/owner.go
+++ b/internal/fleet/slices/owner.go
@@ -5,8 +5,8 @@
 // Lease bounds the time in which an owner may decide on a group's devices, as docs/design/accord.md has it: the
 // lessee counts from its own time of asking and stops first.
 type Lease struct {
-	Length time.Duration // as the granting side counts it, from its answer
-	Drift  float64       // clocks run at rates within 1±Drift
+	Duration time.Duration // as the granting side counts it, from its answer
+	Drift    float64       // clocks run at rates within 1±Drift
 }
 
 // Owner says for one dispatcher which groups of devices it may decide on, and under which term. Its times
@@ -25,8 +25,8 @@
 	until time.Duration
 }
 
-// MaxAsks bounds the asks of one group that are remembered; an answer to an older one grants nothing.
-const MaxAsks = 8
+// MaxPendingRequests bounds the asks of one group that are remembered; an answer to an older one grants nothing.
+const MaxPendingRequests = 8
 
 // NewOwner makes an owner of nothing.
 func NewOwner(l Lease) *Owner { return &Owner{lease: l, groups: map[string]*tenure{}} }
@@ -40,75 +40,75 @@
 	return g
 }
 
-// Ask notes the time of an ask for a group's lease and returns its number, which the answer repeats. anew: the
+// NewRequest notes the time of an ask for a group's lease and returns its number, which the answer repeats. anew: the
 // owner has no Table for it, and only a new term lets it begin one.
-func (o *Owner) Ask(now time.Duration, group string) (seq uint64, anew bool) {
+func (o *Owner) NewRequest(now time.Duration, group string) (seq uint64, anew bool) {
 	g := o.of(group)
-	o.Check(now, group)
+	o.CheckLease(now, group)
 	g.seq++
 	g.asked[g.seq] = now
-	delete(g.asked, g.seq-MaxAsks)
+	delete(g.asked, g.seq-MaxPendingRequests)
 	return g.seq, !g.mine
 }
 
-// Turn is what the caller has to do about a group's Table.
-type Turn uint8
+// OwnershipChange is what the caller has to do about a group's Table.
+type OwnershipChange uint8
 
 // The turns.
 const (
-	Same  Turn = iota
-	Begun      // make a new Table, and Take the group's devices under the term
-	Gone       // throw the Table away
+	Unchanged OwnershipChange = iota
+	Acquired                  // make a new Table, and Take the group's devices under the term
+	LeaseLost                 // throw the Table away
 )
 
-// Granted is an answer of the log's leader: the lease of this term, for the ask of this number. A grant of a term
+// HandleGrant is an answer of the log's leader: the lease of this term, for the ask of this number. A grant of a term
 // below one that was heard of is a deposed owner's and changes nothing.
-func (o *Owner) Granted(now time.Duration, group string, seq, term uint64) Turn {
+func (o *Owner) HandleGrant(now time.Duration, group string, seq, term uint64) OwnershipChange {
 	g := o.of(group)
 	at, known := g.asked[seq]
 	if !known || term < g.term || term == 0 {
-		return o.Check(now, group)
+		return o.CheckLease(now, group)
 	}
 	delete(g.asked, seq)
-	until := at + time.Duration(float64(o.lease.Length)*(1-o.lease.Drift)/(1+o.lease.Drift))
+	until := at + time.Duration(float64(o.lease.Duration)*(1-o.lease.Drift)/(1+o.lease.Drift))
 	if until <= now {
-		return o.Check(now, group)
+		return o.CheckLease(now, group)
 	}
 	if term > g.term || !g.mine {
 		if term == g.term { // it was lost or given up: only a higher term begins it anew
-			return Same
+			return Unchanged
 		}
 		g.term, g.mine, g.until = term, true, until
-		return Begun
+		return Acquired
 	}
 	g.until = max(g.until, until)
-	return Same
+	return Unchanged
 }
 
-// Heard is word of a term from anywhere, above all a backend that refused a lower one.
-func (o *Owner) Heard(now time.Duration, group string, term uint64) Turn {
+// ObserveTerm is word of a term from anywhere, above all a backend that refused a lower one.
+func (o *Owner) ObserveTerm(now time.Duration, group string, term uint64) OwnershipChange {
 	g := o.of(group)
 	if term > g.term {
 		g.term = term
 		if g.mine {
 			g.mine = false
-			return Gone
+			return LeaseLost
 		}
 	}
-	return o.Check(now, group)
+	return o.CheckLease(now, group)
 }
 
-// Check says whether the lease has run out; to be called at Until and on waking.
-func (o *Owner) Check(now time.Duration, group string) Turn {
+// CheckLease says whether the lease has run out; to be called at Until and on waking.
+func (o *Owner) CheckLease(now time.Duration, group string) OwnershipChange {
 	if g := o.groups[group]; g != nil && g.mine && now >= g.until {
 		g.mine = false
-		return Gone
+		return LeaseLost
 	}
-	return Same
+	return Unchanged
 }
 
-// May says whether a message may be sent for the group now, and under which term.
-func (o *Owner) May(now time.Duration, group string) (term uint64, may bool) {
+// MaySend says whether a message may be sent for the group now, and under which term.
+func (o *Owner) MaySend(now time.Duration, group string) (term uint64, may bool) {
 	g := o.groups[group]
 	if g == nil || !g.mine || now >= g.until {
 		return 0, false
@@ -116,18 +116,18 @@
 	return g.term, true
 }
 
-// Until is when the lease of the group runs out by the owner's clock; 0 if it has none.
-func (o *Owner) Until(group string) time.Duration {
+// LeaseEnd is when the lease of the group runs out by the owner's clock; 0 if it has none.
+func (o *Owner) LeaseEnd(group string) time.Duration {
 	if g := o.groups[group]; g != nil && g.mine {
 		return g.until
 	}
 	return 0
 }
 
-// Grants is the granting side for one group: it is applied in the order of the majority log, so that terms only
+// Grantor is the granting side for one group: it is applied in the order of the majority log, so that terms only
 // grow and no two dispatchers have one at a time. A new leader that does not know which leases were granted
 // grants nothing for Quiet.
-type Grants struct {
+type Grantor struct {
 	lease  Lease
 	term   uint64
 	holder string
@@ -135,19 +135,19 @@
 	quiet  time.Duration
 }
 
-// NewGrants goes on from the last term that the log has, at the leader's start.
-func NewGrants(l Lease, term uint64, now time.Duration) *Grants {
-	return &Grants{lease: l, term: term, quiet: now + Quiet(l)}
+// NewGrantor goes on from the last term that the log has, at the leader's start.
+func NewGrantor(l Lease, term uint64, now time.Duration) *Grantor {
+	return &Grantor{lease: l, term: term, quiet: now + QuietPeriod(l)}
 }
 
-// Quiet is for how long a new leader grants no lease to anyone, by its own clock.
-func Quiet(l Lease) time.Duration {
-	return time.Duration(float64(l.Length)*(1+l.Drift)/(1-l.Drift)) + 1
+// QuietPeriod is for how long a new leader grants no lease to anyone, by its own clock.
+func QuietPeriod(l Lease) time.Duration {
+	return time.Duration(float64(l.Duration)*(1+l.Drift)/(1-l.Drift)) + 1
 }
 
-// Take is an ask for the lease at the leader's time now. anew is the ask's. fresh: a new term, which has to be in the log before
+// HandleRequest is an ask for the lease at the leader's time now. anew is the ask's. fresh: a new term, which has to be in the log before
 // it is answered. ok false: another holds it, or it is too early to know.
-func (g *Grants) Take(now time.Duration, who string, anew bool) (term uint64, fresh, ok bool) {
+func (g *Grantor) HandleRequest(now time.Duration, who string, anew bool) (term uint64, fresh, ok bool) {
 	if now < g.quiet {
 		return 0, false, false
 	}
@@ -159,6 +159,6 @@
 		g.term++
 		fresh = true
 	}
-	g.holder, g.until = who, now+g.lease.Length
+	g.holder, g.until = who, now+g.lease.Duration
 	return g.term, fresh, true
 }
--- a/internal/fleet/slices/owner_test.go
+++ b/internal/fleet/slices/owner_test.go
@@ -13,7 +13,7 @@
 func TestOneOwnerAtATime(t *testing.T) {
 	schedules(t, "200")
 	rapid.Check(t, func(t *rapid.T) {
-		l := Lease{Length: 1000, Drift: 0.05}
+		l := Lease{Duration: 1000, Drift: 0.05}
 		rate := [3]float64{}
 		for i := range rate {
 			rate[i] = rapid.Float64Range(0.95, 1.05).Draw(t, "rate")
@@ -21,7 +21,7 @@
 		real := time.Duration(0)
 		at := func(i int) time.Duration { return time.Duration(float64(real) * rate[i]) }
 		owners := [2]*Owner{NewOwner(l), NewOwner(l)}
-		leader := NewGrants(l, 0, at(2))
+		leader := NewGrantor(l, 0, at(2))
 		type answer struct {
 			to        int
 			seq, term uint64
@@ -32,14 +32,14 @@
 			real += time.Duration(rapid.IntRange(0, 300).Draw(t, "time"))
 			switch rapid.IntRange(0, 9).Draw(t, "do") {
 			case 0: // another leader, which knows the terms from the log and no lease
-				leader = NewGrants(l, leader.term, at(2))
+				leader = NewGrantor(l, leader.term, at(2))
 			case 1, 2, 3, 4:
 				i := rapid.IntRange(0, 1).Draw(t, "who")
-				seq, anew := owners[i].Ask(at(i), "g")
+				seq, anew := owners[i].NewRequest(at(i), "g")
 				if rapid.Bool().Draw(t, "slow") {
 					real += time.Duration(rapid.IntRange(0, 1200).Draw(t, "way"))
 				}
-				if term, fresh, ok := leader.Take(at(2), string(rune('a'+i)), anew); ok {
+				if term, fresh, ok := leader.HandleRequest(at(2), string(rune('a'+i)), anew); ok {
 					if term < highest || fresh && term == highest {
 						t.Fatalf("term %d after %d", term, highest)
 					}
@@ -49,11 +49,11 @@
 			default:
 				if len(late) > 0 {
 					a := late[rapid.IntRange(0, len(late)-1).Draw(t, "which")]
-					owners[a.to].Granted(at(a.to), "g", a.seq, a.term)
+					owners[a.to].HandleGrant(at(a.to), "g", a.seq, a.term)
 				}
 			}
-			_, a := owners[0].May(at(0), "g")
-			_, b := owners[1].May(at(1), "g")
+			_, a := owners[0].MaySend(at(0), "g")
+			_, b := owners[1].MaySend(at(1), "g")
 			if a && b {
 				t.Fatal("two owners")
 			}
@@ -62,48 +62,48 @@
 }
 
 func TestOwnerHearsOfAHigherTerm(t *testing.T) {
-	o := NewOwner(Lease{Length: 100})
-	seq, anew := o.Ask(0, "g")
+	o := NewOwner(Lease{Duration: 100})
+	seq, anew := o.NewRequest(0, "g")
 	assert.True(t, anew)
-	assert.Equal(t, Begun, o.Granted(1, "g", seq, 3))
-	assert.Equal(t, time.Duration(100), o.Until("g"), "from the ask on")
-	assert.Equal(t, Same, o.Granted(1, "g", seq, 3), "the same answer again")
-	assert.Equal(t, Same, o.Heard(2, "g", 3))
-	assert.Equal(t, Gone, o.Heard(2, "g", 4))
-	_, may := o.May(2, "g")
+	assert.Equal(t, Acquired, o.HandleGrant(1, "g", seq, 3))
+	assert.Equal(t, time.Duration(100), o.LeaseEnd("g"), "from the ask on")
+	assert.Equal(t, Unchanged, o.HandleGrant(1, "g", seq, 3), "the same answer again")
+	assert.Equal(t, Unchanged, o.ObserveTerm(2, "g", 3))
+	assert.Equal(t, LeaseLost, o.ObserveTerm(2, "g", 4))
+	_, may := o.MaySend(2, "g")
 	assert.False(t, may)
-	seq, _ = o.Ask(3, "g")
-	assert.Equal(t, Same, o.Granted(4, "g", seq, 3), "a deposed one's")
-	assert.Equal(t, time.Duration(0), o.Until("g"))
-	seq, _ = o.Ask(5, "g")
-	assert.Equal(t, Begun, o.Granted(6, "g", seq, 5))
-	assert.Equal(t, Gone, o.Check(200, "g"), "woken late")
+	seq, _ = o.NewRequest(3, "g")
+	assert.Equal(t, Unchanged, o.HandleGrant(4, "g", seq, 3), "a deposed one's")
+	assert.Equal(t, time.Duration(0), o.LeaseEnd("g"))
+	seq, _ = o.NewRequest(5, "g")
+	assert.Equal(t, Acquired, o.HandleGrant(6, "g", seq, 5))
+	assert.Equal(t, LeaseLost, o.CheckLease(200, "g"), "woken late")
 }
 
 // The next owner counts the larger of what its disk and the backend say, and places nothing before it has heard of
 // every device of the group.
 func TestTakeOver(t *testing.T) {
 	tab := New(plain, Pattern, nil)
-	tab.Take(0, free("d0"), 5, []Held{{ID: "disk", Tenant: "a", Try: 1, Amount: Amount{300, 100}}, {ID: "both", Tenant: "a", Try: 2, Amount: Amount{100, 700}}})
-	tab.Take(0, free("d1"), 5, nil)
-	tab.Recall(0, "over")
-	assert.Equal(t, "taking over", last(t, tab.Ask(0, dem("held", 100, 100))).Why)
-	assert.Equal(t, "taking over", last(t, tab.Ask(0, dem("new", 100, 100))).Why)
-	tab.Said(0, "d0", Stamp{4, 9}, nil) // an older owner's
-	out := tab.Said(0, "d0", Stamp{5, 1}, []Held{{ID: "both", Tenant: "a", Try: 2, Amount: Amount{200, 600}}, {ID: "over", Tenant: "a", Try: 3, Amount: Amount{50, 50}}})
+	tab.AcquireDevice(0, free("d0"), 5, []HeldSlice{{ID: "disk", Tenant: "a", PlacementID: 1, Amount: Amount{300, 100}}, {ID: "both", Tenant: "a", PlacementID: 2, Amount: Amount{100, 700}}})
+	tab.AcquireDevice(0, free("d1"), 5, nil)
+	tab.RestoreEnded(0, "over")
+	assert.Equal(t, "taking over", last(t, tab.Submit(0, dem("held", 100, 100))).Reason)
+	assert.Equal(t, "taking over", last(t, tab.Submit(0, dem("new", 100, 100))).Reason)
+	tab.HandleState(0, "d0", FencingToken{4, 9}, nil) // an older owner's
+	out := tab.HandleState(0, "d0", FencingToken{5, 1}, []HeldSlice{{ID: "both", Tenant: "a", PlacementID: 2, Amount: Amount{200, 600}}, {ID: "over", Tenant: "a", PlacementID: 3, Amount: Amount{50, 50}}})
 	assert.Equal(t, Amount{550, 850}, tab.devices["d0"].used)
-	assert.Contains(t, out, Action{Step: Placed, ID: "both", Device: "d0", Try: 2, Stamp: Stamp{5, 1}, Amount: Amount{200, 700}})
-	assert.Contains(t, out, Action{Step: Lost, ID: "disk", Device: "d0", Try: 1})
-	assert.Contains(t, out, Action{Step: Finish, ID: "over", Device: "d0", Try: 3, Stamp: Stamp{5, 1}})
+	assert.Contains(t, out, Action{Kind: Placed, ID: "both", Device: "d0", PlacementID: 2, Token: FencingToken{5, 1}, Amount: Amount{200, 700}})
+	assert.Contains(t, out, Action{Kind: Lost, ID: "disk", Device: "d0", PlacementID: 1})
+	assert.Contains(t, out, Action{Kind: Stop, ID: "over", Device: "d0", PlacementID: 3, Token: FencingToken{5, 1}})
 	for _, a := range out {
-		assert.NotEqual(t, Begin, a.Step, "d1 has not stated yet")
+		assert.NotEqual(t, Start, a.Kind, "d1 has not stated yet")
 	}
-	out = tab.Said(0, "d1", Stamp{5, 1}, []Held{{ID: "held", Tenant: "a", Try: 4, Amount: Amount{100, 100}}, {ID: "both", Tenant: "a", Try: 9, Amount: Amount{1, 1}}})
-	assert.Contains(t, out, Action{Step: Placed, ID: "held", Device: "d1", Try: 4, Stamp: Stamp{5, 1}, Amount: Amount{100, 100}})
-	assert.Contains(t, out, Action{Step: Finish, ID: "both", Device: "d1", Try: 9, Stamp: Stamp{5, 1}}, "it sits on d0")
-	assert.Equal(t, Begin, last(t, out).Step)
+	out = tab.HandleState(0, "d1", FencingToken{5, 1}, []HeldSlice{{ID: "held", Tenant: "a", PlacementID: 4, Amount: Amount{100, 100}}, {ID: "both", Tenant: "a", PlacementID: 9, Amount: Amount{1, 1}}})
+	assert.Contains(t, out, Action{Kind: Placed, ID: "held", Device: "d1", PlacementID: 4, Token: FencingToken{5, 1}, Amount: Amount{100, 100}})
+	assert.Contains(t, out, Action{Kind: Stop, ID: "both", Device: "d1", PlacementID: 9, Token: FencingToken{5, 1}}, "it sits on d0")
+	assert.Equal(t, Start, last(t, out).Kind)
 	assert.Equal(t, "new", last(t, out).ID)
-	tab.Over(0, "d0", "disk", 1)
+	tab.HandleStopped(0, "d0", "disk", 1)
 	assert.Equal(t, Amount{350, 850}, tab.devices["d0"].used)
 }
 
@@ -111,18 +111,18 @@
 // any more is refused, and a smaller device ends nothing.
 func TestFewerDevices(t *testing.T) {
 	tab := ready(plain, Pattern, nil, free("d0"), Device{Name: "big", Size: Amount{1000, 40000}})
-	b := last(t, tab.Ask(0, dem("x", 900, 30000)))
-	tab.Began(0, "big", "x", b.Try)
-	assert.Equal(t, Waits, last(t, tab.Ask(0, dem("y", 900, 30000))).Step)
-	out := tab.Drop(0, "big")
-	assert.Contains(t, out, Action{Step: Lost, ID: "x", Device: "big", Try: b.Try})
-	assert.Contains(t, out, Action{Step: Refused, ID: "y", Why: "memory: 30000 MiB of at most 16384"})
-	b = last(t, tab.Ask(0, dem("z", 800, 9000)))
-	tab.Began(0, "d0", "z", b.Try)
-	tab.Take(0, Device{Name: "d0", Size: Amount{500, 8000}}, 2, nil)
-	out = tab.Said(0, "d0", Stamp{2, 1}, []Held{{ID: "z", Tenant: "a", Try: b.Try, Amount: Amount{800, 9000}}})
+	b := last(t, tab.Submit(0, dem("x", 900, 30000)))
+	tab.HandleStarted(0, "big", "x", b.PlacementID)
+	assert.Equal(t, Pending, last(t, tab.Submit(0, dem("y", 900, 30000))).Kind)
+	out := tab.RemoveDevice(0, "big")
+	assert.Contains(t, out, Action{Kind: Lost, ID: "x", Device: "big", PlacementID: b.PlacementID})
+	assert.Contains(t, out, Action{Kind: Refused, ID: "y", Reason: "memory: 30000 MiB of at most 16384"})
+	b = last(t, tab.Submit(0, dem("z", 800, 9000)))
+	tab.HandleStarted(0, "d0", "z", b.PlacementID)
+	tab.AcquireDevice(0, Device{Name: "d0", Size: Amount{500, 8000}}, 2, nil)
+	out = tab.HandleState(0, "d0", FencingToken{2, 1}, []HeldSlice{{ID: "z", Tenant: "a", PlacementID: b.PlacementID, Amount: Amount{800, 9000}}})
 	assert.Empty(t, out)
-	assert.Equal(t, Waits, last(t, tab.Ask(0, dem("small", 1, 1))).Step)
+	assert.Equal(t, Pending, last(t, tab.Submit(0, dem("small", 1, 1))).Kind)
 	tab.Release(0, "z")
-	assert.Equal(t, Begin, last(t, tab.Over(0, "d0", "z", b.Try)).Step)
+	assert.Equal(t, Start, last(t, tab.HandleStopped(0, "d0", "z", b.PlacementID)).Kind)
 }
--- a/internal/fleet/slices/quality_test.go
+++ b/internal/fleet/slices/quality_test.go
@@ -18,23 +18,23 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-func kind(parts, memory int, iso Isolation, weight float64) Typical {
-	return Typical{Demand: Demand{Size: Amount{parts, memory}, Isolation: iso, Lifetime: time.Hour}, Weight: weight}
+func kind(parts, memory int, iso Isolation, weight float64) TypicalDemand {
+	return TypicalDemand{Demand: Demand{Size: Amount{parts, memory}, Isolation: iso, Lifetime: time.Hour}, Weight: weight}
 }
 
 // mixes are drawn up for the tests: what reqs of several kinds need of a device of 1,000 parts and 16 GiB.
-var mixes = map[string][]Typical{
-	"photos":  {kind(143, 2048, Anyone, 40), kind(250, 4096, Anyone, 25), kind(500, 6144, Anyone, 20), kind(1000, 16384, Whole, 15)},
-	"skewed":  {kind(100, 6144, Anyone, 35), kind(600, 2048, Anyone, 35), kind(300, 4096, Anyone, 20), kind(1000, 12288, Anyone, 10)},
-	"large":   {kind(700, 8192, Anyone, 30), kind(300, 4096, Anyone, 30), kind(400, 10240, Anyone, 30), kind(150, 1024, Anyone, 10)},
-	"tenants": {kind(143, 2048, Tenant, 30), kind(250, 4096, Anyone, 40), kind(500, 8192, Anyone, 30)},
+var mixes = map[string][]TypicalDemand{
+	"photos":  {kind(143, 2048, SharedWithAny, 40), kind(250, 4096, SharedWithAny, 25), kind(500, 6144, SharedWithAny, 20), kind(1000, 16384, Exclusive, 15)},
+	"skewed":  {kind(100, 6144, SharedWithAny, 35), kind(600, 2048, SharedWithAny, 35), kind(300, 4096, SharedWithAny, 20), kind(1000, 12288, SharedWithAny, 10)},
+	"large":   {kind(700, 8192, SharedWithAny, 30), kind(300, 4096, SharedWithAny, 30), kind(400, 10240, SharedWithAny, 30), kind(150, 1024, SharedWithAny, 10)},
+	"tenants": {kind(143, 2048, SharedWithTenant, 30), kind(250, 4096, SharedWithAny, 40), kind(500, 8192, SharedWithAny, 30)},
 }
 
-var choices = map[Choice]string{FirstFit: "first fit", BestFit: "best fit", Dot: "dot product", Gradient: "gradient", Pattern: "pattern"}
+var choices = map[Strategy]string{FirstFit: "first fit", BestFit: "best fit", DotProduct: "dot product", Gradient: "gradient", Pattern: "pattern"}
 
-var wide = Limits{Tenants: 8, Slices: 16, Waiting: 0, Passes: 100, Lifetime: time.Hour, Remember: 1, Known: 1 << 30}
+var wide = Limits{MaxTenants: 8, MaxSlices: 16, MaxWaiting: 0, MaxPassedOver: 100, MaxLifetime: time.Hour, RetainEnded: 1, MaxKnownIDs: 1 << 30}
 
-func draw(r *rand.Rand, mix []Typical, id string, tenants int) Demand {
+func draw(r *rand.Rand, mix []TypicalDemand, id string, tenants int) Demand {
 	all := 0.0
 	for _, m := range mix {
 		all += m.Weight
@@ -52,7 +52,7 @@
 
 // fill offers a mix to n empty devices until what was offered is load times their parts or memory. With churn each
 // lives for an exponential time, such that as much would sit at once if none were refused.
-func fill(c Choice, mix []Typical, n int, load float64, churn bool, seed uint64) (accepted, unusable float64) {
+func fill(c Strategy, mix []TypicalDemand, n int, load float64, churn bool, seed uint64) (accepted, unusable float64) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	var ds []Device
 	for i := range n {
@@ -81,7 +81,7 @@
 		now := time.Duration(i)
 		for _, s := range ends[i] {
 			tab.Release(now, s.id)
-			tab.Over(now, s.device, s.id, s.try)
+			tab.HandleStopped(now, s.device, s.id, s.try)
 		}
 		delete(ends, i)
 		d := draw(r, mix, fmt.Sprint(i), 20)
@@ -90,12 +90,12 @@
 		if counts {
 			offered = offered.plus(d.Size)
 		}
-		if a := tab.Ask(now, d)[0]; a.Step == Begin {
+		if a := tab.Submit(now, d)[0]; a.Kind == Start {
 			if counts {
 				took = took.plus(d.Size)
 			}
 			if churn {
-				ends[until] = append(ends[until], at{d.ID, a.Device, a.Try})
+				ends[until] = append(ends[until], at{d.ID, a.Device, a.PlacementID})
 			}
 		}
 		if churn && counts && i%50 == 0 || i == last-1 {
@@ -114,7 +114,7 @@
 
 // bound is the most of the offered parts that any choice can accept when devices are filled: a linear program over
 // all ways to fill one device, with the demands in their expected counts.
-func bound(mix []Typical, load float64) float64 {
+func bound(mix []TypicalDemand, load float64) float64 {
 	var ways [][]int
 	var grow func(k int, way []int, left Amount)
 	grow = func(k int, way []int, left Amount) {
@@ -169,7 +169,7 @@
 			if churn && n < 1000 {
 				continue
 			}
-			got := map[Choice][2]float64{}
+			got := map[Strategy][2]float64{}
 			for c := FirstFit; c <= Pattern; c++ {
 				var as, us []float64
 				for s := range seeds {
@@ -211,8 +211,8 @@
 			p, m, ok := d.Size.Parts, d.Size.Memory, true
 			for _, o := range on[k] {
 				p, m = p+o.Size.Parts, m+o.Size.Memory
-				ok = ok && d.Isolation != Whole && o.Isolation != Whole &&
-					(d.Tenant == o.Tenant || d.Isolation != Tenant && o.Isolation != Tenant)
+				ok = ok && d.Isolation != Exclusive && o.Isolation != Exclusive &&
+					(d.Tenant == o.Tenant || d.Isolation != SharedWithTenant && o.Isolation != SharedWithTenant)
 			}
 			if ok && p <= ds[k].Size.Parts && m <= ds[k].Size.Memory {
 				on[k] = append(on[k], d)
@@ -229,7 +229,7 @@
 // Against the optimum that knows all demands beforehand: 240 cases of 6 to 12 demands on 3 devices.
 func TestAgainstOptimum(t *testing.T) {
 	ds := []Device{free("d0"), free("d1"), free("d2")}
-	got, largest, best := map[Choice]int{}, map[Choice]int{}, 0
+	got, largest, best := map[Strategy]int{}, map[Strategy]int{}, 0
 	names := slices.Sorted(maps.Keys(mixes))
 	for seed := range 240 {
 		r := rand.New(rand.NewPCG(uint64(seed), 1))
@@ -244,15 +244,15 @@
 			tab := ready(wide, c, mix, ds...)
 			sum := 0
 			for _, d := range all {
-				if tab.Ask(0, d)[0].Step == Begin {
+				if tab.Submit(0, d)[0].Kind == Start {
 					sum += d.Size.Parts
 				}
 			}
 			require.LessOrEqual(t, sum, o, "seed %d", seed)
 			got[c] += sum
 			tab = ready(wide, c, mix, ds...)
-			for _, a := range tab.AskAll(0, slices.Clone(all)) {
-				if a.Step == Begin {
+			for _, a := range tab.SubmitAll(0, slices.Clone(all)) {
+				if a.Kind == Start {
 					largest[c] += a.Demand.Size.Parts
 				}
 			}
@@ -267,9 +267,9 @@
 
 // A mix of crumbs has more combinations than can be worked out: what one demand costs is bounded all the same.
 func TestFuel(t *testing.T) {
-	tab := ready(wide, Pattern, []Typical{kind(1, 1, Anyone, 1), kind(1, 2, Anyone, 1), kind(2, 1, Anyone, 1)}, free("d"), free("e"))
-	assert.Equal(t, Begin, tab.Ask(0, dem("x", 3, 3))[0].Step)
-	assert.LessOrEqual(t, len(tab.classes[0].wastes), 5*MaxFuel)
+	tab := ready(wide, Pattern, []TypicalDemand{kind(1, 1, SharedWithAny, 1), kind(1, 2, SharedWithAny, 1), kind(2, 1, SharedWithAny, 1)}, free("d"), free("e"))
+	assert.Equal(t, Start, tab.Submit(0, dem("x", 3, 3))[0].Kind)
+	assert.LessOrEqual(t, len(tab.classes[0].wastes), 5*MaxWasteEvaluations)
 }
 
 func BenchmarkPlace(b *testing.B) {
@@ -294,9 +294,9 @@
 					i++
 					d := draw(r, mix, fmt.Sprint(i), 20)
 					if name == "any" { // sizes that no mix foresees: as many shapes as there can be
-						d.Size, d.Isolation = Amount{1 + r.IntN(500), 1 + r.IntN(8000)}, Anyone
+						d.Size, d.Isolation = Amount{1 + r.IntN(500), 1 + r.IntN(8000)}, SharedWithAny
 					}
-					if a := tab.Ask(time.Duration(i), d)[0]; a.Step == Begin {
+					if a := tab.Submit(time.Duration(i), d)[0]; a.Kind == Start {
 						sits = append(sits, a)
 					}
 				}
@@ -312,7 +312,7 @@
 					sits[k] = sits[len(sits)-1]
 					sits = sits[:len(sits)-1]
 					tab.Release(time.Duration(i), s.ID)
-					tab.Over(time.Duration(i), s.Device, s.ID, s.Try)
+					tab.HandleStopped(time.Duration(i), s.Device, s.ID, s.PlacementID)
 					b.StartTimer()
 					one()
 				}
--- a/internal/fleet/slices/queue.go
+++ b/internal/fleet/slices/queue.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		w.passed++
-		starving = starving || w.passed >= t.limits.Passes && !w.starved
+		starving = starving || w.passed >= t.limits.MaxPassedOver && !w.starved
 	}
 	if starving {
 		t.starve()
@@ -72,7 +72,7 @@
 func (t *Table) starve() {
 	var now []*waiting
 	for _, w := range t.waiting {
-		if !w.starved && w.passed >= t.limits.Passes {
+		if !w.starved && w.passed >= t.limits.MaxPassedOver {
 			now = append(now, w)
 		}
 	}
--- a/internal/fleet/slices/slices.go
+++ b/internal/fleet/slices/slices.go
@@ -22,10 +22,10 @@
 
 // Bounds of what is read from others, each against a message that says too much.
 const (
-	MaxParts    = 1_000_000
-	MaxMemory   = 1 << 30
-	MaxProfiles = 32
-	MaxName     = 128 // bytes of an id, a tenant, a device
+	MaxParts     = 1_000_000
+	MaxMemory    = 1 << 30
+	MaxProfiles  = 32
+	MaxNameBytes = 128 // bytes of an id, a tenant, a device
 )
 
 // Isolation is who may sit beside a slice on its device. Two sit together only if each accepts the other.
@@ -33,15 +33,15 @@
 
 // The levels, from those that accept most.
 const (
-	Anyone Isolation = iota // accepts anyone
-	Tenant                  // accepts its own tenant only
-	Own                     // a fixed slice with walls: accepts anyone, needs a device with profiles
-	Whole                   // accepts nobody
+	SharedWithAny    Isolation = iota // accepts anyone
+	SharedWithTenant                  // accepts its own tenant only
+	Partitioned                       // a fixed slice with walls: accepts anyone, needs a device with profiles
+	Exclusive                         // accepts nobody
 )
 
 // accepts says whether a slice of level i minds the other's beside it.
 func (i Isolation) accepts(sameTenant bool) bool {
-	return i != Whole && (i != Tenant || sameTenant)
+	return i != Exclusive && (i != SharedWithTenant || sameTenant)
 }
 
 // Device is what a backend says that it carries. Profiles (ascending by preference of the operator is not
@@ -55,8 +55,8 @@
 // Check names what is out of range.
 func (d Device) Check() error {
 	switch {
-	case d.Name == "" || len(d.Name) > MaxName:
-		return fmt.Errorf("a device's name has %d bytes, want 1 to %d", len(d.Name), MaxName)
+	case d.Name == "" || len(d.Name) > MaxNameBytes:
+		return fmt.Errorf("a device's name has %d bytes, want 1 to %d", len(d.Name), MaxNameBytes)
 	case d.Size.Parts < 1 || d.Size.Parts > MaxParts || d.Size.Memory < 1 || d.Size.Memory > MaxMemory:
 		return fmt.Errorf("device %s has %d parts and %d MiB", d.Name, d.Size.Parts, d.Size.Memory)
 	case len(d.Profiles) > MaxProfiles:
@@ -84,72 +84,72 @@
 
 // Limits are the fleet's, from its policy. A lower one never ends what runs.
 type Limits struct {
-	Tenants    int           // most tenants on a device
-	Slices     int           // most slices on a device
-	KeepMemory int           // MiB of each device that nobody gets
-	Waiting    int           // most demands that wait
-	Passes     int           // passes after which a device is kept for a demand
-	Lifetime   time.Duration // longest lifetime of a demand
-	Remember   time.Duration // for how long an ended id is known
-	Known      int           // most ids known at once: waiting, placed and ended
+	MaxTenants     int           // most tenants on a device
+	MaxSlices      int           // most slices on a device
+	ReservedMemory int           // MiB of each device that nobody gets
+	MaxWaiting     int           // most demands that wait
+	MaxPassedOver  int           // passes after which a device is kept for a demand
+	MaxLifetime    time.Duration // longest lifetime of a demand
+	RetainEnded    time.Duration // for how long an ended id is known
+	MaxKnownIDs    int           // most ids known at once: waiting, placed and ended
 }
 
 // Check names the limit that is out of range.
 func (l Limits) Check() error {
 	switch {
-	case l.Tenants < 1 || l.Slices < 1:
+	case l.MaxTenants < 1 || l.MaxSlices < 1:
 		return errors.New("tenants and slices a device are at least 1")
-	case l.KeepMemory < 0 || l.Waiting < 0:
+	case l.ReservedMemory < 0 || l.MaxWaiting < 0:
 		return errors.New("memory kept free and demands that wait are at least 0")
-	case l.Passes < 1:
+	case l.MaxPassedOver < 1:
 		return errors.New("passes are at least 1")
-	case l.Lifetime <= 0 || l.Remember <= 0 || l.Known < 1:
+	case l.MaxLifetime <= 0 || l.RetainEnded <= 0 || l.MaxKnownIDs < 1:
 		return errors.New("lifetime, remember and known are above 0")
 	}
 	return nil
 }
 
-// Stamp fences a device's messages: the term of its owner's lease, and a count of statements in it. A
+// FencingToken fences a device's messages: the term of its owner's lease, and a count of statements in it. A
 // backend refuses a begin with a stamp below the highest that it has seen for the device.
-type Stamp struct{ Term, Round uint64 }
+type FencingToken struct{ Term, Sequence uint64 }
 
 // Before orders stamps.
-func (s Stamp) Before(o Stamp) bool {
-	return s.Term < o.Term || s.Term == o.Term && s.Round < o.Round
+func (s FencingToken) Before(o FencingToken) bool {
+	return s.Term < o.Term || s.Term == o.Term && s.Sequence < o.Sequence
 }
 
-// Step is what an action asks of the caller.
-type Step uint8
+// ActionKind is what an action asks of the caller.
+type ActionKind uint8
 
-// The steps. Begin and Finish are repeated (Unconfirmed) until the backend has answered; the caller writes
-// the placement to disk before it sends Begin.
+// The steps. Start and Stop are repeated (Unconfirmed) until the backend has answered; the caller writes
+// the placement to disk before it sends Start.
 const (
-	Begin   Step = iota + 1 // to the backend: begin this slice
-	Finish                  // to the backend: end this slice (also one that it never began)
-	State                   // to the backend: say what the device holds, and refuse lower stamps
-	Placed                  // to the demander: it sits on Device
-	Waits                   // to the demander: it waits, Why
-	Refused                 // to the demander: it never will be placed as things are, Why names the limit
-	Ended                   // to the demander: its id is over
-	Lost                    // to the demander: its device is gone, or holds it no more
+	Start      ActionKind = iota + 1 // to the backend: begin this slice
+	Stop                             // to the backend: end this slice (also one that it never began)
+	QueryState                       // to the backend: say what the device holds, and refuse lower stamps
+	Placed                           // to the demander: it sits on Device
+	Pending                          // to the demander: it waits, Why
+	Refused                          // to the demander: it never will be placed as things are, Why names the limit
+	Ended                            // to the demander: its id is over
+	Lost                             // to the demander: its device is gone, or holds it no more
 )
 
 // Action is one step for the caller. Try tells two placements of one id from each other.
 type Action struct {
-	Step            Step
-	ID, Device, Why string
-	Try             uint64
-	Stamp           Stamp
-	Demand          Demand // of Begin
-	Amount          Amount // of Begin and Placed: what it counts as
+	Kind               ActionKind
+	ID, Device, Reason string
+	PlacementID        uint64
+	Token              FencingToken
+	Demand             Demand // of Begin
+	Amount             Amount // of Begin and Placed: what it counts as
 }
 
-// Held is one slice as a backend, or a durable record, has it.
-type Held struct {
-	ID, Tenant string
-	Try        uint64
-	Isolation  Isolation
-	Amount     Amount
-	Until      time.Duration // of a durable record: the end of its lifetime; 0: not known
-	Ending     bool          // of a durable record: its end was asked for
+// HeldSlice is one slice as a backend, or a durable record, has it.
+type HeldSlice struct {
+	ID, Tenant  string
+	PlacementID uint64
+	Isolation   Isolation
+	Amount      Amount
+	ExpiresAt   time.Duration // of a durable record: the end of its lifetime; 0: not known
+	Stopping    bool          // of a durable record: its end was asked for
 }
--- a/internal/fleet/slices/slices_test.go
+++ b/internal/fleet/slices/slices_test.go
@@ -26,7 +26,7 @@
 func drawDemand(t *rapid.T, id string) Demand {
 	return Demand{ID: id, Size: Amount{rapid.SampledFrom([]int{50, 143, 250, 500, 571, 1000}).Draw(t, "parts"),
 		rapid.SampledFrom([]int{512, 2048, 4096, 9000, 16384}).Draw(t, "memory")},
-		Isolation: rapid.SampledFrom([]Isolation{Anyone, Anyone, Tenant, Own, Whole}).Draw(t, "isolation"),
+		Isolation: rapid.SampledFrom([]Isolation{SharedWithAny, SharedWithAny, SharedWithTenant, Partitioned, Exclusive}).Draw(t, "isolation"),
 		Tenant:    rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "tenant"),
 		Lifetime:  time.Duration(rapid.IntRange(1, 200).Draw(t, "life")),
 		Priority:  rapid.IntRange(0, 2).Draw(t, "priority")}
@@ -38,8 +38,8 @@
 	schedules(t, "250")
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
-		w.now = Quiet(w.lease)
-		w.choice = Choice(rapid.IntRange(int(FirstFit), int(Pattern)).Draw(t, "choice"))
+		w.now = QuietPeriod(w.lease)
+		w.choice = Strategy(rapid.IntRange(int(FirstFit), int(Pattern)).Draw(t, "choice"))
 		w.handOver(0)
 		n := 0
 		some := func() *far { return w.far[rapid.SampledFrom(w.names).Draw(t, "device")] }
@@ -103,7 +103,7 @@
 	}
 	for i := range w.table {
 		if w.table[i] != nil {
-			w.do(i, w.table[i].Fail(w.now, b.dev.Name))
+			w.do(i, w.table[i].MarkFailed(w.now, b.dev.Name))
 		}
 	}
 }
@@ -112,7 +112,7 @@
 	b.failed = false
 	for i := range w.table {
 		if w.table[i] != nil {
-			w.do(i, w.table[i].Back(w.now, b.dev.Name))
+			w.do(i, w.table[i].MarkRecovered(w.now, b.dev.Name))
 		}
 	}
 }
@@ -147,7 +147,7 @@
 		if !heard && !w.gone[id] {
 			t.Fatalf("the demander of %s heard nothing", id)
 		}
-		if tab := w.table[0]; a.Step == Waits && tab.byID[id] == nil && tab.placed[id] == nil {
+		if tab := w.table[0]; a.Kind == Pending && tab.byID[id] == nil && tab.placed[id] == nil {
 			t.Fatalf("%s was lost: told to wait, and the table does not know it", id)
 		}
 		w.release(id)
@@ -165,16 +165,16 @@
 	}
 }
 
-var plain = Limits{Tenants: 4, Slices: 8, Waiting: 10, Passes: 3, Lifetime: time.Hour, Remember: time.Hour, Known: 1000}
+var plain = Limits{MaxTenants: 4, MaxSlices: 8, MaxWaiting: 10, MaxPassedOver: 3, MaxLifetime: time.Hour, RetainEnded: time.Hour, MaxKnownIDs: 1000}
 
 // ready makes a table of devices that have all stated that they hold nothing.
-func ready(l Limits, c Choice, mix []Typical, ds ...Device) *Table {
+func ready(l Limits, c Strategy, mix []TypicalDemand, ds ...Device) *Table {
 	t := New(l, c, mix)
 	for _, d := range ds {
-		t.Take(0, d, 1, nil)
+		t.AcquireDevice(0, d, 1, nil)
 	}
 	for _, d := range ds {
-		t.Said(0, d.Name, Stamp{1, 1}, nil)
+		t.HandleState(0, d.Name, FencingToken{1, 1}, nil)
 	}
 	return t
 }
@@ -199,61 +199,61 @@
 	}{
 		{"parts: 1001 of at most 1000", free("d"), func(d *Demand) { d.Size.Parts = 1001 }},
 		{"memory: 16385 MiB of at most 16384", free("d"), func(d *Demand) { d.Size.Memory = 16385 }},
-		{"isolation: no fixed profiles", free("d"), func(d *Demand) { d.Isolation = Own }},
+		{"isolation: no fixed profiles", free("d"), func(d *Demand) { d.Isolation = Partitioned }},
 		{"profiles: none is large enough", walls, func(d *Demand) { d.Size.Parts = 501 }},
 		{"zone", walls, func(d *Demand) { d.Zone = "z2" }},
 		{"lifetime: 2h0m0s, above 0 and at most 1h0m0s", free("d"), func(d *Demand) { d.Lifetime = 2 * time.Hour }},
 	} {
 		d := dem("x", 100, 100)
 		c.alter(&d)
-		a := last(t, ready(plain, Pattern, nil, c.on).Ask(0, d))
-		assert.Equal(t, Refused, a.Step)
-		assert.Equal(t, c.says, a.Why)
+		a := last(t, ready(plain, Pattern, nil, c.on).Submit(0, d))
+		assert.Equal(t, Refused, a.Kind)
+		assert.Equal(t, c.says, a.Reason)
 	}
-	assert.Equal(t, "no device", last(t, New(plain, Pattern, nil).Ask(0, dem("x", 1, 1))).Why)
+	assert.Equal(t, "no device", last(t, New(plain, Pattern, nil).Submit(0, dem("x", 1, 1))).Reason)
 }
 
 func TestCountsUntilTheEndIsConfirmed(t *testing.T) {
 	tab := ready(plain, BestFit, nil, free("d"))
-	b := last(t, tab.Ask(0, dem("x", 600, 100)))
-	require.Equal(t, Begin, b.Step)
-	assert.Equal(t, Waits, last(t, tab.Ask(0, dem("x", 600, 100))).Step, "asked again")
-	tab.Began(0, "d", "x", b.Try)
-	assert.Equal(t, Placed, last(t, tab.Ask(0, dem("x", 600, 100))).Step)
-	assert.Equal(t, Waits, last(t, tab.Ask(0, dem("y", 600, 100))).Step)
+	b := last(t, tab.Submit(0, dem("x", 600, 100)))
+	require.Equal(t, Start, b.Kind)
+	assert.Equal(t, Pending, last(t, tab.Submit(0, dem("x", 600, 100))).Kind, "asked again")
+	tab.HandleStarted(0, "d", "x", b.PlacementID)
+	assert.Equal(t, Placed, last(t, tab.Submit(0, dem("x", 600, 100))).Kind)
+	assert.Equal(t, Pending, last(t, tab.Submit(0, dem("y", 600, 100))).Kind)
 	tab.Release(0, "x")
-	assert.Contains(t, tab.Unconfirmed(), Action{Step: Finish, ID: "x", Device: "d", Try: b.Try, Stamp: Stamp{1, 1}})
+	assert.Contains(t, tab.Unconfirmed(), Action{Kind: Stop, ID: "x", Device: "d", PlacementID: b.PlacementID, Token: FencingToken{1, 1}})
 	assert.Len(t, tab.waiting, 1, "the end is not confirmed")
-	assert.Equal(t, Ended, last(t, tab.Ask(0, dem("x", 600, 100))).Step)
-	out := tab.Over(0, "d", "x", b.Try)
+	assert.Equal(t, Ended, last(t, tab.Submit(0, dem("x", 600, 100))).Kind)
+	out := tab.HandleStopped(0, "d", "x", b.PlacementID)
 	assert.Equal(t, "y", last(t, out).ID)
-	assert.Equal(t, Begin, last(t, out).Step)
-	assert.Equal(t, Ended, last(t, tab.Ask(0, dem("x", 1, 1))).Step, "an ended id is not placed again")
+	assert.Equal(t, Start, last(t, out).Kind)
+	assert.Equal(t, Ended, last(t, tab.Submit(0, dem("x", 1, 1))).Kind, "an ended id is not placed again")
 	tab.Release(0, "late")
-	assert.Equal(t, Ended, last(t, tab.Ask(0, dem("late", 1, 1))).Step, "the release came first")
+	assert.Equal(t, Ended, last(t, tab.Submit(0, dem("late", 1, 1))).Kind, "the release came first")
 }
 
 func TestNotBegunIsToldToWait(t *testing.T) {
 	tab := ready(plain, BestFit, nil, free("d"))
-	b := last(t, tab.Ask(0, dem("x", 600, 100)))
-	out := tab.NotBegun(0, "d", "x", b.Try)
-	assert.Contains(t, out, Action{Step: Waits, ID: "x", Why: "the backend did not begin it"})
-	assert.Equal(t, Begin, last(t, tab.Said(0, "d", Stamp{1, 2}, nil)).Step)
+	b := last(t, tab.Submit(0, dem("x", 600, 100)))
+	out := tab.HandleNotStarted(0, "d", "x", b.PlacementID)
+	assert.Contains(t, out, Action{Kind: Pending, ID: "x", Reason: "the backend did not begin it"})
+	assert.Equal(t, Start, last(t, tab.HandleState(0, "d", FencingToken{1, 2}, nil)).Kind)
 }
 
 func TestLoweredLimitEvictsNothing(t *testing.T) {
 	tab := ready(plain, Pattern, nil, free("d"))
 	for i := range 3 {
-		tab.Ask(0, dem(fmt.Sprint(i), 100, 4000))
+		tab.Submit(0, dem(fmt.Sprint(i), 100, 4000))
 	}
 	l := plain
-	l.Slices, l.KeepMemory = 2, 8192
-	tab.Ask(0, dem("w", 900, 100))
+	l.MaxSlices, l.ReservedMemory = 2, 8192
+	tab.Submit(0, dem("w", 900, 100))
 	assert.Empty(t, tab.SetLimits(0, l))
 	assert.Len(t, tab.placed, 3)
-	assert.Equal(t, Waits, last(t, tab.Ask(0, dem("x", 1, 1))).Step)
-	assert.Equal(t, "memory: 9000 MiB of at most 8192", last(t, tab.Ask(0, dem("y", 1, 9000))).Why)
-	assert.Equal(t, Begin, last(t, tab.SetLimits(0, plain)).Step, "raised again: x is placed")
+	assert.Equal(t, Pending, last(t, tab.Submit(0, dem("x", 1, 1))).Kind)
+	assert.Equal(t, "memory: 9000 MiB of at most 8192", last(t, tab.Submit(0, dem("y", 1, 9000))).Reason)
+	assert.Equal(t, Start, last(t, tab.SetLimits(0, plain)).Kind, "raised again: x is placed")
 }
 
 // Small demands come without end beside a large one: it is passed at most P+R times and placed in L+C after that.
@@ -261,7 +261,7 @@
 	schedules(t, "30")
 	rapid.Check(t, func(t *rapid.T) {
 		l := plain
-		l.Passes, l.Waiting, l.Lifetime = rapid.IntRange(1, 6).Draw(t, "P"), 400, 50
+		l.MaxPassedOver, l.MaxWaiting, l.MaxLifetime = rapid.IntRange(1, 6).Draw(t, "P"), 400, 50
 		var ds []Device
 		for i := range rapid.IntRange(1, 5).Draw(t, "devices") {
 			ds = append(ds, free(fmt.Sprint("d", i)))
@@ -279,18 +279,18 @@
 				d.Lifetime = time.Duration(rapid.IntRange(1, 50).Draw(t, "life"))
 				d.Priority = rapid.IntRange(0, 2).Draw(t, "priority")
 				asked[d.ID] = n
-				out = append(out, tab.Ask(now, d)...)
+				out = append(out, tab.Submit(now, d)...)
 			}
-			out = append(out, tab.Due(now)...)
+			out = append(out, tab.StopExpired(now)...)
 			for _, v := range tab.order {
 				for _, s := range append([]*slice(nil), v.slices...) {
 					if s.stage == ending && s.until+confirm <= now {
-						out = append(out, tab.Over(now, v.Name, s.demand.ID, s.try)...)
+						out = append(out, tab.HandleStopped(now, v.Name, s.demand.ID, s.try)...)
 					}
 				}
 			}
 			for _, a := range out {
-				if a.Step != Begin {
+				if a.Kind != Start {
 					continue
 				}
 				if at, is := starvedAt[a.ID]; is {
@@ -308,8 +308,8 @@
 				if _, is := starvedAt[w.demand.ID]; w.starved && !is {
 					starvedAt[w.demand.ID], ahead[w.demand.ID] = now, w.ahead
 				}
-				if p := passed[w.demand.ID]; w.keeps == nil && p > l.Passes+w.ahead {
-					t.Fatalf("%s was passed %d times, bound %d+%d", w.demand.ID, p, l.Passes, w.ahead)
+				if p := passed[w.demand.ID]; w.keeps == nil && p > l.MaxPassedOver+w.ahead {
+					t.Fatalf("%s was passed %d times, bound %d+%d", w.demand.ID, p, l.MaxPassedOver, w.ahead)
 				}
 			}
 			if err := tab.sound(); err != nil {
--- a/internal/fleet/slices/table.go
+++ b/internal/fleet/slices/table.go
@@ -33,7 +33,7 @@
 type device struct {
 	Device
 	class   int
-	stamp   Stamp
+	stamp   FencingToken
 	owned   bool // under a lease of ours
 	asked   bool // a statement is awaited
 	unheard bool // the first of its term
@@ -62,8 +62,8 @@
 // for them. An owner whose lease is over throws it away.
 type Table struct {
 	limits  Limits
-	choice  Choice
-	mix     []Typical
+	choice  Strategy
+	mix     []TypicalDemand
 	classes []class
 	members []int // devices of each class
 	devices map[string]*device
@@ -91,7 +91,7 @@
 }
 
 // New makes an empty table. mix is the typical demand of the fleet, by which Gradient and Pattern judge what is left.
-func New(limits Limits, choice Choice, mix []Typical) *Table {
+func New(limits Limits, choice Strategy, mix []TypicalDemand) *Table {
 	return &Table{limits: limits, choice: choice, mix: sorted.Clone(mix), devices: map[string]*device{},
 		placed: map[string]*slice{}, byID: map[string]*waiting{}, ended: map[string]time.Duration{},
 		rooms: map[string]*index{}, open: newIndex()}
@@ -107,34 +107,34 @@
 	return out
 }
 
-// Ask is a demand, or the same asked again: an id is placed at most once while it is remembered.
-func (t *Table) Ask(now time.Duration, d Demand) []Action {
+// Submit is a demand, or the same asked again: an id is placed at most once while it is remembered.
+func (t *Table) Submit(now time.Duration, d Demand) []Action {
 	t.forget(now)
 	if s := t.placed[d.ID]; s != nil {
 		switch s.stage {
 		case held:
-			t.say(Action{Step: Placed, ID: d.ID, Device: s.device.Name, Try: s.try, Stamp: s.device.stamp, Amount: s.amount})
+			t.say(Action{Kind: Placed, ID: d.ID, Device: s.device.Name, PlacementID: s.try, Token: s.device.stamp, Amount: s.amount})
 		case beginning:
-			t.say(Action{Step: Waits, ID: d.ID, Device: s.device.Name, Why: "beginning"})
+			t.say(Action{Kind: Pending, ID: d.ID, Device: s.device.Name, Reason: "beginning"})
 		case ending:
-			t.say(Action{Step: Ended, ID: d.ID})
+			t.say(Action{Kind: Ended, ID: d.ID})
 		}
 		return t.flush(now)
 	}
 	if _, over := t.ended[d.ID]; over {
-		t.say(Action{Step: Ended, ID: d.ID})
+		t.say(Action{Kind: Ended, ID: d.ID})
 		return t.flush(now)
 	}
 	if w := t.byID[d.ID]; w != nil {
-		t.say(Action{Step: Waits, ID: d.ID, Why: w.why})
+		t.say(Action{Kind: Pending, ID: d.ID, Reason: w.why})
 		return t.flush(now)
 	}
 	if why := t.never(&d); why != "" {
-		t.say(Action{Step: Refused, ID: d.ID, Why: why})
+		t.say(Action{Kind: Refused, ID: d.ID, Reason: why})
 		return t.flush(now)
 	}
-	if len(t.ended)+len(t.placed)+len(t.waiting) >= t.limits.Known {
-		t.say(Action{Step: Refused, ID: d.ID, Why: "ids known"})
+	if len(t.ended)+len(t.placed)+len(t.waiting) >= t.limits.MaxKnownIDs {
+		t.say(Action{Kind: Refused, ID: d.ID, Reason: "ids known"})
 		return t.flush(now)
 	}
 	t.seq++
@@ -145,18 +145,18 @@
 		t.place(now, w, v, a)
 		return t.flush(now)
 	}
-	if len(t.waiting) >= t.limits.Waiting {
-		t.say(Action{Step: Refused, ID: d.ID, Why: "waiting: the queue is full"})
+	if len(t.waiting) >= t.limits.MaxWaiting {
+		t.say(Action{Kind: Refused, ID: d.ID, Reason: "waiting: the queue is full"})
 		return t.flush(now)
 	}
 	t.enqueue(w)
-	t.say(Action{Step: Waits, ID: d.ID, Why: w.why})
+	t.say(Action{Kind: Pending, ID: d.ID, Reason: w.why})
 	return t.flush(now)
 }
 
-// AskAll is what came together: by priority, and among equals the largest first, which packs better than the
+// SubmitAll is what came together: by priority, and among equals the largest first, which packs better than the
 // order of coming (docs/design/slices.md). ds is put in that order.
-func (t *Table) AskAll(now time.Duration, ds []Demand) (out []Action) {
+func (t *Table) SubmitAll(now time.Duration, ds []Demand) (out []Action) {
 	of := Amount{}
 	for _, v := range t.order {
 		of = of.most(v.Size)
@@ -168,7 +168,7 @@
 		return cmp.Compare(share(b.Size, of), share(a.Size, of))
 	})
 	for _, d := range ds {
-		out = append(out, t.Ask(now, d)...)
+		out = append(out, t.Submit(now, d)...)
 	}
 	return out
 }
@@ -180,7 +180,7 @@
 	s := &slice{demand: w.demand, device: v, amount: a, try: v.stamp.Term<<32 | t.tries, seq: w.seq, stage: beginning, until: now + w.demand.Lifetime}
 	t.placed[w.demand.ID] = s
 	t.count(s)
-	t.say(Action{Step: Begin, ID: s.demand.ID, Device: v.Name, Try: s.try, Stamp: v.stamp, Demand: s.demand, Amount: a})
+	t.say(Action{Kind: Start, ID: s.demand.ID, Device: v.Name, PlacementID: s.try, Token: v.stamp, Demand: s.demand, Amount: a})
 	t.pass(w, v)
 }
 
@@ -232,8 +232,8 @@
 	} else if w := t.byID[id]; w != nil {
 		t.dequeue(w)
 		t.remember(now, id)
-		t.say(Action{Step: Ended, ID: id})
-	} else if id != "" && len(id) <= MaxName && len(t.ended)+len(t.placed)+len(t.waiting) < t.limits.Known {
+		t.say(Action{Kind: Ended, ID: id})
+	} else if id != "" && len(id) <= MaxNameBytes && len(t.ended)+len(t.placed)+len(t.waiting) < t.limits.MaxKnownIDs {
 		t.remember(now, id)
 	}
 	return t.flush(now)
@@ -247,23 +247,23 @@
 	if t.placed[s.demand.ID] == s {
 		t.remember(now, s.demand.ID)
 	}
-	t.say(Action{Step: Finish, ID: s.demand.ID, Device: s.device.Name, Try: s.try, Stamp: s.device.stamp})
+	t.say(Action{Kind: Stop, ID: s.demand.ID, Device: s.device.Name, PlacementID: s.try, Token: s.device.stamp})
 }
 
-// Began is a backend's word that it has begun a slice. One that was ended meanwhile is told so again.
-func (t *Table) Began(now time.Duration, name, id string, try uint64) []Action {
+// HandleStarted is a backend's word that it has begun a slice. One that was ended meanwhile is told so again.
+func (t *Table) HandleStarted(now time.Duration, name, id string, try uint64) []Action {
 	if v := t.devices[name]; v != nil {
 		if s := v.find(id, try); s != nil && s.stage == beginning {
 			s.stage = held
-			t.say(Action{Step: Placed, ID: id, Device: name, Try: try, Stamp: v.stamp, Amount: s.amount})
+			t.say(Action{Kind: Placed, ID: id, Device: name, PlacementID: try, Token: v.stamp, Amount: s.amount})
 		}
 	}
 	return t.flush(now)
 }
 
-// NotBegun is a backend's word that it did not and will not begin this try. The demand goes back to its place in
+// HandleNotStarted is a backend's word that it did not and will not begin this try. The demand goes back to its place in
 // the queue; the device takes nothing until it has stated what it holds, since the two do not agree.
-func (t *Table) NotBegun(now time.Duration, name, id string, try uint64) []Action {
+func (t *Table) HandleNotStarted(now time.Duration, name, id string, try uint64) []Action {
 	if v := t.devices[name]; v != nil {
 		if s := v.find(id, try); s != nil && s.stage == beginning {
 			t.discount(s)
@@ -277,28 +277,28 @@
 					}
 				}
 				if w.queued { // nothing was said of it yet: its demander would hear no word for as long as it waits
-					t.say(Action{Step: Waits, ID: id, Why: w.why})
+					t.say(Action{Kind: Pending, ID: id, Reason: w.why})
 				}
 			} else {
-				t.say(Action{Step: Refused, ID: id, Why: t.never(&s.demand)})
+				t.say(Action{Kind: Refused, ID: id, Reason: t.never(&s.demand)})
 			}
 		}
 	}
 	return t.flush(now)
 }
 
-// Over is a backend's word that it holds this try no more and never will. One that ended by itself
+// HandleStopped is a backend's word that it holds this try no more and never will. One that ended by itself
 // (the backend's own decision) is lost.
-func (t *Table) Over(now time.Duration, name, id string, try uint64) []Action {
+func (t *Table) HandleStopped(now time.Duration, name, id string, try uint64) []Action {
 	if v := t.devices[name]; v != nil {
 		if s := v.find(id, try); s != nil {
 			if s.stage == ending {
 				if t.placed[id] == s {
-					t.say(Action{Step: Ended, ID: id})
+					t.say(Action{Kind: Ended, ID: id})
 				}
 			} else if t.placed[id] == s {
 				t.remember(now, id)
-				t.say(Action{Step: Lost, ID: id, Device: name, Try: try})
+				t.say(Action{Kind: Lost, ID: id, Device: name, PlacementID: try})
 			}
 			t.discount(s)
 		}
@@ -306,8 +306,8 @@
 	return t.flush(now)
 }
 
-// Due ends what has outlived its lifetime. To be called about once a second.
-func (t *Table) Due(now time.Duration) []Action {
+// StopExpired ends what has outlived its lifetime. To be called about once a second.
+func (t *Table) StopExpired(now time.Duration) []Action {
 	t.forget(now)
 	for _, v := range t.order {
 		for _, s := range v.slices {
@@ -323,7 +323,7 @@
 func (t *Table) Unconfirmed() (out []Action) {
 	for _, v := range t.order {
 		if v.asked {
-			out = append(out, Action{Step: State, Device: v.Name, Stamp: v.stamp})
+			out = append(out, Action{Kind: QueryState, Device: v.Name, Token: v.stamp})
 			continue
 		}
 		if !v.ready {
@@ -332,17 +332,17 @@
 		for _, s := range v.slices {
 			switch s.stage {
 			case beginning:
-				out = append(out, Action{Step: Begin, ID: s.demand.ID, Device: v.Name, Try: s.try, Stamp: v.stamp, Demand: s.demand, Amount: s.amount})
+				out = append(out, Action{Kind: Start, ID: s.demand.ID, Device: v.Name, PlacementID: s.try, Token: v.stamp, Demand: s.demand, Amount: s.amount})
 			case ending:
-				out = append(out, Action{Step: Finish, ID: s.demand.ID, Device: v.Name, Try: s.try, Stamp: v.stamp})
+				out = append(out, Action{Kind: Stop, ID: s.demand.ID, Device: v.Name, PlacementID: s.try, Token: v.stamp})
 			}
 		}
 	}
 	return out
 }
 
-// Recall takes up an id that is on disk as ended.
-func (t *Table) Recall(now time.Duration, id string) { t.remember(now, id) }
+// RestoreEnded takes up an id that is on disk as ended.
+func (t *Table) RestoreEnded(now time.Duration, id string) { t.remember(now, id) }
 
 func (t *Table) remember(now time.Duration, id string) {
 	if _, has := t.ended[id]; !has {
@@ -353,7 +353,7 @@
 
 func (t *Table) forget(now time.Duration) {
 	n := 0
-	for n < len(t.olds) && t.olds[n].at+t.limits.Remember <= now {
+	for n < len(t.olds) && t.olds[n].at+t.limits.RetainEnded <= now {
 		delete(t.ended, t.olds[n].id)
 		n++
 	}
@@ -385,13 +385,13 @@
 	for _, w := range sorted.Clone(t.waiting) {
 		if why := t.never(&w.demand); why != "" {
 			t.dequeue(w)
-			t.say(Action{Step: Refused, ID: w.demand.ID, Why: why})
+			t.say(Action{Kind: Refused, ID: w.demand.ID, Reason: why})
 		}
 	}
 }
 
 func (t *Table) classOf(d Device) class {
-	c := class{size: Amount{d.Size.Parts, d.Size.Memory - t.limits.KeepMemory}, zone: d.Zone, profiles: d.Profiles, wastes: map[Amount]float64{}}
+	c := class{size: Amount{d.Size.Parts, d.Size.Memory - t.limits.ReservedMemory}, zone: d.Zone, profiles: d.Profiles, wastes: map[Amount]float64{}}
 	for i := range t.mix {
 		a, why := c.charge(&t.mix[i].Demand)
 		if why != "" {
--- a/internal/fleet/slices/take.go
+++ b/internal/fleet/slices/take.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Take makes a device ours under a lease of the term, a new one with each take, also after a restart. It takes nothing new until the backend has stated, to this
+// AcquireDevice makes a device ours under a lease of the term, a new one with each take, also after a restart. It takes nothing new until the backend has stated, to this
 // term, what it holds. records is what is known durably of it: it counts from now on.
-func (t *Table) Take(now time.Duration, d Device, term uint64, records []Held) []Action {
+func (t *Table) AcquireDevice(now time.Duration, d Device, term uint64, records []HeldSlice) []Action {
 	if d.Check() != nil {
 		return t.flush(now)
 	}
@@ -20,16 +20,16 @@
 		return t.flush(now) // late or doubled
 	}
 	t.describe(v, d)
-	v.owned, v.stamp = true, Stamp{Term: term}
+	v.owned, v.stamp = true, FencingToken{Term: term}
 	if !v.unheard && !v.failed {
 		v.unheard = true
 		t.unheard++
 	}
 	for _, r := range records {
-		if v.find(r.ID, r.Try) != nil {
+		if v.find(r.ID, r.PlacementID) != nil {
 			continue
 		}
-		if s := t.adopt(now, v, r); r.Ending {
+		if s := t.adopt(now, v, r); r.Stopping {
 			s.stage = ending
 		}
 	}
@@ -59,12 +59,12 @@
 
 // adopt counts a slice that this table has not placed itself. Its id is not taken to sit there before the
 // backend has said so: a record may be older than what another owner did since.
-func (t *Table) adopt(now time.Duration, v *device, h Held) *slice {
-	if h.Until <= 0 || h.Until > now+t.limits.Lifetime {
-		h.Until = now + t.limits.Lifetime
+func (t *Table) adopt(now time.Duration, v *device, h HeldSlice) *slice {
+	if h.ExpiresAt <= 0 || h.ExpiresAt > now+t.limits.MaxLifetime {
+		h.ExpiresAt = now + t.limits.MaxLifetime
 	}
-	s := &slice{device: v, amount: h.Amount, try: h.Try, stage: held, until: h.Until, demand: Demand{ID: h.ID, Size: h.Amount,
-		Isolation: h.Isolation, Tenant: h.Tenant, Lifetime: t.limits.Lifetime}}
+	s := &slice{device: v, amount: h.Amount, try: h.PlacementID, stage: held, until: h.ExpiresAt, demand: Demand{ID: h.ID, Size: h.Amount,
+		Isolation: h.Isolation, Tenant: h.Tenant, Lifetime: t.limits.MaxLifetime}}
 	t.count(s)
 	return s
 }
@@ -74,10 +74,10 @@
 	if !v.owned || v.failed {
 		return
 	}
-	v.stamp.Round++
+	v.stamp.Sequence++
 	v.asked = true
 	t.close(v)
-	t.say(Action{Step: State, Device: v.Name, Stamp: v.stamp})
+	t.say(Action{Kind: QueryState, Device: v.Name, Token: v.stamp})
 }
 
 func (t *Table) close(v *device) {
@@ -86,10 +86,10 @@
 	t.keep()
 }
 
-// Said is a backend's statement, in answer to State with this stamp: what the device holds. Since the
+// HandleState is a backend's statement, in answer to State with this stamp: what the device holds. Since the
 // backend has refused lower stamps from then on, nothing else can be there. What the two do not agree on is
 // counted by the larger of both, and is begun or ended anew until the backend has confirmed it.
-func (t *Table) Said(now time.Duration, name string, stamp Stamp, holds []Held) []Action {
+func (t *Table) HandleState(now time.Duration, name string, stamp FencingToken, holds []HeldSlice) []Action {
 	v := t.devices[name]
 	if v == nil || !v.asked || v.stamp != stamp {
 		return t.flush(now) // late, doubled, or of another owner's time
@@ -98,7 +98,7 @@
 	t.hear(v)
 	known := sorted.Clone(v.slices)
 	for _, h := range holds {
-		s := v.find(h.ID, h.Try)
+		s := v.find(h.ID, h.PlacementID)
 		if s == nil {
 			t.claim(now, t.adopt(now, v, h))
 			continue
@@ -114,20 +114,20 @@
 			}
 		case beginning:
 			s.stage = held
-			t.say(Action{Step: Placed, ID: h.ID, Device: name, Try: h.Try, Stamp: stamp, Amount: s.amount})
+			t.say(Action{Kind: Placed, ID: h.ID, Device: name, PlacementID: h.PlacementID, Token: stamp, Amount: s.amount})
 		case ending:
-			t.say(Action{Step: Finish, ID: h.ID, Device: name, Try: h.Try, Stamp: stamp})
+			t.say(Action{Kind: Stop, ID: h.ID, Device: name, PlacementID: h.PlacementID, Token: stamp})
 		}
 	}
 	for _, s := range known { // not in the statement
 		switch s.stage {
 		case beginning:
-			t.say(Action{Step: Begin, ID: s.demand.ID, Device: name, Try: s.try, Stamp: stamp, Demand: s.demand, Amount: s.amount})
+			t.say(Action{Kind: Start, ID: s.demand.ID, Device: name, PlacementID: s.try, Token: stamp, Demand: s.demand, Amount: s.amount})
 		case held:
-			t.say(Action{Step: Lost, ID: s.demand.ID, Device: name, Try: s.try})
+			t.say(Action{Kind: Lost, ID: s.demand.ID, Device: name, PlacementID: s.try})
 			t.finish(now, s)
 		case ending:
-			t.say(Action{Step: Finish, ID: s.demand.ID, Device: name, Try: s.try, Stamp: stamp})
+			t.say(Action{Kind: Stop, ID: s.demand.ID, Device: name, PlacementID: s.try, Token: stamp})
 		}
 	}
 	t.reindex(v)
@@ -149,18 +149,18 @@
 		t.dequeue(w)
 	}
 	t.placed[id] = s
-	t.say(Action{Step: Placed, ID: id, Device: s.device.Name, Try: s.try, Stamp: s.device.stamp, Amount: s.amount})
+	t.say(Action{Kind: Placed, ID: id, Device: s.device.Name, PlacementID: s.try, Token: s.device.stamp, Amount: s.amount})
 }
 
-// Fail is a device that does not work: each demander is told once. What sat there counts until the backend,
+// MarkFailed is a device that does not work: each demander is told once. What sat there counts until the backend,
 // when the device is back, has confirmed its end.
-func (t *Table) Fail(now time.Duration, name string) []Action {
+func (t *Table) MarkFailed(now time.Duration, name string) []Action {
 	if v := t.devices[name]; v != nil && !v.failed {
 		v.failed, v.asked = true, false
 		t.hear(v)
 		for _, s := range v.slices {
 			if s.stage != ending {
-				t.say(Action{Step: Lost, ID: s.demand.ID, Device: name, Try: s.try})
+				t.say(Action{Kind: Lost, ID: s.demand.ID, Device: name, PlacementID: s.try})
 				if t.placed[s.demand.ID] == s {
 					t.remember(now, s.demand.ID)
 				}
@@ -172,8 +172,8 @@
 	return t.flush(now)
 }
 
-// Back is a failed device that works again: it takes something new after a statement.
-func (t *Table) Back(now time.Duration, name string) []Action {
+// MarkRecovered is a failed device that works again: it takes something new after a statement.
+func (t *Table) MarkRecovered(now time.Duration, name string) []Action {
 	if v := t.devices[name]; v != nil && v.failed {
 		v.failed = false
 		t.ask(v)
@@ -189,13 +189,13 @@
 	}
 }
 
-// Drop is a device that its backend has no more, and what sat there with it.
-func (t *Table) Drop(now time.Duration, name string) []Action {
+// RemoveDevice is a device that its backend has no more, and what sat there with it.
+func (t *Table) RemoveDevice(now time.Duration, name string) []Action {
 	v := t.devices[name]
 	if v == nil {
 		return t.flush(now)
 	}
-	out := t.Fail(now, name)
+	out := t.MarkFailed(now, name)
 	v.owned = false
 	for _, s := range v.slices {
 		if t.placed[s.demand.ID] == s {
@@ -210,11 +210,11 @@
 }
 
 // Records is what of a device is to be on disk before its actions are sent.
-func (t *Table) Records(name string) (out []Held) {
+func (t *Table) Records(name string) (out []HeldSlice) {
 	if v := t.devices[name]; v != nil {
 		for _, s := range v.slices {
-			out = append(out, Held{ID: s.demand.ID, Tenant: s.demand.Tenant, Try: s.try, Isolation: s.demand.Isolation,
-				Amount: s.amount, Until: s.until, Ending: s.stage == ending})
+			out = append(out, HeldSlice{ID: s.demand.ID, Tenant: s.demand.Tenant, PlacementID: s.try, Isolation: s.demand.Isolation,
+				Amount: s.amount, ExpiresAt: s.until, Stopping: s.stage == ending})
 		}
 	}
 	return out
--- a/internal/fleet/slices/world_test.go
+++ b/internal/fleet/slices/world_test.go
@@ -10,8 +10,8 @@
 // far is a backend as the far side sees it: it shares no rule with the table and counts breaches itself.
 type far struct {
 	dev    Device
-	stamp  Stamp
-	holds  map[uint64]Held
+	stamp  FencingToken
+	holds  map[uint64]HeldSlice
 	over   map[uint64]bool
 	failed bool // now
 	marred bool // ever
@@ -24,10 +24,10 @@
 	t       *rapid.T
 	now     time.Duration
 	lease   Lease
-	grants  *Grants
+	grants  *Grantor
 	owner   [2]*Owner
 	table   [2]*Table
-	disk    [2]map[string][]Held
+	disk    [2]map[string][]HeldSlice
 	far     map[string]*far
 	names   []string
 	net     []func()
@@ -38,25 +38,25 @@
 	calm    bool
 	was     map[string]bool // device, id, try that some backend has begun
 	ended   map[string]bool // table and id
-	choice  Choice
+	choice  Strategy
 }
 
 const group = "g"
 
 func newWorld(t *rapid.T) *world {
-	w := &world{t: t, lease: Lease{Length: 30, Drift: 0.01}, far: map[string]*far{}, demands: map[string]Demand{},
+	w := &world{t: t, lease: Lease{Duration: 30, Drift: 0.01}, far: map[string]*far{}, demands: map[string]Demand{},
 		said: map[string]Action{}, gone: map[string]bool{}, was: map[string]bool{}, ended: map[string]bool{},
-		limits: Limits{Tenants: 2, Slices: 4, Waiting: 50, Passes: 3, Lifetime: 200, Remember: 100_000, Known: 10_000}}
-	w.grants = NewGrants(w.lease, 0, 0)
+		limits: Limits{MaxTenants: 2, MaxSlices: 4, MaxWaiting: 50, MaxPassedOver: 3, MaxLifetime: 200, RetainEnded: 100_000, MaxKnownIDs: 10_000}}
+	w.grants = NewGrantor(w.lease, 0, 0)
 	for i := range w.owner {
-		w.owner[i], w.disk[i] = NewOwner(w.lease), map[string][]Held{}
+		w.owner[i], w.disk[i] = NewOwner(w.lease), map[string][]HeldSlice{}
 	}
 	for i := range 3 {
 		d := Device{Name: fmt.Sprint("d", i), Backend: "w1", Size: Amount{1000, 16384}}
 		if i == 1 {
 			d.Profiles = []Amount{{143, 2340}, {286, 4681}, {571, 9362}, {1000, 16384}}
 		}
-		w.far[d.Name] = &far{dev: d, holds: map[uint64]Held{}, over: map[uint64]bool{}}
+		w.far[d.Name] = &far{dev: d, holds: map[uint64]HeldSlice{}, over: map[uint64]bool{}}
 		w.names = append(w.names, d.Name)
 	}
 	return w
@@ -98,12 +98,12 @@
 		w.disk[i][n] = w.table[i].Records(n)
 	}
 	w.heed(w.table[i], out)
-	if _, may := w.owner[i].May(w.now, group); !may {
+	if _, may := w.owner[i].MaySend(w.now, group); !may {
 		return
 	}
 	for _, a := range out {
-		switch a.Step {
-		case Begin, Finish, State:
+		switch a.Kind {
+		case Start, Stop, QueryState:
 			w.send(func() { w.backend(i, a) })
 		default:
 			w.send(func() { w.said[a.ID] = a })
@@ -117,13 +117,13 @@
 	for _, a := range out {
 		of := fmt.Sprintf("%p %s", t, a.ID)
 		switch {
-		case a.Step == Ended:
+		case a.Kind == Ended:
 			w.ended[of] = true
-		case a.Step == Begin && w.ended[of]:
+		case a.Kind == Start && w.ended[of]:
 			w.t.Fatalf("%s is begun after its end", a.ID)
-		case a.Step == Begin && w.far[a.Device].failed:
+		case a.Kind == Start && w.far[a.Device].failed:
 			w.t.Fatalf("%s is begun on %s, which has failed", a.ID, a.Device)
-		case a.Step == Placed && !w.was[fmt.Sprint(a.Device, a.ID, a.Try)]:
+		case a.Kind == Placed && !w.was[fmt.Sprint(a.Device, a.ID, a.PlacementID)]:
 			w.t.Fatalf("%s is said to be placed and was never begun: %+v", a.ID, a)
 		}
 	}
@@ -142,52 +142,52 @@
 	if b.failed {
 		return
 	}
-	stale := a.Stamp.Before(b.stamp)
-	if stale && a.Stamp.Term < b.stamp.Term {
+	stale := a.Token.Before(b.stamp)
+	if stale && a.Token.Term < b.stamp.Term {
 		term := b.stamp.Term
-		w.send(func() { w.turn(i, w.owner[i].Heard(w.now, group, term)) })
+		w.send(func() { w.turn(i, w.owner[i].ObserveTerm(w.now, group, term)) })
 	}
 	if !stale {
-		b.stamp = a.Stamp
+		b.stamp = a.Token
 	}
-	name, id, try := a.Device, a.ID, a.Try
-	switch a.Step {
-	case State:
+	name, id, try := a.Device, a.ID, a.PlacementID
+	switch a.Kind {
+	case QueryState:
 		if !stale {
-			var holds []Held
+			var holds []HeldSlice
 			holds = append(holds, sortedHolds(b)...)
-			w.reply(i, func(t *Table) []Action { return t.Said(w.now, name, a.Stamp, holds) })
+			w.reply(i, func(t *Table) []Action { return t.HandleState(w.now, name, a.Token, holds) })
 		}
-	case Begin:
+	case Start:
 		_, has := b.holds[try]
 		if !has && (stale || b.over[try] || b.refuse) {
 			b.refuse = false
 			b.over[try] = true
-			w.reply(i, func(t *Table) []Action { return t.NotBegun(w.now, name, id, try) })
+			w.reply(i, func(t *Table) []Action { return t.HandleNotStarted(w.now, name, id, try) })
 			return
 		}
 		if !has {
 			w.was[fmt.Sprint(a.Device, id, try)] = true
-			b.holds[try] = Held{ID: id, Tenant: a.Demand.Tenant, Try: try, Isolation: a.Demand.Isolation, Amount: a.Amount}
+			b.holds[try] = HeldSlice{ID: id, Tenant: a.Demand.Tenant, PlacementID: try, Isolation: a.Demand.Isolation, Amount: a.Amount}
 			w.judge(b)
 			w.once(id)
 		}
-		w.reply(i, func(t *Table) []Action { return t.Began(w.now, name, id, try) })
-	case Finish:
+		w.reply(i, func(t *Table) []Action { return t.HandleStarted(w.now, name, id, try) })
+	case Stop:
 		if !stale {
 			delete(b.holds, try)
 			b.over[try] = true
-			w.reply(i, func(t *Table) []Action { return t.Over(w.now, name, id, try) })
+			w.reply(i, func(t *Table) []Action { return t.HandleStopped(w.now, name, id, try) })
 		}
 	}
 }
 
-func sortedHolds(b *far) (out []Held) {
+func sortedHolds(b *far) (out []HeldSlice) {
 	for try := range b.holds {
 		out = append(out, b.holds[try])
 	}
 	for i := range out {
-		for j := i; j > 0 && out[j].Try < out[j-1].Try; j-- {
+		for j := i; j > 0 && out[j].PlacementID < out[j-1].PlacementID; j-- {
 			out[j], out[j-1] = out[j-1], out[j]
 		}
 	}
@@ -202,8 +202,8 @@
 		parts, memory = parts+h.Amount.Parts, memory+h.Amount.Memory
 		tenants[h.Tenant] = true
 		for _, o := range hs[:i] {
-			bad := h.Isolation == Whole || o.Isolation == Whole ||
-				(h.Isolation == Tenant || o.Isolation == Tenant) && h.Tenant != o.Tenant
+			bad := h.Isolation == Exclusive || o.Isolation == Exclusive ||
+				(h.Isolation == SharedWithTenant || o.Isolation == SharedWithTenant) && h.Tenant != o.Tenant
 			if bad {
 				w.t.Fatalf("isolation on %s: %+v beside %+v", b.dev.Name, h, o)
 			}
@@ -212,10 +212,10 @@
 		if h.Amount.Parts < d.Size.Parts || h.Amount.Memory < d.Size.Memory {
 			w.t.Fatalf("%+v got %+v", d, h)
 		}
-		if h.Isolation == Own && len(b.dev.Profiles) == 0 {
+		if h.Isolation == Partitioned && len(b.dev.Profiles) == 0 {
 			w.t.Fatalf("own slice without walls: %+v", h)
 		}
-		if n := len(b.dev.Profiles); n > 0 && h.Isolation != Whole {
+		if n := len(b.dev.Profiles); n > 0 && h.Isolation != Exclusive {
 			cut := false
 			for _, p := range b.dev.Profiles {
 				cut = cut || p == h.Amount
@@ -228,7 +228,7 @@
 	if parts > b.dev.Size.Parts || memory > b.dev.Size.Memory {
 		w.t.Fatalf("oversold %s: %d parts, %d MiB: %+v", b.dev.Name, parts, memory, hs)
 	}
-	if len(hs) > w.limits.Slices || len(tenants) > w.limits.Tenants {
+	if len(hs) > w.limits.MaxSlices || len(tenants) > w.limits.MaxTenants {
 		w.t.Fatalf("%d slices of %d tenants on %s", len(hs), len(tenants), b.dev.Name)
 	}
 }
@@ -249,21 +249,21 @@
 }
 
 // turn follows an owner's turn: a new table from the disk, or none.
-func (w *world) turn(i int, turn Turn) {
+func (w *world) turn(i int, turn OwnershipChange) {
 	switch turn {
-	case Gone:
+	case LeaseLost:
 		w.table[i] = nil
-	case Begun:
+	case Acquired:
 		w.table[i] = New(w.limits, w.choice, mixes["photos"])
-		term, _ := w.owner[i].May(w.now, group)
+		term, _ := w.owner[i].MaySend(w.now, group)
 		var out []Action
 		for _, n := range w.names {
-			out = append(out, w.table[i].Take(w.now, w.far[n].dev, term, w.disk[i][n])...)
+			out = append(out, w.table[i].AcquireDevice(w.now, w.far[n].dev, term, w.disk[i][n])...)
 		}
 		w.do(i, out)
 		for _, n := range w.names {
 			if w.far[n].failed {
-				w.do(i, w.table[i].Fail(w.now, n))
+				w.do(i, w.table[i].MarkFailed(w.now, n))
 			}
 		}
 	}
@@ -271,12 +271,12 @@
 
 func (w *world) askLease(i int) {
 	o := w.owner[i]
-	seq, anew := o.Ask(w.now, group)
+	seq, anew := o.NewRequest(w.now, group)
 	w.send(func() {
-		if term, _, ok := w.grants.Take(w.now, fmt.Sprint("n", i), anew); ok {
+		if term, _, ok := w.grants.HandleRequest(w.now, fmt.Sprint("n", i), anew); ok {
 			w.send(func() {
 				if w.owner[i] == o {
-					w.turn(i, o.Granted(w.now, group, seq, term))
+					w.turn(i, o.HandleGrant(w.now, group, seq, term))
 				}
 			})
 		}
@@ -286,22 +286,22 @@
 // handOver lets the leases run out and gives the group to one dispatcher; messages stay on their way, and the
 // other, stalled, does not know.
 func (w *world) handOver(i int) {
-	w.now += w.lease.Length + 1
+	w.now += w.lease.Duration + 1
 	o := w.owner[i]
-	seq, anew := o.Ask(w.now, group)
-	if term, _, ok := w.grants.Take(w.now, fmt.Sprint("n", i), anew); ok {
-		w.turn(i, o.Granted(w.now, group, seq, term))
+	seq, anew := o.NewRequest(w.now, group)
+	if term, _, ok := w.grants.HandleRequest(w.now, fmt.Sprint("n", i), anew); ok {
+		w.turn(i, o.HandleGrant(w.now, group, seq, term))
 	}
 }
 
 // endOne is a backend that ends a slice by itself.
 func (w *world) endOne(b *far) {
 	for _, h := range sortedHolds(b)[:min(1, len(b.holds))] {
-		delete(b.holds, h.Try)
-		b.over[h.Try] = true
+		delete(b.holds, h.PlacementID)
+		b.over[h.PlacementID] = true
 		name := b.dev.Name
 		for i := range w.table {
-			w.reply(i, func(t *Table) []Action { return t.Over(w.now, name, h.ID, h.Try) })
+			w.reply(i, func(t *Table) []Action { return t.HandleStopped(w.now, name, h.ID, h.PlacementID) })
 		}
 	}
 }
@@ -309,9 +309,9 @@
 func (w *world) tick(by time.Duration) {
 	w.now += by
 	for i := range w.table {
-		w.turn(i, w.owner[i].Check(w.now, group))
+		w.turn(i, w.owner[i].CheckLease(w.now, group))
 		if w.table[i] != nil {
-			w.do(i, w.table[i].Due(w.now))
+			w.do(i, w.table[i].StopExpired(w.now))
 			w.do(i, w.table[i].Unconfirmed())
 		}
 	}
@@ -323,7 +323,7 @@
 			d := w.demands[id]
 			w.send(func() {
 				if w.table[i] != nil {
-					w.do(i, w.table[i].Ask(w.now, d))
+					w.do(i, w.table[i].Submit(w.now, d))
 				}
 			})
 		}
@@ -381,7 +381,7 @@
 				return fmt.Errorf("%s waits although %s has room", w.demand.ID, v.Name)
 			}
 		}
-		if w.passed > t.limits.Passes+w.ahead {
+		if w.passed > t.limits.MaxPassedOver+w.ahead {
 			return fmt.Errorf("%s was passed %d times, %d ahead", w.demand.ID, w.passed, w.ahead)
 		}
 	}
--- a/internal/lab/capacity/measure/place.go
+++ b/internal/lab/capacity/measure/place.go
@@ -11,15 +11,15 @@
 )
 
 // photos is the mix of docs/design/slices.md with demands of a whole device: parts of a device of 1,000 parts and 16 GiB.
-var photos = []slices.Typical{
-	typical(143, 2048, slices.Anyone, 40), typical(250, 4096, slices.Anyone, 25), typical(500, 6144, slices.Anyone, 20), typical(1000, 16384, slices.Whole, 15),
+var photos = []slices.TypicalDemand{
+	typical(143, 2048, slices.SharedWithAny, 40), typical(250, 4096, slices.SharedWithAny, 25), typical(500, 6144, slices.SharedWithAny, 20), typical(1000, 16384, slices.Exclusive, 15),
 }
 
-func typical(parts, memory int, iso slices.Isolation, w float64) slices.Typical {
-	return slices.Typical{Demand: slices.Demand{Size: slices.Amount{Parts: parts, Memory: memory}, Isolation: iso, Lifetime: time.Hour}, Weight: w}
+func typical(parts, memory int, iso slices.Isolation, w float64) slices.TypicalDemand {
+	return slices.TypicalDemand{Demand: slices.Demand{Size: slices.Amount{Parts: parts, Memory: memory}, Isolation: iso, Lifetime: time.Hour}, Weight: w}
 }
 
-func draw(r *rand.Rand, mix []slices.Typical, id string) slices.Demand {
+func draw(r *rand.Rand, mix []slices.TypicalDemand, id string) slices.Demand {
 	all := 0.0
 	for _, m := range mix {
 		all += m.Weight
@@ -60,12 +60,12 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	t := slices.New(slices.Limits{Tenants: 8, Slices: 16, Passes: 100, Lifetime: time.Hour, Remember: 1, Known: 1 << 30}, slices.Pattern, photos)
+	t := slices.New(slices.Limits{MaxTenants: 8, MaxSlices: 16, MaxPassedOver: 100, MaxLifetime: time.Hour, RetainEnded: 1, MaxKnownIDs: 1 << 30}, slices.Pattern, photos)
 	for i := range n {
-		t.Take(0, slices.Device{Name: fmt.Sprint("d", i), Size: slices.Amount{Parts: 1000, Memory: 16384}}, 1, nil)
+		t.AcquireDevice(0, slices.Device{Name: fmt.Sprint("d", i), Size: slices.Amount{Parts: 1000, Memory: 16384}}, 1, nil)
 	}
 	for i := range n {
-		t.Said(0, fmt.Sprint("d", i), slices.Stamp{Term: 1, Round: 1}, nil)
+		t.HandleState(0, fmt.Sprint("d", i), slices.FencingToken{Term: 1, Sequence: 1}, nil)
 	}
 	r := rand.New(rand.NewPCG(seed, 1))
 	var sits []slices.Action
@@ -74,9 +74,9 @@
 		i++
 		d := draw(r, photos, fmt.Sprint(i))
 		begun := time.Now()
-		a := t.Ask(time.Duration(i), d)
+		a := t.Submit(time.Duration(i), d)
 		took := time.Since(begun)
-		if a[0].Step == slices.Begin {
+		if a[0].Kind == slices.Start {
 			sits = append(sits, a[0])
 		}
 		return took
@@ -97,7 +97,7 @@
 		sits[k] = sits[len(sits)-1]
 		sits = sits[:len(sits)-1]
 		t.Release(time.Duration(i), s.ID)
-		t.Over(time.Duration(i), s.Device, s.ID, s.Try)
+		t.HandleStopped(time.Duration(i), s.Device, s.ID, s.PlacementID)
 		all += ask()
 	}
 	runtime.KeepAlive(t)
--- a/internal/lab/hollow/dispatcher.go
+++ b/internal/lab/hollow/dispatcher.go
@@ -89,7 +89,7 @@
 		logger = zerolog.New(log)
 	}
 	check := func(body []byte) error { _, err := policy.Read(body); return err }
-	c := accord.Config{Plan: leases.LeaseConfig{Lease: time.Duration(a.LeaseMS) * time.Millisecond, Drift: a.Drift, ContinueWhenCut: a.Keep()},
+	c := accord.Config{Plan: leases.LeaseConfig{Lease: time.Duration(a.LeaseMS) * time.Millisecond, Drift: a.Drift, ContinueWhenCut: a.ContinueWhenCut()},
 		Name: cfg.Name, Epoch: uint64(time.Now().UnixNano()), Voters: voters, Check: check,
 		Enter: func(_ uint64, body []byte) error { return check(body) }, Log: logger, Listen: a.Listen, Data: a.Data}
 	if set.Policy != nil {
--- a/internal/network/admin/admin.go
+++ b/internal/network/admin/admin.go
@@ -179,7 +179,7 @@
 
 func (s *Server) serve(c *caller) {
 	defer s.remove(c)
-	m, lastReadDone := door.NewCaller(), false
+	m, lastReadDone := door.NewParser(), false
 	for {
 		call, ok, err := m.Next()
 		if ok || err != nil {
@@ -199,7 +199,7 @@
 			continue
 		case !lastReadDone:
 			s.Count.Silent.Add(1)
-			if m.Begun() {
+			if m.HasInput() {
 				s.write(c, m, Answer{Status: 408, Message: "the rest of the call did not come"})
 			}
 		}
@@ -208,7 +208,7 @@
 }
 
 // answer carries a call out, or refuses it, and answers it.
-func (s *Server) answer(c *caller, m *door.Caller, call door.Call, err error) {
+func (s *Server) answer(c *caller, m *door.Parser, call door.Call, err error) {
 	begun := time.Now()
 	var a Answer
 	e := s.Log.Info()
@@ -219,7 +219,7 @@
 	} else {
 		s.Count.Calls.Add(1)
 		a = s.Handle(call)
-		e.Stringer("call", call.Op)
+		e.Stringer("call", call.Operation)
 		if call.Backend != "" {
 			e.Str("backend", call.Backend)
 		}
@@ -228,7 +228,7 @@
 	took := time.Since(begun)
 	for old := s.Count.Slowest.Load(); int64(took) > old && !s.Count.Slowest.CompareAndSwap(old, int64(took)); old = s.Count.Slowest.Load() {
 	}
-	if a.Status < 300 && call.Op == door.Ready { // called often, and the state is logged when it changes
+	if a.Status < 300 && call.Operation == door.Ready { // called often, and the state is logged when it changes
 		e.Discard()
 	}
 	e.Int("status", a.Status).Str("says", a.Message).Dur("took_ms", took).Msg("door")
@@ -236,7 +236,7 @@
 
 // write sends an answer. What the caller still sends is read and dropped for a moment: closing with unread bytes
 // would reset the connection, and the answer would be lost.
-func (s *Server) write(c *caller, m *door.Caller, a Answer) {
+func (s *Server) write(c *caller, m *door.Parser, a Answer) {
 	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := c.conn.Write(door.AppendAnswer(make([]byte, 0, 256), a.Status, a.Allow, a.Message)); err != nil {
 		return
@@ -251,7 +251,7 @@
 		s.addEvictable(c, answered)
 	}
 	s.mu.Unlock()
-	waste := m.Waste()
+	waste := m.DiscardSpace()
 	for left := 64 << 10; left > 0; {
 		n, err := c.conn.Read(waste)
 		if left -= n; err != nil {
--- a/internal/network/admin/admin_test.go
+++ b/internal/network/admin/admin_test.go
@@ -20,7 +20,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	s := &Server{MaxCallers: maxCallers, Log: zerolog.Nop(), Handle: func(c door.Call) Answer { return Answer{Status: 200, Message: c.Op.String() + " " + c.Backend} }}
+	s := &Server{MaxCallers: maxCallers, Log: zerolog.Nop(), Handle: func(c door.Call) Answer { return Answer{Status: 200, Message: c.Operation.String() + " " + c.Backend} }}
 	go s.Serve(l)
 	return s, l.Addr().String()
 }
--- a/internal/network/configured_site_test.go
+++ b/internal/network/configured_site_test.go
@@ -61,7 +61,7 @@
 		}
 		dial := func(ctx context.Context, address string) (net.Conn, error) { return ports[address].Dial(ctx, address) }
 		count, stop := &counters.Set{}, make(chan struct{})
-		pool := &Pool{Names: &cfg.Names, Count: count, ConnectTimeout: millis(cfg.Settings.ConnectTimeout), IdleTimeout: cfg.ConnIdle * 7 / 10, MaxConnections: 64, Dial: dial}
+		pool := &Pool{Names: &cfg.Names, Count: count, ConnectTimeout: millis(cfg.Settings.ConnectTimeout), IdleTimeout: cfg.BackendIdleTimeout * 7 / 10, MaxConnections: 64, Dial: dial}
 		dir := &Director{Names: &cfg.Names, Count: count, Address: cfg.Discovery, Timings: AgentTimings(), Dial: dial, Stop: stop}
 		if cfg.Settings.Subscribe {
 			dir.Timings = PollTimings(millis(cfg.Settings.Rules.AskEvery))
@@ -71,7 +71,7 @@
 		dir.OnList = c.HandleList
 		go c.Run(stop)
 		dir.Subscribe()
-		s.clients = &Clients{Names: &cfg.Names, Count: count, Core: c, MaxSessions: 64, MaxJobSessions: 64, MaxBufferedBytes: 1 << 20, LongestDeadline: cfg.Longest(), Stats: func() string { return "" }}
+		s.clients = &Clients{Names: &cfg.Names, Count: count, Core: c, MaxSessions: 64, MaxJobSessions: 64, MaxBufferedBytes: 1 << 20, LongestDeadline: cfg.LongestDeadline(), Stats: func() string { return "" }}
 		synctest.Wait()
 		require.Equal(t, len(s.backends), c.ReadyBackends())
 		play(s)
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -38,7 +38,7 @@
 	if key != "" {
 		name += "." + key
 	}
-	return Fault{File: at.Filename(), Line: int(at.Line), Column: int(at.Col), Key: name, Says: says}
+	return Fault{File: at.Filename(), Line: int(at.Line), Column: int(at.Col), Key: name, Problem: says}
 }
 
 // module is a file that was run; while it runs, globals is nil.
@@ -84,7 +84,7 @@
 func (s *script) exec(name string) (starlark.StringDict, error) {
 	text, err := s.read(name)
 	if err != nil {
-		return nil, Fault{File: name, Says: err.Error()}
+		return nil, Fault{File: name, Problem: err.Error()}
 	}
 	f, err := (&syntax.FileOptions{}).Parse(name, text, 0)
 	if err != nil {
@@ -216,7 +216,7 @@
 	var faults Faults
 	bad := func(n syntax.Node, says string) {
 		at, _ := n.Span()
-		faults = append(faults, Fault{File: at.Filename(), Line: int(at.Line), Column: int(at.Col), Says: says})
+		faults = append(faults, Fault{File: at.Filename(), Line: int(at.Line), Column: int(at.Col), Problem: says})
 	}
 	keyNames := map[*syntax.Ident]bool{} // of arguments: no names that are looked up
 	syntax.Walk(f, func(n syntax.Node) bool {
@@ -299,18 +299,18 @@
 		return Faults{one}
 	case errors.As(err, &list):
 		for _, e := range list {
-			f := Fault{File: e.Pos.Filename(), Line: int(e.Pos.Line), Column: int(e.Pos.Col), Says: e.Msg}
+			f := Fault{File: e.Pos.Filename(), Line: int(e.Pos.Line), Column: int(e.Pos.Col), Problem: e.Msg}
 			if what, ok := strings.CutPrefix(e.Msg, "undefined: "); ok {
 				what, _, _ = strings.Cut(what, " ")
-				f.Key, f.Says = what, "is not known, the calls are "+strings.Join(calls(), ", ")
+				f.Key, f.Problem = what, "is not known, the calls are "+strings.Join(calls(), ", ")
 			}
 			all = append(all, f)
 		}
 		return all
 	case errors.As(err, &syn):
-		return Faults{{File: syn.Pos.Filename(), Line: int(syn.Pos.Line), Column: int(syn.Pos.Col), Says: syn.Msg}}
+		return Faults{{File: syn.Pos.Filename(), Line: int(syn.Pos.Line), Column: int(syn.Pos.Col), Problem: syn.Msg}}
 	case errors.As(err, &eval):
-		f := Fault{File: name, Says: eval.Msg}
+		f := Fault{File: name, Problem: eval.Msg}
 		for i := range eval.CallStack {
 			if p := eval.CallStack[i].Pos; p.Line > 0 {
 				f.File, f.Line, f.Column = p.Filename(), int(p.Line), int(p.Col)
@@ -318,5 +318,5 @@
 		}
 		return Faults{f}
 	}
-	return Faults{{File: name, Says: err.Error()}}
+	return Faults{{File: name, Problem: err.Error()}}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -50,7 +50,7 @@
 		call, _, _ := strings.Cut(key, ".")
 		f = s.at[call]
 	}
-	f.Key, f.Says = key, says
+	f.Key, f.Problem = key, says
 	return f
 }
 
@@ -96,8 +96,8 @@
 	Data    string   `json:"data"`
 }
 
-// Keep says whether a dispatcher that is cut off goes on by the version it knew.
-func (a *Accord) Keep() bool { return a.WhenCut == "keep" }
+// ContinueWhenCut says whether a dispatcher that is cut off goes on by the version it knew.
+func (a *Accord) ContinueWhenCut() bool { return a.WhenCut == "keep" }
 
 // HTTP2 sets the HTTP/2 front; the schema says what each value means.
 type HTTP2 struct {
@@ -172,14 +172,14 @@
 	return s.HTTP2
 }
 
-// Stop says whether a reset calls off what is out at backends.
-func (h *HTTP2) Stop() bool { return h.OnReset == "stop" }
+// CancelOnReset says whether a reset calls off what is out at backends.
+func (h *HTTP2) CancelOnReset() bool { return h.OnReset == "stop" }
 
-// Stall is how long an answer waits for its client.
-func (h *HTTP2) Stall() time.Duration { return time.Duration(h.StallMS) * time.Millisecond }
+// StallTimeout is how long an answer waits for its client.
+func (h *HTTP2) StallTimeout() time.Duration { return time.Duration(h.StallMS) * time.Millisecond }
 
-// Drain is how long the first GOAWAY may stay unacknowledged.
-func (h *HTTP2) Drain() time.Duration { return time.Duration(h.DrainMS) * time.Millisecond }
+// DrainTimeout is how long the first GOAWAY may stay unacknowledged.
+func (h *HTTP2) DrainTimeout() time.Duration { return time.Duration(h.DrainMS) * time.Millisecond }
 
 // Fault is one thing that is wrong with a script. Line and Column count from 1 and are 0 where
 // the whole file is meant; Key is the call, or the call and its key with a dot between.
@@ -187,7 +187,7 @@
 	File         string
 	Line, Column int
 	Key          string
-	Says         string
+	Problem      string
 }
 
 func (f Fault) Error() string {
@@ -200,7 +200,7 @@
 	if f.Key != "" {
 		b.WriteString(f.Key + ": ")
 	}
-	b.WriteString(f.Says)
+	b.WriteString(f.Problem)
 	return b.String()
 }
 
@@ -229,7 +229,7 @@
 	}
 	root, err := os.OpenRoot(filepath.Dir(path))
 	if err != nil {
-		return nil, Faults{{File: path, Says: err.Error()}}
+		return nil, Faults{{File: path, Problem: err.Error()}}
 	}
 	defer root.Close()
 	return Parse(filepath.Base(path), func(name string) ([]byte, error) {
@@ -271,7 +271,7 @@
 	}
 	text, err := json.Marshal(doc)
 	if err != nil {
-		return nil, Faults{{File: name, Says: err.Error()}}
+		return nil, Faults{{File: name, Problem: err.Error()}}
 	}
 	out := &Settings{at: map[string]Fault{}}
 	for call, c := range s.calls {
@@ -283,14 +283,14 @@
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields() // the schema and the struct must name the same
 	if err := d.Decode(out); err != nil {
-		return nil, Faults{{File: name, Says: err.Error()}}
+		return nil, Faults{{File: name, Problem: err.Error()}}
 	}
 	return out, nil
 }
 
-// Change names what another script changes: what holds at once for new connections, and what
+// Changes names what another script changes: what holds at once for new connections, and what
 // holds from the next start of the program.
-func (s *Settings) Change(other *Settings) (now, later []string) {
+func (s *Settings) Changes(other *Settings) (now, later []string) {
 	for _, call := range calls() {
 		if call == "policy" { // the fleet's: a change of it is a proposal, and its log lines tell what became of it
 			continue
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -147,11 +147,11 @@
 	require.NoError(t, err)
 	b, err := parse(`http2(listen = "a:2", max_streams = 3)`)
 	require.NoError(t, err)
-	now, later := a.Change(b)
+	now, later := a.Changes(b)
 	assert.Equal(t, [][]string{{"http2.max_streams"}, {"http2.listen"}}, [][]string{now, later})
-	now, later = a.Change(&Settings{})
+	now, later = a.Changes(&Settings{})
 	assert.Equal(t, [][]string{nil, {"http2"}}, [][]string{now, later})
-	now, later = a.Change(a)
+	now, later = a.Changes(a)
 	assert.Empty(t, append(now, later...))
 }
 
