--- a/internal/network/await.go
+++ b/internal/network/await.go
@@ -11,9 +11,9 @@
 	"tinsail/internal/platform"
 )
 
-// Limits on what a client may send after a request that waits for its answer, and after its last answer. All of it is read: only
-// a read notices the end of a connection, and closing a connection with unread bytes resets it, which destroys an answer that
-// the client has not read yet.
+// Limits on what a client may send after a request that waits for its answer, and after its last answer. All of it is read:
+// only a read notices the end of a connection, and closing a connection with unread bytes resets it, which destroys an
+// answer that the client has not read yet.
 const (
 	maxPipelinedBytes  = platform.MaxHead + platform.MaxBody // buffered: one more request of the longest size allowed
 	discardChunk       = 16 << 10                            // read at a time when discarding
@@ -23,8 +23,8 @@
 	lingerTimeout      = 500 * time.Millisecond              // for a client to read its last answer and close
 	drainLingerTimeout = 150 * time.Millisecond              // the same while the process is about to end: a few round trips
 	bufferedReadWait   = 200 * time.Microsecond              // for bytes already received to be read, when the descriptor is needed
-	extendedReadGrace  = 30 * time.Millisecond               // for an extended read to end by itself, once a new client has waited for closeWait
-	maxExtendedRead    = 100 * time.Millisecond              // for a client that still sends, if its descriptor is needed but no new client has waited in vain
+	extendedReadGrace  = 30 * time.Millisecond               // for an extended read to end by itself, after closeWait
+	maxExtendedRead    = 100 * time.Millisecond              // for an extended read that no new client cuts short
 )
 
 // discardBuffers are buffers for bytes that are read and discarded.
@@ -151,9 +151,9 @@
 	s.release()
 }
 
-// writeAnswer writes the answer once it is decided. wake says that the rest of the request's body is to be given up at once; it is
-// an argument because the reading goroutine may have ended meanwhile. A pipelined request that was read already is answered before
-// a shutdown closes the session.
+// writeAnswer writes the answer once it is decided. wake says that the rest of the request's body is to be given up at once;
+// it is an argument because the reading goroutine may have ended meanwhile. A pipelined request that was read already is
+// answered before a shutdown closes the session.
 func (s *session) writeAnswer(closing, wake bool, reader *pipelineReader, clientGone chan struct{}, done chan writeResult) {
 	var a core.Answer
 	select {
--- a/internal/network/await_test.go
+++ b/internal/network/await_test.go
@@ -41,7 +41,7 @@
 	case a := <-b.attempts:
 		return a
 	case <-time.After(20 * time.Second):
-		require.Fail(t, "no attempt")
+		require.Fail(t, "no attempt arrived")
 		return nil
 	}
 }
@@ -115,7 +115,7 @@
 			require.NoError(t, err)
 			first := b.nextAttempt(t)
 			_, err = io.WriteString(conn, c.after)
-			require.NoError(t, err, "what the client sends is taken in")
+			require.NoError(t, err, "the dispatcher must read what the client sends")
 			switch {
 			case c.reset:
 				conn.SetLinger(0)
@@ -127,11 +127,11 @@
 			}
 			s.waitNoSessions(t)
 			answered := s.count.AnswersServed.Load() + s.count.AnswersRefused.Load() + s.count.AnswersFailed.Load()
-			assert.Zero(t, answered, "the session did not stay until the req's time was up")
+			assert.Zero(t, answered, "the session must end before the request's deadline")
 			assert.EqualValues(t, 1, s.count.Endings[core.ClientClosed].Load())
 			assert.Equal(t, c.flooded, s.count.SessionsFlooded.Load())
-			assert.Zero(t, s.clients.bufferedBytes.Load(), "what was kept is given up")
-			assert.Empty(t, b.attempts, "a req that was sent ahead is not for anybody")
+			assert.Zero(t, s.clients.bufferedBytes.Load(), "reserved bytes must be released")
+			assert.Empty(t, b.attempts, "a pipelined request must not be sent to a backend")
 			first.Ended(core.Served, "r", nil)
 		})
 	}
@@ -176,7 +176,8 @@
 	}
 }
 
-// TestPipelinedReqAnsweredBeforeClose: a request that was read before the answer that would close its session is still answered.
+// TestPipelinedReqAnsweredBeforeClose: a request that was read before the answer that would close its session is still
+// answered.
 func TestPipelinedReqAnsweredBeforeClose(t *testing.T) {
 	b := newManualBackends()
 	s := startServer(t, b)
@@ -203,17 +204,17 @@
 	more := strings.Repeat("x", 64<<10)
 	body := strings.Repeat("z", 1000)
 	for name, c := range map[string]struct {
-		send   string
-		after  string // sent when the answer has arrived
-		served bool
-		orders *service.Directives
-		excess bool
-		want   int
+		send       string
+		after      string // sent when the answer has arrived
+		served     bool
+		directives *service.Directives
+		excess     bool
+		want       int
 	}{
 		"asked for":                  {send: photoReq("a", "Connection: close\r\n", body), after: more, served: true, want: 200},
 		"asked for, with more":       {send: photoReq("a", "Connection: close\r\n", body) + more, served: true, want: 200},
 		"asked for, a req":           {send: photoReq("a", "Connection: close\r\n", body), after: photoReq("b", "", body), served: true, want: 200},
-		"shutdown":                   {send: photoReq("a", "", body), after: more, served: true, orders: &service.Directives{Accept: true, CloseAfterAnswer: true}, want: 200},
+		"shutdown":                   {send: photoReq("a", "", body), after: more, served: true, directives: &service.Directives{Accept: true, CloseAfterAnswer: true}, want: 200},
 		"no req":                     {send: "NONSENSE\r\n\r\n" + more, after: more, want: 400},
 		"too long a body":            {send: "POST /photo/1 HTTP/1.1\r\nX-Correlation-Id: a\r\nContent-Length: 999999\r\n\r\n" + more, after: more, want: 413},
 		"too long a head":            {send: "POST /photo/1 HTTP/1.1\r\nX-A: " + more, after: more, want: 431},
@@ -229,8 +230,8 @@
 					cl.MaxSessions = -maxExcessSessions
 				}
 			})
-			if c.orders != nil {
-				s.clients.directives.Store(c.orders)
+			if c.directives != nil {
+				s.clients.directives.Store(c.directives)
 			}
 			conn := dialClient(t, s)
 			_, err := io.WriteString(conn, c.send)
@@ -241,13 +242,13 @@
 			_, err = conn.reader.Peek(1)
 			require.NoError(t, err)
 			_, err = io.WriteString(conn, c.after)
-			require.NoError(t, err, "the dispatcher reads on")
+			require.NoError(t, err, "the dispatcher must read on")
 			s.waitNoSessions(t)
 			status, _, closing := conn.readAnswer(t)
 			assert.Equal(t, c.want, status)
 			assert.True(t, closing)
 			_, err = conn.reader.ReadByte()
-			assert.Equal(t, io.EOF, err, "an end, no reset")
+			assert.Equal(t, io.EOF, err, "the connection must end without a reset")
 			assert.Empty(t, b.attempts)
 		})
 	}
@@ -256,9 +257,9 @@
 // TestLingeringSessionsBounded: sessions that had their last answer, and whose clients neither read nor close, hold no more
 // descriptors than all sessions may, and are closed at once for others that need theirs.
 func TestLingeringSessionsBounded(t *testing.T) {
-	const most = 20
-	s := startServer(t, instantBackends{"r"}, func(cl *Clients) { cl.MaxSessions = most })
-	for i := range 5 * most {
+	const limit = 20
+	s := startServer(t, instantBackends{"r"}, func(cl *Clients) { cl.MaxSessions = limit })
+	for i := range 5 * limit {
 		conn := dialClient(t, s)
 		_, err := io.WriteString(conn, photoReq(fmt.Sprint("a", i), "Connection: close\r\n", "z"))
 		require.NoError(t, err)
@@ -266,7 +267,7 @@
 		assert.Equal(t, 200, status)
 		assert.True(t, closing)
 		s.clients.table.mu.Lock()
-		assert.LessOrEqual(t, s.clients.table.lingering, most)
+		assert.LessOrEqual(t, s.clients.table.lingering, limit)
 		s.clients.table.mu.Unlock()
 	}
 	s.waitNoSessions(t)
@@ -313,24 +314,24 @@
 	require.NoError(t, err)
 	conn, err := l.Accept()
 	require.NoError(t, err)
-	held := &blockedConn{Conn: conn, writing: make(chan struct{}), closed: make(chan struct{}), sessionRemoved: func() bool { return s.clients.OpenSessions() == 0 }}
-	one := &session{sessionState: sessionState{conn: held}, clients: s.clients, answer: make(chan core.Answer, 1)}
-	s.clients.register(&one.sessionState)
-	go one.run()
+	blocked := &blockedConn{Conn: conn, writing: make(chan struct{}), closed: make(chan struct{}), sessionRemoved: func() bool { return s.clients.OpenSessions() == 0 }}
+	sess := &session{sessionState: sessionState{conn: blocked}, clients: s.clients, answer: make(chan core.Answer, 1)}
+	s.clients.register(&sess.sessionState)
+	go sess.run()
 	_, err = io.WriteString(client, photoReq("a", "", "z"))
 	require.NoError(t, err)
-	<-held.writing
+	<-blocked.writing
 	client.Close()
 	table := &s.clients.table
 	require.Eventually(t, func() bool { // the session has ended, and its writer too
 		table.mu.Lock()
 		defer table.mu.Unlock()
-		return table.count == 0 && one.servedJob
+		return table.count == 0 && sess.servedJob
 	}, 20*time.Second, time.Millisecond)
 	table.mu.Lock()
 	defer table.mu.Unlock()
 	for r := range table.byRank {
-		assert.Zero(t, table.byRank[r].Len(), "row %d", r)
+		assert.Zero(t, table.byRank[r].Len(), "rank %d", r)
 	}
 }
 
@@ -342,18 +343,18 @@
 		"gone":     func(t *table, s *sessionState) { t.remove(s) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			var list table
+			var tbl table
 			near, far := net.Pipe()
 			defer near.Close()
 			defer far.Close()
-			one := &sessionState{conn: near}
-			list.add(one, 9, nil)
-			list.requestClose(one, guard.ShuttingDown)
-			list.reqReceived(one)
-			answering, closing := list.unfinished()
+			state := &sessionState{conn: near}
+			tbl.add(state, 9, nil)
+			tbl.requestClose(state, guard.ShuttingDown)
+			tbl.reqReceived(state)
+			answering, closing := tbl.unfinished()
 			assert.Equal(t, []int{1, 1}, []int{answering, closing})
-			end(&list, one)
-			answering, _ = list.unfinished()
+			end(&tbl, state)
+			answering, _ = tbl.unfinished()
 			assert.Zero(t, answering)
 		})
 	}
--- a/internal/network/clients.go
+++ b/internal/network/clients.go
@@ -33,8 +33,8 @@
 	Names            *platform.Names
 	Count            *counters.Set
 	Core             *core.Core
-	MaxSessions      int   // sessions, until Resize; beyond it an idle one is closed, and if there is none a few clients are told to come back
-	MaxJobSessions   int   // sessions that serve jobs, until Resize; beyond it the one idle for longest is closed
+	MaxSessions      int   // until Resize; beyond it an idle one is closed, or if there is none a few new clients are refused
+	MaxJobSessions   int   // of sessions that serve jobs, until Resize; beyond it the one idle for longest is closed
 	MaxBufferedBytes int64 // bytes of bodies and answers that may be buffered for all sessions together
 	LongestDeadline  time.Duration
 	Stats            func() string
--- a/internal/network/http2_bench_test.go
+++ b/internal/network/http2_bench_test.go
@@ -133,9 +133,9 @@
 // load sends n requests, keeping width of them open at a time.
 func (p *benchClient) load(n, width int) error {
 	out, sent := make([]byte, 0, 64<<10), 0
-	for done, room := 0, width; done < n; {
+	for done, free := 0, width; done < n; {
 		out = out[:0]
-		for ; room > 0 && sent < n; room-- {
+		for ; free > 0 && sent < n; free-- {
 			out = p.appendReq(out)
 			sent++
 		}
@@ -150,7 +150,7 @@
 				return err
 			}
 			done += got
-			room += got
+			free += got
 		}
 	}
 	return nil
@@ -158,12 +158,12 @@
 
 // loadHTTP1 sends n requests over HTTP/1.1, on width connections at once.
 func loadHTTP1(t testing.TB, address string, n, width int) error {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	errs := make(chan error, width)
 	for i := range width {
 		conn, err := net.Dial("tcp", address)
 		require.NoError(t, err)
-		all.Go(func() {
+		wg.Go(func() {
 			defer conn.Close()
 			r := bufio.NewReader(conn)
 			req := []byte("POST /photo/1 HTTP/1.1\r\nX-Time-Left-Ms: 5000\r\nContent-Length: 512\r\nX-Correlation-Id: 0000000000000000\r\n\r\n" + string(make([]byte, 512)))
@@ -174,13 +174,13 @@
 					errs <- err
 					return
 				}
-				for blank := false; !blank; {
+				for endOfHead := false; !endOfHead; {
 					line, err := r.ReadSlice('\n')
 					if err != nil {
 						errs <- err
 						return
 					}
-					blank = len(line) <= 2
+					endOfHead = len(line) <= 2
 				}
 				if _, err := r.Discard(len("done")); err != nil {
 					errs <- err
@@ -189,7 +189,7 @@
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	select {
 	case err := <-errs:
 		return err
@@ -239,14 +239,14 @@
 	if err != nil {
 		return
 	}
-	q := platformRequest(r, body)
-	work, err := s.clients.Names.ReadJobRequest(&q)
+	req := platformRequest(r, body)
+	work, err := s.clients.Names.ReadJobRequest(&req)
 	if err != nil {
 		w.WriteHeader(400)
 		return
 	}
 	answer := make(answerChan, 1)
-	job := jobOf(&q, &work)
+	job := jobOf(&req, &work)
 	if _, fresh := s.clients.Core.Submit(work.Request, job, time.Now(), work.TimeLeft, answer); !fresh {
 		w.WriteHeader(409)
 		return
@@ -285,8 +285,8 @@
 						p.reader = nil
 					}
 				}
-				held := memoryInUse() - before
-				b.ReportMetric(float64(held)/conns, "B/conn")
+				used := memoryInUse() - before
+				b.ReportMetric(float64(used)/conns, "B/conn")
 				for _, c := range open {
 					c.Close()
 				}
@@ -341,17 +341,17 @@
 			s := startServer(b, instantBackends{"done"})
 			for b.Loop() {
 				stop := make(chan struct{})
-				var all sync.WaitGroup
+				var wg sync.WaitGroup
 				for range 2 {
 					if a.frame == nil {
 						break
 					}
-					all.Go(func() { abuse(s.addresses[1], a.first, a.frame, stop) })
+					wg.Go(func() { abuse(s.addresses[1], a.first, a.frame, stop) })
 				}
-				kept := regularTraffic(b, s, 400, time.Second)
+				served := regularTraffic(b, s, 400, time.Second)
 				close(stop)
-				all.Wait()
-				b.ReportMetric(100*kept, "kept-%")
+				wg.Wait()
+				b.ReportMetric(100*served, "kept-%")
 				ended := int64(0)
 				for k := range s.count.HTTP2Abuse {
 					ended += s.count.HTTP2Abuse[k].Load()
@@ -394,7 +394,7 @@
 }
 
 // regularTraffic sends perSec requests a second, whether answered or not, and returns the part that was served within 120 ms.
-func regularTraffic(b *testing.B, s *testServer, perSec int, long time.Duration) float64 {
+func regularTraffic(b *testing.B, s *testServer, perSec int, duration time.Duration) float64 {
 	clients := [2]*http.Client{}
 	for i := range clients {
 		t := &http.Transport{Protocols: new(http.Protocols), MaxIdleConnsPerHost: 32}
@@ -403,14 +403,14 @@
 		clients[i] = &http.Client{Transport: t, Timeout: 2 * time.Second}
 		b.Cleanup(t.CloseIdleConnections)
 	}
-	n := int(float64(perSec) * long.Seconds())
-	var good atomic.Int64
-	var all sync.WaitGroup
+	n := int(float64(perSec) * duration.Seconds())
+	var inTime atomic.Int64
+	var wg sync.WaitGroup
 	begun := time.Now()
 	for i := range n {
-		at := begun.Add(time.Duration(i) * time.Second / time.Duration(perSec))
-		time.Sleep(time.Until(at))
-		all.Go(func() {
+		due := begun.Add(time.Duration(i) * time.Second / time.Duration(perSec))
+		time.Sleep(time.Until(due))
+		wg.Go(func() {
 			r, err := http.NewRequest("POST", "http://"+s.addresses[i%2]+"/photo/1", bytes.NewReader(make([]byte, 512)))
 			if err != nil {
 				return
@@ -422,11 +422,11 @@
 			}
 			_, err = io.Copy(io.Discard, answer.Body)
 			answer.Body.Close()
-			if err == nil && answer.StatusCode == 200 && time.Since(at) <= 120*time.Millisecond {
-				good.Add(1)
+			if err == nil && answer.StatusCode == 200 && time.Since(due) <= 120*time.Millisecond {
+				inTime.Add(1)
 			}
 		})
 	}
-	all.Wait()
-	return float64(good.Load()) / float64(n)
+	wg.Wait()
+	return float64(inTime.Load()) / float64(n)
 }
--- a/internal/network/http2_client_test.go
+++ b/internal/network/http2_client_test.go
@@ -22,15 +22,15 @@
 	"tinsail/internal/platform"
 )
 
-// Helpers for tests of events that cross each other on an HTTP/2 connection, over loopback sockets. Which comes first is forced:
-// a backend holds its attempt, a client its bytes, or a wrapped socket a call. Time limits only bound how long a failing test
-// waits.
+// Helpers for tests of events that cross each other on an HTTP/2 connection, over loopback sockets. Which comes first is
+// forced: a backend holds its attempt, a client its bytes, or a wrapped socket a call. Time limits only bound how long a
+// failing test waits.
 const testTimeout = 20 * time.Second
 
 // eventually waits for a condition, however loaded the machine is.
-func eventually(t *testing.T, what string, is func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	require.Eventually(t, is, testTimeout, time.Millisecond, what)
+	require.Eventually(t, condition, testTimeout, time.Millisecond, what)
 }
 
 // receive waits for an event.
@@ -39,7 +39,7 @@
 	select {
 	case v = <-c:
 	case <-time.After(testTimeout):
-		require.FailNow(t, "did not come: "+what)
+		require.FailNow(t, "timed out waiting for "+what)
 	}
 	return v
 }
@@ -237,32 +237,32 @@
 // waitOpenReqs waits until n requests are open.
 func (s *testServer) waitOpenReqs(t *testing.T, n int) {
 	t.Helper()
-	eventually(t, fmt.Sprint(n, " reqs are owed an answer"), func() bool { return s.clients.Core.OpenReqs() == n })
+	eventually(t, fmt.Sprint(n, " requests are open"), func() bool { return s.clients.Core.OpenReqs() == n })
 }
 
-// waitAbandoned waits until no request is open, and checks that the requests were abandoned rather than answered, at the latest
-// at their deadline, with nobody to read the answer.
+// waitAbandoned waits until no request is open, and checks that the requests were abandoned. A request that was not would be
+// answered at its deadline, with nobody to read the answer.
 func (s *testServer) waitAbandoned(t *testing.T) {
 	t.Helper()
 	s.waitOpenReqs(t, 0)
 	n := s.count
-	assert.Zero(t, n.AnswersServed.Load()+n.AnswersRefused.Load()+n.AnswersFailed.Load(), "answered, not abandoned")
+	assert.Zero(t, n.AnswersServed.Load()+n.AnswersRefused.Load()+n.AnswersFailed.Load(), "answered instead of abandoned")
 }
 
 // checkNoSessions checks that nothing is left of the sessions.
 func (s *testServer) checkNoSessions(t *testing.T) {
 	t.Helper()
-	eventually(t, "no session", func() bool { return s.clients.OpenSessions() == 0 && len(s.sessions()) == 0 })
-	assert.Zero(t, s.clients.bufferedBytes.Load(), "bytes are held for nobody")
+	eventually(t, "no session is left", func() bool { return s.clients.OpenSessions() == 0 && len(s.sessions()) == 0 })
+	assert.Zero(t, s.clients.bufferedBytes.Load(), "no bytes may stay reserved")
 }
 
 // blockWriter connects a client that has a request open and then reads nothing, so that the front's writer waits for it. What
 // the front writes is the reply to /counters, a megabyte.
-func (s *testServer) blockWriter(t *testing.T, out chan *core.Attempt) (*http2Client, *core.Attempt) {
+func (s *testServer) blockWriter(t *testing.T, attempts chan *core.Attempt) (*http2Client, *core.Attempt) {
 	c := connectHTTP2(t, s.listenHTTP2(t, smallWriteBuffer), 4<<10)
 	c.appendPost(1)
 	c.flush()
-	a := receive(t, "an attempt", out)
+	a := receive(t, "an attempt", attempts)
 	c.appendGet(3, "/counters")
 	c.flush()
 	c.readUntil("head 3 200")
@@ -288,7 +288,7 @@
 }
 
 // pauseWriter is like blockWriter, for a client that reads after all once resume is closed.
-func (s *testServer) pauseWriter(t *testing.T, out chan *core.Attempt) (*http2Client, *core.Attempt, *pausedWriter) {
+func (s *testServer) pauseWriter(t *testing.T, attempts chan *core.Attempt) (*http2Client, *core.Attempt, *pausedWriter) {
 	l := &pausedWriter{writing: make(chan struct{}), resume: make(chan struct{})}
 	c := connectHTTP2(t, s.listenHTTP2(t, func(conn *net.TCPConn) net.Conn {
 		l.TCPConn = conn
@@ -296,7 +296,7 @@
 	}), 0)
 	c.appendPost(1)
 	c.flush()
-	a := receive(t, "an attempt", out)
+	a := receive(t, "an attempt", attempts)
 	c.appendGet(3, "/counters")
 	c.flush()
 	receive(t, "a long write", l.writing)
@@ -319,21 +319,21 @@
 
 // heldDials is a pool of backends whose connections come up when the test says so.
 type heldDials struct {
-	pool    *Pool
-	started chan struct{}
-	goOn    chan struct{}
-	mu      sync.Mutex
-	got     int
+	pool      *Pool
+	started   chan struct{}
+	resume    chan struct{}
+	mu        sync.Mutex
+	bytesRead int
 }
 
 func (d *heldDials) bytes() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.got
+	return d.bytesRead
 }
 
 func newHeldDials(t *testing.T) *heldDials {
-	d := &heldDials{started: make(chan struct{}, 16), goOn: make(chan struct{})}
+	d := &heldDials{started: make(chan struct{}, 16), resume: make(chan struct{})}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -349,7 +349,7 @@
 				for {
 					n, err := conn.Read(b)
 					d.mu.Lock()
-					d.got += n
+					d.bytesRead += n
 					d.mu.Unlock()
 					if err != nil {
 						return
@@ -361,7 +361,7 @@
 	d.pool = &Pool{Names: &platform.Names{}, Count: &counters.Set{}, ConnectTimeout: time.Minute, IdleTimeout: time.Minute, MaxConnections: 9}
 	d.pool.Dial = func(context.Context, string) (net.Conn, error) {
 		d.started <- struct{}{}
-		<-d.goOn
+		<-d.resume
 		return net.Dial("tcp", l.Addr().String())
 	}
 	return d
--- a/internal/network/http2_crossing_test.go
+++ b/internal/network/http2_crossing_test.go
@@ -51,7 +51,7 @@
 // TestHTTP2ClientCancels: however a client cancels its request, the core learns of it at once, whether the front's writer is
 // idle or waits for that client.
 func TestHTTP2ClientCancels(t *testing.T) {
-	for name, end := range cancellations {
+	for name, cancel := range cancellations {
 		t.Run(name+"/writer free", func(t *testing.T) {
 			h := newHoldingBackends()
 			s := startWithLongDeadlines(t, h)
@@ -60,7 +60,7 @@
 			c.flush()
 			receive(t, "an attempt", h.attempts)
 			s.waitOpenReqs(t, 1)
-			end(c)
+			cancel(c)
 			s.waitAbandoned(t)
 			c.conn.Close()
 			s.checkNoSessions(t)
@@ -70,7 +70,7 @@
 			s := startWithLongReply(t, h, time.Hour)
 			c, _ := s.blockWriter(t, h.attempts)
 			s.waitOpenReqs(t, 1)
-			end(c)
+			cancel(c)
 			s.waitAbandoned(t)
 			c.conn.Close() // resets the connection, as bytes are unread
 			s.checkNoSessions(t)
@@ -81,7 +81,7 @@
 // TestHTTP2ClientCancelsWhileDialing: no attempt begins for a client that cancelled its request while the connection to the
 // backend was being made.
 func TestHTTP2ClientCancelsWhileDialing(t *testing.T) {
-	for name, end := range cancellations {
+	for name, cancel := range cancellations {
 		t.Run(name, func(t *testing.T) {
 			d := newHeldDials(t)
 			s := startWithLongDeadlines(t, d.pool)
@@ -90,11 +90,11 @@
 			c.flush()
 			receive(t, "a connection to a backend", d.started)
 			s.waitOpenReqs(t, 1)
-			end(c)
+			cancel(c)
 			s.waitAbandoned(t)
-			close(d.goOn)
+			close(d.resume)
 			eventually(t, "the attempt's end", func() bool { return d.bytes() > 0 || s.count.Endings[core.Unsent].Load() == 1 })
-			assert.Zero(t, d.bytes(), "a req was begun whose client had gone")
+			assert.Zero(t, d.bytes(), "a request was sent although its client had cancelled it")
 			c.conn.Close()
 			s.checkNoSessions(t)
 		})
@@ -115,8 +115,8 @@
 	c.flush()
 	c.readUntil("ping") // the GOAWAY has been read
 	assert.Equal(t, 1, s.clients.Core.OpenReqs())
-	close(d.goOn)
-	eventually(t, "the req's bytes", func() bool { return d.bytes() > 0 })
+	close(d.resume)
+	eventually(t, "the request's bytes", func() bool { return d.bytes() > 0 })
 }
 
 // lingeringConn is the front's end of a connection that ends with an answer which its client has not read.
@@ -240,7 +240,7 @@
 				c.appendPost(1)
 				c.flush()
 				end(s, c, receive(t, "an attempt", h.attempts))
-				receive(t, "the reading after the end", l.reading)
+				receive(t, "the read after the end", l.reading)
 				switch when {
 				case "/in a shutdown":
 					NewService(s.clients, s.http2).BeginShutdown()
@@ -258,7 +258,7 @@
 					require.Fail(t, "neither read on nor closed")
 				}
 				whole, last := c.readAnswers()
-				assert.Equal(t, len(bigResult), whole[1], "bytes of the answer")
+				assert.Equal(t, len(bigResult), whole[1], "bytes of the answer received")
 				assert.Equal(t, "end", last)
 				c.conn.Close()
 				s.checkNoSessions(t)
--- a/internal/network/http2_flood_test.go
+++ b/internal/network/http2_flood_test.go
@@ -74,12 +74,12 @@
 		},
 	}
 	s := startWithLongDeadlines(t, instantBackends{"r"})
-	honest := connectHTTP2(t, s.addresses[1], 0)
+	regular := connectHTTP2(t, s.addresses[1], 0)
 	next := uint32(1)
 	serve := func() {
-		honest.appendPost(next)
-		honest.flush()
-		honest.readUntil(fmt.Sprint("data ", next))
+		regular.appendPost(next)
+		regular.flush()
+		regular.readUntil(fmt.Sprint("data ", next))
 		next += 2
 	}
 	serve()
@@ -95,7 +95,7 @@
 			serve()
 		}
 	}
-	eventually(t, "only the client beside them is left", func() bool { return s.clients.OpenSessions() == 1 })
+	eventually(t, "only the regular client is left", func() bool { return s.clients.OpenSessions() == 1 })
 	assert.Equal(t, int64(each*len(floods)), s.count.Endings[core.ClientBad].Load())
 	assert.Equal(t, int64(1+each*len(floods)), s.count.HTTP2Sessions.Load())
 	assert.Zero(t, s.count.Endings[core.ClientClosed].Load())
@@ -104,7 +104,7 @@
 	}
 	eventually(t, "their goroutines end", func() bool { return runtime.NumGoroutine() <= before+each })
 	serve()
-	honest.conn.Close()
+	regular.conn.Close()
 	s.checkNoSessions(t)
 	s.waitOpenReqs(t, 0)
 }
--- a/internal/network/http2_real_test.go
+++ b/internal/network/http2_real_test.go
@@ -101,7 +101,7 @@
 	}
 	t.Logf("%d passed, %d failed, %d skipped", passed, failed, skipped)
 	assert.Zero(t, failed)
-	assert.Greater(t, passed, 140, "all cases were played")
+	assert.Greater(t, passed, 140, "all cases must run")
 }
 
 func reportFailures(t *testing.T, g *spec.TestGroup) {
@@ -142,9 +142,9 @@
 	tr.Protocols.SetUnencryptedHTTP2(true)
 	defer tr.CloseIdleConnections()
 	client := &http.Client{Transport: tr}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range 300 {
-		all.Go(func() {
+		wg.Go(func() {
 			r, err := http.NewRequest("POST", "http://"+s.addresses[1]+"/photo/1", strings.NewReader(strings.Repeat("b", 200*i+1)))
 			if !assert.NoError(t, err) {
 				return
@@ -168,7 +168,7 @@
 			assert.Len(t, body, 40_000)
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	assert.Equal(t, int64(300), s.count.AnswersServed.Load())
 	assert.Zero(t, s.clients.bufferedBytes.Load())
 }
@@ -177,7 +177,7 @@
 func TestCurl(t *testing.T) {
 	curl, err := exec.LookPath("curl")
 	if err != nil && os.Getenv("CI") == "" {
-		t.Skip("curl is not here; CI installs it")
+		t.Skip("curl is not installed; CI installs it")
 	}
 	require.NoError(t, err)
 	s := startServer(t, instantBackends{"done"})
@@ -203,8 +203,8 @@
 // to repeat none that was taken.
 func TestShutdownUnderLoad(t *testing.T) {
 	s := startServer(t, instantBackends{"done"}, func(c *Clients) { c.LongestDeadline = time.Millisecond }) // the shutdown waits for no load balancer
-	var all sync.WaitGroup
-	var asked, answered, untaken atomic.Int64
+	var wg sync.WaitGroup
+	var sent, answered, untaken atomic.Int64
 	begin, stop := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	for c := range 8 {
@@ -212,7 +212,7 @@
 		tr.Protocols.SetUnencryptedHTTP2(true)
 		client := &http.Client{Transport: tr}
 		for k := range 8 {
-			all.Go(func() {
+			wg.Go(func() {
 				defer tr.CloseIdleConnections()
 				for i := 0; ; i++ {
 					select {
@@ -226,7 +226,7 @@
 					}
 					r.GetBody = nil // keeps the client from sending it again by itself
 					r.Header.Set("X-Correlation-Id", fmt.Sprintf("d-%d-%d-%d", c, k, i))
-					asked.Add(1)
+					sent.Add(1)
 					answer, err := client.Do(r)
 					if err != nil { // GOAWAY said that it was not taken
 						untaken.Add(1)
@@ -242,12 +242,12 @@
 		}
 	}
 	<-begin
-	end := NewService(s.clients, s.http2)
-	end.BeginShutdown()
-	<-end.Ended()
+	svc := NewService(s.clients, s.http2)
+	svc.BeginShutdown()
+	<-svc.Ended()
 	close(stop)
-	all.Wait()
+	wg.Wait()
 	taken := s.count.ReqsTaken.Load()
-	t.Logf("asked %d, taken %d, answered %d, not taken %d", asked.Load(), taken, answered.Load(), untaken.Load())
-	assert.Equal(t, taken, answered.Load(), "each that was taken was answered, and its client had the answer")
+	t.Logf("sent %d, taken %d, answered %d, not taken %d", sent.Load(), taken, answered.Load(), untaken.Load())
+	assert.Equal(t, taken, answered.Load(), "each request taken must be answered, and its client must get the answer")
 }
--- a/internal/network/http2_shutdown_test.go
+++ b/internal/network/http2_shutdown_test.go
@@ -32,7 +32,7 @@
 			c.out.Reset()
 			c.out.Write(all[:early])
 			c.flush()
-			eventually(t, "it is accepted, and has sent so much", func() bool {
+			eventually(t, "the connection is accepted, and its first bytes are read", func() bool {
 				if len(s.sessions()) == 0 {
 					return false
 				}
@@ -41,8 +41,8 @@
 				defer f.mu.Unlock()
 				return early == 0 || f.machine.Partial() && f.rank == rankPartial
 			})
-			end := NewService(s.clients, s.http2)
-			end.BeginShutdown()
+			svc := NewService(s.clients, s.http2)
+			svc.BeginShutdown()
 			c.out.Write(all[early:])
 			c.flush()
 			c.readUntil("goaway 2147483647 NO_ERROR")
@@ -55,7 +55,7 @@
 			assert.Equal(t, map[uint32]int{1: 1}, whole)
 			assert.Equal(t, "end", last)
 			c.conn.Close()
-			receive(t, "the process's end", end.Ended())
+			receive(t, "the process's end", svc.Ended())
 			s.checkNoSessions(t)
 		})
 	}
@@ -71,10 +71,10 @@
 		c := connectHTTP2(t, s.addresses[1], 0)
 		c.readUntil("settings")
 		begin := make(chan struct{})
-		var all sync.WaitGroup
-		end := NewService(s.clients, s.http2)
-		all.Go(func() { <-begin; end.BeginShutdown() })
-		all.Go(func() {
+		var wg sync.WaitGroup
+		svc := NewService(s.clients, s.http2)
+		wg.Go(func() { <-begin; svc.BeginShutdown() })
+		wg.Go(func() {
 			<-begin
 			for i := range uint32(8) {
 				c.appendPost(1 + 2*i)
@@ -85,7 +85,7 @@
 			}
 		})
 		close(begin)
-		all.Wait()
+		wg.Wait()
 		last := uint32(0)
 		for word := ""; last == 0; {
 			var f http2.Frame
@@ -108,18 +108,18 @@
 		c.flush()
 		c.readUntil("ping") // all of it has been read
 		reqs := int(last+1) / 2
-		assert.Equal(t, reqs, s.clients.Core.OpenReqs(), "round %d: taken, the last stream being %d", round, last)
+		assert.Equal(t, reqs, s.clients.Core.OpenReqs(), "round %d: open requests, with %d as the last stream", round, last)
 		go func() {
 			for range reqs {
 				(<-h.attempts).Ended(core.Served, "r", nil)
 			}
 		}()
-		whole, how := c.readAnswers()
+		whole, ending := c.readAnswers()
 		assert.Len(t, whole, reqs, "round %d", round)
-		assert.Equal(t, "end", how)
+		assert.Equal(t, "end", ending)
 		c.conn.Close()
 		s.checkNoSessions(t)
-		assert.Empty(t, h.attempts, "sent on beyond the last stream")
+		assert.Empty(t, h.attempts, "a stream beyond the last one named was sent to a backend")
 	}
 }
 
@@ -129,17 +129,17 @@
 	h := newHoldingBackends()
 	s := startWithLongReply(t, h, time.Hour)
 	c, a, l := s.pauseWriter(t, h.attempts)
-	end := NewService(s.clients, s.http2)
-	end.BeginShutdown()
+	svc := NewService(s.clients, s.http2)
+	svc.BeginShutdown()
 	a.Ended(core.Served, "decided", nil)
 	s.waitOpenReqs(t, 0)
 	// No request is open any more, and the shutdown has begun to close sessions.
-	eventually(t, "the shutdown closes sessions", func() bool { return s.clients.currentDirectives().CloseAfterAnswer })
+	eventually(t, "the shutdown to close sessions", func() bool { return s.clients.currentDirectives().CloseAfterAnswer })
 	for range 2 * 5 { // more updates than the end would take without a session
-		end.refresh()
+		svc.refresh()
 		select {
-		case <-end.Ended():
-			t.Fatal("ended with an answer unwritten")
+		case <-svc.Ended():
+			t.Fatal("the process ended before the answer was written")
 		default:
 		}
 	}
@@ -157,7 +157,7 @@
 		}
 	}
 	c.conn.Close()
-	receive(t, "the process's end", end.Ended())
+	receive(t, "the process's end", svc.Ended())
 }
 
 // heldRead is the front's end of a connection on which a test holds a read that returned bytes.
@@ -188,16 +188,16 @@
 	h := newHoldingBackends()
 	s := startWithLongDeadlines(t, h)
 	var hold, shed atomic.Bool
-	came1, goOn, quiet := make(chan struct{}), make(chan struct{}), make(chan struct{}, 100)
+	reqRead, resume, noDeadline := make(chan struct{}), make(chan struct{}), make(chan struct{}, 100)
 	address := s.listenHTTP2(t, func(conn *net.TCPConn) net.Conn {
 		return &heldRead{conn, func() {
 			if hold.CompareAndSwap(true, false) {
-				close(came1)
-				<-goOn
+				close(reqRead)
+				<-resume
 			}
 		}, func() {
 			if shed.Load() {
-				quiet <- struct{}{}
+				noDeadline <- struct{}{}
 			}
 		}}
 	})
@@ -206,7 +206,7 @@
 	c.flush()
 	receive(t, "an attempt", h.attempts).Ended(core.Served, "r", nil)
 	c.readUntil("data 1")
-	eventually(t, "the session rests", func() bool {
+	eventually(t, "the session is idle", func() bool {
 		f := s.sessions()[0]
 		s.clients.table.mu.Lock()
 		defer s.clients.table.mu.Unlock()
@@ -215,13 +215,13 @@
 	hold.Store(true)
 	c.appendPost(3)
 	c.flush()
-	receive(t, "the req's bytes", came1)
+	receive(t, "the request's bytes", reqRead)
 	s.clients.Resize(DescriptorLimits{}) // no idle session may stay
 	shed.Store(true)
-	close(goOn)
+	close(resume)
 	a := receive(t, "an attempt", h.attempts)
 	c.readUntil("goaway 3 NO_ERROR")
-	receive(t, "a read that waits for bytes alone", quiet)
+	receive(t, "a read without a deadline", noDeadline)
 	a.Ended(core.Served, "r", nil)
 	whole, last := c.readAnswers()
 	assert.Equal(t, map[uint32]int{3: 1}, whole)
--- a/internal/network/http2_unread_test.go
+++ b/internal/network/http2_unread_test.go
@@ -14,15 +14,15 @@
 	ours "tinsail/internal/http2"
 )
 
-// TestHTTP2AnswerSentBeforeClientError: an answer that was decided before a client's error is read is sent with what was written
-// before, although the writer waited for that client.
+// TestHTTP2AnswerSentBeforeClientError: an answer that was decided before a client's error is read is sent with what was
+// written before, although the writer waited for that client.
 func TestHTTP2AnswerSentBeforeClientError(t *testing.T) {
 	h := newHoldingBackends()
 	s := startWithLongReply(t, h, time.Hour)
 	c, a, l := s.pauseWriter(t, h.attempts)
 	a.Ended(core.Served, "decided", nil)
 	f := s.sessions()[0]
-	eventually(t, "the answer in the mail", func() bool {
+	eventually(t, "the answer in the inbox", func() bool {
 		f.inbox.Lock()
 		defer f.inbox.Unlock()
 		return len(f.inbox.items) == 1
@@ -36,7 +36,7 @@
 	})
 	close(l.resume)
 	whole, last := c.readAnswers()
-	assert.Equal(t, len("decided"), whole[1], "bytes of the answer")
+	assert.Equal(t, len("decided"), whole[1], "bytes of the answer received")
 	assert.Equal(t, "end", last)
 	c.conn.Close()
 	s.checkNoSessions(t)
@@ -66,7 +66,7 @@
 	}
 	s.waitOpenReqs(t, 0)
 	fit := s.clients.MaxBufferedBytes / 4 / size
-	eventually(t, "the answers are held", func() bool { return s.clients.bufferedBytes.Load() == 1<<20+fit*size })
+	eventually(t, "the answers are reserved", func() bool { return s.clients.bufferedBytes.Load() == 1<<20+fit*size })
 	close(l.resume)
 	whole, reset := map[uint32]bool{}, 0
 	for len(whole)+reset < reqs+2 {
@@ -98,7 +98,7 @@
 	s := startWithLongReply(t, h, time.Hour)
 	c, a, l := s.pauseWriter(t, h.attempts)
 	a.Ended(core.Served, strings.Repeat("r", 100<<10), nil)
-	eventually(t, "the answer is held", func() bool { return s.clients.bufferedBytes.Load() == 1<<20+100<<10 })
+	eventually(t, "the answer is reserved", func() bool { return s.clients.bufferedBytes.Load() == 1<<20+100<<10 })
 	c.conn.Close()
 	s.checkNoSessions(t) // the writer still waits
 	close(l.resume)
@@ -161,7 +161,7 @@
 	word, _ := c.nextFrame()
 	assert.Equal(t, "end", word)
 	c.conn.Close()
-	eventually(t, "it is gone", func() bool { return s.clients.rejectedLingering.Load() == 0 })
+	eventually(t, "the rejected client is gone", func() bool { return s.clients.rejectedLingering.Load() == 0 })
 	assert.Equal(t, int64(1), s.count.Endings[core.SessionShed].Load())
 	assert.Equal(t, s.clients.MaxSessions+maxExcessSessions, s.clients.OpenSessions())
 	assert.Zero(t, s.count.ReqsTaken.Load())
--- a/internal/network/linger_crossing_test.go
+++ b/internal/network/linger_crossing_test.go
@@ -23,9 +23,9 @@
 // connectClient connects a client whose session can linger, and returns the client's end.
 func (w *fixture) connectClient(name string) net.Conn {
 	w.mu.Lock() // the dispatcher may be dialing meanwhile
-	near := w.newPeer(name)
+	conn := w.newPeer(name)
 	w.mu.Unlock()
-	go w.clients.admit(halfClosablePipe{near})
+	go w.clients.admit(halfClosablePipe{conn})
 	synctest.Wait()
 	return w.peer(name).conn
 }
@@ -37,10 +37,10 @@
 }
 
 // clientWrite writes as a client; the dispatcher must read it.
-func (w *fixture) clientWrite(c net.Conn, text string) {
-	require.NoError(w.t, c.SetWriteDeadline(time.Now().Add(time.Minute)))
-	_, err := io.WriteString(c, text)
-	assert.NoError(w.t, err, "reset while its bytes come")
+func (w *fixture) clientWrite(client net.Conn, text string) {
+	require.NoError(w.t, client.SetWriteDeadline(time.Now().Add(time.Minute)))
+	_, err := io.WriteString(client, text)
+	assert.NoError(w.t, err, "the connection was reset while its client sent")
 	synctest.Wait()
 }
 
@@ -61,8 +61,8 @@
 }
 
 // TestLingeringSessionDescriptorNeeded: the descriptor of a client that had its last answer is needed for another one. While
-// lingerHeadroom beyond the limit has room, it stays. Then a client that still sends is read until it closes, for a bounded time;
-// one that sent nothing more is closed at once.
+// lingerHeadroom beyond the limit has room, it stays. Then a client that still sends is read until it closes, for a bounded
+// time; one that sent nothing more is closed at once.
 func TestLingeringSessionDescriptorNeeded(t *testing.T) {
 	piece := strings.Repeat("x", 8<<10)
 	for name, c := range map[string]struct {
@@ -97,14 +97,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, newEntries(balance.Ready, "s1"), 1, func(w *fixture) {
-				one := w.connectClient("c1")
-				w.clientWrite(one, "NONSENSE\r\n\r\n"+c.behind)
+				client := w.connectClient("c1")
+				w.clientWrite(client, "NONSENSE\r\n\r\n"+c.behind)
 				w.connectSilent(0, lingerHeadroom)
-				assert.True(t, w.isOpen("c1"), "nobody needs its descriptor")
-				w.clientWrite(one, c.behind)
+				assert.True(t, w.isOpen("c1"), "its descriptor is not needed yet")
+				w.clientWrite(client, c.behind)
 				w.play(fmt.Sprintf("cx%d send", lingerHeadroom))
 				from := time.Now()
-				c.then(w, one)
+				c.then(w, client)
 				for w.isOpen("c1") {
 					time.Sleep(bufferedReadWait / 2)
 					synctest.Wait()
@@ -125,16 +125,16 @@
 // has to be refused. The client is read until it closes.
 func TestDescriptorNeededWhileClientSends(t *testing.T) {
 	runScenario(t, newEntries(balance.Ready, "s1"), 1, func(w *fixture) {
-		one := w.connectClient("c1")
-		w.clientWrite(one, "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
+		client := w.connectClient("c1")
+		w.clientWrite(client, "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
 		time.Sleep(time.Millisecond)
 		w.connectSilent(0, 1)
-		assert.Equal(t, 1, w.clients.table.byRank[rankClosing].Len(), "it is told to go")
+		assert.Equal(t, 1, w.clients.table.byRank[rankClosing].Len(), "the session must be told to close")
 		for _, text := range []string{"NONSENSE\r\n\r\n", "x", "x", "x", "x"} {
-			w.clientWrite(one, text)
+			w.clientWrite(client, text)
 			time.Sleep(2 * time.Millisecond)
 		}
-		one.Close()
+		client.Close()
 		synctest.Wait()
 		assert.Equal(t, 1, w.clients.OpenSessions())
 	}, `
@@ -142,8 +142,8 @@
 		c1 expect 400 close 400: a bad request line`)
 }
 
-// TestLingeringAddsNoReqCapacity: where all sessions have a request open, a client that was refused and lingers makes no room for
-// another request beyond the limit.
+// TestLingeringAddsNoReqCapacity: where all sessions have a request open, a client that was refused and lingers makes no
+// room for another request beyond the limit.
 func TestLingeringAddsNoReqCapacity(t *testing.T) {
 	runScenario(t, newEntries(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *fixture) {
 		w.clientWrite(w.connectClient("c2"), "NONSENSE\r\n\r\n")
@@ -187,28 +187,28 @@
 		c1 expect 200 r`)
 }
 
-// TestRejectedClientsBounded: clients that there is no descriptor for, and that never close, are each rejected in a bounded time.
-// Two at a time linger, and each may send on until later ones need its slot.
+// TestRejectedClientsBounded: clients that there is no descriptor for, and that never close, are each rejected in a bounded
+// time. Two at a time linger, and each may send on until later ones need its slot.
 func TestRejectedClientsBounded(t *testing.T) {
 	runScenario(t, newEntries(balance.Ready, "s1"), 1, "c1 send {req 9a x}", func(w *fixture) {
 		w.connectSilent(0, maxExcessSessions)
-		const each = rejectedReadWait + finalReadWait
+		const perClient = rejectedReadWait + finalReadWait
 		begun := time.Now()
 		for i := range 8 {
 			w.connectClient(fmt.Sprint("away", i))
-			time.Sleep(each + time.Millisecond) // the longest that the next client has to wait
+			time.Sleep(perClient + time.Millisecond) // the longest that the next client has to wait
 			synctest.Wait()
-			lives := 0
+			open := 0
 			for k := range i + 1 {
 				if w.isOpen(fmt.Sprint("away", k)) {
-					lives++
-					assert.Less(t, i-k, maxRejectedLingering, "the first that came goes first")
+					open++
+					assert.Less(t, i-k, maxRejectedLingering, "the oldest client must be closed first")
 					_, err := w.peer(fmt.Sprint("away", k)).conn.Write([]byte("x"))
 					assert.NoError(t, err)
 				}
 			}
-			assert.Equal(t, min(i+1, maxRejectedLingering), lives)
-			assert.Equal(t, 1+maxExcessSessions+lives, w.clients.OpenSessions())
+			assert.Equal(t, min(i+1, maxRejectedLingering), open)
+			assert.Equal(t, 1+maxExcessSessions+open, w.clients.OpenSessions())
 		}
 		assert.Less(t, time.Since(begun), 100*time.Millisecond)
 		time.Sleep(rejectedLingerTimeout)
--- a/internal/network/mutate_test.go
+++ b/internal/network/mutate_test.go
@@ -23,7 +23,7 @@
 
 // mutationWorld is a dispatcher without its fronts, on pipes: the real core and dispatch module, pool, links and director's
 // watch. What its peers write are the messages to mutate. A message's To is the connection, for example s1/2 for the second one
-// made to backend s1. Reqs are of a class that must never run twice, unless safe.
+// made to backend s1. Requests are of a class that must never run twice, unless safe.
 type mutationWorld struct {
 	*fixture
 	reqs         int  // how many
@@ -161,7 +161,7 @@
 	defer w.mu.Unlock()
 	w.answers[c.id] = append(w.answers[c.id], a)
 	if len(w.answers[c.id]) > 1 {
-		w.violation = fmt.Errorf("%s has answers %v", c.id, w.answers[c.id])
+		w.violation = fmt.Errorf("%s has the answers %v, want one", c.id, w.answers[c.id])
 	}
 	if a.Kind == core.Result && (a.Result != "result-"+c.id || !scriptServes(c.id)) {
 		w.violation = fmt.Errorf("%s was given the result %q", c.id, a.Result)
@@ -209,7 +209,7 @@
 	kind := reqScript(id)
 	if w.arrivals[id] > 1 {
 		if !w.safe && !scriptReturns(id) && w.violation == nil {
-			w.violation = fmt.Errorf("%s was sent again, and may have run", id)
+			w.violation = fmt.Errorf("%s was sent again although it may have run", id)
 		}
 		if kind = "done"; reqScript(id) == "slow done" {
 			kind = reqScript(id)
@@ -345,7 +345,7 @@
 	for i := range w.reqs {
 		id := fmt.Sprintf("r%02d", i)
 		if len(w.answers[id]) != 1 {
-			return fmt.Errorf("%s has answers %v", id, w.answers[id])
+			return fmt.Errorf("%s has the answers %v, want one", id, w.answers[id])
 		}
 		if i >= w.reqs-len(reqScripts) && scriptServes(id) && w.answers[id][0].Kind != core.Result {
 			return fmt.Errorf("%s was not served: %v", id, w.answers[id])
@@ -355,7 +355,7 @@
 		return fmt.Errorf("%d backends are ready, 2 should be", ready)
 	}
 	if open := w.core.OpenReqs(); open != 0 {
-		return fmt.Errorf("%d reqs are open", open)
+		return fmt.Errorf("%d requests are open", open)
 	}
 	return nil
 }
@@ -384,8 +384,9 @@
 		Around: func(play func()) { synctest.Test(t, func(*testing.T) { play(); now.shutdown() }) }}
 }
 
-// TestAttemptsUnderMutation: whatever is mutated in one write of a backend or of the director, each request has exactly one final
-// answer, no result but its own, and is sent again only where it is proven never to have run. Later requests are served.
+// TestAttemptsUnderMutation: whatever is mutated in one write of a backend or of the director, each request has exactly one
+// final answer, no result but its own, and is sent again only where it is proven never to have run. Later requests are
+// served.
 func TestAttemptsUnderMutation(t *testing.T) {
 	s := newSetup(t, "unsafe", defaultReqs, false, false)
 	s.Plays = 150
@@ -395,8 +396,8 @@
 	assert.Positive(t, mutate.Test(t, s).Played)
 }
 
-// TestWatchUnderMutation: whatever is mutated in one write of the director, the list is right in the end: after at most one call
-// that is never answered and the call after it.
+// TestWatchUnderMutation: whatever is mutated in one write of the director, the list is right in the end: after at most one
+// call that is never answered and the call after it.
 func TestWatchUnderMutation(t *testing.T) {
 	s := newSetup(t, "watch", 0, false, true)
 	s.Faults, s.Length, s.Tick = 2*time.Second, 20*time.Second, 50*time.Millisecond
--- a/internal/network/network_test.go
+++ b/internal/network/network_test.go
@@ -246,8 +246,8 @@
 // TestConnectionBreakWhileWriting: only a break before a request's last byte is written proves that it never ran.
 func TestConnectionBreakWhileWriting(t *testing.T) {
 	job := &core.Job{Method: "POST", Target: "/ingest", ID: "9b", Body: []byte("photo")}
-	whole := len(platform.AppendJob(nil, job, "s1", time.Minute, nil)) + len(job.Body)
-	for room, want := range map[int]core.Ending{0: core.Unreached, 9: core.Unreached, whole - 1: core.Unreached, whole: core.Broken} {
+	total := len(platform.AppendJob(nil, job, "s1", time.Minute, nil)) + len(job.Body)
+	for room, want := range map[int]core.Ending{0: core.Unreached, 9: core.Unreached, total - 1: core.Unreached, total: core.Broken} {
 		synctest.Test(t, func(t *testing.T) {
 			near, far := net.Pipe()
 			p := &Pool{Names: &platform.Names{}, Count: &counters.Set{}, ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxConnections: 1}
@@ -268,14 +268,14 @@
 
 // TestProbe: a probe brings a load report, and a probe without reply times out.
 func TestProbe(t *testing.T) {
-	type found struct {
+	type probeResult struct {
 		ending core.Ending
 		report []float32
 	}
-	var got []found
+	var got []probeResult
 	backend := &core.Backend{Address: "s1"}
 	probe := func(w *fixture) {
-		w.pool.Probe(backend, func(e core.Ending, r []float32) { got = append(got, found{e, r}) })
+		w.pool.Probe(backend, func(e core.Ending, r []float32) { got = append(got, probeResult{e, r}) })
 	}
 	runScenario(t, nil, 9, probe, `
 		s1/1 expect GET /stats
@@ -285,7 +285,7 @@
 		s1/1 expect GET /stats
 		wait 2s
 		s1/1 expect closed`)
-	assert.Equal(t, []found{{core.Served, []float32{2.5}}, {core.Failed, nil}, {core.Overdue, nil}}, got)
+	assert.Equal(t, []probeResult{{core.Served, []float32{2.5}}, {core.Failed, nil}, {core.Overdue, nil}}, got)
 }
 
 // TestBackendAddressChange: nothing is sent to an address that the list no longer names.
@@ -309,8 +309,8 @@
 		s2/1 expect POST /ingest?v=1 9c k9c 2000 x`)
 }
 
-// TestBackendRejectsReq: a request that a backend rejects as invalid fails at once and is not sent to another backend of the cell.
-// The backend's rating is unchanged: it gets its half of the next requests.
+// TestBackendRejectsReq: a request that a backend rejects as invalid fails at once and is not sent to another backend of the
+// cell. The backend's rating is unchanged: it gets its half of the next requests.
 func TestBackendRejectsReq(t *testing.T) {
 	pair := newEntries(balance.Ready, "s1", "s2")
 	pair[1].Cell = pair[0].Cell
--- a/internal/network/rejected.go
+++ b/internal/network/rejected.go
@@ -11,7 +11,7 @@
 // wait while one is rejected, so clients that never close are processed at a fixed pace: rejectedReadWait plus finalReadWait
 // for each.
 const (
-	maxRejectedLingering  = 2                     // that linger at a time, of both fronts: within the descriptors that SplitDescriptors reserves
+	maxRejectedLingering  = 2                     // of both fronts together; within reservedDescriptors
 	rejectedReadWait      = 2 * time.Millisecond  // for the bytes that such a client sent to arrive
 	rejectedLingerTimeout = 50 * time.Millisecond // for such a client to read its answer, if no other is rejected meanwhile
 )
@@ -27,8 +27,8 @@
 	closed chan struct{} // closed once its descriptor is free
 }
 
-// reject answers 503 to a client that there is no descriptor for, without parsing its request. Its bytes are read and discarded,
-// so that the close does not reset the connection, until it closes or later rejected clients need its slot.
+// reject answers 503 to a client that there is no descriptor for, without parsing its request. Its bytes are read and
+// discarded, so that the close does not reset the connection, until it closes or later rejected clients need its slot.
 func (c *Clients) reject(s *session) {
 	closeAndRemove := func() {
 		s.conn.Close()
--- a/internal/network/scenario_test.go
+++ b/internal/network/scenario_test.go
@@ -77,11 +77,11 @@
 
 func (w *fixture) dial(ctx context.Context, name string) (net.Conn, error) {
 	w.mu.Lock()
-	slow := w.dialDelays[name]
+	delay := w.dialDelays[name]
 	w.mu.Unlock()
-	if slow > 0 { // a hundred timers of zero duration at once crash the runtime under synctest
+	if delay > 0 { // a hundred timers of zero duration at once crash the runtime under synctest
 		select {
-		case <-time.After(slow):
+		case <-time.After(delay):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -105,7 +105,7 @@
 }
 
 // runScenario plays scenarios and functions in turn, on a fixture with these backends.
-func runScenario(t *testing.T, backends []core.Entry, most int, parts ...any) {
+func runScenario(t *testing.T, backends []core.Entry, limit int, parts ...any) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := balance.Settings{Seed: 1, Instances: 1, Zones: 1, Kinds: 1, MaxAttempts: 5, MayDuplicate: true, MayCancel: true,
@@ -115,7 +115,7 @@
 		names := &platform.Names{Classes: []string{"ingest"}, RequiresKey: []bool{true}, Deadlines: []time.Duration{5 * time.Second}, Columns: []string{"x0"}}
 		w := &fixture{t: t, count: &counters.Set{}, peers: map[string]*peer{}, refusedDials: map[string]bool{},
 			dialDelays: map[string]time.Duration{}, dialCounts: map[string]int{}}
-		w.pool = &Pool{Names: names, Count: w.count, ConnectTimeout: 120 * time.Millisecond, IdleTimeout: 7 * time.Second, MaxConnections: most, Dial: w.dial}
+		w.pool = &Pool{Names: names, Count: w.count, ConnectTimeout: 120 * time.Millisecond, IdleTimeout: 7 * time.Second, MaxConnections: limit, Dial: w.dial}
 		stop := make(chan struct{})
 		d := &Director{Names: names, Count: w.count, Address: "d", Timings: PollTimings(10 * time.Second), Dial: w.dial, Stop: stop}
 		var err error
@@ -126,7 +126,7 @@
 		d.SetIndex(41)
 		w.core.HandleList(balance.ListCached, backends)
 		go w.core.Run(stop)
-		w.clients = &Clients{Names: names, Count: w.count, Core: w.core, MaxSessions: most, MaxJobSessions: 9, MaxBufferedBytes: 8 << 10, LongestDeadline: 5 * time.Second, Stats: func() string { return "counters" }}
+		w.clients = &Clients{Names: names, Count: w.count, Core: w.core, MaxSessions: limit, MaxJobSessions: 9, MaxBufferedBytes: 8 << 10, LongestDeadline: 5 * time.Second, Stats: func() string { return "counters" }}
 		w.http2 = &HTTP2{Clients: w.clients}
 		w.http2.SetLimits(HTTP2Limits{MaxStreams: 4, MaxHeaderBytes: 4096, MaxFrameBytes: 16384, StallTimeout: 5 * time.Second, DrainTimeout: 300 * time.Millisecond, CancelOnReset: true})
 		w.service = NewService(w.clients, w.http2)
@@ -154,8 +154,8 @@
 
 var macroPattern = regexp.MustCompile(`\{(\w+) ?([^\s}]*) ?([^}]*)\}`)
 
-// expand replaces the macros for frequent messages: {req ID BODY} of a client, {started ID}, {done ID RESULT} and {failed ID} of
-// a backend, {last ID RESULT} without the end of the reply.
+// expand replaces the macros for frequent messages: {req ID BODY} of a client, {started ID}, {done ID RESULT} and {failed
+// ID} of a backend, {last ID RESULT} without the end of the reply.
 func expand(s string) string {
 	return macroPattern.ReplaceAllStringFunc(s, func(m string) string {
 		p := macroPattern.FindStringSubmatch(m)
--- a/internal/network/service_test.go
+++ b/internal/network/service_test.go
@@ -18,9 +18,9 @@
 		c1 expect 200`)
 }
 
-// TestDrain: after SIGTERM new connections and requests are still answered, and sessions stay open, as long as a request can be answered
-// before the process is killed. Then answers say Connection: close, idle sessions are closed, and no late request runs past the
-// kill.
+// TestDrain: after SIGTERM new connections and requests are still answered, and sessions stay open, as long as a request can
+// be answered before the process is killed. Then answers say Connection: close, idle sessions are closed, and no late
+// request runs past the kill.
 func TestDrain(t *testing.T) {
 	done := make(chan time.Duration, 1)
 	runScenario(t, newEntries(balance.Ready, "s1"), 9, `
@@ -69,8 +69,8 @@
 		func(*fixture) { assert.InDelta(t, 3650*time.Millisecond, <-done, float64(50*time.Millisecond)) })
 }
 
-// TestDrainWithSlowWriters: clients that write a request slowly are not cut off while they go on, stalled ones are, and the shutdown
-// does not wait for clients that connect late.
+// TestDrainWithSlowWriters: clients that write a request slowly are not cut off while they go on, stalled ones are, and the
+// shutdown does not wait for clients that connect late.
 func TestDrainWithSlowWriters(t *testing.T) {
 	runScenario(t, newEntries(balance.Ready, "s1"), 9, `
 		c1 send {req 9a x}
@@ -98,7 +98,7 @@
 			select {
 			case <-w.service.Ended():
 			default:
-				assert.Fail(t, "the shutdown goes on")
+				assert.Fail(t, "the shutdown has not ended")
 			}
 		})
 }
--- a/internal/network/shutdown_test.go
+++ b/internal/network/shutdown_test.go
@@ -53,9 +53,9 @@
 				one := make([]byte, 1)
 				_, err = io.ReadFull(far, one)
 				require.NoError(t, err)
-				assert.Zero(t, w.core.OpenReqs(), "its answer is decided")
+				assert.Zero(t, w.core.OpenReqs(), "the answer must be decided")
 				till(c.reads)
-				assert.False(t, w.service.hasEnded(), "ended with half an answer written")
+				assert.False(t, w.service.hasEnded(), "the process ended with part of an answer written")
 				a, err := http.ReadResponse(bufio.NewReader(io.MultiReader(bytes.NewReader(one), far)), nil)
 				require.NoError(t, err)
 				body, err := io.ReadAll(a.Body)
@@ -63,7 +63,7 @@
 				assert.Equal(t, "r", string(body))
 				time.Sleep(250 * time.Millisecond)
 				synctest.Wait()
-				assert.True(t, w.service.hasEnded(), "nothing is left")
+				assert.True(t, w.service.hasEnded(), "the process must end when nothing is left")
 			})
 		})
 	}
@@ -100,18 +100,18 @@
 		require.NoError(t, err)
 		time.Sleep(5800*time.Millisecond - time.Since(begun))
 		synctest.Wait()
-		assert.Zero(t, w.core.OpenReqs(), "its answer is decided")
-		assert.False(t, w.service.hasEnded(), "ended with half an answer written")
+		assert.Zero(t, w.core.OpenReqs(), "the answer must be decided")
+		assert.False(t, w.service.hasEnded(), "the process ended with part of an answer written")
 		assert.Equal(t, "last", answer())
 	})
 }
 
-// TestReqAfterDecisionToEnd: a request that is read when the process has decided to end is refused, and never sent to a backend. New
-// connections stay in the listener's queue.
+// TestReqAfterDecisionToEnd: a request that is read when the process has decided to end is refused, and never sent to a
+// backend. New connections stay in the listener's queue.
 func TestReqAfterDecisionToEnd(t *testing.T) {
-	l := &deadlineRecorder{}
+	listener := &deadlineRecorder{}
 	runScenario(t, newEntries(balance.Ready, "s1"), 9, func(w *fixture) {
-		w.clients.acceptGate.add(l)
+		w.clients.acceptGate.add(listener)
 		w.service.BeginShutdown()
 	}, `
 		wait 3050ms
@@ -119,7 +119,7 @@
 		wait 170ms`, // a late client with an incomplete request: nobody waits for it
 		func(w *fixture) {
 			require.True(t, w.service.hasEnded())
-			assert.False(t, l.until.IsZero(), "the listener is shut")
+			assert.False(t, listener.until.IsZero(), "the accept gate must be closed")
 			assert.NotNil(t, w.clients.acceptGate.reopened)
 		}, `
 		c1 send x
@@ -137,9 +137,9 @@
 
 func (l *deadlineRecorder) SetDeadline(t time.Time) error { l.until = t; return nil }
 
-// TestNextReqBeforeIdleClose: a client gets an answer that leaves its connection open just before idle sessions are closed, and
-// sends its next request a round trip later. That request is read and answered: the connection must stay open long enough for the client
-// to use it.
+// TestNextReqBeforeIdleClose: a client gets an answer that leaves its connection open just before idle sessions are closed,
+// and sends its next request a round trip later. That request is read and answered: the connection must stay open long
+// enough for the client to use it.
 func TestNextReqBeforeIdleClose(t *testing.T) {
 	const closing = 3100 * time.Millisecond // after SIGTERM, with a longest deadline of 3 s or more
 	for _, trip := range []time.Duration{time.Millisecond, 10 * time.Millisecond, 40 * time.Millisecond, 90 * time.Millisecond} {
@@ -153,7 +153,7 @@
 				go w.clients.admit(near)
 				ask := func(id, left string) *http.Response {
 					_, err := io.WriteString(far, expand("{req "+id+" x}"))
-					require.NoError(t, err, "the connection was closed as its next req came")
+					require.NoError(t, err, "the connection was closed as its next request arrived")
 					synctest.Wait()
 					w.play("s1/1 expect POST /ingest?v=1 " + id + " k" + id + " " + left + " x\ns1/1 send {started " + id + "}{done " + id + " r}")
 					a, err := http.ReadResponse(in, nil)
@@ -165,7 +165,7 @@
 				ask("9", "2000")
 				time.Sleep(closing - time.Millisecond)
 				first := ask("9a", "401")
-				assert.False(t, first.Close, "the connection stays open")
+				assert.False(t, first.Close, "the connection must stay open")
 				time.Sleep(trip)
 				left := closing + 400*time.Millisecond - time.Since(begun)
 				assert.True(t, ask("9b", fmt.Sprint(left.Milliseconds())).Close)
--- a/internal/network/table.go
+++ b/internal/network/table.go
@@ -24,10 +24,10 @@
 	rankCount
 )
 
-// shedProtection is the minimum time for which a session of a rank is kept. The first request of a client that has just connected
-// is on its way, and a client does not repeat it by itself, unlike a request that crosses the close of a session in use. A client
-// that sends slowly gets longer, counted from its last byte: it is not stalled while bytes arrive, and its total time is
-// bounded from connecting anyhow.
+// shedProtection is the minimum time for which a session of a rank is kept. The first request of a client that has just
+// connected is on its way, and a client does not repeat it by itself, unlike a request that crosses the close of a session
+// in use. A client that sends slowly gets longer, counted from its last byte: it is not stalled while bytes arrive, and its
+// total time is bounded from connecting anyhow.
 var shedProtection = [rankBusy]time.Duration{rankSilent: 250 * time.Millisecond, rankPartial: 750 * time.Millisecond}
 
 // trimMinIdle is how long a session must have been idle before trimJobSessions may close it.
@@ -179,8 +179,8 @@
 	return s.answerPending
 }
 
-// awaitingAnswer reports whether the request has no answer yet. In that case the read deadline that has passed is stale, and it is
-// cleared so that the session reads on.
+// awaitingAnswer reports whether the request has no answer yet. In that case the read deadline that has passed is stale, and
+// it is cleared so that the session reads on.
 func (t *table) awaitingAnswer(s *sessionState) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -190,10 +190,10 @@
 	return s.answerPending
 }
 
-// reqAnswered reports that a request was answered, and returns whether the session has to close. A session that was told to close
-// stays open if more of its client's bytes have been read, as those are answered first. The session's goroutine is woken to
-// close, to handle pipelined bytes, or to give up a long body (wake). The deadline that wakes it is set under the lock, so
-// that it does not undo the one set by requestClose.
+// reqAnswered reports that a request was answered, and returns whether the session has to close. A session that was told to
+// close stays open if more of its client's bytes have been read, as those are answered first. The session's goroutine is
+// woken to close, to handle pipelined bytes, or to give up a long body (wake). The deadline that wakes it is set under the
+// lock, so that it does not undo the one set by requestClose.
 func (t *table) reqAnswered(s *sessionState, job, closing, wake bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/network/table_test.go
+++ b/internal/network/table_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestShedOrder: beyond the limit sessions without an open request are shed, and idle ones that served a job last. A session that has
-// just connected is not shed yet: its first request, which a client does not repeat by itself, is on its way.
+// TestShedOrder: beyond the limit sessions without an open request are shed, and idle ones that served a job last. A session
+// that has just connected is not shed yet: its first request, which a client does not repeat by itself, is on its way.
 func TestShedOrder(t *testing.T) {
 	runScenario(t, newEntries(balance.Ready, "s1"), 4, `
 		c1 send {req 9a x}
@@ -79,22 +79,22 @@
 		c7 expect nothing`)
 }
 
-// TestJobSessionLimit: sessions that served jobs are limited in number. Beyond the limit the one idle for longest is closed, but
-// none that was used just before.
+// TestJobSessionLimit: sessions that served jobs are limited in number. Beyond the limit the one idle for longest is closed,
+// but none that was used just before.
 func TestJobSessionLimit(t *testing.T) {
-	serve := func(c, id, conn string) string {
+	serveReq := func(c, id, conn string) string {
 		return fmt.Sprintf("%s send {req %s x}\n%s send {started %s}{done %s r}\n%s expect 200 r\n", c, id, conn, id, id, c)
 	}
 	runScenario(t, newEntries(balance.Ready, "s1"), 9, func(w *fixture) { w.clients.MaxJobSessions = 2 },
-		serve("c1", "9a", "s1/1")+"wait 50ms\n"+serve("c2", "9b", "s1/1")+serve("c3", "9c", "s1/1")+`
+		serveReq("c1", "9a", "s1/1")+"wait 50ms\n"+serveReq("c2", "9b", "s1/1")+serveReq("c3", "9c", "s1/1")+`
 		wait 6ms
 		c1 expect nothing
 		wait 50ms
-		`+serve("c3", "9d", "s1/1")+`
+		`+serveReq("c3", "9d", "s1/1")+`
 		wait 6ms
 		c1 expect closed
 		c2 expect nothing
-		`+serve("c2", "9e", "s1/1")+`
+		`+serveReq("c2", "9e", "s1/1")+`
 		wait 150ms
 		c4 send {req 9f x}
 		wait 6ms
--- a/internal/network/trace.go
+++ b/internal/network/trace.go
@@ -40,9 +40,9 @@
 	return guard.ClientRequestedClose
 }
 
-// checkUnanswered counts a violation if this side closes a session although a request that was read has no answer. A client that
-// closed the connection, asked for the close, sent an invalid request or sent more than is buffered is excepted: what follows
-// its last answer need not be answered.
+// checkUnanswered counts a violation if this side closes a session although a request that was read has no answer. A client
+// that closed the connection, asked for the close, sent an invalid request or sent more than is buffered is excepted: what
+// follows its last answer need not be answered.
 func (s *session) checkUnanswered(e core.Ending) {
 	if s.sessionState.guard == nil {
 		return
@@ -62,8 +62,8 @@
 	}
 }
 
-// checkUnanswered counts a violation if this side closes a connection, for no fault of its client, with a request that was taken
-// and not answered.
+// checkUnanswered counts a violation if this side closes a connection, for no fault of its client, with a request that was
+// taken and not answered.
 func (s *http2Session) checkUnanswered(r *streamReq, e core.Ending) {
 	if s.guard != nil && r.taken && e != core.ClientClosed && e != core.ClientBad {
 		s.guard.ReportViolation(guard.ClosedUnanswered, s.id, r.job.ID, "its connection was closed before its answer")
--- a/internal/network/versions_bench_test.go
+++ b/internal/network/versions_bench_test.go
@@ -32,9 +32,9 @@
 	return x.instantBackends.Send(a)
 }
 
-// BenchmarkVersion measures the additional cost of a request where the fleet agrees on a policy. It sends the same requests over
-// HTTP/1.1 in blocks, alternating with and without an accord, in one process. It reports the median processor time per request of
-// the blocks, each way, and the median difference of neighbouring blocks.
+// BenchmarkVersion measures the additional cost of a request where the fleet agrees on a policy. It sends the same requests
+// over HTTP/1.1 in blocks, alternating with and without an accord, in one process. It reports the median processor time per
+// request of the blocks, each way, and the median difference of neighbouring blocks.
 func BenchmarkVersion(b *testing.B) {
 	a, err := accord.New(accord.Config{Plan: leases.LeaseConfig{Lease: 3 * time.Second}, Name: "n0", Epoch: 1,
 		Voters: []accord.Peer{{Name: "n0", Address: "127.0.0.1:39401"}}, Data: b.TempDir(), First: []byte("x"),
