--- a/cmd/drill/host.go
+++ b/cmd/drill/host.go
@@ -255,8 +255,8 @@
 func (in *instance) Dispatch(id balance.RequestID, to balance.WorkerID, within float64) {
 	in.replyTo().Dispatch(uint32(id), uint64(to), within)
 }
-func (in *instance) Refuse(id balance.RequestID, pause float64) {
-	in.replyTo().Refuse(uint32(id), pause)
+func (in *instance) Refuse(id balance.RequestID, retryAfter float64) {
+	in.replyTo().Refuse(uint32(id), retryAfter)
 }
 func (in *instance) Fail(id balance.RequestID) { in.replyTo().Fail(uint32(id)) }
 func (in *instance) Cancel(id balance.RequestID, attempt int) {
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -82,14 +82,14 @@
 // change it between messages.
 type Reader struct {
 	MaxBytes int
-	b        []byte
+	buffered []byte
 	err      error
 }
 
 var errMagic = errors.New("not a hand-over message")
 
 // Fill adds received bytes; they are copied.
-func (r *Reader) Fill(b []byte) { r.b = append(r.b, b...) }
+func (r *Reader) Fill(b []byte) { r.buffered = append(r.buffered, b...) }
 
 // Next returns the JSON of the next message, or nil while more bytes are needed. The result is
 // valid until the next call of Fill. After an error the reader returns only that error.
@@ -97,23 +97,23 @@
 	if r.err != nil {
 		return nil, r.err
 	}
-	n := min(len(r.b), len(magic))
-	if string(r.b[:n]) != magic[:n] {
+	n := min(len(r.buffered), len(magic))
+	if string(r.buffered[:n]) != magic[:n] {
 		r.err = errMagic
 		return nil, r.err
 	}
-	if len(r.b) < headerLength {
+	if len(r.buffered) < headerLength {
 		return nil, nil
 	}
-	size := int(binary.BigEndian.Uint32(r.b[len(magic):headerLength]))
+	size := int(binary.BigEndian.Uint32(r.buffered[len(magic):headerLength]))
 	if size > r.MaxBytes {
 		r.err = fmt.Errorf("message of %d bytes exceeds the limit of %d", size, r.MaxBytes)
 		return nil, r.err
 	}
-	if len(r.b) < headerLength+size {
+	if len(r.buffered) < headerLength+size {
 		return nil, nil
 	}
-	text := r.b[headerLength : headerLength+size : headerLength+size]
-	r.b = r.b[headerLength+size:]
+	text := r.buffered[headerLength : headerLength+size : headerLength+size]
+	r.buffered = r.buffered[headerLength+size:]
 	return text, nil
 }
--- a/internal/handover/stages.go
+++ b/internal/handover/stages.go
@@ -37,12 +37,12 @@
 // HandleHello handles the hello of a new process. It returns why the hand-over is refused, or an
 // empty text if it is accepted: then the caller reduces this process's own limits and sends the
 // state.
-func (o *OldProcess) HandleHello(h, me Hello) (refused string, busy bool) {
+func (o *OldProcess) HandleHello(h, own Hello) (refused string, busy bool) {
 	switch {
-	case h.Version != me.Version:
-		return fmt.Sprintf("version %d is not spoken here, but %d", h.Version, me.Version), false
-	case h.Name != me.Name || h.Listen != me.Listen:
-		return fmt.Sprintf("this is %s at %s, not %s at %s", me.Name, me.Listen, h.Name, h.Listen), false
+	case h.Version != own.Version:
+		return fmt.Sprintf("version %d is not spoken here, but %d", h.Version, own.Version), false
+	case h.Name != own.Name || h.Listen != own.Listen:
+		return fmt.Sprintf("this is %s at %s, not %s at %s", own.Name, own.Listen, h.Name, h.Listen), false
 	case o.stage != Idle:
 		return "a hand-over is under way already", true
 	}
--- a/internal/http2/conn.go
+++ b/internal/http2/conn.go
@@ -63,12 +63,13 @@
 const (
 	// Opened: the complete and well-formed head of a stream has arrived. Its fields are valid
 	// until the next call of Next. The driver may answer at once; otherwise a BodyComplete,
-	// ClientReset or Aborted follows.
+	// StreamReset or Aborted follows.
 	Opened Kind = iota
 	// BodyComplete: the whole body of a stream has arrived.
 	BodyComplete
-	// StreamReset: the client reset a stream that had been Opened. It cannot be answered. If its
-	// body was complete, it still counts against MaxStreams until ReleaseStream.
+	// StreamReset: the client reset a stream that had been Opened, or this package reset it for a
+	// fault of the client's after its body was complete. It cannot be answered. If its body was
+	// complete, it still counts against MaxStreams until ReleaseStream.
 	StreamReset
 	// Aborted: this package ended a stream that was Opened and whose body was not complete, by an
 	// answer or a reset of its own.
@@ -392,14 +393,14 @@
 // adjustWindows changes the windows of all streams by the change of the initial window (RFC 9113
 // section 6.9.2); they may become negative.
 func (c *Conn) adjustWindows(initial int64) error {
-	by := initial - c.initialSendWindow
+	delta := initial - c.initialSendWindow
 	c.initialSendWindow = initial
 	for _, s := range c.streams {
-		if s.sendWindow += by; s.sendWindow > largestWindow {
+		if s.sendWindow += delta; s.sendWindow > largestWindow {
 			return http2.ConnectionError(http2.ErrCodeFlowControl)
 		}
 	}
-	if by > 0 {
+	if delta > 0 {
 		for _, s := range c.streams {
 			c.unblock(s)
 		}
@@ -408,9 +409,9 @@
 }
 
 func (c *Conn) handleWindowUpdate(f *http2.WindowUpdateFrame) {
-	by := int64(f.Increment)
+	increment := int64(f.Increment)
 	if f.StreamID == 0 {
-		if c.sendWindow += by; c.sendWindow > largestWindow {
+		if c.sendWindow += increment; c.sendWindow > largestWindow {
 			c.reportAbuse(Overflow)
 			c.fail(http2.ErrCodeFlowControl, "a window that is too large")
 			return
@@ -427,7 +428,7 @@
 		c.countUnproductive(WindowUpdate, 0)
 		return
 	}
-	if s.sendWindow += by; s.sendWindow > largestWindow {
+	if s.sendWindow += increment; s.sendWindow > largestWindow {
 		c.reportAbuse(Overflow)
 		c.streamError(s.ID, http2.ErrCodeFlowControl)
 		return
--- a/internal/http2/fuzz_test.go
+++ b/internal/http2/fuzz_test.go
@@ -94,7 +94,7 @@
 		require.True(w.t, w.opened[id])
 		w.unanswered[id] = true
 	case StreamReset:
-		require.True(w.t, w.opened[id], "ClientReset of a stream that was not opened")
+		require.True(w.t, w.opened[id], "StreamReset of a stream that was not opened")
 		delete(w.unanswered, id)
 		delete(w.opened, id)
 		w.conn.ReleaseStream(id)
--- a/internal/http2/scenario_test.go
+++ b/internal/http2/scenario_test.go
@@ -111,11 +111,11 @@
 	case "answer":
 		status, err := strconv.Atoi(arg(2))
 		require.NoError(p.t, err)
-		pause := time.Duration(0)
+		retryAfter := time.Duration(0)
 		if status == 503 {
-			pause = 120 * time.Millisecond
+			retryAfter = 120 * time.Millisecond
 		}
-		p.conn.Answer(uint32(id), status, pause, arg(3), p.now)
+		p.conn.Answer(uint32(id), status, retryAfter, arg(3), p.now)
 	case "reset":
 		p.conn.Reset(uint32(id), RefusedStream)
 	case "free":
--- a/internal/http2/shutdown.go
+++ b/internal/http2/shutdown.go
@@ -72,7 +72,7 @@
 	c.fail(code, reason)
 }
 
-// Unanswered returns the streams that were Opened and neither answered nor reported as ClientReset.
+// Unanswered returns the streams that were Opened and neither answered nor reported as StreamReset.
 // Once the connection has ended, none of them can be answered any more.
 func (c *Conn) Unanswered() (lost []*Stream) {
 	for _, s := range c.streams {
@@ -84,7 +84,7 @@
 }
 
 // Close releases all that is held for streams, when the underlying connection is closed. It returns
-// the streams that were Opened, not completely answered and not reported as ClientReset.
+// the streams that were Opened, not completely answered and not reported as StreamReset.
 func (c *Conn) Close() (left []*Stream) {
 	c.ended = true
 	for _, s := range c.streams {
--- a/internal/http2/stream.go
+++ b/internal/http2/stream.go
@@ -86,7 +86,7 @@
 	c.endIfDrained()
 }
 
-// ReleaseStream records that the work for a stream reported as ClientReset is over, so that it no
+// ReleaseStream records that the work for a stream reported as StreamReset is over, so that it no
 // longer counts against MaxStreams.
 func (c *Conn) ReleaseStream(id uint32) {
 	if s := c.streams[id]; s != nil && s.closed {
--- a/internal/platform/chunks.go
+++ b/internal/platform/chunks.go
@@ -10,7 +10,7 @@
 const maxChunkLine = 256
 
 // chunkedBody decodes a body in the chunked transfer coding (RFC 9112 section 7.1) from a buffer.
-// Lines must end in CR LF and sizes be plain digits: if a backend read the framing differently, a
+// Lines must end in CR LF and sizes be plain digits: if the framing could be read in two ways, a
 // body could pass for a second request. Chunk extensions and trailer fields are read and ignored.
 type chunkedBody struct {
 	state        chunkState
@@ -31,7 +31,7 @@
 
 // decode consumes the bytes in the buffer and reports whether the body is complete. It calls admit
 // with the new total size before the body's memory grows.
-func (c *chunkedBody) decode(b *buffer, admit func(n int) error) (whole bool, err error) {
+func (c *chunkedBody) decode(b *buffer, admit func(n int) error) (complete bool, err error) {
 	for c.state != chunkDone {
 		if c.state == chunkData {
 			n := min(b.end-b.start, c.remaining)
--- a/internal/platform/mutate_test.go
+++ b/internal/platform/mutate_test.go
@@ -156,15 +156,15 @@
 }
 
 func (c *replyClient) read() {
-	bad := func() { c.end(core.Garbled); c.closed = true }
+	fail := func() { c.end(core.Garbled); c.closed = true }
 	for !c.closed {
 		part, line, err := c.parser.Next()
 		switch {
 		case err != nil || part != NeedMore && c.current < 0:
-			bad()
+			fail()
 		case part == NeedMore:
 			if c.current < 0 && c.parser.HasExtraBytes() {
-				bad()
+				fail()
 			}
 			return
 		case part == Head:
@@ -172,11 +172,11 @@
 				c.currentOutcome.ending = c.parser.Ending()
 			}
 		case part == Line && c.parser.Status == 200:
-			news, err := testNames.ReadLine(line, scriptedReplies[c.name][c.current].id)
+			update, err := testNames.ReadLine(line, scriptedReplies[c.name][c.current].id)
 			if err != nil || c.ended {
-				bad()
-			} else if news.Last {
-				c.ended, c.currentOutcome.ending, c.currentOutcome.result = true, news.Ending, news.Result
+				fail()
+			} else if update.Last {
+				c.ended, c.currentOutcome.ending, c.currentOutcome.result = true, update.Ending, update.Result
 			}
 		case part == End:
 			if !c.ended {
--- a/internal/platform/reply.go
+++ b/internal/platform/reply.go
@@ -53,8 +53,8 @@
 
 // NewReplyParser returns a parser that hands out bodies line by line, or whole, with at most
 // maxPart bytes in one part.
-func NewReplyParser(whole bool, maxPart int) *ReplyParser {
-	return &ReplyParser{wholeBody: whole, maxPart: maxPart}
+func NewReplyParser(wholeBody bool, maxPart int) *ReplyParser {
+	return &ReplyParser{wholeBody: wholeBody, maxPart: maxPart}
 }
 
 var errMalformedReply = errors.New("malformed reply")
@@ -155,7 +155,7 @@
 
 // ConnectionClosed records that the connection ended, and reports whether that completes a body
 // without a stated length.
-func (m *ReplyParser) ConnectionClosed() (whole bool) {
+func (m *ReplyParser) ConnectionClosed() (complete bool) {
 	if m.state == inData && m.remaining < 0 {
 		m.state, m.remaining = inRemainder, 0
 		return true
@@ -284,55 +284,55 @@
 var json = jsoniter.ConfigDefault
 
 // ReadLine parses a backend's line about the request with this id.
-func (n *Names) ReadLine(line []byte, id string) (news JobUpdate, err error) {
+func (n *Names) ReadLine(line []byte, id string) (update JobUpdate, err error) {
 	it := json.BorrowIterator(line)
 	defer json.ReturnIterator(it)
-	var got, state string
+	var gotID, state string
 	result := false
 	for field := it.ReadObject(); field != ""; field = it.ReadObject() {
 		switch field {
 		case "id":
-			got = it.ReadString()
+			gotID = it.ReadString()
 		case "state":
 			state = it.ReadString()
 		case "share":
-			news.Progress = it.ReadFloat64()
+			update.Progress = it.ReadFloat64()
 		case "result":
 			result = true
 			if it.WhatIsNext() == jsoniter.StringValue {
-				news.Result = it.ReadString()
+				update.Result = it.ReadString()
 			} else {
-				news.Result = string(it.SkipAndReturnBytes())
+				update.Result = string(it.SkipAndReturnBytes())
 			}
 		case "load":
-			news.Report = n.readReport(it)
+			update.Report = n.readReport(it)
 		default:
 			it.Skip()
 		}
 	}
-	if !atEnd(it) || got != id {
+	if !atEnd(it) || gotID != id {
 		return JobUpdate{}, errMalformedLine
 	}
-	news.Last = true
+	update.Last = true
 	switch state {
 	case "started":
-		news.Last, news.Started = false, true
+		update.Last, update.Started = false, true
 	case "running":
-		news.Last = false
+		update.Last = false
 	case "done":
-		if news.Ending = core.Served; !result {
+		if update.Ending = core.Served; !result {
 			return JobUpdate{}, errMalformedLine
 		}
 	case "failed":
-		news.Ending = core.Failed
+		update.Ending = core.Failed
 	case "returned":
-		news.Ending = core.Returned
+		update.Ending = core.Returned
 	case "lost":
-		news.Ending = core.Lost
+		update.Ending = core.Lost
 	default:
 		return JobUpdate{}, errMalformedLine
 	}
-	return news, nil
+	return update, nil
 }
 
 // readReport reads a load report into the settings' order of columns. An absent column is zero, as
--- a/internal/platform/reply_test.go
+++ b/internal/platform/reply_test.go
@@ -40,6 +40,7 @@
 	return "cut"
 }
 
+// chunked is the head of a chunked reply.
 const chunked = `send HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n
 `
 
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -122,8 +122,8 @@
 		}
 	}
 	if m.current.chunked {
-		whole, err := m.chunks.decode(&m.buffer, m.Admit)
-		if m.err = err; err != nil || !whole {
+		complete, err := m.chunks.decode(&m.buffer, m.Admit)
+		if m.err = err; err != nil || !complete {
 			return nil, err
 		}
 		q := m.current
@@ -259,33 +259,33 @@
 // ReadJobRequest validates a POST request and converts it for the core. What is absent stays zero,
 // as in the simulator's adapter.
 func (n *Names) ReadJobRequest(q *Request) (w JobRequest, err error) {
-	bad := func(status int, reason string) (JobRequest, error) {
+	refuse := func(status int, reason string) (JobRequest, error) {
 		return JobRequest{}, &RequestError{Status: status, Reason: reason}
 	}
 	if !visibleASCII(q.Target) {
-		return bad(400, "a bad path")
+		return refuse(400, "a bad path")
 	}
 	for f := range q.Fields {
 		if v := &q.Fields[f]; v.Count > 0 && v.Text == "" && Field(f) <= IdempotencyKey { // an empty value differs from an absent field: the client meant to state something
-			return bad(400, "an empty "+FieldNames[f])
+			return refuse(400, "an empty "+FieldNames[f])
 		}
 	}
 	for f := range q.Fields {
 		if q.Fields[f].Count > 1 {
-			return bad(400, "a field stands there twice")
+			return refuse(400, "a field stands there twice")
 		}
 	}
-	class, left := q.Fields[ServiceClass].Text, q.Fields[TimeLeft].Text
+	class, timeLeft := q.Fields[ServiceClass].Text, q.Fields[TimeLeft].Text
 	w.ID, w.IdempotencyKey = q.Fields[CorrelationID].Text, q.Fields[IdempotencyKey].Text
 	if w.ID == "" || !visibleASCII(w.ID) || !visibleASCII(w.IdempotencyKey) || len(w.ID) > maxID || len(w.IdempotencyKey) > maxID {
-		return bad(400, "a bad X-Correlation-Id or Idempotency-Key")
+		return refuse(400, "a bad X-Correlation-Id or Idempotency-Key")
 	}
 	first, rest, _ := strings.Cut(strings.TrimPrefix(q.Path(), "/"), "/")
 	if class == "" {
 		class = first
 	}
 	if class != first { // a backend that reads the class from the other place would run another request
-		return bad(404, "a path that is not of the class")
+		return refuse(404, "a path that is not of the class")
 	}
 	w.Request.Class = -1
 	for i, name := range n.Classes {
@@ -294,22 +294,22 @@
 		}
 	}
 	if w.Request.Class < 0 {
-		return bad(404, "an unknown class")
+		return refuse(404, "an unknown class")
 	}
 	if n.RequiresKey[w.Request.Class] && w.IdempotencyKey == "" { // without a key no backend could recognise a repeat
-		return bad(400, "no Idempotency-Key")
+		return refuse(400, "no Idempotency-Key")
 	}
-	if w.TimeLeft = n.Deadlines[w.Request.Class]; left != "" {
-		ms, err := strconv.ParseUint(left, 10, 31)
+	if w.TimeLeft = n.Deadlines[w.Request.Class]; timeLeft != "" {
+		ms, err := strconv.ParseUint(timeLeft, 10, 31)
 		if err != nil {
-			return bad(400, "a bad X-Time-Left-Ms")
+			return refuse(400, "a bad X-Time-Left-Ms")
 		}
 		w.TimeLeft = time.Duration(ms) * time.Millisecond
 	}
 	if hint := q.Fields[WeightHint].Text; hint != "" { // the client's estimate of the work, in microseconds
 		us, err := strconv.ParseFloat(hint, 64)
 		if err != nil || !(us >= 0 && us <= maxWeightHint) {
-			return bad(400, "a bad X-Weight-Hint")
+			return refuse(400, "a bad X-Weight-Hint")
 		}
 		w.Request.Work = us / 1000
 	}
@@ -332,7 +332,7 @@
 		}
 		v, err := strconv.ParseFloat(value, 32) // single precision, as in the simulator's protocol
 		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
-			return bad(400, "a bad X-Facts")
+			return refuse(400, "a bad X-Facts")
 		}
 		*to = v
 	}
--- a/internal/platform/scenario_test.go
+++ b/internal/platform/scenario_test.go
@@ -37,7 +37,7 @@
 func runScript(t *testing.T, m parserHarness, text string, piece int) {
 	var found []string
 	over := false // after an error a parser gets no more bytes
-	look := func() {
+	parse := func() {
 		for f := "more"; !over; found = append(found, f) {
 			if f = m.next(); f == "more" {
 				return
@@ -52,15 +52,15 @@
 				n := copy(m.Space(), bytes[:min(piece, len(bytes))])
 				m.Filled(n)
 				bytes = bytes[n:]
-				look()
+				parse()
 			}
 		case "wait":
-			look()
+			parse()
 		case "close":
 			if f := m.closed(); f != "" {
 				found = append(found, f)
 			}
-			look()
+			parse()
 		case "expect":
 			got := "more"
 			if len(found) > 0 {
--- a/internal/platform/write.go
+++ b/internal/platform/write.go
@@ -16,7 +16,7 @@
 
 // AppendJob appends the head of a job for a backend. The caller sends the body after it. v is nil
 // where the dispatchers agree on no policy.
-func AppendJob(b []byte, j *core.Job, host string, left time.Duration, v *PolicyStamp) []byte {
+func AppendJob(b []byte, j *core.Job, host string, timeLeft time.Duration, stamp *PolicyStamp) []byte {
 	b = append(b, j.Method...)
 	b = append(b, ' ')
 	b = append(b, j.Target...)
@@ -28,14 +28,14 @@
 		b = append(b, "\r\nIdempotency-Key: "...)
 		b = append(b, j.IdempotencyKey...)
 	}
-	if v != nil && v.Version > 0 {
+	if stamp != nil && stamp.Version > 0 {
 		b = append(b, "\r\nX-Policy-Version: "...)
-		b = strconv.AppendUint(b, v.Version, 10)
+		b = strconv.AppendUint(b, stamp.Version, 10)
 		b = append(b, "\r\nX-Dispatcher: "...)
-		b = append(b, v.Dispatcher...)
+		b = append(b, stamp.Dispatcher...)
 	}
 	b = append(b, "\r\nX-Time-Left-Ms: "...)
-	b = strconv.AppendInt(b, max(left.Milliseconds(), 1), 10)
+	b = strconv.AppendInt(b, max(timeLeft.Milliseconds(), 1), 10)
 	b = append(b, "\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(j.Body)), 10)
 	return append(b, "\r\n\r\n"...)
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -92,20 +92,20 @@
 	if n > len(rest)-5 {
 		return 0, f, nil, fmt.Errorf("record %d states a length of %d bytes, but only %d are left", rest[0], n, len(rest)-5)
 	}
-	return rest[0], Fields{b: rest[5 : 5+n]}, rest[5+n:], nil
+	return rest[0], Fields{rest: rest[5 : 5+n]}, rest[5+n:], nil
 }
 
 // Fields decodes a record's fields in sequence. Fields that a shorter record lacks are read as
 // zero: absent values are zero in this protocol.
-type Fields struct{ b []byte }
+type Fields struct{ rest []byte }
 
 func (f *Fields) next(n int) []byte {
-	if len(f.b) < n {
-		f.b = nil
+	if len(f.rest) < n {
+		f.rest = nil
 		return nil
 	}
-	p := f.b[:n]
-	f.b = f.b[n:]
+	p := f.rest[:n]
+	f.rest = f.rest[n:]
 	return p
 }
 
@@ -159,8 +159,8 @@
 // Bytes reads a four-byte count and that many bytes. It fails if they are missing.
 func (f *Fields) Bytes() ([]byte, error) {
 	n := int(f.U32())
-	if n > len(f.b) {
-		return nil, fmt.Errorf("a text of %d bytes is truncated at %d", n, len(f.b))
+	if n > len(f.rest) {
+		return nil, fmt.Errorf("a text of %d bytes is truncated at %d", n, len(f.rest))
 	}
 	return f.next(n), nil
 }
@@ -168,35 +168,37 @@
 // Report reads a load report into dst.
 func (f *Fields) Report(dst []float32) []float32 {
 	dst = dst[:0]
-	for n := int(f.U8()); n > 0 && len(f.b) >= 4; n-- {
+	for n := int(f.U8()); n > 0 && len(f.rest) >= 4; n-- {
 		dst = append(dst, math.Float32frombits(f.U32()))
 	}
 	return dst
 }
 
 // Remaining returns the number of bytes that have not been read.
-func (f *Fields) Remaining() int { return len(f.b) }
+func (f *Fields) Remaining() int { return len(f.rest) }
 
 // Reply collects the actions of one reply frame.
-type Reply struct{ b []byte }
+type Reply struct{ data []byte }
 
 // Reset empties the reply.
-func (r *Reply) Reset() { r.b = append(r.b[:0], 0, 0, 0, 0) }
+func (r *Reply) Reset() { r.data = append(r.data[:0], 0, 0, 0, 0) }
 
 // Frame returns the finished frame.
 func (r *Reply) Frame() []byte {
-	binary.LittleEndian.PutUint32(r.b, uint32(len(r.b)-4))
-	return r.b
+	binary.LittleEndian.PutUint32(r.data, uint32(len(r.data)-4))
+	return r.data
 }
 
 func (r *Reply) recordHead(code byte, size int) {
-	r.b = append(r.b, code)
-	r.b = binary.LittleEndian.AppendUint32(r.b, uint32(size))
+	r.data = append(r.data, code)
+	r.data = binary.LittleEndian.AppendUint32(r.data, uint32(size))
 }
 
-func (r *Reply) f64(v float64) { r.b = binary.LittleEndian.AppendUint64(r.b, math.Float64bits(v)) }
-func (r *Reply) u32(v uint32)  { r.b = binary.LittleEndian.AppendUint32(r.b, v) }
-func (r *Reply) u16(v uint16)  { r.b = binary.LittleEndian.AppendUint16(r.b, v) }
+func (r *Reply) f64(v float64) {
+	r.data = binary.LittleEndian.AppendUint64(r.data, math.Float64bits(v))
+}
+func (r *Reply) u32(v uint32) { r.data = binary.LittleEndian.AppendUint32(r.data, v) }
+func (r *Reply) u16(v uint16) { r.data = binary.LittleEndian.AppendUint16(r.data, v) }
 
 func (r *Reply) worker(id uint64) {
 	r.u32(uint32(id))
@@ -209,7 +211,7 @@
 	}
 	r.recordHead(code, 2+len(s))
 	r.u16(uint16(len(s)))
-	r.b = append(r.b, s...)
+	r.data = append(r.data, s...)
 }
 
 // SelectInstance names the instance that the following actions belong to.
@@ -224,10 +226,10 @@
 }
 
 // Refuse sends the final answer that promises that a repeat does no harm.
-func (r *Reply) Refuse(id uint32, pause float64) {
+func (r *Reply) Refuse(id uint32, retryAfter float64) {
 	r.recordHead(ActRefuse, 12)
 	r.u32(id)
-	r.f64(pause)
+	r.f64(retryAfter)
 }
 
 // Fail sends the final answer that promises nothing.
@@ -237,7 +239,7 @@
 func (r *Reply) Cancel(id uint32, attempt uint8) {
 	r.recordHead(ActCancel, 5)
 	r.u32(id)
-	r.b = append(r.b, attempt)
+	r.data = append(r.data, attempt)
 }
 
 // CloseIdle closes the idle connections to a worker.
@@ -250,11 +252,11 @@
 func (r *Reply) Wake(in float64, token uint64) {
 	r.recordHead(ActWake, 16)
 	r.f64(in)
-	r.b = binary.LittleEndian.AppendUint64(r.b, token)
+	r.data = binary.LittleEndian.AppendUint64(r.data, token)
 }
 
 // Subscribe requests the worker list and its changes.
-func (r *Reply) Subscribe() { r.recordHead(ActSubscribe, 1); r.b = append(r.b, 1) }
+func (r *Reply) Subscribe() { r.recordHead(ActSubscribe, 1); r.data = append(r.data, 1) }
 
 // Log writes a line of the report.
 func (r *Reply) Log(line string) { r.text(ActLog, line) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -65,7 +65,7 @@
 }
 
 func TestShortRecordsReadAsZero(t *testing.T) {
-	f := Fields{b: []byte{1, 2}}
+	f := Fields{rest: []byte{1, 2}}
 	if f.U32() != 0 || f.U8() != 0 || f.F64() != 0 || f.Worker() != 0 || len(f.Report(nil)) != 0 {
 		t.Error("a missing field is not read as zero")
 	}
@@ -74,7 +74,7 @@
 // TestReply compares each action with the bytes of the protocol's description.
 func TestReply(t *testing.T) {
 	id := uint64(0x2bc3_074a_120a)
-	if f := (Fields{b: unhex(t, "0a124a07c32b")}); f.Worker() != id {
+	if f := (Fields{rest: unhex(t, "0a124a07c32b")}); f.Worker() != id {
 		t.Fatalf("the worker's id is not %x", id)
 	}
 	cases := []struct {
