--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -48,8 +48,8 @@
 	r := reader{text: text}
 	top := r.object("", text)
 	limits := r.object("limits", top["limits"])
-	c := &Config{Name: or(r.text1("name", top), env("ROUTER_NAME")), Listen: or(r.text1("listen", top), env("ROUTER_LISTEN")),
-		Discovery: or(r.text1("discovery", top), env("ROUTER_DISCOVERY")), Admin: or(r.text1("admin", top), env("ROUTER_ADMIN")), Cores: 1, MemoryBytes: 192 << 20, Sockets: 1024,
+	c := &Config{Name: firstNonEmpty(r.stringValue("name", top), env("ROUTER_NAME")), Listen: firstNonEmpty(r.stringValue("listen", top), env("ROUTER_LISTEN")),
+		Discovery: firstNonEmpty(r.stringValue("discovery", top), env("ROUTER_DISCOVERY")), Admin: firstNonEmpty(r.stringValue("admin", top), env("ROUTER_ADMIN")), Cores: 1, MemoryBytes: 192 << 20, Sockets: 1024,
 		BackendIdleTimeout: 10 * time.Second}
 	for _, a := range [][2]string{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if _, _, err := net.SplitHostPort(a[1]); err != nil {
@@ -57,7 +57,7 @@
 		}
 	}
 	r.admin(c)
-	seedText := r.text1("seed", top)
+	seedText := r.stringValue("seed", top)
 	seed, err := strconv.ParseUint(seedText, 16, 64)
 	if err != nil {
 		r.fault("seed", "is %q, want up to 16 hexadecimal digits", seedText)
@@ -111,7 +111,7 @@
 	var names wire.Names
 	var err error
 	if c.Settings, names, err = wire.ParseNamed(seed, text); err != nil {
-		r.wire(err)
+		r.settingsFaults(err)
 		return
 	}
 	if v := names.ConnIdleMs; v != nil {
@@ -141,13 +141,13 @@
 	if r.faults != nil {
 		return
 	}
-	if _, err := balance.New(c.Settings, inert{}); err != nil { // what else the module wants of them
+	if _, err := balance.New(c.Settings, noActions{}); err != nil { // what else the module wants of them
 		r.fault("settings", "%v", err)
 	}
 }
 
-// inert stands where the module wants actions and is asked for none.
-type inert struct{ balance.Actions }
+// noActions stands where the module wants actions and is asked for none.
+type noActions struct{ balance.Actions }
 
 // ChangedFixedKeys names the keys that another configuration changes and that hold from the start of
 // the program to its end. What is known of backends is no such key: it is old by then.
@@ -184,7 +184,7 @@
 
 func millis(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 
-func or(a, b string) string {
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,16 +11,16 @@
 	"tinsail/internal/balance"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:8081","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964","later":1,
+const validConfig = `{"name":"n3","listen":"127.0.0.1:8081","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964","later":1,
  "limits":{"cores":0.4,"memory_mb":100,"sockets":512},
  "known":{"index":41,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.3:1","zone":"z","type":"b","status":"Ready","weight":4}]},
  "settings":{"Allowed":{"ConnIdleMs":8000.0,"ConnectTimeoutMs":120.0,"MaxAttempts":5},"Classes":[{"AimMs":120,
  "HardLimitMs":5000.0,"Effect":"read_like","Name":"ingest"}],"Models":["a","b"],"Zones":["z"],"Report":{"Columns":["failed_ps","x0"]}}}`
 
-func none(string) string { return "" }
+func noEnv(string) string { return "" }
 
 func TestParse(t *testing.T) {
-	c, err := Parse([]byte(good), none)
+	c, err := Parse([]byte(validConfig), noEnv)
 	require.NoError(t, err)
 	assert.Equal(t, "n3", c.Name)
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), c.Settings.Seed)
@@ -36,7 +36,7 @@
 }
 
 func TestDefaults(t *testing.T) {
-	text := strings.Replace(good, `"limits":{"cores":0.4,"memory_mb":100,"sockets":512},`, "", 1)
+	text := strings.Replace(validConfig, `"limits":{"cores":0.4,"memory_mb":100,"sockets":512},`, "", 1)
 	text = strings.Replace(text, `"listen":"127.0.0.1:8081",`, "", 1)
 	text = strings.Replace(text, `"ConnIdleMs":8000.0,`, "", 1)
 	c, err := Parse([]byte(text), func(key string) string {
@@ -68,21 +68,21 @@
 		{`"name":"n3"`, `"admin":"127.0.0.1:x","name":"n3"`, `admin is "127.0.0.1:x", want host:port`},
 		{`"name":"n3"`, `"admin":"127.0.0.1:8081","name":"n3"`, `admin is "127.0.0.1:8081", where clients connect already`},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, c.from, c.to, 1)), none)
+		_, err := Parse([]byte(strings.Replace(validConfig, c.from, c.to, 1)), noEnv)
 		assert.ErrorContains(t, err, c.want)
 	}
-	bad := strings.NewReplacer(`"cores":0.4`, `"cores":"x"`, `"sockets":512`, `"sockets":3`, `"read_like"`, `"odd"`).Replace(good)
-	_, err := Parse([]byte(bad), none)
+	bad := strings.NewReplacer(`"cores":0.4`, `"cores":"x"`, `"sockets":512`, `"sockets":3`, `"read_like"`, `"odd"`).Replace(validConfig)
+	_, err := Parse([]byte(bad), noEnv)
 	assert.Len(t, err, 3, "all faults are told at once")
-	_, err = Parse([]byte("{"), none)
+	_, err = Parse([]byte("{"), noEnv)
 	assert.ErrorContains(t, err, "config line 1")
-	_, err = Load(none)
+	_, err = Load(noEnv)
 	assert.ErrorContains(t, err, "ROUTER_CONFIG")
 }
 
-// TestFixed: what a new file changes in vain is named, and nothing else is.
-func TestFixed(t *testing.T) {
-	c, err := Parse([]byte(good), none)
+// TestChangedFixedKeys: what a new file changes in vain is named, and nothing else is.
+func TestChangedFixedKeys(t *testing.T) {
+	c, err := Parse([]byte(validConfig), noEnv)
 	require.NoError(t, err)
 	for _, f := range []struct {
 		from, to string
@@ -98,7 +98,7 @@
 		{`"MaxAttempts":5`, `"MaxAttempts":4`, []string{"settings"}},
 		{`"ConnIdleMs":8000.0`, `"ConnIdleMs":9000.0`, []string{"settings"}},
 	} {
-		other, err := Parse([]byte(strings.Replace(good, f.from, f.to, 1)), none)
+		other, err := Parse([]byte(strings.Replace(validConfig, f.from, f.to, 1)), noEnv)
 		require.NoError(t, err)
 		assert.Equal(t, f.want, c.ChangedFixedKeys(other), f.to)
 	}
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -52,7 +52,7 @@
 }
 
 func (r *reader) fault(key, format string, args ...any) {
-	r.faults = append(r.faults, Fault{Key: key, Line: line(r.text, key), Problem: fmt.Sprintf(format, args...)})
+	r.faults = append(r.faults, Fault{Key: key, Line: lineOf(r.text, key), Problem: fmt.Sprintf(format, args...)})
 }
 
 // object splits an object into its keys' texts; what is absent has none.
@@ -65,7 +65,7 @@
 	return m
 }
 
-func (r *reader) text1(key string, m map[string]jsoniter.RawMessage) (s string) {
+func (r *reader) stringValue(key string, m map[string]jsoniter.RawMessage) (s string) {
 	if text := m[key]; len(text) > 0 && json.Unmarshal(text, &s) != nil {
 		r.fault(key, "is %s, want a text", text)
 	}
@@ -83,8 +83,8 @@
 	return v, true
 }
 
-// wire notes what the reader of the settings found.
-func (r *reader) wire(err error) {
+// settingsFaults notes what the reader of the settings found.
+func (r *reader) settingsFaults(err error) {
 	var all wire.Faults
 	if !errors.As(err, &all) {
 		r.fault("settings", "%v", err)
@@ -94,10 +94,10 @@
 	}
 }
 
-// line is where a key stands, or what of it there is: with "a.b[2].c", the line of c in the
+// lineOf is where a key stands, or what of it there is: with "a.b[2].c", the lineOf of c in the
 // third value of b in a. It is found by the standard library's tokens, which know their
 // places; only a faulty file is read so.
-func line(text []byte, key string) int {
+func lineOf(text []byte, key string) int {
 	d := stdjson.NewDecoder(bytes.NewReader(text))
 	at := int64(0)
 	path := strings.FieldsFunc(key, func(r rune) bool { return r == '.' || r == '[' || r == ']' })
--- a/internal/config/variants_test.go
+++ b/internal/config/variants_test.go
@@ -14,21 +14,21 @@
 	"tinsail/internal/platform"
 )
 
-// variants are two made-up sites that share no figure with the usual ones, in the platform's own form.
-var variants = []string{"testdata/short.json", "testdata/long.json"}
+// siteFiles are two made-up sites that share no figure with the usual ones, in the platform's own form.
+var siteFiles = []string{"testdata/short.json", "testdata/long.json"}
 
-func variant(t *testing.T, file string) (*Config, []byte) {
+func parseSite(t *testing.T, file string) (*Config, []byte) {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
-	c, err := Parse(text, none)
+	c, err := Parse(text, noEnv)
 	require.NoError(t, err)
 	return c, text
 }
 
-// TestVariants: what the two sites' settings tell is what the program goes by.
-func TestVariants(t *testing.T) {
-	c, _ := variant(t, "testdata/short.json")
+// TestSitesAreParsed: what the two sites' settings tell is what the program goes by.
+func TestSitesAreParsed(t *testing.T) {
+	c, _ := parseSite(t, "testdata/short.json")
 	assert.Equal(t, 900*time.Millisecond, c.LongestDeadline())
 	assert.Equal(t, 2*time.Second, c.BackendIdleTimeout)
 	assert.Equal(t, []bool{false, true, false, true}, c.Names.RequiresKey)
@@ -40,7 +40,7 @@
 	assert.Equal(t, balance.Rules{AnswerSlack: 12, FallMultiple: 5, FallWindow: 1200, StartCapacity: 0.35, WarmAfter: 6000, DrainGrace: 900}, c.Settings.Rules)
 	assert.Len(t, c.Settings.Tenants, 2)
 
-	c, _ = variant(t, "testdata/long.json")
+	c, _ = parseSite(t, "testdata/long.json")
 	assert.Equal(t, 40*time.Second, c.LongestDeadline())
 	assert.Equal(t, 20*time.Second, c.BackendIdleTimeout)
 	assert.Equal(t, []bool{true, false}, c.Names.RequiresKey)
@@ -49,8 +49,8 @@
 	assert.Zero(t, c.Settings.MaxPause, "clients are not told a pause here")
 }
 
-// unread are the keys that nothing goes by, each with why.
-var unread = map[string]string{
+// unusedKeys are the keys that nothing goes by, each with why.
+var unusedKeys = map[string]string{
 	"Allowed.CpuUsPerRequest": "a limit of the simulator's, 0 at all sites",
 	"Allowed.CpuUsPerS":       "open: nothing is shed for it",
 	"Allowed.MaxStreams":      "a connection carries one req, which any number allows",
@@ -63,42 +63,42 @@
 	"Tiers":                   "one tier",
 }
 
-// other is another value of a word that the settings may hold.
-var other = map[string]string{"pushed": "on_request", "on_request": "pushed", "none": "nominal", "live": "none", "request": "work",
+// otherWord is another value of a word that the settings may hold.
+var otherWord = map[string]string{"pushed": "on_request", "on_request": "pushed", "none": "nominal", "live": "none", "request": "work",
 	"work": "request", "probe": "answers", "backfill": "priority", "fifo": "priority"}
 
-// leaves visits each single value under v. set puts another in its place.
-func leaves(v any, key string, set func(any), visit func(key string, v any, set func(any))) {
+// visitLeaves visits each single value under v. set puts another in its place.
+func visitLeaves(v any, key string, set func(any), visit func(key string, v any, set func(any))) {
 	switch v := v.(type) {
 	case map[string]any:
 		for k, x := range v {
-			leaves(x, strings.TrimPrefix(key+"."+k, "."), func(y any) { v[k] = y }, visit)
+			visitLeaves(x, strings.TrimPrefix(key+"."+k, "."), func(y any) { v[k] = y }, visit)
 		}
 	case []any:
 		for i, x := range v {
-			leaves(x, key, func(y any) { v[i] = y }, visit)
+			visitLeaves(x, key, func(y any) { v[i] = y }, visit)
 		}
 	default:
 		visit(key, v, set)
 	}
 }
 
-// TestEachFigureCounts changes each value of the settings, one at a time: what is read changes with it, or is refused,
+// TestEachValueIsUsed changes each value of the settings, one at a time: what is read changes with it, or is refused,
 // unless the key is known as one that nothing goes by. A figure that is taken for granted is found by this.
-func TestEachFigureCounts(t *testing.T) {
+func TestEachValueIsUsed(t *testing.T) {
 	counted := map[string]bool{}
-	for _, file := range variants {
-		plain, text := variant(t, file)
+	for _, file := range siteFiles {
+		plain, text := parseSite(t, file)
 		var top map[string]any
 		require.NoError(t, json.Unmarshal(text, &top))
-		leaves(top["settings"], "", nil, func(key string, v any, set func(any)) {
+		visitLeaves(top["settings"], "", nil, func(key string, v any, set func(any)) {
 			switch was := v.(type) {
 			case bool:
 				set(!was)
 			case float64:
 				set(was + 1)
 			case string:
-				if to, ok := other[was]; ok && key != "Report.How" {
+				if to, ok := otherWord[was]; ok && key != "Report.How" {
 					set(to)
 				} else if key == "Report.How" {
 					set("answers")
@@ -109,26 +109,26 @@
 			changed, err := json.Marshal(top)
 			set(v)
 			require.NoError(t, err)
-			got, err := Parse(changed, none)
+			got, err := Parse(changed, noEnv)
 			counted[key] = counted[key] || err != nil || !reflect.DeepEqual(plain.Settings, got.Settings) ||
 				!reflect.DeepEqual(plain.Names, got.Names) || plain.BackendIdleTimeout != got.BackendIdleTimeout
 		})
 	}
 	require.Greater(t, len(counted), 50)
 	for key, counts := range counted {
-		_, known := unread[key]
+		_, known := unusedKeys[key]
 		assert.NotEqual(t, known, counts, "%s: nothing goes by it: %v", key, known)
 	}
-	for key := range unread {
+	for key := range unusedKeys {
 		assert.Contains(t, counted, key, "stands in no site's settings")
 	}
 }
 
-// TestClassesBySettingsAlone: which reqs are taken follows from the settings: each class by its name, with a key where its
+// TestClassesFollowSettings: which reqs are taken follows from the settings: each class by its name, with a key where its
 // effect wants one, without where not, and with its own time where the client names none.
-func TestClassesBySettingsAlone(t *testing.T) {
-	for _, file := range variants {
-		c, _ := variant(t, file)
+func TestClassesFollowSettings(t *testing.T) {
+	for _, file := range siteFiles {
+		c, _ := parseSite(t, file)
 		for i, name := range c.Names.Classes {
 			for _, key := range []string{"", "k1"} {
 				q := &platform.Request{Method: "POST", Target: "/" + name}
@@ -157,11 +157,11 @@
 	}
 }
 
-// TestTenants: a req counts in the share of the tenant that it names; one that names none, or none that the settings
+// TestTenantByAccountField: a req counts in the share of the tenant that it names; one that names none, or none that the settings
 // know, in nobody's. Where there are no tenants the field says nothing.
-func TestTenants(t *testing.T) {
-	short, _ := variant(t, "testdata/short.json")
-	long, _ := variant(t, "testdata/long.json")
+func TestTenantByAccountField(t *testing.T) {
+	short, _ := parseSite(t, "testdata/short.json")
+	long, _ := parseSite(t, "testdata/long.json")
 	for _, c := range []struct {
 		cfg    *Config
 		fields []string
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -33,8 +33,8 @@
 func (r recorder) Unchanged() { r <- "same" }
 func (r recorder) Failed()    { r <- "failed" }
 
-// until takes words until one comes, and fails if that takes very long.
-func (r recorder) until(t *testing.T, want string) {
+// waitFor takes words waitFor one comes, and fails if that takes very long.
+func (r recorder) waitFor(t *testing.T, want string) {
 	t.Helper()
 	var seen []string
 	late := time.After(30 * time.Second)
@@ -51,32 +51,32 @@
 	}
 }
 
-type lines struct {
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
 }
 
-type rig struct {
+type fixture struct {
 	agents []*standin.Agent
 	watch  *Watch
-	got    recorder
-	log    *lines
+	events recorder
+	log    *logBuffer
 }
 
-func begin(t *testing.T, n int, change func(*Config)) *rig {
-	r := &rig{got: make(recorder, 10_000), log: &lines{}}
+func startWatch(t *testing.T, n int, change func(*Config)) *fixture {
+	r := &fixture{events: make(recorder, 10_000), log: &logBuffer{}}
 	c := Config{Scheme: "http", Service: "photo", AllowStale: true, MaxStaleness: 10 * time.Second, WaitTime: time.Second, Timeout: 5 * time.Second,
 		MaxBodyBytes: 64 << 10, CallsPerSecond: 1000, MaxEntries: 1000}
 	for range n {
@@ -90,7 +90,7 @@
 	if change != nil {
 		change(&c)
 	}
-	r.watch = &Watch{Config: c, Sink: r.got, Counts: &Counts{}, Log: zerolog.New(r.log),
+	r.watch = &Watch{Config: c, Sink: r.events, Counts: &Counts{}, Log: zerolog.New(r.log),
 		Meta: MetaMapping{Kind: "kind", Zone: "zone", Group: "group", Weight: "weight", Started: "started_ms", Kinds: []string{"a", "b"}, Zones: []string{"x", "y"}}}
 	require.NoError(t, r.watch.Init())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -100,28 +100,28 @@
 	return r
 }
 
-// TestWatch: news comes as it is made, and states are told by their checks.
-func TestWatch(t *testing.T) {
-	r := begin(t, 1, nil)
+// TestWatchReportsChanges: news comes as it is made, and states are told by their checks.
+func TestWatchReportsChanges(t *testing.T) {
+	r := startWatch(t, 1, nil)
 	a := r.agents[0]
-	r.got.until(t, "[p1=81/0]")
+	r.events.waitFor(t, "[p1=81/0]")
 	a.Put(standin.Service{ID: "p2", Service: "photo", Port: 82})
-	r.got.until(t, "[p1=81/0 p2=82/0]")
+	r.events.waitFor(t, "[p1=81/0 p2=82/0]")
 	a.Put(standin.Service{ID: "q1", Service: "other", Address: "127.0.0.1", Port: 99})
 	a.Check("p1", "warning")
-	r.got.until(t, "[p1=81/1 p2=82/0]")
+	r.events.waitFor(t, "[p1=81/1 p2=82/0]")
 	a.Check("p1", "critical")
-	r.got.until(t, "[p1=81/2 p2=82/0]")
+	r.events.waitFor(t, "[p1=81/2 p2=82/0]")
 	a.Maintenance("p2", true)
-	r.got.until(t, "[p1=81/2 p2=82/3]")
+	r.events.waitFor(t, "[p1=81/2 p2=82/3]")
 	a.Maintenance("p2", false)
 	a.Remove("p1")
-	r.got.until(t, "[p2=82/0]")
-	r.got.until(t, "same") // the wait is over and nothing new
+	r.events.waitFor(t, "[p2=82/0]")
+	r.events.waitFor(t, "same") // the wait is over and nothing new
 }
 
-// TestFaults: each is counted by its kind, and the watch goes on once it is over.
-func TestFaults(t *testing.T) {
+// TestFaultsAreCountedByKind: each is counted by its kind, and the watch goes on once it is over.
+func TestFaultsAreCountedByKind(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault standin.Faults
@@ -136,97 +136,97 @@
 		{"stale", standin.Faults{Stale: time.Minute}, func(c *Counts) int64 { return c.TooStale.Load() }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := begin(t, 1, nil)
-			r.got.until(t, "[p1=81/0]")
+			r := startWatch(t, 1, nil)
+			r.events.waitFor(t, "[p1=81/0]")
 			r.agents[0].Set(c.fault)
-			r.got.until(t, "failed")
+			r.events.waitFor(t, "failed")
 			assert.Positive(t, c.count(r.watch.Counts))
 			r.agents[0].Put(standin.Service{ID: "p2", Service: "photo", Port: 82})
 			r.agents[0].Set(standin.Faults{})
-			r.got.until(t, "[p1=81/0 p2=82/0]")
+			r.events.waitFor(t, "[p1=81/0 p2=82/0]")
 		})
 	}
 }
 
-// TestSilent: an agent that says nothing is given up after its time.
-func TestSilent(t *testing.T) {
-	r := begin(t, 1, func(c *Config) { c.Timeout = 100 * time.Millisecond })
-	r.got.until(t, "[p1=81/0]")
+// TestSilentAgentTimesOut: an agent that says nothing is given up after its time.
+func TestSilentAgentTimesOut(t *testing.T) {
+	r := startWatch(t, 1, func(c *Config) { c.Timeout = 100 * time.Millisecond })
+	r.events.waitFor(t, "[p1=81/0]")
 	r.agents[0].Set(standin.Faults{Silent: true})
-	r.got.until(t, "failed")
+	r.events.waitFor(t, "failed")
 	r.agents[0].Set(standin.Faults{})
-	r.got.until(t, "[p1=81/0]")
+	r.events.waitFor(t, "[p1=81/0]")
 }
 
-// TestIndexBack: after an index that goes back nothing of that answer is believed, and the next
+// TestIndexGoesBack: after an index that goes back nothing of that answer is believed, and the next
 // call asks for the whole list anew.
-func TestIndexBack(t *testing.T) {
-	r := begin(t, 1, nil)
-	r.got.until(t, "[p1=81/0]")
+func TestIndexGoesBack(t *testing.T) {
+	r := startWatch(t, 1, nil)
+	r.events.waitFor(t, "[p1=81/0]")
 	r.agents[0].Set(standin.Faults{Back: 5, Empty: true})
 	for r.watch.Counts.Restarted.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	r.agents[0].Set(standin.Faults{})
-	r.got.until(t, "[p1=81/0]")
+	r.events.waitFor(t, "[p1=81/0]")
 }
 
-// TestFailover: the next agent is asked when one fails, and another view is another list.
-func TestFailover(t *testing.T) {
-	r := begin(t, 2, nil)
+// TestFailoverToNextAgent: the next agent is asked when one fails, and another view is another list.
+func TestFailoverToNextAgent(t *testing.T) {
+	r := startWatch(t, 2, nil)
 	r.agents[1].Put(standin.Service{ID: "p2", Service: "photo", Port: 82})
-	r.got.until(t, "[p1=81/0]")
+	r.events.waitFor(t, "[p1=81/0]")
 	r.agents[0].Close()
-	r.got.until(t, "[p1=81/0 p2=82/0]")
+	r.events.waitFor(t, "[p1=81/0 p2=82/0]")
 	assert.Positive(t, r.watch.Counts.Failovers.Load())
 }
 
-// TestBadEntries: each is refused by itself and named, and of two with one id the newer holds.
-func TestBadEntries(t *testing.T) {
-	r := begin(t, 1, nil)
+// TestInvalidEntriesAreRefused: each is refused by itself and named, and of two with one id the newer holds.
+func TestInvalidEntriesAreRefused(t *testing.T) {
+	r := startWatch(t, 1, nil)
 	a := r.agents[0]
-	r.got.until(t, "[p1=81/0]")
+	r.events.waitFor(t, "[p1=81/0]")
 	a.Set(standin.Faults{Malformed: true, Double: true})
 	a.Put(standin.Service{ID: "p2", Service: "photo", Port: 82, Meta: map[string]string{"weight": "much"}})
 	a.Put(standin.Service{ID: "p3", Service: "photo", Port: 83, Meta: map[string]string{"weight": "8", "kind": "b", "zone": "y", "group": "7"}})
-	r.got.until(t, "[p1=81/0 p3=83/0]")
+	r.events.waitFor(t, "[p1=81/0 p3=83/0]")
 	assert.Positive(t, r.watch.Counts.Duplicates.Load())
 	for _, want := range []string{"no address", "a port that is none", "a bad id", `con\\x01trol`, "a number in its meta", "consul entry refused"} {
 		assert.Contains(t, r.log.String(), want)
 	}
 }
 
-// TestTooLong: an answer beyond the bound is not read, and a list beyond its is cut.
-func TestTooLong(t *testing.T) {
-	r := begin(t, 1, func(c *Config) { c.MaxBodyBytes = 2000 })
-	r.got.until(t, "[p1=81/0]")
+// TestAnswerAndListLengthBounded: an answer beyond the bound is not read, and a list beyond its is cut.
+func TestAnswerAndListLengthBounded(t *testing.T) {
+	r := startWatch(t, 1, func(c *Config) { c.MaxBodyBytes = 2000 })
+	r.events.waitFor(t, "[p1=81/0]")
 	for i := range 20 {
 		r.agents[0].Put(standin.Service{ID: fmt.Sprint("x", i), Service: "photo", Port: 1})
 	}
-	r.got.until(t, "failed")
+	r.events.waitFor(t, "failed")
 	for r.watch.Counts.Unreadable.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	r = begin(t, 1, func(c *Config) { c.MaxEntries = 1 })
+	r = startWatch(t, 1, func(c *Config) { c.MaxEntries = 1 })
 	r.agents[0].Put(standin.Service{ID: "p0", Service: "photo", Port: 80})
-	r.got.until(t, "[p0=80/0]")
+	r.events.waitFor(t, "[p0=80/0]")
 	assert.Positive(t, r.watch.Counts.EntriesRefused.Load())
 }
 
-// TestToken: it is sent, and never logged.
-func TestToken(t *testing.T) {
-	r := begin(t, 1, func(c *Config) { c.Token = "secret-1" })
-	r.got.until(t, "[p1=81/0]")
+// TestTokenIsNeverLogged: it is sent, and never logged.
+func TestTokenIsNeverLogged(t *testing.T) {
+	r := startWatch(t, 1, func(c *Config) { c.Token = "secret-1" })
+	r.events.waitFor(t, "[p1=81/0]")
 	r.agents[0].Token("secret-2")
-	r.got.until(t, "failed")
+	r.events.waitFor(t, "failed")
 	assert.NotContains(t, r.log.String(), "secret")
 	assert.Positive(t, r.watch.Counts.Forbidden.Load())
 }
 
-// TestFields: kind, zone, group and weight come from where the settings say.
-func TestFields(t *testing.T) {
-	r := begin(t, 1, nil)
-	r.got.until(t, "[p1=81/0]")
+// TestMetaMapping: kind, zone, group and weight come from where the settings say.
+func TestMetaMapping(t *testing.T) {
+	r := startWatch(t, 1, nil)
+	r.events.waitFor(t, "[p1=81/0]")
 	f := r.watch.Meta
 	agents, err := r.watch.Config.agents()
 	require.NoError(t, err)
@@ -242,15 +242,15 @@
 	assert.NotEmpty(t, why)
 }
 
-// TestRegistration: an instance is there and passes, is taken up again by an agent that forgot it,
+// TestRegistrationLifecycle: an instance is there and passes, is taken up again by an agent that forgot it,
 // is in maintenance while it drains, and gone at the end.
-func TestRegistration(t *testing.T) {
+func TestRegistrationLifecycle(t *testing.T) {
 	for _, http := range []bool{false, true} {
-		registration(t, http)
+		testRegistration(t, http)
 	}
 }
 
-func registration(t *testing.T, http bool) {
+func testRegistration(t *testing.T, http bool) {
 	a, err := standin.Start()
 	require.NoError(t, err)
 	defer a.Close()
--- a/internal/consul/entries.go
+++ b/internal/consul/entries.go
@@ -22,16 +22,16 @@
 	Kinds, Zones                       []string
 }
 
-// isJSON says whether a call failed because its answer could not be read.
-func isJSON(err error) bool {
+// isUnreadable says whether a call failed because its answer could not be read.
+func isUnreadable(err error) bool {
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
 	return errors.As(err, &syntax) || errors.As(err, &kind) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// read turns an answer into backends. An entry that cannot be used is refused by itself, named in
+// backends turns an answer into backends. An entry that cannot be used is refused by itself, named in
 // the log and counted; the rest holds.
-func (w *Watch) read(list []*api.ServiceEntry) []membership.Backend {
+func (w *Watch) backends(list []*api.ServiceEntry) []membership.Backend {
 	if n := w.Config.MaxEntries; n > 0 && len(list) > n {
 		w.Counts.EntriesRefused.Add(int64(len(list) - n))
 		w.Log.Warn().Int("entries", len(list)).Int("most", n).Msg("consul list too long")
@@ -64,7 +64,7 @@
 	return out
 }
 
-const maxName = 256
+const maxNameBytes = 256
 
 // backend reads one entry, or says why it cannot be used.
 func (f *MetaMapping) backend(e *api.ServiceEntry) (b membership.Backend, why string) {
@@ -72,21 +72,21 @@
 		return b, "no service"
 	}
 	s := e.Service
-	if b.Name = s.ID; b.Name == "" || len(b.Name) > maxName || !printable(b.Name) {
+	if b.Name = s.ID; b.Name == "" || len(b.Name) > maxNameBytes || !printable(b.Name) {
 		return b, "a bad id"
 	}
 	host := s.Address
 	if host == "" && e.Node != nil {
 		host = e.Node.Address
 	}
-	if host == "" || len(host) > maxName || !printable(host) {
+	if host == "" || len(host) > maxNameBytes || !printable(host) {
 		return b, "no address"
 	}
 	if s.Port < 1 || s.Port > 65535 {
 		return b, "a port that is none"
 	}
 	b.Address = net.JoinHostPort(host, strconv.Itoa(s.Port))
-	b.Health = health(e.Checks)
+	b.Health = worstHealth(e.Checks)
 	if b.Weight = float64(s.Weights.Passing); b.Health == membership.Warning {
 		b.Weight = float64(s.Weights.Warning)
 	}
@@ -115,9 +115,9 @@
 	return b, ""
 }
 
-// health is the worst of an instance's checks. Maintenance is a check by its name: a person's word
+// worstHealth is the worst of an instance's checks. Maintenance is a check by its name: a person's word
 // that nothing new is to come.
-func health(checks api.HealthChecks) membership.Health {
+func worstHealth(checks api.HealthChecks) membership.Health {
 	worst := membership.Passing
 	for _, c := range checks {
 		h := membership.Critical
--- a/internal/consul/register.go
+++ b/internal/consul/register.go
@@ -23,11 +23,11 @@
 	HTTPCheck bool // the agent asks /health/ready at Address; else a TTL check is passed from here
 	Log       zerolog.Logger
 
-	agents []*api.Client
-	mu     sync.Mutex
-	maint  bool
-	stop   context.CancelFunc
-	done   chan struct{}
+	agents        []*api.Client
+	mu            sync.Mutex
+	inMaintenance bool
+	stop          context.CancelFunc
+	done          chan struct{}
 }
 
 // Init checks the configuration. It must be called before Start.
@@ -52,7 +52,7 @@
 			if !known {
 				if err = r.register(pass, agent); err == nil {
 					r.mu.Lock()
-					if r.maint {
+					if r.inMaintenance {
 						err = agent.EnableServiceMaintenanceOpts(r.ID, "drain", q)
 					}
 					r.mu.Unlock()
@@ -106,19 +106,19 @@
 // it knows it. It returns within a second.
 func (r *Registration) EnterMaintenance() {
 	r.mu.Lock()
-	r.maint = true
+	r.inMaintenance = true
 	r.mu.Unlock()
-	r.all(func(a *api.Agent, q *api.QueryOptions) error { return a.EnableServiceMaintenanceOpts(r.ID, "drain", q) })
+	r.forEachAgent(func(a *api.Agent, q *api.QueryOptions) error { return a.EnableServiceMaintenanceOpts(r.ID, "drain", q) })
 }
 
 // Deregister drops the instance and ends what Start began.
 func (r *Registration) Deregister() {
 	r.stop()
 	<-r.done
-	r.all(func(a *api.Agent, q *api.QueryOptions) error { return a.ServiceDeregisterOpts(r.ID, q) })
+	r.forEachAgent(func(a *api.Agent, q *api.QueryOptions) error { return a.ServiceDeregisterOpts(r.ID, q) })
 }
 
-func (r *Registration) all(f func(*api.Agent, *api.QueryOptions) error) {
+func (r *Registration) forEachAgent(f func(*api.Agent, *api.QueryOptions) error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	var all sync.WaitGroup
--- a/internal/consul/watch.go
+++ b/internal/consul/watch.go
@@ -79,33 +79,33 @@
 	Counts *Counts
 	Log    zerolog.Logger
 
-	agents []*api.Client
-	limit  *rate.Limiter
+	agents  []*api.Client
+	limiter *rate.Limiter
 }
 
 var errTooLong = errors.New("the answer is longer than allowed")
 
-// bounded keeps answers within a length: no agent, and nothing that stands in for one, makes us
+// boundedTransport keeps answers within a length: no agent, and nothing that stands in for one, makes us
 // hold more.
-type bounded struct {
-	next http.RoundTripper
-	most int64
+type boundedTransport struct {
+	next  http.RoundTripper
+	limit int64
 }
 
-func (b bounded) RoundTrip(r *http.Request) (*http.Response, error) {
+func (b boundedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	answer, err := b.next.RoundTrip(r)
 	if err == nil {
-		answer.Body = &limited{answer.Body, b.most}
+		answer.Body = &limitedBody{answer.Body, b.limit}
 	}
 	return answer, err
 }
 
-type limited struct {
+type limitedBody struct {
 	io.ReadCloser
 	left int64
 }
 
-func (l *limited) Read(p []byte) (int, error) {
+func (l *limitedBody) Read(p []byte) (int, error) {
 	if l.left <= 0 {
 		return 0, errTooLong
 	}
@@ -127,7 +127,7 @@
 			transport.TLSClientConfig = tls
 		}
 		client, err := api.NewClient(&api.Config{Address: address, Scheme: c.Scheme, Datacenter: c.Datacenter, Namespace: c.Namespace,
-			Partition: c.Partition, Token: c.Token, TokenFile: c.TokenFile, HttpClient: &http.Client{Transport: bounded{transport, c.MaxBodyBytes}}})
+			Partition: c.Partition, Token: c.Token, TokenFile: c.TokenFile, HttpClient: &http.Client{Transport: boundedTransport{transport, c.MaxBodyBytes}}})
 		if err != nil {
 			return nil, fmt.Errorf("consul: %s: %w", address, err)
 		}
@@ -142,28 +142,28 @@
 // Init checks the configuration. It must be called before Run.
 func (w *Watch) Init() (err error) {
 	w.agents, err = w.Config.agents()
-	w.limit = rate.NewLimiter(rate.Limit(w.Config.CallsPerSecond), max(1, int(w.Config.CallsPerSecond)))
+	w.limiter = rate.NewLimiter(rate.Limit(w.Config.CallsPerSecond), max(1, int(w.Config.CallsPerSecond)))
 	return err
 }
 
 // Pauses after a call that failed: from the first on twice as long, half of each by chance, so that
 // many dispatchers do not come back to an agent together.
 const (
-	pauseLeast = 100 * time.Millisecond
-	pauseMost  = 5 * time.Second
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 5 * time.Second
 )
 
 // Run follows the service until ctx ends. Each answer is followed at once by the next call, as far
 // as the limit on calls lets it.
 func (w *Watch) Run(ctx context.Context) {
-	at, index, pause := 0, uint64(0), pauseLeast
-	for w.limit.Wait(ctx) == nil {
-		next, err := w.ask(ctx, w.agents[at], index)
+	at, index, pause := 0, uint64(0), minBackoff
+	for w.limiter.Wait(ctx) == nil {
+		next, err := w.query(ctx, w.agents[at], index)
 		if ctx.Err() != nil {
 			return
 		}
 		if err == nil {
-			index, pause = next, pauseLeast
+			index, pause = next, minBackoff
 			continue
 		}
 		w.Sink.Failed()
@@ -177,12 +177,12 @@
 		case <-ctx.Done():
 			return
 		}
-		pause = min(2*pause, pauseMost)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
-// ask makes one call and hands on what it brought. It returns the index for the next one.
-func (w *Watch) ask(ctx context.Context, agent *api.Client, index uint64) (uint64, error) {
+// query makes one call and hands on what it brought. It returns the index for the next one.
+func (w *Watch) query(ctx context.Context, agent *api.Client, index uint64) (uint64, error) {
 	c := &w.Config
 	q := &api.QueryOptions{WaitIndex: index, WaitTime: c.WaitTime, AllowStale: c.AllowStale, RequireConsistent: !c.AllowStale, Filter: c.Filter}
 	// The agent adds up to a sixteenth to a wait, by chance.
@@ -191,7 +191,7 @@
 	w.Counts.Calls.Add(1)
 	list, meta, err := agent.Health().ServiceMultipleTags(c.Service, c.Tags, false, q.WithContext(ctx))
 	if err != nil {
-		return 0, w.blame(err)
+		return 0, w.countFailure(err)
 	}
 	switch {
 	case !meta.KnownLeader: // what it knows may be long past
@@ -209,12 +209,12 @@
 		return index, nil
 	}
 	w.Counts.Lists.Add(1)
-	w.Sink.ReplaceAll(w.read(list))
+	w.Sink.ReplaceAll(w.backends(list))
 	return max(meta.LastIndex, 1), nil // 0 would not wait
 }
 
-// blame counts a call that failed by what was wrong.
-func (w *Watch) blame(err error) error {
+// countFailure counts a call that failed by what was wrong.
+func (w *Watch) countFailure(err error) error {
 	var status api.StatusError
 	switch {
 	case errors.As(err, &status):
@@ -228,7 +228,7 @@
 		}
 		w.Counts.Errors.Add(1)
 		return fmt.Errorf("status %d", status.Code)
-	case errors.Is(err, errTooLong), isJSON(err):
+	case errors.Is(err, errTooLong), isUnreadable(err):
 		w.Counts.Unreadable.Add(1)
 	default:
 		w.Counts.Unreachable.Add(1)
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -53,14 +53,14 @@
 
 // Parser is one connection's calls. It hands out one and no more.
 type Parser struct {
-	in   platform.RequestParser
-	done bool
+	requests platform.RequestParser
+	done     bool
 }
 
 // NewParser makes a machine for a connection.
 func NewParser() *Parser {
 	c := &Parser{}
-	c.in.Admit = func(n int) error {
+	c.requests.Admit = func(n int) error {
 		if n > MaxBody {
 			return &platform.RequestError{Status: 413, Reason: "the body is too long: no call needs one"}
 		}
@@ -70,13 +70,13 @@
 }
 
 // Space is where the next bytes are to be read, Filled tells how many were.
-func (c *Parser) Space() []byte { return c.in.Space() }
+func (c *Parser) Space() []byte { return c.requests.Space() }
 
 // Filled tells that n bytes have been read into Space.
-func (c *Parser) Filled(n int) { c.in.Filled(n) }
+func (c *Parser) Filled(n int) { c.requests.Filled(n) }
 
 // DiscardSpace is space for bytes that nobody will read.
-func (c *Parser) DiscardSpace() []byte { return c.in.DiscardSpace() }
+func (c *Parser) DiscardSpace() []byte { return c.requests.DiscardSpace() }
 
 // Next returns the call once it is whole; ok is false while more bytes are due. The error is a
 // *Refusal. What comes behind the call is never looked at.
@@ -84,7 +84,7 @@
 	if c.done {
 		return Call{}, false, &Refusal{Status: 400, Reason: "one call to a connection"}
 	}
-	q, err := c.in.Next()
+	q, err := c.requests.Next()
 	if err != nil {
 		c.done = true
 		bad := &platform.RequestError{Status: 400, Reason: "a bad head"}
@@ -102,10 +102,10 @@
 }
 
 // HasInput says whether the caller has sent anything.
-func (c *Parser) HasInput() bool { return c.in.Partial() }
+func (c *Parser) HasInput() bool { return c.requests.Partial() }
 
-// plain are the calls that name nothing.
-var plain = map[string]struct {
+// fixedPaths are the calls that name nothing.
+var fixedPaths = map[string]struct {
 	method string
 	op     Operation
 }{
@@ -115,17 +115,17 @@
 	"/metrics":                {"GET", Metrics},
 }
 
-// prefix is of the calls that name a backend.
-const prefix = "/control/photo-workers/"
+// backendPrefix is of the calls that name a backend.
+const backendPrefix = "/control/photo-workers/"
 
 // ParseCall makes a call of a method and a path. The error is a *Refusal.
 func ParseCall(method, path string) (Call, error) {
 	unknown := &Refusal{Status: 404, Reason: "no such call"}
 	call, want := Call{}, "POST"
-	if p, ok := plain[path]; ok {
+	if p, ok := fixedPaths[path]; ok {
 		call.Operation, want = p.op, p.method
 	} else {
-		rest, ok := strings.CutPrefix(path, prefix)
+		rest, ok := strings.CutPrefix(path, backendPrefix)
 		id, verb, ok2 := strings.Cut(rest, "/")
 		if !ok || !ok2 {
 			return Call{}, unknown
@@ -157,9 +157,9 @@
 func (c Call) MethodAndPath() (method, path string) {
 	switch c.Operation {
 	case Offline, Online:
-		return "POST", prefix + url.PathEscape(c.Backend) + "/" + c.Operation.String()
+		return "POST", backendPrefix + url.PathEscape(c.Backend) + "/" + c.Operation.String()
 	}
-	for path, p := range plain {
+	for path, p := range fixedPaths {
 		if p.op == c.Operation {
 			return p.method, path
 		}
--- a/internal/door/door_test.go
+++ b/internal/door/door_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// play feeds bytes in pieces of a size and says what the machine made of them.
-func play(text string, size int) string {
+// parseInPieces feeds bytes in pieces of a size and says what the machine made of them.
+func parseInPieces(text string, size int) string {
 	c := NewParser()
 	for {
 		call, ok, err := c.Next()
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestCalls(t *testing.T) {
+func TestParseCalls(t *testing.T) {
 	long := strings.Repeat("a", 300)
 	for text, want := range map[string]string{
 		"GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n":                                         "ready",
@@ -58,13 +58,13 @@
 		"POST /control/in-service HTTP/1.1\r\nContent-Length: 4\r\n\r\nab":                    "more",
 	} {
 		for _, size := range []int{1, 3, 1 << 20} {
-			assert.Equal(t, want, play(text, size), text[:min(len(text), 80)])
+			assert.Equal(t, want, parseInPieces(text, size), text[:min(len(text), 80)])
 		}
 	}
 }
 
-// TestPath: what a caller of ours writes is read as what it meant, whatever the id.
-func TestPath(t *testing.T) {
+// TestMethodAndPathRoundTrip: what a caller of ours writes is read as what it meant, whatever the id.
+func TestMethodAndPathRoundTrip(t *testing.T) {
 	for op := range ops {
 		for _, id := range []string{"s-1", "a/b c%2f?#", "é\x00"} {
 			c := Call{Operation: op}
--- a/internal/fleet/slices/choose.go
+++ b/internal/fleet/slices/choose.go
@@ -14,8 +14,8 @@
 	Pattern                    // what no combination of the typical mix can use grows least, then as Gradient
 )
 
-// gradientPart is how much of Gradient's score counts beside Pattern's own; above 0.3 the figures get worse.
-const gradientPart = 0.1
+// gradientWeight is how much of Gradient's score counts beside Pattern's own; above 0.3 the figures get worse.
+const gradientWeight = 0.1
 
 // TypicalDemand is one kind of demand in the mix that the fleet expects, and how often it comes (any unit).
 type TypicalDemand struct {
@@ -23,9 +23,9 @@
 	Weight float64
 }
 
-// choose is the device for a newcomer, nil if none has room.
-func (t *Table) choose(d *Demand) (*device, Amount) {
-	if t.choice == FirstFit {
+// chooseDevice is the device for a newcomer, nil if none has room.
+func (t *Table) chooseDevice(d *Demand) (*device, Amount) {
+	if t.strategy == FirstFit {
 		for _, v := range t.order {
 			if a, why := t.fits(v, d, nil); why == "" {
 				return v, a
@@ -33,19 +33,19 @@
 		}
 		return nil, Amount{}
 	}
-	t.fuel = MaxWasteEvaluations
-	charges := t.charges[:0]
+	t.wasteEvaluations = MaxWasteEvaluations
+	charges := t.allocations[:0]
 	for i := range t.classes {
-		a, why := t.classes[i].charge(d)
+		a, why := t.classes[i].allocation(d)
 		if why != "" {
 			a.Parts = -1
 		}
 		charges = append(charges, a)
 	}
-	t.charges = charges
-	best, score := t.among(t.open, d, charges, nil, math.Inf(1))
-	if x := t.rooms[d.Tenant]; x != nil {
-		best, _ = t.among(x, d, charges, best, score)
+	t.allocations = charges
+	best, score := t.searchIndex(t.openIndex, d, charges, nil, math.Inf(1))
+	if x := t.tenantIndexes[d.Tenant]; x != nil {
+		best, _ = t.searchIndex(x, d, charges, best, score)
 	}
 	if best == nil {
 		return nil, Amount{}
@@ -58,45 +58,45 @@
 	return v, a
 }
 
-// among looks through one index; best is what another has found, with its score.
-func (t *Table) among(x *index, d *Demand, charges []Amount, best *bucket, least float64) (*bucket, float64) {
+// searchIndex looks through one index; best is what another has found, with its score.
+func (t *Table) searchIndex(x *index, d *Demand, charges []Amount, best *bucket, lowest float64) (*bucket, float64) {
 	for i := range x.list {
 		b := &x.list[i]
 		a := charges[b.class]
-		if a.Parts < 0 || !b.free.holds(a) || d.Isolation == Exclusive && !b.empty {
+		if a.Parts < 0 || !b.free.contains(a) || d.Isolation == Exclusive && !b.empty {
 			continue
 		}
-		if d.Isolation == SharedWithTenant && !b.empty && !b.sole {
+		if d.Isolation == SharedWithTenant && !b.empty && !b.singleTenant {
 			continue
 		}
-		if s := t.score(b, a, least); s < least {
-			best, least = b.bucket, s
+		if s := t.score(b, a, lowest); s < lowest {
+			best, lowest = b.bucket, s
 		}
 	}
-	return best, least
+	return best, lowest
 }
 
 // score is lower for the better device. What is found not to be below limit is not worked out any further.
-func (t *Table) score(b *entry, a Amount, limit float64) float64 {
+func (t *Table) score(b *candidate, a Amount, limit float64) float64 {
 	c := &t.classes[b.class]
 	left := b.free.minus(a)
-	switch t.choice {
+	switch t.strategy {
 	case DotProduct:
 		p, m := float64(c.size.Parts), float64(c.size.Memory)
 		x, y := float64(b.free.Parts)/p, float64(b.free.Memory)/m
 		u, v := float64(a.Parts)/p, float64(a.Memory)/m
-		return -(x*u+y*v)/math.Sqrt((x*x+y*y)*(u*u+v*v)) + 1e-3*share(left, c.size)
+		return -(x*u+y*v)/math.Sqrt((x*x+y*y)*(u*u+v*v)) + 1e-3*relativeSize(left, c.size)
 	case Gradient:
-		return t.unusable(c, left, false) - b.unusable + 1e-3*share(left, c.size)
+		return t.unusable(c, left, false) - b.unusable + 1e-3*relativeSize(left, c.size)
 	case Pattern:
-		least := -b.waste + 1e-3*share(left, c.size)
-		if least-gradientPart*b.unusable >= limit {
+		least := -b.waste + 1e-3*relativeSize(left, c.size)
+		if least-gradientWeight*b.unusable >= limit {
 			return limit
 		}
-		if least += gradientPart * (t.unusable(c, left, false) - b.unusable); least >= limit {
+		if least += gradientWeight * (t.unusable(c, left, false) - b.unusable); least >= limit {
 			return limit
 		}
-		return least + t.waste(c, left)
+		return least + t.leastWaste(c, left)
 	default:
 		return float64(left.Parts) / float64(c.size.Parts)
 	}
@@ -109,11 +109,11 @@
 		return float64(max(free.Parts, 0)) / float64(c.size.Parts)
 	}
 	sum, all := 0.0, 0.0
-	for i := range c.typical {
+	for i := range c.typicalAmounts {
 		w := t.mix[i].Weight
 		all += w
-		a := c.typical[i]
-		if a.Parts == 0 || !free.holds(a) || t.mix[i].Demand.Isolation == Exclusive && !empty {
+		a := c.typicalAmounts[i]
+		if a.Parts == 0 || !free.contains(a) || t.mix[i].Demand.Isolation == Exclusive && !empty {
 			sum += w
 		}
 	}
@@ -141,30 +141,30 @@
 // MaxCachedWastes bounds the rooms whose waste is remembered, for each class; above it they are begun anew.
 const MaxCachedWastes = 1 << 16
 
-// waste is the least part of a device's room (0 to 1, of both dimensions' mean) that is left over by any
+// leastWaste is the least part of a device's room (0 to 1, of both dimensions' mean) that is left over by any
 // combination of the typical mix.
-func (t *Table) waste(c *class, free Amount) float64 {
+func (t *Table) leastWaste(c *class, free Amount) float64 {
 	if free.Parts <= 0 || free.Memory <= 0 {
 		return (float64(max(free.Parts, 0))/float64(c.size.Parts) + float64(max(free.Memory, 0))/float64(c.size.Memory)) / 2
 	}
-	if w, has := c.wastes[free]; has {
+	if w, has := c.wasteCache[free]; has {
 		return w
 	}
-	best := share(free, c.size) / 2
-	if t.fuel--; t.fuel < 0 {
+	best := relativeSize(free, c.size) / 2
+	if t.wasteEvaluations--; t.wasteEvaluations < 0 {
 		return best
 	}
-	for _, a := range c.typical {
-		if a.Parts > 0 && free.holds(a) {
-			best = min(best, t.waste(c, free.minus(a)))
+	for _, a := range c.typicalAmounts {
+		if a.Parts > 0 && free.contains(a) {
+			best = min(best, t.leastWaste(c, free.minus(a)))
 		}
 	}
-	if t.fuel <= 0 {
+	if t.wasteEvaluations <= 0 {
 		return best // not remembered: it may be too high
 	}
-	if len(c.wastes) >= MaxCachedWastes {
-		clear(c.wastes)
+	if len(c.wasteCache) >= MaxCachedWastes {
+		clear(c.wasteCache)
 	}
-	c.wastes[free] = best
+	c.wasteCache[free] = best
 	return best
 }
--- a/internal/fleet/slices/index.go
+++ b/internal/fleet/slices/index.go
@@ -4,20 +4,20 @@
 
 // shape is what the choice knows of a device: those of one shape are one candidate.
 type shape struct {
-	class int
-	free  Amount
-	empty bool
-	sole  bool // one tenant alone is on it (in that tenant's index)
+	class        int
+	free         Amount
+	empty        bool
+	singleTenant bool // one tenant alone is on it (in that tenant's index)
 }
 
 type bucket struct {
 	shape
-	at      int // in its index's list
-	devices []*device
+	position int // in its index's list
+	devices  []*device
 }
 
-// entry is what the choice reads of a bucket, beside one another in memory.
-type entry struct {
+// candidate is what the choice reads of a bucket, beside one another in memory.
+type candidate struct {
 	shape
 	unusable float64
 	waste    float64
@@ -27,30 +27,30 @@
 // index holds the devices that may take something, by shape. The open one has those that any tenant may
 // still use. A tenant's has those that it has a slice on, and that either hold nobody else or no new tenant.
 type index struct {
-	byShape map[shape]*bucket
-	list    []entry
-	tenant  string
-	room    bool // of a tenant
+	byShape   map[shape]*bucket
+	list      []candidate
+	tenant    string
+	perTenant bool // of a tenant
 }
 
 func newIndex() *index { return &index{byShape: map[shape]*bucket{}} }
 
-type member struct {
-	index  *index
-	bucket *bucket
-	pos    int
+type indexEntry struct {
+	index    *index
+	bucket   *bucket
+	position int
 }
 
 // reindex puts a device where its state belongs: nowhere, if it takes nothing new from just anyone.
 func (t *Table) reindex(v *device) {
-	for _, m := range v.members {
+	for _, m := range v.indexEntries {
 		m.index.remove(v, m)
-		if m.index.room && len(m.index.list) == 0 {
-			delete(t.rooms, m.index.tenant)
+		if m.index.perTenant && len(m.index.list) == 0 {
+			delete(t.tenantIndexes, m.index.tenant)
 		}
 	}
-	v.members = v.members[:0]
-	if t.choice == FirstFit || !v.ready || v.keptFor != nil || len(v.slices) >= t.limits.MaxSlices {
+	v.indexEntries = v.indexEntries[:0]
+	if t.strategy == FirstFit || !v.ready || v.reservedFor != nil || len(v.slices) >= t.limits.MaxSlices {
 		return
 	}
 	locked := false
@@ -67,15 +67,15 @@
 	sh := shape{class: v.class, free: free, empty: len(v.slices) == 0}
 	full := len(v.tenants) >= t.limits.MaxTenants
 	if !locked && !full {
-		t.add(t.open, v, sh)
+		t.add(t.openIndex, v, sh)
 	}
-	if sh.sole = len(v.tenants) == 1; sh.sole || full {
+	if sh.singleTenant = len(v.tenants) == 1; sh.singleTenant || full {
 		for _, n := range v.tenants {
-			x := t.rooms[n.name]
+			x := t.tenantIndexes[n.name]
 			if x == nil {
 				x = newIndex()
-				x.tenant, x.room = n.name, true
-				t.rooms[n.name] = x
+				x.tenant, x.perTenant = n.name, true
+				t.tenantIndexes[n.name] = x
 			}
 			t.add(x, v, sh)
 		}
@@ -85,32 +85,32 @@
 func (t *Table) add(x *index, v *device, sh shape) {
 	b := x.byShape[sh]
 	if b == nil {
-		b = &bucket{shape: sh, at: len(x.list)}
-		e := entry{shape: sh, unusable: t.unusable(&t.classes[sh.class], sh.free, sh.empty), bucket: b}
-		if t.choice == Pattern {
-			t.fuel = MaxWasteEvaluations
-			e.waste = t.waste(&t.classes[sh.class], sh.free)
+		b = &bucket{shape: sh, position: len(x.list)}
+		e := candidate{shape: sh, unusable: t.unusable(&t.classes[sh.class], sh.free, sh.empty), bucket: b}
+		if t.strategy == Pattern {
+			t.wasteEvaluations = MaxWasteEvaluations
+			e.waste = t.leastWaste(&t.classes[sh.class], sh.free)
 		}
 		x.byShape[sh] = b
 		x.list = append(x.list, e)
 	}
-	v.members = append(v.members, member{x, b, len(b.devices)})
+	v.indexEntries = append(v.indexEntries, indexEntry{x, b, len(b.devices)})
 	b.devices = append(b.devices, v)
 }
 
-func (x *index) remove(v *device, m member) {
+func (x *index) remove(v *device, m indexEntry) {
 	b := m.bucket
 	last := b.devices[len(b.devices)-1]
-	b.devices[m.pos] = last
+	b.devices[m.position] = last
 	b.devices = b.devices[:len(b.devices)-1]
 	if last != v {
-		i := sorted.IndexFunc(last.members, func(o member) bool { return o.bucket == b })
-		last.members[i].pos = m.pos
+		i := sorted.IndexFunc(last.indexEntries, func(o indexEntry) bool { return o.bucket == b })
+		last.indexEntries[i].position = m.position
 	}
 	if len(b.devices) == 0 {
 		end := x.list[len(x.list)-1]
-		x.list[b.at], end.bucket.at = end, b.at
-		x.list[len(x.list)-1] = entry{}
+		x.list[b.position], end.bucket.position = end, b.position
+		x.list[len(x.list)-1] = candidate{}
 		x.list = x.list[:len(x.list)-1]
 		delete(x.byShape, b.shape)
 	}
--- a/internal/fleet/slices/owner_test.go
+++ b/internal/fleet/slices/owner_test.go
@@ -11,7 +11,7 @@
 // Two owners and two leaders in turn, clocks that drift by up to 5%, answers that come at any time, or twice: at no
 // real moment may both decide, and terms only grow.
 func TestOneOwnerAtATime(t *testing.T) {
-	schedules(t, "200")
+	setSchedules(t, "200")
 	rapid.Check(t, func(t *rapid.T) {
 		l := Lease{Duration: 1000, Drift: 0.05}
 		rate := [3]float64{}
@@ -61,7 +61,7 @@
 	})
 }
 
-func TestOwnerHearsOfAHigherTerm(t *testing.T) {
+func TestHigherTermEndsOwnership(t *testing.T) {
 	o := NewOwner(Lease{Duration: 100})
 	seq, anew := o.NewRequest(0, "g")
 	assert.True(t, anew)
@@ -82,13 +82,13 @@
 
 // The next owner counts the larger of what its disk and the backend say, and places nothing before it has heard of
 // every device of the group.
-func TestTakeOver(t *testing.T) {
-	tab := New(plain, Pattern, nil)
-	tab.AcquireDevice(0, free("d0"), 5, []HeldSlice{{ID: "disk", Tenant: "a", PlacementID: 1, Amount: Amount{300, 100}}, {ID: "both", Tenant: "a", PlacementID: 2, Amount: Amount{100, 700}}})
-	tab.AcquireDevice(0, free("d1"), 5, nil)
+func TestTakeOverMergesRecordsAndState(t *testing.T) {
+	tab := New(testLimits, Pattern, nil)
+	tab.AcquireDevice(0, testDevice("d0"), 5, []HeldSlice{{ID: "disk", Tenant: "a", PlacementID: 1, Amount: Amount{300, 100}}, {ID: "both", Tenant: "a", PlacementID: 2, Amount: Amount{100, 700}}})
+	tab.AcquireDevice(0, testDevice("d1"), 5, nil)
 	tab.RestoreEnded(0, "over")
-	assert.Equal(t, "taking over", last(t, tab.Submit(0, dem("held", 100, 100))).Reason)
-	assert.Equal(t, "taking over", last(t, tab.Submit(0, dem("new", 100, 100))).Reason)
+	assert.Equal(t, "taking over", lastAction(t, tab.Submit(0, testDemand("held", 100, 100))).Reason)
+	assert.Equal(t, "taking over", lastAction(t, tab.Submit(0, testDemand("new", 100, 100))).Reason)
 	tab.HandleState(0, "d0", FencingToken{4, 9}, nil) // an older owner's
 	out := tab.HandleState(0, "d0", FencingToken{5, 1}, []HeldSlice{{ID: "both", Tenant: "a", PlacementID: 2, Amount: Amount{200, 600}}, {ID: "over", Tenant: "a", PlacementID: 3, Amount: Amount{50, 50}}})
 	assert.Equal(t, Amount{550, 850}, tab.devices["d0"].used)
@@ -101,28 +101,28 @@
 	out = tab.HandleState(0, "d1", FencingToken{5, 1}, []HeldSlice{{ID: "held", Tenant: "a", PlacementID: 4, Amount: Amount{100, 100}}, {ID: "both", Tenant: "a", PlacementID: 9, Amount: Amount{1, 1}}})
 	assert.Contains(t, out, Action{Kind: Placed, ID: "held", Device: "d1", PlacementID: 4, Token: FencingToken{5, 1}, Amount: Amount{100, 100}})
 	assert.Contains(t, out, Action{Kind: Stop, ID: "both", Device: "d1", PlacementID: 9, Token: FencingToken{5, 1}}, "it sits on d0")
-	assert.Equal(t, Start, last(t, out).Kind)
-	assert.Equal(t, "new", last(t, out).ID)
+	assert.Equal(t, Start, lastAction(t, out).Kind)
+	assert.Equal(t, "new", lastAction(t, out).ID)
 	tab.HandleStopped(0, "d0", "disk", 1)
 	assert.Equal(t, Amount{350, 850}, tab.devices["d0"].used)
 }
 
 // A backend back with fewer devices, or smaller ones: what sat on the missing one is lost, what no device can hold
 // any more is refused, and a smaller device ends nothing.
-func TestFewerDevices(t *testing.T) {
-	tab := ready(plain, Pattern, nil, free("d0"), Device{Name: "big", Size: Amount{1000, 40000}})
-	b := last(t, tab.Submit(0, dem("x", 900, 30000)))
+func TestRemovedAndShrunkDevices(t *testing.T) {
+	tab := readyTable(testLimits, Pattern, nil, testDevice("d0"), Device{Name: "big", Size: Amount{1000, 40000}})
+	b := lastAction(t, tab.Submit(0, testDemand("x", 900, 30000)))
 	tab.HandleStarted(0, "big", "x", b.PlacementID)
-	assert.Equal(t, Pending, last(t, tab.Submit(0, dem("y", 900, 30000))).Kind)
+	assert.Equal(t, Pending, lastAction(t, tab.Submit(0, testDemand("y", 900, 30000))).Kind)
 	out := tab.RemoveDevice(0, "big")
 	assert.Contains(t, out, Action{Kind: Lost, ID: "x", Device: "big", PlacementID: b.PlacementID})
 	assert.Contains(t, out, Action{Kind: Refused, ID: "y", Reason: "memory: 30000 MiB of at most 16384"})
-	b = last(t, tab.Submit(0, dem("z", 800, 9000)))
+	b = lastAction(t, tab.Submit(0, testDemand("z", 800, 9000)))
 	tab.HandleStarted(0, "d0", "z", b.PlacementID)
 	tab.AcquireDevice(0, Device{Name: "d0", Size: Amount{500, 8000}}, 2, nil)
 	out = tab.HandleState(0, "d0", FencingToken{2, 1}, []HeldSlice{{ID: "z", Tenant: "a", PlacementID: b.PlacementID, Amount: Amount{800, 9000}}})
 	assert.Empty(t, out)
-	assert.Equal(t, Pending, last(t, tab.Submit(0, dem("small", 1, 1))).Kind)
+	assert.Equal(t, Pending, lastAction(t, tab.Submit(0, testDemand("small", 1, 1))).Kind)
 	tab.Release(0, "z")
-	assert.Equal(t, Start, last(t, tab.HandleStopped(0, "d0", "z", b.PlacementID)).Kind)
+	assert.Equal(t, Start, lastAction(t, tab.HandleStopped(0, "d0", "z", b.PlacementID)).Kind)
 }
--- a/internal/fleet/slices/quality_test.go
+++ b/internal/fleet/slices/quality_test.go
@@ -18,21 +18,21 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-func kind(parts, memory int, iso Isolation, weight float64) TypicalDemand {
+func typical(parts, memory int, iso Isolation, weight float64) TypicalDemand {
 	return TypicalDemand{Demand: Demand{Size: Amount{parts, memory}, Isolation: iso, Lifetime: time.Hour}, Weight: weight}
 }
 
 // mixes are drawn up for the tests: what reqs of several kinds need of a device of 1,000 parts and 16 GiB.
 var mixes = map[string][]TypicalDemand{
-	"photos":  {kind(143, 2048, SharedWithAny, 40), kind(250, 4096, SharedWithAny, 25), kind(500, 6144, SharedWithAny, 20), kind(1000, 16384, Exclusive, 15)},
-	"skewed":  {kind(100, 6144, SharedWithAny, 35), kind(600, 2048, SharedWithAny, 35), kind(300, 4096, SharedWithAny, 20), kind(1000, 12288, SharedWithAny, 10)},
-	"large":   {kind(700, 8192, SharedWithAny, 30), kind(300, 4096, SharedWithAny, 30), kind(400, 10240, SharedWithAny, 30), kind(150, 1024, SharedWithAny, 10)},
-	"tenants": {kind(143, 2048, SharedWithTenant, 30), kind(250, 4096, SharedWithAny, 40), kind(500, 8192, SharedWithAny, 30)},
+	"photos":  {typical(143, 2048, SharedWithAny, 40), typical(250, 4096, SharedWithAny, 25), typical(500, 6144, SharedWithAny, 20), typical(1000, 16384, Exclusive, 15)},
+	"skewed":  {typical(100, 6144, SharedWithAny, 35), typical(600, 2048, SharedWithAny, 35), typical(300, 4096, SharedWithAny, 20), typical(1000, 12288, SharedWithAny, 10)},
+	"large":   {typical(700, 8192, SharedWithAny, 30), typical(300, 4096, SharedWithAny, 30), typical(400, 10240, SharedWithAny, 30), typical(150, 1024, SharedWithAny, 10)},
+	"tenants": {typical(143, 2048, SharedWithTenant, 30), typical(250, 4096, SharedWithAny, 40), typical(500, 8192, SharedWithAny, 30)},
 }
 
-var choices = map[Strategy]string{FirstFit: "first fit", BestFit: "best fit", DotProduct: "dot product", Gradient: "gradient", Pattern: "pattern"}
+var strategyNames = map[Strategy]string{FirstFit: "first fit", BestFit: "best fit", DotProduct: "dot product", Gradient: "gradient", Pattern: "pattern"}
 
-var wide = Limits{MaxTenants: 8, MaxSlices: 16, MaxWaiting: 0, MaxPassedOver: 100, MaxLifetime: time.Hour, RetainEnded: 1, MaxKnownIDs: 1 << 30}
+var wideLimits = Limits{MaxTenants: 8, MaxSlices: 16, MaxWaiting: 0, MaxPassedOver: 100, MaxLifetime: time.Hour, RetainEnded: 1, MaxKnownIDs: 1 << 30}
 
 func draw(r *rand.Rand, mix []TypicalDemand, id string, tenants int) Demand {
 	all := 0.0
@@ -56,9 +56,9 @@
 	r := rand.New(rand.NewPCG(seed, 7))
 	var ds []Device
 	for i := range n {
-		ds = append(ds, free(fmt.Sprint("d", i)))
+		ds = append(ds, testDevice(fmt.Sprint("d", i)))
 	}
-	tab := ready(wide, c, mix, ds...)
+	tab := readyTable(wideLimits, c, mix, ds...)
 	var offered, took Amount
 	type at struct {
 		id, device string
@@ -107,14 +107,14 @@
 	return float64(took.Parts) / float64(offered.Parts), unusable / float64(samples)
 }
 
-func mean(xs []float64) (m, half float64) {
+func meanInterval(xs []float64) (m, half float64) {
 	m, sd := stat.MeanStdDev(xs, nil)
 	return m, 2.093 * sd / math.Sqrt(float64(len(xs))) // t, 19 degrees of freedom
 }
 
-// bound is the most of the offered parts that any choice can accept when devices are filled: a linear program over
+// acceptedBound is the most of the offered parts that any choice can accept when devices are filled: a linear program over
 // all ways to fill one device, with the demands in their expected counts.
-func bound(mix []TypicalDemand, load float64) float64 {
+func acceptedBound(mix []TypicalDemand, load float64) float64 {
 	var ways [][]int
 	var grow func(k int, way []int, left Amount)
 	grow = func(k int, way []int, left Amount) {
@@ -122,7 +122,7 @@
 			ways = append(ways, slices.Clone(way))
 			return
 		}
-		for n := 0; left.holds(Amount{}); n++ {
+		for n := 0; left.contains(Amount{}); n++ {
 			grow(k+1, append(way, n), left)
 			left = left.minus(mix[k].Demand.Size)
 		}
@@ -158,13 +158,13 @@
 
 // The choice that is shipped leaves at most half as much unusable as first fit, by intervals that do not touch. SLICES_QUALITY=1
 // prints the whole table of docs/design/slices.md (1,000 devices, 20 seeds, all mixes).
-func TestUnusableRemainder(t *testing.T) {
+func TestPatternLeavesLessUnusable(t *testing.T) {
 	names, n, seeds := []string{"photos"}, 100, 20
 	if os.Getenv("SLICES_QUALITY") != "" {
 		names, n = slices.Sorted(maps.Keys(mixes)), 1000
 	}
 	for _, name := range names {
-		t.Logf("%-8s no choice can accept more than %.4f (filling, expected counts)", name, bound(mixes[name], 0.95))
+		t.Logf("%-8s no choice can accept more than %.4f (filling, expected counts)", name, acceptedBound(mixes[name], 0.95))
 		for _, churn := range []bool{false, true} {
 			if churn && n < 1000 {
 				continue
@@ -176,10 +176,10 @@
 					a, u := fill(c, mixes[name], n, 0.95, churn, uint64(s))
 					as, us = append(as, a), append(us, u)
 				}
-				a, ha := mean(as)
-				u, hu := mean(us)
+				a, ha := meanInterval(as)
+				u, hu := meanInterval(us)
 				got[c] = [2]float64{u, hu}
-				t.Logf("%-8s churn=%-5v %-12s accepted %.4f ± %.4f  unusable %.4f ± %.4f", name, churn, choices[c], a, ha, u, hu)
+				t.Logf("%-8s churn=%-5v %-12s accepted %.4f ± %.4f  unusable %.4f ± %.4f", name, churn, strategyNames[c], a, ha, u, hu)
 			}
 			if n < 1000 {
 				g, f := got[Pattern], got[FirstFit]
@@ -228,7 +228,7 @@
 
 // Against the optimum that knows all demands beforehand: 240 cases of 6 to 12 demands on 3 devices.
 func TestAgainstOptimum(t *testing.T) {
-	ds := []Device{free("d0"), free("d1"), free("d2")}
+	ds := []Device{testDevice("d0"), testDevice("d1"), testDevice("d2")}
 	got, largest, best := map[Strategy]int{}, map[Strategy]int{}, 0
 	names := slices.Sorted(maps.Keys(mixes))
 	for seed := range 240 {
@@ -241,7 +241,7 @@
 		o := optimum(ds, all)
 		best += o
 		for c := FirstFit; c <= Pattern; c++ {
-			tab := ready(wide, c, mix, ds...)
+			tab := readyTable(wideLimits, c, mix, ds...)
 			sum := 0
 			for _, d := range all {
 				if tab.Submit(0, d)[0].Kind == Start {
@@ -250,7 +250,7 @@
 			}
 			require.LessOrEqual(t, sum, o, "seed %d", seed)
 			got[c] += sum
-			tab = ready(wide, c, mix, ds...)
+			tab = readyTable(wideLimits, c, mix, ds...)
 			for _, a := range tab.SubmitAll(0, slices.Clone(all)) {
 				if a.Kind == Start {
 					largest[c] += a.Demand.Size.Parts
@@ -259,17 +259,17 @@
 		}
 	}
 	for c := FirstFit; c <= Pattern; c++ {
-		t.Logf("%-12s %.4f of the optimum; asked together %.4f", choices[c], float64(got[c])/float64(best), float64(largest[c])/float64(best))
+		t.Logf("%-12s %.4f of the optimum; asked together %.4f", strategyNames[c], float64(got[c])/float64(best), float64(largest[c])/float64(best))
 	}
 	assert.Greater(t, float64(got[Pattern])/float64(best), 0.9)
 	assert.Greater(t, float64(largest[Pattern])/float64(best), 0.97)
 }
 
 // A mix of crumbs has more combinations than can be worked out: what one demand costs is bounded all the same.
-func TestFuel(t *testing.T) {
-	tab := ready(wide, Pattern, []TypicalDemand{kind(1, 1, SharedWithAny, 1), kind(1, 2, SharedWithAny, 1), kind(2, 1, SharedWithAny, 1)}, free("d"), free("e"))
-	assert.Equal(t, Start, tab.Submit(0, dem("x", 3, 3))[0].Kind)
-	assert.LessOrEqual(t, len(tab.classes[0].wastes), 5*MaxWasteEvaluations)
+func TestWasteEvaluationsAreBounded(t *testing.T) {
+	tab := readyTable(wideLimits, Pattern, []TypicalDemand{typical(1, 1, SharedWithAny, 1), typical(1, 2, SharedWithAny, 1), typical(2, 1, SharedWithAny, 1)}, testDevice("d"), testDevice("e"))
+	assert.Equal(t, Start, tab.Submit(0, testDemand("x", 3, 3))[0].Kind)
+	assert.LessOrEqual(t, len(tab.classes[0].wasteCache), 5*MaxWasteEvaluations)
 }
 
 func BenchmarkPlace(b *testing.B) {
@@ -282,12 +282,12 @@
 				}
 				var ds []Device
 				for i := range n {
-					ds = append(ds, free(fmt.Sprint("d", i)))
+					ds = append(ds, testDevice(fmt.Sprint("d", i)))
 				}
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				tab := ready(wide, Pattern, mix, ds...)
+				tab := readyTable(wideLimits, Pattern, mix, ds...)
 				var sits []Action
 				i := 0
 				one := func() {
@@ -316,7 +316,7 @@
 					b.StartTimer()
 					one()
 				}
-				b.ReportMetric(float64(len(tab.open.list)), "shapes")
+				b.ReportMetric(float64(len(tab.openIndex.list)), "shapes")
 				b.ReportMetric((float64(after.HeapAlloc)-float64(before.HeapAlloc))/float64(n), "B/device")
 			})
 		}
--- a/internal/fleet/slices/slices.go
+++ b/internal/fleet/slices/slices.go
@@ -15,10 +15,10 @@
 	Memory int // MiB
 }
 
-func (a Amount) plus(b Amount) Amount  { return Amount{a.Parts + b.Parts, a.Memory + b.Memory} }
-func (a Amount) minus(b Amount) Amount { return Amount{a.Parts - b.Parts, a.Memory - b.Memory} }
-func (a Amount) holds(b Amount) bool   { return a.Parts >= b.Parts && a.Memory >= b.Memory }
-func (a Amount) most(b Amount) Amount  { return Amount{max(a.Parts, b.Parts), max(a.Memory, b.Memory)} }
+func (a Amount) plus(b Amount) Amount   { return Amount{a.Parts + b.Parts, a.Memory + b.Memory} }
+func (a Amount) minus(b Amount) Amount  { return Amount{a.Parts - b.Parts, a.Memory - b.Memory} }
+func (a Amount) contains(b Amount) bool { return a.Parts >= b.Parts && a.Memory >= b.Memory }
+func (a Amount) max(b Amount) Amount    { return Amount{max(a.Parts, b.Parts), max(a.Memory, b.Memory)} }
 
 // Bounds of what is read from others, each against a message that says too much.
 const (
@@ -39,8 +39,8 @@
 	Exclusive                         // accepts nobody
 )
 
-// accepts says whether a slice of level i minds the other's beside it.
-func (i Isolation) accepts(sameTenant bool) bool {
+// acceptsNeighbour says whether a slice of level i minds the other's beside it.
+func (i Isolation) acceptsNeighbour(sameTenant bool) bool {
 	return i != Exclusive && (i != SharedWithTenant || sameTenant)
 }
 
@@ -63,7 +63,7 @@
 		return fmt.Errorf("device %s has %d profiles, at most %d", d.Name, len(d.Profiles), MaxProfiles)
 	}
 	for _, p := range d.Profiles {
-		if p.Parts < 1 || p.Memory < 1 || !d.Size.holds(p) {
+		if p.Parts < 1 || p.Memory < 1 || !d.Size.contains(p) {
 			return fmt.Errorf("device %s has a profile of %d parts and %d MiB", d.Name, p.Parts, p.Memory)
 		}
 	}
--- a/internal/fleet/slices/slices_test.go
+++ b/internal/fleet/slices/slices_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// schedules sets rapid's count: SLICES_SCHEDULES, or few.
-func schedules(t *testing.T, few string) {
+// setSchedules sets rapid's count: SLICES_SCHEDULES, or few.
+func setSchedules(t *testing.T, few string) {
 	n := few
 	if env := os.Getenv("SLICES_SCHEDULES"); env != "" {
 		n = env
@@ -34,15 +34,15 @@
 
 // Whatever is lost, doubled, late, stalled, restarted or broken: nothing oversold, no isolation breached, no id
 // twice; and when the faults end every demand has an end and no device holds what nobody needs.
-func TestWorld(t *testing.T) {
-	schedules(t, "250")
+func TestTableUnderFaults(t *testing.T) {
+	setSchedules(t, "250")
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		w.now = QuietPeriod(w.lease)
 		w.choice = Strategy(rapid.IntRange(int(FirstFit), int(Pattern)).Draw(t, "choice"))
 		w.handOver(0)
 		n := 0
-		some := func() *far { return w.far[rapid.SampledFrom(w.names).Draw(t, "device")] }
+		some := func() *simBackend { return w.backends[rapid.SampledFrom(w.names).Draw(t, "device")] }
 		for range rapid.IntRange(20, 120).Draw(t, "steps") {
 			switch k := rapid.IntRange(0, 19).Draw(t, "do"); k {
 			case 0, 1, 2, 3:
@@ -67,10 +67,10 @@
 				w.owner[i], w.table[i] = NewOwner(w.lease), nil
 			case 11: // a device fails; with chance its slices are gone
 				if rapid.IntRange(0, 3).Draw(t, "truly") == 0 {
-					w.fail(some(), rapid.Bool().Draw(t, "loses"))
+					w.failDevice(some(), rapid.Bool().Draw(t, "loses"))
 				}
 			case 12:
-				w.back(some())
+				w.recoverDevice(some())
 			case 13:
 				if rapid.Bool().Draw(t, "now") {
 					w.handOver(rapid.IntRange(0, 1).Draw(t, "to"))
@@ -79,9 +79,9 @@
 					}
 				}
 			case 14:
-				some().refuse = true
+				some().refuseNext = true
 			case 15:
-				w.endOne(some())
+				w.stopOne(some())
 			default:
 				for range 3 {
 					w.deliver()
@@ -89,39 +89,39 @@
 			}
 			w.check()
 		}
-		w.settleDown(t, n)
+		w.checkConvergence(t, n)
 	})
 }
 
-func (w *world) fail(b *far, loses bool) {
-	b.failed, b.marred = true, true
+func (w *simulation) failDevice(b *simBackend, loses bool) {
+	b.failed, b.everFailed = true, true
 	if loses {
-		for try := range b.holds {
-			b.over[try] = true
+		for try := range b.slices {
+			b.stopped[try] = true
 		}
-		clear(b.holds)
+		clear(b.slices)
 	}
 	for i := range w.table {
 		if w.table[i] != nil {
-			w.do(i, w.table[i].MarkFailed(w.now, b.dev.Name))
+			w.perform(i, w.table[i].MarkFailed(w.now, b.device.Name))
 		}
 	}
 }
 
-func (w *world) back(b *far) {
+func (w *simulation) recoverDevice(b *simBackend) {
 	b.failed = false
 	for i := range w.table {
 		if w.table[i] != nil {
-			w.do(i, w.table[i].MarkRecovered(w.now, b.dev.Name))
+			w.perform(i, w.table[i].MarkRecovered(w.now, b.device.Name))
 		}
 	}
 }
 
-// settleDown ends the faults and asks that all comes to an end.
-func (w *world) settleDown(t *rapid.T, n int) {
-	w.calm = true
+// checkConvergence ends the faults and asks that all comes to an end.
+func (w *simulation) checkConvergence(t *rapid.T, n int) {
+	w.reliable = true
 	for _, name := range w.names {
-		w.back(w.far[name])
+		w.recoverDevice(w.backends[name])
 	}
 	round := func() {
 		w.askLease(0)
@@ -134,7 +134,7 @@
 	for range 60 {
 		round()
 	}
-	clear(w.said) // what was heard before does not count
+	clear(w.lastActions) // what was heard before does not count
 	for i := 1; i <= n; i++ {
 		w.ask(fmt.Sprint("r", i))
 	}
@@ -143,11 +143,11 @@
 	}
 	for i := 1; i <= n; i++ {
 		id := fmt.Sprint("r", i)
-		a, heard := w.said[id]
-		if !heard && !w.gone[id] {
+		a, heard := w.lastActions[id]
+		if !heard && !w.released[id] {
 			t.Fatalf("the demander of %s heard nothing", id)
 		}
-		if tab := w.table[0]; a.Kind == Pending && tab.byID[id] == nil && tab.placed[id] == nil {
+		if tab := w.table[0]; a.Kind == Pending && tab.waitingByID[id] == nil && tab.placed[id] == nil {
 			t.Fatalf("%s was lost: told to wait, and the table does not know it", id)
 		}
 		w.release(id)
@@ -155,9 +155,9 @@
 	for range 60 {
 		round()
 	}
-	for name, b := range w.far {
-		if len(b.holds) > 0 {
-			t.Fatalf("%s still holds %+v", name, b.holds)
+	for name, b := range w.backends {
+		if len(b.slices) > 0 {
+			t.Fatalf("%s still holds %+v", name, b.slices)
 		}
 	}
 	if w.table[0] == nil || len(w.table[0].placed)+len(w.table[0].waiting) > 0 {
@@ -165,10 +165,10 @@
 	}
 }
 
-var plain = Limits{MaxTenants: 4, MaxSlices: 8, MaxWaiting: 10, MaxPassedOver: 3, MaxLifetime: time.Hour, RetainEnded: time.Hour, MaxKnownIDs: 1000}
+var testLimits = Limits{MaxTenants: 4, MaxSlices: 8, MaxWaiting: 10, MaxPassedOver: 3, MaxLifetime: time.Hour, RetainEnded: time.Hour, MaxKnownIDs: 1000}
 
-// ready makes a table of devices that have all stated that they hold nothing.
-func ready(l Limits, c Strategy, mix []TypicalDemand, ds ...Device) *Table {
+// readyTable makes a table of devices that have all stated that they hold nothing.
+func readyTable(l Limits, c Strategy, mix []TypicalDemand, ds ...Device) *Table {
 	t := New(l, c, mix)
 	for _, d := range ds {
 		t.AcquireDevice(0, d, 1, nil)
@@ -179,94 +179,94 @@
 	return t
 }
 
-func free(name string) Device { return Device{Name: name, Size: Amount{1000, 16384}} }
+func testDevice(name string) Device { return Device{Name: name, Size: Amount{1000, 16384}} }
 
-func dem(id string, parts, memory int) Demand {
+func testDemand(id string, parts, memory int) Demand {
 	return Demand{ID: id, Size: Amount{parts, memory}, Tenant: "a", Lifetime: time.Minute}
 }
 
-func last(t *testing.T, out []Action) Action {
+func lastAction(t *testing.T, out []Action) Action {
 	require.NotEmpty(t, out)
 	return out[len(out)-1]
 }
 
-func TestRefusedAtOnceNamesTheLimit(t *testing.T) {
+func TestImpossibleDemandNamesLimit(t *testing.T) {
 	walls := Device{Name: "p", Zone: "z1", Size: Amount{1000, 16384}, Profiles: []Amount{{500, 8192}}}
 	for _, c := range []struct {
-		says  string
-		on    Device
-		alter func(*Demand)
+		reason string
+		device Device
+		alter  func(*Demand)
 	}{
-		{"parts: 1001 of at most 1000", free("d"), func(d *Demand) { d.Size.Parts = 1001 }},
-		{"memory: 16385 MiB of at most 16384", free("d"), func(d *Demand) { d.Size.Memory = 16385 }},
-		{"isolation: no fixed profiles", free("d"), func(d *Demand) { d.Isolation = Partitioned }},
+		{"parts: 1001 of at most 1000", testDevice("d"), func(d *Demand) { d.Size.Parts = 1001 }},
+		{"memory: 16385 MiB of at most 16384", testDevice("d"), func(d *Demand) { d.Size.Memory = 16385 }},
+		{"isolation: no fixed profiles", testDevice("d"), func(d *Demand) { d.Isolation = Partitioned }},
 		{"profiles: none is large enough", walls, func(d *Demand) { d.Size.Parts = 501 }},
 		{"zone", walls, func(d *Demand) { d.Zone = "z2" }},
-		{"lifetime: 2h0m0s, above 0 and at most 1h0m0s", free("d"), func(d *Demand) { d.Lifetime = 2 * time.Hour }},
+		{"lifetime: 2h0m0s, above 0 and at most 1h0m0s", testDevice("d"), func(d *Demand) { d.Lifetime = 2 * time.Hour }},
 	} {
-		d := dem("x", 100, 100)
+		d := testDemand("x", 100, 100)
 		c.alter(&d)
-		a := last(t, ready(plain, Pattern, nil, c.on).Submit(0, d))
+		a := lastAction(t, readyTable(testLimits, Pattern, nil, c.device).Submit(0, d))
 		assert.Equal(t, Refused, a.Kind)
-		assert.Equal(t, c.says, a.Reason)
+		assert.Equal(t, c.reason, a.Reason)
 	}
-	assert.Equal(t, "no device", last(t, New(plain, Pattern, nil).Submit(0, dem("x", 1, 1))).Reason)
+	assert.Equal(t, "no device", lastAction(t, New(testLimits, Pattern, nil).Submit(0, testDemand("x", 1, 1))).Reason)
 }
 
-func TestCountsUntilTheEndIsConfirmed(t *testing.T) {
-	tab := ready(plain, BestFit, nil, free("d"))
-	b := last(t, tab.Submit(0, dem("x", 600, 100)))
+func TestSliceCountsUntilStopConfirmed(t *testing.T) {
+	tab := readyTable(testLimits, BestFit, nil, testDevice("d"))
+	b := lastAction(t, tab.Submit(0, testDemand("x", 600, 100)))
 	require.Equal(t, Start, b.Kind)
-	assert.Equal(t, Pending, last(t, tab.Submit(0, dem("x", 600, 100))).Kind, "asked again")
+	assert.Equal(t, Pending, lastAction(t, tab.Submit(0, testDemand("x", 600, 100))).Kind, "asked again")
 	tab.HandleStarted(0, "d", "x", b.PlacementID)
-	assert.Equal(t, Placed, last(t, tab.Submit(0, dem("x", 600, 100))).Kind)
-	assert.Equal(t, Pending, last(t, tab.Submit(0, dem("y", 600, 100))).Kind)
+	assert.Equal(t, Placed, lastAction(t, tab.Submit(0, testDemand("x", 600, 100))).Kind)
+	assert.Equal(t, Pending, lastAction(t, tab.Submit(0, testDemand("y", 600, 100))).Kind)
 	tab.Release(0, "x")
 	assert.Contains(t, tab.Unconfirmed(), Action{Kind: Stop, ID: "x", Device: "d", PlacementID: b.PlacementID, Token: FencingToken{1, 1}})
 	assert.Len(t, tab.waiting, 1, "the end is not confirmed")
-	assert.Equal(t, Ended, last(t, tab.Submit(0, dem("x", 600, 100))).Kind)
+	assert.Equal(t, Ended, lastAction(t, tab.Submit(0, testDemand("x", 600, 100))).Kind)
 	out := tab.HandleStopped(0, "d", "x", b.PlacementID)
-	assert.Equal(t, "y", last(t, out).ID)
-	assert.Equal(t, Start, last(t, out).Kind)
-	assert.Equal(t, Ended, last(t, tab.Submit(0, dem("x", 1, 1))).Kind, "an ended id is not placed again")
+	assert.Equal(t, "y", lastAction(t, out).ID)
+	assert.Equal(t, Start, lastAction(t, out).Kind)
+	assert.Equal(t, Ended, lastAction(t, tab.Submit(0, testDemand("x", 1, 1))).Kind, "an ended id is not placed again")
 	tab.Release(0, "late")
-	assert.Equal(t, Ended, last(t, tab.Submit(0, dem("late", 1, 1))).Kind, "the release came first")
+	assert.Equal(t, Ended, lastAction(t, tab.Submit(0, testDemand("late", 1, 1))).Kind, "the release came first")
 }
 
-func TestNotBegunIsToldToWait(t *testing.T) {
-	tab := ready(plain, BestFit, nil, free("d"))
-	b := last(t, tab.Submit(0, dem("x", 600, 100)))
+func TestNotStartedIsPendingAgain(t *testing.T) {
+	tab := readyTable(testLimits, BestFit, nil, testDevice("d"))
+	b := lastAction(t, tab.Submit(0, testDemand("x", 600, 100)))
 	out := tab.HandleNotStarted(0, "d", "x", b.PlacementID)
 	assert.Contains(t, out, Action{Kind: Pending, ID: "x", Reason: "the backend did not begin it"})
-	assert.Equal(t, Start, last(t, tab.HandleState(0, "d", FencingToken{1, 2}, nil)).Kind)
+	assert.Equal(t, Start, lastAction(t, tab.HandleState(0, "d", FencingToken{1, 2}, nil)).Kind)
 }
 
-func TestLoweredLimitEvictsNothing(t *testing.T) {
-	tab := ready(plain, Pattern, nil, free("d"))
+func TestLoweredLimitStopsNothing(t *testing.T) {
+	tab := readyTable(testLimits, Pattern, nil, testDevice("d"))
 	for i := range 3 {
-		tab.Submit(0, dem(fmt.Sprint(i), 100, 4000))
+		tab.Submit(0, testDemand(fmt.Sprint(i), 100, 4000))
 	}
-	l := plain
+	l := testLimits
 	l.MaxSlices, l.ReservedMemory = 2, 8192
-	tab.Submit(0, dem("w", 900, 100))
+	tab.Submit(0, testDemand("w", 900, 100))
 	assert.Empty(t, tab.SetLimits(0, l))
 	assert.Len(t, tab.placed, 3)
-	assert.Equal(t, Pending, last(t, tab.Submit(0, dem("x", 1, 1))).Kind)
-	assert.Equal(t, "memory: 9000 MiB of at most 8192", last(t, tab.Submit(0, dem("y", 1, 9000))).Reason)
-	assert.Equal(t, Start, last(t, tab.SetLimits(0, plain)).Kind, "raised again: x is placed")
+	assert.Equal(t, Pending, lastAction(t, tab.Submit(0, testDemand("x", 1, 1))).Kind)
+	assert.Equal(t, "memory: 9000 MiB of at most 8192", lastAction(t, tab.Submit(0, testDemand("y", 1, 9000))).Reason)
+	assert.Equal(t, Start, lastAction(t, tab.SetLimits(0, testLimits)).Kind, "raised again: x is placed")
 }
 
 // Small demands come without end beside a large one: it is passed at most P+R times and placed in L+C after that.
-func TestPassedOverAtMost(t *testing.T) {
-	schedules(t, "30")
+func TestPassedOverIsBounded(t *testing.T) {
+	setSchedules(t, "30")
 	rapid.Check(t, func(t *rapid.T) {
-		l := plain
+		l := testLimits
 		l.MaxPassedOver, l.MaxWaiting, l.MaxLifetime = rapid.IntRange(1, 6).Draw(t, "P"), 400, 50
 		var ds []Device
 		for i := range rapid.IntRange(1, 5).Draw(t, "devices") {
-			ds = append(ds, free(fmt.Sprint("d", i)))
+			ds = append(ds, testDevice(fmt.Sprint("d", i)))
 		}
-		tab := ready(l, Pattern, mixes["photos"], ds...)
+		tab := readyTable(l, Pattern, mixes["photos"], ds...)
 		passed, asked, starvedAt := map[string]int{}, map[string]int{}, map[string]time.Duration{}
 		ahead := map[string]int{}
 		n := 0
@@ -275,7 +275,7 @@
 			var out []Action
 			for range rapid.IntRange(0, 3).Draw(t, "come") {
 				n++
-				d := dem(fmt.Sprint(n), rapid.SampledFrom([]int{100, 200, 1000}).Draw(t, "parts"), 1000)
+				d := testDemand(fmt.Sprint(n), rapid.SampledFrom([]int{100, 200, 1000}).Draw(t, "parts"), 1000)
 				d.Lifetime = time.Duration(rapid.IntRange(1, 50).Draw(t, "life"))
 				d.Priority = rapid.IntRange(0, 2).Draw(t, "priority")
 				asked[d.ID] = n
@@ -284,8 +284,8 @@
 			out = append(out, tab.StopExpired(now)...)
 			for _, v := range tab.order {
 				for _, s := range append([]*slice(nil), v.slices...) {
-					if s.stage == ending && s.until+confirm <= now {
-						out = append(out, tab.HandleStopped(now, v.Name, s.demand.ID, s.try)...)
+					if s.stage == stopping && s.expiresAt+confirm <= now {
+						out = append(out, tab.HandleStopped(now, v.Name, s.demand.ID, s.placementID)...)
 					}
 				}
 			}
@@ -306,13 +306,13 @@
 			}
 			for _, w := range tab.waiting {
 				if _, is := starvedAt[w.demand.ID]; w.starved && !is {
-					starvedAt[w.demand.ID], ahead[w.demand.ID] = now, w.ahead
+					starvedAt[w.demand.ID], ahead[w.demand.ID] = now, w.starvedBefore
 				}
-				if p := passed[w.demand.ID]; w.keeps == nil && p > l.MaxPassedOver+w.ahead {
-					t.Fatalf("%s was passed %d times, bound %d+%d", w.demand.ID, p, l.MaxPassedOver, w.ahead)
+				if p := passed[w.demand.ID]; w.reserved == nil && p > l.MaxPassedOver+w.starvedBefore {
+					t.Fatalf("%s was passed %d times, bound %d+%d", w.demand.ID, p, l.MaxPassedOver, w.starvedBefore)
 				}
 			}
-			if err := tab.sound(); err != nil {
+			if err := tab.checkInvariants(); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/fleet/slices/take.go
+++ b/internal/fleet/slices/take.go
@@ -16,74 +16,74 @@
 		v = &device{Device: d, class: -1}
 		t.devices[d.Name] = v
 		t.order = append(t.order, v)
-	} else if term <= v.stamp.Term {
+	} else if term <= v.token.Term {
 		return t.flush(now) // late or doubled
 	}
-	t.describe(v, d)
-	v.owned, v.stamp = true, FencingToken{Term: term}
-	if !v.unheard && !v.failed {
-		v.unheard = true
-		t.unheard++
+	t.updateDevice(v, d)
+	v.leased, v.token = true, FencingToken{Term: term}
+	if !v.unreported && !v.failed {
+		v.unreported = true
+		t.unreportedDevices++
 	}
 	for _, r := range records {
 		if v.find(r.ID, r.PlacementID) != nil {
 			continue
 		}
-		if s := t.adopt(now, v, r); r.Stopping {
-			s.stage = ending
+		if s := t.adoptSlice(now, v, r); r.Stopping {
+			s.stage = stopping
 		}
 	}
-	t.ask(v)
-	t.rejudge()
+	t.requestState(v)
+	t.refuseImpossible()
 	return t.flush(now)
 }
 
-// describe takes up what the backend says of the device; a smaller one than before ends nothing.
-func (t *Table) describe(v *device, d Device) {
+// updateDevice takes up what the backend says of the device; a smaller one than before ends nothing.
+func (t *Table) updateDevice(v *device, d Device) {
 	if v.class >= 0 {
-		t.members[v.class]--
+		t.classSizes[v.class]--
 	}
 	d.Profiles = sorted.Clone(d.Profiles)
 	v.Device = d
 	c := t.classOf(d)
 	v.class = sorted.IndexFunc(t.classes, func(o class) bool {
-		return len(o.typical) == len(c.typical) && o.size == c.size && o.zone == c.zone && sorted.Equal(o.profiles, c.profiles)
+		return len(o.typicalAmounts) == len(c.typicalAmounts) && o.size == c.size && o.zone == c.zone && sorted.Equal(o.profiles, c.profiles)
 	})
 	if v.class < 0 {
 		v.class = len(t.classes)
 		t.classes = append(t.classes, c)
-		t.members = append(t.members, 0)
+		t.classSizes = append(t.classSizes, 0)
 	}
-	t.members[v.class]++
+	t.classSizes[v.class]++
 }
 
-// adopt counts a slice that this table has not placed itself. Its id is not taken to sit there before the
+// adoptSlice counts a slice that this table has not placed itself. Its id is not taken to sit there before the
 // backend has said so: a record may be older than what another owner did since.
-func (t *Table) adopt(now time.Duration, v *device, h HeldSlice) *slice {
+func (t *Table) adoptSlice(now time.Duration, v *device, h HeldSlice) *slice {
 	if h.ExpiresAt <= 0 || h.ExpiresAt > now+t.limits.MaxLifetime {
 		h.ExpiresAt = now + t.limits.MaxLifetime
 	}
-	s := &slice{device: v, amount: h.Amount, try: h.PlacementID, stage: held, until: h.ExpiresAt, demand: Demand{ID: h.ID, Size: h.Amount,
+	s := &slice{device: v, amount: h.Amount, placementID: h.PlacementID, stage: running, expiresAt: h.ExpiresAt, demand: Demand{ID: h.ID, Size: h.Amount,
 		Isolation: h.Isolation, Tenant: h.Tenant, Lifetime: t.limits.MaxLifetime}}
-	t.count(s)
+	t.addSlice(s)
 	return s
 }
 
-// ask closes a device until it has stated what it holds, under a stamp above all before.
-func (t *Table) ask(v *device) {
-	if !v.owned || v.failed {
+// requestState closes a device until it has stated what it holds, under a stamp above all before.
+func (t *Table) requestState(v *device) {
+	if !v.leased || v.failed {
 		return
 	}
-	v.stamp.Sequence++
-	v.asked = true
-	t.close(v)
-	t.say(Action{Kind: QueryState, Device: v.Name, Token: v.stamp})
+	v.token.Sequence++
+	v.awaitingState = true
+	t.closeDevice(v)
+	t.emit(Action{Kind: QueryState, Device: v.Name, Token: v.token})
 }
 
-func (t *Table) close(v *device) {
+func (t *Table) closeDevice(v *device) {
 	v.ready = false
 	t.reindex(v)
-	t.keep()
+	t.assignReservations()
 }
 
 // HandleState is a backend's statement, in answer to State with this stamp: what the device holds. Since the
@@ -91,83 +91,83 @@
 // counted by the larger of both, and is begun or ended anew until the backend has confirmed it.
 func (t *Table) HandleState(now time.Duration, name string, stamp FencingToken, holds []HeldSlice) []Action {
 	v := t.devices[name]
-	if v == nil || !v.asked || v.stamp != stamp {
+	if v == nil || !v.awaitingState || v.token != stamp {
 		return t.flush(now) // late, doubled, or of another owner's time
 	}
-	v.asked, v.ready = false, true
-	t.hear(v)
+	v.awaitingState, v.ready = false, true
+	t.markReported(v)
 	known := sorted.Clone(v.slices)
 	for _, h := range holds {
 		s := v.find(h.ID, h.PlacementID)
 		if s == nil {
-			t.claim(now, t.adopt(now, v, h))
+			t.claimSlice(now, t.adoptSlice(now, v, h))
 			continue
 		}
 		known = sorted.DeleteFunc(known, func(k *slice) bool { return k == s })
 		v.used = v.used.minus(s.amount)
-		s.amount = s.amount.most(h.Amount)
+		s.amount = s.amount.max(h.Amount)
 		v.used = v.used.plus(s.amount)
 		switch s.stage {
-		case held:
+		case running:
 			if t.placed[h.ID] != s {
-				t.claim(now, s)
+				t.claimSlice(now, s)
 			}
-		case beginning:
-			s.stage = held
-			t.say(Action{Kind: Placed, ID: h.ID, Device: name, PlacementID: h.PlacementID, Token: stamp, Amount: s.amount})
-		case ending:
-			t.say(Action{Kind: Stop, ID: h.ID, Device: name, PlacementID: h.PlacementID, Token: stamp})
+		case starting:
+			s.stage = running
+			t.emit(Action{Kind: Placed, ID: h.ID, Device: name, PlacementID: h.PlacementID, Token: stamp, Amount: s.amount})
+		case stopping:
+			t.emit(Action{Kind: Stop, ID: h.ID, Device: name, PlacementID: h.PlacementID, Token: stamp})
 		}
 	}
 	for _, s := range known { // not in the statement
 		switch s.stage {
-		case beginning:
-			t.say(Action{Kind: Start, ID: s.demand.ID, Device: name, PlacementID: s.try, Token: stamp, Demand: s.demand, Amount: s.amount})
-		case held:
-			t.say(Action{Kind: Lost, ID: s.demand.ID, Device: name, PlacementID: s.try})
-			t.finish(now, s)
-		case ending:
-			t.say(Action{Kind: Stop, ID: s.demand.ID, Device: name, PlacementID: s.try, Token: stamp})
+		case starting:
+			t.emit(Action{Kind: Start, ID: s.demand.ID, Device: name, PlacementID: s.placementID, Token: stamp, Demand: s.demand, Amount: s.amount})
+		case running:
+			t.emit(Action{Kind: Lost, ID: s.demand.ID, Device: name, PlacementID: s.placementID})
+			t.stopSlice(now, s)
+		case stopping:
+			t.emit(Action{Kind: Stop, ID: s.demand.ID, Device: name, PlacementID: s.placementID, Token: stamp})
 		}
 	}
 	t.reindex(v)
-	t.keep()
-	t.touch(v)
+	t.assignReservations()
+	t.queueRetry(v)
 	return t.flush(now)
 }
 
-// claim is one slice that the backend holds and that this table has not placed: an earlier owner's. One whose id is
+// claimSlice is one slice that the backend holds and that this table has not placed: an earlier owner's. One whose id is
 // over, or sits elsewhere, is ended; one that waits here has been placed already.
-func (t *Table) claim(now time.Duration, s *slice) {
+func (t *Table) claimSlice(now time.Duration, s *slice) {
 	id := s.demand.ID
 	if _, over := t.ended[id]; over || t.placed[id] != nil {
-		t.finish(now, s)
+		t.stopSlice(now, s)
 		return
 	}
-	if w := t.byID[id]; w != nil {
-		s.seq = w.seq
+	if w := t.waitingByID[id]; w != nil {
+		s.submitSeq = w.submitSeq
 		t.dequeue(w)
 	}
 	t.placed[id] = s
-	t.say(Action{Kind: Placed, ID: id, Device: s.device.Name, PlacementID: s.try, Token: s.device.stamp, Amount: s.amount})
+	t.emit(Action{Kind: Placed, ID: id, Device: s.device.Name, PlacementID: s.placementID, Token: s.device.token, Amount: s.amount})
 }
 
 // MarkFailed is a device that does not work: each demander is told once. What sat there counts until the backend,
 // when the device is back, has confirmed its end.
 func (t *Table) MarkFailed(now time.Duration, name string) []Action {
 	if v := t.devices[name]; v != nil && !v.failed {
-		v.failed, v.asked = true, false
-		t.hear(v)
+		v.failed, v.awaitingState = true, false
+		t.markReported(v)
 		for _, s := range v.slices {
-			if s.stage != ending {
-				t.say(Action{Kind: Lost, ID: s.demand.ID, Device: name, PlacementID: s.try})
+			if s.stage != stopping {
+				t.emit(Action{Kind: Lost, ID: s.demand.ID, Device: name, PlacementID: s.placementID})
 				if t.placed[s.demand.ID] == s {
-					t.remember(now, s.demand.ID)
+					t.markEnded(now, s.demand.ID)
 				}
 			}
-			s.stage = ending
+			s.stage = stopping
 		}
-		t.close(v)
+		t.closeDevice(v)
 	}
 	return t.flush(now)
 }
@@ -176,16 +176,16 @@
 func (t *Table) MarkRecovered(now time.Duration, name string) []Action {
 	if v := t.devices[name]; v != nil && v.failed {
 		v.failed = false
-		t.ask(v)
+		t.requestState(v)
 	}
 	return t.flush(now)
 }
 
-// hear ends the time in which nothing is placed anywhere, since the device may hold what is asked for.
-func (t *Table) hear(v *device) {
-	if v.unheard {
-		v.unheard = false
-		t.unheard--
+// markReported ends the time in which nothing is placed anywhere, since the device may hold what is asked for.
+func (t *Table) markReported(v *device) {
+	if v.unreported {
+		v.unreported = false
+		t.unreportedDevices--
 	}
 }
 
@@ -196,7 +196,7 @@
 		return t.flush(now)
 	}
 	out := t.MarkFailed(now, name)
-	v.owned = false
+	v.leased = false
 	for _, s := range v.slices {
 		if t.placed[s.demand.ID] == s {
 			delete(t.placed, s.demand.ID)
@@ -204,8 +204,8 @@
 	}
 	delete(t.devices, name)
 	t.order = sorted.DeleteFunc(t.order, func(o *device) bool { return o == v })
-	t.members[v.class]--
-	t.rejudge()
+	t.classSizes[v.class]--
+	t.refuseImpossible()
 	return append(out, t.flush(now)...)
 }
 
@@ -213,8 +213,8 @@
 func (t *Table) Records(name string) (out []HeldSlice) {
 	if v := t.devices[name]; v != nil {
 		for _, s := range v.slices {
-			out = append(out, HeldSlice{ID: s.demand.ID, Tenant: s.demand.Tenant, PlacementID: s.try, Isolation: s.demand.Isolation,
-				Amount: s.amount, ExpiresAt: s.until, Stopping: s.stage == ending})
+			out = append(out, HeldSlice{ID: s.demand.ID, Tenant: s.demand.Tenant, PlacementID: s.placementID, Isolation: s.demand.Isolation,
+				Amount: s.amount, ExpiresAt: s.expiresAt, Stopping: s.stage == stopping})
 		}
 	}
 	return out
--- a/internal/fleet/slices/world_test.go
+++ b/internal/fleet/slices/world_test.go
@@ -7,47 +7,47 @@
 	"pgregory.net/rapid"
 )
 
-// far is a backend as the far side sees it: it shares no rule with the table and counts breaches itself.
-type far struct {
-	dev    Device
-	stamp  FencingToken
-	holds  map[uint64]HeldSlice
-	over   map[uint64]bool
-	failed bool // now
-	marred bool // ever
-	refuse bool // the next begin
+// simBackend is a backend as the simBackend side sees it: it shares no rule with the table and counts breaches itself.
+type simBackend struct {
+	device     Device
+	token      FencingToken
+	slices     map[uint64]HeldSlice
+	stopped    map[uint64]bool
+	failed     bool // now
+	everFailed bool // ever
+	refuseNext bool // the next begin
 }
 
-// world is two dispatchers that own one group in turn, its backends, and a network that loses, doubles and
+// simulation is two dispatchers that own one group in turn, its backends, and a network that loses, doubles and
 // delays without bound.
-type world struct {
-	t       *rapid.T
-	now     time.Duration
-	lease   Lease
-	grants  *Grantor
-	owner   [2]*Owner
-	table   [2]*Table
-	disk    [2]map[string][]HeldSlice
-	far     map[string]*far
-	names   []string
-	net     []func()
-	limits  Limits
-	demands map[string]Demand
-	said    map[string]Action // what the demander heard last
-	gone    map[string]bool   // released
-	calm    bool
-	was     map[string]bool // device, id, try that some backend has begun
-	ended   map[string]bool // table and id
-	choice  Strategy
+type simulation struct {
+	t           *rapid.T
+	now         time.Duration
+	lease       Lease
+	grantor     *Grantor
+	owner       [2]*Owner
+	table       [2]*Table
+	disk        [2]map[string][]HeldSlice
+	backends    map[string]*simBackend
+	names       []string
+	net         []func()
+	limits      Limits
+	demands     map[string]Demand
+	lastActions map[string]Action // what the demander heard last
+	released    map[string]bool   // released
+	reliable    bool
+	started     map[string]bool // device, id, try that some backend has begun
+	ended       map[string]bool // table and id
+	choice      Strategy
 }
 
 const group = "g"
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, lease: Lease{Duration: 30, Drift: 0.01}, far: map[string]*far{}, demands: map[string]Demand{},
-		said: map[string]Action{}, gone: map[string]bool{}, was: map[string]bool{}, ended: map[string]bool{},
+func newSimulation(t *rapid.T) *simulation {
+	w := &simulation{t: t, lease: Lease{Duration: 30, Drift: 0.01}, backends: map[string]*simBackend{}, demands: map[string]Demand{},
+		lastActions: map[string]Action{}, released: map[string]bool{}, started: map[string]bool{}, ended: map[string]bool{},
 		limits: Limits{MaxTenants: 2, MaxSlices: 4, MaxWaiting: 50, MaxPassedOver: 3, MaxLifetime: 200, RetainEnded: 100_000, MaxKnownIDs: 10_000}}
-	w.grants = NewGrantor(w.lease, 0, 0)
+	w.grantor = NewGrantor(w.lease, 0, 0)
 	for i := range w.owner {
 		w.owner[i], w.disk[i] = NewOwner(w.lease), map[string][]HeldSlice{}
 	}
@@ -56,16 +56,16 @@
 		if i == 1 {
 			d.Profiles = []Amount{{143, 2340}, {286, 4681}, {571, 9362}, {1000, 16384}}
 		}
-		w.far[d.Name] = &far{dev: d, holds: map[uint64]HeldSlice{}, over: map[uint64]bool{}}
+		w.backends[d.Name] = &simBackend{device: d, slices: map[uint64]HeldSlice{}, stopped: map[uint64]bool{}}
 		w.names = append(w.names, d.Name)
 	}
 	return w
 }
 
 // send puts a message on the network. With chance it is lost or doubled.
-func (w *world) send(f func()) {
+func (w *simulation) send(f func()) {
 	fate := 5
-	if !w.calm {
+	if !w.reliable {
 		fate = rapid.IntRange(0, 9).Draw(w.t, "fate")
 	}
 	if fate > 0 {
@@ -76,12 +76,12 @@
 	}
 }
 
-func (w *world) deliver() {
+func (w *simulation) deliver() {
 	if len(w.net) == 0 {
 		return
 	}
 	i := 0
-	if !w.calm {
+	if !w.reliable {
 		i = rapid.IntRange(0, len(w.net)-1).Draw(w.t, "which")
 	}
 	f := w.net[i]
@@ -89,31 +89,31 @@
 	f()
 }
 
-// do carries out a table's actions: to disk first, then, if the lease still stands, onto the network.
-func (w *world) do(i int, out []Action) {
+// perform carries out a table's actions: to disk first, then, if the lease still stands, onto the network.
+func (w *simulation) perform(i int, out []Action) {
 	if w.table[i] == nil {
 		return
 	}
 	for _, n := range w.names {
 		w.disk[i][n] = w.table[i].Records(n)
 	}
-	w.heed(w.table[i], out)
+	w.checkActions(w.table[i], out)
 	if _, may := w.owner[i].MaySend(w.now, group); !may {
 		return
 	}
 	for _, a := range out {
 		switch a.Kind {
 		case Start, Stop, QueryState:
-			w.send(func() { w.backend(i, a) })
+			w.send(func() { w.handleAtBackend(i, a) })
 		default:
-			w.send(func() { w.said[a.ID] = a })
+			w.send(func() { w.lastActions[a.ID] = a })
 		}
 	}
 }
 
-// heed judges what a table says: placed only what a backend has begun, nothing on a device that it knows to
+// checkActions judges what a table says: placed only what a backend has begun, nothing on a device that it knows to
 // have failed, and no id again of which it has said that it is over.
-func (w *world) heed(t *Table, out []Action) {
+func (w *simulation) checkActions(t *Table, out []Action) {
 	for _, a := range out {
 		of := fmt.Sprintf("%p %s", t, a.ID)
 		switch {
@@ -121,70 +121,70 @@
 			w.ended[of] = true
 		case a.Kind == Start && w.ended[of]:
 			w.t.Fatalf("%s is begun after its end", a.ID)
-		case a.Kind == Start && w.far[a.Device].failed:
+		case a.Kind == Start && w.backends[a.Device].failed:
 			w.t.Fatalf("%s is begun on %s, which has failed", a.ID, a.Device)
-		case a.Kind == Placed && !w.was[fmt.Sprint(a.Device, a.ID, a.PlacementID)]:
+		case a.Kind == Placed && !w.started[fmt.Sprint(a.Device, a.ID, a.PlacementID)]:
 			w.t.Fatalf("%s is said to be placed and was never begun: %+v", a.ID, a)
 		}
 	}
 }
 
-func (w *world) reply(i int, f func(t *Table) []Action) {
+func (w *simulation) reply(i int, f func(t *Table) []Action) {
 	w.send(func() {
 		if w.table[i] != nil {
-			w.do(i, f(w.table[i]))
+			w.perform(i, f(w.table[i]))
 		}
 	})
 }
 
-func (w *world) backend(i int, a Action) {
-	b := w.far[a.Device]
+func (w *simulation) handleAtBackend(i int, a Action) {
+	b := w.backends[a.Device]
 	if b.failed {
 		return
 	}
-	stale := a.Token.Before(b.stamp)
-	if stale && a.Token.Term < b.stamp.Term {
-		term := b.stamp.Term
-		w.send(func() { w.turn(i, w.owner[i].ObserveTerm(w.now, group, term)) })
+	stale := a.Token.Before(b.token)
+	if stale && a.Token.Term < b.token.Term {
+		term := b.token.Term
+		w.send(func() { w.applyOwnership(i, w.owner[i].ObserveTerm(w.now, group, term)) })
 	}
 	if !stale {
-		b.stamp = a.Token
+		b.token = a.Token
 	}
 	name, id, try := a.Device, a.ID, a.PlacementID
 	switch a.Kind {
 	case QueryState:
 		if !stale {
 			var holds []HeldSlice
-			holds = append(holds, sortedHolds(b)...)
+			holds = append(holds, sortedSlices(b)...)
 			w.reply(i, func(t *Table) []Action { return t.HandleState(w.now, name, a.Token, holds) })
 		}
 	case Start:
-		_, has := b.holds[try]
-		if !has && (stale || b.over[try] || b.refuse) {
-			b.refuse = false
-			b.over[try] = true
+		_, has := b.slices[try]
+		if !has && (stale || b.stopped[try] || b.refuseNext) {
+			b.refuseNext = false
+			b.stopped[try] = true
 			w.reply(i, func(t *Table) []Action { return t.HandleNotStarted(w.now, name, id, try) })
 			return
 		}
 		if !has {
-			w.was[fmt.Sprint(a.Device, id, try)] = true
-			b.holds[try] = HeldSlice{ID: id, Tenant: a.Demand.Tenant, PlacementID: try, Isolation: a.Demand.Isolation, Amount: a.Amount}
-			w.judge(b)
-			w.once(id)
+			w.started[fmt.Sprint(a.Device, id, try)] = true
+			b.slices[try] = HeldSlice{ID: id, Tenant: a.Demand.Tenant, PlacementID: try, Isolation: a.Demand.Isolation, Amount: a.Amount}
+			w.checkDevice(b)
+			w.checkPlacedOnce(id)
 		}
 		w.reply(i, func(t *Table) []Action { return t.HandleStarted(w.now, name, id, try) })
 	case Stop:
 		if !stale {
-			delete(b.holds, try)
-			b.over[try] = true
+			delete(b.slices, try)
+			b.stopped[try] = true
 			w.reply(i, func(t *Table) []Action { return t.HandleStopped(w.now, name, id, try) })
 		}
 	}
 }
 
-func sortedHolds(b *far) (out []HeldSlice) {
-	for try := range b.holds {
-		out = append(out, b.holds[try])
+func sortedSlices(b *simBackend) (out []HeldSlice) {
+	for try := range b.slices {
+		out = append(out, b.slices[try])
 	}
 	for i := range out {
 		for j := i; j > 0 && out[j].PlacementID < out[j-1].PlacementID; j-- {
@@ -194,10 +194,10 @@
 	return out
 }
 
-// judge is the far side's own check: sums, and every pair.
-func (w *world) judge(b *far) {
+// checkDevice is the far side's own check: sums, and every pair.
+func (w *simulation) checkDevice(b *simBackend) {
 	parts, memory, tenants := 0, 0, map[string]bool{}
-	hs := sortedHolds(b)
+	hs := sortedSlices(b)
 	for i, h := range hs {
 		parts, memory = parts+h.Amount.Parts, memory+h.Amount.Memory
 		tenants[h.Tenant] = true
@@ -205,19 +205,19 @@
 			bad := h.Isolation == Exclusive || o.Isolation == Exclusive ||
 				(h.Isolation == SharedWithTenant || o.Isolation == SharedWithTenant) && h.Tenant != o.Tenant
 			if bad {
-				w.t.Fatalf("isolation on %s: %+v beside %+v", b.dev.Name, h, o)
+				w.t.Fatalf("isolation on %s: %+v beside %+v", b.device.Name, h, o)
 			}
 		}
 		d := w.demands[h.ID]
 		if h.Amount.Parts < d.Size.Parts || h.Amount.Memory < d.Size.Memory {
 			w.t.Fatalf("%+v got %+v", d, h)
 		}
-		if h.Isolation == Partitioned && len(b.dev.Profiles) == 0 {
+		if h.Isolation == Partitioned && len(b.device.Profiles) == 0 {
 			w.t.Fatalf("own slice without walls: %+v", h)
 		}
-		if n := len(b.dev.Profiles); n > 0 && h.Isolation != Exclusive {
+		if n := len(b.device.Profiles); n > 0 && h.Isolation != Exclusive {
 			cut := false
-			for _, p := range b.dev.Profiles {
+			for _, p := range b.device.Profiles {
 				cut = cut || p == h.Amount
 			}
 			if !cut {
@@ -225,20 +225,20 @@
 			}
 		}
 	}
-	if parts > b.dev.Size.Parts || memory > b.dev.Size.Memory {
-		w.t.Fatalf("oversold %s: %d parts, %d MiB: %+v", b.dev.Name, parts, memory, hs)
+	if parts > b.device.Size.Parts || memory > b.device.Size.Memory {
+		w.t.Fatalf("oversold %s: %d parts, %d MiB: %+v", b.device.Name, parts, memory, hs)
 	}
 	if len(hs) > w.limits.MaxSlices || len(tenants) > w.limits.MaxTenants {
-		w.t.Fatalf("%d slices of %d tenants on %s", len(hs), len(tenants), b.dev.Name)
+		w.t.Fatalf("%d slices of %d tenants on %s", len(hs), len(tenants), b.device.Name)
 	}
 }
 
-// once: an id is held once, devices that ever failed aside (their slices are lost, and ended when they are back).
-func (w *world) once(id string) {
+// checkPlacedOnce: an id is held checkPlacedOnce, devices that ever failed aside (their slices are lost, and ended when they are back).
+func (w *simulation) checkPlacedOnce(id string) {
 	n := 0
-	for _, b := range w.far {
-		for _, h := range b.holds {
-			if h.ID == id && !b.marred {
+	for _, b := range w.backends {
+		for _, h := range b.slices {
+			if h.ID == id && !b.everFailed {
 				n++
 			}
 		}
@@ -248,8 +248,8 @@
 	}
 }
 
-// turn follows an owner's turn: a new table from the disk, or none.
-func (w *world) turn(i int, turn OwnershipChange) {
+// applyOwnership follows an owner's applyOwnership: a new table from the disk, or none.
+func (w *simulation) applyOwnership(i int, turn OwnershipChange) {
 	switch turn {
 	case LeaseLost:
 		w.table[i] = nil
@@ -258,25 +258,25 @@
 		term, _ := w.owner[i].MaySend(w.now, group)
 		var out []Action
 		for _, n := range w.names {
-			out = append(out, w.table[i].AcquireDevice(w.now, w.far[n].dev, term, w.disk[i][n])...)
+			out = append(out, w.table[i].AcquireDevice(w.now, w.backends[n].device, term, w.disk[i][n])...)
 		}
-		w.do(i, out)
+		w.perform(i, out)
 		for _, n := range w.names {
-			if w.far[n].failed {
-				w.do(i, w.table[i].MarkFailed(w.now, n))
+			if w.backends[n].failed {
+				w.perform(i, w.table[i].MarkFailed(w.now, n))
 			}
 		}
 	}
 }
 
-func (w *world) askLease(i int) {
+func (w *simulation) askLease(i int) {
 	o := w.owner[i]
 	seq, anew := o.NewRequest(w.now, group)
 	w.send(func() {
-		if term, _, ok := w.grants.HandleRequest(w.now, fmt.Sprint("n", i), anew); ok {
+		if term, _, ok := w.grantor.HandleRequest(w.now, fmt.Sprint("n", i), anew); ok {
 			w.send(func() {
 				if w.owner[i] == o {
-					w.turn(i, o.HandleGrant(w.now, group, seq, term))
+					w.applyOwnership(i, o.HandleGrant(w.now, group, seq, term))
 				}
 			})
 		}
@@ -285,74 +285,74 @@
 
 // handOver lets the leases run out and gives the group to one dispatcher; messages stay on their way, and the
 // other, stalled, does not know.
-func (w *world) handOver(i int) {
+func (w *simulation) handOver(i int) {
 	w.now += w.lease.Duration + 1
 	o := w.owner[i]
 	seq, anew := o.NewRequest(w.now, group)
-	if term, _, ok := w.grants.HandleRequest(w.now, fmt.Sprint("n", i), anew); ok {
-		w.turn(i, o.HandleGrant(w.now, group, seq, term))
+	if term, _, ok := w.grantor.HandleRequest(w.now, fmt.Sprint("n", i), anew); ok {
+		w.applyOwnership(i, o.HandleGrant(w.now, group, seq, term))
 	}
 }
 
-// endOne is a backend that ends a slice by itself.
-func (w *world) endOne(b *far) {
-	for _, h := range sortedHolds(b)[:min(1, len(b.holds))] {
-		delete(b.holds, h.PlacementID)
-		b.over[h.PlacementID] = true
-		name := b.dev.Name
+// stopOne is a backend that ends a slice by itself.
+func (w *simulation) stopOne(b *simBackend) {
+	for _, h := range sortedSlices(b)[:min(1, len(b.slices))] {
+		delete(b.slices, h.PlacementID)
+		b.stopped[h.PlacementID] = true
+		name := b.device.Name
 		for i := range w.table {
 			w.reply(i, func(t *Table) []Action { return t.HandleStopped(w.now, name, h.ID, h.PlacementID) })
 		}
 	}
 }
 
-func (w *world) tick(by time.Duration) {
+func (w *simulation) tick(by time.Duration) {
 	w.now += by
 	for i := range w.table {
-		w.turn(i, w.owner[i].CheckLease(w.now, group))
+		w.applyOwnership(i, w.owner[i].CheckLease(w.now, group))
 		if w.table[i] != nil {
-			w.do(i, w.table[i].StopExpired(w.now))
-			w.do(i, w.table[i].Unconfirmed())
+			w.perform(i, w.table[i].StopExpired(w.now))
+			w.perform(i, w.table[i].Unconfirmed())
 		}
 	}
 }
 
-func (w *world) ask(id string) {
+func (w *simulation) ask(id string) {
 	for i := range w.table {
-		if w.table[i] != nil && !w.gone[id] {
+		if w.table[i] != nil && !w.released[id] {
 			d := w.demands[id]
 			w.send(func() {
 				if w.table[i] != nil {
-					w.do(i, w.table[i].Submit(w.now, d))
+					w.perform(i, w.table[i].Submit(w.now, d))
 				}
 			})
 		}
 	}
 }
 
-func (w *world) release(id string) {
-	w.gone[id] = true
+func (w *simulation) release(id string) {
+	w.released[id] = true
 	for i := range w.table {
 		w.send(func() {
 			if w.table[i] != nil {
-				w.do(i, w.table[i].Release(w.now, id))
+				w.perform(i, w.table[i].Release(w.now, id))
 			}
 		})
 	}
 }
 
-func (w *world) check() {
+func (w *simulation) check() {
 	for i, t := range w.table {
 		if t != nil {
-			if err := t.sound(); err != nil {
+			if err := t.checkInvariants(); err != nil {
 				w.t.Fatalf("table %d: %v", i, err)
 			}
 		}
 	}
 }
 
-// sound recounts a table from its slices.
-func (t *Table) sound() error {
+// checkInvariants recounts a table from its slices.
+func (t *Table) checkInvariants() error {
 	for _, v := range t.order {
 		var used Amount
 		tenants := map[string]int{}
@@ -363,26 +363,26 @@
 		if used != v.used || len(tenants) != len(v.tenants) {
 			return fmt.Errorf("%s counts %v of %v", v.Name, v.used, used)
 		}
-		if v.keptFor != nil && (v.keptFor.keeps != v || !v.keptFor.queued) {
+		if v.reservedFor != nil && (v.reservedFor.reserved != v || !v.reservedFor.queued) {
 			return fmt.Errorf("%s is kept for what does not wait", v.Name)
 		}
 	}
 	for id, s := range t.placed {
-		if s.demand.ID != id || s.device.find(id, s.try) != s || t.byID[id] != nil {
+		if s.demand.ID != id || s.device.find(id, s.placementID) != s || t.waitingByID[id] != nil {
 			return fmt.Errorf("%s sits nowhere, or waits too", id)
 		}
 	}
 	for i, w := range t.waiting {
-		if i > 0 && t.waiting[i-1].before(w) >= 0 {
+		if i > 0 && t.waiting[i-1].compare(w) >= 0 {
 			return fmt.Errorf("the queue is out of order at %d", i)
 		}
 		for _, v := range t.order {
-			if _, why := t.fits(v, &w.demand, w); why == "" && t.unheard == 0 {
+			if _, why := t.fits(v, &w.demand, w); why == "" && t.unreportedDevices == 0 {
 				return fmt.Errorf("%s waits although %s has room", w.demand.ID, v.Name)
 			}
 		}
-		if w.passed > t.limits.MaxPassedOver+w.ahead {
-			return fmt.Errorf("%s was passed %d times, %d ahead", w.demand.ID, w.passed, w.ahead)
+		if w.passedOver > t.limits.MaxPassedOver+w.starvedBefore {
+			return fmt.Errorf("%s was passed %d times, %d ahead", w.demand.ID, w.passedOver, w.starvedBefore)
 		}
 	}
 	return nil
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -41,24 +41,24 @@
 	return Fault{File: at.Filename(), Line: int(at.Line), Column: int(at.Col), Key: name, Problem: says}
 }
 
-// module is a file that was run; while it runs, globals is nil.
-type module struct {
+// loadedFile is a file that was run; while it runs, globals is nil.
+type loadedFile struct {
 	globals starlark.StringDict
-	done    bool
+	loaded  bool
 }
 
 type script struct {
-	read    func(string) ([]byte, error)
-	calls   map[string]*call
-	modules map[string]*module
-	args    map[syntax.Position]map[string]syntax.Position // of each call's keys, by its bracket
-	thread  *starlark.Thread
+	read         func(string) ([]byte, error)
+	calls        map[string]*call
+	modules      map[string]*loadedFile
+	keyPositions map[syntax.Position]map[string]syntax.Position // of each call's keys, by its bracket
+	thread       *starlark.Thread
 }
 
 // run executes the script and what it loads, in one thread and within one bound.
 func (s *script) run(name string) error {
 	start := allocated()
-	s.args = map[syntax.Position]map[string]syntax.Position{}
+	s.keyPositions = map[syntax.Position]map[string]syntax.Position{}
 	s.thread = &starlark.Thread{Name: name, Load: s.load, Print: func(*starlark.Thread, string) {}}
 	s.thread.SetMaxExecutionSteps(1) // so that OnMaxSteps is called at each
 	s.thread.OnMaxSteps = func(t *starlark.Thread) {
@@ -69,7 +69,7 @@
 			t.Cancel(fmt.Sprintf("the script uses more than %d MiB", maxMemory>>20))
 		}
 	}
-	_, err := s.exec(name)
+	_, err := s.execFile(name)
 	return err
 }
 
@@ -81,7 +81,7 @@
 	return sample[0].Value.Uint64()
 }
 
-func (s *script) exec(name string) (starlark.StringDict, error) {
+func (s *script) execFile(name string) (starlark.StringDict, error) {
 	text, err := s.read(name)
 	if err != nil {
 		return nil, Fault{File: name, Problem: err.Error()}
@@ -90,12 +90,12 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := s.check(f); err != nil {
+	if err := s.checkSyntax(f); err != nil {
 		return nil, err
 	}
 	known := starlark.StringDict{}
 	for _, c := range calls() {
-		known[c] = starlark.NewBuiltin(c, s.called)
+		known[c] = starlark.NewBuiltin(c, s.recordCall)
 	}
 	p, err := starlark.FileProgram(f, known.Has)
 	if err != nil {
@@ -115,25 +115,25 @@
 		if len(s.modules) >= maxFiles {
 			return nil, fmt.Errorf("more than %d files are loaded", maxFiles)
 		}
-		m = &module{}
+		m = &loadedFile{}
 		s.modules[name] = m
-		g, err := s.exec(name)
+		g, err := s.execFile(name)
 		if err != nil {
 			return nil, err
 		}
-		m.globals, m.done = g, true
+		m.globals, m.loaded = g, true
 	}
-	if !m.done {
+	if !m.loaded {
 		return nil, fmt.Errorf("%s is loaded by itself", name)
 	}
 	return m.globals, nil
 }
 
-// called is every call of the settings: it only takes the values down.
-func (s *script) called(t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+// recordCall is every call of the settings: it only takes the values down.
+func (s *script) recordCall(t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	at := t.CallFrame(1).Pos
 	fault := func(key, says string) error {
-		c := call{at: at, keys: s.args[at]}
+		c := call{at: at, keys: s.keyPositions[at]}
 		return c.fault(b.Name(), key, says)
 	}
 	if old := s.calls[b.Name()]; old != nil {
@@ -142,11 +142,11 @@
 	if len(args) > 0 {
 		return nil, fault("", "takes named values only, as in "+b.Name()+"("+keys(b.Name())[0]+" = ...)")
 	}
-	c := &call{values: map[string]any{}, at: at, keys: s.args[at]}
+	c := &call{values: map[string]any{}, at: at, keys: s.keyPositions[at]}
 	left := maxValues
 	for _, kv := range kwargs {
 		key := string(kv[0].(starlark.String))
-		v, err := plain(kv[1], maxDepth, &left)
+		v, err := toJSONValue(kv[1], maxDepth, &left)
 		if err != nil {
 			return nil, fault(key, err.Error())
 		}
@@ -156,10 +156,10 @@
 	return starlark.None, nil
 }
 
-// plain turns a value into what JSON knows. The bounds keep a list that holds itself, or one
+// toJSONValue turns a value into what JSON knows. The bounds keep a list that holds itself, or one
 // list many times over, from growing without end.
-func plain(v starlark.Value, depth int, left *int) (any, error) {
-	if *left--; *left < 0 || depth < 0 {
+func toJSONValue(v starlark.Value, depth int, remaining *int) (any, error) {
+	if *remaining--; *remaining < 0 || depth < 0 {
 		return nil, errors.New("holds too much")
 	}
 	switch v := v.(type) {
@@ -177,9 +177,9 @@
 	case starlark.Float:
 		return float64(v), nil
 	case *starlark.List:
-		list := make([]any, 0, min(v.Len(), *left+1))
+		list := make([]any, 0, min(v.Len(), *remaining+1))
 		for i := range v.Len() {
-			x, err := plain(v.Index(i), depth-1, left)
+			x, err := toJSONValue(v.Index(i), depth-1, remaining)
 			if err != nil {
 				return nil, err
 			}
@@ -193,7 +193,7 @@
 			if !ok {
 				return nil, errors.New("has a key that is no text")
 			}
-			x, err := plain(kv[1], depth-1, left)
+			x, err := toJSONValue(kv[1], depth-1, remaining)
 			if err != nil {
 				return nil, err
 			}
@@ -208,11 +208,11 @@
 // larger than what it was given.
 var builtins = []string{"None", "True", "False", "bool", "int", "float", "len"}
 
-// check reads a file's text before it runs. What could use memory or time out of proportion to
+// checkSyntax reads a file's text before it runs. What could use memory or time out of proportion to
 // the steps that are counted is not part of the language: functions, methods (a join of many
 // long texts is one step), tuples (they can be hashed and written out, however deep), products
 // of anything but numbers written out, and ranges.
-func (s *script) check(f *syntax.File) error {
+func (s *script) checkSyntax(f *syntax.File) error {
 	var faults Faults
 	bad := func(n syntax.Node, says string) {
 		at, _ := n.Span()
@@ -237,16 +237,16 @@
 				bad(n, "a name is given its value once, with =")
 			}
 		case *syntax.BinaryExpr:
-			if (n.Op == syntax.STAR || n.Op == syntax.PERCENT || n.Op == syntax.LTLT) && !(numeral(n.X) && numeral(n.Y)) {
+			if (n.Op == syntax.STAR || n.Op == syntax.PERCENT || n.Op == syntax.LTLT) && !(isNumeric(n.X) && isNumeric(n.Y)) {
 				bad(n, "* and % and << take numbers that are written out")
 			}
 		case *syntax.CallExpr:
-			s.args[n.Lparen] = map[string]syntax.Position{}
+			s.keyPositions[n.Lparen] = map[string]syntax.Position{}
 			for _, a := range n.Args {
 				switch a := a.(type) {
 				case *syntax.BinaryExpr:
 					if id, ok := a.X.(*syntax.Ident); ok && a.Op == syntax.EQ {
-						s.args[n.Lparen][id.Name] = id.NamePos
+						s.keyPositions[n.Lparen][id.Name] = id.NamePos
 						keyNames[id] = true
 					}
 				case *syntax.UnaryExpr:
@@ -270,23 +270,23 @@
 	return nil
 }
 
-// numeral says whether an expression is made of numbers alone.
-func numeral(e syntax.Expr) bool {
+// isNumeric says whether an expression is made of numbers alone.
+func isNumeric(e syntax.Expr) bool {
 	switch e := e.(type) {
 	case *syntax.Literal:
 		return e.Token == syntax.INT || e.Token == syntax.FLOAT
 	case *syntax.ParenExpr:
-		return numeral(e.X)
+		return isNumeric(e.X)
 	case *syntax.UnaryExpr:
-		return numeral(e.X)
+		return isNumeric(e.X)
 	case *syntax.BinaryExpr:
-		return numeral(e.X) && numeral(e.Y)
+		return isNumeric(e.X) && isNumeric(e.Y)
 	}
 	return false
 }
 
-// faults turns whatever a run ended with into faults with their places.
-func (s *script) faults(name string, err error) Faults {
+// faultsOf turns whatever a run ended with into faultsOf with their places.
+func (s *script) faultsOf(name string, err error) Faults {
 	var all Faults
 	var one Fault
 	var list resolve.ErrorList
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -40,15 +40,15 @@
 	Accord      *Accord      `json:"accord"`
 	Quotas      *Quotas      `json:"quotas"`
 
-	at map[string]Fault // where each call and key stands
+	positions map[string]Fault // where each call and key stands
 }
 
 // Fault is a fault of a key, or of a call, that was found by who uses it.
 func (s *Settings) Fault(key, says string) Fault {
-	f, ok := s.at[key]
+	f, ok := s.positions[key]
 	if !ok {
 		call, _, _ := strings.Cut(key, ".")
-		f = s.at[call]
+		f = s.positions[call]
 	}
 	f.Key, f.Problem = key, says
 	return f
@@ -215,10 +215,10 @@
 	return strings.Join(lines, "\n")
 }
 
-// maxFile is the most bytes that a file of a script may have, and maxFiles how many it may load.
+// maxFileBytes is the most bytes that a file of a script may have, and maxFiles how many it may load.
 const (
-	maxFile  = 256 << 10
-	maxFiles = 16
+	maxFileBytes = 256 << 10
+	maxFiles     = 16
 )
 
 // Load reads the script at a path. Its load statements reach files of the same folder alone. No
@@ -241,9 +241,9 @@
 		if info, err := f.Stat(); err != nil || !info.Mode().IsRegular() { // a pipe would have us wait
 			return nil, fmt.Errorf("%s is no regular file", name)
 		}
-		text, err := io.ReadAll(io.LimitReader(f, maxFile+1))
-		if err == nil && len(text) > maxFile {
-			err = fmt.Errorf("%s has more than %d bytes", name, maxFile)
+		text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
+		if err == nil && len(text) > maxFileBytes {
+			err = fmt.Errorf("%s has more than %d bytes", name, maxFileBytes)
 		}
 		return text, err
 	})
@@ -251,16 +251,16 @@
 
 // Parse runs the script of a name; read brings the text of a file. The error is Faults.
 func Parse(name string, read func(name string) ([]byte, error)) (*Settings, error) {
-	s := script{read: read, calls: map[string]*call{}, modules: map[string]*module{}}
+	s := script{read: read, calls: map[string]*call{}, modules: map[string]*loadedFile{}}
 	if err := s.run(name); err != nil {
-		return nil, s.faults(name, err)
+		return nil, s.faultsOf(name, err)
 	}
 	doc := map[string]any{}
 	for call, c := range s.calls {
 		doc[call] = c.values
 	}
 	if err := schema().Validate(doc); err != nil {
-		return nil, s.judge(err)
+		return nil, s.schemaFaults(err)
 	}
 	for call, c := range s.calls {
 		for key, p := range properties(call) {
@@ -273,11 +273,11 @@
 	if err != nil {
 		return nil, Faults{{File: name, Problem: err.Error()}}
 	}
-	out := &Settings{at: map[string]Fault{}}
+	out := &Settings{positions: map[string]Fault{}}
 	for call, c := range s.calls {
-		out.at[call] = c.fault(call, "", "")
+		out.positions[call] = c.fault(call, "", "")
 		for key := range c.keys {
-			out.at[call+"."+key] = c.fault(call, key, "")
+			out.positions[call+"."+key] = c.fault(call, key, "")
 		}
 	}
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -295,7 +295,7 @@
 		if call == "policy" { // the fleet's: a change of it is a proposal, and its log lines tell what became of it
 			continue
 		}
-		a, b := s.part(call), other.part(call)
+		a, b := s.callValues(call), other.callValues(call)
 		if a == nil && b == nil {
 			continue
 		}
@@ -317,8 +317,8 @@
 	return now, later
 }
 
-// part is a call's values by key, or nil where it was not called.
-func (s *Settings) part(call string) map[string]any {
+// callValues is a call's values by key, or nil where it was not called.
+func (s *Settings) callValues(call string) map[string]any {
 	text, err := json.Marshal(s)
 	if err != nil {
 		return nil
@@ -367,28 +367,28 @@
 	return c.MustCompile("settings.json")
 })
 
-func calls() []string { return sorted(root().Properties) }
+func calls() []string { return sortedKeys(root().Properties) }
 
 func properties(call string) map[string]property { return root().Properties[call].Properties }
 
 // keys are a call's keys, those that must be there first.
 func keys(call string) []string {
 	p := root().Properties[call]
-	list := sorted(p.Properties)
+	list := sortedKeys(p.Properties)
 	slices.SortStableFunc(list, func(a, b string) int {
-		return rank(p, a) - rank(p, b)
+		return requiredFirst(p, a) - requiredFirst(p, b)
 	})
 	return list
 }
 
-func rank(p property, key string) int {
+func requiredFirst(p property, key string) int {
 	if slices.Contains(p.Required, key) {
 		return 0
 	}
 	return 1
 }
 
-func sorted[T any](m map[string]T) []string {
+func sortedKeys[T any](m map[string]T) []string {
 	list := make([]string, 0, len(m))
 	for k := range m {
 		list = append(list, k)
@@ -397,8 +397,8 @@
 	return list
 }
 
-// judge turns what the schema finds into faults with their places in the script.
-func (s *script) judge(err error) Faults {
+// schemaFaults turns what the schema finds into faults with their places in the script.
+func (s *script) schemaFaults(err error) Faults {
 	var faults Faults
 	var walk func(*jsonschema.ValidationError)
 	walk = func(e *jsonschema.ValidationError) {
@@ -413,7 +413,7 @@
 		if len(e.InstanceLocation) > 2 { // a value in a list: the whole list is told; of a dictionary, the entry
 			if m, ok := c.values[e.InstanceLocation[1]].(map[string]any); ok {
 				got, _ := json.Marshal(m[e.InstanceLocation[2]])
-				entry = fmt.Sprintf("has %q: %s", e.InstanceLocation[2], short(got))
+				entry = fmt.Sprintf("has %q: %s", e.InstanceLocation[2], truncate(got))
 			}
 			e.InstanceLocation, e.ErrorKind = e.InstanceLocation[:2], nil
 		}
@@ -434,7 +434,7 @@
 			}
 			if entry == "" {
 				got, _ := json.Marshal(c.values[key])
-				entry = "is " + short(got)
+				entry = "is " + truncate(got)
 			}
 			if len(faults) > 0 && faults[len(faults)-1].Key == name+"."+key { // one fault for each key is enough
 				return
@@ -454,8 +454,8 @@
 	return faults
 }
 
-// short is a value as a line of an error holds it.
-func short(text []byte) string {
+// truncate is a value as a line of an error holds it.
+func truncate(text []byte) string {
 	const most = 200 // bytes
 	if len(text) > most {
 		return strings.ToValidUTF8(string(text[:most]), "") + "..."
@@ -463,7 +463,7 @@
 	return string(text)
 }
 
-var holds = map[string]string{"next start": "the next start", "new connections": "connections from then on", "now": "at once",
+var effectTexts = map[string]string{"next start": "the next start", "new connections": "connections from then on", "now": "at once",
 	"accord": "the fleet, once it is decided"}
 
 // Reference writes what can be set, as Markdown, out of the schema.
@@ -480,7 +480,7 @@
 				text, _ := json.Marshal(k.Default)
 				def = "`" + string(text) + "`"
 			}
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", key, k.Wanted, def, holds[k.Holds])
+			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", key, k.Wanted, def, effectTexts[k.Holds])
 		}
 		b.WriteString("\n")
 		for _, key := range keys(call) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// files reads scripts from a map.
-func files(m map[string]string) func(string) ([]byte, error) {
+// readerOf reads scripts from a map.
+func readerOf(m map[string]string) func(string) ([]byte, error) {
 	return func(name string) ([]byte, error) {
 		text, ok := m[name]
 		if !ok {
@@ -23,7 +23,7 @@
 }
 
 func parse(text string) (*Settings, error) {
-	return Parse("s.star", files(map[string]string{"s.star": text, "more.star": "port = 8083\nhost = \"127.0.0.1\"\n",
+	return Parse("s.star", readerOf(map[string]string{"s.star": text, "more.star": "port = 8083\nhost = \"127.0.0.1\"\n",
 		"self.star": "load(\"self.star\", \"x\")\n"}))
 }
 
@@ -43,8 +43,8 @@
 	assert.Equal(t, &Settings{}, s)
 }
 
-// TestFaults: each names the file, the line, the key and what was wanted.
-func TestFaults(t *testing.T) {
+// TestFaultsNamePositionAndKey: each names the file, the line, the key and what was wanted.
+func TestFaultsNamePositionAndKey(t *testing.T) {
 	deep := "x = [1]\n" + strings.Repeat("x = [x, x]\n", 1)
 	for _, c := range []struct{ text, want string }{
 		{"http2()", "s.star:1:6: http2.listen: is missing, want host:port"},
@@ -97,8 +97,8 @@
 	assert.Len(t, err, 3, "all that is wrong is told at once")
 }
 
-// TestBounds: no script runs for long or takes much memory, whatever it doubles.
-func TestBounds(t *testing.T) {
+// TestScriptStepsAndMemoryBounded: no script runs for long or takes much memory, whatever it doubles.
+func TestScriptStepsAndMemoryBounded(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("x0 = \"" + strings.Repeat("a", 1000) + "\"\n")
 	for i := range 60 {
@@ -119,8 +119,8 @@
 	assert.ErrorContains(t, err, "http2.listen: holds too much")
 }
 
-// TestLoadStaysInItsFolder: a link out of the folder and a file that is no file are not read.
-func TestLoadStaysInItsFolder(t *testing.T) {
+// TestLoadReadsOnlyItsDirectory: a link out of the folder and a file that is no file are not read.
+func TestLoadReadsOnlyItsDirectory(t *testing.T) {
 	dir := t.TempDir()
 	inner := filepath.Join(dir, "in")
 	require.NoError(t, os.Mkdir(inner, 0o755))
@@ -136,13 +136,13 @@
 	assert.Equal(t, "127.0.0.1:1", s.HTTP2.Listen)
 	_, err = Load(inner)
 	assert.ErrorContains(t, err, "no regular file")
-	require.NoError(t, os.WriteFile(path, make([]byte, maxFile+1), 0o600))
+	require.NoError(t, os.WriteFile(path, make([]byte, maxFileBytes+1), 0o600))
 	_, err = Load(path)
 	assert.ErrorContains(t, err, "more than 262144 bytes")
 }
 
-// TestChange: what a new script changes is told by when it holds.
-func TestChange(t *testing.T) {
+// TestChangesByWhenTheyApply: what a new script changes is told by when it holds.
+func TestChangesByWhenTheyApply(t *testing.T) {
 	a, err := parse(`http2(listen = "a:1")`)
 	require.NoError(t, err)
 	b, err := parse(`http2(listen = "a:2", max_streams = 3)`)
@@ -155,8 +155,8 @@
 	assert.Empty(t, append(now, later...))
 }
 
-// TestReference: the page in docs is the one that the schema writes, and the example calls all.
-func TestReference(t *testing.T) {
+// TestReferencePageMatchesSchema: the page in docs is the one that the schema writes, and the example calls all.
+func TestReferencePageMatchesSchema(t *testing.T) {
 	page, err := os.ReadFile("../../docs/settings.md")
 	require.NoError(t, err)
 	assert.Equal(t, Reference(), string(page), "write it again: bin/tinsail reference > docs/settings.md")
