--- a/internal/guard/trace.go
+++ b/internal/guard/trace.go
@@ -54,9 +54,9 @@
 	HandedOver
 
 	// Why a further attempt is sent: how the one before it ended.
-	AfterReturned
+	AfterReturned // the backend returned the job unprocessed
 	AfterUnreachable
-	AfterUnsent
+	AfterUnsent  // no byte of it was written
 	AfterFailure // the attempt may have run
 	SecondCopy   // the attempt before it is still running
 
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -10,24 +10,24 @@
 	"math"
 )
 
-// Event codes.
+// Event codes: the record types of a batch.
 const (
-	EvProbed     = 10
-	EvRequest    = 20
-	EvWake       = 30
-	EvProgress   = 40
+	EvProbed     = 10 // result of a probe
+	EvRequest    = 20 // a request arrived
+	EvWake       = 30 // a timer expired
+	EvProgress   = 40 // progress of an attempt
 	EvPeer       = 50
 	EvFirstByte  = 60
-	EvAbandoned  = 70
-	EvInstance   = 80
-	EvAnswer     = 90
-	EvStop       = 100
-	EvConfigure  = 110
-	EvUpdate     = 120
-	EvWorkerList = 130
+	EvAbandoned  = 70  // the client gave up its request
+	EvInstance   = 80  // selects the instance of the following records
+	EvAnswer     = 90  // an attempt ended
+	EvStop       = 100 // removes the instance
+	EvConfigure  = 110 // settings of a new instance
+	EvUpdate     = 120 // the list of workers changed, or could not be read
+	EvWorkerList = 130 // a worker list that later updates refer to by number
 )
 
-// Action codes.
+// Action codes: the record types of a reply. The methods of Reply describe them.
 const (
 	ActFail      = 10
 	ActBug       = 20
