--- a/internal/network/await.go
+++ b/internal/network/await.go
@@ -45,7 +45,7 @@
 	// Wait for the writer before the session leaves the table: a later update by the writer would put it back.
 	w := <-done
 	a.release()
-	s.finishReq(w.free)
+	s.finishReq(w.jobReleased)
 	switch {
 	case !connected || w.err != nil:
 		return core.ClientClosed, true
@@ -76,7 +76,7 @@
 	t := &a.clients.table
 	if a.parser.Buffered() > 0 { // received together with the request: no further read would report them
 		a.firstByteAt = a.session.lastByteAt
-		if !t.notePipelined(&a.sessionState) {
+		if !t.markPipelined(&a.sessionState) {
 			return true
 		}
 	}
@@ -84,7 +84,7 @@
 		n, err := a.readOnce()
 		switch {
 		case n > 0:
-			if !t.notePipelined(&a.sessionState) {
+			if !t.markPipelined(&a.sessionState) {
 				return true
 			}
 		case errors.Is(err, os.ErrDeadlineExceeded):
@@ -145,8 +145,8 @@
 	return a.sessionState.pipelined, a.flooded
 }
 
-func (s *session) finishReq(free bool) {
-	s.parser.Done(free)
+func (s *session) finishReq(jobReleased bool) {
+	s.parser.Done(jobReleased)
 	s.reqID = "" // a slice of the request's head, which would keep the head in memory while the session is idle
 	s.release()
 }
@@ -167,7 +167,7 @@
 	closing = closing || flooded || !pipelined && (s.clients.currentDirectives().CloseAfterAnswer || t.mustClose(&s.sessionState))
 	err := s.write(platform.AppendFinalAnswer(make([]byte, 0, 128+len(a.Result)), a, closing))
 	if closing || err != nil {
-		s.note(guard.AnswerWritten, s.closeCause(closing, flooded, err))
+		s.record(guard.AnswerWritten, s.closeCause(closing, flooded, err))
 	}
 	closing = t.reqAnswered(&s.sessionState, true, closing || err != nil, wake)
 	t.trimJobSessions(s.clients.maxJobSessions())
@@ -184,7 +184,7 @@
 		return
 	}
 	left := maxLingerBytes
-	s.note(guard.SessionLingering, nil)
+	s.record(guard.SessionLingering, nil)
 	if c.table.startLingering(&s.sessionState, c.maxSessions()) {
 		wait := lingerTimeout
 		if c.currentDirectives().CloseAfterAnswer {
--- a/internal/network/clients.go
+++ b/internal/network/clients.go
@@ -114,8 +114,8 @@
 
 // writeResult tells the reading goroutine how the write of the answer ended.
 type writeResult struct {
-	free, closing bool
-	err           error
+	jobReleased, closing bool
+	err                  error
 }
 
 // maxExcessSessions is how many sessions beyond the limit are accepted in order to be refused.
@@ -146,8 +146,8 @@
 func (c *Clients) admit(conn net.Conn) {
 	s := &session{sessionState: sessionState{conn: conn}, clients: c, arrival: newArrivalClock(conn, c.acceptQueue.queuedSince()), answer: make(chan core.Answer, 1)}
 	s.parser.Admit = s.reserveBody
-	excess, room := c.register(&s.sessionState)
-	if s.overLimit = excess; !room {
+	excess, admitted := c.register(&s.sessionState)
+	if s.overLimit = excess; !admitted {
 		c.reject(s)
 		return
 	}
@@ -155,21 +155,21 @@
 }
 
 // register adds a session of either front to the table. excess reports that it is beyond the limit and no other could be
-// closed for it, room whether it can be read in order to be refused.
-func (c *Clients) register(s *sessionState) (excess, room bool) {
+// closed for it: its requests are refused. admitted is false if there is no descriptor even for that.
+func (c *Clients) register(s *sessionState) (excess, admitted bool) {
 	c.Count.ClientSessions.Add(1)
 	limit := c.maxSessions()
 	n, all, shed := c.table.add(s, limit, c.Guard)
-	if room = all <= limit+maxExcessSessions || c.waitForRoom(limit+maxExcessSessions); !room {
+	if admitted = all <= limit+maxExcessSessions || c.waitForCapacity(limit+maxExcessSessions); !admitted {
 		c.Count.SessionsRefused.Add(1)
 		return true, false
 	}
 	return n > limit && !shed, true
 }
 
-// waitForRoom waits until there are no more than n sessions. Sessions whose clients still send get longer to end by
+// waitForCapacity waits until there are no more than n sessions. Sessions whose clients still send get longer to end by
 // themselves; one of them is cut only if none did.
-func (c *Clients) waitForRoom(n int) bool {
+func (c *Clients) waitForCapacity(n int) bool {
 	t := &c.table
 	if t.waitForCount(n, closeWait) {
 		return true
@@ -187,7 +187,7 @@
 	s.release()
 	s.clients.Count.Endings[e].Add(1)
 	s.clients.table.remove(&s.sessionState)
-	s.note(guard.SessionClosed, e)
+	s.record(guard.SessionClosed, e)
 }
 
 // serve reads requests and has them answered, one at a time.
--- a/internal/network/http2.go
+++ b/internal/network/http2.go
@@ -91,7 +91,7 @@
 
 func (r *streamReq) abandon() {
 	if r.taken {
-		r.handle.Abandon(r.session.limits.CancelOnReset, func() { r.session.post(inboxItem{streamID: r.id, free: true}) })
+		r.handle.Abandon(r.session.limits.CancelOnReset, func() { r.session.post(inboxItem{streamID: r.id, released: true}) })
 	}
 }
 
@@ -113,8 +113,8 @@
 		Admit: c.reserveBytes, Release: func(n int) { c.bufferedBytes.Add(-int64(n)) },
 		OnAbuse: func(a http2.Abuse) { c.Count.HTTP2Abuse[a].Add(1) }}, time.Now())
 	c.Count.HTTP2Sessions.Add(1)
-	excess, room := c.register(&s.sessionState)
-	if s.overLimit = excess; !room {
+	excess, admitted := c.register(&s.sessionState)
+	if s.overLimit = excess; !admitted {
 		s.machine.Terminate(http2.EnhanceYourCalm, "too many clients")
 		s.conn.SetWriteDeadline(time.Now().Add(l.StallTimeout))
 		s.conn.Write(s.machine.TakeOutput(nil))
@@ -153,7 +153,7 @@
 	s.front.sessions.Delete(s)
 	c.Count.Endings[e].Add(1)
 	c.table.remove(&s.sessionState)
-	s.note(guard.SessionClosed, e)
+	s.record(guard.SessionClosed, e)
 }
 
 // read passes bytes to the state machine until it ends the connection (over), or the connection ends otherwise.
@@ -313,8 +313,8 @@
 // maxIdleWriteBuffer is the largest output buffer that an idle connection keeps.
 const maxIdleWriteBuffer = 16 << 10
 
-// noteIdle tells the table when the last stream has ended. s.mu is held.
-func (s *http2Session) noteIdle() {
+// reportIdle tells the table when the last stream has ended. s.mu is held.
+func (s *http2Session) reportIdle() {
 	if !s.hasStreams || s.machine.OpenStreams() > 0 || s.ended {
 		return
 	}
--- a/internal/network/http2_inbox.go
+++ b/internal/network/http2_inbox.go
@@ -11,8 +11,8 @@
 // was abandoned.
 type inboxItem struct {
 	streamID      uint32
-	free          bool
-	lost          bool // there was no memory for the answer
+	released      bool // nothing of its job is at a backend any more
+	dropped       bool // there was no memory for the answer
 	bufferedBytes int  // bytes of it that are reserved in the total of Clients
 	answer        core.Answer
 }
@@ -33,7 +33,7 @@
 	}
 	if n := len(item.answer.Result); n > smallAnswer {
 		if s.inbox.bufferedBytes+n > int(c.MaxBufferedBytes/4) || !c.reserveBytes(n) {
-			item.lost, item.answer.Result = true, ""
+			item.dropped, item.answer.Result = true, ""
 		} else {
 			item.bufferedBytes = n
 			s.inbox.bufferedBytes += n
@@ -69,9 +69,9 @@
 	for i := range items {
 		item := &items[i]
 		switch {
-		case item.free:
+		case item.released:
 			s.machine.ReleaseStream(item.streamID)
-		case item.lost:
+		case item.dropped:
 			c.Count.HTTP2Abuse[http2.UnreadOutput].Add(1)
 			s.machine.Reset(item.streamID, http2.EnhanceYourCalm)
 		case item.answer.Kind == core.Result:
@@ -86,5 +86,5 @@
 	if s.inbox.spare = items; cap(items) > 1024 {
 		s.inbox.spare = nil
 	}
-	s.noteIdle()
+	s.reportIdle()
 }
--- a/internal/network/http2_reqs.go
+++ b/internal/network/http2_reqs.go
@@ -45,7 +45,7 @@
 			s.signalWriter()
 		}
 	}
-	s.noteIdle()
+	s.reportIdle()
 }
 
 // fieldsByHTTP2Name maps the field names of HTTP/2, which are lower case, to the fields of a request.
--- a/internal/network/table.go
+++ b/internal/network/table.go
@@ -76,7 +76,7 @@
 	defer t.mu.Unlock()
 	t.lastID++
 	s.guard, s.id = recorder, t.lastID
-	s.note(guard.SessionOpened, nil)
+	s.record(guard.SessionOpened, nil)
 	if t.sessionEnded == nil {
 		t.sessionEnded = make(chan struct{}, 1)
 	}
@@ -170,9 +170,9 @@
 	s.answerPending = false
 }
 
-// notePipelined records that bytes were received after the request that waits for its answer, so that the answer wakes the
+// markPipelined records that bytes were received after the request that waits for its answer, so that the answer wakes the
 // session's goroutine for them. It returns false, and records nothing, if the answer has been written.
-func (t *table) notePipelined(s *sessionState) (pending bool) {
+func (t *table) markPipelined(s *sessionState) (pending bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s.pipelined = s.pipelined || s.answerPending
@@ -327,7 +327,7 @@
 // requestClose wakes a session's goroutine, which checks whether a request came after all, and closes. t.mu is held.
 func (t *table) requestClose(s *sessionState, why guard.Reason) {
 	t.move(s, rankClosing)
-	s.note(guard.SessionCloseAnnounced, why)
+	s.record(guard.SessionCloseAnnounced, why)
 	s.closeRequested, s.descriptorNeeded = true, s.descriptorNeeded || why == guard.DescriptorNeeded
 	s.conn.SetReadDeadline(time.Now())
 }
--- a/internal/network/trace.go
+++ b/internal/network/trace.go
@@ -10,14 +10,14 @@
 
 // This file passes session events to package guard, for its trace and its check of requests that a close leaves unanswered.
 
-// note adds an event of the session to the trace.
-func (s *sessionState) note(step guard.Step, why fmt.Stringer) {
+// record adds an event of the session to the trace.
+func (s *sessionState) record(step guard.Step, why fmt.Stringer) {
 	if s.guard != nil {
 		s.guard.Record(guard.Event{At: time.Now(), Session: s.id, Step: step, Reason: why})
 	}
 }
 
-func (s *session) note(step guard.Step, why fmt.Stringer) {
+func (s *session) record(step guard.Step, why fmt.Stringer) {
 	if s.sessionState.guard != nil {
 		s.sessionState.guard.Record(guard.Event{At: time.Now(), Session: s.id, Request: s.reqID, Step: step, Reason: why})
 	}
