--- a/cmd/tinsail/accord.go
+++ b/cmd/tinsail/accord.go
@@ -15,13 +15,13 @@
 	"tinsail/internal/settings"
 )
 
-// accordPlan is the plan of leases that the settings declare.
-func accordPlan(a *settings.Accord) leases.LeaseConfig {
+// accordLeaseConfig is the plan of leases that the settings declare.
+func accordLeaseConfig(a *settings.Accord) leases.LeaseConfig {
 	return leases.LeaseConfig{Lease: millis(a.LeaseMS), Drift: a.Drift, ContinueWhenCut: a.ContinueWhenCut()}
 }
 
-// accordName is what a dispatcher may be called: backends are told its name in a header.
-var accordName = regexp.MustCompile(`^[A-Za-z0-9_.-]{1,64}$`)
+// dispatcherName is what a dispatcher may be called: backends are told its name in a header.
+var dispatcherName = regexp.MustCompile(`^[A-Za-z0-9_.-]{1,64}$`)
 
 // checkAccord finds what the calls allow and the schema cannot say. cfg and set may be nil.
 func checkAccord(cfg *config.Config, set *settings.Settings) error {
@@ -37,7 +37,7 @@
 	case set.Policy == nil:
 		return settings.Faults{set.Fault("accord", "is set, and policy is not: there is nothing to agree on")}
 	}
-	if err := accordPlan(a).Check(); err != nil {
+	if err := accordLeaseConfig(a).Check(); err != nil {
 		return settings.Faults{set.Fault("accord", err.Error())}
 	}
 	voters, err := accord.ParseVoters(a.Voters)
@@ -48,13 +48,13 @@
 		key, says, _ := strings.Cut(err.Error(), " ") // each begins with its key
 		return settings.Faults{set.Fault(key, says)}
 	}
-	if err := checkSize(set); err != nil {
+	if err := checkPolicySize(set); err != nil {
 		return err
 	}
 	if cfg == nil {
 		return nil
 	}
-	if !accordName.MatchString(cfg.Name) {
+	if !dispatcherName.MatchString(cfg.Name) {
 		return settings.Faults{set.Fault("accord", "the configuration's name is not 1 to 64 letters, digits, dots, - and _")}
 	}
 	for _, v := range voters {
@@ -68,7 +68,7 @@
 func policyOf(set *settings.Settings) policy.Policy { return policy.Policy(*set.Policy) }
 
 // addAccord starts this dispatcher's part in the accord. Until a version is known to hold nothing is taken.
-func (d *dispatcher) addAccord(set *settings.Settings, from handed) error {
+func (d *dispatcher) addAccord(set *settings.Settings, from handoverData) error {
 	a := set.Accord
 	if a == nil {
 		return nil
@@ -83,36 +83,36 @@
 		}
 	}
 	var lends func([]byte) (budget.Plan, bool)
-	if d.budgets != nil && d.budgets.leader != nil {
+	if d.budgets != nil && d.budgets.leaderShare != nil {
 		lends = func(body []byte) (budget.Plan, bool) {
 			p, err := policy.Read(body)
 			return d.budgets.plan(d.cfg.Settings.Instances, &p), err == nil && p.Connections > 0
 		}
 	}
-	d.accord, err = accord.New(accord.Config{Budget: lends, Plan: accordPlan(a), Name: d.cfg.Name, Epoch: uint64(time.Now().UnixNano()), Voters: voters,
-		Listen: a.Listen, Data: a.Data, First: policyOf(set).Append(nil), Check: d.canTake, Enter: d.takeUp, Log: d.log})
+	d.accord, err = accord.New(accord.Config{Budget: lends, Plan: accordLeaseConfig(a), Name: d.cfg.Name, Epoch: uint64(time.Now().UnixNano()), Voters: voters,
+		Listen: a.Listen, Data: a.Data, First: policyOf(set).Append(nil), Check: d.checkPolicy, Enter: d.applyPolicy, Log: d.log})
 	if err != nil {
 		return errors.Join(errors.New("accord"), err)
 	}
 	if lends != nil {
-		d.budgets.leader.of.Store(d.accord)
+		d.budgets.leaderShare.accord.Store(d.accord)
 	}
 	d.core.Versions = d.accord
 	d.pool.DispatcherName = d.cfg.Name
 	return nil
 }
 
-// canTake checks a policy of the fleet against this binary and configuration.
-func (d *dispatcher) canTake(body []byte) error {
+// checkPolicy checks a policy of the fleet against this binary and configuration.
+func (d *dispatcher) checkPolicy(body []byte) error {
 	p, err := policy.Read(body)
 	if err != nil {
 		return err
 	}
-	if err := d.canKeepQuotas(p); err != nil {
+	if err := d.checkPolicyQuotas(p); err != nil {
 		return err
 	}
 	if p.Connections == 0 {
-		if d.budgets != nil && d.budgets.leader != nil {
+		if d.budgets != nil && d.budgets.leaderShare != nil {
 			return errors.New("it sets no policy.connections, and budgets.keeper is the leader")
 		}
 		return nil
@@ -123,15 +123,15 @@
 	return d.budgets.plan(d.cfg.Settings.Instances, &p).Check()
 }
 
-// takeUp puts a version of the fleet's policy in force. No req is taken before it returns.
-func (d *dispatcher) takeUp(_ uint64, body []byte) error {
+// applyPolicy puts a version of the fleet's policy in force. No req is taken before it returns.
+func (d *dispatcher) applyPolicy(_ uint64, body []byte) error {
 	p, err := policy.Read(body)
 	if err != nil {
 		return err
 	}
 	d.bans.SetPolicyBans(p.Bans)
 	if d.quotas != nil {
-		d.quotas.enter(p)
+		d.quotas.applyPolicy(p)
 	}
 	if d.budgets == nil {
 		return nil
@@ -140,7 +140,7 @@
 	if p.Connections > 0 {
 		d.budgets.policy.Store(&p)
 	}
-	return d.budgets.replan(d.cfg.Settings.Instances)
+	return d.budgets.applyPlan(d.cfg.Settings.Instances)
 }
 
 // reloadAccord proposes the script's policy where it has changed since it was last read, or where it is
--- a/cmd/tinsail/accord_rig_test.go
+++ b/cmd/tinsail/accord_rig_test.go
@@ -154,7 +154,7 @@
 	j.tell(history.Began, named(i))
 	l := &life{read: make(chan struct{})}
 	var errs io.Reader
-	l.cmd, errs = launch(j.t, text, j.script(i, `bans = []`))
+	l.cmd, errs = startServe(j.t, text, j.script(i, `bans = []`))
 	at := make(chan string, 1)
 	go func() {
 		defer close(l.read)
--- a/cmd/tinsail/arrival_test.go
+++ b/cmd/tinsail/arrival_test.go
@@ -15,13 +15,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slack is what the pages allow the time told to a backend beyond what the client has left.
-const slack = 150 * time.Millisecond
+// timeLeftSlack is what the pages allow the time told to a backend beyond what the client has left.
+const timeLeftSlack = 150 * time.Millisecond
 
-// TestTimeInTheKernel: requests wait at the machine while the process does not run, on a connection that is not accepted yet, on
+// TestTimeLeftCountsKernelQueues: requests wait at the machine while the process does not run, on a connection that is not accepted yet, on
 // one that is open, and behind a request that is answered. What backends are told is what their clients have left, and a client
 // whose time went by meanwhile has its answer, and nothing begins for it.
-func TestTimeInTheKernel(t *testing.T) {
+func TestTimeLeftCountsKernelQueues(t *testing.T) {
 	const left, stop = 3000 * time.Millisecond, 1200 * time.Millisecond
 	h := newHouse(t, "127.0.0.1:0")
 	h.script = filepath.Join(t.TempDir(), "s.star")
@@ -89,7 +89,7 @@
 			}
 			assert.NotEqual(t, "short", a.ID, "its time was over")
 			has := left - a.Last.Sub(at)
-			assert.LessOrEqual(t, a.Told, has+slack, "%s was told more than its client had left", a.ID)
+			assert.LessOrEqual(t, a.Told, has+timeLeftSlack, "%s was told more than its client had left", a.ID)
 		}
 	}
 }
--- a/cmd/tinsail/border.go
+++ b/cmd/tinsail/border.go
@@ -8,16 +8,16 @@
 	"tinsail/internal/network/maintain"
 )
 
-// border is where the program meets the system. The soak's build (tag shim, internal/lab/soak) has it fail there in the ways
+// osInterface is where the program meets the system. The soak's build (tag shim, internal/lab/soak) has it fail there in the ways
 // that Linux documents; in the program that serves, all pass through.
-type border struct {
-	wallOff  time.Duration // how far the wall clock is off
-	dial     network.Dial
-	listener func(net.Listener) net.Listener
-	store    func(maintain.Store) maintain.Store // nil for the file itself
+type osInterface struct {
+	wallClockOffset time.Duration // how far the wall clock is off
+	dial            network.Dial
+	wrapListener    func(net.Listener) net.Listener
+	wrapStore       func(maintain.Store) maintain.Store // nil for the file itself
 }
 
-// wall is the system's wall clock.
-func (b *border) wall() time.Time { return time.Now().Add(b.wallOff) }
+// wallClock is the system's wallClock clock.
+func (b *osInterface) wallClock() time.Time { return time.Now().Add(b.wallClockOffset) }
 
-var system = border{dial: network.DialTCP, listener: func(l net.Listener) net.Listener { return l }}
+var hostOS = osInterface{dial: network.DialTCP, wrapListener: func(l net.Listener) net.Listener { return l }}
--- a/cmd/tinsail/budgets.go
+++ b/cmd/tinsail/budgets.go
@@ -16,26 +16,26 @@
 
 // fleetBudgets are the fleet-wide budgets that the settings declare, as this dispatcher holds them.
 type fleetBudgets struct {
-	gate   *budgets.Limiter
-	fixed  *budgets.FixedShare // nil where there is a keeper
-	holder *budgets.Holder     // nil without a keeper
-	keeper *budgets.Keeper     // nil but at the keeper
-	leader *leaderShare        // nil but where the accord's leader keeps the leases
-	share  budgets.Sharer
-	fleet  atomic.Int64                     // the fleet's size as this dispatcher estimates it
-	script atomic.Pointer[settings.Budgets] // as last read, with what waits for the next start as at this one
-	policy atomic.Pointer[policy.Policy]    // the fleet's, where it sets the budgets; else nil
+	limiter     *budgets.Limiter
+	fixedShare  *budgets.FixedShare // nil where there is a keeper
+	holder      *budgets.Holder     // nil without a keeper
+	keeper      *budgets.Keeper     // nil but at the keeper
+	leaderShare *leaderShare        // nil but where the accord's leader keeps the leases
+	share       budgets.Sharer
+	fleetSize   atomic.Int64                     // the fleet's size as this dispatcher estimates it
+	configured  atomic.Pointer[settings.Budgets] // as last read, with what waits for the next start as at this one
+	policy      atomic.Pointer[policy.Policy]    // the fleet's, where it sets the budgets; else nil
 }
 
-// leaderKeeps, as budgets.keeper, has the leader of the accord keep the leases.
-const leaderKeeps = "leader"
+// keeperIsLeader, as budgets.keeper, has the leader of the accord keep the leases.
+const keeperIsLeader = "leader"
 
 // leaderShare is the share that the accord's leader lends; 0 until a version is in force.
-type leaderShare struct{ of atomic.Pointer[accord.Accord] }
+type leaderShare struct{ accord atomic.Pointer[accord.Accord] }
 
 // Share is what this dispatcher may spend now, in units a second.
 func (l *leaderShare) Share() int {
-	if a := l.of.Load(); a != nil {
+	if a := l.accord.Load(); a != nil {
 		return a.Share()
 	}
 	return 0
@@ -52,8 +52,8 @@
 		Lease: time.Duration(b.LeaseMs) * time.Millisecond, Drift: b.Drift}
 }
 
-// split is the share of a plan without talk.
-func split(p budget.Plan, instances int) int {
+// equalShare is the share of a plan without talk.
+func equalShare(p budget.Plan, instances int) int {
 	return budget.Split(p.Total, budget.Estimate(instances, p.Most), 0)
 }
 
@@ -67,11 +67,11 @@
 	switch {
 	case b == nil:
 		return nil
-	case b.Keeper == leaderKeeps && set.Accord == nil:
+	case b.Keeper == keeperIsLeader && set.Accord == nil:
 		return settings.Faults{set.Fault("budgets.keeper", "is the accord's leader, and accord is not set")}
-	case b.Keeper == leaderKeeps && b.KeeperAt != "":
+	case b.Keeper == keeperIsLeader && b.KeeperAt != "":
 		return settings.Faults{set.Fault("budgets.keeper_at", "is set, and the accord's leader needs none")}
-	case b.Keeper == leaderKeeps:
+	case b.Keeper == keeperIsLeader:
 		return nil
 	case b.Keeper != "" && b.KeeperAt == "":
 		return settings.Faults{set.Fault("budgets.keeper_at", "is not set, where keeper is")}
@@ -91,14 +91,14 @@
 	}
 	f := &fleetBudgets{}
 	plan := connectionsPlan(b, d.cfg.Settings.Instances)
-	f.script.Store(b)
-	f.fleet.Store(int64(budget.Estimate(d.cfg.Settings.Instances, plan.Most)))
-	if b.Keeper == leaderKeeps {
-		f.leader = &leaderShare{}
-		f.share = f.leader
+	f.configured.Store(b)
+	f.fleetSize.Store(int64(budget.Estimate(d.cfg.Settings.Instances, plan.Most)))
+	if b.Keeper == keeperIsLeader {
+		f.leaderShare = &leaderShare{}
+		f.share = f.leaderShare
 	} else if b.Keeper == "" {
-		f.fixed = budgets.NewFixedShare(split(plan, d.cfg.Settings.Instances))
-		f.share = f.fixed
+		f.fixedShare = budgets.NewFixedShare(equalShare(plan, d.cfg.Settings.Instances))
+		f.share = f.fixedShare
 	} else {
 		if err := plan.Check(); err != nil {
 			return settings.Faults{set.Fault("budgets", err.Error())}
@@ -127,8 +127,8 @@
 		}
 		f.share = f.holder
 	}
-	f.gate = budgets.NewLimiter(f.share)
-	d.pool.Limiter = f.gate
+	f.limiter = budgets.NewLimiter(f.share)
+	d.pool.Limiter = f.limiter
 	d.budgets = f
 	return nil
 }
@@ -147,31 +147,31 @@
 	if err := connectionsPlan(&n, d.cfg.Settings.Instances).Check(); err != nil {
 		return settings.Faults{next.Fault("budgets", err.Error())}
 	}
-	f.script.Store(&n)
-	return f.replan(d.cfg.Settings.Instances)
+	f.configured.Store(&n)
+	return f.applyPlan(d.cfg.Settings.Instances)
 }
 
 // plan is the plan in force: the script's, or the fleet's policy's where that sets the budgets.
 func (f *fleetBudgets) plan(instances int, p *policy.Policy) budget.Plan {
-	b := *f.script.Load()
+	b := *f.configured.Load()
 	if p != nil {
 		b.Connections, b.Most, b.Reserve = p.Connections, p.MaxDispatchers, p.Reserve
 	}
 	return connectionsPlan(&b, instances)
 }
 
-// replan puts the plan in force while shares are held.
-func (f *fleetBudgets) replan(instances int) error {
+// applyPlan puts the plan in force while shares are held.
+func (f *fleetBudgets) applyPlan(instances int) error {
 	plan := f.plan(instances, f.policy.Load())
 	if err := plan.Check(); err != nil {
 		return err
 	}
-	f.fleet.Store(int64(budget.Estimate(instances, plan.Most)))
-	if f.leader != nil { // it follows the version in force by itself
+	f.fleetSize.Store(int64(budget.Estimate(instances, plan.Most)))
+	if f.leaderShare != nil { // it follows the version in force by itself
 		return nil
 	}
-	if f.fixed != nil {
-		f.fixed.Set(split(plan, instances))
+	if f.fixedShare != nil {
+		f.fixedShare.Set(equalShare(plan, instances))
 		return nil
 	}
 	// the keeper first: a holder of this process that asks anew is answered from the new pool
@@ -195,12 +195,12 @@
 // each calls f for the budgets' counters.
 func (f *fleetBudgets) each(c func(name string, n int64)) {
 	c("budget_connections_share", int64(f.share.Share()))
-	c("budget_connections_fleet", f.fleet.Load())
-	c("budget_connections_granted", f.gate.Passed.Load())
-	c("budget_connections_waited", f.gate.Waited.Load())
-	c("budget_connections_unsent", f.gate.Refused.Load())
-	if f.leader != nil {
-		if a := f.leader.of.Load(); a != nil {
+	c("budget_connections_fleet", f.fleetSize.Load())
+	c("budget_connections_granted", f.limiter.Passed.Load())
+	c("budget_connections_waited", f.limiter.Waited.Load())
+	c("budget_connections_unsent", f.limiter.Refused.Load())
+	if f.leaderShare != nil {
+		if a := f.leaderShare.accord.Load(); a != nil {
 			c("budget_connections_lent", int64(a.Lent()))
 		}
 	}
--- a/cmd/tinsail/commands.go
+++ b/cmd/tinsail/commands.go
@@ -23,7 +23,7 @@
 Exit codes: 0 done, 1 failed, 2 the command line, the configuration or the settings
 are faulty.`
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use: "tinsail", Short: "A dispatcher of jobs to backends", Long: about,
 		SilenceErrors: true, SilenceUsage: true,
@@ -32,7 +32,7 @@
   ROUTER_CONFIG=config.json tinsail serve
   tinsail completion bash > /etc/bash_completion.d/tinsail`,
 	}
-	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return faulty{err} })
+	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return inputError{err} })
 	c.AddCommand(serveCommand(), checkCommand(), versionCommand(), demoCommand(), membersCommand(), controlCommand(), labCommand(), referenceCommand())
 	for _, sub := range c.Commands() {
 		sub.Args = noArgs
@@ -44,25 +44,25 @@
 
 func noArgs(c *cobra.Command, args []string) error {
 	if len(args) > 0 {
-		return faulty{fmt.Errorf("%s takes no %q, see %s --help", c.CommandPath(), args[0], c.CommandPath())}
+		return inputError{fmt.Errorf("%s takes no %q, see %s --help", c.CommandPath(), args[0], c.CommandPath())}
 	}
 	return nil
 }
 
 // options are the flags that commands share.
 type options struct {
-	settings, level, format string
-	every                   time.Duration // serve logs the counters this often; 0: only on SIGUSR1 and at the end
+	settingsPath, logLevel, logFormat string
+	countersEvery                     time.Duration // serve logs the counters this often; 0: only on SIGUSR1 and at the end
 }
 
-func (o *options) add(c *cobra.Command, withLog bool) {
-	c.Flags().StringVar(&o.settings, "settings", "", "the settings script (Starlark); none: all that it could set is off")
+func (o *options) addFlags(c *cobra.Command, withLog bool) {
+	c.Flags().StringVar(&o.settingsPath, "settings", "", "the settings script (Starlark); none: all that it could set is off")
 	_ = c.MarkFlagFilename("settings", "star")
 	if !withLog {
 		return
 	}
-	c.Flags().StringVar(&o.level, "log-level", "info", "trace, debug, info, warn, error or off")
-	c.Flags().StringVar(&o.format, "log-format", logs.Auto, "auto (text on a terminal, else JSON lines), json or text")
+	c.Flags().StringVar(&o.logLevel, "log-level", "info", "trace, debug, info, warn, error or off")
+	c.Flags().StringVar(&o.logFormat, "log-format", logs.Auto, "auto (text on a terminal, else JSON lines), json or text")
 	fixed := func(words ...string) func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
 		return func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
 			return words, cobra.ShellCompDirectiveNoFileComp
@@ -85,8 +85,8 @@
   ROUTER_CONFIG=config.json tinsail serve --settings deploy/example.star --log-level debug`,
 		RunE: func(c *cobra.Command, _ []string) error { return serve(o, c.ErrOrStderr()) },
 	}
-	o.add(c, true)
-	c.Flags().DurationVar(&o.every, "counters-every", 0, "log the counters this often (e.g. 1s), to follow a day in the logs; 0: only on SIGUSR1 and at the end")
+	o.addFlags(c, true)
+	c.Flags().DurationVar(&o.countersEvery, "counters-every", 0, "log the counters this often (e.g. 1s), to follow a day in the logs; 0: only on SIGUSR1 and at the end")
 	return c
 }
 
@@ -101,15 +101,15 @@
   ROUTER_CONFIG=config.json tinsail check --settings deploy/example.star`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			cfg, err := config.Load(os.Getenv)
-			set, err2 := settings.Load(o.settings)
-			if err = errors.Join(err, err2, clash(cfg, set), checkSources(cfg, set), checkBudgets(set), checkAccord(cfg, set), checkQuotas(cfg, set)); err != nil {
-				return faulty{err}
+			set, err2 := settings.Load(o.settingsPath)
+			if err = errors.Join(err, err2, checkAddresses(cfg, set), checkSources(cfg, set), checkBudgets(set), checkAccord(cfg, set), checkQuotas(cfg, set)); err != nil {
+				return inputError{err}
 			}
 			fmt.Fprintln(c.OutOrStdout(), "the configuration and the settings are well")
 			return nil
 		},
 	}
-	o.add(c, false)
+	o.addFlags(c, false)
 	return c
 }
 
--- a/cmd/tinsail/consul_test.go
+++ b/cmd/tinsail/consul_test.go
@@ -28,9 +28,9 @@
 	"tinsail/internal/standin/platform"
 )
 
-// site is a dispatcher in this process whose backends are in a catalogue, a director's list, or
+// consulFixture is a dispatcher in this process whose backends are in a catalogue, a director's list, or
 // both; all of it stand-ins but the dispatcher.
-type site struct {
+type consulFixture struct {
 	t        testing.TB
 	d        *dispatcher
 	agents   []*standin.Agent
@@ -39,8 +39,8 @@
 	set      *settings.Settings
 }
 
-func newSite(t testing.TB, agents, backends int, work time.Duration, script string) *site {
-	s := &site{t: t}
+func newConsulFixture(t testing.TB, agents, backends int, work time.Duration, script string) *consulFixture {
+	s := &consulFixture{t: t}
 	var err error
 	s.director, err = platform.StartDirector()
 	require.NoError(t, err)
@@ -54,7 +54,7 @@
 		addresses = append(addresses, strconv.Quote(a.Address))
 	}
 	for range backends {
-		s.add(work)
+		s.addBackend(work)
 	}
 	cfg, err := config.Parse(demoConfig, os.Getenv)
 	require.NoError(t, err)
@@ -62,16 +62,16 @@
 	script = strings.ReplaceAll(script, "AGENTS", "["+strings.Join(addresses, ", ")+"]")
 	s.set, err = settings.Parse("s.star", func(string) ([]byte, error) { return []byte(script), nil })
 	require.NoError(t, err)
-	s.d, err = assemble(cfg, s.set, zerolog.Nop(), handed{})
+	s.d, err = assemble(cfg, s.set, zerolog.Nop(), handoverData{})
 	require.NoError(t, err)
 	s.d.start()
-	t.Cleanup(s.d.close)
-	s.await(func() bool { return s.d.core.ReadyBackends() == backends })
+	t.Cleanup(s.d.closeListeners)
+	s.waitFor(func() bool { return s.d.core.ReadyBackends() == backends })
 	return s
 }
 
-// add starts a backend and names it to all.
-func (s *site) add(work time.Duration) *platform.Backend {
+// addBackend starts a backend and names it to all.
+func (s *consulFixture) addBackend(work time.Duration) *platform.Backend {
 	i := len(s.backends)
 	b, err := platform.StartBackend(fmt.Sprintf("b%02d", i), 8, func(string) time.Duration { return work })
 	require.NoError(s.t, err)
@@ -84,7 +84,7 @@
 	return b
 }
 
-func (s *site) instance(b *platform.Backend) standin.Service {
+func (s *consulFixture) instance(b *platform.Backend) standin.Service {
 	host, port, err := net.SplitHostPort(b.Address)
 	require.NoError(s.t, err)
 	n, err := strconv.Atoi(port)
@@ -92,23 +92,23 @@
 	return standin.Service{ID: b.Name, Service: "photo", Address: host, Port: n, Meta: map[string]string{"weight": "8", "kind": "fast", "group": b.Name[1:]}}
 }
 
-func (s *site) await(f func() bool) {
+func (s *consulFixture) waitFor(f func() bool) {
 	s.t.Helper()
 	for begun := time.Now(); !f(); time.Sleep(time.Millisecond) {
 		require.Less(s.t, time.Since(begun), 30*time.Second, "it never came")
 	}
 }
 
-// load sends so many reqs a second until stop is closed, whether they are answered or not. Served
+// openLoad sends so many reqs a second until stop is closed, whether they are answered or not. Served
 // in time is within 120 ms and twice the work.
-type load struct {
-	sent, good, served, refused, failed, lost atomic.Int64
-	all                                       sync.WaitGroup
+type openLoad struct {
+	sent, inTime, served, refused, failed, lost atomic.Int64
+	all                                         sync.WaitGroup
 }
 
-func (s *site) load(perSec int, within time.Duration, stop <-chan struct{}) *load {
-	l := &load{}
-	f := newFront("HTTP/1.1", s.d.listener.Addr().String(), 256, false)
+func (s *consulFixture) startLoad(perSec int, within time.Duration, stop <-chan struct{}) *openLoad {
+	l := &openLoad{}
+	f := newFrontClient("HTTP/1.1", s.d.listener.Addr().String(), 256, false)
 	l.all.Go(func() {
 		defer f.client.CloseIdleConnections()
 		tick := time.NewTicker(time.Second / time.Duration(perSec))
@@ -120,7 +120,7 @@
 			case <-tick.C:
 			}
 			l.all.Go(func() {
-				id := fmt.Sprint("m-", reqs.Add(1))
+				id := fmt.Sprint("m-", lastReqID.Add(1))
 				l.sent.Add(1)
 				begun := time.Now()
 				switch status, err := f.send(id); {
@@ -129,7 +129,7 @@
 				case status == 200:
 					l.served.Add(1)
 					if time.Since(begun) <= within {
-						l.good.Add(1)
+						l.inTime.Add(1)
 					}
 				case status == 503 || status == 429:
 					l.refused.Add(1)
@@ -142,26 +142,28 @@
 	return l
 }
 
-var reqs atomic.Int64
+var lastReqID atomic.Int64
 
-func (l *load) inTime() float64 { return 100 * float64(l.good.Load()) / float64(max(l.sent.Load(), 1)) }
+func (l *openLoad) inTimePercent() float64 {
+	return 100 * float64(l.inTime.Load()) / float64(max(l.sent.Load(), 1))
+}
 
-const both = "consul(address = AGENTS, service = \"photo\", wait_ms = 5000, timeout_ms = 1000, calls_per_s = 100)\nbackends(director = False)\n"
+const consulScript = "consul(address = AGENTS, service = \"photo\", wait_ms = 5000, timeout_ms = 1000, calls_per_s = 100)\nbackends(director = False)\n"
 
-// TestConsulSite: a dispatcher serves from the catalogue; what is in maintenance gets nothing new,
+// TestServesFromConsul: a dispatcher serves from the catalogue; what is in maintenance gets nothing new,
 // an address that moves is followed, a silent catalogue costs nothing, and SIGHUP to another agent
 // drops no attempt.
-func TestConsulSite(t *testing.T) {
-	s := newSite(t, 2, 3, 0, both)
-	f := newFront("HTTP/1.1", s.d.listener.Addr().String(), 8, false)
+func TestServesFromConsul(t *testing.T) {
+	s := newConsulFixture(t, 2, 3, 0, consulScript)
+	f := newFrontClient("HTTP/1.1", s.d.listener.Addr().String(), 8, false)
 	ask := func(n int) {
 		for range n {
-			require.NoError(t, f.one(fmt.Sprint("s-", reqs.Add(1))))
+			require.NoError(t, f.sendAndCount(fmt.Sprint("s-", lastReqID.Add(1))))
 		}
 	}
 	ask(30)
 	s.agents[0].Maintenance("b01", true)
-	s.await(func() bool { return s.d.core.ReadyBackends() == 2 })
+	s.waitFor(func() bool { return s.d.core.ReadyBackends() == 2 })
 	before := s.backends[1].Counts().Jobs
 	ask(30)
 	assert.Equal(t, before, s.backends[1].Counts().Jobs, "nothing to one that drains")
@@ -170,7 +172,7 @@
 	require.NoError(t, err)
 	defer moved.Close()
 	s.agents[0].Put(s.instance(moved))
-	s.await(func() bool {
+	s.waitFor(func() bool {
 		list, _ := s.d.sources.list.Members()
 		return list[2].Address == moved.Address
 	})
@@ -187,10 +189,10 @@
 
 	s.agents[0].Set(standin.Faults{Reset: true})
 	s.agents[1].Set(standin.Faults{Reset: true})
-	s.await(func() bool { return s.d.sources.count.Unreachable.Load() >= 2 })
+	s.waitFor(func() bool { return s.d.sources.count.Unreachable.Load() >= 2 })
 	ask(30)
 	assert.Equal(t, 2, s.d.core.ReadyBackends(), "the last list holds")
-	assert.Contains(t, s.d.sources.describe(), "silent: believed as it was")
+	assert.Contains(t, s.d.sources.membersJSON(), "silent: believed as it was")
 
 	s.agents[1].Put(s.instance(moved))
 	s.agents[1].Maintenance("b01", true)
@@ -198,8 +200,8 @@
 	s.backends[0].Set(platform.Faults{Hold: true})
 	moved.Set(platform.Faults{Hold: true})
 	done := make(chan error, 1)
-	go func() { done <- f.one("across-the-reload") }()
-	s.await(func() bool { return s.d.core.OpenReqs() == 1 })
+	go func() { done <- f.sendAndCount("across-the-reload") }()
+	s.waitFor(func() bool { return s.d.core.OpenReqs() == 1 })
 	next := *s.set
 	c := *s.set.Consul
 	c.Address = []string{s.agents[1].Address}
@@ -208,7 +210,7 @@
 	s.backends[0].Set(platform.Faults{})
 	moved.Set(platform.Faults{})
 	require.NoError(t, <-done)
-	s.await(func() bool { return strings.Contains(s.d.sources.describe(), `"consul","state":"answers"`) })
+	s.waitFor(func() bool { return strings.Contains(s.d.sources.membersJSON(), `"consul","state":"answers"`) })
 
 	// Rules and the director are taken over too: the director names b01 as ready, which the
 	// catalogue's maintenance outweighs, and b03, which the catalogue does not know.
@@ -221,12 +223,12 @@
 	last.MemberRules = &settings.MemberRules{HoldMS: 30_000, WarningDrains: true}
 	s.agents[1].Check("b00", "warning")
 	s.d.reloadSources(&next, &last)
-	s.await(func() bool {
+	s.waitFor(func() bool {
 		list, _ := s.d.sources.list.Members()
 		return len(list) == 4 && list[0].State == membership.Draining && list[1].State == membership.Draining && list[3].State == membership.Ready
 	})
 	s.d.reloadSources(&last, &next)
-	s.await(func() bool {
+	s.waitFor(func() bool {
 		list, _ := s.d.sources.list.Members()
 		return len(list) == 3 && list[0].State == membership.Ready
 	})
@@ -239,8 +241,8 @@
 	assert.Equal(t, int64(0), f.refused.Load()+f.failed.Load())
 }
 
-// TestSourcesChecked: what the schema cannot find is found before anything is started.
-func TestSourcesChecked(t *testing.T) {
+// TestCheckFindsSourceFaults: what the schema cannot find is found before anything is started.
+func TestCheckFindsSourceFaults(t *testing.T) {
 	t.Setenv("ROUTER_CONFIG", filepath.Join(t.TempDir(), "c.json"))
 	require.NoError(t, os.WriteFile(os.Getenv("ROUTER_CONFIG"), demoConfig, 0o600))
 	for script, want := range map[string]string{
@@ -254,7 +256,7 @@
 		path := filepath.Join(t.TempDir(), "s.star")
 		require.NoError(t, os.WriteFile(path, []byte(script), 0o600))
 		var out strings.Builder
-		assert.Equal(t, exitFaulty, execute([]string{"check", "--settings", path}, &out, &out), script)
+		assert.Equal(t, exitInvalidInput, execute([]string{"check", "--settings", path}, &out, &out), script)
 		assert.Contains(t, out.String(), want)
 	}
 }
@@ -264,9 +266,9 @@
 func BenchmarkDrains(b *testing.B) {
 	for b.Loop() {
 		const drains, at = 1000, 4
-		s := newSite(b, 1, 12, 5*time.Millisecond, both)
+		s := newConsulFixture(b, 1, 12, 5*time.Millisecond, consulScript)
 		stop := make(chan struct{})
-		l := s.load(1000, 130*time.Millisecond, stop)
+		l := s.startLoad(1000, 130*time.Millisecond, stop)
 		var took []time.Duration
 		for round := range drains / at {
 			marked := map[*platform.Backend]time.Time{}
@@ -280,7 +282,7 @@
 				took = append(took, max(backend.LastJob().Sub(begun), 0))
 				s.agents[0].Maintenance(backend.Name, false)
 			}
-			s.await(func() bool { return s.d.core.ReadyBackends() == 12 })
+			s.waitFor(func() bool { return s.d.core.ReadyBackends() == 12 })
 			time.Sleep(10 * time.Millisecond)
 		}
 		close(stop)
@@ -290,7 +292,7 @@
 		b.ReportMetric(ms(took[len(took)/2]), "p50-ms")
 		b.ReportMetric(ms(took[len(took)*99/100]), "p99-ms")
 		b.ReportMetric(ms(took[len(took)-1]), "max-ms")
-		b.ReportMetric(l.inTime(), "in-time-%")
+		b.ReportMetric(l.inTimePercent(), "in-time-%")
 		b.ReportMetric(float64(l.lost.Load()), "lost")
 	}
 }
@@ -299,10 +301,10 @@
 // backend dies and one is replaced by another that it can not tell of.
 func BenchmarkOutage(b *testing.B) {
 	for b.Loop() {
-		s := newSite(b, 1, 10, 20*time.Millisecond, both)
-		run := func(long time.Duration, f func()) *load {
+		s := newConsulFixture(b, 1, 10, 20*time.Millisecond, consulScript)
+		run := func(long time.Duration, f func()) *openLoad {
 			stop := make(chan struct{})
-			l := s.load(500, 160*time.Millisecond, stop)
+			l := s.startLoad(500, 160*time.Millisecond, stop)
 			f()
 			time.Sleep(long)
 			close(stop)
@@ -316,12 +318,12 @@
 			s.backends[0].Close()
 			s.agents[0].Remove("b00")
 			s.agents[0].Maintenance("b01", true)
-			s.add(20 * time.Millisecond)
+			s.addBackend(20 * time.Millisecond)
 		})
 		back := run(5*time.Second, func() { s.agents[0].Set(standin.Faults{}) })
-		b.ReportMetric(calm.inTime(), "before-%")
-		b.ReportMetric(silent.inTime(), "silent-%")
-		b.ReportMetric(back.inTime(), "after-%")
+		b.ReportMetric(calm.inTimePercent(), "before-%")
+		b.ReportMetric(silent.inTimePercent(), "silent-%")
+		b.ReportMetric(back.inTimePercent(), "after-%")
 		b.ReportMetric(float64(calm.lost.Load()+silent.lost.Load()+back.lost.Load()), "lost")
 		b.ReportMetric(float64(silent.failed.Load()+silent.refused.Load()), "not-served")
 	}
@@ -334,20 +336,20 @@
 		name, script string
 		lying        bool
 	}{
-		{"consul", both, false}, {"consul-lying", both, true}, {"director", "", false},
+		{"consul", consulScript, false}, {"consul-lying", consulScript, true}, {"director", "", false},
 	} {
 		b.Run(v.name, func(b *testing.B) {
 			for b.Loop() {
-				s := newSite(b, 1, 10, 20*time.Millisecond, v.script)
+				s := newConsulFixture(b, 1, 10, 20*time.Millisecond, v.script)
 				if v.lying {
 					s.backends[3].Set(platform.Faults{FailPart: 0.9})
 				}
 				stop := make(chan struct{})
-				l := s.load(500, 160*time.Millisecond, stop)
+				l := s.startLoad(500, 160*time.Millisecond, stop)
 				time.Sleep(8 * time.Second)
 				close(stop)
 				l.all.Wait()
-				b.ReportMetric(l.inTime(), "in-time-%")
+				b.ReportMetric(l.inTimePercent(), "in-time-%")
 				b.ReportMetric(float64(l.lost.Load()), "lost")
 			}
 		})
@@ -366,8 +368,8 @@
 				for i := range n {
 					a.Put(standin.Service{ID: "i" + strconv.Itoa(i), Service: "photo", Address: "127.0.0.1", Port: 1 + i%60000})
 				}
-				before := heap()
-				sink := &counter{set: membership.New(membership.Defaults("consul", 1)), first: make(chan struct{})}
+				before := heapBytes()
+				sink := &timedSink{set: membership.New(membership.Defaults("consul", 1)), first: make(chan struct{})}
 				w := &consul.Watch{Sink: sink, Counts: &consul.Counts{}, Config: consul.Config{Addresses: []string{a.Address}, Scheme: "http",
 					Service: "photo", AllowStale: true, WaitTime: 5 * time.Second, Timeout: 5 * time.Second, MaxBodyBytes: 64 << 20, CallsPerSecond: 10, MaxEntries: 100_000}}
 				require.NoError(b, w.Init())
@@ -377,15 +379,15 @@
 				go func() { w.Run(ctx); close(ended) }()
 				<-sink.first
 				b.ReportMetric(float64(time.Since(begun).Microseconds())/1000, "first-ms")
-				b.ReportMetric(float64(heap()-before)/1024, "heap-KiB")
-				used, lists := processor(), w.Counts.Lists.Load()
+				b.ReportMetric(float64(heapBytes()-before)/1024, "heap-KiB")
+				used, lists := processorTime(), w.Counts.Lists.Load()
 				for i := range n / 10 {
 					a.Check("i"+strconv.Itoa(i), []string{"warning", "passing"}[i%2])
 					time.Sleep(time.Second / time.Duration(n/10))
 				}
-				b.ReportMetric(float64((processor()-used).Microseconds())/1000, "cpu-ms/s")
+				b.ReportMetric(float64((processorTime()-used).Microseconds())/1000, "cpu-ms/s")
 				b.ReportMetric(float64(w.Counts.Lists.Load()-lists), "lists/s")
-				b.ReportMetric(float64(sink.spent.Microseconds())/1000, "merge-ms")
+				b.ReportMetric(float64(sink.mergeTime.Microseconds())/1000, "merge-ms")
 				cancel()
 				<-ended
 				a.Close()
@@ -394,32 +396,32 @@
 	}
 }
 
-// counter merges what it is told, and takes the time of that.
-type counter struct {
-	set   *membership.Set
-	first chan struct{}
-	once  sync.Once
-	spent time.Duration
+// timedSink merges what it is told, and takes the time of that.
+type timedSink struct {
+	set       *membership.Set
+	first     chan struct{}
+	once      sync.Once
+	mergeTime time.Duration
 }
 
-func (c *counter) ReplaceAll(list []membership.Backend) {
+func (c *timedSink) ReplaceAll(list []membership.Backend) {
 	begun := time.Now()
 	c.set.ReplaceAll(begun, 0, list)
 	c.set.Changes()
-	c.spent += time.Since(begun)
-	c.once.Do(func() { close(c.first); c.spent = 0 })
+	c.mergeTime += time.Since(begun)
+	c.once.Do(func() { close(c.first); c.mergeTime = 0 })
 }
-func (c *counter) Unchanged() {}
-func (c *counter) Failed()    {}
+func (c *timedSink) Unchanged() {}
+func (c *timedSink) Failed()    {}
 
-func heap() int64 {
+func heapBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-func processor() time.Duration {
+func processorTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
--- a/cmd/tinsail/control.go
+++ b/cmd/tinsail/control.go
@@ -14,17 +14,17 @@
 	"tinsail/internal/door"
 )
 
-// callWait is how long a call of ours may take in all; the door owes its answer within a second.
-const callWait = 3 * time.Second
+// callTimeout is how long a call of ours may take in all; the door owes its answer within a second.
+const callTimeout = 3 * time.Second
 
-// call makes one call at a dispatcher's door. err is set if there was no answer.
-func call(address string, c door.Call) (yes bool, says string, err error) {
+// callDoor makes one callDoor at a dispatcher's door. err is set if there was no answer.
+func callDoor(address string, c door.Call) (yes bool, says string, err error) {
 	method, path := c.MethodAndPath()
 	q, err := http.NewRequest(method, "http://"+address+path, nil)
 	if err != nil {
 		return false, "", err
 	}
-	client := &http.Client{Timeout: callWait, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	answer, err := client.Do(q)
 	if err != nil {
 		return false, "", err
@@ -66,7 +66,7 @@
 		c.AddCommand(&cobra.Command{Use: sub.use, Short: sub.short, Long: sub.short + ".\n\nExit codes: 0 yes, 1 no, 2 no answer, or faulty flags.",
 			Args: func(c *cobra.Command, args []string) error {
 				if named && len(args) != 1 {
-					return faulty{fmt.Errorf("%s wants one backend's id, see %s --help", c.CommandPath(), c.CommandPath())}
+					return inputError{fmt.Errorf("%s wants one backend's id, see %s --help", c.CommandPath(), c.CommandPath())}
 				}
 				if !named {
 					return noArgs(c, args)
@@ -75,16 +75,16 @@
 			},
 			RunE: func(c *cobra.Command, args []string) error {
 				if _, _, err := net.SplitHostPort(at); err != nil {
-					return faulty{fmt.Errorf("--admin is %q, want the host:port of a dispatcher's door", at)}
+					return inputError{fmt.Errorf("--admin is %q, want the host:port of a dispatcher's door", at)}
 				}
 				what := door.Call{Operation: sub.op}
 				if named {
 					what.Backend = args[0]
 				}
-				yes, says, err := call(at, what)
+				yes, says, err := callDoor(at, what)
 				switch {
 				case err != nil:
-					return faulty{fmt.Errorf("no answer: %w", err)}
+					return inputError{fmt.Errorf("no answer: %w", err)}
 				case !yes:
 					return errors.New("no: " + says)
 				}
--- a/cmd/tinsail/cost_test.go
+++ b/cmd/tinsail/cost_test.go
@@ -14,8 +14,8 @@
 	"tinsail/internal/standin/platform"
 )
 
-// spent is the processor time of a process so far (proc(5): utime and stime, in ticks of 10 ms).
-func spent(b *testing.B, pid int) time.Duration {
+// processorTimeOf is the processor time of a process so far (proc(5): utime and stime, in ticks of 10 ms).
+func processorTimeOf(b *testing.B, pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	require.NoError(b, err)
 	f := strings.Fields(string(text)[strings.LastIndexByte(string(text), ')')+2:])
@@ -36,7 +36,7 @@
 	}
 	p := h.start()
 	p.serves()
-	before := spent(b, p.cmd.Process.Pid)
+	before := processorTimeOf(b, p.cmd.Process.Pid)
 	b.ResetTimer()
 	var all sync.WaitGroup
 	for c := range clients {
@@ -58,5 +58,5 @@
 	}
 	all.Wait()
 	b.StopTimer()
-	b.ReportMetric(float64((spent(b, p.cmd.Process.Pid)-before).Microseconds())/float64(b.N), "cpu-us/req")
+	b.ReportMetric(float64((processorTimeOf(b, p.cmd.Process.Pid)-before).Microseconds())/float64(b.N), "cpu-us/req")
 }
--- a/cmd/tinsail/demo.go
+++ b/cmd/tinsail/demo.go
@@ -45,29 +45,29 @@
   tinsail demo --keep --log-level info    # then curl, as the last lines say`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if n < 1 || n > 100_000 {
-				return faulty{fmt.Errorf("--reqs is %d, want 1 to 100000", n)}
+				return inputError{fmt.Errorf("--reqs is %d, want 1 to 100000", n)}
 			}
-			log, err := logs.New(c.ErrOrStderr(), o.level, o.format)
+			log, err := logs.New(c.ErrOrStderr(), o.logLevel, o.logFormat)
 			if err != nil {
-				return faulty{err}
+				return inputError{err}
 			}
 			x, err := startDemo(log)
 			if err != nil {
 				return err
 			}
 			defer x.close()
-			if err := x.play(c.OutOrStdout(), n); err != nil {
+			if err := x.run(c.OutOrStdout(), n); err != nil {
 				return err
 			}
 			if keep {
-				x.wait(c.OutOrStdout())
+				x.waitForSignal(c.OutOrStdout())
 			}
 			return nil
 		},
 	}
-	o.add(c, true)
+	o.addFlags(c, true)
 	quiet := c.Flags().Lookup("log-level")
-	quiet.DefValue, o.level = "error", "error"
+	quiet.DefValue, o.logLevel = "error", "error"
 	c.Flags().Lookup("settings").Hidden = true
 	c.Flags().BoolVar(&keep, "keep", false, "leave it running until Ctrl-C, for curl")
 	c.Flags().IntVar(&n, "reqs", n, "reqs over each front, 1 to 100000")
@@ -81,8 +81,8 @@
 	backends   []*platform.Backend
 }
 
-// kindOf is the kind of the i-th backend; the first of each pair is the faster one.
-func kindOf(i int) string { return []string{"fast", "std"}[i%2] }
+// backendKind is the kind of the i-th backend; the first of each pair is the faster one.
+func backendKind(i int) string { return []string{"fast", "std"}[i%2] }
 
 func startDemo(log zerolog.Logger) (*demo, error) {
 	x := &demo{}
@@ -98,12 +98,12 @@
 			return nil, err
 		}
 		x.backends = append(x.backends, b)
-		x.director.Set(b.Entry(kindOf(i), "here", i/2, "Ready"))
+		x.director.Set(b.Entry(backendKind(i), "here", i/2, "Ready"))
 	}
 	cfg, err := config.Parse(demoConfig, func(string) string { return "" })
 	if err == nil {
 		cfg.Discovery = x.director.Address
-		x.dispatcher, err = assemble(cfg, &settings.Settings{HTTP2: settings.DefaultHTTP2("127.0.0.1:0")}, log, handed{})
+		x.dispatcher, err = assemble(cfg, &settings.Settings{HTTP2: settings.DefaultHTTP2("127.0.0.1:0")}, log, handoverData{})
 	}
 	if err != nil {
 		x.close()
@@ -115,7 +115,7 @@
 
 func (x *demo) close() {
 	if x.dispatcher != nil {
-		x.dispatcher.close()
+		x.dispatcher.closeListeners()
 	}
 	for _, b := range x.backends {
 		b.Close()
@@ -123,28 +123,28 @@
 	x.director.Close()
 }
 
-// front is one way in, and what came back by it.
-type front struct {
-	name, address string
-	client        *http.Client
-	workers       int
-	sent, served  atomic.Int64
-	refused       atomic.Int64
-	failed        atomic.Int64
-	mu            sync.Mutex
-	took          *hdrhistogram.Histogram // ms
+// frontClient is one way in, and what came back by it.
+type frontClient struct {
+	name, address   string
+	client          *http.Client
+	concurrency     int
+	sent, succeeded atomic.Int64
+	refused         atomic.Int64
+	failed          atomic.Int64
+	mu              sync.Mutex
+	latency         *hdrhistogram.Histogram // ms
 }
 
-func newFront(name, address string, workers int, h2 bool) *front {
+func newFrontClient(name, address string, workers int, h2 bool) *frontClient {
 	t := &http.Transport{MaxIdleConnsPerHost: workers, Protocols: new(http.Protocols)}
 	t.Protocols.SetHTTP1(!h2)
 	t.Protocols.SetUnencryptedHTTP2(h2)
-	return &front{name: name, address: address, workers: workers, client: &http.Client{Transport: t, Timeout: 10 * time.Second},
-		took: hdrhistogram.New(1, 60_000, 3)}
+	return &frontClient{name: name, address: address, concurrency: workers, client: &http.Client{Transport: t, Timeout: 10 * time.Second},
+		latency: hdrhistogram.New(1, 60_000, 3)}
 }
 
 // send sends a req and returns its answer's status; a result that is not its own is an error.
-func (f *front) send(id string) (status int, err error) {
+func (f *frontClient) send(id string) (status int, err error) {
 	r, err := http.NewRequest("POST", "http://"+f.address+"/photo/"+id, bytes.NewReader(make([]byte, 512)))
 	if err != nil {
 		return 0, err
@@ -164,8 +164,8 @@
 	return answer.StatusCode, err
 }
 
-// one sends a req and takes its answer down.
-func (f *front) one(id string) error {
+// sendAndCount sends a req and takes its answer down.
+func (f *frontClient) sendAndCount(id string) error {
 	begun := time.Now()
 	f.sent.Add(1)
 	status, err := f.send(id)
@@ -174,7 +174,7 @@
 	}
 	switch status {
 	case 200:
-		f.served.Add(1)
+		f.succeeded.Add(1)
 	case 429, 503:
 		f.refused.Add(1)
 	default:
@@ -182,11 +182,11 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.took.RecordValue(max(time.Since(begun).Milliseconds(), 1))
+	return f.latency.RecordValue(max(time.Since(begun).Milliseconds(), 1))
 }
 
-// play sends n reqs over each front and prints a table of the answers.
-func (x *demo) play(out io.Writer, n int) error {
+// run sends n reqs over each front and prints a table of the answers.
+func (x *demo) run(out io.Writer, n int) error {
 	ready, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	for x.dispatcher.core.ReadyBackends() < len(x.backends) {
@@ -196,19 +196,19 @@
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	fronts := []*front{
-		newFront("HTTP/1.1", x.dispatcher.listener.Addr().String(), 16, false),
-		newFront("HTTP/2", x.dispatcher.listener2.Addr().String(), 16, true),
+	fronts := []*frontClient{
+		newFrontClient("HTTP/1.1", x.dispatcher.listener.Addr().String(), 16, false),
+		newFrontClient("HTTP/2", x.dispatcher.http2Listener.Addr().String(), 16, true),
 	}
 	fmt.Fprintf(out, "a director, four backends and a dispatcher are up; %d reqs go over each front\n", n)
 	bad := make(chan error, 1)
 	var all sync.WaitGroup
 	for i, f := range fronts {
 		next := &atomic.Int64{}
-		for range f.workers {
+		for range f.concurrency {
 			all.Go(func() {
 				for k := next.Add(1); k <= int64(n); k = next.Add(1) {
-					if err := f.one(fmt.Sprintf("demo-%d-%d", i, k)); err != nil {
+					if err := f.sendAndCount(fmt.Sprintf("demo-%d-%d", i, k)); err != nil {
 						select {
 						case bad <- fmt.Errorf("%s: %w", f.name, err):
 						default:
@@ -220,9 +220,9 @@
 	}
 	done := make(chan struct{})
 	go func() { all.Wait(); close(done) }()
-	x.watch(out, fronts, n, done)
-	table(out, fronts)
-	x.table(out)
+	x.showProgress(out, fronts, n, done)
+	printFronts(out, fronts)
+	x.printBackends(out)
 	select {
 	case err := <-bad:
 		return err
@@ -231,8 +231,8 @@
 	}
 }
 
-// watch prints how far things are, and has two backends go wrong halfway.
-func (x *demo) watch(out io.Writer, fronts []*front, n int, done <-chan struct{}) {
+// showProgress prints how far things are, and has two backends go wrong halfway.
+func (x *demo) showProgress(out io.Writer, fronts []*frontClient, n int, done <-chan struct{}) {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	broken, shown := false, -1
@@ -249,7 +249,7 @@
 		if part >= 50 && !broken {
 			broken = true
 			x.backends[0].Set(platform.Faults{Refuse: true})
-			x.director.Set(x.backends[1].Entry(kindOf(1), "here", 0, "Terminating"))
+			x.director.Set(x.backends[1].Entry(backendKind(1), "here", 0, "Terminating"))
 			fmt.Fprintln(out, "  now backend-1 turns away all it gets, and backend-2 drains")
 		}
 		select {
@@ -260,32 +260,32 @@
 	}
 }
 
-func table(out io.Writer, fronts []*front) {
+func printFronts(out io.Writer, fronts []*frontClient) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "\nfront\treqs\tserved\trefused\tfailed\tms, median\tms, 99%\t")
 	for _, f := range fronts {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t\n", f.name, f.sent.Load(), f.served.Load(), f.refused.Load(), f.failed.Load(),
-			f.took.ValueAtQuantile(50), f.took.ValueAtQuantile(99))
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t\n", f.name, f.sent.Load(), f.succeeded.Load(), f.refused.Load(), f.failed.Load(),
+			f.latency.ValueAtQuantile(50), f.latency.ValueAtQuantile(99))
 	}
 	w.Flush()
 }
 
-func (x *demo) table(out io.Writer) {
+func (x *demo) printBackends(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "\nbackend\tkind\tjobs\tstarted\tdone\t")
 	for i, b := range x.backends {
 		c := b.Counts()
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t\n", b.Name, kindOf(i), c.Jobs, c.Started, c.Done)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t\n", b.Name, backendKind(i), c.Jobs, c.Started, c.Done)
 	}
 	w.Flush()
 }
 
-// wait leaves all running until a signal.
-func (x *demo) wait(out io.Writer) {
+// waitForSignal leaves all running until a signal.
+func (x *demo) waitForSignal(out io.Writer) {
 	x.backends[0].Set(platform.Faults{})
-	x.director.Set(x.backends[1].Entry(kindOf(1), "here", 0, "Ready"))
+	x.director.Set(x.backends[1].Entry(backendKind(1), "here", 0, "Ready"))
 	_, port, _ := net.SplitHostPort(x.dispatcher.listener.Addr().String())
-	_, port2, _ := net.SplitHostPort(x.dispatcher.listener2.Addr().String())
+	_, port2, _ := net.SplitHostPort(x.dispatcher.http2Listener.Addr().String())
 	fmt.Fprintf(out, `
 still running, until Ctrl-C:
   curl http://127.0.0.1:%s/counters
--- a/cmd/tinsail/descriptors_test.go
+++ b/cmd/tinsail/descriptors_test.go
@@ -24,25 +24,25 @@
 	"tinsail/internal/standin/platform"
 )
 
-// dead is an address of 127.0.0.1 that is kept from others while nobody listens there: connections are refused.
-type dead struct {
+// reservedAddress is an address of 127.0.0.1 that is kept from others while nobody listens there: connections are refused.
+type reservedAddress struct {
 	address string
 	socket  int
 }
 
-func newDead(t *testing.T) *dead {
+func reserveAddress(t *testing.T) *reservedAddress {
 	s, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	require.NoError(t, syscall.Bind(s, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	at, err := syscall.Getsockname(s)
 	require.NoError(t, err)
-	d := &dead{fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port), s}
+	d := &reservedAddress{fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port), s}
 	t.Cleanup(func() { syscall.Close(d.socket) })
 	return d
 }
 
-// revive listens there.
-func (d *dead) revive(t *testing.T) net.Listener {
+// listen listens there.
+func (d *reservedAddress) listen(t *testing.T) net.Listener {
 	require.NoError(t, syscall.Listen(d.socket, 64))
 	s, err := syscall.Dup(d.socket)
 	require.NoError(t, err)
@@ -53,9 +53,9 @@
 	return l
 }
 
-// flood has idle clients fill whatever descriptors there are, until its test ends: who is turned away or closed comes again.
+// floodIdle has idle clients fill whatever descriptors there are, until its test ends: who is turned away or closed comes again.
 // Some say nothing, some half a head, and some rest after an answer.
-func flood(t *testing.T, address string, clients int) {
+func floodIdle(t *testing.T, address string, clients int) {
 	stop := make(chan struct{})
 	var all sync.WaitGroup
 	for i := range clients {
@@ -86,16 +86,16 @@
 	t.Cleanup(func() { close(stop); all.Wait() })
 }
 
-// TestIdleClientsWhileDiscoveryIsDown: idle clients fill all descriptors that they can get while discovery is down. When it is
+// TestIdleClientsDoNotBlockDiscovery: idle clients fill all descriptors that they can get while discovery is down. When it is
 // back its list is read, new backends are reached and reqs served, the operators' door answers throughout, and the process
 // never holds more than its limit: that of the configuration, or that of the process where it is lower.
-func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
+func TestIdleClientsDoNotBlockDiscovery(t *testing.T) {
 	for _, c := range []struct {
 		sockets, allowed int
 		door             bool
 	}{{64, 0, false}, {128, 0, true}, {64, 64, false}, {128, 128, true}, {1024, 128, false}, {1024, 128, true}} {
 		t.Run(fmt.Sprintf("%d sockets, %d allowed, door %v", c.sockets, c.allowed, c.door), func(t *testing.T) {
-			at, limit := newDead(t), c.sockets
+			at, limit := reserveAddress(t), c.sockets
 			if c.allowed > 0 {
 				limit = min(limit, c.allowed)
 			}
@@ -115,12 +115,12 @@
 					}
 				}
 			}()
-			flood(t, p.address, limit+100)
-			p.until(t, "idle clients fill it", func() bool { return p.refused(t) })
+			floodIdle(t, p.address, limit+100)
+			p.waitUntil(t, "idle clients fill it", func() bool { return p.hasRefusedSessions(t) })
 			if c.door {
-				assert.True(t, p.ask(), "the door answers while clients fill it")
+				assert.True(t, p.doorAnswers(), "the door answers while clients fill it")
 			}
-			d := platform.NewDirector(at.revive(t))
+			d := platform.NewDirector(at.listen(t))
 			defer d.Close()
 			for i := range 3 {
 				b, err := platform.StartBackend(fmt.Sprintf("b%d", i), 8, func(string) time.Duration { return 0 })
@@ -129,7 +129,7 @@
 				d.Set(b.Entry("fast", "here", i, "Ready"))
 			}
 			n := 0
-			p.until(t, "a req is served by a backend of the new list", func() bool { n++; return p.served(n) })
+			p.waitUntil(t, "a req is served by a backend of the new list", func() bool { n++; return p.reqServed(n) })
 			close(stop)
 			<-watched
 			t.Logf("own descriptors %d, most %d of %d, served at try %d", own, most.Load(), limit, n)
@@ -142,14 +142,14 @@
 	}
 }
 
-// limited is the real program under a limit of descriptors.
-type limited struct {
+// limitedProgram is the real program under a limit of descriptors.
+type limitedProgram struct {
 	cmd            *exec.Cmd
 	address, admin string
 	lines          chan map[string]any
 }
 
-func startLimited(t *testing.T, discovery string, sockets, allowed int, door bool) *limited {
+func startLimited(t *testing.T, discovery string, sockets, allowed int, door bool) *limitedProgram {
 	text := strings.NewReplacer(`"127.0.0.1:1"`, `"`+discovery+`"`, `"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, sockets)).Replace(string(demoConfig))
 	conf := filepath.Join(t.TempDir(), "c.json")
 	require.NoError(t, os.WriteFile(conf, []byte(text), 0o600))
@@ -157,7 +157,7 @@
 	if allowed > 0 {
 		limit = fmt.Sprintf("ulimit -n %d && ", allowed)
 	}
-	p := &limited{cmd: exec.Command("/bin/sh", "-c", limit+`exec "$0" serve --log-format json`, os.Args[0]), lines: make(chan map[string]any, 10_000)}
+	p := &limitedProgram{cmd: exec.Command("/bin/sh", "-c", limit+`exec "$0" serve --log-format json`, os.Args[0]), lines: make(chan map[string]any, 10_000)}
 	p.cmd.Env = append(os.Environ(), "TINSAIL_TEST_PROGRAM=1", "ROUTER_CONFIG="+conf, "TMPDIR="+t.TempDir())
 	if door {
 		p.cmd.Env = append(p.cmd.Env, "ROUTER_ADMIN=127.0.0.1:0")
@@ -188,14 +188,14 @@
 }
 
 // descriptors is how many the process holds now.
-func (p *limited) descriptors(t *testing.T) int {
+func (p *limitedProgram) descriptors(t *testing.T) int {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	assert.NoError(t, err)
 	return len(list)
 }
 
-// until waits for something in rounds, at most 4,000 of 5 ms.
-func (p *limited) until(t *testing.T, what string, is func() bool) {
+// waitUntil waits for something in rounds, at most 4,000 of 5 ms.
+func (p *limitedProgram) waitUntil(t *testing.T, what string, is func() bool) {
 	for range 4000 {
 		if is() {
 			return
@@ -205,8 +205,8 @@
 	require.Fail(t, "never", what)
 }
 
-// refused says whether the process has turned sessions away: there was no room for them.
-func (p *limited) refused(t *testing.T) bool {
+// hasRefusedSessions says whether the process has turned sessions away: there was no room for them.
+func (p *limitedProgram) hasRefusedSessions(t *testing.T) bool {
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGUSR1))
 	for line := range p.lines {
 		if line["event"] == "counters" {
@@ -219,14 +219,14 @@
 	return false
 }
 
-// ask asks the door for metrics, which it always has.
-func (p *limited) ask() bool {
-	yes, _, err := call(p.admin, door.Call{Operation: door.Metrics})
+// doorAnswers asks the door for metrics, which it always has.
+func (p *limitedProgram) doorAnswers() bool {
+	yes, _, err := callDoor(p.admin, door.Call{Operation: door.Metrics})
 	return err == nil && yes
 }
 
-// served says whether a req on a connection of its own is answered by a backend. Who is turned away may come again.
-func (p *limited) served(n int) bool {
+// reqServed says whether a req on a connection of its own is answered by a backend. Who is turned away may come again.
+func (p *limitedProgram) reqServed(n int) bool {
 	c, err := net.DialTimeout("tcp", p.address, 5*time.Second)
 	if err != nil {
 		return false
--- a/cmd/tinsail/door.go
+++ b/cmd/tinsail/door.go
@@ -15,16 +15,16 @@
 	"tinsail/internal/service"
 )
 
-// doorMost is how many callers the door has at a time: each may take a descriptor.
-const doorMost = 16
+// maxDoorCallers is how many callers the door has at a time: each may take a descriptor.
+const maxDoorCallers = 16
 
-// doorSockets are the descriptors that the door takes out of the limit: its callers, one being
+// doorDescriptors are the descriptors that the door takes out of the limit: its callers, one being
 // accepted, and the listener.
-func doorSockets(cfg *config.Config) int {
+func doorDescriptors(cfg *config.Config) int {
 	if cfg.Admin == "" {
 		return 0
 	}
-	return doorMost + 2
+	return maxDoorCallers + 2
 }
 
 // addDoor opens the operators' door, where the configuration has one.
@@ -32,15 +32,15 @@
 	if d.cfg.Admin == "" {
 		return nil
 	}
-	if d.doorAt, err = net.Listen("tcp", d.cfg.Admin); err != nil {
+	if d.doorListener, err = net.Listen("tcp", d.cfg.Admin); err != nil {
 		return fmt.Errorf("admin: %w", err)
 	}
-	d.door = &admin.Server{MaxCallers: doorMost, Handle: d.call, Log: d.log}
+	d.door = &admin.Server{MaxCallers: maxDoorCallers, Handle: d.handleCall, Log: d.log}
 	return nil
 }
 
-// call does what an operator asks for. Nothing here waits for reqs, for the core or for a peer.
-func (d *dispatcher) call(c door.Call) admin.Answer {
+// handleCall does what an operator asks for. Nothing here waits for reqs, for the core or for a peer.
+func (d *dispatcher) handleCall(c door.Call) admin.Answer {
 	yes := func(says string) admin.Answer { return admin.Answer{Status: 200, Message: says} }
 	kept := func(err error, says string) admin.Answer {
 		switch {
@@ -68,13 +68,13 @@
 		}
 	case door.OutOfService:
 		d.service.TakeOutOfService()
-		d.handover.tellOut(true)
+		d.handover.sendOutOfService(true)
 		return kept(d.bans.SetOutOfService(true), "goes out of service: not ready, drains, and runs on")
 	case door.InService:
 		if !d.service.ReturnToService() {
 			return no(503, "shutting down")
 		}
-		d.handover.tellOut(false)
+		d.handover.sendOutOfService(false)
 		return kept(d.bans.SetOutOfService(false), "in service")
 	case door.Offline:
 		return kept(d.bans.Offline(c.Backend), "nothing more goes to "+c.Backend)
@@ -90,8 +90,8 @@
 	return no(501, "unknown")
 }
 
-// keptPath is a place in the folder that outlives a process of this dispatcher, but not the
+// statePath is a place in the folder that outlives a process of this dispatcher, but not the
 // dispatcher's machine. The name is the dispatcher's own: others may share the folder.
-func keptPath(cfg *config.Config, kind string) string {
+func statePath(cfg *config.Config, kind string) string {
 	return filepath.Join(os.TempDir(), fmt.Sprintf("tinsail-%016x.%s", platform.Hash(cfg.Name+"|"+cfg.Listen), kind))
 }
--- a/cmd/tinsail/door_test.go
+++ b/cmd/tinsail/door_test.go
@@ -21,15 +21,15 @@
 	"tinsail/internal/door"
 )
 
-// control runs the command and returns its exit code and what it printed.
-func control(args ...string) (int, string) {
+// runControl runs the command and returns its exit code and what it printed.
+func runControl(args ...string) (int, string) {
 	var out bytes.Buffer
 	code := execute(append([]string{"control"}, args...), &out, &out)
 	return code, strings.TrimSpace(out.String())
 }
 
-// TestControl: the commands against a real program; the exit code is the answer.
-func TestControl(t *testing.T) {
+// TestControlCommands: the commands against a real program; the exit code is the answer.
+func TestControlCommands(t *testing.T) {
 	h := newHouse(t, "127.0.0.1:0")
 	p := h.start()
 	p.serves()
@@ -48,7 +48,7 @@
 		{"ready", exitOK, "yes: serves, draining"},
 		{"in-service", exitOK, "yes: in service"},
 	} {
-		code, says := control(append(strings.Fields(c.args), "--admin", p.admin)...)
+		code, says := runControl(append(strings.Fields(c.args), "--admin", p.admin)...)
 		assert.Equal(t, c.code, code, c.args)
 		assert.Equal(t, c.says, says, c.args)
 	}
@@ -69,16 +69,16 @@
 		assert.Equal(t, dto.MetricType_COUNTER, families["tinsail_reqs_taken"].GetType())
 	}
 	require.NoError(t, os.RemoveAll(h.folder))
-	code, says := control("offline", "b1", "--admin", p.admin)
+	code, says := runControl("offline", "b1", "--admin", p.admin)
 	assert.Equal(t, exitFailed, code, "a ban that cannot be kept")
 	assert.Contains(t, says, "holds in this process, but would not outlive it")
 	p.end(t)
-	code, _ = control("ready", "--admin", p.admin)
-	assert.Equal(t, exitFaulty, code, "nobody there")
+	code, _ = runControl("ready", "--admin", p.admin)
+	assert.Equal(t, exitInvalidInput, code, "nobody there")
 }
 
-// TestReadyOnceListed: a process that knows of no list does not say that it serves.
-func TestReadyOnceListed(t *testing.T) {
+// TestNotReadyBeforeFirstList: a process that knows of no list does not say that it serves.
+func TestNotReadyBeforeFirstList(t *testing.T) {
 	h := newHouse(t, "127.0.0.1:0")
 	h.director.Down(true)
 	p := h.start()
@@ -89,15 +89,15 @@
 	p.serves()
 }
 
-// TestDoorUnderFlood: while clients flood the other listener, and others sit at the door and say nothing, or
+// TestDoorAnswersUnderFlood: while clients flood the other listener, and others sit at the door and say nothing, or
 // half a call, each true call is answered.
-func TestDoorUnderFlood(t *testing.T) {
+func TestDoorAnswersUnderFlood(t *testing.T) {
 	h := newHouse(t, "127.0.0.1:0")
 	p := h.start()
 	p.serves()
 	stop := h.flood(16)
 	for i := range 100 {
-		p.sit(t, i)
+		p.holdDoorConnection(t, i)
 		if i%4 == 3 {
 			assert.True(t, p.call(door.Operation(i/4%2)*door.Offline, "b0"))
 		}
@@ -106,8 +106,8 @@
 	assert.True(t, p.call(door.Online, "b0"))
 }
 
-// sit connects to the door and stays.
-func (p *process) sit(t testing.TB, i int) {
+// holdDoorConnection connects to the door and stays.
+func (p *process) holdDoorConnection(t testing.TB, i int) {
 	c, err := net.Dial("tcp", p.admin)
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
@@ -165,7 +165,7 @@
 			slowest := time.Duration(0)
 			for i := range 400 {
 				if flooded {
-					p.sit(b, i)
+					p.holdDoorConnection(b, i)
 				}
 				begun := time.Now()
 				require.True(b, p.call(door.Offline, "b2"))
@@ -176,8 +176,8 @@
 	}
 }
 
-// TestClashes: an address that is used twice is a fault that names the key.
-func TestClashes(t *testing.T) {
+// TestDuplicateAddressesAreFaults: an address that is used twice is a fault that names the key.
+func TestDuplicateAddressesAreFaults(t *testing.T) {
 	dir := t.TempDir()
 	conf, script := filepath.Join(dir, "c.json"), filepath.Join(dir, "s.star")
 	require.NoError(t, os.WriteFile(conf, []byte(strings.Replace(string(demoConfig), "127.0.0.1:0", "127.0.0.1:7", 1)), 0o600))
--- a/cmd/tinsail/epoch_test.go
+++ b/cmd/tinsail/epoch_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestEpochRises: each life's number is higher than the one's before, also where the wall clock was stepped back by an hour between
+// TestEpochGrowsAcrossIncarnations: each life's number is higher than the one's before, also where the wall clock was stepped back by an hour between
 // them; a folder that fails, or a damaged file, leaves the wall clock's.
-func TestEpochRises(t *testing.T) {
+func TestEpochGrowsAcrossIncarnations(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "epoch")
 	wall := time.Unix(1_700_000_000, 0)
 	first, err := nextEpoch(path, wall)
--- a/cmd/tinsail/fleet_test.go
+++ b/cmd/tinsail/fleet_test.go
@@ -39,7 +39,7 @@
 	text = strings.Replace(text, `"Balancers": 1`, fmt.Sprintf(`"Balancers": %d`, n), 1)
 	m := &member{}
 	var errs io.Reader
-	m.cmd, errs = launch(t, text, script)
+	m.cmd, errs = startServe(t, text, script)
 	lines := bufio.NewScanner(errs)
 	for lines.Scan() {
 		var line map[string]any
--- a/cmd/tinsail/handover.go
+++ b/cmd/tinsail/handover.go
@@ -24,41 +24,41 @@
 	"tinsail/internal/service"
 )
 
-// handed is what another process of this dispatcher hands over; the zero value is nothing.
-type handed struct {
+// handoverData is what another process of this dispatcher hands over; the zero value is nothing.
+type handoverData struct {
 	link  *handoff.Link
 	state handover.State
 	stage handover.NewProcess
 	files []*os.File // in the order of state.Listeners
 }
 
-func (h handed) closeFiles() {
+func (h handoverData) closeFiles() {
 	for _, f := range h.files {
 		f.Close()
 	}
 }
 
-func (h handed) close() {
+func (h handoverData) close() {
 	h.closeFiles()
 	if h.link != nil {
 		h.link.Close()
 	}
 }
 
-func helloOf(cfg *config.Config) handover.Hello {
+func newHello(cfg *config.Config) handover.Hello {
 	return handover.Hello{Version: handover.Version, Name: cfg.Name, Listen: cfg.Listen}
 }
 
-// join asks the process of this dispatcher that serves, if there is one, to hand over. Where it cannot
+// requestHandover asks the process of this dispatcher that serves, if there is one, to hand over. Where it cannot
 // be understood, this process serves beside it on a listener of its own, by SO_REUSEPORT: what waits in the
 // old one's queue when that closes is lost, which is still less than all. It is an error only
 // if this process is one too many.
-func join(cfg *config.Config, log zerolog.Logger) (handed, error) {
+func requestHandover(cfg *config.Config, log zerolog.Logger) (handoverData, error) {
 	if cfg.Admin == "" {
-		return handed{}, nil
+		return handoverData{}, nil
 	}
-	link, state, files, err := handoff.Join(keptPath(cfg, "sock"), helloOf(cfg))
-	h := handed{link: link, state: state, files: files}
+	link, state, files, err := handoff.Join(statePath(cfg, "sock"), newHello(cfg))
+	h := handoverData{link: link, state: state, files: files}
 	if err == nil {
 		if bad := h.stage.HandleState(&state, len(files)); bad != "" {
 			err = errors.New(bad)
@@ -72,16 +72,16 @@
 		return h, nil
 	case errors.Is(err, handoff.ErrNoProcess):
 	case errors.As(err, &no) && no.Busy:
-		return handed{}, fmt.Errorf("hand-over: %w", err)
+		return handoverData{}, fmt.Errorf("hand-over: %w", err)
 	default:
 		log.Error().Err(err).Msg("hand-over: nothing taken over, serves beside the other process")
 	}
-	return handed{}, nil
+	return handoverData{}, nil
 }
 
-// listen takes the listener that was handed over under a name, or opens one. Only a
+// openListener takes the listener that was handed over under a name, or opens one. Only a
 // dispatcher that has a door shares its address with a second process.
-func (h handed) listen(cfg *config.Config, name, address string) (net.Listener, error) {
+func (h handoverData) openListener(cfg *config.Config, name, address string) (net.Listener, error) {
 	for i, have := range h.state.Listeners {
 		if h.link != nil && have == name {
 			return net.FileListener(h.files[i])
@@ -97,40 +97,40 @@
 	return c.Listen(context.Background(), "tcp", address)
 }
 
-// takeover is a process's part in hand-overs: from the one before it, and to the next one.
-type takeover struct {
+// processHandover is a process's part in hand-overs: from the one before it, and to the next one.
+type processHandover struct {
 	d      *dispatcher
 	server *handoff.Server
-	from   handed
+	from   handoverData
 
-	mu     sync.Mutex
-	stage  handover.NewProcess
-	peer   *handoff.Link // the other process while there is one
-	have   int           // descriptors that this process may hold ...
-	memory int64         // ... and bytes
-	total  int           // that it held before it gave some to the next process
+	mu           sync.Mutex
+	stage        handover.NewProcess
+	peer         *handoff.Link // the other process while there is one
+	maxSockets   int           // descriptors that this process may hold ...
+	maxMemory    int64         // ... and bytes
+	totalSockets int           // that it held before it gave some to the next process
 
 	taken, given, failed atomic.Int64  // hand-overs: from the process before, to the next, and of those that came back
 	readyMS              atomic.Int64  // from this process's start, with the state in hand, until it served
-	giving               chan struct{} // closed when there is no one to give to any more
+	nextGone             chan struct{} // closed when there is no one to give to any more
 }
 
 // addHandover makes this process's part. d.service and d.bans are there.
-func (d *dispatcher) addHandover(from handed) {
-	t := &takeover{d: d, from: from, have: d.cfg.Sockets, memory: d.cfg.MemoryBytes}
-	t.server = &handoff.Server{Path: keptPath(d.cfg, "sock"), Hello: helloOf(d.cfg), Log: d.log,
-		GiveState: t.give, StopAccepting: t.hand, OnNews: t.news, OnJoined: t.joined, OnGone: t.gone}
+func (d *dispatcher) addHandover(from handoverData) {
+	t := &processHandover{d: d, from: from, maxSockets: d.cfg.Sockets, maxMemory: d.cfg.MemoryBytes}
+	t.server = &handoff.Server{Path: statePath(d.cfg, "sock"), Hello: newHello(d.cfg), Log: d.log,
+		GiveState: t.giveState, StopAccepting: t.stopAccepting, OnNews: t.handleUpdate, OnJoined: t.handleJoined, OnGone: t.handleNextGone}
 	if from.link != nil {
-		t.have, t.memory, t.stage = from.state.MaxSockets, from.state.MemoryBytes, from.stage
+		t.maxSockets, t.maxMemory, t.stage = from.state.MaxSockets, from.state.MemoryBytes, from.stage
 		t.taken.Add(1)
 	}
-	d.resize(t.have, t.memory)
+	d.resize(t.maxSockets, t.maxMemory)
 	d.handover = t
 }
 
-// inherit takes over what the old process knew, and returns the list. Its version does not come along: versions count anew
+// adoptState takes over what the old process knew, and returns the list. Its version does not come along: versions count anew
 // at each address of the director, and this process may have been given another address than the old one had.
-func (d *dispatcher) inherit() (list []core.Entry) {
+func (d *dispatcher) adoptState() (list []core.Entry) {
 	s := &d.handover.from.state
 	if s.OutOfService {
 		d.service.TakeOutOfService()
@@ -146,23 +146,23 @@
 	return list
 }
 
-// begin accepts clients, once there is a list, and waits for the next process.
-func (t *takeover) begin(d *dispatcher) {
+// start accepts clients, once there is a list, and waits for the next process.
+func (t *processHandover) start(d *dispatcher) {
 	if t.from.link == nil {
 		d.accept()
-		t.listen()
+		t.listenForNext()
 		return
 	}
-	t.joined(t.from.link)
+	t.handleJoined(t.from.link)
 	begun := time.Now()
 	go func() {
-		err := t.from.link.Read(t.news)
-		t.oldGone(err)
+		err := t.from.link.Read(t.handleUpdate)
+		t.handleOldGone(err)
 	}()
 	go func() {
 		// Nor before it knows which policy of the fleet holds. One that is to end already leaves the clients to the
 		// old one, which would be drained in its favour, as long as that is there.
-		for !d.core.HasList() || !d.core.Serves() || d.service.State() == service.ShuttingDown && t.at() == handover.Connected {
+		for !d.core.HasList() || !d.core.Serves() || d.service.State() == service.ShuttingDown && t.currentStage() == handover.Connected {
 			time.Sleep(service.PollInterval)
 		}
 		d.accept()
@@ -175,42 +175,42 @@
 		for !t.serves() {
 			time.Sleep(service.PollInterval)
 		}
-		t.listen()
+		t.listenForNext()
 		t.readyMS.Store(time.Since(begun).Milliseconds())
-		d.log.Info().Stringer("stage", t.at()).Dur("after_ms", time.Since(begun)).Msg("hand-over: serves")
+		d.log.Info().Stringer("stage", t.currentStage()).Dur("after_ms", time.Since(begun)).Msg("hand-over: serves")
 	}()
 }
 
 // each calls f for the counters of hand-overs.
-func (t *takeover) each(f func(name string, n int64)) {
+func (t *processHandover) each(f func(name string, n int64)) {
 	f("handovers_taken", t.taken.Load())
 	f("handovers_given", t.given.Load())
 	f("handovers_failed", t.failed.Load())
 	f("handover_ready_ms", t.readyMS.Load())
-	f("handover_stage", int64(t.at()))
+	f("handover_stage", int64(t.currentStage()))
 }
 
-func (t *takeover) listen() {
+func (t *processHandover) listenForNext() {
 	if err := t.server.Listen(); err != nil {
 		t.d.log.Error().Err(err).Msg("hand-over: cannot wait for a next process")
 	}
 }
 
-func (t *takeover) at() handover.Stage {
+func (t *processHandover) currentStage() handover.Stage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.stage.Stage()
 }
 
 // serves says whether this process serves in the dispatcher's name.
-func (t *takeover) serves() bool {
+func (t *processHandover) serves() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.stage.MayReportServing(time.Now())
 }
 
-// news takes what the other process says, at either end.
-func (t *takeover) news(n handover.StatusUpdate) {
+// handleUpdate takes what the other process says, at either end.
+func (t *processHandover) handleUpdate(n handover.StatusUpdate) {
 	switch {
 	case n.StoppedAccepting:
 		t.mu.Lock()
@@ -218,11 +218,11 @@
 		t.mu.Unlock()
 	case n.MaxSockets > 0:
 		t.mu.Lock()
-		more := n.MaxSockets > t.have && n.MaxSockets < t.d.cfg.Sockets
+		more := n.MaxSockets > t.maxSockets && n.MaxSockets < t.d.cfg.Sockets
 		if more {
-			t.have = n.MaxSockets
+			t.maxSockets = n.MaxSockets
 		}
-		sockets, memory := t.have, t.memory
+		sockets, memory := t.maxSockets, t.maxMemory
 		t.mu.Unlock()
 		if more {
 			t.d.resize(sockets, memory)
@@ -230,12 +230,12 @@
 	case n.Mark != nil:
 		t.d.bans.Merge([]maintenance.Mark{*n.Mark})
 	case n.OutOfService != nil:
-		t.d.setOut(*n.OutOfService)
+		t.d.setOutOfService(*n.OutOfService)
 	}
 }
 
-// setOut follows a call that the other process had.
-func (d *dispatcher) setOut(out bool) {
+// setOutOfService follows a call that the other process had.
+func (d *dispatcher) setOutOfService(out bool) {
 	if out {
 		d.service.TakeOutOfService()
 	} else {
@@ -246,8 +246,8 @@
 	}
 }
 
-// joined has the other process hear of calls from now on, and of those that came meanwhile.
-func (t *takeover) joined(l *handoff.Link) {
+// handleJoined has the other process hear of calls from now on, and of those that came meanwhile.
+func (t *processHandover) handleJoined(l *handoff.Link) {
 	t.mu.Lock()
 	t.peer = l
 	t.mu.Unlock()
@@ -256,8 +256,8 @@
 	}
 }
 
-// tellOut tells the other process, if there is one, of a call. t may be nil.
-func (t *takeover) tellOut(out bool) {
+// sendOutOfService tells the other process, if there is one, of a call. t may be nil.
+func (t *processHandover) sendOutOfService(out bool) {
 	if t == nil {
 		return
 	}
@@ -269,14 +269,14 @@
 	}
 }
 
-// oldGone takes the news that the process before this one has ended: all room is this one's, unless
+// handleOldGone takes the news that the process before this one has ended: all room is this one's, unless
 // it gives to a next one already.
-func (t *takeover) oldGone(err error) {
+func (t *processHandover) handleOldGone(err error) {
 	t.mu.Lock()
 	at, alone := t.stage.Stage(), t.peer == t.from.link
 	t.stage.HandleDisconnect()
-	if t.total = t.d.cfg.Sockets; alone {
-		t.peer, t.have, t.memory = nil, t.d.cfg.Sockets, t.d.cfg.MemoryBytes
+	if t.totalSockets = t.d.cfg.Sockets; alone {
+		t.peer, t.maxSockets, t.maxMemory = nil, t.d.cfg.Sockets, t.d.cfg.MemoryBytes
 	}
 	t.mu.Unlock()
 	if alone {
@@ -287,19 +287,21 @@
 	t.d.log.Info().Stringer("stage", at).AnErr("link", err).Msg("hand-over: the old process is gone")
 }
 
-// spare is what a process needs of descriptors beside sessions and connections to backends.
-func (t *takeover) spare() int { return 32 + doorSockets(t.d.cfg) }
+// reservedDescriptors is what a process needs of descriptors beside sessions and connections to backends.
+func (t *processHandover) reservedDescriptors() int { return 32 + doorDescriptors(t.d.cfg) }
 
-func (t *takeover) used() int { return t.d.clients.OpenSessions() + t.d.pool.OpenConnections() }
+func (t *processHandover) usedDescriptors() int {
+	return t.d.clients.OpenSessions() + t.d.pool.OpenConnections()
+}
 
-// give gives room up and tells all that this process knows.
-func (t *takeover) give() (handover.State, []syscall.Conn) {
+// giveState gives room up and tells all that this process knows.
+func (t *processHandover) giveState() (handover.State, []syscall.Conn) {
 	d := t.d
 	t.mu.Lock()
-	keep, give := handover.SplitDescriptors(t.have, t.used(), t.spare())
-	t.total, t.have, t.memory = t.have, keep, t.memory/2
-	t.giving = make(chan struct{})
-	memory := t.memory
+	keep, give := handover.SplitDescriptors(t.maxSockets, t.usedDescriptors(), t.reservedDescriptors())
+	t.totalSockets, t.maxSockets, t.maxMemory = t.maxSockets, keep, t.maxMemory/2
+	t.nextGone = make(chan struct{})
+	memory := t.maxMemory
 	t.mu.Unlock()
 	d.resize(keep, memory)
 	d.core.SetOverlap(true)
@@ -314,7 +316,7 @@
 	for _, l := range []struct {
 		name string
 		net.Listener
-	}{{"http1", d.listener}, {"http2", d.listener2}} {
+	}{{"http1", d.listener}, {"http2", d.http2Listener}} {
 		if c, ok := l.Listener.(syscall.Conn); ok {
 			s.Listeners, conns = append(s.Listeners, l.name), append(conns, c)
 		}
@@ -322,12 +324,12 @@
 	return s, conns
 }
 
-// hand accepts no more, and gives up more room as sessions end.
-func (t *takeover) hand() {
+// stopAccepting accepts no more, and gives up more room as sessions end.
+func (t *processHandover) stopAccepting() {
 	t.d.service.HandOver()
 	t.given.Add(1)
 	t.mu.Lock()
-	l, all, giving := t.peer, t.total, t.giving
+	l, all, giving := t.peer, t.totalSockets, t.nextGone
 	t.mu.Unlock()
 	go func() {
 		tick := time.NewTicker(250 * time.Millisecond)
@@ -339,10 +341,10 @@
 			case <-tick.C:
 			}
 			t.mu.Lock()
-			keep := t.used() + t.spare()
-			less := keep+8 < t.have
+			keep := t.usedDescriptors() + t.reservedDescriptors()
+			less := keep+8 < t.maxSockets
 			if less {
-				t.have = keep
+				t.maxSockets = keep
 			}
 			t.mu.Unlock()
 			if less {
@@ -353,12 +355,12 @@
 	}()
 }
 
-// gone takes the news that the process after this one is gone.
-func (t *takeover) gone(accept bool) {
+// handleNextGone takes the news that the process after this one is handleNextGone.
+func (t *processHandover) handleNextGone(accept bool) {
 	t.mu.Lock()
-	close(t.giving)
-	t.peer, t.have, t.memory = nil, t.total, t.memory*2
-	sockets, memory := t.have, t.memory
+	close(t.nextGone)
+	t.peer, t.maxSockets, t.maxMemory = nil, t.totalSockets, t.maxMemory*2
+	sockets, memory := t.maxSockets, t.maxMemory
 	t.mu.Unlock()
 	t.d.bans.ShareWith(nil)
 	t.d.resize(sockets, memory)
--- a/cmd/tinsail/lab.go
+++ b/cmd/tinsail/lab.go
@@ -16,9 +16,9 @@
 	"tinsail/internal/standin/consul"
 )
 
-// besides goes on as the laboratory's own program, which stands beside this one: what serves carries none of its
+// execLab goes on as the laboratory's own program, which stands beside this one: what serves carries none of its
 // libraries.
-func besides(args []string) error {
+func execLab(args []string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -26,7 +26,7 @@
 	path := filepath.Join(filepath.Dir(self), "tinsail-lab")
 	if _, err := os.Stat(path); err != nil {
 		if path, err = exec.LookPath("tinsail-lab"); err != nil {
-			return faulty{fmt.Errorf("tinsail-lab stands neither beside %s nor on the path: make build makes it", self)}
+			return inputError{fmt.Errorf("tinsail-lab stands neither beside %s nor on the path: make build makes it", self)}
 		}
 	}
 	return syscall.Exec(path, append([]string{path}, args...), os.Environ())
@@ -49,10 +49,10 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			host, _, err := net.SplitHostPort(listen)
 			if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
-				return faulty{fmt.Errorf("--listen is %q, want a loopback address and a port", listen)}
+				return inputError{fmt.Errorf("--listen is %q, want a loopback address and a port", listen)}
 			}
 			if instances < 0 || instances > 100_000 {
-				return faulty{fmt.Errorf("--instances is %d, want 0 to 100000", instances)}
+				return inputError{fmt.Errorf("--instances is %d, want 0 to 100000", instances)}
 			}
 			a, err := consul.StartAt(listen)
 			if err != nil {
@@ -81,7 +81,7 @@
 		"scale":   "Stretch a recording in time, or multiply its arrivals",
 		"cut":     "Keep a stretch of a recording, moved to start at 0"} {
 		lab.AddCommand(&cobra.Command{Use: use, Short: short, DisableFlagParsing: true, Args: cobra.ArbitraryArgs,
-			RunE: func(_ *cobra.Command, args []string) error { return besides(append([]string{use}, args...)) }})
+			RunE: func(_ *cobra.Command, args []string) error { return execLab(append([]string{use}, args...)) }})
 	}
 	return lab
 }
--- a/cmd/tinsail/main.go
+++ b/cmd/tinsail/main.go
@@ -16,20 +16,20 @@
 
 // Exit codes.
 const (
-	exitOK     = 0
-	exitFailed = 1 // the program could not do what it was told, a port in use, say
-	exitFaulty = 2 // the command line, the configuration or the settings are faulty
+	exitOK           = 0
+	exitFailed       = 1 // the program could not do what it was told, a port in use, say
+	exitInvalidInput = 2 // the command line, the configuration or the settings are faulty
 )
 
 func main() { os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// faulty is an error of what the program was given, not of what it did.
-type faulty struct{ error }
+// inputError is an error of what the program was given, not of what it did.
+type inputError struct{ error }
 
-func (f faulty) Unwrap() error { return f.error }
+func (f inputError) Unwrap() error { return f.error }
 
 func execute(args []string, out, errs io.Writer) int {
-	c := root()
+	c := rootCommand()
 	c.SetArgs(args)
 	c.SetOut(out)
 	c.SetErr(errs)
@@ -43,10 +43,10 @@
 		for line := range strings.Lines(err.Error()) {
 			fmt.Fprintln(errs, "tinsail:", strings.TrimSuffix(line, "\n"))
 		}
-		return exitFaulty
-	case errors.As(err, new(faulty)):
+		return exitInvalidInput
+	case errors.As(err, new(inputError)):
 		fmt.Fprintln(errs, "tinsail:", err)
-		return exitFaulty
+		return exitInvalidInput
 	}
 	fmt.Fprintln(errs, "tinsail:", err)
 	return exitFailed
--- a/cmd/tinsail/main_test.go
+++ b/cmd/tinsail/main_test.go
@@ -18,13 +18,13 @@
 	"tinsail/internal/settings"
 )
 
-// TestSignals: no signal that operators send ends the program but by a shutdown, and none is
+// TestSignalsDuringShutdown: no signal that operators send ends the program but by a shutdown, and none is
 // lost while one goes on. The signals are real ones, to this process.
-func TestSignals(t *testing.T) {
-	h, draining, drained, over := listen(), make(chan struct{}), make(chan struct{}), make(chan struct{})
+func TestSignalsDuringShutdown(t *testing.T) {
+	h, draining, drained, over := notifySignals(), make(chan struct{}), make(chan struct{}), make(chan struct{})
 	done := make(chan string)
 	go func() {
-		h.mind(minded{
+		h.handle(signalHandlers{
 			reload: func() { done <- "reloaded" },
 			stats:  func() { done <- "counted" },
 			drain:  func() { close(draining) },
@@ -47,14 +47,14 @@
 	<-over
 }
 
-// TestTermDuringReload: a reload that does not come to its end keeps no other signal waiting, and of those that come meanwhile
+// TestReloadDoesNotDelaySignals: a reload that does not come to its end keeps no other signal waiting, and of those that come meanwhile
 // one more is done.
-func TestTermDuringReload(t *testing.T) {
-	h := heard{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
+func TestReloadDoesNotDelaySignals(t *testing.T) {
+	h := signalChannels{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
 	begun, finish, draining, counted, over := make(chan struct{}), make(chan struct{}), make(chan struct{}), make(chan struct{}), make(chan struct{})
 	ended := make(chan struct{})
 	go func() {
-		h.mind(minded{
+		h.handle(signalHandlers{
 			reload: func() { begun <- struct{}{}; <-finish },
 			stats:  func() { counted <- struct{}{} },
 			drain:  func() { close(draining) },
@@ -80,13 +80,13 @@
 func TestCountersEvery(t *testing.T) {
 	for every, want := range map[time.Duration]int{0: 0, time.Second: 3, 400 * time.Millisecond: 8} {
 		synctest.Test(t, func(t *testing.T) {
-			h := heard{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
+			h := signalChannels{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
 			ended, told := make(chan struct{}), 0
 			go func() {
 				time.Sleep(3500 * time.Millisecond) // fake time: a bubble's clock, not a wait of the test
 				close(ended)
 			}()
-			h.mind(minded{reload: func() {}, stats: func() { told++ }, drain: func() {}}, every, ended)
+			h.handle(signalHandlers{reload: func() {}, stats: func() { told++ }, drain: func() {}}, every, ended)
 			assert.Equal(t, want, told, "every %v", every)
 		})
 	}
@@ -145,27 +145,27 @@
 	}{
 		{"check", exitOK, []string{"are well"}},
 		{"check --settings " + script, exitOK, []string{"are well"}},
-		{"check --settings " + write("bad.star", "\nhttp2(listen = 3,\n max_streams = 0)"), exitFaulty,
+		{"check --settings " + write("bad.star", "\nhttp2(listen = 3,\n max_streams = 0)"), exitInvalidInput,
 			[]string{"bad.star:2:7: http2.listen: is 3, want host:port", "bad.star:3:2: http2.max_streams: is 0"}},
-		{"check --settings " + write("same.star", "http2(listen = \"127.0.0.1:7\")"), exitFaulty, []string{"same.star:1:7: http2.listen: is 127.0.0.1:7, where HTTP/1.1 listens already"}},
-		{"check --settings " + filepath.Join(dir, "none.star"), exitFaulty, []string{"none.star"}},
-		{"check --sets x", exitFaulty, []string{"unknown flag: --sets"}},
-		{"check it", exitFaulty, []string{`takes no "it", see tinsail check --help`}},
-		{"serve --log-level loud", exitFaulty, []string{"log level is \"loud\", want"}},
-		{"serve --log-format xml", exitFaulty, []string{"log format is \"xml\", want"}},
-		{"demo --reqs 0", exitFaulty, []string{"--reqs is 0, want 1 to 100000"}},
-		{"lab consul --listen 10.0.0.1:1", exitFaulty, []string{"want a loopback address"}},
-		{"members", exitFaulty, []string{"--at is missing"}},
-		{"control ready", exitFaulty, []string{`--admin is "", want the host:port`}},
-		{"control offline --admin 127.0.0.1:1", exitFaulty, []string{"wants one backend's id"}},
-		{"control ready it --admin 127.0.0.1:1", exitFaulty, []string{`takes no "it"`}},
-		{"control in-service --admin 127.0.0.1:1", exitFaulty, []string{"no answer"}},
+		{"check --settings " + write("same.star", "http2(listen = \"127.0.0.1:7\")"), exitInvalidInput, []string{"same.star:1:7: http2.listen: is 127.0.0.1:7, where HTTP/1.1 listens already"}},
+		{"check --settings " + filepath.Join(dir, "none.star"), exitInvalidInput, []string{"none.star"}},
+		{"check --sets x", exitInvalidInput, []string{"unknown flag: --sets"}},
+		{"check it", exitInvalidInput, []string{`takes no "it", see tinsail check --help`}},
+		{"serve --log-level loud", exitInvalidInput, []string{"log level is \"loud\", want"}},
+		{"serve --log-format xml", exitInvalidInput, []string{"log format is \"xml\", want"}},
+		{"demo --reqs 0", exitInvalidInput, []string{"--reqs is 0, want 1 to 100000"}},
+		{"lab consul --listen 10.0.0.1:1", exitInvalidInput, []string{"want a loopback address"}},
+		{"members", exitInvalidInput, []string{"--at is missing"}},
+		{"control ready", exitInvalidInput, []string{`--admin is "", want the host:port`}},
+		{"control offline --admin 127.0.0.1:1", exitInvalidInput, []string{"wants one backend's id"}},
+		{"control ready it --admin 127.0.0.1:1", exitInvalidInput, []string{`takes no "it"`}},
+		{"control in-service --admin 127.0.0.1:1", exitInvalidInput, []string{"no answer"}},
 		{"control --help", exitOK, []string{"Exit codes: 0 yes, 1 no", "offline"}},
 		{"version", exitOK, []string{"tinsail ", "go1."}},
 		{"", exitOK, []string{"Exit codes", "serve", "demo"}},
 		{"serve --help", exitOK, []string{"SIGHUP", "Exit codes"}},
 		{"completion bash", exitOK, []string{"bash completion"}},
-		{"frob", exitFaulty, []string{`takes no "frob"`}},
+		{"frob", exitInvalidInput, []string{`takes no "frob"`}},
 	} {
 		var out strings.Builder
 		assert.Equal(t, c.code, execute(strings.Fields(c.args), &out, &out), c.args)
@@ -175,7 +175,7 @@
 	}
 	t.Setenv("ROUTER_CONFIG", write("bad.json", "{\"listen\":\"x\",\n\"seed\":\"y\"}"))
 	var out strings.Builder
-	assert.Equal(t, exitFaulty, execute([]string{"check"}, &out, &out))
+	assert.Equal(t, exitInvalidInput, execute([]string{"check"}, &out, &out))
 	for _, want := range []string{"config line 1: listen is", "config line 2: seed is", "settings is missing"} {
 		assert.Contains(t, out.String(), want)
 	}
--- a/cmd/tinsail/members.go
+++ b/cmd/tinsail/members.go
@@ -25,7 +25,7 @@
   tinsail members --at 127.0.0.1:8081 --json`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if at == "" {
-				return faulty{errors.New("--at is missing, want the host:port of a dispatcher's HTTP/1.1 front")}
+				return inputError{errors.New("--at is missing, want the host:port of a dispatcher's HTTP/1.1 front")}
 			}
 			client := &http.Client{Timeout: 5 * time.Second}
 			answer, err := client.Get("http://" + at + "/members")
@@ -44,11 +44,11 @@
 				fmt.Fprintln(c.OutOrStdout(), string(text))
 				return nil
 			}
-			var v view
+			var v membersView
 			if err := json.Unmarshal(text, &v); err != nil {
 				return err
 			}
-			v.table(c.OutOrStdout())
+			v.print(c.OutOrStdout())
 			return nil
 		},
 	}
@@ -57,7 +57,7 @@
 	return c
 }
 
-func (v *view) table(out io.Writer) {
+func (v *membersView) print(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	age := func(ms int64) time.Duration {
 		return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond)
--- a/cmd/tinsail/metrics.go
+++ b/cmd/tinsail/metrics.go
@@ -24,7 +24,7 @@
 // (version 0.0.4), each named tinsail_ and the counter's name: the door's GET /metrics.
 func (d *dispatcher) metrics() (string, error) {
 	reg := prometheus.NewPedanticRegistry()
-	if err := reg.Register(counting{d}); err != nil {
+	if err := reg.Register(counterCollector{d}); err != nil {
 		return "", err
 	}
 	families, err := reg.Gather()
@@ -41,14 +41,14 @@
 	return strings.TrimSuffix(b.String(), "\n"), nil
 }
 
-// counting collects the dispatcher's counters as they are at each gathering; it keeps no copy.
-type counting struct{ d *dispatcher }
+// counterCollector collects the dispatcher's counters as they are at each gathering; it keeps no copy.
+type counterCollector struct{ d *dispatcher }
 
 // Describe tells nothing ahead: the counters that are on depend on the settings (an unchecked
 // collector in client_golang's terms).
-func (counting) Describe(chan<- *prometheus.Desc) {}
+func (counterCollector) Describe(chan<- *prometheus.Desc) {}
 
-func (c counting) Collect(out chan<- prometheus.Metric) {
+func (c counterCollector) Collect(out chan<- prometheus.Metric) {
 	each := func(name string, n int64) {
 		kind, help := prometheus.CounterValue, "tinsail counter "+name+" (docs/operators)"
 		if gauges[name] {
@@ -63,5 +63,5 @@
 	}
 	c.d.count.Each(counterNames, each)
 	c.d.guard.Each(each)
-	c.d.further(each)
+	c.d.eachPartCounter(each)
 }
--- a/cmd/tinsail/pace_test.go
+++ b/cmd/tinsail/pace_test.go
@@ -9,57 +9,57 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// pace is what a play of a test could not judge. Up to a time no wait of the program for bytes, and no deadline, can be over;
+// timingCheck is what a play of a test could not judge. Up to a time no wait of the program for bytes, and no deadline, can be over;
 // past it an answer of another status may be a slow machine's fault, and then the play has judged less. nil
 // is a play in which nothing depends on time.
-type pace struct {
-	by   time.Time
-	mu   sync.Mutex
-	less []string
+type timingCheck struct {
+	judgeUntil time.Time
+	mu         sync.Mutex
+	skipped    []string
 }
 
-// lasts sets how long the play's answers are due in time from now on.
-func (p *pace) lasts(d time.Duration) { p.by = time.Now().Add(d) }
+// allow sets how long the play's answers are due in time from now on.
+func (p *timingCheck) allow(d time.Duration) { p.judgeUntil = time.Now().Add(d) }
 
-func (p *pace) over() bool { return p != nil && time.Now().After(p.by) }
+func (p *timingCheck) expired() bool { return p != nil && time.Now().After(p.judgeUntil) }
 
-// misses notes what was not judged.
-func (p *pace) misses(format string, a ...any) {
+// skip notes what was not judged.
+func (p *timingCheck) skip(format string, a ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.less = append(p.less, fmt.Sprintf(format, a...))
+	p.skipped = append(p.skipped, fmt.Sprintf(format, a...))
 }
 
-// paceMost is how often a test is played until a play of it has judged all.
-const paceMost = 3
+// maxRounds is how often a test is played until a play of it has judged all.
+const maxRounds = 3
 
-// playUntilAll plays until a play has judged all or has failed, paceMost times at most, and says whether one has.
-func playUntilAll(play func(i int, p *pace) (passed bool)) bool {
-	for i := range paceMost {
-		p := &pace{}
-		if !play(i+1, p) || len(p.less) == 0 {
+// repeatUntilComplete plays until a play has judged all or has failed, paceMost times at most, and says whether one has.
+func repeatUntilComplete(play func(i int, p *timingCheck) (passed bool)) bool {
+	for i := range maxRounds {
+		p := &timingCheck{}
+		if !play(i+1, p) || len(p.skipped) == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// onPace plays a test until a play has judged all. It fails where a play does, and where none has judged all.
-func onPace(t *testing.T, play func(t *testing.T, p *pace)) {
-	if !playUntilAll(func(i int, p *pace) bool {
+// runTimed plays a test until a play has judged all. It fails where a play does, and where none has judged all.
+func runTimed(t *testing.T, play func(t *testing.T, p *timingCheck)) {
+	if !repeatUntilComplete(func(i int, p *timingCheck) bool {
 		return t.Run(fmt.Sprint("play ", i), func(t *testing.T) {
 			play(t, p)
-			for _, what := range p.less {
+			for _, what := range p.skipped {
 				t.Log("judged less for want of time: ", what)
 			}
 		})
 	}) {
-		t.Errorf("each of %d plays judged less for want of time: nothing is said of the program", paceMost)
+		t.Errorf("each of %d plays judged less for want of time: nothing is said of the program", maxRounds)
 	}
 }
 
-// TestOnPace: a play that judged less is played again, and a test of which none judged all does not pass.
-func TestOnPace(t *testing.T) {
+// TestTimedRunIsRepeated: a play that judged less is played again, and a test of which none judged all does not pass.
+func TestTimedRunIsRepeated(t *testing.T) {
 	for name, c := range map[string]struct {
 		slow, fails, plays int // the first plays judge less; this one fails
 		judged             bool
@@ -71,9 +71,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			played := 0
-			got := playUntilAll(func(i int, p *pace) bool {
+			got := repeatUntilComplete(func(i int, p *timingCheck) bool {
 				if played = i; i <= c.slow {
-					p.misses("play %d", i)
+					p.skip("play %d", i)
 				}
 				return i != c.fails
 			})
@@ -81,11 +81,11 @@
 			assert.Equal(t, c.plays, played)
 		})
 	}
-	var never *pace
-	assert.False(t, never.over())
-	p := &pace{}
-	p.lasts(time.Hour)
-	assert.False(t, p.over())
-	p.lasts(-time.Hour)
-	assert.True(t, p.over())
+	var never *timingCheck
+	assert.False(t, never.expired())
+	p := &timingCheck{}
+	p.allow(time.Hour)
+	assert.False(t, p.expired())
+	p.allow(-time.Hour)
+	assert.True(t, p.expired())
 }
--- a/cmd/tinsail/program_test.go
+++ b/cmd/tinsail/program_test.go
@@ -53,7 +53,7 @@
 		p.director.Set(b.Entry("fast", "here", i, "Ready"))
 	}
 	var errs io.Reader
-	p.cmd, errs = launch(t, strings.Replace(string(demoConfig), "127.0.0.1:1", p.director.Address, 1), script)
+	p.cmd, errs = startServe(t, strings.Replace(string(demoConfig), "127.0.0.1:1", p.director.Address, 1), script)
 	go func() {
 		defer close(p.lines)
 		for r := bufio.NewScanner(errs); r.Scan(); {
@@ -78,9 +78,9 @@
 	}
 }
 
-// launch starts the program's serve with a configuration and a settings script, as operators do,
+// startServe starts the program's serve with a configuration and a settings script, as operators do,
 // and gives its log; the process is killed at the test's end.
-func launch(t testing.TB, config, script string) (*exec.Cmd, io.Reader) {
+func startServe(t testing.TB, config, script string) (*exec.Cmd, io.Reader) {
 	dir := t.TempDir()
 	conf, set := filepath.Join(dir, "c.json"), filepath.Join(dir, "s.star")
 	require.NoError(t, os.WriteFile(conf, []byte(config), 0o600))
@@ -106,9 +106,9 @@
 	return nil
 }
 
-// TestTermUnderLoad: a SIGTERM under load loses nothing that was taken, over HTTP/2: each job that
+// TestTermLosesNoReqUnderLoad: a SIGTERM under load loses nothing that was taken, over HTTP/2: each job that
 // ran to its end has its result at its client, and the program ends by itself with code 0.
-func TestTermUnderLoad(t *testing.T) {
+func TestTermLosesNoReqUnderLoad(t *testing.T) {
 	p := startProgram(t, `http2(listen = "127.0.0.1:0")`, 20*time.Millisecond)
 	var all sync.WaitGroup
 	var served, asked, untaken atomic.Int64
@@ -177,9 +177,9 @@
 	assert.Equal(t, float64(answered), count["reqs_taken"])
 }
 
-// TestProgramByCurl: the real program answers curl on both ports, and SIGHUP changes what can be
+// TestCurlOnBothFronts: the real program answers curl on both ports, and SIGHUP changes what can be
 // changed.
-func TestProgramByCurl(t *testing.T) {
+func TestCurlOnBothFronts(t *testing.T) {
 	curl, err := exec.LookPath("curl")
 	if err != nil && os.Getenv("CI") == "" {
 		t.Skip("curl is not here; CI installs it")
@@ -204,9 +204,9 @@
 	assert.Equal(t, []any{"http2.listen"}, line["next_start"])
 }
 
-// TestFirstList: a dispatcher that knows of no backend at its start takes on as much as the first list that names some has
+// TestFirstListSetsCapacity: a dispatcher that knows of no backend at its start takes on as much as the first list that names some has
 // room for. It used to size itself by the empty list, and refused jobs beside idle backends.
-func TestFirstList(t *testing.T) {
+func TestFirstListSetsCapacity(t *testing.T) {
 	h := newHouse(t, "127.0.0.1:0")
 	for _, b := range h.backends {
 		b.Set(platform.Faults{Hold: true})
--- a/cmd/tinsail/quota_rig_test.go
+++ b/cmd/tinsail/quota_rig_test.go
@@ -151,7 +151,7 @@
 	require.NoError(f.t, err)
 	l := &lentLife{}
 	var errs io.Reader
-	l.cmd, errs = launch(f.t, string(text), f.script(i))
+	l.cmd, errs = startServe(f.t, string(text), f.script(i))
 	at := make(chan string, 1)
 	go func() {
 		lines := bufio.NewScanner(errs)
--- a/cmd/tinsail/quotas.go
+++ b/cmd/tinsail/quotas.go
@@ -43,9 +43,9 @@
 	return out, nil
 }
 
-// leaseTimes is how many of a dispatcher's leases a region's must last at least: the lender lends only what its own lease
+// minRegionLeaseFactor is how many of a dispatcher's leases a region's must last at least: the lender lends only what its own lease
 // covers, and renews that each third of it (quota.NewRegion wants as much).
-const leaseTimes = 4
+const minRegionLeaseFactor = 4
 
 // checkQuotas finds what the calls allow and the schema cannot say. cfg and set may be nil.
 func checkQuotas(cfg *config.Config, set *settings.Settings) error {
@@ -72,21 +72,21 @@
 	if !slices.ContainsFunc(lenders, func(l lender) bool { return l.region == q.Region }) {
 		return settings.Faults{set.Fault("quotas.region", fmt.Sprintf("is %q, which is no region of lenders", q.Region))}
 	}
-	if q.RegionLeaseMS < leaseTimes*q.LeaseMS {
+	if q.RegionLeaseMS < minRegionLeaseFactor*q.LeaseMS {
 		return settings.Faults{set.Fault("quotas.region_lease_ms", fmt.Sprintf("is %d, want at least %d times lease_ms, which is %d",
-			q.RegionLeaseMS, leaseTimes, q.LeaseMS))}
+			q.RegionLeaseMS, minRegionLeaseFactor, q.LeaseMS))}
 	}
 	if set.Policy == nil || cfg == nil {
 		return nil
 	}
-	if key, err := fitsQuotas(cfg, policyOf(set)); err != nil {
+	if key, err := checkQuotasAgainst(cfg, policyOf(set)); err != nil {
 		return settings.Faults{set.Fault("policy."+key, err.Error())}
 	}
 	return nil
 }
 
-// fitsQuotas checks the quotas of a policy against the configuration, and names the key at fault.
-func fitsQuotas(cfg *config.Config, p policy.Policy) (key string, err error) {
+// checkQuotasAgainst checks the quotas of a policy against the configuration, and names the key at fault.
+func checkQuotasAgainst(cfg *config.Config, p policy.Policy) (key string, err error) {
 	for _, team := range slices.Sorted(maps.Keys(p.Quotas)) {
 		if !slices.Contains(cfg.Names.Tenants, team) {
 			return "quotas", fmt.Errorf("names %q, which is no tenant of the configuration", team)
@@ -97,22 +97,22 @@
 			return "urgent_classes", fmt.Errorf("names %q, which is no class of the configuration", class)
 		}
 	}
-	if run := millis(p.RunMS); p.RunMS > 0 && run < longestRun(cfg) {
+	if run := millis(p.RunMS); p.RunMS > 0 && run < maxRunTime(cfg) {
 		return "run_ms", fmt.Errorf("is %d, want at least %d: the longest deadline of a class and the answer slack", p.RunMS,
-			longestRun(cfg).Milliseconds())
+			maxRunTime(cfg).Milliseconds())
 	}
 	return "", nil
 }
 
-// longestRun is the longest that a req of the configuration's classes is in flight, where its client states no patience of its
+// maxRunTime is the longest that a req of the configuration's classes is in flight, where its client states no patience of its
 // own; in whole milliseconds, rounded up.
-func longestRun(cfg *config.Config) time.Duration {
+func maxRunTime(cfg *config.Config) time.Duration {
 	run := cfg.LongestDeadline() + time.Duration(cfg.Settings.Rules.AnswerSlack*float64(time.Millisecond))
 	return (run + time.Millisecond - 1).Truncate(time.Millisecond)
 }
 
-// checkSize says whether a policy's bytes fit the accord.
-func checkSize(set *settings.Settings) error {
+// checkPolicySize says whether a policy's bytes fit the accord.
+func checkPolicySize(set *settings.Settings) error {
 	if n := len(policyOf(set).Append(nil)); n > leases.MaxBody {
 		return settings.Faults{set.Fault("policy", fmt.Sprintf("has %d bytes, at most %d fit the accord: fewer or shorter names", n, leases.MaxBody))}
 	}
@@ -122,13 +122,13 @@
 // fleetQuotas is where the core asks for room: it has names for the core's numbers, and the policy in force for all else.
 type fleetQuotas struct {
 	tenants, classes []string
-	rest             time.Duration // the bound on what is in flight while the policy states none
-	run              atomic.Int64  // the bound in force, in nanoseconds
+	defaultRunTime   time.Duration // the bound on what is in flight while the policy states none
+	runTime          atomic.Int64  // the bound in force, in nanoseconds
 	urgent           atomic.Pointer[[]bool]
 
-	mu    sync.Mutex // of what follows; not held while a req is taken
-	first *policy.Policy
-	kept  atomic.Pointer[quota.Quota]
+	mu      sync.Mutex // of what follows; not held while a req is taken
+	latest  *policy.Policy
+	limiter atomic.Pointer[quota.Quota]
 }
 
 // newFleetQuotas makes what the accord puts policies in force at; nil where the settings do not call for quotas.
@@ -136,39 +136,39 @@
 	if set.Quotas == nil {
 		return nil
 	}
-	f := &fleetQuotas{tenants: cfg.Names.Tenants, classes: cfg.Names.Classes, rest: longestRun(cfg)}
-	f.enter(policy.Policy{})
-	f.first = nil
+	f := &fleetQuotas{tenants: cfg.Names.Tenants, classes: cfg.Names.Classes, defaultRunTime: maxRunTime(cfg)}
+	f.applyPolicy(policy.Policy{})
+	f.latest = nil
 	return f
 }
 
-// enter puts a policy in force. It is called by the accord, which begins before the quotas' links do.
-func (f *fleetQuotas) enter(p policy.Policy) {
+// applyPolicy puts a policy in force. It is called by the accord, which begins before the quotas' links do.
+func (f *fleetQuotas) applyPolicy(p policy.Policy) {
 	urgent := make([]bool, len(f.classes))
 	for i, class := range f.classes {
 		urgent[i] = slices.Contains(p.UrgentClasses, class)
 	}
 	f.urgent.Store(&urgent)
-	run := f.rest // also without quotas: what is in flight when there are some is then bounded, too
+	run := f.defaultRunTime // also without quotas: what is in flight when there are some is then bounded, too
 	if p.RunMS > 0 {
 		run = millis(p.RunMS)
 	}
-	f.run.Store(int64(run))
+	f.runTime.Store(int64(run))
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.first = &p; f.kept.Load() != nil {
-		f.kept.Load().Enter(p)
+	if f.latest = &p; f.limiter.Load() != nil {
+		f.limiter.Load().Enter(p)
 	}
 }
 
-// keep begins to ask q, which is told of the policy that is in force already.
-func (f *fleetQuotas) keep(q *quota.Quota) {
+// attach begins to ask q, which is told of the policy that is in force already.
+func (f *fleetQuotas) attach(q *quota.Quota) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.first != nil {
-		q.Enter(*f.first)
+	if f.latest != nil {
+		q.Enter(*f.latest)
 	}
-	f.kept.Store(q)
+	f.limiter.Store(q)
 }
 
 // Acquire is core.Quotas. A req of no tenant is in no quota.
@@ -178,14 +178,14 @@
 		return func() {}
 	}
 	urgent := *f.urgent.Load()
-	return f.kept.Load().Take(f.tenants[tenant], class >= 0 && class < len(urgent) && urgent[class], until, ready)
+	return f.limiter.Load().Take(f.tenants[tenant], class >= 0 && class < len(urgent) && urgent[class], until, ready)
 }
 
 // MaxHold is core.Quotas.
-func (f *fleetQuotas) MaxHold() time.Duration { return time.Duration(f.run.Load()) }
+func (f *fleetQuotas) MaxHold() time.Duration { return time.Duration(f.runTime.Load()) }
 
 // addQuotas begins this dispatcher's part in the quotas: after the accord's, and before the core runs.
-func (d *dispatcher) addQuotas(set *settings.Settings, from handed) error {
+func (d *dispatcher) addQuotas(set *settings.Settings, from handoverData) error {
 	if d.quotas == nil {
 		return nil
 	}
@@ -197,12 +197,12 @@
 	if err != nil {
 		return settings.Faults{set.Fault("quotas.lenders", err.Error())}
 	}
-	epoch, err := nextEpoch(keptPath(d.cfg, "epoch"), system.wall())
+	epoch, err := nextEpoch(statePath(d.cfg, "epoch"), hostOS.wallClock())
 	if err != nil {
 		d.log.Error().Err(err).Msg("epoch not kept: a wall clock that was stepped back has lenders take this process for an earlier one")
 	}
 	cfg := quota.Config{Name: d.cfg.Name, Epoch: epoch, Region: set.Quotas.Region, RegionLease: millis(set.Quotas.RegionLeaseMS), Log: d.log,
-		Plan: lending.LeaseConfig{Lease: millis(set.Quotas.LeaseMS), MaxRunTime: longestRun(d.cfg), Drift: set.Accord.Drift}}
+		Plan: lending.LeaseConfig{Lease: millis(set.Quotas.LeaseMS), MaxRunTime: maxRunTime(d.cfg), Drift: set.Accord.Drift}}
 	if from.link != nil { // the process that hands over goes on with what it holds until it is drained: no earlier life of this one
 		cfg.Name = fmt.Sprintf("%s.%x", d.cfg.Name, epoch)
 	}
@@ -217,7 +217,7 @@
 	if err != nil {
 		return errors.Join(errors.New("quotas"), err)
 	}
-	d.quotas.keep(q)
+	d.quotas.attach(q)
 	d.core.Quotas = d.quotas
 	if !set.Accord.ContinueWhenCut() {
 		d.log.Warn().Str("when_cut", set.Accord.WhenCut).Msg("quotas: a region that is cut off from the accord's leader takes nothing, whatever " +
@@ -226,15 +226,15 @@
 	return nil
 }
 
-// canKeepQuotas checks a policy of the fleet against this dispatcher.
-func (d *dispatcher) canKeepQuotas(p policy.Policy) error {
+// checkPolicyQuotas checks a policy of the fleet against this dispatcher.
+func (d *dispatcher) checkPolicyQuotas(p policy.Policy) error {
 	if len(p.Quotas) == 0 {
 		return nil
 	}
-	if d.set.Quotas == nil {
+	if d.settings.Quotas == nil {
 		return errors.New("it sets policy.quotas, and this dispatcher has no quotas(...)")
 	}
-	if key, err := fitsQuotas(d.cfg, p); err != nil {
+	if key, err := checkQuotasAgainst(d.cfg, p); err != nil {
 		return fmt.Errorf("policy.%s: %w", key, err)
 	}
 	return nil
--- a/cmd/tinsail/quotas_fleet_test.go
+++ b/cmd/tinsail/quotas_fleet_test.go
@@ -91,7 +91,7 @@
 func (f *quotaFleet) start(t *testing.T, i int) *member {
 	m := &member{}
 	var errs io.Reader
-	m.cmd, errs = launch(t, f.config(t, fmt.Sprintf("n%d", i)), f.script(i))
+	m.cmd, errs = startServe(t, f.config(t, fmt.Sprintf("n%d", i)), f.script(i))
 	lines, said := bufio.NewScanner(errs), ""
 	for lines.Scan() {
 		var line map[string]any
--- a/cmd/tinsail/quotas_test.go
+++ b/cmd/tinsail/quotas_test.go
@@ -89,16 +89,16 @@
 func TestDispatcherThatCannotKeepQuotas(t *testing.T) {
 	body := func(p policy.Policy) []byte { return p.Append(nil) }
 	quotas := policy.Policy{Quotas: map[string]int{"press": 3}, RunMS: 6000}
-	d := &dispatcher{cfg: teamed(), set: &settings.Settings{}}
-	assert.NoError(t, d.canTake(body(policy.Policy{})))
-	assert.ErrorContains(t, d.canTake(body(quotas)), "this dispatcher has no quotas(...)")
-	d.set.Quotas = &settings.Quotas{}
-	assert.NoError(t, d.canTake(body(quotas)))
+	d := &dispatcher{cfg: teamed(), settings: &settings.Settings{}}
+	assert.NoError(t, d.checkPolicy(body(policy.Policy{})))
+	assert.ErrorContains(t, d.checkPolicy(body(quotas)), "this dispatcher has no quotas(...)")
+	d.settings.Quotas = &settings.Quotas{}
+	assert.NoError(t, d.checkPolicy(body(quotas)))
 	quotas.Quotas["other"] = 1
-	assert.ErrorContains(t, d.canTake(body(quotas)), `policy.quotas: names "other", which is no tenant`)
+	assert.ErrorContains(t, d.checkPolicy(body(quotas)), `policy.quotas: names "other", which is no tenant`)
 	delete(quotas.Quotas, "other")
 	quotas.RunMS = 5000
-	assert.ErrorContains(t, d.canTake(body(quotas)), "policy.run_ms: is 5000, want at least 5008")
+	assert.ErrorContains(t, d.checkPolicy(body(quotas)), "policy.run_ms: is 5000, want at least 5008")
 }
 
 // TestRoomByNames: the core's numbers are the configuration's names; a req of no team is in no quota, and what is in flight is
@@ -107,7 +107,7 @@
 	assert.Nil(t, newFleetQuotas(teamed(), &settings.Settings{}), "off without the call")
 	f := newFleetQuotas(teamed(), &settings.Settings{Quotas: &settings.Quotas{}})
 	assert.Equal(t, 5008*time.Millisecond, f.MaxHold(), "the longest class and the answer slack")
-	assert.Nil(t, f.first, "no policy is in force")
+	assert.Nil(t, f.latest, "no policy is in force")
 	for _, tenant := range []int{-1, 2} {
 		said := 0
 		before := time.Now()
@@ -118,11 +118,11 @@
 		})()
 		assert.Equal(t, 1, said)
 	}
-	f.enter(policy.Policy{Quotas: map[string]int{"press": 3}, RunMS: 7000, UrgentReserve: 1, UrgentClasses: []string{"express"}})
+	f.applyPolicy(policy.Policy{Quotas: map[string]int{"press": 3}, RunMS: 7000, UrgentReserve: 1, UrgentClasses: []string{"express"}})
 	assert.Equal(t, 7*time.Second, f.MaxHold())
 	assert.Equal(t, []bool{false, true}, *f.urgent.Load())
-	assert.Equal(t, 7000, f.first.RunMS, "handed over when the links begin")
-	f.enter(policy.Policy{})
+	assert.Equal(t, 7000, f.latest.RunMS, "handed over when the links begin")
+	f.applyPolicy(policy.Policy{})
 	assert.Equal(t, 5008*time.Millisecond, f.MaxHold())
 	assert.Equal(t, []bool{false, false}, *f.urgent.Load())
 }
--- a/cmd/tinsail/ready.go
+++ b/cmd/tinsail/ready.go
@@ -11,12 +11,12 @@
 
 // readiness is how a process came to be ready: it knows of a backend that may be sent to, and of the policy that holds.
 type readiness struct {
-	begun time.Time // the process's start
-	heard atomic.Bool
+	startedAt time.Time // the process's start
+	recorded  atomic.Bool
 }
 
-// namesReady says whether a list names a backend that may be sent to.
-func namesReady(list []core.Entry) bool {
+// hasReadyBackend says whether a list names a backend that may be sent to.
+func hasReadyBackend(list []core.Entry) bool {
 	for i := range list {
 		if list[i].State == balance.Ready {
 			return true
@@ -25,11 +25,11 @@
 	return false
 }
 
-// tellCore passes a list on to the core. The first one that names a backend that may be sent to is noted as what made the
+// passListToCore passes a list on to the core. The first one that names a backend that may be sent to is noted as what made the
 // process ready.
-func (d *dispatcher) tellCore(kind balance.ListKind, list []core.Entry) {
+func (d *dispatcher) passListToCore(kind balance.ListKind, list []core.Entry) {
 	d.core.HandleList(kind, list)
-	if !namesReady(list) || !d.ready.heard.CompareAndSwap(false, true) {
+	if !hasReadyBackend(list) || !d.readiness.recorded.CompareAndSwap(false, true) {
 		return
 	}
 	from, count := "director", &d.count.ReadyFromDirector
@@ -41,7 +41,7 @@
 	case kind == balance.ListCached:
 		from, count = "known", &d.count.ReadyFromKnown
 	}
-	calls, failed := d.count.DirectorCalls.Load(), d.directorFailed()
+	calls, failed := d.count.DirectorCalls.Load(), d.failedDirectorCalls()
 	ended := d.service.Ended()
 	go func() { // the core takes the list a moment later, and the fleet's policy may come later still, or never
 		for d.core.ReadyBackends() == 0 || !d.core.Serves() {
@@ -51,15 +51,15 @@
 			case <-time.After(service.PollInterval):
 			}
 		}
-		after := time.Since(d.ready.begun)
+		after := time.Since(d.readiness.startedAt)
 		d.count.ReadyMS.Store(max(after.Milliseconds(), 1))
 		count.Add(1)
 		d.log.Info().Int64("after_ms", after.Milliseconds()).Str("from", from).Int64("director_calls", calls).Int64("director_failed", failed).Msg("ready")
 	}()
 }
 
-// directorFailed is how many calls to the director have come to nothing so far.
-func (d *dispatcher) directorFailed() (n int64) {
+// failedDirectorCalls is how many calls to the director have come to nothing so far.
+func (d *dispatcher) failedDirectorCalls() (n int64) {
 	for _, e := range []core.Ending{core.ListUnanswered, core.ListRefused, core.ListInvalid} {
 		n += d.count.Endings[e].Load()
 	}
--- a/cmd/tinsail/ready_test.go
+++ b/cmd/tinsail/ready_test.go
@@ -18,17 +18,17 @@
 	"tinsail/internal/standin/platform"
 )
 
-// rarely is a time for asking of ten hours: what the module draws from it, no test lives to see.
-const rarely = `"AskEveryMs": 36000000`
+// rareAskEvery is a time for asking of ten hours: what the module draws from it, no test lives to see.
+const rareAskEvery = `"AskEveryMs": 36000000`
 
-// known writes a list into the house's configuration, as an earlier process last held it.
-func (h *house) known(index int, entries ...platform.Entry) {
+// writeKnownList writes a list into the house's configuration, as an earlier process last held it.
+func (h *house) writeKnownList(index int, entries ...platform.Entry) {
 	list, err := json.Marshal(map[string]any{"index": index, "snapshot": true, "endpoints": append([]platform.Entry{}, entries...)})
 	require.NoError(h.t, err)
 	text, err := os.ReadFile(h.conf)
 	require.NoError(h.t, err)
-	edited := strings.Replace(strings.Replace(string(text), `"AskEveryMs": 10000`, rarely, 1), `"seed"`, `"known": `+string(list)+`, "seed"`, 1)
-	require.Contains(h.t, edited, rarely)
+	edited := strings.Replace(strings.Replace(string(text), `"AskEveryMs": 10000`, rareAskEvery, 1), `"seed"`, `"known": `+string(list)+`, "seed"`, 1)
+	require.Contains(h.t, edited, rareAskEvery)
 	require.NoError(h.t, os.WriteFile(h.conf, []byte(edited), 0o600))
 }
 
@@ -55,9 +55,9 @@
 	return p, ready
 }
 
-// TestReadyAfterStart: a process is ready as soon as it knows of a backend to send to, says from where, and asks at once if what
+// TestReadyWithFirstReadyBackend: a process is ready as soon as it knows of a backend to send to, says from where, and asks at once if what
 // it was given names none, whatever the settings' time for asking. A version of another time is no reason to wait for news.
-func TestReadyAfterStart(t *testing.T) {
+func TestReadyWithFirstReadyBackend(t *testing.T) {
 	for name, c := range map[string]struct {
 		index  int
 		status string // of the backends in the list that is known; none if empty
@@ -80,7 +80,7 @@
 					entries = append(entries, b.Entry("fast", "here", i, c.status))
 				}
 			}
-			h.known(c.index, entries...)
+			h.writeKnownList(c.index, entries...)
 			h.director.Down(c.down)
 			p, line := h.startReady(t)
 			assert.Equal(t, []any{c.from, c.calls}, []any{line["from"], line["director_calls"]})
@@ -103,14 +103,14 @@
 	}
 }
 
-// TestReadyFromDirectorBesideCatalogue: the director is asked at once where a catalogue stands beside it that says nothing.
-func TestReadyFromDirectorBesideCatalogue(t *testing.T) {
+// TestReadyFromDirectorBesideSilentConsul: the director is asked at once where a catalogue stands beside it that says nothing.
+func TestReadyFromDirectorBesideSilentConsul(t *testing.T) {
 	agent, err := standin.Start()
 	require.NoError(t, err)
 	t.Cleanup(agent.Close)
 	agent.Set(standin.Faults{Silent: true})
 	h := newHouse(t, "127.0.0.1:0")
-	h.known(0)
+	h.writeKnownList(0)
 	h.script = filepath.Join(t.TempDir(), "s.star")
 	require.NoError(t, os.WriteFile(h.script, []byte(`consul(address = [`+strconv.Quote(agent.Address)+`], service = "photo")
 backends(director = True)`), 0o600))
--- a/cmd/tinsail/reset_test.go
+++ b/cmd/tinsail/reset_test.go
@@ -14,11 +14,11 @@
 	"tinsail/internal/standin/platform"
 )
 
-// TestUnsafeResetOnSockets: a real process sends reqs that must not run twice to backends that reset
+// TestUnsafeReqRunsOnceAfterReset: a real process sends reqs that must not run twice to backends that reset
 // their connections before the last byte was read, after it, and after the start was told. None runs
 // twice or is refused once it may have run, and each client has its one answer long before its time
 // is up, which is a minute: a read that waits for it fails.
-func TestUnsafeResetOnSockets(t *testing.T) {
+func TestUnsafeReqRunsOnceAfterReset(t *testing.T) {
 	const reqs, wait = 5, 20 * time.Second
 	for _, point := range []platform.Point{platform.BeforeLast, platform.BeforeStart, platform.AfterStart} {
 		t.Run(fmt.Sprint("point ", point), func(t *testing.T) {
--- a/cmd/tinsail/restart_test.go
+++ b/cmd/tinsail/restart_test.go
@@ -19,10 +19,10 @@
 	"tinsail/internal/standin/platform"
 )
 
-// TestRestartInUse: 40 connections are in use when SIGTERM comes, some with long jobs, and their
+// TestTermWithBusyConnections: 40 connections are in use when SIGTERM comes, some with long jobs, and their
 // clients go on sending on each for as long as it stays open. Each req that was written whole has its
 // one answer, none of its connections ends before that, and the process ends by itself.
-func TestRestartInUse(t *testing.T) {
+func TestTermWithBusyConnections(t *testing.T) {
 	const connections, before = 40, 400
 	p := startProgram(t, "", 0)
 	for _, b := range p.backends {
--- a/cmd/tinsail/serve.go
+++ b/cmd/tinsail/serve.go
@@ -31,19 +31,19 @@
 
 func serve(o options, errs io.Writer) error {
 	begun := time.Now()
-	sig := listen() // first of all: what is not listened for ends the program
-	log, err := logs.New(errs, o.level, o.format)
+	sig := notifySignals() // first of all: what is not listened for ends the program
+	log, err := logs.New(errs, o.logLevel, o.logFormat)
 	if err != nil {
-		return faulty{err}
+		return inputError{err}
 	}
 	cfg, err := config.Load(os.Getenv)
-	set, err2 := settings.Load(o.settings)
-	if err = errors.Join(err, err2, clash(cfg, set), checkSources(cfg, set), checkBudgets(set), checkAccord(cfg, set), checkQuotas(cfg, set)); err != nil {
-		return faulty{err}
+	set, err2 := settings.Load(o.settingsPath)
+	if err = errors.Join(err, err2, checkAddresses(cfg, set), checkSources(cfg, set), checkBudgets(set), checkAccord(cfg, set), checkQuotas(cfg, set)); err != nil {
+		return inputError{err}
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
 	debug.SetGCPercent(200)
-	from, err := join(cfg, log)
+	from, err := requestHandover(cfg, log)
 	if err != nil {
 		return err
 	}
@@ -52,31 +52,31 @@
 		from.close()
 		return err
 	}
-	d.ready.begun = begun
+	d.readiness.startedAt = begun
 	from.closeFiles() // what was taken has descriptors of its own, and what was not must not hold a listener open
 	d.start()
 	e := log.Info().Stringer("listen", d.listener.Addr()).Str("discovery", cfg.Discovery)
-	if d.listener2 != nil {
-		e.Stringer("http2", d.listener2.Addr())
+	if d.http2Listener != nil {
+		e.Stringer("http2", d.http2Listener.Addr())
 	}
 	if d.door != nil {
-		e.Stringer("admin", d.doorAt.Addr())
+		e.Stringer("admin", d.doorListener.Addr())
 	}
 	e.Msg("serving")
-	sig.mind(minded{
-		reload: func() { cfg, set = d.reload(cfg, set, o.settings) },
-		stats:  d.tell,
+	sig.handle(signalHandlers{
+		reload: func() { cfg, set = d.reload(cfg, set, o.settingsPath) },
+		stats:  d.logCounters,
 		trace:  d.guard.LogTrace,
 		drain:  d.drain,
-	}, o.every, d.service.Ended())
-	d.end()
-	d.tell()
+	}, o.countersEvery, d.service.Ended())
+	d.stopParts()
+	d.logCounters()
 	log.Info().Msg("ended on a signal")
 	return nil
 }
 
-// clash finds what each file allows and both together do not. Either may be nil.
-func clash(cfg *config.Config, set *settings.Settings) error {
+// checkAddresses finds what each file allows and both together do not. Either may be nil.
+func checkAddresses(cfg *config.Config, set *settings.Settings) error {
 	if cfg == nil || set == nil || set.HTTP2 == nil || strings.HasSuffix(set.HTTP2.Listen, ":0") {
 		return nil
 	}
@@ -91,46 +91,46 @@
 
 // dispatcher is a whole dispatcher with its parts wired.
 type dispatcher struct {
-	cfg      *config.Config
-	set      *settings.Settings // as at the start
-	log      zerolog.Logger
-	count    *counters.Set
-	guard    *guard.Recorder
-	core     *core.Core
-	pool     *network.Pool
-	director *network.Director
-	clients  *network.Clients
-	service  *network.Service
-	listener net.Listener
-	bans     *maintain.Manager // bans; nil where there is no door and no accord
-	listed   func(balance.ListKind, []core.Entry)
-	door     *admin.Server // nil where it is off
-	doorAt   net.Listener
-	handover *takeover // nil where there is no door
-	ready    readiness
+	cfg          *config.Config
+	settings     *settings.Settings // as at the start
+	log          zerolog.Logger
+	count        *counters.Set
+	guard        *guard.Recorder
+	core         *core.Core
+	pool         *network.Pool
+	director     *network.Director
+	clients      *network.Clients
+	service      *network.Service
+	listener     net.Listener
+	bans         *maintain.Manager // bans; nil where there is no door and no accord
+	handleList   func(balance.ListKind, []core.Entry)
+	door         *admin.Server // nil where it is off
+	doorListener net.Listener
+	handover     *processHandover // nil where there is no door
+	readiness    readiness
 
-	sources   *sources       // nil where the director alone is asked
-	budgets   *fleetBudgets  // nil where the settings declare none
-	accord    *accord.Accord // nil where it is off
-	quotas    *fleetQuotas   // nil where the settings declare none
-	http2     *network.HTTP2 // nil where it is off
-	listener2 net.Listener
+	sources       *sources       // nil where the director alone is asked
+	budgets       *fleetBudgets  // nil where the settings declare none
+	accord        *accord.Accord // nil where it is off
+	quotas        *fleetQuotas   // nil where the settings declare none
+	http2         *network.HTTP2 // nil where it is off
+	http2Listener net.Listener
 }
 
-func limits(h *settings.HTTP2) network.HTTP2Limits {
+func http2Limits(h *settings.HTTP2) network.HTTP2Limits {
 	return network.HTTP2Limits{MaxStreams: h.MaxStreams, MaxHeaderBytes: h.MaxHeaderBytes, MaxFrameBytes: h.MaxFrameBytes,
 		StallTimeout: h.StallTimeout(), DrainTimeout: h.DrainTimeout(), CancelOnReset: h.CancelOnReset()}
 }
 
 // assemble makes the parts and opens the listeners; nothing runs yet.
 // from is what another process of this dispatcher hands over; its zero value is nothing.
-func assemble(cfg *config.Config, set *settings.Settings, log zerolog.Logger, from handed) (*dispatcher, error) {
+func assemble(cfg *config.Config, set *settings.Settings, log zerolog.Logger, from handoverData) (*dispatcher, error) {
 	d := &dispatcher{cfg: cfg, log: log, count: &counters.Set{}, guard: &guard.Recorder{Log: log}}
-	d.ready.begun = time.Now()
-	share := network.SplitDescriptors(network.MaxDescriptors(cfg.Sockets) - doorSockets(cfg))
-	d.pool = &network.Pool{Names: &cfg.Names, Count: d.count, MaxConnections: share.Backends, Dial: system.dial, IdleTimeout: cfg.BackendIdleTimeout * 7 / 10,
+	d.readiness.startedAt = time.Now()
+	share := network.SplitDescriptors(network.MaxDescriptors(cfg.Sockets) - doorDescriptors(cfg))
+	d.pool = &network.Pool{Names: &cfg.Names, Count: d.count, MaxConnections: share.Backends, Dial: hostOS.dial, IdleTimeout: cfg.BackendIdleTimeout * 7 / 10,
 		ConnectTimeout: time.Duration(cfg.Settings.ConnectTimeout * float64(time.Millisecond))}
-	d.director = &network.Director{Names: &cfg.Names, Count: d.count, Address: cfg.Discovery, Dial: system.dial}
+	d.director = &network.Director{Names: &cfg.Names, Count: d.count, Address: cfg.Discovery, Dial: hostOS.dial}
 	if d.director.Timings = network.AgentTimings().WithinGrace(time.Duration(cfg.Settings.Rules.DrainGrace * float64(time.Millisecond))); cfg.Settings.Subscribe {
 		d.director.Timings = network.PollTimings(time.Duration(cfg.Settings.Rules.AskEvery * float64(time.Millisecond)))
 	}
@@ -139,37 +139,37 @@
 		return nil, err
 	}
 	d.core.Log, d.core.Guard = log, d.guard
-	d.core.OffsetWallClock(system.wallOff)
-	if d.listed = d.tellCore; cfg.Admin != "" || set.Accord != nil {
-		d.bans = &maintain.Manager{OnList: d.tellCore, SetBanned: d.core.SetBanned, CloseIdle: d.pool.CloseIdleByID, Now: d.core.Now, WallClock: system.wall, Log: log}
+	d.core.OffsetWallClock(hostOS.wallClockOffset)
+	if d.handleList = d.passListToCore; cfg.Admin != "" || set.Accord != nil {
+		d.bans = &maintain.Manager{OnList: d.passListToCore, SetBanned: d.core.SetBanned, CloseIdle: d.pool.CloseIdleByID, Now: d.core.Now, WallClock: hostOS.wallClock, Log: log}
 		if cfg.Admin != "" {
-			d.bans.Path = keptPath(cfg, "bans")
-			if system.store != nil {
-				d.bans.Store = system.store(maintain.File(d.bans.Path))
+			d.bans.Path = statePath(cfg, "bans")
+			if hostOS.wrapStore != nil {
+				d.bans.Store = hostOS.wrapStore(maintain.File(d.bans.Path))
 			}
 		}
-		d.listed = d.bans.HandleList
+		d.handleList = d.bans.HandleList
 	}
-	d.director.OnList, d.director.OnAnswer = d.listed, d.core.DirectorAnswered
+	d.director.OnList, d.director.OnAnswer = d.handleList, d.core.DirectorAnswered
 	d.clients = &network.Clients{Names: &cfg.Names, Count: d.count, Core: d.core, MaxSessions: share.Clients, MaxJobSessions: share.JobSessions,
-		MaxBufferedBytes: cfg.MemoryBytes / 8, LongestDeadline: cfg.LongestDeadline(), Stats: d.stats, Log: log, Guard: d.guard}
-	if d.listener, err = from.listen(cfg, "http1", cfg.Listen); err != nil {
+		MaxBufferedBytes: cfg.MemoryBytes / 8, LongestDeadline: cfg.LongestDeadline(), Stats: d.countersText, Log: log, Guard: d.guard}
+	if d.listener, err = from.openListener(cfg, "http1", cfg.Listen); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	if set.HTTP2 != nil {
 		d.http2 = &network.HTTP2{Clients: d.clients}
-		d.http2.SetLimits(limits(set.HTTP2))
-		if d.listener2, err = from.listen(cfg, "http2", set.HTTP2.Listen); err != nil {
+		d.http2.SetLimits(http2Limits(set.HTTP2))
+		if d.http2Listener, err = from.openListener(cfg, "http2", set.HTTP2.Listen); err != nil {
 			d.listener.Close()
 			return nil, fmt.Errorf("http2.listen: %w", err)
 		}
 	}
 	if err := d.addSources(set); err != nil {
-		d.close()
+		d.closeListeners()
 		return nil, err
 	}
 	if err := d.addBudgets(set); err != nil {
-		d.close()
+		d.closeListeners()
 		return nil, err
 	}
 	d.service = network.NewService(d.clients, d.http2)
@@ -177,22 +177,22 @@
 		d.log.Info().Stringer("from", old).Stringer("to", now).Msg("service")
 	}
 	if err := d.addDoor(); err != nil {
-		d.close()
+		d.closeListeners()
 		return nil, err
 	}
 	d.resize(cfg.Sockets, cfg.MemoryBytes)
 	if cfg.Admin != "" {
 		d.addHandover(from)
 	}
-	d.set = set
+	d.settings = set
 	d.quotas = newFleetQuotas(cfg, set)
 	if err := d.addAccord(set, from); err != nil {
-		d.close()
+		d.closeListeners()
 		return nil, err
 	}
 	if err := d.addQuotas(set, from); err != nil {
 		d.accord.Close()
-		d.close()
+		d.closeListeners()
 		return nil, err
 	}
 	return d, nil
@@ -205,7 +205,7 @@
 	}
 	known := d.cfg.KnownBackends.Entries
 	if d.handover != nil && d.handover.from.link != nil {
-		known = d.inherit()
+		known = d.adoptState()
 		d.director.RequestFullList()
 		d.core.StartOverlapped()
 	} else {
@@ -213,12 +213,12 @@
 	}
 	// The module sizes itself by its first list: one that names nobody to send to would leave it with room for a
 	// few jobs until they have shown that there is more.
-	useful := namesReady(known)
+	useful := hasReadyBackend(known)
 	if inherited := d.handover != nil && d.handover.from.link != nil; d.sources == nil && (useful || inherited && len(known) > 0) {
-		d.listed(balance.ListCached, known)
+		d.handleList(balance.ListCached, known)
 	}
 	go d.core.Run(nil)
-	d.startSources(d.set)
+	d.startSources(d.settings)
 	// Elsewhere the module asks when it has its first list, after a while drawn by chance. Who knows nobody to send to
 	// must not wait for that, nor for news of a version that may be of another time: it asks for the whole list at once.
 	if !useful {
@@ -228,27 +228,27 @@
 		d.director.Subscribe()
 	}
 	if d.door != nil {
-		go d.door.Serve(d.doorAt)
+		go d.door.Serve(d.doorListener)
 	}
 	if d.handover == nil {
 		d.accept()
 		return
 	}
-	d.handover.begin(d)
+	d.handover.start(d)
 }
 
 // accept takes clients in.
 func (d *dispatcher) accept() {
-	go d.clients.Serve(system.listener(d.listener))
+	go d.clients.Serve(hostOS.wrapListener(d.listener))
 	if d.http2 != nil {
-		go d.http2.Serve(system.listener(d.listener2))
+		go d.http2.Serve(hostOS.wrapListener(d.http2Listener))
 	}
 }
 
 // resize sets how many descriptors and how much memory (bytes) this process may hold: all that the
 // dispatcher has, or its part while there are two processes.
 func (d *dispatcher) resize(sockets int, memory int64) {
-	share, all := network.SplitDescriptors(network.MaxDescriptors(sockets)-doorSockets(d.cfg)), network.SplitDescriptors(network.MaxDescriptors(d.cfg.Sockets)-doorSockets(d.cfg))
+	share, all := network.SplitDescriptors(network.MaxDescriptors(sockets)-doorDescriptors(d.cfg)), network.SplitDescriptors(network.MaxDescriptors(d.cfg.Sockets)-doorDescriptors(d.cfg))
 	share.JobSessions = min(all.JobSessions, share.Clients)
 	d.clients.Resize(share)
 	d.pool.Resize(share.Backends)
@@ -258,21 +258,21 @@
 // drain begins the shutdown; d.service says when it is over.
 func (d *dispatcher) drain() {
 	d.service.BeginShutdown() // at once: checks of health turn, and the kill's clock runs, whatever the catalogue's agent takes
-	if d.sources != nil && d.sources.self != nil {
-		d.sources.self.EnterMaintenance()
+	if d.sources != nil && d.sources.registration != nil {
+		d.sources.registration.EnterMaintenance()
 	}
 }
 
-// end is done last of all.
-func (d *dispatcher) end() {
+// stopParts is done last of all.
+func (d *dispatcher) stopParts() {
 	if d.handover != nil {
 		d.handover.server.Close()
 	}
-	if d.sources != nil && d.sources.self != nil {
-		d.sources.self.Deregister()
+	if d.sources != nil && d.sources.registration != nil {
+		d.sources.registration.Deregister()
 	}
 	if d.quotas != nil { // all is answered: what it held is given back
-		d.quotas.kept.Load().Close()
+		d.quotas.limiter.Load().Close()
 	}
 	if d.accord != nil {
 		d.accord.Close()
@@ -282,10 +282,10 @@
 	}
 }
 
-// close ends the listeners; what is open goes on.
-func (d *dispatcher) close() {
+// closeListeners ends the listeners; what is open goes on.
+func (d *dispatcher) closeListeners() {
 	d.listener.Close()
-	for _, l := range []net.Listener{d.listener2, d.doorAt} {
+	for _, l := range []net.Listener{d.http2Listener, d.doorListener} {
 		if l != nil {
 			l.Close()
 		}
@@ -294,41 +294,41 @@
 
 var counterNames = counters.Names{Endings: core.Endings(), HTTP2Abuse: http2.AllAbuses(), LocalFaults: network.LocalFaults()}
 
-func (d *dispatcher) stats() string {
+func (d *dispatcher) countersText() string {
 	var b strings.Builder
 	d.count.Print(&b, counterNames)
-	d.checks(func(name string, n int64) { fmt.Fprintf(&b, "counter %s %d\n", name, n) })
-	d.further(func(name string, n int64) { fmt.Fprintf(&b, "counter %s %d\n", name, n) })
+	d.eachCheck(func(name string, n int64) { fmt.Fprintf(&b, "counter %s %d\n", name, n) })
+	d.eachPartCounter(func(name string, n int64) { fmt.Fprintf(&b, "counter %s %d\n", name, n) })
 	return b.String()
 }
 
-// tell logs the counters that have counted.
-func (d *dispatcher) tell() {
+// logCounters logs the counters that have counted.
+func (d *dispatcher) logCounters() {
 	e := d.log.Info()
 	d.count.Each(counterNames, func(name string, n int64) {
 		if n != 0 {
 			e.Int64(name, n)
 		}
 	})
-	d.checks(func(name string, n int64) {
+	d.eachCheck(func(name string, n int64) {
 		if n != 0 {
 			e.Int64(name, n)
 		}
 	})
-	d.further(func(name string, n int64) { e.Int64(name, n) })
+	d.eachPartCounter(func(name string, n int64) { e.Int64(name, n) })
 	e.Msg("counters")
 }
 
-// checks calls f for each rule that is checked at run time, and each reason of closes, retries and refusals.
-func (d *dispatcher) checks(f func(name string, n int64)) {
+// eachCheck calls f for each rule that is checked at run time, and each reason of closes, retries and refusals.
+func (d *dispatcher) eachCheck(f func(name string, n int64)) {
 	for _, rule := range guard.Rules() {
 		f("invariant_violations_"+rule.String(), d.guard.Violations(rule))
 	}
 	d.guard.Each(f)
 }
 
-// further calls f for the counters of the parts that are on.
-func (d *dispatcher) further(f func(name string, n int64)) {
+// eachPartCounter calls f for the counters of the parts that are on.
+func (d *dispatcher) eachPartCounter(f func(name string, n int64)) {
 	if d.sources != nil {
 		d.sources.count.Each(f)
 	}
@@ -339,7 +339,7 @@
 		d.accord.Each(f)
 	}
 	if d.quotas != nil {
-		d.quotas.kept.Load().Each(f)
+		d.quotas.limiter.Load().Each(f)
 	}
 	if d.door != nil {
 		d.door.Count.Each(f)
@@ -356,7 +356,7 @@
 func (d *dispatcher) reload(cfg *config.Config, set *settings.Settings, path string) (*config.Config, *settings.Settings) {
 	next, err := config.Load(os.Getenv)
 	nextSet, err2 := settings.Load(path)
-	if err = errors.Join(err, err2, clash(next, nextSet), checkSources(next, nextSet), checkBudgets(nextSet), checkAccord(next, nextSet), checkQuotas(next, nextSet)); err != nil {
+	if err = errors.Join(err, err2, checkAddresses(next, nextSet), checkSources(next, nextSet), checkBudgets(nextSet), checkAccord(next, nextSet), checkQuotas(next, nextSet)); err != nil {
 		d.count.ReloadsBad.Add(1)
 		d.log.Error().Err(err).Msg("not reloaded")
 		return cfg, set
@@ -365,7 +365,7 @@
 	d.director.Redirect(next.Discovery)
 	now, later := set.Changes(nextSet)
 	if d.http2 != nil && nextSet.HTTP2 != nil {
-		d.http2.SetLimits(limits(nextSet.HTTP2))
+		d.http2.SetLimits(http2Limits(nextSet.HTTP2))
 	}
 	d.reloadSources(set, nextSet)
 	if err := d.reloadBudgets(set, nextSet); err != nil {
--- a/cmd/tinsail/shutdown_crossing_test.go
+++ b/cmd/tinsail/shutdown_crossing_test.go
@@ -112,7 +112,7 @@
 }
 
 // halfHead has a req answered, and half the head of a next one read with it.
-func (c *conn) halfHead(t *testing.T, p *pace, id string) (rest string) {
+func (c *conn) halfHead(t *testing.T, p *timingCheck, id string) (rest string) {
 	next := head(id, 1, "") + "b"
 	c.write(t, head(id+"-before", 1, "")+"b"+next[:len(next)/2])
 	c.expect(t, p, 200, "small "+id+"-before")
@@ -121,12 +121,12 @@
 
 // expect reads a whole answer, and returns whether it is the connection's last. Where the play's time is over one that says
 // no, and another no than is wanted, is not judged, which the play notes.
-func (c *conn) expect(t *testing.T, p *pace, status int, body string) (closing bool) {
+func (c *conn) expect(t *testing.T, p *timingCheck, status int, body string) (closing bool) {
 	t.Helper()
 	got, text, closing, err := c.answer()
 	require.NoError(t, err)
-	if got != status && got != 200 && p.over() {
-		p.misses("%d came for %d %s", got, status, body)
+	if got != status && got != 200 && p.expired() {
+		p.skip("%d came for %d %s", got, status, body)
 		return closing
 	}
 	assert.Equal(t, status, got)
@@ -139,13 +139,13 @@
 // TestTermCrossings: SIGTERM, once more, SIGINT and SIGHUP come in one instant, with a connection that has not been accepted, with
 // the rest of a req, and while others are half read or at a backend. Each whole req has its answer, who never sends the rest is
 // told so, and the process ends by itself.
-func TestTermCrossings(t *testing.T) { onPace(t, termCrossings) }
+func TestTermCrossings(t *testing.T) { runTimed(t, termCrossings) }
 
-func termCrossings(t *testing.T, pace *pace) {
+func termCrossings(t *testing.T, pace *timingCheck) {
 	h := newHouse(t, "127.0.0.1:0")
 	h.deadline(2000)
 	p, _ := h.startReady(t)
-	pace.lasts(1800 * time.Millisecond)
+	pace.allow(1800 * time.Millisecond)
 	soon, later, instant, silent := h.connect(), h.connect(), h.connect(), h.connect()
 	soon.halfBody(t, "soon")
 	later.halfBody(t, "later")
@@ -163,11 +163,11 @@
 	held, hung, before := h.connect(), h.connect(), h.jobs()
 	held.write(t, head("held", 1, "")+"b")
 	hung.write(t, head("hung", 1, "")+"b")
-	for h.jobs() < before+2 && !pace.over() {
+	for h.jobs() < before+2 && !pace.expired() {
 		time.Sleep(time.Millisecond)
 	}
 	if n := h.jobs() - before; n < 2 {
-		pace.misses("%d of 2 at a backend when SIGTERM came", n)
+		pace.skip("%d of 2 at a backend when SIGTERM came", n)
 	}
 
 	p.stopped(t)
@@ -207,16 +207,16 @@
 			assert.NotContains(t, []string{"silent", "half-silent"}, key, "it never was whole")
 		}
 	}
-	if len(pace.less) == 0 {
+	if len(pace.skipped) == 0 {
 		assert.Equal(t, 11, ran, "all but those that were never whole")
 	}
 }
 
 // TestTermHangs: a backend that hangs when SIGTERM comes: each req of before has its one answer at its deadline, and one
 // that comes late, before the kill.
-func TestTermHangs(t *testing.T) { onPace(t, termHangs) }
+func TestTermHangs(t *testing.T) { runTimed(t, termHangs) }
 
-func termHangs(t *testing.T, pace *pace) {
+func termHangs(t *testing.T, pace *timingCheck) {
 	h := newHouse(t, "127.0.0.1:0")
 	h.deadline(1000)
 	p, _ := h.startReady(t)
@@ -238,7 +238,7 @@
 		late := !begun.IsZero() && time.Since(begun) > time.Second
 		failed := func(err error) bool {
 			if err != nil && late {
-				pace.misses("%s, sent more than a second after SIGTERM: %v", id, err)
+				pace.skip("%s, sent more than a second after SIGTERM: %v", id, err)
 			} else {
 				assert.NoError(t, err, id)
 			}
@@ -263,7 +263,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if n := h.jobs(); n < reqs { // a second is over already
-		pace.misses("%d of %d at a backend when SIGTERM came", n, reqs)
+		pace.skip("%d of %d at a backend when SIGTERM came", n, reqs)
 	}
 	begun = time.Now()
 	p.signal(t, syscall.SIGTERM)
@@ -286,9 +286,9 @@
 
 // TestTermRetryDue: a req waits for a backend to send it to when SIGTERM comes, and its first attempt comes back unstarted after that:
 // it is sent once more, and answered.
-func TestTermRetryDue(t *testing.T) { onPace(t, termRetryDue) }
+func TestTermRetryDue(t *testing.T) { runTimed(t, termRetryDue) }
 
-func termRetryDue(t *testing.T, pace *pace) {
+func termRetryDue(t *testing.T, pace *timingCheck) {
 	h := newHouse(t, "127.0.0.1:0")
 	first, refuse := make(chan struct{}), make(chan struct{})
 	var once sync.Once
@@ -318,7 +318,7 @@
 	for h.healthy() {
 		time.Sleep(time.Millisecond)
 	}
-	pace.lasts(4 * time.Second)
+	pace.allow(4 * time.Second)
 	held := h.connect()
 	held.write(t, head("held", 1, "")+"b")
 	for h.counter("reqs_taken") == 0 {
--- a/cmd/tinsail/shutdown_handover_test.go
+++ b/cmd/tinsail/shutdown_handover_test.go
@@ -18,12 +18,12 @@
 
 // TestTermInHandover: the old process hears of a new one, of SIGTERM and of SIGHUP in one instant: what it has taken it answers, who waits
 // in the listener is answered by either, and the new one serves.
-func TestTermInHandover(t *testing.T) { onPace(t, termInHandover) }
+func TestTermInHandover(t *testing.T) { runTimed(t, termInHandover) }
 
-func termInHandover(t *testing.T, pace *pace) {
+func termInHandover(t *testing.T, pace *timingCheck) {
 	h := newHouse(t, "127.0.0.1:0")
 	old, _ := h.startReady(t)
-	pace.lasts(2 * time.Second)
+	pace.allow(2 * time.Second)
 	held, half := h.connect(), h.connect()
 	rest := half.halfHead(t, pace, "half")
 	for _, b := range h.backends {
--- a/cmd/tinsail/signals.go
+++ b/cmd/tinsail/signals.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// heard are the signals that have come. Each kind has a channel of its own: a channel that is
+// signalChannels are the signals that have come. Each kind has a channel of its own: a channel that is
 // full loses what comes next, and no heap of reloads may cost a shutdown its signal.
-type heard struct{ end, reload, stats chan os.Signal }
+type signalChannels struct{ end, reload, stats chan os.Signal }
 
-func listen() heard {
-	h := heard{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
+func notifySignals() signalChannels {
+	h := signalChannels{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
 	signal.Notify(h.end, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(h.reload, syscall.SIGHUP)
 	signal.Notify(h.stats, syscall.SIGUSR1)
 	return h
 }
 
-// minded is what the signals ask for. drain is called once, on a goroutine of its own; trace may be nil.
-type minded struct{ reload, stats, trace, drain func() }
+// signalHandlers is what the signals ask for. drain is called once, on a goroutine of its own; trace may be nil.
+type signalHandlers struct{ reload, stats, trace, drain func() }
 
-// mind does what signals ask for until ended is closed. It goes on listening during a shutdown:
+// handle does what signals ask for until ended is closed. It goes on listening during a shutdown:
 // a signal that comes then must not end the program early, and the director may move while reqs
 // are still to be sent.
 //
@@ -31,7 +31,7 @@
 //
 // Reloads run one after the other on a goroutine of their own: a script, a source or the accord may keep one waiting, and the
 // shutdown's clock runs from its signal. Of reloads that come meanwhile one is done, after the last of them has come.
-func (h heard) mind(m minded, every time.Duration, ended <-chan struct{}) {
+func (h signalChannels) handle(m signalHandlers, every time.Duration, ended <-chan struct{}) {
 	go func() {
 		for {
 			select {
--- a/cmd/tinsail/sources.go
+++ b/cmd/tinsail/sources.go
@@ -21,14 +21,14 @@
 
 // sources are where backends come from, where the settings name others than the director.
 type sources struct {
-	list     *members.List
-	director members.Source
-	consul   members.Source
-	static   members.Source
-	watch    context.CancelFunc // ends the watch that runs; nil if none does
-	ended    chan struct{}      // closed when it has
-	count    consul.Counts
-	self     *consul.Registration // nil if there is none
+	list         *members.List
+	director     members.Source
+	consul       members.Source
+	static       members.Source
+	stopWatch    context.CancelFunc // ends the watch that runs; nil if none does
+	watchEnded   chan struct{}      // closed when it has
+	count        consul.Counts
+	registration *consul.Registration // nil if there is none
 }
 
 // Ranks of the sources: who is asked most directly describes a backend that several name.
@@ -40,8 +40,8 @@
 
 func millis(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// rules are those of the catalogue.
-func rules(set *settings.MemberRules) membership.Rules {
+// consulRules are those of the catalogue.
+func consulRules(set *settings.MemberRules) membership.Rules {
 	if set == nil {
 		return membership.Defaults("consul", consulRank)
 	}
@@ -64,20 +64,20 @@
 	if set.Consul == nil && set.Backends == nil {
 		return nil
 	}
-	s := &sources{list: members.New(d.listed, membership.Rules{Name: "static", Rank: staticRank},
-		directorRules(set), rules(set.MemberRules))}
+	s := &sources{list: members.New(d.handleList, membership.Rules{Name: "static", Rank: staticRank},
+		directorRules(set), consulRules(set.MemberRules))}
 	s.static, s.director, s.consul = s.list.Source(0), s.list.Source(1), s.list.Source(2)
 	d.sources = s
 	d.director.OnList = s.director.DirectorList
 	if !usesDirector(set) {
 		d.director.Disable()
 	}
-	d.clients.Members = s.describe
+	d.clients.Members = s.membersJSON
 	if set.Consul != nil && set.Consul.Register != "" {
-		s.self = &consul.Registration{Config: consulConfig(set.Consul), Name: set.Consul.Register, ID: set.Consul.Register + "-" + d.cfg.Name,
+		s.registration = &consul.Registration{Config: consulConfig(set.Consul), Name: set.Consul.Register, ID: set.Consul.Register + "-" + d.cfg.Name,
 			Address: d.listener.Addr().String(), TTL: millis(set.Consul.RegisterTTLMS), HTTPCheck: set.Consul.RegisterCheck == "http", Log: d.log}
-		if err := s.self.Init(); err != nil {
-			return faulty{err}
+		if err := s.registration.Init(); err != nil {
+			return inputError{err}
 		}
 	}
 	_, err := newWatch(d, set.Consul)
@@ -105,7 +105,7 @@
 		Meta: consul.MetaMapping{Kind: c.KindMeta, Zone: c.ZoneMeta, Group: c.GroupMeta, Weight: c.WeightMeta, Started: c.StartedMeta,
 			Kinds: d.cfg.Names.Kinds, Zones: d.cfg.Names.Zones}}
 	if err := w.Init(); err != nil {
-		return nil, faulty{err}
+		return nil, inputError{err}
 	}
 	return w, nil
 }
@@ -119,33 +119,33 @@
 	if usesDirector(set) {
 		s.director.DirectorList(balance.ListCached, d.cfg.KnownBackends.Entries)
 	}
-	s.static.ReplaceAll(static(set.Backends))
-	d.follow(set.Consul)
-	if s.self != nil {
-		s.self.Start()
+	s.static.ReplaceAll(staticBackends(set.Backends))
+	d.watchConsul(set.Consul)
+	if s.registration != nil {
+		s.registration.Start()
 	}
 }
 
-// follow watches the catalogue as the settings say from now on. What is known of it stays: no
+// watchConsul watches the catalogue as the settings say from now on. What is known of it stays: no
 // backend goes because another agent is asked.
-func (d *dispatcher) follow(c *settings.Consul) {
+func (d *dispatcher) watchConsul(c *settings.Consul) {
 	s := d.sources
-	if s.watch != nil {
-		s.watch()
-		<-s.ended
-		s.watch = nil
+	if s.stopWatch != nil {
+		s.stopWatch()
+		<-s.watchEnded
+		s.stopWatch = nil
 	}
 	w, err := newWatch(d, c)
 	if err != nil || w == nil { // it was checked before it got here
 		return
 	}
 	var ctx context.Context
-	ctx, s.watch = context.WithCancel(context.Background())
-	s.ended = make(chan struct{})
+	ctx, s.stopWatch = context.WithCancel(context.Background())
+	s.watchEnded = make(chan struct{})
 	go func(ended chan struct{}) {
 		w.Run(ctx)
 		close(ended)
-	}(s.ended)
+	}(s.watchEnded)
 }
 
 // reloadSources takes over what can be.
@@ -153,18 +153,18 @@
 	if d.sources == nil {
 		return
 	}
-	d.sources.static.ReplaceAll(static(next.Backends))
-	d.sources.consul.SetRules(rules(next.MemberRules))
+	d.sources.static.ReplaceAll(staticBackends(next.Backends))
+	d.sources.consul.SetRules(consulRules(next.MemberRules))
 	if usesDirector(next) {
 		d.director.Enable()
 	}
 	d.sources.director.SetRules(directorRules(next))
 	if next.Consul != nil && old.Consul != nil && !reflect.DeepEqual(old.Consul, next.Consul) {
-		d.follow(next.Consul)
+		d.watchConsul(next.Consul)
 	}
 }
 
-func static(b *settings.Backends) (list []membership.Backend) {
+func staticBackends(b *settings.Backends) (list []membership.Backend) {
 	if b == nil {
 		return nil
 	}
@@ -175,8 +175,8 @@
 	return list
 }
 
-// view is what `tinsail members` reads.
-type view struct {
+// membersView is what `tinsail members` reads.
+type membersView struct {
 	Sources []sourceView `json:"sources"`
 	Members []memberView `json:"members"`
 }
@@ -199,9 +199,9 @@
 	Reason  string  `json:"reason"`
 }
 
-func (s *sources) describe() string {
+func (s *sources) membersJSON() string {
 	list, from := s.list.Members()
-	var v view
+	var v membersView
 	for _, x := range from {
 		state := "told nothing yet"
 		switch {
--- a/cmd/tinsail/upgrade_test.go
+++ b/cmd/tinsail/upgrade_test.go
@@ -116,7 +116,7 @@
 
 // call makes a call at the process's door, and returns whether it said yes.
 func (p *process) call(op door.Operation, backend string) bool {
-	yes, _, err := call(p.admin, door.Call{Operation: op, Backend: backend})
+	yes, _, err := callDoor(p.admin, door.Call{Operation: op, Backend: backend})
 	return err == nil && yes
 }
 
@@ -196,7 +196,7 @@
 }
 
 func (h *house) socket() string {
-	return strings.Replace(keptPath(&config.Config{Name: "demo", Listen: "127.0.0.1:0"}, "sock"), os.TempDir(), h.folder, 1)
+	return strings.Replace(statePath(&config.Config{Name: "demo", Listen: "127.0.0.1:0"}, "sock"), os.TempDir(), h.folder, 1)
 }
 
 // TestUpgrades: under a steady load, through ten upgrades in a row, each job is answered, once, by a
