--- a/internal/fleet/quota/cost_test.go
+++ b/internal/fleet/quota/cost_test.go
@@ -7,10 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkHandle is what an ask costs a region's lender, its answer's taking included: a hundred dispatchers, each with
-// some of 310 teams in flight; at rest, and where each ask tells of a req that began or ended.
+// BenchmarkHandle measures what a lease request costs a region's lender, including the handling of the response by the
+// holder. A hundred dispatchers each have requests of some of 310 teams in flight. Either nothing changes, or each lease
+// request reports a request that started or ended.
 func BenchmarkHandle(b *testing.B) {
-	const disps, teams = 100, 310
+	const dispatchers, teams = 100, 310
 	for _, each := range []int{10, 30, 100} {
 		for _, changes := range []bool{false, true} {
 			b.Run(fmt.Sprintf("lines=%d/changes=%v", each, changes), func(b *testing.B) {
@@ -20,7 +21,7 @@
 					l.SetCapacity(0, fmt.Sprint("team", t), 10)
 				}
 				var holders []*Holder
-				for i := range disps {
+				for i := range dispatchers {
 					h, err := NewHolder(shortLease, fmt.Sprint("d", i), 1, false)
 					require.NoError(b, err)
 					for t := range each {
@@ -29,32 +30,32 @@
 					holders = append(holders, h)
 				}
 				now, n := Time(0), 0
-				ask := func(h *Holder) {
-					a, due := h.NextRequest(now)
+				send := func(h *Holder) {
+					request, due := h.NextRequest(now)
 					if !due {
 						return
 					}
 					n++
-					if answer, ok := l.Handle(now, a); ok {
-						h.HandleResponse(now, answer)
+					if response, ok := l.Handle(now, request); ok {
+						h.HandleResponse(now, response)
 					}
 				}
 				for range 5 {
 					for _, h := range holders {
 						h.HandleReconnect()
-						ask(h)
+						send(h)
 					}
 					now += second / 2
 				}
 				n = 0
 				i := 0
 				for b.Loop() {
-					h := holders[i%disps]
+					h := holders[i%dispatchers]
 					if changes {
-						h.SetUsage(fmt.Sprint("team", (i%disps*7+i%each)%teams), i/disps%2, 1+i/disps%2)
+						h.SetUsage(fmt.Sprint("team", (i%dispatchers*7+i%each)%teams), i/dispatchers%2, 1+i/dispatchers%2)
 					}
 					h.HandleReconnect()
-					ask(h)
+					send(h)
 					for _, name := range l.TakePolls() {
 						_ = name
 					}
--- a/internal/fleet/quota/fault_test.go
+++ b/internal/fleet/quota/fault_test.go
@@ -8,30 +8,31 @@
 	"pgregory.net/rapid"
 )
 
-// TestOracleDetectsDefects: each fault put into the world on purpose is caught, by the oracle alone, within so many schedules.
+// TestOracleDetectsDefects checks that the oracle alone detects each of a set of defects that are built in on purpose,
+// within a limited number of schedules.
 func TestOracleDetectsDefects(t *testing.T) {
-	const most = 200
+	const maxSchedules = 200
 	for name, f := range map[string]defects{
-		"an older answer is believed":              {acceptOldResponses: true},
-		"the whole lease is used, whatever clocks": {useWholeLease: true},
-		"what runs after a lease is forgotten":     {ignoreRunning: true},
-		"a new life lends at once":                 {skipRecovery: true},
-		"two lives of a region's lender at once":   {twoLenders: true},
+		"response to an older request is accepted":     {acceptOldResponses: true},
+		"whole lease is used regardless of drift":      {useWholeLease: true},
+		"requests in flight after a lease are ignored": {ignoreRunning: true},
+		"a new incarnation lends at once":              {skipRecovery: true},
+		"two lenders of a region at once":              {twoLenders: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			plays := rapid.Custom(func(t *rapid.T) *simulation {
+			runs := rapid.Custom(func(t *rapid.T) *simulation {
 				s := drawSetup(t)
-				if s.defect = f; f.useWholeLease { // seen only where clocks differ much and what runs is short beside the lease
+				if s.defect = f; f.useWholeLease { // has an effect only with a large drift and short requests
 					s.up.Drift, s.down.Drift = 0.1, 0.1
 					s.up.MaxRunTime, s.down.MaxRunTime = s.down.Lease/8, s.down.Lease/8
 				}
 				return runSchedule(t, s)
 			})
-			caught := 0
-			for seed := range most {
-				if sim := plays.Example(seed); sim.oracle.err != nil {
-					if caught++; caught == 1 {
+			detected := 0
+			for seed := range maxSchedules {
+				if sim := runs.Example(seed); sim.oracle.err != nil {
+					if detected++; detected == 1 {
 						t.Logf("schedule %d: %v", seed, sim.oracle.err)
 						if os.Getenv("QUOTA_CASES") == "" {
 							return
@@ -39,8 +40,8 @@
 					}
 				}
 			}
-			t.Logf("caught in %d of %d schedules", caught, most)
-			assert.Positive(t, caught)
+			t.Logf("detected in %d of %d schedules", detected, maxSchedules)
+			assert.Positive(t, detected)
 		})
 	}
 }
--- a/internal/fleet/quota/limiter_test.go
+++ b/internal/fleet/quota/limiter_test.go
@@ -7,11 +7,13 @@
 	"pgregory.net/rapid"
 )
 
+// fixedUnits returns a callback for Admit with the given units of accounts.
 func fixedUnits(units map[string]int) func(string) int { return func(a string) int { return units[a] } }
 
+// takeUsage returns the used units and the demand of accounts that changed.
 func takeUsage(l *Limiter) map[string][2]int {
 	out := map[string][2]int{}
-	l.TakeUsageChanges(func(a string, used, want int) { out[a] = [2]int{used, want} })
+	l.TakeUsageChanges(func(a string, used, demand int) { out[a] = [2]int{used, demand} })
 	return out
 }
 
@@ -19,7 +21,7 @@
 	l := NewLimiter()
 	l.SetQuotas(0, []string{"team", ReserveAccount})
 	assert.True(t, l.Acquire(0, 1, "free", false, Never), "no quota")
-	assert.True(t, l.Acquire(0, 2, "", false, Never), "of no account")
+	assert.True(t, l.Acquire(0, 2, "", false, Never), "no account")
 	for id := uint64(10); id < 14; id++ {
 		assert.False(t, l.Acquire(0, id, "team", false, Never))
 	}
@@ -27,11 +29,11 @@
 	assert.False(t, l.Acquire(0, 21, "team", true, Never))
 	assert.False(t, l.Acquire(0, 22, "team", true, Never))
 	assert.Equal(t, map[string][2]int{"team": {0, 7}, ReserveAccount: {0, 4}}, takeUsage(l))
-	assert.Empty(t, takeUsage(l), "told once")
+	assert.Empty(t, takeUsage(l), "reported once")
 
-	begin, refuse := l.Admit(0, fixedUnits(map[string]int{"team": 1, ReserveAccount: 1}))
-	assert.Equal(t, []uint64{20, 21}, begin, "urgent ones first, by the own unit and by the reserve's")
-	assert.Empty(t, refuse)
+	started, expired := l.Admit(0, fixedUnits(map[string]int{"team": 1, ReserveAccount: 1}))
+	assert.Equal(t, []uint64{20, 21}, started, "urgent requests first, one by a unit of the account and one by the reserve")
+	assert.Empty(t, expired)
 	for id, want := range map[uint64]string{20: "team", 21: ReserveAccount} {
 		got, ok := l.ChargedAccount(id)
 		assert.True(t, ok)
@@ -39,15 +41,15 @@
 	}
 	assert.Equal(t, map[string][2]int{"team": {1, 6}, ReserveAccount: {1, 3}}, takeUsage(l))
 	l.Release(20)
-	begin, _ = l.Admit(0, fixedUnits(map[string]int{"team": 3, ReserveAccount: 1}))
-	assert.Equal(t, []uint64{22, 10, 11}, begin, "first in, first out")
+	started, _ = l.Admit(0, fixedUnits(map[string]int{"team": 3, ReserveAccount: 1}))
+	assert.Equal(t, []uint64{22, 10, 11}, started, "oldest first")
 	l.Release(12)
 	l.Release(99)
-	begin, _ = l.Admit(0, fixedUnits(map[string]int{"team": 9}))
-	assert.Equal(t, []uint64{13}, begin)
+	started, _ = l.Admit(0, fixedUnits(map[string]int{"team": 9}))
+	assert.Equal(t, []uint64{13}, started)
 	assert.Equal(t, map[string][2]int{"team": {4, 4}, ReserveAccount: {1, 2}}, takeUsage(l))
-	begin, _ = l.Admit(0, fixedUnits(map[string]int{"team": 9}))
-	assert.Empty(t, begin)
+	started, _ = l.Admit(0, fixedUnits(map[string]int{"team": 9}))
+	assert.Empty(t, started)
 }
 
 func TestLimiterTimeouts(t *testing.T) {
@@ -57,18 +59,19 @@
 	l.Acquire(0, 2, "team", true, 10)
 	l.Acquire(0, 3, "team", false, 20)
 	assert.Equal(t, Time(10), l.NextTimeout())
-	begin, refuse := l.Admit(20, fixedUnits(nil))
-	assert.Empty(t, begin)
-	assert.Equal(t, []uint64{2, 3}, refuse)
+	started, expired := l.Admit(20, fixedUnits(nil))
+	assert.Empty(t, started)
+	assert.Equal(t, []uint64{2, 3}, expired)
 	assert.Equal(t, Time(30), l.NextTimeout())
 	assert.Equal(t, [2]int{0, 1}, takeUsage(l)["team"])
-	begin, refuse = l.Admit(29, fixedUnits(map[string]int{"team": 1}))
-	assert.Equal(t, []uint64{1}, begin)
-	assert.Empty(t, refuse)
+	started, expired = l.Admit(29, fixedUnits(map[string]int{"team": 1}))
+	assert.Equal(t, []uint64{1}, started)
+	assert.Empty(t, expired)
 	assert.Equal(t, Never, l.NextTimeout())
 }
 
-// TestLimiterQuotaChanges: what is in flight counts once an account gains a quota; what waits of one that loses it begins.
+// TestLimiterQuotaChanges: requests in flight count when their account gets a quota, and waiting requests start when it loses
+// its quota.
 func TestLimiterQuotaChanges(t *testing.T) {
 	l := NewLimiter()
 	for id := range uint64(3) {
@@ -77,23 +80,23 @@
 	l.SetQuotas(0, []string{"team"})
 	assert.Equal(t, [2]int{3, 3}, takeUsage(l)["team"])
 	assert.False(t, l.Acquire(0, 7, "team", false, Never))
-	begin, _ := l.Admit(0, fixedUnits(map[string]int{"team": 3}))
-	assert.Empty(t, begin)
+	started, _ := l.Admit(0, fixedUnits(map[string]int{"team": 3}))
+	assert.Empty(t, started)
 	l.SetQuotas(0, nil)
 	assert.Equal(t, map[string][2]int{"team": {0, 0}}, takeUsage(l))
-	begin, _ = l.Admit(0, fixedUnits(nil))
-	assert.Equal(t, []uint64{7}, begin)
+	started, _ = l.Admit(0, fixedUnits(nil))
+	assert.Equal(t, []uint64{7}, started)
 	assert.Empty(t, takeUsage(l))
 	for _, id := range []uint64{0, 1, 2, 7} {
 		l.Release(id)
 	}
-	assert.Empty(t, l.queues, "nothing is kept")
+	assert.Empty(t, l.queues, "no state is left")
 	assert.Empty(t, l.reqs)
 	assert.Empty(t, l.waitingAccounts)
 }
 
-// TestLimiterVerdicts: each req gets one verdict, none begins beyond the units, urgent ones take the reserve's only where
-// their own account has none free, and nothing is kept of those that left.
+// TestLimiterVerdicts: each request is started or refused once, and none starts beyond the units. An urgent request uses the
+// reserve only if its own account has no free unit. No state is left of released requests.
 func TestLimiterVerdicts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLimiter()
@@ -101,37 +104,37 @@
 		l.SetQuotas(0, accounts)
 		units := map[string]int{}
 		running := map[string]int{}
-		waits, runs := map[uint64]bool{}, map[uint64]string{}
+		waiting, chargedTo := map[uint64]bool{}, map[uint64]string{}
 		now, id := Time(0), uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
 				id++
-				waits[id] = true
+				waiting[id] = true
 				assert.False(t, l.Acquire(now, id, accounts[rapid.IntRange(0, 1).Draw(t, "account")], rapid.Bool().Draw(t, "urgent"),
 					now+rapid.SampledFrom([]Time{1, 5, 20}).Draw(t, "patience")))
 			case 2:
 				units[rapid.SampledFrom(accounts).Draw(t, "of")] = rapid.IntRange(0, 4).Draw(t, "units")
 			case 3:
-				leaves := rapid.Uint64Range(1, id+1).Draw(t, "leaves")
-				if charged, ok := runs[leaves]; ok {
+				released := rapid.Uint64Range(1, id+1).Draw(t, "leaves")
+				if charged, ok := chargedTo[released]; ok {
 					running[charged]--
 				}
-				delete(runs, leaves)
-				delete(waits, leaves)
-				l.Release(leaves)
+				delete(chargedTo, released)
+				delete(waiting, released)
+				l.Release(released)
 			case 4:
 				now += rapid.SampledFrom([]Time{0, 1, 7}).Draw(t, "time")
 			}
-			begin, refuse := l.Admit(now, fixedUnits(units))
-			for _, r := range append(append([]uint64{}, begin...), refuse...) {
-				assert.True(t, waits[r], "req %d has two verdicts", r)
-				delete(waits, r)
+			started, expired := l.Admit(now, fixedUnits(units))
+			for _, r := range append(append([]uint64{}, started...), expired...) {
+				assert.True(t, waiting[r], "request %d was started or refused twice", r)
+				delete(waiting, r)
 			}
-			for _, r := range begin {
+			for _, r := range started {
 				charged, ok := l.ChargedAccount(r)
 				assert.True(t, ok)
-				runs[r] = charged
+				chargedTo[r] = charged
 				running[charged]++
 				assert.LessOrEqual(t, running[charged], units[charged])
 			}
@@ -141,7 +144,7 @@
 			for _, a := range accounts {
 				assert.Equal(t, running[a], used[a][0])
 			}
-			assert.Equal(t, len(waits)+running["a"]+running["b"], used["a"][1]+used["b"][1])
+			assert.Equal(t, len(waiting)+running["a"]+running["b"], used["a"][1]+used["b"][1])
 		}
 		for r := range id + 1 {
 			l.Release(r)
@@ -151,13 +154,14 @@
 	})
 }
 
-// TestLimiterReserveRemoved: what runs by a reserve that is no more counts on, so that it is counted when there is one again.
+// TestLimiterReserveRemoved: requests that use a reserve still count after it was removed, so that they are counted if it is
+// set again.
 func TestLimiterReserveRemoved(t *testing.T) {
 	l := NewLimiter()
 	l.SetQuotas(0, []string{"team", ReserveAccount})
 	l.Acquire(0, 1, "team", true, Never)
-	begin, _ := l.Admit(0, fixedUnits(map[string]int{ReserveAccount: 1}))
-	assert.Equal(t, []uint64{1}, begin)
+	started, _ := l.Admit(0, fixedUnits(map[string]int{ReserveAccount: 1}))
+	assert.Equal(t, []uint64{1}, started)
 	takeUsage(l)
 	l.SetQuotas(0, []string{"team"})
 	assert.Equal(t, [2]int{1, 1}, takeUsage(l)[ReserveAccount])
--- a/internal/fleet/quota/mutate_test.go
+++ b/internal/fleet/quota/mutate_test.go
@@ -14,44 +14,46 @@
 	"tinsail/internal/mutate"
 )
 
-// quotaFleet is two roots of which one leads, two regions and five dispatchers that talk by the real codec, each with a
-// clock at an edge of the drift or within it. Reqs run at backends that know nothing of units.
+// quotaFleet is two roots, of which one leads, two regions and five dispatchers that exchange messages in their encoded
+// form. Each node has a clock at an edge of the drift or without drift. Requests run at backends that know nothing of units.
 type quotaFleet struct {
 	scenario    *quotaScenario
 	rand        *rand.Rand
 	roots       []*rootMember
 	regions     []*regionMember
 	dispatchers []*dispatcherMember
-	leader      int // -1: nobody
+	leader      int // index of the leading root, -1 for none
 	term        uint64
 	incarnation uint64
 	quotas      map[string]int
-	changes     []change
+	changes     []change // of the quota of team
 	inFlight    []runningReq
-	running     map[string]int // by account, of the reserve by region
-	lastFull    time.Duration  // when all units ran last
+	running     map[string]int // requests in flight by account; those that use the reserve by region
+	lastFull    time.Duration  // when all units were last in use
 	lastID      uint64
-	done        map[string]bool
-	err         error
+	done        map[string]bool // events of the scenario that have happened
+	err         error           // the first violation
 }
 
-// quotaScenario is what happens and when, in real time; what is 0 never does.
+// quotaScenario is the events of a run by real time. An event at 0 does not happen.
 type quotaScenario struct {
-	lowerAt   time.Duration // team's quota from 10 to 5
-	raiseAt   time.Duration // and to 14
-	crashAt   time.Duration // d1, and d3 ends in order
-	replaceAt time.Duration // the lender of east
-	electAt   time.Duration // the other root leads from here, 60 ms after the first stops
-	cutAt     time.Duration // east from the root, for 400 ms
-	moveAt    time.Duration // the reqs of team come to west alone, having come to east alone
-	from, end time.Duration // of the messages that are mutated
+	lowerAt   time.Duration // team's quota falls from 10 to 5
+	raiseAt   time.Duration // and rises to 14
+	crashAt   time.Duration // d1 crashes, and d3 restarts in an orderly way
+	replaceAt time.Duration // the lender of east is replaced
+	electAt   time.Duration // the other root leads, 60 ms after the first has stopped
+	cutAt     time.Duration // east is cut off from the root for 400 ms
+	moveAt    time.Duration // the requests of team arrive only in west, before that only in east
+	from, end time.Duration // messages sent between these times are mutated
 }
 
+// change is a change of a quota.
 type change struct {
 	at    time.Duration
 	units int
 }
 
+// runningReq is a request in flight at a backend.
 type runningReq struct {
 	endsAt      time.Duration
 	node        *dispatcherMember
@@ -60,6 +62,7 @@
 	charged     string
 }
 
+// memberClock is the monotonic clock of a node.
 type memberClock struct {
 	rate   float64
 	offset float64
@@ -79,7 +82,7 @@
 	name string
 	memberClock
 	lender *quota.RegionLender
-	root   int
+	root   int // to which it sends its requests
 }
 
 type dispatcherMember struct {
@@ -88,7 +91,7 @@
 	incarnation uint64
 	holder      *quota.Holder
 	limiter     *quota.Limiter
-	unanswered  map[uint64]string
+	unanswered  map[uint64]string // accounts of requests that were neither started nor refused
 	draining    bool
 }
 
@@ -102,149 +105,157 @@
 	reserve    = 2
 )
 
-func (d *quotaScenario) setup(name string) mutate.Setup {
+func (s *quotaScenario) setup(name string) mutate.Setup {
 	late := downLease.Lease
-	// docs/design/quota.md: after faults end
-	named := downLease.QuietPeriod() + downLease.DrainPeriod() + upLease.RenewInterval() + 2*upLease.ReportDelay() + 4*downLease.RenewInterval() + 400*time.Millisecond
-	return mutate.Setup{Name: "quota " + name, Seed: 1, Build: d.build, Tick: mutateTick, From: d.from, Faults: d.end, Late: late,
-		Length: d.end + late + time.Duration(float64(named)/(1-downLease.Drift)), Steps: 200_000}
+	// How long after the end of all faults each team has its share, see docs/design/quota.md.
+	recoveryBound := downLease.QuietPeriod() + downLease.DrainPeriod() + upLease.RenewInterval() + 2*upLease.ReportDelay() +
+		4*downLease.RenewInterval() + 400*time.Millisecond
+	return mutate.Setup{Name: "quota " + name, Seed: 1, Build: s.build, Tick: mutateTick, From: s.from, Faults: s.end, Late: late,
+		Length: s.end + late + time.Duration(float64(recoveryBound)/(1-downLease.Drift)), Steps: 200_000}
 }
 
-func (d *quotaScenario) build(seed uint64) mutate.World {
-	w := &quotaFleet{scenario: d, rand: rand.New(rand.NewPCG(seed, 0)), quotas: map[string]int{"team": 10, "other": 4}, running: map[string]int{},
+func (s *quotaScenario) build(seed uint64) mutate.World {
+	f := &quotaFleet{scenario: s, rand: rand.New(rand.NewPCG(seed, 0)), quotas: map[string]int{"team": 10, "other": 4}, running: map[string]int{},
 		changes: []change{{0, 10}}, leader: 0, term: 1, incarnation: 100, done: map[string]bool{}}
 	clock := func() memberClock {
-		return memberClock{1 + downLease.Drift*float64(w.rand.IntN(3)-1), 1e12 * w.rand.Float64()}
+		return memberClock{1 + downLease.Drift*float64(f.rand.IntN(3)-1), 1e12 * f.rand.Float64()}
 	}
 	for i := range 2 {
-		w.roots = append(w.roots, &rootMember{name: fmt.Sprint("root", i), memberClock: clock()})
+		f.roots = append(f.roots, &rootMember{name: fmt.Sprint("root", i), memberClock: clock()})
 	}
 	for _, name := range []string{"east", "west"} {
 		r := &regionMember{name: name, memberClock: clock()}
-		w.regions = append(w.regions, r)
-		w.startRegion(0, r)
+		f.regions = append(f.regions, r)
+		f.startRegion(0, r)
 		r.lender.SkipRecovery(r.at(0))
 	}
 	for i := range 5 {
 		n := &dispatcherMember{name: fmt.Sprint("d", i), region: []string{"east", "west"}[i%2], memberClock: clock()}
-		w.dispatchers = append(w.dispatchers, n)
-		w.startDispatcher(n)
+		f.dispatchers = append(f.dispatchers, n)
+		f.startDispatcher(n)
 	}
-	w.electRoot(0, 0, true)
-	return w
+	f.electRoot(0, 0, true)
+	return f
 }
 
-func (w *quotaFleet) electRoot(now time.Duration, i int, first bool) {
-	r := w.roots[i]
-	l, err := quota.NewLender(upLease, w.term, r.at(now), quota.LenderOptions{Preallocate: true, Children: []string{"east", "west"}, SkipRecovery: first})
+// electRoot lets root i lead, with a new incarnation of the lender.
+func (f *quotaFleet) electRoot(now time.Duration, i int, first bool) {
+	r := f.roots[i]
+	l, err := quota.NewLender(upLease, f.term, r.at(now), quota.LenderOptions{Preallocate: true, Children: []string{"east", "west"},
+		SkipRecovery: first})
 	if err != nil {
 		panic(err)
 	}
-	most := 0
-	for _, c := range w.changes {
-		most = max(most, c.units)
+	largest := 0
+	for _, c := range f.changes {
+		largest = max(largest, c.units)
 	}
-	l.AssumeLent(r.at(now), []quota.Allocation{{Account: "team", Units: most}})
+	l.AssumeLent(r.at(now), []quota.Allocation{{Account: "team", Units: largest}})
 	for _, a := range []string{"team", "other"} {
-		l.SetCapacity(r.at(now), a, w.quotas[a])
+		l.SetCapacity(r.at(now), a, f.quotas[a])
 	}
-	r.lender, w.leader = l, i
-	for _, g := range w.regions {
-		g.root = i
-		g.lender.HandleReconnect()
+	r.lender, f.leader = l, i
+	for _, region := range f.regions {
+		region.root = i
+		region.lender.HandleReconnect()
 	}
 }
 
-func (w *quotaFleet) startRegion(now time.Duration, r *regionMember) {
-	w.incarnation++
+// startRegion starts a new incarnation of a region's lender.
+func (f *quotaFleet) startRegion(now time.Duration, r *regionMember) {
+	f.incarnation++
 	var err error
-	if r.lender, err = quota.NewRegionLender(upLease, downLease, r.name, w.incarnation, r.at(now)); err != nil {
+	if r.lender, err = quota.NewRegionLender(upLease, downLease, r.name, f.incarnation, r.at(now)); err != nil {
 		panic(err)
 	}
 	r.lender.SetReserve(r.at(now), reserve)
 }
 
-func (w *quotaFleet) startDispatcher(n *dispatcherMember) {
-	w.incarnation++
+// startDispatcher starts a new incarnation of a dispatcher.
+func (f *quotaFleet) startDispatcher(n *dispatcherMember) {
+	f.incarnation++
 	var err error
-	if n.holder, err = quota.NewHolder(downLease, n.name, w.incarnation, false); err != nil {
+	if n.holder, err = quota.NewHolder(downLease, n.name, f.incarnation, false); err != nil {
 		panic(err)
 	}
-	n.incarnation, n.limiter, n.unanswered, n.draining = w.incarnation, quota.NewLimiter(), map[uint64]string{}, false
+	n.incarnation, n.limiter, n.unanswered, n.draining = f.incarnation, quota.NewLimiter(), map[uint64]string{}, false
 	n.limiter.SetQuotas(0, []string{"team", "other", quota.ReserveAccount})
 }
 
-func (w *quotaFleet) Nodes() []string {
+func (f *quotaFleet) Nodes() []string {
 	return []string{"root0", "root1", "east", "west", "d0", "d1", "d2", "d3", "d4"}
 }
 
-func (w *quotaFleet) fail(format string, a ...any) {
-	if w.err == nil {
-		w.err = fmt.Errorf(format, a...)
+func (f *quotaFleet) fail(format string, a ...any) {
+	if f.err == nil {
+		f.err = fmt.Errorf(format, a...)
 	}
 }
 
-func (w *quotaFleet) region(name string) *regionMember {
-	return w.regions[slices.IndexFunc(w.regions, func(r *regionMember) bool { return r.name == name })]
+func (f *quotaFleet) region(name string) *regionMember {
+	return f.regions[slices.IndexFunc(f.regions, func(r *regionMember) bool { return r.name == name })]
 }
 
-func (w *quotaFleet) send(now time.Duration, from, to string, b []byte) []mutate.Message {
-	if c := w.scenario.cutAt; c > 0 && now >= c && now < c+400*time.Millisecond && (from == "east" && to[0] == 'r' || to == "east" && from[0] == 'r') {
+// send sends a message with a random delay, or none while its connection is cut.
+func (f *quotaFleet) send(now time.Duration, from, to string, b []byte) []mutate.Message {
+	if c := f.scenario.cutAt; c > 0 && now >= c && now < c+400*time.Millisecond &&
+		(from == "east" && to[0] == 'r' || to == "east" && from[0] == 'r') {
 		return nil
 	}
-	return []mutate.Message{{From: from, To: to, Bytes: b, Delay: time.Millisecond + time.Duration(w.rand.Int64N(int64(8*time.Millisecond)))}}
+	return []mutate.Message{{From: from, To: to, Bytes: b,
+		Delay: time.Millisecond + time.Duration(f.rand.Int64N(int64(8*time.Millisecond)))}}
 }
 
-// once says whether a time of the day has come, the first time that it has.
-func (w *quotaFleet) once(what string, at, now time.Duration) bool {
-	if at == 0 || now < at || w.done[what] {
+// once reports whether the time of an event has come, and only once.
+func (f *quotaFleet) once(what string, at, now time.Duration) bool {
+	if at == 0 || now < at || f.done[what] {
 		return false
 	}
-	w.done[what] = true
+	f.done[what] = true
 	return true
 }
 
-// applyEvents is the world's own, once each round.
-func (w *quotaFleet) applyEvents(now time.Duration) (out []mutate.Message) {
-	d := w.scenario
-	requota := func(units int) {
-		w.quotas["team"] = units
-		w.changes = append(w.changes, change{now, units})
-		if w.leader >= 0 {
-			r := w.roots[w.leader]
+// applyEvents applies the events of the scenario and ends requests, once in each round.
+func (f *quotaFleet) applyEvents(now time.Duration) (out []mutate.Message) {
+	s := f.scenario
+	setQuota := func(units int) {
+		f.quotas["team"] = units
+		f.changes = append(f.changes, change{now, units})
+		if f.leader >= 0 {
+			r := f.roots[f.leader]
 			r.lender.SetCapacity(r.at(now), "team", units)
 		}
 	}
-	if w.once("lowered", d.lowerAt, now) {
-		requota(5)
+	if f.once("lowered", s.lowerAt, now) {
+		setQuota(5)
 	}
-	if w.once("raised", d.raiseAt, now) {
-		requota(14)
+	if f.once("raised", s.raiseAt, now) {
+		setQuota(14)
 	}
-	if w.once("crash", d.crashAt, now) {
-		w.startDispatcher(w.dispatchers[1])
-		w.dispatchers[3].draining = true
+	if f.once("crash", s.crashAt, now) {
+		f.startDispatcher(f.dispatchers[1])
+		f.dispatchers[3].draining = true
 	}
-	if w.once("replaced", d.replaceAt, now) {
-		w.startRegion(now, w.regions[0])
-		for _, n := range w.dispatchers {
+	if f.once("replaced", s.replaceAt, now) {
+		f.startRegion(now, f.regions[0])
+		for _, n := range f.dispatchers {
 			if n.region == "east" {
 				n.holder.HandleReconnect()
 			}
 		}
 	}
-	if w.once("deposed", d.electAt-60*time.Millisecond, now) && d.electAt > 0 {
-		w.leader = -1
+	if f.once("deposed", s.electAt-60*time.Millisecond, now) && s.electAt > 0 {
+		f.leader = -1
 	}
-	if w.once("elected", d.electAt, now) {
-		w.term++
-		w.electRoot(now, 1, false)
+	if f.once("elected", s.electAt, now) {
+		f.term++
+		f.electRoot(now, 1, false)
 	}
-	w.inFlight = slices.DeleteFunc(w.inFlight, func(r runningReq) bool {
+	f.inFlight = slices.DeleteFunc(f.inFlight, func(r runningReq) bool {
 		if r.endsAt > now {
 			return false
 		}
-		if w.running[r.charged]--; r.node.incarnation == r.incarnation {
+		if f.running[r.charged]--; r.node.incarnation == r.incarnation {
 			r.node.limiter.Release(r.id)
 		}
 		return true
@@ -252,23 +263,23 @@
 	return nil
 }
 
-func (w *quotaFleet) Tick(now time.Duration, node string) []mutate.Message {
+func (f *quotaFleet) Tick(now time.Duration, node string) []mutate.Message {
 	switch {
 	case node == "root0":
-		w.applyEvents(now)
+		f.applyEvents(now)
 		fallthrough
 	case node == "root1":
-		return w.sendPolls(now, int(node[4]-'0'))
+		return f.sendPolls(now, int(node[4]-'0'))
 	case node[0] == 'd':
-		n := w.dispatchers[node[1]-'0']
-		w.addDemand(now, n)
-		return w.stepDispatcher(now, n)
+		n := f.dispatchers[node[1]-'0']
+		f.addDemand(now, n)
+		return f.stepDispatcher(now, n)
 	}
-	return w.stepRegion(now, w.region(node))
+	return f.stepRegion(now, f.region(node))
 }
 
-// addDemand has reqs wait at a dispatcher.
-func (w *quotaFleet) addDemand(now time.Duration, n *dispatcherMember) {
+// addDemand lets requests wait at a dispatcher.
+func (f *quotaFleet) addDemand(now time.Duration, n *dispatcherMember) {
 	if n.draining {
 		return
 	}
@@ -276,33 +287,34 @@
 	for _, a := range n.unanswered {
 		waiting[a]++
 	}
-	wants := map[string]int{"team": 16, "other": 2}
-	if m := w.scenario.moveAt; m > 0 && (n.region == "east") != (now < m) {
-		wants["team"] = 0
+	demand := map[string]int{"team": 16, "other": 2}
+	if m := f.scenario.moveAt; m > 0 && (n.region == "east") != (now < m) {
+		demand["team"] = 0
 	}
 	for _, a := range []string{"team", "other"} {
-		for range wants[a] - waiting[a] {
-			w.lastID++
-			n.unanswered[w.lastID] = a
-			if n.limiter.Acquire(n.at(now), w.lastID, a, a == "other" && w.rand.IntN(2) == 0, n.at(now).Add(time.Second)) {
-				w.fail("%s begins a req that has a quota at once", n.name)
+		for range demand[a] - waiting[a] {
+			f.lastID++
+			n.unanswered[f.lastID] = a
+			if n.limiter.Acquire(n.at(now), f.lastID, a, a == "other" && f.rand.IntN(2) == 0, n.at(now).Add(time.Second)) {
+				f.fail("%s starts a request of an account with a quota at once", n.name)
 			}
 		}
 	}
 }
 
-func (w *quotaFleet) stepDispatcher(now time.Duration, n *dispatcherMember) (out []mutate.Message) {
+// stepDispatcher does what a dispatcher's driver does.
+func (f *quotaFleet) stepDispatcher(now time.Duration, n *dispatcherMember) (out []mutate.Message) {
 	t := n.at(now)
 	if !n.draining {
-		begin, refuse := n.limiter.Admit(t, func(a string) int { return n.holder.Units(t, a) })
-		for _, id := range append(slices.Clone(begin), refuse...) {
-			if _, waits := n.unanswered[id]; !waits {
-				w.fail("%s gives req %d a second verdict", n.name, id)
+		started, expired := n.limiter.Admit(t, func(a string) int { return n.holder.Units(t, a) })
+		for _, id := range append(slices.Clone(started), expired...) {
+			if _, waiting := n.unanswered[id]; !waiting {
+				f.fail("%s starts or refuses request %d twice", n.name, id)
 			}
 			delete(n.unanswered, id)
 		}
-		for _, id := range begin {
-			w.startReq(now, n, id)
+		for _, id := range started {
+			f.startReq(now, n, id)
 		}
 	} else {
 		for id := range n.unanswered {
@@ -311,73 +323,77 @@
 		clear(n.unanswered)
 	}
 	n.limiter.TakeUsageChanges(n.holder.SetUsage)
-	if n.draining && !slices.ContainsFunc(w.inFlight, func(r runningReq) bool { return r.incarnation == n.incarnation }) {
+	if n.draining && !slices.ContainsFunc(f.inFlight, func(r runningReq) bool { return r.incarnation == n.incarnation }) {
 		n.holder.Close()
 		n.holder.HandleReconnect()
 		if a, due := n.holder.NextRequest(t); due {
-			out = w.send(now, n.name, n.region, wire.EncodeLeaseRequest(wire.LeaseRequest{To: n.region, LeaseRequest: a}))
+			out = f.send(now, n.name, n.region, wire.EncodeLeaseRequest(wire.LeaseRequest{To: n.region, LeaseRequest: a}))
 		}
-		w.startDispatcher(n)
+		f.startDispatcher(n)
 		return out
 	}
 	if a, due := n.holder.NextRequest(t); due {
-		out = w.send(now, n.name, n.region, wire.EncodeLeaseRequest(wire.LeaseRequest{To: n.region, LeaseRequest: a}))
+		out = f.send(now, n.name, n.region, wire.EncodeLeaseRequest(wire.LeaseRequest{To: n.region, LeaseRequest: a}))
 	}
 	return out
 }
 
-func (w *quotaFleet) startReq(now time.Duration, n *dispatcherMember, id uint64) {
-	of, ok := n.limiter.ChargedAccount(id)
+// startReq starts a request and checks the quota or the reserve that it uses.
+func (f *quotaFleet) startReq(now time.Duration, n *dispatcherMember, id uint64) {
+	charged, ok := n.limiter.ChargedAccount(id)
 	if !ok {
-		w.fail("%s begins req %d by no unit", n.name, id)
+		f.fail("%s starts request %d without a unit", n.name, id)
 	}
-	most, window := w.quotas[of], time.Duration(float64(upLease.UsableLease())/(1-upLease.Drift))+2
-	switch of {
+	limit, window := f.quotas[charged], time.Duration(float64(upLease.UsableLease())/(1-upLease.Drift))+2
+	switch charged {
 	case quota.ReserveAccount:
-		of, most = n.region, reserve
+		charged, limit = n.region, reserve
 	case "team":
-		most = 0
-		for i, c := range w.changes {
-			if i+1 == len(w.changes) || w.changes[i+1].at >= now-window {
-				most = max(most, c.units)
+		limit = 0
+		for i, c := range f.changes {
+			if i+1 == len(f.changes) || f.changes[i+1].at >= now-window {
+				limit = max(limit, c.units)
 			}
 		}
 	}
-	if w.running[of]++; w.running[of] > most {
-		w.fail("%d of %s run when %s begins one, of %d", w.running[of], of, n.name, most)
+	if f.running[charged]++; f.running[charged] > limit {
+		f.fail("%d requests of %s run when %s starts one, limit is %d", f.running[charged], charged, n.name, limit)
 	}
-	w.inFlight = append(w.inFlight, runningReq{now + time.Duration(float64(downLease.MaxRunTime)/n.memberClock.rate) - mutateTick, n, n.incarnation, id, of})
+	f.inFlight = append(f.inFlight, runningReq{now + time.Duration(float64(downLease.MaxRunTime)/n.memberClock.rate) - mutateTick,
+		n, n.incarnation, id, charged})
 }
 
-func (w *quotaFleet) stepRegion(now time.Duration, r *regionMember) (out []mutate.Message) {
+// stepRegion does what the driver of a region's lender does.
+func (f *quotaFleet) stepRegion(now time.Duration, r *regionMember) (out []mutate.Message) {
 	t := r.at(now)
 	r.lender.Tick(t)
 	if a, due := r.lender.NextRequest(t); due {
-		out = w.send(now, r.name, w.roots[r.root].name, wire.EncodeLeaseRequest(wire.LeaseRequest{LeaseRequest: a}))
+		out = f.send(now, r.name, f.roots[r.root].name, wire.EncodeLeaseRequest(wire.LeaseRequest{LeaseRequest: a}))
 	}
 	for _, name := range r.lender.TakePolls() {
-		out = append(out, w.send(now, r.name, name, wire.EncodePoll(r.name))...)
+		out = append(out, f.send(now, r.name, name, wire.EncodePoll(r.name))...)
 	}
 	r.lender.TakeEvents()
 	return out
 }
 
-func (w *quotaFleet) sendPolls(now time.Duration, i int) (out []mutate.Message) {
-	r := w.roots[i]
-	if r.lender == nil || w.leader != i {
+// sendPolls sends the polls of root i if it leads.
+func (f *quotaFleet) sendPolls(now time.Duration, i int) (out []mutate.Message) {
+	r := f.roots[i]
+	if r.lender == nil || f.leader != i {
 		return nil
 	}
 	r.lender.Tick(r.at(now))
 	for _, name := range r.lender.TakePolls() {
-		out = append(out, w.send(now, r.name, name, wire.EncodePoll(""))...)
+		out = append(out, f.send(now, r.name, name, wire.EncodePoll(""))...)
 	}
 	r.lender.TakeEvents()
 	return out
 }
 
-// Deliver does what the drivers do: a lender takes asks that are meant for it, of the child that the link is of; a holder
-// answers of its own lender.
-func (w *quotaFleet) Deliver(now time.Duration, m mutate.Message) []mutate.Message {
+// Deliver does what the drivers do. A lender handles requests that are addressed to it, and a holder handles responses of its
+// own lender.
+func (f *quotaFleet) Deliver(now time.Duration, m mutate.Message) []mutate.Message {
 	msg, err := wire.Decode(m.Bytes)
 	if err != nil {
 		return nil
@@ -385,58 +401,58 @@
 	switch {
 	case m.To[:2] == "ro":
 		i := int(m.To[4] - '0')
-		if msg.Request == nil || msg.Request.To != "" || w.leader != i {
+		if msg.Request == nil || msg.Request.To != "" || f.leader != i {
 			return nil
 		}
-		a, ok := w.roots[i].lender.Handle(w.roots[i].at(now), msg.Request.LeaseRequest)
-		out := w.sendPolls(now, i)
+		a, ok := f.roots[i].lender.Handle(f.roots[i].at(now), msg.Request.LeaseRequest)
+		out := f.sendPolls(now, i)
 		if ok {
-			out = append(out, w.send(now, m.To, m.From, wire.EncodeLeaseResponse(wire.LeaseResponse{LeaseResponse: a}))...)
+			out = append(out, f.send(now, m.To, m.From, wire.EncodeLeaseResponse(wire.LeaseResponse{LeaseResponse: a}))...)
 		}
 		return out
 	case m.To[0] == 'd':
-		n := w.dispatchers[m.To[1]-'0']
+		n := f.dispatchers[m.To[1]-'0']
 		switch {
 		case msg.Response != nil && msg.Response.From == n.region:
 			n.holder.HandleResponse(n.at(now), msg.Response.LeaseResponse)
 		case msg.Poll != nil && *msg.Poll == n.region:
 			n.holder.HandlePoll()
 		}
-		return w.stepDispatcher(now, n)
+		return f.stepDispatcher(now, n)
 	}
-	r := w.region(m.To)
+	r := f.region(m.To)
 	var out []mutate.Message
 	switch {
 	case msg.Request != nil && msg.Request.To == r.name:
 		if a, ok := r.lender.Handle(r.at(now), msg.Request.LeaseRequest); ok {
-			out = w.send(now, r.name, m.From, wire.EncodeLeaseResponse(wire.LeaseResponse{From: r.name, LeaseResponse: a}))
+			out = f.send(now, r.name, m.From, wire.EncodeLeaseResponse(wire.LeaseResponse{From: r.name, LeaseResponse: a}))
 		}
 	case msg.Response != nil && msg.Response.From == "":
 		r.lender.HandleResponse(r.at(now), msg.Response.LeaseResponse)
 	case msg.Poll != nil && *msg.Poll == "":
 		r.lender.HandlePoll()
 	}
-	return append(out, w.stepRegion(now, r)...)
+	return append(out, f.stepRegion(now, r)...)
 }
 
-// Check notes when all units ran, and says what began beyond a quota.
-func (w *quotaFleet) Check(now time.Duration) error {
-	if w.running["team"] == w.quotas["team"] && w.running["other"] == w.quotas["other"] {
-		w.lastFull = now
+// Check records when all units are in use, and returns the first violation of a quota.
+func (f *quotaFleet) Check(now time.Duration) error {
+	if f.running["team"] == f.quotas["team"] && f.running["other"] == f.quotas["other"] {
+		f.lastFull = now
 	}
-	return w.err
+	return f.err
 }
 
-// End: all units run, as there is demand for more.
-func (w *quotaFleet) End(now time.Duration) error {
-	if now-w.lastFull > 100*time.Millisecond {
-		return fmt.Errorf("%v run and the quotas are %v, the last time that all ran was %v", w.running, w.quotas, w.lastFull)
+// End checks that all units are in use, as the demand is higher than the quotas.
+func (f *quotaFleet) End(now time.Duration) error {
+	if now-f.lastFull > 100*time.Millisecond {
+		return fmt.Errorf("requests in flight: %v, quotas: %v; all units were last in use at %v", f.running, f.quotas, f.lastFull)
 	}
 	return nil
 }
 
-// TestQuotaUnderMutation: whatever happens to any one message, no more than the quota runs, nor more than the reserve in
-// a region, and in the end all units run.
+// TestQuotaUnderMutation: whatever happens to any single message, requests in flight never exceed a quota, nor the reserve of
+// a region, and in the end all units are in use.
 func TestQuotaUnderMutation(t *testing.T) {
 	const ms = time.Millisecond
 	for name, d := range map[string]quotaScenario{
--- a/internal/fleet/quota/schedule_test.go
+++ b/internal/fleet/quota/schedule_test.go
@@ -14,20 +14,20 @@
 	"pgregory.net/rapid"
 )
 
-// drawSetup draws a fleet whose messages are lost, doubled and late.
+// drawSetup draws a fleet whose messages may be lost, duplicated and late.
 func drawSetup(t *rapid.T) setup {
-	short := time.Duration(rapid.IntRange(300, 3000).Draw(t, "lease_ms")) * time.Millisecond
+	lease := time.Duration(rapid.IntRange(300, 3000).Draw(t, "lease_ms")) * time.Millisecond
 	drift := rapid.SampledFrom([]float64{0, 0.001, 0.02, 0.1, 0.1}).Draw(t, "drift")
 	run := time.Duration(rapid.IntRange(100, 4000).Draw(t, "run_ms")) * time.Millisecond
 	s := setup{
-		up:            LeaseConfig{Lease: short * time.Duration(rapid.IntRange(4, 12).Draw(t, "leases")), MaxRunTime: run, Drift: drift},
-		down:          LeaseConfig{Lease: short, MaxRunTime: run, Drift: drift},
+		up:            LeaseConfig{Lease: lease * time.Duration(rapid.IntRange(4, 12).Draw(t, "leases")), MaxRunTime: run, Drift: drift},
+		down:          LeaseConfig{Lease: lease, MaxRunTime: run, Drift: drift},
 		quotas:        map[string]int{"a": rapid.IntRange(0, 40).Draw(t, "a"), "b": rapid.IntRange(0, 6).Draw(t, "b")},
 		reserve:       rapid.IntRange(0, 3).Draw(t, "reserve"),
 		regions:       rapid.IntRange(2, 3).Draw(t, "regions"),
 		dispatchers:   rapid.IntRange(2, 12).Draw(t, "dispatchers"),
 		seed:          rapid.Uint64().Draw(t, "seed"),
-		nearDelay:     short / time.Duration(rapid.IntRange(20, 200).Draw(t, "near")),
+		nearDelay:     lease / time.Duration(rapid.IntRange(20, 200).Draw(t, "near")),
 		lossRate:      rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loses"),
 		duplicateRate: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "doubles"),
 		lateRate:      rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "lates"),
@@ -38,11 +38,11 @@
 	return s
 }
 
-// injectFault makes one thing go wrong, or right again.
+// injectFault begins or ends one fault, or changes a quota.
 func (sim *simulation) injectFault(kind, who, n int) {
 	r, d := who%len(sim.regions), sim.dispatchers[who%len(sim.dispatchers)]
 	switch kind {
-	case 0: // a leader is lost, or the next is elected
+	case 0: // the root is lost, or the next one is elected
 		if sim.root != nil {
 			sim.root = nil
 		} else {
@@ -66,13 +66,13 @@
 		sim.setQuota([]string{"a", "b"}[who%2], n)
 	case 9:
 		sim.setReserve(n % 4)
-	case 11: // the leader's machine is a region's lender too, or is not alone
+	case 11: // root and a region's lender are on one machine that restarts, alone or together with another lender
 		sim.electRoot(false)
 		sim.startRegionLender(r)
 		if n%2 == 0 {
 			sim.startRegionLender((r + 1) % len(sim.regions))
 		}
-	case 10: // a team loses its quota, or gains one
+	case 10: // a team loses its quota, or gets one
 		if _, has := sim.quotas["b"]; has {
 			sim.removeQuota("b")
 		} else {
@@ -81,6 +81,7 @@
 	}
 }
 
+// toggleRegionStall stops a region's lender, or lets it continue.
 func (sim *simulation) toggleRegionStall(i int) {
 	r := sim.regions[i]
 	if r.stalled = !r.stalled; r.stalled {
@@ -88,12 +89,13 @@
 	}
 	inbox := r.inbox
 	r.inbox = nil
-	for _, e := range inbox { // what waits is read before it looks at anything else
+	for _, e := range inbox { // pending messages are handled first
 		e.do()
 	}
 	sim.stepRegion(i, r)
 }
 
+// toggleDispatcherStall stops a dispatcher, or lets it continue.
 func (sim *simulation) toggleDispatcherStall(n *dispatcherNode) {
 	if n.stalled = !n.stalled; n.stalled {
 		return
@@ -106,8 +108,8 @@
 	sim.stepDispatcher(n)
 }
 
-// restartInOrder ends a dispatcher in order: what waits is refused, and once nothing runs all is given back and a new life
-// begins.
+// restartInOrder restarts a dispatcher in an orderly way. Waiting requests are refused. When nothing runs any more all units
+// are returned and a new incarnation starts.
 func (sim *simulation) restartInOrder(i int) {
 	n := sim.dispatchers[i]
 	if n.stalled || n.draining {
@@ -130,8 +132,8 @@
 			n.limiter.TakeUsageChanges(n.holder.SetUsage)
 			n.holder.Close()
 			n.holder.inFlight = false
-			if a, due := n.holder.NextRequest(n.at(sim.now)); due {
-				sim.sendRequest(n, a)
+			if request, due := n.holder.NextRequest(n.at(sim.now)); due {
+				sim.sendRequest(n, request)
 			}
 			sim.startDispatcher(i)
 		}
@@ -139,8 +141,8 @@
 	wait()
 }
 
-// setQuota decides another quota, where there is a leader. What names the accounts is in force at all dispatchers at
-// once, as the accord has it.
+// setQuota decides a quota if there is a root. The set of accounts with quotas comes into force at all dispatchers at once,
+// as the accord ensures.
 func (sim *simulation) setQuota(account string, units int) {
 	if sim.root == nil {
 		return
@@ -155,6 +157,7 @@
 	}
 }
 
+// removeQuota removes an account's quota if there is a root.
 func (sim *simulation) removeQuota(account string) {
 	if sim.root == nil {
 		return
@@ -165,7 +168,7 @@
 	sim.sendAccounts()
 }
 
-// setReserve decides another reserve for each region.
+// setReserve decides the reserve of each region.
 func (sim *simulation) setReserve(units int) {
 	sim.reserve = units
 	sim.oracle.reserves = append(sim.oracle.reserves, decision{sim.now, units})
@@ -176,6 +179,7 @@
 	sim.sendAccounts()
 }
 
+// sendAccounts sets at all dispatchers which accounts have a quota.
 func (sim *simulation) sendAccounts() {
 	for _, n := range sim.dispatchers {
 		n.limiter.SetQuotas(n.at(sim.now), sim.accounts())
@@ -183,7 +187,7 @@
 	}
 }
 
-// heal ends all faults: links are good and quick, all are there.
+// heal ends all faults: connections are good, and all nodes run.
 func (sim *simulation) heal() {
 	sim.setup.lossRate, sim.setup.duplicateRate, sim.setup.lateRate = 0, 0, 0
 	for i, r := range sim.regions {
@@ -201,15 +205,18 @@
 	}
 }
 
-// recoveryBound is how long after faults end each team has its share, docs/design/quota.md: what nobody can account for is over,
-// the wait of an ask that was lost, and some rounds in which units come back and go out.
+// recoveryBound is how long after faults end each team has its share (docs/design/quota.md). It is the time until units that
+// nobody can account for are no longer in use, the wait for the response to a lost request, and several rounds in which
+// units are returned and granted.
 func (sim *simulation) recoveryBound() time.Duration {
 	up, down := sim.setup.up, sim.setup.down
 	slow := 1 - down.Drift
-	return time.Duration(float64(down.QuietPeriod()+down.DrainPeriod()+min(maxRetryDelay, up.RenewInterval())+2*up.ReportDelay()+4*down.RenewInterval())/slow) + 20*sim.setup.farDelay + 20*sim.setup.nearDelay + 10*20*time.Millisecond + sim.setup.maxLate
+	return time.Duration(float64(down.QuietPeriod()+down.DrainPeriod()+min(maxRetryDelay, up.RenewInterval())+
+		2*up.ReportDelay()+4*down.RenewInterval())/slow) +
+		20*sim.setup.farDelay + 20*sim.setup.nearDelay + 10*20*time.Millisecond + sim.setup.maxLate
 }
 
-// saturate has more reqs wait at each dispatcher than any quota has units.
+// saturate lets more requests wait at each dispatcher than any quota has units.
 func (sim *simulation) saturate() {
 	accounts := slices.Sorted(maps.Keys(sim.quotas))
 	for _, n := range sim.dispatchers {
@@ -221,13 +228,14 @@
 	}
 }
 
-// runSchedule plays one drawn runSchedule.
+// runSchedule runs one drawn schedule of faults and requests.
 func runSchedule(t *rapid.T, s setup) *simulation {
 	sim := newSimulation(s)
 	sim.saturated = rapid.Bool().Draw(t, "crowded")
 	for range rapid.IntRange(1, 40).Draw(t, "steps") {
 		if rapid.IntRange(0, 2).Draw(t, "what") == 0 {
-			sim.injectFault(rapid.IntRange(0, 11).Draw(t, "fault"), rapid.IntRange(0, 11).Draw(t, "who"), rapid.IntRange(0, 40).Draw(t, "units"))
+			sim.injectFault(rapid.IntRange(0, 11).Draw(t, "fault"), rapid.IntRange(0, 11).Draw(t, "who"),
+				rapid.IntRange(0, 40).Draw(t, "units"))
 		}
 		for range sim.rand.IntN(2 * len(sim.dispatchers)) {
 			n := sim.dispatchers[sim.rand.IntN(len(sim.dispatchers))]
@@ -247,7 +255,7 @@
 	return sim
 }
 
-// checkRecovery lets faults end and says whether each team has its share in time.
+// checkRecovery ends all faults and checks that each team has its share in time.
 func (sim *simulation) checkRecovery() {
 	sim.heal()
 	if _, has := sim.quotas["b"]; !has {
@@ -257,7 +265,7 @@
 	for end := sim.now + sim.recoveryBound(); sim.now < end && sim.oracle.err == nil; {
 		sim.advance(sim.setup.down.Lease / 10)
 	}
-	// Units of which there are fewer than dispatchers that want one go round, and run nothing on their way.
+	// If there are fewer units than dispatchers with demand, the units rotate and are not in use while they move.
 	const samples = 100
 	sum, full := map[string]int{}, map[string]bool{}
 	for range samples {
@@ -270,19 +278,20 @@
 	for _, a := range []string{"a", "b"} {
 		q := sim.quotas[a]
 		if sim.leastUse = min(sim.leastUse, float64(sum[a]+1)/float64(q*samples+1)); !full[a] || sim.leastUse < minUse {
-			sim.oracle.fail("%.2f of %q run, all at once: %v, and the quota is %d, %v after the faults ended", float64(sum[a])/samples, a, full[a], q, sim.recoveryBound())
+			sim.oracle.fail("%.2f requests of %q run on average, whole quota in use at least once: %v, quota is %d, %v after the faults ended",
+				float64(sum[a])/samples, a, full[a], q, sim.recoveryBound())
 		}
 	}
 }
 
-// minUse is the part of a quota that is in use on average where a link takes up to a twentieth of a lease and units go
-// round every other lease; TestGoingRound has the part where links are as operators have them.
+// minUse is the lowest average share of a quota in use if a message takes up to a twentieth of a lease and units rotate
+// every other lease. TestScarceUnitsRotate checks the share with the delays that operators have.
 const minUse = 0.5
 
-// TestQuotaNeverExceeded: whatever is lost, late, cut, stalled, crashed and replaced, what truly runs of a team never
-// passes its quota, no region runs more urgent reqs by its reserve than it is, each req has one verdict; and once the
-// faults end each team with demand runs as many as its quota within the time named. QUOTA_CASES is the count of
-// schedules, drawn anew each time; without it 200 are played, the same ones each time.
+// TestQuotaNeverExceeded runs random schedules in which messages are lost, late and cut and nodes stall, crash and restart.
+// A team's requests in flight must never exceed its quota, a region's urgent requests must not exceed its reserve, and each
+// request must be started or refused once. When the faults have ended, each team with demand must use its whole quota within
+// recoveryBound. QUOTA_CASES is the number of schedules, drawn anew each time; without it the same 200 run each time.
 func TestQuotaNeverExceeded(t *testing.T) {
 	cases, parts := 200, 1
 	if v := os.Getenv("QUOTA_CASES"); v != "" {
@@ -294,7 +303,7 @@
 		t.Cleanup(func() { _ = flag.Set("rapid.seed", "0") })
 	}
 	var least [4]float64
-	t.Cleanup(func() { t.Logf("least use of a quota after the faults: %.2f of it", slices.Min(least[:parts])) })
+	t.Cleanup(func() { t.Logf("lowest share of a quota in use after the faults: %.2f", slices.Min(least[:parts])) })
 	require.NoError(t, flag.Set("rapid.checks", strconv.Itoa(cases/parts)))
 	for i := range parts {
 		t.Run(strconv.Itoa(i), func(t *testing.T) {
--- a/internal/fleet/quota/simulation_test.go
+++ b/internal/fleet/quota/simulation_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// simulation is a root that moves, regions and dispatchers, each with a clock of its own within the drift, on links that lose,
-// double, delay and cut; reqs come to the dispatchers and run at backends that know nothing of units. Real time is the
-// simulation's alone.
+// simulation is a fleet in simulated time: a root that is elected anew, regions and dispatchers. Each node has a clock of
+// its own within the drift. Messages are lost, duplicated and delayed, and connections are cut. Requests arrive at the
+// dispatchers and run at backends that know nothing of units. Only the simulation knows real time.
 type simulation struct {
 	setup       setup
 	rand        *rand.Rand
@@ -19,7 +19,7 @@
 	pending     eventHeap
 	lastSeq     uint64
 	term        uint64
-	root        *rootNode // nil between two leaders
+	root        *rootNode // nil while there is no leader
 	regions     []*regionNode
 	dispatchers []*dispatcherNode
 	incarnation uint64
@@ -27,14 +27,15 @@
 	reserve     int
 	lastID      uint64
 	oracle      *oracle
-	sent        int // messages
-	messages    map[string]int
+	sent        int            // messages
+	messages    map[string]int // sent, by the kinds of sender and receiver
 	verbose     func(string, ...any)
-	leastUse    float64 // the least part of a quota in use after the faults
-	queueDepth  int     // reqs that wait of an account where it is crowded; 0: two more than its quota
-	saturated   bool    // more reqs than units wait everywhere, and all run as long as they may
+	leastUse    float64 // the lowest share of a quota in use after the faults ended
+	queueDepth  int     // waiting requests of an account if saturated; 0: two more than its quota
+	saturated   bool    // more requests than units wait at each dispatcher, and all run as long as they may
 }
 
+// setup holds the parameters of a simulation.
 type setup struct {
 	up, down      LeaseConfig
 	quotas        map[string]int
@@ -42,24 +43,25 @@
 	regions       int
 	dispatchers   int
 	seed          uint64
-	exactClocks   bool          // clocks run true
-	nearDelay     time.Duration // one way between a dispatcher and its region's lender, at most
-	farDelay      time.Duration // between regions
-	fixedDelay    bool          // each message takes the most, none is lost
-	lossRate      float64       // part of the messages lost
-	duplicateRate float64
-	lateRate      float64 // part that takes up to late
+	exactClocks   bool          // clocks run without drift
+	nearDelay     time.Duration // maximum one-way delay between a dispatcher and its region's lender
+	farDelay      time.Duration // maximum one-way delay between regions
+	fixedDelay    bool          // each message takes the maximum delay, none is lost
+	lossRate      float64       // share of messages that are lost
+	duplicateRate float64       // share of messages that arrive twice
+	lateRate      float64       // share of messages that take up to maxLate
 	maxLate       time.Duration
-	defect        defects
+	defect        defects       // built in on purpose
 	tick          time.Duration // 0: 20 ms
-	firstRoot     bool          // the root knows that it is the first
+	firstRoot     bool          // the first root and the first regions' lenders skip recovery
 }
 
-// defects is a fault put into the world on purpose.
+// defects are faults of the code under test that are built in on purpose.
 type defects struct {
 	acceptOldResponses, useWholeLease, ignoreRunning, skipRecovery, twoLenders bool
 }
 
+// clock is the monotonic clock of a node.
 type clock struct {
 	rate   float64
 	offset int64
@@ -80,7 +82,7 @@
 	cut      bool // from the root
 	stalled  bool
 	inbox    []event
-	replaced *regionNode // with flaw.twoLives: the life before, still there
+	replaced *regionNode // with defects.twoLenders: the previous incarnation, still running
 }
 
 type dispatcherNode struct {
@@ -93,10 +95,11 @@
 	stalled      bool
 	draining     bool
 	inbox        []event
-	unanswered   map[uint64]string // the far side's: reqs with no verdict yet
-	unansweredOf map[string]int    // of them, by account
+	unanswered   map[uint64]string // as the caller counts: requests that were neither started nor refused, with their accounts
+	unansweredOf map[string]int    // their number by account
 }
 
+// event is something that happens at a time.
 type event struct {
 	at   time.Duration
 	seq  uint64
@@ -105,17 +108,18 @@
 	do   func()
 }
 
+// eventHeap is the pending events, earliest first.
 type eventHeap []event
 
-func (e eventHeap) Len() int { return len(e) }
-func (e eventHeap) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *eventHeap) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *eventHeap) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
@@ -139,6 +143,7 @@
 	return sim
 }
 
+// clock draws a clock within the drift, often at its edges.
 func (sim *simulation) clock(drift float64) clock {
 	c := clock{rate: 1 + drift*float64(sim.rand.IntN(3)-1), offset: sim.rand.Int64N(2e12) - 1e12}
 	if sim.setup.exactClocks {
@@ -155,7 +160,7 @@
 	}
 }
 
-// accounts that have a quota, and the reserve.
+// accounts returns the accounts that have a quota, and the reserve if there is one.
 func (sim *simulation) accounts() (out []string) {
 	for a := range sim.quotas {
 		out = append(out, a)
@@ -166,7 +171,7 @@
 	return out
 }
 
-// electRoot makes a new leader, who knows the quotas that were in force of late from the log.
+// electRoot starts a new root. It knows from the log which quotas were in force recently.
 func (sim *simulation) electRoot(first bool) {
 	sim.term++
 	n := &rootNode{term: sim.term, clock: sim.clock(sim.setup.up.Drift)}
@@ -174,12 +179,13 @@
 	for _, r := range sim.regions {
 		known = append(known, r.name)
 	}
-	p := sim.setup.up
+	cfg := sim.setup.up
 	if sim.setup.defect.ignoreRunning {
-		p.MaxRunTime = 0
+		cfg.MaxRunTime = 0
 	}
 	var err error
-	n.lender, err = NewLender(p, sim.term, n.at(sim.now), LenderOptions{Preallocate: true, Children: known, SkipRecovery: first || sim.setup.defect.skipRecovery})
+	n.lender, err = NewLender(cfg, sim.term, n.at(sim.now), LenderOptions{Preallocate: true, Children: known,
+		SkipRecovery: first || sim.setup.defect.skipRecovery})
 	must(err)
 	for a := range sim.setup.quotas {
 		n.lender.AssumeLent(n.at(sim.now), []Allocation{{a, sim.oracle.largestQuota(a, sim.now, sim.oracle.effectiveWithin())}})
@@ -187,12 +193,13 @@
 	}
 	sim.root = n
 	for _, r := range sim.regions {
-		if sim.setup.fixedDelay || sim.rand.IntN(2) == 0 { // a link to the new leader is seen to be new
+		if sim.setup.fixedDelay || sim.rand.IntN(2) == 0 { // the region notices that its connection is new
 			r.lender.HandleReconnect()
 		}
 	}
 }
 
+// startRegionLender starts a new incarnation of a region's lender.
 func (sim *simulation) startRegionLender(i int) {
 	r := sim.regions[i]
 	sim.incarnation++
@@ -219,22 +226,23 @@
 	r.lender.SetReserve(r.at(sim.now), sim.reserve)
 }
 
+// startDispatcher starts a new incarnation of a dispatcher.
 func (sim *simulation) startDispatcher(i int) {
 	n := sim.dispatchers[i]
 	sim.incarnation++
 	n.clock, n.inbox, n.stalled, n.draining = sim.clock(sim.setup.down.Drift), nil, false, false
-	p := sim.setup.down
+	cfg := sim.setup.down
 	if sim.setup.defect.useWholeLease {
-		p.Drift = 0
+		cfg.Drift = 0
 	}
 	var err error
-	n.holder, err = NewHolder(p, n.name, sim.incarnation, false)
+	n.holder, err = NewHolder(cfg, n.name, sim.incarnation, false)
 	must(err)
 	n.limiter, n.unanswered, n.unansweredOf = NewLimiter(), map[uint64]string{}, map[string]int{}
 	n.limiter.SetQuotas(n.at(sim.now), sim.accounts())
 }
 
-// nodeKind is d for a dispatcher, r for a region and R for the root.
+// nodeKind returns d for a dispatcher, r for a region and R for the root.
 func nodeKind(node string) string {
 	if node == "root" {
 		return "R"
@@ -242,22 +250,22 @@
 	return node[:1]
 }
 
-// send sends something that happens at the far end.
-func (sim *simulation) send(from, to string, most time.Duration, do func()) {
+// send sends a message whose arrival is do. It may be lost, duplicated or late.
+func (sim *simulation) send(from, to string, maxDelay time.Duration, do func()) {
 	sim.sent++
 	sim.messages[nodeKind(from)+nodeKind(to)]++
 	s := sim.setup
 	if !s.fixedDelay && sim.rand.Float64() < s.lossRate {
 		return
 	}
-	times := 1
+	copies := 1
 	if !s.fixedDelay && sim.rand.Float64() < s.duplicateRate {
-		times = 2
+		copies = 2
 	}
-	for range times {
-		delay := most
+	for range copies {
+		delay := maxDelay
 		if !s.fixedDelay {
-			if delay = time.Duration(sim.rand.Int64N(int64(most) + 1)); sim.rand.Float64() < s.lateRate {
+			if delay = time.Duration(sim.rand.Int64N(int64(maxDelay) + 1)); sim.rand.Float64() < s.lateRate {
 				delay = time.Duration(sim.rand.Int64N(int64(s.maxLate) + 1))
 			}
 		}
@@ -265,12 +273,13 @@
 	}
 }
 
+// schedule adds an event that happens after d.
 func (sim *simulation) schedule(d time.Duration, from, to string, do func()) {
 	sim.lastSeq++
 	heap.Push(&sim.pending, event{sim.now + d, sim.lastSeq, from, to, do})
 }
 
-// advance lets time pass; every node has its turn at least each tick.
+// advance moves the simulation on by d. Every node is looked at in each tick.
 func (sim *simulation) advance(d time.Duration) {
 	tick := cmp.Or(sim.setup.tick, 20*time.Millisecond)
 	end := sim.now + d
@@ -286,6 +295,7 @@
 	}
 }
 
+// tick lets every node do what is due.
 func (sim *simulation) tick() {
 	sim.oracle.check(sim.now)
 	if sim.saturated {
@@ -310,6 +320,7 @@
 	}
 }
 
+// sendRootPolls sends the root's polls.
 func (sim *simulation) sendRootPolls() {
 	for _, name := range sim.root.lender.TakePolls() {
 		i := slices.IndexFunc(sim.regions, func(r *regionNode) bool { return r.name == name })
@@ -322,7 +333,7 @@
 	sim.root.lender.TakeEvents()
 }
 
-// deliverToRegion hands something to a region's lender, now or when it wakes.
+// deliverToRegion delivers a message to a region's lender, now or when it is no longer stalled.
 func (sim *simulation) deliverToRegion(i int, do func(*regionNode)) {
 	r := sim.regions[i]
 	if r.stalled {
@@ -337,14 +348,15 @@
 	}
 }
 
+// stepRegion does what the driver of a region's lender does.
 func (sim *simulation) stepRegion(i int, r *regionNode) {
 	if r.stalled || r.lender == nil {
 		return
 	}
 	now := r.at(sim.now)
 	r.lender.Tick(now)
-	if a, due := r.lender.NextRequest(now); due && !r.cut {
-		sim.send(r.name, "root", sim.setup.farDelay, func() { sim.handleAtRoot(i, r, a) })
+	if request, due := r.lender.NextRequest(now); due && !r.cut {
+		sim.send(r.name, "root", sim.setup.farDelay, func() { sim.handleAtRoot(i, r, request) })
 	}
 	for _, name := range r.lender.TakePolls() {
 		for _, n := range sim.dispatchers {
@@ -358,13 +370,14 @@
 	r.lender.TakeEvents()
 }
 
-// handleAtRoot is an ask at whoever leads then; what it says is sent once a majority has confirmed that it leads still.
-func (sim *simulation) handleAtRoot(i int, from *regionNode, a LeaseRequest) {
+// handleAtRoot delivers a request to the current root. The response is sent only when a majority has confirmed that the root
+// still leads.
+func (sim *simulation) handleAtRoot(i int, from *regionNode, request LeaseRequest) {
 	root := sim.root
 	if root == nil {
 		return
 	}
-	answer, ok := root.lender.Handle(root.at(sim.now), a)
+	response, ok := root.lender.Handle(root.at(sim.now), request)
 	sim.sendRootPolls()
 	if !ok {
 		return
@@ -378,11 +391,12 @@
 			return
 		}
 		sim.send("root", from.name, sim.setup.farDelay, func() {
-			sim.deliverToRegion(i, func(r *regionNode) { r.lender.HandleResponse(r.at(sim.now), answer) })
+			sim.deliverToRegion(i, func(r *regionNode) { r.lender.HandleResponse(r.at(sim.now), response) })
 		})
 	})
 }
 
+// deliverToDispatcher delivers a message to a dispatcher, now or when it is no longer stalled.
 func (sim *simulation) deliverToDispatcher(n *dispatcherNode, do func()) {
 	if n.stalled {
 		n.inbox = append(n.inbox, event{do: do})
@@ -399,53 +413,55 @@
 	}
 	now := n.at(sim.now)
 	if !n.draining {
-		begin, refuse := n.limiter.Admit(now, func(a string) int { return n.holder.Units(now, a) })
-		for _, id := range refuse {
+		started, expired := n.limiter.Admit(now, func(account string) int { return n.holder.Units(now, account) })
+		for _, id := range expired {
 			sim.recordVerdict(n, id)
 		}
-		for _, id := range begin {
+		for _, id := range started {
 			sim.startReq(n, id)
 		}
 	}
 	n.limiter.TakeUsageChanges(n.holder.SetUsage)
-	if a, due := n.holder.NextRequest(now); due {
-		sim.sendRequest(n, a)
+	if request, due := n.holder.NextRequest(now); due {
+		sim.sendRequest(n, request)
 	}
 }
 
-func (sim *simulation) sendRequest(n *dispatcherNode, a LeaseRequest) {
+// sendRequest sends a dispatcher's request to its region's lender.
+func (sim *simulation) sendRequest(n *dispatcherNode, request LeaseRequest) {
 	if n.cut {
 		return
 	}
 	i := n.region
 	sim.send(n.name, sim.regions[i].name, sim.setup.nearDelay, func() {
 		sim.deliverToRegion(i, func(r *regionNode) {
-			answer, ok := r.lender.Handle(r.at(sim.now), a)
+			response, ok := r.lender.Handle(r.at(sim.now), request)
 			if !ok || n.cut {
 				return
 			}
 			sim.send(r.name, n.name, sim.setup.nearDelay, func() {
 				sim.deliverToDispatcher(n, func() {
-					if sim.setup.defect.acceptOldResponses && n.holder.epoch == answer.Epoch {
-						answer.Seq = n.holder.seq
+					if sim.setup.defect.acceptOldResponses && n.holder.epoch == response.Epoch {
+						response.Seq = n.holder.seq
 					}
-					n.holder.HandleResponse(n.at(sim.now), answer)
+					n.holder.HandleResponse(n.at(sim.now), response)
 				})
 			})
 		})
 	})
 }
 
+// recordVerdict records that a request was started or refused, which must happen once.
 func (sim *simulation) recordVerdict(n *dispatcherNode, id uint64) {
-	if _, waits := n.unanswered[id]; !waits {
-		sim.oracle.fail("req %d of %s got a second verdict, or came from nowhere", id, n.name)
+	if _, waiting := n.unanswered[id]; !waiting {
+		sim.oracle.fail("request %d of %s was started or refused twice, or is unknown", id, n.name)
 	}
 	n.unansweredOf[n.unanswered[id]]--
 	delete(n.unanswered, id)
 }
 
-// submit is a req that comes to a dispatcher.
-func (sim *simulation) submit(n *dispatcherNode, account string, urgent bool, patience time.Duration) uint64 {
+// submit lets a request arrive at a dispatcher, where it waits for at most timeout; 0 is no limit.
+func (sim *simulation) submit(n *dispatcherNode, account string, urgent bool, timeout time.Duration) uint64 {
 	if n.stalled || n.draining {
 		return 0
 	}
@@ -453,31 +469,31 @@
 	id := sim.lastID
 	n.unanswered[id] = account
 	n.unansweredOf[account]++
-	until := Never
-	if patience > 0 {
-		until = n.at(sim.now).Add(patience)
+	deadline := Never
+	if timeout > 0 {
+		deadline = n.at(sim.now).Add(timeout)
 	}
-	if n.limiter.Acquire(n.at(sim.now), id, account, urgent, until) {
+	if n.limiter.Acquire(n.at(sim.now), id, account, urgent, deadline) {
 		sim.startReq(n, id)
 	}
 	sim.stepDispatcher(n)
 	return id
 }
 
-// startReq sends a req to a backend, where it runs for at most Run of the dispatcher's clock, whatever becomes of the
-// dispatcher.
+// startReq sends a request to a backend. It runs there for at most MaxRunTime by the dispatcher's clock, whatever happens to
+// the dispatcher.
 func (sim *simulation) startReq(n *dispatcherNode, id uint64) {
 	account := n.unanswered[id]
 	sim.recordVerdict(n, id)
 	charged, _ := n.limiter.ChargedAccount(id)
-	most := int64(float64(sim.setup.down.MaxRunTime)/n.rate) - 1
-	runs := time.Duration(most)
+	maxRun := int64(float64(sim.setup.down.MaxRunTime)/n.rate) - 1
+	duration := time.Duration(maxRun)
 	if !sim.setup.fixedDelay && !sim.saturated && sim.rand.IntN(3) > 0 {
-		runs = time.Duration(sim.rand.Int64N(most + 1))
+		duration = time.Duration(sim.rand.Int64N(maxRun + 1))
 	}
 	sim.oracle.start(account, charged, sim.regions[n.region].name)
 	h := n.holder
-	sim.schedule(runs, n.name, "backend", func() {
+	sim.schedule(duration, n.name, "backend", func() {
 		sim.oracle.end(account, charged, sim.regions[n.region].name)
 		if n.holder == h {
 			sim.deliverToDispatcher(n, func() {
