--- a/internal/guard/rule_test.go
+++ b/internal/guard/rule_test.go
@@ -120,8 +120,8 @@
 	assert.Zero(t, none.ShutdownTime())
 }
 
-// TestNamesAreUnique checks that rules have unique names and that no step or reason lacks one.
-func TestNamesAreUnique(t *testing.T) {
+// TestRuleStepAndReasonNames checks that rules have unique names and that no step or reason lacks one.
+func TestRuleStepAndReasonNames(t *testing.T) {
 	seen := map[string]bool{}
 	for _, rule := range Rules() {
 		assert.NotEmpty(t, rule.String())
