--- a/internal/network/clients.go
+++ b/internal/network/clients.go
@@ -23,7 +23,7 @@
 	reqTimeout      = 2500 * time.Millisecond // for the rest of a later request that has begun
 	idleTimeout     = 3 * time.Minute         // between requests
 	writeTimeout    = 5 * time.Second         // for an answer to be written
-	shedRetryAfter  = 500 * time.Millisecond  // advice to a client that is refused for lack of descriptors
+	shedRetryAfter  = 500 * time.Millisecond  // Retry-After of a client that is refused for lack of descriptors
 	finalReadWait   = 5 * time.Millisecond    // for a request that arrives as its session is about to be closed
 	closeWait       = 20 * time.Millisecond   // for sessions that were told to close to be gone
 )
@@ -104,9 +104,9 @@
 
 	// Used by the reading goroutine only.
 	parser         platform.RequestParser
-	firstByteAt    time.Time // when the first byte of what is being read reached this machine
-	lastByteAt     time.Time // when the last byte did
-	pipelineTurn   time.Time // when handling of the pipelined bytes began: the rest of their request is due from then on
+	firstByteAt    time.Time // when the first byte of the request that is being read reached this machine
+	lastByteAt     time.Time // when the last byte received so far did
+	pipelineTurn   time.Time // when pipelined bytes became the current request: the rest of it is due from then on
 	finalRead      bool      // its time is over, and this is the last read for a request
 	bufferedBytes  int64     // of the body that is being read or answered
 	clientDeadline time.Time // until then the client of the current request waits for its answer
@@ -126,8 +126,8 @@
 // other.
 const lingerHeadroom = maxExcessSessions / 2
 
-// Serve accepts connections until the listener is closed. It accepts without delay, as a request counts as taken as soon as
-// the kernel has it.
+// Serve accepts connections until the listener is closed. It accepts without delay, as a request counts as accepted once the
+// kernel has it.
 func (c *Clients) Serve(l net.Listener) { c.accept(l, c.admit) }
 
 func (c *Clients) accept(l net.Listener, admit func(net.Conn)) {
--- a/internal/network/descriptors.go
+++ b/internal/network/descriptors.go
@@ -26,9 +26,10 @@
 }
 
 // SplitDescriptors divides a limit. A request takes one descriptor on each side, a second copy takes one more at the
-// backends, and idle connections to backends save handshakes: backends get the larger part. Clients that send jobs hold a
-// third of the limit at most, including idle sessions: a client at its limit cannot send a request, however idle this
-// dispatcher is. JobSessions stays below that.
+// backends, and idle connections to backends save handshakes: backends get the larger part.
+//
+// The clients that send jobs can hold a third of the limit at most, including idle sessions. If they hold that many, they
+// cannot send another request on a new connection, however idle this dispatcher is. JobSessions stays below that.
 func SplitDescriptors(limit int) DescriptorLimits {
 	free := max(limit-reservedDescriptors, 2)
 	return DescriptorLimits{Clients: free * 9 / 20, JobSessions: limit / 5, Backends: free - free*9/20}
--- a/internal/network/mutate_test.go
+++ b/internal/network/mutate_test.go
@@ -377,7 +377,7 @@
 
 func newSetup(t *testing.T, name string, reqs int, safe, watched bool) mutate.Setup {
 	var now *mutationWorld
-	return mutate.Setup{Name: "deal " + name, Seed: 1, Tick: tickInterval, Faults: firstReqAt + time.Duration(max(reqs-len(reqScripts)-2, 0))*reqInterval,
+	return mutate.Setup{Name: "network " + name, Seed: 1, Tick: tickInterval, Faults: firstReqAt + time.Duration(max(reqs-len(reqScripts)-2, 0))*reqInterval,
 		Length: firstReqAt + time.Duration(reqs)*reqInterval + 800*time.Millisecond, Late: 50 * time.Millisecond,
 		Kinds: mutate.Streams, Splits: 3, Excuse: excuseMutation,
 		Build:  func(uint64) mutate.World { now = newMutationWorld(t, reqs, safe, watched); return now },
--- a/internal/network/table_test.go
+++ b/internal/network/table_test.go
@@ -79,8 +79,8 @@
 		c7 expect nothing`)
 }
 
-// TestJobSessionLimit: sessions that served jobs are limited in number. Beyond the limit the one idle for longest is closed,
-// but none that was used just before.
+// TestJobSessionLimit: the clients that send jobs can hold only so many sessions. As idle ones add up, the one idle for longest
+// is closed before the clients run out of sessions, but none that was used just before.
 func TestJobSessionLimit(t *testing.T) {
 	serveReq := func(c, id, conn string) string {
 		return fmt.Sprintf("%s send {req %s x}\n%s send {started %s}{done %s r}\n%s expect 200 r\n", c, id, conn, id, id, c)
