--- a/cmd/tinsail/accord.go
+++ b/cmd/tinsail/accord.go
@@ -89,8 +89,8 @@
 			return d.budgets.plan(d.cfg.Settings.Instances, &p), err == nil && p.Connections > 0
 		}
 	}
-	d.accord, err = accord.New(accord.Config{Budget: lends, Plan: accordLeaseConfig(a), Name: d.cfg.Name, Epoch: uint64(time.Now().UnixNano()), Voters: voters,
-		Listen: a.Listen, Data: a.Data, First: policyOf(set).Append(nil), Check: d.checkPolicy, Enter: d.applyPolicy, Log: d.log})
+	d.accord, err = accord.New(accord.Config{BudgetPlan: lends, Leases: accordLeaseConfig(a), Name: d.cfg.Name, Epoch: uint64(time.Now().UnixNano()), Voters: voters,
+		Listen: a.Listen, DataDir: a.Data, InitialPolicy: policyOf(set).Append(nil), CheckPolicy: d.checkPolicy, ApplyPolicy: d.applyPolicy, Log: d.log})
 	if err != nil {
 		return errors.Join(errors.New("accord"), err)
 	}
@@ -150,9 +150,9 @@
 	if d.accord == nil || old.Policy == nil || next.Policy == nil {
 		return
 	}
-	d.accord.Retry()
+	d.accord.RetryCheck()
 	was, body := policyOf(old).Append(nil), policyOf(next).Append(nil)
-	if bytes.Equal(was, body) && !bytes.Equal(body, d.accord.Lost()) {
+	if bytes.Equal(was, body) && !bytes.Equal(body, d.accord.WithdrawnProposal()) {
 		return
 	}
 	if err := d.accord.Propose(body); err != nil {
--- a/cmd/tinsail/budgets.go
+++ b/cmd/tinsail/budgets.go
@@ -36,7 +36,7 @@
 // Share is what this dispatcher may spend now, in units a second.
 func (l *leaderShare) Share() int {
 	if a := l.accord.Load(); a != nil {
-		return a.Share()
+		return a.BudgetShare()
 	}
 	return 0
 }
@@ -48,13 +48,13 @@
 	if most == 0 {
 		most = instances
 	}
-	return budget.Plan{Name: "connections", Total: b.Connections, Most: most, Part: b.Reserve,
+	return budget.Plan{Name: "connections", Total: b.Connections, MaxDispatchers: most, ReserveShare: b.Reserve,
 		Lease: time.Duration(b.LeaseMs) * time.Millisecond, Drift: b.Drift}
 }
 
 // equalShare is the share of a plan without talk.
 func equalShare(p budget.Plan, instances int) int {
-	return budget.Split(p.Total, budget.Estimate(instances, p.Most), 0)
+	return budget.Split(p.Total, budget.Estimate(instances, p.MaxDispatchers), 0)
 }
 
 // checkBudgets finds what the budgets' call allows and the schema cannot say: a keeper needs
@@ -92,7 +92,7 @@
 	f := &fleetBudgets{}
 	plan := connectionsPlan(b, d.cfg.Settings.Instances)
 	f.configured.Store(b)
-	f.fleetSize.Store(int64(budget.Estimate(d.cfg.Settings.Instances, plan.Most)))
+	f.fleetSize.Store(int64(budget.Estimate(d.cfg.Settings.Instances, plan.MaxDispatchers)))
 	if b.Keeper == keeperIsLeader {
 		f.leaderShare = &leaderShare{}
 		f.share = f.leaderShare
@@ -166,7 +166,7 @@
 	if err := plan.Check(); err != nil {
 		return err
 	}
-	f.fleetSize.Store(int64(budget.Estimate(instances, plan.Most)))
+	f.fleetSize.Store(int64(budget.Estimate(instances, plan.MaxDispatchers)))
 	if f.leaderShare != nil { // it follows the version in force by itself
 		return nil
 	}
@@ -201,7 +201,7 @@
 	c("budget_connections_unsent", f.limiter.Refused.Load())
 	if f.leaderShare != nil {
 		if a := f.leaderShare.accord.Load(); a != nil {
-			c("budget_connections_lent", int64(a.Lent()))
+			c("budget_connections_lent", int64(a.BudgetLent()))
 		}
 	}
 	if f.keeper != nil {
--- a/cmd/tinsail/door.go
+++ b/cmd/tinsail/door.go
@@ -62,7 +62,7 @@
 		case !d.handover.serves():
 			return no(503, "another process serves still")
 		case !d.core.Serves():
-			return no(503, "does not know which policy of the fleet holds: "+d.accord.Why())
+			return no(503, "does not know which policy of the fleet holds: "+d.accord.NotAcceptingReason())
 		default:
 			return yes("serves, " + state.String())
 		}
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -41,52 +41,54 @@
 
 // Plan is a budget as the settings declare it for the fleet.
 type Plan struct {
-	Name  string
-	Total int           // units a second for the whole fleet
-	Most  int           // most dispatchers that may spend it at once; each holds a reserve
-	Part  float64       // part of Total held as reserves, without talk, in [0, 1]
-	Lease time.Duration // how long a grant of the keeper lasts on its clock
-	Drift float64       // bound on how far any clock's rate strays from real time, in [0, 0.1]
+	Name           string
+	Total          int           // units a second for the whole fleet
+	MaxDispatchers int           // most dispatchers that may spend it at once; each holds a reserve
+	ReserveShare   float64       // part of Total held as reserves, without talk, in [0, 1]
+	Lease          time.Duration // how long a grant of the keeper lasts on its clock
+	Drift          float64       // bound on how far any clock's rate strays from real time, in [0, 0.1]
 }
 
 // Most drift that a plan may name: beyond it leases are so short that they are not worth asking.
-const MostDrift = 0.1
+const MaxDrift = 0.1
 
 // Check names the first field of the plan that is out of range.
 func (p Plan) Check() error {
 	switch {
 	case p.Total < 0:
 		return fmt.Errorf("budget %q: total is %d, want 0 or more", p.Name, p.Total)
-	case p.Most < 1:
-		return fmt.Errorf("budget %q: most is %d, want 1 or more", p.Name, p.Most)
-	case p.Part < 0 || p.Part > 1:
-		return fmt.Errorf("budget %q: part is %v, want 0 to 1", p.Name, p.Part)
+	case p.MaxDispatchers < 1:
+		return fmt.Errorf("budget %q: most is %d, want 1 or more", p.Name, p.MaxDispatchers)
+	case p.ReserveShare < 0 || p.ReserveShare > 1:
+		return fmt.Errorf("budget %q: part is %v, want 0 to 1", p.Name, p.ReserveShare)
 	case p.Lease <= 0:
 		return fmt.Errorf("budget %q: lease is %v, want more than 0", p.Name, p.Lease)
-	case p.Drift < 0 || p.Drift > MostDrift:
-		return fmt.Errorf("budget %q: drift is %v, want 0 to %v", p.Name, p.Drift, MostDrift)
+	case p.Drift < 0 || p.Drift > MaxDrift:
+		return fmt.Errorf("budget %q: drift is %v, want 0 to %v", p.Name, p.Drift, MaxDrift)
 	}
 	return nil
 }
 
 // Reserve is what each dispatcher may spend without asking: ⌊Part·Total / Most⌋.
-func (p Plan) Reserve() int { return int(p.Part * float64(p.Total) / float64(p.Most)) }
+func (p Plan) Reserve() int {
+	return int(p.ReserveShare * float64(p.Total) / float64(p.MaxDispatchers))
+}
 
 // Pool is what the keeper lends: Total less Most reserves. Reserves and pool sum to Total.
-func (p Plan) Pool() int { return p.Total - p.Most*p.Reserve() }
+func (p Plan) Pool() int { return p.Total - p.MaxDispatchers*p.Reserve() }
 
-// Usable is how long a holder may use a grant on its own clock, counted from when it sent the
+// UsableLease is how long a holder may use a grant on its own clock, counted from when it sent the
 // ask: L·(1−ρ)/(1+ρ) ends, in real time, before the keeper's L from its grant.
-func (p Plan) Usable() time.Duration {
+func (p Plan) UsableLease() time.Duration {
 	return time.Duration(float64(p.Lease) * (1 - p.Drift) / (1 + p.Drift))
 }
 
-// Quiet is how long a keeper lends nothing after it starts: L·(1+ρ)/(1−ρ) on its own clock, by
+// QuietPeriod is how long a keeper lends nothing after it starts: L·(1+ρ)/(1−ρ) on its own clock, by
 // which time every lease of its earlier life has ended in real time.
-func (p Plan) Quiet() time.Duration {
+func (p Plan) QuietPeriod() time.Duration {
 	return time.Duration(float64(p.Lease) * (1 + p.Drift) / (1 - p.Drift))
 }
 
-// Renew is how often a holder asks again: a third of what it may use, so that two asks may be
+// RenewInterval is how often a holder asks again: a third of what it may use, so that two asks may be
 // lost before its grant ends.
-func (p Plan) Renew() time.Duration { return p.Usable() / 3 }
+func (p Plan) RenewInterval() time.Duration { return p.UsableLease() / 3 }
--- a/internal/budget/holder.go
+++ b/internal/budget/holder.go
@@ -37,32 +37,32 @@
 	return &Holder{plan: p, name: name, epoch: epoch, want: p.Pool()}, nil
 }
 
-// Want sets how many units of the pool to ask for from the next ask on; it starts at the whole
+// SetWanted sets how many units of the pool to ask for from the next ask on; it starts at the whole
 // pool, of which the keeper gives the fair part.
-func (h *Holder) Want(units int) { h.want = max(units, 0) }
+func (h *Holder) SetWanted(units int) { h.want = max(units, 0) }
 
-// Due says whether an ask is to be sent at now, and makes it. The caller sends it to the keeper.
-// After a failure the caller may call Due again at once: it asks at most once a renewal period.
-func (h *Holder) Due(now Time) (Ask, bool) {
+// NextAsk says whether an ask is to be sent at now, and makes it. The caller sends it to the keeper.
+// After a failure the caller may call NextAsk again at once: it asks at most once a renewal period.
+func (h *Holder) NextAsk(now Time) (Ask, bool) {
 	if h.seq > 0 && !h.asap && now < h.next { // the first ask goes at once: a clock's origin may lie ahead
 		return Ask{}, false
 	}
 	h.asap = false
 	h.seq++
 	h.sent[h.seq%inFlight] = asked{h.seq, now}
-	h.next = now.Add(h.plan.Renew())
-	return Ask{Peer: h.name, Epoch: h.epoch, Seq: h.seq, Want: h.want}, true
+	h.next = now.Add(h.plan.RenewInterval())
+	return Ask{Peer: h.name, Epoch: h.epoch, Seq: h.seq, Wanted: h.want}, true
 }
 
-// Granted takes the keeper's answer at now. An answer to another life, to an ask no longer
+// HandleGrant takes the keeper's answer at now. An answer to another life, to an ask no longer
 // remembered, older than the grant in force, or from a keeper on another plan (a reload that
 // has not reached both) changes nothing.
-func (h *Holder) Granted(now Time, g Grant) {
+func (h *Holder) HandleGrant(now Time, g Grant) {
 	a := h.sent[g.Seq%inFlight]
-	if g.Epoch != h.epoch || g.Peer != h.name || a.seq != g.Seq || g.Seq <= h.applied || g.Of != h.plan.Total {
+	if g.Epoch != h.epoch || g.Peer != h.name || a.seq != g.Seq || g.Seq <= h.applied || g.Total != h.plan.Total {
 		return
 	}
-	h.applied, h.units, h.until = g.Seq, g.Units, a.at.Add(h.plan.Usable())
+	h.applied, h.units, h.until = g.Seq, g.Units, a.at.Add(h.plan.UsableLease())
 }
 
 // Share is what this dispatcher may spend at now: its reserve, and its lease while it is valid.
--- a/internal/budget/keeper.go
+++ b/internal/budget/keeper.go
@@ -2,10 +2,10 @@
 
 // Ask is a holder's request for a share of the pool, and its renewal.
 type Ask struct {
-	Peer  string // the dispatcher's name, the same after a restart
-	Epoch uint64 // new with each start of the holder, so that answers to an earlier life are not believed
-	Seq   uint64 // of this ask in its epoch, rising
-	Want  int    // units it would use; the keeper gives no more
+	Peer   string // the dispatcher's name, the same after a restart
+	Epoch  uint64 // new with each start of the holder, so that answers to an earlier life are not believed
+	Seq    uint64 // of this ask in its epoch, rising
+	Wanted int    // units it would use; the keeper gives no more
 }
 
 // Grant is the keeper's answer to one ask: Units of the pool until the lease ends. It repeats the
@@ -14,7 +14,7 @@
 	Peer       string
 	Epoch, Seq uint64
 	Units      int
-	Of         int // the total of the keeper's plan: a holder on another plan does not believe it
+	Total      int // the total of the keeper's plan: a holder on another plan does not believe it
 }
 
 // lentAt is one grant as the keeper counts it: units until a time of its own clock.
@@ -42,7 +42,7 @@
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
-	return &Keeper{plan: p, quiet: now.Add(p.Quiet()), peers: map[string][]lentAt{}}, nil
+	return &Keeper{plan: p, quiet: now.Add(p.QuietPeriod()), peers: map[string][]lentAt{}}, nil
 }
 
 // held is what a peer may be using: the most of its grants that have not ended.
@@ -79,15 +79,15 @@
 	return others
 }
 
-// Take answers an ask at now of the keeper's clock. The asker gets at most its fair part of the
+// HandleAsk answers an ask at now of the keeper's clock. The asker gets at most its fair part of the
 // pool among the peers that hold a lease, and no more than is free beside what the others hold:
 // a newcomer takes only from free or ended shares. What a peer held before stays counted until
 // that lease ends, since it may still be used on the strength of an answer on its way.
-func (k *Keeper) Take(now Time, a Ask) Grant {
-	g := Grant{Peer: a.Peer, Epoch: a.Epoch, Seq: a.Seq, Of: k.plan.Total}
+func (k *Keeper) HandleAsk(now Time, a Ask) Grant {
+	g := Grant{Peer: a.Peer, Epoch: a.Epoch, Seq: a.Seq, Total: k.plan.Total}
 	others := k.prune(now, a.Peer)
 	mine, known := k.peers[a.Peer]
-	if now < k.quiet || !known && len(k.peers) >= k.plan.Most || a.Want <= 0 {
+	if now < k.quiet || !known && len(k.peers) >= k.plan.MaxDispatchers || a.Wanted <= 0 {
 		return g
 	}
 	n := len(k.peers)
@@ -95,7 +95,7 @@
 		n++
 	}
 	pool := k.past.pool(k.plan)
-	units := min(a.Want, pool/n, pool-others)
+	units := min(a.Wanted, pool/n, pool-others)
 	if len(mine) >= mostGrants && units < mine[len(mine)-1].units {
 		units = mine[len(mine)-1].units // no further entry: the last amount again
 	}
--- a/internal/budget/lease_test.go
+++ b/internal/budget/lease_test.go
@@ -79,7 +79,7 @@
 		if m.gone {
 			continue
 		}
-		if a, ok := m.h.Due(m.clock.at(w.real)); ok {
+		if a, ok := m.h.NextAsk(m.clock.at(w.real)); ok {
 			w.send(t, -1, i, a, Grant{}, lossy)
 		}
 	}
@@ -96,10 +96,10 @@
 	for _, msg := range due {
 		if msg.to < 0 {
 			from := w.index(msg.ask.Peer)
-			g := w.keeper.Take(w.kclock.at(w.real), msg.ask)
+			g := w.keeper.HandleAsk(w.kclock.at(w.real), msg.ask)
 			w.send(t, from, from, Ask{}, g, lossy)
 		} else if m := w.holders[msg.to]; !m.gone && !m.cut {
-			m.h.Granted(m.clock.at(w.real), msg.grant)
+			m.h.HandleGrant(m.clock.at(w.real), msg.grant)
 		}
 	}
 }
@@ -149,9 +149,9 @@
 
 func drawPlan(t *rapid.T) Plan {
 	return Plan{Name: "connections", Total: rapid.IntRange(0, 600).Draw(t, "total"),
-		Most: rapid.IntRange(1, 12).Draw(t, "most"), Part: rapid.Float64Range(0, 1).Draw(t, "part"),
+		MaxDispatchers: rapid.IntRange(1, 12).Draw(t, "most"), ReserveShare: rapid.Float64Range(0, 1).Draw(t, "part"),
 		Lease: time.Duration(rapid.IntRange(300, 3000).Draw(t, "lease_ms")) * time.Millisecond,
-		Drift: rapid.Float64Range(0, MostDrift).Draw(t, "drift")}
+		Drift: rapid.Float64Range(0, MaxDrift).Draw(t, "drift")}
 }
 
 // drawClock draws a clock, as often as not at an edge of the drift: the keeper fast and a holder
@@ -172,7 +172,7 @@
 func TestSharesNeverExceedTheWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPlan(t)
-		n := rapid.IntRange(1, p.Most).Draw(t, "holders")
+		n := rapid.IntRange(1, p.MaxDispatchers).Draw(t, "holders")
 		w := newWorld(t, p, n, time.Duration(rapid.IntRange(0, 2*int(p.Lease.Milliseconds())).Draw(t, "delay_ms"))*time.Millisecond)
 		var err error
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -206,7 +206,7 @@
 				there++
 			}
 		}
-		settle := 2 * (4*p.Lease + p.Quiet()) // real time, with the slowest clock's margin
+		settle := 2 * (4*p.Lease + p.QuietPeriod()) // real time, with the slowest clock's margin
 		w.run(t, int(settle/(10*time.Millisecond))+1, 10*time.Millisecond, p.Total, never)
 		if there > 0 {
 			w.fair(t, p.Reserve()+p.Pool()/there-1)
@@ -217,16 +217,16 @@
 // TestCrashedHolderShareComesBackAfterItsLease: a holder that dies holding a share keeps it, in
 // the keeper's count, until its lease ends; a newcomer gets only what is free until then.
 func TestCrashedHolderShareComesBackAfterItsLease(t *testing.T) {
-	p := Plan{Name: "probes", Total: 100, Most: 4, Part: 0.2, Lease: time.Second}
+	p := Plan{Name: "probes", Total: 100, MaxDispatchers: 4, ReserveShare: 0.2, Lease: time.Second}
 	k, err := NewKeeper(p, 0)
 	require.NoError(t, err)
-	start := Time(p.Quiet())
-	g := k.Take(start, Ask{Peer: "a", Seq: 1, Want: 80})
+	start := Time(p.QuietPeriod())
+	g := k.HandleAsk(start, Ask{Peer: "a", Seq: 1, Wanted: 80})
 	require.Equal(t, 80, g.Units, "alone, all of the pool")
 	// a dies here; b comes
-	g = k.Take(start.Add(p.Lease/2), Ask{Peer: "b", Seq: 1, Want: 80})
+	g = k.HandleAsk(start.Add(p.Lease/2), Ask{Peer: "b", Seq: 1, Wanted: 80})
 	assert.Equal(t, 0, g.Units, "a's lease stands: nothing is free")
-	g = k.Take(start.Add(p.Lease), Ask{Peer: "b", Seq: 2, Want: 80})
+	g = k.HandleAsk(start.Add(p.Lease), Ask{Peer: "b", Seq: 2, Wanted: 80})
 	assert.Equal(t, 80, g.Units, "a's lease has ended")
 }
 
@@ -234,19 +234,19 @@
 // it may use of its lease is over, and that is before the keeper lends the units again, in real
 // time, with its clock as slow and the keeper's as fast as the drift allows.
 func TestPartitionFallsBackToTheReserve(t *testing.T) {
-	p := Plan{Name: "retries", Total: 1000, Most: 10, Part: 0.1, Lease: 2 * time.Second, Drift: 0.05}
+	p := Plan{Name: "retries", Total: 1000, MaxDispatchers: 10, ReserveShare: 0.1, Lease: 2 * time.Second, Drift: 0.05}
 	slow, fast := clock{rate: 1 - p.Drift}, clock{rate: 1 + p.Drift}
 	k, err := NewKeeper(p, fast.at(0))
 	require.NoError(t, err)
 	h, err := NewHolder(p, "a", 1)
 	require.NoError(t, err)
-	real := int64(p.Quiet()) // the keeper's quiet time has passed on the fast clock, and more
-	a, ok := h.Due(slow.at(real))
+	real := int64(p.QuietPeriod()) // the keeper's quiet time has passed on the fast clock, and more
+	a, ok := h.NextAsk(slow.at(real))
 	require.True(t, ok)
 	lentAt := real + int64(100*time.Millisecond) // the ask arrives late
-	g := k.Take(fast.at(lentAt), a)
+	g := k.HandleAsk(fast.at(lentAt), a)
 	require.Equal(t, p.Pool(), g.Units)
-	h.Granted(slow.at(lentAt), g)
+	h.HandleGrant(slow.at(lentAt), g)
 	freedAt := lentAt
 	for k.Lent(fast.at(freedAt)) > 0 { // when the keeper could lend the units to another
 		freedAt += int64(time.Millisecond)
@@ -258,29 +258,29 @@
 // TestAnswersOfAnEarlierLifeAreIgnored: a holder that started again is not given, by an answer
 // meant for its earlier life, a lease the keeper counts from an earlier time.
 func TestAnswersOfAnEarlierLifeAreIgnored(t *testing.T) {
-	p := Plan{Name: "connections", Total: 100, Most: 2, Lease: time.Second}
+	p := Plan{Name: "connections", Total: 100, MaxDispatchers: 2, Lease: time.Second}
 	old, err := NewHolder(p, "a", 1)
 	require.NoError(t, err)
-	a, _ := old.Due(0)
+	a, _ := old.NextAsk(0)
 	again, err := NewHolder(p, "a", 2)
 	require.NoError(t, err)
-	again.Due(Time(time.Second))
-	again.Granted(Time(time.Second), Grant{Peer: "a", Epoch: a.Epoch, Seq: a.Seq, Units: 100})
+	again.NextAsk(Time(time.Second))
+	again.HandleGrant(Time(time.Second), Grant{Peer: "a", Epoch: a.Epoch, Seq: a.Seq, Units: 100})
 	assert.Equal(t, 0, again.Share(Time(time.Second)))
 }
 
 // TestLoweringWaitsForTheOldLease: a renewal that gives less leaves the difference counted until
 // the grant before it ends, for the holder may still be using that one.
 func TestLoweringWaitsForTheOldLease(t *testing.T) {
-	p := Plan{Name: "connections", Total: 90, Most: 3, Lease: time.Second}
+	p := Plan{Name: "connections", Total: 90, MaxDispatchers: 3, Lease: time.Second}
 	k, err := NewKeeper(p, 0)
 	require.NoError(t, err)
-	at := Time(p.Quiet())
-	require.Equal(t, 90, k.Take(at, Ask{Peer: "a", Seq: 1, Want: 90}).Units)
-	require.Equal(t, 0, k.Take(at, Ask{Peer: "b", Seq: 1, Want: 90}).Units, "nothing free")
-	require.Equal(t, 45, k.Take(at.Add(p.Lease/4), Ask{Peer: "a", Seq: 2, Want: 90}).Units, "a comes down to its part")
-	assert.Equal(t, 0, k.Take(at.Add(p.Lease/2), Ask{Peer: "b", Seq: 2, Want: 90}).Units, "a's first grant stands")
-	assert.Equal(t, 45, k.Take(at.Add(p.Lease), Ask{Peer: "b", Seq: 3, Want: 90}).Units, "and has ended")
+	at := Time(p.QuietPeriod())
+	require.Equal(t, 90, k.HandleAsk(at, Ask{Peer: "a", Seq: 1, Wanted: 90}).Units)
+	require.Equal(t, 0, k.HandleAsk(at, Ask{Peer: "b", Seq: 1, Wanted: 90}).Units, "nothing free")
+	require.Equal(t, 45, k.HandleAsk(at.Add(p.Lease/4), Ask{Peer: "a", Seq: 2, Wanted: 90}).Units, "a comes down to its part")
+	assert.Equal(t, 0, k.HandleAsk(at.Add(p.Lease/2), Ask{Peer: "b", Seq: 2, Wanted: 90}).Units, "a's first grant stands")
+	assert.Equal(t, 45, k.HandleAsk(at.Add(p.Lease), Ask{Peer: "b", Seq: 3, Wanted: 90}).Units, "and has ended")
 	assert.Equal(t, 90, k.Lent(at.Add(p.Lease)))
 }
 
@@ -296,18 +296,18 @@
 }
 
 func TestPlanCheckNamesTheField(t *testing.T) {
-	good := Plan{Name: "x", Total: 10, Most: 2, Part: 0.5, Lease: time.Second, Drift: 0.01}
+	good := Plan{Name: "x", Total: 10, MaxDispatchers: 2, ReserveShare: 0.5, Lease: time.Second, Drift: 0.01}
 	require.NoError(t, good.Check())
 	for field, spoil := range map[string]func(*Plan){
-		"total": func(p *Plan) { p.Total = -1 }, "most": func(p *Plan) { p.Most = 0 },
-		"part": func(p *Plan) { p.Part = 1.5 }, "lease": func(p *Plan) { p.Lease = 0 },
+		"total": func(p *Plan) { p.Total = -1 }, "most": func(p *Plan) { p.MaxDispatchers = 0 },
+		"part": func(p *Plan) { p.ReserveShare = 1.5 }, "lease": func(p *Plan) { p.Lease = 0 },
 		"drift": func(p *Plan) { p.Drift = 0.2 },
 	} {
 		p := good
 		spoil(&p)
 		assert.ErrorContains(t, p.Check(), field)
 	}
-	assert.Equal(t, good.Total, good.Most*good.Reserve()+good.Pool(), "reserves and pool make the whole")
+	assert.Equal(t, good.Total, good.MaxDispatchers*good.Reserve()+good.Pool(), "reserves and pool make the whole")
 }
 
 // TestThreeHundredJoinAtOnce: after a release 300 dispatchers start together and ask at once, with
@@ -317,12 +317,12 @@
 // allows for.
 func TestThreeHundredJoinAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := Plan{Name: "connections", Total: 3000, Most: 300, Part: 0.2, Lease: 3 * time.Second, Drift: 0.001}
-		w := newWorld(t, p, p.Most, 20*time.Millisecond)
-		w.real = int64(p.Quiet()) * 2 // the keeper has been up a while
+		p := Plan{Name: "connections", Total: 3000, MaxDispatchers: 300, ReserveShare: 0.2, Lease: 3 * time.Second, Drift: 0.001}
+		w := newWorld(t, p, p.MaxDispatchers, 20*time.Millisecond)
+		w.real = int64(p.QuietPeriod()) * 2 // the keeper has been up a while
 		const dt = 30 * time.Millisecond
 		w.run(t, int(3*p.Lease/dt), dt, p.Total, func(k int) bool { return k < int(p.Lease/dt) })
-		w.fair(t, p.Reserve()+p.Pool()/p.Most-1)
+		w.fair(t, p.Reserve()+p.Pool()/p.MaxDispatchers-1)
 	})
 }
 
@@ -330,7 +330,7 @@
 // twenty seconds, never lifts the sum above the whole, and once it stays the others keep their
 // fair parts.
 func TestFlappingPeerKeepsTheSum(t *testing.T) {
-	p := Plan{Name: "probes", Total: 100, Most: 5, Part: 0.1, Lease: 2 * time.Second, Drift: 0.01}
+	p := Plan{Name: "probes", Total: 100, MaxDispatchers: 5, ReserveShare: 0.1, Lease: 2 * time.Second, Drift: 0.01}
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, p, 4, 50*time.Millisecond)
 		flapper := w.holders[3]
@@ -351,9 +351,9 @@
 // fair part.
 func TestLoweredTotalHoldsOnceAllHaveReadIt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := Plan{Name: "connections", Total: 400, Most: 5, Part: 0.25, Lease: time.Second, Drift: 0.01}
+		p := Plan{Name: "connections", Total: 400, MaxDispatchers: 5, ReserveShare: 0.25, Lease: time.Second, Drift: 0.01}
 		w := newWorld(t, p, 4, 30*time.Millisecond)
-		w.run(t, int(4*(p.Lease+p.Quiet())/(10*time.Millisecond)), 10*time.Millisecond, p.Total, never)
+		w.run(t, int(4*(p.Lease+p.QuietPeriod())/(10*time.Millisecond)), 10*time.Millisecond, p.Total, never)
 		lower := p
 		lower.Total = 200
 		order := rapid.Permutation([]int{-1, 0, 1, 2, 3}).Draw(t, "order")
--- a/internal/budget/mutate_test.go
+++ b/internal/budget/mutate_test.go
@@ -62,7 +62,7 @@
 // the end state: two leases, on the slowest clock, and two ticks, at which holders ask.
 func (d *fleetDay) setup(name string) mutate.Setup {
 	p := d.plan
-	quiet := p.Quiet() * 11 / 10
+	quiet := p.QuietPeriod() * 11 / 10
 	for _, at := range []*time.Duration{&d.again, &d.leaves, &d.cut, &d.mends, &d.replan, &d.kread, &d.restart, &d.from, &d.faults} {
 		if *at > 0 {
 			*at += quiet
@@ -82,7 +82,7 @@
 	w.kclock = clock()
 	w.keeper = must(budget.NewKeeper(d.plan, w.kclock.at(0)))
 	for i := range 8 {
-		m := &fleetHolder{name: fmt.Sprintf("n%d", i), clock: clock(), joins: d.plan.Quiet()*11/10 + d.joins*time.Duration(i)/8,
+		m := &fleetHolder{name: fmt.Sprintf("n%d", i), clock: clock(), joins: d.plan.QuietPeriod()*11/10 + d.joins*time.Duration(i)/8,
 			read: d.replan + time.Duration(w.rnd.Int64N(int64(d.plan.Lease)))}
 		m.h = must(budget.NewHolder(d.plan, m.name, uint64(i)*1000+w.rnd.Uint64N(1000)))
 		w.holders = append(w.holders, m)
@@ -150,7 +150,7 @@
 		m.told = true
 		check(m.h.Replan(d.changed))
 	}
-	if a, due := m.h.Due(m.clock.at(now)); due {
+	if a, due := m.h.NextAsk(m.clock.at(now)); due {
 		return w.message(now, node, "keeper", wire.AppendAsk(nil, d.plan.Name, a))
 	}
 	return nil
@@ -165,20 +165,20 @@
 // Deliver does what the drivers do (internal/network/budgets): the keeper answers whoever sent an
 // ask, a holder takes grants of its budget.
 func (w *fleetWorld) Deliver(now time.Duration, m mutate.Message) []mutate.Message {
-	msg, err := wire.Read(m.Bytes)
+	msg, err := wire.Decode(m.Bytes)
 	if err != nil || msg.Budget != w.day.plan.Name {
 		return nil
 	}
 	if to := w.holder(m.To); to != nil {
 		if msg.Grant != nil && w.there(to, now) {
-			to.h.Granted(to.clock.at(now), *msg.Grant)
+			to.h.HandleGrant(to.clock.at(now), *msg.Grant)
 		}
 		return nil
 	}
 	if msg.Ask == nil || m.From == "keeper" { // who has no socket of a holder's gets no answer
 		return nil
 	}
-	return w.message(now, "keeper", m.From, wire.AppendGrant(nil, msg.Budget, w.keeper.Take(w.kclock.at(now), *msg.Ask)))
+	return w.message(now, "keeper", m.From, wire.AppendGrant(nil, msg.Budget, w.keeper.HandleAsk(w.kclock.at(now), *msg.Ask)))
 }
 
 // inForce is the plan that all go by, or the old one while not all have read the changed one.
@@ -240,10 +240,10 @@
 // the whole, and all are back at their fair parts within the time that docs/design/budget.md names.
 func TestFleetUnderMutation(t *testing.T) {
 	const ms = time.Millisecond
-	p := budget.Plan{Name: "connections", Total: 400, Most: 9, Part: 0.25, Lease: 300 * ms, Drift: 0.05}
+	p := budget.Plan{Name: "connections", Total: 400, MaxDispatchers: 9, ReserveShare: 0.25, Lease: 300 * ms, Drift: 0.05}
 	with := func(total int, part float64) budget.Plan {
 		changed := p
-		changed.Total, changed.Part = total, part
+		changed.Total, changed.ReserveShare = total, part
 		return changed
 	}
 	for name, d := range map[string]fleetDay{
--- a/internal/budget/past.go
+++ b/internal/budget/past.go
@@ -21,7 +21,7 @@
 func (e past) pool(p Plan) int {
 	pool := p.Pool()
 	for _, o := range e {
-		pool = min(pool, max(o.Total, p.Total)-max(o.Most*o.Reserve(), p.Most*p.Reserve()))
+		pool = min(pool, max(o.Total, p.Total)-max(o.MaxDispatchers*o.Reserve(), p.MaxDispatchers*p.Reserve()))
 	}
 	return max(pool, 0)
 }
@@ -31,7 +31,7 @@
 func (e past) reserve(p Plan) int {
 	r := p.Reserve()
 	for _, o := range e {
-		r = min(r, (max(o.Total, p.Total)-max(o.Pool(), p.Pool()))/max(o.Most, p.Most))
+		r = min(r, (max(o.Total, p.Total)-max(o.Pool(), p.Pool()))/max(o.MaxDispatchers, p.MaxDispatchers))
 	}
 	return max(r, 0)
 }
--- a/internal/budget/past_test.go
+++ b/internal/budget/past_test.go
@@ -24,7 +24,7 @@
 		require.Equal(t, plans[0].Pool(), pools[0])
 		for i := range plans {
 			for j := range i + 1 {
-				there, whole := min(plans[i].Most, plans[j].Most), max(plans[i].Total, plans[j].Total)
+				there, whole := min(plans[i].MaxDispatchers, plans[j].MaxDispatchers), max(plans[i].Total, plans[j].Total)
 				require.LessOrEqual(t, there*max(reserves[i], reserves[j])+max(pools[i], pools[j]), whole, "plans %v and %v", plans[j], plans[i])
 			}
 		}
@@ -38,7 +38,7 @@
 		q := p
 		q.Total = rapid.IntRange(0, 600).Draw(t, "changed")
 		e := past{p}
-		require.GreaterOrEqual(t, e.pool(q), q.Pool()-q.Most)
+		require.GreaterOrEqual(t, e.pool(q), q.Pool()-q.MaxDispatchers)
 		require.GreaterOrEqual(t, e.reserve(q), q.Reserve()-1)
 	})
 }
--- a/internal/budget/wire/wire.go
+++ b/internal/budget/wire/wire.go
@@ -42,13 +42,13 @@
 // AppendAsk appends an ask for a budget to b.
 func AppendAsk(b []byte, name string, a budget.Ask) []byte {
 	from := len(b)
-	return appendSum(fmt.Appendf(b, "%s ask %s %s %d %d %d 0 ", version, name, a.Peer, a.Epoch, a.Seq, a.Want), from)
+	return appendSum(fmt.Appendf(b, "%s ask %s %s %d %d %d 0 ", version, name, a.Peer, a.Epoch, a.Seq, a.Wanted), from)
 }
 
 // AppendGrant appends a grant for a budget to b.
 func AppendGrant(b []byte, name string, g budget.Grant) []byte {
 	from := len(b)
-	return appendSum(fmt.Appendf(b, "%s grant %s %s %d %d %d %d ", version, name, g.Peer, g.Epoch, g.Seq, g.Units, g.Of), from)
+	return appendSum(fmt.Appendf(b, "%s grant %s %s %d %d %d %d ", version, name, g.Peer, g.Epoch, g.Seq, g.Units, g.Total), from)
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -58,8 +58,8 @@
 	return fmt.Appendf(b, "%08x\n", crc32.Checksum(b[from:], castagnoli))
 }
 
-// Read decodes one datagram. Its error names the field at fault and wraps ErrMessage.
-func Read(p []byte) (Message, error) {
+// Decode decodes one datagram. Its error names the field at fault and wraps ErrMessage.
+func Decode(p []byte) (Message, error) {
 	if len(p) > MaxMessage {
 		return Message{}, fmt.Errorf("%w: %d bytes, at most %d", ErrMessage, len(p), MaxMessage)
 	}
@@ -99,9 +99,9 @@
 	}
 	switch string(f[1]) {
 	case "ask":
-		m.Ask = &budget.Ask{Peer: peer, Epoch: epoch, Seq: seq, Want: units}
+		m.Ask = &budget.Ask{Peer: peer, Epoch: epoch, Seq: seq, Wanted: units}
 	case "grant":
-		m.Grant = &budget.Grant{Peer: peer, Epoch: epoch, Seq: seq, Units: units, Of: of}
+		m.Grant = &budget.Grant{Peer: peer, Epoch: epoch, Seq: seq, Units: units, Total: of}
 	default:
 		return Message{}, fmt.Errorf("%w: kind %q, want ask or grant", ErrMessage, f[1])
 	}
--- a/internal/budget/wire/wire_test.go
+++ b/internal/budget/wire/wire_test.go
@@ -12,12 +12,12 @@
 )
 
 func TestRoundTrip(t *testing.T) {
-	a := budget.Ask{Peer: "n17", Epoch: 9034128871, Seq: 42, Want: 600}
-	m, err := Read(AppendAsk(nil, "connections", a))
+	a := budget.Ask{Peer: "n17", Epoch: 9034128871, Seq: 42, Wanted: 600}
+	m, err := Decode(AppendAsk(nil, "connections", a))
 	require.NoError(t, err)
 	assert.Equal(t, Message{Budget: "connections", Ask: &a}, m)
-	g := budget.Grant{Peer: "n17", Epoch: 9034128871, Seq: 42, Units: 25, Of: 800}
-	m, err = Read(AppendGrant(nil, "connections", g))
+	g := budget.Grant{Peer: "n17", Epoch: 9034128871, Seq: 42, Units: 25, Total: 800}
+	m, err = Decode(AppendGrant(nil, "connections", g))
 	require.NoError(t, err)
 	assert.Equal(t, Message{Budget: "connections", Grant: &g}, m)
 }
@@ -36,7 +36,7 @@
 		"TSB2 grant c n1 1 2 1 -8":                            "total",
 		strings.Repeat("x", MaxMessage+1):                     "bytes",
 	} {
-		_, err := Read(appendSum([]byte(text+" "), 0))
+		_, err := Decode(appendSum([]byte(text+" "), 0))
 		assert.ErrorIs(t, err, ErrMessage, text)
 		assert.ErrorContains(t, err, field, text)
 	}
@@ -44,14 +44,14 @@
 
 // TestAnyByteChanged: a message with any one byte changed to any other, or cut anywhere, is refused.
 func TestAnyByteChanged(t *testing.T) {
-	good := AppendGrant(nil, "connections", budget.Grant{Peer: "n17", Epoch: 9034128871, Seq: 42, Units: 25, Of: 800})
+	good := AppendGrant(nil, "connections", budget.Grant{Peer: "n17", Epoch: 9034128871, Seq: 42, Units: 25, Total: 800})
 	for i := range good {
-		_, err := Read(good[:i])
+		_, err := Decode(good[:i])
 		assert.ErrorIs(t, err, ErrMessage, "cut at %d", i)
 		for x := 1; x < 256; x++ {
 			b := bytes.Clone(good)
 			b[i] ^= byte(x)
-			if _, err := Read(b); err == nil {
+			if _, err := Decode(b); err == nil {
 				t.Fatalf("%q was read", b)
 			}
 		}
@@ -64,7 +64,7 @@
 	f.Add(appendSum([]byte("TSB2 grant c n 0 0 0 0 "), 0))
 	f.Add(appendSum([]byte("TSB2 grant c n 18446744073709551615 18446744073709551615 1000000 1000000 "), 0))
 	f.Fuzz(func(t *testing.T, p []byte) {
-		m, err := Read(p)
+		m, err := Decode(p)
 		if err != nil {
 			return
 		}
@@ -74,7 +74,7 @@
 		} else {
 			again = AppendGrant(nil, m.Budget, *m.Grant)
 		}
-		m2, err := Read(again)
+		m2, err := Decode(again)
 		require.NoError(t, err)
 		assert.Equal(t, m, m2)
 	})
--- a/internal/fleet/accord/wire/budget.go
+++ b/internal/fleet/accord/wire/budget.go
@@ -48,12 +48,12 @@
 
 // EncodeBudgetRequest encodes a budget request.
 func EncodeBudgetRequest(r BudgetRequest) []byte {
-	return frames.Encode(&budgetRequest{Format, kindBudgetRequest, r.Budget, r.Request.Peer, r.Request.Epoch, r.Request.Seq, uint64(max(r.Request.Want, 0))})
+	return frames.Encode(&budgetRequest{Format, kindBudgetRequest, r.Budget, r.Request.Peer, r.Request.Epoch, r.Request.Seq, uint64(max(r.Request.Wanted, 0))})
 }
 
 // EncodeBudgetGrant encodes a budget grant.
 func EncodeBudgetGrant(g BudgetGrant) []byte {
-	return frames.Encode(&budgetGrant{Format, kindBudgetGrant, g.Budget, g.Grant.Peer, g.Grant.Epoch, g.Grant.Seq, uint64(max(g.Grant.Units, 0)), uint64(max(g.Grant.Of, 0))})
+	return frames.Encode(&budgetGrant{Format, kindBudgetGrant, g.Budget, g.Grant.Peer, g.Grant.Epoch, g.Grant.Seq, uint64(max(g.Grant.Units, 0)), uint64(max(g.Grant.Total, 0))})
 }
 
 func decodeBudgetRequest(p []byte) (*BudgetRequest, error) {
@@ -64,7 +64,7 @@
 	if r.Units > MaxUnits || invalidName(r.Budget) || invalidName(r.Peer) {
 		return nil, fmt.Errorf("%w: a field of the budget request is out of range", ErrMessage)
 	}
-	return &BudgetRequest{r.Budget, budget.Ask{Peer: r.Peer, Epoch: r.Epoch, Seq: r.Seq, Want: int(r.Units)}}, nil
+	return &BudgetRequest{r.Budget, budget.Ask{Peer: r.Peer, Epoch: r.Epoch, Seq: r.Seq, Wanted: int(r.Units)}}, nil
 }
 
 func decodeBudgetGrant(p []byte) (*BudgetGrant, error) {
@@ -75,7 +75,7 @@
 	if g.Units > MaxUnits || g.Of > MaxUnits || invalidName(g.Budget) || invalidName(g.Peer) {
 		return nil, fmt.Errorf("%w: a field of the budget grant is out of range", ErrMessage)
 	}
-	return &BudgetGrant{g.Budget, budget.Grant{Peer: g.Peer, Epoch: g.Epoch, Seq: g.Seq, Units: int(g.Units), Of: int(g.Of)}}, nil
+	return &BudgetGrant{g.Budget, budget.Grant{Peer: g.Peer, Epoch: g.Epoch, Seq: g.Seq, Units: int(g.Units), Total: int(g.Of)}}, nil
 }
 
 func invalidName(name string) bool { return name == "" || len(name) > accord.MaxName }
--- a/internal/fleet/accord/wire/wire_test.go
+++ b/internal/fleet/accord/wire/wire_test.go
@@ -32,11 +32,11 @@
 	m, err = Decode(EncodePoll())
 	require.NoError(t, err)
 	assert.Equal(t, Message{Poll: true}, m)
-	request := BudgetRequest{"connections", budget.Ask{Peer: "n3", Epoch: 7, Seq: 2, Want: 480}}
+	request := BudgetRequest{"connections", budget.Ask{Peer: "n3", Epoch: 7, Seq: 2, Wanted: 480}}
 	m, err = Decode(EncodeBudgetRequest(request))
 	require.NoError(t, err)
 	assert.Equal(t, Message{BudgetRequest: &request}, m)
-	grant := BudgetGrant{"connections", budget.Grant{Peer: "n3", Epoch: 7, Seq: 2, Units: 48, Of: 600}}
+	grant := BudgetGrant{"connections", budget.Grant{Peer: "n3", Epoch: 7, Seq: 2, Units: 48, Total: 600}}
 	m, err = Decode(EncodeBudgetGrant(grant))
 	require.NoError(t, err)
 	assert.Equal(t, Message{BudgetGrant: &grant}, m)
@@ -153,8 +153,8 @@
 	f.Add(withoutChecksum(EncodeLeaseRequest(sampleRequest)))
 	f.Add(withoutChecksum(EncodeLeaseResponse(sampleResponse)))
 	f.Add(withoutChecksum(EncodePoll()))
-	f.Add(withoutChecksum(EncodeBudgetRequest(BudgetRequest{"connections", budget.Ask{Peer: "n3", Epoch: 7, Seq: 2, Want: 480}})))
-	f.Add(withoutChecksum(EncodeBudgetGrant(BudgetGrant{"connections", budget.Grant{Peer: "n3", Epoch: 7, Seq: 2, Units: 48, Of: 600}})))
+	f.Add(withoutChecksum(EncodeBudgetRequest(BudgetRequest{"connections", budget.Ask{Peer: "n3", Epoch: 7, Seq: 2, Wanted: 480}})))
+	f.Add(withoutChecksum(EncodeBudgetGrant(BudgetGrant{"connections", budget.Grant{Peer: "n3", Epoch: 7, Seq: 2, Units: 48, Total: 600}})))
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff, 0xa1, 'f', 2})
 	f.Fuzz(func(t *testing.T, p []byte) {
 		p = frames.AppendChecksum(p) // else hardly any input would pass the checksum
--- a/internal/lab/hollow/dispatcher.go
+++ b/internal/lab/hollow/dispatcher.go
@@ -89,14 +89,14 @@
 		logger = zerolog.New(log)
 	}
 	check := func(body []byte) error { _, err := policy.Read(body); return err }
-	c := accord.Config{Plan: leases.LeaseConfig{Lease: time.Duration(a.LeaseMS) * time.Millisecond, Drift: a.Drift, ContinueWhenCut: a.ContinueWhenCut()},
-		Name: cfg.Name, Epoch: uint64(time.Now().UnixNano()), Voters: voters, Check: check,
-		Enter: func(_ uint64, body []byte) error { return check(body) }, Log: logger, Listen: a.Listen, Data: a.Data}
+	c := accord.Config{Leases: leases.LeaseConfig{Lease: time.Duration(a.LeaseMS) * time.Millisecond, Drift: a.Drift, ContinueWhenCut: a.ContinueWhenCut()},
+		Name: cfg.Name, Epoch: uint64(time.Now().UnixNano()), Voters: voters, CheckPolicy: check,
+		ApplyPolicy: func(_ uint64, body []byte) error { return check(body) }, Log: logger, Listen: a.Listen, DataDir: a.Data}
 	if set.Policy != nil {
-		c.First = policy.Policy(*set.Policy).Append(nil)
+		c.InitialPolicy = policy.Policy(*set.Policy).Append(nil)
 	}
 	if d.budgets != nil {
-		c.Budget = d.plan
+		c.BudgetPlan = d.plan
 	}
 	d.Accord, err = accord.New(c)
 	return err
@@ -112,6 +112,6 @@
 	if most == 0 {
 		most = d.most
 	}
-	return budget.Plan{Name: "connections", Total: p.Connections, Most: most, Part: p.Reserve,
+	return budget.Plan{Name: "connections", Total: p.Connections, MaxDispatchers: most, ReserveShare: p.Reserve,
 		Lease: time.Duration(d.budgets.LeaseMs) * time.Millisecond, Drift: d.budgets.Drift}, true
 }
--- a/internal/lab/hollow/measure/change.go
+++ b/internal/lab/hollow/measure/change.go
@@ -21,7 +21,7 @@
 // change has the last dispatcher, which is hollow, propose a policy, and waits until n serve by it.
 func change(f *hollow.Fleet, n, nth, size int) (c changed, err error) {
 	proposer := f.Hollow[len(f.Hollow)-1].Accord
-	version, old := proposer.Held()
+	version, old := proposer.Current()
 	p, err := policy.Read(old)
 	if err != nil {
 		return c, err
--- a/internal/lab/hollow/size/day.go
+++ b/internal/lab/hollow/size/day.go
@@ -119,7 +119,7 @@
 		if d == nil || (p.Fleet.Real+i)%hollow.Regions != region {
 			continue
 		}
-		held, body := d.Accord.Held()
+		held, body := d.Accord.Current()
 		q, err := policy.Read(body)
 		if err != nil {
 			continue // it holds none yet
--- a/internal/network/budgets/budgets.go
+++ b/internal/network/budgets/budgets.go
@@ -57,7 +57,7 @@
 		if err != nil {
 			return
 		}
-		m, err := wire.Read(buf[:n])
+		m, err := wire.Decode(buf[:n])
 		k.mu.Lock()
 		kp := k.keepers[m.Budget]
 		if err != nil || m.Ask == nil || kp == nil {
@@ -65,7 +65,7 @@
 			k.mu.Unlock()
 			continue
 		}
-		g := kp.Take(k.clock.Now(), *m.Ask)
+		g := kp.HandleAsk(k.clock.Now(), *m.Ask)
 		k.mu.Unlock()
 		out = wire.AppendGrant(out[:0], m.Budget, g)
 		k.conn.WriteToUDP(out, from) // if the grant is lost the holder asks again
@@ -156,12 +156,12 @@
 func (h *Holder) Close() { h.conn.Close() }
 
 func (h *Holder) sendAsks() {
-	tick := time.NewTicker(h.plan.Renew() / 4)
+	tick := time.NewTicker(h.plan.RenewInterval() / 4)
 	defer tick.Stop()
 	var out []byte
 	for range tick.C {
 		h.mu.Lock()
-		a, due := h.holder.Due(h.clock.Now())
+		a, due := h.holder.NextAsk(h.clock.Now())
 		h.mu.Unlock()
 		if !due {
 			continue
@@ -183,12 +183,12 @@
 			}
 			continue // a datagram was refused: the keeper does not run at the moment
 		}
-		m, err := wire.Read(buf[:n])
+		m, err := wire.Decode(buf[:n])
 		if err != nil || m.Grant == nil || m.Budget != h.name {
 			continue
 		}
 		h.mu.Lock()
-		h.holder.Granted(h.clock.Now(), *m.Grant)
+		h.holder.HandleGrant(h.clock.Now(), *m.Grant)
 		h.mu.Unlock()
 	}
 }
--- a/internal/network/budgets/budgets_test.go
+++ b/internal/network/budgets/budgets_test.go
@@ -104,7 +104,7 @@
 // time: all holders fall back to their reserves, and get their parts again later. In no millisecond do the shares
 // add up to more than the total.
 func TestSharesOverUDPUnderFaults(t *testing.T) {
-	p := budget.Plan{Name: "connections", Total: 800, Most: 10, Part: 0.2, Lease: 300 * time.Millisecond, Drift: 0.01}
+	p := budget.Plan{Name: "connections", Total: 800, MaxDispatchers: 10, ReserveShare: 0.2, Lease: 300 * time.Millisecond, Drift: 0.01}
 	f := newFleet(t, p, 8)
 	f.settled(t, "at the start", 8)
 
--- a/internal/network/fleet/accord/accord.go
+++ b/internal/network/fleet/accord/accord.go
@@ -48,19 +48,19 @@
 
 // Config is what a dispatcher takes part with. All fields are read at the start alone.
 type Config struct {
-	Plan   accord.LeaseConfig
-	Name   string // this dispatcher's, unique in the fleet
-	Epoch  uint64 // new with each start of the process
-	Voters []Peer
-	Listen string // of a voter; empty for its address among Voters
-	Data   string // a voter's folder, which must outlive the process; made if it is not there
-
-	First []byte                                  // a voter's own policy, proposed where none was ever decided; may be nil
-	Check func(body []byte) error                 // whether this binary and configuration can take a policy
-	Enter func(version uint64, body []byte) error // puts a policy in force; no req is taken before it returns
-	// Budget is the plan of the budget that a policy has, if it has one; nil where the leader keeps none.
-	Budget func(body []byte) (budget.Plan, bool)
-	Log    zerolog.Logger
+	Leases  accord.LeaseConfig
+	Name    string // this dispatcher's, unique in the fleet
+	Epoch   uint64 // new with each start of the process
+	Voters  []Peer
+	Listen  string // of a voter; empty for its address among Voters
+	DataDir string // a voter's folder, which must outlive the process; made if it is not there
+
+	InitialPolicy []byte                                  // a voter's own policy, proposed where none was ever decided; may be nil
+	CheckPolicy   func(body []byte) error                 // whether this binary and configuration can take a policy
+	ApplyPolicy   func(version uint64, body []byte) error // puts a policy in force; no req is taken before it returns
+	// BudgetPlan is the plan of the budget that a policy has, if it has one; nil where the leader keeps none.
+	BudgetPlan func(body []byte) (budget.Plan, bool)
+	Log        zerolog.Logger
 }
 
 // voter is this dispatcher among the voters, if it is one.
@@ -78,32 +78,32 @@
 
 func (c clock) now() accord.Time { return accord.Time(time.Since(c.start)) }
 
-// Counts are the accord's counters.
-type Counts struct {
+// Counters are the accord's counters.
+type Counters struct {
 	Changes, Withdrawn atomic.Int64 // that took force here; that were heard to be nowhere
 	Refused            atomic.Int64 // changes that this dispatcher refused
-	Fenced             atomic.Int64 // reqs answered 503 since no version is known to hold
-	Lapsed             atomic.Int64 // reqs taken on no lease (when_cut keep)
-	Fences             atomic.Int64 // times that this dispatcher stopped taking
-	Bad                atomic.Int64 // messages that could not be read
-	DecidedMS          atomic.Int64 // from decided to in force here, of the last change; voters alone
+	RefusedReqs        atomic.Int64 // reqs answered 503 since no version is known to hold
+	UnleasedReqs       atomic.Int64 // reqs taken on no lease (when_cut keep)
+	Stops              atomic.Int64 // times that this dispatcher stopped taking
+	BadMessages        atomic.Int64 // messages that could not be read
+	ActivationMS       atomic.Int64 // from decided to in force here, of the last change; voters alone
 }
 
 // Accord is a dispatcher's part in the accord.
 type Accord struct {
-	Count  Counts
-	cfg    Config
-	clock  clock
-	voter  *voter // nil where it is none
-	member *member
+	Counters Counters
+	cfg      Config
+	clock    clock
+	voter    *voter // nil where it is none
+	member   *member
 }
 
 // New starts a dispatcher's part. Close ends it.
 func New(cfg Config) (*Accord, error) {
-	if err := cfg.Plan.Check(); err != nil {
+	if err := cfg.Leases.Check(); err != nil {
 		return nil, err
 	}
-	if cfg.Check == nil || cfg.Enter == nil {
+	if cfg.CheckPolicy == nil || cfg.ApplyPolicy == nil {
 		return nil, errors.New("accord: no check or no enter")
 	}
 	a := &Accord{cfg: cfg, clock: clock{time.Now()}}
@@ -113,7 +113,7 @@
 			return nil, err
 		}
 	}
-	l, err := accord.NewParticipant(cfg.Plan, cfg.Name, cfg.Epoch)
+	l, err := accord.NewParticipant(cfg.Leases, cfg.Name, cfg.Epoch)
 	if err != nil {
 		a.Close()
 		return nil, err
@@ -135,21 +135,21 @@
 // Propose proposes a policy as the one after the version in force here. What became of it is in the log.
 func (a *Accord) Propose(body []byte) error { return a.member.propose(body) }
 
-// Retry has a version in force that this dispatcher could not take checked again.
-func (a *Accord) Retry() { a.member.retry() }
+// RetryCheck has a version in force that this dispatcher could not take checked again.
+func (a *Accord) RetryCheck() { a.member.retry() }
 
-// Held is the version that this dispatcher holds and its policy.
-func (a *Accord) Held() (uint64, []byte) { return a.member.held() }
+// Current is the version that this dispatcher holds and its policy.
+func (a *Accord) Current() (uint64, []byte) { return a.member.held() }
 
-// Lost is the policy that this dispatcher proposed last, where that was withdrawn; else nil.
-func (a *Accord) Lost() []byte {
+// WithdrawnProposal is the policy that this dispatcher proposed last, where that was withdrawn; else nil.
+func (a *Accord) WithdrawnProposal() []byte {
 	a.member.mu.Lock()
 	defer a.member.mu.Unlock()
 	return a.member.lessee.WithdrawnProposal()
 }
 
-// Why says why no req is taken, where none is.
-func (a *Accord) Why() string {
+// NotAcceptingReason says why no req is taken, where none is.
+func (a *Accord) NotAcceptingReason() string {
 	a.member.mu.Lock()
 	defer a.member.mu.Unlock()
 	return a.member.lessee.NotAcceptingReason()
@@ -157,21 +157,21 @@
 
 // Each calls f for the counters and levels of the accord.
 func (a *Accord) Each(f func(name string, n int64)) {
-	v, _ := a.Held()
+	v, _ := a.Current()
 	f("accord_version", int64(v))
 	f("accord_ready", flag(a.Serves()))
-	f("accord_changes", a.Count.Changes.Load())
-	f("accord_withdrawn", a.Count.Withdrawn.Load())
-	f("accord_refused", a.Count.Refused.Load())
-	f("accord_fences", a.Count.Fences.Load())
-	f("accord_fenced_reqs", a.Count.Fenced.Load())
-	f("accord_taken_lapsed", a.Count.Lapsed.Load())
-	f("accord_bad_messages", a.Count.Bad.Load())
+	f("accord_changes", a.Counters.Changes.Load())
+	f("accord_withdrawn", a.Counters.Withdrawn.Load())
+	f("accord_refused", a.Counters.Refused.Load())
+	f("accord_fences", a.Counters.Stops.Load())
+	f("accord_fenced_reqs", a.Counters.RefusedReqs.Load())
+	f("accord_taken_lapsed", a.Counters.UnleasedReqs.Load())
+	f("accord_bad_messages", a.Counters.BadMessages.Load())
 	if a.voter != nil {
 		leads, leases := a.voter.leads()
 		f("accord_leads", flag(leads))
 		f("accord_leases", int64(leases))
-		f("accord_decided_ms", a.Count.DecidedMS.Load())
+		f("accord_decided_ms", a.Counters.ActivationMS.Load())
 	}
 }
 
@@ -201,24 +201,24 @@
 		case "checked":
 			e.Bool("accepted", n.Accepted)
 			if !n.Accepted {
-				a.Count.Refused.Add(1)
+				a.Counters.Refused.Add(1)
 			}
 		case "ready":
 			e.Int64("waited_ms", n.Elapsed.Milliseconds())
 		case "deciding":
 			e.Int("lapsed", n.ExpiredLeases)
 		case "in force":
-			a.Count.Changes.Add(1)
+			a.Counters.Changes.Add(1)
 			if a.voter != nil {
 				if took, ok := a.voter.since(n.Version); ok {
-					a.Count.DecidedMS.Store(took.Milliseconds())
+					a.Counters.ActivationMS.Store(took.Milliseconds())
 					e.Int64("decided_ms", took.Milliseconds())
 				}
 			}
 		case "withdrawn":
-			a.Count.Withdrawn.Add(1)
+			a.Counters.Withdrawn.Add(1)
 		case "fenced":
-			a.Count.Fences.Add(1)
+			a.Counters.Stops.Add(1)
 		}
 		e.Msg("accord: " + n.Step)
 	}
--- a/internal/network/fleet/accord/accord_test.go
+++ b/internal/network/fleet/accord/accord_test.go
@@ -110,7 +110,7 @@
 	}
 	sum := 0
 	for _, a := range all {
-		sum += a.Share()
+		sum += a.BudgetShare()
 	}
 	if sum > lentPlan.Total {
 		f.over.Add(1)
@@ -129,14 +129,14 @@
 }
 
 // lentPlan is the budget that the fleet's leader lends.
-var lentPlan = budget.Plan{Name: "connections", Total: 60, Most: 8, Part: 0.2, Lease: 300 * time.Millisecond, Drift: 0.001}
+var lentPlan = budget.Plan{Name: "connections", Total: 60, MaxDispatchers: 8, ReserveShare: 0.2, Lease: 300 * time.Millisecond, Drift: 0.001}
 
 // fair waits until all hold their fair part of the budget, less one unit.
 func (f *fleet) fair() {
 	f.t.Helper()
 	require.Eventually(f.t, func() bool {
 		for _, a := range f.all {
-			if a.Share() < lentPlan.Reserve()+lentPlan.Pool()/len(f.all)-1 {
+			if a.BudgetShare() < lentPlan.Reserve()+lentPlan.Pool()/len(f.all)-1 {
 				return false
 			}
 		}
@@ -145,14 +145,14 @@
 }
 
 func (f *fleet) start(i int) {
-	cfg := Config{Plan: f.plan, Name: fmt.Sprintf("n%d", i), Epoch: uint64(time.Now().UnixNano()), Voters: f.voters,
-		Check: func(body []byte) error {
+	cfg := Config{Leases: f.plan, Name: fmt.Sprintf("n%d", i), Epoch: uint64(time.Now().UnixNano()), Voters: f.voters,
+		CheckPolicy: func(body []byte) error {
 			if f.older.Load() == int64(i) && bytes.Contains(body, []byte("odd")) {
 				return fmt.Errorf("an unknown key")
 			}
 			return nil
 		},
-		Enter: func(version uint64, _ []byte) error {
+		ApplyPolicy: func(version uint64, _ []byte) error {
 			f.mu.Lock()
 			a := f.all[i]
 			f.mu.Unlock()
@@ -161,10 +161,10 @@
 			}
 			return nil
 		},
-		Budget: func([]byte) (budget.Plan, bool) { return lentPlan, true },
-		Log:    zerolog.New(&f.log)}
+		BudgetPlan: func([]byte) (budget.Plan, bool) { return lentPlan, true },
+		Log:        zerolog.New(&f.log)}
 	if i < len(f.voters) {
-		cfg.Data, cfg.First = f.data[i], []byte("first")
+		cfg.DataDir, cfg.InitialPolicy = f.data[i], []byte("first")
 	} else {
 		cfg.Voters = nil
 		for _, v := range f.voters {
@@ -191,7 +191,7 @@
 	}
 	require.Eventually(f.t, func() bool {
 		for i, a := range f.all {
-			if v, _ := a.Held(); !skipped[i] && (v != version || !a.Serves()) {
+			if v, _ := a.Current(); !skipped[i] && (v != version || !a.Serves()) {
 				return false
 			}
 		}
@@ -242,7 +242,7 @@
 	assert.False(t, f.all[5].Serves())
 	_, _, ok := f.all[5].Admit()
 	assert.False(t, ok, "it takes nothing")
-	assert.Positive(t, f.all[5].Count.Fenced.Load())
+	assert.Positive(t, f.all[5].Counters.RefusedReqs.Load())
 	for _, r := range f.relays[5] {
 		r.Set(faultnet.Rule{})
 		r.Reset()
@@ -279,7 +279,7 @@
 		}
 		conn.Close()
 	}
-	assert.EqualValues(t, 2, f.all[0].Count.Bad.Load())
+	assert.EqualValues(t, 2, f.all[0].Counters.BadMessages.Load())
 	_ = wire.MaxFrame
 }
 
@@ -297,7 +297,7 @@
 // TestGate: a req is taken before the gate's time alone and stamped by its version, started before its own
 // time by that version alone, and counted while it waits; on no lease it is counted as lapsed.
 func TestGate(t *testing.T) {
-	a := &Accord{clock: clock{time.Now()}, cfg: Config{Plan: accord.LeaseConfig{Lease: 3 * time.Second}}}
+	a := &Accord{clock: clock{time.Now()}, cfg: Config{Leases: accord.LeaseConfig{Lease: 3 * time.Second}}}
 	a.member = &member{a: a, woken: make(chan struct{}, 1)}
 	set := func(g accord.Admission) *gate {
 		now := &gate{Admission: g, waiting: &atomic.Int64{}}
@@ -315,21 +315,21 @@
 	assert.EqualValues(t, 1, open.waiting.Load())
 	a.Begun(7)
 	assert.Zero(t, open.waiting.Load())
-	assert.Zero(t, a.Count.Lapsed.Load())
+	assert.Zero(t, a.Counters.UnleasedReqs.Load())
 
 	shut := set(accord.Admission{Version: 7, AcceptUntil: 0, StartUntil: accord.Never, UnleasedFrom: accord.Never})
 	_, pause, ok := a.Admit()
 	assert.False(t, ok)
 	assert.Equal(t, 500*time.Millisecond, pause)
 	assert.Zero(t, shut.waiting.Load())
-	assert.EqualValues(t, 1, a.Count.Fenced.Load())
+	assert.EqualValues(t, 1, a.Counters.RefusedReqs.Load())
 	assert.True(t, a.MayStart(7), "what was taken may begin")
 	assert.False(t, a.Serves())
 
 	set(accord.Admission{Version: 7, AcceptUntil: accord.Never, StartUntil: 0, UnleasedFrom: 0})
 	_, _, ok = a.Admit()
 	assert.True(t, ok)
-	assert.EqualValues(t, 1, a.Count.Lapsed.Load())
+	assert.EqualValues(t, 1, a.Counters.UnleasedReqs.Load())
 	assert.False(t, a.MayStart(7))
 }
 
--- a/internal/network/fleet/accord/gate.go
+++ b/internal/network/fleet/accord/gate.go
@@ -22,13 +22,13 @@
 	now := a.clock.now()
 	if g2 := m.gate.Load(); g2.Version == g.Version && g2.waiting == g.waiting && now < g2.AcceptUntil {
 		if now >= g2.UnleasedFrom {
-			a.Count.Lapsed.Add(1)
+			a.Counters.UnleasedReqs.Add(1)
 		}
 		return g.Version, 0, true
 	}
 	m.leave(g)
-	a.Count.Fenced.Add(1)
-	return 0, a.cfg.Plan.Drain(), false
+	a.Counters.RefusedReqs.Add(1)
+	return 0, a.cfg.Leases.Drain(), false
 }
 
 // Begun tells that a req which was taken has begun, or never will.
--- a/internal/network/fleet/accord/lend.go
+++ b/internal/network/fleet/accord/lend.go
@@ -11,10 +11,10 @@
 
 // lend makes or changes the keeper of the budget for the policy in force. v.mu is held.
 func (v *voter) lend(body []byte) {
-	if v.a.cfg.Budget == nil {
+	if v.a.cfg.BudgetPlan == nil {
 		return
 	}
-	plan, ok := v.a.cfg.Budget(body)
+	plan, ok := v.a.cfg.BudgetPlan(body)
 	if !ok {
 		v.lender = nil
 		return
@@ -35,16 +35,16 @@
 // lent answers an ask for a share. v.mu is held, and that this voter leads is confirmed.
 func (v *voter) lent(from *link, w *wire.BudgetRequest) {
 	if v.lender != nil && w.Budget == v.lends {
-		from.send(wire.EncodeBudgetGrant(wire.BudgetGrant{Budget: w.Budget, Grant: v.lender.Take(budget.Time(v.a.clock.now()), w.Request)}))
+		from.send(wire.EncodeBudgetGrant(wire.BudgetGrant{Budget: w.Budget, Grant: v.lender.HandleAsk(budget.Time(v.a.clock.now()), w.Request)}))
 	}
 }
 
 // share takes the plan of the policy that is put in force. m.mu is held.
 func (m *member) share(body []byte) {
-	if m.a.cfg.Budget == nil {
+	if m.a.cfg.BudgetPlan == nil {
 		return
 	}
-	plan, ok := m.a.cfg.Budget(body)
+	plan, ok := m.a.cfg.BudgetPlan(body)
 	if !ok {
 		m.holder = nil
 		return
@@ -69,13 +69,13 @@
 	if m.holder == nil {
 		return wire.BudgetRequest{}, false
 	}
-	a, ok := m.holder.Due(budget.Time(m.a.clock.now()))
+	a, ok := m.holder.NextAsk(budget.Time(m.a.clock.now()))
 	return wire.BudgetRequest{Budget: m.holds, Request: a}, ok
 }
 
-// Share is what this dispatcher may spend now of the budget that the policy has, in units a second; 0 before
+// BudgetShare is what this dispatcher may spend now of the budget that the policy has, in units a second; 0 before
 // a version is in force here.
-func (a *Accord) Share() int {
+func (a *Accord) BudgetShare() int {
 	a.member.mu.Lock()
 	defer a.member.mu.Unlock()
 	if a.member.holder == nil {
@@ -84,8 +84,8 @@
 	return a.member.holder.Share(budget.Time(a.clock.now()))
 }
 
-// Lent is what the leader has lent of the budget, and has not ended; 0 elsewhere.
-func (a *Accord) Lent() int {
+// BudgetLent is what the leader has lent of the budget, and has not ended; 0 elsewhere.
+func (a *Accord) BudgetLent() int {
 	if a.voter == nil {
 		return 0
 	}
--- a/internal/network/fleet/accord/log.go
+++ b/internal/network/fleet/accord/log.go
@@ -34,8 +34,8 @@
 
 	mu    sync.Mutex
 	state accord.State
-	at    time.Time // when the last entry that decided was applied here
-	past  []Past    // oldest first
+	at    time.Time    // when the last entry that decided was applied here
+	past  []PastPolicy // oldest first
 }
 
 func (m *machine) State() accord.State {
@@ -57,7 +57,7 @@
 	if ok {
 		m.at = time.Now()
 		if was.Version > 0 {
-			m.past = append(m.past[max(len(m.past)+1-pastKept, 0):], Past{was.Body, m.at})
+			m.past = append(m.past[max(len(m.past)+1-pastKept, 0):], PastPolicy{was.Body, m.at})
 		}
 	}
 	m.mu.Unlock()
@@ -121,12 +121,12 @@
 // openLog opens this voter's log in a folder and joins the others. The voters are those of the log's
 // first entry, which all write alike from the settings; where the settings name others now, it is a fault.
 func openLog(cfg *Config, me Peer, port *port, decided func(accord.Event)) (*majority, error) {
-	if err := os.MkdirAll(cfg.Data, 0o700); err != nil {
+	if err := os.MkdirAll(cfg.DataDir, 0o700); err != nil {
 		return nil, err
 	}
 	c := raft.DefaultConfig()
 	c.LocalID = raft.ServerID(me.Name)
-	beat := min(max(cfg.Plan.Lease/3, 150*time.Millisecond), time.Second)
+	beat := min(max(cfg.Leases.Lease/3, 150*time.Millisecond), time.Second)
 	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = beat, beat, beat/2
 	c.CommitTimeout = 10 * time.Millisecond
 	c.SnapshotThreshold, c.TrailingLogs = 64, 64
@@ -134,16 +134,16 @@
 	c.NoLegacyTelemetry = true
 	m := &majority{machine: &machine{decided: decided}, turns: make(chan bool, 64)}
 	c.NotifyCh = m.turns
-	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(cfg.Data, "log.db"), BoltOptions: &bbolt.Options{Timeout: lockWait}})
+	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(cfg.DataDir, "log.db"), BoltOptions: &bbolt.Options{Timeout: lockWait}})
 	if err != nil {
-		return nil, fmt.Errorf("the log in %s: %w", cfg.Data, err)
+		return nil, fmt.Errorf("the log in %s: %w", cfg.DataDir, err)
 	}
 	m.store = &terms{BoltStore: store, stable: store, log: cfg.Log}
 	fail := func(err error) (*majority, error) {
 		m.store.Close()
 		return nil, err
 	}
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(cfg.Data, snapshotsKept, c.Logger)
+	snaps, err := raft.NewFileSnapshotStoreWithLogger(cfg.DataDir, snapshotsKept, c.Logger)
 	if err != nil {
 		return fail(err)
 	}
@@ -166,7 +166,7 @@
 	}
 	f := m.raft.GetConfiguration()
 	if err = f.Error(); err == nil && !same(f.Configuration(), first) {
-		err = errors.New("the log in " + cfg.Data + " names other voters than the settings")
+		err = errors.New("the log in " + cfg.DataDir + " names other voters than the settings")
 	}
 	if err != nil {
 		m.close()
--- a/internal/network/fleet/accord/member.go
+++ b/internal/network/fleet/accord/member.go
@@ -75,7 +75,7 @@
 
 // beat is how often a member looks at the time: what its gate allows ends by itself, since the time is
 // compared at each req.
-func (m *member) beat() time.Duration { return max(m.a.cfg.Plan.Lease/100, 2*time.Millisecond) }
+func (m *member) beat() time.Duration { return max(m.a.cfg.Leases.Lease/100, 2*time.Millisecond) }
 
 // run keeps a link to the leader, and without one lets time pass.
 func (m *member) run() {
@@ -92,7 +92,7 @@
 		m.lessee.RequestNow()
 		m.mu.Unlock()
 		m.follow(to)
-		if m.pause(max(m.a.cfg.Plan.Lease/30, 10*time.Millisecond)) {
+		if m.pause(max(m.a.cfg.Leases.Lease/30, 10*time.Millisecond)) {
 			return
 		}
 	}
@@ -125,7 +125,7 @@
 		conn net.Conn
 		err  error
 	}
-	plan := m.a.cfg.Plan
+	plan := m.a.cfg.Leases
 	up := make(chan dialled, 1)
 	go func() {
 		conn, err := net.DialTimeout("tcp", to.Address, plan.Lease/3)
@@ -167,7 +167,7 @@
 			msg, err := wire.ReadMessage(r)
 			if err != nil {
 				if errors.Is(err, wire.ErrMessage) {
-					m.a.Count.Bad.Add(1)
+					m.a.Counters.BadMessages.Add(1)
 				}
 				return
 			}
@@ -224,7 +224,7 @@
 		m.lessee.RequestNow()
 	case msg.BudgetGrant != nil:
 		if m.holder != nil && msg.BudgetGrant.Budget == m.holds {
-			m.holder.Granted(budget.Time(m.a.clock.now()), msg.BudgetGrant.Grant)
+			m.holder.HandleGrant(budget.Time(m.a.clock.now()), msg.BudgetGrant.Grant)
 		}
 	case msg.LeaseResponse != nil && !msg.LeaseResponse.IsLeader:
 		m.leader = msg.LeaseResponse.Leader
@@ -238,9 +238,9 @@
 
 // begin proposes this voter's own policy where none was ever decided: the fleet's first. m.mu is held.
 func (m *member) begin(a *accord.LeaseResponse) {
-	body := m.a.cfg.First
+	body := m.a.cfg.InitialPolicy
 	if a.Version > 0 || a.Change != 0 || m.a.voter == nil || body == nil || m.lessee.ProposalPending() ||
-		time.Since(m.first) < 2*m.a.cfg.Plan.Lease {
+		time.Since(m.first) < 2*m.a.cfg.Leases.Lease {
 		return
 	}
 	m.first = time.Now()
@@ -270,7 +270,7 @@
 	m.show() // closed before those that wait are counted
 	m.lessee.Tick(m.a.clock.now(), int(m.gate.Load().waiting.Load()))
 	for _, c := range m.lessee.TakeChecks() {
-		m.lessee.ReportCheck(m.a.clock.now(), c, m.a.cfg.Check(c.Body))
+		m.lessee.ReportCheck(m.a.clock.now(), c, m.a.cfg.CheckPolicy(c.Body))
 	}
 	m.enter()
 	m.show()
@@ -288,7 +288,7 @@
 		return
 	}
 	m.share(body)
-	if err := m.a.cfg.Enter(version, body); err != nil { // it was checked: a fault of ours
+	if err := m.a.cfg.ApplyPolicy(version, body); err != nil { // it was checked: a fault of ours
 		m.a.cfg.Log.Error().Err(err).Uint64("version", version).Msg("accord: not put in force whole")
 	}
 }
--- a/internal/network/fleet/accord/streams.go
+++ b/internal/network/fleet/accord/streams.go
@@ -16,8 +16,8 @@
 const (
 	raftMark = 'R' // a stream of the log's library
 	linkMark = 'A' // a member's link
-	// QuotaMark is a link of the quotas, which Accord.Quotas takes over.
-	QuotaMark = 'Q'
+	// QuotaConn is a link of the quotas, which Accord.Quotas takes over.
+	QuotaConn = 'Q'
 )
 
 // Bounds on what a listen address takes in.
@@ -80,7 +80,7 @@
 	case linkMark:
 		p.link(conn)
 		<-p.seats
-	case QuotaMark:
+	case QuotaConn:
 		if f := p.quotas.Load(); f != nil {
 			(*f)(conn)
 		}
--- a/internal/network/fleet/accord/voter.go
+++ b/internal/network/fleet/accord/voter.go
@@ -118,7 +118,7 @@
 // lead makes a keeper at each election, once a barrier of the term is committed, and drops it at its end.
 func (v *voter) lead() {
 	defer v.done.Done()
-	again := time.NewTicker(max(v.a.cfg.Plan.Lease/30, 10*time.Millisecond))
+	again := time.NewTicker(max(v.a.cfg.Leases.Lease/30, 10*time.Millisecond))
 	defer again.Stop()
 	for {
 		select {
@@ -146,7 +146,7 @@
 	if v.await(func() error { return r.Barrier(barrier).Error() }) != nil || r.State() != raft.Leader || r.CurrentTerm() != term {
 		return
 	}
-	k, err := accord.NewLeader(v.a.cfg.Plan, term, v.a.clock.now(), v.log.machine.State())
+	k, err := accord.NewLeader(v.a.cfg.Leases, term, v.a.clock.now(), v.log.machine.State())
 	if err != nil {
 		v.a.cfg.Log.Error().Err(err).Msg("accord: cannot lead")
 		return
@@ -190,7 +190,7 @@
 		for {
 			select {
 			case p := <-l.out:
-				conn.SetWriteDeadline(time.Now().Add(v.a.cfg.Plan.Lease / 3))
+				conn.SetWriteDeadline(time.Now().Add(v.a.cfg.Leases.Lease / 3))
 				if _, err := conn.Write(p); err != nil {
 					conn.Close()
 					return
@@ -214,11 +214,11 @@
 	}
 	r := bufio.NewReader(conn)
 	for {
-		conn.SetReadDeadline(time.Now().Add(4 * v.a.cfg.Plan.Lease))
+		conn.SetReadDeadline(time.Now().Add(4 * v.a.cfg.Leases.Lease))
 		m, err := wire.ReadMessage(r)
 		if err != nil || m.LeaseRequest == nil && m.BudgetRequest == nil {
 			if err == nil || errors.Is(err, wire.ErrMessage) {
-				v.a.Count.Bad.Add(1)
+				v.a.Counters.BadMessages.Add(1)
 			}
 			return
 		}
@@ -307,7 +307,7 @@
 // tick lets time pass for the keeper.
 func (v *voter) tick() {
 	defer v.done.Done()
-	t := time.NewTicker(max(v.a.cfg.Plan.Lease/100, 5*time.Millisecond))
+	t := time.NewTicker(max(v.a.cfg.Leases.Lease/100, 5*time.Millisecond))
 	defer t.Stop()
 	for {
 		select {
--- a/internal/network/fleet/accord/voters.go
+++ b/internal/network/fleet/accord/voters.go
@@ -10,13 +10,13 @@
 
 // What other parts of the fleet ask of a voter: who leads, whether that still holds, and what was decided.
 
-// Votes says whether this dispatcher is a voter.
-func (a *Accord) Votes() bool { return a.voter != nil }
+// IsVoter says whether this dispatcher is a voter.
+func (a *Accord) IsVoter() bool { return a.voter != nil }
 
-// Quotas has f take over the connections to a voter's address that begin with QuotaMark, which it has read;
+// SetQuotaHandler has f take over the connections to a voter's address that begin with QuotaMark, which it has read;
 // f returns when it needs the connection no more. Until it is set, and after it is nil, they are closed.
 // Nothing happens where this dispatcher is no voter.
-func (a *Accord) Quotas(f func(net.Conn)) {
+func (a *Accord) SetQuotaHandler(f func(net.Conn)) {
 	switch {
 	case a.voter == nil:
 	case f == nil:
@@ -26,8 +26,8 @@
 	}
 }
 
-// Leading says whether this voter leads, with all that was decided before its term applied, and which term.
-func (a *Accord) Leading() (term uint64, ok bool) {
+// LeaderTerm says whether this voter leads, with all that was decided before its term applied, and which term.
+func (a *Accord) LeaderTerm() (term uint64, ok bool) {
 	if a.voter == nil {
 		return 0, false
 	}
@@ -45,9 +45,9 @@
 	return string(id)
 }
 
-// Confirm asks a majority, from now on, whether this voter's term still lasts: what came before the call may
+// ConfirmLeader asks a majority, from now on, whether this voter's term still lasts: what came before the call may
 // then be answered as the leader of that term. It waits for their word; false where it did not come.
-func (a *Accord) Confirm(term uint64) bool {
+func (a *Accord) ConfirmLeader(term uint64) bool {
 	if a.voter == nil {
 		return false
 	}
@@ -55,9 +55,9 @@
 	return r.State() == raft.Leader && a.voter.verify() && r.CurrentTerm() == term
 }
 
-// Resign has another voter lead where this one does, so that what hangs on who leads can be handed on before this process
+// TransferLeadership has another voter lead where this one does, so that what hangs on who leads can be handed on before this process
 // ends. It waits for an election's time at most; false where this voter did not lead, or still does.
-func (a *Accord) Resign() bool {
+func (a *Accord) TransferLeadership() bool {
 	return a.voter != nil && a.voter.log.raft.State() == raft.Leader && a.voter.log.raft.LeadershipTransfer().Error() == nil
 }
 
@@ -70,8 +70,8 @@
 	return s.Version, s.Body
 }
 
-// Address is where a voter of that name listens; empty where there is none.
-func (a *Accord) Address(name string) string {
+// VoterAddress is where a voter of that name listens; empty where there is none.
+func (a *Accord) VoterAddress(name string) string {
 	for _, p := range a.cfg.Voters {
 		if p.Name == name {
 			return p.Address
@@ -80,14 +80,14 @@
 	return ""
 }
 
-// Past is a policy after which another was decided, as this voter saw it at a time.
-type Past struct {
+// PastPolicy is a policy after which another was decided, as this voter saw it at a time.
+type PastPolicy struct {
 	Body  []byte
 	Until time.Time
 }
 
-// Past are the last policies before the one decided last that this process applied, oldest first.
-func (a *Accord) Past() []Past {
+// PastPolicies are the last policies before the one decided last that this process applied, oldest first.
+func (a *Accord) PastPolicies() []PastPolicy {
 	if a.voter == nil {
 		return nil
 	}
@@ -97,5 +97,5 @@
 	return slices.Clone(m.past)
 }
 
-// Begins says whether this voter's folder held no log when this process started: no earlier process of it took part.
-func (a *Accord) Begins() bool { return a.voter != nil && a.voter.log.begins }
+// NewLog says whether this voter's folder held no log when this process started: no earlier process of it took part.
+func (a *Accord) NewLog() bool { return a.voter != nil && a.voter.log.begins }
--- a/internal/network/fleet/accord/voters_test.go
+++ b/internal/network/fleet/accord/voters_test.go
@@ -17,17 +17,17 @@
 	f.await(1)
 	at := f.leader()
 	leader, other, none := f.all[at], f.all[(at+1)%3], f.all[3]
-	term, ok := leader.Leading()
+	term, ok := leader.LeaderTerm()
 	assert.True(t, ok)
-	assert.True(t, leader.Confirm(term))
-	assert.False(t, leader.Confirm(term+1))
-	assert.False(t, other.Confirm(term))
-	_, ok = other.Leading()
+	assert.True(t, leader.ConfirmLeader(term))
+	assert.False(t, leader.ConfirmLeader(term+1))
+	assert.False(t, other.ConfirmLeader(term))
+	_, ok = other.LeaderTerm()
 	assert.False(t, ok)
 	assert.Equal(t, leader.cfg.Name, other.Leader())
-	assert.Equal(t, f.voters[at].Address, leader.Address(other.Leader()))
-	assert.Empty(t, other.Address("nobody"))
-	assert.True(t, other.Begins())
+	assert.Equal(t, f.voters[at].Address, leader.VoterAddress(other.Leader()))
+	assert.Empty(t, other.VoterAddress("nobody"))
+	assert.True(t, other.NewLog())
 
 	require.NoError(t, none.Propose([]byte("second")))
 	f.await(2)
@@ -35,24 +35,24 @@
 	assert.EqualValues(t, 2, version)
 	assert.Equal(t, "second", string(body))
 	require.Eventually(t, func() bool { v, _ := other.Decided(); return v == 2 }, 20*time.Second, 5*time.Millisecond)
-	past := other.Past()
+	past := other.PastPolicies()
 	require.Len(t, past, 1)
 	assert.Equal(t, "first", string(past[0].Body))
 
-	assert.False(t, none.Votes())
-	_, ok = none.Leading()
-	assert.False(t, ok || none.Confirm(term) || none.Begins())
+	assert.False(t, none.IsVoter())
+	_, ok = none.LeaderTerm()
+	assert.False(t, ok || none.ConfirmLeader(term) || none.NewLog())
 	version, _ = none.Decided()
 	assert.Zero(t, version)
-	assert.Empty(t, none.Leader()+none.Address(""))
-	assert.Empty(t, none.Past())
+	assert.Empty(t, none.Leader()+none.VoterAddress(""))
+	assert.Empty(t, none.PastPolicies())
 
 	leader.Close()
 	f.all[at] = nil
-	assert.False(t, leader.Confirm(term))
+	assert.False(t, leader.ConfirmLeader(term))
 	f.halt()
 	f.start(at)
-	assert.False(t, f.all[at].Begins())
+	assert.False(t, f.all[at].NewLog())
 	assert.Equal(t, f.all[at].cfg.Voters, f.voters)
 }
 
@@ -63,7 +63,7 @@
 		conn, err := net.Dial("tcp", f.voters[0].Address)
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
-		_, err = conn.Write([]byte{QuotaMark, 'x'})
+		_, err = conn.Write([]byte{QuotaConn, 'x'})
 		require.NoError(t, err)
 		return conn
 	}
@@ -75,12 +75,12 @@
 		return string(p)
 	}
 	assert.Empty(t, ended(dial()))
-	f.all[0].Quotas(func(conn net.Conn) {
+	f.all[0].SetQuotaHandler(func(conn net.Conn) {
 		p := make([]byte, 1)
 		_, _ = io.ReadFull(conn, p)
 		_, _ = conn.Write(append(p, 'y'))
 	})
 	assert.Equal(t, "xy", ended(dial()))
-	f.all[0].Quotas(nil)
+	f.all[0].SetQuotaHandler(nil)
 	assert.Empty(t, ended(dial()))
 }
--- a/internal/network/fleet/quota/link.go
+++ b/internal/network/fleet/quota/link.go
@@ -88,7 +88,7 @@
 		_, err := conn.Write(p)
 		return err
 	}
-	if send([]byte{accord.QuotaMark}) != nil {
+	if send([]byte{accord.QuotaConn}) != nil {
 		return
 	}
 	k.side.linked()
--- a/internal/network/fleet/quota/links_test.go
+++ b/internal/network/fleet/quota/links_test.go
@@ -21,7 +21,7 @@
 	conn, err := net.Dial("tcp", r.voters[voter])
 	require.NoError(r.t, err)
 	r.t.Cleanup(func() { conn.Close() })
-	_, err = conn.Write([]byte{accord.QuotaMark})
+	_, err = conn.Write([]byte{accord.QuotaConn})
 	require.NoError(r.t, err)
 	return conn
 }
--- a/internal/network/fleet/quota/quota.go
+++ b/internal/network/fleet/quota/quota.go
@@ -115,12 +115,12 @@
 	if to == "" {
 		return nil, fmt.Errorf("quota: no lender is named for region %q", cfg.Region)
 	}
-	if cfg.lends() != "" && !a.Votes() {
+	if cfg.lends() != "" && !a.IsVoter() {
 		return nil, fmt.Errorf("quota: %s is a lender and no voter", cfg.Name)
 	}
 	q := &Quota{cfg: cfg, start: time.Now()}
 	var err error
-	if a.Votes() {
+	if a.IsVoter() {
 		if q.votes, err = newVotes(q, a); err != nil {
 			return nil, err
 		}
--- a/internal/network/fleet/quota/region.go
+++ b/internal/network/fleet/quota/region.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if v.accord.Begins() {
+	if v.accord.NewLog() {
 		r.SkipRecovery(v.q.now())
 	}
 	return &region{v: v, name: name, region: r, children: children{}}, nil
--- a/internal/network/fleet/quota/rig_test.go
+++ b/internal/network/fleet/quota/rig_test.go
@@ -130,9 +130,9 @@
 
 func (r *rig) start(i int) {
 	m := &member{}
-	cfg := accord.Config{Plan: leases.LeaseConfig{Lease: 600 * time.Millisecond, Drift: 0.001, ContinueWhenCut: true}, Name: named(i), Epoch: uint64(time.Now().UnixNano()),
-		Check: func([]byte) error { return nil },
-		Enter: func(version uint64, body []byte) error {
+	cfg := accord.Config{Leases: leases.LeaseConfig{Lease: 600 * time.Millisecond, Drift: 0.001, ContinueWhenCut: true}, Name: named(i), Epoch: uint64(time.Now().UnixNano()),
+		CheckPolicy: func([]byte) error { return nil },
+		ApplyPolicy: func(version uint64, body []byte) error {
 			p, err := policy.Read(body)
 			r.mu.Lock()
 			m.policy, m.entered = p, version
@@ -151,7 +151,7 @@
 		mine.Lenders = append(mine.Lenders, Lender{regions[v], named(v), r.address(i, v)})
 	}
 	if i < len(r.voters) {
-		cfg.Data, cfg.First, cfg.Listen = r.data[i], []byte(r.first), r.voters[i]
+		cfg.DataDir, cfg.InitialPolicy, cfg.Listen = r.data[i], []byte(r.first), r.voters[i]
 	}
 	var err error
 	m.accord, err = accord.New(cfg)
@@ -282,7 +282,7 @@
 	r.until("a leader", func() bool {
 		for i := range r.voters {
 			if m := r.member(i); m != nil {
-				if _, ok := m.accord.Leading(); ok {
+				if _, ok := m.accord.LeaderTerm(); ok {
 					at = i
 					return true
 				}
--- a/internal/network/fleet/quota/root.go
+++ b/internal/network/fleet/quota/root.go
@@ -62,7 +62,7 @@
 // leads says whether this voter leads, with a lender of its term whose capacities are those decided last. A term has one
 // leader, so that a lender of the term that is led again has missed nothing. r.mu is held.
 func (r *root) leads() bool {
-	term, ok := r.v.accord.Leading()
+	term, ok := r.v.accord.LeaderTerm()
 	if !ok {
 		return false
 	}
@@ -99,7 +99,7 @@
 // inherit tells a new lender of quotas that held until a while ago: by them, too, earlier terms may have lent what runs.
 func (r *root) inherit() {
 	plan := r.v.q.cfg.up()
-	for _, p := range r.v.accord.Past() {
+	for _, p := range r.v.accord.PastPolicies() {
 		before, err := policy.Read(p.Body)
 		if err != nil || time.Since(p.Until) > plan.QuietPeriod()+plan.DrainPeriod() {
 			continue
@@ -142,7 +142,7 @@
 		r.mu.Lock()
 		leads, term := r.leads(), r.term
 		r.mu.Unlock()
-		if !leads || !r.v.accord.Confirm(term) {
+		if !leads || !r.v.accord.ConfirmLeader(term) {
 			for _, a := range batch {
 				a.from.away(r.v.accord.Leader())
 			}
@@ -179,7 +179,7 @@
 }
 
 func (r *root) lent() int64 {
-	_, ok := r.v.accord.Leading()
+	_, ok := r.v.accord.LeaderTerm()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !ok || r.lender == nil {
--- a/internal/network/fleet/quota/votes.go
+++ b/internal/network/fleet/quota/votes.go
@@ -77,7 +77,7 @@
 		v.region.link.start()
 		v.done.Go(v.region.run)
 	}
-	a.Quotas(v.serve)
+	a.SetQuotaHandler(v.serve)
 	return v, nil
 }
 
@@ -88,8 +88,8 @@
 
 // handOn has another voter lead, and waits until its root has answered this voter's region.
 func (v *votes) handOn() {
-	term, _ := v.accord.Leading()
-	if v.region == nil || !v.accord.Resign() {
+	term, _ := v.accord.LeaderTerm()
+	if v.region == nil || !v.accord.TransferLeadership() {
 		return
 	}
 	for over := time.Now().Add(handOnWait); !v.region.heardBy(term+1) && time.Now().Before(over); {
@@ -99,7 +99,7 @@
 
 func (v *votes) close() {
 	v.handOn()
-	v.accord.Quotas(nil)
+	v.accord.SetQuotaHandler(nil)
 	close(v.stop)
 	if v.region != nil {
 		v.region.link.close()
@@ -114,7 +114,7 @@
 }
 
 // leader is where the voter that leads listens, as far as this one knows.
-func (v *votes) leader() string { return v.accord.Address(v.accord.Leader()) }
+func (v *votes) leader() string { return v.accord.VoterAddress(v.accord.Leader()) }
 
 // decided is the policy decided last, as this voter's log has it, where it is not the version given; false where it is,
 // and where there is none that can be read.
--- a/internal/network/versions_bench_test.go
+++ b/internal/network/versions_bench_test.go
@@ -36,9 +36,9 @@
 // over HTTP/1.1 in blocks, alternating with and without an accord, in one process. It reports the median processor time per
 // request of the blocks, each way, and the median difference of neighbouring blocks.
 func BenchmarkVersion(b *testing.B) {
-	a, err := accord.New(accord.Config{Plan: leases.LeaseConfig{Lease: 3 * time.Second}, Name: "n0", Epoch: 1,
-		Voters: []accord.Peer{{Name: "n0", Address: "127.0.0.1:39401"}}, Data: b.TempDir(), First: []byte("x"),
-		Check: func([]byte) error { return nil }, Enter: func(uint64, []byte) error { return nil }})
+	a, err := accord.New(accord.Config{Leases: leases.LeaseConfig{Lease: 3 * time.Second}, Name: "n0", Epoch: 1,
+		Voters: []accord.Peer{{Name: "n0", Address: "127.0.0.1:39401"}}, DataDir: b.TempDir(), InitialPolicy: []byte("x"),
+		CheckPolicy: func([]byte) error { return nil }, ApplyPolicy: func(uint64, []byte) error { return nil }})
 	require.NoError(b, err)
 	b.Cleanup(a.Close)
 	require.Eventually(b, a.Serves, 30*time.Second, 10*time.Millisecond)
