--- a/internal/fleet/slices/devices.go
+++ b/internal/fleet/slices/devices.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// AcquireDevice makes a device ours under a lease of the term, a new one with each take, also after a restart. It takes nothing new until the backend has stated, to this
-// term, what it holds. records is what is known durably of it: it counts from now on.
+// AcquireDevice adds a device under a lease of the given term. Each acquisition needs a new term, also after a
+// restart. The device takes no new slices until its backend has reported, in this term, which slices it holds.
+// records are the durable records of its slices, which are allocated at once.
 func (t *Table) AcquireDevice(now time.Duration, d Device, term uint64, records []HeldSlice) []Action {
 	if d.Check() != nil {
 		return t.flush(now)
@@ -17,7 +18,7 @@
 		t.devices[d.Name] = v
 		t.order = append(t.order, v)
 	} else if term <= v.token.Term {
-		return t.flush(now) // late or doubled
+		return t.flush(now) // a late or repeated call
 	}
 	t.updateDevice(v, d)
 	v.leased, v.token = true, FencingToken{Term: term}
@@ -38,7 +39,7 @@
 	return t.flush(now)
 }
 
-// updateDevice takes up what the backend says of the device; a smaller one than before ends nothing.
+// updateDevice applies the backend's description of the device. A device that became smaller stops no slice.
 func (t *Table) updateDevice(v *device, d Device) {
 	if v.class >= 0 {
 		t.classSizes[v.class]--
@@ -57,8 +58,8 @@
 	t.classSizes[v.class]++
 }
 
-// adoptSlice counts a slice that this table has not placed itself. Its id is not taken to sit there before the
-// backend has said so: a record may be older than what another owner did since.
+// adoptSlice allocates a slice that this table has not placed itself. Its id is not considered placed before the
+// backend has reported it: a record may be older than another owner's changes.
 func (t *Table) adoptSlice(now time.Duration, v *device, h HeldSlice) *slice {
 	if h.ExpiresAt <= 0 || h.ExpiresAt > now+t.limits.MaxLifetime {
 		h.ExpiresAt = now + t.limits.MaxLifetime
@@ -69,7 +70,8 @@
 	return s
 }
 
-// requestState closes a device until it has stated what it holds, under a stamp above all before.
+// requestState closes a device to new slices until its backend has reported its state, with a token above all
+// earlier ones.
 func (t *Table) requestState(v *device) {
 	if !v.leased || v.failed {
 		return
@@ -80,30 +82,32 @@
 	t.emit(Action{Kind: QueryState, Device: v.Name, Token: v.token})
 }
 
+// closeDevice stops new placements on the device and reserves other devices where it was reserved.
 func (t *Table) closeDevice(v *device) {
 	v.ready = false
 	t.reindex(v)
 	t.assignReservations()
 }
 
-// HandleState is a backend's statement, in answer to State with this stamp: what the device holds. Since the
-// backend has refused lower stamps from then on, nothing else can be there. What the two do not agree on is
-// counted by the larger of both, and is begun or ended anew until the backend has confirmed it.
-func (t *Table) HandleState(now time.Duration, name string, stamp FencingToken, holds []HeldSlice) []Action {
+// HandleState handles a backend's answer to the QueryState with this token: the slices on the device. The backend
+// refuses lower tokens from then on, so the device cannot hold anything else. Where the table and the backend
+// disagree on an amount, the larger of both stays allocated; slices are started or stopped again until the backend
+// has confirmed them.
+func (t *Table) HandleState(now time.Duration, name string, token FencingToken, slices []HeldSlice) []Action {
 	v := t.devices[name]
-	if v == nil || !v.awaitingState || v.token != stamp {
-		return t.flush(now) // late, doubled, or of another owner's time
+	if v == nil || !v.awaitingState || v.token != token {
+		return t.flush(now) // late, repeated, or an answer to another owner
 	}
 	v.awaitingState, v.ready = false, true
 	t.markReported(v)
-	known := sorted.Clone(v.slices)
-	for _, h := range holds {
+	missing := sorted.Clone(v.slices)
+	for _, h := range slices {
 		s := v.find(h.ID, h.PlacementID)
 		if s == nil {
 			t.claimSlice(now, t.adoptSlice(now, v, h))
 			continue
 		}
-		known = sorted.DeleteFunc(known, func(k *slice) bool { return k == s })
+		missing = sorted.DeleteFunc(missing, func(m *slice) bool { return m == s })
 		v.used = v.used.minus(s.amount)
 		s.amount = s.amount.max(h.Amount)
 		v.used = v.used.plus(s.amount)
@@ -114,20 +118,20 @@
 			}
 		case starting:
 			s.stage = running
-			t.emit(Action{Kind: Placed, ID: h.ID, Device: name, PlacementID: h.PlacementID, Token: stamp, Amount: s.amount})
+			t.emit(Action{Kind: Placed, ID: h.ID, Device: name, PlacementID: h.PlacementID, Token: token, Amount: s.amount})
 		case stopping:
-			t.emit(Action{Kind: Stop, ID: h.ID, Device: name, PlacementID: h.PlacementID, Token: stamp})
+			t.emit(Action{Kind: Stop, ID: h.ID, Device: name, PlacementID: h.PlacementID, Token: token})
 		}
 	}
-	for _, s := range known { // not in the statement
+	for _, s := range missing { // not reported by the backend
 		switch s.stage {
 		case starting:
-			t.emit(Action{Kind: Start, ID: s.demand.ID, Device: name, PlacementID: s.placementID, Token: stamp, Demand: s.demand, Amount: s.amount})
+			t.emit(Action{Kind: Start, ID: s.demand.ID, Device: name, PlacementID: s.placementID, Token: token, Demand: s.demand, Amount: s.amount})
 		case running:
 			t.emit(Action{Kind: Lost, ID: s.demand.ID, Device: name, PlacementID: s.placementID})
 			t.stopSlice(now, s)
 		case stopping:
-			t.emit(Action{Kind: Stop, ID: s.demand.ID, Device: name, PlacementID: s.placementID, Token: stamp})
+			t.emit(Action{Kind: Stop, ID: s.demand.ID, Device: name, PlacementID: s.placementID, Token: token})
 		}
 	}
 	t.reindex(v)
@@ -136,11 +140,12 @@
 	return t.flush(now)
 }
 
-// claimSlice is one slice that the backend holds and that this table has not placed: an earlier owner's. One whose id is
-// over, or sits elsewhere, is ended; one that waits here has been placed already.
+// claimSlice handles a slice of an earlier owner, which the backend holds and this table has not placed. If its id
+// has ended or is placed elsewhere, the slice is stopped. Otherwise the id counts as placed, and a waiting demand
+// with this id is removed from the queue.
 func (t *Table) claimSlice(now time.Duration, s *slice) {
 	id := s.demand.ID
-	if _, over := t.ended[id]; over || t.placed[id] != nil {
+	if _, ended := t.ended[id]; ended || t.placed[id] != nil {
 		t.stopSlice(now, s)
 		return
 	}
@@ -152,8 +157,8 @@
 	t.emit(Action{Kind: Placed, ID: id, Device: s.device.Name, PlacementID: s.placementID, Token: s.device.token, Amount: s.amount})
 }
 
-// MarkFailed is a device that does not work: each demander is told once. What sat there counts until the backend,
-// when the device is back, has confirmed its end.
+// MarkFailed handles the failure of a device. Each requester is notified once. Its slices stay allocated until the
+// device has recovered and the backend has confirmed that they have stopped.
 func (t *Table) MarkFailed(now time.Duration, name string) []Action {
 	if v := t.devices[name]; v != nil && !v.failed {
 		v.failed, v.awaitingState = true, false
@@ -172,7 +177,7 @@
 	return t.flush(now)
 }
 
-// MarkRecovered is a failed device that works again: it takes something new after a statement.
+// MarkRecovered handles the recovery of a failed device. It takes new slices after it has reported its state.
 func (t *Table) MarkRecovered(now time.Duration, name string) []Action {
 	if v := t.devices[name]; v != nil && v.failed {
 		v.failed = false
@@ -181,7 +186,8 @@
 	return t.flush(now)
 }
 
-// markReported ends the time in which nothing is placed anywhere, since the device may hold what is asked for.
+// markReported records that the device no longer hides slices of an earlier owner. While any device does, nothing
+// is placed anywhere, since that device may already hold a slice of the same id.
 func (t *Table) markReported(v *device) {
 	if v.unreported {
 		v.unreported = false
@@ -189,7 +195,7 @@
 	}
 }
 
-// RemoveDevice is a device that its backend has no more, and what sat there with it.
+// RemoveDevice handles a device that its backend no longer has. Its slices are lost.
 func (t *Table) RemoveDevice(now time.Duration, name string) []Action {
 	v := t.devices[name]
 	if v == nil {
@@ -209,7 +215,7 @@
 	return append(out, t.flush(now)...)
 }
 
-// Records is what of a device is to be on disk before its actions are sent.
+// Records returns the durable records of a device. They must be on disk before the device's actions are sent.
 func (t *Table) Records(name string) (out []HeldSlice) {
 	if v := t.devices[name]; v != nil {
 		for _, s := range v.slices {
--- a/internal/fleet/slices/index.go
+++ b/internal/fleet/slices/index.go
@@ -2,21 +2,22 @@
 
 import sorted "slices"
 
-// shape is what the choice knows of a device: those of one shape are one candidate.
+// shape is what a strategy knows of a device. Devices of the same shape are one candidate.
 type shape struct {
 	class        int
 	free         Amount
 	empty        bool
-	singleTenant bool // one tenant alone is on it (in that tenant's index)
+	singleTenant bool // only one tenant has slices on it (set in that tenant's index)
 }
 
+// bucket holds the devices of one shape in an index.
 type bucket struct {
 	shape
-	position int // in its index's list
+	position int // in the list of its index
 	devices  []*device
 }
 
-// candidate is what the choice reads of a bucket, beside one another in memory.
+// candidate is what a strategy reads of a bucket. Candidates lie in one array, since every placement scans them.
 type candidate struct {
 	shape
 	unusable float64
@@ -24,24 +25,27 @@
 	bucket   *bucket
 }
 
-// index holds the devices that may take something, by shape. The open one has those that any tenant may
-// still use. A tenant's has those that it has a slice on, and that either hold nobody else or no new tenant.
+// index holds, by shape, the devices that may take new slices. The open index has the devices that any tenant may
+// use. A tenant's index has the devices on which the tenant has a slice and that either hold no other tenant or
+// take no new tenant.
 type index struct {
 	byShape   map[shape]*bucket
 	list      []candidate
 	tenant    string
-	perTenant bool // of a tenant
+	perTenant bool // a tenant's index
 }
 
 func newIndex() *index { return &index{byShape: map[shape]*bucket{}} }
 
+// indexEntry is the position of a device in one index.
 type indexEntry struct {
 	index    *index
 	bucket   *bucket
 	position int
 }
 
-// reindex puts a device where its state belongs: nowhere, if it takes nothing new from just anyone.
+// reindex updates the indexes after a device has changed. A device that takes no new slices, or that is reserved,
+// is in no index.
 func (t *Table) reindex(v *device) {
 	for _, m := range v.indexEntries {
 		m.index.remove(v, m)
--- a/internal/fleet/slices/owner.go
+++ b/internal/fleet/slices/owner.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Lease bounds the time in which an owner may decide on a group's devices, as docs/design/accord.md has it: the
-// lessee counts from its own time of asking and stops first.
+// Lease bounds the time in which an owner may place slices on a group's devices (docs/design/accord.md). The
+// holder counts from the time of its own request, so its lease ends before the granting side's.
 type Lease struct {
-	Duration time.Duration // as the granting side counts it, from its answer
+	Duration time.Duration // counted by the granting side from its answer
 	Drift    float64       // clocks run at rates within 1±Drift
 }
 
-// Owner says for one dispatcher which groups of devices it may decide on, and under which term. Its times
-// are one monotonic clock's. An owner that was stopped past its lease finds that it may not go on by asking May
-// before each message; what was on its way by then meets the backend's fence.
+// Owner tracks for one dispatcher which groups of devices it owns, and under which term. All times are of one
+// monotonic clock. The caller checks MaySend before each message: a process that was suspended past the end of its
+// lease finds out there, and the backend refuses messages already on their way by their fencing tokens.
 type Owner struct {
 	lease  Lease
 	groups map[string]*groupLease
 }
 
 type groupLease struct {
-	requestTimes map[uint64]time.Duration // time of each ask that may still be granted
+	requestTimes map[uint64]time.Duration // time of each request that may still be granted
 	seq          uint64
-	term         uint64 // the highest heard of, ours or another's
+	term         uint64 // highest term known, of this or another owner
 	held         bool
 	leaseEnd     time.Duration
 }
 
-// MaxPendingRequests bounds the asks of one group that are remembered; an answer to an older one grants nothing.
+// MaxPendingRequests bounds the requests remembered for one group. An answer to an older request grants nothing.
 const MaxPendingRequests = 8
 
-// NewOwner makes an owner of nothing.
+// NewOwner makes an owner without groups.
 func NewOwner(l Lease) *Owner { return &Owner{lease: l, groups: map[string]*groupLease{}} }
 
 func (o *Owner) groupLease(group string) *groupLease {
@@ -40,9 +40,9 @@
 	return g
 }
 
-// NewRequest notes the time of an ask for a group's lease and returns its number, which the answer repeats. anew: the
-// owner has no Table for it, and only a new term lets it begin one.
-func (o *Owner) NewRequest(now time.Duration, group string) (seq uint64, anew bool) {
+// NewRequest records the time of a request for a group's lease and returns its number, which the answer repeats.
+// If newTerm is set, the owner has no Table for the group and may start one only under a new term.
+func (o *Owner) NewRequest(now time.Duration, group string) (seq uint64, newTerm bool) {
 	g := o.groupLease(group)
 	o.CheckLease(now, group)
 	g.seq++
@@ -51,18 +51,18 @@
 	return g.seq, !g.held
 }
 
-// OwnershipChange is what the caller has to do about a group's Table.
+// OwnershipChange says what the caller has to do with a group's Table.
 type OwnershipChange uint8
 
-// The turns.
+// The changes.
 const (
 	Unchanged OwnershipChange = iota
-	Acquired                  // make a new Table, and Take the group's devices under the term
-	LeaseLost                 // throw the Table away
+	Acquired                  // make a new Table and acquire the group's devices under the term
+	LeaseLost                 // discard the Table
 )
 
-// HandleGrant is an answer of the log's leader: the lease of this term, for the ask of this number. A grant of a term
-// below one that was heard of is a deposed owner's and changes nothing.
+// HandleGrant handles a grant of the majority log's leader: the lease of this term, for the request with this
+// number. A grant with a term below the highest known one is outdated and changes nothing.
 func (o *Owner) HandleGrant(now time.Duration, group string, seq, term uint64) OwnershipChange {
 	g := o.groupLease(group)
 	at, known := g.requestTimes[seq]
@@ -75,7 +75,7 @@
 		return o.CheckLease(now, group)
 	}
 	if term > g.term || !g.held {
-		if term == g.term { // it was lost or given up: only a higher term begins it anew
+		if term == g.term { // the lease of this term has ended: only a higher term can start another
 			return Unchanged
 		}
 		g.term, g.held, g.leaseEnd = term, true, until
@@ -85,7 +85,7 @@
 	return Unchanged
 }
 
-// ObserveTerm is word of a term from anywhere, above all a backend that refused a lower one.
+// ObserveTerm handles a term seen in any message, mainly from a backend that refused a lower one.
 func (o *Owner) ObserveTerm(now time.Duration, group string, term uint64) OwnershipChange {
 	g := o.groupLease(group)
 	if term > g.term {
@@ -98,7 +98,7 @@
 	return o.CheckLease(now, group)
 }
 
-// CheckLease says whether the lease has run out; to be called at Until and on waking.
+// CheckLease returns LeaseLost if the lease has ended. Call it at LeaseEnd and after the process was suspended.
 func (o *Owner) CheckLease(now time.Duration, group string) OwnershipChange {
 	if g := o.groups[group]; g != nil && g.held && now >= g.leaseEnd {
 		g.held = false
@@ -107,7 +107,7 @@
 	return Unchanged
 }
 
-// MaySend says whether a message may be sent for the group now, and under which term.
+// MaySend reports whether a message may be sent for the group now, and under which term.
 func (o *Owner) MaySend(now time.Duration, group string) (term uint64, may bool) {
 	g := o.groups[group]
 	if g == nil || !g.held || now >= g.leaseEnd {
@@ -116,7 +116,7 @@
 	return g.term, true
 }
 
-// LeaseEnd is when the lease of the group runs out by the owner's clock; 0 if it has none.
+// LeaseEnd returns when the group's lease ends by the owner's clock, or 0 without a lease.
 func (o *Owner) LeaseEnd(group string) time.Duration {
 	if g := o.groups[group]; g != nil && g.held {
 		return g.leaseEnd
@@ -124,9 +124,9 @@
 	return 0
 }
 
-// Grantor is the granting side for one group: it is applied in the order of the majority log, so that terms only
-// grow and no two dispatchers have one at a time. A new leader that does not know which leases were granted
-// grants nothing for Quiet.
+// Grantor is the granting side for one group. It is applied in the order of the majority log, so terms only grow
+// and no two dispatchers hold a lease at the same time. A new leader doesn't know which leases were granted
+// before, and grants none for QuietPeriod.
 type Grantor struct {
 	lease      Lease
 	term       uint64
@@ -135,30 +135,31 @@
 	quietUntil time.Duration
 }
 
-// NewGrantor goes on from the last term that the log has, at the leader's start.
+// NewGrantor makes a grantor at the start of a leader, which continues from the last term in the log.
 func NewGrantor(l Lease, term uint64, now time.Duration) *Grantor {
 	return &Grantor{lease: l, term: term, quietUntil: now + QuietPeriod(l)}
 }
 
-// QuietPeriod is for how long a new leader grants no lease to anyone, by its own clock.
+// QuietPeriod returns how long a new leader grants no lease, by its own clock: until every earlier lease has ended.
 func QuietPeriod(l Lease) time.Duration {
 	return time.Duration(float64(l.Duration)*(1+l.Drift)/(1-l.Drift)) + 1
 }
 
-// HandleRequest is an ask for the lease at the leader's time now. anew is the ask's. fresh: a new term, which has to be in the log before
-// it is answered. ok false: another holds it, or it is too early to know.
-func (g *Grantor) HandleRequest(now time.Duration, who string, anew bool) (term uint64, fresh, ok bool) {
+// HandleRequest handles a request for the lease at the leader's time now; newTerm is the request's. started means
+// that the term is a new one, which must be in the log before it is answered. ok is false if another dispatcher
+// holds the lease, or if the leader's quiet period isn't over.
+func (g *Grantor) HandleRequest(now time.Duration, requester string, newTerm bool) (term uint64, started, ok bool) {
 	if now < g.quietUntil {
 		return 0, false, false
 	}
 	held := g.holder != "" && now < g.until
-	if held && g.holder != who {
+	if held && g.holder != requester {
 		return 0, false, false
 	}
-	if !held || anew {
+	if !held || newTerm {
 		g.term++
-		fresh = true
+		started = true
 	}
-	g.holder, g.until = who, now+g.lease.Duration
-	return g.term, fresh, true
+	g.holder, g.until = requester, now+g.lease.Duration
+	return g.term, started, true
 }
--- a/internal/fleet/slices/owner_test.go
+++ b/internal/fleet/slices/owner_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Two owners and two leaders in turn, clocks that drift by up to 5%, answers that come at any time, or twice: at no
-// real moment may both decide, and terms only grow.
+// TestOneOwnerAtATime has two owners, leaders that replace each other, clocks that drift by up to 5%, and answers
+// that arrive late or twice. The two owners must never both be allowed to send, and terms must only grow.
 func TestOneOwnerAtATime(t *testing.T) {
 	setSchedules(t, "200")
 	rapid.Check(t, func(t *rapid.T) {
@@ -31,15 +31,15 @@
 		for range 80 {
 			real += time.Duration(rapid.IntRange(0, 300).Draw(t, "time"))
 			switch rapid.IntRange(0, 9).Draw(t, "do") {
-			case 0: // another leader, which knows the terms from the log and no lease
+			case 0: // a new leader, which knows the terms from the log and no lease
 				leader = NewGrantor(l, leader.term, at(2))
 			case 1, 2, 3, 4:
 				i := rapid.IntRange(0, 1).Draw(t, "who")
-				seq, anew := owners[i].NewRequest(at(i), "g")
+				seq, newTerm := owners[i].NewRequest(at(i), "g")
 				if rapid.Bool().Draw(t, "slow") {
 					real += time.Duration(rapid.IntRange(0, 1200).Draw(t, "way"))
 				}
-				if term, fresh, ok := leader.HandleRequest(at(2), string(rune('a'+i)), anew); ok {
+				if term, fresh, ok := leader.HandleRequest(at(2), string(rune('a'+i)), newTerm); ok {
 					if term < highest || fresh && term == highest {
 						t.Fatalf("term %d after %d", term, highest)
 					}
@@ -63,25 +63,25 @@
 
 func TestHigherTermEndsOwnership(t *testing.T) {
 	o := NewOwner(Lease{Duration: 100})
-	seq, anew := o.NewRequest(0, "g")
-	assert.True(t, anew)
+	seq, newTerm := o.NewRequest(0, "g")
+	assert.True(t, newTerm)
 	assert.Equal(t, Acquired, o.HandleGrant(1, "g", seq, 3))
-	assert.Equal(t, time.Duration(100), o.LeaseEnd("g"), "from the ask on")
+	assert.Equal(t, time.Duration(100), o.LeaseEnd("g"), "counted from the request")
 	assert.Equal(t, Unchanged, o.HandleGrant(1, "g", seq, 3), "the same answer again")
 	assert.Equal(t, Unchanged, o.ObserveTerm(2, "g", 3))
 	assert.Equal(t, LeaseLost, o.ObserveTerm(2, "g", 4))
 	_, may := o.MaySend(2, "g")
 	assert.False(t, may)
 	seq, _ = o.NewRequest(3, "g")
-	assert.Equal(t, Unchanged, o.HandleGrant(4, "g", seq, 3), "a deposed one's")
+	assert.Equal(t, Unchanged, o.HandleGrant(4, "g", seq, 3), "a grant of an earlier term")
 	assert.Equal(t, time.Duration(0), o.LeaseEnd("g"))
 	seq, _ = o.NewRequest(5, "g")
 	assert.Equal(t, Acquired, o.HandleGrant(6, "g", seq, 5))
-	assert.Equal(t, LeaseLost, o.CheckLease(200, "g"), "woken late")
+	assert.Equal(t, LeaseLost, o.CheckLease(200, "g"), "after the end of the lease")
 }
 
-// The next owner counts the larger of what its disk and the backend say, and places nothing before it has heard of
-// every device of the group.
+// TestTakeOverMergesRecordsAndState: a new owner allocates the larger of the amounts in its records and in the
+// backend's report, and places nothing before every device of the group has reported its state.
 func TestTakeOverMergesRecordsAndState(t *testing.T) {
 	tab := New(testLimits, Pattern, nil)
 	tab.AcquireDevice(0, testDevice("d0"), 5, []HeldSlice{{ID: "disk", Tenant: "a", PlacementID: 1, Amount: Amount{300, 100}}, {ID: "both", Tenant: "a", PlacementID: 2, Amount: Amount{100, 700}}})
@@ -89,26 +89,26 @@
 	tab.RestoreEnded(0, "over")
 	assert.Equal(t, "taking over", lastAction(t, tab.Submit(0, testDemand("held", 100, 100))).Reason)
 	assert.Equal(t, "taking over", lastAction(t, tab.Submit(0, testDemand("new", 100, 100))).Reason)
-	tab.HandleState(0, "d0", FencingToken{4, 9}, nil) // an older owner's
+	tab.HandleState(0, "d0", FencingToken{4, 9}, nil) // an answer to an earlier owner
 	out := tab.HandleState(0, "d0", FencingToken{5, 1}, []HeldSlice{{ID: "both", Tenant: "a", PlacementID: 2, Amount: Amount{200, 600}}, {ID: "over", Tenant: "a", PlacementID: 3, Amount: Amount{50, 50}}})
 	assert.Equal(t, Amount{550, 850}, tab.devices["d0"].used)
 	assert.Contains(t, out, Action{Kind: Placed, ID: "both", Device: "d0", PlacementID: 2, Token: FencingToken{5, 1}, Amount: Amount{200, 700}})
 	assert.Contains(t, out, Action{Kind: Lost, ID: "disk", Device: "d0", PlacementID: 1})
 	assert.Contains(t, out, Action{Kind: Stop, ID: "over", Device: "d0", PlacementID: 3, Token: FencingToken{5, 1}})
 	for _, a := range out {
-		assert.NotEqual(t, Start, a.Kind, "d1 has not stated yet")
+		assert.NotEqual(t, Start, a.Kind, "d1 has not reported its state yet")
 	}
 	out = tab.HandleState(0, "d1", FencingToken{5, 1}, []HeldSlice{{ID: "held", Tenant: "a", PlacementID: 4, Amount: Amount{100, 100}}, {ID: "both", Tenant: "a", PlacementID: 9, Amount: Amount{1, 1}}})
 	assert.Contains(t, out, Action{Kind: Placed, ID: "held", Device: "d1", PlacementID: 4, Token: FencingToken{5, 1}, Amount: Amount{100, 100}})
-	assert.Contains(t, out, Action{Kind: Stop, ID: "both", Device: "d1", PlacementID: 9, Token: FencingToken{5, 1}}, "it sits on d0")
+	assert.Contains(t, out, Action{Kind: Stop, ID: "both", Device: "d1", PlacementID: 9, Token: FencingToken{5, 1}}, "it is placed on d0")
 	assert.Equal(t, Start, lastAction(t, out).Kind)
 	assert.Equal(t, "new", lastAction(t, out).ID)
 	tab.HandleStopped(0, "d0", "disk", 1)
 	assert.Equal(t, Amount{350, 850}, tab.devices["d0"].used)
 }
 
-// A backend back with fewer devices, or smaller ones: what sat on the missing one is lost, what no device can hold
-// any more is refused, and a smaller device ends nothing.
+// TestRemovedAndShrunkDevices: a backend returns with fewer or smaller devices. The slices of a missing device are
+// lost, a demand that no device can hold any more is refused, and a smaller device stops nothing.
 func TestRemovedAndShrunkDevices(t *testing.T) {
 	tab := readyTable(testLimits, Pattern, nil, testDevice("d0"), Device{Name: "big", Size: Amount{1000, 40000}})
 	b := lastAction(t, tab.Submit(0, testDemand("x", 900, 30000)))
--- a/internal/fleet/slices/placement.go
+++ b/internal/fleet/slices/placement.go
@@ -2,17 +2,18 @@
 
 import "fmt"
 
-// class is what devices that are alike share: a choice is made once for all of them.
+// class is what identical devices have in common. Placement decisions are worked out once per class.
 type class struct {
-	size           Amount // less the memory kept free
+	size           Amount // without the reserved memory
 	zone           string
 	profiles       []Amount
-	wasteCache     map[Amount]float64
-	typicalAmounts []Amount // what each demand of the typical mix counts as; zero parts: it never fits
+	wasteCache     map[Amount]float64 // results of leastWaste by free amount
+	typicalAmounts []Amount           // allocation of each demand of the typical mix; zero parts: it never fits
 }
 
-// allocation is what a demand counts as on an empty device of the class; why names the limit that forbids it.
-func (c *class) allocation(d *Demand) (a Amount, why string) {
+// allocation returns what a demand is allocated on an empty device of the class, or the reason why the class
+// cannot hold it.
+func (c *class) allocation(d *Demand) (a Amount, reason string) {
 	if d.Zone != "" && d.Zone != c.zone {
 		return a, "zone"
 	}
@@ -50,41 +51,42 @@
 	return fmt.Sprintf("memory: %d MiB of at most %d", d.Size.Memory, c.size.Memory)
 }
 
-// smallerProfile orders profiles by the part of a device that they take, both dimensions together.
+// smallerProfile orders profiles by the part of a device that they take, both resources together.
 func smallerProfile(a, b, of Amount) bool {
 	x, y := relativeSize(a, of), relativeSize(b, of)
 	return x < y || x == y && a.Parts < b.Parts
 }
 
+// relativeSize returns the sum of a's shares of both resources.
 func relativeSize(a, of Amount) float64 {
 	return float64(a.Parts)/float64(max(of.Parts, 1)) + float64(a.Memory)/float64(max(of.Memory, 1))
 }
 
-// fits says whether a demand may be placed on a device now: it is the one judge of every placement,
-// whatever the index and the choice have found. why is the first rule that forbids it.
-func (t *Table) fits(v *device, d *Demand, w *waitingDemand) (a Amount, why string) {
+// fits reports whether a demand may be placed on a device now. Every placement passes this check, whatever the
+// index and the strategy have found. If reason is not empty, it names the first rule that forbids the placement.
+func (t *Table) fits(v *device, d *Demand, w *waitingDemand) (a Amount, reason string) {
 	if !v.ready {
 		return a, "device not ready"
 	}
 	if v.reservedFor != nil && v.reservedFor != w {
 		return a, "kept for another"
 	}
-	a, why = t.classes[v.class].allocation(d)
-	if why != "" {
-		return a, why
+	a, reason = t.classes[v.class].allocation(d)
+	if reason != "" {
+		return a, reason
 	}
 	if len(v.slices) >= t.limits.MaxSlices {
 		return a, "slices a device"
 	}
-	mine := false
+	tenantPresent := false
 	for _, s := range v.slices {
 		same := s.demand.Tenant == d.Tenant
-		mine = mine || same
+		tenantPresent = tenantPresent || same
 		if !s.demand.Isolation.acceptsNeighbour(same) || !d.Isolation.acceptsNeighbour(same) {
 			return a, "isolation"
 		}
 	}
-	if !mine && len(v.tenants) >= t.limits.MaxTenants {
+	if !tenantPresent && len(v.tenants) >= t.limits.MaxTenants {
 		return a, "tenants a device"
 	}
 	if !v.free(t).contains(a) {
@@ -93,14 +95,14 @@
 	return a, ""
 }
 
-// couldHold says whether any device of the class couldHold hold the demand if it were empty.
+// couldHold reports whether an empty device of the class could hold the demand.
 func (t *Table) couldHold(class int, d *Demand) bool {
-	_, why := t.classes[class].allocation(d)
-	return why == ""
+	_, reason := t.classes[class].allocation(d)
+	return reason == ""
 }
 
-// whyImpossible is why no device known could ever hold the demand; "" if one could. Of several reasons it names
-// that of the device which came nearest, by the order of the checks.
+// whyImpossible returns why no known device could hold the demand even when empty, or "" if one could. If the
+// classes have different reasons, it returns the one of the class that passed the most checks.
 func (t *Table) whyImpossible(d *Demand) string {
 	if d.ID == "" || len(d.ID) > MaxNameBytes || len(d.Tenant) > MaxNameBytes {
 		return "id or tenant: length"
@@ -111,24 +113,24 @@
 	if d.Lifetime <= 0 || d.Lifetime > t.limits.MaxLifetime {
 		return fmt.Sprintf("lifetime: %v, above 0 and at most %v", d.Lifetime, t.limits.MaxLifetime)
 	}
-	nearest, rank := "no device", -1
+	nearest, highest := "no device", -1
 	for i := range t.classes {
 		if t.classSizes[i] == 0 {
 			continue
 		}
-		_, why := t.classes[i].allocation(d)
-		if why == "" {
+		_, reason := t.classes[i].allocation(d)
+		if reason == "" {
 			return ""
 		}
-		r := 0
-		switch why[0] {
+		rank := 0
+		switch reason[0] {
 		case 'i': // isolation
-			r = 1
+			rank = 1
 		case 'p', 'm': // parts, profiles, memory
-			r = 2
+			rank = 2
 		}
-		if r > rank {
-			nearest, rank = why, r
+		if rank > highest {
+			nearest, highest = reason, rank
 		}
 	}
 	return nearest
--- a/internal/fleet/slices/quality_test.go
+++ b/internal/fleet/slices/quality_test.go
@@ -22,7 +22,7 @@
 	return TypicalDemand{Demand: Demand{Size: Amount{parts, memory}, Isolation: iso, Lifetime: time.Hour}, Weight: weight}
 }
 
-// mixes are drawn up for the tests: what reqs of several kinds need of a device of 1,000 parts and 16 GiB.
+// mixes are made up for the tests: what several kinds of requests need of a device of 1,000 parts and 16 GiB.
 var mixes = map[string][]TypicalDemand{
 	"photos":  {typical(143, 2048, SharedWithAny, 40), typical(250, 4096, SharedWithAny, 25), typical(500, 6144, SharedWithAny, 20), typical(1000, 16384, Exclusive, 15)},
 	"skewed":  {typical(100, 6144, SharedWithAny, 35), typical(600, 2048, SharedWithAny, 35), typical(300, 4096, SharedWithAny, 20), typical(1000, 12288, SharedWithAny, 10)},
@@ -50,8 +50,9 @@
 	return draw(r, mix, id, tenants)
 }
 
-// fill offers a mix to n empty devices until what was offered is load times their parts or memory. With churn each
-// lives for an exponential time, such that as much would sit at once if none were refused.
+// fill submits demands of a mix to n empty devices until the demands add up to load times the devices' parts or
+// memory. With churn each slice lives for an exponentially distributed time, such that the same amount would be
+// placed at any moment if no demand were refused.
 func fill(c Strategy, mix []TypicalDemand, n int, load float64, churn bool, seed uint64) (accepted, unusable float64) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	var ds []Device
@@ -59,10 +60,10 @@
 		ds = append(ds, testDevice(fmt.Sprint("d", i)))
 	}
 	tab := readyTable(wideLimits, c, mix, ds...)
-	var offered, took Amount
-	type at struct {
-		id, device string
-		try        uint64
+	var offered, placed Amount
+	type placement struct {
+		id, device  string
+		placementID uint64
 	}
 	each := 0.0 // the larger part of a device that a demand takes, on average
 	var all, p, m float64
@@ -70,8 +71,8 @@
 		all, p, m = all+k.Weight, p+k.Weight*float64(k.Demand.Size.Parts)/1000, m+k.Weight*float64(k.Demand.Size.Memory)/16384
 	}
 	each = max(p, m) / all
-	life := load * float64(n) / each // in arrivals: so many sit if none is refused
-	ends := map[int][]at{}
+	life := load * float64(n) / each // in arrivals: as many are placed at once if none is refused
+	ends := map[int][]placement{}
 	last := int(life)
 	if churn {
 		last *= 5
@@ -81,7 +82,7 @@
 		now := time.Duration(i)
 		for _, s := range ends[i] {
 			tab.Release(now, s.id)
-			tab.HandleStopped(now, s.device, s.id, s.try)
+			tab.HandleStopped(now, s.device, s.id, s.placementID)
 		}
 		delete(ends, i)
 		d := draw(r, mix, fmt.Sprint(i), 20)
@@ -92,10 +93,10 @@
 		}
 		if a := tab.Submit(now, d)[0]; a.Kind == Start {
 			if counts {
-				took = took.plus(d.Size)
+				placed = placed.plus(d.Size)
 			}
 			if churn {
-				ends[until] = append(ends[until], at{d.ID, a.Device, a.PlacementID})
+				ends[until] = append(ends[until], placement{d.ID, a.Device, a.PlacementID})
 			}
 		}
 		if churn && counts && i%50 == 0 || i == last-1 {
@@ -104,7 +105,7 @@
 			samples++
 		}
 	}
-	return float64(took.Parts) / float64(offered.Parts), unusable / float64(samples)
+	return float64(placed.Parts) / float64(offered.Parts), unusable / float64(samples)
 }
 
 func meanInterval(xs []float64) (m, half float64) {
@@ -112,8 +113,8 @@
 	return m, 2.093 * sd / math.Sqrt(float64(len(xs))) // t, 19 degrees of freedom
 }
 
-// acceptedBound is the most of the offered parts that any choice can accept when devices are filled: a linear program over
-// all ways to fill one device, with the demands in their expected counts.
+// acceptedBound is the largest share of the offered parts that any strategy can accept. It solves a linear program
+// over all ways to fill one device, with the demands in their expected numbers.
 func acceptedBound(mix []TypicalDemand, load float64) float64 {
 	var ways [][]int
 	var grow func(k int, way []int, left Amount)
@@ -156,8 +157,9 @@
 	return -most / (per * p)
 }
 
-// The choice that is shipped leaves at most half as much unusable as first fit, by intervals that do not touch. SLICES_QUALITY=1
-// prints the whole table of docs/design/slices.md (1,000 devices, 20 seeds, all mixes).
+// TestPatternLeavesLessUnusable: Pattern leaves at most half as much unusable as FirstFit, with confidence intervals
+// that do not overlap. SLICES_QUALITY=1 prints the whole table of docs/design/slices.md (1,000 devices, 20 seeds,
+// all mixes).
 func TestPatternLeavesLessUnusable(t *testing.T) {
 	names, n, seeds := []string{"photos"}, 100, 20
 	if os.Getenv("SLICES_QUALITY") != "" {
@@ -189,7 +191,8 @@
 	}
 }
 
-// optimum is the most parts of the demands that the devices hold: branch and bound, rules written anew.
+// optimum is the largest sum of parts that the devices can hold of the demands. It uses branch and bound and has
+// its own copy of the placement rules.
 func optimum(ds []Device, all []Demand) int {
 	on := make([][]Demand, len(ds))
 	rest := make([]int, len(all)+1)
@@ -206,7 +209,7 @@
 		d := all[i]
 		for k := range ds {
 			if k > 0 && len(on[k]) == 0 && len(on[k-1]) == 0 {
-				continue // devices are alike: the first empty one is enough
+				continue // devices are identical: trying the first empty one is enough
 			}
 			p, m, ok := d.Size.Parts, d.Size.Memory, true
 			for _, o := range on[k] {
@@ -226,7 +229,8 @@
 	return best
 }
 
-// Against the optimum that knows all demands beforehand: 240 cases of 6 to 12 demands on 3 devices.
+// TestAgainstOptimum compares the strategies with the optimum that knows all demands beforehand, in 240 cases of 6
+// to 12 demands on 3 devices.
 func TestAgainstOptimum(t *testing.T) {
 	ds := []Device{testDevice("d0"), testDevice("d1"), testDevice("d2")}
 	got, largest, best := map[Strategy]int{}, map[Strategy]int{}, 0
@@ -265,7 +269,8 @@
 	assert.Greater(t, float64(largest[Pattern])/float64(best), 0.97)
 }
 
-// A mix of crumbs has more combinations than can be worked out: what one demand costs is bounded all the same.
+// TestWasteEvaluationsAreBounded: a mix of very small demands has too many combinations to try, and the work for
+// one demand stays bounded.
 func TestWasteEvaluationsAreBounded(t *testing.T) {
 	tab := readyTable(wideLimits, Pattern, []TypicalDemand{typical(1, 1, SharedWithAny, 1), typical(1, 2, SharedWithAny, 1), typical(2, 1, SharedWithAny, 1)}, testDevice("d"), testDevice("e"))
 	assert.Equal(t, Start, tab.Submit(0, testDemand("x", 3, 3))[0].Kind)
@@ -288,16 +293,16 @@
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				tab := readyTable(wideLimits, Pattern, mix, ds...)
-				var sits []Action
+				var placed []Action
 				i := 0
 				one := func() {
 					i++
 					d := draw(r, mix, fmt.Sprint(i), 20)
-					if name == "any" { // sizes that no mix foresees: as many shapes as there can be
+					if name == "any" { // sizes outside every mix: as many shapes as possible
 						d.Size, d.Isolation = Amount{1 + r.IntN(500), 1 + r.IntN(8000)}, SharedWithAny
 					}
 					if a := tab.Submit(time.Duration(i), d)[0]; a.Kind == Start {
-						sits = append(sits, a)
+						placed = append(placed, a)
 					}
 				}
 				for range 3 * n {
@@ -307,10 +312,10 @@
 				runtime.ReadMemStats(&after)
 				for b.Loop() {
 					b.StopTimer()
-					k := r.IntN(len(sits))
-					s := sits[k]
-					sits[k] = sits[len(sits)-1]
-					sits = sits[:len(sits)-1]
+					k := r.IntN(len(placed))
+					s := placed[k]
+					placed[k] = placed[len(placed)-1]
+					placed = placed[:len(placed)-1]
 					tab.Release(time.Duration(i), s.ID)
 					tab.HandleStopped(time.Duration(i), s.Device, s.ID, s.PlacementID)
 					b.StartTimer()
--- a/internal/fleet/slices/queue.go
+++ b/internal/fleet/slices/queue.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// waitingDemand is a demand that no device has room for.
+// waitingDemand is a demand in the queue: no device can take it now.
 type waitingDemand struct {
 	demand        Demand
-	submitSeq     uint64 // the order of asks
+	submitSeq     uint64 // order of submission
 	reason        string
 	queued        bool
-	passedOver    int // placements of later asks on devices that could hold it, while none was kept for it
+	passedOver    int // placements of later demands on devices that could hold it, while it had no reserved device
 	starved       bool
-	starvedBefore int     // devices kept for others when it starved: the R of its bound
-	reserved      *device // nothing else is placed there
+	starvedBefore int     // demands that had starved before it: it is passed over at most MaxPassedOver+starvedBefore times
+	reserved      *device // device on which no other demand is placed; nil if there is none
 }
 
-// compare is the queue's order: priority, then age.
+// compare orders the queue by descending priority, then by submission.
 func (w *waitingDemand) compare(o *waitingDemand) int {
 	switch {
 	case w.demand.Priority != o.demand.Priority:
@@ -53,11 +53,12 @@
 	}
 }
 
-// countPassedOver counts a placement against those that asked earlier and could have been held by the same device.
-func (t *Table) countPassedOver(by *waitingDemand, v *device) {
+// countPassedOver counts the placement of placed on v for every waiting demand that was submitted earlier and
+// that an empty device like v could hold.
+func (t *Table) countPassedOver(placed *waitingDemand, v *device) {
 	starving := false
 	for _, w := range t.waiting {
-		if w.submitSeq > by.submitSeq || w.reserved != nil || !t.couldHold(v.class, &w.demand) {
+		if w.submitSeq > placed.submitSeq || w.reserved != nil || !t.couldHold(v.class, &w.demand) {
 			continue
 		}
 		w.passedOver++
@@ -68,16 +69,17 @@
 	}
 }
 
-// markStarved lists those that have been passed often enough, the oldest first.
+// markStarved appends the demands that have been passed over MaxPassedOver times to the starved list, the
+// oldest first, and reserves devices for them.
 func (t *Table) markStarved() {
-	var now []*waitingDemand
+	var starving []*waitingDemand
 	for _, w := range t.waiting {
 		if !w.starved && w.passedOver >= t.limits.MaxPassedOver {
-			now = append(now, w)
+			starving = append(starving, w)
 		}
 	}
-	sorted.SortFunc(now, func(a, b *waitingDemand) int { return int(int64(a.submitSeq) - int64(b.submitSeq)) })
-	for _, w := range now {
+	sorted.SortFunc(starving, func(a, b *waitingDemand) int { return int(int64(a.submitSeq) - int64(b.submitSeq)) })
+	for _, w := range starving {
 		w.starved, w.starvedBefore = true, len(t.starved)
 		t.starved = append(t.starved, w)
 	}
@@ -92,8 +94,9 @@
 	}
 }
 
-// assignReservations gives each starved demand a device of its own, in the order in which they starved. One for which
-// none is left takes that of the last to have starved that has one which could hold it.
+// assignReservations reserves a device for each starved demand, in the order in which they starved: of the free
+// ones that could hold it, the device whose slices expire first. If no device is free, the demand takes over a
+// suitable device from the demand that starved last.
 func (t *Table) assignReservations() {
 	for i, w := range t.starved {
 		if v := w.reserved; v != nil && v.ready && t.couldHold(v.class, &w.demand) {
@@ -124,7 +127,7 @@
 	}
 }
 
-// lastExpiry is when the last lifetime on the device ends.
+// lastExpiry returns when the last slice on the device expires.
 func (v *device) lastExpiry() (at time.Duration) {
 	for _, s := range v.slices {
 		at = max(at, s.expiresAt)
@@ -132,7 +135,7 @@
 	return at
 }
 
-// queueRetry marks a device on which those that wait are to be tried.
+// queueRetry schedules an attempt to place waiting demands on the device.
 func (t *Table) queueRetry(v *device) {
 	if !v.queuedForRetry {
 		v.queuedForRetry = true
@@ -140,8 +143,8 @@
 	}
 }
 
-// placeWaiting tries those that wait, in their order, on each device that got room. It ends: each round either
-// places a demand that waited or takes a device off the list for good.
+// placeWaiting tries the waiting demands, in queue order, on each device that may have capacity again. The loop
+// terminates: each round either places a waiting demand or removes a device from the list for good.
 func (t *Table) placeWaiting(now time.Duration) {
 	for len(t.retryQueue) > 0 && t.unreportedDevices == 0 {
 		v := t.retryQueue[0]
@@ -151,7 +154,7 @@
 			continue
 		}
 		for _, w := range t.waiting {
-			if a, why := t.fits(v, &w.demand, w); why == "" {
+			if a, reason := t.fits(v, &w.demand, w); reason == "" {
 				t.place(now, w, v, a)
 				t.queueRetry(v)
 				break
--- a/internal/fleet/slices/simulation_test.go
+++ b/internal/fleet/slices/simulation_test.go
@@ -7,19 +7,19 @@
 	"pgregory.net/rapid"
 )
 
-// simBackend is a backend as the simBackend side sees it: it shares no rule with the table and counts breaches itself.
+// simBackend simulates the backend of one device. It shares no code with the table and checks the invariants itself.
 type simBackend struct {
 	device     Device
 	token      FencingToken
 	slices     map[uint64]HeldSlice
 	stopped    map[uint64]bool
-	failed     bool // now
-	everFailed bool // ever
-	refuseNext bool // the next begin
+	failed     bool // at present
+	everFailed bool
+	refuseNext bool // refuses the next Start
 }
 
-// simulation is two dispatchers that own one group in turn, its backends, and a network that loses, doubles and
-// delays without bound.
+// simulation has two dispatchers that own one group in turn, the group's devices, and a network that loses,
+// duplicates and delays messages without bound.
 type simulation struct {
 	t           *rapid.T
 	now         time.Duration
@@ -33,11 +33,11 @@
 	net         []func()
 	limits      Limits
 	demands     map[string]Demand
-	lastActions map[string]Action // what the demander heard last
-	released    map[string]bool   // released
+	lastActions map[string]Action // by id: the last message to the requester
+	released    map[string]bool   // ids that the requester has released
 	reliable    bool
-	started     map[string]bool // device, id, try that some backend has begun
-	ended       map[string]bool // table and id
+	started     map[string]bool // device, id and placement that a backend has started
+	ended       map[string]bool // table and id for which Ended was sent
 	choice      Strategy
 }
 
@@ -62,7 +62,7 @@
 	return w
 }
 
-// send puts a message on the network. With chance it is lost or doubled.
+// send puts a message on the network, which may lose or duplicate it.
 func (w *simulation) send(f func()) {
 	fate := 5
 	if !w.reliable {
@@ -89,7 +89,8 @@
 	f()
 }
 
-// perform carries out a table's actions: to disk first, then, if the lease still stands, onto the network.
+// perform carries out a table's actions: it writes the records first and then, if the lease is still valid, sends
+// the messages.
 func (w *simulation) perform(i int, out []Action) {
 	if w.table[i] == nil {
 		return
@@ -111,8 +112,8 @@
 	}
 }
 
-// checkActions judges what a table says: placed only what a backend has begun, nothing on a device that it knows to
-// have failed, and no id again of which it has said that it is over.
+// checkActions checks that a table reports as placed only what a backend has started, starts nothing on a device
+// that it knows to have failed, and starts no id again for which it has sent Ended.
 func (w *simulation) checkActions(t *Table, out []Action) {
 	for _, a := range out {
 		of := fmt.Sprintf("%p %s", t, a.ID)
@@ -120,11 +121,11 @@
 		case a.Kind == Ended:
 			w.ended[of] = true
 		case a.Kind == Start && w.ended[of]:
-			w.t.Fatalf("%s is begun after its end", a.ID)
+			w.t.Fatalf("%s is started after it ended", a.ID)
 		case a.Kind == Start && w.backends[a.Device].failed:
-			w.t.Fatalf("%s is begun on %s, which has failed", a.ID, a.Device)
+			w.t.Fatalf("%s is started on %s, which has failed", a.ID, a.Device)
 		case a.Kind == Placed && !w.started[fmt.Sprint(a.Device, a.ID, a.PlacementID)]:
-			w.t.Fatalf("%s is said to be placed and was never begun: %+v", a.ID, a)
+			w.t.Fatalf("%s is reported as placed but was never started: %+v", a.ID, a)
 		}
 	}
 }
@@ -194,7 +195,7 @@
 	return out
 }
 
-// checkDevice is the far side's own check: sums, and every pair.
+// checkDevice recomputes a device's totals and checks the isolation of every pair of its slices.
 func (w *simulation) checkDevice(b *simBackend) {
 	parts, memory, tenants := 0, 0, map[string]bool{}
 	hs := sortedSlices(b)
@@ -205,23 +206,23 @@
 			bad := h.Isolation == Exclusive || o.Isolation == Exclusive ||
 				(h.Isolation == SharedWithTenant || o.Isolation == SharedWithTenant) && h.Tenant != o.Tenant
 			if bad {
-				w.t.Fatalf("isolation on %s: %+v beside %+v", b.device.Name, h, o)
+				w.t.Fatalf("isolation violated on %s: %+v beside %+v", b.device.Name, h, o)
 			}
 		}
 		d := w.demands[h.ID]
 		if h.Amount.Parts < d.Size.Parts || h.Amount.Memory < d.Size.Memory {
-			w.t.Fatalf("%+v got %+v", d, h)
+			w.t.Fatalf("demand %+v got the smaller slice %+v", d, h)
 		}
 		if h.Isolation == Partitioned && len(b.device.Profiles) == 0 {
-			w.t.Fatalf("own slice without walls: %+v", h)
+			w.t.Fatalf("partitioned slice on a device without profiles: %+v", h)
 		}
 		if n := len(b.device.Profiles); n > 0 && h.Isolation != Exclusive {
-			cut := false
+			isProfile := false
 			for _, p := range b.device.Profiles {
-				cut = cut || p == h.Amount
+				isProfile = isProfile || p == h.Amount
 			}
-			if !cut {
-				w.t.Fatalf("no profile: %+v", h)
+			if !isProfile {
+				w.t.Fatalf("the amount is no profile of the device: %+v", h)
 			}
 		}
 	}
@@ -233,7 +234,8 @@
 	}
 }
 
-// checkPlacedOnce: an id is held checkPlacedOnce, devices that ever failed aside (their slices are lost, and ended when they are back).
+// checkPlacedOnce checks that an id is held at most once. Devices that ever failed don't count: their slices are
+// lost, and are stopped after the device has recovered.
 func (w *simulation) checkPlacedOnce(id string) {
 	n := 0
 	for _, b := range w.backends {
@@ -248,7 +250,7 @@
 	}
 }
 
-// applyOwnership follows an owner's applyOwnership: a new table from the disk, or none.
+// applyOwnership makes a new table from the records on disk, or discards the table.
 func (w *simulation) applyOwnership(i int, turn OwnershipChange) {
 	switch turn {
 	case LeaseLost:
@@ -283,8 +285,8 @@
 	})
 }
 
-// handOver lets the leases run out and gives the group to one dispatcher; messages stay on their way, and the
-// other, stalled, does not know.
+// handOver lets the leases expire and gives the group to one dispatcher. Messages stay on their way, and the other
+// dispatcher, which is stalled, does not know of the change.
 func (w *simulation) handOver(i int) {
 	w.now += w.lease.Duration + 1
 	o := w.owner[i]
@@ -294,7 +296,7 @@
 	}
 }
 
-// stopOne is a backend that ends a slice by itself.
+// stopOne lets a backend stop a slice by its own decision.
 func (w *simulation) stopOne(b *simBackend) {
 	for _, h := range sortedSlices(b)[:min(1, len(b.slices))] {
 		delete(b.slices, h.PlacementID)
@@ -351,7 +353,7 @@
 	}
 }
 
-// checkInvariants recounts a table from its slices.
+// checkInvariants recomputes a table's totals from its slices and checks the queue.
 func (t *Table) checkInvariants() error {
 	for _, v := range t.order {
 		var used Amount
@@ -361,15 +363,15 @@
 			tenants[s.demand.Tenant]++
 		}
 		if used != v.used || len(tenants) != len(v.tenants) {
-			return fmt.Errorf("%s counts %v of %v", v.Name, v.used, used)
+			return fmt.Errorf("%s has %v allocated, its slices add up to %v", v.Name, v.used, used)
 		}
 		if v.reservedFor != nil && (v.reservedFor.reserved != v || !v.reservedFor.queued) {
-			return fmt.Errorf("%s is kept for what does not wait", v.Name)
+			return fmt.Errorf("%s is reserved for a demand that is not waiting", v.Name)
 		}
 	}
 	for id, s := range t.placed {
 		if s.demand.ID != id || s.device.find(id, s.placementID) != s || t.waitingByID[id] != nil {
-			return fmt.Errorf("%s sits nowhere, or waits too", id)
+			return fmt.Errorf("%s is placed on no device, or is placed and waits", id)
 		}
 	}
 	for i, w := range t.waiting {
@@ -378,11 +380,11 @@
 		}
 		for _, v := range t.order {
 			if _, why := t.fits(v, &w.demand, w); why == "" && t.unreportedDevices == 0 {
-				return fmt.Errorf("%s waits although %s has room", w.demand.ID, v.Name)
+				return fmt.Errorf("%s waits although %s can take it", w.demand.ID, v.Name)
 			}
 		}
 		if w.passedOver > t.limits.MaxPassedOver+w.starvedBefore {
-			return fmt.Errorf("%s was passed %d times, %d ahead", w.demand.ID, w.passedOver, w.starvedBefore)
+			return fmt.Errorf("%s was passed over %d times, %d starved before it", w.demand.ID, w.passedOver, w.starvedBefore)
 		}
 	}
 	return nil
--- a/internal/fleet/slices/slices_test.go
+++ b/internal/fleet/slices/slices_test.go
@@ -12,9 +12,9 @@
 	"pgregory.net/rapid"
 )
 
-// setSchedules sets rapid's count: SLICES_SCHEDULES, or few.
-func setSchedules(t *testing.T, few string) {
-	n := few
+// setSchedules sets the number of runs of rapid.Check: SLICES_SCHEDULES, or byDefault.
+func setSchedules(t *testing.T, byDefault string) {
+	n := byDefault
 	if env := os.Getenv("SLICES_SCHEDULES"); env != "" {
 		n = env
 	}
@@ -32,8 +32,9 @@
 		Priority:  rapid.IntRange(0, 2).Draw(t, "priority")}
 }
 
-// Whatever is lost, doubled, late, stalled, restarted or broken: nothing oversold, no isolation breached, no id
-// twice; and when the faults end every demand has an end and no device holds what nobody needs.
+// TestTableUnderFaults runs tables and backends while messages are lost, duplicated or delayed, owners stall or
+// restart, and devices fail. No device may be oversold, no isolation violated, no id placed twice. After the faults
+// end, every demand must come to an end and no device may hold a slice that nobody needs.
 func TestTableUnderFaults(t *testing.T) {
 	setSchedules(t, "250")
 	rapid.Check(t, func(t *rapid.T) {
@@ -62,10 +63,10 @@
 				w.askLease(rapid.IntRange(0, 1).Draw(t, "asks"))
 			case 9:
 				w.tick(time.Duration(rapid.IntRange(1, 25).Draw(t, "time")))
-			case 10: // a dispatcher dies, and is started again with its disk
+			case 10: // a dispatcher dies and is started again with its records on disk
 				i := rapid.IntRange(0, 1).Draw(t, "dies")
 				w.owner[i], w.table[i] = NewOwner(w.lease), nil
-			case 11: // a device fails; with chance its slices are gone
+			case 11: // a device fails, and may lose its slices
 				if rapid.IntRange(0, 3).Draw(t, "truly") == 0 {
 					w.failDevice(some(), rapid.Bool().Draw(t, "loses"))
 				}
@@ -117,7 +118,7 @@
 	}
 }
 
-// checkConvergence ends the faults and asks that all comes to an end.
+// checkConvergence ends the faults and checks that every demand comes to an end.
 func (w *simulation) checkConvergence(t *rapid.T, n int) {
 	w.reliable = true
 	for _, name := range w.names {
@@ -134,21 +135,21 @@
 	for range 60 {
 		round()
 	}
-	clear(w.lastActions) // what was heard before does not count
+	clear(w.lastActions) // earlier messages do not count
 	for i := 1; i <= n; i++ {
 		w.ask(fmt.Sprint("r", i))
 	}
-	for range 120 { // waits end as lifetimes do
+	for range 120 { // demands wait no longer than the lifetimes of others
 		round()
 	}
 	for i := 1; i <= n; i++ {
 		id := fmt.Sprint("r", i)
-		a, heard := w.lastActions[id]
-		if !heard && !w.released[id] {
-			t.Fatalf("the demander of %s heard nothing", id)
+		a, found := w.lastActions[id]
+		if !found && !w.released[id] {
+			t.Fatalf("the requester of %s got no message", id)
 		}
 		if tab := w.table[0]; a.Kind == Pending && tab.waitingByID[id] == nil && tab.placed[id] == nil {
-			t.Fatalf("%s was lost: told to wait, and the table does not know it", id)
+			t.Fatalf("%s was lost: the requester was told to wait, and the table does not know the id", id)
 		}
 		w.release(id)
 	}
@@ -167,7 +168,7 @@
 
 var testLimits = Limits{MaxTenants: 4, MaxSlices: 8, MaxWaiting: 10, MaxPassedOver: 3, MaxLifetime: time.Hour, RetainEnded: time.Hour, MaxKnownIDs: 1000}
 
-// readyTable makes a table of devices that have all stated that they hold nothing.
+// readyTable makes a table whose devices have all reported that they hold no slice.
 func readyTable(l Limits, c Strategy, mix []TypicalDemand, ds ...Device) *Table {
 	t := New(l, c, mix)
 	for _, d := range ds {
@@ -217,13 +218,13 @@
 	tab := readyTable(testLimits, BestFit, nil, testDevice("d"))
 	b := lastAction(t, tab.Submit(0, testDemand("x", 600, 100)))
 	require.Equal(t, Start, b.Kind)
-	assert.Equal(t, Pending, lastAction(t, tab.Submit(0, testDemand("x", 600, 100))).Kind, "asked again")
+	assert.Equal(t, Pending, lastAction(t, tab.Submit(0, testDemand("x", 600, 100))).Kind, "submitted again")
 	tab.HandleStarted(0, "d", "x", b.PlacementID)
 	assert.Equal(t, Placed, lastAction(t, tab.Submit(0, testDemand("x", 600, 100))).Kind)
 	assert.Equal(t, Pending, lastAction(t, tab.Submit(0, testDemand("y", 600, 100))).Kind)
 	tab.Release(0, "x")
 	assert.Contains(t, tab.Unconfirmed(), Action{Kind: Stop, ID: "x", Device: "d", PlacementID: b.PlacementID, Token: FencingToken{1, 1}})
-	assert.Len(t, tab.waiting, 1, "the end is not confirmed")
+	assert.Len(t, tab.waiting, 1, "the stop is not confirmed")
 	assert.Equal(t, Ended, lastAction(t, tab.Submit(0, testDemand("x", 600, 100))).Kind)
 	out := tab.HandleStopped(0, "d", "x", b.PlacementID)
 	assert.Equal(t, "y", lastAction(t, out).ID)
@@ -256,7 +257,9 @@
 	assert.Equal(t, Start, lastAction(t, tab.SetLimits(0, testLimits)).Kind, "raised again: x is placed")
 }
 
-// Small demands come without end beside a large one: it is passed at most P+R times and placed in L+C after that.
+// TestPassedOverIsBounded submits small demands without end beside large ones. A demand is passed over at most P+R
+// times (P: MaxPassedOver, R: demands that had starved before it). Once starved it is placed within (R+1)*(L+C)
+// (L: longest lifetime, C: time until a stop is confirmed).
 func TestPassedOverIsBounded(t *testing.T) {
 	setSchedules(t, "30")
 	rapid.Check(t, func(t *rapid.T) {
@@ -268,7 +271,7 @@
 		}
 		tab := readyTable(l, Pattern, mixes["photos"], ds...)
 		passed, asked, starvedAt := map[string]int{}, map[string]int{}, map[string]time.Duration{}
-		ahead := map[string]int{}
+		starvedBefore := map[string]int{}
 		n := 0
 		const confirm = 3
 		for now := time.Duration(0); now < 400; now++ {
@@ -293,23 +296,23 @@
 				if a.Kind != Start {
 					continue
 				}
-				if at, is := starvedAt[a.ID]; is {
-					if most := time.Duration(ahead[a.ID]+1) * (50 + confirm); now-at > most {
-						t.Fatalf("%s was placed %v after it starved, bound %v", a.ID, now-at, most)
+				if at, starved := starvedAt[a.ID]; starved {
+					if bound := time.Duration(starvedBefore[a.ID]+1) * (50 + confirm); now-at > bound {
+						t.Fatalf("%s was placed %v after it starved, the bound is %v", a.ID, now-at, bound)
 					}
 				}
-				for _, w := range tab.waiting { // all that still wait, whatever the table counted
+				for _, w := range tab.waiting { // counted here for all that still wait, independent of the table's count
 					if asked[w.demand.ID] < asked[a.ID] {
 						passed[w.demand.ID]++
 					}
 				}
 			}
 			for _, w := range tab.waiting {
-				if _, is := starvedAt[w.demand.ID]; w.starved && !is {
-					starvedAt[w.demand.ID], ahead[w.demand.ID] = now, w.starvedBefore
+				if _, recorded := starvedAt[w.demand.ID]; w.starved && !recorded {
+					starvedAt[w.demand.ID], starvedBefore[w.demand.ID] = now, w.starvedBefore
 				}
 				if p := passed[w.demand.ID]; w.reserved == nil && p > l.MaxPassedOver+w.starvedBefore {
-					t.Fatalf("%s was passed %d times, bound %d+%d", w.demand.ID, p, l.MaxPassedOver, w.starvedBefore)
+					t.Fatalf("%s was passed over %d times, the bound is %d+%d", w.demand.ID, p, l.MaxPassedOver, w.starvedBefore)
 				}
 			}
 			if err := tab.checkInvariants(); err != nil {
--- a/internal/fleet/slices/strategy.go
+++ b/internal/fleet/slices/strategy.go
@@ -2,67 +2,69 @@
 
 import "math"
 
-// Strategy is how a device is chosen among those that fit; docs/design/slices.md has them measured.
+// Strategy says how a device is chosen among those that fit. docs/design/slices.md has measurements of each.
 type Strategy uint8
 
-// The choices.
+// The strategies.
 const (
-	FirstFit   Strategy = iota // the first device, in the order in which they came
-	BestFit                    // the fewest parts left
-	DotProduct                 // the demand that points most as the room does (cosine)
-	Gradient                   // the unusable remainder for the typical mix grows least
-	Pattern                    // what no combination of the typical mix can use grows least, then as Gradient
+	FirstFit   Strategy = iota // the first device, in the order in which they were acquired
+	BestFit                    // fewest processor parts left
+	DotProduct                 // the demand's ratio of resources closest to that of the free amount (cosine)
+	Gradient                   // smallest growth of the remainder that the typical mix cannot use
+	Pattern                    // smallest growth of what no combination of the typical mix can use, then as Gradient
 )
 
-// gradientWeight is how much of Gradient's score counts beside Pattern's own; above 0.3 the figures get worse.
+// gradientWeight is the weight of Gradient's score within Pattern's. Above 0.3 placement gets worse.
 const gradientWeight = 0.1
 
-// TypicalDemand is one kind of demand in the mix that the fleet expects, and how often it comes (any unit).
+// TypicalDemand is one kind of demand in the mix that the fleet expects. Weight is its relative frequency, in
+// any unit.
 type TypicalDemand struct {
 	Demand Demand
 	Weight float64
 }
 
-// chooseDevice is the device for a newcomer, nil if none has room.
+// chooseDevice returns the device on which to place a new demand, or nil if no device can take it.
 func (t *Table) chooseDevice(d *Demand) (*device, Amount) {
 	if t.strategy == FirstFit {
 		for _, v := range t.order {
-			if a, why := t.fits(v, d, nil); why == "" {
+			if a, reason := t.fits(v, d, nil); reason == "" {
 				return v, a
 			}
 		}
 		return nil, Amount{}
 	}
 	t.wasteEvaluations = MaxWasteEvaluations
-	charges := t.allocations[:0]
+	allocations := t.allocations[:0]
 	for i := range t.classes {
-		a, why := t.classes[i].allocation(d)
-		if why != "" {
+		a, reason := t.classes[i].allocation(d)
+		if reason != "" {
 			a.Parts = -1
 		}
-		charges = append(charges, a)
+		allocations = append(allocations, a)
 	}
-	t.allocations = charges
-	best, score := t.searchIndex(t.openIndex, d, charges, nil, math.Inf(1))
+	t.allocations = allocations
+	best, score := t.searchIndex(t.openIndex, d, allocations, nil, math.Inf(1))
 	if x := t.tenantIndexes[d.Tenant]; x != nil {
-		best, _ = t.searchIndex(x, d, charges, best, score)
+		best, _ = t.searchIndex(x, d, allocations, best, score)
 	}
 	if best == nil {
 		return nil, Amount{}
 	}
 	v := best.devices[len(best.devices)-1]
-	a, why := t.fits(v, d, nil)
-	if why != "" { // the index and the rules do not agree: the rules hold, and the demand waits
+	a, reason := t.fits(v, d, nil)
+	if reason != "" { // the index contradicts the placement rules: the rules take precedence, and the demand waits
 		return nil, Amount{}
 	}
 	return v, a
 }
 
-// searchIndex looks through one index; best is what another has found, with its score.
-func (t *Table) searchIndex(x *index, d *Demand, charges []Amount, best *bucket, lowest float64) (*bucket, float64) {
+// searchIndex searches one index for the bucket with the lowest score. best and lowest are the result of an
+// earlier search.
+func (t *Table) searchIndex(x *index, d *Demand, allocations []Amount, best *bucket, lowest float64) (*bucket, float64) {
 	for i := range x.list {
 		b := &x.list[i]
-		a := charges[b.class]
+		a := allocations[b.class]
 		if a.Parts < 0 || !b.free.contains(a) || d.Isolation == Exclusive && !b.empty {
 			continue
 		}
@@ -76,7 +78,7 @@
 	return best, lowest
 }
 
-// score is lower for the better device. What is found not to be below limit is not worked out any further.
+// score rates a placement; lower is better. It stops early and returns limit once the score cannot be below it.
 func (t *Table) score(b *candidate, a Amount, limit float64) float64 {
 	c := &t.classes[b.class]
 	left := b.free.minus(a)
@@ -102,8 +104,8 @@
 	}
 }
 
-// unusable is the part of a device's room (0 to 1) that the typical mix is expected not to be able to
-// use: for each kind of demand that does not fit, all of the room.
+// unusable returns the expected part of a device (0 to 1) that is free but that the typical mix cannot use: for
+// each kind of demand that does not fit, all of the free amount counts as unusable.
 func (t *Table) unusable(c *class, free Amount, empty bool) float64 {
 	if free.Parts <= 0 || free.Memory <= 0 {
 		return float64(max(free.Parts, 0)) / float64(c.size.Parts)
@@ -123,7 +125,7 @@
 	return sum / all * float64(free.Parts) / float64(c.size.Parts)
 }
 
-// Unusable is the expected unusable remainder over all devices that are ready, and their number: in devices.
+// Unusable returns the expected unusable remainder of all ready devices, in devices, and the number of ready devices.
 func (t *Table) Unusable() (sum float64, devices int) {
 	for _, v := range t.order {
 		if v.ready {
@@ -134,15 +136,15 @@
 	return sum, devices
 }
 
-// MaxWasteEvaluations bounds the rooms whose waste is worked out for one demand, against a mix of very small demands: above
-// it a room's waste is taken for what the combinations tried so far leave.
+// MaxWasteEvaluations bounds the free amounts whose waste is worked out for one demand, as a mix of very small demands
+// has too many combinations. Beyond it the waste is taken from the combinations tried so far.
 const MaxWasteEvaluations = 4096
 
-// MaxCachedWastes bounds the rooms whose waste is remembered, for each class; above it they are begun anew.
+// MaxCachedWastes bounds the cached results of leastWaste for each class. A full cache is cleared.
 const MaxCachedWastes = 1 << 16
 
-// leastWaste is the least part of a device's room (0 to 1, of both dimensions' mean) that is left over by any
-// combination of the typical mix.
+// leastWaste returns the smallest part of a device (0 to 1, the mean of both resources) that any combination of
+// the typical mix leaves unused in the free amount.
 func (t *Table) leastWaste(c *class, free Amount) float64 {
 	if free.Parts <= 0 || free.Memory <= 0 {
 		return (float64(max(free.Parts, 0))/float64(c.size.Parts) + float64(max(free.Memory, 0))/float64(c.size.Memory)) / 2
@@ -160,7 +162,7 @@
 		}
 	}
 	if t.wasteEvaluations <= 0 {
-		return best // not remembered: it may be too high
+		return best // not cached: it may be too high
 	}
 	if len(c.wasteCache) >= MaxCachedWastes {
 		clear(c.wasteCache)
--- a/internal/fleet/slices/table.go
+++ b/internal/fleet/slices/table.go
@@ -9,18 +9,19 @@
 type stage uint8
 
 const (
-	starting stage = iota // counted, Begin sent, not confirmed
-	running               // confirmed
-	stopping              // Finish sent, counted until confirmed
+	starting stage = iota // allocated; Start was sent and is not confirmed
+	running               // confirmed by the backend
+	stopping              // Stop was sent; allocated until the backend confirms it
 )
 
-// slice is one placement. Its amount counts from the decision to the confirmed end.
+// slice is one placement of a demand. Its amount is allocated on the device from the decision until the backend
+// has confirmed that the slice has stopped.
 type slice struct {
 	demand      Demand
 	device      *device
 	amount      Amount
 	placementID uint64
-	submitSeq   uint64 // of its ask: it goes back to its place in the queue if the backend does not begin it
+	submitSeq   uint64 // order of submission: its place in the queue if the backend does not start it
 	stage       stage
 	expiresAt   time.Duration // end of its lifetime
 }
@@ -34,32 +35,32 @@
 	Device
 	class          int
 	token          FencingToken
-	leased         bool // under a lease of ours
-	awaitingState  bool // a statement is awaited
-	unreported     bool // the first of its term
+	leased         bool // under a lease of this dispatcher
+	awaitingState  bool // QueryState was sent and is not answered
+	unreported     bool // has not reported its state in this term
 	failed         bool
-	ready          bool // owned, not failed, stated: the only state in which it takes something new
+	ready          bool // leased, not failed, state reported: only then can it take new slices
 	used           Amount
 	slices         []*slice
 	tenants        []tenantSlices
-	reservedFor    *waitingDemand
-	indexEntries   []indexEntry // places in the index
-	queuedForRetry bool         // has got room since those that wait were tried on it
+	reservedFor    *waitingDemand // the only demand that may be placed here; nil: any
+	indexEntries   []indexEntry   // its positions in the indexes
+	queuedForRetry bool           // in Table.retryQueue: waiting demands are to be tried on it
 }
 
 func (v *device) free(t *Table) Amount { return t.classes[v.class].size.minus(v.used) }
 
-func (v *device) find(id string, try uint64) *slice {
+func (v *device) find(id string, placementID uint64) *slice {
 	for _, s := range v.slices {
-		if s.demand.ID == id && s.placementID == try {
+		if s.demand.ID == id && s.placementID == placementID {
 			return s
 		}
 	}
 	return nil
 }
 
-// Table is the devices of one group, which have one owner dispatcher at a time, what sits on them and what waits
-// for them. An owner whose lease is over throws it away.
+// Table holds the devices of one group, the slices on them and the demands that wait for them. A group has one
+// owner at a time, a dispatcher with a lease; an owner whose lease has ended discards its table.
 type Table struct {
 	limits            Limits
 	strategy          Strategy
@@ -67,21 +68,21 @@
 	classes           []class
 	classSizes        []int // devices of each class
 	devices           map[string]*device
-	order             []*device         // as they came
-	placed            map[string]*slice // by id, also those that are ending
+	order             []*device         // in the order in which they were acquired
+	placed            map[string]*slice // by id, including those that are stopping
 	waiting           []*waitingDemand  // by priority and age
 	waitingByID       map[string]*waitingDemand
-	starved           []*waitingDemand // in the order in which they starved
-	ended             map[string]time.Duration
-	endedOrder        []endedID // the same, oldest first
+	starved           []*waitingDemand         // demands with a right to a reserved device, in the order in which they starved
+	ended             map[string]time.Duration // time at which each id ended
+	endedOrder        []endedID                // the ids of ended, oldest first
 	lastSeq           uint64
-	placementCount    uint64 // with the term they tell placements apart, also those of several owners
+	placementCount    uint64 // placement ids are made of the term and this count, so they are unique across owners
 	openIndex         *index
-	tenantIndexes     map[string]*index // by tenant: devices that only it may still use
+	tenantIndexes     map[string]*index // by tenant: devices that this tenant may still use and new tenants may not, or that it has alone
 	retryQueue        []*device
-	allocations       []Amount // scratch of choose
-	wasteEvaluations  int      // rooms that waste may still work out
-	unreportedDevices int      // devices of which an earlier owner may have placed what is not known yet
+	allocations       []Amount // scratch buffer of chooseDevice
+	wasteEvaluations  int      // calls of leastWaste left for the current demand
+	unreportedDevices int      // devices that may hold slices of an earlier owner that are not known yet
 	actions           []Action
 }
 
@@ -90,16 +91,17 @@
 	endedAt time.Duration
 }
 
-// New makes an empty table. mix is the typical demand of the fleet, by which Gradient and Pattern judge what is left.
-func New(limits Limits, choice Strategy, mix []TypicalDemand) *Table {
-	return &Table{limits: limits, strategy: choice, mix: sorted.Clone(mix), devices: map[string]*device{},
+// New makes an empty table. mix is the typical demand of the fleet; Gradient and Pattern rate the free part of a
+// device by it.
+func New(limits Limits, strategy Strategy, mix []TypicalDemand) *Table {
+	return &Table{limits: limits, strategy: strategy, mix: sorted.Clone(mix), devices: map[string]*device{},
 		placed: map[string]*slice{}, waitingByID: map[string]*waitingDemand{}, ended: map[string]time.Duration{},
 		tenantIndexes: map[string]*index{}, openIndex: newIndex()}
 }
 
 func (t *Table) emit(a Action) { t.actions = append(t.actions, a) }
 
-// flush settles what has changed and hands out the actions; they are the caller's.
+// flush places waiting demands where devices have capacity again, and returns the pending actions.
 func (t *Table) flush(now time.Duration) []Action {
 	t.placeWaiting(now)
 	out := t.actions
@@ -107,7 +109,8 @@
 	return out
 }
 
-// Submit is a demand, or the same asked again: an id is placed at most once while it is remembered.
+// Submit handles a demand. A repeated submission of an id returns its current state: an id is placed at most once
+// while it is remembered.
 func (t *Table) Submit(now time.Duration, d Demand) []Action {
 	t.forgetEnded(now)
 	if s := t.placed[d.ID]; s != nil {
@@ -121,7 +124,7 @@
 		}
 		return t.flush(now)
 	}
-	if _, over := t.ended[d.ID]; over {
+	if _, ended := t.ended[d.ID]; ended {
 		t.emit(Action{Kind: Ended, ID: d.ID})
 		return t.flush(now)
 	}
@@ -129,8 +132,8 @@
 		t.emit(Action{Kind: Pending, ID: d.ID, Reason: w.reason})
 		return t.flush(now)
 	}
-	if why := t.whyImpossible(&d); why != "" {
-		t.emit(Action{Kind: Refused, ID: d.ID, Reason: why})
+	if reason := t.whyImpossible(&d); reason != "" {
+		t.emit(Action{Kind: Refused, ID: d.ID, Reason: reason})
 		return t.flush(now)
 	}
 	if len(t.ended)+len(t.placed)+len(t.waiting) >= t.limits.MaxKnownIDs {
@@ -154,18 +157,18 @@
 	return t.flush(now)
 }
 
-// SubmitAll is what came together: by priority, and among equals the largest first, which packs better than the
-// order of coming (docs/design/slices.md). ds is put in that order.
+// SubmitAll handles demands that arrived together: by priority, and within a priority the largest first, which
+// packs better than the order of arrival (docs/design/slices.md). It sorts ds in place.
 func (t *Table) SubmitAll(now time.Duration, ds []Demand) (out []Action) {
-	of := Amount{}
+	largest := Amount{}
 	for _, v := range t.order {
-		of = of.max(v.Size)
+		largest = largest.max(v.Size)
 	}
 	sorted.SortStableFunc(ds, func(a, b Demand) int {
 		if a.Priority != b.Priority {
 			return b.Priority - a.Priority
 		}
-		return cmp.Compare(relativeSize(b.Size, of), relativeSize(a.Size, of))
+		return cmp.Compare(relativeSize(b.Size, largest), relativeSize(a.Size, largest))
 	})
 	for _, d := range ds {
 		out = append(out, t.Submit(now, d)...)
@@ -173,18 +176,18 @@
 	return out
 }
 
-// place counts a demand on a device. Callers have asked fits.
+// place allocates a demand on a device. The caller has checked that it fits.
 func (t *Table) place(now time.Duration, w *waitingDemand, v *device, a Amount) {
 	t.dequeue(w)
 	t.placementCount++
-	s := &slice{demand: w.demand, device: v, amount: a, placementID: v.token.Term<<32 | t.placementCount, submitSeq: w.submitSeq, stage: starting, expiresAt: now + w.demand.Lifetime}
+	s := &slice{demand: w.demand, device: v, amount: a, placementID: v.token.Term<<32 | t.placementCount, submitSeq: w.submitSeq,
+		stage: starting, expiresAt: now + w.demand.Lifetime}
 	t.placed[w.demand.ID] = s
 	t.addSlice(s)
 	t.emit(Action{Kind: Start, ID: s.demand.ID, Device: v.Name, PlacementID: s.placementID, Token: v.token, Demand: s.demand, Amount: a})
 	t.countPassedOver(w, v)
 }
 
-// addSlice adds a slice to its device.
 func (t *Table) addSlice(s *slice) {
 	v := s.device
 	v.slices = append(v.slices, s)
@@ -197,7 +200,7 @@
 	t.reindex(v)
 }
 
-// removeSlice takes a slice off its device: only what the backend has said may lead here.
+// removeSlice frees a slice's part of its device. It may only follow from an answer of the backend.
 func (t *Table) removeSlice(s *slice) {
 	v := s.device
 	i := sorted.Index(v.slices, s)
@@ -223,8 +226,8 @@
 	return -1
 }
 
-// Release is the demander's word that it needs its slice no more; also of an id that is not known yet,
-// so that an ask which the release has overtaken places nothing.
+// Release handles a requester's message that it no longer needs its slice. An unknown id is remembered as ended,
+// so that a submission which the release has overtaken places nothing.
 func (t *Table) Release(now time.Duration, id string) []Action {
 	t.forgetEnded(now)
 	if s := t.placed[id]; s != nil {
@@ -250,22 +253,24 @@
 	t.emit(Action{Kind: Stop, ID: s.demand.ID, Device: s.device.Name, PlacementID: s.placementID, Token: s.device.token})
 }
 
-// HandleStarted is a backend's word that it has begun a slice. One that was ended meanwhile is told so again.
-func (t *Table) HandleStarted(now time.Duration, name, id string, try uint64) []Action {
+// HandleStarted handles a backend's confirmation that it has started a slice. It changes nothing if the slice has
+// been stopped meanwhile: Unconfirmed repeats the Stop.
+func (t *Table) HandleStarted(now time.Duration, name, id string, placementID uint64) []Action {
 	if v := t.devices[name]; v != nil {
-		if s := v.find(id, try); s != nil && s.stage == starting {
+		if s := v.find(id, placementID); s != nil && s.stage == starting {
 			s.stage = running
-			t.emit(Action{Kind: Placed, ID: id, Device: name, PlacementID: try, Token: v.token, Amount: s.amount})
+			t.emit(Action{Kind: Placed, ID: id, Device: name, PlacementID: placementID, Token: v.token, Amount: s.amount})
 		}
 	}
 	return t.flush(now)
 }
 
-// HandleNotStarted is a backend's word that it did not and will not begin this try. The demand goes back to its place in
-// the queue; the device takes nothing until it has stated what it holds, since the two do not agree.
-func (t *Table) HandleNotStarted(now time.Duration, name, id string, try uint64) []Action {
+// HandleNotStarted handles a backend's message that it did not start this placement and never will. The demand goes
+// back to its place in the queue. The table and the backend disagree, so the device takes no new slices until it
+// has reported its state.
+func (t *Table) HandleNotStarted(now time.Duration, name, id string, placementID uint64) []Action {
 	if v := t.devices[name]; v != nil {
-		if s := v.find(id, try); s != nil && s.stage == starting {
+		if s := v.find(id, placementID); s != nil && s.stage == starting {
 			t.removeSlice(s)
 			t.requestState(v)
 			if t.whyImpossible(&s.demand) == "" {
@@ -276,7 +281,7 @@
 						t.place(now, w, o, a)
 					}
 				}
-				if w.queued { // nothing was said of it yet: its demander would hear no word for as long as it waits
+				if w.queued { // otherwise the requester would not be notified while the demand waits
 					t.emit(Action{Kind: Pending, ID: id, Reason: w.reason})
 				}
 			} else {
@@ -287,18 +292,18 @@
 	return t.flush(now)
 }
 
-// HandleStopped is a backend's word that it holds this try no more and never will. One that ended by itself
-// (the backend's own decision) is lost.
-func (t *Table) HandleStopped(now time.Duration, name, id string, try uint64) []Action {
+// HandleStopped handles a backend's message that it no longer holds this placement and never will again. A slice
+// that the backend stopped by its own decision is lost.
+func (t *Table) HandleStopped(now time.Duration, name, id string, placementID uint64) []Action {
 	if v := t.devices[name]; v != nil {
-		if s := v.find(id, try); s != nil {
+		if s := v.find(id, placementID); s != nil {
 			if s.stage == stopping {
 				if t.placed[id] == s {
 					t.emit(Action{Kind: Ended, ID: id})
 				}
 			} else if t.placed[id] == s {
 				t.markEnded(now, id)
-				t.emit(Action{Kind: Lost, ID: id, Device: name, PlacementID: try})
+				t.emit(Action{Kind: Lost, ID: id, Device: name, PlacementID: placementID})
 			}
 			t.removeSlice(s)
 		}
@@ -306,7 +311,7 @@
 	return t.flush(now)
 }
 
-// StopExpired ends what has outlived its lifetime. To be called about once a second.
+// StopExpired stops the slices whose lifetime is over. Call it about once a second.
 func (t *Table) StopExpired(now time.Duration) []Action {
 	t.forgetEnded(now)
 	for _, v := range t.order {
@@ -319,7 +324,7 @@
 	return t.flush(now)
 }
 
-// Unconfirmed repeats each Begin, Finish and State that no backend has answered yet.
+// Unconfirmed returns each Start, Stop and QueryState that no backend has answered yet, to be sent again.
 func (t *Table) Unconfirmed() (out []Action) {
 	for _, v := range t.order {
 		if v.awaitingState {
@@ -341,7 +346,7 @@
 	return out
 }
 
-// RestoreEnded takes up an id that is on disk as ended.
+// RestoreEnded marks an id as ended that the durable records have as ended.
 func (t *Table) RestoreEnded(now time.Duration, id string) { t.markEnded(now, id) }
 
 func (t *Table) markEnded(now time.Duration, id string) {
@@ -360,8 +365,8 @@
 	t.endedOrder = sorted.Delete(t.endedOrder, 0, n)
 }
 
-// SetLimits takes up the limits of a policy. Nothing that sits is ended by it; what waits and can never be
-// held under them is refused.
+// SetLimits applies the limits of a policy. It stops no slice; it refuses waiting demands that no device can
+// hold under the new limits.
 func (t *Table) SetLimits(now time.Duration, l Limits) []Action {
 	t.limits = l
 	for i := range t.classes {
@@ -381,11 +386,12 @@
 	return t.flush(now)
 }
 
+// refuseImpossible refuses the waiting demands that no device could hold even when empty.
 func (t *Table) refuseImpossible() {
 	for _, w := range sorted.Clone(t.waiting) {
-		if why := t.whyImpossible(&w.demand); why != "" {
+		if reason := t.whyImpossible(&w.demand); reason != "" {
 			t.dequeue(w)
-			t.emit(Action{Kind: Refused, ID: w.demand.ID, Reason: why})
+			t.emit(Action{Kind: Refused, ID: w.demand.ID, Reason: reason})
 		}
 	}
 }
@@ -393,8 +399,8 @@
 func (t *Table) classOf(d Device) class {
 	c := class{size: Amount{d.Size.Parts, d.Size.Memory - t.limits.ReservedMemory}, zone: d.Zone, profiles: d.Profiles, wasteCache: map[Amount]float64{}}
 	for i := range t.mix {
-		a, why := c.allocation(&t.mix[i].Demand)
-		if why != "" {
+		a, reason := c.allocation(&t.mix[i].Demand)
+		if reason != "" {
 			a = Amount{}
 		}
 		c.typicalAmounts = append(c.typicalAmounts, a)
