--- a/cmd/tinsail/accord.go
+++ b/cmd/tinsail/accord.go
@@ -15,15 +15,16 @@
 	"tinsail/internal/settings"
 )
 
-// accordLeaseConfig is the plan of leases that the settings declare.
+// accordLeaseConfig returns the lease times that the settings declare.
 func accordLeaseConfig(a *settings.Accord) leases.LeaseConfig {
 	return leases.LeaseConfig{Lease: millis(a.LeaseMS), Drift: a.Drift, ContinueWhenCut: a.ContinueWhenCut()}
 }
 
-// dispatcherName is what a dispatcher may be called: backends are told its name in a header.
+// dispatcherName matches the valid names of a dispatcher. The name is sent to backends in a header.
 var dispatcherName = regexp.MustCompile(`^[A-Za-z0-9_.-]{1,64}$`)
 
-// checkAccord finds what the calls allow and the schema cannot say. cfg and set may be nil.
+// checkAccord checks the accord and policy settings where the schema cannot: across calls and against the configuration.
+// cfg and set may be nil.
 func checkAccord(cfg *config.Config, set *settings.Settings) error {
 	if set == nil {
 		return nil
@@ -45,8 +46,8 @@
 		return settings.Faults{set.Fault("accord.voters", err.Error())}
 	}
 	if err := policyOf(set).Check(); err != nil {
-		key, says, _ := strings.Cut(err.Error(), " ") // each begins with its key
-		return settings.Faults{set.Fault(key, says)}
+		key, message, _ := strings.Cut(err.Error(), " ") // each error begins with its settings key
+		return settings.Faults{set.Fault(key, message)}
 	}
 	if err := checkPolicySize(set); err != nil {
 		return err
@@ -67,7 +68,8 @@
 
 func policyOf(set *settings.Settings) policy.Policy { return policy.Policy(*set.Policy) }
 
-// addAccord starts this dispatcher's part in the accord. Until a version is known to hold nothing is taken.
+// addAccord makes this dispatcher a participant of the accord, the fleet-wide agreement on one policy version. No request is
+// accepted until the version in force is known.
 func (d *dispatcher) addAccord(set *settings.Settings, from handoverData) error {
 	a := set.Accord
 	if a == nil {
@@ -82,19 +84,19 @@
 			return errors.New("accord: a voter is not taken over, its log has one process: end it and start it anew")
 		}
 	}
-	var lends func([]byte) (budget.Plan, bool)
+	var budgetPlan func([]byte) (budget.Plan, bool)
 	if d.budgets != nil && d.budgets.leaderShare != nil {
-		lends = func(body []byte) (budget.Plan, bool) {
+		budgetPlan = func(body []byte) (budget.Plan, bool) {
 			p, err := policy.Read(body)
 			return d.budgets.plan(d.cfg.Settings.Instances, &p), err == nil && p.Connections > 0
 		}
 	}
-	d.accord, err = accord.New(accord.Config{BudgetPlan: lends, Leases: accordLeaseConfig(a), Name: d.cfg.Name, Epoch: uint64(time.Now().UnixNano()), Voters: voters,
+	d.accord, err = accord.New(accord.Config{BudgetPlan: budgetPlan, Leases: accordLeaseConfig(a), Name: d.cfg.Name, Epoch: uint64(time.Now().UnixNano()), Voters: voters,
 		Listen: a.Listen, DataDir: a.Data, InitialPolicy: policyOf(set).Append(nil), CheckPolicy: d.checkPolicy, ApplyPolicy: d.applyPolicy, Log: d.log})
 	if err != nil {
 		return errors.Join(errors.New("accord"), err)
 	}
-	if lends != nil {
+	if budgetPlan != nil {
 		d.budgets.leaderShare.accord.Store(d.accord)
 	}
 	d.core.Versions = d.accord
@@ -102,7 +104,7 @@
 	return nil
 }
 
-// checkPolicy checks a policy of the fleet against this binary and configuration.
+// checkPolicy reports why this binary and configuration cannot apply a policy of the fleet.
 func (d *dispatcher) checkPolicy(body []byte) error {
 	p, err := policy.Read(body)
 	if err != nil {
@@ -123,7 +125,7 @@
 	return d.budgets.plan(d.cfg.Settings.Instances, &p).Check()
 }
 
-// applyPolicy puts a version of the fleet's policy in force. No req is taken before it returns.
+// applyPolicy puts a version of the fleet's policy in force. No request is accepted before it returns.
 func (d *dispatcher) applyPolicy(_ uint64, body []byte) error {
 	p, err := policy.Read(body)
 	if err != nil {
@@ -143,16 +145,16 @@
 	return d.budgets.applyPlan(d.cfg.Settings.Instances)
 }
 
-// reloadAccord proposes the script's policy where it has changed since it was last read, or where it is
-// what was proposed here last and withdrawn. Any other difference from the version in force is old
-// text in one dispatcher's file, and no wish of the operators.
+// reloadAccord proposes the script's policy if it has changed since the script was last read, or if it is the policy that this
+// dispatcher proposed last and that was withdrawn. Any other difference from the version in force is an outdated file on one
+// dispatcher, not a change that operators asked for.
 func (d *dispatcher) reloadAccord(old, next *settings.Settings) {
 	if d.accord == nil || old.Policy == nil || next.Policy == nil {
 		return
 	}
 	d.accord.RetryCheck()
-	was, body := policyOf(old).Append(nil), policyOf(next).Append(nil)
-	if bytes.Equal(was, body) && !bytes.Equal(body, d.accord.WithdrawnProposal()) {
+	oldBody, body := policyOf(old).Append(nil), policyOf(next).Append(nil)
+	if bytes.Equal(oldBody, body) && !bytes.Equal(body, d.accord.WithdrawnProposal()) {
 		return
 	}
 	if err := d.accord.Propose(body); err != nil {
--- a/cmd/tinsail/budgets.go
+++ b/cmd/tinsail/budgets.go
@@ -14,26 +14,26 @@
 	"tinsail/internal/settings"
 )
 
-// fleetBudgets are the fleet-wide budgets that the settings declare, as this dispatcher holds them.
+// fleetBudgets holds this dispatcher's part of the fleet-wide budgets that the settings declare.
 type fleetBudgets struct {
 	limiter     *budgets.Limiter
-	fixedShare  *budgets.FixedShare // nil where there is a keeper
+	fixedShare  *budgets.FixedShare // nil if there is a keeper
 	holder      *budgets.Holder     // nil without a keeper
-	keeper      *budgets.Keeper     // nil but at the keeper
-	leaderShare *leaderShare        // nil but where the accord's leader keeps the leases
+	keeper      *budgets.Keeper     // nil unless this dispatcher is the keeper
+	leaderShare *leaderShare        // nil unless the accord's leader grants the leases
 	share       budgets.Sharer
 	fleetSize   atomic.Int64                     // the fleet's size as this dispatcher estimates it
-	configured  atomic.Pointer[settings.Budgets] // as last read, with what waits for the next start as at this one
-	policy      atomic.Pointer[policy.Policy]    // the fleet's, where it sets the budgets; else nil
+	configured  atomic.Pointer[settings.Budgets] // as last read; keys that need a restart keep their values of the start
+	policy      atomic.Pointer[policy.Policy]    // the fleet's policy if it sets the budgets, else nil
 }
 
-// keeperIsLeader, as budgets.keeper, has the leader of the accord keep the leases.
+// keeperIsLeader is the value of budgets.keeper by which the accord's leader grants the leases.
 const keeperIsLeader = "leader"
 
-// leaderShare is the share that the accord's leader lends; 0 until a version is in force.
+// leaderShare is the share that the accord's leader grants; 0 until a version is in force.
 type leaderShare struct{ accord atomic.Pointer[accord.Accord] }
 
-// Share is what this dispatcher may spend now, in units a second.
+// Share returns what this dispatcher may spend now, in units per second.
 func (l *leaderShare) Share() int {
 	if a := l.accord.Load(); a != nil {
 		return a.BudgetShare()
@@ -41,24 +41,23 @@
 	return 0
 }
 
-// connectionsPlan is the plan of the budget of new connections that the settings declare, with
-// most taken from the configuration's count of instances where the settings leave it 0.
+// connectionsPlan returns the plan of the budget of new connections that the settings declare. If the settings leave the
+// maximal number of dispatchers at 0, it is the configuration's count of instances.
 func connectionsPlan(b *settings.Budgets, instances int) budget.Plan {
-	most := b.Most
-	if most == 0 {
-		most = instances
+	maxDispatchers := b.Most
+	if maxDispatchers == 0 {
+		maxDispatchers = instances
 	}
-	return budget.Plan{Name: "connections", Total: b.Connections, MaxDispatchers: most, ReserveShare: b.Reserve,
+	return budget.Plan{Name: "connections", Total: b.Connections, MaxDispatchers: maxDispatchers, ReserveShare: b.Reserve,
 		Lease: time.Duration(b.LeaseMs) * time.Millisecond, Drift: b.Drift}
 }
 
-// equalShare is the share of a plan without talk.
+// equalShare returns the share of a plan when dispatchers exchange no messages: the total divided by the fleet's estimated size.
 func equalShare(p budget.Plan, instances int) int {
 	return budget.Split(p.Total, budget.Estimate(instances, p.MaxDispatchers), 0)
 }
 
-// checkBudgets finds what the budgets' call allows and the schema cannot say: a keeper needs
-// its address, and an address its keeper.
+// checkBudgets checks the budget settings where the schema cannot: a keeper needs its address, and an address its keeper.
 func checkBudgets(set *settings.Settings) error {
 	if set == nil {
 		return nil
@@ -81,9 +80,9 @@
 	return nil
 }
 
-// addBudgets starts the budgets of the settings and gates the pool's new connections by the
-// share of this dispatcher. Without a keeper the share is the whole divided by the fleet's size
-// as the configuration tells it; with one, it is leased over UDP (docs/design/budget.md).
+// addBudgets starts the budgets of the settings and limits the pool's new connections to the share of this dispatcher. Without a
+// keeper the share is the total divided by the fleet's size as configured; with one, it is leased over UDP
+// (docs/design/budget.md).
 func (d *dispatcher) addBudgets(set *settings.Settings) error {
 	b := set.Budgets
 	if b == nil {
@@ -133,10 +132,10 @@
 	return nil
 }
 
-// reloadBudgets puts the budgets' changed totals, counts and reserves in force while shares are
-// held (docs/design/budget.md, "A changed plan"): a smaller share is spent from the next unit on;
-// a holder gives up a lease from the larger pool at once. Turning budgets on or off, and another
-// keeper, lease or drift, wait for the next start, as Settings.Change tells.
+// reloadBudgets puts changed totals, counts and reserves of the budgets in force while shares are leased
+// (docs/design/budget.md, "A changed plan"). A smaller share applies from the next unit on; a holder gives up a lease from the
+// larger pool at once. Turning budgets on or off, and another keeper, lease or drift, need a restart, as Settings.Change
+// reports.
 func (d *dispatcher) reloadBudgets(old, next *settings.Settings) error {
 	f := d.budgets
 	if f == nil || old.Budgets == nil || next.Budgets == nil {
@@ -151,7 +150,7 @@
 	return f.applyPlan(d.cfg.Settings.Instances)
 }
 
-// plan is the plan in force: the script's, or the fleet's policy's where that sets the budgets.
+// plan returns the plan in force: that of the settings script, or that of the policy p if p is not nil.
 func (f *fleetBudgets) plan(instances int, p *policy.Policy) budget.Plan {
 	b := *f.configured.Load()
 	if p != nil {
@@ -160,21 +159,21 @@
 	return connectionsPlan(&b, instances)
 }
 
-// applyPlan puts the plan in force while shares are held.
+// applyPlan puts the plan in force while shares are leased.
 func (f *fleetBudgets) applyPlan(instances int) error {
 	plan := f.plan(instances, f.policy.Load())
 	if err := plan.Check(); err != nil {
 		return err
 	}
 	f.fleetSize.Store(int64(budget.Estimate(instances, plan.MaxDispatchers)))
-	if f.leaderShare != nil { // it follows the version in force by itself
+	if f.leaderShare != nil { // the leader's shares follow the version in force by themselves
 		return nil
 	}
 	if f.fixedShare != nil {
 		f.fixedShare.Set(equalShare(plan, instances))
 		return nil
 	}
-	// the keeper first: a holder of this process that asks anew is answered from the new pool
+	// The keeper first: a holder of this process that requests a new lease then gets it from the new pool.
 	if f.keeper != nil {
 		if err := f.keeper.Replan(plan); err != nil {
 			return err
@@ -192,7 +191,7 @@
 	}
 }
 
-// each calls f for the budgets' counters.
+// each calls c for each counter of the budgets.
 func (f *fleetBudgets) each(c func(name string, n int64)) {
 	c("budget_connections_share", int64(f.share.Share()))
 	c("budget_connections_fleet", f.fleetSize.Load())
--- a/cmd/tinsail/commands.go
+++ b/cmd/tinsail/commands.go
@@ -49,10 +49,10 @@
 	return nil
 }
 
-// options are the flags that commands share.
+// options holds the flags that commands share.
 type options struct {
 	settingsPath, logLevel, logFormat string
-	countersEvery                     time.Duration // serve logs the counters this often; 0: only on SIGUSR1 and at the end
+	countersEvery                     time.Duration // interval at which serve logs the counters; 0: only on SIGUSR1 and at the end
 }
 
 func (o *options) addFlags(c *cobra.Command, withLog bool) {
--- a/cmd/tinsail/control.go
+++ b/cmd/tinsail/control.go
@@ -14,18 +14,18 @@
 	"tinsail/internal/door"
 )
 
-// callTimeout is how long a call of ours may take in all; the door owes its answer within a second.
+// callTimeout limits a whole call to the operators' control listener (the door), which answers within one second.
 const callTimeout = 3 * time.Second
 
-// callDoor makes one callDoor at a dispatcher's door. err is set if there was no answer.
-func callDoor(address string, c door.Call) (yes bool, says string, err error) {
+// callDoor makes one call to a dispatcher's operators' control listener. err is set if there was no answer.
+func callDoor(address string, c door.Call) (ok bool, message string, err error) {
 	method, path := c.MethodAndPath()
-	q, err := http.NewRequest(method, "http://"+address+path, nil)
+	req, err := http.NewRequest(method, "http://"+address+path, nil)
 	if err != nil {
 		return false, "", err
 	}
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	answer, err := client.Do(q)
+	answer, err := client.Do(req)
 	if err != nil {
 		return false, "", err
 	}
@@ -77,18 +77,18 @@
 				if _, _, err := net.SplitHostPort(at); err != nil {
 					return inputError{fmt.Errorf("--admin is %q, want the host:port of a dispatcher's door", at)}
 				}
-				what := door.Call{Operation: sub.op}
+				request := door.Call{Operation: sub.op}
 				if named {
-					what.Backend = args[0]
+					request.Backend = args[0]
 				}
-				yes, says, err := callDoor(at, what)
+				ok, message, err := callDoor(at, request)
 				switch {
 				case err != nil:
 					return inputError{fmt.Errorf("no answer: %w", err)}
-				case !yes:
-					return errors.New("no: " + says)
+				case !ok:
+					return errors.New("no: " + message)
 				}
-				fmt.Fprintln(c.OutOrStdout(), "yes: "+says)
+				fmt.Fprintln(c.OutOrStdout(), "yes: "+message)
 				return nil
 			}})
 	}
--- a/cmd/tinsail/demo.go
+++ b/cmd/tinsail/demo.go
@@ -74,14 +74,14 @@
 	return c
 }
 
-// demo is a dispatcher with all that is around it.
+// demo is a dispatcher with a director and backends of its own.
 type demo struct {
 	dispatcher *dispatcher
 	director   *platform.Director
 	backends   []*platform.Backend
 }
 
-// backendKind is the kind of the i-th backend; the first of each pair is the faster one.
+// backendKind returns the kind of the i-th backend. The first of each pair is the faster one.
 func backendKind(i int) string { return []string{"fast", "std"}[i%2] }
 
 func startDemo(log zerolog.Logger) (*demo, error) {
@@ -123,7 +123,7 @@
 	x.director.Close()
 }
 
-// frontClient is one way in, and what came back by it.
+// frontClient sends requests to one front (a listener with its protocol) and counts the answers.
 type frontClient struct {
 	name, address   string
 	client          *http.Client
@@ -143,7 +143,7 @@
 		latency: hdrhistogram.New(1, 60_000, 3)}
 }
 
-// send sends a req and returns its answer's status; a result that is not its own is an error.
+// send sends a request and returns the status of its answer. A result that belongs to another request is an error.
 func (f *frontClient) send(id string) (status int, err error) {
 	r, err := http.NewRequest("POST", "http://"+f.address+"/photo/"+id, bytes.NewReader(make([]byte, 512)))
 	if err != nil {
@@ -164,9 +164,9 @@
 	return answer.StatusCode, err
 }
 
-// sendAndCount sends a req and takes its answer down.
+// sendAndCount sends a request and counts its answer by status and latency.
 func (f *frontClient) sendAndCount(id string) error {
-	begun := time.Now()
+	startedAt := time.Now()
 	f.sent.Add(1)
 	status, err := f.send(id)
 	if err != nil {
@@ -182,17 +182,17 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.latency.RecordValue(max(time.Since(begun).Milliseconds(), 1))
+	return f.latency.RecordValue(max(time.Since(startedAt).Milliseconds(), 1))
 }
 
-// run sends n reqs over each front and prints a table of the answers.
+// run sends n requests over each front and prints tables of the answers and the backends.
 func (x *demo) run(out io.Writer, n int) error {
 	ready, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	for x.dispatcher.core.ReadyBackends() < len(x.backends) {
 		select {
 		case <-ready.Done():
-			return errors.New("the dispatcher has not heard of the backends")
+			return errors.New("the dispatcher received no list of ready backends within 10 s")
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
@@ -231,26 +231,26 @@
 	}
 }
 
-// showProgress prints how far things are, and has two backends go wrong halfway.
+// showProgress prints the progress until done is closed. Halfway it has one backend fail and another drain.
 func (x *demo) showProgress(out io.Writer, fronts []*frontClient, n int, done <-chan struct{}) {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	broken, shown := false, -1
+	faultsSet, shownQuarter := false, -1
 	for {
 		sum := int64(0)
 		for _, f := range fronts {
 			sum += f.sent.Load()
 		}
-		part := int(100 * sum / int64(n*len(fronts)))
-		if part/25 != shown {
-			shown = part / 25
-			fmt.Fprintf(out, "  %3d%% of the reqs sent, %d open\n", part, x.dispatcher.core.OpenReqs())
+		percent := int(100 * sum / int64(n*len(fronts)))
+		if percent/25 != shownQuarter {
+			shownQuarter = percent / 25
+			fmt.Fprintf(out, "  %3d%% of the reqs sent, %d open\n", percent, x.dispatcher.core.OpenReqs())
 		}
-		if part >= 50 && !broken {
-			broken = true
+		if percent >= 50 && !faultsSet {
+			faultsSet = true
 			x.backends[0].Set(platform.Faults{Refuse: true})
 			x.director.Set(x.backends[1].Entry(backendKind(1), "here", 0, "Terminating"))
-			fmt.Fprintln(out, "  now backend-1 turns away all it gets, and backend-2 drains")
+			fmt.Fprintln(out, "  now backend-1 refuses all requests, and backend-2 drains")
 		}
 		select {
 		case <-done:
@@ -280,7 +280,7 @@
 	w.Flush()
 }
 
-// waitForSignal leaves all running until a signal.
+// waitForSignal removes the faults, prints curl commands, and leaves everything running until SIGINT or SIGTERM.
 func (x *demo) waitForSignal(out io.Writer) {
 	x.backends[0].Set(platform.Faults{})
 	x.director.Set(x.backends[1].Entry(backendKind(1), "here", 0, "Ready"))
--- a/cmd/tinsail/door.go
+++ b/cmd/tinsail/door.go
@@ -15,10 +15,10 @@
 	"tinsail/internal/service"
 )
 
-// maxDoorCallers is how many callers the door has at a time: each may take a descriptor.
+// maxDoorCallers limits the concurrent connections to the door, the operators' control listener: each may use a descriptor.
 const maxDoorCallers = 16
 
-// doorDescriptors are the descriptors that the door takes out of the limit: its callers, one being
+// doorDescriptors returns how many descriptors of the limit are set aside for the door: its callers, one connection being
 // accepted, and the listener.
 func doorDescriptors(cfg *config.Config) int {
 	if cfg.Admin == "" {
@@ -27,7 +27,7 @@
 	return maxDoorCallers + 2
 }
 
-// addDoor opens the operators' door, where the configuration has one.
+// addDoor opens the operators' control listener if the configuration has an address for it.
 func (d *dispatcher) addDoor() (err error) {
 	if d.cfg.Admin == "" {
 		return nil
@@ -39,19 +39,19 @@
 	return nil
 }
 
-// handleCall does what an operator asks for. Nothing here waits for reqs, for the core or for a peer.
+// handleCall carries out an operator's call. It never waits for requests, for the core or for a peer.
 func (d *dispatcher) handleCall(c door.Call) admin.Answer {
-	yes := func(says string) admin.Answer { return admin.Answer{Status: 200, Message: says} }
-	kept := func(err error, says string) admin.Answer {
+	yes := func(message string) admin.Answer { return admin.Answer{Status: 200, Message: message} }
+	stored := func(err error, message string) admin.Answer {
 		switch {
 		case err == nil:
-			return yes(says)
+			return yes(message)
 		case errors.Is(err, maintain.ErrUnknown):
 			return admin.Answer{Status: 404, Message: err.Error()}
 		}
 		return admin.Answer{Status: 500, Message: "holds in this process, but would not outlive it: " + err.Error()}
 	}
-	no := func(status int, says string) admin.Answer { return admin.Answer{Status: status, Message: says} }
+	no := func(status int, message string) admin.Answer { return admin.Answer{Status: status, Message: message} }
 	switch c.Operation {
 	case door.Ready:
 		switch state := d.service.State(); {
@@ -69,17 +69,17 @@
 	case door.OutOfService:
 		d.service.TakeOutOfService()
 		d.handover.sendOutOfService(true)
-		return kept(d.bans.SetOutOfService(true), "goes out of service: not ready, drains, and runs on")
+		return stored(d.bans.SetOutOfService(true), "goes out of service: not ready, drains, and runs on")
 	case door.InService:
 		if !d.service.ReturnToService() {
 			return no(503, "shutting down")
 		}
 		d.handover.sendOutOfService(false)
-		return kept(d.bans.SetOutOfService(false), "in service")
+		return stored(d.bans.SetOutOfService(false), "in service")
 	case door.Offline:
-		return kept(d.bans.Offline(c.Backend), "nothing more goes to "+c.Backend)
+		return stored(d.bans.Offline(c.Backend), "nothing more goes to "+c.Backend)
 	case door.Online:
-		return kept(d.bans.Online(c.Backend), c.Backend+" is used again, if its source says that it is ready")
+		return stored(d.bans.Online(c.Backend), c.Backend+" is used again, if its source says that it is ready")
 	case door.Metrics:
 		text, err := d.metrics()
 		if err != nil {
@@ -90,8 +90,8 @@
 	return no(501, "unknown")
 }
 
-// statePath is a place in the folder that outlives a process of this dispatcher, but not the
-// dispatcher's machine. The name is the dispatcher's own: others may share the folder.
+// statePath returns the path of a file in the temporary folder, which outlives a process of this dispatcher but not its machine.
+// The file name is unique to the dispatcher, as others may share the folder.
 func statePath(cfg *config.Config, kind string) string {
 	return filepath.Join(os.TempDir(), fmt.Sprintf("tinsail-%016x.%s", platform.Hash(cfg.Name+"|"+cfg.Listen), kind))
 }
--- a/cmd/tinsail/osinterface.go
+++ b/cmd/tinsail/osinterface.go
@@ -8,16 +8,16 @@
 	"tinsail/internal/network/maintain"
 )
 
-// osInterface is where the program meets the system. The soak's build (tag shim, internal/lab/soak) has it fail there in the ways
-// that Linux documents; in the program that serves, all pass through.
+// osInterface holds the calls to the operating system that the soak test's build replaces (tag shim, internal/lab/soak). That
+// build injects the failures that Linux documents. In the normal build every call passes through.
 type osInterface struct {
-	wallClockOffset time.Duration // how far the wall clock is off
+	wallClockOffset time.Duration // added to the system's wall clock
 	dial            network.Dial
 	wrapListener    func(net.Listener) net.Listener
-	wrapStore       func(maintain.Store) maintain.Store // nil for the file itself
+	wrapStore       func(maintain.Store) maintain.Store // nil: the bans file is written directly
 }
 
-// wallClock is the system's wallClock clock.
+// wallClock returns the system's wall clock time plus the offset.
 func (b *osInterface) wallClock() time.Time { return time.Now().Add(b.wallClockOffset) }
 
 var hostOS = osInterface{dial: network.DialTCP, wrapListener: func(l net.Listener) net.Listener { return l }}
