--- a/cmd/tinsail/handover.go
+++ b/cmd/tinsail/handover.go
@@ -24,7 +24,7 @@
 	"tinsail/internal/service"
 )
 
-// handoverData is what another process of this dispatcher hands over; the zero value is nothing.
+// handoverData is what another process of this dispatcher hands over. The zero value means that there is no such process.
 type handoverData struct {
 	link  *handoff.Link
 	state handover.State
@@ -49,10 +49,9 @@
 	return handover.Hello{Version: handover.Version, Name: cfg.Name, Listen: cfg.Listen}
 }
 
-// requestHandover asks the process of this dispatcher that serves, if there is one, to hand over. Where it cannot
-// be understood, this process serves beside it on a listener of its own, by SO_REUSEPORT: what waits in the
-// old one's queue when that closes is lost, which is still less than all. It is an error only
-// if this process is one too many.
+// requestHandover asks the serving process of this dispatcher, if there is one, to hand over. If its messages cannot be read, this
+// process serves beside it on a listener of its own, by SO_REUSEPORT: connections in the accept queue of the old listener are lost
+// when that closes, but those that are accepted are not. It returns an error only if another hand-over is under way.
 func requestHandover(cfg *config.Config, log zerolog.Logger) (handoverData, error) {
 	if cfg.Admin == "" {
 		return handoverData{}, nil
@@ -60,18 +59,18 @@
 	link, state, files, err := handoff.Join(statePath(cfg, "sock"), newHello(cfg))
 	h := handoverData{link: link, state: state, files: files}
 	if err == nil {
-		if bad := h.stage.HandleState(&state, len(files)); bad != "" {
-			err = errors.New(bad)
+		if fault := h.stage.HandleState(&state, len(files)); fault != "" {
+			err = errors.New(fault)
 			h.close()
 		}
 	}
-	var no *handoff.Refusal
+	var refusal *handoff.Refusal
 	switch {
 	case err == nil:
 		log.Info().Int("sockets", state.MaxSockets).Int("backends", len(state.List)).Bool("out", state.OutOfService).Msg("hand-over: state taken")
 		return h, nil
 	case errors.Is(err, handoff.ErrNoProcess):
-	case errors.As(err, &no) && no.Busy:
+	case errors.As(err, &refusal) && refusal.Busy:
 		return handoverData{}, fmt.Errorf("hand-over: %w", err)
 	default:
 		log.Error().Err(err).Msg("hand-over: nothing taken over, serves beside the other process")
@@ -79,11 +78,11 @@
 	return handoverData{}, nil
 }
 
-// openListener takes the listener that was handed over under a name, or opens one. Only a
-// dispatcher that has a door shares its address with a second process.
+// openListener returns the listener that was handed over under a name, or opens one. Only a dispatcher with an operators' control
+// listener (the door) shares its address with a second process.
 func (h handoverData) openListener(cfg *config.Config, name, address string) (net.Listener, error) {
-	for i, have := range h.state.Listeners {
-		if h.link != nil && have == name {
+	for i, listener := range h.state.Listeners {
+		if h.link != nil && listener == name {
 			return net.FileListener(h.files[i])
 		}
 	}
@@ -97,7 +96,7 @@
 	return c.Listen(context.Background(), "tcp", address)
 }
 
-// processHandover is a process's part in hand-overs: from the one before it, and to the next one.
+// processHandover is one process's part in hand-overs: from the process before it, and to the next one.
 type processHandover struct {
 	d      *dispatcher
 	server *handoff.Server
@@ -105,17 +104,17 @@
 
 	mu           sync.Mutex
 	stage        handover.NewProcess
-	peer         *handoff.Link // the other process while there is one
-	maxSockets   int           // descriptors that this process may hold ...
-	maxMemory    int64         // ... and bytes
-	totalSockets int           // that it held before it gave some to the next process
+	peer         *handoff.Link // to the other process; nil if there is none
+	maxSockets   int           // how many descriptors this process may hold
+	maxMemory    int64         // how many bytes of memory it may hold
+	totalSockets int           // maxSockets before some were given to the next process
 
-	taken, given, failed atomic.Int64  // hand-overs: from the process before, to the next, and of those that came back
-	readyMS              atomic.Int64  // from this process's start, with the state in hand, until it served
-	nextGone             chan struct{} // closed when there is no one to give to any more
+	taken, given, failed atomic.Int64  // hand-overs: from the process before, to the next one, and those to a next one that ended
+	readyMS              atomic.Int64  // time from the start of this process, after it received the state, until it served
+	nextGone             chan struct{} // closed when the next process is gone
 }
 
-// addHandover makes this process's part. d.service and d.bans are there.
+// addHandover prepares hand-overs from the process before and to the next one. d.service and d.bans must be set.
 func (d *dispatcher) addHandover(from handoverData) {
 	t := &processHandover{d: d, from: from, maxSockets: d.cfg.Sockets, maxMemory: d.cfg.MemoryBytes}
 	t.server = &handoff.Server{Path: statePath(d.cfg, "sock"), Hello: newHello(d.cfg), Log: d.log,
@@ -128,15 +127,15 @@
 	d.handover = t
 }
 
-// adoptState takes over what the old process knew, and returns the list. Its version does not come along: versions count anew
-// at each address of the director, and this process may have been given another address than the old one had.
+// adoptState applies the state of the old process and returns its list of backends. The list's version is not adopted: versions are
+// counted separately at each address of the director, and this process may be configured with another address than the old one.
 func (d *dispatcher) adoptState() (list []core.Entry) {
 	s := &d.handover.from.state
 	if s.OutOfService {
 		d.service.TakeOutOfService()
 	}
 	if err := d.bans.SetOutOfService(s.OutOfService); err != nil {
-		d.log.Error().Err(err).Msg("bans not kept")
+		d.log.Error().Err(err).Msg("bans not stored")
 	}
 	d.bans.Merge(s.Marks)
 	for _, b := range s.List {
@@ -146,7 +145,7 @@
 	return list
 }
 
-// start accepts clients, once there is a list, and waits for the next process.
+// start accepts clients once there is a list, and listens for the next process.
 func (t *processHandover) start(d *dispatcher) {
 	if t.from.link == nil {
 		d.accept()
@@ -154,34 +153,34 @@
 		return
 	}
 	t.handleJoined(t.from.link)
-	begun := time.Now()
+	startedAt := time.Now()
 	go func() {
 		err := t.from.link.Read(t.handleUpdate)
 		t.handleOldGone(err)
 	}()
 	go func() {
-		// Nor before it knows which policy of the fleet holds. One that is to end already leaves the clients to the
-		// old one, which would be drained in its favour, as long as that is there.
+		// Clients are not accepted before the fleet's policy in force is known either. If this process is already shutting
+		// down, it leaves the clients to the old process as long as that is connected, as the old one would otherwise drain.
 		for !d.core.HasList() || !d.core.Serves() || d.service.State() == service.ShuttingDown && t.currentStage() == handover.Connected {
 			time.Sleep(service.PollInterval)
 		}
 		d.accept()
 		t.mu.Lock()
-		tell := t.stage.StartServing(time.Now())
+		notify := t.stage.StartServing(time.Now())
 		t.mu.Unlock()
-		if tell {
-			_ = t.from.link.Send(handover.StatusUpdate{Ready: true}) // if it is gone, so much the better
+		if notify {
+			_ = t.from.link.Send(handover.StatusUpdate{Ready: true}) // an error means that the old process is gone, and need not be notified
 		}
 		for !t.serves() {
 			time.Sleep(service.PollInterval)
 		}
 		t.listenForNext()
-		t.readyMS.Store(time.Since(begun).Milliseconds())
-		d.log.Info().Stringer("stage", t.currentStage()).Dur("after_ms", time.Since(begun)).Msg("hand-over: serves")
+		t.readyMS.Store(time.Since(startedAt).Milliseconds())
+		d.log.Info().Stringer("stage", t.currentStage()).Dur("after_ms", time.Since(startedAt)).Msg("hand-over: serves")
 	}()
 }
 
-// each calls f for the counters of hand-overs.
+// each calls f for each counter of hand-overs.
 func (t *processHandover) each(f func(name string, n int64)) {
 	f("handovers_taken", t.taken.Load())
 	f("handovers_given", t.given.Load())
@@ -192,7 +191,7 @@
 
 func (t *processHandover) listenForNext() {
 	if err := t.server.Listen(); err != nil {
-		t.d.log.Error().Err(err).Msg("hand-over: cannot wait for a next process")
+		t.d.log.Error().Err(err).Msg("hand-over: cannot listen for the next process")
 	}
 }
 
@@ -202,14 +201,14 @@
 	return t.stage.Stage()
 }
 
-// serves says whether this process serves in the dispatcher's name.
+// serves reports whether this process may answer that the dispatcher serves.
 func (t *processHandover) serves() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.stage.MayReportServing(time.Now())
 }
 
-// handleUpdate takes what the other process says, at either end.
+// handleUpdate applies a status update of the other process. Both ends of a link use it.
 func (t *processHandover) handleUpdate(n handover.StatusUpdate) {
 	switch {
 	case n.StoppedAccepting:
@@ -218,13 +217,13 @@
 		t.mu.Unlock()
 	case n.MaxSockets > 0:
 		t.mu.Lock()
-		more := n.MaxSockets > t.maxSockets && n.MaxSockets < t.d.cfg.Sockets
-		if more {
+		grows := n.MaxSockets > t.maxSockets && n.MaxSockets < t.d.cfg.Sockets
+		if grows {
 			t.maxSockets = n.MaxSockets
 		}
 		sockets, memory := t.maxSockets, t.maxMemory
 		t.mu.Unlock()
-		if more {
+		if grows {
 			t.d.resize(sockets, memory)
 		}
 	case n.Mark != nil:
@@ -234,7 +233,7 @@
 	}
 }
 
-// setOutOfService follows a call that the other process had.
+// setOutOfService repeats a call that an operator made at the other process.
 func (d *dispatcher) setOutOfService(out bool) {
 	if out {
 		d.service.TakeOutOfService()
@@ -242,11 +241,11 @@
 		d.service.ReturnToService()
 	}
 	if err := d.bans.SetOutOfService(out); err != nil {
-		d.log.Error().Err(err).Msg("bans not kept")
+		d.log.Error().Err(err).Msg("bans not stored")
 	}
 }
 
-// handleJoined has the other process hear of calls from now on, and of those that came meanwhile.
+// handleJoined sends operators' marks to the other process: from now on each new one, and those set since the state was sent.
 func (t *processHandover) handleJoined(l *handoff.Link) {
 	t.mu.Lock()
 	t.peer = l
@@ -256,7 +255,7 @@
 	}
 }
 
-// sendOutOfService tells the other process, if there is one, of a call. t may be nil.
+// sendOutOfService sends an operator's call to the other process, if there is one. t may be nil.
 func (t *processHandover) sendOutOfService(out bool) {
 	if t == nil {
 		return
@@ -269,8 +268,8 @@
 	}
 }
 
-// handleOldGone takes the news that the process before this one has ended: all room is this one's, unless
-// it gives to a next one already.
+// handleOldGone handles the end of the process before this one: all descriptors and memory are then this one's, unless it already
+// hands over to a next process.
 func (t *processHandover) handleOldGone(err error) {
 	t.mu.Lock()
 	at, alone := t.stage.Stage(), t.peer == t.from.link
@@ -282,19 +281,19 @@
 	if alone {
 		t.d.bans.ShareWith(nil)
 		t.d.resize(t.d.cfg.Sockets, t.d.cfg.MemoryBytes)
-		t.d.core.SetOverlap(false) // the whole budget of cold backends is this process's again
+		t.d.core.SetOverlap(false) // the whole budget for cold backends is this process's again
 	}
 	t.d.log.Info().Stringer("stage", at).AnErr("link", err).Msg("hand-over: the old process is gone")
 }
 
-// reservedDescriptors is what a process needs of descriptors beside sessions and connections to backends.
+// reservedDescriptors returns how many descriptors a process needs besides sessions and connections to backends.
 func (t *processHandover) reservedDescriptors() int { return 32 + doorDescriptors(t.d.cfg) }
 
 func (t *processHandover) usedDescriptors() int {
 	return t.d.clients.OpenSessions() + t.d.pool.OpenConnections()
 }
 
-// giveState gives room up and tells all that this process knows.
+// giveState gives up a part of the descriptors and memory, and returns this process's state and listeners for the next one.
 func (t *processHandover) giveState() (handover.State, []syscall.Conn) {
 	d := t.d
 	t.mu.Lock()
@@ -324,38 +323,39 @@
 	return s, conns
 }
 
-// stopAccepting accepts no more, and gives up more room as sessions end.
+// stopAccepting stops accepting connections, and gives up more descriptors as sessions end.
 func (t *processHandover) stopAccepting() {
 	t.d.service.HandOver()
 	t.given.Add(1)
 	t.mu.Lock()
-	l, all, giving := t.peer, t.totalSockets, t.nextGone
+	link, total, nextGone := t.peer, t.totalSockets, t.nextGone
 	t.mu.Unlock()
 	go func() {
 		tick := time.NewTicker(250 * time.Millisecond)
 		defer tick.Stop()
 		for {
 			select {
-			case <-giving:
+			case <-nextGone:
 				return
 			case <-tick.C:
 			}
 			t.mu.Lock()
 			keep := t.usedDescriptors() + t.reservedDescriptors()
-			less := keep+8 < t.maxSockets
-			if less {
+			shrinks := keep+8 < t.maxSockets
+			if shrinks {
 				t.maxSockets = keep
 			}
 			t.mu.Unlock()
-			if less {
+			if shrinks {
 				t.d.pool.Resize(t.d.pool.OpenConnections() + 8)
-				_ = l.Send(handover.StatusUpdate{MaxSockets: all - keep})
+				_ = link.Send(handover.StatusUpdate{MaxSockets: total - keep})
 			}
 		}
 	}()
 }
 
-// handleNextGone takes the news that the process after this one is handleNextGone.
+// handleNextGone handles the end of the next process while this one still runs: this process takes back what it gave up, and
+// accepts again if accept is set.
 func (t *processHandover) handleNextGone(accept bool) {
 	t.mu.Lock()
 	close(t.nextGone)
--- a/cmd/tinsail/lab.go
+++ b/cmd/tinsail/lab.go
@@ -16,8 +16,8 @@
 	"tinsail/internal/standin/consul"
 )
 
-// execLab goes on as the laboratory's own program, which stands beside this one: what serves carries none of its
-// libraries.
+// execLab replaces this process by the laboratory's program, tinsail-lab. It is a separate binary so that the dispatcher's links none
+// of its libraries.
 func execLab(args []string) error {
 	self, err := os.Executable()
 	if err != nil {
--- a/cmd/tinsail/main.go
+++ b/cmd/tinsail/main.go
@@ -1,6 +1,5 @@
-// Command tinsail is the dispatcher: it takes reqs from clients and has backends carry them
-// out, as the decision module says. This folder holds the edge: the command line, the wiring
-// of the parts, signals.
+// Command tinsail is the dispatcher: it accepts requests from clients and sends them to backends as the decision module
+// (internal/balance) decides. This package holds the command line, the wiring of the parts, and the handling of signals.
 package main
 
 import (
@@ -17,13 +16,13 @@
 // Exit codes.
 const (
 	exitOK           = 0
-	exitFailed       = 1 // the program could not do what it was told, a port in use, say
+	exitFailed       = 1 // the program failed, for example because a port is in use
 	exitInvalidInput = 2 // the command line, the configuration or the settings are faulty
 )
 
 func main() { os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// inputError is an error of what the program was given, not of what it did.
+// inputError is a fault in the command line, the configuration or the settings.
 type inputError struct{ error }
 
 func (f inputError) Unwrap() error { return f.error }
--- a/cmd/tinsail/metrics.go
+++ b/cmd/tinsail/metrics.go
@@ -10,8 +10,8 @@
 	"tinsail/internal/guard"
 )
 
-// gauges are the counters that tell a level, a largest or a state, not a count that only grows.
-// A counter named here nowhere else is a counter to Prometheus: a rate of it would be wrong.
+// gauges names the counters that hold a level, a maximum or a state instead of a count that only grows. A counter that is missing
+// here is exported to Prometheus as a counter; for a level, a rate of it would be wrong.
 var gauges = map[string]bool{
 	"budget_connections_share": true, "budget_connections_fleet": true, "budget_connections_lent": true,
 	"banned": true, "bans_unkept": true, "service_state": true, "door_slowest_us": true, "handover_ready_ms": true,
@@ -20,8 +20,8 @@
 	"quota_held": true, "quota_in_use": true, "quota_waiting": true, "quota_lent": true, "quota_lent_root": true,
 }
 
-// metrics is every counter of the dispatcher, read now, in Prometheus' text exposition format
-// (version 0.0.4), each named tinsail_ and the counter's name: the door's GET /metrics.
+// metrics returns the current value of every counter in Prometheus' text exposition format (version 0.0.4), each named tinsail_
+// and the counter's name. It is the answer to GET /metrics at the operators' control listener.
 func (d *dispatcher) metrics() (string, error) {
 	reg := prometheus.NewPedanticRegistry()
 	if err := reg.Register(counterCollector{d}); err != nil {
@@ -41,13 +41,13 @@
 	return strings.TrimSuffix(b.String(), "\n"), nil
 }
 
-// counterCollector collects the dispatcher's counters as they are at each gathering; it keeps no copy.
+// counterCollector reads the dispatcher's counters at each gathering; it stores no copy.
 type counterCollector struct{ d *dispatcher }
 
-// Describe tells nothing ahead: the counters that are on depend on the settings (an unchecked
-// collector in client_golang's terms).
+// Describe sends nothing, as the settings decide which counters there are. In client_golang's terms this is an unchecked collector.
 func (counterCollector) Describe(chan<- *prometheus.Desc) {}
 
+// Collect sends all counters and the counts of invariant violations.
 func (c counterCollector) Collect(out chan<- prometheus.Metric) {
 	each := func(name string, n int64) {
 		kind, help := prometheus.CounterValue, "tinsail counter "+name+" (docs/operators)"
--- a/cmd/tinsail/quotas.go
+++ b/cmd/tinsail/quotas.go
@@ -19,10 +19,10 @@
 	"tinsail/internal/settings"
 )
 
-// lender is a region's lender: the voter that lends the region's units to its dispatchers.
+// lender is the voter that lends a region's quota units to the region's dispatchers.
 type lender struct{ region, voter string }
 
-// parseLenders reads "region=voter" texts. No region and no voter may be there twice, and all must be voters.
+// parseLenders parses "region=voter" texts. Each region and each voter may occur once, and each voter must be among voters.
 func parseLenders(texts []string, voters []accord.Peer) ([]lender, error) {
 	var out []lender
 	for _, text := range texts {
@@ -43,11 +43,12 @@
 	return out, nil
 }
 
-// minRegionLeaseFactor is how many of a dispatcher's leases a region's must last at least: the lender lends only what its own lease
-// covers, and renews that each third of it (quota.NewRegion wants as much).
+// minRegionLeaseFactor is the minimal ratio of a region's lease to a dispatcher's lease. A region's lender grants only leases that
+// its own lease covers, and renews its own after each third of it (quota.NewRegionLender requires the same ratio).
 const minRegionLeaseFactor = 4
 
-// checkQuotas finds what the calls allow and the schema cannot say. cfg and set may be nil.
+// checkQuotas checks the quota settings where the schema cannot: across calls and against the configuration. cfg and set may be
+// nil.
 func checkQuotas(cfg *config.Config, set *settings.Settings) error {
 	if set == nil {
 		return nil
@@ -63,7 +64,7 @@
 	}
 	voters, err := accord.ParseVoters(set.Accord.Voters)
 	if err != nil {
-		return nil // checkAccord tells it
+		return nil // checkAccord reports it
 	}
 	lenders, err := parseLenders(q.Lenders, voters)
 	if err != nil {
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// checkQuotasAgainst checks the quotas of a policy against the configuration, and names the key at fault.
+// checkQuotasAgainst checks the quotas of a policy against the configuration. It returns the key at fault.
 func checkQuotasAgainst(cfg *config.Config, p policy.Policy) (key string, err error) {
 	for _, team := range slices.Sorted(maps.Keys(p.Quotas)) {
 		if !slices.Contains(cfg.Names.Tenants, team) {
@@ -104,14 +105,14 @@
 	return "", nil
 }
 
-// maxRunTime is the longest that a req of the configuration's classes is in flight, where its client states no patience of its
-// own; in whole milliseconds, rounded up.
+// maxRunTime returns the longest time that a request is in flight if its client states no deadline of its own: the longest deadline
+// of the configuration's classes plus the answer slack, rounded up to whole milliseconds.
 func maxRunTime(cfg *config.Config) time.Duration {
 	run := cfg.LongestDeadline() + time.Duration(cfg.Settings.Rules.AnswerSlack*float64(time.Millisecond))
 	return (run + time.Millisecond - 1).Truncate(time.Millisecond)
 }
 
-// checkPolicySize says whether a policy's bytes fit the accord.
+// checkPolicySize reports a policy whose encoding is too long for the accord.
 func checkPolicySize(set *settings.Settings) error {
 	if n := len(policyOf(set).Append(nil)); n > leases.MaxBody {
 		return settings.Faults{set.Fault("policy", fmt.Sprintf("has %d bytes, at most %d fit the accord: fewer or shorter names", n, leases.MaxBody))}
@@ -119,19 +120,20 @@
 	return nil
 }
 
-// fleetQuotas is where the core asks for room: it has names for the core's numbers, and the policy in force for all else.
+// fleetQuotas implements core.Quotas: it maps the core's numbers of tenants and classes to their names, and applies the policy in
+// force.
 type fleetQuotas struct {
 	tenants, classes []string
-	defaultRunTime   time.Duration // the bound on what is in flight while the policy states none
-	runTime          atomic.Int64  // the bound in force, in nanoseconds
+	defaultRunTime   time.Duration // limit of a request's time in flight if the policy sets none
+	runTime          atomic.Int64  // the limit in force, in nanoseconds
 	urgent           atomic.Pointer[[]bool]
 
-	mu      sync.Mutex // of what follows; not held while a req is taken
+	mu      sync.Mutex // guards latest and setting limiter; not held while a request is accepted
 	latest  *policy.Policy
 	limiter atomic.Pointer[quota.Quota]
 }
 
-// newFleetQuotas makes what the accord puts policies in force at; nil where the settings do not call for quotas.
+// newFleetQuotas returns the quotas to which the accord applies policies; nil if the settings declare no quotas.
 func newFleetQuotas(cfg *config.Config, set *settings.Settings) *fleetQuotas {
 	if set.Quotas == nil {
 		return nil
@@ -142,14 +144,14 @@
 	return f
 }
 
-// applyPolicy puts a policy in force. It is called by the accord, which begins before the quotas' links do.
+// applyPolicy puts a policy in force. The accord calls it, and may do so before the quotas' limiter is attached.
 func (f *fleetQuotas) applyPolicy(p policy.Policy) {
 	urgent := make([]bool, len(f.classes))
 	for i, class := range f.classes {
 		urgent[i] = slices.Contains(p.UrgentClasses, class)
 	}
 	f.urgent.Store(&urgent)
-	run := f.defaultRunTime // also without quotas: what is in flight when there are some is then bounded, too
+	run := f.defaultRunTime // set also without quotas, so that requests in flight have a limit when a policy introduces quotas
 	if p.RunMS > 0 {
 		run = millis(p.RunMS)
 	}
@@ -161,7 +163,7 @@
 	}
 }
 
-// attach begins to ask q, which is told of the policy that is in force already.
+// attach has q decide from now on. q first gets the policy that is already in force.
 func (f *fleetQuotas) attach(q *quota.Quota) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -171,8 +173,8 @@
 	f.limiter.Store(q)
 }
 
-// Acquire is core.Quotas. A req of no tenant is in no quota.
-func (f *fleetQuotas) Acquire(tenant, class int, until time.Time, ready func(from time.Time, pause time.Duration, ok bool)) (leave func()) {
+// Acquire implements core.Quotas. A request without a tenant counts against no quota.
+func (f *fleetQuotas) Acquire(tenant, class int, until time.Time, ready func(from time.Time, retryAfter time.Duration, ok bool)) (release func()) {
 	if tenant < 0 || tenant >= len(f.tenants) {
 		ready(time.Now(), 0, true)
 		return func() {}
@@ -181,10 +183,10 @@
 	return f.limiter.Load().Take(f.tenants[tenant], class >= 0 && class < len(urgent) && urgent[class], until, ready)
 }
 
-// MaxHold is core.Quotas.
+// MaxHold implements core.Quotas: the longest time that a request may hold its unit.
 func (f *fleetQuotas) MaxHold() time.Duration { return time.Duration(f.runTime.Load()) }
 
-// addQuotas begins this dispatcher's part in the quotas: after the accord's, and before the core runs.
+// addQuotas starts this dispatcher's part in the quotas. It is called after addAccord and before the core runs.
 func (d *dispatcher) addQuotas(set *settings.Settings, from handoverData) error {
 	if d.quotas == nil {
 		return nil
@@ -199,11 +201,11 @@
 	}
 	epoch, err := nextEpoch(statePath(d.cfg, "epoch"), hostOS.wallClock())
 	if err != nil {
-		d.log.Error().Err(err).Msg("epoch not kept: a wall clock that was stepped back has lenders take this process for an earlier one")
+		d.log.Error().Err(err).Msg("epoch not stored: after a step back of the wall clock lenders would take this process for an earlier one")
 	}
 	cfg := quota.Config{Name: d.cfg.Name, Epoch: epoch, Region: set.Quotas.Region, RegionLease: millis(set.Quotas.RegionLeaseMS), Log: d.log,
 		Plan: lending.LeaseConfig{Lease: millis(set.Quotas.LeaseMS), MaxRunTime: maxRunTime(d.cfg), Drift: set.Accord.Drift}}
-	if from.link != nil { // the process that hands over goes on with what it holds until it is drained: no earlier life of this one
+	if from.link != nil { // the old process uses its units until it is drained, so the two must not count as incarnations of one name
 		cfg.Name = fmt.Sprintf("%s.%x", d.cfg.Name, epoch)
 	}
 	for _, l := range lenders {
@@ -220,13 +222,13 @@
 	d.quotas.attach(q)
 	d.core.Quotas = d.quotas
 	if !set.Accord.ContinueWhenCut() {
-		d.log.Warn().Str("when_cut", set.Accord.WhenCut).Msg("quotas: a region that is cut off from the accord's leader takes nothing, whatever " +
-			"units it holds: accord.when_cut is \"stop\", \"keep\" would let it live on them")
+		d.log.Warn().Str("when_cut", set.Accord.WhenCut).Msg("quotas: a region that is cut off from the accord's leader accepts no requests, even if " +
+			"it holds units, as accord.when_cut is \"stop\"; with \"keep\" it would go on using them")
 	}
 	return nil
 }
 
-// checkPolicyQuotas checks a policy of the fleet against this dispatcher.
+// checkPolicyQuotas reports why this dispatcher cannot apply the quotas of a policy of the fleet.
 func (d *dispatcher) checkPolicyQuotas(p policy.Policy) error {
 	if len(p.Quotas) == 0 {
 		return nil
