--- a/cmd/tinsail/ready.go
+++ b/cmd/tinsail/ready.go
@@ -9,13 +9,13 @@
 	"tinsail/internal/service"
 )
 
-// readiness is how a process came to be ready: it knows of a backend that may be sent to, and of the policy that holds.
+// readiness records when and by which list the process became ready: it knows a ready backend and the policy in force.
 type readiness struct {
-	startedAt time.Time // the process's start
-	recorded  atomic.Bool
+	startedAt time.Time   // the process's start
+	recorded  atomic.Bool // set by the first list that names a ready backend
 }
 
-// hasReadyBackend says whether a list names a backend that may be sent to.
+// hasReadyBackend reports whether a list names a backend to which requests may be sent.
 func hasReadyBackend(list []core.Entry) bool {
 	for i := range list {
 		if list[i].State == balance.Ready {
@@ -25,8 +25,7 @@
 	return false
 }
 
-// passListToCore passes a list on to the core. The first one that names a backend that may be sent to is noted as what made the
-// process ready.
+// passListToCore passes a list to the core. The first list that names a ready backend is recorded as what made the process ready.
 func (d *dispatcher) passListToCore(kind balance.ListKind, list []core.Entry) {
 	d.core.HandleList(kind, list)
 	if !hasReadyBackend(list) || !d.readiness.recorded.CompareAndSwap(false, true) {
@@ -43,7 +42,7 @@
 	}
 	calls, failed := d.count.DirectorCalls.Load(), d.failedDirectorCalls()
 	ended := d.service.Ended()
-	go func() { // the core takes the list a moment later, and the fleet's policy may come later still, or never
+	go func() { // the core handles the list asynchronously, and the fleet's policy may arrive later still, or never
 		for d.core.ReadyBackends() == 0 || !d.core.Serves() {
 			select {
 			case <-ended:
@@ -58,7 +57,7 @@
 	}()
 }
 
-// failedDirectorCalls is how many calls to the director have come to nothing so far.
+// failedDirectorCalls returns how many calls to the director have failed so far.
 func (d *dispatcher) failedDirectorCalls() (n int64) {
 	for _, e := range []core.Ending{core.ListUnanswered, core.ListRefused, core.ListInvalid} {
 		n += d.count.Endings[e].Load()
--- a/cmd/tinsail/serve.go
+++ b/cmd/tinsail/serve.go
@@ -30,8 +30,8 @@
 )
 
 func serve(o options, errs io.Writer) error {
-	begun := time.Now()
-	sig := notifySignals() // first of all: what is not listened for ends the program
+	startedAt := time.Now()
+	sig := notifySignals() // first of all, as a signal without a handler ends the program
 	log, err := logs.New(errs, o.logLevel, o.logFormat)
 	if err != nil {
 		return inputError{err}
@@ -52,8 +52,8 @@
 		from.close()
 		return err
 	}
-	d.readiness.startedAt = begun
-	from.closeFiles() // what was taken has descriptors of its own, and what was not must not hold a listener open
+	d.readiness.startedAt = startedAt
+	from.closeFiles() // used listeners have descriptors of their own, and unused ones must not stay open
 	d.start()
 	e := log.Info().Stringer("listen", d.listener.Addr()).Str("discovery", cfg.Discovery)
 	if d.http2Listener != nil {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// checkAddresses finds what each file allows and both together do not. Either may be nil.
+// checkAddresses reports an address that the configuration and the settings both use. Either may be nil.
 func checkAddresses(cfg *config.Config, set *settings.Settings) error {
 	if cfg == nil || set == nil || set.HTTP2 == nil || strings.HasSuffix(set.HTTP2.Listen, ":0") {
 		return nil
@@ -89,10 +89,10 @@
 	return nil
 }
 
-// dispatcher is a whole dispatcher with its parts wired.
+// dispatcher is a complete dispatcher with its parts wired.
 type dispatcher struct {
 	cfg          *config.Config
-	settings     *settings.Settings // as at the start
+	settings     *settings.Settings // as read at the start
 	log          zerolog.Logger
 	count        *counters.Set
 	guard        *guard.Recorder
@@ -102,18 +102,18 @@
 	clients      *network.Clients
 	service      *network.Service
 	listener     net.Listener
-	bans         *maintain.Manager // bans; nil where there is no door and no accord
+	bans         *maintain.Manager // nil if there is no door and no accord
 	handleList   func(balance.ListKind, []core.Entry)
-	door         *admin.Server // nil where it is off
+	door         *admin.Server // the operators' control listener; nil if it is off
 	doorListener net.Listener
-	handover     *processHandover // nil where there is no door
+	handover     *processHandover // nil if there is no door
 	readiness    readiness
 
-	sources       *sources       // nil where the director alone is asked
-	budgets       *fleetBudgets  // nil where the settings declare none
-	accord        *accord.Accord // nil where it is off
-	quotas        *fleetQuotas   // nil where the settings declare none
-	http2         *network.HTTP2 // nil where it is off
+	sources       *sources       // nil if the director is the only source of backends
+	budgets       *fleetBudgets  // nil if the settings declare none
+	accord        *accord.Accord // nil if it is off
+	quotas        *fleetQuotas   // nil if the settings declare none
+	http2         *network.HTTP2 // nil if it is off
 	http2Listener net.Listener
 }
 
@@ -122,8 +122,8 @@
 		StallTimeout: h.StallTimeout(), DrainTimeout: h.DrainTimeout(), CancelOnReset: h.CancelOnReset()}
 }
 
-// assemble makes the parts and opens the listeners; nothing runs yet.
-// from is what another process of this dispatcher hands over; its zero value is nothing.
+// assemble creates the parts and opens the listeners, and starts none of the parts but budgets, accord and quotas. from is what
+// another process of this dispatcher hands over; its zero value means that there is none.
 func assemble(cfg *config.Config, set *settings.Settings, log zerolog.Logger, from handoverData) (*dispatcher, error) {
 	d := &dispatcher{cfg: cfg, log: log, count: &counters.Set{}, guard: &guard.Recorder{Log: log}}
 	d.readiness.startedAt = time.Now()
@@ -198,7 +198,7 @@
 	return d, nil
 }
 
-// start has all parts run, in the background.
+// start runs all parts in the background.
 func (d *dispatcher) start() {
 	if d.bans != nil && d.bans.Load() && d.handover.from.link == nil {
 		d.service.TakeOutOfService()
@@ -211,20 +211,20 @@
 	} else {
 		d.director.SetIndex(d.cfg.KnownBackends.Index)
 	}
-	// The module sizes itself by its first list: one that names nobody to send to would leave it with room for a
-	// few jobs until they have shown that there is more.
-	useful := hasReadyBackend(known)
-	if inherited := d.handover != nil && d.handover.from.link != nil; d.sources == nil && (useful || inherited && len(known) > 0) {
+	// The decision module derives its capacity from its first list. A list without a ready backend would leave it with capacity
+	// for a few jobs until their answers show that there is more.
+	listUsable := hasReadyBackend(known)
+	if inherited := d.handover != nil && d.handover.from.link != nil; d.sources == nil && (listUsable || inherited && len(known) > 0) {
 		d.handleList(balance.ListCached, known)
 	}
 	go d.core.Run(nil)
 	d.startSources(d.settings)
-	// Elsewhere the module asks when it has its first list, after a while drawn by chance. Who knows nobody to send to
-	// must not wait for that, nor for news of a version that may be of another time: it asks for the whole list at once.
-	if !useful {
+	// With a usable list the decision module makes its first call after a random delay. Without a ready backend the process must
+	// not wait for that, nor for changes to a version that may be outdated: it requests the full list at once.
+	if !listUsable {
 		d.director.RequestFullList()
 	}
-	if !d.cfg.Settings.Subscribe || !useful {
+	if !d.cfg.Settings.Subscribe || !listUsable {
 		d.director.Subscribe()
 	}
 	if d.door != nil {
@@ -237,7 +237,7 @@
 	d.handover.start(d)
 }
 
-// accept takes clients in.
+// accept starts accepting clients.
 func (d *dispatcher) accept() {
 	go d.clients.Serve(hostOS.wrapListener(d.listener))
 	if d.http2 != nil {
@@ -245,8 +245,8 @@
 	}
 }
 
-// resize sets how many descriptors and how much memory (bytes) this process may hold: all that the
-// dispatcher has, or its part while there are two processes.
+// resize sets how many descriptors and how many bytes of memory this process may use: everything that the dispatcher has, or a
+// part of it while there are two processes.
 func (d *dispatcher) resize(sockets int, memory int64) {
 	share, all := network.SplitDescriptors(network.MaxDescriptors(sockets)-doorDescriptors(d.cfg)), network.SplitDescriptors(network.MaxDescriptors(d.cfg.Sockets)-doorDescriptors(d.cfg))
 	share.JobSessions = min(all.JobSessions, share.Clients)
@@ -255,15 +255,15 @@
 	debug.SetMemoryLimit(memory * 3 / 4)
 }
 
-// drain begins the shutdown; d.service says when it is over.
+// drain begins the shutdown; d.service reports when it is over.
 func (d *dispatcher) drain() {
-	d.service.BeginShutdown() // at once: checks of health turn, and the kill's clock runs, whatever the catalogue's agent takes
+	d.service.BeginShutdown() // first: health checks must fail at once, and the time until the kill runs, however long the Consul agent takes
 	if d.sources != nil && d.sources.registration != nil {
 		d.sources.registration.EnterMaintenance()
 	}
 }
 
-// stopParts is done last of all.
+// stopParts closes the parts that still run when all requests are answered.
 func (d *dispatcher) stopParts() {
 	if d.handover != nil {
 		d.handover.server.Close()
@@ -271,7 +271,7 @@
 	if d.sources != nil && d.sources.registration != nil {
 		d.sources.registration.Deregister()
 	}
-	if d.quotas != nil { // all is answered: what it held is given back
+	if d.quotas != nil { // all requests are answered: the units that it holds are returned
 		d.quotas.limiter.Load().Close()
 	}
 	if d.accord != nil {
@@ -282,7 +282,7 @@
 	}
 }
 
-// closeListeners ends the listeners; what is open goes on.
+// closeListeners closes the listeners. Open connections continue.
 func (d *dispatcher) closeListeners() {
 	d.listener.Close()
 	for _, l := range []net.Listener{d.http2Listener, d.doorListener} {
@@ -302,7 +302,7 @@
 	return b.String()
 }
 
-// logCounters logs the counters that have counted.
+// logCounters logs the counters. Those of the core, the network and the guard are left out while they are 0.
 func (d *dispatcher) logCounters() {
 	e := d.log.Info()
 	d.count.Each(counterNames, func(name string, n int64) {
@@ -319,7 +319,8 @@
 	e.Msg("counters")
 }
 
-// eachCheck calls f for each rule that is checked at run time, and each reason of closes, retries and refusals.
+// eachCheck calls f for the violations of each rule that is checked at run time, and for each reason of closes, retries and
+// refusals.
 func (d *dispatcher) eachCheck(f func(name string, n int64)) {
 	for _, rule := range guard.Rules() {
 		f("invariant_violations_"+rule.String(), d.guard.Violations(rule))
@@ -327,7 +328,7 @@
 	d.guard.Each(f)
 }
 
-// eachPartCounter calls f for the counters of the parts that are on.
+// eachPartCounter calls f for each counter of the optional parts that are on.
 func (d *dispatcher) eachPartCounter(f func(name string, n int64)) {
 	if d.sources != nil {
 		d.sources.count.Each(f)
@@ -350,9 +351,9 @@
 	}
 }
 
-// reload reads configuration and settings once more and returns those that hold from now on.
-// The director's address is taken over at once; what else has changed holds from the next
-// start. A faulty file must not stop a program that serves: it changes nothing.
+// reload reads configuration and settings again and returns those in force from now on. The director's address and the settings
+// that can change at run time apply at once; all other changes apply from the next start. A faulty file must not stop a program
+// that serves: it changes nothing.
 func (d *dispatcher) reload(cfg *config.Config, set *settings.Settings, path string) (*config.Config, *settings.Settings) {
 	next, err := config.Load(os.Getenv)
 	nextSet, err2 := settings.Load(path)
--- a/cmd/tinsail/shim.go
+++ b/cmd/tinsail/shim.go
@@ -15,13 +15,13 @@
 	"tinsail/internal/network/maintain"
 )
 
-// This file is no part of the program that serves: `go build -tags shim` makes the program that the soak plays with faults at the
-// system's border. TINSAIL_SHIM names a file with the fault in force, which is read every shimPollInterval; TINSAIL_SHIM_WALL_MS is how far
-// the wall clock is off from the process's start on.
+// This file is not part of the normal build. `go build -tags shim` builds the program for the soak test, which injects failures of
+// operating system calls. TINSAIL_SHIM names a file with the fault in force, which is read every shimPollInterval.
+// TINSAIL_SHIM_WALL_MS is added to the wall clock for the whole run of the process.
 
 const shimPollInterval = 5 * time.Millisecond
 
-// Faults that are no errno.
+// Faults that are not an errno.
 const (
 	shimShortIO = "short" // reads and writes take a few bytes
 )
@@ -30,7 +30,7 @@
 	"EADDRNOTAVAIL": syscall.EADDRNOTAVAIL, "ENETUNREACH": syscall.ENETUNREACH, "ECONNABORTED": syscall.ECONNABORTED,
 	"ENOSPC": syscall.ENOSPC, "EIO": syscall.EIO}
 
-// shimCalls says at which call an errno comes.
+// shimCalls names the calls that fail with an errno.
 var shimCalls = map[string]string{"EMFILE": "accept dial", "ENFILE": "accept dial", "ENOBUFS": "accept dial", "EADDRNOTAVAIL": "dial",
 	"ENETUNREACH": "dial", "ECONNABORTED": "accept", "ENOSPC": "store", "EIO": "store"}
 
@@ -62,13 +62,13 @@
 		if err != nil {
 			return nil, err
 		}
-		return struct{ net.Conn }{shortConn{conn.(*net.TCPConn)}}, nil // without its descriptor: all reads come by Read
+		return struct{ net.Conn }{shortConn{conn.(*net.TCPConn)}}, nil // hides the descriptor, so that all reads go through Read
 	}
 	hostOS.wrapListener = func(l net.Listener) net.Listener { return shimListener{l.(*net.TCPListener)} }
 	hostOS.wrapStore = func(s maintain.Store) maintain.Store { return shimStore{s} }
 }
 
-// shimErrorAt is the error in force at a call, if there is one.
+// shimErrorAt returns the error in force for a call, or nil.
 func shimErrorAt(call string) error {
 	now := *shimInForce.Load()
 	if strings.Contains(shimCalls[now], call) {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// shimListener fails to accept without taking anybody out of the queue, as accept(2) does when the process is short of something.
+// shimListener fails to accept without removing a connection from the queue, as accept(2) does when a resource is exhausted.
 type shimListener struct{ *net.TCPListener }
 
 func (l shimListener) Accept() (net.Conn, error) {
@@ -91,6 +91,7 @@
 	return shortConn{c}, nil
 }
 
+// shortConn limits each read and write to maxShortIO bytes while shimShortIO is in force.
 type shortConn struct{ *net.TCPConn }
 
 const maxShortIO = 7 // bytes of a short read or write
@@ -115,6 +116,7 @@
 	return n, err
 }
 
+// shimStore fails to write while an errno of the call "store" is in force.
 type shimStore struct{ maintain.Store }
 
 func (s shimStore) Write(text []byte) error {
--- a/cmd/tinsail/signals.go
+++ b/cmd/tinsail/signals.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// signalChannels are the signals that have come. Each kind has a channel of its own: a channel that is
-// full loses what comes next, and no heap of reloads may cost a shutdown its signal.
+// signalChannels receive the program's signals. Each kind has a channel of its own: a full channel drops further signals, and
+// pending reloads must not make a shutdown signal get lost.
 type signalChannels struct{ end, reload, stats chan os.Signal }
 
 func notifySignals() signalChannels {
@@ -19,18 +19,17 @@
 	return h
 }
 
-// signalHandlers is what the signals ask for. drain is called once, on a goroutine of its own; trace may be nil.
+// signalHandlers are the functions that the signals call. drain is called once, on a goroutine of its own; trace may be nil.
 type signalHandlers struct{ reload, stats, trace, drain func() }
 
-// handle does what signals ask for until ended is closed. It goes on listening during a shutdown:
-// a signal that comes then must not end the program early, and the director may move while reqs
-// are still to be sent.
+// handle calls the handlers of the signals until ended is closed. It also runs during a shutdown: a signal must not end the
+// program early then, and the director may move while requests are still to be sent.
 //
-// every > 0 also has the counters logged that often, so that a day can be followed across many
-// dispatchers in their logs; the ticker is a wait, it keeps no thread busy.
+// If every > 0, the counters are also logged at that interval, so that the logs show the course of a day across many dispatchers.
+// The ticker occupies no thread.
 //
-// Reloads run one after the other on a goroutine of their own: a script, a source or the accord may keep one waiting, and the
-// shutdown's clock runs from its signal. Of reloads that come meanwhile one is done, after the last of them has come.
+// Reloads run one after the other on a goroutine of their own: a script, a source or the accord may delay one, and the time limit
+// of a shutdown counts from its signal. Reload signals that arrive during a reload are merged into one further reload.
 func (h signalChannels) handle(m signalHandlers, every time.Duration, ended <-chan struct{}) {
 	go func() {
 		for {
--- a/cmd/tinsail/sources.go
+++ b/cmd/tinsail/sources.go
@@ -19,19 +19,19 @@
 	"tinsail/internal/settings"
 )
 
-// sources are where backends come from, where the settings name others than the director.
+// sources are the sources of backends if the settings name others than the platform's director.
 type sources struct {
 	list         *members.List
 	director     members.Source
 	consul       members.Source
 	static       members.Source
-	stopWatch    context.CancelFunc // ends the watch that runs; nil if none does
-	watchEnded   chan struct{}      // closed when it has
+	stopWatch    context.CancelFunc // stops the watch that runs; nil if none does
+	watchEnded   chan struct{}      // closed when it has ended
 	count        consul.Counts
-	registration *consul.Registration // nil if there is none
+	registration *consul.Registration // this dispatcher's own entry in Consul; nil if there is none
 }
 
-// Ranks of the sources: who is asked most directly describes a backend that several name.
+// Ranks of the sources. If several name a backend, the one of the highest rank describes it.
 const (
 	staticRank = iota + 1
 	directorRank
@@ -40,7 +40,7 @@
 
 func millis(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// consulRules are those of the catalogue.
+// consulRules returns the membership rules of the Consul catalogue.
 func consulRules(set *settings.MemberRules) membership.Rules {
 	if set == nil {
 		return membership.Defaults("consul", consulRank)
@@ -50,16 +50,16 @@
 		Flaps: set.Flaps, FlapWindow: millis(set.FlapWindowMS), Settle: millis(set.SettleMS), WarningDrains: set.WarningDrains}
 }
 
-// usesDirector says whether the platform's director is asked.
+// usesDirector reports whether the platform's director is a source.
 func usesDirector(set *settings.Settings) bool { return set.Backends == nil || set.Backends.Director }
 
-// directorRules are the platform's: its list is believed at once.
+// directorRules returns the membership rules of the platform's director: its list applies at once.
 func directorRules(set *settings.Settings) membership.Rules {
 	return membership.Rules{Name: "director", Rank: directorRank, Disabled: !usesDirector(set)}
 }
 
-// addSources makes the list of backends where the settings ask for one. The platform's director
-// alone goes straight to the core, as it always has.
+// addSources creates the merged list of backends if the settings name further sources. Otherwise the director's list goes straight
+// to the core.
 func (d *dispatcher) addSources(set *settings.Settings) error {
 	if set.Consul == nil && set.Backends == nil {
 		return nil
@@ -84,7 +84,8 @@
 	return err
 }
 
-// consulConfig reads the token where the settings say; it is in no file of ours.
+// consulConfig returns the client's configuration. The token comes from the file or environment variable that the settings name;
+// it is never stored in the settings themselves.
 func consulConfig(c *settings.Consul) consul.Config {
 	out := consul.Config{Addresses: c.Address, Scheme: c.Scheme, Service: c.Service, Tags: c.Tags, Filter: c.Filter,
 		Datacenter: c.DC, Namespace: c.Namespace, Partition: c.Partition, TokenFile: c.TokenFile,
@@ -110,7 +111,7 @@
 	return w, nil
 }
 
-// startSources begins to ask all sources.
+// startSources starts the watches of all sources.
 func (d *dispatcher) startSources(set *settings.Settings) {
 	s := d.sources
 	if s == nil {
@@ -126,8 +127,8 @@
 	}
 }
 
-// watchConsul watches the catalogue as the settings say from now on. What is known of it stays: no
-// backend goes because another agent is asked.
+// watchConsul replaces the watch of the Consul catalogue by one with the settings c. The known backends stay: a change of agents
+// removes none.
 func (d *dispatcher) watchConsul(c *settings.Consul) {
 	s := d.sources
 	if s.stopWatch != nil {
@@ -136,7 +137,7 @@
 		s.stopWatch = nil
 	}
 	w, err := newWatch(d, c)
-	if err != nil || w == nil { // it was checked before it got here
+	if err != nil || w == nil { // the settings were checked before, so there is no error to report
 		return
 	}
 	var ctx context.Context
@@ -148,7 +149,7 @@
 	}(s.watchEnded)
 }
 
-// reloadSources takes over what can be.
+// reloadSources applies the changed settings of the sources that can change at run time.
 func (d *dispatcher) reloadSources(old, next *settings.Settings) {
 	if d.sources == nil {
 		return
@@ -175,7 +176,7 @@
 	return list
 }
 
-// membersView is what `tinsail members` reads.
+// membersView is the JSON that `tinsail members` reads.
 type membersView struct {
 	Sources []sourceView `json:"sources"`
 	Members []memberView `json:"members"`
@@ -231,7 +232,7 @@
 	return string(text)
 }
 
-// checkSources finds what the schema cannot: a token or certificate that is not there.
+// checkSources checks the sources' settings where the schema cannot: a missing token or certificate, or no source at all.
 func checkSources(cfg *config.Config, set *settings.Settings) error {
 	if cfg == nil || set == nil {
 		return nil
