--- a/cmd/tinsail/serve.go
+++ b/cmd/tinsail/serve.go
@@ -122,8 +122,8 @@
 		StallTimeout: h.StallTimeout(), DrainTimeout: h.DrainTimeout(), CancelOnReset: h.CancelOnReset()}
 }
 
-// assemble creates the parts and opens the listeners, and starts none of the parts but budgets, accord and quotas. from is what
-// another process of this dispatcher hands over; its zero value means that there is none.
+// assemble creates the parts and opens the listeners. It serves no client yet; start does. from is what another process of this
+// dispatcher hands over; its zero value means that there is none.
 func assemble(cfg *config.Config, set *settings.Settings, log zerolog.Logger, from handoverData) (*dispatcher, error) {
 	d := &dispatcher{cfg: cfg, log: log, count: &counters.Set{}, guard: &guard.Recorder{Log: log}}
 	d.readiness.startedAt = time.Now()
