--- a/internal/fleet/quota/allocation.go
+++ b/internal/fleet/quota/allocation.go
@@ -179,7 +179,7 @@
 	return max(min(units, free), 0)
 }
 
-// rebalance polls the children that should send a request now. If children lack units of an account or it exceeds its
+// rebalance polls the children that should send a lease request now. If children lack units of an account or it exceeds its
 // capacity, those are the children that hold more than their targets; if units are free, those that lack some.
 func (l *Lender) rebalance(now Time, name string) {
 	a := l.accounts[name]
@@ -228,7 +228,7 @@
 	}
 }
 
-// poll marks a child to be polled. It does nothing if the child was polled less than a RetryDelay ago and has sent no
+// poll marks a child to be polled. It does nothing if the child was polled less than a RetryDelay ago and has sent no lease
 // request since.
 func (l *Lender) poll(now Time, name string) bool {
 	c := l.children[name]
--- a/internal/fleet/quota/holder.go
+++ b/internal/fleet/quota/holder.go
@@ -8,8 +8,8 @@
 )
 
 // Holder is the borrowing side: a dispatcher that borrows from its region's lender, or a region that borrows from the root.
-// It sends one request at a time. It may use what the response to its newest request granted until UsableLease after that
-// request was sent.
+// Only the response to its newest lease request counts. It may use what that response granted until UsableLease after the
+// lease request was sent.
 type Holder struct {
 	cfg               LeaseConfig
 	name              string
@@ -17,26 +17,26 @@
 	recovering        bool
 	seq               uint64
 	lenderIncarnation uint64 // in the last response
-	baseSeq           uint64 // the newest request that this incarnation answered
-	sendFull          bool   // the next request must report all accounts
+	baseSeq           uint64 // the newest lease request that lenderIncarnation answered
+	sendFull          bool   // the next lease request must report all accounts
 	accounts          map[string]*heldAccount
 	dirty             map[string]bool // accounts whose current state the lender may not know
 
 	inherited []Allocation // units that earlier incarnations may have in use, from the response that said so
 
-	sentRecovered bool          // the newest request did not have Recovering set
-	inFlight      bool          // the newest request has no response yet
-	requestDue    bool          // a request must be sent as soon as none is in flight
-	polled        bool          // since the newest request
-	sentAt        Time          // of the newest request
-	retryDelay    time.Duration // from sentAt until the request is repeated
+	sentRecovered bool          // the newest lease request did not have Recovering set
+	inFlight      bool          // the newest lease request has no response yet
+	requestDue    bool          // a lease request must be sent as soon as none is in flight
+	polled        bool          // since the newest lease request
+	sentAt        Time          // of the newest lease request
+	retryDelay    time.Duration // from sentAt until the next lease request if no response arrives
 	leaseEnd      Time          // as LeaseEnd returns it
 }
 
 // heldAccount is the state of one account of a holder.
 type heldAccount struct {
 	units, used, demand int
-	reported            AccountReport // in the newest request that included the account
+	reported            AccountReport // in the newest lease request that included the account
 }
 
 // NewHolder starts an incarnation of a holder. The epoch must be higher than that of each earlier incarnation; its start in
@@ -54,7 +54,7 @@
 }
 
 // SetUsage sets the units of an account in use and the demand, which includes them. If the demand is higher than both the
-// held units and the demand that the lender knows, a request is due at once.
+// held units and the demand that the lender knows, a lease request is due at once.
 func (h *Holder) SetUsage(account string, used, demand int) {
 	k := h.accounts[account]
 	if k == nil {
@@ -98,10 +98,11 @@
 	}
 }
 
-// HandlePoll handles a poll: the holder sends a request now and returns the units for which it has no demand.
+// HandlePoll handles a poll: the holder sends a lease request now and returns the units for which it has no demand.
 func (h *Holder) HandlePoll() { h.polled, h.requestDue = true, true }
 
-// Close ends this incarnation in an orderly way, while nothing is in flight. The request that is due then returns all units.
+// Close ends this incarnation in an orderly way, while nothing is in flight. The lease request that is due then returns all
+// units.
 func (h *Holder) Close() {
 	for account := range h.accounts {
 		h.SetUsage(account, 0, 0)
@@ -116,7 +117,7 @@
 	}
 }
 
-// NextRequestTime returns when NextRequest returns a request if nothing else happens before.
+// NextRequestTime returns when NextRequest returns a lease request if nothing else happens before.
 func (h *Holder) NextRequestTime() Time {
 	switch {
 	case h.seq == 0 || h.requestDue && !h.inFlight:
@@ -129,8 +130,8 @@
 	return h.sentAt.Add(h.cfg.RenewInterval())
 }
 
-// NextRequest returns the request that is to be sent at now, if one is due. Until its response arrives the holder uses only
-// what the request reports as held, whatever responses to older requests arrive.
+// NextRequest returns the lease request that is to be sent at now, if one is due. Until its response arrives the holder uses
+// only what it reports as held, whatever responses to older lease requests arrive.
 func (h *Holder) NextRequest(now Time) (LeaseRequest, bool) {
 	if now < h.NextRequestTime() {
 		return LeaseRequest{}, false
@@ -157,6 +158,7 @@
 		Full: h.sendFull, BaseSeq: h.baseSeq, Recovering: h.recovering, Reports: h.reports()}, true
 }
 
+// backoff returns the wait for the response to the lease request that is due.
 func (h *Holder) backoff() time.Duration {
 	if !h.inFlight {
 		return h.cfg.RetryDelay()
@@ -164,7 +166,7 @@
 	return min(2*h.retryDelay, max(maxRetryDelay, h.cfg.RetryDelay()), h.cfg.RenewInterval())
 }
 
-// reports returns the accounts that the request must include, sorted.
+// reports returns the reports of the lease request that is due, sorted by account.
 func (h *Holder) reports() (out []AccountReport) {
 	names := h.dirty
 	if h.sendFull {
@@ -177,14 +179,14 @@
 		k := h.accounts[account]
 		k.reported = AccountReport{Account: account, Held: k.units, Used: k.used, Demand: k.demand}
 		if h.dirty[account] = true; h.sendFull && k.units == 0 && k.used == 0 && k.demand == 0 {
-			continue // a full request reports such an account by omitting it
+			continue // a full lease request reports such an account by omitting it
 		}
 		out = append(out, k.reported)
 	}
 	return out
 }
 
-// HandleResponse handles a response that arrived at now. It ignores any but the one to the newest request. The first
+// HandleResponse handles a response that arrived at now. It ignores any but the one to the newest lease request. The first
 // response of another incarnation of the lender grants nothing.
 func (h *Holder) HandleResponse(now Time, r LeaseResponse) {
 	if r.Child != h.name || r.Epoch != h.epoch || r.Seq != h.seq || !h.inFlight {
@@ -195,7 +197,7 @@
 		h.lenderIncarnation, h.sendFull, h.requestDue = r.LenderIncarnation, true, true
 		return
 	}
-	if !h.sentRecovered && !r.NoRecord { // not a grant, even if the recovery has ended since the request was sent
+	if !h.sentRecovered && !r.NoRecord { // not a grant, even if the recovery has ended since the lease request was sent
 		h.recovering, h.sendFull, h.requestDue, h.inherited = false, true, true, r.Allocations
 		return
 	}
--- a/internal/fleet/quota/lender.go
+++ b/internal/fleet/quota/lender.go
@@ -28,7 +28,7 @@
 	rotating      map[string]bool   // accounts with fewer units than children with demand, whose units rotate
 	changed       map[string]bool   // accounts whose counted units or demand changed, for RegionLender
 	toPoll        map[string]bool   // children to be polled
-	loansBefore   map[*account]loan // while a request is handled: the previous state of the child's loans that it changes
+	loansBefore   map[*account]loan // while a lease request is handled: the loans that it changes, as they were before
 	events        []Event
 }
 
@@ -47,14 +47,15 @@
 }
 
 // loan is what one child has of one account. It counts as the highest of these: the units that the child reported as held
-// or used, those that the response to its newest request granted, and, while the child is recovering, those counted for its
-// earlier incarnations.
+// or used, those that the response to its newest lease request granted, and, while the child is recovering, those counted
+// for its earlier incarnations.
 type loan struct {
 	AccountReport
-	granted   int
-	inherited int
+	granted   int // by the response to the newest lease request
+	inherited int // from earlier incarnations, while the child is recovering
 }
 
+// counted returns the units that the loan counts as.
 func (ln *loan) counted() int { return max(ln.granted, ln.inherited, ln.Held, ln.Used) }
 
 // endedIncarnation is an ended incarnation of a child. Its requests may be in flight until the given time.
@@ -120,6 +121,7 @@
 	}
 }
 
+// assumeLent raises an account's units that earlier incarnations may have lent.
 func (l *Lender) assumeLent(name string, units int) {
 	if a := l.account(name); l.recovering && units > a.assumedLent {
 		a.assumedLent, a.targets = units, nil
@@ -127,9 +129,10 @@
 	}
 }
 
-// SetLeaseEnd sets the end of an intermediate lender's own lease. All leases that the lender grants end before it. Without
-// cover the lender lends only the urgent reserve, which is its own. In its first QuietPeriod it then grants nothing at all,
-// so that its children's leases are still valid if its own lease begins soon.
+// SetLeaseEnd sets the end of an intermediate lender's own lease. The lender is covered while a lease granted now would end
+// before it. Without cover it lends only the urgent reserve, which is its own. In its first QuietPeriod it grants nothing at
+// all without cover and leaves lease requests unanswered, except with ResendFull. Its children then keep the leases that
+// they have, in case it is covered soon.
 func (l *Lender) SetLeaseEnd(now, until Time) {
 	l.leaseEnd = until
 	l.updateCoverage(now)
@@ -140,7 +143,7 @@
 	return l.leaseEnd == Never || now.Add(l.cfg.Lease) <= l.leaseEnd
 }
 
-// updateCoverage rebalances all accounts when covered has changed. A lender that is covered again polls all children.
+// updateCoverage rebalances all accounts if covered has changed. A lender that has become covered polls all children.
 func (l *Lender) updateCoverage(now Time) {
 	if l.covered(now) == l.wasCovered {
 		return
@@ -177,6 +180,7 @@
 // Recovering reports whether earlier incarnations may have lent units that no child has reported yet.
 func (l *Lender) Recovering() bool { return l.recovering }
 
+// account returns an account, and adds it if it is new.
 func (l *Lender) account(name string) *account {
 	a := l.accounts[name]
 	if a == nil {
@@ -205,7 +209,7 @@
 	return a.counted + l.unreported(a)
 }
 
-// Usage returns the units of an account that the children use and their demand, by their newest requests.
+// Usage returns the units of an account that the children use and their demand, by their newest lease requests.
 func (l *Lender) Usage(account string) (used, demand int) {
 	if a := l.accounts[account]; a != nil {
 		for _, n := range a.loans {
@@ -219,7 +223,7 @@
 // Accounts returns the accounts that the lender tracks, sorted.
 func (l *Lender) Accounts() []string { return slices.Sorted(maps.Keys(l.accounts)) }
 
-// TakePolls returns the children that should send a request now, each once.
+// TakePolls returns the children that should send a lease request now, each once.
 func (l *Lender) TakePolls() []string {
 	out := slices.Sorted(maps.Keys(l.toPoll))
 	clear(l.toPoll)
@@ -233,6 +237,7 @@
 	return events
 }
 
+// record adds an event, unless too many are stored already.
 func (l *Lender) record(step, account, child string, units int) {
 	if len(l.events) < maxEvents {
 		l.events = append(l.events, Event{step, account, child, units})
@@ -246,4 +251,5 @@
 	}
 }
 
+// sortedKeys returns the members of a set in order.
 func sortedKeys(set map[string]bool) []string { return slices.Sorted(maps.Keys(set)) }
--- a/internal/fleet/quota/limiter.go
+++ b/internal/fleet/quota/limiter.go
@@ -56,6 +56,7 @@
 	}
 }
 
+// queue returns the requests of an account, and adds the account if it is new.
 func (l *Limiter) queue(account string) *accountQueue {
 	q := l.queues[account]
 	if q == nil {
@@ -92,6 +93,7 @@
 	return false
 }
 
+// start records that a request starts with a unit of the account charged.
 func (l *Limiter) start(r *req, charged string) {
 	r.started, r.charged = true, charged
 	l.queue(charged).used++
@@ -175,6 +177,7 @@
 	return started, expired
 }
 
+// used returns the units of an account in use.
 func (l *Limiter) used(account string) int {
 	if q := l.queues[account]; q != nil {
 		return q.used
--- a/internal/fleet/quota/reconnect.go
+++ b/internal/fleet/quota/reconnect.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// HandleReconnect states that there is a new connection to the lender. A request in flight on the previous one is lost, and
-// a new one is due at once. The holder returns no units because of it.
+// HandleReconnect states that there is a new connection to the lender. A lease request in flight on the previous one is
+// lost, and a new one is due at once. The holder returns no units because of it.
 func (h *Holder) HandleReconnect() { h.inFlight, h.requestDue = false, true }
 
 // HandleReconnect states that there is a new connection to the root.
--- a/internal/fleet/quota/region.go
+++ b/internal/fleet/quota/region.go
@@ -45,7 +45,7 @@
 	r.lender.SetCapacity(now, ReserveAccount, units)
 }
 
-// Handle answers a dispatcher's request. It returns false if no response is to be sent.
+// Handle answers a dispatcher's lease request. It returns false if no response is to be sent.
 func (r *RegionLender) Handle(now Time, request LeaseRequest) (LeaseResponse, bool) {
 	response, ok := r.lender.Handle(now, request)
 	r.updateUsage()
@@ -83,7 +83,7 @@
 	})
 }
 
-// NextRequest returns the request that is to be sent to the root, if one is due.
+// NextRequest returns the lease request that is to be sent to the root, if one is due.
 func (r *RegionLender) NextRequest(now Time) (LeaseRequest, bool) {
 	r.Tick(now)
 	request, due := r.holder.NextRequest(now)
@@ -106,7 +106,7 @@
 // HandlePoll handles the root's poll.
 func (r *RegionLender) HandlePoll() { r.holder.HandlePoll() }
 
-// TakePolls returns the dispatchers that should send a request now, each once.
+// TakePolls returns the dispatchers that should send a lease request now, each once.
 func (r *RegionLender) TakePolls() []string { return r.lender.TakePolls() }
 
 // Tick advances the lender to now.
--- a/internal/fleet/quota/request.go
+++ b/internal/fleet/quota/request.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// Handle answers a request. It returns false if no response is to be sent. A request's reports are exact from the time it
-// was sent, because the child ignores responses to older requests.
+// Handle answers a lease request. It returns false if no response is to be sent, because the lease request is invalid or not
+// the newest, or because the lender may not respond without cover. The reports of a lease request are exact from the time it
+// was sent, because the child ignores responses to older ones.
 func (l *Lender) Handle(now Time, r LeaseRequest) (LeaseResponse, bool) {
 	l.Tick(now)
 	if !l.valid(r) {
@@ -38,8 +39,8 @@
 	return response, respond
 }
 
-// rebalanceChanged rebalances the accounts that a request or its response changed. isNew is set at the first request of an
-// incarnation.
+// rebalanceChanged rebalances the accounts that a lease request or its response changed. isNew is set at the first lease
+// request of an incarnation.
 func (l *Lender) rebalanceChanged(now Time, c *child, isNew bool) {
 	before := l.loansBefore
 	if l.loansBefore = nil; isNew && l.options.Preallocate { // it shares in every account
@@ -62,7 +63,7 @@
 	}
 }
 
-// valid reports whether a request keeps to the limits and comes from a child that may be known.
+// valid reports whether a lease request keeps to the limits and comes from a permitted child.
 func (l *Lender) valid(r LeaseRequest) bool {
 	if r.Child == "" || len(r.Child) > MaxName || r.Epoch == 0 || r.Seq == 0 || len(r.Reports) > MaxAccounts ||
 		l.options.Children != nil && !slices.Contains(l.options.Children, r.Child) ||
@@ -83,8 +84,8 @@
 	return added == 0 || len(l.accounts)+added <= MaxAccounts
 }
 
-// recordRequest records the sender of a request. If it is a new incarnation, the units that the previous one may have in use
-// count for an ended incarnation. A recovering child inherits them instead.
+// recordRequest records the sender of a lease request. If it is a new incarnation, the units that the previous one may have
+// in use count for an ended incarnation. A recovering child inherits them instead.
 func (l *Lender) recordRequest(now Time, c *child, r LeaseRequest) *child {
 	if c == nil || c.epoch != r.Epoch {
 		next := &child{name: r.Child, epoch: r.Epoch, loans: map[string]*loan{}, reportedUnits: map[string]int{}}
@@ -172,8 +173,8 @@
 	}
 }
 
-// applyReports applies a request's reports. What the previous response granted does not count any more: the child has either
-// applied it, and reports it as held, or never will.
+// applyReports applies the reports of a lease request. What the previous response granted does not count any more: the child
+// has either applied it, and reports it as held, or never will.
 func (l *Lender) applyReports(c *child, r LeaseRequest) {
 	reported := make(map[string]bool, len(r.Reports))
 	for _, report := range r.Reports {
