--- a/cmd/tinsail/accord_history_test.go
+++ b/cmd/tinsail/accord_history_test.go
@@ -14,88 +14,88 @@
 	history "tinsail/internal/standin/accordhistory"
 )
 
-// trial is a fleet that is taken through one case after the other.
-type trial struct {
-	*judged
-	version uint64 // decided last, as far as the cases so far go
-	bans    int
+// faultTrial is a fleet that is taken through one case after the other.
+type faultTrial struct {
+	*recordedFleet
+	version  uint64 // decided last, as far as the cases so far go
+	policies int
 }
 
-const trialOf = 9
+const trialSize = 9
 
-func startTrial(t *testing.T) *trial {
-	c := &trial{judged: startJudged(t, trialOf), version: 1}
-	c.settled(1)
-	c.tell(history.Over, "")
-	c.load(16, 10_000)
+func startFaultTrial(t *testing.T) *faultTrial {
+	c := &faultTrial{recordedFleet: startRecordedFleet(t, trialSize), version: 1}
+	c.awaitSettled(1)
+	c.recordEvent(history.Over, "")
+	c.startLoad(16, 10_000)
 	return c
 }
 
-// next is a policy that was not there before.
-func (c *trial) next() string {
-	c.bans++
-	return fmt.Sprintf(`bans = ["x%d"]`, c.bans)
+// nextPolicy is a policy that was not there before.
+func (c *faultTrial) nextPolicy() string {
+	c.policies++
+	return fmt.Sprintf(`bans = ["x%d"]`, c.policies)
 }
 
 // propose proposes one more policy at a dispatcher.
-func (c *trial) propose(i int) { c.change(i, c.next()) }
+func (c *faultTrial) propose(i int) { c.proposePolicy(i, c.nextPolicy()) }
 
-// at proposes one at a dispatcher, and does what when the first process tells of a stage of it.
-func (c *trial) at(stage string, i int, what func()) {
+// proposeAndActAt proposes one proposeAndActAt a dispatcher, and does what when the first process tells of a stage of it.
+func (c *faultTrial) proposeAndActAt(stage string, i int, what func()) {
 	done := make(chan struct{})
-	c.on(stage, func(string) { what(); close(done) })
+	c.onEvent(stage, func(string) { what(); close(done) })
 	c.propose(i)
 	select {
 	case <-done:
-	case <-time.After(rigSettle):
+	case <-time.After(settleTimeout):
 		c.t.Fatalf("never at %s", stage)
 	}
 }
 
-// but waits until all but these are on one version more than before the case.
-func (c *trial) but(skip ...int) {
+// awaitAllBut waits until all awaitAllBut these are on one version more than before the case.
+func (c *faultTrial) awaitAllBut(skip ...int) {
 	c.t.Helper()
-	c.round(fmt.Sprintf("all but %v on version %d", skip, c.version+1), func(lines []history.Line) bool {
+	c.waitFor(fmt.Sprintf("all but %v on version %d", skip, c.version+1), func(lines []history.Line) bool {
 		left := history.Unsettled(lines)
 		for _, i := range skip {
-			left = slices.DeleteFunc(left, func(p string) bool { return p == named(i) })
+			left = slices.DeleteFunc(left, func(p string) bool { return p == memberName(i) })
 		}
-		return decided(lines) > c.version && len(left) == 0
+		return lastDecided(lines) > c.version && len(left) == 0
 	})
 }
 
-// play plays a case: its faults, which have ended when they return. It decides gain versions, and then
+// runCase plays a case: its faults, which have ended when they return. It decides gain versions, and then
 // reqs are served by the last.
-func (c *trial) play(name string, gain int, faults func()) {
+func (c *faultTrial) runCase(name string, gain int, faults func()) {
 	c.t.Helper()
 	began := time.Now()
-	c.tell(history.Fault, "")
+	c.recordEvent(history.Fault, "")
 	faults()
-	c.tell(history.Over, "")
+	c.recordEvent(history.Over, "")
 	over := time.Now()
 	c.version += uint64(gain)
-	c.settled(c.version)
+	c.awaitSettled(c.version)
 	took, since := time.Since(began), time.Since(over)
-	c.round("its versions", func(lines []history.Line) bool { return decided(lines) == c.version })
+	c.waitFor("its versions", func(lines []history.Line) bool { return lastDecided(lines) == c.version })
 	c.mu.Lock()
-	c.t.Logf("%-42s version %2d: %4d ms, %4d of them after the faults; answers %v", name, c.version, took.Milliseconds(), since.Milliseconds(), c.answers)
-	c.answers = map[int]int{}
+	c.t.Logf("%-42s version %2d: %4d ms, %4d of them after the faults; answers %v", name, c.version, took.Milliseconds(), since.Milliseconds(), c.answersByStatus)
+	c.answersByStatus = map[int]int{}
 	c.mu.Unlock()
-	c.round("reqs served", func([]history.Line) bool {
+	c.waitFor("reqs served", func([]history.Line) bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.answers[200] >= 30
+		return c.answersByStatus[200] >= 30
 	})
 }
 
-// judge ends the load and has the history judged.
-func (c *trial) judge() {
+// checkHistory ends the load and has the history judged.
+func (c *faultTrial) checkHistory() {
 	close(c.stop)
 	c.clients.Wait()
-	lines := c.all()
-	c.verdicts(lines)
-	assert.Zero(c.t, c.bare, "503 without Retry-After")
-	spans := history.Spans(lines, rigRules)
+	lines := c.fullHistory()
+	c.reportViolations(lines)
+	assert.Zero(c.t, c.missingRetryAfter, "503 without Retry-After")
+	spans := history.Spans(lines, accordRules)
 	least := time.Hour
 	for v := uint64(1); v <= c.version; v++ {
 		require.Contains(c.t, spans, v, "reqs by the version")
@@ -122,121 +122,121 @@
 	if testing.Short() {
 		t.Skip("starts twenty processes")
 	}
-	c := startTrial(t)
+	c := startFaultTrial(t)
 	for range 5 {
-		c.play("no fault", 1, func() { c.propose(5) })
+		c.runCase("no fault", 1, func() { c.propose(5) })
 	}
 	for _, stage := range []string{"checking", "preparing", "decided"} {
 		lead := c.leader()
-		c.play("the leader killed at "+stage, 1, func() {
-			c.at(stage, 5, func() { c.kill(lead) })
-			c.but()
+		c.runCase("the leader killed at "+stage, 1, func() {
+			c.proposeAndActAt(stage, 5, func() { c.kill(lead) })
+			c.awaitAllBut()
 		})
-		c.play("it starts again", 0, func() { c.start(lead) })
+		c.runCase("it starts again", 0, func() { c.start(lead) })
 	}
-	c.play("another voter killed at preparing", 1, func() {
+	c.runCase("another voter killed at preparing", 1, func() {
 		voter := (c.leader() + 1) % 3
-		c.at("preparing", 5, func() { c.kill(voter) })
-		c.but()
+		c.proposeAndActAt("preparing", 5, func() { c.kill(voter) })
+		c.awaitAllBut()
 		c.start(voter)
 	})
 	for _, stage := range []string{"checking", "deciding"} {
-		c.play("the leader stopped at "+stage, 1, func() {
+		c.runCase("the leader stopped at "+stage, 1, func() {
 			lead := c.leader()
-			c.at(stage, 4, func() { c.pause(lead) })
-			c.but(lead)
-			c.wake(lead)
+			c.proposeAndActAt(stage, 4, func() { c.pause(lead) })
+			c.awaitAllBut(lead)
+			c.resume(lead)
 		})
 	}
-	c.play("the leader cut off at deciding", 1, func() {
+	c.runCase("the leader cut off at deciding", 1, func() {
 		lead := c.leader()
-		c.at("deciding", 4, func() { c.cut(lead) })
-		c.but(lead)
-		c.mend(lead)
+		c.proposeAndActAt("deciding", 4, func() { c.disconnect(lead) })
+		c.awaitAllBut(lead)
+		c.reconnect(lead)
 	})
-	c.play("the leader cut off from voters alone", 1, func() {
+	c.runCase("the leader cut off from voters alone", 1, func() {
 		lead := c.leader()
-		links := c.between(lead)
-		c.at("deciding", 4, func() {
+		links := c.voterRelays(lead)
+		c.proposeAndActAt("deciding", 4, func() {
 			for _, r := range links {
 				r.Set(faultnet.Rule{Blackhole: true})
 			}
 		})
-		c.but(lead)
+		c.awaitAllBut(lead)
 		for _, r := range links {
 			r.Set(faultnet.Pass)
 			r.Reset()
 		}
 	})
 	for _, stage := range []string{"checking", "checked n6"} {
-		c.play("a lessee stopped at "+stage, 1, func() {
-			c.at(stage, 4, func() { c.pause(6) })
-			c.but(6)
-			c.wake(6)
+		c.runCase("a lessee stopped at "+stage, 1, func() {
+			c.proposeAndActAt(stage, 4, func() { c.pause(6) })
+			c.awaitAllBut(6)
+			c.resume(6)
 		})
 	}
-	c.play("a lessee cut off before the change", 1, func() {
-		c.cut(7)
+	c.runCase("a lessee cut off before the change", 1, func() {
+		c.disconnect(7)
 		c.propose(4)
-		c.but(7)
-		c.mend(7)
+		c.awaitAllBut(7)
+		c.reconnect(7)
 	})
 	for range 2 {
-		c.play("a lessee cut off between checked and ready", 1, func() {
-			c.at("checked n7", 4, func() { c.cut(7) })
-			c.but(7)
-			c.mend(7)
+		c.runCase("a lessee cut off between checked and ready", 1, func() {
+			c.proposeAndActAt("checked n7", 4, func() { c.disconnect(7) })
+			c.awaitAllBut(7)
+			c.reconnect(7)
 		})
 	}
-	c.play("a lessee cut off at decided", 1, func() {
-		c.at("decided", 4, func() { c.cut(7) })
-		c.but(7)
-		c.round("it stops", func(lines []history.Line) bool { return slices.Contains(history.Unsettled(lines), named(7)) })
-		c.mend(7)
+	c.runCase("a lessee cut off at decided", 1, func() {
+		c.proposeAndActAt("decided", 4, func() { c.disconnect(7) })
+		c.awaitAllBut(7)
+		c.waitFor("it stops", func(lines []history.Line) bool { return slices.Contains(history.Unsettled(lines), memberName(7)) })
+		c.reconnect(7)
 	})
-	c.play("a lessee cut off over its lease, no change", 0, func() {
-		c.cut(7)
-		c.round("it stops", func(lines []history.Line) bool { return slices.Contains(history.Unsettled(lines), named(7)) })
-		c.mend(7)
+	c.runCase("a lessee cut off over its lease, no change", 0, func() {
+		c.disconnect(7)
+		c.waitFor("it stops", func(lines []history.Line) bool { return slices.Contains(history.Unsettled(lines), memberName(7)) })
+		c.reconnect(7)
 	})
-	c.play("links of two lessees delay 2 s", 1, func() {
+	c.runCase("links of two lessees delay 2 s", 1, func() {
 		for _, i := range []int{6, 7} {
-			c.rule(i, faultnet.Rule{Delay: 2 * time.Second})
+			c.setRule(i, faultnet.Rule{Delay: 2 * time.Second})
 		}
 		c.propose(4)
-		c.but(6, 7)
-		c.mend(6)
-		c.mend(7)
+		c.awaitAllBut(6, 7)
+		c.reconnect(6)
+		c.reconnect(7)
 	})
-	c.play("links of two voters delay 2 s", 1, func() {
+	c.runCase("links of two voters delay 2 s", 1, func() {
 		for _, i := range []int{0, 1} {
-			c.rule(i, faultnet.Rule{Delay: 2 * time.Second})
+			c.setRule(i, faultnet.Rule{Delay: 2 * time.Second})
 		}
-		c.round("all stop", func(lines []history.Line) bool { return len(history.Unsettled(lines)) >= trialOf })
+		c.waitFor("all stop", func(lines []history.Line) bool { return len(history.Unsettled(lines)) >= trialSize })
 		c.propose(4)
-		c.mend(0)
-		c.mend(1)
-		c.but()
+		c.reconnect(0)
+		c.reconnect(1)
+		c.awaitAllBut()
 	})
-	c.play("three down during the change", 1, func() {
+	c.runCase("three down during the change", 1, func() {
 		down := []int{(c.leader() + 1) % 3, 5, 6}
 		for _, i := range down {
 			c.kill(i)
 		}
 		c.propose(4)
-		c.but()
+		c.awaitAllBut()
 		for _, i := range down {
 			c.start(i)
 		}
 	})
-	c.play("two changes at once", 0, func() {
+	c.runCase("two changes at once", 0, func() {
 		for _, i := range []int{3, 4} {
-			c.write(i, c.next())
+			c.writeScript(i, c.nextPolicy())
 		}
 		c.reload(3)
 		c.reload(4)
-		c.round("both end", func(lines []history.Line) bool { // the second after the first, at times
-			ended := decided(lines) - c.version
+		c.waitFor("both end", func(lines []history.Line) bool { // the second after the first, at times
+			ended := lastDecided(lines) - c.version
 			for _, l := range lines {
 				if l.Event == "withdrawn" && l.Version == c.version+1 {
 					ended++
@@ -244,23 +244,23 @@
 			}
 			return ended >= 2
 		})
-		c.version = decided(c.all())
+		c.version = lastDecided(c.fullHistory())
 	})
-	c.play("a refusal by one", 0, func() {
-		c.change(4, `connections = 400`)
+	c.runCase("a refusal by one", 0, func() {
+		c.proposePolicy(4, `connections = 400`)
 		heard, told := map[string]bool{}, map[string]bool{}
-		c.round("all that heard of it say withdrawn, and why", func(lines []history.Line) bool {
+		c.waitFor("all that heard of it say withdrawn, and why", func(lines []history.Line) bool {
 			for _, l := range lines {
 				if l.Version == c.version+1 && l.Change != "0" {
 					heard[l.Process] = heard[l.Process] || l.Event == "checked"
 					told[l.Process] = told[l.Process] || l.Event == "withdrawn" && l.Why != ""
 				}
 			}
-			return heard[named(trialOf-1)] && len(heard) <= len(told) && !slices.ContainsFunc(slices.Collect(maps.Keys(heard)), func(p string) bool { return !told[p] })
+			return heard[memberName(trialSize-1)] && len(heard) <= len(told) && !slices.ContainsFunc(slices.Collect(maps.Keys(heard)), func(p string) bool { return !told[p] })
 		})
-		c.t.Logf("%d of %d heard of the change before one refused it", len(heard), trialOf)
+		c.t.Logf("%d of %d heard of the change before one refused it", len(heard), trialSize)
 	})
-	c.play("all voters killed and started", 0, func() {
+	c.runCase("all voters killed and started", 0, func() {
 		for i := range 3 {
 			c.kill(i)
 		}
@@ -268,38 +268,38 @@
 			c.start(i)
 		}
 	})
-	c.play("and a change after it", 1, func() { c.propose(4) })
-	c.judge()
+	c.runCase("and a change after it", 1, func() { c.propose(4) })
+	c.checkHistory()
 }
 
-// TestAccordLongAway: a lessee is cut off when it has checked a change. The change and 20 more are decided
+// TestAccordLongAbsence: a lessee is cut off when it has checked a change. The change and 20 more are decided
 // without it, and the leader changes. When it is back it may not say that the change was withdrawn.
-func TestAccordLongAway(t *testing.T) {
+func TestAccordLongAbsence(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts ten processes")
 	}
-	c := startTrial(t)
-	c.play("a lessee cut off at checked, over an election", 21, func() {
-		c.at("checked n7", 4, func() { c.cut(7) })
+	c := startFaultTrial(t)
+	c.runCase("a lessee cut off at checked, over an election", 21, func() {
+		c.proposeAndActAt("checked n7", 4, func() { c.disconnect(7) })
 		for range 20 {
-			c.but(7)
+			c.awaitAllBut(7)
 			c.version++
 			c.propose(4)
 		}
-		c.but(7)
+		c.awaitAllBut(7)
 		c.version -= 20
 		lead := c.leader()
 		c.kill(lead)
-		c.round("another leads", func(lines []history.Line) bool {
+		c.waitFor("another leads", func(lines []history.Line) bool {
 			for _, l := range slices.Backward(lines) {
 				if l.Event == "leads" {
-					return l.Process != named(lead)
+					return l.Process != memberName(lead)
 				}
 			}
 			return false
 		})
 		c.start(lead)
-		c.mend(7)
+		c.reconnect(7)
 	})
-	c.judge()
+	c.checkHistory()
 }
--- a/cmd/tinsail/accord_random_test.go
+++ b/cmd/tinsail/accord_random_test.go
@@ -13,9 +13,9 @@
 	history "tinsail/internal/standin/accordhistory"
 )
 
-// TestAccordHistoryAtRandom plays faults drawn by a seed, each at a drawn stage of a change, sometimes two
+// TestAccordHistoryRandomFaults plays faults drawn by a seed, each at a drawn stage of a change, sometimes two
 // at a time; the history is judged as a whole. TINSAIL_ROUNDS and TINSAIL_SEED play more of them, or others.
-func TestAccordHistoryAtRandom(t *testing.T) {
+func TestAccordHistoryRandomFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts a dozen processes")
 	}
@@ -29,56 +29,56 @@
 		return n
 	}
 	seed := number("TINSAIL_SEED", 28)
-	draw := rand.New(rand.NewPCG(uint64(seed), 0))
-	c := startTrial(t)
+	random := rand.New(rand.NewPCG(uint64(seed), 0))
+	c := startFaultTrial(t)
 	stages := []string{"proposed", "checking", "checked", "preparing", "ready", "deciding", "decided", "in force"}
 	for range number("TINSAIL_ROUNDS", 3) {
-		stage, proposer := stages[draw.IntN(len(stages))], draw.IntN(trialOf)
-		var told string
-		var does, ends []func()
-		hit := map[int]bool{}
-		for range 1 + draw.IntN(3) {
-			i := draw.IntN(trialOf)
-			if draw.IntN(3) == 0 {
+		stage, proposer := stages[random.IntN(len(stages))], random.IntN(trialSize)
+		var description string
+		var begin, undo []func()
+		affected := map[int]bool{}
+		for range 1 + random.IntN(3) {
+			i := random.IntN(trialSize)
+			if random.IntN(3) == 0 {
 				i = c.leader()
 			}
-			if i == proposer || hit[i] || i < 3 && (hit[0] || hit[1] || hit[2]) { // a majority of the voters stays
+			if i == proposer || affected[i] || i < 3 && (affected[0] || affected[1] || affected[2]) { // a majority of the voters stays
 				continue
 			}
-			hit[i] = true
-			switch draw.IntN(4) {
+			affected[i] = true
+			switch random.IntN(4) {
 			case 0:
-				told += fmt.Sprintf(" kill n%d", i)
-				does, ends = append(does, func() { c.kill(i) }), append(ends, func() { c.start(i) })
+				description += fmt.Sprintf(" kill n%d", i)
+				begin, undo = append(begin, func() { c.kill(i) }), append(undo, func() { c.start(i) })
 			case 1:
-				told += fmt.Sprintf(" stop n%d", i)
-				does, ends = append(does, func() { c.pause(i) }), append(ends, func() { c.wake(i) })
+				description += fmt.Sprintf(" stop n%d", i)
+				begin, undo = append(begin, func() { c.pause(i) }), append(undo, func() { c.resume(i) })
 			case 2:
-				told += fmt.Sprintf(" cut n%d", i)
-				does, ends = append(does, func() { c.cut(i) }), append(ends, func() { c.mend(i) })
+				description += fmt.Sprintf(" cut n%d", i)
+				begin, undo = append(begin, func() { c.disconnect(i) }), append(undo, func() { c.reconnect(i) })
 			case 3:
-				told += fmt.Sprintf(" delay n%d", i)
-				does = append(does, func() { c.rule(i, faultnet.Rule{Delay: 2 * rigLease}) })
-				ends = append(ends, func() { c.mend(i) })
+				description += fmt.Sprintf(" delay n%d", i)
+				begin = append(begin, func() { c.setRule(i, faultnet.Rule{Delay: 2 * accordLease}) })
+				undo = append(undo, func() { c.reconnect(i) })
 			}
 		}
-		c.play(fmt.Sprintf("n%d at %s:%s", proposer, stage, told), 1, func() {
-			c.at(stage, proposer, func() {
-				for _, f := range does {
+		c.runCase(fmt.Sprintf("n%d at %s:%s", proposer, stage, description), 1, func() {
+			c.proposeAndActAt(stage, proposer, func() {
+				for _, f := range begin {
 					f()
 				}
 			})
 			var skip []int
-			for i := range hit {
+			for i := range affected {
 				skip = append(skip, i)
 			}
-			c.but(skip...)
-			for _, f := range ends {
+			c.awaitAllBut(skip...)
+			for _, f := range undo {
 				f()
 			}
 		})
 	}
 	t.Logf("seed %d", seed)
-	c.tell(history.Over, "")
-	c.judge()
+	c.recordEvent(history.Over, "")
+	c.checkHistory()
 }
--- a/cmd/tinsail/accord_rig_test.go
+++ b/cmd/tinsail/accord_rig_test.go
@@ -29,44 +29,44 @@
 // The rig's fleet: its lease, and the bound of the note's page "Times" after faults end, E + W + 5 L + d,
 // with five heartbeat time-outs of a third of a lease for E.
 const (
-	rigLease  = 900 * time.Millisecond
-	rigSettle = 5*rigLease/3 + rigLease*1001/999 + 5*rigLease + rigLease/6
-	rigSlack  = 20 * time.Millisecond
+	accordLease   = 900 * time.Millisecond
+	settleTimeout = 5*accordLease/3 + accordLease*1001/999 + 5*accordLease + accordLease/6
+	timingSlack   = 20 * time.Millisecond
 )
 
-// judged is a fleet of real processes whose history is recorded and judged. Each process reaches each
+// recordedFleet is a fleet of real processes whose history is recorded and recordedFleet. Each process reaches each
 // voter but itself through a relay of its own.
-type judged struct {
+type recordedFleet struct {
 	t        *testing.T
-	n        int
+	size     int
 	director *platform.Director
 	backends []*platform.Backend
 	voters   []string          // where they listen
 	relays   [][]*faultnet.TCP // by dispatcher and voter
-	data     string
+	dataDir  string
 	stop     chan struct{}
 	clients  sync.WaitGroup
 
-	mu      sync.Mutex
-	lives   []*life
-	lines   []history.Line // of the processes and of what was done to them
-	asked   []history.Line // of the clients
-	hooks   map[string]func(process string)
-	answers map[int]int // of the clients since the last case, by status; 0: the connection broke
-	bare    int         // 503 without Retry-After
+	mu                sync.Mutex
+	processes         []*fleetProcess
+	lines             []history.Line // of the processes and of what was done to them
+	clientLines       []history.Line // of the clients
+	hooks             map[string]func(process string)
+	answersByStatus   map[int]int // of the clients since the last case, by status; 0: the connection broke
+	missingRetryAfter int         // 503 without Retry-After
 }
 
-// life is one process of a dispatcher.
-type life struct {
-	cmd     *exec.Cmd
-	address string
-	up      bool // clients ask it
-	read    chan struct{}
+// fleetProcess is one process of a dispatcher.
+type fleetProcess struct {
+	cmd          *exec.Cmd
+	address      string
+	receivesReqs bool // clients ask it
+	logRead      chan struct{}
 }
 
-func startJudged(t *testing.T, n int) *judged {
-	j := &judged{t: t, n: n, data: t.TempDir(), stop: make(chan struct{}), hooks: map[string]func(string){}, answers: map[int]int{},
-		lives: make([]*life, n)}
+func startRecordedFleet(t *testing.T, n int) *recordedFleet {
+	j := &recordedFleet{t: t, size: n, dataDir: t.TempDir(), stop: make(chan struct{}), hooks: map[string]func(string){}, answersByStatus: map[int]int{},
+		processes: make([]*fleetProcess, n)}
 	var err error
 	j.director, err = platform.StartDirector()
 	require.NoError(t, err)
@@ -79,16 +79,16 @@
 		j.director.Set(b.Entry("fast", "here", i, "Ready"))
 		j.backends = append(j.backends, b)
 	}
-	j.voters, j.relays = voterLinks(t, n)
-	t.Cleanup(j.keep)
+	j.voters, j.relays = startVoterRelays(t, n)
+	t.Cleanup(j.writeHistory)
 	for i := range n {
 		j.start(i)
 	}
 	return j
 }
 
-// voterLinks finds addresses for three voters, and makes a relay to each for each of n dispatchers, until the test ends.
-func voterLinks(t *testing.T, n int) (voters []string, relays [][]*faultnet.TCP) {
+// startVoterRelays finds addresses for three voters, and makes a relay to each for each of n dispatchers, until the test ends.
+func startVoterRelays(t *testing.T, n int) (voters []string, relays [][]*faultnet.TCP) {
 	for range 3 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
@@ -107,72 +107,72 @@
 	return voters, relays
 }
 
-// votersOf are the voters as dispatcher i's script has them: all but itself by its relays.
-func votersOf(i int, voters []string, relays [][]*faultnet.TCP) string {
+// votersArg are the voters as dispatcher i's script has them: all but itself by its relays.
+func votersArg(i int, voters []string, relays [][]*faultnet.TCP) string {
 	var texts []string
 	for v, at := range voters {
 		if v != i {
 			at = relays[i][v].Addr()
 		}
-		texts = append(texts, fmt.Sprintf("%q", named(v)+"="+at))
+		texts = append(texts, fmt.Sprintf("%q", memberName(v)+"="+at))
 	}
 	return strings.Join(texts, ", ")
 }
 
-func named(i int) string { return fmt.Sprintf("n%d", i) }
+func memberName(i int) string { return fmt.Sprintf("n%d", i) }
 
 // script is that of a dispatcher; policy holds the policy's arguments. The last dispatcher has no
 // budgets(...), so that it cannot take a policy that sets a budget's total.
-func (j *judged) script(i int, policy string) string {
-	text := fmt.Sprintf("policy(%s)\naccord(voters = [%s], lease_ms = %d, data = %q)\n", policy, votersOf(i, j.voters, j.relays),
-		rigLease.Milliseconds(), filepath.Join(j.data, named(i)))
-	if i < j.n-1 {
+func (j *recordedFleet) script(i int, policy string) string {
+	text := fmt.Sprintf("policy(%s)\naccord(voters = [%s], lease_ms = %d, data = %q)\n", policy, votersArg(i, j.voters, j.relays),
+		accordLease.Milliseconds(), filepath.Join(j.dataDir, memberName(i)))
+	if i < j.size-1 {
 		text += "budgets(connections = 1000)\n"
 	}
 	return text
 }
 
-// tell adds a line of the rig; the time is that of the call.
-func (j *judged) tell(event, process string) {
+// recordEvent adds a line of the rig; the time is that of the call.
+func (j *recordedFleet) recordEvent(event, process string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.lines = append(j.lines, history.Line{T: time.Now().UnixNano(), Side: history.Rig, Event: event, Process: process})
 }
 
-// on has f called, once, when a process first logs an event of the accord from now on; "event n7" means that
+// onEvent has f called, once, when a process first logs an event of the accord from now onEvent; "event n7" means that
 // process alone.
-func (j *judged) on(event string, f func(process string)) {
+func (j *recordedFleet) onEvent(event string, f func(process string)) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.hooks[event] = f
 }
 
-func (j *judged) start(i int) {
+func (j *recordedFleet) start(i int) {
 	text := strings.Replace(string(demoConfig), "127.0.0.1:1", j.director.Address, 1)
-	text = strings.Replace(text, `"name": "demo"`, fmt.Sprintf(`"name": %q`, named(i)), 1)
-	text = strings.Replace(text, `"Balancers": 1`, fmt.Sprintf(`"Balancers": %d`, j.n), 1)
-	j.tell(history.Began, named(i))
-	l := &life{read: make(chan struct{})}
+	text = strings.Replace(text, `"name": "demo"`, fmt.Sprintf(`"name": %q`, memberName(i)), 1)
+	text = strings.Replace(text, `"Balancers": 1`, fmt.Sprintf(`"Balancers": %d`, j.size), 1)
+	j.recordEvent(history.Began, memberName(i))
+	l := &fleetProcess{logRead: make(chan struct{})}
 	var errs io.Reader
 	l.cmd, errs = startServe(j.t, text, j.script(i, `bans = []`))
 	at := make(chan string, 1)
 	go func() {
-		defer close(l.read)
+		defer close(l.logRead)
 		for r := bufio.NewScanner(errs); r.Scan(); {
-			j.heard(r.Bytes(), at)
+			j.handleLogLine(r.Bytes(), at)
 		}
 		close(at)
 	}()
 	l.address = <-at
-	require.NotEmpty(j.t, l.address, "%s did not serve", named(i))
-	l.up = true
+	require.NotEmpty(j.t, l.address, "%s did not serve", memberName(i))
+	l.receivesReqs = true
 	j.mu.Lock()
-	j.lives[i] = l
+	j.processes[i] = l
 	j.mu.Unlock()
 }
 
-// heard takes a line of a process's log; its own time is the line's.
-func (j *judged) heard(text []byte, at chan string) {
+// handleLogLine takes a line of a process's log; its own time is the line's.
+func (j *recordedFleet) handleLogLine(text []byte, at chan string) {
 	var e struct {
 		Time                            time.Time
 		Event, Listen, Process, By, Why string
@@ -210,37 +210,37 @@
 }
 
 // kill ends a process outright.
-func (j *judged) kill(i int) {
-	l := j.shut(i)
+func (j *recordedFleet) kill(i int) {
+	l := j.stopClients(i)
 	_ = l.cmd.Process.Kill()
 	_, _ = l.cmd.Process.Wait()
-	j.tell(history.Ended, named(i))
+	j.recordEvent(history.Ended, memberName(i))
 }
 
-// shut has clients ask a process no more.
-func (j *judged) shut(i int) *life {
+// stopClients has clients ask a process no more.
+func (j *recordedFleet) stopClients(i int) *fleetProcess {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.lives[i].up = false
-	return j.lives[i]
+	j.processes[i].receivesReqs = false
+	return j.processes[i]
 }
 
-func (j *judged) pause(i int) {
-	j.tell(history.Stopped, named(i))
-	require.NoError(j.t, j.lives[i].cmd.Process.Signal(syscall.SIGSTOP))
-	j.shut(i) // what is under way waits until it is woken
+func (j *recordedFleet) pause(i int) {
+	j.recordEvent(history.Stopped, memberName(i))
+	require.NoError(j.t, j.processes[i].cmd.Process.Signal(syscall.SIGSTOP))
+	j.stopClients(i) // what is under way waits until it is woken
 }
 
-func (j *judged) wake(i int) {
-	j.tell(history.Woken, named(i))
-	require.NoError(j.t, j.lives[i].cmd.Process.Signal(syscall.SIGCONT))
+func (j *recordedFleet) resume(i int) {
+	j.recordEvent(history.Woken, memberName(i))
+	require.NoError(j.t, j.processes[i].cmd.Process.Signal(syscall.SIGCONT))
 	j.mu.Lock()
-	j.lives[i].up = true
+	j.processes[i].receivesReqs = true
 	j.mu.Unlock()
 }
 
-// links are the relays from a dispatcher, and to it.
-func (j *judged) links(i int) []*faultnet.TCP {
+// relaysOf are the relays from a dispatcher, and to it.
+func (j *recordedFleet) relaysOf(i int) []*faultnet.TCP {
 	all := slices.Clone(j.relays[i])
 	if i < len(j.voters) {
 		for _, from := range j.relays {
@@ -250,8 +250,8 @@
 	return all
 }
 
-// between are the relays between a voter and the other voters, both ways.
-func (j *judged) between(i int) (all []*faultnet.TCP) {
+// voterRelays are the relays voterRelays a voter and the other voters, both ways.
+func (j *recordedFleet) voterRelays(i int) (all []*faultnet.TCP) {
 	for v := range j.voters {
 		if v != i {
 			all = append(all, j.relays[i][v], j.relays[v][i])
@@ -260,40 +260,42 @@
 	return all
 }
 
-// cut cuts a dispatcher off from all others.
-func (j *judged) cut(i int) {
-	j.rule(i, faultnet.Rule{Blackhole: true})
-	j.tell(history.Cut, named(i))
+// disconnect cuts a dispatcher off from all others.
+func (j *recordedFleet) disconnect(i int) {
+	j.setRule(i, faultnet.Rule{Blackhole: true})
+	j.recordEvent(history.Cut, memberName(i))
 }
 
-func (j *judged) mend(i int) {
-	j.rule(i, faultnet.Pass)
-	for _, r := range j.links(i) {
+func (j *recordedFleet) reconnect(i int) {
+	j.setRule(i, faultnet.Pass)
+	for _, r := range j.relaysOf(i) {
 		r.Reset() // bytes were swallowed, or are held back
 	}
-	j.tell(history.Mended, named(i))
+	j.recordEvent(history.Mended, memberName(i))
 }
 
-func (j *judged) rule(i int, rule faultnet.Rule) {
-	for _, r := range j.links(i) {
+func (j *recordedFleet) setRule(i int, rule faultnet.Rule) {
+	for _, r := range j.relaysOf(i) {
 		r.Set(rule)
 	}
 }
 
-// change proposes a policy at a dispatcher.
-func (j *judged) change(i int, policy string) {
-	j.write(i, policy)
+// proposePolicy proposes a policy at a dispatcher.
+func (j *recordedFleet) proposePolicy(i int, policy string) {
+	j.writeScript(i, policy)
 	j.reload(i)
 }
 
-func (j *judged) write(i int, policy string) {
-	assert.NoError(j.t, os.WriteFile(j.lives[i].cmd.Args[3], []byte(j.script(i, policy)), 0o600))
+func (j *recordedFleet) writeScript(i int, policy string) {
+	assert.NoError(j.t, os.WriteFile(j.processes[i].cmd.Args[3], []byte(j.script(i, policy)), 0o600))
 }
 
-func (j *judged) reload(i int) { assert.NoError(j.t, j.lives[i].cmd.Process.Signal(syscall.SIGHUP)) }
+func (j *recordedFleet) reload(i int) {
+	assert.NoError(j.t, j.processes[i].cmd.Process.Signal(syscall.SIGHUP))
+}
 
-// round looks in rounds, at most 2,000 of 5 ms, until what holds.
-func (j *judged) round(what string, holds func(lines []history.Line) bool) {
+// waitFor looks in rounds, at most 2,000 of 5 ms, until what holds.
+func (j *recordedFleet) waitFor(what string, holds func(lines []history.Line) bool) {
 	j.t.Helper()
 	for range 2000 {
 		j.mu.Lock()
@@ -305,7 +307,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	for _, v := range history.Judge(j.all(), rigRules) { // may say why; reqs are still under way
+	for _, v := range history.Judge(j.fullHistory(), accordRules) { // may say why; reqs are still under way
 		if v.Rule != history.NoneLost {
 			j.t.Error(v)
 		}
@@ -313,8 +315,8 @@
 	j.t.Fatalf("never: %s", what)
 }
 
-// decided is the highest version that was decided.
-func decided(lines []history.Line) (v uint64) {
+// lastDecided is the highest version that was lastDecided.
+func lastDecided(lines []history.Line) (v uint64) {
 	for _, l := range lines {
 		if l.Event == "decided" {
 			v = max(v, l.Version)
@@ -323,29 +325,29 @@
 	return v
 }
 
-// settled waits until all that run are on the version decided last, which is at least v.
-func (j *judged) settled(v uint64) {
+// awaitSettled waits until all that run are on the version decided last, which is at least v.
+func (j *recordedFleet) awaitSettled(v uint64) {
 	j.t.Helper()
-	j.round(fmt.Sprintf("all on version %d", v), func(lines []history.Line) bool {
-		return decided(lines) >= v && len(history.Unsettled(lines)) == 0
+	j.waitFor(fmt.Sprintf("all on version %d", v), func(lines []history.Line) bool {
+		return lastDecided(lines) >= v && len(history.Unsettled(lines)) == 0
 	})
 }
 
 // leader is the voter that began to lead last, of those that run.
-func (j *judged) leader() (at int) {
-	j.round("a leader", func(lines []history.Line) bool {
+func (j *recordedFleet) leader() (at int) {
+	j.waitFor("a leader", func(lines []history.Line) bool {
 		for _, l := range lines {
 			if l.Event == "leads" {
 				at, _ = strconv.Atoi(l.Process[1:])
 			}
 		}
-		return j.lives[at].up
+		return j.processes[at].receivesReqs
 	})
 	return at
 }
 
-// load runs clients, each with one req at a time, until the rig ends or each has sent its most.
-func (j *judged) load(clients, most int) {
+// startLoad runs clients, each with one req at a time, until the rig ends or each has sent its most.
+func (j *recordedFleet) startLoad(clients, most int) {
 	for c := range clients {
 		j.clients.Go(func() {
 			client := &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{}}
@@ -355,21 +357,21 @@
 					return
 				default:
 				}
-				j.ask(client, fmt.Sprintf("h-%d-%d", c, i), (c+i)%j.n)
+				j.sendReq(client, fmt.Sprintf("h-%d-%d", c, i), (c+i)%j.size)
 				time.Sleep(3 * time.Millisecond)
 			}
 		})
 	}
 }
 
-func (j *judged) ask(client *http.Client, id string, to int) {
+func (j *recordedFleet) sendReq(client *http.Client, id string, to int) {
 	j.mu.Lock()
-	l := j.lives[to]
-	if l == nil || !l.up {
+	l := j.processes[to]
+	if l == nil || !l.receivesReqs {
 		j.mu.Unlock()
 		return
 	}
-	j.asked = append(j.asked, history.Line{T: time.Now().UnixNano(), Side: history.Client, Req: id, Dispatcher: named(to), Asked: true})
+	j.clientLines = append(j.clientLines, history.Line{T: time.Now().UnixNano(), Side: history.Client, Req: id, Dispatcher: memberName(to), Asked: true})
 	j.mu.Unlock()
 	status, bare := 0, false
 	r, err := http.NewRequest("POST", "http://"+l.address+"/photo/1", strings.NewReader("b"))
@@ -388,27 +390,27 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.asked = append(j.asked, history.Line{T: time.Now().UnixNano(), Side: history.Client, Req: id, Dispatcher: named(to), Status: status})
-	j.answers[status]++
+	j.clientLines = append(j.clientLines, history.Line{T: time.Now().UnixNano(), Side: history.Client, Req: id, Dispatcher: memberName(to), Status: status})
+	j.answersByStatus[status]++
 	if bare {
-		j.bare++
+		j.missingRetryAfter++
 	}
 }
 
-var rigRules = history.Rules{Slack: rigSlack, Lease: rigLease, Settle: rigSettle, Woken: 8}
+var accordRules = history.Rules{Slack: timingSlack, Lease: accordLease, Settle: settleTimeout, Woken: 8}
 
-// verdicts has a history judged.
-func (j *judged) verdicts(lines []history.Line) {
+// reportViolations has a history judged.
+func (j *recordedFleet) reportViolations(lines []history.Line) {
 	j.t.Helper()
-	for _, v := range history.Judge(lines, rigRules) {
+	for _, v := range history.Judge(lines, accordRules) {
 		j.t.Error(v)
 	}
 }
 
-// all is the whole history so far.
-func (j *judged) all() []history.Line {
+// fullHistory is the whole history so far.
+func (j *recordedFleet) fullHistory() []history.Line {
 	j.mu.Lock()
-	out := append(slices.Clone(j.lines), j.asked...)
+	out := append(slices.Clone(j.lines), j.clientLines...)
 	j.mu.Unlock()
 	for _, b := range j.backends {
 		for _, s := range b.Starts() {
@@ -420,8 +422,8 @@
 	return out
 }
 
-// keep writes the history to the file that TINSAIL_HISTORY names, if it does, also of a test that failed.
-func (j *judged) keep() {
+// writeHistory writes the history to the file that TINSAIL_HISTORY names, if it does, also of a test that failed.
+func (j *recordedFleet) writeHistory() {
 	at := os.Getenv("TINSAIL_HISTORY")
 	if at == "" {
 		return
@@ -429,7 +431,7 @@
 	f, err := os.Create(at)
 	require.NoError(j.t, err)
 	defer f.Close()
-	for _, l := range j.all() {
+	for _, l := range j.fullHistory() {
 		require.NoError(j.t, json.NewEncoder(f).Encode(l))
 	}
 }
--- a/cmd/tinsail/accord_test.go
+++ b/cmd/tinsail/accord_test.go
@@ -23,26 +23,26 @@
 	"tinsail/internal/standin/platform"
 )
 
-// agreeing is a fleet of real processes with an accord, three of them voters.
-type agreeing struct {
+// accordFleet is a fleet of real processes with an accord, three of them voters.
+type accordFleet struct {
 	fleet
-	mu       sync.Mutex // of the members' addresses, while clients run
-	director string
-	voters   string // as the script has them
-	data     string
-	keeper   string // of the budget's leases, as the script has it; none if empty
+	mu           sync.Mutex // of the members' addresses, while clients run
+	director     string
+	voters       string // as the script has them
+	dataDir      string
+	budgetKeeper string // of the budget's leases, as the script has it; none if empty
 }
 
-func (f *agreeing) script(i, connections int, bans string) string {
+func (f *accordFleet) script(i, connections int, bans string) string {
 	return fmt.Sprintf("budgets(connections = 1000, %s)\npolicy(connections = %d, bans = [%s])\n"+
-		"accord(voters = [%s], lease_ms = 900, data = %q)\n", f.keeper, connections, bans, f.voters, filepath.Join(f.data, fmt.Sprint(i)))
+		"accord(voters = [%s], lease_ms = 900, data = %q)\n", f.budgetKeeper, connections, bans, f.voters, filepath.Join(f.dataDir, fmt.Sprint(i)))
 }
 
-func startAgreeing(t testing.TB, n int, keeper string) *agreeing {
+func startAccordFleet(t testing.TB, n int, keeper string) *accordFleet {
 	director, err := platform.StartDirector()
 	require.NoError(t, err)
 	t.Cleanup(director.Close)
-	f := &agreeing{director: director.Address, data: t.TempDir(), keeper: keeper}
+	f := &accordFleet{director: director.Address, dataDir: t.TempDir(), budgetKeeper: keeper}
 	for i := range 3 {
 		b, err := platform.StartBackend(fmt.Sprintf("b%d", i), 64, func(string) time.Duration { return 5 * time.Millisecond })
 		require.NoError(t, err)
@@ -61,14 +61,14 @@
 	return f
 }
 
-func (f *agreeing) start(t testing.TB, i, n int) {
+func (f *accordFleet) start(t testing.TB, i, n int) {
 	m := startMember(t, fmt.Sprintf("n%d", i), n, f.director, f.script(i, 500, ""))
 	f.mu.Lock()
 	f.members[i] = m
 	f.mu.Unlock()
 }
 
-func (f *agreeing) addresses() (all []string) {
+func (f *accordFleet) addresses() (all []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.members {
@@ -78,43 +78,43 @@
 }
 
 // kill ends a member outright.
-func (f *agreeing) kill(i int) {
+func (f *accordFleet) kill(i int) {
 	m := f.members[i]
 	_ = m.cmd.Process.Kill()
 	_ = m.cmd.Wait()
-	m.gone = true
+	m.killed = true
 }
 
-// awaitUp is await, of the members that were not killed.
-func (f *agreeing) awaitUp(t *testing.T, version int64) {
+// awaitRunning is await, of the members that were not killed.
+func (f *accordFleet) awaitRunning(t *testing.T, version int64) {
 	for _, m := range f.members {
-		if !m.gone {
-			m.await(t, "accord_version", version)
-			m.await(t, "accord_ready", 1)
+		if !m.killed {
+			m.awaitCounter(t, "accord_version", version)
+			m.awaitCounter(t, "accord_ready", 1)
 		}
 	}
 }
 
-// change writes a member's script anew and tells it.
-func (f *agreeing) change(t testing.TB, i, connections int, bans string) {
+// proposePolicy writes a member's script anew and tells it.
+func (f *accordFleet) proposePolicy(t testing.TB, i, connections int, bans string) {
 	m := f.members[i]
 	assert.NoError(t, os.WriteFile(m.cmd.Args[3], []byte(f.script(i, connections, bans)), 0o600))
 	assert.NoError(t, m.cmd.Process.Signal(syscall.SIGHUP))
 }
 
-// await waits until the members, but one, are ready at a version.
-func (f *agreeing) await(t testing.TB, version int64, skip int) {
+// awaitVersion waits until the members, but one, are ready at a version.
+func (f *accordFleet) awaitVersion(t testing.TB, version int64, skip int) {
 	for i, m := range f.members {
 		if i != skip {
-			m.await(t, "accord_version", version)
-			m.await(t, "accord_ready", 1)
+			m.awaitCounter(t, "accord_version", version)
+			m.awaitCounter(t, "accord_ready", 1)
 		}
 	}
 }
 
-// starts are all attempts at all backends by version; none of one version comes after the first of a
+// countByVersion are all attempts at all backends by version; none of one version comes after the first of a
 // later one, but for the time that bytes need on a loaded machine.
-func (f *agreeing) starts(t *testing.T) map[int]int {
+func (f *accordFleet) countByVersion(t *testing.T) map[int]int {
 	const slack = 20 * time.Millisecond
 	count, first, last := map[int]int{}, map[int]time.Time{}, map[int]time.Time{}
 	for _, b := range f.backends {
@@ -140,42 +140,42 @@
 	return count
 }
 
-// TestPolicyOfTheFleet: five real processes under load take a change of the budget and a ban from one
+// TestFleetPolicyChange: five real processes under load take a change of the budget and a ban from one
 // script and a SIGHUP: everywhere, and never two versions at once at the backends. A voter is killed
 // and the next change goes on without it; it is back on the version in force. A change that a
 // dispatcher cannot take is nowhere.
-func TestPolicyOfTheFleet(t *testing.T) {
+func TestFleetPolicyChange(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts six processes")
 	}
 	const n = 5
-	f := startAgreeing(t, n, "")
-	f.await(t, 1, -1)
-	served := f.load(t, 8, 150, map[int64]func(){
-		200: func() { f.change(t, 4, 400, `"b0"`) },
+	f := startAccordFleet(t, n, "")
+	f.awaitVersion(t, 1, -1)
+	served := f.runLoad(t, 8, 150, map[int64]func(){
+		200: func() { f.proposePolicy(t, 4, 400, `"b0"`) },
 		700: func() {
-			f.await(t, 2, -1)
+			f.awaitVersion(t, 2, -1)
 			_ = f.members[1].cmd.Process.Signal(syscall.SIGKILL)
-			f.change(t, 3, 300, "")
+			f.proposePolicy(t, 3, 300, "")
 		},
 	})
-	f.await(t, 3, 1)
+	f.awaitVersion(t, 3, 1)
 	f.start(t, 1, n)
-	f.await(t, 3, -1)
+	f.awaitVersion(t, 3, -1)
 	for _, m := range f.members {
 		assert.EqualValues(t, 300/n, m.counter(t, "budget_connections_share"), "of the version in force, not of its script")
 	}
-	count := f.starts(t)
+	count := f.countByVersion(t)
 	t.Logf("served %d of 1200; attempts by version %v", served, count)
 	assert.Positive(t, count[1])
 	assert.Positive(t, count[2])
 	assert.Greater(t, served, int64(300))
-	assert.Empty(t, byVersion(f.backends[0], "2"), "b0 is banned by version 2")
-	assert.NotEmpty(t, byVersion(f.backends[1], "2"))
+	assert.Empty(t, startsOfVersion(f.backends[0], "2"), "b0 is banned by version 2")
+	assert.NotEmpty(t, startsOfVersion(f.backends[1], "2"))
 }
 
 // leader is the voter that leads, in rounds, at most 2,000 of 5 ms.
-func (f *agreeing) leader(t *testing.T) int {
+func (f *accordFleet) leader(t *testing.T) int {
 	for range 2000 {
 		for i, m := range f.members[:3] {
 			if m.counter(t, "accord_leads") == 1 {
@@ -197,8 +197,8 @@
 		t.Skip("starts eleven processes")
 	}
 	const n = 6
-	f := startAgreeing(t, n, `keeper = "leader", lease_ms = 600`)
-	f.await(t, 1, -1)
+	f := startAccordFleet(t, n, `keeper = "leader", lease_ms = 600`)
+	f.awaitVersion(t, 1, -1)
 	stop := make(chan struct{})
 	var served, refused atomic.Int64
 	var clients sync.WaitGroup
@@ -236,22 +236,22 @@
 
 	stopped := f.leader(t)
 	require.NoError(t, f.members[stopped].cmd.Process.Signal(syscall.SIGSTOP))
-	f.change(t, 5, 490, "")
-	f.await(t, 2, stopped)
+	f.proposePolicy(t, 5, 490, "")
+	f.awaitVersion(t, 2, stopped)
 	require.NoError(t, f.members[stopped].cmd.Process.Signal(syscall.SIGCONT))
-	f.await(t, 2, -1)
+	f.awaitVersion(t, 2, -1)
 
-	f.change(t, 3, 480, "")
-	f.change(t, 4, 470, "")
-	f.await(t, 3, -1)
+	f.proposePolicy(t, 3, 480, "")
+	f.proposePolicy(t, 4, 470, "")
+	f.awaitVersion(t, 3, -1)
 
 	f.kill(2)
 	f.kill(5)
-	f.change(t, 3, 460, "")
-	f.awaitUp(t, 4)
+	f.proposePolicy(t, 3, 460, "")
+	f.awaitRunning(t, 4)
 	f.start(t, 2, n)
 	f.start(t, 5, n)
-	f.await(t, 4, -1)
+	f.awaitVersion(t, 4, -1)
 
 	for i := range 3 {
 		f.kill(i)
@@ -259,9 +259,9 @@
 	for i := range 3 {
 		f.start(t, i, n)
 	}
-	f.await(t, 4, -1)
-	f.change(t, 4, 450, "")
-	f.await(t, 5, -1)
+	f.awaitVersion(t, 4, -1)
+	f.proposePolicy(t, 4, 450, "")
+	f.awaitVersion(t, 5, -1)
 	f.awaitShares(t, 450, n) // lent by whoever leads now
 	sum := int64(0)
 	for _, m := range f.members {
@@ -270,22 +270,22 @@
 	assert.LessOrEqual(t, sum, int64(450))
 	close(stop)
 	clients.Wait()
-	count := f.starts(t)
+	count := f.countByVersion(t)
 	t.Logf("served %d, refused %d; attempts by version %v", served.Load(), refused.Load(), count)
 	for v := 1; v <= 5; v++ {
 		assert.Positive(t, count[v], "version %d", v)
 	}
 }
 
-// TestUpgradesOfALessee: a dispatcher that is no voter is taken over by a new process of it without a loss, as ever:
+// TestUpgradesOfParticipant: a dispatcher that is no voter is taken over by a new process of it without a loss, as ever:
 // the new one takes clients once it knows which version holds, and both say by which their reqs were taken.
-func TestUpgradesOfALessee(t *testing.T) {
-	f := startAgreeing(t, 3, "")
-	f.await(t, 1, -1)
-	h := newHouse(t, "127.0.0.1:0")
-	h.script = filepath.Join(t.TempDir(), "s.star")
-	require.NoError(t, os.WriteFile(h.script, []byte(f.script(9, 500, "")), 0o600))
-	upgrades(t, h, 3)
+func TestUpgradesOfParticipant(t *testing.T) {
+	f := startAccordFleet(t, 3, "")
+	f.awaitVersion(t, 1, -1)
+	h := newDeployment(t, "127.0.0.1:0")
+	h.scriptPath = filepath.Join(t.TempDir(), "s.star")
+	require.NoError(t, os.WriteFile(h.scriptPath, []byte(f.script(9, 500, "")), 0o600))
+	runUpgrades(t, h, 3)
 	for _, b := range h.backends {
 		for _, s := range b.Starts() {
 			assert.Equal(t, "1 by demo", s.Version+" by "+s.Dispatcher)
@@ -298,14 +298,14 @@
 func BenchmarkPropose(b *testing.B) {
 	for _, n := range []int{9, 20} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f := startAgreeing(b, n, "")
-			f.await(b, 1, -1)
+			f := startAccordFleet(b, n, "")
+			f.awaitVersion(b, 1, -1)
 			var took []time.Duration
 			for b.Loop() {
 				for i := range 15 {
 					start := time.Now()
-					f.change(b, n-1, 499-len(took), "")
-					f.await(b, int64(len(took)+2), -1)
+					f.proposePolicy(b, n-1, 499-len(took), "")
+					f.awaitVersion(b, int64(len(took)+2), -1)
 					took = append(took, time.Since(start))
 					time.Sleep(time.Duration(i*17) * time.Millisecond) // not in step with the renewals
 				}
@@ -317,7 +317,7 @@
 	}
 }
 
-func byVersion(b *platform.Backend, version string) (all []platform.Start) {
+func startsOfVersion(b *platform.Backend, version string) (all []platform.Start) {
 	for _, s := range b.Starts() {
 		if s.Version == version {
 			all = append(all, s)
@@ -326,9 +326,9 @@
 	return all
 }
 
-// TestAloneItDoesNotKnow: one voter of three is up: it is not ready, and answers 503 with Retry-After.
-func TestAloneItDoesNotKnow(t *testing.T) {
-	f := startAgreeing(t, 1, "")
+// TestNotReadyWithoutMajority: one voter of three is up: it is not ready, and answers 503 with Retry-After.
+func TestNotReadyWithoutMajority(t *testing.T) {
+	f := startAccordFleet(t, 1, "")
 	m := f.members[0]
 	ready, err := http.Get("http://" + m.address + "/health/ready")
 	require.NoError(t, err)
--- a/cmd/tinsail/arrival_test.go
+++ b/cmd/tinsail/arrival_test.go
@@ -23,20 +23,20 @@
 // whose time went by meanwhile has its answer, and nothing begins for it.
 func TestTimeLeftCountsKernelQueues(t *testing.T) {
 	const left, stop = 3000 * time.Millisecond, 1200 * time.Millisecond
-	h := newHouse(t, "127.0.0.1:0")
-	h.script = filepath.Join(t.TempDir(), "s.star")
-	require.NoError(t, os.WriteFile(h.script, []byte(`http2(listen = "127.0.0.1:0")`), 0o600))
+	h := newDeployment(t, "127.0.0.1:0")
+	h.scriptPath = filepath.Join(t.TempDir(), "s.star")
+	require.NoError(t, os.WriteFile(h.scriptPath, []byte(`http2(listen = "127.0.0.1:0")`), 0o600))
 	p := h.spawn()
-	serving := p.event(t, "serving")
-	h.clients, p.admin = serving["listen"].(string), serving["admin"].(string)
-	p.serves()
+	serving := p.awaitEvent(t, "serving")
+	h.clientAddress, p.adminAddress = serving["listen"].(string), serving["admin"].(string)
+	p.awaitReady()
 	timed := func(id string, left time.Duration) string {
-		return req(id, fmt.Sprintf("X-Time-Left-Ms: %d\r\n", left.Milliseconds()))
+		return reqText(id, fmt.Sprintf("X-Time-Left-Ms: %d\r\n", left.Milliseconds()))
 	}
 	open, short := h.connect(), h.connect()
 	for i, c := range []*conn{open, short} {
-		c.write(t, req(fmt.Sprint("before-", i)))
-		c.expect(t, nil, 200, fmt.Sprint("small before-", i))
+		c.write(t, reqText(fmt.Sprint("before-", i)))
+		c.expectAnswer(t, nil, 200, fmt.Sprint("small before-", i))
 	}
 	transport := &http.Transport{Protocols: new(http.Protocols)}
 	transport.Protocols.SetUnencryptedHTTP2(true)
@@ -56,7 +56,7 @@
 	}
 	stream("before-h2")
 
-	p.stopped(t)
+	p.suspend(t)
 	sent := map[string]time.Time{}
 	send := func(c *conn, id string, left time.Duration) {
 		sent[id] = time.Now()
@@ -75,12 +75,12 @@
 		assert.Equal(t, "small stream", body)
 	}()
 	time.Sleep(stop)
-	p.signal(t, syscall.SIGCONT)
-	queued.expect(t, nil, 200, "small queued")
-	open.expect(t, nil, 200, "small open")
-	short.expect(t, nil, 503, "")
+	p.sendSignals(t, syscall.SIGCONT)
+	queued.expectAnswer(t, nil, 200, "small queued")
+	open.expectAnswer(t, nil, 200, "small open")
+	short.expectAnswer(t, nil, 503, "")
 	<-streamed
-	p.end(t)
+	p.terminate(t)
 	for _, b := range h.backends {
 		for _, a := range b.Attempts() {
 			at, ours := sent[a.ID]
--- a/cmd/tinsail/cost_test.go
+++ b/cmd/tinsail/cost_test.go
@@ -29,13 +29,13 @@
 // plays in turn: make measure-request.
 func BenchmarkRequest(b *testing.B) {
 	const clients = 8
-	h := newHouse(b, "127.0.0.1:0")
+	h := newDeployment(b, "127.0.0.1:0")
 	for _, backend := range h.backends {
 		backend.Work = func(string) time.Duration { return 0 }
 		backend.Set(platform.Faults{}) // after Work, for the backend's goroutines to see
 	}
 	p := h.start()
-	p.serves()
+	p.awaitReady()
 	before := processorTimeOf(b, p.cmd.Process.Pid)
 	b.ResetTimer()
 	var all sync.WaitGroup
@@ -47,10 +47,10 @@
 			}
 			defer k.Close()
 			for i := c; i < b.N; i += clients {
-				if !assert.NoError(b, k.send(fmt.Sprint("cost-", i))) {
+				if !assert.NoError(b, k.sendReq(fmt.Sprint("cost-", i))) {
 					return
 				}
-				if _, _, _, err := k.answer(); !assert.NoError(b, err) {
+				if _, _, _, err := k.readAnswer(); !assert.NoError(b, err) {
 					return
 				}
 			}
--- a/cmd/tinsail/door_test.go
+++ b/cmd/tinsail/door_test.go
@@ -30,9 +30,9 @@
 
 // TestControlCommands: the commands against a real program; the exit code is the answer.
 func TestControlCommands(t *testing.T) {
-	h := newHouse(t, "127.0.0.1:0")
+	h := newDeployment(t, "127.0.0.1:0")
 	p := h.start()
-	p.serves()
+	p.awaitReady()
 	for _, c := range []struct {
 		args string
 		code int
@@ -48,11 +48,11 @@
 		{"ready", exitOK, "yes: serves, draining"},
 		{"in-service", exitOK, "yes: in service"},
 	} {
-		code, says := runControl(append(strings.Fields(c.args), "--admin", p.admin)...)
+		code, says := runControl(append(strings.Fields(c.args), "--admin", p.adminAddress)...)
 		assert.Equal(t, c.code, code, c.args)
 		assert.Equal(t, c.says, says, c.args)
 	}
-	answer, err := http.Get("http://" + p.admin + "/metrics")
+	answer, err := http.Get("http://" + p.adminAddress + "/metrics")
 	require.NoError(t, err)
 	parser := expfmt.NewTextParser(model.LegacyValidation)
 	families, err := parser.TextToMetricFamilies(answer.Body)
@@ -68,33 +68,33 @@
 	if assert.Contains(t, families, "tinsail_reqs_taken") {
 		assert.Equal(t, dto.MetricType_COUNTER, families["tinsail_reqs_taken"].GetType())
 	}
-	require.NoError(t, os.RemoveAll(h.folder))
-	code, says := runControl("offline", "b1", "--admin", p.admin)
+	require.NoError(t, os.RemoveAll(h.tempDir))
+	code, says := runControl("offline", "b1", "--admin", p.adminAddress)
 	assert.Equal(t, exitFailed, code, "a ban that cannot be kept")
 	assert.Contains(t, says, "holds in this process, but would not outlive it")
-	p.end(t)
-	code, _ = runControl("ready", "--admin", p.admin)
+	p.terminate(t)
+	code, _ = runControl("ready", "--admin", p.adminAddress)
 	assert.Equal(t, exitInvalidInput, code, "nobody there")
 }
 
 // TestNotReadyBeforeFirstList: a process that knows of no list does not say that it serves.
 func TestNotReadyBeforeFirstList(t *testing.T) {
-	h := newHouse(t, "127.0.0.1:0")
+	h := newDeployment(t, "127.0.0.1:0")
 	h.director.Down(true)
 	p := h.start()
 	for range 20 {
 		assert.False(t, p.call(door.Ready, ""))
 	}
 	h.director.Down(false)
-	p.serves()
+	p.awaitReady()
 }
 
 // TestDoorAnswersUnderFlood: while clients flood the other listener, and others sit at the door and say nothing, or
 // half a call, each true call is answered.
 func TestDoorAnswersUnderFlood(t *testing.T) {
-	h := newHouse(t, "127.0.0.1:0")
+	h := newDeployment(t, "127.0.0.1:0")
 	p := h.start()
-	p.serves()
+	p.awaitReady()
 	stop := h.flood(16)
 	for i := range 100 {
 		p.holdDoorConnection(t, i)
@@ -108,7 +108,7 @@
 
 // holdDoorConnection connects to the door and stays.
 func (p *process) holdDoorConnection(t testing.TB, i int) {
-	c, err := net.Dial("tcp", p.admin)
+	c, err := net.Dial("tcp", p.adminAddress)
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
 	_, err = c.Write([]byte([]string{"", "POST /control/in-serv", "GET /control/ready HTTP/1.1\r\nHost: x\r\n"}[i%3]))
@@ -116,7 +116,7 @@
 }
 
 // flood has clients send jobs without a pause until stop is called.
-func (h *house) flood(clients int) (stop func()) {
+func (h *deployment) flood(clients int) (stop func()) {
 	end := make(chan struct{})
 	var all sync.WaitGroup
 	for k := range clients {
@@ -134,10 +134,10 @@
 						return
 					}
 				}
-				if c.send(fmt.Sprintf("f-%d-%d", k, i)) != nil {
+				if c.sendReq(fmt.Sprintf("f-%d-%d", k, i)) != nil {
 					return
 				}
-				_, _, closing, err := c.answer()
+				_, _, closing, err := c.readAnswer()
 				if closing || err != nil {
 					c.Close()
 					c = nil
@@ -153,12 +153,12 @@
 func BenchmarkDoor(b *testing.B) {
 	for _, flooded := range []bool{false, true} {
 		b.Run(map[bool]string{false: "idle", true: "flooded"}[flooded], func(b *testing.B) {
-			h := newHouse(b, "127.0.0.1:0")
+			h := newDeployment(b, "127.0.0.1:0")
 			for _, x := range h.backends {
 				x.Work = func(string) time.Duration { return 0 }
 			}
 			p := h.start()
-			p.serves()
+			p.awaitReady()
 			if flooded {
 				defer h.flood(32)()
 			}
--- a/cmd/tinsail/fleet_test.go
+++ b/cmd/tinsail/fleet_test.go
@@ -26,10 +26,10 @@
 
 // member is one real process of a fleet of dispatchers.
 type member struct {
-	cmd      *exec.Cmd
-	address  string
-	keeperAt string // where it asks for its shares, where it has a budget
-	gone     bool   // it was killed
+	cmd           *exec.Cmd
+	address       string
+	keeperAddress string // where it asks for its shares, where it has a budget
+	killed        bool   // it was killed
 }
 
 // startMember starts the program as one dispatcher of a fleet of n, named name, with a script.
@@ -67,8 +67,8 @@
 	return -1
 }
 
-// await asks a member for a counter in rounds, at most 2,000 of 5 ms, until it is at least want.
-func (m *member) await(t testing.TB, name string, want int64) {
+// awaitCounter asks a member for a counter in rounds, at most 2,000 of 5 ms, until it is at least want.
+func (m *member) awaitCounter(t testing.TB, name string, want int64) {
 	for range 2000 {
 		if m.counter(t, name) >= want {
 			return
@@ -78,8 +78,8 @@
 	t.Fatalf("%s never reached %d", name, want)
 }
 
-// awaitBelow asks a member for a counter in rounds, at most 2,000 of 5 ms, until it is below want.
-func (m *member) awaitBelow(t *testing.T, name string, want int64) {
+// awaitCounterBelow asks a member for a counter in rounds, at most 2,000 of 5 ms, until it is below want.
+func (m *member) awaitCounterBelow(t *testing.T, name string, want int64) {
 	for range 2000 {
 		if n := m.counter(t, name); n >= 0 && n < want {
 			return
@@ -89,8 +89,8 @@
 	t.Fatalf("%s never fell below %d", name, want)
 }
 
-// mostInASecond is the most of the times that fall within any second, beginning at any of them.
-func mostInASecond(times []time.Time) int {
+// maxPerSecond is the most of the times that fall within any second, beginning at any of them.
+func maxPerSecond(times []time.Time) int {
 	slices.SortFunc(times, func(a, b time.Time) int { return a.Compare(b) })
 	most := 0
 	for i, j := 0, 0; j < len(times); j++ {
@@ -113,15 +113,15 @@
 		t.Skip("starts sixteen processes")
 	}
 	const total = 80
-	without := fleetConnections(t, false)
-	with := fleetConnections(t, true)
+	without := maxFleetConnections(t, false)
+	with := maxFleetConnections(t, true)
 	assert.LessOrEqual(t, with, total+8, "new connections in a second, the whole fleet")
 	assert.Greater(t, without, 2*total, "the same load without the budget")
 }
 
-// fleetConnections plays the load on eight members, with the budget or without, and returns the
+// maxFleetConnections plays the load on eight members, with the budget or without, and returns the
 // most new connections in a second.
-func fleetConnections(t *testing.T, budgeted bool) int {
+func maxFleetConnections(t *testing.T, budgeted bool) int {
 	const n, total = 8, 80
 	script := func(at string) string {
 		if !budgeted {
@@ -133,13 +133,13 @@
 	if budgeted {
 		f.awaitShares(t, total, n)
 	}
-	served := f.load(t, 16, 80, map[int64]func(){
+	served := f.runLoad(t, 16, 80, map[int64]func(){
 		300: func() { f.relays[0].Set(faultnet.Rule{Blackhole: true}) }, // n1 cut off from the keeper
 		600: func() { _ = f.members[2].cmd.Process.Signal(syscall.SIGKILL) },
 		900: func() { f.relays[0].Set(faultnet.Pass) },
 	})
-	times := f.connections(time.Time{})
-	most := mostInASecond(times)
+	times := f.connectionTimes(time.Time{})
+	most := maxPerSecond(times)
 	t.Logf("budget %v: jobs served %d; new connections %d, most in a second %d (budget %d)",
 		budgeted, served, len(times), most, total)
 	assert.Positive(t, served)
@@ -149,11 +149,11 @@
 	return most
 }
 
-// TestFleetBudgetReplanned: eight real processes hold shares of 80 new connections a second when
+// TestFleetBudgetLowered: eight real processes hold shares of 80 new connections a second when
 // the total is lowered to 20 by a new script and SIGHUP to each, under load, while one process is
 // ended by SIGTERM. From when every live process tells a share within the new division, new
 // connections from the whole fleet stay within 20 in every second (beyond one unit a process).
-func TestFleetBudgetReplanned(t *testing.T) {
+func TestFleetBudgetLowered(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts twelve processes")
 	}
@@ -169,26 +169,26 @@
 			if i == 3 {
 				continue
 			}
-			require.NoError(t, os.WriteFile(m.cmd.Args[3], []byte(budgetsScript(after, m.keeperAt)), 0o600))
+			require.NoError(t, os.WriteFile(m.cmd.Args[3], []byte(budgetsScript(after, m.keeperAddress)), 0o600))
 			require.NoError(t, m.cmd.Process.Signal(syscall.SIGHUP))
 		}
 		for i, m := range f.members {
 			if i != 3 {
-				m.awaitBelow(t, "budget_connections_share", 2*newShare)
+				m.awaitCounterBelow(t, "budget_connections_share", 2*newShare)
 			}
 		}
 		now := time.Now()
 		read.Store(&now)
 	}
-	served := f.load(t, 16, 200, map[int64]func(){
+	served := f.runLoad(t, 16, 200, map[int64]func(){
 		100: func() { _ = f.members[3].cmd.Process.Signal(syscall.SIGTERM) },
 		150: lowered,
 	})
 	require.NotNil(t, read.Load(), "the total was lowered")
-	all, since := f.connections(time.Time{}), f.connections(*read.Load())
-	most := mostInASecond(since)
+	all, since := f.connectionTimes(time.Time{}), f.connectionTimes(*read.Load())
+	most := maxPerSecond(since)
 	t.Logf("jobs served %d; new connections %d, %d of them after all had read the new total; most in a second %d before and after, %d after (budget %d, then %d)",
-		served, len(all), len(since), mostInASecond(all), most, before, after)
+		served, len(all), len(since), maxPerSecond(all), most, before, after)
 	assert.Positive(t, len(since), "connections after the change")
 	assert.LessOrEqual(t, most, after+n, "new connections in a second, the whole fleet, after the change")
 }
@@ -227,14 +227,14 @@
 	keeperAt := free.LocalAddr().String()
 	free.Close()
 	f.members = []*member{startMember(t, "n0", n, director.Address, script(keeperAt))}
-	f.members[0].keeperAt = keeperAt
+	f.members[0].keeperAddress = keeperAt
 	for i := 1; i < n; i++ {
 		r, err := faultnet.ListenUDP(keeperAt)
 		require.NoError(t, err)
 		t.Cleanup(r.Close)
 		f.relays = append(f.relays, r)
 		m := startMember(t, fmt.Sprintf("n%d", i), n, director.Address, script(r.Addr()))
-		m.keeperAt = r.Addr()
+		m.keeperAddress = r.Addr()
 		f.members = append(f.members, m)
 	}
 	return f
@@ -244,12 +244,12 @@
 func (f *fleet) awaitShares(t *testing.T, total, n int) {
 	fair := int64(total/5/n + (total-total/5/n*n)/n - 1)
 	for _, m := range f.members {
-		m.await(t, "budget_connections_share", fair)
+		m.awaitCounter(t, "budget_connections_share", fair)
 	}
 }
 
-// connections are the times of new connections at the backends from since on.
-func (f *fleet) connections(since time.Time) []time.Time {
+// connectionTimes are the times of new connectionTimes at the backends from since on.
+func (f *fleet) connectionTimes(since time.Time) []time.Time {
 	var times []time.Time
 	for _, b := range f.backends {
 		for _, at := range b.Connections() {
@@ -261,9 +261,9 @@
 	return times
 }
 
-// load runs clients that each send jobs in turn to the members and wait 20 ms after a refusal;
+// runLoad runs clients that each send jobs in turn to the members and wait 20 ms after a refusal;
 // faults are set by how many jobs have been answered, not by the clock. It returns the jobs served.
-func (f *fleet) load(t *testing.T, clients, jobs int, faults map[int64]func()) int64 {
+func (f *fleet) runLoad(t *testing.T, clients, jobs int, faults map[int64]func()) int64 {
 	var answered, served atomic.Int64
 	var all sync.WaitGroup
 	for c := range clients {
--- a/cmd/tinsail/pages_crowds_test.go
+++ b/cmd/tinsail/pages_crowds_test.go
@@ -21,8 +21,8 @@
 	"tinsail/internal/standin/platform"
 )
 
-// use reads what a process holds: descriptors, and resident memory in bytes.
-func use(t *testing.T, pid int) (descriptors, memory int) {
+// resourceUse reads what a process holds: descriptors, and resident memory in bytes.
+func resourceUse(t *testing.T, pid int) (descriptors, memory int) {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	require.NoError(t, err)
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
@@ -33,17 +33,17 @@
 	return len(list), memory * os.Getpagesize()
 }
 
-// TestCrowds: clients that say nothing, send one byte at a time, leave a req half sent, read none of their answers or flood:
+// TestMisbehavingClients: clients that say nothing, send one byte at a time, leave a req half sent, read none of their answers or flood:
 // honest ones beside them are served, and the process stays within its descriptors.
-func TestCrowds(t *testing.T) {
+func TestMisbehavingClients(t *testing.T) {
 	const sockets, crowd = 256, 600
 	for name, act := range map[string]func(k net.Conn, i int, stop chan struct{}){
 		"say nothing": func(net.Conn, int, chan struct{}) {},
 		"half a req": func(k net.Conn, i int, _ chan struct{}) {
-			_, _ = io.WriteString(k, strings.TrimSuffix(req(fmt.Sprint("half-", i)), "b"))
+			_, _ = io.WriteString(k, strings.TrimSuffix(reqText(fmt.Sprint("half-", i)), "b"))
 		},
 		"byte by byte": func(k net.Conn, i int, stop chan struct{}) {
-			for _, b := range []byte(req(fmt.Sprint("slow-", i)))[:64] {
+			for _, b := range []byte(reqText(fmt.Sprint("slow-", i)))[:64] {
 				if _, err := k.Write([]byte{b}); err != nil {
 					return
 				}
@@ -62,35 +62,35 @@
 					return
 				default:
 				}
-				if _, err := io.WriteString(k, req(fmt.Sprint("deaf-", i, "-", n))); err != nil {
+				if _, err := io.WriteString(k, reqText(fmt.Sprint("deaf-", i, "-", n))); err != nil {
 					return
 				}
 			}
 		},
 		"flood and go": func(k net.Conn, i int, _ chan struct{}) {
 			_ = k.SetWriteDeadline(time.Now().Add(time.Second))
-			_, _ = io.WriteString(k, req(fmt.Sprint("flood-", i))+strings.Repeat("x", 1<<20))
+			_, _ = io.WriteString(k, reqText(fmt.Sprint("flood-", i))+strings.Repeat("x", 1<<20))
 			k.Close()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHouse(t, "127.0.0.1:0")
+			h := newDeployment(t, "127.0.0.1:0")
 			// a busy machine is not to have connections to backends time out
-			h.edit(`"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, sockets), `"ConnectTimeoutMs": 120`, `"ConnectTimeoutMs": 3000`)
+			h.editConfig(`"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, sockets), `"ConnectTimeoutMs": 120`, `"ConnectTimeoutMs": 3000`)
 			p := h.start()
-			p.serves()
-			before, _ := use(t, p.cmd.Process.Pid)
+			p.awaitReady()
+			before, _ := resourceUse(t, p.cmd.Process.Pid)
 			var all sync.WaitGroup
 			stop, most, memory := make(chan struct{}), 0, 0
 			for i := range crowd {
-				k, err := net.DialTimeout("tcp", h.clients, patience)
+				k, err := net.DialTimeout("tcp", h.clientAddress, waitTimeout)
 				if err != nil {
 					continue // not taken in
 				}
 				defer k.Close()
 				all.Go(func() { act(k, i, stop) })
 				if i%20 == 0 {
-					d, m := use(t, p.cmd.Process.Pid)
+					d, m := resourceUse(t, p.cmd.Process.Pid)
 					most, memory = max(most, d), max(memory, m)
 				}
 			}
@@ -99,9 +99,9 @@
 				for status, body := 0, ""; status != 200; {
 					k, err := h.dial()
 					require.NoError(t, err)
-					_ = k.SetDeadline(time.Now().Add(patience))
-					if err = k.send(fmt.Sprint("honest-", n, "-", refused)); err == nil {
-						status, body, _, err = k.answer()
+					_ = k.SetDeadline(time.Now().Add(waitTimeout))
+					if err = k.sendReq(fmt.Sprint("honest-", n, "-", refused)); err == nil {
+						status, body, _, err = k.readAnswer()
 					}
 					k.Close()
 					require.NoError(t, err, "honest %d", n)
@@ -110,10 +110,10 @@
 						time.Sleep(20 * time.Millisecond)
 						require.Less(t, refused, 3000, "honest %d", n)
 					} else {
-						require.Equal(t, 200, status, "%s, counters:\n%s", body, h.counters())
+						require.Equal(t, 200, status, "%s, counters:\n%s", body, h.countersText())
 					}
 				}
-				d, m := use(t, p.cmd.Process.Pid)
+				d, m := resourceUse(t, p.cmd.Process.Pid)
 				most, memory = max(most, d), max(memory, m)
 			}
 			t.Logf("descriptors %d at the start, %d at most of %d; resident %d MiB at most; honest ones told %d times to come back", before, most, sockets, memory>>20, refused)
@@ -125,17 +125,17 @@
 			assert.LessOrEqual(t, memory, limit)
 			close(stop)
 			all.Wait()
-			p.end(t)
+			p.terminate(t)
 		})
 	}
 }
 
-// TestSendsIntoTheEnd: clients rest on their connections through a shutdown and send a req the moment that they read the end,
+// TestReqsSentDuringShutdown: clients rest on their connections through a shutdown and send a req the moment that they read the end,
 // or an answer that says so. A req has its one answer, or the connection's end and never reached a backend.
-func TestSendsIntoTheEnd(t *testing.T) {
-	h := newHouse(t, "127.0.0.1:0")
+func TestReqsSentDuringShutdown(t *testing.T) {
+	h := newDeployment(t, "127.0.0.1:0")
 	p := h.start()
-	p.serves()
+	p.awaitReady()
 	var all, rest sync.WaitGroup
 	seen := &history.History{}
 	for c := range 60 {
@@ -143,12 +143,12 @@
 		require.NoError(t, err)
 		defer k.Close()
 		ask := func(id string) (closing, ended bool) {
-			if k.send(id) != nil {
+			if k.sendReq(id) != nil {
 				return true, true
 			}
 			seen.Asked(history.Req{Node: "demo", ID: id, Taken: time.Now(), Until: time.Now().Add(5 * time.Second)})
-			_ = k.SetReadDeadline(time.Now().Add(patience))
-			status, body, closing, err := k.answer()
+			_ = k.SetReadDeadline(time.Now().Add(waitTimeout))
+			status, body, closing, err := k.readAnswer()
 			if err != nil {
 				seen.Reset(id, err.Error())
 				return true, true
@@ -163,8 +163,8 @@
 			switch {
 			case ended:
 			case c%2 == 0: // rests until the end is here
-				_ = k.SetReadDeadline(time.Now().Add(patience))
-				_, _ = k.in.Peek(1)
+				_ = k.SetReadDeadline(time.Now().Add(waitTimeout))
+				_, _ = k.reader.Peek(1)
 				ask(fmt.Sprint("end-", c))
 			default: // sends on and on, and once more behind the answer that ends it
 				for i, closing := 0, false; !closing; i++ {
@@ -177,7 +177,7 @@
 	rest.Wait()
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 	all.Wait()
-	for range p.lines {
+	for range p.logLines {
 	}
 	assert.NoError(t, p.cmd.Wait())
 	reached := map[string]bool{}
@@ -199,13 +199,13 @@
 // theirs lie unread at that moment.
 func TestRefusedOverUnread(t *testing.T) {
 	const sockets, crowd = 128, 300
-	h := newHouse(t, "127.0.0.1:0")
-	h.edit(`"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, sockets))
+	h := newDeployment(t, "127.0.0.1:0")
+	h.editConfig(`"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, sockets))
 	for _, b := range h.backends {
 		b.Set(platform.Faults{Hold: true})
 	}
 	p := h.start()
-	p.serves()
+	p.awaitReady()
 	var all sync.WaitGroup
 	var answered, resets, broken, refused atomic.Int64
 	stop := make(chan struct{})
@@ -214,18 +214,18 @@
 		require.NoError(t, err)
 		all.Go(func() {
 			defer k.Close()
-			k.pour(req(fmt.Sprint("crowd-", i))+strings.Repeat("x", 64<<10), patience)
-			for state, unread := uint8(established), 0; state == established && unread == 0; state, _, unread = k.kernel(t) {
+			k.writeWithin(reqText(fmt.Sprint("crowd-", i))+strings.Repeat("x", 64<<10), waitTimeout)
+			for state, unread := uint8(tcpEstablished), 0; state == tcpEstablished && unread == 0; state, _, unread = k.kernelState(t) {
 				select {
 				case <-stop:
 					return // taken, and held
 				case <-time.After(5 * time.Millisecond):
 				}
 			}
-			if k.ended(t) {
+			if k.awaitPeerClose(t) {
 				resets.Add(1)
 			}
-			if status, _, err := k.whole(); status == 503 {
+			if status, _, err := k.readToClose(); status == 503 {
 				refused.Add(1)
 			} else if broken.Add(1) == 1 {
 				t.Logf("status %d, %v", status, err)
@@ -233,11 +233,11 @@
 			answered.Add(1)
 		})
 	}
-	until(t, "those that can't be held are answered", func() bool { return answered.Load() >= crowd-sockets })
+	waitFor(t, "those that can't be held are answered", func() bool { return answered.Load() >= crowd-sockets })
 	close(stop)
 	all.Wait()
 	t.Logf("of %d: %d told to come back, %d without a whole answer or with another", crowd, refused.Load(), broken.Load())
 	assert.Zero(t, resets.Load(), "reset before the client could read")
 	assert.Zero(t, broken.Load())
-	p.end(t)
+	p.terminate(t)
 }
--- a/cmd/tinsail/pages_hostile_test.go
+++ b/cmd/tinsail/pages_hostile_test.go
@@ -16,48 +16,48 @@
 	"tinsail/internal/standin/platform"
 )
 
-// TestSpoiltAnswers: a backend sends half a line, a whole second answer or a surplus line, with the answer, while the
+// TestMalformedBackendAnswers: a backend sends half a line, a whole second answer or a surplus line, with the answer, while the
 // connection rests, or in the moment in which the next req arrives. No req has another's result, each has an answer, and a
 // connection on which surplus bytes lay when a req was handed in carries no further one.
-func TestSpoiltAnswers(t *testing.T) {
+func TestMalformedBackendAnswers(t *testing.T) {
 	other := func(b *platform.Raw) string { return b.Served("other") }
 	for name, c := range map[string]struct {
-		with    func(b *platform.Raw, q platform.RawReq) string // instead of the first answer
-		resting func(b *platform.Raw) string                    // once the client has the first answer
-		moment  func(b *platform.Raw) string                    // once the second req has arrived, before its answer
-		ends    bool                                            // the backend ends its sending then
-		first   int                                             // status of the first answer
+		firstAnswer func(b *platform.Raw, q platform.RawReq) string // instead of the first answer
+		whileIdle   func(b *platform.Raw) string                    // once the client has the first answer
+		onSecondReq func(b *platform.Raw) string                    // once the second req has arrived, before its answer
+		closesAfter bool                                            // the backend ends its sending then
+		firstStatus int                                             // status of the first answer
 	}{
-		"half a line, then nothing": {with: func(b *platform.Raw, q platform.RawReq) string {
+		"half a line, then nothing": {firstAnswer: func(b *platform.Raw, q platform.RawReq) string {
 			return platform.Head + "40\r\n" + b.Line(q.ID, `"done"`)[:20]
 		}},
-		"half a line, then the end": {ends: true, with: func(b *platform.Raw, q platform.RawReq) string {
+		"half a line, then the end": {closesAfter: true, firstAnswer: func(b *platform.Raw, q platform.RawReq) string {
 			return platform.Head + "40\r\n" + b.Line(q.ID, `"done"`)[:20]
 		}},
-		"half a status line, then the end": {ends: true, with: func(*platform.Raw, platform.RawReq) string { return "HTTP/1.1 20" }},
-		"started, then the end": {ends: true, with: func(b *platform.Raw, q platform.RawReq) string {
+		"half a status line, then the end": {closesAfter: true, firstAnswer: func(*platform.Raw, platform.RawReq) string { return "HTTP/1.1 20" }},
+		"started, then the end": {closesAfter: true, firstAnswer: func(b *platform.Raw, q platform.RawReq) string {
 			return platform.Head + platform.Chunk(b.Line(q.ID, `"started"`))
 		}},
-		"a result for another": {with: func(b *platform.Raw, _ platform.RawReq) string { return b.Served("other") }},
-		"no last chunk, then the end": {first: 200, ends: true, with: func(b *platform.Raw, q platform.RawReq) string {
+		"a result for another": {firstAnswer: func(b *platform.Raw, _ platform.RawReq) string { return b.Served("other") }},
+		"no last chunk, then the end": {firstStatus: 200, closesAfter: true, firstAnswer: func(b *platform.Raw, q platform.RawReq) string {
 			return strings.TrimSuffix(b.Served(q.ID), "0\r\n\r\n")
 		}},
-		"a second answer in the same piece": {first: 200, with: func(b *platform.Raw, q platform.RawReq) string { return b.Served(q.ID) + b.Served("other") }},
-		"a second line in the same piece": {first: 200, with: func(b *platform.Raw, q platform.RawReq) string {
+		"a second answer in the same piece": {firstStatus: 200, firstAnswer: func(b *platform.Raw, q platform.RawReq) string { return b.Served(q.ID) + b.Served("other") }},
+		"a second line in the same piece": {firstStatus: 200, firstAnswer: func(b *platform.Raw, q platform.RawReq) string {
 			return strings.TrimSuffix(b.Served(q.ID), "0\r\n\r\n") + platform.Chunk(b.Line("other", `"done","result":"small other"`)) + "0\r\n\r\n"
 		}},
-		"half an answer in the same piece": {first: 200, with: func(b *platform.Raw, q platform.RawReq) string { return b.Served(q.ID) + "HTTP/1.1 2" }},
-		"a second answer at rest":          {first: 200, resting: other},
-		"a byte at rest":                   {first: 200, resting: func(*platform.Raw) string { return "H" }},
-		"half a line at rest":              {first: 200, resting: func(b *platform.Raw) string { return b.Line("other", `"done"`)[:20] }},
-		"a line at rest":                   {first: 200, resting: func(b *platform.Raw) string { return b.Line("other", `"done","result":"small other"`) }},
-		"a 503 at rest": {first: 200, resting: func(*platform.Raw) string {
+		"half an answer in the same piece": {firstStatus: 200, firstAnswer: func(b *platform.Raw, q platform.RawReq) string { return b.Served(q.ID) + "HTTP/1.1 2" }},
+		"a second answer at rest":          {firstStatus: 200, whileIdle: other},
+		"a byte at rest":                   {firstStatus: 200, whileIdle: func(*platform.Raw) string { return "H" }},
+		"half a line at rest":              {firstStatus: 200, whileIdle: func(b *platform.Raw) string { return b.Line("other", `"done"`)[:20] }},
+		"a line at rest":                   {firstStatus: 200, whileIdle: func(b *platform.Raw) string { return b.Line("other", `"done","result":"small other"`) }},
+		"a 503 at rest": {firstStatus: 200, whileIdle: func(*platform.Raw) string {
 			return "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 		}},
-		"half an answer at rest, then the end": {first: 200, ends: true, resting: func(*platform.Raw) string { return "HTTP/1.1 20" }},
-		"an answer in the moment":              {first: 200, moment: other},
-		"half a line in the moment":            {first: 200, moment: func(b *platform.Raw) string { return b.Line("other", `"done"`)[:20] }},
-		"half an answer in the moment":         {first: 200, moment: func(*platform.Raw) string { return "HTTP/1.1 20" }},
+		"half an answer at rest, then the end": {firstStatus: 200, closesAfter: true, whileIdle: func(*platform.Raw) string { return "HTTP/1.1 20" }},
+		"an answer in the moment":              {firstStatus: 200, onSecondReq: other},
+		"half a line in the moment":            {firstStatus: 200, onSecondReq: func(b *platform.Raw) string { return b.Line("other", `"done"`)[:20] }},
+		"half an answer in the moment":         {firstStatus: 200, onSecondReq: func(*platform.Raw) string { return "HTTP/1.1 20" }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var first atomic.Value // the first job of the round that goes on
@@ -67,33 +67,33 @@
 				switch {
 				case strings.HasPrefix(q.ID, "first-") && q.ID != old.ID: // its first attempt
 					first.Store(q)
-					if c.with == nil {
+					if c.firstAnswer == nil {
 						q.Write(b.Served(q.ID))
 						return
 					}
-					q.Write(c.with(b, q))
-					if c.ends {
+					q.Write(c.firstAnswer(b, q))
+					if c.closesAfter {
 						_ = q.C.CloseWrite()
 					}
-				case c.moment != nil && strings.HasPrefix(q.ID, "second-") && q.Conn == old.Conn:
-					q.Write(c.moment(b))
+				case c.onSecondReq != nil && strings.HasPrefix(q.ID, "second-") && q.Conn == old.Conn:
+					q.Write(c.onSecondReq(b))
 					q.Write(b.Served(q.ID))
 				default:
 					q.Write(b.Served(q.ID))
 				}
 			})
 			require.NoError(t, err)
-			h := page(t, []string{`"HardLimitMs": 5000`, `"HardLimitMs": 2000`}, b)
+			h := newEditedDeployment(t, []string{`"HardLimitMs": 5000`, `"HardLimitMs": 2000`}, b)
 			p := h.start()
-			p.serves()
+			p.awaitReady()
 			k, err := h.dial()
 			require.NoError(t, err)
 			defer func() { k.Close() }()
 			wrong := map[string]int{} // by what was wrong
 			ask := func(id string, want int) {
-				require.NoError(t, k.send(id))
-				require.NoError(t, k.SetReadDeadline(time.Now().Add(patience)))
-				status, body, closing, err := k.answer()
+				require.NoError(t, k.sendReq(id))
+				require.NoError(t, k.SetReadDeadline(time.Now().Add(waitTimeout)))
+				status, body, closing, err := k.readAnswer()
 				require.NoError(t, err, "%s has no answer", id)
 				if status == 200 {
 					assert.Equal(t, "small "+id, body)
@@ -108,25 +108,25 @@
 				}
 			}
 			rounds := 1
-			if c.first == 200 && c.moment == nil { // a claim and the surplus bytes race in a dispatcher that doesn't look
+			if c.firstStatus == 200 && c.onSecondReq == nil { // a claim and the surplus bytes race in a dispatcher that doesn't look
 				rounds = 20
 			}
 			spoilt := map[int]int{} // by connection: the turn at which it was
 			for i := range rounds {
-				ask(fmt.Sprint("first-", i), c.first)
+				ask(fmt.Sprint("first-", i), c.firstStatus)
 				bad := first.Load().(platform.RawReq)
-				if spoilt[bad.Conn] = bad.Turn; c.moment != nil {
+				if spoilt[bad.Conn] = bad.Turn; c.onSecondReq != nil {
 					spoilt[bad.Conn] = bad.Turn + 1
 				}
-				if c.resting != nil {
-					bad.Write(c.resting(b))
-					if c.ends {
+				if c.whileIdle != nil {
+					bad.Write(c.whileIdle(b))
+					if c.closesAfter {
 						_ = bad.C.CloseWrite()
 					}
 				}
 				for _, which := range []string{"second", "third"} {
 					want := 200
-					if c.moment != nil {
+					if c.onSecondReq != nil {
 						want = 0
 					}
 					ask(fmt.Sprint(which, "-", i), want)
@@ -142,8 +142,8 @@
 	}
 }
 
-// tally counts attempts for an id: begun, and whole.
-func tally(id string, raws ...*platform.Raw) (begun, whole int) {
+// countAttempts counts attempts for an id: begun, and whole.
+func countAttempts(id string, raws ...*platform.Raw) (begun, whole int) {
 	for _, r := range raws {
 		for _, q := range r.Seen() {
 			if q.ID == id {
@@ -157,23 +157,23 @@
 	return begun, whole
 }
 
-// TestUnsafeOnce: an unsafe req is whole at one backend only, whether the connection was reset after its last byte, the backend
+// TestUnsafeReqSentOnce: an unsafe req is whole at one backend only, whether the connection was reset after its last byte, the backend
 // said nothing for long, or half a line came; its client has one answer, and that is no refusal.
-func TestUnsafeOnce(t *testing.T) {
+func TestUnsafeReqSentOnce(t *testing.T) {
 	for name, c := range map[string]struct {
-		does func(b *platform.Raw, q platform.RawReq)
-		want int // status; 0: any that is no refusal and no result
+		answer func(b *platform.Raw, q platform.RawReq)
+		want   int // status; 0: any that is no refusal and no result
 	}{
-		"reset after the last byte": {does: func(_ *platform.Raw, q platform.RawReq) { q.Reset() }},
-		"ended after the last byte": {does: func(_ *platform.Raw, q platform.RawReq) { _ = q.C.CloseWrite() }},
-		"reset after the start": {does: func(b *platform.Raw, q platform.RawReq) {
+		"reset after the last byte": {answer: func(_ *platform.Raw, q platform.RawReq) { q.Reset() }},
+		"ended after the last byte": {answer: func(_ *platform.Raw, q platform.RawReq) { _ = q.C.CloseWrite() }},
+		"reset after the start": {answer: func(b *platform.Raw, q platform.RawReq) {
 			q.Write(platform.Head + b.Line(q.ID, `"started"`))
 			q.Reset()
 		}},
-		"half a status line": {does: func(_ *platform.Raw, q platform.RawReq) { q.Write("HTTP/1.1 5"); _ = q.C.CloseWrite() }},
-		"503 without a word": {does: func(_ *platform.Raw, q platform.RawReq) { q.Write("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n") }},
-		"500":                {does: func(_ *platform.Raw, q platform.RawReq) { q.Write("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n") }},
-		"silent, then done": {want: 200, does: func(b *platform.Raw, q platform.RawReq) {
+		"half a status line": {answer: func(_ *platform.Raw, q platform.RawReq) { q.Write("HTTP/1.1 5"); _ = q.C.CloseWrite() }},
+		"503 without a word": {answer: func(_ *platform.Raw, q platform.RawReq) { q.Write("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n") }},
+		"500":                {answer: func(_ *platform.Raw, q platform.RawReq) { q.Write("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n") }},
+		"silent, then done": {want: 200, answer: func(b *platform.Raw, q platform.RawReq) {
 			time.Sleep(3 * time.Second) // many times the aim and any hedge's delay; no verdict rests on it
 			q.Write(b.Served(q.ID))
 		}},
@@ -182,76 +182,76 @@
 			var raws []*platform.Raw
 			for i := range 3 {
 				var b *platform.Raw
-				b, err := platform.StartRaw(fmt.Sprint("b", i), func(q platform.RawReq) { c.does(b, q) })
+				b, err := platform.StartRaw(fmt.Sprint("b", i), func(q platform.RawReq) { c.answer(b, q) })
 				require.NoError(t, err)
 				raws = append(raws, b)
 			}
-			h := page(t, []string{`"idempotency_key"`, `"non_idempotent"`}, raws...)
+			h := newEditedDeployment(t, []string{`"idempotency_key"`, `"non_idempotent"`}, raws...)
 			p := h.start()
-			p.serves()
+			p.awaitReady()
 			var all sync.WaitGroup
 			for i := range 5 {
 				id := fmt.Sprint("unsafe-", i)
 				k, err := h.dial()
 				require.NoError(t, err)
 				defer k.Close()
-				_, err = io.WriteString(k, strings.Replace(req(id), "Idempotency-Key: "+id+"\r\n", "", 1))
+				_, err = io.WriteString(k, strings.Replace(reqText(id), "Idempotency-Key: "+id+"\r\n", "", 1))
 				require.NoError(t, err)
 				all.Go(func() {
-					_ = k.SetReadDeadline(time.Now().Add(patience))
-					status, body, _, err := k.answer()
+					_ = k.SetReadDeadline(time.Now().Add(waitTimeout))
+					status, body, _, err := k.readAnswer()
 					assert.NoError(t, err)
 					if c.want != 0 {
 						assert.Equal(t, c.want, status)
 						assert.Equal(t, "small "+id, body)
-					} else if begun, _ := tally(id, raws...); begun > 0 {
+					} else if begun, _ := countAttempts(id, raws...); begun > 0 {
 						assert.NotContains(t, []int{200, 429, 503}, status)
 					}
 				})
 			}
 			all.Wait()
-			p.end(t)
+			p.terminate(t)
 			for i := range 5 {
-				begun, _ := tally(fmt.Sprint("unsafe-", i), raws...)
+				begun, _ := countAttempts(fmt.Sprint("unsafe-", i), raws...)
 				assert.LessOrEqual(t, begun, 1, "unsafe-%d", i)
 			}
 		})
 	}
 }
 
-// TestUnsafeRefused: connections that are refused have carried nothing: an unsafe req goes on to the backend that listens.
-func TestUnsafeRefused(t *testing.T) {
+// TestUnsafeReqAfterRefusedConnection: connections that are refused have carried nothing: an unsafe req goes on to the backend that listens.
+func TestUnsafeReqAfterRefusedConnection(t *testing.T) {
 	var raws []*platform.Raw
 	for i := range 3 {
 		b, err := platform.StartRaw(fmt.Sprint("b", i), nil)
 		require.NoError(t, err)
 		raws = append(raws, b)
 	}
-	h := page(t, []string{`"idempotency_key"`, `"non_idempotent"`}, raws...)
+	h := newEditedDeployment(t, []string{`"idempotency_key"`, `"non_idempotent"`}, raws...)
 	p := h.start()
-	p.serves()
+	p.awaitReady()
 	raws[0].Close()
 	raws[1].Close()
 	for i := range 20 {
 		id := fmt.Sprint("unsafe-", i)
 		k, err := h.dial()
 		require.NoError(t, err)
-		_, err = io.WriteString(k, strings.Replace(req(id), "Idempotency-Key: "+id+"\r\n", "", 1))
+		_, err = io.WriteString(k, strings.Replace(reqText(id), "Idempotency-Key: "+id+"\r\n", "", 1))
 		require.NoError(t, err)
-		status, body, _, err := k.answer()
+		status, body, _, err := k.readAnswer()
 		require.NoError(t, err)
 		if assert.Equal(t, 200, status) {
 			assert.Equal(t, "small "+id, body)
 		}
-		begun, _ := tally(id, raws...)
+		begun, _ := countAttempts(id, raws...)
 		assert.Equal(t, 1, begun)
 		k.Close()
 	}
-	p.end(t)
+	p.terminate(t)
 }
 
-// TestWindowPast: the first attempt is reset once its class's window for repeats is over: none follows.
-func TestWindowPast(t *testing.T) {
+// TestNoRepeatAfterWindow: the first attempt is reset once its class's window for repeats is over: none follows.
+func TestNoRepeatAfterWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	var raws []*platform.Raw
 	for i := range 3 {
@@ -262,26 +262,26 @@
 		require.NoError(t, err)
 		raws = append(raws, b)
 	}
-	h := page(t, []string{`"RepeatWindowMs": 7500`, `"RepeatWindowMs": 300`, `"HardLimitMs": 5000`, `"HardLimitMs": 60000`}, raws...)
+	h := newEditedDeployment(t, []string{`"RepeatWindowMs": 7500`, `"RepeatWindowMs": 300`, `"HardLimitMs": 5000`, `"HardLimitMs": 60000`}, raws...)
 	p := h.start()
-	p.serves()
+	p.awaitReady()
 	for i := range 5 {
 		id := fmt.Sprint("window-", i)
 		k, err := h.dial()
 		require.NoError(t, err)
-		require.NoError(t, k.send(id))
-		_ = k.SetReadDeadline(time.Now().Add(patience))
-		status, _, _, err := k.answer()
+		require.NoError(t, k.sendReq(id))
+		_ = k.SetReadDeadline(time.Now().Add(waitTimeout))
+		status, _, _, err := k.readAnswer()
 		assert.NoError(t, err, "answered long before its time is up")
 		assert.NotContains(t, []int{200, 429, 503}, status)
 		k.Close()
 	}
-	p.end(t)
-	judgeWindow(t, window, raws...)
+	p.terminate(t)
+	checkRepeatWindow(t, window, raws...)
 }
 
-// judgeWindow wants no attempt to begin later than the window, and the pages' slack, after the first one that was whole.
-func judgeWindow(t *testing.T, window time.Duration, raws ...*platform.Raw) {
+// checkRepeatWindow wants no attempt to begin later than the window, and the pages' slack, after the first one that was whole.
+func checkRepeatWindow(t *testing.T, window time.Duration, raws ...*platform.Raw) {
 	first := map[string]time.Time{}
 	for _, r := range raws {
 		for _, q := range r.Seen() {
@@ -299,12 +299,12 @@
 	}
 }
 
-// TestWindowPastWhileConnecting: a repeat is decided within the window, but its connection comes up only after it.
-func TestWindowPastWhileConnecting(t *testing.T) {
+// TestNoRepeatWhenConnectOutlastsWindow: a repeat is decided within the window, but its connection comes up only after it.
+func TestNoRepeatWhenConnectOutlastsWindow(t *testing.T) {
 	const window = 3 * time.Second
 	late, err := platform.StartHeld("late", nil)
 	require.NoError(t, err)
-	var h *house
+	var h *deployment
 	var swapped sync.Once
 	var b *platform.Raw
 	b, err = platform.StartRaw("b", func(q platform.RawReq) {
@@ -316,24 +316,24 @@
 		q.Reset()
 	})
 	require.NoError(t, err)
-	h = page(t, []string{`"RepeatWindowMs": 7500`, `"RepeatWindowMs": 3000`, `"HardLimitMs": 5000`, `"HardLimitMs": 60000`,
+	h = newEditedDeployment(t, []string{`"RepeatWindowMs": 7500`, `"RepeatWindowMs": 3000`, `"HardLimitMs": 5000`, `"HardLimitMs": 60000`,
 		`"ConnectTimeoutMs": 120`, `"ConnectTimeoutMs": 20000`}, b)
 	t.Cleanup(late.Close)
 	p := h.start()
-	p.serves()
+	p.awaitReady()
 	k, err := h.dial()
 	require.NoError(t, err)
 	defer k.Close()
-	require.NoError(t, k.send("window"))
-	until(t, "a connection in the making", func() bool { return dialing(t, late.Address) > 0 })
+	require.NoError(t, k.sendReq("window"))
+	waitFor(t, "a connection in the making", func() bool { return pendingConnects(t, late.Address) > 0 })
 	time.Sleep(time.Until(b.Seen()[0].First.Add(window + 500*time.Millisecond)))
 	require.NoError(t, late.Release())
-	until(t, "no connection in the making", func() bool { return dialing(t, late.Address) == 0 })
-	_ = k.SetReadDeadline(time.Now().Add(patience))
-	status, _, _, err := k.answer()
+	waitFor(t, "no connection in the making", func() bool { return pendingConnects(t, late.Address) == 0 })
+	_ = k.SetReadDeadline(time.Now().Add(waitTimeout))
+	status, _, _, err := k.readAnswer()
 	assert.NoError(t, err)
 	assert.NotContains(t, []int{200, 429, 503}, status)
-	assert.Equal(t, 200, h.job())
-	p.end(t)
-	judgeWindow(t, window, b, late)
+	assert.Equal(t, 200, h.sendJob())
+	p.terminate(t)
+	checkRepeatWindow(t, window, b, late)
 }
--- a/cmd/tinsail/pages_test.go
+++ b/cmd/tinsail/pages_test.go
@@ -25,12 +25,12 @@
 // These tests are written from the platform's pages alone. They start the real program, force two events to cross by order,
 // and judge by what the far sides saw.
 
-// patience bounds every wait; no verdict rests on it but that nothing came at all.
-const patience = 60 * time.Second
+// waitTimeout bounds every wait; no verdict rests on it but that nothing came at all.
+const waitTimeout = 60 * time.Second
 
-// page is a house with these backends alone, and its configuration edited: old, new, old, new.
-func page(t *testing.T, edits []string, raws ...*platform.Raw) *house {
-	h := newHouse(t, "127.0.0.1:0")
+// newEditedDeployment is a house with these backends alone, and its configuration edited: old, new, old, new.
+func newEditedDeployment(t *testing.T, edits []string, raws ...*platform.Raw) *deployment {
+	h := newDeployment(t, "127.0.0.1:0")
 	for i, b := range h.backends {
 		h.director.Set(b.Entry("fast", "here", i, "Gone"))
 	}
@@ -38,23 +38,23 @@
 		t.Cleanup(r.Close)
 		h.director.Set(r.Entry(0, "Ready"))
 	}
-	h.edit(edits...)
+	h.editConfig(edits...)
 	return h
 }
 
-func (h *house) edit(edits ...string) {
-	text, err := os.ReadFile(h.conf)
+func (h *deployment) editConfig(edits ...string) {
+	text, err := os.ReadFile(h.configPath)
 	require.NoError(h.t, err)
 	for i := 0; i < len(edits); i += 2 {
 		require.Contains(h.t, string(text), edits[i])
 		text = []byte(strings.ReplaceAll(string(text), edits[i], edits[i+1]))
 	}
-	require.NoError(h.t, os.WriteFile(h.conf, text, 0o600))
+	require.NoError(h.t, os.WriteFile(h.configPath, text, 0o600))
 }
 
-// counters are the program's, a line each.
-func (h *house) counters() string {
-	a, err := http.Get("http://" + h.clients + "/counters")
+// countersText are the program's, a line each.
+func (h *deployment) countersText() string {
+	a, err := http.Get("http://" + h.clientAddress + "/counters")
 	require.NoError(h.t, err)
 	defer a.Body.Close()
 	text, err := io.ReadAll(a.Body)
@@ -62,9 +62,9 @@
 	return string(text)
 }
 
-// count reads one of the program's counters.
-func (h *house) count(name string) (n int) {
-	for _, line := range strings.Split(h.counters(), "\n") {
+// counterOrZero reads one of the program's counters.
+func (h *deployment) counterOrZero(name string) (n int) {
+	for _, line := range strings.Split(h.countersText(), "\n") {
 		if _, err := fmt.Sscanf(line, "counter "+name+" %d", &n); err == nil {
 			return n
 		}
@@ -72,17 +72,17 @@
 	return 0
 }
 
-// until polls for something that has to come.
-func until(t testing.TB, what string, holds func() bool) {
-	for end := time.Now().Add(patience); !holds(); time.Sleep(2 * time.Millisecond) {
+// waitFor polls for something that has to come.
+func waitFor(t testing.TB, what string, holds func() bool) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			require.Fail(t, "never came", what)
 		}
 	}
 }
 
-// dialing says how many connections to an address of 127.0.0.1 are being made.
-func dialing(t testing.TB, address string) (n int) {
+// pendingConnects says how many connections to an address of 127.0.0.1 are being made.
+func pendingConnects(t testing.TB, address string) (n int) {
 	text, err := os.ReadFile("/proc/net/tcp")
 	require.NoError(t, err)
 	var port int
@@ -97,11 +97,11 @@
 }
 
 // Of TCP_INFO.
-const established, closed = 1, 7
+const tcpEstablished, tcpClosed = 1, 7
 
-// kernel is the system's view of the client's side: the connection's state (closed: by a reset), bytes that the other side has
+// kernelState is the system's view of the client's side: the connection's state (closed: by a reset), bytes that the other side has
 // not acknowledged, and bytes that the client has not read.
-func (c *conn) kernel(t testing.TB) (state uint8, unacked, unread int) {
+func (c *conn) kernelState(t testing.TB) (state uint8, unacked, unread int) {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
 	require.NoError(t, raw.Control(func(fd uintptr) {
@@ -115,56 +115,56 @@
 	return state, unacked, unread
 }
 
-// req is a whole req; more are further header lines.
-func req(id string, more ...string) string {
+// reqText is a whole reqText; more are further header lines.
+func reqText(id string, more ...string) string {
 	return fmt.Sprintf("POST /photo/1 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nIdempotency-Key: %s\r\n%sContent-Length: 1\r\n\r\nb", id, id, strings.Join(more, ""))
 }
 
-// pour writes as much as the other side takes in a time: a flood may not be read.
-func (c *conn) pour(text string, within time.Duration) {
+// writeWithin writes as much as the other side takes in a time: a flood may not be read.
+func (c *conn) writeWithin(text string, within time.Duration) {
 	_ = c.SetWriteDeadline(time.Now().Add(within))
 	_, _ = io.WriteString(c, text)
 }
 
-// leavers are ways in which a client leaves while its req waits: what it sends with the req, later, and how it goes.
-var leavers = map[string]struct {
-	ahead, later string
-	go_          func(*conn)
+// departures are ways in which a client leaves while its req waits: what it sends with the req, later, and how it goes.
+var departures = map[string]struct {
+	withReq, afterReq string
+	disconnect        func(*conn)
 }{
 	"close":             {},
-	"reset":             {go_: func(c *conn) { _ = c.Conn.(*net.TCPConn).SetLinger(0); c.Close() }},
-	"half-close":        {go_: func(c *conn) { _ = c.Conn.(*net.TCPConn).CloseWrite() }},
-	"byte-ahead":        {ahead: "P"},
-	"req-ahead":         {ahead: req("req-behind")},
-	"byte-later":        {later: "P"},
-	"4KiB-later":        {later: strings.Repeat("x", 4<<10)},
-	"4KiB-ahead":        {ahead: strings.Repeat("x", 4<<10)},
-	"64KiB-later":       {later: strings.Repeat("x", 64<<10)},
-	"1MiB-later":        {later: strings.Repeat("x", 1<<20)},
-	"byte-later-reset":  {later: "P", go_: func(c *conn) { _ = c.Conn.(*net.TCPConn).SetLinger(0); c.Close() }},
-	"byte-ahead-halves": {ahead: "P", go_: func(c *conn) { _ = c.Conn.(*net.TCPConn).CloseWrite() }},
+	"reset":             {disconnect: func(c *conn) { _ = c.Conn.(*net.TCPConn).SetLinger(0); c.Close() }},
+	"half-close":        {disconnect: func(c *conn) { _ = c.Conn.(*net.TCPConn).CloseWrite() }},
+	"byte-ahead":        {withReq: "P"},
+	"req-ahead":         {withReq: reqText("req-behind")},
+	"byte-later":        {afterReq: "P"},
+	"4KiB-later":        {afterReq: strings.Repeat("x", 4<<10)},
+	"4KiB-ahead":        {withReq: strings.Repeat("x", 4<<10)},
+	"64KiB-later":       {afterReq: strings.Repeat("x", 64<<10)},
+	"1MiB-later":        {afterReq: strings.Repeat("x", 1<<20)},
+	"byte-later-reset":  {afterReq: "P", disconnect: func(c *conn) { _ = c.Conn.(*net.TCPConn).SetLinger(0); c.Close() }},
+	"byte-ahead-halves": {withReq: "P", disconnect: func(c *conn) { _ = c.Conn.(*net.TCPConn).CloseWrite() }},
 }
 
-// leave has a client of each kind hand in its req, which has to wait, and go; waits says when all wait.
-func leave(t *testing.T, h *house, waits func(n int)) (gone time.Time) {
+// leaveWhileWaiting has a client of each kind hand in its req, which has to wait, and go; waits says when all wait.
+func leaveWhileWaiting(t *testing.T, h *deployment, waits func(n int)) (gone time.Time) {
 	conns := map[string]*conn{}
-	for name, l := range leavers {
+	for name, l := range departures {
 		c, err := h.dial()
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
 		conns[name] = c
-		_, err = io.WriteString(c, req(name)+l.ahead)
+		_, err = io.WriteString(c, reqText(name)+l.withReq)
 		require.NoError(t, err)
 	}
-	waits(len(leavers))
-	for name, l := range leavers {
-		if l.later != "" {
-			conns[name].pour(l.later, 500*time.Millisecond)
+	waits(len(departures))
+	for name, l := range departures {
+		if l.afterReq != "" {
+			conns[name].writeWithin(l.afterReq, 500*time.Millisecond)
 		}
 	}
-	for name, l := range leavers {
-		if l.go_ != nil {
-			l.go_(conns[name])
+	for name, l := range departures {
+		if l.disconnect != nil {
+			l.disconnect(conns[name])
 		} else {
 			conns[name].Close()
 		}
@@ -174,31 +174,31 @@
 	return gone
 }
 
-// TestGoneWhileConnecting: clients leave while the connection for their reqs is being made. It comes up a second later, and
+// TestClientLeavesWhileConnecting: clients leave while the connection for their reqs is being made. It comes up a second later, and
 // carries none of them.
-func TestGoneWhileConnecting(t *testing.T) {
+func TestClientLeavesWhileConnecting(t *testing.T) {
 	held, err := platform.StartHeld("held", nil)
 	require.NoError(t, err)
-	h := page(t, []string{`"ConnectTimeoutMs": 120`, `"ConnectTimeoutMs": 20000`, `"HardLimitMs": 5000`, `"HardLimitMs": 60000`}, held)
+	h := newEditedDeployment(t, []string{`"ConnectTimeoutMs": 120`, `"ConnectTimeoutMs": 20000`, `"HardLimitMs": 5000`, `"HardLimitMs": 60000`}, held)
 	p := h.start()
-	p.serves()
-	gone := leave(t, h, func(n int) {
-		until(t, "all taken", func() bool { return h.count("reqs_taken") >= n })
-		until(t, "a connection in the making", func() bool { return dialing(t, held.Address) > 0 })
+	p.awaitReady()
+	gone := leaveWhileWaiting(t, h, func(n int) {
+		waitFor(t, "all taken", func() bool { return h.counterOrZero("reqs_taken") >= n })
+		waitFor(t, "a connection in the making", func() bool { return pendingConnects(t, held.Address) > 0 })
 	})
 	require.Empty(t, held.Seen(), "held")
 	require.NoError(t, held.Release())
-	until(t, "no connection in the making", func() bool { return dialing(t, held.Address) == 0 })
-	assert.Equal(t, 200, h.job())
-	p.end(t)
+	waitFor(t, "no connection in the making", func() bool { return pendingConnects(t, held.Address) == 0 })
+	assert.Equal(t, 200, h.sendJob())
+	p.terminate(t)
 	for _, q := range held.Seen() {
 		assert.Contains(t, q.ID, "one-", "began %v after its client had gone", q.First.Sub(gone))
 	}
 }
 
-// TestGoneBetweenAttempts: clients leave while no backend is there, or while their reqs are out. Then there is one, or those
+// TestClientLeavesBetweenAttempts: clients leave while no backend is there, or while their reqs are out. Then there is one, or those
 // attempts end in a way that calls for another: none begins.
-func TestGoneBetweenAttempts(t *testing.T) {
+func TestClientLeavesBetweenAttempts(t *testing.T) {
 	for name, ends := range map[string]func(b *platform.Raw, q platform.RawReq){
 		"no backend": nil,
 		"turned away": func(_ *platform.Raw, q platform.RawReq) {
@@ -217,7 +217,7 @@
 			for i := range 2 {
 				var b *platform.Raw
 				b, err := platform.StartRaw(fmt.Sprint("raw", i), func(q platform.RawReq) {
-					if _, leaves := leavers[q.ID]; !leaves || ends == nil {
+					if _, leaves := departures[q.ID]; !leaves || ends == nil {
 						q.Write(b.Served(q.ID))
 						return
 					}
@@ -227,7 +227,7 @@
 				require.NoError(t, err)
 				raws = append(raws, b)
 			}
-			h := page(t, []string{`"HardLimitMs": 5000`, `"HardLimitMs": 10000`}, raws...)
+			h := newEditedDeployment(t, []string{`"HardLimitMs": 5000`, `"HardLimitMs": 10000`}, raws...)
 			for _, b := range raws {
 				if ends == nil {
 					h.director.Set(b.Entry(0, "Gone"))
@@ -235,21 +235,21 @@
 			}
 			p := h.start()
 			if ends != nil {
-				p.serves()
+				p.awaitReady()
 			}
-			gone := leave(t, h, func(n int) {
-				until(t, "all taken", func() bool { return h.count("reqs_taken") >= n })
-				until(t, "all out", func() bool { return ends == nil || len(raws[0].Seen())+len(raws[1].Seen()) >= n })
+			gone := leaveWhileWaiting(t, h, func(n int) {
+				waitFor(t, "all taken", func() bool { return h.counterOrZero("reqs_taken") >= n })
+				waitFor(t, "all out", func() bool { return ends == nil || len(raws[0].Seen())+len(raws[1].Seen()) >= n })
 			})
 			close(left)
 			for _, b := range raws {
 				h.director.Set(b.Entry(0, "Ready"))
 			}
-			until(t, "served", func() bool { return h.job() == 200 })
-			p.end(t)
+			waitFor(t, "served", func() bool { return h.sendJob() == 200 })
+			p.terminate(t)
 			for _, b := range raws {
 				for _, q := range b.Seen() {
-					if _, leaves := leavers[q.ID]; leaves {
+					if _, leaves := departures[q.ID]; leaves {
 						assert.Less(t, q.First.Sub(gone), 100*time.Millisecond, "%s began after its client had gone", q.ID)
 					}
 				}
@@ -258,53 +258,53 @@
 	}
 }
 
-// crossed waits until bytes of an answer lie at the client, who doesn't read, has 4 KiB more cross the close, and returns
+// writeAcrossClose waits until bytes of an answer lie at the client, who doesn't read, has 4 KiB more cross the close, and returns
 // once the far side has them or has reset the connection.
-func crossed(t testing.TB, c *conn) (reset bool) {
-	until(t, "an answer, or the end", func() bool { state, _, unread := c.kernel(t); return state != established || unread > 0 })
-	c.pour(strings.Repeat("y", 4<<10), patience)
-	return c.ended(t)
+func writeAcrossClose(t testing.TB, c *conn) (reset bool) {
+	waitFor(t, "an answer, or the end", func() bool { state, _, unread := c.kernelState(t); return state != tcpEstablished || unread > 0 })
+	c.writeWithin(strings.Repeat("y", 4<<10), waitTimeout)
+	return c.awaitPeerClose(t)
 }
 
-// ended waits for the far side's end of its sending, or its reset, with the client not reading.
-func (c *conn) ended(t testing.TB) (reset bool) {
-	until(t, "the last bytes have come", func() bool {
-		state, unacked, _ := c.kernel(t)
-		return state == closed || unacked == 0 && state != established
+// awaitPeerClose waits for the far side's end of its sending, or its reset, with the client not reading.
+func (c *conn) awaitPeerClose(t testing.TB) (reset bool) {
+	waitFor(t, "the last bytes have come", func() bool {
+		state, unacked, _ := c.kernelState(t)
+		return state == tcpClosed || unacked == 0 && state != tcpEstablished
 	})
-	state, _, _ := c.kernel(t)
-	return state == closed
+	state, _, _ := c.kernelState(t)
+	return state == tcpClosed
 }
 
-// whole reads an answer and then the connection's end; status is 0 where the answer did not come whole.
-func (c *conn) whole() (status int, body string, err error) {
-	_ = c.SetReadDeadline(time.Now().Add(patience))
-	if status, body, _, err = c.answer(); err != nil {
+// readToClose reads an answer and then the connection's end; status is 0 where the answer did not come readToClose.
+func (c *conn) readToClose() (status int, body string, err error) {
+	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
+	if status, body, _, err = c.readAnswer(); err != nil {
 		return 0, body, err
 	}
-	_, err = io.Copy(io.Discard, c.in)
+	_, err = io.Copy(io.Discard, c.reader)
 	return status, body, err
 }
 
 // TestCloseOverUnread: an answer that ends its connection comes whole, and no reset before it, though bytes of the client lie
 // unread at that moment and more cross the close.
 func TestCloseOverUnread(t *testing.T) {
-	h := newHouse(t, "127.0.0.1:0")
+	h := newDeployment(t, "127.0.0.1:0")
 	p := h.start()
-	p.serves()
+	p.awaitReady()
 	flood := strings.Repeat("x", 64<<10)
 	for name, c := range map[string]struct {
 		text   string
 		status int
 	}{
-		"asked for":      {req("close-ID", "Connection: close\r\n") + flood, 200},
-		"asked for, few": {req("close-ID", "Connection: close\r\n") + "P", 200},
+		"asked for":      {reqText("close-ID", "Connection: close\r\n") + flood, 200},
+		"asked for, few": {reqText("close-ID", "Connection: close\r\n") + "P", 200},
 		"400":            {"nonsense\r\n\r\n" + flood, 400},
 		"400 no key":     {"POST /photo/1 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: c-ID\r\nContent-Length: 1\r\n\r\nb" + flood, 400},
-		"413":            {strings.Replace(req("long-ID"), "Content-Length: 1\r\n", "Content-Length: 70000\r\n", 1) + flood, 413},
-		"431":            {strings.Replace(req("head-ID"), "Host: x\r\n", "Host: x\r\nX: "+strings.Repeat("h", 20<<10)+"\r\n", 1) + flood, 431},
-		"408":            {strings.TrimSuffix(req("half-ID"), "\r\n\r\nb"), 408},
-		"408 body":       {strings.Replace(req("part-ID"), "Content-Length: 1\r\n", "Content-Length: 60000\r\n", 1), 408},
+		"413":            {strings.Replace(reqText("long-ID"), "Content-Length: 1\r\n", "Content-Length: 70000\r\n", 1) + flood, 413},
+		"431":            {strings.Replace(reqText("head-ID"), "Host: x\r\n", "Host: x\r\nX: "+strings.Repeat("h", 20<<10)+"\r\n", 1) + flood, 431},
+		"408":            {strings.TrimSuffix(reqText("half-ID"), "\r\n\r\nb"), 408},
+		"408 body":       {strings.Replace(reqText("part-ID"), "Content-Length: 1\r\n", "Content-Length: 60000\r\n", 1), 408},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, clients := range []int{1, 100} {
@@ -317,11 +317,11 @@
 					defer k.Close() // only when all are through: the closes pile up
 					all.Go(func() {
 						<-begin
-						k.pour(strings.ReplaceAll(c.text, "ID", fmt.Sprint(h.ids.Add(1))), patience)
-						if crossed(t, k) {
+						k.writeWithin(strings.ReplaceAll(c.text, "ID", fmt.Sprint(h.lastID.Add(1))), waitTimeout)
+						if writeAcrossClose(t, k) {
 							resets.Add(1)
 						}
-						if status, _, err := k.whole(); status == 0 {
+						if status, _, err := k.readToClose(); status == 0 {
 							broken.Add(1)
 							t.Logf("no whole answer: %v", err)
 						} else {
@@ -336,31 +336,31 @@
 			}
 		})
 	}
-	p.end(t)
+	p.terminate(t)
 }
 
 // TestCloseOverUnreadInShutdown: the same for the last answers of a shutdown. An idle connection that ends tells that the
 // program has come to that.
 func TestCloseOverUnreadInShutdown(t *testing.T) {
-	for _, behind := range []string{"P", req("behind"), strings.Repeat("x", 64<<10)} {
+	for _, behind := range []string{"P", reqText("behind"), strings.Repeat("x", 64<<10)} {
 		t.Run(fmt.Sprint(len(behind)), func(t *testing.T) {
-			h := newHouse(t, "127.0.0.1:0")
+			h := newDeployment(t, "127.0.0.1:0")
 			for _, b := range h.backends {
 				b.Set(platform.Faults{Hold: true})
 			}
 			p := h.start()
-			p.serves()
+			p.awaitReady()
 			var conns []*conn
 			for i := range 20 {
 				c, err := h.dial()
 				require.NoError(t, err)
 				defer c.Close()
-				require.NoError(t, c.send(fmt.Sprint("held-", i)))
+				require.NoError(t, c.sendReq(fmt.Sprint("held-", i)))
 				conns = append(conns, c)
 			}
-			until(t, "all run", func() bool { return h.jobs() >= len(conns) })
+			waitFor(t, "all run", func() bool { return h.jobCount() >= len(conns) })
 			for _, c := range conns {
-				c.pour(behind, patience)
+				c.writeWithin(behind, waitTimeout)
 			}
 			idle, err := h.dial()
 			require.NoError(t, err)
@@ -375,10 +375,10 @@
 			var resets atomic.Int64
 			for i, c := range conns {
 				all.Go(func() {
-					if crossed(t, c) {
+					if writeAcrossClose(t, c) {
 						resets.Add(1)
 					}
-					status, body, err := c.whole()
+					status, body, err := c.readToClose()
 					if assert.Equal(t, 200, status, "%v", err) {
 						assert.Equal(t, fmt.Sprint("small held-", i), body)
 					}
@@ -386,7 +386,7 @@
 			}
 			all.Wait()
 			assert.Zero(t, resets.Load(), "of %d reset before the client could read", len(conns))
-			p.end(t)
+			p.terminate(t)
 		})
 	}
 }
@@ -400,51 +400,51 @@
 		q.Write(platform.Head + platform.Chunk(b.Line(q.ID, `"done","result":"`+result+`"`)) + "0\r\n\r\n")
 	})
 	require.NoError(t, err)
-	h := page(t, nil, b)
+	h := newEditedDeployment(t, nil, b)
 	p := h.start()
-	p.serves()
+	p.awaitReady()
 	small := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048) })
 	}}
 	for i := range 10 {
-		c, err := small.Dial("tcp", h.clients)
+		c, err := small.Dial("tcp", h.clientAddress)
 		require.NoError(t, err)
 		k := &conn{c, bufio.NewReader(c)}
-		k.pour(req(fmt.Sprint("long-", i), "Connection: close\r\n")+strings.Repeat("x", 64<<10), patience)
-		until(t, "an answer, or the end", func() bool { state, _, unread := k.kernel(t); return state != established || unread > 0 })
-		status, body, err := k.whole()
+		k.writeWithin(reqText(fmt.Sprint("long-", i), "Connection: close\r\n")+strings.Repeat("x", 64<<10), waitTimeout)
+		waitFor(t, "an answer, or the end", func() bool { state, _, unread := k.kernelState(t); return state != tcpEstablished || unread > 0 })
+		status, body, err := k.readToClose()
 		if assert.Equal(t, 200, status, "the answer broke off after %d bytes: %v", len(body), err) {
 			assert.Equal(t, len(result), len(body))
 		}
 		c.Close()
 	}
-	p.end(t)
+	p.terminate(t)
 }
 
 // TestPipelined: reqs written in one piece are answered in their order; half a req behind them has a 408 or a close.
 func TestPipelined(t *testing.T) {
-	h := newHouse(t, "127.0.0.1:0")
+	h := newDeployment(t, "127.0.0.1:0")
 	p := h.start()
-	p.serves()
+	p.awaitReady()
 	for _, n := range []int{2, 5} {
-		for name, half := range map[string]string{"none": "", "byte": "P", "head": strings.TrimSuffix(req("half"), "\r\n\r\nb"), "all-but-a-byte": strings.TrimSuffix(req("half"), "b")} {
+		for name, half := range map[string]string{"none": "", "byte": "P", "head": strings.TrimSuffix(reqText("half"), "\r\n\r\nb"), "all-but-a-byte": strings.TrimSuffix(reqText("half"), "b")} {
 			c, err := h.dial()
 			require.NoError(t, err)
 			text := ""
 			for i := range n {
-				text += req(fmt.Sprint(name, "-", n, "-", i))
+				text += reqText(fmt.Sprint(name, "-", n, "-", i))
 			}
 			_, err = io.WriteString(c, text+half)
 			require.NoError(t, err)
-			_ = c.SetReadDeadline(time.Now().Add(patience))
+			_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 			for i := range n {
-				status, body, _, err := c.answer()
+				status, body, _, err := c.readAnswer()
 				require.NoError(t, err, "%s %d of %d", name, i, n)
 				assert.Equal(t, 200, status)
 				assert.Equal(t, fmt.Sprint("small ", name, "-", n, "-", i), body)
 			}
 			if half != "" {
-				status, _, _, err := c.answer()
+				status, _, _, err := c.readAnswer()
 				if !errors.Is(err, io.EOF) {
 					assert.NoError(t, err, name)
 					assert.Equal(t, 408, status, name)
@@ -458,5 +458,5 @@
 			assert.NotEqual(t, "half", key)
 		}
 	}
-	p.end(t)
+	p.terminate(t)
 }
--- a/cmd/tinsail/program_test.go
+++ b/cmd/tinsail/program_test.go
@@ -207,29 +207,29 @@
 // TestFirstListSetsCapacity: a dispatcher that knows of no backend at its start takes on as much as the first list that names some has
 // room for. It used to size itself by the empty list, and refused jobs beside idle backends.
 func TestFirstListSetsCapacity(t *testing.T) {
-	h := newHouse(t, "127.0.0.1:0")
+	h := newDeployment(t, "127.0.0.1:0")
 	for _, b := range h.backends {
 		b.Set(platform.Faults{Hold: true})
 	}
 	p := h.start()
-	p.serves()
+	p.awaitReady()
 	const jobs = 30
 	early := make(chan int, jobs)
 	var all sync.WaitGroup
 	for i := range jobs {
 		c, err := h.dial()
 		require.NoError(t, err)
-		require.NoError(t, c.send(fmt.Sprint("first-", i)))
+		require.NoError(t, c.sendReq(fmt.Sprint("first-", i)))
 		all.Go(func() {
-			status, _, _, err := c.answer()
+			status, _, _, err := c.readAnswer()
 			assert.NoError(t, err)
 			early <- status
 		})
 	}
-	for h.jobs() < jobs && len(early) == 0 {
+	for h.jobCount() < jobs && len(early) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	assert.Equal(t, jobs, h.jobs(), "all run at once, none is answered before")
+	assert.Equal(t, jobs, h.jobCount(), "all run at once, none is answered before")
 	for _, b := range h.backends {
 		b.Set(platform.Faults{})
 	}
--- a/cmd/tinsail/quota_rig_test.go
+++ b/cmd/tinsail/quota_rig_test.go
@@ -26,47 +26,47 @@
 
 // The quota rig's times: leases of dispatchers and of regions, and the longest that a req runs.
 const (
-	quotaLease  = 900 * time.Millisecond
-	quotaRegion = 5 * time.Second
-	quotaRun    = 1600 * time.Millisecond
-	rigPatience = 1200 * time.Millisecond // of each client
+	dispatcherLease = 900 * time.Millisecond
+	regionLease     = 5 * time.Second
+	reqRunTime      = 1600 * time.Millisecond
+	clientTimeLeft  = 1200 * time.Millisecond // of each client
 )
 
-var rigRegions = []string{"east", "west", "north"}
+var regionNames = []string{"east", "west", "north"}
 
-// lentFleet is a fleet of real processes whose teams have quotas, and whose history the backends record. The first three
+// recordedQuotaFleet is a fleet of real processes whose teams have quotas, and whose history the backends record. The first three
 // are voters and lenders of their regions; a dispatcher is in the region of its number. Each process reaches each voter
 // but itself through a relay of its own, by which it keeps its links of the accord, of the quotas and of the log.
-type lentFleet struct {
+type recordedQuotaFleet struct {
 	t        *testing.T
-	n        int
+	size     int
 	director *platform.Director
 	backends []*platform.Backend
 	voters   []string
 	relays   [][]*faultnet.TCP // by dispatcher and voter
-	data     string
+	dataDir  string
 	stop     chan struct{}
 	clients  sync.WaitGroup
 
-	mu      sync.Mutex
-	policy  string // as the script of whoever is started next has it
-	lives   []*lentLife
-	lines   []history.Line
-	running map[string]int // attempts at the backends now, by team
-	starts  map[string]int // so far, by team and dispatcher
-	asked   map[string]int // reqs by what became of them
-	early   []string       // that may have run and had no result, though they had time left
+	mu            sync.Mutex
+	policy        string // as the script of whoever is started next has it
+	processes     []*quotaProcess
+	lines         []history.Line
+	runningByTeam map[string]int // attempts at the backends now, by team
+	startsByKey   map[string]int // so far, by team and dispatcher
+	outcomes      map[string]int // reqs by what became of them
+	earlyFailures []string       // that may have run and had no result, though they had time left
 }
 
-// lentLife is one process.
-type lentLife struct {
+// quotaProcess is one process.
+type quotaProcess struct {
 	member
-	up bool // clients ask it
+	receivesReqs bool // clients ask it
 }
 
-func startLent(t *testing.T, n int, policy string) *lentFleet {
-	f := &lentFleet{t: t, n: n, data: t.TempDir(), stop: make(chan struct{}), policy: policy, lives: make([]*lentLife, n),
-		running: map[string]int{}, starts: map[string]int{}, asked: map[string]int{}}
+func startRecordedQuotaFleet(t *testing.T, n int, policy string) *recordedQuotaFleet {
+	f := &recordedQuotaFleet{t: t, size: n, dataDir: t.TempDir(), stop: make(chan struct{}), policy: policy, processes: make([]*quotaProcess, n),
+		runningByTeam: map[string]int{}, startsByKey: map[string]int{}, outcomes: map[string]int{}}
 	var err error
 	f.director, err = platform.StartDirector()
 	require.NoError(t, err)
@@ -75,21 +75,21 @@
 		b, err := platform.StartBackend(fmt.Sprintf("b%d", i), 256, func(id string) time.Duration { return time.Duration(30+len(id)%5*15) * time.Millisecond })
 		require.NoError(t, err)
 		t.Cleanup(b.Close)
-		b.Told = func(at time.Time, id string, event platform.Event) { f.told(b.Name, at, id, event) }
+		b.Told = func(at time.Time, id string, event platform.Event) { f.recordBackendEvent(b.Name, at, id, event) }
 		f.director.Set(b.Entry("fast", "here", i, "Ready"))
 		f.backends = append(f.backends, b)
 	}
-	f.voters, f.relays = voterLinks(t, n)
-	t.Cleanup(f.keep)
-	t.Cleanup(f.end)
+	f.voters, f.relays = startVoterRelays(t, n)
+	t.Cleanup(f.writeHistory)
+	t.Cleanup(f.stopLoad)
 	for i := range n {
 		f.start(i)
 	}
 	return f
 }
 
-// end ends the load.
-func (f *lentFleet) end() {
+// stopLoad ends the load.
+func (f *recordedQuotaFleet) stopLoad() {
 	select {
 	case <-f.stop:
 	default:
@@ -98,8 +98,8 @@
 	f.clients.Wait()
 }
 
-// told takes what a backend saw. An id is "team-" or "team!-" of urgent ones, "dispatcher-" and a number.
-func (f *lentFleet) told(backend string, at time.Time, id string, event platform.Event) {
+// recordBackendEvent takes what a backend saw. An id is "team-" or "team!-" of urgent ones, "dispatcher-" and a number.
+func (f *recordedQuotaFleet) recordBackendEvent(backend string, at time.Time, id string, event platform.Event) {
 	team, rest, _ := strings.Cut(id, "-")
 	on, _, _ := strings.Cut(rest, "-")
 	plain, urgent := strings.CutSuffix(team, "!")
@@ -107,37 +107,37 @@
 	defer f.mu.Unlock()
 	f.lines = append(f.lines, history.Line{T: at.UnixNano(), Event: string(event), Team: plain, Req: id, Backend: backend, Urgent: urgent && event == platform.Started})
 	if event != platform.Started {
-		f.running[plain]--
+		f.runningByTeam[plain]--
 		return
 	}
-	f.running[plain]++
-	f.starts[team]++
-	f.starts[on]++
+	f.runningByTeam[plain]++
+	f.startsByKey[team]++
+	f.startsByKey[on]++
 }
 
-// set records a quota from now on.
-func (f *lentFleet) set(event, team string, units int) {
+// recordLimit records a quota from now on.
+func (f *recordedQuotaFleet) recordLimit(event, team string, units int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lines = append(f.lines, history.Line{T: time.Now().UnixNano(), Event: event, Team: team, Units: units})
 }
 
-func (f *lentFleet) script(i int) string {
+func (f *recordedQuotaFleet) script(i int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return fmt.Sprintf("policy(%s, urgent_classes = [\"express\"], run_ms = %d)\n"+
 		"accord(voters = [%s], lease_ms = 900, data = %q, when_cut = \"keep\")\n"+
 		"quotas(region = %q, lenders = [\"east=n0\", \"west=n1\", \"north=n2\"], lease_ms = %d, region_lease_ms = %d)\n",
-		f.policy, quotaRun.Milliseconds(), votersOf(i, f.voters, f.relays), filepath.Join(f.data, named(i)),
-		rigRegions[i%3], quotaLease.Milliseconds(), quotaRegion.Milliseconds())
+		f.policy, reqRunTime.Milliseconds(), votersArg(i, f.voters, f.relays), filepath.Join(f.dataDir, memberName(i)),
+		regionNames[i%3], dispatcherLease.Milliseconds(), regionLease.Milliseconds())
 }
 
-func (f *lentFleet) start(i int) {
+func (f *recordedQuotaFleet) start(i int) {
 	var conf map[string]any
 	require.NoError(f.t, json.Unmarshal(demoConfig, &conf))
-	conf["name"], conf["discovery"] = named(i), f.director.Address
+	conf["name"], conf["discovery"] = memberName(i), f.director.Address
 	set := conf["settings"].(map[string]any)
-	set["Balancers"] = f.n
+	set["Balancers"] = f.size
 	set["Parties"] = []map[string]any{{"Name": "press", "Share": 0.3, "QuotaPerS": 1e6}, {"Name": "atelier", "Share": 0.3, "QuotaPerS": 1e6}}
 	photo := set["Classes"].([]any)[0].(map[string]any)
 	photo["HardLimitMs"] = 1500
@@ -149,7 +149,7 @@
 	set["Classes"] = append(set["Classes"].([]any), express)
 	text, err := json.Marshal(conf)
 	require.NoError(f.t, err)
-	l := &lentLife{}
+	l := &quotaProcess{}
 	var errs io.Reader
 	l.cmd, errs = startServe(f.t, string(text), f.script(i))
 	at := make(chan string, 1)
@@ -167,58 +167,58 @@
 		close(at)
 	}()
 	l.address = <-at
-	require.NotEmpty(f.t, l.address, "%s did not serve", named(i))
-	l.up = true
+	require.NotEmpty(f.t, l.address, "%s did not serve", memberName(i))
+	l.receivesReqs = true
 	f.mu.Lock()
-	f.lives[i] = l
+	f.processes[i] = l
 	f.mu.Unlock()
 }
 
-func (f *lentFleet) shut(i int) *lentLife {
+func (f *recordedQuotaFleet) stopClients(i int) *quotaProcess {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lives[i].up = false
-	return f.lives[i]
+	f.processes[i].receivesReqs = false
+	return f.processes[i]
 }
 
-func (f *lentFleet) kill(i int) {
-	l := f.shut(i)
+func (f *recordedQuotaFleet) kill(i int) {
+	l := f.stopClients(i)
 	_ = l.cmd.Process.Kill()
 	_, _ = l.cmd.Process.Wait()
-	l.gone = true
+	l.killed = true
 }
 
-func (f *lentFleet) pause(i int) {
-	require.NoError(f.t, f.shut(i).cmd.Process.Signal(syscall.SIGSTOP))
+func (f *recordedQuotaFleet) pause(i int) {
+	require.NoError(f.t, f.stopClients(i).cmd.Process.Signal(syscall.SIGSTOP))
 }
 
-func (f *lentFleet) wake(i int) {
-	require.NoError(f.t, f.lives[i].cmd.Process.Signal(syscall.SIGCONT))
+func (f *recordedQuotaFleet) resume(i int) {
+	require.NoError(f.t, f.processes[i].cmd.Process.Signal(syscall.SIGCONT))
 	f.mu.Lock()
-	f.lives[i].up = true
+	f.processes[i].receivesReqs = true
 	f.mu.Unlock()
 }
 
-// rule sets the rule of the links between a region and all others.
-func (f *lentFleet) rule(region int, rule faultnet.Rule) {
-	f.links(rule, func(from, to int) bool { return (from == region) != (to == region) })
+// setRegionRule sets the setRegionRule of the links between a region and all others.
+func (f *recordedQuotaFleet) setRegionRule(region int, rule faultnet.Rule) {
+	f.setRelayRules(rule, func(from, to int) bool { return (from == region) != (to == region) })
 }
 
-// between sets the rule of the links between two regions.
-func (f *lentFleet) between(a, b int, rule faultnet.Rule) {
-	f.links(rule, func(from, to int) bool { return from == a && to == b || from == b && to == a })
+// setRuleBetween sets the rule of the links setRuleBetween two regions.
+func (f *recordedQuotaFleet) setRuleBetween(a, b int, rule faultnet.Rule) {
+	f.setRelayRules(rule, func(from, to int) bool { return from == a && to == b || from == b && to == a })
 }
 
-// lone sets the rule of the links of one dispatcher, and ends those that are there.
-func (f *lentFleet) lone(i int, rule faultnet.Rule) {
+// setDispatcherRule sets the rule of the links of one dispatcher, and ends those that are there.
+func (f *recordedQuotaFleet) setDispatcherRule(i int, rule faultnet.Rule) {
 	for _, r := range f.relays[i] {
 		r.Set(rule)
 		r.Reset()
 	}
 }
 
-// links sets the rule of the links from processes of one region to the voter of another, of which which says so.
-func (f *lentFleet) links(rule faultnet.Rule, which func(from, to int) bool) {
+// setRelayRules sets the rule of the setRelayRules from processes of one region to the voter of another, of which which says so.
+func (f *recordedQuotaFleet) setRelayRules(rule faultnet.Rule, which func(from, to int) bool) {
 	for i, all := range f.relays {
 		for v, r := range all {
 			if !which(i%3, v) {
@@ -232,18 +232,18 @@
 	}
 }
 
-// change has a process propose a policy, which those that start from now on have in their scripts too.
-func (f *lentFleet) change(i int, policy string) {
+// proposePolicy has a process propose a policy, which those that start from now on have in their scripts too.
+func (f *recordedQuotaFleet) proposePolicy(i int, policy string) {
 	f.mu.Lock()
 	f.policy = policy
-	l := f.lives[i]
+	l := f.processes[i]
 	f.mu.Unlock()
 	require.NoError(f.t, os.WriteFile(l.cmd.Args[3], []byte(f.script(i)), 0o600))
 	require.NoError(f.t, l.cmd.Process.Signal(syscall.SIGHUP))
 }
 
-// until asks in rounds, at most 6,000 of 5 ms, until a condition holds.
-func (f *lentFleet) until(what string, ok func() bool) {
+// waitFor asks in rounds, at most 6,000 of 5 ms, waitFor a condition holds.
+func (f *recordedQuotaFleet) waitFor(what string, ok func() bool) {
 	f.t.Helper()
 	for range 6000 {
 		if ok() {
@@ -253,67 +253,67 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.t.Fatalf("never: %s; running %v, starts %v, answers %v", what, f.running, f.starts, f.asked)
+	f.t.Fatalf("never: %s; running %v, starts %v, answers %v", what, f.runningByTeam, f.startsByKey, f.outcomes)
 }
 
-// atLeast says whether so many attempts of a team, or more, are at the backends now.
-func (f *lentFleet) atLeast(team string, n int) bool {
+// runningAtLeast says whether so many attempts of a team, or more, are at the backends now.
+func (f *recordedQuotaFleet) runningAtLeast(team string, n int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.running[team] >= n
+	return f.runningByTeam[team] >= n
 }
 
-// more waits until so many more attempts began, of a team, a dispatcher, or those of a region where the key is a number.
-func (f *lentFleet) more(n int, keys ...string) {
+// awaitMoreStarts waits until so many awaitMoreStarts attempts began, of a team, a dispatcher, or those of a region where the key is a number.
+func (f *recordedQuotaFleet) awaitMoreStarts(n int, keys ...string) {
 	f.t.Helper()
-	was := f.count(keys)
-	f.until(fmt.Sprintf("%d more of %v", n, keys), func() bool { return f.count(keys) >= was+n })
+	was := f.startCount(keys)
+	f.waitFor(fmt.Sprintf("%d more of %v", n, keys), func() bool { return f.startCount(keys) >= was+n })
 }
 
-func (f *lentFleet) count(keys []string) (n int) {
+func (f *recordedQuotaFleet) startCount(keys []string) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, k := range keys {
-		n += f.starts[k]
+		n += f.startsByKey[k]
 	}
 	return n
 }
 
-// of are the dispatchers of a region that clients ask.
-func (f *lentFleet) of(regions ...int) (out []string) {
-	for i := range f.n {
+// dispatchersOf are the dispatchers dispatchersOf a region that clients ask.
+func (f *recordedQuotaFleet) dispatchersOf(regions ...int) (out []string) {
+	for i := range f.size {
 		if slices.Contains(regions, i%3) {
-			out = append(out, named(i))
+			out = append(out, memberName(i))
 		}
 	}
 	return out
 }
 
-// up are the processes that run and are not stopped.
-func (f *lentFleet) up() (out []*lentLife) {
+// runningProcesses are the processes that run and are not stopped.
+func (f *recordedQuotaFleet) runningProcesses() (out []*quotaProcess) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, l := range f.lives {
-		if l.up {
+	for _, l := range f.processes {
+		if l.receivesReqs {
 			out = append(out, l)
 		}
 	}
 	return out
 }
 
-// inForce waits until all that run are at a version.
-func (f *lentFleet) inForce(version int64) {
-	for _, l := range f.up() {
-		l.await(f.t, "accord_version", version)
-		l.await(f.t, "accord_ready", 1)
+// awaitVersion waits until all that run are at a version.
+func (f *recordedQuotaFleet) awaitVersion(version int64) {
+	for _, l := range f.runningProcesses() {
+		l.awaitCounter(f.t, "accord_version", version)
+		l.awaitCounter(f.t, "accord_ready", 1)
 	}
 }
 
 // leader is the voter that leads, of those that run.
-func (f *lentFleet) leader() (at int) {
-	f.until("a leader", func() bool {
-		for i, l := range f.lives[:3] {
-			if l.up && l.counter(f.t, "accord_leads") == 1 {
+func (f *recordedQuotaFleet) leader() (at int) {
+	f.waitFor("a leader", func() bool {
+		for i, l := range f.processes[:3] {
+			if l.receivesReqs && l.counter(f.t, "accord_leads") == 1 {
 				at = i
 				return true
 			}
@@ -323,20 +323,20 @@
 	return at
 }
 
-// lowered waits until the root counts no more as lent than the quotas have, for twenty rounds on end.
-func (f *lentFleet) lowered(units int64) {
+// awaitLentAtMost waits until the root counts no more as lent than the quotas have, for twenty rounds on end.
+func (f *recordedQuotaFleet) awaitLentAtMost(units int64) {
 	rounds := 0
-	f.until("room under the lowered quotas", func() bool {
+	f.waitFor("room under the lowered quotas", func() bool {
 		rounds++
-		if n := f.lives[f.leader()].counter(f.t, "quota_lent_root"); n <= 0 || n > units {
+		if n := f.processes[f.leader()].counter(f.t, "quota_lent_root"); n <= 0 || n > units {
 			rounds = 0
 		}
 		return rounds == 20
 	})
 }
 
-// load runs clients of a team at a dispatcher, each with one req at a time.
-func (f *lentFleet) load(i, clients int, team, class string) {
+// startLoad runs clients of a team at a dispatcher, each with one req at a time.
+func (f *recordedQuotaFleet) startLoad(i, clients int, team, class string) {
 	for c := range clients {
 		f.clients.Go(func() {
 			client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{}}
@@ -348,20 +348,20 @@
 				default:
 				}
 				f.mu.Lock()
-				l := f.lives[i]
-				up := l != nil && l.up
+				l := f.processes[i]
+				up := l != nil && l.receivesReqs
 				f.mu.Unlock()
 				if !up {
 					time.Sleep(5 * time.Millisecond)
 					continue
 				}
-				f.ask(client, l.address, fmt.Sprintf("%s-%s-%d-%d", team, named(i), c, n), strings.TrimSuffix(team, "!"), class)
+				f.sendReq(client, l.address, fmt.Sprintf("%s-%s-%d-%d", team, memberName(i), c, n), strings.TrimSuffix(team, "!"), class)
 			}
 		})
 	}
 }
 
-func (f *lentFleet) ask(client *http.Client, address, id, team, class string) {
+func (f *recordedQuotaFleet) sendReq(client *http.Client, address, id, team, class string) {
 	r, err := http.NewRequest("POST", "http://"+address+"/"+class+"/1", strings.NewReader("b"))
 	if !assert.NoError(f.t, err) {
 		return
@@ -370,7 +370,7 @@
 	r.Header.Set("Idempotency-Key", id)
 	r.Header.Set("X-Account", team)
 	r.Header.Set("X-Service-Class", class)
-	r.Header.Set("X-Time-Left-Ms", fmt.Sprint(rigPatience.Milliseconds()))
+	r.Header.Set("X-Time-Left-Ms", fmt.Sprint(clientTimeLeft.Milliseconds()))
 	what, from := "broken", time.Now()
 	if answer, err := client.Do(r); err == nil {
 		if _, err = io.Copy(io.Discard, answer.Body); err == nil {
@@ -379,8 +379,8 @@
 		answer.Body.Close()
 	}
 	f.mu.Lock()
-	if f.asked[what]++; what != "200" && what != "503" && what != "broken" && time.Since(from) < rigPatience-50*time.Millisecond {
-		f.early = append(f.early, fmt.Sprintf("%s: %s after %v", id, what, time.Since(from)))
+	if f.outcomes[what]++; what != "200" && what != "503" && what != "broken" && time.Since(from) < clientTimeLeft-50*time.Millisecond {
+		f.earlyFailures = append(f.earlyFailures, fmt.Sprintf("%s: %s after %v", id, what, time.Since(from)))
 	}
 	f.mu.Unlock()
 	if what == "broken" {
@@ -388,10 +388,10 @@
 	}
 }
 
-// judge ends the load and has the history judged.
-func (f *lentFleet) judge(rules history.Rules) {
+// checkHistory ends the load and has the history judged.
+func (f *recordedQuotaFleet) checkHistory(rules history.Rules) {
 	f.t.Helper()
-	f.end()
+	f.stopLoad()
 	f.mu.Lock()
 	lines := slices.Clone(f.lines)
 	f.mu.Unlock()
@@ -403,13 +403,13 @@
 		}
 		f.t.Error(v)
 	}
-	assert.Positive(f.t, f.asked["200"])
-	assert.Empty(f.t, f.early, "reqs failed before their time") // one that had room late, or was in hand at a stop, fails at its time
-	f.t.Logf("%d lines of history; most at once %v; starts %v; answers %v", len(lines), history.Most(lines, rules), f.starts, f.asked)
+	assert.Positive(f.t, f.outcomes["200"])
+	assert.Empty(f.t, f.earlyFailures, "reqs failed before their time") // one that had room late, or was in hand at a stop, fails at its time
+	f.t.Logf("%d lines of history; most at once %v; starts %v; answers %v", len(lines), history.Most(lines, rules), f.startsByKey, f.outcomes)
 }
 
-// keep writes the history to the file that TINSAIL_HISTORY names, if it does, also of a test that failed.
-func (f *lentFleet) keep() {
+// writeHistory writes the history to the file that TINSAIL_HISTORY names, if it does, also of a test that failed.
+func (f *recordedQuotaFleet) writeHistory() {
 	at := os.Getenv("TINSAIL_HISTORY")
 	if at == "" {
 		return
--- a/cmd/tinsail/quota_test.go
+++ b/cmd/tinsail/quota_test.go
@@ -16,87 +16,87 @@
 
 // The rig's quotas, and the reserve of each region.
 const (
-	rigPress, rigAtelier = 9, 5
-	rigReserve           = 1
+	pressQuota, atelierQuota = 9, 5
+	regionReserve            = 1
 )
 
 // startQuotaHistory starts a fleet with more demand for two teams than their quotas have.
-func startQuotaHistory(t *testing.T, n int) *lentFleet {
-	f := startLent(t, n, `quotas = {"press": 9, "atelier": 5}, urgent_reserve = 1`)
-	f.set(history.Quota, "press", rigPress)
-	f.set(history.Quota, "atelier", rigAtelier)
-	f.set(history.Reserve, "", 3*rigReserve)
-	f.inForce(1)
+func startQuotaHistory(t *testing.T, n int) *recordedQuotaFleet {
+	f := startRecordedQuotaFleet(t, n, `quotas = {"press": 9, "atelier": 5}, urgent_reserve = 1`)
+	f.recordLimit(history.Quota, "press", pressQuota)
+	f.recordLimit(history.Quota, "atelier", atelierQuota)
+	f.recordLimit(history.Reserve, "", 3*regionReserve)
+	f.awaitVersion(1)
 	for i := range n {
-		f.load(i, 2, "press", "photo")
-		f.load(i, 1, "press!", "express")
-		f.load(i, 1, "atelier", "photo")
+		f.startLoad(i, 2, "press", "photo")
+		f.startLoad(i, 1, "press!", "express")
+		f.startLoad(i, 1, "atelier", "photo")
 	}
-	f.whole("at the start", rigPress)
+	f.awaitFullUse("at the start", pressQuota)
 	return f
 }
 
-// whole waits until all units of both teams are in use again, and reqs of each kind begin.
-func (f *lentFleet) whole(what string, press int) {
+// awaitFullUse waits until all units of both teams are in use again, and reqs of each kind begin.
+func (f *recordedQuotaFleet) awaitFullUse(what string, press int) {
 	f.t.Helper()
-	f.until("all units in use "+what, func() bool { return f.atLeast("atelier", rigAtelier) && f.atLeast("press", press) })
-	f.more(100, "press")
-	f.more(10, "press!")
-	f.more(50, "atelier")
+	f.waitFor("all units in use "+what, func() bool { return f.runningAtLeast("atelier", atelierQuota) && f.runningAtLeast("press", press) })
+	f.awaitMoreStarts(100, "press")
+	f.awaitMoreStarts(10, "press!")
+	f.awaitMoreStarts(50, "atelier")
 	f.t.Log("in use again", what)
 }
 
 // quotaFaults are what is done to a fleet whose quotas stay: each leaves it without a fault, not yet at rest. i is a
 // dispatcher that is no voter.
 var quotaFaults = []struct {
-	what string
-	play func(f *lentFleet, i int)
+	name string
+	run  func(f *recordedQuotaFleet, i int)
 }{
-	{"a region cut off", func(f *lentFleet, i int) { // it lives on what it holds, and the others on theirs
-		f.rule(i%3, faultnet.Rule{Blackhole: true})
-		f.more(30, f.of(i%3)...)
-		f.more(30, f.of((i+1)%3, (i+2)%3)...)
-		f.rule(i%3, faultnet.Pass)
+	{"a region cut off", func(f *recordedQuotaFleet, i int) { // it lives on what it holds, and the others on theirs
+		f.setRegionRule(i%3, faultnet.Rule{Blackhole: true})
+		f.awaitMoreStarts(30, f.dispatchersOf(i%3)...)
+		f.awaitMoreStarts(30, f.dispatchersOf((i+1)%3, (i+2)%3)...)
+		f.setRegionRule(i%3, faultnet.Pass)
 	}},
-	{"a region's links slow", func(f *lentFleet, i int) {
-		f.rule(i%3, faultnet.Rule{Delay: 40 * time.Millisecond})
-		f.more(100, "press")
-		f.rule(i%3, faultnet.Pass)
+	{"a region's links slow", func(f *recordedQuotaFleet, i int) {
+		f.setRegionRule(i%3, faultnet.Rule{Delay: 40 * time.Millisecond})
+		f.awaitMoreStarts(100, "press")
+		f.setRegionRule(i%3, faultnet.Pass)
 	}},
-	{"a dispatcher stopped", func(f *lentFleet, i int) { // over its lease and all that runs, with units in hand
+	{"a dispatcher stopped", func(f *recordedQuotaFleet, i int) { // over its lease and all that runs, with units in hand
 		f.pause(i)
-		time.Sleep(quotaLease + quotaRun + quotaLease)
-		f.wake(i)
-		f.more(10, named(i))
+		time.Sleep(dispatcherLease + reqRunTime + dispatcherLease)
+		f.resume(i)
+		f.awaitMoreStarts(10, memberName(i))
 	}},
-	{"a dispatcher without links", func(f *lentFleet, i int) { // what it held is lent to others once its lease and run are over
-		f.lone(i, faultnet.Rule{Refuse: true})
-		time.Sleep(quotaLease + quotaRun)
-		f.more(200, "press")
-		f.lone(i, faultnet.Pass)
-		f.more(10, named(i))
+	{"a dispatcher without links", func(f *recordedQuotaFleet, i int) { // what it held is lent to others once its lease and run are over
+		f.setDispatcherRule(i, faultnet.Rule{Refuse: true})
+		time.Sleep(dispatcherLease + reqRunTime)
+		f.awaitMoreStarts(200, "press")
+		f.setDispatcherRule(i, faultnet.Pass)
+		f.awaitMoreStarts(10, memberName(i))
 	}},
-	{"a lender stopped", func(f *lentFleet, i int) {
+	{"a lender stopped", func(f *recordedQuotaFleet, i int) {
 		at := (f.leader() + 1 + i%2) % 3
 		f.pause(at)
-		time.Sleep(quotaLease + quotaRun)
-		f.wake(at)
+		time.Sleep(dispatcherLease + reqRunTime)
+		f.resume(at)
 	}},
-	{"a dispatcher and a lender killed", func(f *lentFleet, i int) {
+	{"a dispatcher and a lender killed", func(f *recordedQuotaFleet, i int) {
 		at := (f.leader() + 1 + i%2) % 3
 		f.kill(i)
 		f.kill(at)
 		f.start(at)
 		f.start(i)
 	}},
-	{"two regions cut from each other", func(f *lentFleet, i int) { // both reach the third
+	{"two regions cut from each other", func(f *recordedQuotaFleet, i int) { // both reach the third
 		a, b := i%3, (i+1)%3
-		f.between(a, b, faultnet.Rule{Blackhole: true})
-		f.more(30, f.of(a)...)
-		f.more(30, f.of(b)...)
-		f.between(a, b, faultnet.Pass)
+		f.setRuleBetween(a, b, faultnet.Rule{Blackhole: true})
+		f.awaitMoreStarts(30, f.dispatchersOf(a)...)
+		f.awaitMoreStarts(30, f.dispatchersOf(b)...)
+		f.setRuleBetween(a, b, faultnet.Pass)
 	}},
-	{"all voters killed", func(f *lentFleet, _ int) {
+	{"all voters killed", func(f *recordedQuotaFleet, _ int) {
 		for v := range 3 {
 			f.kill(v)
 		}
@@ -104,17 +104,17 @@
 			f.start(v)
 		}
 	}},
-	{"the leader killed", func(f *lentFleet, i int) {
+	{"the leader killed", func(f *recordedQuotaFleet, i int) {
 		at := f.leader()
 		f.kill(at)
-		f.more(30, f.of((at+1)%3, (at+2)%3)...)
+		f.awaitMoreStarts(30, f.dispatchersOf((at+1)%3, (at+2)%3)...)
 		f.start(at)
 	}},
-	{"the leader stopped", func(f *lentFleet, i int) {
+	{"the leader stopped", func(f *recordedQuotaFleet, i int) {
 		at := f.leader()
 		f.pause(at)
-		f.until("another leads", func() bool { return f.leader() != at })
-		f.wake(at)
+		f.waitFor("another leads", func() bool { return f.leader() != at })
+		f.resume(at)
 	}},
 }
 
@@ -128,25 +128,25 @@
 	}
 	f := startQuotaHistory(t, 9)
 	for i, fault := range quotaFaults {
-		fault.play(f, 3+i%(f.n-3))
-		f.whole("after "+fault.what, rigPress)
+		fault.run(f, 3+i%(f.size-3))
+		f.awaitFullUse("after "+fault.name, pressQuota)
 	}
-	f.lower()
-	f.judge(quotaRules)
+	f.changeQuotas()
+	f.checkHistory(quotaRules)
 }
 
-// lower lowers a quota under what runs, and raises it.
-func (f *lentFleet) lower() {
-	v := f.lives[f.leader()].counter(f.t, "accord_version")
-	f.change(f.leader(), `quotas = {"press": 4, "atelier": 5}, urgent_reserve = 1`)
-	f.inForce(v + 1)
-	f.lowered(4 + rigAtelier)
-	f.set(history.Quota, "press", 4)
-	f.whole("of lowered quotas", 4)
-	f.set(history.Quota, "press", 12)
-	f.change(6, `quotas = {"press": 12, "atelier": 5}, urgent_reserve = 1`)
-	f.inForce(v + 2)
-	f.whole("of raised quotas", 12)
+// changeQuotas lowers a quota under what runs, and raises it.
+func (f *recordedQuotaFleet) changeQuotas() {
+	v := f.processes[f.leader()].counter(f.t, "accord_version")
+	f.proposePolicy(f.leader(), `quotas = {"press": 4, "atelier": 5}, urgent_reserve = 1`)
+	f.awaitVersion(v + 1)
+	f.awaitLentAtMost(4 + atelierQuota)
+	f.recordLimit(history.Quota, "press", 4)
+	f.awaitFullUse("of lowered quotas", 4)
+	f.recordLimit(history.Quota, "press", 12)
+	f.proposePolicy(6, `quotas = {"press": 12, "atelier": 5}, urgent_reserve = 1`)
+	f.awaitVersion(v + 2)
+	f.awaitFullUse("of raised quotas", 12)
 }
 
 // TestQuotaFaults is the same with as many processes as TINSAIL_QUOTA_PROCESSES says, and its faults in an order and at
@@ -161,10 +161,10 @@
 	f := startQuotaHistory(t, n)
 	for range 2 {
 		for _, k := range chance.Perm(len(quotaFaults)) {
-			quotaFaults[k].play(f, 3+chance.IntN(n-3))
-			f.whole("after "+quotaFaults[k].what, rigPress)
+			quotaFaults[k].run(f, 3+chance.IntN(n-3))
+			f.awaitFullUse("after "+quotaFaults[k].name, pressQuota)
 		}
 	}
-	f.lower()
-	f.judge(quotaRules)
+	f.changeQuotas()
+	f.checkHistory(quotaRules)
 }
--- a/cmd/tinsail/quotas_fleet_test.go
+++ b/cmd/tinsail/quotas_fleet_test.go
@@ -25,20 +25,20 @@
 // dispatchers, in the first two regions.
 type quotaFleet struct {
 	fleet
-	quota    int // of the team press
-	director string
-	voters   string
-	data     string
-	events   []chan map[string]any // each member's log lines of lenders
+	quota        int // of the team press
+	director     string
+	voters       string
+	dataDir      string
+	lenderEvents []chan map[string]any // each member's log lines of lenders
 }
 
-var quotaRegions = []string{"east", "west", "north", "east", "west"}
+var memberRegions = []string{"east", "west", "north", "east", "west"}
 
 func (f *quotaFleet) script(i int) string {
-	return f.scriptOf(quotaRegions[i], filepath.Join(f.data, fmt.Sprint(i)))
+	return f.scriptFor(memberRegions[i], filepath.Join(f.dataDir, fmt.Sprint(i)))
 }
 
-func (f *quotaFleet) scriptOf(region, data string) string {
+func (f *quotaFleet) scriptFor(region, data string) string {
 	return fmt.Sprintf("policy(quotas = {\"press\": %d}, urgent_reserve = 2, urgent_classes = [\"express\"], run_ms = 10 * 1000)\n"+
 		"accord(voters = [%s], lease_ms = 900, data = %q, when_cut = \"keep\")\n"+
 		"quotas(region = %q, lenders = [\"east=n0\", \"west=n1\", \"north=n2\"], lease_ms = 900, region_lease_ms = 60 * 1000)\n",
@@ -49,7 +49,7 @@
 	director, err := platform.StartDirector()
 	require.NoError(t, err)
 	t.Cleanup(director.Close)
-	f := &quotaFleet{director: director.Address, data: t.TempDir(), quota: quota}
+	f := &quotaFleet{director: director.Address, dataDir: t.TempDir(), quota: quota}
 	for i := range 3 {
 		b, err := platform.StartBackend(fmt.Sprintf("b%d", i), 64, func(string) time.Duration { return 5 * time.Millisecond })
 		require.NoError(t, err)
@@ -75,7 +75,7 @@
 	require.NoError(t, json.Unmarshal(demoConfig, &conf))
 	conf["name"], conf["discovery"] = name, f.director
 	set := conf["settings"].(map[string]any)
-	set["Balancers"] = len(quotaRegions)
+	set["Balancers"] = len(memberRegions)
 	set["Parties"] = []map[string]any{{"Name": "press", "Share": 0.5, "QuotaPerS": 1e6}}
 	express := map[string]any{}
 	for k, v := range set["Classes"].([]any)[0].(map[string]any) {
@@ -103,7 +103,7 @@
 	}
 	require.NotEmpty(t, m.address, "n%d did not serve: %s", i, said)
 	events := make(chan map[string]any, 10_000)
-	f.events = append(f.events, events)
+	f.lenderEvents = append(f.lenderEvents, events)
 	go func() {
 		defer close(events)
 		for lines.Scan() {
@@ -143,8 +143,8 @@
 	return answer.StatusCode, answer.Header.Get("Retry-After") != ""
 }
 
-// begun is how many reqs whose ids begin so came to the backends, each once.
-func (f *quotaFleet) begun(prefix string) int {
+// startedReqs is how many reqs whose ids begin so came to the backends, each once.
+func (f *quotaFleet) startedReqs(prefix string) int {
 	seen := map[string]bool{}
 	for _, b := range f.backends {
 		for _, s := range b.Starts() {
@@ -156,28 +156,28 @@
 	return len(seen)
 }
 
-// awaitBegun waits in rounds, at most 2,000 of 5 ms, until at least so many have.
-func (f *quotaFleet) awaitBegun(t *testing.T, prefix string, want int) {
+// awaitStarted waits in rounds, at most 2,000 of 5 ms, until at least so many have.
+func (f *quotaFleet) awaitStarted(t *testing.T, prefix string, want int) {
 	for range 2000 {
-		if f.begun(prefix) >= want {
+		if f.startedReqs(prefix) >= want {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("%d of %s began, want %d", f.begun(prefix), prefix, want)
+	t.Fatalf("%d of %s began, want %d", f.startedReqs(prefix), prefix, want)
 }
 
-func (f *quotaFleet) faults(set platform.Faults) {
+func (f *quotaFleet) setFaults(set platform.Faults) {
 	for _, b := range f.backends {
 		b.Set(set)
 	}
 }
 
-// hold has the backends end nothing, and sends as many reqs of the team as its quota has, all to the members named: all
+// checkLimit has the backends end nothing, and sends as many reqs of the team as its quota has, all to the members named: all
 // begin, wherever the units were. Then others, to all members: none begins, and each is refused with advice in its time.
 // meanwhile happens then; what it returns is waited for at the end, when the backends go on and all that began is served.
-func (f *quotaFleet) hold(t *testing.T, prefix string, to []int, meanwhile func() (wait func())) {
-	f.faults(platform.Faults{Hold: true})
+func (f *quotaFleet) checkLimit(t *testing.T, prefix string, to []int, meanwhile func() (wait func())) {
+	f.setFaults(platform.Faults{Hold: true})
 	var clients, late sync.WaitGroup
 	for i := range f.quota {
 		clients.Go(func() {
@@ -185,7 +185,7 @@
 			assert.Equal(t, 200, status, "%s-%d", prefix, i)
 		})
 	}
-	f.awaitBegun(t, prefix+"-", f.quota)
+	f.awaitStarted(t, prefix+"-", f.quota)
 	for i := range 2 * len(f.members) {
 		late.Go(func() {
 			status, advice := f.send(t, i%len(f.members), fmt.Sprintf("%s-late-%d", prefix, i), "press", "photo", 600*time.Millisecond)
@@ -195,16 +195,16 @@
 	}
 	late.Wait()
 	wait := meanwhile()
-	assert.Equal(t, f.quota, f.begun(prefix+"-"), "began while none ended")
-	f.faults(platform.Faults{})
+	assert.Equal(t, f.quota, f.startedReqs(prefix+"-"), "began while none ended")
+	f.setFaults(platform.Faults{})
 	clients.Wait()
 	wait()
 }
 
-// drain has a member drain while it has all units of the team in use and more reqs wait for one: all are served, the ones
+// checkDrain has a member checkDrain while it has all units of the team in use and more reqs wait for one: all are served, the ones
 // that wait as units come free, and it ends by itself.
-func (f *quotaFleet) drain(t *testing.T, i int) {
-	f.faults(platform.Faults{Hold: true})
+func (f *quotaFleet) checkDrain(t *testing.T, i int) {
+	f.setFaults(platform.Faults{Hold: true})
 	var clients sync.WaitGroup
 	send := func(id string) {
 		clients.Go(func() {
@@ -215,30 +215,30 @@
 	for k := range f.quota {
 		send(fmt.Sprintf("c-%d", k))
 	}
-	f.awaitBegun(t, "c-", f.quota)
+	f.awaitStarted(t, "c-", f.quota)
 	for k := range 3 {
 		send(fmt.Sprintf("d-%d", k))
 	}
-	f.members[i].await(t, "quota_waiting", 3)
+	f.members[i].awaitCounter(t, "quota_waiting", 3)
 	require.NoError(t, f.members[i].cmd.Process.Signal(syscall.SIGTERM))
-	f.faults(platform.Faults{})
+	f.setFaults(platform.Faults{})
 	clients.Wait()
 	assert.NoError(t, f.members[i].cmd.Wait())
-	assert.Equal(t, 3, f.begun("d-"))
+	assert.Equal(t, 3, f.startedReqs("d-"))
 }
 
-// TestQuotasOfTheFleet: five real processes in three regions share the quota of a team. While no backend ends anything
+// TestFleetQuotas: five real processes in three regions share the quota of a team. While no backend ends anything
 // exactly as many reqs of it are in flight over the whole fleet as the quota has, whichever dispatchers they come to; a req
 // of an urgent class begins all the same, on its region's reserve; reqs of no team are not bound. A changed quota holds at
 // all. A dispatcher that is drained serves also what waits for a unit. One that ends in order gives back what it held at once, not when its lease and run_ms are over.
-func TestQuotasOfTheFleet(t *testing.T) {
+func TestFleetQuotas(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts five processes")
 	}
 	f := startQuotaFleet(t, 6, 5)
 	for _, m := range f.members {
-		m.await(t, "accord_version", 1)
-		m.await(t, "accord_ready", 1)
+		m.awaitCounter(t, "accord_version", 1)
+		m.awaitCounter(t, "accord_ready", 1)
 	}
 	for _, m := range f.members { // lenders that have just begun do not know what of the reserve was lent before
 		for rounds := 0; m.counter(t, "quota_held") < 1; rounds++ {
@@ -246,7 +246,7 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
-	f.hold(t, "a", []int{0, 3}, func() func() {
+	f.checkLimit(t, "a", []int{0, 3}, func() func() {
 		var others sync.WaitGroup
 		for i := range f.members {
 			for _, kind := range [][3]string{{"urgent", "press", "express"}, {"other", "", "photo"}} {
@@ -256,8 +256,8 @@
 				})
 			}
 		}
-		f.awaitBegun(t, "urgent-", len(f.members))
-		f.awaitBegun(t, "other-", len(f.members))
+		f.awaitStarted(t, "urgent-", len(f.members))
+		f.awaitStarted(t, "other-", len(f.members))
 		return others.Wait
 	})
 
@@ -265,26 +265,26 @@
 	require.NoError(t, os.WriteFile(f.members[0].cmd.Args[3], []byte(f.script(0)), 0o600))
 	require.NoError(t, f.members[0].cmd.Process.Signal(syscall.SIGHUP))
 	for _, m := range f.members {
-		m.await(t, "accord_version", 2)
-		m.await(t, "accord_ready", 1)
+		m.awaitCounter(t, "accord_version", 2)
+		m.awaitCounter(t, "accord_ready", 1)
 	}
-	f.hold(t, "b", []int{1, 2, 3, 4, 0}, func() func() { return func() {} })
+	f.checkLimit(t, "b", []int{1, 2, 3, 4, 0}, func() func() { return func() {} })
 
-	f.drain(t, 4)
+	f.checkDrain(t, 4)
 
 	east, leaves := f.members[0], f.members[3]
-	east.awaitBelow(t, "quota_in_use", 1)
-	leaves.awaitBelow(t, "quota_in_use", 1)
+	east.awaitCounterBelow(t, "quota_in_use", 1)
+	leaves.awaitCounterBelow(t, "quota_in_use", 1)
 	held := leaves.counter(t, "quota_held")
 	assert.Positive(t, held, "it has something to give back: a unit of the reserve, at least, ahead of need")
 	require.NoError(t, leaves.cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, leaves.cmd.Wait())
-	f.lapsed(t, "n3")
+	f.checkNothingLentAtExpiry(t, "n3")
 }
 
-// lapsed waits until n0 says that it heard nothing of a holder for a lease, and that it counted no units of it any more.
-func (f *quotaFleet) lapsed(t *testing.T, child string) {
-	for line := range f.events[0] {
+// checkNothingLentAtExpiry waits until n0 says that it heard nothing of a holder for a lease, and that it counted no units of it any more.
+func (f *quotaFleet) checkNothingLentAtExpiry(t *testing.T, child string) {
+	for line := range f.lenderEvents[0] {
 		if line["event"] == "quota: lapsed" && line["child"] == child {
 			assert.EqualValues(t, 0, line["units"], "what its lender counted still when the lease of %s was over", child)
 			return
@@ -293,23 +293,23 @@
 	t.Fatal("n0 has ended")
 }
 
-// TestQuotasThroughAnUpgrade: a process that takes over from another begins nothing on the units that the old one has in
+// TestQuotasDuringUpgrade: a process that takes over from another begins nothing on the units that the old one has in
 // use, and that one serves what it took, also what waited for a unit, and gives back what it held when it ends.
-func TestQuotasThroughAnUpgrade(t *testing.T) {
+func TestQuotasDuringUpgrade(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts five processes")
 	}
 	f := startQuotaFleet(t, 6, 3)
-	h := newHouse(t, "127.0.0.1:0")
-	require.NoError(t, os.WriteFile(h.conf, []byte(f.config(t, "n5")), 0o600))
-	h.script = filepath.Join(t.TempDir(), "s.star")
-	require.NoError(t, os.WriteFile(h.script, []byte(f.scriptOf("east", "")), 0o600))
+	h := newDeployment(t, "127.0.0.1:0")
+	require.NoError(t, os.WriteFile(h.configPath, []byte(f.config(t, "n5")), 0o600))
+	h.scriptPath = filepath.Join(t.TempDir(), "s.star")
+	require.NoError(t, os.WriteFile(h.scriptPath, []byte(f.scriptFor("east", "")), 0o600))
 	old := h.start()
-	old.serves()
-	f.members = append(f.members, &member{address: h.clients})
-	f.members[3].await(t, "accord_ready", 1)
+	old.awaitReady()
+	f.members = append(f.members, &member{address: h.clientAddress})
+	f.members[3].awaitCounter(t, "accord_ready", 1)
 
-	f.faults(platform.Faults{Hold: true})
+	f.setFaults(platform.Faults{Hold: true})
 	var clients sync.WaitGroup
 	send := func(id string) {
 		clients.Go(func() {
@@ -320,30 +320,30 @@
 	for i := range f.quota {
 		send(fmt.Sprintf("old-%d", i))
 	}
-	f.awaitBegun(t, "old-", f.quota)
+	f.awaitStarted(t, "old-", f.quota)
 	send("waits")
-	f.members[3].await(t, "quota_waiting", 1)
+	f.members[3].awaitCounter(t, "quota_waiting", 1)
 
 	next := h.start()
-	next.event(t, "hand-over: serves")
+	next.awaitEvent(t, "hand-over: serves")
 	status, advice := f.send(t, 3, "new", "press", "photo", 600*time.Millisecond)
 	assert.Equal(t, 503, status, "the old process has all units in use")
 	assert.True(t, advice)
-	assert.Zero(t, f.begun("new")+f.begun("waits"))
-	f.faults(platform.Faults{})
+	assert.Zero(t, f.startedReqs("new")+f.startedReqs("waits"))
+	f.setFaults(platform.Faults{})
 	clients.Wait()
-	for range old.lines {
+	for range old.logLines {
 	}
 	assert.NoError(t, old.cmd.Wait())
 	status, _ = f.send(t, 3, "again", "press", "photo", 5*time.Second)
 	assert.Equal(t, 200, status)
-	f.lapsed(t, "n5")
-	next.end(t)
+	f.checkNothingLentAtExpiry(t, "n5")
+	next.terminate(t)
 }
 
-// TestLeaderHandsItsRegionOn: where the voter that leads, and lends to a region, is ended and started again, the next root
+// TestRestartedRegionAssumesLentUnits: where the voter that leads, and lends to a region, is ended and started again, the next root
 // knows what the region held: the region's next life inherits it and has room at once, not after its lease and run_ms.
-func TestLeaderHandsItsRegionOn(t *testing.T) {
+func TestRestartedRegionAssumesLentUnits(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts four processes")
 	}
@@ -352,13 +352,13 @@
 	for rounds := 0; at < 0; rounds++ {
 		require.Less(t, rounds, 2000, "nobody leads")
 		for i, m := range f.members {
-			m.await(t, "accord_ready", 1)
+			m.awaitCounter(t, "accord_ready", 1)
 			if m.counter(t, "accord_leads") == 1 {
 				at = i
 			}
 		}
 	}
-	f.members[at].await(t, "quota_held", 1) // of the reserve: its region lends
+	f.members[at].awaitCounter(t, "quota_held", 1) // of the reserve: its region lends
 	require.NoError(t, f.members[at].cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, f.members[at].cmd.Wait())
 	f.members[at] = f.start(t, at)
@@ -366,12 +366,12 @@
 	for {
 		var line map[string]any
 		select {
-		case line = <-f.events[(at+1)%3]:
-		case line = <-f.events[(at+2)%3]:
+		case line = <-f.lenderEvents[(at+1)%3]:
+		case line = <-f.lenderEvents[(at+2)%3]:
 		case <-bound:
 			require.Fail(t, "no root knew the region")
 		}
-		if line["event"] == "quota: inherited" && line["lender"] == "root" && line["child"] == quotaRegions[at] {
+		if line["event"] == "quota: inherited" && line["lender"] == "root" && line["child"] == memberRegions[at] {
 			return
 		}
 	}
--- a/cmd/tinsail/quotas_test.go
+++ b/cmd/tinsail/quotas_test.go
@@ -16,13 +16,13 @@
 	"tinsail/internal/settings"
 )
 
-// teamed is a configuration with teams and classes.
-func teamed() *config.Config {
+// configWithTeams is a configuration with teams and classes.
+func configWithTeams() *config.Config {
 	return &config.Config{Name: "a", Names: platform.Names{Tenants: []string{"atelier", "press"}, Classes: []string{"photo", "express"},
 		Deadlines: []time.Duration{5 * time.Second, 2 * time.Second}}, Settings: balance.Settings{Rules: balance.Rules{AnswerSlack: 8}}}
 }
 
-func parsed(t *testing.T, script string) *settings.Settings {
+func parseSettings(t *testing.T, script string) *settings.Settings {
 	set, err := settings.Parse("s.star", func(string) ([]byte, error) { return []byte(script), nil })
 	require.NoError(t, err, script)
 	return set
@@ -51,7 +51,7 @@
 		"policy(quotas = {\"press\": 3}, run_ms = 6000, urgent_reserve = 4)\n" + voters + call:                                 "policy.urgent_classes: is not set, where policy.urgent_reserve is",
 		"policy(quotas = {\"press\": 3}, run_ms = 6000, urgent_reserve = 4, urgent_classes = [\"express\"])\n" + voters + call: "",
 	} {
-		set, cfg := parsed(t, script), teamed()
+		set, cfg := parseSettings(t, script), configWithTeams()
 		var faults []string
 		for _, err := range []error{checkAccord(cfg, set), checkQuotas(cfg, set)} {
 			if err != nil {
@@ -67,10 +67,10 @@
 	}
 }
 
-// TestPolicyFitsTheAccord: names that make a policy larger than the log takes are told at the check, not by a proposal that fails.
-func TestPolicyFitsTheAccord(t *testing.T) {
-	set := parsed(t, "policy(run_ms = 6000)\naccord(voters = [\"a=127.0.0.1:1\"], data = \"d\")\nquotas(region = \"east\", lenders = [\"east=a\"])")
-	cfg := teamed()
+// TestPolicySizeLimit: names that make a policy larger than the log takes are told at the check, not by a proposal that fails.
+func TestPolicySizeLimit(t *testing.T) {
+	set := parseSettings(t, "policy(run_ms = 6000)\naccord(voters = [\"a=127.0.0.1:1\"], data = \"d\")\nquotas(region = \"east\", lenders = [\"east=a\"])")
+	cfg := configWithTeams()
 	set.Policy.Quotas = map[string]int{}
 	for i := range policy.MaxQuotas {
 		name := fmt.Sprintf("%0*d", policy.MaxName, i)
@@ -85,11 +85,11 @@
 	assert.NoError(t, checkAccord(cfg, set), "as many with names of 31 bytes fit")
 }
 
-// TestDispatcherThatCannotKeepQuotas: it refuses the policy, so that it takes hold nowhere.
-func TestDispatcherThatCannotKeepQuotas(t *testing.T) {
+// TestPolicyRefusedWithoutQuotas: it refuses the policy, so that it takes hold nowhere.
+func TestPolicyRefusedWithoutQuotas(t *testing.T) {
 	body := func(p policy.Policy) []byte { return p.Append(nil) }
 	quotas := policy.Policy{Quotas: map[string]int{"press": 3}, RunMS: 6000}
-	d := &dispatcher{cfg: teamed(), settings: &settings.Settings{}}
+	d := &dispatcher{cfg: configWithTeams(), settings: &settings.Settings{}}
 	assert.NoError(t, d.checkPolicy(body(policy.Policy{})))
 	assert.ErrorContains(t, d.checkPolicy(body(quotas)), "this dispatcher has no quotas(...)")
 	d.settings.Quotas = &settings.Quotas{}
@@ -101,11 +101,11 @@
 	assert.ErrorContains(t, d.checkPolicy(body(quotas)), "policy.run_ms: is 5000, want at least 5008")
 }
 
-// TestRoomByNames: the core's numbers are the configuration's names; a req of no team is in no quota, and what is in flight is
+// TestFleetQuotasMapNames: the core's numbers are the configuration's names; a req of no team is in no quota, and what is in flight is
 // bounded also while the policy has no quotas.
-func TestRoomByNames(t *testing.T) {
-	assert.Nil(t, newFleetQuotas(teamed(), &settings.Settings{}), "off without the call")
-	f := newFleetQuotas(teamed(), &settings.Settings{Quotas: &settings.Quotas{}})
+func TestFleetQuotasMapNames(t *testing.T) {
+	assert.Nil(t, newFleetQuotas(configWithTeams(), &settings.Settings{}), "off without the call")
+	f := newFleetQuotas(configWithTeams(), &settings.Settings{Quotas: &settings.Quotas{}})
 	assert.Equal(t, 5008*time.Millisecond, f.MaxHold(), "the longest class and the answer slack")
 	assert.Nil(t, f.latest, "no policy is in force")
 	for _, tenant := range []int{-1, 2} {
--- a/cmd/tinsail/ready_test.go
+++ b/cmd/tinsail/ready_test.go
@@ -22,31 +22,31 @@
 const rareAskEvery = `"AskEveryMs": 36000000`
 
 // writeKnownList writes a list into the house's configuration, as an earlier process last held it.
-func (h *house) writeKnownList(index int, entries ...platform.Entry) {
+func (h *deployment) writeKnownList(index int, entries ...platform.Entry) {
 	list, err := json.Marshal(map[string]any{"index": index, "snapshot": true, "endpoints": append([]platform.Entry{}, entries...)})
 	require.NoError(h.t, err)
-	text, err := os.ReadFile(h.conf)
+	text, err := os.ReadFile(h.configPath)
 	require.NoError(h.t, err)
 	edited := strings.Replace(strings.Replace(string(text), `"AskEveryMs": 10000`, rareAskEvery, 1), `"seed"`, `"known": `+string(list)+`, "seed"`, 1)
 	require.Contains(h.t, edited, rareAskEvery)
-	require.NoError(h.t, os.WriteFile(h.conf, []byte(edited), 0o600))
+	require.NoError(h.t, os.WriteFile(h.configPath, []byte(edited), 0o600))
 }
 
 // startReady starts one more process, and waits until it is ready: much longer than it may take.
-func (h *house) startReady(t *testing.T) (p *process, ready map[string]any) {
+func (h *deployment) startReady(t *testing.T) (p *process, ready map[string]any) {
 	p = h.spawn()
 	limit := time.After(20 * time.Second)
 	for serving := false; ready == nil || !serving; {
 		select {
-		case line, open := <-p.lines:
+		case line, open := <-p.logLines:
 			require.True(t, open, "it ended")
 			switch line["event"] {
 			case "ready":
 				ready = line
 			case "serving":
 				serving = true
-				p.admin, _ = line["admin"].(string)
-				h.clients, _ = line["listen"].(string)
+				p.adminAddress, _ = line["admin"].(string)
+				h.clientAddress, _ = line["listen"].(string)
 			}
 		case <-limit:
 			require.Fail(t, "never ready")
@@ -73,7 +73,7 @@
 		"all drain, in a version of another": {9000, "Terminating", false, "director", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHouse(t, "127.0.0.1:0")
+			h := newDeployment(t, "127.0.0.1:0")
 			var entries []platform.Entry
 			for i, b := range h.backends {
 				if c.status != "" {
@@ -84,7 +84,7 @@
 			h.director.Down(c.down)
 			p, line := h.startReady(t)
 			assert.Equal(t, []any{c.from, c.calls}, []any{line["from"], line["director_calls"]})
-			assert.True(t, h.healthy())
+			assert.True(t, h.isReady())
 			calls := h.director.Main().Calls()
 			if c.calls > 0 {
 				require.NotEmpty(t, calls)
@@ -92,11 +92,11 @@
 			} else {
 				assert.Empty(t, calls, "a list that was given is asked for again later")
 			}
-			for h.job() != 200 {
+			for h.sendJob() != 200 {
 				time.Sleep(time.Millisecond)
 			}
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGUSR1))
-			count := p.event(t, "counters")
+			count := p.awaitEvent(t, "counters")
 			assert.Positive(t, count["ready_after_ms"])
 			assert.EqualValues(t, 1, count["ready_from_"+c.from])
 		})
@@ -109,10 +109,10 @@
 	require.NoError(t, err)
 	t.Cleanup(agent.Close)
 	agent.Set(standin.Faults{Silent: true})
-	h := newHouse(t, "127.0.0.1:0")
+	h := newDeployment(t, "127.0.0.1:0")
 	h.writeKnownList(0)
-	h.script = filepath.Join(t.TempDir(), "s.star")
-	require.NoError(t, os.WriteFile(h.script, []byte(`consul(address = [`+strconv.Quote(agent.Address)+`], service = "photo")
+	h.scriptPath = filepath.Join(t.TempDir(), "s.star")
+	require.NoError(t, os.WriteFile(h.scriptPath, []byte(`consul(address = [`+strconv.Quote(agent.Address)+`], service = "photo")
 backends(director = True)`), 0o600))
 	_, line := h.startReady(t)
 	assert.Equal(t, "sources", line["from"])
--- a/cmd/tinsail/reset_test.go
+++ b/cmd/tinsail/reset_test.go
@@ -22,14 +22,14 @@
 	const reqs, wait = 5, 20 * time.Second
 	for _, point := range []platform.Point{platform.BeforeLast, platform.BeforeStart, platform.AfterStart} {
 		t.Run(fmt.Sprint("point ", point), func(t *testing.T) {
-			h := newHouse(t, "127.0.0.1:0")
-			text, err := os.ReadFile(h.conf)
+			h := newDeployment(t, "127.0.0.1:0")
+			text, err := os.ReadFile(h.configPath)
 			require.NoError(t, err)
 			edited := strings.NewReplacer(`"idempotency_key"`, `"non_idempotent"`, `"HardLimitMs": 5000`, `"HardLimitMs": 60000`).Replace(string(text))
 			require.NotEqual(t, string(text), edited)
-			require.NoError(t, os.WriteFile(h.conf, []byte(edited), 0o600))
+			require.NoError(t, os.WriteFile(h.configPath, []byte(edited), 0o600))
 			p := h.start()
-			p.serves()
+			p.awaitReady()
 			for i, b := range h.backends {
 				if i > 0 || point != platform.BeforeLast { // one is well, for reqs that go elsewhere
 					b.Set(platform.Faults{Reset: point})
@@ -44,7 +44,7 @@
 				require.NoError(t, err)
 				seen.Asked(history.Req{Node: "demo", ID: id, Unsafe: true, Taken: time.Now()})
 				require.NoError(t, c.SetReadDeadline(time.Now().Add(wait)))
-				status, result, _, err := c.answer()
+				status, result, _, err := c.readAnswer()
 				if err != nil {
 					seen.Reset(id, err.Error())
 				} else {
@@ -55,7 +55,7 @@
 				}
 				c.Close()
 			}
-			p.end(t)
+			p.terminate(t)
 			for _, b := range h.backends {
 				seen.Attempted(b.Attempts()...)
 			}
--- a/cmd/tinsail/takeover_test.go
+++ b/cmd/tinsail/takeover_test.go
@@ -16,9 +16,9 @@
 	"tinsail/internal/network/handoff"
 )
 
-// TestOldGoesAmiss: an old process that dies once it has told its state, or that never says that it has stopped accepting:
+// TestOldProcessFails: an old process that dies once it has told its state, or that never says that it has stopped accepting:
 // the new one serves all the same, with the list and the bans that it was told.
-func TestOldGoesAmiss(t *testing.T) {
+func TestOldProcessFails(t *testing.T) {
 	for name, c := range map[string]struct {
 		joined func(*handoff.Link)
 		hand   func()
@@ -28,7 +28,7 @@
 		"never says that it has ended": {func(*handoff.Link) {}, func() { select {} }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHouse(t, "127.0.0.1:0")
+			h := newDeployment(t, "127.0.0.1:0")
 			h.director.Down(true) // the list comes from the old one alone
 			clients, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
@@ -37,7 +37,7 @@
 			if joined == nil {
 				joined, hand = func(l *handoff.Link) { link = l }, func() { link.Close() }
 			}
-			old := &handoff.Server{Path: h.socket(), Hello: h.hello(), Log: zerolog.Nop(), OnJoined: joined, StopAccepting: hand,
+			old := &handoff.Server{Path: h.socketPath(), Hello: h.hello(), Log: zerolog.Nop(), OnJoined: joined, StopAccepting: hand,
 				OnNews: func(handover.StatusUpdate) {}, OnGone: func(bool) {},
 				GiveState: func() (handover.State, []syscall.Conn) {
 					s := handover.State{MaxSockets: 300, MemoryBytes: 64 << 20, Listeners: []string{"http1"},
@@ -50,20 +50,20 @@
 			require.NoError(t, old.Listen())
 			t.Cleanup(old.Close)
 			next := h.start()
-			assert.Equal(t, clients.Addr().String(), h.clients)
-			next.serves()
+			assert.Equal(t, clients.Addr().String(), h.clientAddress)
+			next.awaitReady()
 			clients.Close() // the old one's descriptor: the new one has its own
 			for range 20 {
-				assert.Equal(t, 200, h.job())
+				assert.Equal(t, 200, h.sendJob())
 			}
 			assert.Zero(t, h.backends[1].Counts().Jobs, "banned")
-			assert.Equal(t, 20, h.jobs())
+			assert.Equal(t, 20, h.jobCount())
 		})
 	}
 }
 
-// TestStateUnread: what cannot be understood at the old one's place does not keep a new one from serving.
-func TestStateUnread(t *testing.T) {
+// TestUnreadableState: what cannot be understood at the old one's place does not keep a new one from serving.
+func TestUnreadableState(t *testing.T) {
 	for name, text := range map[string]string{
 		"garbage":          "HTTP/1.1 400 Bad Request\r\n\r\n",
 		"a state cut off":  "THO1\x00\x00\x01\x00{",
@@ -73,8 +73,8 @@
 		"nothing":          "",
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHouse(t, "127.0.0.1:0")
-			l, err := net.Listen("unix", h.socket())
+			h := newDeployment(t, "127.0.0.1:0")
+			l, err := net.Listen("unix", h.socketPath())
 			require.NoError(t, err)
 			defer l.Close()
 			go func() {
@@ -88,11 +88,11 @@
 				c.Close()
 			}()
 			p := h.spawn()
-			assert.NotEmpty(t, p.event(t, "hand-over: nothing taken over, serves beside the other process")["error"])
-			line := p.event(t, "serving")
-			p.admin, h.clients = line["admin"].(string), line["listen"].(string)
-			p.serves()
-			a, err := http.Get("http://" + h.clients + "/health/live")
+			assert.NotEmpty(t, p.awaitEvent(t, "hand-over: nothing taken over, serves beside the other process")["error"])
+			line := p.awaitEvent(t, "serving")
+			p.adminAddress, h.clientAddress = line["admin"].(string), line["listen"].(string)
+			p.awaitReady()
+			a, err := http.Get("http://" + h.clientAddress + "/health/live")
 			require.NoError(t, err)
 			a.Body.Close()
 			assert.Equal(t, 200, a.StatusCode)
--- a/cmd/tinsail/upgrade_test.go
+++ b/cmd/tinsail/upgrade_test.go
@@ -27,29 +27,29 @@
 	"tinsail/internal/standin/platform"
 )
 
-// house is a dispatcher's place: one configuration and one folder for temporary files, in which
+// deployment is a dispatcher's place: one configuration and one folder for temporary files, in which
 // processes of it follow each other.
-type house struct {
-	t        testing.TB
-	director *platform.Director
-	backends []*platform.Backend
-	env      []string
-	conf     string
-	folder   string
-	script   string // the path of a settings script; none if empty
-	clients  string // where clients connect, once known
-	ids      atomic.Int64
+type deployment struct {
+	t             testing.TB
+	director      *platform.Director
+	backends      []*platform.Backend
+	env           []string
+	configPath    string
+	tempDir       string
+	scriptPath    string // the path of a settings script; none if empty
+	clientAddress string // where clients connect, once known
+	lastID        atomic.Int64
 }
 
 // process is one process of it, and its log.
 type process struct {
-	cmd   *exec.Cmd
-	admin string
-	lines chan map[string]any
+	cmd          *exec.Cmd
+	adminAddress string
+	logLines     chan map[string]any
 }
 
-func newHouse(t testing.TB, listen string) *house {
-	h := &house{t: t, folder: t.TempDir()}
+func newDeployment(t testing.TB, listen string) *deployment {
+	h := &deployment{t: t, tempDir: t.TempDir()}
 	var err error
 	h.director, err = platform.StartDirector()
 	require.NoError(t, err)
@@ -61,29 +61,29 @@
 		h.backends = append(h.backends, b)
 		h.director.Set(b.Entry("fast", "here", i, "Ready"))
 	}
-	h.conf = filepath.Join(t.TempDir(), "c.json")
+	h.configPath = filepath.Join(t.TempDir(), "c.json")
 	text := strings.NewReplacer(`"127.0.0.1:1"`, `"`+h.director.Address+`"`, `"127.0.0.1:0"`, `"`+listen+`"`).Replace(string(demoConfig))
-	require.NoError(t, os.WriteFile(h.conf, []byte(text), 0o600))
-	h.env = append(os.Environ(), "TINSAIL_TEST_PROGRAM=1", "ROUTER_CONFIG="+h.conf, "ROUTER_ADMIN=127.0.0.1:0", "TMPDIR="+h.folder,
+	require.NoError(t, os.WriteFile(h.configPath, []byte(text), 0o600))
+	h.env = append(os.Environ(), "TINSAIL_TEST_PROGRAM=1", "ROUTER_CONFIG="+h.configPath, "ROUTER_ADMIN=127.0.0.1:0", "TMPDIR="+h.tempDir,
 		"GORACE=atexit_sleep_ms=0")
 	return h
 }
 
 // start starts one more process. It has begun to serve, or to wait for its turn, when start returns.
-func (h *house) start() *process {
+func (h *deployment) start() *process {
 	p := h.spawn()
-	line := p.event(h.t, "serving")
-	p.admin, _ = line["admin"].(string)
-	if h.clients == "" { // the same for all
-		h.clients, _ = line["listen"].(string)
+	line := p.awaitEvent(h.t, "serving")
+	p.adminAddress, _ = line["admin"].(string)
+	if h.clientAddress == "" { // the same for all
+		h.clientAddress, _ = line["listen"].(string)
 	}
 	return p
 }
 
-func (h *house) spawn() *process {
-	p := &process{cmd: exec.Command(os.Args[0], "serve", "--log-format", "json"), lines: make(chan map[string]any, 10_000)}
-	if h.script != "" {
-		p.cmd.Args = append(p.cmd.Args, "--settings", h.script)
+func (h *deployment) spawn() *process {
+	p := &process{cmd: exec.Command(os.Args[0], "serve", "--log-format", "json"), logLines: make(chan map[string]any, 10_000)}
+	if h.scriptPath != "" {
+		p.cmd.Args = append(p.cmd.Args, "--settings", h.scriptPath)
 	}
 	p.cmd.Env = h.env
 	errs, err := p.cmd.StderrPipe()
@@ -91,21 +91,21 @@
 	require.NoError(h.t, p.cmd.Start())
 	h.t.Cleanup(func() { _ = p.cmd.Process.Kill() })
 	go func() {
-		defer close(p.lines)
+		defer close(p.logLines)
 		for r := bufio.NewScanner(errs); r.Scan(); {
 			var line map[string]any
 			if json.Unmarshal(r.Bytes(), &line) != nil {
 				line = map[string]any{"event": r.Text()}
 				fmt.Fprintln(os.Stderr, r.Text()) // the race detector's words, say
 			}
-			p.lines <- line
+			p.logLines <- line
 		}
 	}()
 	return p
 }
 
-func (p *process) event(t testing.TB, name string) map[string]any {
-	for line := range p.lines {
+func (p *process) awaitEvent(t testing.TB, name string) map[string]any {
+	for line := range p.logLines {
 		if line["event"] == name {
 			return line
 		}
@@ -116,21 +116,21 @@
 
 // call makes a call at the process's door, and returns whether it said yes.
 func (p *process) call(op door.Operation, backend string) bool {
-	yes, _, err := callDoor(p.admin, door.Call{Operation: op, Backend: backend})
+	yes, _, err := callDoor(p.adminAddress, door.Call{Operation: op, Backend: backend})
 	return err == nil && yes
 }
 
-// serves waits until the process says that it does.
-func (p *process) serves() {
+// awaitReady waits until the process says that it does.
+func (p *process) awaitReady() {
 	for !p.call(door.Ready, "") {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// end ends a process by SIGTERM; it may have left by itself.
-func (p *process) end(t *testing.T) {
+// terminate ends a process by SIGTERM; it may have left by itself.
+func (p *process) terminate(t *testing.T) {
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
-	for range p.lines {
+	for range p.logLines {
 	}
 	assert.NoError(t, p.cmd.Wait())
 }
@@ -138,25 +138,25 @@
 // conn is a client's connection.
 type conn struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (h *house) dial() (*conn, error) {
-	c, err := net.Dial("tcp", h.clients)
+func (h *deployment) dial() (*conn, error) {
+	c, err := net.Dial("tcp", h.clientAddress)
 	if err != nil {
 		return nil, err
 	}
 	return &conn{c, bufio.NewReader(c)}, nil
 }
 
-func (c *conn) send(id string) error {
+func (c *conn) sendReq(id string) error {
 	_, err := fmt.Fprintf(c, "POST /photo/1 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nIdempotency-Key: %s\r\nContent-Length: 1\r\n\r\nb", id, id)
 	return err
 }
 
-// answer reads an answer; closing says that the connection ends with it.
-func (c *conn) answer() (status int, body string, closing bool, err error) {
-	a, err := http.ReadResponse(c.in, nil)
+// readAnswer reads an readAnswer; closing says that the connection ends with it.
+func (c *conn) readAnswer() (status int, body string, closing bool, err error) {
+	a, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, "", true, err
 	}
@@ -165,47 +165,47 @@
 	return a.StatusCode, string(text), a.Close, err
 }
 
-// job sends a job on a connection of its own and returns the answer.
-func (h *house) job() (status int) {
+// sendJob sends a sendJob on a connection of its own and returns the answer.
+func (h *deployment) sendJob() (status int) {
 	c, err := h.dial()
 	require.NoError(h.t, err)
 	defer c.Close()
-	require.NoError(h.t, c.send(fmt.Sprint("one-", h.ids.Add(1))))
-	status, _, _, err = c.answer()
+	require.NoError(h.t, c.sendReq(fmt.Sprint("one-", h.lastID.Add(1))))
+	status, _, _, err = c.readAnswer()
 	require.NoError(h.t, err)
 	return status
 }
 
-// healthy asks as the front does.
-func (h *house) healthy() bool {
-	a, err := http.Get("http://" + h.clients + "/health/ready")
+// isReady asks as the front does.
+func (h *deployment) isReady() bool {
+	a, err := http.Get("http://" + h.clientAddress + "/health/ready")
 	require.NoError(h.t, err)
 	a.Body.Close()
 	return a.StatusCode == 200
 }
 
-func (h *house) jobs() (n int) {
+func (h *deployment) jobCount() (n int) {
 	for _, b := range h.backends {
 		n += b.Counts().Jobs
 	}
 	return n
 }
 
-func (h *house) hello() handover.Hello {
+func (h *deployment) hello() handover.Hello {
 	return handover.Hello{Version: handover.Version, Name: "demo", Listen: "127.0.0.1:0"}
 }
 
-func (h *house) socket() string {
-	return strings.Replace(statePath(&config.Config{Name: "demo", Listen: "127.0.0.1:0"}, "sock"), os.TempDir(), h.folder, 1)
+func (h *deployment) socketPath() string {
+	return strings.Replace(statePath(&config.Config{Name: "demo", Listen: "127.0.0.1:0"}, "sock"), os.TempDir(), h.tempDir, 1)
 }
 
 // TestUpgrades: under a steady load, through ten upgrades in a row, each job is answered, once, by a
 // backend's result, and no connection is refused, reset or closed unread.
-func TestUpgrades(t *testing.T) { upgrades(t, newHouse(t, "127.0.0.1:0"), 10) }
+func TestUpgrades(t *testing.T) { runUpgrades(t, newDeployment(t, "127.0.0.1:0"), 10) }
 
-func upgrades(t *testing.T, h *house, times int) {
+func runUpgrades(t *testing.T, h *deployment, times int) {
 	old := h.start()
-	old.serves()
+	old.awaitReady()
 	var all sync.WaitGroup
 	var answered atomic.Int64
 	stop := make(chan struct{})
@@ -225,10 +225,10 @@
 					}
 				}
 				id := fmt.Sprintf("u-%d-%d", k, i)
-				if !assert.NoError(t, c.send(id), "reset") {
+				if !assert.NoError(t, c.sendReq(id), "reset") {
 					return
 				}
-				status, body, closing, err := c.answer()
+				status, body, closing, err := c.readAnswer()
 				if !assert.NoError(t, err, "no whole answer") || !assert.Equal(t, 200, status) || !assert.Equal(t, "small "+id, body) {
 					return
 				}
@@ -246,12 +246,12 @@
 			time.Sleep(time.Millisecond)
 		}
 		next := h.start()
-		next.serves()
+		next.awaitReady()
 		assert.False(t, old.call(door.Ready, ""), "two say that they serve")
 		_ = old.cmd.Process.Signal(syscall.SIGTERM) // it may have left by itself
-		count := old.event(t, "counters")
+		count := old.awaitEvent(t, "counters")
 		assert.Equal(t, []any{1.0, 0.0, nil, nil}, []any{count["handovers_given"], count["handovers_failed"], count["handover_reqs_cut"], count["handover_sessions_left"]})
-		old.end(t)
+		old.terminate(t)
 		old = next
 	}
 	close(stop)
@@ -264,25 +264,25 @@
 		}
 	}
 	assert.EqualValues(t, answered.Load(), ran)
-	left, err := filepath.Glob(filepath.Join(h.folder, "*"))
+	left, err := filepath.Glob(filepath.Join(h.tempDir, "*"))
 	require.NoError(t, err)
 	for i := range left {
 		left[i] = filepath.Ext(left[i])
 	}
 	assert.Equal(t, []string{".bans", ".old", ".sock"}, left, "one socket, two generations of bans, and nothing of those that have ended")
-	old.end(t)
-	assert.NoFileExists(t, h.socket())
+	old.terminate(t)
+	assert.NoFileExists(t, h.socketPath())
 }
 
-// TestNewDies: one that comes and goes, before it has the state, before it accepts or after, costs nothing: the old one
+// TestNewProcessDies: one that comes and goes, before it has the state, before it accepts or after, costs nothing: the old one
 // serves, and has its listener and its room back.
-func TestNewDies(t *testing.T) {
-	h := newHouse(t, "127.0.0.1:0")
+func TestNewProcessDies(t *testing.T) {
+	h := newDeployment(t, "127.0.0.1:0")
 	old := h.start()
-	old.serves()
+	old.awaitReady()
 	for range 3 { // rude ones
 		for _, text := range []string{"", "THO1\xff\xff\xff\xff", "GET / HTTP/1.1\r\n\r\n", "THO1\x00\x00\x00\x05{}"} {
-			c, err := net.Dial("unix", h.socket())
+			c, err := net.Dial("unix", h.socketPath())
 			require.NoError(t, err)
 			_, err = io.WriteString(c, text)
 			require.NoError(t, err)
@@ -292,19 +292,19 @@
 			t.Cleanup(func() { c.Close() })
 		}
 	}
-	assert.Equal(t, 200, h.job())
+	assert.Equal(t, 200, h.sendJob())
 	for _, ready := range []bool{false, true, true} {
-		l, state, files, err := handoff.Join(h.socket(), h.hello())
+		l, state, files, err := handoff.Join(h.socketPath(), h.hello())
 		require.NoError(t, err)
 		assert.Equal(t, 512, state.MaxSockets)
 		assert.Len(t, state.List, 3)
 		require.Len(t, files, 1)
-		_, _, _, err = handoff.Join(h.socket(), h.hello())
+		_, _, _, err = handoff.Join(h.socketPath(), h.hello())
 		var no *handoff.Refusal
 		require.ErrorAs(t, err, &no)
 		assert.True(t, no.Busy)
 		third := h.spawn()
-		for range third.lines {
+		for range third.logLines {
 		}
 		var code *exec.ExitError
 		require.ErrorAs(t, third.cmd.Wait(), &code)
@@ -324,93 +324,93 @@
 			f.Close()
 		}
 		l.Close()
-		assert.Equal(t, ready, old.event(t, "hand-over: the new process is gone")["accepts_again"])
-		assert.Equal(t, 200, h.job())
-		old.serves()
+		assert.Equal(t, ready, old.awaitEvent(t, "hand-over: the new process is gone")["accepts_again"])
+		assert.Equal(t, 200, h.sendJob())
+		old.awaitReady()
 	}
-	_, _, _, err := handoff.Join(h.socket(), handover.Hello{Version: 99, Name: "demo", Listen: "127.0.0.1:0"})
+	_, _, _, err := handoff.Join(h.socketPath(), handover.Hello{Version: 99, Name: "demo", Listen: "127.0.0.1:0"})
 	assert.ErrorContains(t, err, "version 99 is not spoken here")
-	_, _, _, err = handoff.Join(h.socket(), handover.Hello{Version: 1, Name: "other", Listen: "127.0.0.1:0"})
+	_, _, _, err = handoff.Join(h.socketPath(), handover.Hello{Version: 1, Name: "other", Listen: "127.0.0.1:0"})
 	assert.ErrorContains(t, err, "this is demo")
-	old.end(t)
+	old.terminate(t)
 }
 
-// TestOldDies: the old one is killed once the new one accepts, or before anybody came: what is left is a stale socket.
+// TestOldProcessDies: the old one is killed once the new one accepts, or before anybody came: what is left is a stale socket.
 // The new one serves in both cases, and bans and service state outlive the old one.
-func TestOldDies(t *testing.T) {
+func TestOldProcessDies(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0") // a port that both can name: one process is gone before the other asks
 	require.NoError(t, err)
 	address := l.Addr().String()
 	l.Close()
-	h := newHouse(t, address)
+	h := newDeployment(t, address)
 	old := h.start()
-	old.serves()
+	old.awaitReady()
 	assert.True(t, old.call(door.Offline, "b1"))
 	assert.True(t, old.call(door.OutOfService, ""))
 	require.NoError(t, old.cmd.Process.Kill())
 	_ = old.cmd.Wait()
 	next := h.start()
-	next.serves()
-	assert.False(t, h.healthy())
+	next.awaitReady()
+	assert.False(t, h.isReady())
 	assert.True(t, next.call(door.InService, ""))
-	assert.True(t, h.healthy())
+	assert.True(t, h.isReady())
 	last := h.start()
-	last.serves()
+	last.awaitReady()
 	require.NoError(t, next.cmd.Process.Kill())
 	_ = next.cmd.Wait()
-	last.event(t, "hand-over: the old process is gone")
+	last.awaitEvent(t, "hand-over: the old process is gone")
 	for range 30 {
-		assert.Equal(t, 200, h.job())
+		assert.Equal(t, 200, h.sendJob())
 	}
 	assert.Zero(t, h.backends[1].Counts().Jobs, "banned by the first of three")
-	assert.Equal(t, 30, h.jobs())
+	assert.Equal(t, 30, h.jobCount())
 }
 
-// TestBanOverUpgrade: a ban given before, during and after an upgrade, to either process, holds in both.
-func TestBanOverUpgrade(t *testing.T) {
-	h := newHouse(t, "127.0.0.1:0")
+// TestBansAcrossUpgrade: a ban given before, during and after an upgrade, to either process, holds in both.
+func TestBansAcrossUpgrade(t *testing.T) {
+	h := newDeployment(t, "127.0.0.1:0")
 	old := h.start()
-	old.serves()
+	old.awaitReady()
 	assert.False(t, old.call(door.Offline, "b9"), "never listed")
 	assert.True(t, old.call(door.Offline, "b0"))
 	h.backends[1].Set(platform.Faults{Hold: true})
 	h.backends[2].Set(platform.Faults{Hold: true})
 	held, err := h.dial() // keeps the old one from leaving
 	require.NoError(t, err)
-	require.NoError(t, held.send("held"))
+	require.NoError(t, held.sendReq("held"))
 	for h.backends[1].Counts().Started+h.backends[2].Counts().Started == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	next := h.start()
-	next.serves()
+	next.awaitReady()
 	assert.True(t, old.call(door.Offline, "b1"))
 	next.awaitBanned(t, "b0", "b1")
 	assert.True(t, next.call(door.Offline, "b2"))
 	old.awaitBanned(t, "b0", "b1", "b2")
-	assert.False(t, h.healthy(), "all are banned")
-	before := h.jobs()
-	assert.Equal(t, 503, h.job())
-	assert.Equal(t, before, h.jobs())
+	assert.False(t, h.isReady(), "all are banned")
+	before := h.jobCount()
+	assert.Equal(t, 503, h.sendJob())
+	assert.Equal(t, before, h.jobCount())
 	for _, p := range []*process{old, next} { // a new configuration in the middle
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-		p.event(t, "reloaded")
+		p.awaitEvent(t, "reloaded")
 	}
 	h.director.Set(h.backends[0].Entry("fast", "here", 0, "Ready"))
 	for i := range h.backends {
 		h.backends[i].Set(platform.Faults{})
 	}
-	status, _, _, err := held.answer()
+	status, _, _, err := held.readAnswer()
 	require.NoError(t, err)
 	assert.Equal(t, 200, status, "what had begun before the ban has its answer")
 	assert.True(t, next.call(door.OutOfService, ""))
 	assert.True(t, next.call(door.Online, "b0"))
-	old.end(t)
-	assert.False(t, h.healthy())
+	old.terminate(t)
+	assert.False(t, h.isReady())
 	assert.True(t, next.call(door.InService, ""))
-	for !h.healthy() {
+	for !h.isReady() {
 		time.Sleep(time.Millisecond)
 	}
-	for h.job() != 200 { // cold: it may have to wait for its first jobs
+	for h.sendJob() != 200 { // cold: it may have to wait for its first jobs
 		time.Sleep(10 * time.Millisecond)
 	}
 	assert.Positive(t, h.backends[0].Counts().Jobs)
@@ -420,52 +420,52 @@
 func (p *process) awaitBanned(t *testing.T, want ...string) {
 	for {
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGUSR1))
-		line := p.event(t, "counters")
+		line := p.awaitEvent(t, "counters")
 		if n, _ := line["banned"].(float64); int(n) == len(want) {
 			return
 		}
 	}
 }
 
-// TestNewEndsFirst: the new one is killed, or told to end, while the old one still has something to answer: the old
+// TestNewProcessEndsFirst: the new one is killed, or told to end, while the old one still has something to answer: the old
 // one serves again, and the next upgrade, of a dispatcher that is out of service, leaves it so.
-func TestNewEndsFirst(t *testing.T) {
+func TestNewProcessEndsFirst(t *testing.T) {
 	for _, sig := range []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM} {
 		t.Run(sig.String(), func(t *testing.T) {
-			h := newHouse(t, "127.0.0.1:0")
+			h := newDeployment(t, "127.0.0.1:0")
 			old := h.start()
-			old.serves()
+			old.awaitReady()
 			for _, b := range h.backends {
 				b.Set(platform.Faults{Hold: true})
 			}
 			held, err := h.dial()
 			require.NoError(t, err)
-			require.NoError(t, held.send("held"))
-			for h.jobs() == 0 {
+			require.NoError(t, held.sendReq("held"))
+			for h.jobCount() == 0 {
 				time.Sleep(time.Millisecond)
 			}
 			next := h.start()
-			next.serves()
+			next.awaitReady()
 			require.NoError(t, next.cmd.Process.Signal(sig))
 			_ = next.cmd.Wait()
-			old.event(t, "hand-over: the new process is gone")
+			old.awaitEvent(t, "hand-over: the new process is gone")
 			for _, b := range h.backends {
 				b.Set(platform.Faults{})
 			}
-			status, _, _, err := held.answer()
+			status, _, _, err := held.readAnswer()
 			require.NoError(t, err)
 			assert.Equal(t, 200, status)
-			assert.Equal(t, 200, h.job())
-			old.serves()
+			assert.Equal(t, 200, h.sendJob())
+			old.awaitReady()
 			assert.True(t, old.call(door.OutOfService, ""))
 			last := h.start()
-			last.serves()
-			assert.False(t, h.healthy())
-			old.end(t)
-			assert.False(t, h.healthy())
-			assert.Equal(t, 200, h.job(), "who comes all the same is served")
+			last.awaitReady()
+			assert.False(t, h.isReady())
+			old.terminate(t)
+			assert.False(t, h.isReady())
+			assert.Equal(t, 200, h.sendJob(), "who comes all the same is served")
 			assert.True(t, last.call(door.InService, ""))
-			assert.True(t, h.healthy())
+			assert.True(t, h.isReady())
 		})
 	}
 }
