--- a/internal/network/http2.go
+++ b/internal/network/http2.go
@@ -19,7 +19,7 @@
 type HTTP2 struct {
 	Clients  *Clients
 	limits   atomic.Pointer[HTTP2Limits]
-	sessions sync.Map // *http2Session of this front, for announceDrain
+	sessions sync.Map // its keys are the *http2Session of this front; for announceDrain
 	listener atomic.Pointer[net.Listener]
 }
 
@@ -70,7 +70,7 @@
 		bufferedBytes int  // bytes of answers reserved in the total of Clients
 		closed        bool // nobody reads it any more
 	}
-	wakeWriter chan struct{} // to the writer
+	wakeWriter chan struct{} // wakes the writer; holds one signal
 	flushed    chan struct{} // closed by the writer after the last byte
 	readerDone chan struct{} // closed by the reader when the connection is closed
 }
