--- a/internal/budget/keeper.go
+++ b/internal/budget/keeper.go
@@ -17,24 +17,24 @@
 	Total      int // the total of the keeper's plan: a holder on another plan does not believe it
 }
 
-// lentAt is one grant as the keeper counts it: units until a time of its own clock.
-type lentAt struct {
+// grantRecord is one grant as the keeper counts it: units until a time of its own clock.
+type grantRecord struct {
 	units int
 	until Time
 }
 
-// mostGrants bounds what is kept of one peer's grants that have not ended. A peer that asks for
+// maxGrantsPerPeer bounds what is kept of one peer's grants that have not ended. A peer that asks for
 // ever less faster than its leases end gets the last amount again rather than a further entry.
-const mostGrants = 8
+const maxGrantsPerPeer = 8
 
 // Keeper lends the pool of one budget under leases. It is the only authority of the pool, named
 // by the settings, never elected: two keepers would lend the same units. Memory is bounded by
 // Plan.Most peers of mostGrants grants each; asks from further peers are given nothing.
 type Keeper struct {
-	plan  Plan
-	past  past
-	quiet Time                // lends nothing before this: its earlier life's leases may stand
-	peers map[string][]lentAt // grants not yet ended, units falling as their ends rise
+	plan       Plan
+	history    planHistory
+	quietUntil Time                     // lends nothing before this: its earlier life's leases may stand
+	grants     map[string][]grantRecord // grants not yet ended, units falling as their ends rise
 }
 
 // NewKeeper starts a keeper at now of its own clock. It lends nothing for Plan.Quiet.
@@ -42,11 +42,11 @@
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
-	return &Keeper{plan: p, quiet: now.Add(p.QuietPeriod()), peers: map[string][]lentAt{}}, nil
+	return &Keeper{plan: p, quietUntil: now.Add(p.QuietPeriod()), grants: map[string][]grantRecord{}}, nil
 }
 
-// held is what a peer may be using: the most of its grants that have not ended.
-func held(grants []lentAt, now Time) int {
+// unitsInUse is what a peer may be using: the most of its grants that have not ended.
+func unitsInUse(grants []grantRecord, now Time) int {
 	most := 0
 	for _, g := range grants {
 		if g.until > now {
@@ -59,7 +59,7 @@
 // prune forgets grants that have ended, and peers with none left, and says what the peers other
 // than one may be using: one pass over the table for each ask.
 func (k *Keeper) prune(now Time, except string) (others int) {
-	for peer, grants := range k.peers {
+	for peer, grants := range k.grants {
 		kept := grants[:0]
 		for _, g := range grants {
 			if g.until > now {
@@ -68,12 +68,12 @@
 		}
 		switch {
 		case len(kept) == 0:
-			delete(k.peers, peer)
+			delete(k.grants, peer)
 		case peer != except:
-			others += held(kept, now)
+			others += unitsInUse(kept, now)
 			fallthrough
 		default:
-			k.peers[peer] = kept
+			k.grants[peer] = kept
 		}
 	}
 	return others
@@ -86,17 +86,17 @@
 func (k *Keeper) HandleAsk(now Time, a Ask) Grant {
 	g := Grant{Peer: a.Peer, Epoch: a.Epoch, Seq: a.Seq, Total: k.plan.Total}
 	others := k.prune(now, a.Peer)
-	mine, known := k.peers[a.Peer]
-	if now < k.quiet || !known && len(k.peers) >= k.plan.MaxDispatchers || a.Wanted <= 0 {
+	mine, known := k.grants[a.Peer]
+	if now < k.quietUntil || !known && len(k.grants) >= k.plan.MaxDispatchers || a.Wanted <= 0 {
 		return g
 	}
-	n := len(k.peers)
+	n := len(k.grants)
 	if !known {
 		n++
 	}
-	pool := k.past.pool(k.plan)
+	pool := k.history.pool(k.plan)
 	units := min(a.Wanted, pool/n, pool-others)
-	if len(mine) >= mostGrants && units < mine[len(mine)-1].units {
+	if len(mine) >= maxGrantsPerPeer && units < mine[len(mine)-1].units {
 		units = mine[len(mine)-1].units // no further entry: the last amount again
 	}
 	units = max(units, 0)
@@ -106,7 +106,7 @@
 			kept = append(kept, old)
 		}
 	}
-	k.peers[a.Peer] = append(kept, lentAt{units, now.Add(k.plan.Lease)})
+	k.grants[a.Peer] = append(kept, grantRecord{units, now.Add(k.plan.Lease)})
 	g.Units = units
 	return g
 }
@@ -114,8 +114,8 @@
 // Lent is what all peers may be using at now: never more than the pool.
 func (k *Keeper) Lent(now Time) int {
 	sum := 0
-	for _, grants := range k.peers {
-		sum += held(grants, now)
+	for _, grants := range k.grants {
+		sum += unitsInUse(grants, now)
 	}
 	return sum
 }
@@ -130,7 +130,7 @@
 		return err
 	}
 	if p != k.plan {
-		k.past, k.plan = k.past.add(k.plan), p
+		k.history, k.plan = k.history.add(k.plan), p
 	}
 	return nil
 }
--- a/internal/budget/lease_test.go
+++ b/internal/budget/lease_test.go
@@ -10,18 +10,18 @@
 	"pgregory.net/rapid"
 )
 
-// world is one keeper and some holders on a network that drops, delays and cuts off, each
+// simulation is one keeper and some holders on a network that drops, delays and cuts off, each
 // process with a clock of its own that runs at a rate within the plan's drift. Real time is the
-// world's alone; the keeper and holders see only their own clocks.
-type world struct {
-	plan    Plan
-	real    int64 // nanoseconds
-	keeper  *Keeper
-	kclock  clock
-	holders []*member
-	wire    []message
-	delay   int64 // most delay of a message, ns
-	epochs  uint64
+// simulation's alone; the keeper and holders see only their own clocks.
+type simulation struct {
+	plan        Plan
+	realTime    int64 // nanoseconds
+	keeper      *Keeper
+	keeperClock clock
+	holders     []*simulatedHolder
+	inTransit   []message
+	maxDelay    int64 // most delay of a message, ns
+	epochs      uint64
 }
 
 type clock struct {
@@ -31,12 +31,12 @@
 
 func (c clock) at(real int64) Time { return Time(c.offset + int64(float64(real)*c.rate)) }
 
-type member struct {
-	name  string
-	h     *Holder
-	clock clock
-	gone  bool // left for good: asks no more and spends nothing
-	cut   bool // no message passes between it and the keeper
+type simulatedHolder struct {
+	name   string
+	holder *Holder
+	clock  clock
+	left   bool // left for good: asks no more and spends nothing
+	cut    bool // no message passes between it and the keeper
 }
 
 type message struct {
@@ -46,65 +46,65 @@
 	grant Grant
 }
 
-func (w *world) newHolder(t *rapid.T, i int) *Holder {
+func (w *simulation) newHolder(t *rapid.T, i int) *Holder {
 	w.epochs++
 	h, err := NewHolder(w.plan, w.holders[i].name, w.epochs)
 	require.NoError(t, err)
 	return h
 }
 
-// spent is what all holders that are there may spend at this moment of real time.
-func (w *world) spent() int {
+// spendable is what all holders that are there may spend at this moment of real time.
+func (w *simulation) spendable() int {
 	sum := 0
 	for _, m := range w.holders {
-		if !m.gone {
-			sum += m.h.Share(m.clock.at(w.real))
+		if !m.left {
+			sum += m.holder.Share(m.clock.at(w.realTime))
 		}
 	}
 	return sum
 }
 
-func (w *world) send(t *rapid.T, to int, from int, ask Ask, grant Grant, lossy bool) {
+func (w *simulation) send(t *rapid.T, to int, from int, ask Ask, grant Grant, lossy bool) {
 	if w.holders[from].cut || lossy && rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
 		return
 	}
-	delay := rapid.Int64Range(0, w.delay).Draw(t, "delay")
-	w.wire = append(w.wire, message{at: w.real + delay, to: to, ask: ask, grant: grant})
+	delay := rapid.Int64Range(0, w.maxDelay).Draw(t, "delay")
+	w.inTransit = append(w.inTransit, message{at: w.realTime + delay, to: to, ask: ask, grant: grant})
 }
 
 // step moves real time on by dt and does all that falls due: asks, their arrival, answers.
-func (w *world) step(t *rapid.T, dt int64, lossy bool) {
-	w.real += dt
+func (w *simulation) step(t *rapid.T, dt int64, lossy bool) {
+	w.realTime += dt
 	for i, m := range w.holders {
-		if m.gone {
+		if m.left {
 			continue
 		}
-		if a, ok := m.h.NextAsk(m.clock.at(w.real)); ok {
+		if a, ok := m.holder.NextAsk(m.clock.at(w.realTime)); ok {
 			w.send(t, -1, i, a, Grant{}, lossy)
 		}
 	}
-	kept := w.wire[:0]
+	kept := w.inTransit[:0]
 	var due []message
-	for _, msg := range w.wire {
-		if msg.at <= w.real {
+	for _, msg := range w.inTransit {
+		if msg.at <= w.realTime {
 			due = append(due, msg)
 		} else {
 			kept = append(kept, msg)
 		}
 	}
-	w.wire = kept
+	w.inTransit = kept
 	for _, msg := range due {
 		if msg.to < 0 {
 			from := w.index(msg.ask.Peer)
-			g := w.keeper.HandleAsk(w.kclock.at(w.real), msg.ask)
+			g := w.keeper.HandleAsk(w.keeperClock.at(w.realTime), msg.ask)
 			w.send(t, from, from, Ask{}, g, lossy)
-		} else if m := w.holders[msg.to]; !m.gone && !m.cut {
-			m.h.HandleGrant(m.clock.at(w.real), msg.grant)
+		} else if m := w.holders[msg.to]; !m.left && !m.cut {
+			m.holder.HandleGrant(m.clock.at(w.realTime), msg.grant)
 		}
 	}
 }
 
-func (w *world) index(name string) int {
+func (w *simulation) index(name string) int {
 	for i, m := range w.holders {
 		if m.name == name {
 			return i
@@ -113,33 +113,33 @@
 	panic("no holder " + name)
 }
 
-// newWorld starts a keeper at real time 0 and n holders, each clock drawn.
-func newWorld(t *rapid.T, p Plan, n int, delay time.Duration) *world {
-	w := &world{plan: p, kclock: drawClock(t, p, "keeper"), delay: int64(delay)}
+// newSimulation starts a keeper at real time 0 and n holders, each clock drawn.
+func newSimulation(t *rapid.T, p Plan, n int, delay time.Duration) *simulation {
+	w := &simulation{plan: p, keeperClock: drawClock(t, p, "keeper"), maxDelay: int64(delay)}
 	var err error
-	w.keeper, err = NewKeeper(p, w.kclock.at(0))
+	w.keeper, err = NewKeeper(p, w.keeperClock.at(0))
 	require.NoError(t, err)
 	for i := range n {
-		w.holders = append(w.holders, &member{name: fmt.Sprintf("n%d", i), clock: drawClock(t, p, fmt.Sprintf("h%d", i))})
-		w.holders[i].h = w.newHolder(t, i)
+		w.holders = append(w.holders, &simulatedHolder{name: fmt.Sprintf("n%d", i), clock: drawClock(t, p, fmt.Sprintf("h%d", i))})
+		w.holders[i].holder = w.newHolder(t, i)
 	}
 	return w
 }
 
 // run steps on by dt, steps times, and checks at each step that the holders spend no more than
 // most; lossy(k) says whether the k-th step loses messages.
-func (w *world) run(t *rapid.T, steps int, dt time.Duration, most int, lossy func(k int) bool) {
+func (w *simulation) run(t *rapid.T, steps int, dt time.Duration, most int, lossy func(k int) bool) {
 	for k := range steps {
 		w.step(t, int64(dt), lossy(k))
-		require.LessOrEqual(t, w.spent(), most, "spent at %d ns", w.real)
+		require.LessOrEqual(t, w.spendable(), most, "spent at %d ns", w.realTime)
 	}
 }
 
-// fair checks that every holder that is there has at least want at this moment.
-func (w *world) fair(t *rapid.T, want int) {
+// requireFairShares checks that every holder that is there has at least want at this moment.
+func (w *simulation) requireFairShares(t *rapid.T, want int) {
 	for _, m := range w.holders {
-		if !m.gone {
-			require.GreaterOrEqual(t, m.h.Share(m.clock.at(w.real)), want, m.name)
+		if !m.left {
+			require.GreaterOrEqual(t, m.holder.Share(m.clock.at(w.realTime)), want, m.name)
 		}
 	}
 }
@@ -164,52 +164,52 @@
 	return clock{rate: rate, offset: rapid.Int64Range(-1e12, 1e12).Draw(t, label+"_offset")}
 }
 
-// TestSharesNeverExceedTheWhole: over random joins, leaves, crashes of holders and of the keeper,
+// TestSharesNeverExceedTotal: over random joins, leaves, crashes of holders and of the keeper,
 // cut links, lost and late messages and drifting clocks, what the holders may spend together never
 // exceeds the total, at any moment of real time. Once the faults end, every holder that is there
 // holds its reserve and at least its fair part of the pool less one unit within 4 leases and the
 // keeper's quiet time.
-func TestSharesNeverExceedTheWhole(t *testing.T) {
+func TestSharesNeverExceedTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPlan(t)
 		n := rapid.IntRange(1, p.MaxDispatchers).Draw(t, "holders")
-		w := newWorld(t, p, n, time.Duration(rapid.IntRange(0, 2*int(p.Lease.Milliseconds())).Draw(t, "delay_ms"))*time.Millisecond)
+		w := newSimulation(t, p, n, time.Duration(rapid.IntRange(0, 2*int(p.Lease.Milliseconds())).Draw(t, "delay_ms"))*time.Millisecond)
 		var err error
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			i := rapid.IntRange(0, n-1).Draw(t, "who")
 			m := w.holders[i]
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0: // crashes and starts again from nothing, under its name
-				m.h = w.newHolder(t, i)
+				m.holder = w.newHolder(t, i)
 			case 1:
 				m.cut = !m.cut
 			case 2: // leaves, or comes back as a new life
-				if m.gone = !m.gone; !m.gone {
-					m.h = w.newHolder(t, i)
+				if m.left = !m.left; !m.left {
+					m.holder = w.newHolder(t, i)
 				}
 			case 3: // the keeper crashes and starts again, knowing nothing
-				w.keeper, err = NewKeeper(p, w.kclock.at(w.real))
+				w.keeper, err = NewKeeper(p, w.keeperClock.at(w.realTime))
 				require.NoError(t, err)
 			default:
 				w.step(t, int64(rapid.IntRange(1, 1000).Draw(t, "dt_ms"))*1e6, true)
 			}
-			require.LessOrEqual(t, w.keeper.Lent(w.kclock.at(w.real)), p.Pool(), "lent by the keeper")
-			require.LessOrEqual(t, w.spent(), p.Total, "spent at %d ns", w.real)
+			require.LessOrEqual(t, w.keeper.Lent(w.keeperClock.at(w.realTime)), p.Pool(), "lent by the keeper")
+			require.LessOrEqual(t, w.spendable(), p.Total, "spent at %d ns", w.realTime)
 		}
 
 		// The faults end: links mend, messages are quick and none is lost.
-		w.delay = int64(5 * time.Millisecond)
+		w.maxDelay = int64(5 * time.Millisecond)
 		there := 0
 		for _, m := range w.holders {
 			m.cut = false
-			if !m.gone {
+			if !m.left {
 				there++
 			}
 		}
 		settle := 2 * (4*p.Lease + p.QuietPeriod()) // real time, with the slowest clock's margin
 		w.run(t, int(settle/(10*time.Millisecond))+1, 10*time.Millisecond, p.Total, never)
 		if there > 0 {
-			w.fair(t, p.Reserve()+p.Pool()/there-1)
+			w.requireFairShares(t, p.Reserve()+p.Pool()/there-1)
 		}
 	})
 }
@@ -255,9 +255,9 @@
 	assert.Equal(t, p.Reserve()+p.Pool(), h.Share(slow.at(freedAt-int64(p.Lease)/2)), "the lease in force before")
 }
 
-// TestAnswersOfAnEarlierLifeAreIgnored: a holder that started again is not given, by an answer
+// TestGrantForEarlierIncarnationIgnored: a holder that started again is not given, by an answer
 // meant for its earlier life, a lease the keeper counts from an earlier time.
-func TestAnswersOfAnEarlierLifeAreIgnored(t *testing.T) {
+func TestGrantForEarlierIncarnationIgnored(t *testing.T) {
 	p := Plan{Name: "connections", Total: 100, MaxDispatchers: 2, Lease: time.Second}
 	old, err := NewHolder(p, "a", 1)
 	require.NoError(t, err)
@@ -269,9 +269,9 @@
 	assert.Equal(t, 0, again.Share(Time(time.Second)))
 }
 
-// TestLoweringWaitsForTheOldLease: a renewal that gives less leaves the difference counted until
+// TestReducedGrantWaitsForOldLease: a renewal that gives less leaves the difference counted until
 // the grant before it ends, for the holder may still be using that one.
-func TestLoweringWaitsForTheOldLease(t *testing.T) {
+func TestReducedGrantWaitsForOldLease(t *testing.T) {
 	p := Plan{Name: "connections", Total: 90, MaxDispatchers: 3, Lease: time.Second}
 	k, err := NewKeeper(p, 0)
 	require.NoError(t, err)
@@ -318,41 +318,41 @@
 func TestThreeHundredJoinAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Plan{Name: "connections", Total: 3000, MaxDispatchers: 300, ReserveShare: 0.2, Lease: 3 * time.Second, Drift: 0.001}
-		w := newWorld(t, p, p.MaxDispatchers, 20*time.Millisecond)
-		w.real = int64(p.QuietPeriod()) * 2 // the keeper has been up a while
+		w := newSimulation(t, p, p.MaxDispatchers, 20*time.Millisecond)
+		w.realTime = int64(p.QuietPeriod()) * 2 // the keeper has been up a while
 		const dt = 30 * time.Millisecond
 		w.run(t, int(3*p.Lease/dt), dt, p.Total, func(k int) bool { return k < int(p.Lease/dt) })
-		w.fair(t, p.Reserve()+p.Pool()/p.MaxDispatchers-1)
+		w.requireFairShares(t, p.Reserve()+p.Pool()/p.MaxDispatchers-1)
 	})
 }
 
-// TestFlappingPeerKeepsTheSum: a peer that leaves and comes back as a new life every second, for
+// TestFlappingPeerKeepsTotal: a peer that leaves and comes back as a new life every second, for
 // twenty seconds, never lifts the sum above the whole, and once it stays the others keep their
 // fair parts.
-func TestFlappingPeerKeepsTheSum(t *testing.T) {
+func TestFlappingPeerKeepsTotal(t *testing.T) {
 	p := Plan{Name: "probes", Total: 100, MaxDispatchers: 5, ReserveShare: 0.1, Lease: 2 * time.Second, Drift: 0.01}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, p, 4, 50*time.Millisecond)
+		w := newSimulation(t, p, 4, 50*time.Millisecond)
 		flapper := w.holders[3]
 		for s := range 21 { // the 21st time it comes back and stays
-			if flapper.gone = s%2 == 1; !flapper.gone {
-				flapper.h = w.newHolder(t, 3)
+			if flapper.left = s%2 == 1; !flapper.left {
+				flapper.holder = w.newHolder(t, 3)
 			}
 			w.run(t, 100, 10*time.Millisecond, p.Total, always)
 		}
 		w.run(t, int(4*p.Lease/(10*time.Millisecond)), 10*time.Millisecond, p.Total, never)
-		w.fair(t, p.Reserve()+p.Pool()/4-1)
+		w.requireFairShares(t, p.Reserve()+p.Pool()/4-1)
 	})
 }
 
-// TestLoweredTotalHoldsOnceAllHaveReadIt: a reload halves the total while shares are held. The
+// TestLoweredTotalHoldsOnceAllApplyIt: a reload halves the total while shares are held. The
 // keeper and the holders read it one after another at random moments; until the last has, the sum
 // stays within the old total, and from then on within the new one, and every holder gets its new
 // fair part.
-func TestLoweredTotalHoldsOnceAllHaveReadIt(t *testing.T) {
+func TestLoweredTotalHoldsOnceAllApplyIt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Plan{Name: "connections", Total: 400, MaxDispatchers: 5, ReserveShare: 0.25, Lease: time.Second, Drift: 0.01}
-		w := newWorld(t, p, 4, 30*time.Millisecond)
+		w := newSimulation(t, p, 4, 30*time.Millisecond)
 		w.run(t, int(4*(p.Lease+p.QuietPeriod())/(10*time.Millisecond)), 10*time.Millisecond, p.Total, never)
 		lower := p
 		lower.Total = 200
@@ -362,11 +362,11 @@
 			if who < 0 {
 				require.NoError(t, w.keeper.Replan(lower))
 			} else {
-				require.NoError(t, w.holders[who].h.Replan(lower))
+				require.NoError(t, w.holders[who].holder.Replan(lower))
 			}
 		}
 		w.plan = lower // holders that start from here on start with it
 		w.run(t, int(3*lower.Lease/(10*time.Millisecond)), 10*time.Millisecond, lower.Total, never)
-		w.fair(t, lower.Reserve()+lower.Pool()/4-1)
+		w.requireFairShares(t, lower.Reserve()+lower.Pool()/4-1)
 	})
 }
--- a/internal/budget/past_test.go
+++ b/internal/budget/past_test.go
@@ -7,12 +7,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestAnyMixOfPlansHolds: while some dispatchers go by one plan of a row of changes and the others,
+// TestMixedPlansStayWithinTotal: while some dispatchers go by one plan of a row of changes and the others,
 // or the keeper, by another, reserves and pool fit into the larger total of the two, as long as no
 // more are there than each of the two plans allows.
-func TestAnyMixOfPlansHolds(t *testing.T) {
+func TestMixedPlansStayWithinTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var e past
+		var e planHistory
 		var reserves, pools []int
 		var plans []Plan
 		for range rapid.IntRange(1, 5).Draw(t, "changes") {
@@ -31,13 +31,13 @@
 	})
 }
 
-// TestTotalAloneHoldsAtOnce: a change of the total alone holds nothing back but what rounding moves.
-func TestTotalAloneHoldsAtOnce(t *testing.T) {
+// TestTotalChangeTakesEffectAtOnce: a change of the total alone holds nothing back but what rounding moves.
+func TestTotalChangeTakesEffectAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPlan(t)
 		q := p
 		q.Total = rapid.IntRange(0, 600).Draw(t, "changed")
-		e := past{p}
+		e := planHistory{p}
 		require.GreaterOrEqual(t, e.pool(q), q.Pool()-q.MaxDispatchers)
 		require.GreaterOrEqual(t, e.reserve(q), q.Reserve()-1)
 	})
--- a/internal/budget/wire/wire.go
+++ b/internal/budget/wire/wire.go
@@ -42,19 +42,19 @@
 // AppendAsk appends an ask for a budget to b.
 func AppendAsk(b []byte, name string, a budget.Ask) []byte {
 	from := len(b)
-	return appendSum(fmt.Appendf(b, "%s ask %s %s %d %d %d 0 ", version, name, a.Peer, a.Epoch, a.Seq, a.Wanted), from)
+	return appendChecksum(fmt.Appendf(b, "%s ask %s %s %d %d %d 0 ", version, name, a.Peer, a.Epoch, a.Seq, a.Wanted), from)
 }
 
 // AppendGrant appends a grant for a budget to b.
 func AppendGrant(b []byte, name string, g budget.Grant) []byte {
 	from := len(b)
-	return appendSum(fmt.Appendf(b, "%s grant %s %s %d %d %d %d ", version, name, g.Peer, g.Epoch, g.Seq, g.Units, g.Total), from)
+	return appendChecksum(fmt.Appendf(b, "%s grant %s %s %d %d %d %d ", version, name, g.Peer, g.Epoch, g.Seq, g.Units, g.Total), from)
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// appendSum ends the message that begins at from.
-func appendSum(b []byte, from int) []byte {
+// appendChecksum ends the message that begins at from.
+func appendChecksum(b []byte, from int) []byte {
 	return fmt.Appendf(b, "%08x\n", crc32.Checksum(b[from:], castagnoli))
 }
 
@@ -71,15 +71,15 @@
 		return Message{}, fmt.Errorf("%w: version %q, want %s", ErrMessage, f[0], version)
 	}
 	at := bytes.LastIndexByte(p, ' ') + 1 // fields are parted by one space, the line ends in \n: all else fails here
-	if want := appendSum(p[:at:at], 0); !bytes.Equal(want, p) {
+	if want := appendChecksum(p[:at:at], 0); !bytes.Equal(want, p) {
 		return Message{}, fmt.Errorf("%w: sum %q, want %q", ErrMessage, f[8], bytes.TrimSpace(want[at:]))
 	}
 	var m Message
 	var err error
-	if m.Budget, err = name("budget", f[2]); err != nil {
+	if m.Budget, err = parseName("budget", f[2]); err != nil {
 		return Message{}, err
 	}
-	peer, err := name("peer", f[3])
+	peer, err := parseName("peer", f[3])
 	if err != nil {
 		return Message{}, err
 	}
@@ -108,7 +108,7 @@
 	return m, nil
 }
 
-func name(field string, b []byte) (string, error) {
+func parseName(field string, b []byte) (string, error) {
 	if len(b) == 0 || len(b) > MaxName {
 		return "", fmt.Errorf("%w: %s of %d bytes, want 1 to %d", ErrMessage, field, len(b), MaxName)
 	}
--- a/internal/budget/wire/wire_test.go
+++ b/internal/budget/wire/wire_test.go
@@ -22,7 +22,7 @@
 	assert.Equal(t, Message{Budget: "connections", Grant: &g}, m)
 }
 
-func TestFaultsNameTheField(t *testing.T) {
+func TestErrorsNameTheField(t *testing.T) {
 	for text, field := range map[string]string{
 		"TSB2 ask c n1 1 2 3":                                 "fields",
 		"TSB1 ask c n1 1 2 3 0":                               "version",
@@ -36,14 +36,14 @@
 		"TSB2 grant c n1 1 2 1 -8":                            "total",
 		strings.Repeat("x", MaxMessage+1):                     "bytes",
 	} {
-		_, err := Decode(appendSum([]byte(text+" "), 0))
+		_, err := Decode(appendChecksum([]byte(text+" "), 0))
 		assert.ErrorIs(t, err, ErrMessage, text)
 		assert.ErrorContains(t, err, field, text)
 	}
 }
 
-// TestAnyByteChanged: a message with any one byte changed to any other, or cut anywhere, is refused.
-func TestAnyByteChanged(t *testing.T) {
+// TestCorruptedMessageRefused: a message with any one byte changed to any other, or cut anywhere, is refused.
+func TestCorruptedMessageRefused(t *testing.T) {
 	good := AppendGrant(nil, "connections", budget.Grant{Peer: "n17", Epoch: 9034128871, Seq: 42, Units: 25, Total: 800})
 	for i := range good {
 		_, err := Decode(good[:i])
@@ -60,9 +60,9 @@
 
 // FuzzRead: nothing a peer sends panics the reader, and what it reads is written back the same.
 func FuzzRead(f *testing.F) {
-	f.Add(appendSum([]byte("TSB2 ask connections n17 9034128871 42 600 0 "), 0))
-	f.Add(appendSum([]byte("TSB2 grant c n 0 0 0 0 "), 0))
-	f.Add(appendSum([]byte("TSB2 grant c n 18446744073709551615 18446744073709551615 1000000 1000000 "), 0))
+	f.Add(appendChecksum([]byte("TSB2 ask connections n17 9034128871 42 600 0 "), 0))
+	f.Add(appendChecksum([]byte("TSB2 grant c n 0 0 0 0 "), 0))
+	f.Add(appendChecksum([]byte("TSB2 grant c n 18446744073709551615 18446744073709551615 1000000 1000000 "), 0))
 	f.Fuzz(func(t *testing.T, p []byte) {
 		m, err := Decode(p)
 		if err != nil {
--- a/internal/network/fleet/accord/accord.go
+++ b/internal/network/fleet/accord/accord.go
@@ -63,8 +63,8 @@
 	Log        zerolog.Logger
 }
 
-// voter is this dispatcher among the voters, if it is one.
-func (c *Config) voter() (Peer, bool) {
+// self is this dispatcher among the voters, if it is one.
+func (c *Config) self() (Peer, bool) {
 	for _, p := range c.Voters {
 		if p.Name == c.Name {
 			return p, true
@@ -107,7 +107,7 @@
 		return nil, errors.New("accord: no check or no enter")
 	}
 	a := &Accord{cfg: cfg, clock: clock{time.Now()}}
-	if me, ok := cfg.voter(); ok {
+	if me, ok := cfg.self(); ok {
 		var err error
 		if a.voter, err = newVoter(a, me); err != nil {
 			return nil, err
@@ -136,30 +136,30 @@
 func (a *Accord) Propose(body []byte) error { return a.member.propose(body) }
 
 // RetryCheck has a version in force that this dispatcher could not take checked again.
-func (a *Accord) RetryCheck() { a.member.retry() }
+func (a *Accord) RetryCheck() { a.member.retryCheck() }
 
 // Current is the version that this dispatcher holds and its policy.
-func (a *Accord) Current() (uint64, []byte) { return a.member.held() }
+func (a *Accord) Current() (uint64, []byte) { return a.member.current() }
 
 // WithdrawnProposal is the policy that this dispatcher proposed last, where that was withdrawn; else nil.
 func (a *Accord) WithdrawnProposal() []byte {
 	a.member.mu.Lock()
 	defer a.member.mu.Unlock()
-	return a.member.lessee.WithdrawnProposal()
+	return a.member.participant.WithdrawnProposal()
 }
 
 // NotAcceptingReason says why no req is taken, where none is.
 func (a *Accord) NotAcceptingReason() string {
 	a.member.mu.Lock()
 	defer a.member.mu.Unlock()
-	return a.member.lessee.NotAcceptingReason()
+	return a.member.participant.NotAcceptingReason()
 }
 
 // Each calls f for the counters and levels of the accord.
 func (a *Accord) Each(f func(name string, n int64)) {
 	v, _ := a.Current()
 	f("accord_version", int64(v))
-	f("accord_ready", flag(a.Serves()))
+	f("accord_ready", boolGauge(a.Serves()))
 	f("accord_changes", a.Counters.Changes.Load())
 	f("accord_withdrawn", a.Counters.Withdrawn.Load())
 	f("accord_refused", a.Counters.Refused.Load())
@@ -168,22 +168,22 @@
 	f("accord_taken_lapsed", a.Counters.UnleasedReqs.Load())
 	f("accord_bad_messages", a.Counters.BadMessages.Load())
 	if a.voter != nil {
-		leads, leases := a.voter.leads()
-		f("accord_leads", flag(leads))
+		leads, leases := a.voter.leadership()
+		f("accord_leads", boolGauge(leads))
 		f("accord_leases", int64(leases))
 		f("accord_decided_ms", a.Counters.ActivationMS.Load())
 	}
 }
 
-func flag(on bool) int64 {
+func boolGauge(on bool) int64 {
 	if on {
 		return 1
 	}
 	return 0
 }
 
-// tell logs the steps of a change, and counts those that the counters tell.
-func (a *Accord) tell(notes []accord.Event) {
+// logEvents logs the steps of a change, and counts those that the counters logEvents.
+func (a *Accord) logEvents(notes []accord.Event) {
 	for _, n := range notes {
 		e := a.cfg.Log.Info().Str("process", a.cfg.Name).Uint64("version", n.Version).Str("change", fmt.Sprintf("%x", n.Change))
 		if n.Proposer != "" {
@@ -210,7 +210,7 @@
 		case "in force":
 			a.Counters.Changes.Add(1)
 			if a.voter != nil {
-				if took, ok := a.voter.since(n.Version); ok {
+				if took, ok := a.voter.sinceDecided(n.Version); ok {
 					a.Counters.ActivationMS.Store(took.Milliseconds())
 					e.Int64("decided_ms", took.Milliseconds())
 				}
--- a/internal/network/fleet/accord/gate.go
+++ b/internal/network/fleet/accord/gate.go
@@ -7,8 +7,8 @@
 	"tinsail/internal/fleet/accord"
 )
 
-// gate is what the lessee last allowed, as the many goroutines of the fronts and the pool read it.
-type gate struct {
+// admission is what the lessee last allowed, as the many goroutines of the fronts and the pool read it.
+type admission struct {
 	accord.Admission
 	waiting *atomic.Int64 // reqs taken by this version that have begun nowhere
 }
@@ -17,52 +17,52 @@
 // read once more, so that a member that closes the gate and then finds none waiting has none.
 func (a *Accord) Admit() (version uint64, pause time.Duration, ok bool) {
 	m := a.member
-	g := m.gate.Load()
+	g := m.admission.Load()
 	g.waiting.Add(1)
 	now := a.clock.now()
-	if g2 := m.gate.Load(); g2.Version == g.Version && g2.waiting == g.waiting && now < g2.AcceptUntil {
+	if g2 := m.admission.Load(); g2.Version == g.Version && g2.waiting == g.waiting && now < g2.AcceptUntil {
 		if now >= g2.UnleasedFrom {
 			a.Counters.UnleasedReqs.Add(1)
 		}
 		return g.Version, 0, true
 	}
-	m.leave(g)
+	m.endWaiting(g)
 	a.Counters.RefusedReqs.Add(1)
 	return 0, a.cfg.Leases.Drain(), false
 }
 
 // Begun tells that a req which was taken has begun, or never will.
 func (a *Accord) Begun(version uint64) {
-	if g := a.member.gate.Load(); g.Version == version {
-		a.member.leave(g)
+	if g := a.member.admission.Load(); g.Version == version {
+		a.member.endWaiting(g)
 	}
 }
 
 // MayStart says whether an attempt of a req that was taken by a version may start now.
 func (a *Accord) MayStart(version uint64) bool {
-	g := a.member.gate.Load()
+	g := a.member.admission.Load()
 	return g.Version == version && a.clock.now() < g.StartUntil
 }
 
 // Serves says whether reqs are taken now.
-func (a *Accord) Serves() bool { return a.clock.now() < a.member.gate.Load().AcceptUntil }
+func (a *Accord) Serves() bool { return a.clock.now() < a.member.admission.Load().AcceptUntil }
 
-// leave takes a req out of those that wait; a member that has stopped waits for the last.
-func (m *member) leave(g *gate) {
+// endWaiting takes a req out of those that wait; a member that has stopped waits for the last.
+func (m *member) endWaiting(g *admission) {
 	if g.waiting.Add(-1) == 0 && g.AcceptUntil == 0 {
 		m.wake()
 	}
 }
 
-// show publishes what the lessee allows. m.mu is held.
-func (m *member) show() {
-	old, now := m.gate.Load(), m.lessee.Admission()
+// publishAdmission publishes what the lessee allows. m.mu is held.
+func (m *member) publishAdmission() {
+	old, now := m.admission.Load(), m.participant.Admission()
 	if old.Admission == now {
 		return
 	}
-	g := &gate{Admission: now, waiting: old.waiting}
+	g := &admission{Admission: now, waiting: old.waiting}
 	if now.Version != old.Version {
 		g.waiting = &atomic.Int64{}
 	}
-	m.gate.Store(g)
+	m.admission.Store(g)
 }
--- a/internal/network/fleet/accord/lend.go
+++ b/internal/network/fleet/accord/lend.go
@@ -9,68 +9,68 @@
 // which lends nothing until all leases of the one before are over. What it lends is confirmed as the
 // leases of versions are, so that no leader that was deposed lends on.
 
-// lend makes or changes the keeper of the budget for the policy in force. v.mu is held.
-func (v *voter) lend(body []byte) {
-	if v.a.cfg.BudgetPlan == nil {
+// setBudgetPlan makes or changes the keeper of the budget for the policy in force. v.mu is held.
+func (v *voter) setBudgetPlan(body []byte) {
+	if v.accord.cfg.BudgetPlan == nil {
 		return
 	}
-	plan, ok := v.a.cfg.BudgetPlan(body)
+	plan, ok := v.accord.cfg.BudgetPlan(body)
 	if !ok {
-		v.lender = nil
+		v.budgetKeeper = nil
 		return
 	}
 	var err error
-	if v.lender != nil {
-		err = v.lender.Replan(plan)
+	if v.budgetKeeper != nil {
+		err = v.budgetKeeper.Replan(plan)
 	} else {
-		v.lender, err = budget.NewKeeper(plan, budget.Time(v.a.clock.now()))
+		v.budgetKeeper, err = budget.NewKeeper(plan, budget.Time(v.accord.clock.now()))
 	}
 	if err != nil { // it was checked: a fault of ours
-		v.a.cfg.Log.Error().Err(err).Msg("accord: a budget is not lent")
-		v.lender = nil
+		v.accord.cfg.Log.Error().Err(err).Msg("accord: a budget is not lent")
+		v.budgetKeeper = nil
 	}
-	v.lends = plan.Name
+	v.budgetName = plan.Name
 }
 
-// lent answers an ask for a share. v.mu is held, and that this voter leads is confirmed.
-func (v *voter) lent(from *link, w *wire.BudgetRequest) {
-	if v.lender != nil && w.Budget == v.lends {
-		from.send(wire.EncodeBudgetGrant(wire.BudgetGrant{Budget: w.Budget, Grant: v.lender.HandleAsk(budget.Time(v.a.clock.now()), w.Request)}))
+// grantBudget answers an ask for a share. v.mu is held, and that this voter leads is confirmed.
+func (v *voter) grantBudget(from *link, w *wire.BudgetRequest) {
+	if v.budgetKeeper != nil && w.Budget == v.budgetName {
+		from.send(wire.EncodeBudgetGrant(wire.BudgetGrant{Budget: w.Budget, Grant: v.budgetKeeper.HandleAsk(budget.Time(v.accord.clock.now()), w.Request)}))
 	}
 }
 
-// share takes the plan of the policy that is put in force. m.mu is held.
-func (m *member) share(body []byte) {
-	if m.a.cfg.BudgetPlan == nil {
+// setBudgetPlan takes the plan of the policy that is put in force. m.mu is held.
+func (m *member) setBudgetPlan(body []byte) {
+	if m.accord.cfg.BudgetPlan == nil {
 		return
 	}
-	plan, ok := m.a.cfg.BudgetPlan(body)
+	plan, ok := m.accord.cfg.BudgetPlan(body)
 	if !ok {
-		m.holder = nil
+		m.budgetHolder = nil
 		return
 	}
 	var err error
-	if m.holder != nil {
-		err = m.holder.Replan(plan)
+	if m.budgetHolder != nil {
+		err = m.budgetHolder.Replan(plan)
 	} else {
-		m.holder, err = budget.NewHolder(plan, m.a.cfg.Name, m.a.cfg.Epoch)
+		m.budgetHolder, err = budget.NewHolder(plan, m.accord.cfg.Name, m.accord.cfg.Epoch)
 	}
 	if err != nil {
-		m.a.cfg.Log.Error().Err(err).Msg("accord: a budget is not held")
-		m.holder = nil
+		m.accord.cfg.Log.Error().Err(err).Msg("accord: a budget is not held")
+		m.budgetHolder = nil
 	}
-	m.holds = plan.Name
+	m.budgetName = plan.Name
 }
 
-// wants is the ask for a share that is due, if one is.
-func (m *member) wants() (wire.BudgetRequest, bool) {
+// nextBudgetAsk is the ask for a share that is due, if one is.
+func (m *member) nextBudgetAsk() (wire.BudgetRequest, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.holder == nil {
+	if m.budgetHolder == nil {
 		return wire.BudgetRequest{}, false
 	}
-	a, ok := m.holder.NextAsk(budget.Time(m.a.clock.now()))
-	return wire.BudgetRequest{Budget: m.holds, Request: a}, ok
+	a, ok := m.budgetHolder.NextAsk(budget.Time(m.accord.clock.now()))
+	return wire.BudgetRequest{Budget: m.budgetName, Request: a}, ok
 }
 
 // BudgetShare is what this dispatcher may spend now of the budget that the policy has, in units a second; 0 before
@@ -78,10 +78,10 @@
 func (a *Accord) BudgetShare() int {
 	a.member.mu.Lock()
 	defer a.member.mu.Unlock()
-	if a.member.holder == nil {
+	if a.member.budgetHolder == nil {
 		return 0
 	}
-	return a.member.holder.Share(budget.Time(a.clock.now()))
+	return a.member.budgetHolder.Share(budget.Time(a.clock.now()))
 }
 
 // BudgetLent is what the leader has lent of the budget, and has not ended; 0 elsewhere.
@@ -91,8 +91,8 @@
 	}
 	a.voter.mu.Lock()
 	defer a.voter.mu.Unlock()
-	if a.voter.keeper == nil || a.voter.lender == nil {
+	if a.voter.leader == nil || a.voter.budgetKeeper == nil {
 		return 0
 	}
-	return a.voter.lender.Lent(budget.Time(a.clock.now()))
+	return a.voter.budgetKeeper.Lent(budget.Time(a.clock.now()))
 }
--- a/internal/network/fleet/accord/member.go
+++ b/internal/network/fleet/accord/member.go
@@ -17,94 +17,96 @@
 
 // member drives this dispatcher's Lessee: it keeps one link to the voter that leads.
 type member struct {
-	a     *Accord
-	gate  atomic.Pointer[gate]
-	woken chan struct{}
-	stop  chan struct{}
-	done  sync.WaitGroup
+	accord     *Accord
+	admission  atomic.Pointer[admission]
+	wakeup     chan struct{}
+	stop       chan struct{}
+	goroutines sync.WaitGroup
 
-	mu     sync.Mutex
-	lessee *accord.Participant
-	holder *budget.Holder // of the policy's budget, where it has one
-	holds  string         // the budget's name
-	leader string         // the voter to ask, where one was named
-	silent string         // a voter that did not answer, which is not asked again
-	avoid  time.Time      // until then, whoever names it
-	first  time.Time      // when the first version was last proposed
+	mu                sync.Mutex
+	participant       *accord.Participant
+	budgetHolder      *budget.Holder // of the policy's budget, where it has one
+	budgetName        string         // the budget's name
+	leader            string         // the voter to ask, where one was named
+	unresponsive      string         // a voter that did not answer, which is not asked again
+	avoidUntil        time.Time      // until then, whoever names it
+	initialProposedAt time.Time      // when the first version was last proposed
 }
 
 func newMember(a *Accord, l *accord.Participant) *member {
-	m := &member{a: a, lessee: l, woken: make(chan struct{}, 1), stop: make(chan struct{})}
-	m.gate.Store(&gate{Admission: l.Admission(), waiting: &atomic.Int64{}})
-	m.done.Add(1)
+	m := &member{accord: a, participant: l, wakeup: make(chan struct{}, 1), stop: make(chan struct{})}
+	m.admission.Store(&admission{Admission: l.Admission(), waiting: &atomic.Int64{}})
+	m.goroutines.Add(1)
 	go m.run()
 	return m
 }
 
 func (m *member) close() {
 	close(m.stop)
-	m.done.Wait()
+	m.goroutines.Wait()
 }
 
 func (m *member) wake() {
 	select {
-	case m.woken <- struct{}{}:
+	case m.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 func (m *member) propose(body []byte) error {
 	m.mu.Lock()
-	err := m.lessee.Propose(rand.Uint64()|accord.ProposalBit, body)
+	err := m.participant.Propose(rand.Uint64()|accord.ProposalBit, body)
 	m.mu.Unlock()
 	m.wake()
 	return err
 }
 
-func (m *member) retry() {
+func (m *member) retryCheck() {
 	m.mu.Lock()
-	m.lessee.RetryCheck()
+	m.participant.RetryCheck()
 	m.mu.Unlock()
 }
 
-func (m *member) held() (uint64, []byte) {
+func (m *member) current() (uint64, []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.lessee.Current()
+	return m.participant.Current()
 }
 
-// beat is how often a member looks at the time: what its gate allows ends by itself, since the time is
+// tickInterval is how often a member looks at the time: what its gate allows ends by itself, since the time is
 // compared at each req.
-func (m *member) beat() time.Duration { return max(m.a.cfg.Leases.Lease/100, 2*time.Millisecond) }
+func (m *member) tickInterval() time.Duration {
+	return max(m.accord.cfg.Leases.Lease/100, 2*time.Millisecond)
+}
 
 // run keeps a link to the leader, and without one lets time pass.
 func (m *member) run() {
-	defer m.done.Done()
-	for next := rand.IntN(len(m.a.cfg.Voters)); ; next++ {
-		to := m.a.cfg.Voters[next%len(m.a.cfg.Voters)]
+	defer m.goroutines.Done()
+	for next := rand.IntN(len(m.accord.cfg.Voters)); ; next++ {
+		to := m.accord.cfg.Voters[next%len(m.accord.cfg.Voters)]
 		m.mu.Lock()
-		for i, p := range m.a.cfg.Voters {
-			if p.Name == m.leader && (p.Name != m.silent || time.Now().After(m.avoid)) {
+		for i, p := range m.accord.cfg.Voters {
+			if p.Name == m.leader && (p.Name != m.unresponsive || time.Now().After(m.avoidUntil)) {
 				to, next = p, i
 			}
 		}
 		m.leader = ""
-		m.lessee.RequestNow()
+		m.participant.RequestNow()
 		m.mu.Unlock()
-		m.follow(to)
-		if m.pause(max(m.a.cfg.Leases.Lease/30, 10*time.Millisecond)) {
+		m.requestLeases(to)
+		if m.runUnconnected(max(m.accord.cfg.Leases.Lease/30, 10*time.Millisecond)) {
 			return
 		}
 	}
 }
 
-// pause lets time pass without a link, and says whether the member was closed.
-func (m *member) pause(d time.Duration) bool {
+// runUnconnected lets time pass without a link, and says whether the member was closed.
+func (m *member) runUnconnected(d time.Duration) bool {
 	over := time.NewTimer(d)
 	defer over.Stop()
 	for {
-		m.turn(nil)
-		beat := time.NewTimer(m.beat())
+		m.step(nil)
+		beat := time.NewTimer(m.tickInterval())
 		select {
 		case <-m.stop:
 			beat.Stop()
@@ -113,25 +115,25 @@
 			beat.Stop()
 			return false
 		case <-beat.C:
-		case <-m.woken:
+		case <-m.wakeup:
 			beat.Stop()
 		}
 	}
 }
 
-// follow asks one voter until the link breaks, it says that another leads, or it is silent.
-func (m *member) follow(to Peer) {
+// requestLeases asks one voter until the link breaks, it says that another leads, or it is silent.
+func (m *member) requestLeases(to Peer) {
 	type dialled struct {
 		conn net.Conn
 		err  error
 	}
-	plan := m.a.cfg.Leases
+	plan := m.accord.cfg.Leases
 	up := make(chan dialled, 1)
 	go func() {
 		conn, err := net.DialTimeout("tcp", to.Address, plan.Lease/3)
 		if err == nil {
 			conn.SetWriteDeadline(time.Now().Add(plan.Lease / 3))
-			_, err = conn.Write([]byte{linkMark})
+			_, err = conn.Write([]byte{memberConn})
 		}
 		up <- dialled{conn, err}
 	}()
@@ -146,8 +148,8 @@
 				return
 			}
 			conn = d.conn
-		case <-time.After(m.beat()):
-			m.turn(nil)
+		case <-time.After(m.tickInterval()):
+			m.step(nil)
 		case <-m.stop:
 			go func() {
 				if d := <-up; d.conn != nil {
@@ -167,7 +169,7 @@
 			msg, err := wire.ReadMessage(r)
 			if err != nil {
 				if errors.Is(err, wire.ErrMessage) {
-					m.a.Counters.BadMessages.Add(1)
+					m.accord.Counters.BadMessages.Add(1)
 				}
 				return
 			}
@@ -181,7 +183,7 @@
 	defer close(ended)
 	last := time.Now()
 	for {
-		if !m.turn(func(p []byte) bool {
+		if !m.step(func(p []byte) bool {
 			conn.SetWriteDeadline(time.Now().Add(plan.Lease / 3))
 			_, err := conn.Write(wire.Frame(p))
 			return err == nil
@@ -190,17 +192,17 @@
 		}
 		if time.Since(last) > plan.Lease/2 { // a voter that is stopped, or a link that swallows
 			m.mu.Lock()
-			m.silent, m.avoid = to.Name, time.Now().Add(plan.Lease/2)
+			m.unresponsive, m.avoidUntil = to.Name, time.Now().Add(plan.Lease/2)
 			m.mu.Unlock()
 			return
 		}
-		beat := time.NewTimer(m.beat())
+		beat := time.NewTimer(m.tickInterval())
 		select {
 		case <-m.stop:
 			beat.Stop()
 			return
 		case <-beat.C:
-		case <-m.woken:
+		case <-m.wakeup:
 			beat.Stop()
 		case msg, ok := <-heard:
 			beat.Stop()
@@ -208,87 +210,87 @@
 				return
 			}
 			last = time.Now()
-			if !m.take(msg) {
+			if !m.handleMessage(msg) {
 				return
 			}
 		}
 	}
 }
 
-// take handles a message; false says that this voter does not lead.
-func (m *member) take(msg wire.Message) bool {
+// handleMessage handles a message; false says that this voter does not lead.
+func (m *member) handleMessage(msg wire.Message) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
 	case msg.Poll:
-		m.lessee.RequestNow()
+		m.participant.RequestNow()
 	case msg.BudgetGrant != nil:
-		if m.holder != nil && msg.BudgetGrant.Budget == m.holds {
-			m.holder.HandleGrant(budget.Time(m.a.clock.now()), msg.BudgetGrant.Grant)
+		if m.budgetHolder != nil && msg.BudgetGrant.Budget == m.budgetName {
+			m.budgetHolder.HandleGrant(budget.Time(m.accord.clock.now()), msg.BudgetGrant.Grant)
 		}
 	case msg.LeaseResponse != nil && !msg.LeaseResponse.IsLeader:
 		m.leader = msg.LeaseResponse.Leader
 		return false
 	case msg.LeaseResponse != nil:
-		m.lessee.HandleResponse(m.a.clock.now(), *msg.LeaseResponse)
-		m.begin(msg.LeaseResponse)
+		m.participant.HandleResponse(m.accord.clock.now(), *msg.LeaseResponse)
+		m.proposeInitialPolicy(msg.LeaseResponse)
 	}
 	return true
 }
 
-// begin proposes this voter's own policy where none was ever decided: the fleet's first. m.mu is held.
-func (m *member) begin(a *accord.LeaseResponse) {
-	body := m.a.cfg.InitialPolicy
-	if a.Version > 0 || a.Change != 0 || m.a.voter == nil || body == nil || m.lessee.ProposalPending() ||
-		time.Since(m.first) < 2*m.a.cfg.Leases.Lease {
+// proposeInitialPolicy proposes this voter's own policy where none was ever decided: the fleet's first. m.mu is held.
+func (m *member) proposeInitialPolicy(a *accord.LeaseResponse) {
+	body := m.accord.cfg.InitialPolicy
+	if a.Version > 0 || a.Change != 0 || m.accord.voter == nil || body == nil || m.participant.ProposalPending() ||
+		time.Since(m.initialProposedAt) < 2*m.accord.cfg.Leases.Lease {
 		return
 	}
-	m.first = time.Now()
-	if err := m.lessee.Propose(rand.Uint64()|accord.ProposalBit, body); err != nil {
-		m.a.cfg.Log.Error().Err(err).Msg("accord: no first policy")
+	m.initialProposedAt = time.Now()
+	if err := m.participant.Propose(rand.Uint64()|accord.ProposalBit, body); err != nil {
+		m.accord.cfg.Log.Error().Err(err).Msg("accord: no first policy")
 	}
 }
 
-// turn does all that is due: time passes, bodies are checked, a version is put in force and then shown
+// step does all that is due: time passes, bodies are checked, a version is put in force and then shown
 // to the core, and the ask that is due is sent. send is nil without a link.
-func (m *member) turn(send func([]byte) bool) bool {
-	a, due := m.due(send != nil)
+func (m *member) step(send func([]byte) bool) bool {
+	a, due := m.advance(send != nil)
 	if due && !send(wire.EncodeLeaseRequest(a)) { // bounded by the link's write deadline
 		return false
 	}
 	if send == nil {
 		return true
 	}
-	w, due := m.wants()
+	w, due := m.nextBudgetAsk()
 	return !due || send(wire.EncodeBudgetRequest(w))
 }
 
-func (m *member) due(linked bool) (accord.LeaseRequest, bool) {
+func (m *member) advance(linked bool) (accord.LeaseRequest, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.enter()
-	m.show() // closed before those that wait are counted
-	m.lessee.Tick(m.a.clock.now(), int(m.gate.Load().waiting.Load()))
-	for _, c := range m.lessee.TakeChecks() {
-		m.lessee.ReportCheck(m.a.clock.now(), c, m.a.cfg.CheckPolicy(c.Body))
+	m.activateVersion()
+	m.publishAdmission() // closed before those that wait are counted
+	m.participant.Tick(m.accord.clock.now(), int(m.admission.Load().waiting.Load()))
+	for _, c := range m.participant.TakeChecks() {
+		m.participant.ReportCheck(m.accord.clock.now(), c, m.accord.cfg.CheckPolicy(c.Body))
 	}
-	m.enter()
-	m.show()
-	m.a.tell(m.lessee.TakeEvents())
+	m.activateVersion()
+	m.publishAdmission()
+	m.accord.logEvents(m.participant.TakeEvents())
 	if !linked {
 		return accord.LeaseRequest{}, false
 	}
-	return m.lessee.NextRequest(m.a.clock.now())
+	return m.participant.NextRequest(m.accord.clock.now())
 }
 
-// enter puts a version in force at its first lease, before the gate is shown. m.mu is held.
-func (m *member) enter() {
-	version, body, ok := m.lessee.TakeActivation()
+// activateVersion puts a version in force at its first lease, before the gate is shown. m.mu is held.
+func (m *member) activateVersion() {
+	version, body, ok := m.participant.TakeActivation()
 	if !ok {
 		return
 	}
-	m.share(body)
-	if err := m.a.cfg.ApplyPolicy(version, body); err != nil { // it was checked: a fault of ours
-		m.a.cfg.Log.Error().Err(err).Uint64("version", version).Msg("accord: not put in force whole")
+	m.setBudgetPlan(body)
+	if err := m.accord.cfg.ApplyPolicy(version, body); err != nil { // it was checked: a fault of ours
+		m.accord.cfg.Log.Error().Err(err).Uint64("version", version).Msg("accord: not put in force whole")
 	}
 }
--- a/internal/network/fleet/accord/streams.go
+++ b/internal/network/fleet/accord/streams.go
@@ -14,46 +14,46 @@
 
 // The first byte of a connection says what it is.
 const (
-	raftMark = 'R' // a stream of the log's library
-	linkMark = 'A' // a member's link
+	raftConn   = 'R' // a stream of the log's library
+	memberConn = 'A' // a member's link
 	// QuotaConn is a link of the quotas, which Accord.Quotas takes over.
 	QuotaConn = 'Q'
 )
 
 // Bounds on what a listen address takes in.
 const (
-	mostLinks = 4096            // connections at a time, the log's own among them
-	markWait  = 2 * time.Second // for the first byte
+	maxConnections  = 4096            // connections at a time, the log's own among them
+	connTypeTimeout = 2 * time.Second // for the first byte
 )
 
-// port is a voter's listen address: it tells streams from links.
-type port struct {
-	listener net.Listener
-	at       raft.ServerAddress // as the others know it
-	streams  chan net.Conn
-	link     func(net.Conn) // takes a link over; it closes it
-	quotas   atomic.Pointer[func(net.Conn)]
-	seats    chan struct{}
-	stop     chan struct{}
-	once     sync.Once
+// connMux is a voter's listen address: it tells streams from links.
+type connMux struct {
+	listener    net.Listener
+	address     raft.ServerAddress // as the others know it
+	raftStreams chan net.Conn
+	serveMember func(net.Conn) // takes a link over; it closes it
+	serveQuota  atomic.Pointer[func(net.Conn)]
+	slots       chan struct{}
+	stop        chan struct{}
+	closeOnce   sync.Once
 }
 
-func newPort(listen string, at string, link func(net.Conn)) (*port, error) {
+func newConnMux(listen string, at string, link func(net.Conn)) (*connMux, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, err
 	}
-	p := &port{listener: l, at: raft.ServerAddress(at), link: link, streams: make(chan net.Conn), seats: make(chan struct{}, mostLinks),
+	p := &connMux{listener: l, address: raft.ServerAddress(at), serveMember: link, raftStreams: make(chan net.Conn), slots: make(chan struct{}, maxConnections),
 		stop: make(chan struct{})}
 	go p.accept()
 	return p, nil
 }
 
-func (p *port) accept() {
+func (p *connMux) accept() {
 	loop := accepting.Loop{Log: zerolog.Nop(), Name: "accord", Admit: func(conn net.Conn) {
 		select {
-		case p.seats <- struct{}{}:
-			go p.sort(conn)
+		case p.slots <- struct{}{}:
+			go p.route(conn)
 		default:
 			conn.Close()
 		}
@@ -61,52 +61,52 @@
 	loop.Run(p.listener)
 }
 
-// sort reads the first byte of a connection. A stream leaves its seat when the log's library closes it.
-func (p *port) sort(conn net.Conn) {
+// route reads the first byte of a connection. A stream leaves its seat when the log's library closes it.
+func (p *connMux) route(conn net.Conn) {
 	var mark [1]byte
-	conn.SetReadDeadline(time.Now().Add(markWait))
+	conn.SetReadDeadline(time.Now().Add(connTypeTimeout))
 	if _, err := conn.Read(mark[:]); err != nil {
 		mark[0] = 0
 	}
 	conn.SetReadDeadline(time.Time{})
 	switch mark[0] {
-	case raftMark:
-		s := &stream{Conn: conn, leave: sync.OnceFunc(func() { <-p.seats })}
+	case raftConn:
+		s := &raftStream{Conn: conn, release: sync.OnceFunc(func() { <-p.slots })}
 		select {
-		case p.streams <- s:
+		case p.raftStreams <- s:
 		case <-p.stop:
 			s.Close()
 		}
-	case linkMark:
-		p.link(conn)
-		<-p.seats
+	case memberConn:
+		p.serveMember(conn)
+		<-p.slots
 	case QuotaConn:
-		if f := p.quotas.Load(); f != nil {
+		if f := p.serveQuota.Load(); f != nil {
 			(*f)(conn)
 		}
 		conn.Close()
-		<-p.seats
+		<-p.slots
 	default:
 		conn.Close()
-		<-p.seats
+		<-p.slots
 	}
 }
 
-// stream is a connection that gives up its seat when it is closed.
-type stream struct {
+// raftStream is a connection that gives up its seat when it is closed.
+type raftStream struct {
 	net.Conn
-	leave func()
+	release func()
 }
 
-func (s *stream) Close() error {
-	s.leave()
+func (s *raftStream) Close() error {
+	s.release()
 	return s.Conn.Close()
 }
 
 // Accept hands a stream to the log's library: raft.StreamLayer.
-func (p *port) Accept() (net.Conn, error) {
+func (p *connMux) Accept() (net.Conn, error) {
 	select {
-	case c := <-p.streams:
+	case c := <-p.raftStreams:
 		return c, nil
 	case <-p.stop:
 		return nil, net.ErrClosed
@@ -114,22 +114,22 @@
 }
 
 // Close ends the listen address.
-func (p *port) Close() error {
-	p.once.Do(func() { close(p.stop) })
+func (p *connMux) Close() error {
+	p.closeOnce.Do(func() { close(p.stop) })
 	return p.listener.Close()
 }
 
 // Addr is the address by which the others know this voter.
-func (p *port) Addr() net.Addr { return known(p.at) }
+func (p *connMux) Addr() net.Addr { return voterAddr(p.address) }
 
 // Dial makes a stream to another voter.
-func (p *port) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (p *connMux) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp", string(to), timeout)
 	if err != nil {
 		return nil, err
 	}
 	conn.SetWriteDeadline(time.Now().Add(timeout))
-	if _, err = conn.Write([]byte{raftMark}); err != nil {
+	if _, err = conn.Write([]byte{raftConn}); err != nil {
 		conn.Close()
 		return nil, err
 	}
@@ -137,7 +137,7 @@
 	return conn, nil
 }
 
-type known raft.ServerAddress
+type voterAddr raft.ServerAddress
 
-func (known) Network() string  { return "tcp" }
-func (k known) String() string { return string(k) }
+func (voterAddr) Network() string  { return "tcp" }
+func (k voterAddr) String() string { return string(k) }
--- a/internal/network/fleet/accord/terms_test.go
+++ b/internal/network/fleet/accord/terms_test.go
@@ -14,36 +14,36 @@
 // failingStore fails by err until a time.
 type failingStore struct {
 	raft.StableStore
-	err   error
-	until time.Time
-	kept  map[string]uint64
-	tries int
+	err    error
+	until  time.Time
+	values map[string]uint64
+	tries  int
 }
 
 func (s *failingStore) SetUint64(key []byte, value uint64) error {
 	if s.tries++; time.Now().Before(s.until) {
 		return s.err
 	}
-	s.kept[string(key)] = value
+	s.values[string(key)] = value
 	return nil
 }
 
-// TestVotersStoreFails: a term that cannot be written for a while is waited for, and then there; the library, which would end the
+// TestTermStoreRetriesFailedWrites: a term that cannot be written for a while is waited for, and then there; the library, which would end the
 // process, hears of no error. Before the log has begun an error is one of the start.
-func TestVotersStoreFails(t *testing.T) {
+func TestTermStoreRetriesFailedWrites(t *testing.T) {
 	for _, errno := range []error{syscall.ENOSPC, syscall.EIO} {
 		synctest.Test(t, func(t *testing.T) {
-			s := &failingStore{err: errno, until: time.Now().Add(10 * time.Second), kept: map[string]uint64{}}
-			store := &terms{stable: s, log: zerolog.Nop()}
+			s := &failingStore{err: errno, until: time.Now().Add(10 * time.Second), values: map[string]uint64{}}
+			store := &termStore{stable: s, log: zerolog.Nop()}
 			assert.ErrorIs(t, store.SetUint64([]byte("term"), 1), errno, "at the start")
-			store.patient.Store(true)
+			store.retryErrors.Store(true)
 			begun := time.Now()
 			go func() {
 				time.Sleep(5 * time.Second)
 				assert.True(t, store.failing.Load(), "it is told meanwhile")
 			}()
 			assert.NoError(t, store.SetUint64([]byte("term"), 2))
-			assert.EqualValues(t, 2, s.kept["term"])
+			assert.EqualValues(t, 2, s.values["term"])
 			assert.InDelta(t, 10, time.Since(begun).Seconds(), 1)
 			assert.False(t, store.failing.Load())
 			assert.Less(t, s.tries, 20)
--- a/internal/network/fleet/accord/voters.go
+++ b/internal/network/fleet/accord/voters.go
@@ -20,9 +20,9 @@
 	switch {
 	case a.voter == nil:
 	case f == nil:
-		a.voter.port.quotas.Store(nil)
+		a.voter.mux.serveQuota.Store(nil)
 	default:
-		a.voter.port.quotas.Store(&f)
+		a.voter.mux.serveQuota.Store(&f)
 	}
 }
 
@@ -33,7 +33,7 @@
 	}
 	a.voter.mu.Lock()
 	defer a.voter.mu.Unlock()
-	return a.voter.term, a.voter.keeper != nil
+	return a.voter.leaderTerm, a.voter.leader != nil
 }
 
 // Leader is the name of the voter that leads as far as this voter knows; empty where it knows none.
@@ -52,7 +52,7 @@
 		return false
 	}
 	r := a.voter.log.raft
-	return r.State() == raft.Leader && a.voter.verify() && r.CurrentTerm() == term
+	return r.State() == raft.Leader && a.voter.verifyLeader() && r.CurrentTerm() == term
 }
 
 // TransferLeadership has another voter lead where this one does, so that what hangs on who leads can be handed on before this process
@@ -94,8 +94,8 @@
 	m := a.voter.log.machine
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.Clone(m.past)
+	return slices.Clone(m.pastPolicies)
 }
 
 // NewLog says whether this voter's folder held no log when this process started: no earlier process of it took part.
-func (a *Accord) NewLog() bool { return a.voter != nil && a.voter.log.begins }
+func (a *Accord) NewLog() bool { return a.voter != nil && a.voter.log.isNew }
--- a/internal/network/fleet/accord/voters_test.go
+++ b/internal/network/fleet/accord/voters_test.go
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestVoters: what other parts of the fleet are told by a voter that leads, by one that does not, and by a dispatcher
+// TestVoterQueries: what other parts of the fleet are told by a voter that leads, by one that does not, and by a dispatcher
 // that is none; a term that is not led any more is not confirmed.
-func TestVoters(t *testing.T) {
+func TestVoterQueries(t *testing.T) {
 	f := newFleet(t, 4)
-	f.await(1)
+	f.awaitVersion(1)
 	at := f.leader()
-	leader, other, none := f.all[at], f.all[(at+1)%3], f.all[3]
+	leader, other, none := f.accords[at], f.accords[(at+1)%3], f.accords[3]
 	term, ok := leader.LeaderTerm()
 	assert.True(t, ok)
 	assert.True(t, leader.ConfirmLeader(term))
@@ -30,7 +30,7 @@
 	assert.True(t, other.NewLog())
 
 	require.NoError(t, none.Propose([]byte("second")))
-	f.await(2)
+	f.awaitVersion(2)
 	version, body := leader.Decided()
 	assert.EqualValues(t, 2, version)
 	assert.Equal(t, "second", string(body))
@@ -48,16 +48,16 @@
 	assert.Empty(t, none.PastPolicies())
 
 	leader.Close()
-	f.all[at] = nil
+	f.accords[at] = nil
 	assert.False(t, leader.ConfirmLeader(term))
-	f.halt()
-	f.start(at)
-	assert.False(t, f.all[at].NewLog())
-	assert.Equal(t, f.all[at].cfg.Voters, f.voters)
+	f.stopSampling()
+	f.startDispatcher(at)
+	assert.False(t, f.accords[at].NewLog())
+	assert.Equal(t, f.accords[at].cfg.Voters, f.voters)
 }
 
-// TestQuotaLinks: a connection that is marked as one of the quotas is closed, unless they took it over.
-func TestQuotaLinks(t *testing.T) {
+// TestQuotaConnections: a connection that is marked as one of the quotas is closed, unless they took it over.
+func TestQuotaConnections(t *testing.T) {
 	f := newFleet(t, 3)
 	dial := func() net.Conn {
 		conn, err := net.Dial("tcp", f.voters[0].Address)
@@ -75,12 +75,12 @@
 		return string(p)
 	}
 	assert.Empty(t, ended(dial()))
-	f.all[0].SetQuotaHandler(func(conn net.Conn) {
+	f.accords[0].SetQuotaHandler(func(conn net.Conn) {
 		p := make([]byte, 1)
 		_, _ = io.ReadFull(conn, p)
 		_, _ = conn.Write(append(p, 'y'))
 	})
 	assert.Equal(t, "xy", ended(dial()))
-	f.all[0].SetQuotaHandler(nil)
+	f.accords[0].SetQuotaHandler(nil)
 	assert.Empty(t, ended(dial()))
 }
