--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config is the one place where configuration is read, checked and given defaults.
+// Package config reads the dispatcher's configuration in the platform's JSON form, checks it and sets the defaults.
 package config
 
 import (
@@ -15,21 +15,21 @@
 	"tinsail/internal/wire"
 )
 
-// Config is all that a dispatcher is told at its start.
+// Config is the configuration that a dispatcher gets from the platform at its start.
 type Config struct {
 	Name, Listen, Discovery string
-	Admin                   string // where operators call; empty for no door
+	Admin                   string // address of the operators' control listener (the door); empty: none
 	Cores                   float64
 	MemoryBytes             int64 // bytes
 	Sockets                 int
 	Settings                balance.Settings
 	Names                   platform.Names
-	BackendIdleTimeout      time.Duration // a backend closes an idle connection after this
-	KnownBackends           platform.List // as last held, maybe old
+	BackendIdleTimeout      time.Duration // time after which a backend closes an idle connection
+	KnownBackends           platform.List // last known list of backends, which may be outdated
 }
 
-// Load reads the file that ROUTER_CONFIG names. The other variables stand in for keys that
-// the file lacks. The error is Faults.
+// Load reads the file that ROUTER_CONFIG names. Other environment variables provide keys that the file lacks.
+// The error is of type Faults.
 func Load(env func(string) string) (*Config, error) {
 	path := env("ROUTER_CONFIG")
 	if path == "" {
@@ -42,8 +42,7 @@
 	return Parse(text, env)
 }
 
-// Parse reads a configuration. Keys it does not know are ignored; the error is Faults, which
-// name every key that is wrong.
+// Parse reads a configuration. Unknown keys are ignored. The error is of type Faults and names every invalid key.
 func Parse(text []byte, env func(string) string) (*Config, error) {
 	r := reader{text: text}
 	top := r.object("", text)
@@ -89,20 +88,21 @@
 	return c, nil
 }
 
-// admin checks the door's address. One that clients are sent to is none: they could call what is
-// for operators.
+// admin checks the address of the operators' control listener. It must not be the address for clients, who could
+// call the operators' functions there.
 func (r *reader) admin(c *Config) {
 	if c.Admin == "" {
 		return
 	}
 	_, port, err := net.SplitHostPort(c.Admin)
-	if n, bad := strconv.ParseUint(port, 10, 16); err != nil || bad != nil {
+	if n, portErr := strconv.ParseUint(port, 10, 16); err != nil || portErr != nil {
 		r.fault("admin", "is %q, want host:port", c.Admin)
 	} else if c.Admin == c.Listen && n != 0 {
 		r.fault("admin", "is %q, where clients connect already", c.Admin)
 	}
 }
 
+// settings reads the platform's settings object and checks what the other packages require of it.
 func (c *Config) settings(r *reader, seed uint64, text []byte) {
 	if len(text) == 0 {
 		r.fault("settings", "is missing")
@@ -141,16 +141,16 @@
 	if r.faults != nil {
 		return
 	}
-	if _, err := balance.New(c.Settings, noActions{}); err != nil { // what else the module wants of them
+	if _, err := balance.New(c.Settings, noActions{}); err != nil { // further checks of package balance
 		r.fault("settings", "%v", err)
 	}
 }
 
-// noActions stands where the module wants actions and is asked for none.
+// noActions satisfies balance.Actions where New requires it. None of its methods is called.
 type noActions struct{ balance.Actions }
 
-// ChangedFixedKeys names the keys that another configuration changes and that hold from the start of
-// the program to its end. What is known of backends is no such key: it is old by then.
+// ChangedFixedKeys names the keys that differ in another configuration and that cannot change without a restart.
+// The known list of backends is not among them: it only serves the start.
 func (c *Config) ChangedFixedKeys(other *Config) (keys []string) {
 	for _, k := range []struct {
 		key  string
@@ -167,19 +167,19 @@
 	return keys
 }
 
-// sameSettings leaves the seed aside: it is for a start, and each start has its own.
+// sameSettings compares settings without the seed, which differs at each start.
 func sameSettings(a, b balance.Settings) bool {
 	a.Seed = b.Seed
 	return reflect.DeepEqual(a, b)
 }
 
-// LongestDeadline is the longest deadline of a class.
+// LongestDeadline returns the longest deadline of all classes.
 func (c *Config) LongestDeadline() time.Duration {
-	most := time.Duration(0)
+	longest := time.Duration(0)
 	for _, l := range c.Names.Deadlines {
-		most = max(most, l)
+		longest = max(longest, l)
 	}
-	return most
+	return longest
 }
 
 func millis(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -48,7 +48,7 @@
 	assert.Equal(t, []any{1.0, int64(192 << 20), 1024, 10 * time.Second}, []any{c.Cores, c.MemoryBytes, c.Sockets, c.BackendIdleTimeout})
 }
 
-// TestFaultsNameTheKey: whoever reads the message must know what to mend.
+// TestFaultsNameTheKey: each message names the key that is wrong, so that a reader knows what to correct.
 func TestFaultsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`"listen":"127.0.0.1:8081"`, `"listen":"here"`, "listen"},
@@ -73,14 +73,14 @@
 	}
 	bad := strings.NewReplacer(`"cores":0.4`, `"cores":"x"`, `"sockets":512`, `"sockets":3`, `"read_like"`, `"odd"`).Replace(validConfig)
 	_, err := Parse([]byte(bad), noEnv)
-	assert.Len(t, err, 3, "all faults are told at once")
+	assert.Len(t, err, 3, "all faults are reported at once")
 	_, err = Parse([]byte("{"), noEnv)
 	assert.ErrorContains(t, err, "config line 1")
 	_, err = Load(noEnv)
 	assert.ErrorContains(t, err, "ROUTER_CONFIG")
 }
 
-// TestChangedFixedKeys: what a new file changes in vain is named, and nothing else is.
+// TestChangedFixedKeys: exactly the changed keys that need a restart are named.
 func TestChangedFixedKeys(t *testing.T) {
 	c, err := Parse([]byte(validConfig), noEnv)
 	require.NoError(t, err)
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -13,8 +13,7 @@
 	"tinsail/internal/wire"
 )
 
-// Fault is one thing that is wrong with the configuration. Line counts from 1; it is 0 where
-// no line of the file is meant.
+// Fault is one error in the configuration. Line counts from 1; it is 0 if the fault has no line in the file.
 type Fault struct {
 	Key     string
 	Line    int
@@ -32,7 +31,7 @@
 	return where + ": " + f.Key + " " + f.Problem
 }
 
-// Faults are all that was found. It is the error of Load and Parse.
+// Faults are all errors found. It is the error type of Load and Parse.
 type Faults []Fault
 
 func (f Faults) Error() string {
@@ -45,7 +44,7 @@
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// reader takes values out of the file and notes what is wrong with each.
+// reader extracts values from the file and collects the faults.
 type reader struct {
 	text   []byte
 	faults Faults
@@ -55,7 +54,7 @@
 	r.faults = append(r.faults, Fault{Key: key, Line: lineOf(r.text, key), Problem: fmt.Sprintf(format, args...)})
 }
 
-// object splits an object into its keys' texts; what is absent has none.
+// object splits an object into the texts of its keys. A missing object has no keys.
 func (r *reader) object(key string, text []byte) (m map[string]jsoniter.RawMessage) {
 	if len(text) > 0 {
 		if err := json.Unmarshal(text, &m); err != nil {
@@ -83,7 +82,7 @@
 	return v, true
 }
 
-// settingsFaults notes what the reader of the settings found.
+// settingsFaults adds the faults that package wire found in the settings.
 func (r *reader) settingsFaults(err error) {
 	var all wire.Faults
 	if !errors.As(err, &all) {
@@ -94,23 +93,24 @@
 	}
 }
 
-// lineOf is where a key stands, or what of it there is: with "a.b[2].c", the lineOf of c in the
-// third value of b in a. It is found by the standard library's tokens, which know their
-// places; only a faulty file is read so.
+// lineOf returns the line of a key, or of the longest part of its path that exists: for "a.b[2].c", the line of c in
+// the third element of b in a. It uses the standard library's tokenizer, which reports offsets, and only runs for
+// faulty files.
 func lineOf(text []byte, key string) int {
 	d := stdjson.NewDecoder(bytes.NewReader(text))
-	at := int64(0)
+	offset := int64(0)
 	path := strings.FieldsFunc(key, func(r rune) bool { return r == '.' || r == '[' || r == ']' })
-	for i := 0; i < len(path) && descend(d, path[i], &at); i++ {
+	for i := 0; i < len(path) && descend(d, path[i], &offset); i++ {
 	}
-	if at == 0 && key != "" {
+	if offset == 0 && key != "" {
 		return 0
 	}
-	return 1 + bytes.Count(text[:at], []byte("\n"))
+	return 1 + bytes.Count(text[:offset], []byte("\n"))
 }
 
-// descend enters the value of a key, or of a place in a list, if it is there.
-func descend(d *stdjson.Decoder, want string, at *int64) bool {
+// descend moves the decoder to the value of a key of an object, or of an index of a list. It returns false if there
+// is none.
+func descend(d *stdjson.Decoder, want string, offset *int64) bool {
 	open, err := d.Token()
 	if err != nil || open != stdjson.Delim('{') && open != stdjson.Delim('[') {
 		return false
@@ -125,7 +125,7 @@
 			name, _ = t.(string)
 		}
 		if name == want {
-			*at = d.InputOffset()
+			*offset = d.InputOffset()
 			return true
 		}
 		var skip stdjson.RawMessage
--- a/internal/config/sites_test.go
+++ b/internal/config/sites_test.go
@@ -14,7 +14,8 @@
 	"tinsail/internal/platform"
 )
 
-// siteFiles are two made-up sites that share no figure with the usual ones, in the platform's own form.
+// siteFiles are configurations of two invented sites, in the platform's form. They share no number with the usual
+// sites.
 var siteFiles = []string{"testdata/short.json", "testdata/long.json"}
 
 func parseSite(t *testing.T, file string) (*Config, []byte) {
@@ -26,7 +27,7 @@
 	return c, text
 }
 
-// TestSitesAreParsed: what the two sites' settings tell is what the program goes by.
+// TestSitesAreParsed: the values of the two sites' settings arrive in the parsed configuration.
 func TestSitesAreParsed(t *testing.T) {
 	c, _ := parseSite(t, "testdata/short.json")
 	assert.Equal(t, 900*time.Millisecond, c.LongestDeadline())
@@ -46,28 +47,28 @@
 	assert.Equal(t, []bool{true, false}, c.Names.RequiresKey)
 	assert.Equal(t, balance.Millis(20_000), c.Settings.Classes[0].RepeatWindow)
 	assert.True(t, c.Settings.Subscribe && c.Settings.MayCancel && c.Settings.MayDuplicate && c.Settings.WorthByWork)
-	assert.Zero(t, c.Settings.MaxPause, "clients are not told a pause here")
+	assert.Zero(t, c.Settings.MaxPause, "this site sends clients no retry delay")
 }
 
-// unusedKeys are the keys that nothing goes by, each with why.
+// unusedKeys are the keys of the settings that the program does not use, each with the reason.
 var unusedKeys = map[string]string{
-	"Allowed.CpuUsPerRequest": "a limit of the simulator's, 0 at all sites",
-	"Allowed.CpuUsPerS":       "open: nothing is shed for it",
-	"Allowed.MaxStreams":      "a connection carries one req, which any number allows",
-	"Allowed.MostHeld":        "the platform keeps to it before we see a req",
-	"Allowed.PeerMessages":    "the platform's messages have none for peers",
+	"Allowed.CpuUsPerRequest": "a limit of the simulator, 0 at all sites",
+	"Allowed.CpuUsPerS":       "not implemented: no request is shed for it",
+	"Allowed.MaxStreams":      "a connection carries one request, which any value allows",
+	"Allowed.MostHeld":        "the platform enforces it before a request arrives",
+	"Allowed.PeerMessages":    "the platform has no messages between peers",
 	"Classes.Stream":          "no answer is streamed to clients",
-	"Clients.MarksRetry":      "a mark is read where it stands",
-	"Layer":                   "one tier",
-	"ServiceType":             "jobs",
-	"Tiers":                   "one tier",
+	"Clients.MarksRetry":      "the mark is read from each request that has it",
+	"Layer":                   "there is one tier only",
+	"ServiceType":             "always jobs",
+	"Tiers":                   "there is one tier only",
 }
 
-// otherWord is another value of a word that the settings may hold.
+// otherWord maps a word of the settings to another valid word for the same key.
 var otherWord = map[string]string{"pushed": "on_request", "on_request": "pushed", "none": "nominal", "live": "none", "request": "work",
 	"work": "request", "probe": "answers", "backfill": "priority", "fifo": "priority"}
 
-// visitLeaves visits each single value under v. set puts another in its place.
+// visitLeaves calls visit for each scalar value under v. The set passed to visit replaces the value.
 func visitLeaves(v any, key string, set func(any), visit func(key string, v any, set func(any))) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -83,49 +84,50 @@
 	}
 }
 
-// TestEachValueIsUsed changes each value of the settings, one at a time: what is read changes with it, or is refused,
-// unless the key is known as one that nothing goes by. A figure that is taken for granted is found by this.
+// TestEachValueIsUsed changes each value of the settings, one at a time. The parsed configuration must change or the
+// value must be refused, unless the key is in unusedKeys. This finds values that the program assumes instead of
+// reading them.
 func TestEachValueIsUsed(t *testing.T) {
-	counted := map[string]bool{}
+	used := map[string]bool{}
 	for _, file := range siteFiles {
-		plain, text := parseSite(t, file)
+		original, text := parseSite(t, file)
 		var top map[string]any
 		require.NoError(t, json.Unmarshal(text, &top))
 		visitLeaves(top["settings"], "", nil, func(key string, v any, set func(any)) {
-			switch was := v.(type) {
+			switch old := v.(type) {
 			case bool:
-				set(!was)
+				set(!old)
 			case float64:
-				set(was + 1)
+				set(old + 1)
 			case string:
-				if to, ok := otherWord[was]; ok && key != "Report.How" {
+				if to, ok := otherWord[old]; ok && key != "Report.How" {
 					set(to)
 				} else if key == "Report.How" {
 					set("answers")
 				} else {
-					set(was + "x")
+					set(old + "x")
 				}
 			}
 			changed, err := json.Marshal(top)
 			set(v)
 			require.NoError(t, err)
 			got, err := Parse(changed, noEnv)
-			counted[key] = counted[key] || err != nil || !reflect.DeepEqual(plain.Settings, got.Settings) ||
-				!reflect.DeepEqual(plain.Names, got.Names) || plain.BackendIdleTimeout != got.BackendIdleTimeout
+			used[key] = used[key] || err != nil || !reflect.DeepEqual(original.Settings, got.Settings) ||
+				!reflect.DeepEqual(original.Names, got.Names) || original.BackendIdleTimeout != got.BackendIdleTimeout
 		})
 	}
-	require.Greater(t, len(counted), 50)
-	for key, counts := range counted {
-		_, known := unusedKeys[key]
-		assert.NotEqual(t, known, counts, "%s: nothing goes by it: %v", key, known)
+	require.Greater(t, len(used), 50)
+	for key, isUsed := range used {
+		_, listed := unusedKeys[key]
+		assert.NotEqual(t, listed, isUsed, "%s: listed as unused: %v", key, listed)
 	}
 	for key := range unusedKeys {
-		assert.Contains(t, counted, key, "stands in no site's settings")
+		assert.Contains(t, used, key, "no site's settings have this key")
 	}
 }
 
-// TestClassesFollowSettings: which reqs are taken follows from the settings: each class by its name, with a key where its
-// effect wants one, without where not, and with its own time where the client names none.
+// TestClassesFollowSettings: the settings decide which requests are accepted: each class by its name, with an
+// idempotency key where its effect requires one, and with the class's deadline if the client sends none.
 func TestClassesFollowSettings(t *testing.T) {
 	for _, file := range siteFiles {
 		c, _ := parseSite(t, file)
@@ -152,13 +154,13 @@
 			q := &platform.Request{Method: "POST", Target: "/" + name}
 			q.Fields.Add(platform.CorrelationID, "r1")
 			_, err := c.Names.ReadJobRequest(q)
-			assert.ErrorContains(t, err, "404", "no class of another site is known")
+			assert.ErrorContains(t, err, "404", "classes of another site are unknown")
 		}
 	}
 }
 
-// TestTenantByAccountField: a req counts in the share of the tenant that it names; one that names none, or none that the settings
-// know, in nobody's. Where there are no tenants the field says nothing.
+// TestTenantByAccountField: a request counts for the tenant that its X-Account field names. Without a field, or with
+// a tenant that the settings do not have, it counts for none. Without tenants in the settings the field is ignored.
 func TestTenantByAccountField(t *testing.T) {
 	short, _ := parseSite(t, "testdata/short.json")
 	long, _ := parseSite(t, "testdata/long.json")
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -19,25 +19,25 @@
 	standin "tinsail/internal/standin/consul"
 )
 
-// recorder takes down what a watch hands on, one word each.
+// recorder is a Sink that records each event of a watch as one text.
 type recorder chan string
 
 func (r recorder) ReplaceAll(list []membership.Backend) {
-	var words []string
+	var entries []string
 	for _, b := range list {
-		words = append(words, fmt.Sprintf("%s=%s/%d", b.Name, b.Address[strings.LastIndexByte(b.Address, ':')+1:], b.Health))
+		entries = append(entries, fmt.Sprintf("%s=%s/%d", b.Name, b.Address[strings.LastIndexByte(b.Address, ':')+1:], b.Health))
 	}
-	sort.Strings(words)
-	r <- "[" + strings.Join(words, " ") + "]"
+	sort.Strings(entries)
+	r <- "[" + strings.Join(entries, " ") + "]"
 }
 func (r recorder) Unchanged() { r <- "same" }
 func (r recorder) Failed()    { r <- "failed" }
 
-// waitFor takes words waitFor one comes, and fails if that takes very long.
+// waitFor discards events until the wanted one arrives, and fails after 30 s.
 func (r recorder) waitFor(t *testing.T, want string) {
 	t.Helper()
 	var seen []string
-	late := time.After(30 * time.Second)
+	timeout := time.After(30 * time.Second)
 	for {
 		select {
 		case got := <-r:
@@ -45,12 +45,13 @@
 				return
 			}
 			seen = append(seen, got)
-		case <-late:
-			t.Fatalf("no %s, but %v", want, seen)
+		case <-timeout:
+			t.Fatalf("event %s did not arrive, only %v", want, seen)
 		}
 	}
 }
 
+// logBuffer is a buffer for log lines that is safe for concurrent use.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -68,6 +69,7 @@
 	return l.b.String()
 }
 
+// fixture is a watch that runs against simulated agents.
 type fixture struct {
 	agents []*standin.Agent
 	watch  *Watch
@@ -100,7 +102,7 @@
 	return r
 }
 
-// TestWatchReportsChanges: news comes as it is made, and states are told by their checks.
+// TestWatchReportsChanges: changes arrive as they are made, and the health of an instance follows its checks.
 func TestWatchReportsChanges(t *testing.T) {
 	r := startWatch(t, 1, nil)
 	a := r.agents[0]
@@ -117,10 +119,10 @@
 	a.Maintenance("p2", false)
 	a.Remove("p1")
 	r.events.waitFor(t, "[p2=82/0]")
-	r.events.waitFor(t, "same") // the wait is over and nothing new
+	r.events.waitFor(t, "same") // the wait time passed without a change
 }
 
-// TestFaultsAreCountedByKind: each is counted by its kind, and the watch goes on once it is over.
+// TestFaultsAreCountedByKind: each fault is counted under its kind, and the watch continues after the fault.
 func TestFaultsAreCountedByKind(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -131,7 +133,7 @@
 		{"429", standin.Faults{Status: 429}, func(c *Counts) int64 { return c.RateLimited.Load() }},
 		{"403", standin.Faults{Status: 403}, func(c *Counts) int64 { return c.Forbidden.Load() }},
 		{"reset", standin.Faults{Reset: true}, func(c *Counts) int64 { return c.Unreachable.Load() }},
-		{"half a body", standin.Faults{Half: true}, func(c *Counts) int64 { return c.Unreadable.Load() }},
+		{"truncated body", standin.Faults{Half: true}, func(c *Counts) int64 { return c.Unreadable.Load() }},
 		{"no leader", standin.Faults{NoLeader: true}, func(c *Counts) int64 { return c.NoLeader.Load() }},
 		{"stale", standin.Faults{Stale: time.Minute}, func(c *Counts) int64 { return c.TooStale.Load() }},
 	} {
@@ -148,7 +150,7 @@
 	}
 }
 
-// TestSilentAgentTimesOut: an agent that says nothing is given up after its time.
+// TestSilentAgentTimesOut: a call to an agent that does not answer fails after the timeout.
 func TestSilentAgentTimesOut(t *testing.T) {
 	r := startWatch(t, 1, func(c *Config) { c.Timeout = 100 * time.Millisecond })
 	r.events.waitFor(t, "[p1=81/0]")
@@ -158,8 +160,8 @@
 	r.events.waitFor(t, "[p1=81/0]")
 }
 
-// TestIndexGoesBack: after an index that goes back nothing of that answer is believed, and the next
-// call asks for the whole list anew.
+// TestIndexGoesBack: an answer whose index is lower than before is ignored, and the next call requests the full
+// list.
 func TestIndexGoesBack(t *testing.T) {
 	r := startWatch(t, 1, nil)
 	r.events.waitFor(t, "[p1=81/0]")
@@ -171,7 +173,7 @@
 	r.events.waitFor(t, "[p1=81/0]")
 }
 
-// TestFailoverToNextAgent: the next agent is asked when one fails, and another view is another list.
+// TestFailoverToNextAgent: the next agent is asked when one fails, and its different list replaces the first.
 func TestFailoverToNextAgent(t *testing.T) {
 	r := startWatch(t, 2, nil)
 	r.agents[1].Put(standin.Service{ID: "p2", Service: "photo", Port: 82})
@@ -181,7 +183,8 @@
 	assert.Positive(t, r.watch.Counts.Failovers.Load())
 }
 
-// TestInvalidEntriesAreRefused: each is refused by itself and named, and of two with one id the newer holds.
+// TestInvalidEntriesAreRefused: each invalid entry is refused and logged, the others are used, and of two entries
+// with one id the newer is used.
 func TestInvalidEntriesAreRefused(t *testing.T) {
 	r := startWatch(t, 1, nil)
 	a := r.agents[0]
@@ -191,12 +194,13 @@
 	a.Put(standin.Service{ID: "p3", Service: "photo", Port: 83, Meta: map[string]string{"weight": "8", "kind": "b", "zone": "y", "group": "7"}})
 	r.events.waitFor(t, "[p1=81/0 p3=83/0]")
 	assert.Positive(t, r.watch.Counts.Duplicates.Load())
-	for _, want := range []string{"no address", "a port that is none", "a bad id", `con\\x01trol`, "a number in its meta", "consul entry refused"} {
+	for _, want := range []string{"no address", "invalid port", "invalid id", `con\\x01trol`, "invalid number in its metadata", "consul entry refused"} {
 		assert.Contains(t, r.log.String(), want)
 	}
 }
 
-// TestAnswerAndListLengthBounded: an answer beyond the bound is not read, and a list beyond its is cut.
+// TestAnswerAndListLengthBounded: an answer above the size limit is not read, and a list with too many entries is
+// truncated.
 func TestAnswerAndListLengthBounded(t *testing.T) {
 	r := startWatch(t, 1, func(c *Config) { c.MaxBodyBytes = 2000 })
 	r.events.waitFor(t, "[p1=81/0]")
@@ -213,7 +217,7 @@
 	assert.Positive(t, r.watch.Counts.EntriesRefused.Load())
 }
 
-// TestTokenIsNeverLogged: it is sent, and never logged.
+// TestTokenIsNeverLogged: the token is sent but does not appear in the log.
 func TestTokenIsNeverLogged(t *testing.T) {
 	r := startWatch(t, 1, func(c *Config) { c.Token = "secret-1" })
 	r.events.waitFor(t, "[p1=81/0]")
@@ -223,7 +227,7 @@
 	assert.Positive(t, r.watch.Counts.Forbidden.Load())
 }
 
-// TestMetaMapping: kind, zone, group and weight come from where the settings say.
+// TestMetaMapping: kind, zone, group and weight are read from the metadata keys that the settings name.
 func TestMetaMapping(t *testing.T) {
 	r := startWatch(t, 1, nil)
 	r.events.waitFor(t, "[p1=81/0]")
@@ -235,15 +239,15 @@
 	r.agents[0].Check("p3", "warning")
 	list, _, err := agents[0].Health().Service("photo", "", false, nil)
 	require.NoError(t, err)
-	b, why := f.backend(list[1])
-	assert.Empty(t, why)
+	b, reason := f.backend(list[1])
+	assert.Empty(t, reason)
 	assert.Equal(t, membership.Backend{Name: "p3", Address: "127.0.0.1:83", Kind: 1, Group: 7, Weight: 2, Started: 99, Health: membership.Warning}, b)
-	_, why = f.backend(nil)
-	assert.NotEmpty(t, why)
+	_, reason = f.backend(nil)
+	assert.NotEmpty(t, reason)
 }
 
-// TestRegistrationLifecycle: an instance is there and passes, is taken up again by an agent that forgot it,
-// is in maintenance while it drains, and gone at the end.
+// TestRegistrationLifecycle: an instance is registered and passes its check, is registered again after the agent
+// lost it, is in maintenance mode while it drains, and is removed at the end.
 func TestRegistrationLifecycle(t *testing.T) {
 	for _, http := range []bool{false, true} {
 		testRegistration(t, http)
@@ -260,11 +264,11 @@
 	r.Start()
 	state := func(want string) {
 		t.Helper()
-		for begun := time.Now(); a.Services()["tinsail-1"] != want; time.Sleep(time.Millisecond) {
-			require.Less(t, time.Since(begun), 30*time.Second, "never %s", want)
+		for start := time.Now(); a.Services()["tinsail-1"] != want; time.Sleep(time.Millisecond) {
+			require.Less(t, time.Since(start), 30*time.Second, "state %s was not reached", want)
 		}
 	}
-	up := map[bool]string{false: "passing", true: "critical"}[http] // the stand-in makes no HTTP checks
+	up := map[bool]string{false: "passing", true: "critical"}[http] // the simulated agent makes no HTTP checks
 	state(up)
 	a.Forget()
 	state(up)
@@ -276,15 +280,15 @@
 	state("")
 }
 
-// FuzzEntries: no answer of an agent has the reader panic or hand on what cannot be used.
+// FuzzEntries: no entry makes the parser panic or produce an invalid backend.
 func FuzzEntries(f *testing.F) {
 	f.Add("p1", "127.0.0.1", 80, "4", "7")
 	f.Add("", "", -1, "NaN", "1e99")
 	f.Fuzz(func(t *testing.T, id, address string, port int, weight, group string) {
 		a := entry(id, address, port, map[string]string{"weight": weight, "group": group})
-		fields := MetaMapping{Weight: "weight", Group: "group"}
-		b, why := fields.backend(a)
-		if why == "" {
+		mapping := MetaMapping{Weight: "weight", Group: "group"}
+		b, reason := mapping.backend(a)
+		if reason == "" {
 			assert.NotEmpty(t, b.Name)
 			assert.True(t, printable(b.Name) && printable(b.Address))
 			assert.GreaterOrEqual(t, b.Weight, 0.0)
--- a/internal/consul/entries.go
+++ b/internal/consul/entries.go
@@ -15,22 +15,22 @@
 	"tinsail/internal/membership"
 )
 
-// MetaMapping say where an instance's meta holds what Consul has no field for, and which numbers the
-// names stand for. A name that is not known, or no name, stands for the first.
+// MetaMapping names the keys of an instance's metadata that hold what Consul has no field for. Kinds and Zones
+// list the names whose index is a backend's kind or zone; an unknown or missing name counts as the first.
 type MetaMapping struct {
 	Kind, Zone, Group, Weight, Started string // keys of Service.Meta; empty if there is none
 	Kinds, Zones                       []string
 }
 
-// isUnreadable says whether a call failed because its answer could not be read.
+// isUnreadable reports whether a call failed because its answer could not be decoded.
 func isUnreadable(err error) bool {
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
 	return errors.As(err, &syntax) || errors.As(err, &kind) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// backends turns an answer into backends. An entry that cannot be used is refused by itself, named in
-// the log and counted; the rest holds.
+// backends converts an answer into backends. An invalid entry is refused, logged and counted; the other entries
+// are used.
 func (w *Watch) backends(list []*api.ServiceEntry) []membership.Backend {
 	if n := w.Config.MaxEntries; n > 0 && len(list) > n {
 		w.Counts.EntriesRefused.Add(int64(len(list) - n))
@@ -41,17 +41,17 @@
 	seen := make(map[string]int, len(list))
 	index := make([]uint64, 0, len(list))
 	for _, e := range list {
-		b, why := w.Meta.backend(e)
-		if why != "" {
+		b, reason := w.Meta.backend(e)
+		if reason != "" {
 			w.Counts.EntriesRefused.Add(1)
 			id := ""
 			if e != nil && e.Service != nil {
 				id = e.Service.ID
 			}
-			w.Log.Warn().Str("id", strconv.QuoteToASCII(id)).Str("why", why).Msg("consul entry refused")
+			w.Log.Warn().Str("id", strconv.QuoteToASCII(id)).Str("why", reason).Msg("consul entry refused")
 			continue
 		}
-		if at, ok := seen[b.Name]; ok { // agents that disagree, or a node that moved: the newer one holds
+		if at, ok := seen[b.Name]; ok { // agents disagree, or the instance moved to another node: the newer entry is used
 			w.Counts.Duplicates.Add(1)
 			if e.Service.ModifyIndex > index[at] {
 				out[at], index[at] = b, e.Service.ModifyIndex
@@ -64,16 +64,17 @@
 	return out
 }
 
+// maxNameBytes bounds an instance's id and its host.
 const maxNameBytes = 256
 
-// backend reads one entry, or says why it cannot be used.
-func (f *MetaMapping) backend(e *api.ServiceEntry) (b membership.Backend, why string) {
+// backend converts one entry. If reason is not empty, the entry is invalid.
+func (f *MetaMapping) backend(e *api.ServiceEntry) (b membership.Backend, reason string) {
 	if e == nil || e.Service == nil {
 		return b, "no service"
 	}
 	s := e.Service
 	if b.Name = s.ID; b.Name == "" || len(b.Name) > maxNameBytes || !printable(b.Name) {
-		return b, "a bad id"
+		return b, "invalid id"
 	}
 	host := s.Address
 	if host == "" && e.Node != nil {
@@ -83,7 +84,7 @@
 		return b, "no address"
 	}
 	if s.Port < 1 || s.Port > 65535 {
-		return b, "a port that is none"
+		return b, "invalid port"
 	}
 	b.Address = net.JoinHostPort(host, strconv.Itoa(s.Port))
 	b.Health = worstHealth(e.Checks)
@@ -107,7 +108,7 @@
 	}
 	group := 0.0
 	if !number(f.Weight, &b.Weight) || !number(f.Started, &b.Started) || !number(f.Group, &group) || group > math.MaxInt32 {
-		return b, "a number in its meta that is none"
+		return b, "invalid number in its metadata"
 	}
 	b.Group = int(group)
 	b.Kind = max(slices.Index(f.Kinds, s.Meta[f.Kind]), 0)
@@ -115,8 +116,8 @@
 	return b, ""
 }
 
-// worstHealth is the worst of an instance's checks. Maintenance is a check by its name: a person's word
-// that nothing new is to come.
+// worstHealth returns the worst state of an instance's checks. Maintenance mode is a check recognized by its id: an
+// operator requests that the instance gets no new requests.
 func worstHealth(checks api.HealthChecks) membership.Health {
 	worst := membership.Passing
 	for _, c := range checks {
--- a/internal/consul/register.go
+++ b/internal/consul/register.go
@@ -11,16 +11,16 @@
 	"github.com/rs/zerolog"
 )
 
-// Registration keeps this dispatcher in Consul's catalogue: with a TTL check that is passed in
-// time or an HTTP check that the agent makes, taken up again when the agent has forgotten it, put into maintenance when a drain begins,
-// and dropped at the end.
+// Registration keeps this dispatcher registered in Consul's catalogue, with a TTL check that it updates or an HTTP
+// check that the agent makes. It registers again if the agent has lost the registration, enters maintenance mode
+// when a drain begins, and is removed at shutdown.
 type Registration struct {
-	Config    Config // addresses, scheme, token and TLS; the rest is not used
-	Name      string // of the service
-	ID        string // of this instance
-	Address   string // host:port, where clients reach it
-	TTL       time.Duration
-	HTTPCheck bool // the agent asks /health/ready at Address; else a TTL check is passed from here
+	Config    Config        // only addresses, scheme, token and TLS are used
+	Name      string        // of the service
+	ID        string        // of this instance
+	Address   string        // host:port, where clients reach it
+	TTL       time.Duration // of the TTL check, or interval of the HTTP check
+	HTTPCheck bool          // the agent requests /health/ready at Address; otherwise a TTL check is updated from here
 	Log       zerolog.Logger
 
 	agents        []*api.Client
@@ -30,27 +30,27 @@
 	done          chan struct{}
 }
 
-// Init checks the configuration. It must be called before Start.
+// Init checks the configuration and makes the clients. It must be called before Start.
 func (r *Registration) Init() (err error) {
 	r.agents, err = r.Config.agents()
 	return err
 }
 
-// Start registers and keeps it up, in the background, until End.
+// Start registers the instance and maintains the registration in the background until Deregister.
 func (r *Registration) Start() {
 	var ctx context.Context
 	ctx, r.stop = context.WithCancel(context.Background())
 	r.done = make(chan struct{})
 	go func() {
 		defer close(r.done)
-		at, known := 0, false
+		current, registered := 0, false
 		for {
-			pass, cancel := context.WithTimeout(ctx, r.TTL)
-			q := (&api.QueryOptions{}).WithContext(pass)
-			agent := r.agents[at].Agent()
+			callCtx, cancel := context.WithTimeout(ctx, r.TTL)
+			q := (&api.QueryOptions{}).WithContext(callCtx)
+			agent := r.agents[current].Agent()
 			err := error(nil)
-			if !known {
-				if err = r.register(pass, agent); err == nil {
+			if !registered {
+				if err = r.register(callCtx, agent); err == nil {
 					r.mu.Lock()
 					if r.inMaintenance {
 						err = agent.EnableServiceMaintenanceOpts(r.ID, "drain", q)
@@ -60,18 +60,18 @@
 			}
 			switch {
 			case err != nil:
-			case r.HTTPCheck: // only whether the agent still knows it
+			case r.HTTPCheck: // checks only that the agent still has the registration
 				_, _, err = agent.Service(r.ID, q)
 			default:
 				err = agent.UpdateTTLOpts("service:"+r.ID, "", api.HealthPassing, q)
 			}
 			cancel()
-			if known = err == nil; !known && ctx.Err() == nil { // forgotten, or not reached: from the start, at the next agent
-				at = (at + 1) % len(r.agents)
+			if registered = err == nil; !registered && ctx.Err() == nil { // lost, or agent not reached: register at the next agent
+				current = (current + 1) % len(r.agents)
 				r.Log.Warn().Err(err).Msg("consul registration failed")
 			}
 			wait := r.TTL / 3
-			if !known {
+			if !registered {
 				wait = min(wait, time.Second)
 			}
 			select {
@@ -102,8 +102,8 @@
 		api.ServiceRegisterOpts{}.WithContext(ctx))
 }
 
-// EnterMaintenance puts the instance into maintenance, at every agent that can be reached: the one that has
-// it knows it. It returns within a second.
+// EnterMaintenance puts the instance into maintenance mode at every agent that can be reached; only the agent
+// that has the registration acts on it. It returns within a second.
 func (r *Registration) EnterMaintenance() {
 	r.mu.Lock()
 	r.inMaintenance = true
@@ -111,13 +111,14 @@
 	r.forEachAgent(func(a *api.Agent, q *api.QueryOptions) error { return a.EnableServiceMaintenanceOpts(r.ID, "drain", q) })
 }
 
-// Deregister drops the instance and ends what Start began.
+// Deregister ends the background task of Start and removes the instance.
 func (r *Registration) Deregister() {
 	r.stop()
 	<-r.done
 	r.forEachAgent(func(a *api.Agent, q *api.QueryOptions) error { return a.ServiceDeregisterOpts(r.ID, q) })
 }
 
+// forEachAgent calls f for all agents at the same time and waits up to a second.
 func (r *Registration) forEachAgent(f func(*api.Agent, *api.QueryOptions) error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
--- a/internal/consul/watch.go
+++ b/internal/consul/watch.go
@@ -1,6 +1,6 @@
-// Package consul reads backends from Consul's catalogue and health API, by the official client
-// library, and registers the dispatcher there. It judges answers and entries one by one and
-// hands on what is well formed; what a backend's state is from that is for package membership.
+// Package consul reads backends from Consul's catalogue and health API with the official client
+// library, and registers the dispatcher there. It validates each answer and each entry and passes
+// on the valid ones. Package membership decides on the state of a backend from them.
 package consul
 
 import (
@@ -20,32 +20,32 @@
 	"tinsail/internal/membership"
 )
 
-// Config says what to read, and from where.
+// Config sets which service to watch and how to call the agents.
 type Config struct {
 	Addresses []string // host:port of agents; the next is asked when one fails
 	Scheme    string   // http or https
 	Service   string
-	Tags      []string // all of which an instance has
-	Filter    string   // an expression of Consul's, may be empty
+	Tags      []string // an instance must have all of them
+	Filter    string   // expression in Consul's filter language; may be empty
 
 	Datacenter, Namespace, Partition string
 
 	Token, TokenFile string // an ACL token, or the file that holds it; never logged
 	TLS              api.TLSConfig
 
-	AllowStale     bool          // any server may answer, not the leader alone
-	MaxStaleness   time.Duration // of an answer; one that is older is not believed
+	AllowStale     bool          // any server may answer, not only the leader
+	MaxStaleness   time.Duration // older answers are rejected
 	WaitTime       time.Duration // of a blocking query
-	Timeout        time.Duration // beyond Wait
-	MaxBodyBytes   int64         // bytes of an answer
-	CallsPerSecond float64       // calls a second, at most
-	MaxEntries     int           // instances of an answer, at most; the rest is refused
+	Timeout        time.Duration // of a call, in addition to WaitTime
+	MaxBodyBytes   int64         // of an answer
+	CallsPerSecond float64       // rate limit of all calls
+	MaxEntries     int           // instances read from an answer; the rest is refused. 0: no limit
 }
 
-// Counts are what a watch has seen.
+// Counts counts the calls of a watch and their results.
 type Counts struct {
 	Calls, Lists, Unchanged, Restarted                        atomic.Int64
-	Forbidden, RateLimited, Errors, Unreachable, Unreadable   atomic.Int64 // 403, 429, other statuses, no answer, no JSON or too long
+	Forbidden, RateLimited, Errors, Unreachable, Unreadable   atomic.Int64 // 403, 429, other statuses, no answer, invalid JSON or too long
 	NoLeader, TooStale, EntriesRefused, Duplicates, Failovers atomic.Int64
 }
 
@@ -64,14 +64,14 @@
 	}
 }
 
-// Sink takes what a watch finds, from the watch's goroutine.
+// Sink receives the results of a watch, in the watch's goroutine.
 type Sink interface {
-	ReplaceAll([]membership.Backend)
-	Unchanged()
-	Failed()
+	ReplaceAll([]membership.Backend) // a full list
+	Unchanged()                      // the last list is still valid
+	Failed()                         // a call failed
 }
 
-// Watch follows one service.
+// Watch follows the instances of one service by blocking queries.
 type Watch struct {
 	Config Config
 	Meta   MetaMapping
@@ -83,10 +83,10 @@
 	limiter *rate.Limiter
 }
 
-var errTooLong = errors.New("the answer is longer than allowed")
+var errTooLong = errors.New("answer exceeds the size limit")
 
-// boundedTransport keeps answers within a length: no agent, and nothing that stands in for one, makes us
-// hold more.
+// boundedTransport limits the size of answers, so that a faulty agent, or another server at its address, cannot
+// exhaust the memory.
 type boundedTransport struct {
 	next  http.RoundTripper
 	limit int64
@@ -134,58 +134,58 @@
 		all = append(all, client)
 	}
 	if len(all) == 0 {
-		return nil, errors.New("consul: no address")
+		return nil, errors.New("consul: no agent address is set")
 	}
 	return all, nil
 }
 
-// Init checks the configuration. It must be called before Run.
+// Init checks the configuration and makes the clients. It must be called before Run.
 func (w *Watch) Init() (err error) {
 	w.agents, err = w.Config.agents()
 	w.limiter = rate.NewLimiter(rate.Limit(w.Config.CallsPerSecond), max(1, int(w.Config.CallsPerSecond)))
 	return err
 }
 
-// Pauses after a call that failed: from the first on twice as long, half of each by chance, so that
-// many dispatchers do not come back to an agent together.
+// Bounds of the exponential backoff after a failed call. Half of each delay is random, so that many
+// dispatchers do not call an agent at the same moment.
 const (
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 5 * time.Second
 )
 
-// Run follows the service until ctx ends. Each answer is followed at once by the next call, as far
-// as the limit on calls lets it.
+// Run follows the service until ctx ends. Each answer is followed at once by the next call, subject to the rate
+// limit.
 func (w *Watch) Run(ctx context.Context) {
-	at, index, pause := 0, uint64(0), minBackoff
+	current, index, backoff := 0, uint64(0), minBackoff
 	for w.limiter.Wait(ctx) == nil {
-		next, err := w.query(ctx, w.agents[at], index)
+		next, err := w.query(ctx, w.agents[current], index)
 		if ctx.Err() != nil {
 			return
 		}
 		if err == nil {
-			index, pause = next, minBackoff
+			index, backoff = next, minBackoff
 			continue
 		}
 		w.Sink.Failed()
-		w.Log.Warn().Str("agent", w.Config.Addresses[at]).Err(err).Msg("consul call failed")
-		if index = 0; len(w.agents) > 1 { // another agent's index is another's
-			at = (at + 1) % len(w.agents)
+		w.Log.Warn().Str("agent", w.Config.Addresses[current]).Err(err).Msg("consul call failed")
+		if index = 0; len(w.agents) > 1 { // an index is valid for the agent that sent it only
+			current = (current + 1) % len(w.agents)
 			w.Counts.Failovers.Add(1)
 		}
 		select {
-		case <-time.After(pause/2 + rand.N(pause/2)):
+		case <-time.After(backoff/2 + rand.N(backoff/2)):
 		case <-ctx.Done():
 			return
 		}
-		pause = min(2*pause, maxBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// query makes one call and hands on what it brought. It returns the index for the next one.
+// query makes one call and passes its result to the sink. It returns the index for the next call.
 func (w *Watch) query(ctx context.Context, agent *api.Client, index uint64) (uint64, error) {
 	c := &w.Config
 	q := &api.QueryOptions{WaitIndex: index, WaitTime: c.WaitTime, AllowStale: c.AllowStale, RequireConsistent: !c.AllowStale, Filter: c.Filter}
-	// The agent adds up to a sixteenth to a wait, by chance.
+	// The agent adds a random delay of up to 1/16 of the wait time.
 	ctx, cancel := context.WithTimeout(ctx, c.WaitTime+c.WaitTime/16+c.Timeout)
 	defer cancel()
 	w.Counts.Calls.Add(1)
@@ -194,26 +194,26 @@
 		return 0, w.countFailure(err)
 	}
 	switch {
-	case !meta.KnownLeader: // what it knows may be long past
+	case !meta.KnownLeader: // its data may be outdated
 		w.Counts.NoLeader.Add(1)
-		return 0, errors.New("the agent knows no leader")
+		return 0, errors.New("the agent has no known leader")
 	case c.MaxStaleness > 0 && meta.LastContact > c.MaxStaleness:
 		w.Counts.TooStale.Add(1)
-		return 0, fmt.Errorf("the answer is %v old", meta.LastContact)
-	case meta.LastIndex < index: // a leader was lost, or the agent's data: start anew, believe nothing of this
+		return 0, fmt.Errorf("the answer is too stale: %v old", meta.LastContact)
+	case meta.LastIndex < index: // the leader or the agent's data was lost: ignore this answer and request the full list
 		w.Counts.Restarted.Add(1)
 		return 0, nil
-	case meta.LastIndex == index && index != 0: // the wait was over, or something else changed
+	case meta.LastIndex == index && index != 0: // the wait time passed, or something else changed
 		w.Counts.Unchanged.Add(1)
 		w.Sink.Unchanged()
 		return index, nil
 	}
 	w.Counts.Lists.Add(1)
 	w.Sink.ReplaceAll(w.backends(list))
-	return max(meta.LastIndex, 1), nil // 0 would not wait
+	return max(meta.LastIndex, 1), nil // a query with index 0 would not block
 }
 
-// countFailure counts a call that failed by what was wrong.
+// countFailure counts a failed call by its kind and returns the error to be logged.
 func (w *Watch) countFailure(err error) error {
 	var status api.StatusError
 	switch {
@@ -221,10 +221,10 @@
 		switch status.Code {
 		case http.StatusForbidden:
 			w.Counts.Forbidden.Add(1)
-			return errors.New("403: the ACL token does not allow it")
+			return errors.New("403: the ACL token lacks the permission")
 		case http.StatusTooManyRequests:
 			w.Counts.RateLimited.Add(1)
-			return errors.New("429: the agent's limit on calls")
+			return errors.New("429: the agent's rate limit is exceeded")
 		}
 		w.Counts.Errors.Add(1)
 		return fmt.Errorf("status %d", status.Code)
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -1,6 +1,6 @@
-// Package door reads what operators ask of a running dispatcher: HTTP/1.1 (RFC 9112), one call to a
-// connection, as the operators' page has it. It is fed bytes and knows no socket; what a call does
-// is not its business. The framing is package platform's.
+// Package door parses the calls on the operators' control listener (the "door") of a running dispatcher:
+// HTTP/1.1 (RFC 9112), one call per connection. It works on bytes and does no I/O; the caller carries the calls
+// out. Package platform does the framing.
 package door
 
 import (
@@ -14,7 +14,7 @@
 // Operation is what a call asks for.
 type Operation uint8
 
-// Calls.
+// The operations.
 const (
 	Ready Operation = iota
 	Offline
@@ -22,27 +22,28 @@
 	OutOfService
 	InService
 	Metrics // the counters in Prometheus' text form
-	ops
+	operationCount
 )
 
-var opNames = [ops]string{"ready", "offline", "online", "out_of_service", "in_service", "metrics"}
+var opNames = [operationCount]string{"ready", "offline", "online", "out_of_service", "in_service", "metrics"}
 
 func (o Operation) String() string { return opNames[o] }
 
-// Call is one call. Backend is set for Offline and Online.
+// Call is one call of an operator. Backend is set for Offline and Online.
 type Call struct {
 	Operation Operation
 	Backend   string
 }
 
-// Bounds on what a caller may send. No call needs a body; a short one is read and left aside,
-// since some callers send one with every POST.
+// Bounds on what a caller may send, in bytes. No call needs a body, but a short one is accepted and ignored,
+// since some clients send a body with every POST.
 const (
 	MaxBody      = 1 << 10
 	MaxBackendID = 256
 )
 
-// Refusal is why there is no call: the status of the answer, and for 405 what is allowed.
+// Refusal is the error for an invalid call: the status and text of the answer and, for status 405, the allowed
+// method.
 type Refusal struct {
 	Status int
 	Reason string
@@ -51,13 +52,12 @@
 
 func (r *Refusal) Error() string { return r.Reason }
 
-// Parser is one connection's calls. It hands out one and no more.
+// Parser parses the bytes of one connection, which carries a single call.
 type Parser struct {
 	requests platform.RequestParser
 	done     bool
 }
 
-// NewParser makes a machine for a connection.
 func NewParser() *Parser {
 	c := &Parser{}
 	c.requests.Admit = func(n int) error {
@@ -69,17 +69,17 @@
 	return c
 }
 
-// Space is where the next bytes are to be read, Filled tells how many were.
+// Space returns the buffer for the next read. Filled must be called after it.
 func (c *Parser) Space() []byte { return c.requests.Space() }
 
-// Filled tells that n bytes have been read into Space.
+// Filled reports that n bytes have been read into Space.
 func (c *Parser) Filled(n int) { c.requests.Filled(n) }
 
-// DiscardSpace is space for bytes that nobody will read.
+// DiscardSpace returns a buffer for bytes that are discarded.
 func (c *Parser) DiscardSpace() []byte { return c.requests.DiscardSpace() }
 
-// Next returns the call once it is whole; ok is false while more bytes are due. The error is a
-// *Refusal. What comes behind the call is never looked at.
+// Next returns the call once it is complete; ok is false while more bytes are needed. The error is a
+// *Refusal. Bytes after the call are ignored.
 func (c *Parser) Next() (call Call, ok bool, err error) {
 	if c.done {
 		return Call{}, false, &Refusal{Status: 400, Reason: "one call to a connection"}
@@ -87,9 +87,9 @@
 	q, err := c.requests.Next()
 	if err != nil {
 		c.done = true
-		bad := &platform.RequestError{Status: 400, Reason: "a bad head"}
-		errors.As(err, &bad)
-		return Call{}, false, &Refusal{Status: bad.Status, Reason: bad.Reason}
+		invalid := &platform.RequestError{Status: 400, Reason: "a bad head"}
+		errors.As(err, &invalid)
+		return Call{}, false, &Refusal{Status: invalid.Status, Reason: invalid.Reason}
 	}
 	if q == nil {
 		return Call{}, false, nil
@@ -101,10 +101,10 @@
 	return call, true, nil
 }
 
-// HasInput says whether the caller has sent anything.
+// HasInput reports whether the caller has sent any bytes of a call.
 func (c *Parser) HasInput() bool { return c.requests.Partial() }
 
-// fixedPaths are the calls that name nothing.
+// fixedPaths are the calls without a backend in their path.
 var fixedPaths = map[string]struct {
 	method string
 	op     Operation
@@ -115,10 +115,10 @@
 	"/metrics":                {"GET", Metrics},
 }
 
-// backendPrefix is of the calls that name a backend.
+// backendPrefix starts the paths of the calls that name a backend.
 const backendPrefix = "/control/photo-workers/"
 
-// ParseCall makes a call of a method and a path. The error is a *Refusal.
+// ParseCall returns the call for a method and a path. The error is a *Refusal.
 func ParseCall(method, path string) (Call, error) {
 	unknown := &Refusal{Status: 404, Reason: "no such call"}
 	call, want := Call{}, "POST"
@@ -153,7 +153,7 @@
 	return call, nil
 }
 
-// MethodAndPath is a call's method and path, percent-coded, for those who make it.
+// MethodAndPath returns a call's method and percent-encoded path, for clients of the control listener.
 func (c Call) MethodAndPath() (method, path string) {
 	switch c.Operation {
 	case Offline, Online:
@@ -167,7 +167,7 @@
 	return "", ""
 }
 
-// AppendAnswer writes the answer to a call; the connection ends with it.
+// AppendAnswer appends the answer to a call to b. The connection is closed after it.
 func AppendAnswer(b []byte, status int, allow, body string) []byte {
 	if allow != "" {
 		allow = "Allow: " + allow + "\r\n"
--- a/internal/door/door_test.go
+++ b/internal/door/door_test.go
@@ -10,15 +10,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// parseInPieces feeds bytes in pieces of a size and says what the machine made of them.
+// parseInPieces feeds text to a parser in pieces of the given size and returns the result as text.
 func parseInPieces(text string, size int) string {
 	c := NewParser()
 	for {
 		call, ok, err := c.Next()
-		var no *Refusal
+		var refusal *Refusal
 		switch {
-		case errors.As(err, &no):
-			return strings.TrimSpace(fmt.Sprint(no.Status, " ", no.Allow))
+		case errors.As(err, &refusal):
+			return strings.TrimSpace(fmt.Sprint(refusal.Status, " ", refusal.Allow))
 		case ok:
 			return strings.TrimSpace(call.Operation.String() + " " + call.Backend)
 		case text == "":
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestMethodAndPathRoundTrip: what a caller of ours writes is read as what it meant, whatever the id.
+// TestMethodAndPathRoundTrip: a call that MethodAndPath writes is parsed back as the same call, whatever the id.
 func TestMethodAndPathRoundTrip(t *testing.T) {
-	for op := range ops {
+	for op := range operationCount {
 		for _, id := range []string{"s-1", "a/b c%2f?#", "é\x00"} {
 			c := Call{Operation: op}
 			if op == Offline || op == Online {
--- a/internal/fleet/slices/quality_test.go
+++ b/internal/fleet/slices/quality_test.go
@@ -166,7 +166,7 @@
 		names, n = slices.Sorted(maps.Keys(mixes)), 1000
 	}
 	for _, name := range names {
-		t.Logf("%-8s no choice can accept more than %.4f (filling, expected counts)", name, acceptedBound(mixes[name], 0.95))
+		t.Logf("%-8s no strategy can accept more than %.4f (filling, expected counts)", name, acceptedBound(mixes[name], 0.95))
 		for _, churn := range []bool{false, true} {
 			if churn && n < 1000 {
 				continue
--- a/internal/fleet/slices/simulation_test.go
+++ b/internal/fleet/slices/simulation_test.go
@@ -38,7 +38,7 @@
 	reliable    bool
 	started     map[string]bool // device, id and placement that a backend has started
 	ended       map[string]bool // table and id for which Ended was sent
-	choice      Strategy
+	strategy    Strategy
 }
 
 const group = "g"
@@ -151,7 +151,7 @@
 	if !stale {
 		b.token = a.Token
 	}
-	name, id, try := a.Device, a.ID, a.PlacementID
+	name, id, placementID := a.Device, a.ID, a.PlacementID
 	switch a.Kind {
 	case QueryState:
 		if !stale {
@@ -160,32 +160,32 @@
 			w.reply(i, func(t *Table) []Action { return t.HandleState(w.now, name, a.Token, holds) })
 		}
 	case Start:
-		_, has := b.slices[try]
-		if !has && (stale || b.stopped[try] || b.refuseNext) {
+		_, has := b.slices[placementID]
+		if !has && (stale || b.stopped[placementID] || b.refuseNext) {
 			b.refuseNext = false
-			b.stopped[try] = true
-			w.reply(i, func(t *Table) []Action { return t.HandleNotStarted(w.now, name, id, try) })
+			b.stopped[placementID] = true
+			w.reply(i, func(t *Table) []Action { return t.HandleNotStarted(w.now, name, id, placementID) })
 			return
 		}
 		if !has {
-			w.started[fmt.Sprint(a.Device, id, try)] = true
-			b.slices[try] = HeldSlice{ID: id, Tenant: a.Demand.Tenant, PlacementID: try, Isolation: a.Demand.Isolation, Amount: a.Amount}
+			w.started[fmt.Sprint(a.Device, id, placementID)] = true
+			b.slices[placementID] = HeldSlice{ID: id, Tenant: a.Demand.Tenant, PlacementID: placementID, Isolation: a.Demand.Isolation, Amount: a.Amount}
 			w.checkDevice(b)
 			w.checkPlacedOnce(id)
 		}
-		w.reply(i, func(t *Table) []Action { return t.HandleStarted(w.now, name, id, try) })
+		w.reply(i, func(t *Table) []Action { return t.HandleStarted(w.now, name, id, placementID) })
 	case Stop:
 		if !stale {
-			delete(b.slices, try)
-			b.stopped[try] = true
-			w.reply(i, func(t *Table) []Action { return t.HandleStopped(w.now, name, id, try) })
+			delete(b.slices, placementID)
+			b.stopped[placementID] = true
+			w.reply(i, func(t *Table) []Action { return t.HandleStopped(w.now, name, id, placementID) })
 		}
 	}
 }
 
 func sortedSlices(b *simBackend) (out []HeldSlice) {
-	for try := range b.slices {
-		out = append(out, b.slices[try])
+	for placementID := range b.slices {
+		out = append(out, b.slices[placementID])
 	}
 	for i := range out {
 		for j := i; j > 0 && out[j].PlacementID < out[j-1].PlacementID; j-- {
@@ -256,7 +256,7 @@
 	case LeaseLost:
 		w.table[i] = nil
 	case Acquired:
-		w.table[i] = New(w.limits, w.choice, mixes["photos"])
+		w.table[i] = New(w.limits, w.strategy, mixes["photos"])
 		term, _ := w.owner[i].MaySend(w.now, group)
 		var out []Action
 		for _, n := range w.names {
@@ -273,9 +273,9 @@
 
 func (w *simulation) askLease(i int) {
 	o := w.owner[i]
-	seq, anew := o.NewRequest(w.now, group)
+	seq, newTerm := o.NewRequest(w.now, group)
 	w.send(func() {
-		if term, _, ok := w.grantor.HandleRequest(w.now, fmt.Sprint("n", i), anew); ok {
+		if term, _, ok := w.grantor.HandleRequest(w.now, fmt.Sprint("n", i), newTerm); ok {
 			w.send(func() {
 				if w.owner[i] == o {
 					w.applyOwnership(i, o.HandleGrant(w.now, group, seq, term))
@@ -290,8 +290,8 @@
 func (w *simulation) handOver(i int) {
 	w.now += w.lease.Duration + 1
 	o := w.owner[i]
-	seq, anew := o.NewRequest(w.now, group)
-	if term, _, ok := w.grantor.HandleRequest(w.now, fmt.Sprint("n", i), anew); ok {
+	seq, newTerm := o.NewRequest(w.now, group)
+	if term, _, ok := w.grantor.HandleRequest(w.now, fmt.Sprint("n", i), newTerm); ok {
 		w.applyOwnership(i, o.HandleGrant(w.now, group, seq, term))
 	}
 }
@@ -379,7 +379,7 @@
 			return fmt.Errorf("the queue is out of order at %d", i)
 		}
 		for _, v := range t.order {
-			if _, why := t.fits(v, &w.demand, w); why == "" && t.unreportedDevices == 0 {
+			if _, reason := t.fits(v, &w.demand, w); reason == "" && t.unreportedDevices == 0 {
 				return fmt.Errorf("%s waits although %s can take it", w.demand.ID, v.Name)
 			}
 		}
--- a/internal/fleet/slices/slices_test.go
+++ b/internal/fleet/slices/slices_test.go
@@ -40,7 +40,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimulation(t)
 		w.now = QuietPeriod(w.lease)
-		w.choice = Strategy(rapid.IntRange(int(FirstFit), int(Pattern)).Draw(t, "choice"))
+		w.strategy = Strategy(rapid.IntRange(int(FirstFit), int(Pattern)).Draw(t, "choice"))
 		w.handOver(0)
 		n := 0
 		some := func() *simBackend { return w.backends[rapid.SampledFrom(w.names).Draw(t, "device")] }
@@ -97,8 +97,8 @@
 func (w *simulation) failDevice(b *simBackend, loses bool) {
 	b.failed, b.everFailed = true, true
 	if loses {
-		for try := range b.slices {
-			b.stopped[try] = true
+		for placementID := range b.slices {
+			b.stopped[placementID] = true
 		}
 		clear(b.slices)
 	}
@@ -192,7 +192,7 @@
 }
 
 func TestImpossibleDemandNamesLimit(t *testing.T) {
-	walls := Device{Name: "p", Zone: "z1", Size: Amount{1000, 16384}, Profiles: []Amount{{500, 8192}}}
+	partitioned := Device{Name: "p", Zone: "z1", Size: Amount{1000, 16384}, Profiles: []Amount{{500, 8192}}}
 	for _, c := range []struct {
 		reason string
 		device Device
@@ -201,8 +201,8 @@
 		{"parts: 1001 of at most 1000", testDevice("d"), func(d *Demand) { d.Size.Parts = 1001 }},
 		{"memory: 16385 MiB of at most 16384", testDevice("d"), func(d *Demand) { d.Size.Memory = 16385 }},
 		{"isolation: no fixed profiles", testDevice("d"), func(d *Demand) { d.Isolation = Partitioned }},
-		{"profiles: none is large enough", walls, func(d *Demand) { d.Size.Parts = 501 }},
-		{"zone", walls, func(d *Demand) { d.Zone = "z2" }},
+		{"profiles: none is large enough", partitioned, func(d *Demand) { d.Size.Parts = 501 }},
+		{"zone", partitioned, func(d *Demand) { d.Zone = "z2" }},
 		{"lifetime: 2h0m0s, above 0 and at most 1h0m0s", testDevice("d"), func(d *Demand) { d.Lifetime = 2 * time.Hour }},
 	} {
 		d := testDemand("x", 100, 100)
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -13,24 +13,24 @@
 	"go.starlark.net/syntax"
 )
 
-// Bounds on a run. Steps are Starlark's own: a declaration takes about ten. Memory is what the
-// process allocates while the script runs, looked at after every step; no single step can
-// more than double it, since the checks of the text leave no means for more (see check).
+// Bounds on a run. Steps are counted by Starlark; a declaration takes about ten. Memory is what the
+// process allocates while the script runs, checked after every step. No single step can more than
+// double it, since checkSyntax rejects the constructs that could.
 const (
 	maxSteps  = 100_000
 	maxMemory = 32 << 20
-	maxDepth  = 4 // of values within values
-	maxValues = 4096
+	maxDepth  = 4    // nesting of lists and dictionaries
+	maxValues = 4096 // of one call
 )
 
-// call is one call that the script made: its values and where they stand.
+// call is one call that the script made: its values and their positions.
 type call struct {
 	values map[string]any
 	at     syntax.Position
 	keys   map[string]syntax.Position
 }
 
-func (c *call) fault(name, key, says string) Fault {
+func (c *call) fault(name, key, problem string) Fault {
 	at := c.at
 	if p, ok := c.keys[key]; ok {
 		at = p
@@ -38,29 +38,30 @@
 	if key != "" {
 		name += "." + key
 	}
-	return Fault{File: at.Filename(), Line: int(at.Line), Column: int(at.Col), Key: name, Problem: says}
+	return Fault{File: at.Filename(), Line: int(at.Line), Column: int(at.Col), Key: name, Problem: problem}
 }
 
-// loadedFile is a file that was run; while it runs, globals is nil.
+// loadedFile is a file that a load statement has run or is running; while it runs, globals is nil.
 type loadedFile struct {
 	globals starlark.StringDict
 	loaded  bool
 }
 
+// script is one run of a settings script.
 type script struct {
 	read         func(string) ([]byte, error)
 	calls        map[string]*call
 	modules      map[string]*loadedFile
-	keyPositions map[syntax.Position]map[string]syntax.Position // of each call's keys, by its bracket
+	keyPositions map[syntax.Position]map[string]syntax.Position // positions of each call's keys, by the position of its opening parenthesis
 	thread       *starlark.Thread
 }
 
-// run executes the script and what it loads, in one thread and within one bound.
+// run executes the script and the files it loads in one thread, with common bounds.
 func (s *script) run(name string) error {
 	start := allocated()
 	s.keyPositions = map[syntax.Position]map[string]syntax.Position{}
 	s.thread = &starlark.Thread{Name: name, Load: s.load, Print: func(*starlark.Thread, string) {}}
-	s.thread.SetMaxExecutionSteps(1) // so that OnMaxSteps is called at each
+	s.thread.SetMaxExecutionSteps(1) // so that OnMaxSteps is called at each step
 	s.thread.OnMaxSteps = func(t *starlark.Thread) {
 		switch {
 		case t.Steps > maxSteps:
@@ -75,6 +76,7 @@
 
 var allocSample = "/gc/heap/allocs:bytes"
 
+// allocated returns the bytes that the process has allocated on the heap since its start.
 func allocated() uint64 {
 	sample := [1]metrics.Sample{{Name: allocSample}}
 	metrics.Read(sample[:])
@@ -93,15 +95,15 @@
 	if err := s.checkSyntax(f); err != nil {
 		return nil, err
 	}
-	known := starlark.StringDict{}
+	builtinCalls := starlark.StringDict{}
 	for _, c := range calls() {
-		known[c] = starlark.NewBuiltin(c, s.recordCall)
+		builtinCalls[c] = starlark.NewBuiltin(c, s.recordCall)
 	}
-	p, err := starlark.FileProgram(f, known.Has)
+	p, err := starlark.FileProgram(f, builtinCalls.Has)
 	if err != nil {
 		return nil, err
 	}
-	g, err := p.Init(s.thread, known)
+	g, err := p.Init(s.thread, builtinCalls)
 	g.Freeze()
 	return g, err
 }
@@ -129,12 +131,12 @@
 	return m.globals, nil
 }
 
-// recordCall is every call of the settings: it only takes the values down.
+// recordCall implements every settings call: it only records the values.
 func (s *script) recordCall(t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	at := t.CallFrame(1).Pos
-	fault := func(key, says string) error {
+	fault := func(key, problem string) error {
 		c := call{at: at, keys: s.keyPositions[at]}
-		return c.fault(b.Name(), key, says)
+		return c.fault(b.Name(), key, problem)
 	}
 	if old := s.calls[b.Name()]; old != nil {
 		return nil, fault("", fmt.Sprintf("is called a second time, first at %s:%d", old.at.Filename(), old.at.Line))
@@ -143,10 +145,10 @@
 		return nil, fault("", "takes named values only, as in "+b.Name()+"("+keys(b.Name())[0]+" = ...)")
 	}
 	c := &call{values: map[string]any{}, at: at, keys: s.keyPositions[at]}
-	left := maxValues
+	remaining := maxValues
 	for _, kv := range kwargs {
 		key := string(kv[0].(starlark.String))
-		v, err := toJSONValue(kv[1], maxDepth, &left)
+		v, err := toJSONValue(kv[1], maxDepth, &remaining)
 		if err != nil {
 			return nil, fault(key, err.Error())
 		}
@@ -156,8 +158,8 @@
 	return starlark.None, nil
 }
 
-// toJSONValue turns a value into what JSON knows. The bounds keep a list that holds itself, or one
-// list many times over, from growing without end.
+// toJSONValue converts a Starlark value into a JSON value. The bounds on depth and number of values stop a list
+// that contains itself, or that contains one list many times.
 func toJSONValue(v starlark.Value, depth int, remaining *int) (any, error) {
 	if *remaining--; *remaining < 0 || depth < 0 {
 		return nil, errors.New("holds too much")
@@ -204,41 +206,40 @@
 	return nil, fmt.Errorf("is a %s, which no setting takes", v.Type())
 }
 
-// builtins are all of Starlark's own that a script may use. None of them makes a value that is
-// larger than what it was given.
+// builtins are the only Starlark built-ins that a script may use. None of them returns a value larger
+// than its arguments.
 var builtins = []string{"None", "True", "False", "bool", "int", "float", "len"}
 
-// checkSyntax reads a file's text before it runs. What could use memory or time out of proportion to
-// the steps that are counted is not part of the language: functions, methods (a join of many
-// long texts is one step), tuples (they can be hashed and written out, however deep), products
-// of anything but numbers written out, and ranges.
+// checkSyntax checks a file before it runs. It rejects what could use memory or time out of proportion
+// to the counted steps: functions, methods (joining many long strings is one step), tuples (they can be
+// hashed and converted to text at any depth), products of anything but numeric literals, and ranges.
 func (s *script) checkSyntax(f *syntax.File) error {
 	var faults Faults
-	bad := func(n syntax.Node, says string) {
+	reject := func(n syntax.Node, problem string) {
 		at, _ := n.Span()
-		faults = append(faults, Fault{File: at.Filename(), Line: int(at.Line), Column: int(at.Col), Problem: says})
+		faults = append(faults, Fault{File: at.Filename(), Line: int(at.Line), Column: int(at.Col), Problem: problem})
 	}
-	keyNames := map[*syntax.Ident]bool{} // of arguments: no names that are looked up
+	keyNames := map[*syntax.Ident]bool{} // names of arguments, which are not looked up as variables
 	syntax.Walk(f, func(n syntax.Node) bool {
 		switch n := n.(type) {
 		case *syntax.DefStmt:
-			bad(n, "the settings have no functions")
+			reject(n, "the settings have no functions")
 			return false
 		case *syntax.LambdaExpr:
-			bad(n, "the settings have no functions")
+			reject(n, "the settings have no functions")
 			return false
 		case *syntax.DotExpr:
-			bad(n, "the settings have no methods")
+			reject(n, "the settings have no methods")
 			return false
 		case *syntax.TupleExpr:
-			bad(n, "the settings have no tuples, write a list: [...]")
+			reject(n, "the settings have no tuples, write a list: [...]")
 		case *syntax.AssignStmt:
 			if n.Op != syntax.EQ {
-				bad(n, "a name is given its value once, with =")
+				reject(n, "a name is given its value once, with =")
 			}
 		case *syntax.BinaryExpr:
 			if (n.Op == syntax.STAR || n.Op == syntax.PERCENT || n.Op == syntax.LTLT) && !(isNumeric(n.X) && isNumeric(n.Y)) {
-				bad(n, "* and % and << take numbers that are written out")
+				reject(n, "* and % and << take numbers that are written out")
 			}
 		case *syntax.CallExpr:
 			s.keyPositions[n.Lparen] = map[string]syntax.Position{}
@@ -251,7 +252,7 @@
 					}
 				case *syntax.UnaryExpr:
 					if a.Op == syntax.STAR {
-						bad(a, "write the values out, without *")
+						reject(a, "write the values out, without *")
 					}
 				}
 			}
@@ -260,7 +261,7 @@
 	})
 	syntax.Walk(f, func(n syntax.Node) bool {
 		if id, ok := n.(*syntax.Ident); ok && !keyNames[id] && !slices.Contains(builtins, id.Name) && starlark.Universe.Has(id.Name) {
-			bad(n, id.Name+" is not part of the settings")
+			reject(n, id.Name+" is not part of the settings")
 		}
 		return true
 	})
@@ -270,7 +271,7 @@
 	return nil
 }
 
-// isNumeric says whether an expression is made of numbers alone.
+// isNumeric reports whether an expression consists of numeric literals and operators only.
 func isNumeric(e syntax.Expr) bool {
 	switch e := e.(type) {
 	case *syntax.Literal:
@@ -300,9 +301,9 @@
 	case errors.As(err, &list):
 		for _, e := range list {
 			f := Fault{File: e.Pos.Filename(), Line: int(e.Pos.Line), Column: int(e.Pos.Col), Problem: e.Msg}
-			if what, ok := strings.CutPrefix(e.Msg, "undefined: "); ok {
-				what, _, _ = strings.Cut(what, " ")
-				f.Key, f.Problem = what, "is not known, the calls are "+strings.Join(calls(), ", ")
+			if name, ok := strings.CutPrefix(e.Msg, "undefined: "); ok {
+				name, _, _ = strings.Cut(name, " ")
+				f.Key, f.Problem = name, "is not known, the calls are "+strings.Join(calls(), ", ")
 			}
 			all = append(all, f)
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,14 +1,13 @@
-// Package settings reads the settings script: what is set here and not by the platform.
+// Package settings reads the settings script, which holds the settings that the platform does not provide.
 //
-// The script is Starlark, cut down to a language of declarations: calls with named values, each
-// call at most once, such as
+// The script is Starlark, reduced to a language of declarations: calls with named values, each call at
+// most once, such as
 //
 //	http2(listen = "127.0.0.1:8082", max_streams = 128)
 //
-// names for values, arithmetic on numbers written out, conditions, comprehensions over lists
-// that stand there, and load of files beside the script. schema.json is the one place that says
-// which calls and keys there are, what they take and what they default to; the check, the
-// defaults and the reference in docs all come from it.
+// Variables, arithmetic on numeric literals, conditions, comprehensions over lists of the script and load
+// of files in the same directory are allowed. schema.json is the only definition of the calls, their keys,
+// valid values and defaults; validation, defaults and the reference in docs are derived from it.
 package settings
 
 import (
@@ -29,7 +28,7 @@
 	"github.com/santhosh-tekuri/jsonschema/v6/kind"
 )
 
-// Settings is what a script yields. A part that the script does not name is nil, and off.
+// Settings is the result of a script. A part that the script does not call is nil, and disabled.
 type Settings struct {
 	HTTP2       *HTTP2       `json:"http2"`
 	Consul      *Consul      `json:"consul"`
@@ -40,21 +39,21 @@
 	Accord      *Accord      `json:"accord"`
 	Quotas      *Quotas      `json:"quotas"`
 
-	positions map[string]Fault // where each call and key stands
+	positions map[string]Fault // position of each call and key; only the place of the Fault is set
 }
 
-// Fault is a fault of a key, or of a call, that was found by who uses it.
-func (s *Settings) Fault(key, says string) Fault {
+// Fault returns a fault, with its position, for a key or a call that the user of the settings found invalid.
+func (s *Settings) Fault(key, problem string) Fault {
 	f, ok := s.positions[key]
 	if !ok {
 		call, _, _ := strings.Cut(key, ".")
 		f = s.positions[call]
 	}
-	f.Key, f.Problem = key, says
+	f.Key, f.Problem = key, problem
 	return f
 }
 
-// Budgets sets fleet-wide budgets; the schema says what each value means.
+// Budgets sets fleet-wide budgets; schema.json describes each value.
 type Budgets struct {
 	Connections int     `json:"connections"`
 	Most        int     `json:"most"`
@@ -65,7 +64,7 @@
 	Drift       float64 `json:"drift"`
 }
 
-// Policy is what the fleet agrees on; the schema says what each value means.
+// Policy is the policy that the fleet agrees on; schema.json describes each value.
 type Policy struct {
 	Connections    int      `json:"connections"`
 	MaxDispatchers int      `json:"most"`
@@ -78,7 +77,7 @@
 	RunMS         int            `json:"run_ms"`
 }
 
-// Quotas sets how the policy's quotas are kept; the schema says what each value means.
+// Quotas sets how the policy's quotas are lent; schema.json describes each value.
 type Quotas struct {
 	Region        string   `json:"region"`
 	Lenders       []string `json:"lenders"`
@@ -86,7 +85,7 @@
 	RegionLeaseMS int      `json:"region_lease_ms"`
 }
 
-// Accord sets how the fleet agrees; the schema says what each value means.
+// Accord sets how the fleet agrees on a policy version; schema.json describes each value.
 type Accord struct {
 	Voters  []string `json:"voters"`
 	Listen  string   `json:"listen"`
@@ -96,10 +95,10 @@
 	Data    string   `json:"data"`
 }
 
-// ContinueWhenCut says whether a dispatcher that is cut off goes on by the version it knew.
+// ContinueWhenCut reports whether a dispatcher that is cut off from the fleet continues with the version it knows.
 func (a *Accord) ContinueWhenCut() bool { return a.WhenCut == "keep" }
 
-// HTTP2 sets the HTTP/2 front; the schema says what each value means.
+// HTTP2 sets the HTTP/2 front, a listener with its protocol; schema.json describes each value.
 type HTTP2 struct {
 	Listen         string `json:"listen"`
 	MaxStreams     int    `json:"max_streams"`
@@ -110,7 +109,7 @@
 	DrainMS        int    `json:"drain_ms"`
 }
 
-// Consul sets Consul as a source of backends; the schema says what each value means.
+// Consul sets Consul as a source of backends; schema.json describes each value.
 type Consul struct {
 	Address       []string `json:"address"`
 	Service       string   `json:"service"`
@@ -142,14 +141,14 @@
 	RegisterTTLMS int      `json:"register_ttl_ms"`
 }
 
-// Backends sets the other sources of backends; the schema says what each value means.
+// Backends sets the other sources of backends; schema.json describes each value.
 type Backends struct {
 	Director     bool     `json:"director"`
 	Static       []string `json:"static"`
 	StaticWeight int      `json:"static_weight"`
 }
 
-// MemberRules sets how far a catalogue is believed; the schema says what each value means.
+// MemberRules sets when the data of a catalogue is considered wrong; schema.json describes each value.
 type MemberRules struct {
 	DoubtMS       int  `json:"doubt_ms"`
 	HoldMS        int  `json:"hold_ms"`
@@ -162,27 +161,27 @@
 	WarningDrains bool `json:"warning_drains"`
 }
 
-// DefaultHTTP2 is the front at an address, with all else as the schema has it.
+// DefaultHTTP2 returns the settings of an HTTP/2 front at an address, with the schema's defaults.
 func DefaultHTTP2(listen string) *HTTP2 {
 	s, err := Parse("defaults", func(string) ([]byte, error) { return []byte("http2(listen = \"127.0.0.1:1\")"), nil })
-	if err != nil { // the schema lacks a default, and no test would pass
+	if err != nil { // the schema lacks a default: every test would fail
 		panic(err)
 	}
 	s.HTTP2.Listen = listen
 	return s.HTTP2
 }
 
-// CancelOnReset says whether a reset calls off what is out at backends.
+// CancelOnReset reports whether a reset of a stream cancels the request's attempts at backends.
 func (h *HTTP2) CancelOnReset() bool { return h.OnReset == "stop" }
 
-// StallTimeout is how long an answer waits for its client.
+// StallTimeout returns how long an answer waits for its client.
 func (h *HTTP2) StallTimeout() time.Duration { return time.Duration(h.StallMS) * time.Millisecond }
 
-// DrainTimeout is how long the first GOAWAY may stay unacknowledged.
+// DrainTimeout returns how long the first GOAWAY may stay unacknowledged.
 func (h *HTTP2) DrainTimeout() time.Duration { return time.Duration(h.DrainMS) * time.Millisecond }
 
-// Fault is one thing that is wrong with a script. Line and Column count from 1 and are 0 where
-// the whole file is meant; Key is the call, or the call and its key with a dot between.
+// Fault is one error in a script. Line and Column count from 1 and are 0 if the fault concerns the whole
+// file. Key is the call, or the call and its key separated by a dot.
 type Fault struct {
 	File         string
 	Line, Column int
@@ -204,7 +203,7 @@
 	return b.String()
 }
 
-// Faults are all that was found, in the order of their places. It is the error of Load and Parse.
+// Faults are all errors found, in the order of their positions. It is the error type of Load and Parse.
 type Faults []Fault
 
 func (f Faults) Error() string {
@@ -215,14 +214,14 @@
 	return strings.Join(lines, "\n")
 }
 
-// maxFileBytes is the most bytes that a file of a script may have, and maxFiles how many it may load.
+// maxFileBytes bounds the size of each file of a script, and maxFiles the number of files it may load.
 const (
 	maxFileBytes = 256 << 10
 	maxFiles     = 16
 )
 
-// Load reads the script at a path. Its load statements reach files of the same folder alone. No
-// path is no script: everything is off. The error is Faults.
+// Load reads the script at a path. Its load statements reach only files of the same directory. An empty
+// path means no script: everything is disabled. The error is of type Faults.
 func Load(path string) (*Settings, error) {
 	if path == "" {
 		return &Settings{}, nil
@@ -238,7 +237,7 @@
 			return nil, err
 		}
 		defer f.Close()
-		if info, err := f.Stat(); err != nil || !info.Mode().IsRegular() { // a pipe would have us wait
+		if info, err := f.Stat(); err != nil || !info.Mode().IsRegular() { // reading a pipe would block
 			return nil, fmt.Errorf("%s is no regular file", name)
 		}
 		text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
@@ -249,7 +248,7 @@
 	})
 }
 
-// Parse runs the script of a name; read brings the text of a file. The error is Faults.
+// Parse runs the script with a name; read returns the text of a file. The error is of type Faults.
 func Parse(name string, read func(name string) ([]byte, error)) (*Settings, error) {
 	s := script{read: read, calls: map[string]*call{}, modules: map[string]*loadedFile{}}
 	if err := s.run(name); err != nil {
@@ -281,25 +280,25 @@
 		}
 	}
 	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields() // the schema and the struct must name the same
+	d.DisallowUnknownFields() // the schema and the structs must have the same keys
 	if err := d.Decode(out); err != nil {
 		return nil, Faults{{File: name, Problem: err.Error()}}
 	}
 	return out, nil
 }
 
-// Changes names what another script changes: what holds at once for new connections, and what
-// holds from the next start of the program.
+// Changes names the keys that differ in other: those that take effect at once or for new connections, and those
+// that take effect at the next start of the program.
 func (s *Settings) Changes(other *Settings) (now, later []string) {
 	for _, call := range calls() {
-		if call == "policy" { // the fleet's: a change of it is a proposal, and its log lines tell what became of it
+		if call == "policy" { // shared by the fleet: a change is a proposal, and the accord logs its outcome
 			continue
 		}
 		a, b := s.callValues(call), other.callValues(call)
 		if a == nil && b == nil {
 			continue
 		}
-		if a == nil || b == nil { // a listener is opened and closed by the start alone
+		if a == nil || b == nil { // listeners are opened and closed only at the start
 			later = append(later, call)
 			continue
 		}
@@ -317,7 +316,7 @@
 	return now, later
 }
 
-// callValues is a call's values by key, or nil where it was not called.
+// callValues returns a call's values by key, or nil if the script did not make the call.
 func (s *Settings) callValues(call string) map[string]any {
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -333,7 +332,7 @@
 //go:embed schema.json
 var schemaText []byte
 
-// property is what the schema says of a key, or of a call.
+// property is the schema's definition of a key, or of a call.
 type property struct {
 	Description string              `json:"description"`
 	Type        string              `json:"type"`
@@ -344,7 +343,7 @@
 	Properties  map[string]property `json:"properties"`
 }
 
-// root is the schema as the reference and the defaults need it.
+// root is the schema decoded for the reference and the defaults.
 var root = sync.OnceValue(func() (p property) {
 	if err := json.Unmarshal(schemaText, &p); err != nil {
 		panic(err)
@@ -352,9 +351,9 @@
 	return p
 })
 
-// schema is compiled at the first use: a start without a script, which a restart waits for, does
-// not pay for it. It is part of the program: what is wrong with it is wrong at every start, and
-// the tests would not pass.
+// schema is the schema compiled for validation, at the first use: a start without a script, which a restart
+// waits for, does not spend the time. The schema is embedded in the program, so an error in it would fail every
+// test.
 var schema = sync.OnceValue(func() *jsonschema.Schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
 	if err != nil {
@@ -371,7 +370,7 @@
 
 func properties(call string) map[string]property { return root().Properties[call].Properties }
 
-// keys are a call's keys, those that must be there first.
+// keys returns a call's keys, the required ones first.
 func keys(call string) []string {
 	p := root().Properties[call]
 	list := sortedKeys(p.Properties)
@@ -397,7 +396,7 @@
 	return list
 }
 
-// schemaFaults turns what the schema finds into faults with their places in the script.
+// schemaFaults converts the errors of the validation into faults with their positions in the script.
 func (s *script) schemaFaults(err error) Faults {
 	var faults Faults
 	var walk func(*jsonschema.ValidationError)
@@ -410,7 +409,7 @@
 		}
 		c := s.calls[e.InstanceLocation[0]]
 		entry := ""
-		if len(e.InstanceLocation) > 2 { // a value in a list: the whole list is told; of a dictionary, the entry
+		if len(e.InstanceLocation) > 2 { // a value in a list: report the whole list; in a dictionary: report the entry
 			if m, ok := c.values[e.InstanceLocation[1]].(map[string]any); ok {
 				got, _ := json.Marshal(m[e.InstanceLocation[2]])
 				entry = fmt.Sprintf("has %q: %s", e.InstanceLocation[2], truncate(got))
@@ -436,7 +435,7 @@
 				got, _ := json.Marshal(c.values[key])
 				entry = "is " + truncate(got)
 			}
-			if len(faults) > 0 && faults[len(faults)-1].Key == name+"."+key { // one fault for each key is enough
+			if len(faults) > 0 && faults[len(faults)-1].Key == name+"."+key { // one fault per key is enough
 				return
 			}
 			faults = append(faults, c.fault(name, key, entry+", want "+properties(name)[key].Wanted))
@@ -454,19 +453,20 @@
 	return faults
 }
 
-// truncate is a value as a line of an error holds it.
+// truncate shortens a value for an error message.
 func truncate(text []byte) string {
-	const most = 200 // bytes
-	if len(text) > most {
-		return strings.ToValidUTF8(string(text[:most]), "") + "..."
+	const maxBytes = 200
+	if len(text) > maxBytes {
+		return strings.ToValidUTF8(string(text[:maxBytes]), "") + "..."
 	}
 	return string(text)
 }
 
+// effectTexts are the reference's texts for the values of x-holds: what a change takes effect for.
 var effectTexts = map[string]string{"next start": "the next start", "new connections": "connections from then on", "now": "at once",
 	"accord": "the fleet, once it is decided"}
 
-// Reference writes what can be set, as Markdown, out of the schema.
+// Reference returns the reference of all settings as Markdown, generated from the schema.
 func Reference() string {
 	var b strings.Builder
 	b.WriteString("# The settings script\n\nWritten from `internal/settings/schema.json` by `tinsail reference`.\n")
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// readerOf reads scripts from a map.
+// readerOf returns a read function for Parse that takes the files from a map.
 func readerOf(m map[string]string) func(string) ([]byte, error) {
 	return func(name string) ([]byte, error) {
 		text, ok := m[name]
@@ -43,7 +43,7 @@
 	assert.Equal(t, &Settings{}, s)
 }
 
-// TestFaultsNamePositionAndKey: each names the file, the line, the key and what was wanted.
+// TestFaultsNamePositionAndKey: each fault names the file, the line, the key and the valid values.
 func TestFaultsNamePositionAndKey(t *testing.T) {
 	deep := "x = [1]\n" + strings.Repeat("x = [x, x]\n", 1)
 	for _, c := range []struct{ text, want string }{
@@ -92,12 +92,12 @@
 	assert.ErrorContains(t, err, "..., want a dictionary of at most 1024 teams")
 	assert.Less(t, len(err.Error()), 500)
 	_, err = parse("policy(quotas = {" + many.String()[:strings.Index(many.String(), "\"team1024\"")] + "})")
-	assert.NoError(t, err, "1024 teams fit the script's own bounds")
+	assert.NoError(t, err, "1024 teams are within the bounds of a script")
 	_, err = parse("http2(max_streams = 0,\n stall_ms = 1)")
-	assert.Len(t, err, 3, "all that is wrong is told at once")
+	assert.Len(t, err, 3, "all faults are reported at once")
 }
 
-// TestScriptStepsAndMemoryBounded: no script runs for long or takes much memory, whatever it doubles.
+// TestScriptStepsAndMemoryBounded: the bounds stop scripts that repeatedly double a value or nest loops.
 func TestScriptStepsAndMemoryBounded(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("x0 = \"" + strings.Repeat("a", 1000) + "\"\n")
@@ -119,7 +119,8 @@
 	assert.ErrorContains(t, err, "http2.listen: holds too much")
 }
 
-// TestLoadReadsOnlyItsDirectory: a link out of the folder and a file that is no file are not read.
+// TestLoadReadsOnlyItsDirectory: links out of the directory, files that are not regular and files that are too long
+// are not read.
 func TestLoadReadsOnlyItsDirectory(t *testing.T) {
 	dir := t.TempDir()
 	inner := filepath.Join(dir, "in")
@@ -141,7 +142,7 @@
 	assert.ErrorContains(t, err, "more than 262144 bytes")
 }
 
-// TestChangesByWhenTheyApply: what a new script changes is told by when it holds.
+// TestChangesByWhenTheyApply: the changes of a new script are grouped by when they take effect.
 func TestChangesByWhenTheyApply(t *testing.T) {
 	a, err := parse(`http2(listen = "a:1")`)
 	require.NoError(t, err)
@@ -155,11 +156,12 @@
 	assert.Empty(t, append(now, later...))
 }
 
-// TestReferencePageMatchesSchema: the page in docs is the one that the schema writes, and the example calls all.
+// TestReferencePageMatchesSchema: the page in docs equals the reference generated from the schema, and the example
+// script sets every key.
 func TestReferencePageMatchesSchema(t *testing.T) {
 	page, err := os.ReadFile("../../docs/settings.md")
 	require.NoError(t, err)
-	assert.Equal(t, Reference(), string(page), "write it again: bin/tinsail reference > docs/settings.md")
+	assert.Equal(t, Reference(), string(page), "regenerate it: bin/tinsail reference > docs/settings.md")
 	_, err = Load("../../deploy/example.star")
 	require.NoError(t, err)
 	text, err := os.ReadFile("../../deploy/example.star")
@@ -171,14 +173,14 @@
 	}
 }
 
-// FuzzParse: no text has the reader panic, hang or grow.
+// FuzzParse: no text makes the parser panic, hang or use unbounded memory.
 func FuzzParse(f *testing.F) {
 	f.Add("http2(listen = \"127.0.0.1:8082\", max_streams = 128)")
 	f.Add("load(\"more.star\", \"port\")\nx = [a for a in [1] if a]\nhttp2(**{\"listen\": \"a:1\"})")
 	f.Add("a = [1]\nb = {\"k\": [a, a]}\nhttp2(listen = b)")
 	f.Fuzz(func(t *testing.T, text string) {
 		if s, err := parse(text); (s == nil) == (err == nil) {
-			t.Fatal("neither settings nor an error")
+			t.Fatal("want either settings or an error")
 		}
 	})
 }
