--- a/cmd/tinsail/quotas.go
+++ b/cmd/tinsail/quotas.go
@@ -159,7 +159,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.latest = &p; f.limiter.Load() != nil {
-		f.limiter.Load().Enter(p)
+		f.limiter.Load().ApplyPolicy(p)
 	}
 }
 
@@ -168,7 +168,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.latest != nil {
-		q.Enter(*f.latest)
+		q.ApplyPolicy(*f.latest)
 	}
 	f.limiter.Store(q)
 }
@@ -180,7 +180,7 @@
 		return func() {}
 	}
 	urgent := *f.urgent.Load()
-	return f.limiter.Load().Take(f.tenants[tenant], class >= 0 && class < len(urgent) && urgent[class], until, ready)
+	return f.limiter.Load().Acquire(f.tenants[tenant], class >= 0 && class < len(urgent) && urgent[class], until, ready)
 }
 
 // MaxHold implements core.Quotas: the longest time that a request may hold its unit.
@@ -204,7 +204,7 @@
 		d.log.Error().Err(err).Msg("epoch not stored: after a step back of the wall clock lenders would take this process for an earlier one")
 	}
 	cfg := quota.Config{Name: d.cfg.Name, Epoch: epoch, Region: set.Quotas.Region, RegionLease: millis(set.Quotas.RegionLeaseMS), Log: d.log,
-		Plan: lending.LeaseConfig{Lease: millis(set.Quotas.LeaseMS), MaxRunTime: maxRunTime(d.cfg), Drift: set.Accord.Drift}}
+		Leases: lending.LeaseConfig{Lease: millis(set.Quotas.LeaseMS), MaxRunTime: maxRunTime(d.cfg), Drift: set.Accord.Drift}}
 	if from.link != nil { // the old process uses its units until it is drained, so the two must not count as incarnations of one name
 		cfg.Name = fmt.Sprintf("%s.%x", d.cfg.Name, epoch)
 	}
--- a/internal/network/fleet/quota/cost_test.go
+++ b/internal/network/fleet/quota/cost_test.go
@@ -17,7 +17,7 @@
 
 // alone is a dispatcher's side with no lender to reach, which holds so many units of each of some accounts.
 func alone(t testing.TB, accounts, units int) *Quota {
-	q := &Quota{cfg: Config{Name: "n0", Epoch: 1 << 60, Region: "east", Plan: quota.LeaseConfig{Lease: time.Hour, MaxRunTime: time.Second}, Log: zerolog.Nop()}, start: time.Now()}
+	q := &Quota{cfg: Config{Name: "n0", Epoch: 1 << 60, Region: "east", Leases: quota.LeaseConfig{Lease: time.Hour, MaxRunTime: time.Second}, Log: zerolog.Nop()}, start: time.Now()}
 	var err error
 	q.desk, err = newDesk(q, "")
 	require.NoError(t, err)
@@ -29,7 +29,7 @@
 		p.Quotas[name] = units
 		a.Allocations = append(a.Allocations, quota.Allocation{Account: name, Units: units})
 	}
-	q.Enter(p)
+	q.ApplyPolicy(p)
 	for range 2 { // the first is of a life not heard before, and grants nothing
 		ask, ok := q.desk.due()
 		require.True(t, ok)
@@ -68,7 +68,7 @@
 			until := time.Now().Add(time.Hour)
 			begun := 0
 			for b.Loop() {
-				q.Take("team000", false, until, func(_ time.Time, _ time.Duration, ok bool) {
+				q.Acquire("team000", false, until, func(_ time.Time, _ time.Duration, ok bool) {
 					if ok {
 						begun++
 					}
--- a/internal/network/fleet/quota/desk.go
+++ b/internal/network/fleet/quota/desk.go
@@ -35,7 +35,7 @@
 }
 
 func newDesk(q *Quota, to string) (*desk, error) {
-	h, err := quota.NewHolder(q.cfg.Plan, q.cfg.Name, q.cfg.Epoch, false)
+	h, err := quota.NewHolder(q.cfg.Leases, q.cfg.Name, q.cfg.Epoch, false)
 	if err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 		d.waiting[id] = r
 		d.turn()
 		if !r.said.Load() {
-			d.q.Count.Waited.Add(1)
+			d.q.Counters.Waited.Add(1)
 			wake(d.woken)
 		}
 	}
@@ -132,7 +132,7 @@
 	d.needs()
 	due := d.holder.NextRequestTime() <= now
 	if n := len(refuse); n > 0 {
-		d.q.Count.Refused.Add(int64(n))
+		d.q.Counters.Refused.Add(int64(n))
 		if d.refused += n; time.Since(d.told) >= time.Second {
 			d.q.cfg.Log.Info().Str("process", d.q.cfg.Name).Int("reqs", d.refused).Msg("quota: refused")
 			d.refused, d.told = 0, time.Now()
@@ -148,7 +148,7 @@
 		case i < len(begin):
 			r.ready(d.q.at(now), 0, true)
 		default:
-			r.ready(time.Time{}, d.q.cfg.Plan.RenewInterval(), false)
+			r.ready(time.Time{}, d.q.cfg.Leases.RenewInterval(), false)
 		}
 	}
 }
@@ -202,7 +202,7 @@
 		d.holder.HandleResponse(d.q.now(), m.Response.LeaseResponse)
 	} else {
 		d.holder.HandlePoll()
-		d.q.Count.Nudged.Add(1)
+		d.q.Counters.PollsReceived.Add(1)
 	}
 	d.turn()
 }
--- a/internal/network/fleet/quota/link.go
+++ b/internal/network/fleet/quota/link.go
@@ -62,7 +62,7 @@
 		if to := k.target(); to != "" {
 			k.follow(to)
 		}
-		k.pause(k.q.cfg.Plan.Lease/20 + rand.N(k.q.cfg.Plan.Lease/20))
+		k.pause(k.q.cfg.Leases.Lease/20 + rand.N(k.q.cfg.Leases.Lease/20))
 	}
 }
 
@@ -77,7 +77,7 @@
 
 // follow asks at one address until the link breaks, the lender is elsewhere, or it is silent.
 func (k *asker) follow(to string) {
-	plan := k.q.cfg.Plan
+	plan := k.q.cfg.Leases
 	conn, err := (&net.Dialer{Timeout: plan.Lease / 3}).DialContext(k.ctx, "tcp", to)
 	if err != nil {
 		return
@@ -123,7 +123,7 @@
 			if send(frames.Frame(wire.EncodeLeaseRequest(wire.LeaseRequest{To: k.level, LeaseRequest: a}))) != nil {
 				return
 			}
-			k.q.Count.Asks.Add(1)
+			k.q.Counters.RequestsSent.Add(1)
 			continue
 		} else if asked.IsZero() { // nothing to look for but the next ask, and who leads
 			wait = min(max(k.q.at(k.side.next()).Sub(now), paceLeast), beatMost)
@@ -158,7 +158,7 @@
 		switch {
 		case err != nil:
 			if errors.Is(err, wire.ErrMessage) {
-				k.q.Count.Bad.Add(1)
+				k.q.Counters.BadMessages.Add(1)
 			}
 			return
 		case m.Response != nil && m.Response.From == k.level:
@@ -172,7 +172,7 @@
 			}
 			return
 		default:
-			k.q.Count.Bad.Add(1)
+			k.q.Counters.BadMessages.Add(1)
 			return
 		}
 		k.side.heard(m)
--- a/internal/network/fleet/quota/links_test.go
+++ b/internal/network/fleet/quota/links_test.go
@@ -56,7 +56,7 @@
 		_, err := conn.Write(p)
 		require.NoError(t, err)
 		closed(t, conn)
-		assert.EqualValues(t, i+1, q.Count.Bad.Load(), "message %d", i)
+		assert.EqualValues(t, i+1, q.Counters.BadMessages.Load(), "message %d", i)
 	}
 }
 
@@ -81,7 +81,7 @@
 	_, err := conn.Write(asks("", "north", 1))
 	require.NoError(t, err)
 	closed(t, conn)
-	assert.EqualValues(t, 1, r.member(leader).quota.Count.Bad.Load())
+	assert.EqualValues(t, 1, r.member(leader).quota.Counters.BadMessages.Load())
 }
 
 // TestFlood: a link on which more asks come than any holder sends is closed, and counted.
@@ -97,12 +97,12 @@
 	assert.Error(t, err, "it was closed")
 	var late net.Error
 	assert.False(t, errors.As(err, &late) && late.Timeout())
-	r.until("counted", func() bool { return r.member(0).quota.Count.Floods.Load() == 1 })
+	r.until("counted", func() bool { return r.member(0).quota.Counters.Overloads.Load() == 1 })
 }
 
 // TestSlowReader: a link that takes no answers is closed, and holds up nobody.
 func TestSlowReader(t *testing.T) {
-	q := &Quota{cfg: Config{Plan: quota.LeaseConfig{Lease: time.Second}}, start: time.Now()}
+	q := &Quota{cfg: Config{Leases: quota.LeaseConfig{Lease: time.Second}}, start: time.Now()}
 	near, far := net.Pipe()
 	defer near.Close()
 	l := &link{v: &votes{q: q}, conn: far, out: make(chan []byte, linkHeld)}
@@ -114,9 +114,9 @@
 	for range linkHeld / 2 {
 		l.away("")
 	}
-	assert.Zero(t, q.Count.Floods.Load())
+	assert.Zero(t, q.Counters.Overloads.Load())
 	l.away("")
-	assert.EqualValues(t, 1, q.Count.Floods.Load())
+	assert.EqualValues(t, 1, q.Counters.Overloads.Load())
 	_, err := near.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
 }
@@ -126,9 +126,9 @@
 	plan := quota.LeaseConfig{Lease: time.Second, MaxRunTime: time.Second}
 	for says, cfg := range map[string]Config{
 		"lease":              {},
-		"shorter":            {Plan: plan, RegionLease: 500 * time.Millisecond},
-		`no lender is named`: {Plan: plan, RegionLease: 4 * time.Second, Region: "east", Lenders: []Lender{{"west", "n0", "127.0.0.1:1"}}},
-		"n0 is a lender and no voter": {Name: "n0", Plan: plan, RegionLease: 4 * time.Second, Region: "west",
+		"shorter":            {Leases: plan, RegionLease: 500 * time.Millisecond},
+		`no lender is named`: {Leases: plan, RegionLease: 4 * time.Second, Region: "east", Lenders: []Lender{{"west", "n0", "127.0.0.1:1"}}},
+		"n0 is a lender and no voter": {Name: "n0", Leases: plan, RegionLease: 4 * time.Second, Region: "west",
 			Lenders: []Lender{{"west", "n0", "127.0.0.1:1"}}},
 	} {
 		_, err := New(cfg, &accord.Accord{})
--- a/internal/network/fleet/quota/quota.go
+++ b/internal/network/fleet/quota/quota.go
@@ -29,14 +29,14 @@
 	Epoch       uint64 // new and higher with each start of the process
 	Region      string // this dispatcher's
 	Lenders     []Lender
-	Plan        quota.LeaseConfig // between a region's lender and its dispatchers
+	Leases      quota.LeaseConfig // between a region's lender and its dispatchers
 	RegionLease time.Duration     // between the root and the regions; the rest of the plan is the same
 	Log         zerolog.Logger
 }
 
 // up is the plan between the root and the regions.
 func (c *Config) up() quota.LeaseConfig {
-	p := c.Plan
+	p := c.Leases
 	p.Lease = c.RegionLease
 	return p
 }
@@ -62,28 +62,28 @@
 
 // beat is how often the time is looked at where nothing happens.
 func (c *Config) beat() time.Duration {
-	return min(max(c.Plan.Lease/100, paceLeast), beatMost)
+	return min(max(c.Leases.Lease/100, paceLeast), beatMost)
 }
 
-// Counts are the quotas' counters.
-type Counts struct {
-	Waited, Refused atomic.Int64 // reqs that did not begin at once; that had no room in time
-	Nudged          atomic.Int64 // nudges heard: units were called back from here
-	CalledBack      atomic.Int64 // calls of this process's lenders for units
-	Asks            atomic.Int64 // sent to lenders
-	Taken           atomic.Int64 // asks that this process's lenders took in
-	Away            atomic.Int64 // asks for a lender that is not here
-	Bad             atomic.Int64 // messages that could not be read, or were not a holder's
-	Floods          atomic.Int64 // links closed since more came than is read, or less was taken than was sent
+// Counters are the quotas' counters.
+type Counters struct {
+	Waited, Refused  atomic.Int64 // reqs that did not begin at once; that had no room in time
+	PollsReceived    atomic.Int64 // nudges heard: units were called back from here
+	Recalls          atomic.Int64 // calls of this process's lenders for units
+	RequestsSent     atomic.Int64 // sent to lenders
+	RequestsReceived atomic.Int64 // asks that this process's lenders took in
+	Redirects        atomic.Int64 // asks for a lender that is not here
+	BadMessages      atomic.Int64 // messages that could not be read, or were not a holder's
+	Overloads        atomic.Int64 // links closed since more came than is read, or less was taken than was sent
 }
 
 // Quota is a dispatcher's part in the quotas.
 type Quota struct {
-	Count Counts
-	cfg   Config
-	start time.Time
-	desk  *desk
-	votes *votes // nil where it is no voter
+	Counters Counters
+	cfg      Config
+	start    time.Time
+	desk     *desk
+	votes    *votes // nil where it is no voter
 }
 
 // now is the process's own monotonic clock, from its making.
@@ -103,7 +103,7 @@
 	if err := cfg.up().Check(); err != nil {
 		return nil, fmt.Errorf("of regions: %w", err)
 	}
-	if cfg.RegionLease < cfg.Plan.Lease {
+	if cfg.RegionLease < cfg.Leases.Lease {
 		return nil, errors.New("quota: a region's lease is shorter than a dispatcher's")
 	}
 	to := ""
@@ -142,14 +142,14 @@
 	}
 }
 
-// Enter puts a policy's quotas in force at this dispatcher.
-func (q *Quota) Enter(p policy.Policy) { q.desk.enter(p) }
+// ApplyPolicy puts a policy's quotas in force at this dispatcher.
+func (q *Quota) ApplyPolicy(p policy.Policy) { q.desk.enter(p) }
 
-// Take asks for room for a req of an account, until a time at most. ready is called once, unless leave was called
-// first; from any goroutine, perhaps before Take returns. from is the time by which the room counts: the req is over
+// Acquire asks for room for a req of an account, until a time at most. ready is called once, unless leave was called
+// first; from any goroutine, perhaps before Acquire returns. from is the time by which the room counts: the req is over
 // by the policy's run after it. Where there is no room by until, ok is false and pause is advice to its client. leave
 // tells that the req is over, or does not wait any more; it may be called more than once.
-func (q *Quota) Take(account string, urgent bool, until time.Time, ready func(from time.Time, pause time.Duration, ok bool)) (leave func()) {
+func (q *Quota) Acquire(account string, urgent bool, until time.Time, ready func(from time.Time, pause time.Duration, ok bool)) (leave func()) {
 	return q.desk.take(account, urgent, until, ready)
 }
 
@@ -159,28 +159,28 @@
 	f("quota_held", held)
 	f("quota_in_use", used)
 	f("quota_waiting", waiting)
-	f("quota_waited", q.Count.Waited.Load())
-	f("quota_refused", q.Count.Refused.Load())
-	f("quota_nudged", q.Count.Nudged.Load())
-	f("quota_asks", q.Count.Asks.Load())
-	f("quota_bad_messages", q.Count.Bad.Load())
+	f("quota_waited", q.Counters.Waited.Load())
+	f("quota_refused", q.Counters.Refused.Load())
+	f("quota_nudged", q.Counters.PollsReceived.Load())
+	f("quota_asks", q.Counters.RequestsSent.Load())
+	f("quota_bad_messages", q.Counters.BadMessages.Load())
 	if q.votes == nil {
 		return
 	}
 	region, root := q.votes.lent()
 	f("quota_lent", region)
 	f("quota_lent_root", root)
-	f("quota_called_back", q.Count.CalledBack.Load())
-	f("quota_asks_taken", q.Count.Taken.Load())
-	f("quota_asks_away", q.Count.Away.Load())
-	f("quota_floods", q.Count.Floods.Load())
+	f("quota_called_back", q.Counters.Recalls.Load())
+	f("quota_asks_taken", q.Counters.RequestsReceived.Load())
+	f("quota_asks_away", q.Counters.Redirects.Load())
+	f("quota_floods", q.Counters.Overloads.Load())
 }
 
 // tell logs the steps of a lender, and counts those that the counters tell. level is its region, empty for the root.
 func (q *Quota) tell(level string, notes []quota.Event) {
 	for _, n := range notes {
 		if n.Step == "called back" {
-			q.Count.CalledBack.Add(1)
+			q.Counters.Recalls.Add(1)
 		}
 		e := q.cfg.Log.Info().Str("process", q.cfg.Name).Str("lender", levelName(level))
 		if n.Account != "" {
--- a/internal/network/fleet/quota/quota_test.go
+++ b/internal/network/fleet/quota/quota_test.go
@@ -101,7 +101,7 @@
 		var leaves []func()
 		for range 6 {
 			said := make(chan bool, 1)
-			leaves = append(leaves, r.member(at).quota.Take("a", false, time.Now().Add(20*time.Second), func(_ time.Time, _ time.Duration, ok bool) {
+			leaves = append(leaves, r.member(at).quota.Acquire("a", false, time.Now().Add(20*time.Second), func(_ time.Time, _ time.Duration, ok bool) {
 				if ok {
 					a.begin()
 				}
@@ -116,7 +116,7 @@
 	}
 	called := int64(0)
 	for _, m := range r.members(every) {
-		called += m.quota.Count.Nudged.Load()
+		called += m.quota.Counters.PollsReceived.Load()
 	}
 	assert.Positive(t, called)
 	assert.True(t, r.log.has(`"message":"quota: called back"`))
@@ -130,7 +130,7 @@
 	r.inForce(1)
 	take := func(i int, urgent bool) (chan bool, func()) {
 		said := make(chan bool, 1)
-		leave := r.member(i).quota.Take("a", urgent, time.Now().Add(20*time.Second), func(_ time.Time, _ time.Duration, ok bool) { said <- ok })
+		leave := r.member(i).quota.Acquire("a", urgent, time.Now().Add(20*time.Second), func(_ time.Time, _ time.Duration, ok bool) { said <- ok })
 		return said, leave
 	}
 	for range 3 {
@@ -162,7 +162,7 @@
 	r.inForce(1)
 	said := make(chan bool, 3)
 	for range 3 {
-		leave := r.member(3).quota.Take("a", false, time.Now().Add(20*time.Second), func(_ time.Time, _ time.Duration, ok bool) { said <- ok })
+		leave := r.member(3).quota.Acquire("a", false, time.Now().Add(20*time.Second), func(_ time.Time, _ time.Duration, ok bool) { said <- ok })
 		assert.True(t, <-said)
 		leave()
 	}
@@ -176,26 +176,26 @@
 	r.inForce(1)
 	q := r.member(0).quota
 	first, second := make(chan bool, 1), make(chan bool, 1)
-	leave := q.Take("a", false, time.Now().Add(20*time.Second), func(from time.Time, _ time.Duration, ok bool) {
+	leave := q.Acquire("a", false, time.Now().Add(20*time.Second), func(from time.Time, _ time.Duration, ok bool) {
 		assert.False(t, from.IsZero())
 		first <- ok
 	})
 	assert.True(t, <-first)
-	gone := q.Take("a", false, time.Now().Add(20*time.Second), func(time.Time, time.Duration, bool) { t.Error("it left") })
+	gone := q.Acquire("a", false, time.Now().Add(20*time.Second), func(time.Time, time.Duration, bool) { t.Error("it left") })
 	gone()
-	q.Take("a", false, time.Now().Add(50*time.Millisecond), func(_ time.Time, pause time.Duration, ok bool) {
+	q.Acquire("a", false, time.Now().Add(50*time.Millisecond), func(_ time.Time, pause time.Duration, ok bool) {
 		assert.Positive(t, pause)
 		second <- ok
 	})
 	assert.False(t, <-second)
 	leave()
 	leave()
-	assert.EqualValues(t, 1, q.Count.Refused.Load())
-	assert.EqualValues(t, 2, q.Count.Waited.Load()-waitedFirst(q), "of those that waited")
+	assert.EqualValues(t, 1, q.Counters.Refused.Load())
+	assert.EqualValues(t, 2, q.Counters.Waited.Load()-waitedFirst(q), "of those that waited")
 	counters := map[string]int64{}
 	q.Each(func(name string, n int64) { counters[name] = n })
 	assert.EqualValues(t, 0, counters["quota_waiting"])
 }
 
 // waitedFirst is whether the first req of TestPatience waited: the lease was there before it or not.
-func waitedFirst(q *Quota) int64 { return q.Count.Waited.Load() - 2 }
+func waitedFirst(q *Quota) int64 { return q.Counters.Waited.Load() - 2 }
--- a/internal/network/fleet/quota/region.go
+++ b/internal/network/fleet/quota/region.go
@@ -23,7 +23,7 @@
 
 func newRegion(v *votes, name string) (*region, error) {
 	cfg := &v.q.cfg
-	r, err := quota.NewRegionLender(cfg.up(), cfg.Plan, name, cfg.Epoch, v.q.now())
+	r, err := quota.NewRegionLender(cfg.up(), cfg.Leases, name, cfg.Epoch, v.q.now())
 	if err != nil {
 		return nil, err
 	}
@@ -142,7 +142,7 @@
 		}
 	} else {
 		r.region.HandlePoll()
-		r.v.q.Count.Nudged.Add(1)
+		r.v.q.Counters.PollsReceived.Add(1)
 	}
 	r.turn()
 }
--- a/internal/network/fleet/quota/rig_test.go
+++ b/internal/network/fleet/quota/rig_test.go
@@ -139,13 +139,13 @@
 			q := m.quota
 			r.mu.Unlock()
 			if q != nil {
-				q.Enter(p)
+				q.ApplyPolicy(p)
 				m.serves.Store(version)
 			}
 			return err
 		},
 		Log: zerolog.Nop()}
-	mine := Config{Name: cfg.Name, Epoch: cfg.Epoch, Region: regions[i%3], Plan: r.plan, RegionLease: r.region, Log: zerolog.New(&r.log)}
+	mine := Config{Name: cfg.Name, Epoch: cfg.Epoch, Region: regions[i%3], Leases: r.plan, RegionLease: r.region, Log: zerolog.New(&r.log)}
 	for v := range r.voters {
 		cfg.Voters = append(cfg.Voters, accord.Peer{Name: named(v), Address: r.address(i, v)})
 		mine.Lenders = append(mine.Lenders, Lender{regions[v], named(v), r.address(i, v)})
@@ -164,7 +164,7 @@
 	entered := m.entered
 	r.mu.Unlock()
 	if entered > 0 {
-		q.Enter(m.policy)
+		q.ApplyPolicy(m.policy)
 		m.serves.Store(m.entered)
 	}
 }
@@ -212,7 +212,7 @@
 				continue
 			}
 			said := make(chan bool, 1)
-			leave := m.quota.Take(team, urgent, time.Now().Add(time.Second), func(_ time.Time, _ time.Duration, ok bool) {
+			leave := m.quota.Acquire(team, urgent, time.Now().Add(time.Second), func(_ time.Time, _ time.Duration, ok bool) {
 				if ok {
 					m.begun.Add(1)
 					run.begin()
--- a/internal/network/fleet/quota/root.go
+++ b/internal/network/fleet/quota/root.go
@@ -162,7 +162,7 @@
 // take answers an ask. r.mu is held, and that this voter leads is confirmed.
 func (r *root) take(a asked) {
 	if !slices.Contains(r.known, a.ask.Child) {
-		r.v.q.Count.Bad.Add(1)
+		r.v.q.Counters.BadMessages.Add(1)
 		a.from.conn.Close()
 		return
 	}
--- a/internal/network/fleet/quota/votes.go
+++ b/internal/network/fleet/quota/votes.go
@@ -50,7 +50,7 @@
 
 // flooded closes a link, and counts it once.
 func (l *link) flooded() {
-	l.flood.Do(func() { l.v.q.Count.Floods.Add(1) })
+	l.flood.Do(func() { l.v.q.Counters.Overloads.Add(1) })
 	l.conn.Close()
 }
 
@@ -166,7 +166,7 @@
 	for {
 		select {
 		case p := <-l.out:
-			l.conn.SetWriteDeadline(time.Now().Add(l.v.q.cfg.Plan.Lease / 3))
+			l.conn.SetWriteDeadline(time.Now().Add(l.v.q.cfg.Leases.Lease / 3))
 			if _, err := l.conn.Write(p); err != nil {
 				l.conn.Close()
 				return
@@ -186,12 +186,12 @@
 		m, err := wire.ReadMessage(r)
 		switch {
 		case errors.Is(err, wire.ErrMessage):
-			q.Count.Bad.Add(1)
+			q.Counters.BadMessages.Add(1)
 			return
 		case err != nil:
 			return
 		case m.Request == nil || l.child != "" && (m.Request.Child != l.child || m.Request.To != l.level):
-			q.Count.Bad.Add(1)
+			q.Counters.BadMessages.Add(1)
 			return
 		case !pace.Allow():
 			l.flooded()
@@ -200,7 +200,7 @@
 		if l.child == "" {
 			l.child, l.level = m.Request.Child, m.Request.To
 		}
-		q.Count.Taken.Add(1)
+		q.Counters.RequestsReceived.Add(1)
 		switch {
 		case l.level == "":
 			l.v.root.ask(l, m.Request.LeaseRequest)
@@ -214,7 +214,7 @@
 
 // away says that the lender that was asked is not here.
 func (l *link) away(leader string) {
-	l.v.q.Count.Away.Add(1)
+	l.v.q.Counters.Redirects.Add(1)
 	l.send(wire.EncodeRedirect(wire.Redirect{From: l.level, Leader: leader}))
 }
 
