--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -100,7 +100,7 @@
 	d := stdjson.NewDecoder(bytes.NewReader(text))
 	offset := int64(0)
 	path := strings.FieldsFunc(key, func(r rune) bool { return r == '.' || r == '[' || r == ']' })
-	for i := 0; i < len(path) && descend(d, path[i], &offset); i++ {
+	for i := 0; i < len(path) && enterValue(d, path[i], &offset); i++ {
 	}
 	if offset == 0 && key != "" {
 		return 0
@@ -108,9 +108,9 @@
 	return 1 + bytes.Count(text[:offset], []byte("\n"))
 }
 
-// descend moves the decoder to the value of a key of an object, or of an index of a list. It returns false if there
+// enterValue moves the decoder to the value of a key of an object, or of an index of a list. It returns false if there
 // is none.
-func descend(d *stdjson.Decoder, want string, offset *int64) bool {
+func enterValue(d *stdjson.Decoder, want string, offset *int64) bool {
 	open, err := d.Token()
 	if err != nil || open != stdjson.Delim('{') && open != stdjson.Delim('[') {
 		return false
--- a/internal/fleet/slices/devices.go
+++ b/internal/fleet/slices/devices.go
@@ -109,7 +109,7 @@
 		}
 		missing = sorted.DeleteFunc(missing, func(m *slice) bool { return m == s })
 		v.used = v.used.minus(s.amount)
-		s.amount = s.amount.max(h.Amount)
+		s.amount = s.amount.elementwiseMax(h.Amount)
 		v.used = v.used.plus(s.amount)
 		switch s.stage {
 		case running:
--- a/internal/fleet/slices/index.go
+++ b/internal/fleet/slices/index.go
@@ -57,12 +57,12 @@
 	if t.strategy == FirstFit || !v.ready || v.reservedFor != nil || len(v.slices) >= t.limits.MaxSlices {
 		return
 	}
-	locked := false
+	tenantOnly := false
 	for _, s := range v.slices {
 		if s.demand.Isolation == Exclusive {
 			return
 		}
-		locked = locked || s.demand.Isolation == SharedWithTenant
+		tenantOnly = tenantOnly || s.demand.Isolation == SharedWithTenant
 	}
 	free := v.free(t)
 	if free.Parts <= 0 || free.Memory <= 0 {
@@ -70,7 +70,7 @@
 	}
 	sh := shape{class: v.class, free: free, empty: len(v.slices) == 0}
 	full := len(v.tenants) >= t.limits.MaxTenants
-	if !locked && !full {
+	if !tenantOnly && !full {
 		t.add(t.openIndex, v, sh)
 	}
 	if sh.singleTenant = len(v.tenants) == 1; sh.singleTenant || full {
--- a/internal/fleet/slices/owner.go
+++ b/internal/fleet/slices/owner.go
@@ -17,10 +17,11 @@
 	groups map[string]*groupLease
 }
 
+// groupLease is the state of one group's lease at an owner.
 type groupLease struct {
 	requestTimes map[uint64]time.Duration // time of each request that may still be granted
-	seq          uint64
-	term         uint64 // highest term known, of this or another owner
+	seq          uint64                   // number of the last request
+	term         uint64                   // highest term known, of this or another owner
 	held         bool
 	leaseEnd     time.Duration
 }
@@ -31,6 +32,7 @@
 // NewOwner makes an owner without groups.
 func NewOwner(l Lease) *Owner { return &Owner{lease: l, groups: map[string]*groupLease{}} }
 
+// groupLease returns the state of a group's lease, a new one at the first call.
 func (o *Owner) groupLease(group string) *groupLease {
 	g := o.groups[group]
 	if g == nil {
--- a/internal/fleet/slices/placement.go
+++ b/internal/fleet/slices/placement.go
@@ -44,6 +44,7 @@
 	return a, ""
 }
 
+// shortage names the resource of which the demand asks more than the device has.
 func (c *class) shortage(d *Demand) string {
 	if d.Size.Parts > c.size.Parts {
 		return fmt.Sprintf("parts: %d of at most %d", d.Size.Parts, c.size.Parts)
--- a/internal/fleet/slices/queue.go
+++ b/internal/fleet/slices/queue.go
@@ -30,6 +30,7 @@
 	return 0
 }
 
+// enqueue inserts a demand into the queue in its order.
 func (t *Table) enqueue(w *waitingDemand) {
 	i, _ := sorted.BinarySearchFunc(t.waiting, w, (*waitingDemand).compare)
 	t.waiting = sorted.Insert(t.waiting, i, w)
@@ -37,6 +38,7 @@
 	w.queued = true
 }
 
+// dequeue removes a demand from the queue, if it is there, and frees its reserved device.
 func (t *Table) dequeue(w *waitingDemand) {
 	if !w.queued {
 		return
--- a/internal/fleet/slices/slices.go
+++ b/internal/fleet/slices/slices.go
@@ -11,16 +11,18 @@
 	"time"
 )
 
-// Amount is a part of a device, or the whole of it.
+// Amount is an amount of a device's resources: a part of the device, or all of it.
 type Amount struct {
-	Parts  int // processor, thousandths of a device
+	Parts  int // of the processor, in thousandths of a device
 	Memory int // MiB
 }
 
 func (a Amount) plus(b Amount) Amount   { return Amount{a.Parts + b.Parts, a.Memory + b.Memory} }
 func (a Amount) minus(b Amount) Amount  { return Amount{a.Parts - b.Parts, a.Memory - b.Memory} }
 func (a Amount) contains(b Amount) bool { return a.Parts >= b.Parts && a.Memory >= b.Memory }
-func (a Amount) max(b Amount) Amount    { return Amount{max(a.Parts, b.Parts), max(a.Memory, b.Memory)} }
+func (a Amount) elementwiseMax(b Amount) Amount {
+	return Amount{max(a.Parts, b.Parts), max(a.Memory, b.Memory)}
+}
 
 // Upper bounds on values that other processes send. They protect against malformed messages.
 const (
@@ -117,7 +119,7 @@
 // QueryState of that term. A backend refuses a Start whose token is below the highest it has seen for the device.
 type FencingToken struct{ Term, Sequence uint64 }
 
-// Before orders stamps.
+// Before reports whether s is lower than o.
 func (s FencingToken) Before(o FencingToken) bool {
 	return s.Term < o.Term || s.Term == o.Term && s.Sequence < o.Sequence
 }
@@ -125,8 +127,8 @@
 // ActionKind says what an action asks of the caller.
 type ActionKind uint8
 
-// The steps. Start and Stop are repeated (Unconfirmed) until the backend has answered; the caller writes
-// the placement to disk before it sends Start.
+// The kinds of action. Start, Stop and QueryState are repeated (see Unconfirmed) until the backend has answered.
+// The caller writes the placement to disk before it sends Start.
 const (
 	Start      ActionKind = iota + 1 // to the backend: start this slice
 	Stop                             // to the backend: stop this slice, or never start it
--- a/internal/fleet/slices/table.go
+++ b/internal/fleet/slices/table.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// stage is how far a placement has got with its backend.
 type stage uint8
 
 const (
@@ -26,11 +27,13 @@
 	expiresAt   time.Duration // end of its lifetime
 }
 
+// tenantSlices counts a tenant's slices on one device.
 type tenantSlices struct {
 	name   string
 	slices int
 }
 
+// device is a device of the table with its slices and its state at the backend.
 type device struct {
 	Device
 	class          int
@@ -86,6 +89,7 @@
 	actions           []Action
 }
 
+// endedID is an id that has ended, and when.
 type endedID struct {
 	id      string
 	endedAt time.Duration
@@ -162,7 +166,7 @@
 func (t *Table) SubmitAll(now time.Duration, ds []Demand) (out []Action) {
 	largest := Amount{}
 	for _, v := range t.order {
-		largest = largest.max(v.Size)
+		largest = largest.elementwiseMax(v.Size)
 	}
 	sorted.SortStableFunc(ds, func(a, b Demand) int {
 		if a.Priority != b.Priority {
@@ -242,6 +246,7 @@
 	return t.flush(now)
 }
 
+// stopSlice asks the backend to stop a slice. The id counts as ended from now on.
 func (t *Table) stopSlice(now time.Duration, s *slice) {
 	if s.stage == stopping {
 		return
@@ -356,6 +361,7 @@
 	}
 }
 
+// forgetEnded drops the ids that ended at least RetainEnded ago.
 func (t *Table) forgetEnded(now time.Duration) {
 	n := 0
 	for n < len(t.endedOrder) && t.endedOrder[n].endedAt+t.limits.RetainEnded <= now {
@@ -396,6 +402,7 @@
 	}
 }
 
+// classOf returns the class of a device under the current limits.
 func (t *Table) classOf(d Device) class {
 	c := class{size: Amount{d.Size.Parts, d.Size.Memory - t.limits.ReservedMemory}, zone: d.Zone, profiles: d.Profiles, wasteCache: map[Amount]float64{}}
 	for i := range t.mix {
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -25,13 +25,14 @@
 
 // call is one call that the script made: its values and their positions.
 type call struct {
-	values map[string]any
-	at     syntax.Position
-	keys   map[string]syntax.Position
+	values   map[string]any
+	position syntax.Position
+	keys     map[string]syntax.Position // positions of the keys
 }
 
+// fault returns a fault at the position of a key, or of the call if key is empty or was not set.
 func (c *call) fault(name, key, problem string) Fault {
-	at := c.at
+	at := c.position
 	if p, ok := c.keys[key]; ok {
 		at = p
 	}
@@ -49,10 +50,11 @@
 
 // script is one run of a settings script.
 type script struct {
-	read         func(string) ([]byte, error)
-	calls        map[string]*call
-	modules      map[string]*loadedFile
-	keyPositions map[syntax.Position]map[string]syntax.Position // positions of each call's keys, by the position of its opening parenthesis
+	read        func(string) ([]byte, error)
+	calls       map[string]*call
+	loadedFiles map[string]*loadedFile
+	// keyPositions has the positions of each call's keys, by the position of the call's opening parenthesis.
+	keyPositions map[syntax.Position]map[string]syntax.Position
 	thread       *starlark.Thread
 }
 
@@ -74,15 +76,16 @@
 	return err
 }
 
-var allocSample = "/gc/heap/allocs:bytes"
+var allocMetric = "/gc/heap/allocs:bytes"
 
 // allocated returns the bytes that the process has allocated on the heap since its start.
 func allocated() uint64 {
-	sample := [1]metrics.Sample{{Name: allocSample}}
+	sample := [1]metrics.Sample{{Name: allocMetric}}
 	metrics.Read(sample[:])
 	return sample[0].Value.Uint64()
 }
 
+// execFile checks and runs one file and returns its global names.
 func (s *script) execFile(name string) (starlark.StringDict, error) {
 	text, err := s.read(name)
 	if err != nil {
@@ -108,17 +111,18 @@
 	return g, err
 }
 
+// load implements the load statement. Each file runs once.
 func (s *script) load(_ *starlark.Thread, name string) (starlark.StringDict, error) {
 	if filepath.Base(name) != name || !strings.HasSuffix(name, ".star") {
 		return nil, fmt.Errorf("load takes the name of a .star file beside the script, not %q", name)
 	}
-	m := s.modules[name]
+	m := s.loadedFiles[name]
 	if m == nil {
-		if len(s.modules) >= maxFiles {
+		if len(s.loadedFiles) >= maxFiles {
 			return nil, fmt.Errorf("more than %d files are loaded", maxFiles)
 		}
 		m = &loadedFile{}
-		s.modules[name] = m
+		s.loadedFiles[name] = m
 		g, err := s.execFile(name)
 		if err != nil {
 			return nil, err
@@ -135,16 +139,16 @@
 func (s *script) recordCall(t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	at := t.CallFrame(1).Pos
 	fault := func(key, problem string) error {
-		c := call{at: at, keys: s.keyPositions[at]}
+		c := call{position: at, keys: s.keyPositions[at]}
 		return c.fault(b.Name(), key, problem)
 	}
 	if old := s.calls[b.Name()]; old != nil {
-		return nil, fault("", fmt.Sprintf("is called a second time, first at %s:%d", old.at.Filename(), old.at.Line))
+		return nil, fault("", fmt.Sprintf("is called a second time, first at %s:%d", old.position.Filename(), old.position.Line))
 	}
 	if len(args) > 0 {
 		return nil, fault("", "takes named values only, as in "+b.Name()+"("+keys(b.Name())[0]+" = ...)")
 	}
-	c := &call{values: map[string]any{}, at: at, keys: s.keyPositions[at]}
+	c := &call{values: map[string]any{}, position: at, keys: s.keyPositions[at]}
 	remaining := maxValues
 	for _, kv := range kwargs {
 		key := string(kv[0].(starlark.String))
@@ -286,7 +290,7 @@
 	return false
 }
 
-// faultsOf turns whatever a run ended with into faultsOf with their places.
+// faultsOf converts the error of a run into faults with their positions.
 func (s *script) faultsOf(name string, err error) Faults {
 	var all Faults
 	var one Fault
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -39,7 +39,7 @@
 	Accord      *Accord      `json:"accord"`
 	Quotas      *Quotas      `json:"quotas"`
 
-	positions map[string]Fault // position of each call and key; only the place of the Fault is set
+	positions map[string]Fault // position of each call and key, as a Fault without a problem
 }
 
 // Fault returns a fault, with its position, for a key or a call that the user of the settings found invalid.
@@ -250,7 +250,7 @@
 
 // Parse runs the script with a name; read returns the text of a file. The error is of type Faults.
 func Parse(name string, read func(name string) ([]byte, error)) (*Settings, error) {
-	s := script{read: read, calls: map[string]*call{}, modules: map[string]*loadedFile{}}
+	s := script{read: read, calls: map[string]*call{}, loadedFiles: map[string]*loadedFile{}}
 	if err := s.run(name); err != nil {
 		return nil, s.faultsOf(name, err)
 	}
