--- a/cmd/tinsail/arrival_test.go
+++ b/cmd/tinsail/arrival_test.go
@@ -15,12 +15,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// timeLeftSlack is what the pages allow the time told to a backend beyond what the client has left.
+// timeLeftSlack is how much more time a backend may be told than its client has left.
 const timeLeftSlack = 150 * time.Millisecond
 
-// TestTimeLeftCountsKernelQueues: requests wait at the machine while the process does not run, on a connection that is not accepted yet, on
-// one that is open, and behind a request that is answered. What backends are told is what their clients have left, and a client
-// whose time went by meanwhile has its answer, and nothing begins for it.
+// TestTimeLeftCountsKernelQueues: requests wait in the kernel while the process is stopped: on a connection that is not accepted
+// yet, on open connections and on an HTTP/2 stream. Backends must be told no more time than the clients have left, and a client
+// whose time has passed meanwhile gets an answer without an attempt.
 func TestTimeLeftCountsKernelQueues(t *testing.T) {
 	const left, stop = 3000 * time.Millisecond, 1200 * time.Millisecond
 	h := newDeployment(t, "127.0.0.1:0")
@@ -83,13 +83,13 @@
 	p.terminate(t)
 	for _, b := range h.backends {
 		for _, a := range b.Attempts() {
-			at, ours := sent[a.ID]
-			if !ours {
+			sentAt, known := sent[a.ID]
+			if !known {
 				continue
 			}
 			assert.NotEqual(t, "short", a.ID, "its time was over")
-			has := left - a.Last.Sub(at)
-			assert.LessOrEqual(t, a.Told, has+timeLeftSlack, "%s was told more than its client had left", a.ID)
+			remaining := left - a.Last.Sub(sentAt)
+			assert.LessOrEqual(t, a.Told, remaining+timeLeftSlack, "%s was told more than its client had left", a.ID)
 		}
 	}
 }
--- a/cmd/tinsail/capacity_test.go
+++ b/cmd/tinsail/capacity_test.go
@@ -14,13 +14,13 @@
 	"tinsail/internal/lab/capacity/measure"
 )
 
-// These are the small forms of make measure-capacity: the same code on the real program at two sizes or so, and of its figures only
-// counts, bytes and ratios. The figures of the whole sizes are docs/CAPACITY.md's.
+// These tests are small versions of make measure-capacity. They run the same code on the real program at about two sizes, and check
+// only counts, bytes and ratios. docs/CAPACITY.md has the figures of the full sizes.
 
-// thisProgram is this program.
+// thisProgram runs this test binary as the dispatcher.
 var thisProgram = measure.Program{Args: []string{os.Args[0]}, Env: []string{"TINSAIL_TEST_PROGRAM=1"}}
 
-// figures are the figures of a slope figures a size, ascending.
+// figures returns the figures of a slope at a size, in ascending order.
 func figures(t *testing.T, rows []capacity.Row, slope string, x float64) (ys []float64) {
 	for _, r := range rows {
 		require.NoError(t, r.Check())
@@ -33,14 +33,14 @@
 	return ys
 }
 
-// TestDiscoveryTrafficFollowsChanges: without changes a dispatcher's talk with discovery does not grow with the list, and with changes by what has
-// changed alone.
+// TestDiscoveryTrafficFollowsChanges: a dispatcher's traffic with discovery does not grow with the list while nothing changes, and
+// grows only with the number of changes otherwise.
 func TestDiscoveryTrafficFollowsChanges(t *testing.T) {
 	o := measure.Idle{Repeats: 1, Settle: time.Second, Window: 5 * time.Second}
 	rows, err := measure.List(thisProgram, o, 50, 1000)
 	require.NoError(t, err)
 	for _, x := range []float64{50, 1000} {
-		// A call waits 2.5 s: one or two begin or end in a window beside the two that fill it.
+		// A call waits 2.5 s: besides the two calls that fill a window, one or two begin or end in it.
 		assert.LessOrEqual(t, figures(t, rows, "list-calls", x)[0]*5, 4.0)
 		assert.LessOrEqual(t, figures(t, rows, "list-bytes-in", x)[0], 250.0)
 		assert.LessOrEqual(t, figures(t, rows, "list-bytes-out", x)[0], 250.0)
@@ -49,12 +49,12 @@
 	require.NoError(t, err)
 	calls := figures(t, rows, "changes-calls", 10)[0]
 	assert.Positive(t, calls)
-	assert.LessOrEqual(t, calls, 11.0) // fewer where the machine lets several changes come together
+	assert.LessOrEqual(t, calls, 11.0) // fewer if several changes arrive together
 	assert.LessOrEqual(t, figures(t, rows, "changes-bytes-in", 10)[0]/10, 500.0, "bytes of a change, beside a list of 1,000")
 }
 
-// TestRestartReadsListOnce: a start asks for the list once, whatever its size, and what it costs grows with the list; of ten that
-// start at once each costs what one does.
+// TestRestartReadsListOnce: a starting process requests the list once, whatever its size, and the bytes grow with the list. Each of
+// ten processes that start at once costs as much as one.
 func TestRestartReadsListOnce(t *testing.T) {
 	one, err := measure.Restart(thisProgram, 1, false, 100, 400)
 	require.NoError(t, err)
@@ -67,9 +67,10 @@
 	assert.InDelta(t, 10, figures(t, all, "restart-all-bytes-in", 10)[0]/figures(t, one, "restart-bytes-in", 100)[0], 1)
 }
 
-// TestDescriptorsPerReqInFlight: a req in flight takes two descriptors, none at the front where HTTP/2 carries a hundred. The limit of
-// descriptors leaves nine in twenty of it, and the few whose req was there as they were to be turned away; each req beyond is turned
-// away, and none that was taken is lost. (Whether each that is turned away is told so is TestRefusedOverUnread's to judge.)
+// TestDescriptorsPerReqInFlight: a request in flight uses two descriptors; with HTTP/2, where a hundred requests share a
+// connection, it uses one. The requests in flight reach nine twentieths of the descriptor limit, plus the few whose request had
+// arrived when they were to be refused. Requests beyond are refused, and no accepted request is lost. (TestRefusedOverUnread
+// checks whether each refused client is told so.)
 func TestDescriptorsPerReqInFlight(t *testing.T) {
 	f := measure.Flight{Body: 1, Sockets: 2000, MemoryMB: 192, Dispatchers: 1, Workers: 20}
 	rows, err := measure.InFlight(thisProgram, f, "h1", 2, 50, 250)
@@ -87,8 +88,8 @@
 	rows, err = measure.Most(thisProgram, measure.Flight{Body: 1, MemoryMB: 192, Dispatchers: 1, Workers: 20}, "most", 128, 512)
 	require.NoError(t, err)
 	for _, x := range []float64{128, 512} {
-		most := figures(t, rows, "most", x)[0]
-		assert.GreaterOrEqual(t, most, math.Floor((x-32)*9/20))
-		assert.LessOrEqual(t, most, (x-32)*9/20+16)
+		inFlight := figures(t, rows, "most", x)[0]
+		assert.GreaterOrEqual(t, inFlight, math.Floor((x-32)*9/20))
+		assert.LessOrEqual(t, inFlight, (x-32)*9/20+16)
 	}
 }
--- a/cmd/tinsail/consul_test.go
+++ b/cmd/tinsail/consul_test.go
@@ -28,8 +28,8 @@
 	"tinsail/internal/standin/platform"
 )
 
-// consulFixture is a dispatcher in this process whose backends are in a catalogue, a director's list, or
-// both; all of it stand-ins but the dispatcher.
+// consulFixture is a dispatcher in this process whose backends come from a Consul catalogue, a director's list, or both. The
+// backends, the agents and the director are stand-ins.
 type consulFixture struct {
 	t        testing.TB
 	d        *dispatcher
@@ -70,7 +70,7 @@
 	return s
 }
 
-// addBackend starts a backend and names it to all.
+// addBackend starts a backend and registers it with all agents and the director.
 func (s *consulFixture) addBackend(work time.Duration) *platform.Backend {
 	i := len(s.backends)
 	b, err := platform.StartBackend(fmt.Sprintf("b%02d", i), 8, func(string) time.Duration { return work })
@@ -94,22 +94,22 @@
 
 func (s *consulFixture) waitFor(f func() bool) {
 	s.t.Helper()
-	for begun := time.Now(); !f(); time.Sleep(time.Millisecond) {
-		require.Less(s.t, time.Since(begun), 30*time.Second, "it never came")
+	for startedAt := time.Now(); !f(); time.Sleep(time.Millisecond) {
+		require.Less(s.t, time.Since(startedAt), 30*time.Second, "the condition never held")
 	}
 }
 
-// openLoad sends so many reqs a second until stop is closed, whether they are answered or not. Served
-// in time is within 120 ms and twice the work.
+// openLoad counts the requests of an open load, which is sent at a fixed rate whether requests are answered or not. inTime counts
+// those served within the time given to startLoad.
 type openLoad struct {
 	sent, inTime, served, refused, failed, lost atomic.Int64
-	all                                         sync.WaitGroup
+	senders                                     sync.WaitGroup
 }
 
 func (s *consulFixture) startLoad(perSec int, within time.Duration, stop <-chan struct{}) *openLoad {
 	l := &openLoad{}
 	f := newFrontClient("HTTP/1.1", s.d.listener.Addr().String(), 256, false)
-	l.all.Go(func() {
+	l.senders.Go(func() {
 		defer f.client.CloseIdleConnections()
 		tick := time.NewTicker(time.Second / time.Duration(perSec))
 		defer tick.Stop()
@@ -119,16 +119,16 @@
 				return
 			case <-tick.C:
 			}
-			l.all.Go(func() {
+			l.senders.Go(func() {
 				id := fmt.Sprint("m-", lastReqID.Add(1))
 				l.sent.Add(1)
-				begun := time.Now()
+				startedAt := time.Now()
 				switch status, err := f.send(id); {
 				case err != nil:
 					l.lost.Add(1)
 				case status == 200:
 					l.served.Add(1)
-					if time.Since(begun) <= within {
+					if time.Since(startedAt) <= within {
 						l.inTime.Add(1)
 					}
 				case status == 503 || status == 429:
@@ -150,23 +150,22 @@
 
 const consulScript = "consul(address = AGENTS, service = \"photo\", wait_ms = 5000, timeout_ms = 1000, calls_per_s = 100)\nbackends(director = False)\n"
 
-// TestServesFromConsul: a dispatcher serves from the catalogue; what is in maintenance gets nothing new,
-// an address that moves is followed, a silent catalogue costs nothing, and SIGHUP to another agent
-// drops no attempt.
+// TestServesFromConsul: a dispatcher serves from the catalogue. A backend in maintenance gets no new requests, a changed address
+// is followed, an unreachable catalogue leaves the list as it was, and a reload with another agent drops no attempt.
 func TestServesFromConsul(t *testing.T) {
 	s := newConsulFixture(t, 2, 3, 0, consulScript)
 	f := newFrontClient("HTTP/1.1", s.d.listener.Addr().String(), 8, false)
-	ask := func(n int) {
+	sendReqs := func(n int) {
 		for range n {
 			require.NoError(t, f.sendAndCount(fmt.Sprint("s-", lastReqID.Add(1))))
 		}
 	}
-	ask(30)
+	sendReqs(30)
 	s.agents[0].Maintenance("b01", true)
 	s.waitFor(func() bool { return s.d.core.ReadyBackends() == 2 })
 	before := s.backends[1].Counts().Jobs
-	ask(30)
-	assert.Equal(t, before, s.backends[1].Counts().Jobs, "nothing to one that drains")
+	sendReqs(30)
+	assert.Equal(t, before, s.backends[1].Counts().Jobs, "a draining backend got a request")
 
 	moved, err := platform.StartBackend("b02", 8, func(string) time.Duration { return 0 })
 	require.NoError(t, err)
@@ -177,20 +176,20 @@
 		return list[2].Address == moved.Address
 	})
 	before = s.backends[2].Counts().Jobs
-	// The list is followed before the core has it, and the moved one starts cold with a small budget: under a loaded
-	// machine 30 reqs can all go elsewhere, so ask in rounds until it has one, ten at most.
+	// The merged list changes before the core has it, and the moved backend starts cold with a small budget: on a loaded machine
+	// 30 requests can all go elsewhere, so send up to ten rounds until it gets one.
 	for range 10 {
-		if ask(30); moved.Counts().Jobs > 0 {
+		if sendReqs(30); moved.Counts().Jobs > 0 {
 			break
 		}
 	}
-	assert.Equal(t, before, s.backends[2].Counts().Jobs, "nothing to where it was")
+	assert.Equal(t, before, s.backends[2].Counts().Jobs, "the old address got a request")
 	assert.Positive(t, moved.Counts().Jobs)
 
 	s.agents[0].Set(standin.Faults{Reset: true})
 	s.agents[1].Set(standin.Faults{Reset: true})
 	s.waitFor(func() bool { return s.d.sources.count.Unreachable.Load() >= 2 })
-	ask(30)
+	sendReqs(30)
 	assert.Equal(t, 2, s.d.core.ReadyBackends(), "the last list holds")
 	assert.Contains(t, s.d.sources.membersJSON(), "silent: believed as it was")
 
@@ -212,8 +211,8 @@
 	require.NoError(t, <-done)
 	s.waitFor(func() bool { return strings.Contains(s.d.sources.membersJSON(), `"consul","state":"answers"`) })
 
-	// Rules and the director are taken over too: the director names b01 as ready, which the
-	// catalogue's maintenance outweighs, and b03, which the catalogue does not know.
+	// A reload also applies rules and the director: the director lists b01 as ready, which the catalogue's maintenance overrides,
+	// and b03, which the catalogue does not know.
 	extra, err := platform.StartBackend("b03", 8, func(string) time.Duration { return 0 })
 	require.NoError(t, err)
 	defer extra.Close()
@@ -241,7 +240,7 @@
 	assert.Equal(t, int64(0), f.refused.Load()+f.failed.Load())
 }
 
-// TestCheckFindsSourceFaults: what the schema cannot find is found before anything is started.
+// TestCheckFindsSourceFaults: check finds faults in the sources' settings that the schema cannot.
 func TestCheckFindsSourceFaults(t *testing.T) {
 	t.Setenv("ROUTER_CONFIG", filepath.Join(t.TempDir(), "c.json"))
 	require.NoError(t, os.WriteFile(os.Getenv("ROUTER_CONFIG"), demoConfig, 0o600))
@@ -261,32 +260,32 @@
 	}
 }
 
-// BenchmarkDrains measures the time from the catalogue's marking a backend as draining to the last
-// job sent to it, over 1,000 drains under load.
+// BenchmarkDrains measures the time from when the catalogue marks a backend as draining to the last job sent to it, over 1,000
+// drains under load.
 func BenchmarkDrains(b *testing.B) {
 	for b.Loop() {
-		const drains, at = 1000, 4
+		const drains, atOnce = 1000, 4
 		s := newConsulFixture(b, 1, 12, 5*time.Millisecond, consulScript)
 		stop := make(chan struct{})
 		l := s.startLoad(1000, 130*time.Millisecond, stop)
 		var took []time.Duration
-		for round := range drains / at {
+		for round := range drains / atOnce {
 			marked := map[*platform.Backend]time.Time{}
-			for k := range at {
-				backend := s.backends[(round*at+k)%12]
+			for k := range atOnce {
+				backend := s.backends[(round*atOnce+k)%12]
 				marked[backend] = time.Now()
 				s.agents[0].Maintenance(backend.Name, true)
 			}
 			time.Sleep(60 * time.Millisecond)
-			for backend, begun := range marked {
-				took = append(took, max(backend.LastJob().Sub(begun), 0))
+			for backend, markedAt := range marked {
+				took = append(took, max(backend.LastJob().Sub(markedAt), 0))
 				s.agents[0].Maintenance(backend.Name, false)
 			}
 			s.waitFor(func() bool { return s.d.core.ReadyBackends() == 12 })
 			time.Sleep(10 * time.Millisecond)
 		}
 		close(stop)
-		l.all.Wait()
+		l.senders.Wait()
 		slices.Sort(took)
 		ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 		b.ReportMetric(ms(took[len(took)/2]), "p50-ms")
@@ -297,21 +296,21 @@
 	}
 }
 
-// BenchmarkOutage measures what is served in time while the catalogue is silent for 30 s, one
-// backend dies and one is replaced by another that it can not tell of.
+// BenchmarkOutage measures the share served in time while the catalogue is silent for 30 s. Meanwhile one backend dies and one is
+// replaced by a backend that the silent catalogue cannot report.
 func BenchmarkOutage(b *testing.B) {
 	for b.Loop() {
 		s := newConsulFixture(b, 1, 10, 20*time.Millisecond, consulScript)
-		run := func(long time.Duration, f func()) *openLoad {
+		run := func(duration time.Duration, f func()) *openLoad {
 			stop := make(chan struct{})
 			l := s.startLoad(500, 160*time.Millisecond, stop)
 			f()
-			time.Sleep(long)
+			time.Sleep(duration)
 			close(stop)
-			l.all.Wait()
+			l.senders.Wait()
 			return l
 		}
-		calm := run(5*time.Second, func() {})
+		before := run(5*time.Second, func() {})
 		silent := run(25*time.Second, func() {
 			s.agents[0].Set(standin.Faults{Silent: true})
 			time.Sleep(5 * time.Second)
@@ -320,35 +319,35 @@
 			s.agents[0].Maintenance("b01", true)
 			s.addBackend(20 * time.Millisecond)
 		})
-		back := run(5*time.Second, func() { s.agents[0].Set(standin.Faults{}) })
-		b.ReportMetric(calm.inTimePercent(), "before-%")
+		after := run(5*time.Second, func() { s.agents[0].Set(standin.Faults{}) })
+		b.ReportMetric(before.inTimePercent(), "before-%")
 		b.ReportMetric(silent.inTimePercent(), "silent-%")
-		b.ReportMetric(back.inTimePercent(), "after-%")
-		b.ReportMetric(float64(calm.lost.Load()+silent.lost.Load()+back.lost.Load()), "lost")
+		b.ReportMetric(after.inTimePercent(), "after-%")
+		b.ReportMetric(float64(before.lost.Load()+silent.lost.Load()+after.lost.Load()), "lost")
 		b.ReportMetric(float64(silent.failed.Load()+silent.refused.Load()), "not-served")
 	}
 }
 
-// BenchmarkLying measures what is served in time while the catalogue calls a backend passing that
-// fails 90% of its reqs at once, beside the same without it; and the director in its place.
+// BenchmarkLying measures the share served in time while the catalogue reports a backend as passing that fails 90% of its requests
+// at once. It is compared with a catalogue without such a backend and with the director as the source.
 func BenchmarkLying(b *testing.B) {
 	for _, v := range []struct {
 		name, script string
-		lying        bool
+		failing      bool
 	}{
 		{"consul", consulScript, false}, {"consul-lying", consulScript, true}, {"director", "", false},
 	} {
 		b.Run(v.name, func(b *testing.B) {
 			for b.Loop() {
 				s := newConsulFixture(b, 1, 10, 20*time.Millisecond, v.script)
-				if v.lying {
+				if v.failing {
 					s.backends[3].Set(platform.Faults{FailPart: 0.9})
 				}
 				stop := make(chan struct{})
 				l := s.startLoad(500, 160*time.Millisecond, stop)
 				time.Sleep(8 * time.Second)
 				close(stop)
-				l.all.Wait()
+				l.senders.Wait()
 				b.ReportMetric(l.inTimePercent(), "in-time-%")
 				b.ReportMetric(float64(l.lost.Load()), "lost")
 			}
@@ -356,9 +355,8 @@
 	}
 }
 
-// BenchmarkCatalogue measures the time to the first good list, the heap it holds, and the processor
-// time of a second in which a tenth of the instances change (500 of 5,000), through the official
-// client and the stand-in, whose part is included.
+// BenchmarkCatalogue measures the time to the first list, the heap it occupies, and the processor time of a second in which a tenth
+// of the instances change (500 of 5,000). It uses the official client; the stand-in's own cost is included.
 func BenchmarkCatalogue(b *testing.B) {
 	for _, n := range []int{100, 1000, 5000, 10_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -374,11 +372,11 @@
 					Service: "photo", AllowStale: true, WaitTime: 5 * time.Second, Timeout: 5 * time.Second, MaxBodyBytes: 64 << 20, CallsPerSecond: 10, MaxEntries: 100_000}}
 				require.NoError(b, w.Init())
 				ctx, cancel := context.WithCancel(context.Background())
-				begun := time.Now()
+				startedAt := time.Now()
 				ended := make(chan struct{})
 				go func() { w.Run(ctx); close(ended) }()
 				<-sink.first
-				b.ReportMetric(float64(time.Since(begun).Microseconds())/1000, "first-ms")
+				b.ReportMetric(float64(time.Since(startedAt).Microseconds())/1000, "first-ms")
 				b.ReportMetric(float64(heapBytes()-before)/1024, "heap-KiB")
 				used, lists := processorTime(), w.Counts.Lists.Load()
 				for i := range n / 10 {
@@ -396,7 +394,7 @@
 	}
 }
 
-// timedSink merges what it is told, and takes the time of that.
+// timedSink merges the lists that it gets, and measures the time that this takes.
 type timedSink struct {
 	set       *membership.Set
 	first     chan struct{}
@@ -405,10 +403,10 @@
 }
 
 func (c *timedSink) ReplaceAll(list []membership.Backend) {
-	begun := time.Now()
-	c.set.ReplaceAll(begun, 0, list)
+	startedAt := time.Now()
+	c.set.ReplaceAll(startedAt, 0, list)
 	c.set.Changes()
-	c.mergeTime += time.Since(begun)
+	c.mergeTime += time.Since(startedAt)
 	c.once.Do(func() { close(c.first); c.mergeTime = 0 })
 }
 func (c *timedSink) Unchanged() {}
--- a/cmd/tinsail/cost_test.go
+++ b/cmd/tinsail/cost_test.go
@@ -14,7 +14,7 @@
 	"tinsail/internal/standin/platform"
 )
 
-// processorTimeOf is the processor time of a process so far (proc(5): utime and stime, in ticks of 10 ms).
+// processorTimeOf returns the processor time of a process so far (proc(5): utime and stime, in ticks of 10 ms).
 func processorTimeOf(b *testing.B, pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	require.NoError(b, err)
@@ -25,8 +25,8 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// BenchmarkRequest is the processor time that the real program spends on a request, on sockets. Two versions are compared by
-// plays in turn: make measure-request.
+// BenchmarkRequest measures the processor time that the real program spends on a request over sockets. To compare two versions, run
+// them alternately: make measure-request.
 func BenchmarkRequest(b *testing.B) {
 	const clients = 8
 	h := newDeployment(b, "127.0.0.1:0")
--- a/cmd/tinsail/descriptors_test.go
+++ b/cmd/tinsail/descriptors_test.go
@@ -24,7 +24,7 @@
 	"tinsail/internal/standin/platform"
 )
 
-// reservedAddress is an address of 127.0.0.1 that is kept from others while nobody listens there: connections are refused.
+// reservedAddress is a bound address of 127.0.0.1 on which nothing listens: connections are refused, and no one else can bind it.
 type reservedAddress struct {
 	address string
 	socket  int
@@ -34,14 +34,14 @@
 	s, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	require.NoError(t, syscall.Bind(s, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
-	at, err := syscall.Getsockname(s)
+	name, err := syscall.Getsockname(s)
 	require.NoError(t, err)
-	d := &reservedAddress{fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port), s}
+	d := &reservedAddress{fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port), s}
 	t.Cleanup(func() { syscall.Close(d.socket) })
 	return d
 }
 
-// listen listens there.
+// listen starts listening on the address.
 func (d *reservedAddress) listen(t *testing.T) net.Listener {
 	require.NoError(t, syscall.Listen(d.socket, 64))
 	s, err := syscall.Dup(d.socket)
@@ -53,8 +53,8 @@
 	return l
 }
 
-// floodIdle has idle clients fill whatever descriptors there are, until its test ends: who is turned away or closed comes again.
-// Some say nothing, some half a head, and some rest after an answer.
+// floodIdle has idle clients use up all descriptors that they can get until the test ends. Clients that are refused or closed
+// connect again. Some send nothing, some half a request head, and some stay idle after an answer.
 func floodIdle(t *testing.T, address string, clients int) {
 	stop := make(chan struct{})
 	var all sync.WaitGroup
@@ -78,7 +78,7 @@
 				select {
 				case <-stop:
 					return
-				case <-time.After(10 * time.Millisecond): // not to take the machine for itself
+				case <-time.After(10 * time.Millisecond): // limits the load on the machine
 				}
 			}
 		})
@@ -86,22 +86,22 @@
 	t.Cleanup(func() { close(stop); all.Wait() })
 }
 
-// TestIdleClientsDoNotBlockDiscovery: idle clients fill all descriptors that they can get while discovery is down. When it is
-// back its list is read, new backends are reached and reqs served, the operators' door answers throughout, and the process
-// never holds more than its limit: that of the configuration, or that of the process where it is lower.
+// TestIdleClientsDoNotBlockDiscovery: idle clients use up all descriptors that they can get while discovery is down. When it is
+// back, its list must be read, new backends reached and requests served. The operators' control listener (the door) answers
+// throughout. The process never holds more descriptors than its limit: the configuration's or, if lower, the process's own.
 func TestIdleClientsDoNotBlockDiscovery(t *testing.T) {
 	for _, c := range []struct {
 		sockets, allowed int
 		door             bool
 	}{{64, 0, false}, {128, 0, true}, {64, 64, false}, {128, 128, true}, {1024, 128, false}, {1024, 128, true}} {
 		t.Run(fmt.Sprintf("%d sockets, %d allowed, door %v", c.sockets, c.allowed, c.door), func(t *testing.T) {
-			at, limit := reserveAddress(t), c.sockets
+			discovery, limit := reserveAddress(t), c.sockets
 			if c.allowed > 0 {
 				limit = min(limit, c.allowed)
 			}
-			p := startLimited(t, at.address, c.sockets, c.allowed, c.door)
-			own := p.descriptors(t)
-			var most atomic.Int64
+			p := startLimited(t, discovery.address, c.sockets, c.allowed, c.door)
+			atStart := p.descriptors(t)
+			var maxHeld atomic.Int64
 			watched := make(chan struct{})
 			stop := make(chan struct{})
 			go func() {
@@ -111,16 +111,16 @@
 					case <-stop:
 						return
 					case <-time.After(time.Millisecond):
-						most.Store(max(most.Load(), int64(p.descriptors(t))))
+						maxHeld.Store(max(maxHeld.Load(), int64(p.descriptors(t))))
 					}
 				}
 			}()
 			floodIdle(t, p.address, limit+100)
-			p.waitUntil(t, "idle clients fill it", func() bool { return p.hasRefusedSessions(t) })
+			p.waitUntil(t, "idle clients use up the descriptors", func() bool { return p.hasRefusedSessions(t) })
 			if c.door {
-				assert.True(t, p.doorAnswers(), "the door answers while clients fill it")
+				assert.True(t, p.doorAnswers(), "the door answers while clients use up the descriptors")
 			}
-			d := platform.NewDirector(at.listen(t))
+			d := platform.NewDirector(discovery.listen(t))
 			defer d.Close()
 			for i := range 3 {
 				b, err := platform.StartBackend(fmt.Sprintf("b%d", i), 8, func(string) time.Duration { return 0 })
@@ -132,8 +132,8 @@
 			p.waitUntil(t, "a req is served by a backend of the new list", func() bool { n++; return p.reqServed(n) })
 			close(stop)
 			<-watched
-			t.Logf("own descriptors %d, most %d of %d, served at try %d", own, most.Load(), limit, n)
-			assert.LessOrEqual(t, most.Load(), int64(limit))
+			t.Logf("descriptors at start %d, maximum %d of %d, served at try %d", atStart, maxHeld.Load(), limit, n)
+			assert.LessOrEqual(t, maxHeld.Load(), int64(limit))
 			_ = p.cmd.Process.Kill()
 			for line := range p.lines {
 				require.NotEqual(t, "accept failed", line["event"], line["error"])
@@ -142,7 +142,7 @@
 	}
 }
 
-// limitedProgram is the real program under a limit of descriptors.
+// limitedProgram is the real program with a limit of descriptors.
 type limitedProgram struct {
 	cmd            *exec.Cmd
 	address, admin string
@@ -187,25 +187,25 @@
 	return p
 }
 
-// descriptors is how many the process holds now.
+// descriptors returns how many descriptors the process holds now.
 func (p *limitedProgram) descriptors(t *testing.T) int {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	assert.NoError(t, err)
 	return len(list)
 }
 
-// waitUntil waits for something in rounds, at most 4,000 of 5 ms.
-func (p *limitedProgram) waitUntil(t *testing.T, what string, is func() bool) {
+// waitUntil waits until a condition holds. It checks every 5 ms, at most 4,000 times.
+func (p *limitedProgram) waitUntil(t *testing.T, what string, holds func() bool) {
 	for range 4000 {
-		if is() {
+		if holds() {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	require.Fail(t, "never", what)
+	require.Fail(t, "the condition never held", what)
 }
 
-// hasRefusedSessions says whether the process has turned sessions away: there was no room for them.
+// hasRefusedSessions reports whether the process has refused sessions for lack of descriptors.
 func (p *limitedProgram) hasRefusedSessions(t *testing.T) bool {
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGUSR1))
 	for line := range p.lines {
@@ -219,13 +219,13 @@
 	return false
 }
 
-// doorAnswers asks the door for metrics, which it always has.
+// doorAnswers reports whether the door answers a call for metrics, which always succeeds.
 func (p *limitedProgram) doorAnswers() bool {
 	yes, _, err := callDoor(p.admin, door.Call{Operation: door.Metrics})
 	return err == nil && yes
 }
 
-// reqServed says whether a req on a connection of its own is answered by a backend. Who is turned away may come again.
+// reqServed reports whether a request on a new connection is answered by a backend. It may be repeated after a refusal.
 func (p *limitedProgram) reqServed(n int) bool {
 	c, err := net.DialTimeout("tcp", p.address, 5*time.Second)
 	if err != nil {
