--- a/cmd/tinsail/door_test.go
+++ b/cmd/tinsail/door_test.go
@@ -69,11 +69,11 @@
 		assert.Equal(t, dto.MetricType_COUNTER, families["tinsail_reqs_taken"].GetType())
 	}
 	require.NoError(t, os.RemoveAll(h.tempDir))
-	code, message := runControl("offline", "b1", "--adminAddress", p.adminAddress)
+	code, message := runControl("offline", "b1", "--admin", p.adminAddress)
 	assert.Equal(t, exitFailed, code, "a ban that cannot be stored")
 	assert.Contains(t, message, "holds in this process, but would not outlive it")
 	p.terminate(t)
-	code, _ = runControl("ready", "--adminAddress", p.adminAddress)
+	code, _ = runControl("ready", "--admin", p.adminAddress)
 	assert.Equal(t, exitInvalidInput, code, "no process listens")
 }
 
--- a/cmd/tinsail/program_test.go
+++ b/cmd/tinsail/program_test.go
@@ -229,7 +229,7 @@
 	for h.jobCount() < jobs && len(statuses) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	assert.Equal(t, jobCount, h.jobCount(), "all run at once, none is refused")
+	assert.Equal(t, jobs, h.jobCount(), "all run at once, none is refused")
 	for _, b := range h.backends {
 		b.Set(platform.Faults{})
 	}
--- a/cmd/tinsail/ready_test.go
+++ b/cmd/tinsail/ready_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// TestReadyFromDirectorBesideSilentConsul: the director is called at once if the Consul catalogue configured besides it is silent.
+// TestReadyFromDirectorBesideSilentConsul: the director is called at once if the Consul catalogue configured beside it is silent.
 func TestReadyFromDirectorBesideSilentConsul(t *testing.T) {
 	agent, err := standin.Start()
 	require.NoError(t, err)
