--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,11 +1,11 @@
-// Package budget divides fleet-wide budgets among dispatchers: so many units a second for the
-// whole fleet (new connections to backends, probes, calls to the director, retries), of which
-// each dispatcher may spend its share, and shares that never sum to more than the whole.
+// Package budget divides fleet-wide budgets among dispatchers. A budget is a number of units per
+// second for the whole fleet (new connections to backends, probes, calls to the director,
+// retries). Each dispatcher may spend its share, and the shares never sum to more than the total.
 //
-// It decides alone: times are handed in, messages are handed in and out by the caller, and no
-// clock is read (docs/design/budget.md derives the bounds). Two ways are offered: Split, without
-// talk, from an estimate of the fleet's size; and a Keeper that lends a pool under leases to
-// Holders, for installations where dispatchers may talk.
+// The package does no I/O and reads no clock: the caller passes in times and messages, and sends
+// the messages that it is given (docs/design/budget.md derives the bounds). There are two ways to
+// divide a budget. Split needs no communication: it uses an estimate of the fleet's size. Where
+// dispatchers may exchange messages, a Keeper lends a pool of units under leases to Holders.
 package budget
 
 import (
@@ -13,46 +13,51 @@
 	"time"
 )
 
-// Time is a reading of one process's own clock, in nanoseconds from any origin. Readings of two
-// processes are never compared: each side measures its own durations.
+// Time is a reading of one process's own clock, in nanoseconds from an arbitrary origin. Readings
+// of two processes are never compared: each side measures its own durations.
 type Time int64
 
-// Add is t moved on by d.
+// Add returns t+d.
 func (t Time) Add(d time.Duration) Time { return t + Time(d) }
 
-// Split is a dispatcher's share of total units without talk: ⌊total / fleet⌋, at least least.
-// fleet is the estimate of how many dispatchers spend the budget (Estimate); with n alive, the
-// shares sum to at most total·n/fleet, and least adds up to n·least − total beyond the whole where
-// n·least > total. A fleet below 1 counts as 1; a negative total as 0.
-func Split(total, fleet, least int) int {
-	return max(max(total, 0)/max(fleet, 1), least, 0)
+// Split returns a dispatcher's share of total units without communication: ⌊total / fleet⌋, but
+// not less than minimum. fleet is the estimated number of dispatchers that spend the budget
+// (Estimate). If n dispatchers run, the shares sum to at most total·n/fleet; if n·minimum > total,
+// the minimum may exceed the total by up to n·minimum − total. A fleet below 1 counts as 1, a
+// negative total as 0.
+func Split(total, fleet, minimum int) int {
+	return max(max(total, 0)/max(fleet, 1), minimum, 0)
 }
 
-// Estimate is the size of the fleet as one dispatcher can tell it without talk: the largest of
-// what it was told (the settings' count of instances) and what it has seen (dispatchers named in
-// lists or reports), at least 1. Taking the largest errs on the side of smaller shares.
-func Estimate(told int, seen ...int) int {
-	n := max(told, 1)
+// Estimate returns the size of the fleet as one dispatcher can estimate it without communication:
+// the maximum of the configured number of instances and the numbers of dispatchers seen in lists
+// or reports, and at least 1. The maximum is taken since an estimate that is too high only makes
+// the shares smaller.
+func Estimate(configured int, seen ...int) int {
+	n := max(configured, 1)
 	for _, s := range seen {
 		n = max(n, s)
 	}
 	return n
 }
 
-// Plan is a budget as the settings declare it for the fleet.
+// Plan is a budget as the settings declare it for the fleet. Part of the total is divided into
+// reserves, one for each dispatcher, which may be spent without a lease. The rest is the pool
+// that the keeper lends.
 type Plan struct {
 	Name           string
-	Total          int           // units a second for the whole fleet
-	MaxDispatchers int           // most dispatchers that may spend it at once; each holds a reserve
-	ReserveShare   float64       // part of Total held as reserves, without talk, in [0, 1]
-	Lease          time.Duration // how long a grant of the keeper lasts on its clock
-	Drift          float64       // bound on how far any clock's rate strays from real time, in [0, 0.1]
+	Total          int           // units per second for the whole fleet
+	MaxDispatchers int           // limit of dispatchers that spend the budget at once; each has a reserve
+	ReserveShare   float64       // fraction of Total that is divided into reserves, in [0, 1]
+	Lease          time.Duration // duration of a grant on the keeper's clock
+	Drift          float64       // maximum relative error of any clock's rate against real time, in [0, 0.1]
 }
 
-// Most drift that a plan may name: beyond it leases are so short that they are not worth asking.
+// MaxDrift is the maximum of Plan.Drift. With a larger drift the usable part of a lease is too
+// short to be worth asking for.
 const MaxDrift = 0.1
 
-// Check names the first field of the plan that is out of range.
+// Check returns an error that names the first field of the plan that is out of range.
 func (p Plan) Check() error {
 	switch {
 	case p.Total < 0:
@@ -69,26 +74,30 @@
 	return nil
 }
 
-// Reserve is what each dispatcher may spend without asking: ⌊Part·Total / Most⌋.
+// Reserve returns what each dispatcher may spend without a lease:
+// ⌊ReserveShare·Total / MaxDispatchers⌋.
 func (p Plan) Reserve() int {
 	return int(p.ReserveShare * float64(p.Total) / float64(p.MaxDispatchers))
 }
 
-// Pool is what the keeper lends: Total less Most reserves. Reserves and pool sum to Total.
+// Pool returns what the keeper may lend: Total less MaxDispatchers reserves. Reserves and pool sum
+// to Total.
 func (p Plan) Pool() int { return p.Total - p.MaxDispatchers*p.Reserve() }
 
-// UsableLease is how long a holder may use a grant on its own clock, counted from when it sent the
-// ask: L·(1−ρ)/(1+ρ) ends, in real time, before the keeper's L from its grant.
+// UsableLease returns how long a holder may use a grant, on its own clock, from the time it sent
+// the ask. With the lease L and the drift ρ this is L·(1−ρ)/(1+ρ), which ends in real time before
+// the keeper's lease L, counted from its grant.
 func (p Plan) UsableLease() time.Duration {
 	return time.Duration(float64(p.Lease) * (1 - p.Drift) / (1 + p.Drift))
 }
 
-// QuietPeriod is how long a keeper lends nothing after it starts: L·(1+ρ)/(1−ρ) on its own clock, by
-// which time every lease of its earlier life has ended in real time.
+// QuietPeriod returns how long a keeper lends nothing after its start, on its own clock. With the
+// lease L and the drift ρ this is L·(1+ρ)/(1−ρ). By then every lease that an earlier process of
+// this keeper granted has ended in real time.
 func (p Plan) QuietPeriod() time.Duration {
 	return time.Duration(float64(p.Lease) * (1 + p.Drift) / (1 - p.Drift))
 }
 
-// RenewInterval is how often a holder asks again: a third of what it may use, so that two asks may be
-// lost before its grant ends.
+// RenewInterval returns the interval at which a holder asks again. It is a third of UsableLease,
+// so that two asks may be lost before the grant ends.
 func (p Plan) RenewInterval() time.Duration { return p.UsableLease() / 3 }
--- a/internal/budget/holder.go
+++ b/internal/budget/holder.go
@@ -1,35 +1,37 @@
 package budget
 
-// sentAsk is one ask on its way: its number and when it was sent, by the holder's clock.
+// sentAsk is an ask that may still be answered.
 type sentAsk struct {
 	seq    uint64
-	sentAt Time
+	sentAt Time // by the holder's clock
 }
 
-// askHistory is how many asks a holder remembers: the answer to an older one is not believed.
+// askHistory is how many asks a holder remembers. Grants for older ones are ignored.
 const askHistory = 4
 
-// Holder is one dispatcher's share of a budget: its reserve, and what the keeper lent it while
-// that lease is surely valid by its own clock (Plan.Usable from the ask, which ends before the
-// keeper's lease in real time within the plan's drift). It falls back to its reserve alone when
-// renewals fail, before the keeper lends the units to another.
+// Holder holds one dispatcher's share of a budget: its reserve, and the units that the keeper
+// lent it. It uses a grant for Plan.UsableLease from the time of the ask, by its own clock. That
+// ends in real time before the keeper's lease does, as long as the clocks are within the plan's
+// drift. So if renewals fail, the holder falls back to its reserve before the keeper lends the
+// units to another dispatcher. Not safe for concurrent use.
 type Holder struct {
 	plan       Plan
 	history    planHistory
-	name       string
+	name       string // of the dispatcher
 	epoch      uint64
-	seq        uint64
+	seq        uint64 // of the last ask
 	sent       [askHistory]sentAsk
-	appliedSeq uint64 // the seq of the grant in force; older answers are not believed
-	units      int
-	validUntil Time
-	nextAskAt  Time // when to ask again ...
-	askNow     bool // ... or at once: the plan changed
+	appliedSeq uint64 // seq of the grant in force; grants for earlier asks are ignored
+	units      int    // of the grant in force
+	validUntil Time   // when the grant in force ends
+	nextAskAt  Time
+	askNow     bool // the plan changed: the next ask is due at once
 	wanted     int
 }
 
-// NewHolder starts a holder. epoch must differ from that of every earlier life of this
-// dispatcher (a random number from its seed will do): answers meant for one are ignored.
+// NewHolder returns a holder that has no grant yet. name is the dispatcher's name. epoch must
+// differ from the epochs of all earlier incarnations of this dispatcher; a random number from its
+// seed is sufficient. Grants for another epoch are ignored.
 func NewHolder(p Plan, name string, epoch uint64) (*Holder, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -37,14 +39,15 @@
 	return &Holder{plan: p, name: name, epoch: epoch, wanted: p.Pool()}, nil
 }
 
-// SetWanted sets how many units of the pool to ask for from the next ask on; it starts at the whole
-// pool, of which the keeper gives the fair part.
+// SetWanted sets how many units of the pool to ask for, from the next ask on. The initial value is
+// the whole pool, of which the keeper grants a fair share.
 func (h *Holder) SetWanted(units int) { h.wanted = max(units, 0) }
 
-// NextAsk says whether an ask is to be sent at now, and makes it. The caller sends it to the keeper.
-// After a failure the caller may call NextAsk again at once: it asks at most once a renewal period.
+// NextAsk returns the ask that the caller must send to the keeper now, if one is due. It may be
+// called at any time, also right after a failure to send: an ask is due at most once per
+// RenewInterval.
 func (h *Holder) NextAsk(now Time) (Ask, bool) {
-	if h.seq > 0 && !h.askNow && now < h.nextAskAt { // the first ask goes at once: a clock's origin may lie ahead
+	if h.seq > 0 && !h.askNow && now < h.nextAskAt { // the first ask is due at once: the clock may read less than 0, the initial nextAskAt
 		return Ask{}, false
 	}
 	h.askNow = false
@@ -54,18 +57,19 @@
 	return Ask{Peer: h.name, Epoch: h.epoch, Seq: h.seq, Wanted: h.wanted}, true
 }
 
-// HandleGrant takes the keeper's answer at now. An answer to another life, to an ask no longer
-// remembered, older than the grant in force, or from a keeper on another plan (a reload that
-// has not reached both) changes nothing.
+// HandleGrant applies a grant that has arrived from the keeper. A grant is ignored if it is for
+// another incarnation, for an ask that is no longer remembered, older than the grant in force, or
+// from a keeper with another total (a reload has not reached both yet).
 func (h *Holder) HandleGrant(now Time, g Grant) {
-	a := h.sent[g.Seq%askHistory]
-	if g.Epoch != h.epoch || g.Peer != h.name || a.seq != g.Seq || g.Seq <= h.appliedSeq || g.Total != h.plan.Total {
+	ask := h.sent[g.Seq%askHistory]
+	if g.Epoch != h.epoch || g.Peer != h.name || ask.seq != g.Seq || g.Seq <= h.appliedSeq || g.Total != h.plan.Total {
 		return
 	}
-	h.appliedSeq, h.units, h.validUntil = g.Seq, g.Units, a.sentAt.Add(h.plan.UsableLease())
+	h.appliedSeq, h.units, h.validUntil = g.Seq, g.Units, ask.sentAt.Add(h.plan.UsableLease())
 }
 
-// Share is what this dispatcher may spend at now: its reserve, and its lease while it is valid.
+// Share returns what this dispatcher may spend now, in units per second: its reserve, and the
+// granted units while the grant is valid.
 func (h *Holder) Share(now Time) int {
 	if now < h.validUntil {
 		return h.history.reserve(h.plan) + h.units
@@ -73,17 +77,18 @@
 	return h.history.reserve(h.plan)
 }
 
-// Replan puts a changed plan in force, from a reload. Where the whole or the reserve gets smaller,
-// the lease in force is given up at once and the holder asks anew: its units came from the larger
-// pool, and the others, once they have read the same plan, spend only the new reserves and what
-// the keeper lends of the new pool beside all that it still counts. So the new total holds from
-// when the last dispatcher has read it; until then the old one does.
+// Replan puts a changed plan in force after a reload. If the total or the reserve is smaller than
+// before, the grant in force is dropped and the holder asks again at once, because the units were
+// lent from the larger pool. The other holders, once they have applied the same plan, spend only
+// the new reserves and what the keeper lends of the new pool, and the keeper still counts the
+// earlier grants. So the new total holds from when the last dispatcher has applied it. Until then
+// the old total holds.
 func (h *Holder) Replan(p Plan) error {
 	if err := p.Check(); err != nil {
 		return err
 	}
 	if p.Total < h.plan.Total || p.Reserve() < h.plan.Reserve() {
-		// answers to asks sent before now were lent from the larger pool: none is believed
+		// Grants for asks that were sent before now come from the larger pool: all are ignored.
 		h.units, h.validUntil, h.askNow, h.appliedSeq = 0, 0, true, h.seq
 	}
 	if h.wanted == h.plan.Pool() {
--- a/internal/budget/keeper.go
+++ b/internal/budget/keeper.go
@@ -1,43 +1,46 @@
 package budget
 
-// Ask is a holder's request for a share of the pool, and its renewal.
+// Ask is a holder's message to the keeper that requests or renews a share of the pool.
 type Ask struct {
 	Peer   string // the dispatcher's name, the same after a restart
-	Epoch  uint64 // new with each start of the holder, so that answers to an earlier life are not believed
-	Seq    uint64 // of this ask in its epoch, rising
-	Wanted int    // units it would use; the keeper gives no more
+	Epoch  uint64 // new with each start of the holder, so that it ignores grants for an earlier incarnation
+	Seq    uint64 // increases with each ask of the epoch
+	Wanted int    // units that the holder would use; the keeper grants no more
 }
 
-// Grant is the keeper's answer to one ask: Units of the pool until the lease ends. It repeats the
-// ask's Epoch and Seq, by which the holder knows when it sent the ask.
+// Grant is the keeper's reply to one ask: it lends Units of the pool until the lease ends. It
+// repeats the ask's Epoch and Seq, by which the holder finds the time at which it sent the ask.
 type Grant struct {
 	Peer       string
 	Epoch, Seq uint64
 	Units      int
-	Total      int // the total of the keeper's plan: a holder on another plan does not believe it
+	Total      int // the total of the keeper's plan; a holder whose plan has another total ignores the grant
 }
 
-// grantRecord is one grant as the keeper counts it: units until a time of its own clock.
+// grantRecord is a grant as the keeper counts it.
 type grantRecord struct {
 	units int
-	until Time
+	until Time // end of the lease by the keeper's clock
 }
 
-// maxGrantsPerPeer bounds what is kept of one peer's grants that have not ended. A peer that asks for
-// ever less faster than its leases end gets the last amount again rather than a further entry.
+// maxGrantsPerPeer limits the records of one peer's grants that have not ended. A peer may ask for
+// less each time, faster than its leases end. At the limit it is granted the last amount again
+// instead of a smaller one, so that no further record is needed.
 const maxGrantsPerPeer = 8
 
-// Keeper lends the pool of one budget under leases. It is the only authority of the pool, named
-// by the settings, never elected: two keepers would lend the same units. Memory is bounded by
-// Plan.Most peers of mostGrants grants each; asks from further peers are given nothing.
+// Keeper lends the pool of one budget under leases. There must be one keeper only, since two
+// would lend the same units: its driver names it in the settings or runs it at the accord's
+// leader. Memory is bounded: at most Plan.MaxDispatchers peers with maxGrantsPerPeer records each;
+// asks from further peers are granted nothing. Not safe for concurrent use.
 type Keeper struct {
 	plan       Plan
 	history    planHistory
-	quietUntil Time                     // lends nothing before this: its earlier life's leases may stand
-	grants     map[string][]grantRecord // grants not yet ended, units falling as their ends rise
+	quietUntil Time                     // nothing is lent before: leases of an earlier process may still be in use
+	grants     map[string][]grantRecord // by peer, those that have not ended: a later end comes with fewer units
 }
 
-// NewKeeper starts a keeper at now of its own clock. It lends nothing for Plan.Quiet.
+// NewKeeper starts a keeper. now is a reading of the keeper's clock. It lends nothing for
+// Plan.QuietPeriod.
 func NewKeeper(p Plan, now Time) (*Keeper, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -45,19 +48,20 @@
 	return &Keeper{plan: p, quietUntil: now.Add(p.QuietPeriod()), grants: map[string][]grantRecord{}}, nil
 }
 
-// unitsInUse is what a peer may be using: the most of its grants that have not ended.
+// unitsInUse returns what a peer may be using: the maximum of its grants that have not ended.
 func unitsInUse(grants []grantRecord, now Time) int {
-	most := 0
+	units := 0
 	for _, g := range grants {
 		if g.until > now {
-			most = max(most, g.units)
+			units = max(units, g.units)
 		}
 	}
-	return most
+	return units
 }
 
-// prune forgets grants that have ended, and peers with none left, and says what the peers other
-// than one may be using: one pass over the table for each ask.
+// prune removes the grants that have ended and the peers that have none left. It returns how many
+// units the peers other than except may be using. Both are done together, so that an ask needs one
+// pass over the table.
 func (k *Keeper) prune(now Time, except string) (others int) {
 	for peer, grants := range k.grants {
 		kept := grants[:0]
@@ -79,14 +83,15 @@
 	return others
 }
 
-// HandleAsk answers an ask at now of the keeper's clock. The asker gets at most its fair part of the
-// pool among the peers that hold a lease, and no more than is free beside what the others hold:
-// a newcomer takes only from free or ended shares. What a peer held before stays counted until
-// that lease ends, since it may still be used on the strength of an answer on its way.
+// HandleAsk returns the grant for an ask. now is a reading of the keeper's clock. The peer gets at
+// most an equal share of the pool among the peers that hold a lease, and no more than the others
+// leave free: a new peer gets only units that are free or whose lease has ended. What a peer was
+// granted before stays counted until that lease ends: the peer may still use it, because of a grant
+// that is yet to arrive.
 func (k *Keeper) HandleAsk(now Time, a Ask) Grant {
 	g := Grant{Peer: a.Peer, Epoch: a.Epoch, Seq: a.Seq, Total: k.plan.Total}
 	others := k.prune(now, a.Peer)
-	mine, known := k.grants[a.Peer]
+	own, known := k.grants[a.Peer]
 	if now < k.quietUntil || !known && len(k.grants) >= k.plan.MaxDispatchers || a.Wanted <= 0 {
 		return g
 	}
@@ -96,12 +101,12 @@
 	}
 	pool := k.history.pool(k.plan)
 	units := min(a.Wanted, pool/n, pool-others)
-	if len(mine) >= maxGrantsPerPeer && units < mine[len(mine)-1].units {
-		units = mine[len(mine)-1].units // no further entry: the last amount again
+	if len(own) >= maxGrantsPerPeer && units < own[len(own)-1].units {
+		units = own[len(own)-1].units // as no further record may be added
 	}
 	units = max(units, 0)
-	kept := mine[:0]
-	for _, old := range mine { // a longer grant of as many units covers an earlier one
+	kept := own[:0]
+	for _, old := range own { // the new grant ends last: it replaces those of as many units or fewer
 		if old.units > units {
 			kept = append(kept, old)
 		}
@@ -111,7 +116,7 @@
 	return g
 }
 
-// Lent is what all peers may be using at now: never more than the pool.
+// Lent returns how many units all peers together may be using now.
 func (k *Keeper) Lent(now Time) int {
 	sum := 0
 	for _, grants := range k.grants {
@@ -120,11 +125,11 @@
 	return sum
 }
 
-// Replan puts a changed plan in force, from a reload. Grants already made stay counted until they
-// end, so a smaller pool is lent out only as far as what they leave; the quiet time is not begun
-// again, since the keeper still knows what it lent. Of units that the change moves from the reserves
-// to the pool nothing is lent before the keeper's next start: a dispatcher that has not read the plan
-// spends its old reserve still.
+// Replan puts a changed plan in force after a reload. Earlier grants stay counted until they end,
+// so that of a smaller pool only what they leave free is lent. There is no new quiet period, since
+// the keeper knows what it has lent. Units that the change moves from the reserves to the pool are
+// not lent before the keeper's next start, because a dispatcher that has not applied the plan yet
+// still spends its old reserve.
 func (k *Keeper) Replan(p Plan) error {
 	if err := p.Check(); err != nil {
 		return err
--- a/internal/budget/lease_test.go
+++ b/internal/budget/lease_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// simulation is one keeper and some holders on a network that drops, delays and cuts off, each
-// process with a clock of its own that runs at a rate within the plan's drift. Real time is the
-// simulation's alone; the keeper and holders see only their own clocks.
+// simulation runs one keeper and some holders on a network that loses and delays messages and cuts
+// links. Each process has a clock of its own, whose rate is within the plan's drift. The keeper and
+// the holders see only their own clocks, never the simulation's real time.
 type simulation struct {
 	plan        Plan
 	realTime    int64 // nanoseconds
@@ -20,10 +20,11 @@
 	keeperClock clock
 	holders     []*simulatedHolder
 	inTransit   []message
-	maxDelay    int64 // most delay of a message, ns
-	epochs      uint64
+	maxDelay    int64  // maximum delay of a message, in nanoseconds
+	epochs      uint64 // used so far
 }
 
+// clock turns real time into the readings of one process's clock.
 type clock struct {
 	rate   float64
 	offset int64
@@ -35,111 +36,112 @@
 	name   string
 	holder *Holder
 	clock  clock
-	left   bool // left for good: asks no more and spends nothing
+	left   bool // has left: it asks for nothing and spends nothing
 	cut    bool // no message passes between it and the keeper
 }
 
 type message struct {
 	at    int64 // real time of arrival
-	to    int   // -1: the keeper; else a holder
+	to    int   // -1 for the keeper, else the index of a holder
 	ask   Ask
 	grant Grant
 }
 
-func (w *simulation) newHolder(t *rapid.T, i int) *Holder {
-	w.epochs++
-	h, err := NewHolder(w.plan, w.holders[i].name, w.epochs)
+func (sim *simulation) newHolder(t *rapid.T, i int) *Holder {
+	sim.epochs++
+	h, err := NewHolder(sim.plan, sim.holders[i].name, sim.epochs)
 	require.NoError(t, err)
 	return h
 }
 
-// spendable is what all holders that are there may spend at this moment of real time.
-func (w *simulation) spendable() int {
+// spendable returns the sum of what all present holders may spend now.
+func (sim *simulation) spendable() int {
 	sum := 0
-	for _, m := range w.holders {
-		if !m.left {
-			sum += m.holder.Share(m.clock.at(w.realTime))
+	for _, h := range sim.holders {
+		if !h.left {
+			sum += h.holder.Share(h.clock.at(sim.realTime))
 		}
 	}
 	return sum
 }
 
-func (w *simulation) send(t *rapid.T, to int, from int, ask Ask, grant Grant, lossy bool) {
-	if w.holders[from].cut || lossy && rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
+func (sim *simulation) send(t *rapid.T, to int, from int, ask Ask, grant Grant, lossy bool) {
+	if sim.holders[from].cut || lossy && rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
 		return
 	}
-	delay := rapid.Int64Range(0, w.maxDelay).Draw(t, "delay")
-	w.inTransit = append(w.inTransit, message{at: w.realTime + delay, to: to, ask: ask, grant: grant})
+	delay := rapid.Int64Range(0, sim.maxDelay).Draw(t, "delay")
+	sim.inTransit = append(sim.inTransit, message{at: sim.realTime + delay, to: to, ask: ask, grant: grant})
 }
 
-// step moves real time on by dt and does all that falls due: asks, their arrival, answers.
-func (w *simulation) step(t *rapid.T, dt int64, lossy bool) {
-	w.realTime += dt
-	for i, m := range w.holders {
-		if m.left {
+// step advances real time by dt nanoseconds, sends the asks that are due and delivers the messages
+// that have arrived.
+func (sim *simulation) step(t *rapid.T, dt int64, lossy bool) {
+	sim.realTime += dt
+	for i, h := range sim.holders {
+		if h.left {
 			continue
 		}
-		if a, ok := m.holder.NextAsk(m.clock.at(w.realTime)); ok {
-			w.send(t, -1, i, a, Grant{}, lossy)
+		if a, ok := h.holder.NextAsk(h.clock.at(sim.realTime)); ok {
+			sim.send(t, -1, i, a, Grant{}, lossy)
 		}
 	}
-	kept := w.inTransit[:0]
+	kept := sim.inTransit[:0]
 	var due []message
-	for _, msg := range w.inTransit {
-		if msg.at <= w.realTime {
+	for _, msg := range sim.inTransit {
+		if msg.at <= sim.realTime {
 			due = append(due, msg)
 		} else {
 			kept = append(kept, msg)
 		}
 	}
-	w.inTransit = kept
+	sim.inTransit = kept
 	for _, msg := range due {
 		if msg.to < 0 {
-			from := w.index(msg.ask.Peer)
-			g := w.keeper.HandleAsk(w.keeperClock.at(w.realTime), msg.ask)
-			w.send(t, from, from, Ask{}, g, lossy)
-		} else if m := w.holders[msg.to]; !m.left && !m.cut {
-			m.holder.HandleGrant(m.clock.at(w.realTime), msg.grant)
+			from := sim.index(msg.ask.Peer)
+			g := sim.keeper.HandleAsk(sim.keeperClock.at(sim.realTime), msg.ask)
+			sim.send(t, from, from, Ask{}, g, lossy)
+		} else if h := sim.holders[msg.to]; !h.left && !h.cut {
+			h.holder.HandleGrant(h.clock.at(sim.realTime), msg.grant)
 		}
 	}
 }
 
-func (w *simulation) index(name string) int {
-	for i, m := range w.holders {
-		if m.name == name {
+func (sim *simulation) index(name string) int {
+	for i, h := range sim.holders {
+		if h.name == name {
 			return i
 		}
 	}
 	panic("no holder " + name)
 }
 
-// newSimulation starts a keeper at real time 0 and n holders, each clock drawn.
-func newSimulation(t *rapid.T, p Plan, n int, delay time.Duration) *simulation {
-	w := &simulation{plan: p, keeperClock: drawClock(t, p, "keeper"), maxDelay: int64(delay)}
+// newSimulation starts a keeper and n holders at real time 0, each with a random clock.
+func newSimulation(t *rapid.T, p Plan, n int, maxDelay time.Duration) *simulation {
+	sim := &simulation{plan: p, keeperClock: drawClock(t, p, "keeper"), maxDelay: int64(maxDelay)}
 	var err error
-	w.keeper, err = NewKeeper(p, w.keeperClock.at(0))
+	sim.keeper, err = NewKeeper(p, sim.keeperClock.at(0))
 	require.NoError(t, err)
 	for i := range n {
-		w.holders = append(w.holders, &simulatedHolder{name: fmt.Sprintf("n%d", i), clock: drawClock(t, p, fmt.Sprintf("h%d", i))})
-		w.holders[i].holder = w.newHolder(t, i)
+		sim.holders = append(sim.holders, &simulatedHolder{name: fmt.Sprintf("n%d", i), clock: drawClock(t, p, fmt.Sprintf("h%d", i))})
+		sim.holders[i].holder = sim.newHolder(t, i)
 	}
-	return w
+	return sim
 }
 
-// run steps on by dt, steps times, and checks at each step that the holders spend no more than
-// most; lossy(k) says whether the k-th step loses messages.
-func (w *simulation) run(t *rapid.T, steps int, dt time.Duration, most int, lossy func(k int) bool) {
+// run makes a number of steps of dt and checks after each that the holders may spend no more than
+// limit. lossy(k) says whether the k-th step loses messages.
+func (sim *simulation) run(t *rapid.T, steps int, dt time.Duration, limit int, lossy func(k int) bool) {
 	for k := range steps {
-		w.step(t, int64(dt), lossy(k))
-		require.LessOrEqual(t, w.spendable(), most, "spent at %d ns", w.realTime)
+		sim.step(t, int64(dt), lossy(k))
+		require.LessOrEqual(t, sim.spendable(), limit, "spendable at %d ns", sim.realTime)
 	}
 }
 
-// requireFairShares checks that every holder that is there has at least want at this moment.
-func (w *simulation) requireFairShares(t *rapid.T, want int) {
-	for _, m := range w.holders {
-		if !m.left {
-			require.GreaterOrEqual(t, m.holder.Share(m.clock.at(w.realTime)), want, m.name)
+// requireFairShares checks that every present holder may spend at least want now.
+func (sim *simulation) requireFairShares(t *rapid.T, want int) {
+	for _, h := range sim.holders {
+		if !h.left {
+			require.GreaterOrEqual(t, h.holder.Share(h.clock.at(sim.realTime)), want, h.name)
 		}
 	}
 }
@@ -154,8 +156,8 @@
 		Drift: rapid.Float64Range(0, MaxDrift).Draw(t, "drift")}
 }
 
-// drawClock draws a clock, as often as not at an edge of the drift: the keeper fast and a holder
-// slow is where a lease's end is closest to being crossed.
+// drawClock draws a clock, often one at a limit of the drift: with a fast keeper and a slow holder
+// the holder's use of a lease comes closest to the lease's end.
 func drawClock(t *rapid.T, p Plan, label string) clock {
 	rate := rapid.SampledFrom([]float64{1 - p.Drift, 1 + p.Drift, 0}).Draw(t, label+"_edge")
 	if rate == 0 {
@@ -164,75 +166,74 @@
 	return clock{rate: rate, offset: rapid.Int64Range(-1e12, 1e12).Draw(t, label+"_offset")}
 }
 
-// TestSharesNeverExceedTotal: over random joins, leaves, crashes of holders and of the keeper,
-// cut links, lost and late messages and drifting clocks, what the holders may spend together never
-// exceeds the total, at any moment of real time. Once the faults end, every holder that is there
-// holds its reserve and at least its fair part of the pool less one unit within 4 leases and the
-// keeper's quiet time.
+// TestSharesNeverExceedTotal checks that the holders together may never spend more than the total,
+// whatever happens: random joins, leaves, crashes of holders and of the keeper, cut links, lost and
+// late messages, drifting clocks. Once the faults end, every present holder has its reserve and its
+// fair share of the pool less one unit within 4 leases and the keeper's quiet period.
 func TestSharesNeverExceedTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPlan(t)
 		n := rapid.IntRange(1, p.MaxDispatchers).Draw(t, "holders")
-		w := newSimulation(t, p, n, time.Duration(rapid.IntRange(0, 2*int(p.Lease.Milliseconds())).Draw(t, "delay_ms"))*time.Millisecond)
+		sim := newSimulation(t, p, n, time.Duration(rapid.IntRange(0, 2*int(p.Lease.Milliseconds())).Draw(t, "delay_ms"))*time.Millisecond)
 		var err error
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			i := rapid.IntRange(0, n-1).Draw(t, "who")
-			m := w.holders[i]
+			h := sim.holders[i]
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
-			case 0: // crashes and starts again from nothing, under its name
-				m.holder = w.newHolder(t, i)
+			case 0: // crashes and starts again under its name, without any state
+				h.holder = sim.newHolder(t, i)
 			case 1:
-				m.cut = !m.cut
-			case 2: // leaves, or comes back as a new life
-				if m.left = !m.left; !m.left {
-					m.holder = w.newHolder(t, i)
+				h.cut = !h.cut
+			case 2: // leaves, or comes back as a new incarnation
+				if h.left = !h.left; !h.left {
+					h.holder = sim.newHolder(t, i)
 				}
-			case 3: // the keeper crashes and starts again, knowing nothing
-				w.keeper, err = NewKeeper(p, w.keeperClock.at(w.realTime))
+			case 3: // the keeper crashes and starts again without any state
+				sim.keeper, err = NewKeeper(p, sim.keeperClock.at(sim.realTime))
 				require.NoError(t, err)
 			default:
-				w.step(t, int64(rapid.IntRange(1, 1000).Draw(t, "dt_ms"))*1e6, true)
+				sim.step(t, int64(rapid.IntRange(1, 1000).Draw(t, "dt_ms"))*1e6, true)
 			}
-			require.LessOrEqual(t, w.keeper.Lent(w.keeperClock.at(w.realTime)), p.Pool(), "lent by the keeper")
-			require.LessOrEqual(t, w.spendable(), p.Total, "spent at %d ns", w.realTime)
+			require.LessOrEqual(t, sim.keeper.Lent(sim.keeperClock.at(sim.realTime)), p.Pool(), "lent by the keeper")
+			require.LessOrEqual(t, sim.spendable(), p.Total, "spendable at %d ns", sim.realTime)
 		}
 
-		// The faults end: links mend, messages are quick and none is lost.
-		w.maxDelay = int64(5 * time.Millisecond)
-		there := 0
-		for _, m := range w.holders {
-			m.cut = false
-			if !m.left {
-				there++
+		// The faults end: no link is cut, messages are fast and none is lost.
+		sim.maxDelay = int64(5 * time.Millisecond)
+		present := 0
+		for _, h := range sim.holders {
+			h.cut = false
+			if !h.left {
+				present++
 			}
 		}
-		settle := 2 * (4*p.Lease + p.QuietPeriod()) // real time, with the slowest clock's margin
-		w.run(t, int(settle/(10*time.Millisecond))+1, 10*time.Millisecond, p.Total, never)
-		if there > 0 {
-			w.requireFairShares(t, p.Reserve()+p.Pool()/there-1)
+		settle := 2 * (4*p.Lease + p.QuietPeriod()) // in real time, with a margin for the slowest clock
+		sim.run(t, int(settle/(10*time.Millisecond))+1, 10*time.Millisecond, p.Total, never)
+		if present > 0 {
+			sim.requireFairShares(t, p.Reserve()+p.Pool()/present-1)
 		}
 	})
 }
 
-// TestCrashedHolderShareComesBackAfterItsLease: a holder that dies holding a share keeps it, in
-// the keeper's count, until its lease ends; a newcomer gets only what is free until then.
+// TestCrashedHolderShareComesBackAfterItsLease checks that the keeper counts the units of a crashed
+// holder until its lease ends. Until then a new holder gets only what is free.
 func TestCrashedHolderShareComesBackAfterItsLease(t *testing.T) {
 	p := Plan{Name: "probes", Total: 100, MaxDispatchers: 4, ReserveShare: 0.2, Lease: time.Second}
 	k, err := NewKeeper(p, 0)
 	require.NoError(t, err)
 	start := Time(p.QuietPeriod())
 	g := k.HandleAsk(start, Ask{Peer: "a", Seq: 1, Wanted: 80})
-	require.Equal(t, 80, g.Units, "alone, all of the pool")
-	// a dies here; b comes
+	require.Equal(t, 80, g.Units, "a is alone and gets the whole pool")
+	// a crashes here and b joins
 	g = k.HandleAsk(start.Add(p.Lease/2), Ask{Peer: "b", Seq: 1, Wanted: 80})
-	assert.Equal(t, 0, g.Units, "a's lease stands: nothing is free")
+	assert.Equal(t, 0, g.Units, "a's lease has not ended: nothing is free")
 	g = k.HandleAsk(start.Add(p.Lease), Ask{Peer: "b", Seq: 2, Wanted: 80})
 	assert.Equal(t, 80, g.Units, "a's lease has ended")
 }
 
-// TestPartitionFallsBackToTheReserve: a holder that is cut off spends its reserve alone once what
-// it may use of its lease is over, and that is before the keeper lends the units again, in real
-// time, with its clock as slow and the keeper's as fast as the drift allows.
+// TestPartitionFallsBackToTheReserve checks that a holder that is cut off spends only its reserve
+// before, in real time, the keeper lends the units again. The holder's clock is as slow and the
+// keeper's as fast as the drift allows.
 func TestPartitionFallsBackToTheReserve(t *testing.T) {
 	p := Plan{Name: "retries", Total: 1000, MaxDispatchers: 10, ReserveShare: 0.1, Lease: 2 * time.Second, Drift: 0.05}
 	slow, fast := clock{rate: 1 - p.Drift}, clock{rate: 1 + p.Drift}
@@ -240,7 +241,7 @@
 	require.NoError(t, err)
 	h, err := NewHolder(p, "a", 1)
 	require.NoError(t, err)
-	real := int64(p.QuietPeriod()) // the keeper's quiet time has passed on the fast clock, and more
+	real := int64(p.QuietPeriod()) // the quiet period has passed on the keeper's fast clock
 	a, ok := h.NextAsk(slow.at(real))
 	require.True(t, ok)
 	lentAt := real + int64(100*time.Millisecond) // the ask arrives late
@@ -251,12 +252,13 @@
 	for k.Lent(fast.at(freedAt)) > 0 { // when the keeper could lend the units to another
 		freedAt += int64(time.Millisecond)
 	}
-	assert.Equal(t, p.Reserve(), h.Share(slow.at(freedAt)), "cut off: the reserve alone when the keeper lends again")
-	assert.Equal(t, p.Reserve()+p.Pool(), h.Share(slow.at(freedAt-int64(p.Lease)/2)), "the lease in force before")
+	assert.Equal(t, p.Reserve(), h.Share(slow.at(freedAt)), "only the reserve once the keeper may lend again")
+	assert.Equal(t, p.Reserve()+p.Pool(), h.Share(slow.at(freedAt-int64(p.Lease)/2)), "reserve and grant before")
 }
 
-// TestGrantForEarlierIncarnationIgnored: a holder that started again is not given, by an answer
-// meant for its earlier life, a lease the keeper counts from an earlier time.
+// TestGrantForEarlierIncarnationIgnored checks that a holder that has started again ignores a grant
+// for its earlier incarnation. The keeper counts that lease from an earlier time than the holder
+// would.
 func TestGrantForEarlierIncarnationIgnored(t *testing.T) {
 	p := Plan{Name: "connections", Total: 100, MaxDispatchers: 2, Lease: time.Second}
 	old, err := NewHolder(p, "a", 1)
@@ -269,25 +271,25 @@
 	assert.Equal(t, 0, again.Share(Time(time.Second)))
 }
 
-// TestReducedGrantWaitsForOldLease: a renewal that gives less leaves the difference counted until
-// the grant before it ends, for the holder may still be using that one.
+// TestReducedGrantWaitsForOldLease checks that after a renewal with fewer units the keeper counts
+// the earlier grant until it ends, since the holder may still be using it.
 func TestReducedGrantWaitsForOldLease(t *testing.T) {
 	p := Plan{Name: "connections", Total: 90, MaxDispatchers: 3, Lease: time.Second}
 	k, err := NewKeeper(p, 0)
 	require.NoError(t, err)
 	at := Time(p.QuietPeriod())
 	require.Equal(t, 90, k.HandleAsk(at, Ask{Peer: "a", Seq: 1, Wanted: 90}).Units)
-	require.Equal(t, 0, k.HandleAsk(at, Ask{Peer: "b", Seq: 1, Wanted: 90}).Units, "nothing free")
-	require.Equal(t, 45, k.HandleAsk(at.Add(p.Lease/4), Ask{Peer: "a", Seq: 2, Wanted: 90}).Units, "a comes down to its part")
-	assert.Equal(t, 0, k.HandleAsk(at.Add(p.Lease/2), Ask{Peer: "b", Seq: 2, Wanted: 90}).Units, "a's first grant stands")
-	assert.Equal(t, 45, k.HandleAsk(at.Add(p.Lease), Ask{Peer: "b", Seq: 3, Wanted: 90}).Units, "and has ended")
+	require.Equal(t, 0, k.HandleAsk(at, Ask{Peer: "b", Seq: 1, Wanted: 90}).Units, "nothing is free")
+	require.Equal(t, 45, k.HandleAsk(at.Add(p.Lease/4), Ask{Peer: "a", Seq: 2, Wanted: 90}).Units, "a is reduced to its fair share")
+	assert.Equal(t, 0, k.HandleAsk(at.Add(p.Lease/2), Ask{Peer: "b", Seq: 2, Wanted: 90}).Units, "a's first grant has not ended")
+	assert.Equal(t, 45, k.HandleAsk(at.Add(p.Lease), Ask{Peer: "b", Seq: 3, Wanted: 90}).Units, "a's first grant has ended")
 	assert.Equal(t, 90, k.Lent(at.Add(p.Lease)))
 }
 
 func TestSplit(t *testing.T) {
 	assert.Equal(t, 2, Split(600, 300, 0))
 	assert.Equal(t, 0, Split(100, 300, 0), "rounded down")
-	assert.Equal(t, 1, Split(100, 300, 1), "the floor")
+	assert.Equal(t, 1, Split(100, 300, 1), "the minimum")
 	assert.Equal(t, 600, Split(600, 0, 0), "a fleet below 1 counts as 1")
 	assert.Equal(t, 0, Split(-5, 3, 0))
 	assert.Equal(t, 300, Estimate(300, 12, 40))
@@ -307,66 +309,66 @@
 		spoil(&p)
 		assert.ErrorContains(t, p.Check(), field)
 	}
-	assert.Equal(t, good.Total, good.MaxDispatchers*good.Reserve()+good.Pool(), "reserves and pool make the whole")
+	assert.Equal(t, good.Total, good.MaxDispatchers*good.Reserve()+good.Pool(), "reserves and pool sum to the total")
 }
 
-// TestThreeHundredJoinAtOnce: after a release 300 dispatchers start together and ask at once, with
-// one ask or answer in ten lost for a lease; the sum never exceeds the whole, and two leases later
-// each holds its fair part less one unit. The first askers get the most (n counts those that have
-// asked), and the others get theirs once those leases end: the slow start that the design's 2 L
-// allows for.
+// TestThreeHundredJoinAtOnce: after a release 300 dispatchers start together and ask at once, and
+// one message in ten is lost for the duration of a lease. The sum never exceeds the total, and two
+// leases later each holder has its fair share less one unit. The first holders that ask get more,
+// since the pool is divided among those that have asked so far; the others get their share once
+// those leases end. The two leases (2 L) that the design allows for the start cover this.
 func TestThreeHundredJoinAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Plan{Name: "connections", Total: 3000, MaxDispatchers: 300, ReserveShare: 0.2, Lease: 3 * time.Second, Drift: 0.001}
-		w := newSimulation(t, p, p.MaxDispatchers, 20*time.Millisecond)
-		w.realTime = int64(p.QuietPeriod()) * 2 // the keeper has been up a while
+		sim := newSimulation(t, p, p.MaxDispatchers, 20*time.Millisecond)
+		sim.realTime = int64(p.QuietPeriod()) * 2 // the keeper's quiet period is over
 		const dt = 30 * time.Millisecond
-		w.run(t, int(3*p.Lease/dt), dt, p.Total, func(k int) bool { return k < int(p.Lease/dt) })
-		w.requireFairShares(t, p.Reserve()+p.Pool()/p.MaxDispatchers-1)
+		sim.run(t, int(3*p.Lease/dt), dt, p.Total, func(k int) bool { return k < int(p.Lease/dt) })
+		sim.requireFairShares(t, p.Reserve()+p.Pool()/p.MaxDispatchers-1)
 	})
 }
 
-// TestFlappingPeerKeepsTotal: a peer that leaves and comes back as a new life every second, for
-// twenty seconds, never lifts the sum above the whole, and once it stays the others keep their
-// fair parts.
+// TestFlappingPeerKeepsTotal: a peer leaves and comes back as a new incarnation every second, for
+// twenty seconds. The sum of the shares never exceeds the total, and once the peer stays all
+// holders get their fair shares.
 func TestFlappingPeerKeepsTotal(t *testing.T) {
 	p := Plan{Name: "probes", Total: 100, MaxDispatchers: 5, ReserveShare: 0.1, Lease: 2 * time.Second, Drift: 0.01}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimulation(t, p, 4, 50*time.Millisecond)
-		flapper := w.holders[3]
-		for s := range 21 { // the 21st time it comes back and stays
-			if flapper.left = s%2 == 1; !flapper.left {
-				flapper.holder = w.newHolder(t, 3)
+		sim := newSimulation(t, p, 4, 50*time.Millisecond)
+		flapper := sim.holders[3]
+		for second := range 21 { // in the 21st second it comes back and stays
+			if flapper.left = second%2 == 1; !flapper.left {
+				flapper.holder = sim.newHolder(t, 3)
 			}
-			w.run(t, 100, 10*time.Millisecond, p.Total, always)
+			sim.run(t, 100, 10*time.Millisecond, p.Total, always)
 		}
-		w.run(t, int(4*p.Lease/(10*time.Millisecond)), 10*time.Millisecond, p.Total, never)
-		w.requireFairShares(t, p.Reserve()+p.Pool()/4-1)
+		sim.run(t, int(4*p.Lease/(10*time.Millisecond)), 10*time.Millisecond, p.Total, never)
+		sim.requireFairShares(t, p.Reserve()+p.Pool()/4-1)
 	})
 }
 
-// TestLoweredTotalHoldsOnceAllApplyIt: a reload halves the total while shares are held. The
-// keeper and the holders read it one after another at random moments; until the last has, the sum
-// stays within the old total, and from then on within the new one, and every holder gets its new
-// fair part.
+// TestLoweredTotalHoldsOnceAllApplyIt: a reload halves the total while units are lent. The keeper
+// and the holders apply it one after another at random times. Until the last has done so, the sum
+// of the shares stays within the old total; from then on it stays within the new one, and every
+// holder gets its new fair share.
 func TestLoweredTotalHoldsOnceAllApplyIt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Plan{Name: "connections", Total: 400, MaxDispatchers: 5, ReserveShare: 0.25, Lease: time.Second, Drift: 0.01}
-		w := newSimulation(t, p, 4, 30*time.Millisecond)
-		w.run(t, int(4*(p.Lease+p.QuietPeriod())/(10*time.Millisecond)), 10*time.Millisecond, p.Total, never)
+		sim := newSimulation(t, p, 4, 30*time.Millisecond)
+		sim.run(t, int(4*(p.Lease+p.QuietPeriod())/(10*time.Millisecond)), 10*time.Millisecond, p.Total, never)
 		lower := p
 		lower.Total = 200
 		order := rapid.Permutation([]int{-1, 0, 1, 2, 3}).Draw(t, "order")
-		for _, who := range order {
-			w.run(t, rapid.IntRange(0, 50).Draw(t, "steps"), 10*time.Millisecond, p.Total, always)
-			if who < 0 {
-				require.NoError(t, w.keeper.Replan(lower))
+		for _, process := range order {
+			sim.run(t, rapid.IntRange(0, 50).Draw(t, "steps"), 10*time.Millisecond, p.Total, always)
+			if process < 0 {
+				require.NoError(t, sim.keeper.Replan(lower))
 			} else {
-				require.NoError(t, w.holders[who].holder.Replan(lower))
+				require.NoError(t, sim.holders[process].holder.Replan(lower))
 			}
 		}
-		w.plan = lower // holders that start from here on start with it
-		w.run(t, int(3*lower.Lease/(10*time.Millisecond)), 10*time.Millisecond, lower.Total, never)
-		w.requireFairShares(t, lower.Reserve()+lower.Pool()/4-1)
+		sim.plan = lower // for holders that start later
+		sim.run(t, int(3*lower.Lease/(10*time.Millisecond)), 10*time.Millisecond, lower.Total, never)
+		sim.requireFairShares(t, lower.Reserve()+lower.Pool()/4-1)
 	})
 }
--- a/internal/budget/planhistory.go
+++ b/internal/budget/planhistory.go
@@ -1,37 +1,41 @@
 package budget
 
-// planHistory is the plans that were in force in this process before the one now, newest last. Others may
-// go by them still, and nobody tells when the last does not: so where a change moves units from the
-// reserves to the pool or back, the side that grows stays small until its next start. Where both
-// grow, or both shrink, as with a changed Total, nothing is held back but what rounding moves.
+// planHistory holds the plans that were in force in this process before the current one, newest
+// last. Other dispatchers may still apply one of them, and no message says when the last one has
+// stopped. So if a change moves units from the reserves to the pool or back, the part that grows
+// keeps its smaller size until the next start of the process. If both grow or both shrink, as with
+// a changed Total, nothing is held back except what rounding moves.
 type planHistory []Plan
 
-// maxPastPlans bounds what is kept: a plan so many changes ago is taken to be read by all.
+// maxPastPlans limits the history. A plan that was replaced so many changes ago is assumed to be
+// applied by no dispatcher any more.
 const maxPastPlans = 16
 
-func (e planHistory) add(p Plan) planHistory {
-	if e = append(e, p); len(e) > maxPastPlans {
-		e = e[1:]
+// add appends a plan that was replaced.
+func (h planHistory) add(p Plan) planHistory {
+	if h = append(h, p); len(h) > maxPastPlans {
+		h = h[1:]
 	}
-	return e
+	return h
 }
 
-// pool is what a keeper on plan p lends: beside it the largest reserves of p or an earlier plan fit
-// into the larger of the two totals.
-func (e planHistory) pool(p Plan) int {
+// pool returns how much a keeper with the plan p may lend. For each earlier plan, the pool and the
+// larger reserves of the two plans together stay within the larger of the two totals.
+func (h planHistory) pool(p Plan) int {
 	pool := p.Pool()
-	for _, o := range e {
-		pool = min(pool, max(o.Total, p.Total)-max(o.MaxDispatchers*o.Reserve(), p.MaxDispatchers*p.Reserve()))
+	for _, old := range h {
+		pool = min(pool, max(old.Total, p.Total)-max(old.MaxDispatchers*old.Reserve(), p.MaxDispatchers*p.Reserve()))
 	}
 	return max(pool, 0)
 }
 
-// reserve is what a holder on plan p spends unasked: all reserves fit beside the larger pool of p or
-// an earlier plan, which the keeper may still be lending.
-func (e planHistory) reserve(p Plan) int {
-	r := p.Reserve()
-	for _, o := range e {
-		r = min(r, (max(o.Total, p.Total)-max(o.Pool(), p.Pool()))/max(o.MaxDispatchers, p.MaxDispatchers))
+// reserve returns how much a holder with the plan p may spend without a lease. For each earlier
+// plan, all reserves and the larger pool of the two plans, which the keeper may still be lending,
+// together stay within the larger of the two totals.
+func (h planHistory) reserve(p Plan) int {
+	reserve := p.Reserve()
+	for _, old := range h {
+		reserve = min(reserve, (max(old.Total, p.Total)-max(old.Pool(), p.Pool()))/max(old.MaxDispatchers, p.MaxDispatchers))
 	}
-	return max(r, 0)
+	return max(reserve, 0)
 }
--- a/internal/budget/wire/wire.go
+++ b/internal/budget/wire/wire.go
@@ -1,14 +1,17 @@
-// Package wire is the bytes of the budgets' messages between dispatchers: one ask or grant a
-// UDP datagram, a line of text so that a capture can be read by eye.
+// Package wire encodes and decodes the messages by which dispatchers share a budget: asks and
+// grants (package budget), each in a UDP datagram of its own. A message is a line of text, so that
+// it can be read in a packet capture.
 //
 //	TSB2 ask connections n17 9034128871 42 600 0 2308a3e5
 //	TSB2 grant connections n17 9034128871 42 25 800 9f26f500
 //
-// The fields are: the version, the kind, the budget's name, the asking peer's name, its epoch, the
-// ask's number, the units wanted or granted, for a grant the total of the keeper's plan (0 in an
-// ask), and the CRC-32C of all before it and the space there, in hex: a units field with one digit
-// changed on the way reads as well as before, and would lift the sum of the shares above the whole
-// (UDP's own sum is 16 bits, and may be left out). It knows no socket and no clock.
+// The fields are: the format's version, the kind, the budget's name, the name of the peer that
+// asks, its epoch, the ask's number, the units wanted or granted, the total of the keeper's plan
+// (0 in an ask), and the CRC-32C in hex of everything before it, the space included. The checksum
+// is needed because a units field with one digit changed in transit is still valid and would lift
+// the sum of the shares above the total; UDP's own checksum has 16 bits and is optional.
+//
+// The package uses no socket and no clock.
 package wire
 
 import (
@@ -21,44 +24,44 @@
 	"tinsail/internal/budget"
 )
 
-// Limits of a message, each against a peer that sends too much.
+// Limits of a message, as protection from peers that send too much.
 const (
-	MaxMessage = 256       // bytes of a datagram; more is not read
+	MaxMessage = 256       // bytes of a datagram; a longer one is refused
 	MaxName    = 64        // bytes of a budget's or peer's name
-	MaxUnits   = 1_000_000 // units wanted or granted: no budget is larger
+	MaxUnits   = 1_000_000 // units wanted, granted or in total; no budget is larger
 	version    = "TSB2"
 )
 
-// Message is one decoded datagram: an ask or a grant, for one budget.
+// Message is a decoded datagram: an ask or a grant of one budget.
 type Message struct {
 	Budget string
 	Ask    *budget.Ask   // nil unless it is an ask
 	Grant  *budget.Grant // nil unless it is a grant
 }
 
-// ErrMessage is wrapped by every fault of a datagram.
+// ErrMessage is wrapped by every error of Decode.
 var ErrMessage = errors.New("bad budget message")
 
-// AppendAsk appends an ask for a budget to b.
+// AppendAsk appends the encoded ask for the budget called name to b.
 func AppendAsk(b []byte, name string, a budget.Ask) []byte {
-	from := len(b)
-	return appendChecksum(fmt.Appendf(b, "%s ask %s %s %d %d %d 0 ", version, name, a.Peer, a.Epoch, a.Seq, a.Wanted), from)
+	start := len(b)
+	return appendChecksum(fmt.Appendf(b, "%s ask %s %s %d %d %d 0 ", version, name, a.Peer, a.Epoch, a.Seq, a.Wanted), start)
 }
 
-// AppendGrant appends a grant for a budget to b.
+// AppendGrant appends the encoded grant of the budget called name to b.
 func AppendGrant(b []byte, name string, g budget.Grant) []byte {
-	from := len(b)
-	return appendChecksum(fmt.Appendf(b, "%s grant %s %s %d %d %d %d ", version, name, g.Peer, g.Epoch, g.Seq, g.Units, g.Total), from)
+	start := len(b)
+	return appendChecksum(fmt.Appendf(b, "%s grant %s %s %d %d %d %d ", version, name, g.Peer, g.Epoch, g.Seq, g.Units, g.Total), start)
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// appendChecksum ends the message that begins at from.
-func appendChecksum(b []byte, from int) []byte {
-	return fmt.Appendf(b, "%08x\n", crc32.Checksum(b[from:], castagnoli))
+// appendChecksum appends the checksum and the line end to the message that begins at start.
+func appendChecksum(b []byte, start int) []byte {
+	return fmt.Appendf(b, "%08x\n", crc32.Checksum(b[start:], castagnoli))
 }
 
-// Decode decodes one datagram. Its error names the field at fault and wraps ErrMessage.
+// Decode decodes one datagram. Its error names the invalid field and wraps ErrMessage.
 func Decode(p []byte) (Message, error) {
 	if len(p) > MaxMessage {
 		return Message{}, fmt.Errorf("%w: %d bytes, at most %d", ErrMessage, len(p), MaxMessage)
@@ -70,9 +73,10 @@
 	if string(f[0]) != version {
 		return Message{}, fmt.Errorf("%w: version %q, want %s", ErrMessage, f[0], version)
 	}
-	at := bytes.LastIndexByte(p, ' ') + 1 // fields are parted by one space, the line ends in \n: all else fails here
+	// The checksum must follow the last space and be followed by a newline: anything else fails here.
+	at := bytes.LastIndexByte(p, ' ') + 1
 	if want := appendChecksum(p[:at:at], 0); !bytes.Equal(want, p) {
-		return Message{}, fmt.Errorf("%w: sum %q, want %q", ErrMessage, f[8], bytes.TrimSpace(want[at:]))
+		return Message{}, fmt.Errorf("%w: checksum %q, want %q", ErrMessage, f[8], bytes.TrimSpace(want[at:]))
 	}
 	var m Message
 	var err error
@@ -108,13 +112,14 @@
 	return m, nil
 }
 
+// parseName returns the name of a budget or peer. field says which, for the error.
 func parseName(field string, b []byte) (string, error) {
 	if len(b) == 0 || len(b) > MaxName {
 		return "", fmt.Errorf("%w: %s of %d bytes, want 1 to %d", ErrMessage, field, len(b), MaxName)
 	}
 	for _, c := range b {
 		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.') {
-			return "", fmt.Errorf("%w: %s %q has a byte %q", ErrMessage, field, b, c)
+			return "", fmt.Errorf("%w: %s %q contains the byte %q, want letters, digits, -, _ and .", ErrMessage, field, b, c)
 		}
 	}
 	return string(b), nil
--- a/internal/budget/wire/wire_test.go
+++ b/internal/budget/wire/wire_test.go
@@ -42,23 +42,25 @@
 	}
 }
 
-// TestCorruptedMessageRefused: a message with any one byte changed to any other, or cut anywhere, is refused.
+// TestCorruptedMessageRefused checks that a message is refused if any one byte is changed to any other value, or if it
+// is truncated anywhere.
 func TestCorruptedMessageRefused(t *testing.T) {
 	good := AppendGrant(nil, "connections", budget.Grant{Peer: "n17", Epoch: 9034128871, Seq: 42, Units: 25, Total: 800})
 	for i := range good {
 		_, err := Decode(good[:i])
-		assert.ErrorIs(t, err, ErrMessage, "cut at %d", i)
+		assert.ErrorIs(t, err, ErrMessage, "truncated to %d bytes", i)
 		for x := 1; x < 256; x++ {
 			b := bytes.Clone(good)
 			b[i] ^= byte(x)
 			if _, err := Decode(b); err == nil {
-				t.Fatalf("%q was read", b)
+				t.Fatalf("%q was decoded", b)
 			}
 		}
 	}
 }
 
-// FuzzRead: nothing a peer sends panics the reader, and what it reads is written back the same.
+// FuzzRead checks that no input makes Decode panic, and that a message that it decodes is the same after it was encoded
+// and decoded again.
 func FuzzRead(f *testing.F) {
 	f.Add(appendChecksum([]byte("TSB2 ask connections n17 9034128871 42 600 0 "), 0))
 	f.Add(appendChecksum([]byte("TSB2 grant c n 0 0 0 0 "), 0))
