--- a/cmd/tinsail/pages_crowds_test.go
+++ b/cmd/tinsail/pages_crowds_test.go
@@ -21,7 +21,7 @@
 	"tinsail/internal/standin/platform"
 )
 
-// resourceUse reads what a process holds: descriptors, and resident memory in bytes.
+// resourceUse returns how many descriptors a process holds, and its resident memory in bytes.
 func resourceUse(t *testing.T, pid int) (descriptors, memory int) {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	require.NoError(t, err)
@@ -33,8 +33,9 @@
 	return len(list), memory * os.Getpagesize()
 }
 
-// TestMisbehavingClients: clients that say nothing, send one byte at a time, leave a req half sent, read none of their answers or flood:
-// honest ones beside them are served, and the process stays within its descriptors.
+// TestMisbehavingClients: clients stay silent, send one byte at a time, send half a request, read none of their
+// answers or flood. Well-behaved clients beside them are served, and the process stays within its descriptors
+// and its memory.
 func TestMisbehavingClients(t *testing.T) {
 	const sockets, crowd = 256, 600
 	for name, act := range map[string]func(k net.Conn, i int, stop chan struct{}){
@@ -75,7 +76,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newDeployment(t, "127.0.0.1:0")
-			// a busy machine is not to have connections to backends time out
+			// connections to backends must not time out on a busy machine
 			h.editConfig(`"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, sockets), `"ConnectTimeoutMs": 120`, `"ConnectTimeoutMs": 3000`)
 			p := h.start()
 			p.awaitReady()
@@ -85,7 +86,7 @@
 			for i := range crowd {
 				k, err := net.DialTimeout("tcp", h.clientAddress, waitTimeout)
 				if err != nil {
-					continue // not taken in
+					continue // not accepted
 				}
 				defer k.Close()
 				all.Go(func() { act(k, i, stop) })
@@ -105,7 +106,7 @@
 					}
 					k.Close()
 					require.NoError(t, err, "honest %d", n)
-					if status == 503 { // told to come back
+					if status == 503 { // refused with advice to retry
 						refused++
 						time.Sleep(20 * time.Millisecond)
 						require.Less(t, refused, 3000, "honest %d", n)
@@ -116,11 +117,11 @@
 				d, m := resourceUse(t, p.cmd.Process.Pid)
 				most, memory = max(most, d), max(memory, m)
 			}
-			t.Logf("descriptors %d at the start, %d at most of %d; resident %d MiB at most; honest ones told %d times to come back", before, most, sockets, memory>>20, refused)
+			t.Logf("descriptors %d at the start, %d at most of %d; resident %d MiB at most; well-behaved clients refused %d times", before, most, sockets, memory>>20, refused)
 			assert.LessOrEqual(t, most, sockets)
 			limit := 192 << 20 // memory_mb
 			if b, _ := debug.ReadBuildInfo(); slices.Contains(b.Settings, debug.BuildSetting{Key: "-race", Value: "true"}) {
-				limit *= 5 // the race detector's own
+				limit *= 5 // the race detector needs memory of its own
 			}
 			assert.LessOrEqual(t, memory, limit)
 			close(stop)
@@ -130,8 +131,9 @@
 	}
 }
 
-// TestReqsSentDuringShutdown: clients rest on their connections through a shutdown and send a req the moment that they read the end,
-// or an answer that says so. A req has its one answer, or the connection's end and never reached a backend.
+// TestReqsSentDuringShutdown: clients keep connections open through a shutdown and send a request the moment
+// they read the close, or an answer that announces it. A request gets its one answer, or the connection ends and
+// the request reached no backend.
 func TestReqsSentDuringShutdown(t *testing.T) {
 	h := newDeployment(t, "127.0.0.1:0")
 	p := h.start()
@@ -162,11 +164,11 @@
 			rest.Done()
 			switch {
 			case ended:
-			case c%2 == 0: // rests until the end is here
+			case c%2 == 0: // idle until the connection ends
 				_ = k.SetReadDeadline(time.Now().Add(waitTimeout))
 				_, _ = k.reader.Peek(1)
 				ask(fmt.Sprint("end-", c))
-			default: // sends on and on, and once more behind the answer that ends it
+			default: // sends all the time, and once more after the answer that closes the connection
 				for i, closing := 0, false; !closing; i++ {
 					closing, _ = ask(fmt.Sprint("on-", c, "-", i))
 				}
@@ -188,15 +190,15 @@
 		}
 	}
 	for _, b := range seen.Judge(history.Published(500 * time.Millisecond)) {
-		if b.Rule == "reset" && !reached[b.ID] { // the close crossed a req that was never read, which the client sends anew
+		if b.Rule == "reset" && !reached[b.ID] { // the close crossed a request that was never read; the client may send it again
 			continue
 		}
 		assert.Fail(t, b.String())
 	}
 }
 
-// TestRefusedOverUnread: clients beyond what the descriptors allow are told to come back, and read that whole though 64 KiB of
-// theirs lie unread at that moment.
+// TestRefusedOverUnread: clients beyond what the descriptors allow are answered 503 with Retry-After, and
+// receive the whole answer although 64 KiB of theirs are unread at that moment.
 func TestRefusedOverUnread(t *testing.T) {
 	const sockets, crowd = 128, 300
 	h := newDeployment(t, "127.0.0.1:0")
@@ -218,7 +220,7 @@
 			for state, unread := uint8(tcpEstablished), 0; state == tcpEstablished && unread == 0; state, _, unread = k.kernelState(t) {
 				select {
 				case <-stop:
-					return // taken, and held
+					return // accepted, and held at a backend
 				case <-time.After(5 * time.Millisecond):
 				}
 			}
@@ -233,10 +235,10 @@
 			answered.Add(1)
 		})
 	}
-	waitFor(t, "those that can't be held are answered", func() bool { return answered.Load() >= crowd-sockets })
+	waitFor(t, "those beyond the limit are answered", func() bool { return answered.Load() >= crowd-sockets })
 	close(stop)
 	all.Wait()
-	t.Logf("of %d: %d told to come back, %d without a whole answer or with another", crowd, refused.Load(), broken.Load())
+	t.Logf("of %d: %d refused with 503, %d with an incomplete or another answer", crowd, refused.Load(), broken.Load())
 	assert.Zero(t, resets.Load(), "reset before the client could read")
 	assert.Zero(t, broken.Load())
 	p.terminate(t)
--- a/cmd/tinsail/pages_hostile_test.go
+++ b/cmd/tinsail/pages_hostile_test.go
@@ -16,16 +16,17 @@
 	"tinsail/internal/standin/platform"
 )
 
-// TestMalformedBackendAnswers: a backend sends half a line, a whole second answer or a surplus line, with the answer, while the
-// connection rests, or in the moment in which the next req arrives. No req has another's result, each has an answer, and a
-// connection on which surplus bytes lay when a req was handed in carries no further one.
+// TestMalformedBackendAnswers: a backend sends half a line, a whole second answer or a surplus line: together
+// with the answer, while the connection is idle, or when the next request arrives. No request gets the result of
+// another, each has an answer, and a connection that had surplus bytes when a request was assigned to it carries
+// no further one.
 func TestMalformedBackendAnswers(t *testing.T) {
 	other := func(b *platform.Raw) string { return b.Served("other") }
 	for name, c := range map[string]struct {
 		firstAnswer func(b *platform.Raw, q platform.RawReq) string // instead of the first answer
 		whileIdle   func(b *platform.Raw) string                    // once the client has the first answer
-		onSecondReq func(b *platform.Raw) string                    // once the second req has arrived, before its answer
-		closesAfter bool                                            // the backend ends its sending then
+		onSecondReq func(b *platform.Raw) string                    // once the second request has arrived, before its answer
+		closesAfter bool                                            // the backend then closes its sending side
 		firstStatus int                                             // status of the first answer
 	}{
 		"half a line, then nothing": {firstAnswer: func(b *platform.Raw, q platform.RawReq) string {
@@ -60,7 +61,7 @@
 		"half an answer in the moment":         {firstStatus: 200, onSecondReq: func(*platform.Raw) string { return "HTTP/1.1 20" }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var first atomic.Value // the first job of the round that goes on
+			var first atomic.Value // the first request of the current round
 			var b *platform.Raw
 			b, err := platform.StartRaw("b", func(q platform.RawReq) {
 				old, _ := first.Load().(platform.RawReq)
@@ -89,7 +90,7 @@
 			k, err := h.dial()
 			require.NoError(t, err)
 			defer func() { k.Close() }()
-			wrong := map[string]int{} // by what was wrong
+			wrong := map[string]int{} // by kind of fault
 			ask := func(id string, want int) {
 				require.NoError(t, k.sendReq(id))
 				require.NoError(t, k.SetReadDeadline(time.Now().Add(waitTimeout)))
@@ -98,7 +99,7 @@
 				if status == 200 {
 					assert.Equal(t, "small "+id, body)
 				}
-				if which := strings.SplitN(id, "-", 2)[0]; want != 0 && status != want && status != 503 { // a refusal is harmless, though priced
+				if which := strings.SplitN(id, "-", 2)[0]; want != 0 && status != want && status != 503 { // a refusal is correct, though it counts against the service
 					wrong[fmt.Sprint(which, " has ", status)]++
 				}
 				if closing {
@@ -108,15 +109,15 @@
 				}
 			}
 			rounds := 1
-			if c.firstStatus == 200 && c.onSecondReq == nil { // a claim and the surplus bytes race in a dispatcher that doesn't look
+			if c.firstStatus == 200 && c.onSecondReq == nil { // in a dispatcher that doesn't check for surplus bytes, their arrival and the next use of the connection race
 				rounds = 20
 			}
-			spoilt := map[int]int{} // by connection: the turn at which it was
+			surplusAt := map[int]int{} // by connection: the request (its turn) at which the surplus bytes came
 			for i := range rounds {
 				ask(fmt.Sprint("first-", i), c.firstStatus)
 				bad := first.Load().(platform.RawReq)
-				if spoilt[bad.Conn] = bad.Turn; c.onSecondReq != nil {
-					spoilt[bad.Conn] = bad.Turn + 1
+				if surplusAt[bad.Conn] = bad.Turn; c.onSecondReq != nil {
+					surplusAt[bad.Conn] = bad.Turn + 1
 				}
 				if c.whileIdle != nil {
 					bad.Write(c.whileIdle(b))
@@ -133,8 +134,8 @@
 				}
 			}
 			for _, q := range b.Seen() {
-				if turn, bad := spoilt[q.Conn]; bad && q.Turn > turn && !strings.HasPrefix(q.ID, "first-") {
-					wrong["carried by a spoilt connection"]++
+				if turn, bad := surplusAt[q.Conn]; bad && q.Turn > turn && !strings.HasPrefix(q.ID, "first-") {
+					wrong["carried by a connection with surplus bytes"]++
 				}
 			}
 			assert.Empty(t, wrong, "in %d rounds", rounds)
@@ -142,7 +143,7 @@
 	}
 }
 
-// countAttempts counts attempts for an id: begun, and whole.
+// countAttempts counts the attempts for an id: how many started, and how many arrived whole.
 func countAttempts(id string, raws ...*platform.Raw) (begun, whole int) {
 	for _, r := range raws {
 		for _, q := range r.Seen() {
@@ -157,12 +158,13 @@
 	return begun, whole
 }
 
-// TestUnsafeReqSentOnce: an unsafe req is whole at one backend only, whether the connection was reset after its last byte, the backend
-// said nothing for long, or half a line came; its client has one answer, and that is no refusal.
+// TestUnsafeReqSentOnce: an unsafe request arrives whole at one backend only, whether the connection was reset
+// after its last byte, the backend sent nothing for long, or half a line came. Its client has one answer, which
+// is not a refusal.
 func TestUnsafeReqSentOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer func(b *platform.Raw, q platform.RawReq)
-		want   int // status; 0: any that is no refusal and no result
+		want   int // status; 0: any but a refusal or a result
 	}{
 		"reset after the last byte": {answer: func(_ *platform.Raw, q platform.RawReq) { q.Reset() }},
 		"ended after the last byte": {answer: func(_ *platform.Raw, q platform.RawReq) { _ = q.C.CloseWrite() }},
@@ -174,7 +176,7 @@
 		"503 without a word": {answer: func(_ *platform.Raw, q platform.RawReq) { q.Write("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n") }},
 		"500":                {answer: func(_ *platform.Raw, q platform.RawReq) { q.Write("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n") }},
 		"silent, then done": {want: 200, answer: func(b *platform.Raw, q platform.RawReq) {
-			time.Sleep(3 * time.Second) // many times the aim and any hedge's delay; no verdict rests on it
+			time.Sleep(3 * time.Second) // many times the aim and any hedging delay; no assertion depends on it
 			q.Write(b.Served(q.ID))
 		}},
 	} {
@@ -219,7 +221,8 @@
 	}
 }
 
-// TestUnsafeReqAfterRefusedConnection: connections that are refused have carried nothing: an unsafe req goes on to the backend that listens.
+// TestUnsafeReqAfterRefusedConnection: a refused connection has carried nothing, so an unsafe request goes on to
+// the backend that listens.
 func TestUnsafeReqAfterRefusedConnection(t *testing.T) {
 	var raws []*platform.Raw
 	for i := range 3 {
@@ -250,7 +253,8 @@
 	p.terminate(t)
 }
 
-// TestNoRepeatAfterWindow: the first attempt is reset once its class's window for repeats is over: none follows.
+// TestNoRepeatAfterWindow: the first attempt is reset after the repeat window of its class: no other attempt
+// follows.
 func TestNoRepeatAfterWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	var raws []*platform.Raw
@@ -272,7 +276,7 @@
 		require.NoError(t, k.sendReq(id))
 		_ = k.SetReadDeadline(time.Now().Add(waitTimeout))
 		status, _, _, err := k.readAnswer()
-		assert.NoError(t, err, "answered long before its time is up")
+		assert.NoError(t, err, "answered long before its deadline")
 		assert.NotContains(t, []int{200, 429, 503}, status)
 		k.Close()
 	}
@@ -280,7 +284,8 @@
 	checkRepeatWindow(t, window, raws...)
 }
 
-// checkRepeatWindow wants no attempt to begin later than the window, and the pages' slack, after the first one that was whole.
+// checkRepeatWindow checks that no attempt starts later than the window, plus the slack that the platform
+// allows, after the first attempt that arrived whole.
 func checkRepeatWindow(t *testing.T, window time.Duration, raws ...*platform.Raw) {
 	first := map[string]time.Time{}
 	for _, r := range raws {
@@ -299,7 +304,8 @@
 	}
 }
 
-// TestNoRepeatWhenConnectOutlastsWindow: a repeat is decided within the window, but its connection comes up only after it.
+// TestNoRepeatWhenConnectOutlastsWindow: a repeat is decided within the window, but its connection is
+// established only after the window.
 func TestNoRepeatWhenConnectOutlastsWindow(t *testing.T) {
 	const window = 3 * time.Second
 	late, err := platform.StartHeld("late", nil)
@@ -312,7 +318,7 @@
 			h.director.Set(b.Entry(0, "Terminating"))
 			h.director.Set(late.Entry(0, "Ready"))
 		})
-		time.Sleep(time.Until(q.First.Add(window / 4))) // for the list to arrive; well within the window
+		time.Sleep(time.Until(q.First.Add(window / 4))) // time for the new list to arrive; well within the window
 		q.Reset()
 	})
 	require.NoError(t, err)
@@ -325,10 +331,10 @@
 	require.NoError(t, err)
 	defer k.Close()
 	require.NoError(t, k.sendReq("window"))
-	waitFor(t, "a connection in the making", func() bool { return pendingConnects(t, late.Address) > 0 })
+	waitFor(t, "a connection being established", func() bool { return pendingConnects(t, late.Address) > 0 })
 	time.Sleep(time.Until(b.Seen()[0].First.Add(window + 500*time.Millisecond)))
 	require.NoError(t, late.Release())
-	waitFor(t, "no connection in the making", func() bool { return pendingConnects(t, late.Address) == 0 })
+	waitFor(t, "no connection being established", func() bool { return pendingConnects(t, late.Address) == 0 })
 	_ = k.SetReadDeadline(time.Now().Add(waitTimeout))
 	status, _, _, err := k.readAnswer()
 	assert.NoError(t, err)
--- a/cmd/tinsail/pages_test.go
+++ b/cmd/tinsail/pages_test.go
@@ -22,13 +22,14 @@
 	"tinsail/internal/standin/platform"
 )
 
-// These tests are written from the platform's pages alone. They start the real program, force two events to cross by order,
-// and judge by what the far sides saw.
+// These tests are written from the platform's published rules alone. They start the real program, force two
+// events to happen in a given order, and judge by what the clients and the backends saw.
 
-// waitTimeout bounds every wait; no verdict rests on it but that nothing came at all.
+// waitTimeout bounds every wait. No assertion depends on it, except that nothing arrived at all.
 const waitTimeout = 60 * time.Second
 
-// newEditedDeployment is a house with these backends alone, and its configuration edited: old, new, old, new.
+// newEditedDeployment makes a deployment whose director lists only these backends. edits are pairs of an old and
+// a new text of its configuration.
 func newEditedDeployment(t *testing.T, edits []string, raws ...*platform.Raw) *deployment {
 	h := newDeployment(t, "127.0.0.1:0")
 	for i, b := range h.backends {
@@ -52,7 +53,7 @@
 	require.NoError(h.t, os.WriteFile(h.configPath, text, 0o600))
 }
 
-// countersText are the program's, a line each.
+// countersText returns the program's counters, one per line.
 func (h *deployment) countersText() string {
 	a, err := http.Get("http://" + h.clientAddress + "/counters")
 	require.NoError(h.t, err)
@@ -62,7 +63,7 @@
 	return string(text)
 }
 
-// counterOrZero reads one of the program's counters.
+// counterOrZero returns one of the program's counters, 0 where it has none of that name.
 func (h *deployment) counterOrZero(name string) (n int) {
 	for _, line := range strings.Split(h.countersText(), "\n") {
 		if _, err := fmt.Sscanf(line, "counter "+name+" %d", &n); err == nil {
@@ -72,16 +73,16 @@
 	return 0
 }
 
-// waitFor polls for something that has to come.
+// waitFor polls until the condition holds, and fails the test after waitTimeout.
 func waitFor(t testing.TB, what string, holds func() bool) {
 	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			require.Fail(t, "never came", what)
+			require.Fail(t, "timed out waiting for", what)
 		}
 	}
 }
 
-// pendingConnects says how many connections to an address of 127.0.0.1 are being made.
+// pendingConnects counts the connections to an address of 127.0.0.1 that are in SYN_SENT.
 func pendingConnects(t testing.TB, address string) (n int) {
 	text, err := os.ReadFile("/proc/net/tcp")
 	require.NoError(t, err)
@@ -96,11 +97,11 @@
 	return n
 }
 
-// Of TCP_INFO.
+// Connection states of TCP_INFO.
 const tcpEstablished, tcpClosed = 1, 7
 
-// kernelState is the system's view of the client's side: the connection's state (closed: by a reset), bytes that the other side has
-// not acknowledged, and bytes that the client has not read.
+// kernelState returns what the kernel knows of the client's end: the connection's state (tcpClosed after a
+// reset), the bytes that the peer has not acknowledged, and the bytes that the client has not read.
 func (c *conn) kernelState(t testing.TB) (state uint8, unacked, unread int) {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
@@ -115,18 +116,19 @@
 	return state, unacked, unread
 }
 
-// reqText is a whole reqText; more are further header lines.
+// reqText returns a whole request; more are additional header lines.
 func reqText(id string, more ...string) string {
 	return fmt.Sprintf("POST /photo/1 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nIdempotency-Key: %s\r\n%sContent-Length: 1\r\n\r\nb", id, id, strings.Join(more, ""))
 }
 
-// writeWithin writes as much as the other side takes in a time: a flood may not be read.
+// writeWithin writes for at most this time and ignores errors, as the peer may not read all of it.
 func (c *conn) writeWithin(text string, within time.Duration) {
 	_ = c.SetWriteDeadline(time.Now().Add(within))
 	_, _ = io.WriteString(c, text)
 }
 
-// departures are ways in which a client leaves while its req waits: what it sends with the req, later, and how it goes.
+// departures are ways in which a client leaves while its request waits: what it sends along with the request,
+// what it sends afterwards, and how it disconnects (by a close where disconnect is nil).
 var departures = map[string]struct {
 	withReq, afterReq string
 	disconnect        func(*conn)
@@ -145,7 +147,8 @@
 	"byte-ahead-halves": {withReq: "P", disconnect: func(c *conn) { _ = c.Conn.(*net.TCPConn).CloseWrite() }},
 }
 
-// leaveWhileWaiting has a client of each kind hand in its req, which has to wait, and go; waits says when all wait.
+// leaveWhileWaiting has a client of each kind send a request that has to wait, and then leave. waits returns
+// once all requests wait.
 func leaveWhileWaiting(t *testing.T, h *deployment, waits func(n int)) (gone time.Time) {
 	conns := map[string]*conn{}
 	for name, l := range departures {
@@ -170,12 +173,12 @@
 		}
 	}
 	gone = time.Now()
-	time.Sleep(time.Second) // the pages' term is 0.1 s: what begins from here on is a break
+	time.Sleep(time.Second) // the platform's rules allow 0.1 s: an attempt that starts from here on breaks them
 	return gone
 }
 
-// TestClientLeavesWhileConnecting: clients leave while the connection for their reqs is being made. It comes up a second later, and
-// carries none of them.
+// TestClientLeavesWhileConnecting: clients leave while the backend connection for their requests is being
+// established. It comes up a second later and must carry none of them.
 func TestClientLeavesWhileConnecting(t *testing.T) {
 	held, err := platform.StartHeld("held", nil)
 	require.NoError(t, err)
@@ -183,21 +186,21 @@
 	p := h.start()
 	p.awaitReady()
 	gone := leaveWhileWaiting(t, h, func(n int) {
-		waitFor(t, "all taken", func() bool { return h.counterOrZero("reqs_taken") >= n })
-		waitFor(t, "a connection in the making", func() bool { return pendingConnects(t, held.Address) > 0 })
+		waitFor(t, "all are accepted", func() bool { return h.counterOrZero("reqs_taken") >= n })
+		waitFor(t, "a connection being established", func() bool { return pendingConnects(t, held.Address) > 0 })
 	})
-	require.Empty(t, held.Seen(), "held")
+	require.Empty(t, held.Seen(), "the backend accepts nothing yet")
 	require.NoError(t, held.Release())
-	waitFor(t, "no connection in the making", func() bool { return pendingConnects(t, held.Address) == 0 })
+	waitFor(t, "no connection being established", func() bool { return pendingConnects(t, held.Address) == 0 })
 	assert.Equal(t, 200, h.sendJob())
 	p.terminate(t)
 	for _, q := range held.Seen() {
-		assert.Contains(t, q.ID, "one-", "began %v after its client had gone", q.First.Sub(gone))
+		assert.Contains(t, q.ID, "one-", "started %v after its client had left", q.First.Sub(gone))
 	}
 }
 
-// TestClientLeavesBetweenAttempts: clients leave while no backend is there, or while their reqs are out. Then there is one, or those
-// attempts end in a way that calls for another: none begins.
+// TestClientLeavesBetweenAttempts: clients leave while there is no backend, or while an attempt is running. Then
+// a backend appears, or the attempts end in a way that calls for a retry: no attempt may start.
 func TestClientLeavesBetweenAttempts(t *testing.T) {
 	for name, ends := range map[string]func(b *platform.Raw, q platform.RawReq){
 		"no backend": nil,
@@ -238,8 +241,8 @@
 				p.awaitReady()
 			}
 			gone := leaveWhileWaiting(t, h, func(n int) {
-				waitFor(t, "all taken", func() bool { return h.counterOrZero("reqs_taken") >= n })
-				waitFor(t, "all out", func() bool { return ends == nil || len(raws[0].Seen())+len(raws[1].Seen()) >= n })
+				waitFor(t, "all are accepted", func() bool { return h.counterOrZero("reqs_taken") >= n })
+				waitFor(t, "all are at a backend", func() bool { return ends == nil || len(raws[0].Seen())+len(raws[1].Seen()) >= n })
 			})
 			close(left)
 			for _, b := range raws {
@@ -250,7 +253,7 @@
 			for _, b := range raws {
 				for _, q := range b.Seen() {
 					if _, leaves := departures[q.ID]; leaves {
-						assert.Less(t, q.First.Sub(gone), 100*time.Millisecond, "%s began after its client had gone", q.ID)
+						assert.Less(t, q.First.Sub(gone), 100*time.Millisecond, "%s started after its client had left", q.ID)
 					}
 				}
 			}
@@ -258,17 +261,18 @@
 	}
 }
 
-// writeAcrossClose waits until bytes of an answer lie at the client, who doesn't read, has 4 KiB more cross the close, and returns
-// once the far side has them or has reset the connection.
+// writeAcrossClose waits until bytes of an answer have arrived unread at the client, sends 4 KiB that cross the
+// server's close, and returns once the server has acknowledged them or has reset the connection.
 func writeAcrossClose(t testing.TB, c *conn) (reset bool) {
-	waitFor(t, "an answer, or the end", func() bool { state, _, unread := c.kernelState(t); return state != tcpEstablished || unread > 0 })
+	waitFor(t, "an answer or the end of the connection", func() bool { state, _, unread := c.kernelState(t); return state != tcpEstablished || unread > 0 })
 	c.writeWithin(strings.Repeat("y", 4<<10), waitTimeout)
 	return c.awaitPeerClose(t)
 }
 
-// awaitPeerClose waits for the far side's end of its sending, or its reset, with the client not reading.
+// awaitPeerClose waits until the server closes its sending side or resets the connection, while the client does
+// not read.
 func (c *conn) awaitPeerClose(t testing.TB) (reset bool) {
-	waitFor(t, "the last bytes have come", func() bool {
+	waitFor(t, "the last bytes are acknowledged", func() bool {
 		state, unacked, _ := c.kernelState(t)
 		return state == tcpClosed || unacked == 0 && state != tcpEstablished
 	})
@@ -276,7 +280,8 @@
 	return state == tcpClosed
 }
 
-// readToClose reads an answer and then the connection's end; status is 0 where the answer did not come readToClose.
+// readToClose reads an answer and then to the end of the connection. The status is 0 where the answer was not
+// complete.
 func (c *conn) readToClose() (status int, body string, err error) {
 	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	if status, body, _, err = c.readAnswer(); err != nil {
@@ -286,8 +291,9 @@
 	return status, body, err
 }
 
-// TestCloseOverUnread: an answer that ends its connection comes whole, and no reset before it, though bytes of the client lie
-// unread at that moment and more cross the close.
+// TestCloseOverUnread: an answer after which the server closes arrives whole and without a reset before it,
+// although bytes of the client are unread at that moment and more cross the close. A close with unread bytes
+// makes the kernel send a reset, which can destroy the answer.
 func TestCloseOverUnread(t *testing.T) {
 	h := newDeployment(t, "127.0.0.1:0")
 	p := h.start()
@@ -314,7 +320,7 @@
 				for range clients {
 					k, err := h.dial()
 					require.NoError(t, err)
-					defer k.Close() // only when all are through: the closes pile up
+					defer k.Close() // only after all are done: the server's closing connections add up
 					all.Go(func() {
 						<-begin
 						k.writeWithin(strings.ReplaceAll(c.text, "ID", fmt.Sprint(h.lastID.Add(1))), waitTimeout)
@@ -323,7 +329,7 @@
 						}
 						if status, _, err := k.readToClose(); status == 0 {
 							broken.Add(1)
-							t.Logf("no whole answer: %v", err)
+							t.Logf("incomplete answer: %v", err)
 						} else {
 							assert.Equal(t, c.status, status)
 						}
@@ -332,15 +338,15 @@
 				close(begin)
 				all.Wait()
 				assert.Zero(t, resets.Load(), "of %d reset before the client could read", clients)
-				assert.Zero(t, broken.Load(), "of %d had no whole answer", clients)
+				assert.Zero(t, broken.Load(), "of %d had an incomplete answer", clients)
 			}
 		})
 	}
 	p.terminate(t)
 }
 
-// TestCloseOverUnreadInShutdown: the same for the last answers of a shutdown. An idle connection that ends tells that the
-// program has come to that.
+// TestCloseOverUnreadInShutdown: the same for the last answers of a shutdown. The end of an idle connection
+// shows that the program has got that far.
 func TestCloseOverUnreadInShutdown(t *testing.T) {
 	for _, behind := range []string{"P", reqText("behind"), strings.Repeat("x", 64<<10)} {
 		t.Run(fmt.Sprint(len(behind)), func(t *testing.T) {
@@ -366,11 +372,11 @@
 			require.NoError(t, err)
 			defer idle.Close()
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-			_, _ = io.Copy(io.Discard, idle) // to its end: a 408, a close
+			_, _ = io.Copy(io.Discard, idle) // until it ends, with a 408 or a close
 			for _, b := range h.backends {
 				b.Set(platform.Faults{})
 			}
-			// All at once: the bytes have to cross the close, not to come when the far side has long ended.
+			// All at once: the bytes have to cross the close, not to arrive long after the server has closed.
 			var all sync.WaitGroup
 			var resets atomic.Int64
 			for i, c := range conns {
@@ -391,8 +397,8 @@
 	}
 }
 
-// TestLongAnswerOverUnread: a client with a small window reads an answer of 60 KiB, most of which lies at the program when it
-// closes over unread bytes.
+// TestLongAnswerOverUnread: a client with a small window reads an answer of 60 KiB, most of which is still in
+// the program when it closes with unread bytes of the client.
 func TestLongAnswerOverUnread(t *testing.T) {
 	result := strings.Repeat("r", 60<<10)
 	var b *platform.Raw
@@ -411,9 +417,9 @@
 		require.NoError(t, err)
 		k := &conn{c, bufio.NewReader(c)}
 		k.writeWithin(reqText(fmt.Sprint("long-", i), "Connection: close\r\n")+strings.Repeat("x", 64<<10), waitTimeout)
-		waitFor(t, "an answer, or the end", func() bool { state, _, unread := k.kernelState(t); return state != tcpEstablished || unread > 0 })
+		waitFor(t, "an answer or the end of the connection", func() bool { state, _, unread := k.kernelState(t); return state != tcpEstablished || unread > 0 })
 		status, body, err := k.readToClose()
-		if assert.Equal(t, 200, status, "the answer broke off after %d bytes: %v", len(body), err) {
+		if assert.Equal(t, 200, status, "the answer ended after %d bytes: %v", len(body), err) {
 			assert.Equal(t, len(result), len(body))
 		}
 		c.Close()
@@ -421,7 +427,8 @@
 	p.terminate(t)
 }
 
-// TestPipelined: reqs written in one piece are answered in their order; half a req behind them has a 408 or a close.
+// TestPipelined: requests written in one piece are answered in order. Half a request behind them is answered
+// 408, or the connection is closed.
 func TestPipelined(t *testing.T) {
 	h := newDeployment(t, "127.0.0.1:0")
 	p := h.start()
--- a/cmd/tinsail/shutdown_crossing_test.go
+++ b/cmd/tinsail/shutdown_crossing_test.go
@@ -23,7 +23,7 @@
 	"tinsail/internal/standin/platform"
 )
 
-// setDeadline has the house's class wait so long, in ms.
+// setDeadline sets the hard limit of the class, in ms.
 func (h *deployment) setDeadline(ms int) {
 	text, err := os.ReadFile(h.configPath)
 	require.NoError(h.t, err)
@@ -42,7 +42,7 @@
 	}
 }
 
-// startScriptedBackend starts a backend whose answers a test gives by hand.
+// startScriptedBackend starts a backend whose answers are written by a function of the test.
 func startScriptedBackend(t *testing.T, name string, group int, job func(w http.ResponseWriter, line func(rest string))) platform.Entry {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -67,7 +67,8 @@
 	}
 }
 
-// suspend waits until the process has been suspend: it does nothing from then on, and the kernel takes in what comes.
+// suspend stops the process with SIGSTOP and waits until it is stopped. The kernel goes on accepting connections
+// and bytes for it.
 func (p *process) suspend(t *testing.T) {
 	p.sendSignals(t, syscall.SIGSTOP)
 	for {
@@ -80,7 +81,7 @@
 	}
 }
 
-// awaitShutdown waits until the shutdown has begun.
+// awaitShutdown waits until the process logs that the shutdown has begun.
 func (p *process) awaitShutdown(t *testing.T) {
 	for p.awaitEvent(t, "service")["to"] != "shutting down" {
 	}
@@ -102,7 +103,7 @@
 	return fmt.Sprintf("POST /photo/1 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nIdempotency-Key: %s\r\nContent-Length: %d\r\n%s\r\n", id, id, length, further)
 }
 
-// sendHalfBody sends a req but for its last byte. The head has been read when it returns.
+// sendHalfBody sends a request except for its last byte, and returns once the process has read the head.
 func (c *conn) sendHalfBody(t *testing.T, id string) {
 	c.write(t, reqHead(id, 2, "Expect: 100-continue\r\n"))
 	a, err := http.ReadResponse(c.reader, nil)
@@ -111,7 +112,8 @@
 	c.write(t, "b")
 }
 
-// sendHalfHead has a req answered, and half the head of a next one read with it.
+// sendHalfHead sends a request together with the first half of the head of another one, and reads the answer to
+// the first. It returns the rest of the second request.
 func (c *conn) sendHalfHead(t *testing.T, p *timingCheck, id string) (rest string) {
 	next := reqHead(id, 1, "") + "b"
 	c.write(t, reqHead(id+"-before", 1, "")+"b"+next[:len(next)/2])
@@ -119,14 +121,15 @@
 	return next[len(next)/2:]
 }
 
-// expectAnswer reads a whole answer, and returns whether it is the connection's last. Where the play's time is over one that says
-// no, and another no than is wanted, is not judged, which the play notes.
+// expectAnswer reads a whole answer and returns whether the server closes the connection after it. When the time
+// of the timing check is over, an error status other than the expected one is not judged, and the check records
+// that.
 func (c *conn) expectAnswer(t *testing.T, p *timingCheck, status int, body string) (closing bool) {
 	t.Helper()
 	got, text, closing, err := c.readAnswer()
 	require.NoError(t, err)
 	if got != status && got != 200 && p.expired() {
-		p.skip("%d came for %d %s", got, status, body)
+		p.skip("status %d instead of %d %s", got, status, body)
 		return closing
 	}
 	assert.Equal(t, status, got)
@@ -136,38 +139,39 @@
 	return closing
 }
 
-// TestTermWithConcurrentEvents: SIGTERM, once more, SIGINT and SIGHUP come in one instant, with a connection that has not been accepted, with
-// the rest of a req, and while others are half read or at a backend. Each whole req has its answer, who never sends the rest is
-// told so, and the process ends by itself.
+// TestTermWithConcurrentEvents: SIGTERM, a second SIGTERM, SIGINT and SIGHUP arrive at the same moment as a
+// connection that has not been accepted and the rest of a request, while other requests are half read or at a
+// backend. Each whole request is answered, a client that never sends the rest gets an error answer, and the
+// process ends by itself.
 func TestTermWithConcurrentEvents(t *testing.T) { runTimed(t, termWithConcurrentEvents) }
 
-func termWithConcurrentEvents(t *testing.T, pace *timingCheck) {
+func termWithConcurrentEvents(t *testing.T, timing *timingCheck) {
 	h := newDeployment(t, "127.0.0.1:0")
 	h.setDeadline(2000)
 	p, _ := h.startReady(t)
-	pace.allow(1800 * time.Millisecond)
+	timing.allow(1800 * time.Millisecond)
 	soon, later, instant, silent := h.connect(), h.connect(), h.connect(), h.connect()
 	soon.sendHalfBody(t, "soon")
 	later.sendHalfBody(t, "later")
 	instant.sendHalfBody(t, "instant")
 	silent.sendHalfBody(t, "silent")
 	half, halfSilent := h.connect(), h.connect()
-	rest := half.sendHalfHead(t, pace, "half")
-	halfSilent.sendHalfHead(t, pace, "half-silent")
+	rest := half.sendHalfHead(t, timing, "half")
+	halfSilent.sendHalfHead(t, timing, "half-silent")
 	idle := h.connect()
 	idle.write(t, reqHead("idle-before", 1, "")+"b")
-	idle.expectAnswer(t, pace, 200, "small idle-before")
+	idle.expectAnswer(t, timing, 200, "small idle-before")
 	for _, b := range h.backends {
 		b.Set(platform.Faults{Hold: true})
 	}
 	held, hung, before := h.connect(), h.connect(), h.jobCount()
 	held.write(t, reqHead("held", 1, "")+"b")
 	hung.write(t, reqHead("hung", 1, "")+"b")
-	for h.jobCount() < before+2 && !pace.expired() {
+	for h.jobCount() < before+2 && !timing.expired() {
 		time.Sleep(time.Millisecond)
 	}
 	if n := h.jobCount() - before; n < 2 {
-		pace.skip("%d of 2 at a backend when SIGTERM came", n)
+		timing.skip("%d of 2 at a backend when SIGTERM came", n)
 	}
 
 	p.suspend(t)
@@ -184,39 +188,39 @@
 	for _, b := range h.backends {
 		b.Set(platform.Faults{})
 	}
-	held.expectAnswer(t, pace, 200, "small held")
-	hung.expectAnswer(t, pace, 200, "small hung")
-	soon.expectAnswer(t, pace, 200, "small soon")
-	half.expectAnswer(t, pace, 200, "small half")
-	queued.expectAnswer(t, pace, 200, "small queued")
-	instant.expectAnswer(t, pace, 200, "small instant")
-	idle.expectAnswer(t, pace, 200, "small idle")
-	time.Sleep(700 * time.Millisecond) // the front has stopped by now: what comes has its time cut
+	held.expectAnswer(t, timing, 200, "small held")
+	hung.expectAnswer(t, timing, 200, "small hung")
+	soon.expectAnswer(t, timing, 200, "small soon")
+	half.expectAnswer(t, timing, 200, "small half")
+	queued.expectAnswer(t, timing, 200, "small queued")
+	instant.expectAnswer(t, timing, 200, "small instant")
+	idle.expectAnswer(t, timing, 200, "small idle")
+	time.Sleep(700 * time.Millisecond) // the load balancer has stopped sending by now: requests that arrive get a shorter deadline
 	later.write(t, "b")
-	later.expectAnswer(t, pace, 200, "small later")
+	later.expectAnswer(t, timing, 200, "small later")
 	assert.True(t, silent.expectAnswer(t, nil, 503, ""))
 	assert.True(t, halfSilent.expectAnswer(t, nil, 408, ""))
 	for range p.logLines {
 	}
-	assert.NoError(t, p.cmd.Wait(), "it ends by itself, once")
+	assert.NoError(t, p.cmd.Wait(), "it exits by itself")
 	ran := 0
 	for _, b := range h.backends {
 		for key, n := range b.Ran() {
 			ran++
 			assert.Equal(t, 1, n, key)
-			assert.NotContains(t, []string{"silent", "half-silent"}, key, "it never was whole")
+			assert.NotContains(t, []string{"silent", "half-silent"}, key, "it was never complete")
 		}
 	}
-	if len(pace.skipped) == 0 {
-		assert.Equal(t, 11, ran, "all but those that were never whole")
+	if len(timing.skipped) == 0 {
+		assert.Equal(t, 11, ran, "all but the incomplete ones")
 	}
 }
 
-// TestTermWithHangingBackend: a backend that hangs when SIGTERM comes: each req of before has its one answer at its deadline, and one
-// that comes late, before the kill.
+// TestTermWithHangingBackend: a backend hangs when SIGTERM comes. Each request sent before has its one answer at
+// its deadline, and so has one that comes late, before the process would be killed.
 func TestTermWithHangingBackend(t *testing.T) { runTimed(t, termWithHangingBackend) }
 
-func termWithHangingBackend(t *testing.T, pace *timingCheck) {
+func termWithHangingBackend(t *testing.T, timing *timingCheck) {
 	h := newDeployment(t, "127.0.0.1:0")
 	h.setDeadline(1000)
 	p, _ := h.startReady(t)
@@ -225,7 +229,7 @@
 	}
 	const reqs = 20
 	var all sync.WaitGroup
-	var begun time.Time // the shutdown; zero before
+	var begun time.Time // when the shutdown was requested; zero before
 	var cut sync.Map
 	var answered atomic.Int64
 	send := func(id string) {
@@ -234,11 +238,11 @@
 			t.Cleanup(func() { c.Close() })
 			err = c.sendReq(id)
 		}
-		// What comes a second after SIGTERM, or later, may find the process gone, if the machine stood still meanwhile.
+		// A request sent a second or more after SIGTERM may find the process gone, if the machine did not run it meanwhile.
 		late := !begun.IsZero() && time.Since(begun) > time.Second
 		failed := func(err error) bool {
 			if err != nil && late {
-				pace.skip("%s, sent more than a second after SIGTERM: %v", id, err)
+				timing.skip("%s, sent more than a second after SIGTERM: %v", id, err)
 			} else {
 				assert.NoError(t, err, id)
 			}
@@ -262,8 +266,8 @@
 	for h.jobCount() < reqs && answered.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if n := h.jobCount(); n < reqs { // a second is over already
-		pace.skip("%d of %d at a backend when SIGTERM came", n, reqs)
+	if n := h.jobCount(); n < reqs { // the deadline of 1 s has passed already
+		timing.skip("%d of %d at a backend when SIGTERM came", n, reqs)
 	}
 	begun = time.Now()
 	p.sendSignals(t, syscall.SIGTERM)
@@ -279,16 +283,16 @@
 	for _, b := range h.backends {
 		for _, a := range b.Attempts() {
 			err, found := cut.Load(a.ID)
-			assert.False(t, found, "%s was sent on and not answered: %v", a.ID, err)
+			assert.False(t, found, "%s was sent to a backend and not answered: %v", a.ID, err)
 		}
 	}
 }
 
-// TestTermRetryDue: a req waits for a backend to send it to when SIGTERM comes, and its first attempt comes back unstarted after that:
-// it is sent once more, and answered.
+// TestTermRetryDue: a request waits for a backend when SIGTERM comes, and its first attempt is returned
+// unprocessed after that. It is sent once more, and answered.
 func TestTermRetryDue(t *testing.T) { runTimed(t, termRetryDue) }
 
-func termRetryDue(t *testing.T, pace *timingCheck) {
+func termRetryDue(t *testing.T, timing *timingCheck) {
 	h := newDeployment(t, "127.0.0.1:0")
 	first, refuse := make(chan struct{}), make(chan struct{})
 	var once sync.Once
@@ -318,7 +322,7 @@
 	for h.isReady() {
 		time.Sleep(time.Millisecond)
 	}
-	pace.allow(4 * time.Second)
+	timing.allow(4 * time.Second)
 	held := h.connect()
 	held.write(t, reqHead("held", 1, "")+"b")
 	for h.counter("reqs_taken") == 0 {
@@ -327,20 +331,20 @@
 	p.awaitShutdown(t)
 	change := list("Ready")
 	<-first
-	for calls := h.director.Main().Calls(); ; calls = h.director.Main().Calls() { // it asks for what is newer: it knows both
+	for calls := h.director.Main().Calls(); ; calls = h.director.Main().Calls() { // it polls for a newer list: it has both entries
 		if n := len(calls); n > 1 && calls[n-1].Done.IsZero() && calls[n-2].Index >= change.Index {
 			break
 		}
 		time.Sleep(time.Millisecond)
 	}
 	close(refuse)
-	held.expectAnswer(t, pace, 200, "second try")
+	held.expectAnswer(t, timing, 200, "second try")
 	held.Close()
 	p.terminate(t)
 }
 
-// TestTermNotReady: SIGTERM comes while the process has no list yet, and the director is down: a req that waits for one has its
-// answer, and so has one that waits in the listener, and the process ends.
+// TestTermNotReady: SIGTERM comes while the process has no list yet and the director is down. A request that
+// waits for the list is answered, so is one in the accept queue of the listener, and the process ends.
 func TestTermNotReady(t *testing.T) {
 	h := newDeployment(t, "127.0.0.1:0")
 	h.setDeadline(1000)
@@ -362,7 +366,7 @@
 	assert.Zero(t, h.jobCount())
 }
 
-// counter asks for one of the process's counters.
+// counter returns one of the process's counters, and fails the test where it has none of that name.
 func (h *deployment) counter(name string) (n int) {
 	a, err := http.Get("http://" + h.clientAddress + "/counters")
 	require.NoError(h.t, err)
@@ -375,7 +379,8 @@
 	return n
 }
 
-// TestTermSlowReader: an answer is half written to a client that takes it byte by byte when SIGTERM comes: it gets all of it.
+// TestTermSlowReader: an answer is half written, to a client that reads slowly, when SIGTERM comes. The client
+// gets all of it.
 func TestTermSlowReader(t *testing.T) {
 	h := newDeployment(t, "127.0.0.1:0")
 	result := strings.Repeat("r", 60_000)
@@ -407,17 +412,17 @@
 	p.sendSignals(t, syscall.SIGTERM)
 	p.awaitShutdown(t)
 	require.NoError(t, slow.(*net.TCPConn).SetReadBuffer(1<<20))
-	text, err := io.ReadAll(slow) // to the end that the process makes
+	text, err := io.ReadAll(slow) // until the process closes the connection
 	require.NoError(t, err)
 	assert.True(t, strings.HasPrefix(string(one)+string(text), "HTTP/1.1 200 OK\r\n"))
-	assert.True(t, strings.HasSuffix(string(text), "\r\n\r\n"+result), "the answer broke off after %d bytes", len(text))
+	assert.True(t, strings.HasSuffix(string(text), "\r\n\r\n"+result), "the answer ended after %d bytes", len(text))
 	p.terminate(t)
 }
 
-// TestTermWithIdleClients: clients rest, and each sends on in one instant: that in which its connection is closed, or that in which the
-// process ends. Each req is answered whole, or was never sent on.
+// TestTermWithIdleClients: idle clients each send a request at the same moment: when their connection is closed,
+// or when the process ends. Each request is answered whole, or was never sent to a backend.
 func TestTermWithIdleClients(t *testing.T) {
-	for name, wakes := range map[string]time.Duration{ // from SIGTERM on; the deadline is 1 s, the kill comes at 1.7 s
+	for name, wakes := range map[string]time.Duration{ // since SIGTERM; the deadline is 1 s, the kill is due at 1.7 s
 		"as sessions close":      1150 * time.Millisecond,
 		"as the process ends":    1300 * time.Millisecond,
 		"when it should be gone": 3000 * time.Millisecond,
@@ -437,9 +442,9 @@
 			p.sendSignals(t, syscall.SIGTERM)
 			begun := time.Now()
 			p.awaitShutdown(t)
-			p.suspend(t) // before any is closed, that is within a second
+			p.suspend(t) // before any connection is closed, which is within a second
 			for i, c := range resting {
-				_ = c.sendReq(fmt.Sprint("then-", i)) // a machine that was too slow has closed it
+				_ = c.sendReq(fmt.Sprint("then-", i)) // fails if the machine was slow and the connection is closed already
 			}
 			time.Sleep(wakes - time.Since(begun))
 			p.sendSignals(t, syscall.SIGCONT)
@@ -456,7 +461,7 @@
 			assert.NoError(t, p.cmd.Wait())
 			for _, b := range h.backends {
 				for _, a := range b.Attempts() {
-					assert.True(t, answered[a.ID] || strings.HasPrefix(a.ID, "before-"), "%s was sent on and not answered", a.ID)
+					assert.True(t, answered[a.ID] || strings.HasPrefix(a.ID, "before-"), "%s was sent to a backend and not answered", a.ID)
 				}
 			}
 			t.Logf("%d of 40 answered", len(answered))
@@ -464,7 +469,8 @@
 	}
 }
 
-// TestTermWithSilentAgent: checks of health turn with SIGTERM, although the catalogue's agent, which is told too, never answers.
+// TestTermWithSilentAgent: the health check fails right after SIGTERM, although the agent of the Consul
+// catalogue, whose registration is changed too, never answers.
 func TestTermWithSilentAgent(t *testing.T) {
 	agent, err := standin.Start()
 	require.NoError(t, err)
@@ -479,10 +485,10 @@
 	}
 	agent.Set(standin.Faults{Silent: true})
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-	for { // whichever comes first
+	for { // whichever event comes first
 		line := <-p.logLines
 		if line["event"] == "consul registration not changed" {
-			require.Fail(t, "the shutdown waited for the agent to be given up")
+			require.Fail(t, "the shutdown waited until the agent timed out")
 		}
 		if line["event"] == "service" {
 			assert.Equal(t, "shutting down", line["to"])
--- a/cmd/tinsail/shutdown_handover_test.go
+++ b/cmd/tinsail/shutdown_handover_test.go
@@ -16,16 +16,17 @@
 	"tinsail/internal/standin/platform"
 )
 
-// TestTermDuringHandover: the old process hears of a new one, of SIGTERM and of SIGHUP in one instant: what it has taken it answers, who waits
-// in the listener is answered by either, and the new one serves.
+// TestTermDuringHandover: the connection of a new process, SIGTERM and SIGHUP reach the old process at the same
+// moment. It answers what it has accepted, clients in the accept queue are answered by either process, and the
+// new one serves.
 func TestTermDuringHandover(t *testing.T) { runTimed(t, termDuringHandover) }
 
-func termDuringHandover(t *testing.T, pace *timingCheck) {
+func termDuringHandover(t *testing.T, timing *timingCheck) {
 	h := newDeployment(t, "127.0.0.1:0")
 	old, _ := h.startReady(t)
-	pace.allow(2 * time.Second)
+	timing.allow(2 * time.Second)
 	held, half := h.connect(), h.connect()
-	rest := half.sendHalfHead(t, pace, "half")
+	rest := half.sendHalfHead(t, timing, "half")
 	for _, b := range h.backends {
 		b.Set(platform.Faults{Hold: true})
 	}
@@ -34,10 +35,10 @@
 		time.Sleep(time.Millisecond)
 	}
 	old.suspend(t)
-	next := h.spawn() // it asks for the state while the old one does nothing
+	next := h.spawn() // it asks for the state while the old process is stopped
 	queued := h.connect()
 	queued.write(t, reqHead("queued", 1, "")+"b")
-	time.Sleep(200 * time.Millisecond) // most likely it has asked; if it has not, it does a moment later
+	time.Sleep(200 * time.Millisecond) // most likely it has asked by now; if not, it does so a moment later
 	old.sendSignals(t, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGCONT)
 	line := next.awaitEvent(t, "serving")
 	next.adminAddress, _ = line["admin"].(string)
@@ -46,9 +47,9 @@
 	for _, b := range h.backends {
 		b.Set(platform.Faults{})
 	}
-	held.expectAnswer(t, pace, 200, "small held")
-	half.expectAnswer(t, pace, 200, "small half")
-	queued.expectAnswer(t, pace, 200, "small queued")
+	held.expectAnswer(t, timing, 200, "small held")
+	half.expectAnswer(t, timing, 200, "small half")
+	queued.expectAnswer(t, timing, 200, "small queued")
 	for range old.logLines {
 	}
 	assert.NoError(t, old.cmd.Wait())
@@ -57,8 +58,9 @@
 	next.terminate(t)
 }
 
-// TestTermBeforeTakeover: a new process that is told to end before it serves does not have the old one stop accepting. If
-// the old one goes meanwhile it accepts after all, so that nobody is left in the listener's queue.
+// TestTermBeforeTakeover: a new process that is terminated before it serves does not tell the old one to stop
+// accepting. If the old process goes away meanwhile, the new one accepts after all, so that no client is left in
+// the accept queue.
 func TestTermBeforeTakeover(t *testing.T) {
 	for _, oldGoes := range []bool{false, true} {
 		t.Run(fmt.Sprint("the old one goes: ", oldGoes), func(t *testing.T) {
@@ -80,7 +82,7 @@
 			require.NoError(t, next.cmd.Process.Signal(syscall.SIGTERM))
 			for next.awaitEvent(t, "service")["to"] != "shutting down" {
 			}
-			h.director.Down(false) // now it has a list
+			h.director.Down(false) // now the new process gets a list
 			next.awaitEvent(t, "ready")
 			c, err := h.dial()
 			require.NoError(t, err)
@@ -96,13 +98,13 @@
 			next.terminate(t)
 			select {
 			case <-handed:
-				require.Fail(t, "the old one was told to stop accepting")
+				require.Fail(t, "the old process was told to stop accepting")
 			default:
 			}
 			if !oldGoes {
 				require.NoError(t, clients.(*net.TCPListener).SetDeadline(time.Now().Add(20*time.Second)))
 				_, err = clients.Accept()
-				require.NoError(t, err, "who comes is the old one's")
+				require.NoError(t, err, "new connections are accepted by the old process")
 			}
 		})
 	}
--- a/cmd/tinsail/takeover_test.go
+++ b/cmd/tinsail/takeover_test.go
@@ -16,8 +16,8 @@
 	"tinsail/internal/network/handoff"
 )
 
-// TestOldProcessFails: an old process that dies once it has told its state, or that never says that it has stopped accepting:
-// the new one serves all the same, with the list and the bans that it was told.
+// TestOldProcessFails: an old process dies after it has sent its state, or never reports that it has stopped
+// accepting. The new process serves all the same, with the list and the bans of that state.
 func TestOldProcessFails(t *testing.T) {
 	for name, c := range map[string]struct {
 		joined func(*handoff.Link)
@@ -29,7 +29,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newDeployment(t, "127.0.0.1:0")
-			h.director.Down(true) // the list comes from the old one alone
+			h.director.Down(true) // the list comes from the old process alone
 			clients, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			var link *handoff.Link
@@ -52,7 +52,7 @@
 			next := h.start()
 			assert.Equal(t, clients.Addr().String(), h.clientAddress)
 			next.awaitReady()
-			clients.Close() // the old one's descriptor: the new one has its own
+			clients.Close() // the old process's descriptor: the new process has its own
 			for range 20 {
 				assert.Equal(t, 200, h.sendJob())
 			}
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestUnreadableState: what cannot be understood at the old one's place does not keep a new one from serving.
+// TestUnreadableState: a hand-over message that cannot be read does not keep the new process from serving.
 func TestUnreadableState(t *testing.T) {
 	for name, text := range map[string]string{
 		"garbage":          "HTTP/1.1 400 Bad Request\r\n\r\n",
--- a/cmd/tinsail/upgrade_test.go
+++ b/cmd/tinsail/upgrade_test.go
@@ -27,8 +27,8 @@
 	"tinsail/internal/standin/platform"
 )
 
-// deployment is a dispatcher's place: one configuration and one folder for temporary files, in which
-// processes of it follow each other.
+// deployment is one configured dispatcher: a configuration and a folder for temporary files, which its processes
+// use one after the other or at the same time.
 type deployment struct {
 	t             testing.TB
 	director      *platform.Director
@@ -36,12 +36,12 @@
 	env           []string
 	configPath    string
 	tempDir       string
-	scriptPath    string // the path of a settings script; none if empty
-	clientAddress string // where clients connect, once known
+	scriptPath    string // the path of a settings script; empty: none
+	clientAddress string // where clients connect; set by the first start
 	lastID        atomic.Int64
 }
 
-// process is one process of it, and its log.
+// process is one process of a deployment, with its log.
 type process struct {
 	cmd          *exec.Cmd
 	adminAddress string
@@ -69,17 +69,19 @@
 	return h
 }
 
-// start starts one more process. It has begun to serve, or to wait for its turn, when start returns.
+// start starts a process and returns once it logs "serving". It may still wait for the process that serves to
+// hand over.
 func (h *deployment) start() *process {
 	p := h.spawn()
 	line := p.awaitEvent(h.t, "serving")
 	p.adminAddress, _ = line["admin"].(string)
-	if h.clientAddress == "" { // the same for all
+	if h.clientAddress == "" { // all processes share it
 		h.clientAddress, _ = line["listen"].(string)
 	}
 	return p
 }
 
+// spawn starts a process and does not wait for any log line.
 func (h *deployment) spawn() *process {
 	p := &process{cmd: exec.Command(os.Args[0], "serve", "--log-format", "json"), logLines: make(chan map[string]any, 10_000)}
 	if h.scriptPath != "" {
@@ -96,7 +98,7 @@
 			var line map[string]any
 			if json.Unmarshal(r.Bytes(), &line) != nil {
 				line = map[string]any{"event": r.Text()}
-				fmt.Fprintln(os.Stderr, r.Text()) // the race detector's words, say
+				fmt.Fprintln(os.Stderr, r.Text()) // for example the race detector's report
 			}
 			p.logLines <- line
 		}
@@ -104,30 +106,31 @@
 	return p
 }
 
+// awaitEvent reads the log up to a line of this event, and fails the test when the process ends first.
 func (p *process) awaitEvent(t testing.TB, name string) map[string]any {
 	for line := range p.logLines {
 		if line["event"] == name {
 			return line
 		}
 	}
-	t.Fatal("no event ", name)
+	t.Fatal("the log ended without event ", name)
 	return nil
 }
 
-// call makes a call at the process's door, and returns whether it said yes.
+// call makes a call at the process's control listener for operators, and returns whether it was answered yes.
 func (p *process) call(op door.Operation, backend string) bool {
 	yes, _, err := callDoor(p.adminAddress, door.Call{Operation: op, Backend: backend})
 	return err == nil && yes
 }
 
-// awaitReady waits until the process says that it does.
+// awaitReady polls until the process answers that it is ready.
 func (p *process) awaitReady() {
 	for !p.call(door.Ready, "") {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// terminate ends a process by SIGTERM; it may have left by itself.
+// terminate sends SIGTERM and waits for the process to exit with code 0. It may have exited by itself before.
 func (p *process) terminate(t *testing.T) {
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	for range p.logLines {
@@ -154,7 +157,7 @@
 	return err
 }
 
-// readAnswer reads an readAnswer; closing says that the connection ends with it.
+// readAnswer reads one answer; closing tells whether the server closes the connection after it.
 func (c *conn) readAnswer() (status int, body string, closing bool, err error) {
 	a, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -165,7 +168,7 @@
 	return a.StatusCode, string(text), a.Close, err
 }
 
-// sendJob sends a sendJob on a connection of its own and returns the answer.
+// sendJob sends a job on a connection of its own and returns the status of the answer.
 func (h *deployment) sendJob() (status int) {
 	c, err := h.dial()
 	require.NoError(h.t, err)
@@ -176,7 +179,7 @@
 	return status
 }
 
-// isReady asks as the front does.
+// isReady asks for the readiness endpoint as the platform's load balancer does.
 func (h *deployment) isReady() bool {
 	a, err := http.Get("http://" + h.clientAddress + "/health/ready")
 	require.NoError(h.t, err)
@@ -199,8 +202,8 @@
 	return strings.Replace(statePath(&config.Config{Name: "demo", Listen: "127.0.0.1:0"}, "sock"), os.TempDir(), h.tempDir, 1)
 }
 
-// TestUpgrades: under a steady load, through ten upgrades in a row, each job is answered, once, by a
-// backend's result, and no connection is refused, reset or closed unread.
+// TestUpgrades: under a steady load and through ten upgrades in a row, each job is answered once, with the
+// result of a backend, and no connection is refused, reset or closed without an answer.
 func TestUpgrades(t *testing.T) { runUpgrades(t, newDeployment(t, "127.0.0.1:0"), 10) }
 
 func runUpgrades(t *testing.T, h *deployment, times int) {
@@ -229,11 +232,11 @@
 					return
 				}
 				status, body, closing, err := c.readAnswer()
-				if !assert.NoError(t, err, "no whole answer") || !assert.Equal(t, 200, status) || !assert.Equal(t, "small "+id, body) {
+				if !assert.NoError(t, err, "incomplete answer") || !assert.Equal(t, 200, status) || !assert.Equal(t, "small "+id, body) {
 					return
 				}
 				answered.Add(1)
-				if closing || k%2 == 1 { // half the clients use a connection once
+				if closing || k%2 == 1 { // half the clients use each connection once
 					c.Close()
 					c = nil
 				}
@@ -247,8 +250,8 @@
 		}
 		next := h.start()
 		next.awaitReady()
-		assert.False(t, old.call(door.Ready, ""), "two say that they serve")
-		_ = old.cmd.Process.Signal(syscall.SIGTERM) // it may have left by itself
+		assert.False(t, old.call(door.Ready, ""), "two processes report ready")
+		_ = old.cmd.Process.Signal(syscall.SIGTERM) // it may have exited by itself
 		count := old.awaitEvent(t, "counters")
 		assert.Equal(t, []any{1.0, 0.0, nil, nil}, []any{count["handovers_given"], count["handovers_failed"], count["handover_reqs_cut"], count["handover_sessions_left"]})
 		old.terminate(t)
@@ -269,18 +272,18 @@
 	for i := range left {
 		left[i] = filepath.Ext(left[i])
 	}
-	assert.Equal(t, []string{".bans", ".old", ".sock"}, left, "one socket, two generations of bans, and nothing of those that have ended")
+	assert.Equal(t, []string{".bans", ".old", ".sock"}, left, "one socket, two generations of bans, and no file of processes that have ended")
 	old.terminate(t)
 	assert.NoFileExists(t, h.socketPath())
 }
 
-// TestNewProcessDies: one that comes and goes, before it has the state, before it accepts or after, costs nothing: the old one
-// serves, and has its listener and its room back.
+// TestNewProcessDies: a new process that dies before it has the state, before it accepts or after it accepts
+// does no harm. The old process serves and gets back its listener and its share of the sockets.
 func TestNewProcessDies(t *testing.T) {
 	h := newDeployment(t, "127.0.0.1:0")
 	old := h.start()
 	old.awaitReady()
-	for range 3 { // rude ones
+	for range 3 { // clients that do not speak the protocol
 		for _, text := range []string{"", "THO1\xff\xff\xff\xff", "GET / HTTP/1.1\r\n\r\n", "THO1\x00\x00\x00\x05{}"} {
 			c, err := net.Dial("unix", h.socketPath())
 			require.NoError(t, err)
@@ -308,7 +311,7 @@
 		}
 		var code *exec.ExitError
 		require.ErrorAs(t, third.cmd.Wait(), &code)
-		assert.Equal(t, exitFailed, code.ExitCode(), "a third is refused cleanly")
+		assert.Equal(t, exitFailed, code.ExitCode(), "a third process is refused and exits")
 		if ready {
 			require.NoError(t, l.Send(handover.StatusUpdate{Ready: true}))
 			done := make(chan struct{})
@@ -335,10 +338,10 @@
 	old.terminate(t)
 }
 
-// TestOldProcessDies: the old one is killed once the new one accepts, or before anybody came: what is left is a stale socket.
-// The new one serves in both cases, and bans and service state outlive the old one.
+// TestOldProcessDies: the old process is killed after the new one accepts, or before any new process connects,
+// which leaves a stale socket file. The new process serves in both cases, and bans and service state survive.
 func TestOldProcessDies(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // a port that both can name: one process is gone before the other asks
+	l, err := net.Listen("tcp", "127.0.0.1:0") // a fixed port for both: one process is gone before the other starts
 	require.NoError(t, err)
 	address := l.Addr().String()
 	l.Close()
@@ -362,11 +365,11 @@
 	for range 30 {
 		assert.Equal(t, 200, h.sendJob())
 	}
-	assert.Zero(t, h.backends[1].Counts().Jobs, "banned by the first of three")
+	assert.Zero(t, h.backends[1].Counts().Jobs, "banned at the first of three processes")
 	assert.Equal(t, 30, h.jobCount())
 }
 
-// TestBansAcrossUpgrade: a ban given before, during and after an upgrade, to either process, holds in both.
+// TestBansAcrossUpgrade: a ban set before, during or after an upgrade, at either process, holds in both.
 func TestBansAcrossUpgrade(t *testing.T) {
 	h := newDeployment(t, "127.0.0.1:0")
 	old := h.start()
@@ -375,7 +378,7 @@
 	assert.True(t, old.call(door.Offline, "b0"))
 	h.backends[1].Set(platform.Faults{Hold: true})
 	h.backends[2].Set(platform.Faults{Hold: true})
-	held, err := h.dial() // keeps the old one from leaving
+	held, err := h.dial() // keeps the old process from exiting
 	require.NoError(t, err)
 	require.NoError(t, held.sendReq("held"))
 	for h.backends[1].Counts().Started+h.backends[2].Counts().Started == 0 {
@@ -391,7 +394,7 @@
 	before := h.jobCount()
 	assert.Equal(t, 503, h.sendJob())
 	assert.Equal(t, before, h.jobCount())
-	for _, p := range []*process{old, next} { // a new configuration in the middle
+	for _, p := range []*process{old, next} { // a reload between the two
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
 		p.awaitEvent(t, "reloaded")
 	}
@@ -401,7 +404,7 @@
 	}
 	status, _, _, err := held.readAnswer()
 	require.NoError(t, err)
-	assert.Equal(t, 200, status, "what had begun before the ban has its answer")
+	assert.Equal(t, 200, status, "an attempt that started before the ban is answered")
 	assert.True(t, next.call(door.OutOfService, ""))
 	assert.True(t, next.call(door.Online, "b0"))
 	old.terminate(t)
@@ -410,13 +413,13 @@
 	for !h.isReady() {
 		time.Sleep(time.Millisecond)
 	}
-	for h.sendJob() != 200 { // cold: it may have to wait for its first jobs
+	for h.sendJob() != 200 { // the backend is cold: the first jobs may have to wait
 		time.Sleep(10 * time.Millisecond)
 	}
 	assert.Positive(t, h.backends[0].Counts().Jobs)
 }
 
-// awaitBanned waits until the process counts these as banned.
+// awaitBanned waits until the process counts as many banned backends as are given.
 func (p *process) awaitBanned(t *testing.T, want ...string) {
 	for {
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGUSR1))
@@ -427,8 +430,9 @@
 	}
 }
 
-// TestNewProcessEndsFirst: the new one is killed, or told to end, while the old one still has something to answer: the old
-// one serves again, and the next upgrade, of a dispatcher that is out of service, leaves it so.
+// TestNewProcessEndsFirst: the new process is killed or terminated while the old one still has a request to
+// answer. The old process serves again. The next upgrade, of a dispatcher that is out of service, leaves it out
+// of service.
 func TestNewProcessEndsFirst(t *testing.T) {
 	for _, sig := range []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM} {
 		t.Run(sig.String(), func(t *testing.T) {
@@ -463,7 +467,7 @@
 			assert.False(t, h.isReady())
 			old.terminate(t)
 			assert.False(t, h.isReady())
-			assert.Equal(t, 200, h.sendJob(), "who comes all the same is served")
+			assert.Equal(t, 200, h.sendJob(), "requests that still arrive are served")
 			assert.True(t, last.call(door.InService, ""))
 			assert.True(t, h.isReady())
 		})
