--- a/internal/fleet/slices/quality_test.go
+++ b/internal/fleet/slices/quality_test.go
@@ -65,7 +65,7 @@
 		id, device  string
 		placementID uint64
 	}
-	each := 0.0 // the larger part of a device that a demand takes, on average
+	each := 0.0 // average over the demands: the larger of the two parts of a device, processor or memory
 	var all, p, m float64
 	for _, k := range mix {
 		all, p, m = all+k.Weight, p+k.Weight*float64(k.Demand.Size.Parts)/1000, m+k.Weight*float64(k.Demand.Size.Memory)/16384
@@ -108,6 +108,7 @@
 	return float64(placed.Parts) / float64(offered.Parts), unusable / float64(samples)
 }
 
+// meanInterval returns the mean of 20 samples and half the width of its 95% confidence interval.
 func meanInterval(xs []float64) (m, half float64) {
 	m, sd := stat.MeanStdDev(xs, nil)
 	return m, 2.093 * sd / math.Sqrt(float64(len(xs))) // t, 19 degrees of freedom
@@ -134,7 +135,7 @@
 		all, p, m = all+k.Weight, p+k.Weight*float64(k.Demand.Size.Parts)/1000, m+k.Weight*float64(k.Demand.Size.Memory)/16384
 	}
 	per := load / max(p, m) // demands a device, times weight
-	// columns: a share of devices for each way, then slack; rows: demands of each kind, devices
+	// Columns: the share of devices filled in each way, then slack variables. Rows: demands of each kind, devices.
 	cols := len(ways) + len(mix) + 1
 	a, b, c := mat.NewDense(len(mix)+1, cols, nil), make([]float64, len(mix)+1), make([]float64, cols)
 	for j, way := range ways {
--- a/internal/fleet/slices/simulation_test.go
+++ b/internal/fleet/slices/simulation_test.go
@@ -27,17 +27,17 @@
 	grantor     *Grantor
 	owner       [2]*Owner
 	table       [2]*Table
-	disk        [2]map[string][]HeldSlice
+	disk        [2]map[string][]HeldSlice // durable records by device
 	backends    map[string]*simBackend
 	names       []string
-	net         []func()
+	net         []func() // messages on their way
 	limits      Limits
 	demands     map[string]Demand
 	lastActions map[string]Action // by id: the last message to the requester
 	released    map[string]bool   // ids that the requester has released
-	reliable    bool
-	started     map[string]bool // device, id and placement that a backend has started
-	ended       map[string]bool // table and id for which Ended was sent
+	reliable    bool              // no message is lost, duplicated or reordered
+	started     map[string]bool   // device, id and placement that a backend has started
+	ended       map[string]bool   // table and id for which Ended was sent
 	strategy    Strategy
 }
 
@@ -76,6 +76,7 @@
 	}
 }
 
+// deliver handles one message of the network, in random order unless the network is reliable.
 func (w *simulation) deliver() {
 	if len(w.net) == 0 {
 		return
@@ -138,6 +139,7 @@
 	})
 }
 
+// handleAtBackend handles the action of table i at its backend and sends the answer.
 func (w *simulation) handleAtBackend(i int, a Action) {
 	b := w.backends[a.Device]
 	if b.failed {
@@ -271,6 +273,7 @@
 	}
 }
 
+// askLease requests the lease for dispatcher i over the network.
 func (w *simulation) askLease(i int) {
 	o := w.owner[i]
 	seq, newTerm := o.NewRequest(w.now, group)
--- a/internal/fleet/slices/slices.go
+++ b/internal/fleet/slices/slices.go
@@ -20,6 +20,8 @@
 func (a Amount) plus(b Amount) Amount   { return Amount{a.Parts + b.Parts, a.Memory + b.Memory} }
 func (a Amount) minus(b Amount) Amount  { return Amount{a.Parts - b.Parts, a.Memory - b.Memory} }
 func (a Amount) contains(b Amount) bool { return a.Parts >= b.Parts && a.Memory >= b.Memory }
+
+// elementwiseMax returns the larger value of each resource.
 func (a Amount) elementwiseMax(b Amount) Amount {
 	return Amount{max(a.Parts, b.Parts), max(a.Memory, b.Memory)}
 }
--- a/internal/fleet/slices/table.go
+++ b/internal/fleet/slices/table.go
@@ -51,8 +51,10 @@
 	queuedForRetry bool           // in Table.retryQueue: waiting demands are to be tried on it
 }
 
+// free returns what the device has left for new slices.
 func (v *device) free(t *Table) Amount { return t.classes[v.class].size.minus(v.used) }
 
+// find returns the slice of a placement, or nil.
 func (v *device) find(id string, placementID uint64) *slice {
 	for _, s := range v.slices {
 		if s.demand.ID == id && s.placementID == placementID {
@@ -354,6 +356,7 @@
 // RestoreEnded marks an id as ended that the durable records have as ended.
 func (t *Table) RestoreEnded(now time.Duration, id string) { t.markEnded(now, id) }
 
+// markEnded remembers an id as ended, so that it is not placed again for RetainEnded.
 func (t *Table) markEnded(now time.Duration, id string) {
 	if _, has := t.ended[id]; !has {
 		t.ended[id] = now
