--- a/internal/fleet/slices/quality_test.go
+++ b/internal/fleet/slices/quality_test.go
@@ -65,7 +65,7 @@
 		id, device  string
 		placementID uint64
 	}
-	each := 0.0 // average over the demands: the larger of the two parts of a device, processor or memory
+	each := 0.0 // average part of a device that a demand takes: the larger of processor and memory
 	var all, p, m float64
 	for _, k := range mix {
 		all, p, m = all+k.Weight, p+k.Weight*float64(k.Demand.Size.Parts)/1000, m+k.Weight*float64(k.Demand.Size.Memory)/16384
