--- a/cmd/tinsail/budgets.go
+++ b/cmd/tinsail/budgets.go
@@ -182,6 +182,7 @@
 	return f.holder.Replan(plan)
 }
 
+// close ends this dispatcher's use of leased budgets.
 func (f *fleetBudgets) close() {
 	if f.holder != nil {
 		f.holder.Close()
--- a/cmd/tinsail/consul_test.go
+++ b/cmd/tinsail/consul_test.go
@@ -100,7 +100,7 @@
 }
 
 // openLoad counts the requests of an open load, which is sent at a fixed rate whether requests are answered or not. inTime counts
-// those served within the time given to startLoad.
+// those served within the time given to startLoad, which the benchmarks set to 120 ms plus twice the work of a request.
 type openLoad struct {
 	sent, inTime, served, refused, failed, lost atomic.Int64
 	senders                                     sync.WaitGroup
--- a/cmd/tinsail/control.go
+++ b/cmd/tinsail/control.go
@@ -38,7 +38,7 @@
 }
 
 func controlCommand() *cobra.Command {
-	var at string
+	var address string
 	c := &cobra.Command{
 		Use: "control", Short: "Call a running dispatcher at its operators' door",
 		Long: `control makes one call at the door of a running dispatcher: the address that its
@@ -51,7 +51,7 @@
   tinsail control out-of-service --admin 127.0.0.1:8090`,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	c.PersistentFlags().StringVar(&at, "admin", "", "address of the door, host:port")
+	c.PersistentFlags().StringVar(&address, "admin", "", "address of the door, host:port")
 	for _, sub := range []struct {
 		use, short string
 		op         door.Operation
@@ -74,14 +74,14 @@
 				return nil
 			},
 			RunE: func(c *cobra.Command, args []string) error {
-				if _, _, err := net.SplitHostPort(at); err != nil {
-					return inputError{fmt.Errorf("--admin is %q, want the host:port of a dispatcher's door", at)}
+				if _, _, err := net.SplitHostPort(address); err != nil {
+					return inputError{fmt.Errorf("--admin is %q, want the host:port of a dispatcher's door", address)}
 				}
 				request := door.Call{Operation: sub.op}
 				if named {
 					request.Backend = args[0]
 				}
-				ok, message, err := callDoor(at, request)
+				ok, message, err := callDoor(address, request)
 				switch {
 				case err != nil:
 					return inputError{fmt.Errorf("no answer: %w", err)}
--- a/cmd/tinsail/demo.go
+++ b/cmd/tinsail/demo.go
@@ -31,7 +31,7 @@
 
 func demoCommand() *cobra.Command {
 	var o options
-	var keep bool
+	var keepRunning bool
 	n := 400
 	c := &cobra.Command{
 		Use: "demo", Short: "Show a dispatcher at work, with a director and four backends of its own",
@@ -59,7 +59,7 @@
 			if err := x.run(c.OutOrStdout(), n); err != nil {
 				return err
 			}
-			if keep {
+			if keepRunning {
 				x.waitForSignal(c.OutOrStdout())
 			}
 			return nil
@@ -69,7 +69,7 @@
 	quiet := c.Flags().Lookup("log-level")
 	quiet.DefValue, o.logLevel = "error", "error"
 	c.Flags().Lookup("settings").Hidden = true
-	c.Flags().BoolVar(&keep, "keep", false, "leave it running until Ctrl-C, for curl")
+	c.Flags().BoolVar(&keepRunning, "keep", false, "leave it running until Ctrl-C, for curl")
 	c.Flags().IntVar(&n, "reqs", n, "reqs over each front, 1 to 100000")
 	return c
 }
@@ -84,6 +84,7 @@
 // backendKind returns the kind of the i-th backend. The first of each pair is the faster one.
 func backendKind(i int) string { return []string{"fast", "std"}[i%2] }
 
+// startDemo starts the director, the backends and the dispatcher on ports of 127.0.0.1.
 func startDemo(log zerolog.Logger) (*demo, error) {
 	x := &demo{}
 	var err error
@@ -135,11 +136,11 @@
 	latency         *hdrhistogram.Histogram // ms
 }
 
-func newFrontClient(name, address string, workers int, h2 bool) *frontClient {
-	t := &http.Transport{MaxIdleConnsPerHost: workers, Protocols: new(http.Protocols)}
+func newFrontClient(name, address string, concurrency int, h2 bool) *frontClient {
+	t := &http.Transport{MaxIdleConnsPerHost: concurrency, Protocols: new(http.Protocols)}
 	t.Protocols.SetHTTP1(!h2)
 	t.Protocols.SetUnencryptedHTTP2(h2)
-	return &frontClient{name: name, address: address, concurrency: workers, client: &http.Client{Transport: t, Timeout: 10 * time.Second},
+	return &frontClient{name: name, address: address, concurrency: concurrency, client: &http.Client{Transport: t, Timeout: 10 * time.Second},
 		latency: hdrhistogram.New(1, 60_000, 3)}
 }
 
@@ -201,7 +202,7 @@
 		newFrontClient("HTTP/2", x.dispatcher.http2Listener.Addr().String(), 16, true),
 	}
 	fmt.Fprintf(out, "a director, four backends and a dispatcher are up; %d reqs go over each front\n", n)
-	bad := make(chan error, 1)
+	firstError := make(chan error, 1)
 	var all sync.WaitGroup
 	for i, f := range fronts {
 		next := &atomic.Int64{}
@@ -210,7 +211,7 @@
 				for k := next.Add(1); k <= int64(n); k = next.Add(1) {
 					if err := f.sendAndCount(fmt.Sprintf("demo-%d-%d", i, k)); err != nil {
 						select {
-						case bad <- fmt.Errorf("%s: %w", f.name, err):
+						case firstError <- fmt.Errorf("%s: %w", f.name, err):
 						default:
 						}
 					}
@@ -224,7 +225,7 @@
 	printFronts(out, fronts)
 	x.printBackends(out)
 	select {
-	case err := <-bad:
+	case err := <-firstError:
 		return err
 	default:
 		return nil
--- a/cmd/tinsail/handover.go
+++ b/cmd/tinsail/handover.go
@@ -45,6 +45,7 @@
 	}
 }
 
+// newHello returns the message by which processes of one dispatcher recognize each other.
 func newHello(cfg *config.Config) handover.Hello {
 	return handover.Hello{Version: handover.Version, Name: cfg.Name, Listen: cfg.Listen}
 }
@@ -189,6 +190,7 @@
 	f("handover_stage", int64(t.currentStage()))
 }
 
+// listenForNext listens for a next process that asks this one to hand over.
 func (t *processHandover) listenForNext() {
 	if err := t.server.Listen(); err != nil {
 		t.d.log.Error().Err(err).Msg("hand-over: cannot listen for the next process")
@@ -289,6 +291,7 @@
 // reservedDescriptors returns how many descriptors a process needs besides sessions and connections to backends.
 func (t *processHandover) reservedDescriptors() int { return 32 + doorDescriptors(t.d.cfg) }
 
+// usedDescriptors returns how many descriptors sessions and connections to backends use now.
 func (t *processHandover) usedDescriptors() int {
 	return t.d.clients.OpenSessions() + t.d.pool.OpenConnections()
 }
--- a/cmd/tinsail/main.go
+++ b/cmd/tinsail/main.go
@@ -27,6 +27,7 @@
 
 func (f inputError) Unwrap() error { return f.error }
 
+// execute runs the command line args and returns the exit code.
 func execute(args []string, out, errs io.Writer) int {
 	c := rootCommand()
 	c.SetArgs(args)
--- a/cmd/tinsail/members.go
+++ b/cmd/tinsail/members.go
@@ -13,7 +13,7 @@
 )
 
 func membersCommand() *cobra.Command {
-	var at string
+	var address string
 	var asJSON bool
 	c := &cobra.Command{
 		Use: "members", Short: "Print the backends of a running dispatcher, with the reason for each one's state",
@@ -24,11 +24,11 @@
 		Example: `  tinsail members --at 127.0.0.1:8081
   tinsail members --at 127.0.0.1:8081 --json`,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if at == "" {
+			if address == "" {
 				return inputError{errors.New("--at is missing, want the host:port of a dispatcher's HTTP/1.1 front")}
 			}
 			client := &http.Client{Timeout: 5 * time.Second}
-			answer, err := client.Get("http://" + at + "/members")
+			answer, err := client.Get("http://" + address + "/members")
 			if err != nil {
 				return err
 			}
@@ -38,7 +38,7 @@
 				return err
 			}
 			if answer.StatusCode != http.StatusOK {
-				return fmt.Errorf("%s answered %d: it has no list of members, or is no dispatcher", at, answer.StatusCode)
+				return fmt.Errorf("%s answered %d: it has no list of members, or is no dispatcher", address, answer.StatusCode)
 			}
 			if asJSON {
 				fmt.Fprintln(c.OutOrStdout(), string(text))
@@ -48,16 +48,17 @@
 			if err := json.Unmarshal(text, &v); err != nil {
 				return err
 			}
-			v.print(c.OutOrStdout())
+			v.printTables(c.OutOrStdout())
 			return nil
 		},
 	}
-	c.Flags().StringVar(&at, "at", "", "address of the dispatcher's HTTP/1.1 front, host:port")
+	c.Flags().StringVar(&address, "at", "", "address of the dispatcher's HTTP/1.1 front, host:port")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON as it came")
 	return c
 }
 
-func (v *membersView) print(out io.Writer) {
+// printTables prints a table of the sources and one of the backends.
+func (v *membersView) printTables(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	age := func(ms int64) time.Duration {
 		return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond)
--- a/cmd/tinsail/osinterface.go
+++ b/cmd/tinsail/osinterface.go
@@ -20,4 +20,5 @@
 // wallClock returns the system's wall clock time plus the offset.
 func (b *osInterface) wallClock() time.Time { return time.Now().Add(b.wallClockOffset) }
 
+// hostOS is the interface that the program uses.
 var hostOS = osInterface{dial: network.DialTCP, wrapListener: func(l net.Listener) net.Listener { return l }}
--- a/cmd/tinsail/program_test.go
+++ b/cmd/tinsail/program_test.go
@@ -64,7 +64,7 @@
 			p.lines <- line
 		}
 	}()
-	line := p.event(t, "serving")
+	line := p.awaitEvent(t, "serving")
 	p.address[0], _ = line["listen"].(string)
 	p.address[1], _ = line["http2"].(string)
 	for { // until it knows a ready backend
@@ -94,8 +94,8 @@
 	return cmd, errs
 }
 
-// event waits for a log line with this event.
-func (p *program) event(t *testing.T, name string) map[string]any {
+// awaitEvent waits for the log line of an event. It fails the test on output that is not a log line.
+func (p *program) awaitEvent(t *testing.T, name string) map[string]any {
 	for line := range p.lines {
 		require.NotEqual(t, "not a log line", line["event"], line["text"])
 		if line["event"] == name {
@@ -154,8 +154,8 @@
 	}
 	<-running
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-	count := p.event(t, "counters")
-	p.event(t, "ended on a signal")
+	count := p.awaitEvent(t, "counters")
+	p.awaitEvent(t, "ended on a signal")
 	close(stop)
 	all.Wait()
 	assert.NoError(t, p.cmd.Wait())
@@ -196,10 +196,10 @@
 	set := p.cmd.Args[3]
 	require.NoError(t, os.WriteFile(set, []byte(`http2(listen = "127.0.0.1:0", max_streams = 0)`), 0o600))
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-	assert.Contains(t, p.event(t, "not reloaded")["error"], "http2.max_streams: is 0, want")
+	assert.Contains(t, p.awaitEvent(t, "not reloaded")["error"], "http2.max_streams: is 0, want")
 	require.NoError(t, os.WriteFile(set, []byte(`http2(listen = "127.0.0.1:1", max_streams = 9)`), 0o600))
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-	line := p.event(t, "reloaded")
+	line := p.awaitEvent(t, "reloaded")
 	assert.Equal(t, []any{"http2.max_streams"}, line["changed"])
 	assert.Equal(t, []any{"http2.listen"}, line["next_start"])
 }
--- a/cmd/tinsail/ready_test.go
+++ b/cmd/tinsail/ready_test.go
@@ -68,7 +68,7 @@
 	}{
 		"known":                              {41, "Ready", false, "known", 0},
 		"known, and the director is down":    {41, "Ready", true, "known", 0},
-		"nobody known":                       {0, "", false, "director", 1},
+		"no backend known":                   {0, "", false, "director", 1},
 		"an empty list of a later version":   {9000, "", false, "director", 1},
 		"all that are known drain":           {2, "Terminating", false, "director", 1},
 		"all drain, in a version of another": {9000, "Terminating", false, "director", 1},
--- a/cmd/tinsail/serve.go
+++ b/cmd/tinsail/serve.go
@@ -29,6 +29,7 @@
 	"tinsail/internal/settings"
 )
 
+// serve runs the dispatcher until it has ended on a signal.
 func serve(o options, errs io.Writer) error {
 	startedAt := time.Now()
 	sig := notifySignals() // first of all, as a signal without a handler ends the program
@@ -294,6 +295,7 @@
 
 var counterNames = counters.Names{Endings: core.Endings(), HTTP2Abuse: http2.AllAbuses(), LocalFaults: network.LocalFaults()}
 
+// countersText returns all counters as text, one per line: the answer to GET /counters.
 func (d *dispatcher) countersText() string {
 	var b strings.Builder
 	d.count.Print(&b, counterNames)
--- a/cmd/tinsail/shim.go
+++ b/cmd/tinsail/shim.go
@@ -19,6 +19,7 @@
 // operating system calls. TINSAIL_SHIM names a file with the fault in force, which is read every shimPollInterval.
 // TINSAIL_SHIM_WALL_MS is added to the wall clock for the whole run of the process.
 
+// shimPollInterval is how often the file of the fault in force is read.
 const shimPollInterval = 5 * time.Millisecond
 
 // Faults that are not an errno.
@@ -34,6 +35,7 @@
 var shimCalls = map[string]string{"EMFILE": "accept dial", "ENFILE": "accept dial", "ENOBUFS": "accept dial", "EADDRNOTAVAIL": "dial",
 	"ENETUNREACH": "dial", "ECONNABORTED": "accept", "ENOSPC": "store", "EIO": "store"}
 
+// shimInForce is the fault that the file names now; empty if none.
 var shimInForce atomic.Pointer[string]
 
 func init() {
--- a/cmd/tinsail/signals.go
+++ b/cmd/tinsail/signals.go
@@ -11,6 +11,7 @@
 // pending reloads must not make a shutdown signal get lost.
 type signalChannels struct{ end, reload, stats chan os.Signal }
 
+// notifySignals starts receiving the program's signals.
 func notifySignals() signalChannels {
 	h := signalChannels{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
 	signal.Notify(h.end, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/tinsail/sources.go
+++ b/cmd/tinsail/sources.go
@@ -98,6 +98,7 @@
 	return out
 }
 
+// newWatch returns a watch of the Consul catalogue with the settings c; nil if c is nil.
 func newWatch(d *dispatcher, c *settings.Consul) (*consul.Watch, error) {
 	if c == nil {
 		return nil, nil
@@ -165,6 +166,7 @@
 	}
 }
 
+// staticBackends returns the backends that the settings list themselves, as name=address texts.
 func staticBackends(b *settings.Backends) (list []membership.Backend) {
 	if b == nil {
 		return nil
@@ -200,6 +202,7 @@
 	Reason  string  `json:"reason"`
 }
 
+// membersJSON returns the merged list of backends and the state of each source as JSON.
 func (s *sources) membersJSON() string {
 	list, from := s.list.Members()
 	var v membersView
