--- a/internal/network/fleet/accord/accord.go
+++ b/internal/network/fleet/accord/accord.go
@@ -1,11 +1,13 @@
-// Package accord carries the accord between dispatchers (docs/design/accord.md). It is a thin driver:
-// package fleet/accord decides, fleet/accord/wire frames, hashicorp/raft keeps the majority log, and
-// this package reads the clock, the sockets and the disk.
+// Package accord is the driver of the accord, the agreement of all dispatchers of the fleet on one
+// version of the policy (docs/design/accord.md). Package fleet/accord decides, fleet/accord/wire
+// encodes the messages and hashicorp/raft replicates the majority log. This package does the rest:
+// it reads the clock and uses the sockets and the disk.
 //
-// A Member is each dispatcher's side: one link to the leader, the gate that the core asks for each
-// req. A Voter is, beside that, one of the few that keep the log; one listen address serves the log's
-// streams and the members' links. Off unless the settings name voters; never on where the platform
-// forbids talk between dispatchers.
+// Each dispatcher is a member: it keeps one connection to the leader, from which it requests leases,
+// and the core asks it whether a request may be accepted and started. A few dispatchers are also
+// voters, which replicate the log. A voter has one listen address for Raft, for the members and for
+// the quotas. The accord is off unless the settings name voters, and must stay off on a platform
+// that forbids messages between dispatchers.
 package accord
 
 import (
@@ -22,15 +24,16 @@
 	"tinsail/internal/fleet/accord"
 )
 
-// Peer is a voter: its dispatcher's name and where it listens.
+// Peer is a voter: its dispatcher's name and its listen address.
 type Peer struct{ Name, Address string }
 
-// ParseVoters reads "name=host:port" texts. There must be 1, 3 or 5, no name and no address twice.
+// ParseVoters parses voters of the form "name=host:port". There must be 1, 3 or 5 of them. Names
+// and addresses must be unique.
 func ParseVoters(texts []string) ([]Peer, error) {
 	if n := len(texts); n != 1 && n != 3 && n != 5 {
 		return nil, fmt.Errorf("%d voters, want 3 or 5 (1 for a trial)", n)
 	}
-	var out []Peer
+	var voters []Peer
 	names, addresses := map[string]bool{}, map[string]bool{}
 	for _, text := range texts {
 		name, address, ok := strings.Cut(text, "=")
@@ -41,29 +44,29 @@
 			return nil, fmt.Errorf("%q names a voter or an address twice", text)
 		}
 		names[name], addresses[address] = true, true
-		out = append(out, Peer{name, address})
+		voters = append(voters, Peer{name, address})
 	}
-	return out, nil
+	return voters, nil
 }
 
-// Config is what a dispatcher takes part with. All fields are read at the start alone.
+// Config configures a dispatcher's part in the accord. It must not be changed after New.
 type Config struct {
 	Leases  accord.LeaseConfig
-	Name    string // this dispatcher's, unique in the fleet
-	Epoch   uint64 // new with each start of the process
+	Name    string // the dispatcher's name, unique in the fleet
+	Epoch   uint64 // must be new with each start of the process
 	Voters  []Peer
-	Listen  string // of a voter; empty for its address among Voters
-	DataDir string // a voter's folder, which must outlive the process; made if it is not there
+	Listen  string // the address on which a voter listens, if it is not its address in Voters
+	DataDir string // a voter's directory, which must outlive the process; it is created if it does not exist
 
-	InitialPolicy []byte                                  // a voter's own policy, proposed where none was ever decided; may be nil
-	CheckPolicy   func(body []byte) error                 // whether this binary and configuration can take a policy
-	ApplyPolicy   func(version uint64, body []byte) error // puts a policy in force; no req is taken before it returns
-	// BudgetPlan is the plan of the budget that a policy has, if it has one; nil where the leader keeps none.
+	InitialPolicy []byte                                  // proposed by a voter if no policy was ever decided; nil for none
+	CheckPolicy   func(body []byte) error                 // returns an error if this binary or configuration cannot apply a policy
+	ApplyPolicy   func(version uint64, body []byte) error // puts a policy in force; no request is accepted under it before it returns
+	// BudgetPlan returns the plan of the budget that a policy contains, if any. It is nil if the leader lends no budget.
 	BudgetPlan func(body []byte) (budget.Plan, bool)
 	Log        zerolog.Logger
 }
 
-// self is this dispatcher among the voters, if it is one.
+// self returns this dispatcher's entry in Voters, if it is a voter.
 func (c *Config) self() (Peer, bool) {
 	for _, p := range c.Voters {
 		if p.Name == c.Name {
@@ -73,38 +76,39 @@
 	return Peer{}, false
 }
 
-// Clock is the process's own monotonic clock, from its making.
+// clock is a monotonic clock that counts from start.
 type clock struct{ start time.Time }
 
 func (c clock) now() accord.Time { return accord.Time(time.Since(c.start)) }
 
 // Counters are the accord's counters.
 type Counters struct {
-	Changes, Withdrawn atomic.Int64 // that took force here; that were heard to be nowhere
+	Changes, Withdrawn atomic.Int64 // changes that came into force here; proposals and changes withdrawn, as known here
 	Refused            atomic.Int64 // changes that this dispatcher refused
-	RefusedReqs        atomic.Int64 // reqs answered 503 since no version is known to hold
-	UnleasedReqs       atomic.Int64 // reqs taken on no lease (when_cut keep)
-	Stops              atomic.Int64 // times that this dispatcher stopped taking
-	BadMessages        atomic.Int64 // messages that could not be read
-	ActivationMS       atomic.Int64 // from decided to in force here, of the last change; voters alone
+	RefusedReqs        atomic.Int64 // requests answered 503 because no version is known to be in force
+	UnleasedReqs       atomic.Int64 // requests accepted without a lease (when_cut keep)
+	Stops              atomic.Int64 // times that this dispatcher stopped accepting requests
+	BadMessages        atomic.Int64 // messages that could not be decoded or were unexpected
+	ActivationMS       atomic.Int64 // of the last change: milliseconds from its decision until it was in force here; voters only
 }
 
-// Accord is a dispatcher's part in the accord.
+// Accord is a dispatcher's part in the accord. It is safe for concurrent use and implements
+// core.Versions.
 type Accord struct {
 	Counters Counters
 	cfg      Config
 	clock    clock
-	voter    *voter // nil where it is none
+	voter    *voter // nil if this dispatcher is not a voter
 	member   *member
 }
 
-// New starts a dispatcher's part. Close ends it.
+// New starts a dispatcher's part in the accord, which runs until Close.
 func New(cfg Config) (*Accord, error) {
 	if err := cfg.Leases.Check(); err != nil {
 		return nil, err
 	}
 	if cfg.CheckPolicy == nil || cfg.ApplyPolicy == nil {
-		return nil, errors.New("accord: no check or no enter")
+		return nil, errors.New("accord: CheckPolicy or ApplyPolicy is not set")
 	}
 	a := &Accord{cfg: cfg, clock: clock{time.Now()}}
 	if me, ok := cfg.self(); ok {
@@ -113,16 +117,17 @@
 			return nil, err
 		}
 	}
-	l, err := accord.NewParticipant(cfg.Leases, cfg.Name, cfg.Epoch)
+	participant, err := accord.NewParticipant(cfg.Leases, cfg.Name, cfg.Epoch)
 	if err != nil {
 		a.Close()
 		return nil, err
 	}
-	a.member = newMember(a, l)
+	a.member = newMember(a, participant)
 	return a, nil
 }
 
-// Close ends this dispatcher's part; what it has taken is its own affair. It is called once.
+// Close ends this dispatcher's part. Requests that were accepted are not affected. It must be
+// called only once.
 func (a *Accord) Close() {
 	if a.member != nil {
 		a.member.close()
@@ -132,33 +137,33 @@
 	}
 }
 
-// Propose proposes a policy as the one after the version in force here. What became of it is in the log.
+// Propose proposes a policy as the successor of the version in force here. The outcome is logged.
 func (a *Accord) Propose(body []byte) error { return a.member.propose(body) }
 
-// RetryCheck has a version in force that this dispatcher could not take checked again.
+// RetryCheck has the version in force checked again if this dispatcher could not apply it.
 func (a *Accord) RetryCheck() { a.member.retryCheck() }
 
-// Current is the version that this dispatcher holds and its policy.
+// Current returns the version that this dispatcher has adopted, 0 for none, and its policy.
 func (a *Accord) Current() (uint64, []byte) { return a.member.current() }
 
-// WithdrawnProposal is the policy that this dispatcher proposed last, where that was withdrawn; else nil.
+// WithdrawnProposal returns the policy of this dispatcher's last proposal if it was withdrawn, else nil.
 func (a *Accord) WithdrawnProposal() []byte {
 	a.member.mu.Lock()
 	defer a.member.mu.Unlock()
 	return a.member.participant.WithdrawnProposal()
 }
 
-// NotAcceptingReason says why no req is taken, where none is.
+// NotAcceptingReason returns why no request is accepted. It means nothing while requests are accepted.
 func (a *Accord) NotAcceptingReason() string {
 	a.member.mu.Lock()
 	defer a.member.mu.Unlock()
 	return a.member.participant.NotAcceptingReason()
 }
 
-// Each calls f for the counters and levels of the accord.
+// Each calls f for each counter and gauge of the accord.
 func (a *Accord) Each(f func(name string, n int64)) {
-	v, _ := a.Current()
-	f("accord_version", int64(v))
+	version, _ := a.Current()
+	f("accord_version", int64(version))
 	f("accord_ready", boolGauge(a.Serves()))
 	f("accord_changes", a.Counters.Changes.Load())
 	f("accord_withdrawn", a.Counters.Withdrawn.Load())
@@ -182,37 +187,37 @@
 	return 0
 }
 
-// logEvents logs the steps of a change, and counts those that the counters logEvents.
-func (a *Accord) logEvents(notes []accord.Event) {
-	for _, n := range notes {
-		e := a.cfg.Log.Info().Str("process", a.cfg.Name).Uint64("version", n.Version).Str("change", fmt.Sprintf("%x", n.Change))
-		if n.Proposer != "" {
-			e.Str("by", n.Proposer)
+// logEvents logs events, and counts those that have a counter.
+func (a *Accord) logEvents(events []accord.Event) {
+	for _, event := range events {
+		entry := a.cfg.Log.Info().Str("process", a.cfg.Name).Uint64("version", event.Version).Str("change", fmt.Sprintf("%x", event.Change))
+		if event.Proposer != "" {
+			entry.Str("by", event.Proposer)
 		}
-		if n.Peer != "" {
-			e.Str("who", n.Peer)
+		if event.Peer != "" {
+			entry.Str("who", event.Peer)
 		}
-		if n.Reason != "" {
-			e.Str("why", n.Reason)
+		if event.Reason != "" {
+			entry.Str("why", event.Reason)
 		}
-		switch n.Step {
+		switch event.Step {
 		case "proposed":
-			e.Uint64("base", n.BaseVersion)
+			entry.Uint64("base", event.BaseVersion)
 		case "checked":
-			e.Bool("accepted", n.Accepted)
-			if !n.Accepted {
+			entry.Bool("accepted", event.Accepted)
+			if !event.Accepted {
 				a.Counters.Refused.Add(1)
 			}
 		case "ready":
-			e.Int64("waited_ms", n.Elapsed.Milliseconds())
+			entry.Int64("waited_ms", event.Elapsed.Milliseconds())
 		case "deciding":
-			e.Int("lapsed", n.ExpiredLeases)
+			entry.Int("lapsed", event.ExpiredLeases)
 		case "in force":
 			a.Counters.Changes.Add(1)
 			if a.voter != nil {
-				if took, ok := a.voter.sinceDecided(n.Version); ok {
+				if took, ok := a.voter.sinceDecided(event.Version); ok {
 					a.Counters.ActivationMS.Store(took.Milliseconds())
-					e.Int64("decided_ms", took.Milliseconds())
+					entry.Int64("decided_ms", took.Milliseconds())
 				}
 			}
 		case "withdrawn":
@@ -220,6 +225,6 @@
 		case "fenced":
 			a.Counters.Stops.Add(1)
 		}
-		e.Msg("accord: " + n.Step)
+		entry.Msg("accord: " + event.Step)
 	}
 }
--- a/internal/network/fleet/accord/admission.go
+++ b/internal/network/fleet/accord/admission.go
@@ -7,62 +7,65 @@
 	"tinsail/internal/fleet/accord"
 )
 
-// admission is what the lessee last allowed, as the many goroutines of the fronts and the pool read it.
+// admission is what the participant last allowed. The goroutines that serve clients and backends
+// read it without a lock.
 type admission struct {
 	accord.Admission
-	waiting *atomic.Int64 // reqs taken by this version that have begun nowhere
+	waiting *atomic.Int64 // requests accepted under this version that have not begun at any backend
 }
 
-// Admit admits a req by the version in force: core.Versions. The req is counted before the gate is
-// read once more, so that a member that closes the gate and then finds none waiting has none.
-func (a *Accord) Admit() (version uint64, pause time.Duration, ok bool) {
+// Admit admits a request under the version in force, for core.Versions. The request is counted as
+// waiting before the admission is read a second time. So if a member publishes an admission that
+// accepts nothing and then counts no waiting request, no request is admitted after that.
+func (a *Accord) Admit() (version uint64, retryAfter time.Duration, ok bool) {
 	m := a.member
-	g := m.admission.Load()
-	g.waiting.Add(1)
+	first := m.admission.Load()
+	first.waiting.Add(1)
 	now := a.clock.now()
-	if g2 := m.admission.Load(); g2.Version == g.Version && g2.waiting == g.waiting && now < g2.AcceptUntil {
-		if now >= g2.UnleasedFrom {
+	if latest := m.admission.Load(); latest.Version == first.Version && latest.waiting == first.waiting && now < latest.AcceptUntil {
+		if now >= latest.UnleasedFrom {
 			a.Counters.UnleasedReqs.Add(1)
 		}
-		return g.Version, 0, true
+		return first.Version, 0, true
 	}
-	m.endWaiting(g)
+	m.endWaiting(first)
 	a.Counters.RefusedReqs.Add(1)
 	return 0, a.cfg.Leases.Drain(), false
 }
 
-// Begun tells that a req which was taken has begun, or never will.
+// Begun is called once for each admitted request, when it has begun at a backend or never will.
 func (a *Accord) Begun(version uint64) {
-	if g := a.member.admission.Load(); g.Version == version {
-		a.member.endWaiting(g)
+	if current := a.member.admission.Load(); current.Version == version {
+		a.member.endWaiting(current)
 	}
 }
 
-// MayStart says whether an attempt of a req that was taken by a version may start now.
+// MayStart reports whether an attempt of a request that was admitted under a version may start now.
 func (a *Accord) MayStart(version uint64) bool {
-	g := a.member.admission.Load()
-	return g.Version == version && a.clock.now() < g.StartUntil
+	current := a.member.admission.Load()
+	return current.Version == version && a.clock.now() < current.StartUntil
 }
 
-// Serves says whether reqs are taken now.
+// Serves reports whether requests are admitted now.
 func (a *Accord) Serves() bool { return a.clock.now() < a.member.admission.Load().AcceptUntil }
 
-// endWaiting takes a req out of those that wait; a member that has stopped waits for the last.
-func (m *member) endWaiting(g *admission) {
-	if g.waiting.Add(-1) == 0 && g.AcceptUntil == 0 {
+// endWaiting counts a request as no longer waiting. It wakes a member that has stopped accepting
+// requests after the last one, since the member may then be ready for the change.
+func (m *member) endWaiting(under *admission) {
+	if under.waiting.Add(-1) == 0 && under.AcceptUntil == 0 {
 		m.wake()
 	}
 }
 
-// publishAdmission publishes what the lessee allows. m.mu is held.
+// publishAdmission publishes the participant's admission if it has changed. m.mu is held.
 func (m *member) publishAdmission() {
 	old, now := m.admission.Load(), m.participant.Admission()
 	if old.Admission == now {
 		return
 	}
-	g := &admission{Admission: now, waiting: old.waiting}
+	next := &admission{Admission: now, waiting: old.waiting}
 	if now.Version != old.Version {
-		g.waiting = &atomic.Int64{}
+		next.waiting = &atomic.Int64{}
 	}
-	m.admission.Store(g)
+	m.admission.Store(next)
 }
--- a/internal/network/fleet/accord/budget.go
+++ b/internal/network/fleet/accord/budget.go
@@ -5,11 +5,12 @@
 	"tinsail/internal/fleet/accord/wire"
 )
 
-// The leader keeps a budget's leases, too, where the policy has one: each election makes a new keeper,
-// which lends nothing until all leases of the one before are over. What it lends is confirmed as the
-// leases of versions are, so that no leader that was deposed lends on.
+// If the policy contains a budget, the leader also lends it. Each election starts a new keeper, which
+// lends nothing until all leases of the previous one have ended. Before a grant is sent, a majority
+// confirms that this voter still leads, as for the leases of versions, so that a deposed leader
+// lends nothing.
 
-// setBudgetPlan makes or changes the keeper of the budget for the policy in force. v.mu is held.
+// setBudgetPlan starts or changes the budget's keeper for the policy in force. v.mu is held.
 func (v *voter) setBudgetPlan(body []byte) {
 	if v.accord.cfg.BudgetPlan == nil {
 		return
@@ -25,21 +26,21 @@
 	} else {
 		v.budgetKeeper, err = budget.NewKeeper(plan, budget.Time(v.accord.clock.now()))
 	}
-	if err != nil { // it was checked: a fault of ours
-		v.accord.cfg.Log.Error().Err(err).Msg("accord: a budget is not lent")
+	if err != nil { // a bug: the policy was checked before
+		v.accord.cfg.Log.Error().Err(err).Msg("accord: invalid budget plan in the policy; the budget is not lent")
 		v.budgetKeeper = nil
 	}
 	v.budgetName = plan.Name
 }
 
-// grantBudget answers an ask for a share. v.mu is held, and that this voter leads is confirmed.
-func (v *voter) grantBudget(from *link, w *wire.BudgetRequest) {
-	if v.budgetKeeper != nil && w.Budget == v.budgetName {
-		from.send(wire.EncodeBudgetGrant(wire.BudgetGrant{Budget: w.Budget, Grant: v.budgetKeeper.HandleAsk(budget.Time(v.accord.clock.now()), w.Request)}))
+// grantBudget answers a budget request. v.mu is held, and a majority has confirmed that this voter leads.
+func (v *voter) grantBudget(from *link, req *wire.BudgetRequest) {
+	if v.budgetKeeper != nil && req.Budget == v.budgetName {
+		from.send(wire.EncodeBudgetGrant(wire.BudgetGrant{Budget: req.Budget, Grant: v.budgetKeeper.HandleAsk(budget.Time(v.accord.clock.now()), req.Request)}))
 	}
 }
 
-// setBudgetPlan takes the plan of the policy that is put in force. m.mu is held.
+// setBudgetPlan starts or changes the budget's holder for the policy that is put in force. m.mu is held.
 func (m *member) setBudgetPlan(body []byte) {
 	if m.accord.cfg.BudgetPlan == nil {
 		return
@@ -56,25 +57,25 @@
 		m.budgetHolder, err = budget.NewHolder(plan, m.accord.cfg.Name, m.accord.cfg.Epoch)
 	}
 	if err != nil {
-		m.accord.cfg.Log.Error().Err(err).Msg("accord: a budget is not held")
+		m.accord.cfg.Log.Error().Err(err).Msg("accord: invalid budget plan in the policy; the budget's share is 0")
 		m.budgetHolder = nil
 	}
 	m.budgetName = plan.Name
 }
 
-// nextBudgetAsk is the ask for a share that is due, if one is.
+// nextBudgetAsk returns the budget request to send now, if one is due.
 func (m *member) nextBudgetAsk() (wire.BudgetRequest, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.budgetHolder == nil {
 		return wire.BudgetRequest{}, false
 	}
-	a, ok := m.budgetHolder.NextAsk(budget.Time(m.accord.clock.now()))
-	return wire.BudgetRequest{Budget: m.budgetName, Request: a}, ok
+	ask, ok := m.budgetHolder.NextAsk(budget.Time(m.accord.clock.now()))
+	return wire.BudgetRequest{Budget: m.budgetName, Request: ask}, ok
 }
 
-// BudgetShare is what this dispatcher may spend now of the budget that the policy has, in units a second; 0 before
-// a version is in force here.
+// BudgetShare returns what this dispatcher may spend now of the policy's budget, in units per second.
+// It is 0 before a version is in force here and if the policy contains no budget.
 func (a *Accord) BudgetShare() int {
 	a.member.mu.Lock()
 	defer a.member.mu.Unlock()
@@ -84,7 +85,8 @@
 	return a.member.budgetHolder.Share(budget.Time(a.clock.now()))
 }
 
-// BudgetLent is what the leader has lent of the budget, and has not ended; 0 elsewhere.
+// BudgetLent returns how many units of the policy's budget are lent now. It is 0 unless this
+// dispatcher leads.
 func (a *Accord) BudgetLent() int {
 	if a.voter == nil {
 		return 0
--- a/internal/network/fleet/accord/connmux.go
+++ b/internal/network/fleet/accord/connmux.go
@@ -12,87 +12,89 @@
 	"tinsail/internal/network/accepting"
 )
 
-// The first byte of a connection says what it is.
+// The first byte of a connection to a voter says what the connection is for.
 const (
-	raftConn   = 'R' // a stream of the log's library
-	memberConn = 'A' // a member's link
-	// QuotaConn is a link of the quotas, which Accord.Quotas takes over.
+	raftConn   = 'R' // the Raft library's messages between voters
+	memberConn = 'A' // a member's lease and budget requests
+	// QuotaConn marks a connection of the quotas, which the handler of Accord.SetQuotaHandler serves.
 	QuotaConn = 'Q'
 )
 
-// Bounds on what a listen address takes in.
+// Limits of a listen address.
 const (
-	maxConnections  = 4096            // connections at a time, the log's own among them
+	maxConnections  = 4096            // open at a time, those of the Raft library included
 	connTypeTimeout = 2 * time.Second // for the first byte
 )
 
-// connMux is a voter's listen address: it tells streams from links.
+// connMux accepts the connections to a voter's listen address and hands each to its user. For the Raft library it
+// implements raft.StreamLayer.
 type connMux struct {
 	listener    net.Listener
-	address     raft.ServerAddress // as the others know it
-	raftStreams chan net.Conn
-	serveMember func(net.Conn) // takes a link over; it closes it
+	address     raft.ServerAddress // by which the other voters know this one
+	raftStreams chan net.Conn      // accepted, for the Raft library
+	serveMember func(net.Conn)     // serves a member's connection and closes it
 	serveQuota  atomic.Pointer[func(net.Conn)]
-	slots       chan struct{}
+	slots       chan struct{} // one element for each open connection
 	stop        chan struct{}
 	closeOnce   sync.Once
 }
 
-func newConnMux(listen string, at string, link func(net.Conn)) (*connMux, error) {
+func newConnMux(listen string, address string, serveMember func(net.Conn)) (*connMux, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, err
 	}
-	p := &connMux{listener: l, address: raft.ServerAddress(at), serveMember: link, raftStreams: make(chan net.Conn), slots: make(chan struct{}, maxConnections),
+	m := &connMux{listener: l, address: raft.ServerAddress(address), serveMember: serveMember, raftStreams: make(chan net.Conn), slots: make(chan struct{}, maxConnections),
 		stop: make(chan struct{})}
-	go p.accept()
-	return p, nil
+	go m.accept()
+	return m, nil
 }
 
-func (p *connMux) accept() {
+func (m *connMux) accept() {
 	loop := accepting.Loop{Log: zerolog.Nop(), Name: "accord", Admit: func(conn net.Conn) {
 		select {
-		case p.slots <- struct{}{}:
-			go p.route(conn)
+		case m.slots <- struct{}{}:
+			go m.route(conn)
 		default:
 			conn.Close()
 		}
 	}}
-	loop.Run(p.listener)
+	loop.Run(m.listener)
 }
 
-// route reads the first byte of a connection. A stream leaves its seat when the log's library closes it.
-func (p *connMux) route(conn net.Conn) {
-	var mark [1]byte
+// route reads the first byte of a connection and hands the connection on. The slot of a Raft connection is released
+// when the Raft library closes the connection.
+func (m *connMux) route(conn net.Conn) {
+	var connType [1]byte
 	conn.SetReadDeadline(time.Now().Add(connTypeTimeout))
-	if _, err := conn.Read(mark[:]); err != nil {
-		mark[0] = 0
+	if _, err := conn.Read(connType[:]); err != nil {
+		connType[0] = 0
 	}
 	conn.SetReadDeadline(time.Time{})
-	switch mark[0] {
+	switch connType[0] {
 	case raftConn:
-		s := &raftStream{Conn: conn, release: sync.OnceFunc(func() { <-p.slots })}
+		s := &raftStream{Conn: conn, release: sync.OnceFunc(func() { <-m.slots })}
 		select {
-		case p.raftStreams <- s:
-		case <-p.stop:
+		case m.raftStreams <- s:
+		case <-m.stop:
 			s.Close()
 		}
 	case memberConn:
-		p.serveMember(conn)
-		<-p.slots
+		m.serveMember(conn)
+		<-m.slots
 	case QuotaConn:
-		if f := p.serveQuota.Load(); f != nil {
+		if f := m.serveQuota.Load(); f != nil {
 			(*f)(conn)
 		}
 		conn.Close()
-		<-p.slots
+		<-m.slots
 	default:
 		conn.Close()
-		<-p.slots
+		<-m.slots
 	}
 }
 
-// raftStream is a connection that gives up its seat when it is closed.
+// raftStream is a connection that releases its slot when it is closed.
 type raftStream struct {
 	net.Conn
 	release func()
@@ -103,27 +105,27 @@
 	return s.Conn.Close()
 }
 
-// Accept hands a stream to the log's library: raft.StreamLayer.
-func (p *connMux) Accept() (net.Conn, error) {
+// Accept returns the next connection for the Raft library.
+func (m *connMux) Accept() (net.Conn, error) {
 	select {
-	case c := <-p.raftStreams:
+	case c := <-m.raftStreams:
 		return c, nil
-	case <-p.stop:
+	case <-m.stop:
 		return nil, net.ErrClosed
 	}
 }
 
-// Close ends the listen address.
-func (p *connMux) Close() error {
-	p.closeOnce.Do(func() { close(p.stop) })
-	return p.listener.Close()
+// Close closes the listener. Connections that are open stay open.
+func (m *connMux) Close() error {
+	m.closeOnce.Do(func() { close(m.stop) })
+	return m.listener.Close()
 }
 
-// Addr is the address by which the others know this voter.
-func (p *connMux) Addr() net.Addr { return voterAddr(p.address) }
+// Addr returns the address by which the other voters know this one.
+func (m *connMux) Addr() net.Addr { return voterAddr(m.address) }
 
-// Dial makes a stream to another voter.
-func (p *connMux) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+// Dial opens a connection of the Raft library to another voter.
+func (m *connMux) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp", string(to), timeout)
 	if err != nil {
 		return nil, err
@@ -137,7 +139,8 @@
 	return conn, nil
 }
 
+// voterAddr is a voter's address as a net.Addr.
 type voterAddr raft.ServerAddress
 
 func (voterAddr) Network() string  { return "tcp" }
-func (k voterAddr) String() string { return string(k) }
+func (a voterAddr) String() string { return string(a) }
--- a/internal/network/fleet/accord/log.go
+++ b/internal/network/fleet/accord/log.go
@@ -20,44 +20,45 @@
 	"tinsail/internal/fleet/accord/wire"
 )
 
-// Of the log.
+// Limits of the log.
 const (
 	retainedSnapshots = 2
-	maxSnapshotSize   = 1 << 20 // bytes of one that is read back
-	lockTimeout       = 3 * time.Second
-	maxPastPolicies   = 64 // policies remembered after the next was decided: 240 are changed in a day
+	maxSnapshotSize   = 1 << 20         // bytes of a snapshot that are read back
+	lockTimeout       = 3 * time.Second // for the lock of the log's file
+	maxPastPolicies   = 64              // policies remembered after their successor was decided; at 240 changes a day
 )
 
-// stateMachine applies the log's entries: raft.FSM.
+// stateMachine applies the log's entries. It implements raft.FSM.
 type stateMachine struct {
-	onDecided func(accord.Event) // called for each entry that decides, in the log's order
+	onDecided func(accord.Event) // called in the log's order for each entry that decides a change
 
 	mu           sync.Mutex
 	state        accord.State
-	decidedAt    time.Time    // when the last entry that decided was applied here
+	decidedAt    time.Time    // when the last entry that decided a change was applied here
 	pastPolicies []PastPolicy // oldest first
 }
 
+// State returns the state after the entries applied so far.
 func (m *stateMachine) State() accord.State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state
 }
 
-// Apply takes an entry. One that cannot be read is another binary's: to pass over it would give the
-// voters different states, so that this one must not go on.
+// Apply applies an entry. An entry that cannot be decoded comes from another binary. Skipping it
+// would give the voters different states, so the process must end.
 func (m *stateMachine) Apply(l *raft.Log) any {
 	d, err := wire.DecodeDecision(l.Data)
 	if err != nil {
 		panic(fmt.Sprintf("accord: entry %d of the log: %v", l.Index, err))
 	}
 	m.mu.Lock()
-	was := m.state
+	previous := m.state
 	ok := m.state.Apply(d)
 	if ok {
 		m.decidedAt = time.Now()
-		if was.Version > 0 {
-			m.pastPolicies = append(m.pastPolicies[max(len(m.pastPolicies)+1-maxPastPolicies, 0):], PastPolicy{was.Body, m.decidedAt})
+		if previous.Version > 0 {
+			m.pastPolicies = append(m.pastPolicies[max(len(m.pastPolicies)+1-maxPastPolicies, 0):], PastPolicy{previous.Body, m.decidedAt})
 		}
 	}
 	m.mu.Unlock()
@@ -67,12 +68,12 @@
 	return ok
 }
 
-// Snapshot is the state as it is now.
+// Snapshot returns a snapshot of the current state.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	return snapshot(wire.EncodeState(m.State())), nil
 }
 
-// Restore takes a snapshot in place of all that was.
+// Restore replaces the state by that of a snapshot.
 func (m *stateMachine) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	p, err := io.ReadAll(io.LimitReader(r, maxSnapshotSize))
@@ -89,6 +90,7 @@
 	return nil
 }
 
+// snapshot is an encoded state. It implements raft.FSMSnapshot.
 type snapshot []byte
 
 func (s snapshot) Persist(sink raft.SnapshotSink) error {
@@ -101,39 +103,40 @@
 
 func (snapshot) Release() {}
 
-// raftLogWriter passes what the log's library has to tell on to ours.
+// raftLogWriter writes the log lines of the Raft library to the process's log.
 type raftLogWriter struct{ log zerolog.Logger }
 
-func (l raftLogWriter) Write(p []byte) (int, error) {
-	l.log.Debug().Str("line", strings.TrimSpace(string(p))).Msg("accord: log")
+func (w raftLogWriter) Write(p []byte) (int, error) {
+	w.log.Debug().Str("line", strings.TrimSpace(string(p))).Msg("accord: Raft library")
 	return len(p), nil
 }
 
-// majorityLog is the log and what it needs.
+// majorityLog is a voter's replica of the majority log.
 type majorityLog struct {
 	raft          *raft.Raft
 	machine       *stateMachine
 	store         *termStore
-	leaderChanges chan bool // leadership, each change of it
-	isNew         bool      // there was no log in the folder
+	leaderChanges chan bool // true when this voter becomes the leader, false when it no longer is
+	isNew         bool      // the directory held no log
 }
 
-// openLog opens this voter's log in a folder and joins the others. The voters are those of the log's
-// first entry, which all write alike from the settings; where the settings name others now, it is a fault.
-func openLog(cfg *Config, me Peer, port *connMux, decided func(accord.Event)) (*majorityLog, error) {
+// openLog opens this voter's log in the data directory and joins the other voters. The log's first
+// entry names the voters; every voter writes the same one from its settings. If the settings name
+// other voters later, openLog fails.
+func openLog(cfg *Config, self Peer, mux *connMux, onDecided func(accord.Event)) (*majorityLog, error) {
 	if err := os.MkdirAll(cfg.DataDir, 0o700); err != nil {
 		return nil, err
 	}
-	c := raft.DefaultConfig()
-	c.LocalID = raft.ServerID(me.Name)
-	beat := min(max(cfg.Leases.Lease/3, 150*time.Millisecond), time.Second)
-	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = beat, beat, beat/2
-	c.CommitTimeout = 10 * time.Millisecond
-	c.SnapshotThreshold, c.TrailingLogs = 64, 64
-	c.Logger = hclog.New(&hclog.LoggerOptions{Name: "log", Level: hclog.Warn, Output: raftLogWriter{cfg.Log}})
-	c.NoLegacyTelemetry = true
-	m := &majorityLog{machine: &stateMachine{onDecided: decided}, leaderChanges: make(chan bool, 64)}
-	c.NotifyCh = m.leaderChanges
+	config := raft.DefaultConfig()
+	config.LocalID = raft.ServerID(self.Name)
+	timeout := min(max(cfg.Leases.Lease/3, 150*time.Millisecond), time.Second)
+	config.HeartbeatTimeout, config.ElectionTimeout, config.LeaderLeaseTimeout = timeout, timeout, timeout/2
+	config.CommitTimeout = 10 * time.Millisecond
+	config.SnapshotThreshold, config.TrailingLogs = 64, 64
+	config.Logger = hclog.New(&hclog.LoggerOptions{Name: "log", Level: hclog.Warn, Output: raftLogWriter{cfg.Log}})
+	config.NoLegacyTelemetry = true
+	m := &majorityLog{machine: &stateMachine{onDecided: onDecided}, leaderChanges: make(chan bool, 64)}
+	config.NotifyCh = m.leaderChanges
 	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(cfg.DataDir, "log.db"), BoltOptions: &bbolt.Options{Timeout: lockTimeout}})
 	if err != nil {
 		return nil, fmt.Errorf("the log in %s: %w", cfg.DataDir, err)
@@ -143,29 +146,29 @@
 		m.store.Close()
 		return nil, err
 	}
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(cfg.DataDir, retainedSnapshots, c.Logger)
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(cfg.DataDir, retainedSnapshots, config.Logger)
 	if err != nil {
 		return fail(err)
 	}
-	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: port, MaxPool: 3, Timeout: 2 * beat, Logger: c.Logger})
-	var first raft.Configuration
+	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: mux, MaxPool: 3, Timeout: 2 * timeout, Logger: config.Logger})
+	var voters raft.Configuration
 	for _, p := range cfg.Voters {
-		first.Servers = append(first.Servers, raft.Server{Suffrage: raft.Voter, ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Address)})
+		voters.Servers = append(voters.Servers, raft.Server{Suffrage: raft.Voter, ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Address)})
 	}
-	known, err := raft.HasExistingState(m.store, m.store, snaps)
-	m.isNew = !known
-	if err == nil && !known {
-		err = raft.BootstrapCluster(c, m.store, m.store, snaps, transport, first)
+	exists, err := raft.HasExistingState(m.store, m.store, snapshots)
+	m.isNew = !exists
+	if err == nil && !exists {
+		err = raft.BootstrapCluster(config, m.store, m.store, snapshots, transport, voters)
 	}
 	if err != nil {
 		return fail(err)
 	}
-	m.store.retryErrors.Store(true) // from here on an error would end the process
-	if m.raft, err = raft.NewRaft(c, m.machine, m.store, m.store, snaps, transport); err != nil {
+	m.store.retryErrors.Store(true) // from here on the library ends the process on an error of the store
+	if m.raft, err = raft.NewRaft(config, m.machine, m.store, m.store, snapshots, transport); err != nil {
 		return fail(err)
 	}
-	f := m.raft.GetConfiguration()
-	if err = f.Error(); err == nil && !sameServers(f.Configuration(), first) {
+	stored := m.raft.GetConfiguration()
+	if err = stored.Error(); err == nil && !sameServers(stored.Configuration(), voters) {
 		err = errors.New("the log in " + cfg.DataDir + " names other voters than the settings")
 	}
 	if err != nil {
@@ -175,6 +178,7 @@
 	return m, nil
 }
 
+// sameServers reports whether two configurations have the same servers, in any order.
 func sameServers(a, b raft.Configuration) bool {
 	if len(a.Servers) != len(b.Servers) {
 		return false
@@ -191,7 +195,8 @@
 	return true
 }
 
-// close ends the log. The library's goroutines are not waited for while one of them waits for a store that fails.
+// close shuts the log down. It waits for the library's goroutines, but not while the store fails:
+// one of them is then waiting for the store.
 func (m *majorityLog) close() {
 	ended := make(chan struct{})
 	go func() {
@@ -200,12 +205,12 @@
 	}()
 	tick := time.NewTicker(minStoreBackoff)
 	defer tick.Stop()
-	for waits := true; waits; {
+	for waiting := true; waiting; {
 		select {
 		case <-ended:
-			waits = false
+			waiting = false
 		case <-tick.C:
-			waits = !m.store.failing.Load()
+			waiting = !m.store.failing.Load()
 		}
 	}
 	m.store.Close()
--- a/internal/network/fleet/accord/member.go
+++ b/internal/network/fleet/accord/member.go
@@ -15,7 +15,7 @@
 	"tinsail/internal/fleet/accord/wire"
 )
 
-// member drives this dispatcher's Lessee: it keeps one link to the voter that leads.
+// member runs this dispatcher's participant. It keeps one connection to the voter that leads.
 type member struct {
 	accord     *Accord
 	admission  atomic.Pointer[admission]
@@ -25,17 +25,17 @@
 
 	mu                sync.Mutex
 	participant       *accord.Participant
-	budgetHolder      *budget.Holder // of the policy's budget, where it has one
+	budgetHolder      *budget.Holder // of the policy's budget; nil if it contains none
 	budgetName        string         // the budget's name
-	leader            string         // the voter to ask, where one was named
-	unresponsive      string         // a voter that did not answer, which is not asked again
-	avoidUntil        time.Time      // until then, whoever names it
-	initialProposedAt time.Time      // when the first version was last proposed
+	leader            string         // the voter that was last named as the leader, empty for none
+	unresponsive      string         // a voter that did not respond; avoided until avoidUntil, even if it is named
+	avoidUntil        time.Time
+	initialProposedAt time.Time // when the initial policy was last proposed
 }
 
-func newMember(a *Accord, l *accord.Participant) *member {
-	m := &member{accord: a, participant: l, wakeup: make(chan struct{}, 1), stop: make(chan struct{})}
-	m.admission.Store(&admission{Admission: l.Admission(), waiting: &atomic.Int64{}})
+func newMember(a *Accord, participant *accord.Participant) *member {
+	m := &member{accord: a, participant: participant, wakeup: make(chan struct{}, 1), stop: make(chan struct{})}
+	m.admission.Store(&admission{Admission: participant.Admission(), waiting: &atomic.Int64{}})
 	m.goroutines.Add(1)
 	go m.run()
 	return m
@@ -46,6 +46,7 @@
 	m.goroutines.Wait()
 }
 
+// wake makes the member run its next step at once.
 func (m *member) wake() {
 	select {
 	case m.wakeup <- struct{}{}:
@@ -73,74 +74,76 @@
 	return m.participant.Current()
 }
 
-// tickInterval is how often a member looks at the time: what its gate allows ends by itself, since the time is
-// compared at each req.
+// tickInterval returns how often the participant handles the passing of time. An admission ends without a tick, since
+// the time is compared at each request.
 func (m *member) tickInterval() time.Duration {
 	return max(m.accord.cfg.Leases.Lease/100, 2*time.Millisecond)
 }
 
-// run keeps a link to the leader, and without one lets time pass.
+// run keeps a connection to the leader. While there is none it tries the voters in turn.
 func (m *member) run() {
 	defer m.goroutines.Done()
 	for next := rand.IntN(len(m.accord.cfg.Voters)); ; next++ {
-		to := m.accord.cfg.Voters[next%len(m.accord.cfg.Voters)]
+		voter := m.accord.cfg.Voters[next%len(m.accord.cfg.Voters)]
 		m.mu.Lock()
 		for i, p := range m.accord.cfg.Voters {
 			if p.Name == m.leader && (p.Name != m.unresponsive || time.Now().After(m.avoidUntil)) {
-				to, next = p, i
+				voter, next = p, i
 			}
 		}
 		m.leader = ""
 		m.participant.RequestNow()
 		m.mu.Unlock()
-		m.requestLeases(to)
+		m.requestLeases(voter)
 		if m.runUnconnected(max(m.accord.cfg.Leases.Lease/30, 10*time.Millisecond)) {
 			return
 		}
 	}
 }
 
-// runUnconnected lets time pass without a link, and says whether the member was closed.
+// runUnconnected runs the participant without a connection for the duration d. It reports whether the member was
+// closed.
 func (m *member) runUnconnected(d time.Duration) bool {
-	over := time.NewTimer(d)
-	defer over.Stop()
+	end := time.NewTimer(d)
+	defer end.Stop()
 	for {
 		m.step(nil)
-		beat := time.NewTimer(m.tickInterval())
+		tick := time.NewTimer(m.tickInterval())
 		select {
 		case <-m.stop:
-			beat.Stop()
+			tick.Stop()
 			return true
-		case <-over.C:
-			beat.Stop()
+		case <-end.C:
+			tick.Stop()
 			return false
-		case <-beat.C:
+		case <-tick.C:
 		case <-m.wakeup:
-			beat.Stop()
+			tick.Stop()
 		}
 	}
 }
 
-// requestLeases asks one voter until the link breaks, it says that another leads, or it is silent.
+// requestLeases connects to one voter and requests leases from it, until the connection breaks, the voter answers that
+// it does not lead, or it is silent for too long.
 func (m *member) requestLeases(to Peer) {
-	type dialled struct {
+	type dialResult struct {
 		conn net.Conn
 		err  error
 	}
-	plan := m.accord.cfg.Leases
-	up := make(chan dialled, 1)
+	leases := m.accord.cfg.Leases
+	dialed := make(chan dialResult, 1)
 	go func() {
-		conn, err := net.DialTimeout("tcp", to.Address, plan.Lease/3)
+		conn, err := net.DialTimeout("tcp", to.Address, leases.Lease/3)
 		if err == nil {
-			conn.SetWriteDeadline(time.Now().Add(plan.Lease / 3))
+			conn.SetWriteDeadline(time.Now().Add(leases.Lease / 3))
 			_, err = conn.Write([]byte{memberConn})
 		}
-		up <- dialled{conn, err}
+		dialed <- dialResult{conn, err}
 	}()
 	var conn net.Conn
 	for conn == nil {
 		select {
-		case d := <-up:
+		case d := <-dialed:
 			if d.err != nil {
 				if d.conn != nil {
 					d.conn.Close()
@@ -152,7 +155,7 @@
 			m.step(nil)
 		case <-m.stop:
 			go func() {
-				if d := <-up; d.conn != nil {
+				if d := <-dialed; d.conn != nil {
 					d.conn.Close()
 				}
 			}()
@@ -160,10 +163,10 @@
 		}
 	}
 	defer conn.Close()
-	heard := make(chan wire.Message, 16)
-	ended := make(chan struct{})
+	received := make(chan wire.Message, 16)
+	done := make(chan struct{})
 	go func() {
-		defer close(heard)
+		defer close(received)
 		r := bufio.NewReader(conn)
 		for {
 			msg, err := wire.ReadMessage(r)
@@ -174,42 +177,42 @@
 				return
 			}
 			select {
-			case heard <- msg:
-			case <-ended:
+			case received <- msg:
+			case <-done:
 				return
 			}
 		}
 	}()
-	defer close(ended)
-	last := time.Now()
+	defer close(done)
+	lastReceived := time.Now()
 	for {
 		if !m.step(func(p []byte) bool {
-			conn.SetWriteDeadline(time.Now().Add(plan.Lease / 3))
+			conn.SetWriteDeadline(time.Now().Add(leases.Lease / 3))
 			_, err := conn.Write(wire.Frame(p))
 			return err == nil
 		}) {
 			return
 		}
-		if time.Since(last) > plan.Lease/2 { // a voter that is stopped, or a link that swallows
+		if time.Since(lastReceived) > leases.Lease/2 { // the voter's process hangs, or the network loses all messages
 			m.mu.Lock()
-			m.unresponsive, m.avoidUntil = to.Name, time.Now().Add(plan.Lease/2)
+			m.unresponsive, m.avoidUntil = to.Name, time.Now().Add(leases.Lease/2)
 			m.mu.Unlock()
 			return
 		}
-		beat := time.NewTimer(m.tickInterval())
+		tick := time.NewTimer(m.tickInterval())
 		select {
 		case <-m.stop:
-			beat.Stop()
+			tick.Stop()
 			return
-		case <-beat.C:
+		case <-tick.C:
 		case <-m.wakeup:
-			beat.Stop()
-		case msg, ok := <-heard:
-			beat.Stop()
+			tick.Stop()
+		case msg, ok := <-received:
+			tick.Stop()
 			if !ok {
 				return
 			}
-			last = time.Now()
+			lastReceived = time.Now()
 			if !m.handleMessage(msg) {
 				return
 			}
@@ -217,7 +220,7 @@
 	}
 }
 
-// handleMessage handles a message; false says that this voter does not lead.
+// handleMessage handles a message of the voter. It returns false if the voter does not lead.
 func (m *member) handleMessage(msg wire.Message) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -238,38 +241,41 @@
 	return true
 }
 
-// proposeInitialPolicy proposes this voter's own policy where none was ever decided: the fleet's first. m.mu is held.
-func (m *member) proposeInitialPolicy(a *accord.LeaseResponse) {
+// proposeInitialPolicy proposes a voter's configured policy if the leader reports that no policy was ever decided and
+// that no change is under way. m.mu is held.
+func (m *member) proposeInitialPolicy(resp *accord.LeaseResponse) {
 	body := m.accord.cfg.InitialPolicy
-	if a.Version > 0 || a.Change != 0 || m.accord.voter == nil || body == nil || m.participant.ProposalPending() ||
+	if resp.Version > 0 || resp.Change != 0 || m.accord.voter == nil || body == nil || m.participant.ProposalPending() ||
 		time.Since(m.initialProposedAt) < 2*m.accord.cfg.Leases.Lease {
 		return
 	}
 	m.initialProposedAt = time.Now()
 	if err := m.participant.Propose(rand.Uint64()|accord.ProposalBit, body); err != nil {
-		m.accord.cfg.Log.Error().Err(err).Msg("accord: no first policy")
+		m.accord.cfg.Log.Error().Err(err).Msg("accord: initial policy not proposed")
 	}
 }
 
-// step does all that is due: time passes, bodies are checked, a version is put in force and then shown
-// to the core, and the ask that is due is sent. send is nil without a link.
+// step advances the participant and sends the lease and budget requests that are due. send is nil without a
+// connection. step returns false if send failed.
 func (m *member) step(send func([]byte) bool) bool {
-	a, due := m.advance(send != nil)
-	if due && !send(wire.EncodeLeaseRequest(a)) { // bounded by the link's write deadline
+	lease, due := m.advance(send != nil)
+	if due && !send(wire.EncodeLeaseRequest(lease)) { // bounded by the connection's write deadline
 		return false
 	}
 	if send == nil {
 		return true
 	}
-	w, due := m.nextBudgetAsk()
-	return !due || send(wire.EncodeBudgetRequest(w))
+	budgetReq, due := m.nextBudgetAsk()
+	return !due || send(wire.EncodeBudgetRequest(budgetReq))
 }
 
-func (m *member) advance(linked bool) (accord.LeaseRequest, bool) {
+// advance lets the participant handle the passing of time, checks policies for it, and applies and publishes what it
+// decides. If connected, it returns the lease request to send now, if one is due.
+func (m *member) advance(connected bool) (accord.LeaseRequest, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.activateVersion()
-	m.publishAdmission() // closed before those that wait are counted
+	m.publishAdmission() // a stop must be published before the waiting requests are counted
 	m.participant.Tick(m.accord.clock.now(), int(m.admission.Load().waiting.Load()))
 	for _, c := range m.participant.TakeChecks() {
 		m.participant.ReportCheck(m.accord.clock.now(), c, m.accord.cfg.CheckPolicy(c.Body))
@@ -277,20 +283,21 @@
 	m.activateVersion()
 	m.publishAdmission()
 	m.accord.logEvents(m.participant.TakeEvents())
-	if !linked {
+	if !connected {
 		return accord.LeaseRequest{}, false
 	}
 	return m.participant.NextRequest(m.accord.clock.now())
 }
 
-// activateVersion puts a version in force at its first lease, before the gate is shown. m.mu is held.
+// activateVersion applies the adopted version at its first lease. It must be called before publishAdmission, so that
+// no request is accepted under the version before it is applied. m.mu is held.
 func (m *member) activateVersion() {
 	version, body, ok := m.participant.TakeActivation()
 	if !ok {
 		return
 	}
 	m.setBudgetPlan(body)
-	if err := m.accord.cfg.ApplyPolicy(version, body); err != nil { // it was checked: a fault of ours
-		m.accord.cfg.Log.Error().Err(err).Uint64("version", version).Msg("accord: not put in force whole")
+	if err := m.accord.cfg.ApplyPolicy(version, body); err != nil { // a bug: the policy was checked before
+		m.accord.cfg.Log.Error().Err(err).Uint64("version", version).Msg("accord: version applied only in part")
 	}
 }
--- a/internal/network/fleet/accord/termstore.go
+++ b/internal/network/fleet/accord/termstore.go
@@ -10,35 +10,38 @@
 	"github.com/rs/zerolog"
 )
 
-// termStore is a voter's store of its term and vote. The log's library ends the process where these cannot be written, and with it
-// every request that the process has taken. A write that fails is tried again here, as a transaction of its own, until it succeeds:
-// meanwhile the library's goroutine waits, and the voter neither votes nor leads nor has what it holds verified.
+// termStore stores a voter's term and vote. If they cannot be written, the Raft library ends the process, and with it
+// every request that the process has accepted. To avoid that, a failed write is repeated here, as a transaction of its
+// own, until it succeeds. Meanwhile the library's goroutine waits: the voter neither votes nor leads, and no majority
+// confirms that it leads.
 //
-// The library also answers heartbeats beside its own goroutines, and does not wait for one of those when it is shut down: a term that
-// came in that moment would find the store closed. Once closed, a write here never returns.
+// The library also handles heartbeats outside its own goroutines, and does not wait for that when it is shut down. A
+// heartbeat with a new term that arrives then would find the store closed, which is an error. So a write never returns
+// once the store is closed.
 type termStore struct {
 	*raftboltdb.BoltStore
-	stable      raft.StableStore // the same, but in tests
+	stable      raft.StableStore // the BoltStore, except in tests
 	log         zerolog.Logger
-	retryErrors atomic.Bool // errors are waited out; before that they are returned
-	failing     atomic.Bool
+	retryErrors atomic.Bool // failed writes are repeated; until it is set their errors are returned
+	failing     atomic.Bool // the last write failed and is being repeated
 
 	mu     sync.RWMutex
 	closed bool
 }
 
-// Pauses between tries of a write that failed, doubled from the first to the last.
+// Delays before a failed write is repeated. The delay doubles from the minimum to the maximum.
 const (
 	minStoreBackoff = 50 * time.Millisecond
 	maxStoreBackoff = time.Second
 )
 
+// write runs f, and repeats it as long as it fails if retryErrors is set.
 func (t *termStore) write(f func() error) error {
-	for pause := minStoreBackoff; ; pause = min(2*pause, maxStoreBackoff) {
+	for backoff := minStoreBackoff; ; backoff = min(2*backoff, maxStoreBackoff) {
 		err := t.try(f)
 		if err == nil {
 			if t.failing.CompareAndSwap(true, false) {
-				t.log.Info().Msg("accord: the voter's store is written again")
+				t.log.Info().Msg("accord: the voter's store can be written again")
 			}
 			return nil
 		}
@@ -46,13 +49,13 @@
 			return err
 		}
 		if t.failing.CompareAndSwap(false, true) {
-			t.log.Error().Err(err).Msg("accord: the voter's store fails; it neither votes nor leads until it is written")
+			t.log.Error().Err(err).Msg("accord: the voter's store cannot be written; the voter neither votes nor leads until it can")
 		}
-		time.Sleep(pause)
+		time.Sleep(backoff)
 	}
 }
 
-// try writes once. Once the store is closed it never returns.
+// try runs f once. It never returns if the store is closed.
 func (t *termStore) try(f func() error) error {
 	t.mu.RLock()
 	if t.closed {
--- a/internal/network/fleet/accord/voter.go
+++ b/internal/network/fleet/accord/voter.go
@@ -14,14 +14,15 @@
 	"tinsail/internal/fleet/accord/wire"
 )
 
-// Bounds of a voter.
+// Limits of a voter.
 const (
-	maxQueuedRequests = 8192 // asks that wait for the leader's confirmation; one beyond is dropped, and asked again
-	maxQueuedMessages = 32   // messages that wait for a link; a link that does not take them is closed
+	maxQueuedRequests = 8192 // requests that wait until a majority has confirmed the leader; more are dropped, and repeated by their members
+	maxQueuedMessages = 32   // messages that wait to be written to a link; a link with more is closed
 	barrierTimeout    = 10 * time.Second
 )
 
-// voter is one of those that keep the log, and the keeper's side while it leads.
+// voter replicates the log and serves the members' connections. While it leads, it runs the accord's
+// leader and the budget's keeper.
 type voter struct {
 	accord     *Accord
 	mux        *connMux
@@ -31,28 +32,28 @@
 	goroutines sync.WaitGroup
 
 	mu           sync.Mutex
-	leader       *accord.Leader // nil while it does not lead
-	leaderTerm   uint64
-	changeCount  uint64         // of changes in term, by keepers before
-	budgetKeeper *budget.Keeper // of the policy's budget, while it leads
+	leader       *accord.Leader // nil while this voter does not lead
+	leaderTerm   uint64         // of leader, or of the last one
+	changeCount  uint64         // changes made by earlier leaders of leaderTerm in this process
+	budgetKeeper *budget.Keeper // of the policy's budget; nil if it contains none
 	budgetName   string         // the budget's name
 	links        map[*link]struct{}
 }
 
-// queuedRequest is an ask, or one for a share where want is there.
+// queuedRequest is a member's lease request, or a budget request if budget is not nil.
 type queuedRequest struct {
 	from   *link
 	lease  accord.LeaseRequest
 	budget *wire.BudgetRequest
 }
 
-// link is a member's connection, at a voter.
+// link is the voter's end of a member's connection.
 type link struct {
 	conn net.Conn
-	out  chan []byte
+	out  chan []byte // encoded messages to be written
 }
 
-// send queues a message; where the link does not take what it is sent, it is closed.
+// send queues a message. If the queue is full, the link is closed.
 func (l *link) send(p []byte) {
 	select {
 	case l.out <- wire.Frame(p):
@@ -61,17 +62,17 @@
 	}
 }
 
-func newVoter(a *Accord, me Peer) (*voter, error) {
+func newVoter(a *Accord, self Peer) (*voter, error) {
 	v := &voter{accord: a, requests: make(chan queuedRequest, maxQueuedRequests), stop: make(chan struct{}), links: map[*link]struct{}{}}
 	listen := a.cfg.Listen
 	if listen == "" {
-		listen = me.Address
+		listen = self.Address
 	}
 	var err error
-	if v.mux, err = newConnMux(listen, me.Address, v.serveMember); err != nil {
+	if v.mux, err = newConnMux(listen, self.Address, v.serveMember); err != nil {
 		return nil, err
 	}
-	if v.log, err = openLog(&a.cfg, me, v.mux, func(n accord.Event) { a.logEvents([]accord.Event{n}) }); err != nil {
+	if v.log, err = openLog(&a.cfg, self, v.mux, func(event accord.Event) { a.logEvents([]accord.Event{event}) }); err != nil {
 		v.mux.Close()
 		return nil, err
 	}
@@ -83,11 +84,11 @@
 }
 
 func (v *voter) close() {
-	if v.log.raft.State() == raft.Leader { // an end that was asked for need not cost the fleet an election's wait
-		_ = v.log.raft.LeadershipTransfer().Error() // bounded by the election's time; where it fails there is an election
+	if v.log.raft.State() == raft.Leader { // a planned shutdown need not make the fleet wait for an election
+		_ = v.log.raft.LeadershipTransfer().Error() // takes at most the election timeout; if it fails there is an election
 	}
 	close(v.stop)
-	v.goroutines.Wait() // while the log answers them: VerifyLeader, called once it is shut down, may have no answer ever
+	v.goroutines.Wait() // before the log is shut down: a VerifyLeader called after that may never return
 	v.log.close()
 	v.mux.Close()
 	v.mu.Lock()
@@ -97,7 +98,7 @@
 	v.mu.Unlock()
 }
 
-// leadership says whether this voter leadership, and how many leases are out.
+// leadership reports whether this voter leads, and how many leases are in use.
 func (v *voter) leadership() (bool, int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -107,7 +108,7 @@
 	return true, v.leader.LeasesInUse(v.accord.clock.now())
 }
 
-// sinceDecided is how long ago a version was decided, if it is the last that this process saw decided.
+// sinceDecided returns how long ago a version was decided, if it is the last one whose decision this process applied.
 func (v *voter) sinceDecided(version uint64) (time.Duration, bool) {
 	m := v.log.machine
 	m.mu.Lock()
@@ -115,11 +116,11 @@
 	return time.Since(m.decidedAt), m.state.Version == version && !m.decidedAt.IsZero()
 }
 
-// watchLeadership makes a keeper at each election, once a barrier of the term is committed, and drops it at its end.
+// watchLeadership starts a leader when this voter is elected, and drops it when the term ends.
 func (v *voter) watchLeadership() {
 	defer v.goroutines.Done()
-	again := time.NewTicker(max(v.accord.cfg.Leases.Lease/30, 10*time.Millisecond))
-	defer again.Stop()
+	retry := time.NewTicker(max(v.accord.cfg.Leases.Lease/30, 10*time.Millisecond))
+	defer retry.Stop()
 	for {
 		select {
 		case <-v.stop:
@@ -128,64 +129,67 @@
 			if !leads {
 				v.stopLeading()
 			}
-		case <-again.C: // a term whose barrier failed, or whose keeper was dropped, is taken up again
+		case <-retry.C: // the barrier may have failed, or the leader may have been dropped within its term
 		}
 		v.startLeading()
 	}
 }
 
+// startLeading starts a leader if this voter leads and has none in this term. It first commits a barrier, so that all
+// decisions of earlier terms are applied.
 func (v *voter) startLeading() {
 	r := v.log.raft
 	term := r.CurrentTerm()
 	v.mu.Lock()
-	has := v.leader != nil && v.leaderTerm == term
+	leading := v.leader != nil && v.leaderTerm == term
 	v.mu.Unlock()
-	if has || r.State() != raft.Leader {
+	if leading || r.State() != raft.Leader {
 		return
 	}
 	if v.awaitRaft(func() error { return r.Barrier(barrierTimeout).Error() }) != nil || r.State() != raft.Leader || r.CurrentTerm() != term {
 		return
 	}
-	k, err := accord.NewLeader(v.accord.cfg.Leases, term, v.accord.clock.now(), v.log.machine.State())
+	leader, err := accord.NewLeader(v.accord.cfg.Leases, term, v.accord.clock.now(), v.log.machine.State())
 	if err != nil {
 		v.accord.cfg.Log.Error().Err(err).Msg("accord: cannot lead")
 		return
 	}
 	v.mu.Lock()
 	if v.leaderTerm == term {
-		k.ResumeChangeCount(v.changeCount)
+		leader.ResumeChangeCount(v.changeCount)
 	}
-	v.leader, v.leaderTerm, v.budgetKeeper = k, term, nil
+	v.leader, v.leaderTerm, v.budgetKeeper = leader, term, nil
 	v.setBudgetPlan(v.log.machine.State().Body)
 	v.mu.Unlock()
 	v.accord.cfg.Log.Info().Str("process", v.accord.cfg.Name).Uint64("term", term).Msg("accord: leads")
 }
 
+// stopLeading drops the leader, if there is one, and logs that.
 func (v *voter) stopLeading() {
 	v.mu.Lock()
-	had := v.leader != nil
+	wasLeading := v.leader != nil
 	v.dropLeader()
 	term := v.leaderTerm
 	v.mu.Unlock()
-	if had {
+	if wasLeading {
 		v.accord.cfg.Log.Info().Str("process", v.accord.cfg.Name).Uint64("term", term).Msg("accord: leads no more")
 	}
 }
 
-// dropLeader drops the keeper. v.mu is held.
+// dropLeader drops the leader and remembers its count of changes. v.mu is held.
 func (v *voter) dropLeader() {
 	if v.leader != nil {
 		v.changeCount, v.leader = v.leader.ChangeCount(), nil
 	}
 }
 
-// serveMember reads a member's asks until its link ends.
+// serveMember queues a member's requests until the connection ends.
 func (v *voter) serveMember(conn net.Conn) {
 	l := &link{conn: conn, out: make(chan []byte, maxQueuedMessages)}
 	v.mu.Lock()
 	v.links[l] = struct{}{}
 	v.mu.Unlock()
-	over := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		for {
 			select {
@@ -195,14 +199,14 @@
 					conn.Close()
 					return
 				}
-			case <-over:
+			case <-done:
 				return
 			}
 		}
 	}()
 	defer func() {
 		conn.Close()
-		close(over)
+		close(done)
 		v.mu.Lock()
 		delete(v.links, l)
 		v.mu.Unlock()
@@ -222,19 +226,19 @@
 			}
 			return
 		}
-		a := queuedRequest{from: l, budget: m.BudgetRequest}
+		req := queuedRequest{from: l, budget: m.BudgetRequest}
 		if m.LeaseRequest != nil {
-			a.lease = *m.LeaseRequest
+			req.lease = *m.LeaseRequest
 		}
 		select {
-		case v.requests <- a:
-		default: // it asks again
+		case v.requests <- req:
+		default: // the member repeats it
 		}
 	}
 }
 
-// answerRequests answers asks in batches: those that are there get a majority's word together that this
-// voter's term has not ended, begun after all of them came.
+// answerRequests answers queued requests in batches. For each batch a majority must confirm that this
+// voter's term has not ended, and the confirmation starts after all requests of the batch have arrived.
 func (v *voter) answerRequests() {
 	defer v.goroutines.Done()
 	var batch []queuedRequest
@@ -243,68 +247,68 @@
 		select {
 		case <-v.stop:
 			return
-		case a := <-v.requests:
-			batch = append(batch, a)
+		case req := <-v.requests:
+			batch = append(batch, req)
 		}
 		for more := true; more && len(batch) < maxQueuedRequests; {
 			select {
-			case a := <-v.requests:
-				batch = append(batch, a)
+			case req := <-v.requests:
+				batch = append(batch, req)
 			default:
 				more = false
 			}
 		}
 		v.mu.Lock()
-		k, term := v.leader, v.leaderTerm
+		leader, term := v.leader, v.leaderTerm
 		v.mu.Unlock()
 		r := v.log.raft
-		if k == nil || !v.verifyLeader() || r.CurrentTerm() != term {
+		if leader == nil || !v.verifyLeader() || r.CurrentTerm() != term {
 			_, id := r.LeaderWithID()
 			if string(id) == v.accord.cfg.Name {
-				id = "" // a term whose keeper is still to come
+				id = "" // elected, but its leader has not started yet
 			}
-			for _, a := range batch {
-				if a.budget != nil { // an ask for a share says nothing of who leads
+			for _, req := range batch {
+				if req.budget != nil { // a budget grant has no field that names the leader
 					continue
 				}
-				a.from.send(wire.EncodeLeaseResponse(accord.LeaseResponse{Peer: a.lease.Peer, Epoch: a.lease.Epoch, Seq: a.lease.Seq, Leader: string(id)}))
+				req.from.send(wire.EncodeLeaseResponse(accord.LeaseResponse{Peer: req.lease.Peer, Epoch: req.lease.Epoch, Seq: req.lease.Seq, Leader: string(id)}))
 			}
 			continue
 		}
 		v.mu.Lock()
-		if v.leader == k {
-			for _, a := range batch {
-				if a.budget != nil {
-					v.grantBudget(a.from, a.budget)
+		if v.leader == leader {
+			for _, req := range batch {
+				if req.budget != nil {
+					v.grantBudget(req.from, req.budget)
 					continue
 				}
-				a.from.send(wire.EncodeLeaseResponse(k.Handle(v.accord.clock.now(), a.lease)))
+				req.from.send(wire.EncodeLeaseResponse(leader.Handle(v.accord.clock.now(), req.lease)))
 			}
-			v.performActions(k)
+			v.performActions(leader)
 		}
 		v.mu.Unlock()
 	}
 }
 
-// verifyLeader asks a majority whether this voter leads.
+// verifyLeader reports whether a majority confirms that this voter leads.
 func (v *voter) verifyLeader() bool {
 	return v.awaitRaft(func() error { return v.log.raft.VerifyLeader().Error() }) == nil
 }
 
-// awaitRaft waits for the log's library, or for the voter's end: the library never answers a question that stands in its
-// queue when it is shut down.
-func (v *voter) awaitRaft(ask func() error) error {
-	said := make(chan error, 1)
-	go func() { said <- ask() }()
+// awaitRaft runs a call of the Raft library and returns its error. It does not wait for the call once the voter is
+// closed: the library never answers a call that is queued when it is shut down.
+func (v *voter) awaitRaft(call func() error) error {
+	result := make(chan error, 1)
+	go func() { result <- call() }()
 	select {
-	case err := <-said:
+	case err := <-result:
 		return err
 	case <-v.stop:
 		return raft.ErrRaftShutdown
 	}
 }
 
-// tick lets time pass for the keeper.
+// tick lets the leader handle the passing of time.
 func (v *voter) tick() {
 	defer v.goroutines.Done()
 	t := time.NewTicker(max(v.accord.cfg.Leases.Lease/100, 5*time.Millisecond))
@@ -315,38 +319,39 @@
 			return
 		case <-t.C:
 			v.mu.Lock()
-			if k := v.leader; k != nil {
-				k.Tick(v.accord.clock.now())
-				v.performActions(k)
+			if leader := v.leader; leader != nil {
+				leader.Tick(v.accord.clock.now())
+				v.performActions(leader)
 			}
 			v.mu.Unlock()
 		}
 	}
 }
 
-// performActions does what the keeper asks for. v.mu is held.
-func (v *voter) performActions(k *accord.Leader) {
-	if d, ok := k.TakeDecision(); ok {
-		go v.submit(k, d)
+// performActions submits the leader's decision, sends its poll and logs its events, as far as there are any.
+// v.mu is held.
+func (v *voter) performActions(leader *accord.Leader) {
+	if decision, ok := leader.TakeDecision(); ok {
+		go v.submit(leader, decision)
 	}
-	if k.TakePoll() {
+	if leader.TakePoll() {
 		p := wire.EncodePoll()
 		for l := range v.links {
-			if len(l.out) < maxQueuedMessages/2 { // a hint: never a reason to close a link
+			if len(l.out) < maxQueuedMessages/2 { // a poll is only a hint: a link must not be closed because of it
 				l.send(p)
 			}
 		}
 	}
-	v.accord.logEvents(k.TakeEvents())
+	v.accord.logEvents(leader.TakeEvents())
 }
 
-// submit gives an entry to the log. Where that fails nobody can tell whether it was decided: the keeper
-// is dropped, and its successor reads it from the log.
-func (v *voter) submit(k *accord.Leader, d accord.Decision) {
-	err := v.log.raft.Apply(wire.EncodeDecision(d), 0).Error()
+// submit appends a decision to the log. If that fails, it is unknown whether the change was decided. The leader is then
+// dropped, and its successor finds out from the log.
+func (v *voter) submit(leader *accord.Leader, decision accord.Decision) {
+	err := v.log.raft.Apply(wire.EncodeDecision(decision), 0).Error()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.leader != k {
+	if v.leader != leader {
 		return
 	}
 	if err != nil {
@@ -354,7 +359,7 @@
 		return
 	}
 	state := v.log.machine.State()
-	k.Applied(v.accord.clock.now(), state)
+	leader.Applied(v.accord.clock.now(), state)
 	v.setBudgetPlan(state.Body)
-	v.performActions(k)
+	v.performActions(leader)
 }
--- a/internal/network/fleet/accord/voterquery.go
+++ b/internal/network/fleet/accord/voterquery.go
@@ -8,25 +8,27 @@
 	"github.com/hashicorp/raft"
 )
 
-// What other parts of the fleet ask of a voter: who leads, whether that still holds, and what was decided.
+// The methods below give the driver of the quotas access to a voter: who leads, whether that is confirmed, and what
+// was decided.
 
-// IsVoter says whether this dispatcher is a voter.
+// IsVoter reports whether this dispatcher is a voter.
 func (a *Accord) IsVoter() bool { return a.voter != nil }
 
-// SetQuotaHandler has f take over the connections to a voter's address that begin with QuotaMark, which it has read;
-// f returns when it needs the connection no more. Until it is set, and after it is nil, they are closed.
-// Nothing happens where this dispatcher is no voter.
-func (a *Accord) SetQuotaHandler(f func(net.Conn)) {
+// SetQuotaHandler sets the function that serves the connections to a voter's address that begin with QuotaConn. That
+// byte is already read. A connection is closed when serve returns. While no function is set, or nil is, such
+// connections are closed at once. On a dispatcher that is not a voter nothing happens.
+func (a *Accord) SetQuotaHandler(serve func(net.Conn)) {
 	switch {
 	case a.voter == nil:
-	case f == nil:
+	case serve == nil:
 		a.voter.mux.serveQuota.Store(nil)
 	default:
-		a.voter.mux.serveQuota.Store(&f)
+		a.voter.mux.serveQuota.Store(&serve)
 	}
 }
 
-// LeaderTerm says whether this voter leads, with all that was decided before its term applied, and which term.
+// LeaderTerm returns the term in which this voter leads. ok is false if it does not lead, or has not yet applied all
+// that was decided in earlier terms.
 func (a *Accord) LeaderTerm() (term uint64, ok bool) {
 	if a.voter == nil {
 		return 0, false
@@ -36,7 +38,7 @@
 	return a.voter.leaderTerm, a.voter.leader != nil
 }
 
-// Leader is the name of the voter that leads as far as this voter knows; empty where it knows none.
+// Leader returns the name of the voter that leads as far as this voter knows, or "" if it knows none.
 func (a *Accord) Leader() string {
 	if a.voter == nil {
 		return ""
@@ -45,8 +47,9 @@
 	return string(id)
 }
 
-// ConfirmLeader asks a majority, from now on, whether this voter's term still lasts: what came before the call may
-// then be answered as the leader of that term. It waits for their word; false where it did not come.
+// ConfirmLeader waits for a majority to confirm, after the call, that this voter still leads in the given term. If it
+// returns true, requests that arrived before the call may be answered by the leader of that term. It returns false if
+// there was no confirmation.
 func (a *Accord) ConfirmLeader(term uint64) bool {
 	if a.voter == nil {
 		return false
@@ -55,13 +58,13 @@
 	return r.State() == raft.Leader && a.voter.verifyLeader() && r.CurrentTerm() == term
 }
 
-// TransferLeadership has another voter lead where this one does, so that what hangs on who leads can be handed on before this process
-// ends. It waits for an election's time at most; false where this voter did not lead, or still does.
+// TransferLeadership makes another voter the leader if this one leads, so that the new leader can take over before this
+// process ends. It waits for the election timeout at most. It returns false if this voter did not lead or still leads.
 func (a *Accord) TransferLeadership() bool {
 	return a.voter != nil && a.voter.log.raft.State() == raft.Leader && a.voter.log.raft.LeadershipTransfer().Error() == nil
 }
 
-// Decided is the version decided last as this voter's log has it, and its policy.
+// Decided returns the last version that is decided in this voter's log, and its policy.
 func (a *Accord) Decided() (version uint64, body []byte) {
 	if a.voter == nil {
 		return 0, nil
@@ -70,7 +73,7 @@
 	return s.Version, s.Body
 }
 
-// VoterAddress is where a voter of that name listens; empty where there is none.
+// VoterAddress returns the address of the voter with that name, or "" if there is none.
 func (a *Accord) VoterAddress(name string) string {
 	for _, p := range a.cfg.Voters {
 		if p.Name == name {
@@ -80,13 +83,13 @@
 	return ""
 }
 
-// PastPolicy is a policy after which another was decided, as this voter saw it at a time.
+// PastPolicy is a policy that was replaced by another one.
 type PastPolicy struct {
 	Body  []byte
-	Until time.Time
+	Until time.Time // when this voter applied the decision that replaced it
 }
 
-// PastPolicies are the last policies before the one decided last that this process applied, oldest first.
+// PastPolicies returns the latest policies that this process saw replaced, oldest first.
 func (a *Accord) PastPolicies() []PastPolicy {
 	if a.voter == nil {
 		return nil
@@ -97,5 +100,6 @@
 	return slices.Clone(m.pastPolicies)
 }
 
-// NewLog says whether this voter's folder held no log when this process started: no earlier process of it took part.
+// NewLog reports whether this voter's data directory held no log when this process started, so that no earlier process
+// of this voter took part in the accord.
 func (a *Accord) NewLog() bool { return a.voter != nil && a.voter.log.isNew }
