--- a/internal/budget/wire/wire.go
+++ b/internal/budget/wire/wire.go
@@ -119,7 +119,7 @@
 	}
 	for _, c := range b {
 		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.') {
-			return "", fmt.Errorf("%w: %s %q contains the byte %q, want letters, digits, -, _ and .", ErrMessage, field, b, c)
+			return "", fmt.Errorf("%w: %s %q contains the byte %q, want letters, digits, dots, - and _", ErrMessage, field, b, c)
 		}
 	}
 	return string(b), nil
