--- a/cmd/tinsail/accord_rig_test.go
+++ b/cmd/tinsail/accord_rig_test.go
@@ -413,7 +413,7 @@
 	out := append(slices.Clone(j.lines), j.clientLines...)
 	j.mu.Unlock()
 	for _, b := range j.backends {
-		for _, s := range b.Starts() {
+		for _, s := range b.AttemptStarts() {
 			v, _ := strconv.ParseUint(s.Version, 10, 64) // none: 0, which the checker refuses
 			out = append(out, history.Line{T: s.At.UnixNano(), Side: history.Backend, Backend: b.Name, Dispatcher: s.Dispatcher, Req: s.Req, Version: v, Started: true})
 		}
--- a/cmd/tinsail/accord_test.go
+++ b/cmd/tinsail/accord_test.go
@@ -118,7 +118,7 @@
 	const slack = 20 * time.Millisecond
 	count, first, last := map[int]int{}, map[int]time.Time{}, map[int]time.Time{}
 	for _, b := range f.backends {
-		for _, s := range b.Starts() {
+		for _, s := range b.AttemptStarts() {
 			v, err := strconv.Atoi(s.Version)
 			require.NoError(t, err, "an attempt with no version")
 			require.NotEmpty(t, s.Dispatcher)
@@ -287,7 +287,7 @@
 	require.NoError(t, os.WriteFile(h.scriptPath, []byte(f.script(9, 500, "")), 0o600))
 	runUpgrades(t, h, 3)
 	for _, b := range h.backends {
-		for _, s := range b.Starts() {
+		for _, s := range b.AttemptStarts() {
 			assert.Equal(t, "1 by demo", s.Version+" by "+s.Dispatcher)
 		}
 	}
@@ -317,8 +317,8 @@
 	}
 }
 
-func startsOfVersion(b *platform.Backend, version string) (all []platform.Start) {
-	for _, s := range b.Starts() {
+func startsOfVersion(b *platform.Backend, version string) (all []platform.AttemptStart) {
+	for _, s := range b.AttemptStarts() {
 		if s.Version == version {
 			all = append(all, s)
 		}
--- a/cmd/tinsail/consul_test.go
+++ b/cmd/tinsail/consul_test.go
@@ -196,8 +196,8 @@
 	s.agents[1].Put(s.instance(moved))
 	s.agents[1].Maintenance("b01", true)
 	s.agents[1].Set(standin.Faults{})
-	s.backends[0].Set(platform.Faults{Hold: true})
-	moved.Set(platform.Faults{Hold: true})
+	s.backends[0].Set(platform.Faults{HoldJobs: true})
+	moved.Set(platform.Faults{HoldJobs: true})
 	done := make(chan error, 1)
 	go func() { done <- f.sendAndCount("across-the-reload") }()
 	s.waitFor(func() bool { return s.d.core.OpenReqs() == 1 })
@@ -278,7 +278,7 @@
 			}
 			time.Sleep(60 * time.Millisecond)
 			for backend, markedAt := range marked {
-				took = append(took, max(backend.LastJob().Sub(markedAt), 0))
+				took = append(took, max(backend.LastJobTime().Sub(markedAt), 0))
 				s.agents[0].Maintenance(backend.Name, false)
 			}
 			s.waitFor(func() bool { return s.d.core.ReadyBackends() == 12 })
@@ -341,7 +341,7 @@
 			for b.Loop() {
 				s := newConsulFixture(b, 1, 10, 20*time.Millisecond, v.script)
 				if v.failing {
-					s.backends[3].Set(platform.Faults{FailPart: 0.9})
+					s.backends[3].Set(platform.Faults{FailShare: 0.9})
 				}
 				stop := make(chan struct{})
 				l := s.startLoad(500, 160*time.Millisecond, stop)
--- a/cmd/tinsail/cost_test.go
+++ b/cmd/tinsail/cost_test.go
@@ -31,7 +31,7 @@
 	const clients = 8
 	h := newDeployment(b, "127.0.0.1:0")
 	for _, backend := range h.backends {
-		backend.Work = func(string) time.Duration { return 0 }
+		backend.JobDuration = func(string) time.Duration { return 0 }
 		backend.Set(platform.Faults{}) // after Work, for the backend's goroutines to see
 	}
 	p := h.start()
--- a/cmd/tinsail/door_test.go
+++ b/cmd/tinsail/door_test.go
@@ -80,12 +80,12 @@
 // TestNotReadyBeforeFirstList: a process without a list of backends does not report that it serves.
 func TestNotReadyBeforeFirstList(t *testing.T) {
 	h := newDeployment(t, "127.0.0.1:0")
-	h.director.Down(true)
+	h.director.SetDown(true)
 	p := h.start()
 	for range 20 {
 		assert.False(t, p.call(door.Ready, ""))
 	}
-	h.director.Down(false)
+	h.director.SetDown(false)
 	p.awaitReady()
 }
 
@@ -155,7 +155,7 @@
 		b.Run(map[bool]string{false: "idle", true: "flooded"}[flooded], func(b *testing.B) {
 			h := newDeployment(b, "127.0.0.1:0")
 			for _, x := range h.backends {
-				x.Work = func(string) time.Duration { return 0 }
+				x.JobDuration = func(string) time.Duration { return 0 }
 			}
 			p := h.start()
 			p.awaitReady()
--- a/cmd/tinsail/fleet_test.go
+++ b/cmd/tinsail/fleet_test.go
@@ -252,7 +252,7 @@
 func (f *fleet) connectionTimes(since time.Time) []time.Time {
 	var times []time.Time
 	for _, b := range f.backends {
-		for _, at := range b.Connections() {
+		for _, at := range b.ConnectionTimes() {
 			if !at.Before(since) {
 				times = append(times, at)
 			}
--- a/cmd/tinsail/pages_crowds_test.go
+++ b/cmd/tinsail/pages_crowds_test.go
@@ -204,7 +204,7 @@
 	h := newDeployment(t, "127.0.0.1:0")
 	h.editConfig(`"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, sockets))
 	for _, b := range h.backends {
-		b.Set(platform.Faults{Hold: true})
+		b.Set(platform.Faults{HoldJobs: true})
 	}
 	p := h.start()
 	p.awaitReady()
--- a/cmd/tinsail/pages_hostile_test.go
+++ b/cmd/tinsail/pages_hostile_test.go
@@ -21,66 +21,68 @@
 // another, each has an answer, and a connection that had surplus bytes when a request was assigned to it carries
 // no further one.
 func TestMalformedBackendAnswers(t *testing.T) {
-	other := func(b *platform.Raw) string { return b.Served("other") }
+	other := func(b *platform.RawBackend) string { return b.ResultAnswer("other") }
 	for name, c := range map[string]struct {
-		firstAnswer func(b *platform.Raw, q platform.RawReq) string // instead of the first answer
-		whileIdle   func(b *platform.Raw) string                    // once the client has the first answer
-		onSecondReq func(b *platform.Raw) string                    // once the second request has arrived, before its answer
-		closesAfter bool                                            // the backend then closes its sending side
-		firstStatus int                                             // status of the first answer
+		firstAnswer func(b *platform.RawBackend, q platform.RawReq) string // instead of the first answer
+		whileIdle   func(b *platform.RawBackend) string                    // once the client has the first answer
+		onSecondReq func(b *platform.RawBackend) string                    // once the second request has arrived, before its answer
+		closesAfter bool                                                   // the backend then closes its sending side
+		firstStatus int                                                    // status of the first answer
 	}{
-		"half a line, then nothing": {firstAnswer: func(b *platform.Raw, q platform.RawReq) string {
-			return platform.Head + "40\r\n" + b.Line(q.ID, `"done"`)[:20]
+		"half a line, then nothing": {firstAnswer: func(b *platform.RawBackend, q platform.RawReq) string {
+			return platform.AnswerHeader + "40\r\n" + b.StateLine(q.ID, `"done"`)[:20]
 		}},
-		"half a line, then the end": {closesAfter: true, firstAnswer: func(b *platform.Raw, q platform.RawReq) string {
-			return platform.Head + "40\r\n" + b.Line(q.ID, `"done"`)[:20]
+		"half a line, then the end": {closesAfter: true, firstAnswer: func(b *platform.RawBackend, q platform.RawReq) string {
+			return platform.AnswerHeader + "40\r\n" + b.StateLine(q.ID, `"done"`)[:20]
 		}},
-		"half a status line, then the end": {closesAfter: true, firstAnswer: func(*platform.Raw, platform.RawReq) string { return "HTTP/1.1 20" }},
-		"started, then the end": {closesAfter: true, firstAnswer: func(b *platform.Raw, q platform.RawReq) string {
-			return platform.Head + platform.Chunk(b.Line(q.ID, `"started"`))
+		"half a status line, then the end": {closesAfter: true, firstAnswer: func(*platform.RawBackend, platform.RawReq) string { return "HTTP/1.1 20" }},
+		"started, then the end": {closesAfter: true, firstAnswer: func(b *platform.RawBackend, q platform.RawReq) string {
+			return platform.AnswerHeader + platform.EncodeChunk(b.StateLine(q.ID, `"started"`))
 		}},
-		"a result for another": {firstAnswer: func(b *platform.Raw, _ platform.RawReq) string { return b.Served("other") }},
-		"no last chunk, then the end": {firstStatus: 200, closesAfter: true, firstAnswer: func(b *platform.Raw, q platform.RawReq) string {
-			return strings.TrimSuffix(b.Served(q.ID), "0\r\n\r\n")
+		"a result for another": {firstAnswer: func(b *platform.RawBackend, _ platform.RawReq) string { return b.ResultAnswer("other") }},
+		"no last chunk, then the end": {firstStatus: 200, closesAfter: true, firstAnswer: func(b *platform.RawBackend, q platform.RawReq) string {
+			return strings.TrimSuffix(b.ResultAnswer(q.ID), "0\r\n\r\n")
 		}},
-		"a second answer in the same piece": {firstStatus: 200, firstAnswer: func(b *platform.Raw, q platform.RawReq) string { return b.Served(q.ID) + b.Served("other") }},
-		"a second line in the same piece": {firstStatus: 200, firstAnswer: func(b *platform.Raw, q platform.RawReq) string {
-			return strings.TrimSuffix(b.Served(q.ID), "0\r\n\r\n") + platform.Chunk(b.Line("other", `"done","result":"small other"`)) + "0\r\n\r\n"
+		"a second answer in the same piece": {firstStatus: 200, firstAnswer: func(b *platform.RawBackend, q platform.RawReq) string {
+			return b.ResultAnswer(q.ID) + b.ResultAnswer("other")
 		}},
-		"half an answer in the same piece": {firstStatus: 200, firstAnswer: func(b *platform.Raw, q platform.RawReq) string { return b.Served(q.ID) + "HTTP/1.1 2" }},
+		"a second line in the same piece": {firstStatus: 200, firstAnswer: func(b *platform.RawBackend, q platform.RawReq) string {
+			return strings.TrimSuffix(b.ResultAnswer(q.ID), "0\r\n\r\n") + platform.EncodeChunk(b.StateLine("other", `"done","result":"small other"`)) + "0\r\n\r\n"
+		}},
+		"half an answer in the same piece": {firstStatus: 200, firstAnswer: func(b *platform.RawBackend, q platform.RawReq) string { return b.ResultAnswer(q.ID) + "HTTP/1.1 2" }},
 		"a second answer at rest":          {firstStatus: 200, whileIdle: other},
-		"a byte at rest":                   {firstStatus: 200, whileIdle: func(*platform.Raw) string { return "H" }},
-		"half a line at rest":              {firstStatus: 200, whileIdle: func(b *platform.Raw) string { return b.Line("other", `"done"`)[:20] }},
-		"a line at rest":                   {firstStatus: 200, whileIdle: func(b *platform.Raw) string { return b.Line("other", `"done","result":"small other"`) }},
-		"a 503 at rest": {firstStatus: 200, whileIdle: func(*platform.Raw) string {
+		"a byte at rest":                   {firstStatus: 200, whileIdle: func(*platform.RawBackend) string { return "H" }},
+		"half a line at rest":              {firstStatus: 200, whileIdle: func(b *platform.RawBackend) string { return b.StateLine("other", `"done"`)[:20] }},
+		"a line at rest":                   {firstStatus: 200, whileIdle: func(b *platform.RawBackend) string { return b.StateLine("other", `"done","result":"small other"`) }},
+		"a 503 at rest": {firstStatus: 200, whileIdle: func(*platform.RawBackend) string {
 			return "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 		}},
-		"half an answer at rest, then the end": {firstStatus: 200, closesAfter: true, whileIdle: func(*platform.Raw) string { return "HTTP/1.1 20" }},
+		"half an answer at rest, then the end": {firstStatus: 200, closesAfter: true, whileIdle: func(*platform.RawBackend) string { return "HTTP/1.1 20" }},
 		"an answer in the moment":              {firstStatus: 200, onSecondReq: other},
-		"half a line in the moment":            {firstStatus: 200, onSecondReq: func(b *platform.Raw) string { return b.Line("other", `"done"`)[:20] }},
-		"half an answer in the moment":         {firstStatus: 200, onSecondReq: func(*platform.Raw) string { return "HTTP/1.1 20" }},
+		"half a line in the moment":            {firstStatus: 200, onSecondReq: func(b *platform.RawBackend) string { return b.StateLine("other", `"done"`)[:20] }},
+		"half an answer in the moment":         {firstStatus: 200, onSecondReq: func(*platform.RawBackend) string { return "HTTP/1.1 20" }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var first atomic.Value // the first request of the current round
-			var b *platform.Raw
-			b, err := platform.StartRaw("b", func(q platform.RawReq) {
+			var b *platform.RawBackend
+			b, err := platform.StartRawBackend("b", func(q platform.RawReq) {
 				old, _ := first.Load().(platform.RawReq)
 				switch {
 				case strings.HasPrefix(q.ID, "first-") && q.ID != old.ID: // its first attempt
 					first.Store(q)
 					if c.firstAnswer == nil {
-						q.Write(b.Served(q.ID))
+						q.Write(b.ResultAnswer(q.ID))
 						return
 					}
 					q.Write(c.firstAnswer(b, q))
 					if c.closesAfter {
-						_ = q.C.CloseWrite()
+						_ = q.TCP.CloseWrite()
 					}
-				case c.onSecondReq != nil && strings.HasPrefix(q.ID, "second-") && q.Conn == old.Conn:
+				case c.onSecondReq != nil && strings.HasPrefix(q.ID, "second-") && q.Connection == old.Connection:
 					q.Write(c.onSecondReq(b))
-					q.Write(b.Served(q.ID))
+					q.Write(b.ResultAnswer(q.ID))
 				default:
-					q.Write(b.Served(q.ID))
+					q.Write(b.ResultAnswer(q.ID))
 				}
 			})
 			require.NoError(t, err)
@@ -116,13 +118,13 @@
 			for i := range rounds {
 				ask(fmt.Sprint("first-", i), c.firstStatus)
 				bad := first.Load().(platform.RawReq)
-				if surplusAt[bad.Conn] = bad.Turn; c.onSecondReq != nil {
-					surplusAt[bad.Conn] = bad.Turn + 1
+				if surplusAt[bad.Connection] = bad.Number; c.onSecondReq != nil {
+					surplusAt[bad.Connection] = bad.Number + 1
 				}
 				if c.whileIdle != nil {
 					bad.Write(c.whileIdle(b))
 					if c.closesAfter {
-						_ = bad.C.CloseWrite()
+						_ = bad.TCP.CloseWrite()
 					}
 				}
 				for _, which := range []string{"second", "third"} {
@@ -133,8 +135,8 @@
 					ask(fmt.Sprint(which, "-", i), want)
 				}
 			}
-			for _, q := range b.Seen() {
-				if turn, bad := surplusAt[q.Conn]; bad && q.Turn > turn && !strings.HasPrefix(q.ID, "first-") {
+			for _, q := range b.Reqs() {
+				if turn, bad := surplusAt[q.Connection]; bad && q.Number > turn && !strings.HasPrefix(q.ID, "first-") {
 					wrong["carried by a connection with surplus bytes"]++
 				}
 			}
@@ -144,12 +146,12 @@
 }
 
 // countAttempts counts the attempts for an id: how many started, and how many arrived whole.
-func countAttempts(id string, raws ...*platform.Raw) (begun, whole int) {
+func countAttempts(id string, raws ...*platform.RawBackend) (begun, whole int) {
 	for _, r := range raws {
-		for _, q := range r.Seen() {
+		for _, q := range r.Reqs() {
 			if q.ID == id {
 				begun++
-				if q.Whole {
+				if q.Complete {
 					whole++
 				}
 			}
@@ -163,28 +165,32 @@
 // is not a refusal.
 func TestUnsafeReqSentOnce(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer func(b *platform.Raw, q platform.RawReq)
+		answer func(b *platform.RawBackend, q platform.RawReq)
 		want   int // status; 0: any but a refusal or a result
 	}{
-		"reset after the last byte": {answer: func(_ *platform.Raw, q platform.RawReq) { q.Reset() }},
-		"ended after the last byte": {answer: func(_ *platform.Raw, q platform.RawReq) { _ = q.C.CloseWrite() }},
-		"reset after the start": {answer: func(b *platform.Raw, q platform.RawReq) {
-			q.Write(platform.Head + b.Line(q.ID, `"started"`))
+		"reset after the last byte": {answer: func(_ *platform.RawBackend, q platform.RawReq) { q.Reset() }},
+		"ended after the last byte": {answer: func(_ *platform.RawBackend, q platform.RawReq) { _ = q.TCP.CloseWrite() }},
+		"reset after the start": {answer: func(b *platform.RawBackend, q platform.RawReq) {
+			q.Write(platform.AnswerHeader + b.StateLine(q.ID, `"started"`))
 			q.Reset()
 		}},
-		"half a status line": {answer: func(_ *platform.Raw, q platform.RawReq) { q.Write("HTTP/1.1 5"); _ = q.C.CloseWrite() }},
-		"503 without a word": {answer: func(_ *platform.Raw, q platform.RawReq) { q.Write("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n") }},
-		"500":                {answer: func(_ *platform.Raw, q platform.RawReq) { q.Write("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n") }},
-		"silent, then done": {want: 200, answer: func(b *platform.Raw, q platform.RawReq) {
+		"half a status line": {answer: func(_ *platform.RawBackend, q platform.RawReq) { q.Write("HTTP/1.1 5"); _ = q.TCP.CloseWrite() }},
+		"503 without a word": {answer: func(_ *platform.RawBackend, q platform.RawReq) {
+			q.Write("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
+		}},
+		"500": {answer: func(_ *platform.RawBackend, q platform.RawReq) {
+			q.Write("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n")
+		}},
+		"silent, then done": {want: 200, answer: func(b *platform.RawBackend, q platform.RawReq) {
 			time.Sleep(3 * time.Second) // many times the aim and any hedging delay; no assertion depends on it
-			q.Write(b.Served(q.ID))
+			q.Write(b.ResultAnswer(q.ID))
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var raws []*platform.Raw
+			var raws []*platform.RawBackend
 			for i := range 3 {
-				var b *platform.Raw
-				b, err := platform.StartRaw(fmt.Sprint("b", i), func(q platform.RawReq) { c.answer(b, q) })
+				var b *platform.RawBackend
+				b, err := platform.StartRawBackend(fmt.Sprint("b", i), func(q platform.RawReq) { c.answer(b, q) })
 				require.NoError(t, err)
 				raws = append(raws, b)
 			}
@@ -224,9 +230,9 @@
 // TestUnsafeReqAfterRefusedConnection: a refused connection has carried nothing, so an unsafe request goes on to
 // the backend that listens.
 func TestUnsafeReqAfterRefusedConnection(t *testing.T) {
-	var raws []*platform.Raw
+	var raws []*platform.RawBackend
 	for i := range 3 {
-		b, err := platform.StartRaw(fmt.Sprint("b", i), nil)
+		b, err := platform.StartRawBackend(fmt.Sprint("b", i), nil)
 		require.NoError(t, err)
 		raws = append(raws, b)
 	}
@@ -257,10 +263,10 @@
 // follows.
 func TestNoRepeatAfterWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
-	var raws []*platform.Raw
+	var raws []*platform.RawBackend
 	for i := range 3 {
-		b, err := platform.StartRaw(fmt.Sprint("b", i), func(q platform.RawReq) {
-			time.Sleep(time.Until(q.First.Add(2 * window)))
+		b, err := platform.StartRawBackend(fmt.Sprint("b", i), func(q platform.RawReq) {
+			time.Sleep(time.Until(q.FirstByteAt.Add(2 * window)))
 			q.Reset()
 		})
 		require.NoError(t, err)
@@ -286,19 +292,19 @@
 
 // checkRepeatWindow checks that no attempt starts later than the window, plus the slack that the platform
 // allows, after the first attempt that arrived whole.
-func checkRepeatWindow(t *testing.T, window time.Duration, raws ...*platform.Raw) {
+func checkRepeatWindow(t *testing.T, window time.Duration, raws ...*platform.RawBackend) {
 	first := map[string]time.Time{}
 	for _, r := range raws {
-		for _, q := range r.Seen() {
-			if at, known := first[q.ID]; q.Whole && (!known || q.First.Before(at)) {
-				first[q.ID] = q.First
+		for _, q := range r.Reqs() {
+			if at, known := first[q.ID]; q.Complete && (!known || q.FirstByteAt.Before(at)) {
+				first[q.ID] = q.FirstByteAt
 			}
 		}
 	}
 	for _, r := range raws {
-		for _, q := range r.Seen() {
+		for _, q := range r.Reqs() {
 			if at, known := first[q.ID]; known && q.ID != "" {
-				assert.LessOrEqual(t, q.First.Sub(at), window+history.Slack, "%s at %s", q.ID, r.Name)
+				assert.LessOrEqual(t, q.FirstByteAt.Sub(at), window+history.Slack, "%s at %s", q.ID, r.Name)
 			}
 		}
 	}
@@ -308,17 +314,17 @@
 // established only after the window.
 func TestNoRepeatWhenConnectOutlastsWindow(t *testing.T) {
 	const window = 3 * time.Second
-	late, err := platform.StartHeld("late", nil)
+	late, err := platform.StartStalledBackend("late", nil)
 	require.NoError(t, err)
 	var h *deployment
 	var swapped sync.Once
-	var b *platform.Raw
-	b, err = platform.StartRaw("b", func(q platform.RawReq) {
+	var b *platform.RawBackend
+	b, err = platform.StartRawBackend("b", func(q platform.RawReq) {
 		swapped.Do(func() {
 			h.director.Set(b.Entry(0, "Terminating"))
 			h.director.Set(late.Entry(0, "Ready"))
 		})
-		time.Sleep(time.Until(q.First.Add(window / 4))) // time for the new list to arrive; well within the window
+		time.Sleep(time.Until(q.FirstByteAt.Add(window / 4))) // time for the new list to arrive; well within the window
 		q.Reset()
 	})
 	require.NoError(t, err)
@@ -332,8 +338,8 @@
 	defer k.Close()
 	require.NoError(t, k.sendReq("window"))
 	waitFor(t, "a connection being established", func() bool { return pendingConnects(t, late.Address) > 0 })
-	time.Sleep(time.Until(b.Seen()[0].First.Add(window + 500*time.Millisecond)))
-	require.NoError(t, late.Release())
+	time.Sleep(time.Until(b.Reqs()[0].FirstByteAt.Add(window + 500*time.Millisecond)))
+	require.NoError(t, late.AcceptConnections())
 	waitFor(t, "no connection being established", func() bool { return pendingConnects(t, late.Address) == 0 })
 	_ = k.SetReadDeadline(time.Now().Add(waitTimeout))
 	status, _, _, err := k.readAnswer()
--- a/cmd/tinsail/pages_test.go
+++ b/cmd/tinsail/pages_test.go
@@ -30,7 +30,7 @@
 
 // newEditedDeployment makes a deployment whose director lists only these backends. edits are pairs of an old and
 // a new text of its configuration.
-func newEditedDeployment(t *testing.T, edits []string, raws ...*platform.Raw) *deployment {
+func newEditedDeployment(t *testing.T, edits []string, raws ...*platform.RawBackend) *deployment {
 	h := newDeployment(t, "127.0.0.1:0")
 	for i, b := range h.backends {
 		h.director.Set(b.Entry("fast", "here", i, "Gone"))
@@ -180,7 +180,7 @@
 // TestClientLeavesWhileConnecting: clients leave while the backend connection for their requests is being
 // established. It comes up a second later and must carry none of them.
 func TestClientLeavesWhileConnecting(t *testing.T) {
-	held, err := platform.StartHeld("held", nil)
+	held, err := platform.StartStalledBackend("held", nil)
 	require.NoError(t, err)
 	h := newEditedDeployment(t, []string{`"ConnectTimeoutMs": 120`, `"ConnectTimeoutMs": 20000`, `"HardLimitMs": 5000`, `"HardLimitMs": 60000`}, held)
 	p := h.start()
@@ -189,39 +189,41 @@
 		waitFor(t, "all are accepted", func() bool { return h.counterOrZero("reqs_taken") >= n })
 		waitFor(t, "a connection being established", func() bool { return pendingConnects(t, held.Address) > 0 })
 	})
-	require.Empty(t, held.Seen(), "the backend accepts nothing yet")
-	require.NoError(t, held.Release())
+	require.Empty(t, held.Reqs(), "the backend accepts nothing yet")
+	require.NoError(t, held.AcceptConnections())
 	waitFor(t, "no connection being established", func() bool { return pendingConnects(t, held.Address) == 0 })
 	assert.Equal(t, 200, h.sendJob())
 	p.terminate(t)
-	for _, q := range held.Seen() {
-		assert.Contains(t, q.ID, "one-", "started %v after its client had left", q.First.Sub(gone))
+	for _, q := range held.Reqs() {
+		assert.Contains(t, q.ID, "one-", "started %v after its client had left", q.FirstByteAt.Sub(gone))
 	}
 }
 
 // TestClientLeavesBetweenAttempts: clients leave while there is no backend, or while an attempt is running. Then
 // a backend appears, or the attempts end in a way that calls for a retry: no attempt may start.
 func TestClientLeavesBetweenAttempts(t *testing.T) {
-	for name, ends := range map[string]func(b *platform.Raw, q platform.RawReq){
+	for name, ends := range map[string]func(b *platform.RawBackend, q platform.RawReq){
 		"no backend": nil,
-		"turned away": func(_ *platform.Raw, q platform.RawReq) {
+		"turned away": func(_ *platform.RawBackend, q platform.RawReq) {
 			q.Write("HTTP/1.1 503 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
 		},
-		"reset": func(_ *platform.Raw, q platform.RawReq) { q.Reset() },
-		"returned": func(b *platform.Raw, q platform.RawReq) {
-			q.Write(platform.Head + platform.Chunk(b.Line(q.ID, `"returned"`)) + "0\r\n\r\n")
+		"reset": func(_ *platform.RawBackend, q platform.RawReq) { q.Reset() },
+		"returned": func(b *platform.RawBackend, q platform.RawReq) {
+			q.Write(platform.AnswerHeader + platform.EncodeChunk(b.StateLine(q.ID, `"returned"`)) + "0\r\n\r\n")
 		},
-		"500":     func(_ *platform.Raw, q platform.RawReq) { q.Write("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n") },
-		"nothing": func(*platform.Raw, platform.RawReq) {}, // a hedge may be due
+		"500": func(_ *platform.RawBackend, q platform.RawReq) {
+			q.Write("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n")
+		},
+		"nothing": func(*platform.RawBackend, platform.RawReq) {}, // a hedge may be due
 	} {
 		t.Run(name, func(t *testing.T) {
 			left := make(chan struct{})
-			var raws []*platform.Raw
+			var raws []*platform.RawBackend
 			for i := range 2 {
-				var b *platform.Raw
-				b, err := platform.StartRaw(fmt.Sprint("raw", i), func(q platform.RawReq) {
+				var b *platform.RawBackend
+				b, err := platform.StartRawBackend(fmt.Sprint("raw", i), func(q platform.RawReq) {
 					if _, leaves := departures[q.ID]; !leaves || ends == nil {
-						q.Write(b.Served(q.ID))
+						q.Write(b.ResultAnswer(q.ID))
 						return
 					}
 					<-left
@@ -242,7 +244,7 @@
 			}
 			gone := leaveWhileWaiting(t, h, func(n int) {
 				waitFor(t, "all are accepted", func() bool { return h.counterOrZero("reqs_taken") >= n })
-				waitFor(t, "all are at a backend", func() bool { return ends == nil || len(raws[0].Seen())+len(raws[1].Seen()) >= n })
+				waitFor(t, "all are at a backend", func() bool { return ends == nil || len(raws[0].Reqs())+len(raws[1].Reqs()) >= n })
 			})
 			close(left)
 			for _, b := range raws {
@@ -251,9 +253,9 @@
 			waitFor(t, "served", func() bool { return h.sendJob() == 200 })
 			p.terminate(t)
 			for _, b := range raws {
-				for _, q := range b.Seen() {
+				for _, q := range b.Reqs() {
 					if _, leaves := departures[q.ID]; leaves {
-						assert.Less(t, q.First.Sub(gone), 100*time.Millisecond, "%s started after its client had left", q.ID)
+						assert.Less(t, q.FirstByteAt.Sub(gone), 100*time.Millisecond, "%s started after its client had left", q.ID)
 					}
 				}
 			}
@@ -352,7 +354,7 @@
 		t.Run(fmt.Sprint(len(behind)), func(t *testing.T) {
 			h := newDeployment(t, "127.0.0.1:0")
 			for _, b := range h.backends {
-				b.Set(platform.Faults{Hold: true})
+				b.Set(platform.Faults{HoldJobs: true})
 			}
 			p := h.start()
 			p.awaitReady()
@@ -401,9 +403,9 @@
 // the program when it closes with unread bytes of the client.
 func TestLongAnswerOverUnread(t *testing.T) {
 	result := strings.Repeat("r", 60<<10)
-	var b *platform.Raw
-	b, err := platform.StartRaw("b", func(q platform.RawReq) {
-		q.Write(platform.Head + platform.Chunk(b.Line(q.ID, `"done","result":"`+result+`"`)) + "0\r\n\r\n")
+	var b *platform.RawBackend
+	b, err := platform.StartRawBackend("b", func(q platform.RawReq) {
+		q.Write(platform.AnswerHeader + platform.EncodeChunk(b.StateLine(q.ID, `"done","result":"`+result+`"`)) + "0\r\n\r\n")
 	})
 	require.NoError(t, err)
 	h := newEditedDeployment(t, nil, b)
@@ -461,7 +463,7 @@
 		}
 	}
 	for _, b := range h.backends {
-		for key := range b.Ran() {
+		for key := range b.RunsByKey() {
 			assert.NotEqual(t, "half", key)
 		}
 	}
--- a/cmd/tinsail/program_test.go
+++ b/cmd/tinsail/program_test.go
@@ -162,7 +162,7 @@
 	done := 0
 	for _, b := range p.backends {
 		done += b.Counts().Done
-		for key, n := range b.Ran() {
+		for key, n := range b.RunsByKey() {
 			assert.Equal(t, 1, n, key)
 		}
 	}
@@ -209,7 +209,7 @@
 func TestFirstListSetsCapacity(t *testing.T) {
 	h := newDeployment(t, "127.0.0.1:0")
 	for _, b := range h.backends {
-		b.Set(platform.Faults{Hold: true})
+		b.Set(platform.Faults{HoldJobs: true})
 	}
 	p := h.start()
 	p.awaitReady()
--- a/cmd/tinsail/quota_rig_test.go
+++ b/cmd/tinsail/quota_rig_test.go
@@ -75,7 +75,7 @@
 		b, err := platform.StartBackend(fmt.Sprintf("b%d", i), 256, func(id string) time.Duration { return time.Duration(30+len(id)%5*15) * time.Millisecond })
 		require.NoError(t, err)
 		t.Cleanup(b.Close)
-		b.Told = func(at time.Time, id string, event platform.Event) { f.recordBackendEvent(b.Name, at, id, event) }
+		b.OnAttempt = func(at time.Time, id string, event platform.Event) { f.recordBackendEvent(b.Name, at, id, event) }
 		f.director.Set(b.Entry("fast", "here", i, "Ready"))
 		f.backends = append(f.backends, b)
 	}
--- a/cmd/tinsail/quotas_fleet_test.go
+++ b/cmd/tinsail/quotas_fleet_test.go
@@ -147,7 +147,7 @@
 func (f *quotaFleet) startedReqs(prefix string) int {
 	seen := map[string]bool{}
 	for _, b := range f.backends {
-		for _, s := range b.Starts() {
+		for _, s := range b.AttemptStarts() {
 			if strings.HasPrefix(s.Req, prefix) {
 				seen[s.Req] = true
 			}
@@ -177,7 +177,7 @@
 // begin, wherever the units were. Then others, to all members: none begins, and each is refused with advice in its time.
 // meanwhile happens then; what it returns is waited for at the end, when the backends go on and all that began is served.
 func (f *quotaFleet) checkLimit(t *testing.T, prefix string, to []int, meanwhile func() (wait func())) {
-	f.setFaults(platform.Faults{Hold: true})
+	f.setFaults(platform.Faults{HoldJobs: true})
 	var clients, late sync.WaitGroup
 	for i := range f.quota {
 		clients.Go(func() {
@@ -204,7 +204,7 @@
 // checkDrain has a member checkDrain while it has all units of the team in use and more reqs wait for one: all are served, the ones
 // that wait as units come free, and it ends by itself.
 func (f *quotaFleet) checkDrain(t *testing.T, i int) {
-	f.setFaults(platform.Faults{Hold: true})
+	f.setFaults(platform.Faults{HoldJobs: true})
 	var clients sync.WaitGroup
 	send := func(id string) {
 		clients.Go(func() {
@@ -309,7 +309,7 @@
 	f.members = append(f.members, &member{address: h.clientAddress})
 	f.members[3].awaitCounter(t, "accord_ready", 1)
 
-	f.setFaults(platform.Faults{Hold: true})
+	f.setFaults(platform.Faults{HoldJobs: true})
 	var clients sync.WaitGroup
 	send := func(id string) {
 		clients.Go(func() {
--- a/cmd/tinsail/ready_test.go
+++ b/cmd/tinsail/ready_test.go
@@ -82,11 +82,11 @@
 				}
 			}
 			h.writeKnownList(c.index, entries...)
-			h.director.Down(c.down)
+			h.director.SetDown(c.down)
 			p, line := h.startReady(t)
 			assert.Equal(t, []any{c.from, c.calls}, []any{line["from"], line["director_calls"]})
 			assert.True(t, h.isReady())
-			calls := h.director.Main().Calls()
+			calls := h.director.MainListener().Calls()
 			if c.calls > 0 {
 				require.NotEmpty(t, calls)
 				assert.False(t, calls[0].Watch, "the first call asks for the whole list")
--- a/cmd/tinsail/reset_test.go
+++ b/cmd/tinsail/reset_test.go
@@ -19,7 +19,7 @@
 // run. Each client gets its one answer within 20 s, long before its deadline of a minute: a read that waits for the deadline fails.
 func TestUnsafeReqRunsOnceAfterReset(t *testing.T) {
 	const reqs, wait = 5, 20 * time.Second
-	for _, point := range []platform.Point{platform.BeforeLast, platform.BeforeStart, platform.AfterStart} {
+	for _, point := range []platform.ResetPoint{platform.BeforeLastByte, platform.BeforeStart, platform.AfterStart} {
 		t.Run(fmt.Sprint("point ", point), func(t *testing.T) {
 			h := newDeployment(t, "127.0.0.1:0")
 			text, err := os.ReadFile(h.configPath)
@@ -30,7 +30,7 @@
 			p := h.start()
 			p.awaitReady()
 			for i, b := range h.backends {
-				if i > 0 || point != platform.BeforeLast { // one backend works, for requests that are sent again
+				if i > 0 || point != platform.BeforeLastByte { // one backend works, for requests that are sent again
 					b.Set(platform.Faults{Reset: point})
 				}
 			}
@@ -49,7 +49,7 @@
 				} else {
 					seen.Answered(history.Answer{ID: id, At: time.Now(), Status: status, Body: result})
 				}
-				if point != platform.BeforeLast {
+				if point != platform.BeforeLastByte {
 					require.Equal(t, 502, status)
 				}
 				c.Close()
--- a/cmd/tinsail/restart_test.go
+++ b/cmd/tinsail/restart_test.go
@@ -25,7 +25,7 @@
 	const connections, before = 40, 400
 	p := startProgram(t, "", 0)
 	for _, b := range p.backends {
-		b.Work = func(id string) time.Duration {
+		b.JobDuration = func(id string) time.Duration {
 			if id[len(id)-1] == '7' {
 				return 300 * time.Millisecond
 			}
--- a/cmd/tinsail/shutdown_crossing_test.go
+++ b/cmd/tinsail/shutdown_crossing_test.go
@@ -162,7 +162,7 @@
 	idle.write(t, reqHead("idle-before", 1, "")+"b")
 	idle.expectAnswer(t, timing, 200, "small idle-before")
 	for _, b := range h.backends {
-		b.Set(platform.Faults{Hold: true})
+		b.Set(platform.Faults{HoldJobs: true})
 	}
 	held, hung, before := h.connect(), h.connect(), h.jobCount()
 	held.write(t, reqHead("held", 1, "")+"b")
@@ -205,7 +205,7 @@
 	assert.NoError(t, p.cmd.Wait(), "it exits by itself")
 	ran := 0
 	for _, b := range h.backends {
-		for key, n := range b.Ran() {
+		for key, n := range b.RunsByKey() {
 			ran++
 			assert.Equal(t, 1, n, key)
 			assert.NotContains(t, []string{"silent", "half-silent"}, key, "it was never complete")
@@ -225,7 +225,7 @@
 	h.setDeadline(1000)
 	p, _ := h.startReady(t)
 	for _, b := range h.backends {
-		b.Set(platform.Faults{Hold: true})
+		b.Set(platform.Faults{HoldJobs: true})
 	}
 	const reqs = 20
 	var all sync.WaitGroup
@@ -331,8 +331,8 @@
 	p.awaitShutdown(t)
 	change := list("Ready")
 	<-first
-	for calls := h.director.Main().Calls(); ; calls = h.director.Main().Calls() { // it polls for a newer list: it has both entries
-		if n := len(calls); n > 1 && calls[n-1].Done.IsZero() && calls[n-2].Index >= change.Index {
+	for calls := h.director.MainListener().Calls(); ; calls = h.director.MainListener().Calls() { // it polls for a newer list: it has both entries
+		if n := len(calls); n > 1 && calls[n-1].EndedAt.IsZero() && calls[n-2].Index >= change.Index {
 			break
 		}
 		time.Sleep(time.Millisecond)
@@ -348,7 +348,7 @@
 func TestTermNotReady(t *testing.T) {
 	h := newDeployment(t, "127.0.0.1:0")
 	h.setDeadline(1000)
-	h.director.Down(true)
+	h.director.SetDown(true)
 	p := h.start()
 	held := h.connect()
 	held.write(t, reqHead("held", 1, "")+"b")
--- a/cmd/tinsail/shutdown_handover_test.go
+++ b/cmd/tinsail/shutdown_handover_test.go
@@ -28,7 +28,7 @@
 	held, half := h.connect(), h.connect()
 	rest := half.sendHalfHead(t, timing, "half")
 	for _, b := range h.backends {
-		b.Set(platform.Faults{Hold: true})
+		b.Set(platform.Faults{HoldJobs: true})
 	}
 	held.write(t, reqHead("held", 1, "")+"b")
 	for h.jobCount() < 2 {
@@ -65,7 +65,7 @@
 	for _, oldGoes := range []bool{false, true} {
 		t.Run(fmt.Sprint("the old one goes: ", oldGoes), func(t *testing.T) {
 			h := newDeployment(t, "127.0.0.1:0")
-			h.director.Down(true)
+			h.director.SetDown(true)
 			clients, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			defer clients.Close()
@@ -82,7 +82,7 @@
 			require.NoError(t, next.cmd.Process.Signal(syscall.SIGTERM))
 			for next.awaitEvent(t, "service")["to"] != "shutting down" {
 			}
-			h.director.Down(false) // now the new process gets a list
+			h.director.SetDown(false) // now the new process gets a list
 			next.awaitEvent(t, "ready")
 			c, err := h.dial()
 			require.NoError(t, err)
--- a/cmd/tinsail/takeover_test.go
+++ b/cmd/tinsail/takeover_test.go
@@ -29,7 +29,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newDeployment(t, "127.0.0.1:0")
-			h.director.Down(true) // the list comes from the old process alone
+			h.director.SetDown(true) // the list comes from the old process alone
 			clients, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			var link *handoff.Link
--- a/cmd/tinsail/upgrade_test.go
+++ b/cmd/tinsail/upgrade_test.go
@@ -261,7 +261,7 @@
 	all.Wait()
 	ran := 0
 	for _, b := range h.backends {
-		for key, n := range b.Ran() {
+		for key, n := range b.RunsByKey() {
 			assert.Equal(t, 1, n, key)
 			ran++
 		}
@@ -376,8 +376,8 @@
 	old.awaitReady()
 	assert.False(t, old.call(door.Offline, "b9"), "never listed")
 	assert.True(t, old.call(door.Offline, "b0"))
-	h.backends[1].Set(platform.Faults{Hold: true})
-	h.backends[2].Set(platform.Faults{Hold: true})
+	h.backends[1].Set(platform.Faults{HoldJobs: true})
+	h.backends[2].Set(platform.Faults{HoldJobs: true})
 	held, err := h.dial() // keeps the old process from exiting
 	require.NoError(t, err)
 	require.NoError(t, held.sendReq("held"))
@@ -440,7 +440,7 @@
 			old := h.start()
 			old.awaitReady()
 			for _, b := range h.backends {
-				b.Set(platform.Faults{Hold: true})
+				b.Set(platform.Faults{HoldJobs: true})
 			}
 			held, err := h.dial()
 			require.NoError(t, err)
--- a/internal/lab/capacity/measure/flight.go
+++ b/internal/lab/capacity/measure/flight.go
@@ -132,7 +132,7 @@
 		if err != nil {
 			return h, err
 		}
-		b.Set(platform.Faults{Hold: true})
+		b.Set(platform.Faults{HoldJobs: true})
 		backends = append(backends, b)
 		from.Set(b.Entry("fast", "here", i%100, "Ready"))
 	}
@@ -181,7 +181,7 @@
 	held := func() (k int) {
 		for _, b := range backends {
 			x := b.Counts()
-			k += x.Started - x.Done - x.Left
+			k += x.Started - x.Done - x.Cancelled
 		}
 		return k
 	}
--- a/internal/lab/capacity/measure/list.go
+++ b/internal/lab/capacity/measure/list.go
@@ -71,7 +71,7 @@
 		return s, err
 	}
 	s.in, s.out = float64(i.from.in.Load()), float64(i.from.out.Load())
-	s.calls = float64(len(i.from.Main().Calls()))
+	s.calls = float64(len(i.from.MainListener().Calls()))
 	s.rss, s.anon, err = i.process.memory()
 	return s, err
 }
--- a/internal/lab/capacity/measure/recovery.go
+++ b/internal/lab/capacity/measure/recovery.go
@@ -40,7 +40,7 @@
 	}
 	wait.Wait()
 	time.Sleep(settled)
-	calls, in, out = float64(len(from.Main().Calls())), float64(from.out.Load()), float64(from.in.Load())
+	calls, in, out = float64(len(from.MainListener().Calls())), float64(from.out.Load()), float64(from.in.Load())
 	for i := range all {
 		if all[i] != nil {
 			all[i].kill()
--- a/internal/lab/hollow/size/load.go
+++ b/internal/lab/hollow/size/load.go
@@ -121,7 +121,7 @@
 // starts are the attempts that the workers saw.
 func starts(f *hollow.Fleet) (out []history.Line) {
 	for _, b := range f.Workers.All() {
-		for _, s := range b.Starts() {
+		for _, s := range b.AttemptStarts() {
 			v, _ := strconv.ParseUint(s.Version, 10, 64) // none: 0, which the checker refuses
 			out = append(out, history.Line{T: s.At.UnixNano(), Side: history.Backend, Backend: b.Name, Dispatcher: s.Dispatcher, Req: s.Req, Version: v, Started: true})
 		}
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -42,7 +42,7 @@
 // life is one process of a dispatcher.
 type life struct {
 	cmd    *exec.Cmd
-	seat   *platform.Seat
+	seat   *platform.DirectorListener
 	began  time.Time
 	admin  string
 	shim   string // the file that the shim reads
@@ -132,7 +132,7 @@
 	n.mu.Lock()
 	number, listen := len(n.lives), n.addr
 	n.mu.Unlock()
-	p := &life{seat: n.f.director.Seat(l, n.f.Site.Pushed), began: time.Now(), served: make(chan struct{}), over: make(chan struct{}),
+	p := &life{seat: n.f.director.AddListener(l, n.f.Site.Pushed), began: time.Now(), served: make(chan struct{}), over: make(chan struct{}),
 		conf: filepath.Join(n.folder, fmt.Sprintf("c%d.json", number)), shim: filepath.Join(n.folder, fmt.Sprintf("shim%d", number))}
 	mode := "on_request"
 	if n.f.Site.Pushed {
--- a/internal/lab/soak/play.go
+++ b/internal/lab/soak/play.go
@@ -179,10 +179,10 @@
 // told is when a change counts as told to the node: to the last of its processes that were there.
 func (n *node) told(c platform.Change) (last time.Time) {
 	for _, l := range n.lives {
-		if !l.ended.IsZero() && l.ended.Before(c.Made) {
+		if !l.ended.IsZero() && l.ended.Before(c.ChangedAt) {
 			continue
 		}
-		at := l.seat.Told(c, platform.Terms{Began: l.began, AskEvery: 8 * time.Second})
+		at := l.seat.PublishedAt(c, platform.ProcessInfo{StartedAt: l.began, PollInterval: 8 * time.Second})
 		if at.IsZero() {
 			return time.Time{}
 		}
--- a/internal/lab/soak/trouble.go
+++ b/internal/lab/soak/trouble.go
@@ -40,12 +40,12 @@
 		p.shortOfDescriptors(n.now(), t.For)
 	case Silent:
 		for _, n := range p.nodes {
-			n.now().seat.Silence()
+			n.now().seat.SilenceOpenCalls()
 		}
 	case Down:
-		p.director.Down(true)
+		p.director.SetDown(true)
 		time.Sleep(t.For)
-		p.director.Down(false)
+		p.director.SetDown(false)
 	case Drain:
 		p.drain(b, t)
 	case Refuse:
@@ -62,18 +62,18 @@
 		}
 	case Hang:
 		for _, b := range p.backends[:2] {
-			b.Set(platform.Faults{Hold: true})
+			b.Set(platform.Faults{HoldJobs: true})
 		}
 		time.Sleep(t.For)
 		for _, b := range p.backends[:2] {
 			b.Set(platform.Faults{})
 		}
 	case Reset:
-		p.faults(b, platform.Faults{Reset: platform.Point(1 + t.Target%3)}, t.For)
+		p.faults(b, platform.Faults{Reset: platform.ResetPoint(1 + t.Target%3)}, t.For)
 	case TurnAway:
 		p.faults(b, platform.Faults{Refuse: true}, t.For)
 	case Fail:
-		p.faults(b, platform.Faults{FailPart: 0.5}, t.For)
+		p.faults(b, platform.Faults{FailShare: 0.5}, t.For)
 	case CloseEach:
 		p.faults(b, platform.Faults{CloseEach: true}, t.For)
 	case Errno:
--- a/internal/network/configured_site_test.go
+++ b/internal/network/configured_site_test.go
@@ -51,7 +51,7 @@
 		s := &configuredSite{cfg: cfg}
 		ports := map[string]*faultnet.Pipes{cfg.Discovery: faultnet.ListenPipes(cfg.Discovery)}
 		d := standin.NewDirector(faultnet.ListenPipes("unused"))
-		d.Seat(ports[cfg.Discovery], !cfg.Settings.Subscribe)
+		d.AddListener(ports[cfg.Discovery], !cfg.Settings.Subscribe)
 		for i := range 2 * len(cfg.Names.Zones) {
 			name, zone := fmt.Sprint("b", i), cfg.Names.Zones[i/2]
 			ports[name] = faultnet.ListenPipes(name)
@@ -154,7 +154,7 @@
 				if class >= len(s.cfg.Names.Classes) {
 					return
 				}
-				s.set(standin.Faults{Hold: true})
+				s.set(standin.Faults{HoldJobs: true})
 				c, name := s.cfg.Settings.Classes[class], s.cfg.Names.Classes[class]
 				status, took := s.ask(class, "h"+name, "photo")
 				assert.NotContains(t, []int{0, 200}, status, name)
@@ -173,17 +173,17 @@
 // no cancelling.
 func TestOtherSitesUnsafe(t *testing.T) {
 	body := strings.Repeat("z", 60_000)
-	for point, status := range map[standin.Point]int{standin.BeforeLast: 200, standin.BeforeStart: 502, standin.AfterStart: 502} {
+	for point, status := range map[standin.ResetPoint]int{standin.BeforeLastByte: 200, standin.BeforeStart: 502, standin.AfterStart: 502} {
 		for round := range 6 {
 			withConfiguredSite(t, "short.json", nil, func(s *configuredSite) {
 				require.Equal(t, balance.Unsafe, s.cfg.Settings.Classes[2].Effect)
 				for i, b := range s.backends {
-					if point != standin.BeforeLast || i != round { // the backend without a fault is found, or the attempts are used up
+					if point != standin.BeforeLastByte || i != round { // the backend without a fault is found, or the attempts are used up
 						b.Set(standin.Faults{Reset: point})
 					}
 				}
 				got, took := s.ask(2, fmt.Sprint("u", round), body)
-				if point != standin.BeforeLast {
+				if point != standin.BeforeLastByte {
 					assert.Equal(t, status, got, "point %d", point)
 					assert.LessOrEqual(t, took, 200*time.Millisecond)
 				} else if got != status {
@@ -210,7 +210,7 @@
 		change := strings.NewReplacer(`"RepeatWindowMs":1500.0`, `"RepeatWindowMs":300.0`)
 		withConfiguredSite(t, "short.json", change, func(s *configuredSite) {
 			require.Equal(t, balance.Millis(300), s.cfg.Settings.Classes[1].RepeatWindow)
-			s.set(standin.Faults{Hold: true})
+			s.set(standin.Faults{HoldJobs: true})
 			type end struct {
 				status int
 				took   time.Duration
--- a/internal/network/director_fixture_test.go
+++ b/internal/network/director_fixture_test.go
@@ -24,8 +24,8 @@
 // the driver reports.
 type directorFixture struct {
 	discovery *standin.Director
-	seat      *standin.Seat
-	terms     standin.Terms
+	seat      *standin.DirectorListener
+	terms     standin.ProcessInfo
 
 	mu          sync.Mutex
 	refuseDials bool
@@ -41,16 +41,16 @@
 		w := &directorFixture{firstSeen: map[string]time.Time{}, dials: map[int64]int{}}
 		pipes := faultnet.ListenPipes("d")
 		w.discovery = standin.NewDirector(faultnet.ListenPipes("unused"))
-		w.seat = w.discovery.Seat(pipes, pushed)
+		w.seat = w.discovery.AddListener(pipes, pushed)
 		for i := range 4 {
 			w.setStatus(i, "Ready")
 		}
 		stop := make(chan struct{})
 		dir := &Director{Names: &platform.Names{}, Count: &counters.Set{}, Address: "d", Stop: stop, Timings: AgentTimings()}
-		w.terms = standin.Terms{Began: time.Now()}
+		w.terms = standin.ProcessInfo{StartedAt: time.Now()}
 		if !pushed {
-			w.terms.AskEvery = 10 * time.Second
-			dir.Timings = PollTimings(w.terms.AskEvery)
+			w.terms.PollInterval = 10 * time.Second
+			dir.Timings = PollTimings(w.terms.PollInterval)
 		}
 		dir.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 			if w.countDial() {
@@ -110,12 +110,12 @@
 	if at.IsZero() {
 		return time.Hour
 	}
-	return at.Sub(w.seat.Told(c, w.terms)) - 500*time.Millisecond
+	return at.Sub(w.seat.PublishedAt(c, w.terms)) - 500*time.Millisecond
 }
 
 // setOutage begins or ends an outage.
 func (w *directorFixture) setOutage(on, refused bool) {
-	w.seat.Outage(on)
+	w.seat.SetOutage(on)
 	w.mu.Lock()
 	w.refuseDials = on && refused
 	w.mu.Unlock()
@@ -125,7 +125,7 @@
 func TestIndentedList(t *testing.T) {
 	runDirector(t, false, func(w *directorFixture) {
 		time.Sleep(time.Second)
-		w.discovery.Indent(true)
+		w.discovery.SetIndent(true)
 		c := w.setStatus(2, "Terminating")
 		time.Sleep(time.Second)
 		assert.LessOrEqual(t, w.lateness(c), time.Duration(0))
--- a/internal/network/director_silence_test.go
+++ b/internal/network/director_silence_test.go
@@ -24,7 +24,7 @@
 				runDirector(t, pushed, func(w *directorFixture) {
 					time.Sleep(after)
 					synctest.Wait()
-					w.seat.Silence()
+					w.seat.SilenceOpenCalls()
 					var made []standin.Change
 					for i, pause := range []time.Duration{10 * time.Millisecond, 3 * time.Second, 2900 * time.Millisecond, time.Second} {
 						time.Sleep(pause)
@@ -106,14 +106,14 @@
 			withSite(t, pushed, balance.Deduped, func(s *site) {
 				all := s.load(2, 40*time.Millisecond, 14*time.Second)
 				time.Sleep(after)
-				s.seat.Silence()
+				s.seat.SilenceOpenCalls()
 				time.Sleep(10 * time.Millisecond)
 				drains := []standin.Change{s.director.Set(s.backends[0].Entry("", "", 1, "Terminating"))}
 				time.Sleep(3 * time.Second)
 				drains = append(drains, s.director.Set(s.backends[1].Entry("", "", 1, "Terminating")))
 				all.Wait()
 				for _, c := range drains {
-					s.history.Drained(history.Drain{Node: "n", Backend: c.Name, From: s.seat.Told(c, s.terms)})
+					s.history.Drained(history.Drain{Node: "n", Backend: c.Name, From: s.seat.PublishedAt(c, s.terms)})
 				}
 				b := s.judge()
 				assert.Empty(t, b[:min(len(b), 3)], "pushed %v, silent after %v: %d breaches", pushed, after, len(b))
--- a/internal/network/site_test.go
+++ b/internal/network/site_test.go
@@ -29,8 +29,8 @@
 // and a history of what clients and backends saw.
 type site struct {
 	director *standin.Director
-	seat     *standin.Seat
-	terms    standin.Terms
+	seat     *standin.DirectorListener
+	terms    standin.ProcessInfo
 	backends []*standin.Backend
 	clients  *Clients
 	history  *history.History
@@ -48,10 +48,10 @@
 			set.Rules.AskEvery = 10_000
 		}
 		names := &platform.Names{Classes: []string{"ingest"}, RequiresKey: []bool{effect == balance.Deduped}, Deadlines: []time.Duration{5 * time.Second}}
-		s := &site{history: &history.History{}, terms: standin.Terms{Began: time.Now(), AskEvery: time.Duration(set.Rules.AskEvery) * time.Millisecond}}
+		s := &site{history: &history.History{}, terms: standin.ProcessInfo{StartedAt: time.Now(), PollInterval: time.Duration(set.Rules.AskEvery) * time.Millisecond}}
 		at := map[string]*faultnet.Pipes{"d": faultnet.ListenPipes("d")}
 		s.director = standin.NewDirector(faultnet.ListenPipes("unused"))
-		s.seat = s.director.Seat(at["d"], pushed)
+		s.seat = s.director.AddListener(at["d"], pushed)
 		for i := range 3 {
 			name := fmt.Sprint("b", i)
 			at[name] = faultnet.ListenPipes(name)
@@ -64,7 +64,7 @@
 		pool := &Pool{Names: names, Count: count, ConnectTimeout: 120 * time.Millisecond, IdleTimeout: 7 * time.Second, MaxConnections: 64, Dial: dial}
 		dir := &Director{Names: names, Count: count, Address: "d", Timings: AgentTimings(), Dial: dial, Stop: stop}
 		if !pushed {
-			dir.Timings = PollTimings(s.terms.AskEvery)
+			dir.Timings = PollTimings(s.terms.PollInterval)
 		}
 		c, err := core.New(set, pool, dir, count)
 		require.NoError(t, err)
@@ -141,13 +141,13 @@
 func TestUnsafeReset(t *testing.T) {
 	const atOnce = 200 * time.Millisecond // on the fake clock: time for a new connection and a run, of a deadline of 5 s
 	body := strings.Repeat("z", 60_000)
-	for point, want := range map[standin.Point]struct{ status, received int }{
-		standin.BeforeLast: {200, 1}, standin.BeforeStart: {502, 1}, standin.AfterStart: {502, 1},
+	for point, want := range map[standin.ResetPoint]struct{ status, received int }{
+		standin.BeforeLastByte: {200, 1}, standin.BeforeStart: {502, 1}, standin.AfterStart: {502, 1},
 	} {
 		for round := range 8 { // the backend that is tried first is random
 			withSite(t, false, balance.Unsafe, func(s *site) {
 				for i, b := range s.backends {
-					if point != standin.BeforeLast || i != round%3 { // the backend without a fault is found
+					if point != standin.BeforeLastByte || i != round%3 { // the backend without a fault is found
 						b.Set(standin.Faults{Reset: point})
 					}
 				}
--- a/internal/standin/platform/backend.go
+++ b/internal/standin/platform/backend.go
@@ -18,16 +18,16 @@
 	Fail   bool // every job fails at once
 	Refuse bool // every job is turned away unstarted
 	// RefuseAfter is how long each job that is turned away waits for that.
-	RefuseAfter time.Duration
-	Break       bool // the connection breaks once the job has started
-	Hold        bool // a job that has started does not end until Hold is taken back
-	// FailPart is the part of jobs, 0 to 1 by their ids, that fail as soon as they have started.
-	FailPart float64
+	RefuseAfter     time.Duration
+	BreakConnection bool // the connection breaks once the job has started
+	HoldJobs        bool // a job that has started does not end until Hold is taken back
+	// FailShare is the part of jobs, 0 to 1 by their ids, that fail as soon as they have started.
+	FailShare float64
 	// CloseEach ends each connection after its answer (Connection: close), so that every job
 	// needs a new one.
 	CloseEach bool
 	// Reset is where in a job its connection is reset.
-	Reset Point
+	Reset ResetPoint
 }
 
 // Event is what Backend.Told hears of an attempt.
@@ -40,15 +40,15 @@
 	Aborted Event = "aborted"
 )
 
-// Point is a moment in the course of a job.
-type Point uint8
+// ResetPoint is a moment in the course of a job.
+type ResetPoint uint8
 
 // Points at which a connection can be reset.
 const (
-	Nowhere     Point = iota
-	BeforeLast        // before the req's last byte was read, which a body beyond a buffer's size makes sure of
-	BeforeStart       // after its last byte, before "started" is told
-	AfterStart        // after "started" was told
+	NoReset        ResetPoint = iota
+	BeforeLastByte            // before the req's last byte was read, which a body beyond a buffer's size makes sure of
+	BeforeStart               // after its last byte, before "started" is told
+	AfterStart                // after "started" was told
 )
 
 // Backend runs jobs: a job waits for one of its slots, tells that it has started, runs for as
@@ -56,10 +56,10 @@
 // runs, waits for that run and gets its result: the job's effect happens once.
 type Backend struct {
 	Name, Address string
-	Work          func(id string) time.Duration
-	// Told, set before the first job where it is wanted, hears of each attempt: when its head is whole, and its end:
+	JobDuration   func(id string) time.Duration
+	// OnAttempt, set before the first job where it is wanted, hears of each attempt: when its head is whole, and its end:
 	// before the last of its answer is sent, or, aborted, when it is found that its connection is gone.
-	Told func(at time.Time, id string, event Event)
+	OnAttempt func(at time.Time, id string, event Event)
 
 	server *http.Server
 	slots  chan struct{}
@@ -72,21 +72,21 @@
 	last   time.Time   // that a job's head came
 	conns  []time.Time // when each connection came, the first mostConns
 	seen   []*history.Attempt
-	starts []Start // of attempts, the first mostConns
+	starts []AttemptStart // of attempts, the first mostConns
 }
 
-// Start is an attempt whose head is whole here, as it names itself.
-type Start struct {
+// AttemptStart is an attempt whose head is whole here, as it names itself.
+type AttemptStart struct {
 	At              time.Time
 	Dispatcher, Req string
 	Version         string // empty: it names none
 }
 
-// Starts are the attempts that came, in the order in which their heads were whole.
-func (b *Backend) Starts() []Start {
+// AttemptStarts are the attempts that came, in the order in which their heads were whole.
+func (b *Backend) AttemptStarts() []AttemptStart {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]Start(nil), b.starts...)
+	return append([]AttemptStart(nil), b.starts...)
 }
 
 // mostConns bounds what a backend remembers of its connections, and of its attempts.
@@ -118,8 +118,8 @@
 	b.mu.Unlock()
 }
 
-// Connections are the times at which connections came, oldest first.
-func (b *Backend) Connections() []time.Time {
+// ConnectionTimes are the times at which connections came, oldest first.
+func (b *Backend) ConnectionTimes() []time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]time.Time(nil), b.conns...)
@@ -132,15 +132,15 @@
 	return float64(h.Sum32()>>8) / (1 << 24)
 }
 
-// LastJob is when the head of the last job came.
-func (b *Backend) LastJob() time.Time {
+// LastJobTime is when the head of the last job came.
+func (b *Backend) LastJobTime() time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.last
 }
 
 // Counts are what a backend has seen.
-type Counts struct{ Jobs, Started, Done, Left int }
+type Counts struct{ Jobs, Started, Done, Cancelled int }
 
 // StartBackend listens on a free port of 127.0.0.1, with so many slots.
 func StartBackend(name string, slots int, work func(id string) time.Duration) (*Backend, error) {
@@ -153,7 +153,7 @@
 
 // NewBackend answers on a listener, which Close closes.
 func NewBackend(l net.Listener, name string, slots int, work func(id string) time.Duration) *Backend {
-	b := &Backend{Name: name, Address: l.Addr().String(), Work: work, slots: make(chan struct{}, slots), change: make(chan struct{}),
+	b := &Backend{Name: name, Address: l.Addr().String(), JobDuration: work, slots: make(chan struct{}, slots), change: make(chan struct{}),
 		ran: map[string]int{}, result: map[string]string{}}
 	b.server = serve(&tapped{l, b}, &http.Server{Handler: http.HandlerFunc(b.serve), ConnContext: withTap,
 		ConnState: func(_ net.Conn, s http.ConnState) {
@@ -189,8 +189,8 @@
 	return b.counts
 }
 
-// Ran tells how often the effect of each key happened here.
-func (b *Backend) Ran() map[string]int {
+// RunsByKey tells how often the effect of each key happened here.
+func (b *Backend) RunsByKey() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all := make(map[string]int, len(b.ran))
@@ -247,12 +247,12 @@
 
 // tell tells that an attempt has come, and gives what tells its end, which is told once.
 func (b *Backend) tell(id string) (end func(Event)) {
-	if b.Told == nil || id == "" {
+	if b.OnAttempt == nil || id == "" {
 		return func(Event) {}
 	}
-	b.Told(time.Now(), id, Started)
+	b.OnAttempt(time.Now(), id, Started)
 	var once sync.Once
-	return func(e Event) { once.Do(func() { b.Told(time.Now(), id, e) }) }
+	return func(e Event) { once.Do(func() { b.OnAttempt(time.Now(), id, e) }) }
 }
 
 func (b *Backend) job(w http.ResponseWriter, r *http.Request) {
@@ -260,7 +260,7 @@
 	b.mu.Lock()
 	b.last = time.Now()
 	if len(b.starts) < mostConns {
-		b.starts = append(b.starts, Start{b.last, r.Header.Get("X-Dispatcher"), id, r.Header.Get("X-Policy-Version")})
+		b.starts = append(b.starts, AttemptStart{b.last, r.Header.Get("X-Dispatcher"), id, r.Header.Get("X-Policy-Version")})
 	}
 	b.mu.Unlock()
 	end := b.tell(id)
@@ -268,7 +268,7 @@
 	tap, f := tapOf(r), b.faulty()
 	a := &history.Attempt{ID: id, First: tap.begin(), Told: told(r)}
 	b.note(a)
-	if f.Reset == BeforeLast {
+	if f.Reset == BeforeLastByte {
 		tap.reset()
 		panic(http.ErrAbortHandler)
 	}
@@ -301,7 +301,7 @@
 	select {
 	case b.slots <- struct{}{}:
 	case <-r.Context().Done(): // called off while it waited: it never ran
-		b.add(func(c *Counts) { c.Left++ })
+		b.add(func(c *Counts) { c.Cancelled++ })
 		return
 	}
 	defer func() { <-b.slots }()
@@ -315,25 +315,25 @@
 		tap.reset()
 		panic(http.ErrAbortHandler)
 	}
-	if f.Fail || f.FailPart > 0 && part(id) < f.FailPart {
+	if f.Fail || f.FailShare > 0 && part(id) < f.FailShare {
 		end(Ended)
 		line(`"state":"failed"`)
 		return
 	}
-	if f.Break {
+	if f.BreakConnection {
 		panic(http.ErrAbortHandler)
 	}
 	select {
-	case <-time.After(b.Work(id)):
+	case <-time.After(b.JobDuration(id)):
 	case <-r.Context().Done():
-		b.add(func(c *Counts) { c.Left++ })
+		b.add(func(c *Counts) { c.Cancelled++ })
 		return
 	}
-	for f, change := b.state(); f.Hold; f, change = b.state() {
+	for f, change := b.state(); f.HoldJobs; f, change = b.state() {
 		select {
 		case <-change:
 		case <-r.Context().Done():
-			b.add(func(c *Counts) { c.Left++ })
+			b.add(func(c *Counts) { c.Cancelled++ })
 			return
 		}
 	}
--- a/internal/standin/platform/director.go
+++ b/internal/standin/platform/director.go
@@ -18,7 +18,7 @@
 	index   uint64
 	list    []Entry
 	changes []Change
-	seats   []*Seat
+	seats   []*DirectorListener
 	moved   chan struct{} // closed at the next change
 	down    bool
 	downs   []span
@@ -42,7 +42,7 @@
 type Change struct {
 	Index        uint64
 	Name, Status string
-	Made         time.Time
+	ChangedAt    time.Time
 }
 
 // span is a time in which something did not work; a zero end is yet to come.
@@ -64,7 +64,7 @@
 // NewDirector answers on a listener, which Close closes.
 func NewDirector(l net.Listener) *Director {
 	d := &Director{index: 1, moved: make(chan struct{})}
-	d.Address = d.Seat(l, false).Address
+	d.Address = d.AddListener(l, false).Address
 	return d
 }
 
@@ -93,15 +93,15 @@
 	d.moved = make(chan struct{})
 }
 
-// Indent has lists come indented, over many lines, or no longer.
-func (d *Director) Indent(on bool) {
+// SetIndent has lists come indented, over many lines, or no longer.
+func (d *Director) SetIndent(on bool) {
 	d.mu.Lock()
 	d.indent = on
 	d.mu.Unlock()
 }
 
-// Down has every call fail with 503, and ends the watches, or no longer. Agents are told nothing.
-func (d *Director) Down(down bool) {
+// SetDown has every call fail with 503, and ends the watches, or no longer. Agents are told nothing.
+func (d *Director) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if down == d.down {
@@ -125,7 +125,7 @@
 	}
 }
 
-func (d *Director) serve(s *Seat, w http.ResponseWriter, r *http.Request) {
+func (d *Director) serve(s *DirectorListener, w http.ResponseWriter, r *http.Request) {
 	if r.Method != "GET" || r.URL.Path != "/registry/instances" {
 		http.NotFound(w, r)
 		return
@@ -139,14 +139,14 @@
 	s.came(c)
 	answered := s.await(r, c, since)
 	d.mu.Lock()
-	if !answered || !c.Silent.IsZero() { // fallen silent, or its caller has gone
+	if !answered || !c.SilentAt.IsZero() { // fallen silent, or its caller has gone
 		d.mu.Unlock()
 		<-r.Context().Done()
 		s.left(c)
 		panic(http.ErrAbortHandler)
 	}
 	if d.down && !s.agent {
-		c.Failed, c.Done = true, time.Now()
+		c.Failed, c.EndedAt = true, time.Now()
 		d.mu.Unlock()
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -161,7 +161,7 @@
 			out.Endpoints = append(out.Endpoints, e)
 		}
 	}
-	c.Index, c.Done = d.index, time.Now() // noted before a byte goes out: never later than the dispatcher's
+	c.Index, c.EndedAt = d.index, time.Now() // noted before a byte goes out: never later than the dispatcher's
 	indent := d.indent
 	d.mu.Unlock()
 	enc := json.NewEncoder(w)
--- a/internal/standin/platform/raw.go
+++ b/internal/standin/platform/raw.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// Raw is a backend whose every byte a test writes: it reads reqs, notes them and leaves the answer to
+// RawBackend is a backend whose every byte a test writes: it reads reqs, notes them and leaves the answer to
 // Answer, so that half a line, a surplus one or a reset can come at any moment. Close ends it.
-type Raw struct {
+type RawBackend struct {
 	Name, Address string
 
 	answer  func(RawReq)
@@ -28,16 +28,16 @@
 
 // RawReq is a req as far as it came.
 type RawReq struct {
-	Conn, Turn int       // the number of its connection, and its own there, from 0
-	ID         string    // empty: its head never came whole
-	First      time.Time // its first byte came
-	Whole      bool      // its last byte came
-	C          *net.TCPConn
+	Connection, Number int       // the number of its connection, and its own there, from 0
+	ID                 string    // empty: its head never came whole
+	FirstByteAt        time.Time // its first byte came
+	Complete           bool      // its last byte came
+	TCP                *net.TCPConn
 }
 
-// StartRaw listens on a free port of 127.0.0.1. answer is called once a req is whole, in a goroutine of its connection, which
+// StartRawBackend listens on a free port of 127.0.0.1. answer is called once a req is whole, in a goroutine of its connection, which
 // reads on when answer returns; nil answers each with its result.
-func StartRaw(name string, answer func(RawReq)) (*Raw, error) {
+func StartRawBackend(name string, answer func(RawReq)) (*RawBackend, error) {
 	r, err := newRaw(name, answer)
 	if err == nil {
 		go r.accept()
@@ -45,8 +45,8 @@
 	return r, err
 }
 
-// StartHeld is a Raw at which connections don't come up until Release is called: its listener's queue is full.
-func StartHeld(name string, answer func(RawReq)) (*Raw, error) {
+// StartStalledBackend is a Raw at which connections don't come up until Release is called: its listener's queue is full.
+func StartStalledBackend(name string, answer func(RawReq)) (*RawBackend, error) {
 	r, err := newRaw(name, answer)
 	if err != nil {
 		return nil, err
@@ -64,20 +64,20 @@
 	return nil, fmt.Errorf("the queue of %s takes connections without end", r.Address)
 }
 
-func newRaw(name string, answer func(RawReq)) (*Raw, error) {
+func newRaw(name string, answer func(RawReq)) (*RawBackend, error) {
 	l, err := listen()
 	if err != nil {
 		return nil, err
 	}
-	r := &Raw{Name: name, Address: l.Addr().String(), answer: answer, l: l.(*net.TCPListener)}
+	r := &RawBackend{Name: name, Address: l.Addr().String(), answer: answer, l: l.(*net.TCPListener)}
 	if r.answer == nil {
-		r.answer = func(q RawReq) { q.Write(r.Served(q.ID)) }
+		r.answer = func(q RawReq) { q.Write(r.ResultAnswer(q.ID)) }
 	}
 	return r, nil
 }
 
 // backlog changes how many connections the listener's queue takes.
-func (r *Raw) backlog(n int) error {
+func (r *RawBackend) backlog(n int) error {
 	raw, err := r.l.SyscallConn()
 	if err != nil {
 		return err
@@ -89,8 +89,8 @@
 	return failed
 }
 
-// Release lets connections come up.
-func (r *Raw) Release() error {
+// AcceptConnections lets connections come up.
+func (r *RawBackend) AcceptConnections() error {
 	for _, c := range r.fillers {
 		c.Close()
 	}
@@ -98,7 +98,7 @@
 	return r.backlog(128)
 }
 
-func (r *Raw) accept() {
+func (r *RawBackend) accept() {
 	for {
 		c, err := r.l.AcceptTCP()
 		if err != nil {
@@ -115,14 +115,14 @@
 	}
 }
 
-func (r *Raw) read(n int, c *net.TCPConn) {
+func (r *RawBackend) read(n int, c *net.TCPConn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for turn := 0; ; turn++ {
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
-		q := RawReq{Conn: n, Turn: turn, First: time.Now(), C: c}
+		q := RawReq{Connection: n, Number: turn, FirstByteAt: time.Now(), TCP: c}
 		head, err := http.ReadRequest(in)
 		if err == nil {
 			q.ID = head.Header.Get("X-Correlation-Id")
@@ -142,22 +142,22 @@
 			return
 		}
 		r.mu.Lock()
-		r.seen[at].Whole = true
+		r.seen[at].Complete = true
 		r.mu.Unlock()
-		q.Whole = true
+		q.Complete = true
 		r.answer(q)
 	}
 }
 
-// Seen are the reqs that came, jobs and probes, in the order of their heads.
-func (r *Raw) Seen() []RawReq {
+// Reqs are the reqs that came, jobs and probes, in the order of their heads.
+func (r *RawBackend) Reqs() []RawReq {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]RawReq(nil), r.seen...)
 }
 
 // Close ends the listener and resets all connections.
-func (r *Raw) Close() {
+func (r *RawBackend) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.done = true
@@ -172,31 +172,31 @@
 }
 
 // Entry is its line in a list.
-func (r *Raw) Entry(group int, status string) Entry {
+func (r *RawBackend) Entry(group int, status string) Entry {
 	return Entry{Name: r.Name, Address: r.Address, Zone: "here", Type: "fast", Group: group, Status: status, Weight: 64}
 }
 
-// Served is a whole answer with the result "small ID".
-func (r *Raw) Served(id string) string {
-	return Head + Chunk(r.Line(id, `"started"`)) + Chunk(r.Line(id, fmt.Sprintf(`"done","result":"small %s"`, id))) + "0\r\n\r\n"
+// ResultAnswer is a whole answer with the result "small ID".
+func (r *RawBackend) ResultAnswer(id string) string {
+	return AnswerHeader + EncodeChunk(r.StateLine(id, `"started"`)) + EncodeChunk(r.StateLine(id, fmt.Sprintf(`"done","result":"small %s"`, id))) + "0\r\n\r\n"
 }
 
-// Line is a line of an answer, in the given state.
-func (r *Raw) Line(id, state string) string {
+// StateLine is a line of an answer, in the given state.
+func (r *RawBackend) StateLine(id, state string) string {
 	return fmt.Sprintf(`{"id":%q,"from":%q,"state":%s}`+"\n", id, r.Name, state)
 }
 
-// Head begins an answer.
-const Head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
+// AnswerHeader begins an answer.
+const AnswerHeader = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// Chunk frames a piece of an answer.
-func Chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
+// EncodeChunk frames a piece of an answer.
+func EncodeChunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 // Write writes to the req's connection in one piece; a peer that has gone doesn't matter.
-func (q RawReq) Write(text string) { _, _ = io.WriteString(q.C, text) }
+func (q RawReq) Write(text string) { _, _ = io.WriteString(q.TCP, text) }
 
 // Reset breaks the req's connection as a process that dies does.
 func (q RawReq) Reset() {
-	_ = q.C.SetLinger(0)
-	q.C.Close()
+	_ = q.TCP.SetLinger(0)
+	q.TCP.Close()
 }
--- a/internal/standin/platform/seat.go
+++ b/internal/standin/platform/seat.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Seat is the director as one dispatcher reaches it: at an address of its own, so that it is known
+// DirectorListener is the director as one dispatcher reaches it: at an address of its own, so that it is known
 // what was told to whom. An agent's seat is the agent on the dispatcher's own machine.
-type Seat struct {
+type DirectorListener struct {
 	Address string
 
 	d      *Director
@@ -22,13 +22,13 @@
 
 // Call is a dispatcher's call, and what became of it.
 type Call struct {
-	At     time.Time
-	Watch  bool
-	Wait   time.Duration // how long it may wait for news
-	Silent time.Time     // when it fell silent, never to be answered; zero: it did not
-	Done   time.Time     // it was answered, failed, or its caller went; zero: it is open
-	Failed bool          // answered with a failure, or its caller went
-	Index  uint64        // the version that the answer brought
+	At       time.Time
+	Watch    bool
+	Wait     time.Duration // how long it may wait for news
+	SilentAt time.Time     // when it fell silent, never to be answered; zero: it did not
+	EndedAt  time.Time     // it was answered, failed, or its caller went; zero: it is open
+	Failed   bool          // answered with a failure, or its caller went
+	Index    uint64        // the version that the answer brought
 }
 
 type call struct {
@@ -36,9 +36,9 @@
 	hush chan struct{} // closed when it falls silent
 }
 
-// Seat adds a way to the director, on a listener that Close closes.
-func (d *Director) Seat(l net.Listener, agent bool) *Seat {
-	s := &Seat{Address: l.Addr().String(), d: d, agent: agent}
+// AddListener adds a way to the director, on a listener that Close closes.
+func (d *Director) AddListener(l net.Listener, agent bool) *DirectorListener {
+	s := &DirectorListener{Address: l.Addr().String(), d: d, agent: agent}
 	s.server = serve(l, &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serve(s, w, r) })})
 	d.mu.Lock()
 	d.seats = append(d.seats, s)
@@ -46,25 +46,25 @@
 	return s
 }
 
-// Main is the seat at the director's own address.
-func (d *Director) Main() *Seat {
+// MainListener is the seat at the director's own address.
+func (d *Director) MainListener() *DirectorListener {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.seats[0]
 }
 
-// Silence has the calls that are open fall silent: none is ever answered, and their connections stay
+// SilenceOpenCalls has the calls that are open fall silent: none is ever answered, and their connections stay
 // open. New calls are answered. It returns how many there were.
-func (s *Seat) Silence() int {
+func (s *DirectorListener) SilenceOpenCalls() int {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	return s.silence()
 }
 
-func (s *Seat) silence() (n int) {
+func (s *DirectorListener) silence() (n int) {
 	for _, c := range s.calls {
-		if c.Done.IsZero() && c.Silent.IsZero() {
-			c.Silent = time.Now()
+		if c.EndedAt.IsZero() && c.SilentAt.IsZero() {
+			c.SilentAt = time.Now()
 			close(c.hush)
 			n++
 		}
@@ -72,9 +72,9 @@
 	return n
 }
 
-// Outage cuts an agent off from the director, or joins it again: in an outage it gets no changes, and
+// SetOutage cuts an agent off from the director, or joins it again: in an outage it gets no changes, and
 // calls open or made then are never answered. After it the agent holds the list as it is then.
-func (s *Seat) Outage(on bool) {
+func (s *DirectorListener) SetOutage(on bool) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	if on == s.out {
@@ -89,7 +89,7 @@
 }
 
 // Calls are the dispatcher's calls so far, oldest first.
-func (s *Seat) Calls() []Call {
+func (s *DirectorListener) Calls() []Call {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	all := make([]Call, len(s.calls))
@@ -99,33 +99,33 @@
 	return all
 }
 
-func (s *Seat) came(c *call) {
+func (s *DirectorListener) came(c *call) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	s.calls = append(s.calls, c)
 	if s.out {
-		c.Silent = c.At
+		c.SilentAt = c.At
 		close(c.hush)
 	}
 }
 
 // left notes that a caller did not wait for its answer.
-func (s *Seat) left(c *call) {
+func (s *DirectorListener) left(c *call) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
-	c.Done, c.Failed = time.Now(), true
+	c.EndedAt, c.Failed = time.Now(), true
 }
 
 // await returns true when the call is to be answered, unless it has just fallen silent: something is
 // newer than since, its wait is over, or the director is down. It returns false for a call that fell
 // silent or was given up.
-func (s *Seat) await(r *http.Request, c *call, since uint64) bool {
+func (s *DirectorListener) await(r *http.Request, c *call, since uint64) bool {
 	timer := time.NewTimer(c.Wait)
 	defer timer.Stop()
 	for {
 		s.d.mu.Lock()
 		answer := !c.Watch || s.d.index > since || s.d.down && !s.agent
-		silent, moved := !c.Silent.IsZero(), s.d.moved
+		silent, moved := !c.SilentAt.IsZero(), s.d.moved
 		s.d.mu.Unlock()
 		if silent {
 			return false
--- a/internal/standin/platform/told.go
+++ b/internal/standin/platform/told.go
@@ -11,18 +11,18 @@
 	afterFailed  = 4                      // times as long to ask, where the last call failed
 )
 
-// Terms are what else says when a change counts as told.
-type Terms struct {
-	Began    time.Time     // of the process
-	Hup      time.Time     // it was sent here by SIGHUP; zero: it was here from the start
-	AskEvery time.Duration // the settings' AskEveryMs; of no use for an agent
+// ProcessInfo are what else says when a change counts as told.
+type ProcessInfo struct {
+	StartedAt    time.Time     // of the process
+	MovedAt      time.Time     // it was sent here by SIGHUP; zero: it was here from the start
+	PollInterval time.Duration // the settings' AskEveryMs; of no use for an agent
 }
 
-// Told says when a change counts as told to the seat's dispatcher, by the calls so far; zero: not yet,
+// PublishedAt says when a change counts as told to the seat's dispatcher, by the calls so far; zero: not yet,
 // by anything known now. Where pages leave two readings, it is the earlier time:
 //   - an agent's change counts at once when the agent has it; only a watch that has fallen silent
 //     puts that off, and calls that follow each other in one silence share the first one's clock.
-func (s *Seat) Told(c Change, t Terms) time.Time {
+func (s *DirectorListener) PublishedAt(c Change, t ProcessInfo) time.Time {
 	s.d.mu.Lock()
 	down, outages := append([]span(nil), s.d.downs...), append([]span(nil), s.outages...)
 	s.d.mu.Unlock()
@@ -35,41 +35,41 @@
 // written is when an answer brought the change; zero: never.
 func written(calls []Call, c Change) time.Time {
 	for _, k := range calls {
-		if !k.Done.IsZero() && !k.Failed && k.Index >= c.Index {
-			return k.Done
+		if !k.EndedAt.IsZero() && !k.Failed && k.Index >= c.Index {
+			return k.EndedAt
 		}
 	}
 	return time.Time{}
 }
 
-func toldByAgent(calls []Call, outages []span, c Change, t Terms) time.Time {
-	has := latest(c.Made, t.Began)
+func toldByAgent(calls []Call, outages []span, c Change, t ProcessInfo) time.Time {
+	has := latest(c.ChangedAt, t.StartedAt)
 	for _, o := range outages {
-		if o.holds(c.Made) {
+		if o.holds(c.ChangedAt) {
 			if o.to.IsZero() {
 				return time.Time{}
 			}
 			has = latest(has, o.to)
 		}
 	}
-	if !t.Hup.IsZero() {
-		has = latest(has, t.Hup.Add(toldAfterHup))
+	if !t.MovedAt.IsZero() {
+		has = latest(has, t.MovedAt.Add(toldAfterHup))
 	}
 	if first := silence(calls, has); first != nil {
-		has = latest(has, overdue(first, first.Silent))
+		has = latest(has, overdue(first, first.SilentAt))
 	}
 	return earliest(has, written(calls, c))
 }
 
-func toldWhenAsked(calls []Call, downs []span, c Change, t Terms) time.Time {
-	if first := silence(calls, c.Made); first != nil {
-		return earliest(latest(c.Made, overdue(first, first.Silent)), written(calls, c))
+func toldWhenAsked(calls []Call, downs []span, c Change, t ProcessInfo) time.Time {
+	if first := silence(calls, c.ChangedAt); first != nil {
+		return earliest(latest(c.ChangedAt, overdue(first, first.SilentAt)), written(calls, c))
 	}
-	last, next := around(calls, c.Made)
-	if last != nil && last.Watch && lasts(last, next, c.Made) {
-		return earliest(overdue(last, c.Made), written(calls, c))
+	last, next := around(calls, c.ChangedAt)
+	if last != nil && last.Watch && lasts(last, next, c.ChangedAt) {
+		return earliest(overdue(last, c.ChangedAt), written(calls, c))
 	}
-	from, every := t.Began, t.AskEvery
+	from, every := t.StartedAt, t.PollInterval
 	if last != nil {
 		if from = last.At; last.Failed {
 			every *= afterFailed
@@ -78,7 +78,7 @@
 			}
 		}
 	}
-	return earliest(latest(from, c.Made).Add(every), written(calls, c))
+	return earliest(latest(from, c.ChangedAt).Add(every), written(calls, c))
 }
 
 // overdue is when what a call should have told counts as told, since when it should have.
@@ -97,7 +97,7 @@
 		if c.At.After(at) {
 			continue
 		}
-		if c.Silent.IsZero() || c.Silent.After(at) {
+		if c.SilentAt.IsZero() || c.SilentAt.After(at) {
 			break
 		}
 		first = c
@@ -118,8 +118,8 @@
 
 // lasts says whether a watch lasts at a time: its call is open, or the next one came in time.
 func lasts(last, next *Call, at time.Time) bool {
-	open := last.Done.IsZero() || at.Before(last.Done)
-	followed := next != nil && !next.At.After(last.Done.Add(lastsBetween))
+	open := last.EndedAt.IsZero() || at.Before(last.EndedAt)
+	followed := next != nil && !next.At.After(last.EndedAt.Add(lastsBetween))
 	return open || !last.Failed && followed
 }
 
--- a/internal/standin/platform/told_test.go
+++ b/internal/standin/platform/told_test.go
@@ -27,16 +27,16 @@
 		return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second)))
 	}
 	watch := func(from, wait, silent, done float64) Call {
-		return Call{At: at(from), Watch: true, Wait: time.Duration(wait * 1e9), Silent: at(silent), Done: at(done), Failed: silent >= 0}
+		return Call{At: at(from), Watch: true, Wait: time.Duration(wait * 1e9), SilentAt: at(silent), EndedAt: at(done), Failed: silent >= 0}
 	}
-	failed := func(from, done float64) Call { return Call{At: at(from), Done: at(done), Failed: true} }
+	failed := func(from, done float64) Call { return Call{At: at(from), EndedAt: at(done), Failed: true} }
 	brings := func(c Call, index uint64) Call { c.Index = index; return c }
-	ask := Terms{Began: at(0), AskEvery: 10 * time.Second}
+	ask := ProcessInfo{StartedAt: at(0), PollInterval: 10 * time.Second}
 	for name, c := range map[string]struct {
 		agent  bool
 		calls  []Call
 		out    []span
-		terms  Terms
+		terms  ProcessInfo
 		made   float64
 		counts float64
 	}{
@@ -55,15 +55,15 @@
 		"no watch, never asked":           {terms: ask, made: 5, counts: 15},
 		"failed, and discovery came back": {calls: []Call{failed(0, 0.1)}, out: []span{{at(0), at(8)}}, terms: ask, made: 5, counts: 48},
 		"agent has it":                    {agent: true, made: 5, counts: 5},
-		"before the process began":        {agent: true, terms: Terms{Began: at(9)}, made: 5, counts: 9},
-		"after SIGHUP":                    {agent: true, terms: Terms{Hup: at(4)}, made: 5, counts: 8},
-		"long after SIGHUP":               {agent: true, terms: Terms{Hup: at(4)}, made: 9, counts: 9},
+		"before the process began":        {agent: true, terms: ProcessInfo{StartedAt: at(9)}, made: 5, counts: 9},
+		"after SIGHUP":                    {agent: true, terms: ProcessInfo{MovedAt: at(4)}, made: 5, counts: 8},
+		"long after SIGHUP":               {agent: true, terms: ProcessInfo{MovedAt: at(4)}, made: 9, counts: 9},
 		"in an outage":                    {agent: true, out: []span{{at(4), at(14)}}, made: 5, counts: 14},
 		"in an outage that goes on":       {agent: true, out: []span{{at(4), at(-1)}}, made: 5, counts: -1},
 		"a short outage, a silent watch":  {agent: true, calls: []Call{watch(3, 4, 4, -1)}, out: []span{{at(4), at(6)}}, made: 5, counts: 10},
 		"an agent's watch fallen silent":  {agent: true, calls: []Call{watch(3, 4, 4, -1)}, made: 5, counts: 10},
 	} {
-		change := Change{Index: 7, Made: at(c.made)}
+		change := Change{Index: 7, ChangedAt: at(c.made)}
 		got := toldWhenAsked(c.calls, c.out, change, c.terms)
 		if c.agent {
 			got = toldByAgent(c.calls, c.out, change, c.terms)
@@ -79,7 +79,7 @@
 		pipes := faultnet.ListenPipes("d")
 		d := NewDirector(faultnet.ListenPipes("unused"))
 		defer d.Close()
-		s := d.Seat(pipes, true)
+		s := d.AddListener(pipes, true)
 		d.Set(Entry{Name: "b0", Status: "Ready"})
 		get := func(rest string) <-chan string {
 			out := make(chan string, 1)
@@ -99,20 +99,20 @@
 			return out
 		}
 		open := get("?since=2&timeout_ms=4000")
-		require.Equal(t, 1, s.Silence())
+		require.Equal(t, 1, s.SilenceOpenCalls())
 		d.Set(Entry{Name: "b0", Status: "Terminating"})
 		assert.Contains(t, <-get("?since=2&timeout_ms=4000"), `"status":"Terminating"`, "a new call works")
 		assert.Empty(t, open, "the open one was told nothing")
-		s.Outage(true)
+		s.SetOutage(true)
 		cut := get("")
 		d.Set(Entry{Name: "b0", Status: "Ready"})
 		d.Set(Entry{Name: "b1", Status: "Ready"})
 		time.Sleep(time.Second)
 		assert.Empty(t, cut)
-		s.Outage(false)
+		s.SetOutage(false)
 		time.Sleep(time.Second)
 		assert.Empty(t, cut, "made in the outage: never answered")
-		d.Indent(true)
+		d.SetIndent(true)
 		text := <-get("")
 		assert.Greater(t, strings.Count(text, "\n"), 10)
 		var list struct{ Index uint64 }
@@ -123,7 +123,7 @@
 		synctest.Wait()
 		var was []string
 		for _, c := range s.Calls() {
-			was = append(was, fmt.Sprint(c.Watch, !c.Silent.IsZero(), c.Failed, c.Index))
+			was = append(was, fmt.Sprint(c.Watch, !c.SilentAt.IsZero(), c.Failed, c.Index))
 		}
 		assert.Equal(t, []string{"true true true 0", "true false false 3", "false true true 0", "false false false 5"}, was)
 	})
@@ -132,9 +132,9 @@
 // TestResets: a backend notes the first and the last byte of each attempt, and breaks the connection
 // where it is told to.
 func TestResets(t *testing.T) {
-	for reset, want := range map[Point]struct{ whole, started, result bool }{
-		BeforeLast: {}, BeforeStart: {whole: true}, AfterStart: {whole: true, started: true},
-		Nowhere: {whole: true, started: true, result: true},
+	for reset, want := range map[ResetPoint]struct{ whole, started, result bool }{
+		BeforeLastByte: {}, BeforeStart: {whole: true}, AfterStart: {whole: true, started: true},
+		NoReset: {whole: true, started: true, result: true},
 	} {
 		b, err := StartBackend("b0", 1, func(string) time.Duration { return 0 })
 		require.NoError(t, err)
