--- a/cmd/tinsail-lab/recordings.go
+++ b/cmd/tinsail-lab/recordings.go
@@ -120,7 +120,7 @@
 			w := c.OutOrStdout()
 			fmt.Fprintf(w, "arrivals %d, retries %d, keys %d, over %v\n", s.Arrivals, s.Retries, s.Keys, s.Span)
 			fmt.Fprintf(w, "a second: %.1f on average, %d in the busiest\n", s.PerSecond, s.BusiestSecond)
-			fmt.Fprintf(w, "sizes: median %d bytes, largest %d\n", s.SizeMedian, s.SizeMost)
+			fmt.Fprintf(w, "sizes: median %d bytes, largest %d\n", s.MedianSize, s.MaxSize)
 			for _, k := range slices.Sorted(maps.Keys(s.Classes)) {
 				fmt.Fprintf(w, "class %-16s %d\n", k, s.Classes[k])
 			}
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -18,9 +18,9 @@
 func evening() sim.Scenario {
 	sc := sim.Scenario{Length: 12_000, Rate: 90, Work: 200, Spread: 0.4, Aim: 120, Deadline: 5000, Retries: 1, Backoff: 50, Latency: 0.3, Connect: 0.6}
 	for i, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
-		sc.Backends = append(sc.Backends, sim.Backend{Name: name, Pod: i / 4, Kind: fleet.Kind{Name: "std", Cores: 4, Speed: 1, Slots: 4, Queue: 40, ThrashAt: 10, Thrash: 0.5, RepeatWindow: 7500}})
+		sc.Backends = append(sc.Backends, sim.Backend{Name: name, Pod: i / 4, Kind: fleet.Kind{Name: "std", Cores: 4, Speed: 1, Slots: 4, QueueLimit: 40, ThrashThreshold: 10, ThrashSlowdown: 0.5, RepeatWindow: 7500}})
 	}
-	sc.Events = []sim.Event{{At: 3000, Backend: "a", Do: "trouble", Trouble: fleet.Trouble{Slow: 5}}}
+	sc.Events = []sim.Event{{At: 3000, Backend: "a", Do: "trouble", Trouble: fleet.Faults{SlowFactor: 5}}}
 	return sc
 }
 
--- a/internal/lab/fleet/backend.go
+++ b/internal/lab/fleet/backend.go
@@ -13,8 +13,8 @@
 	"slices"
 )
 
-// Chance is the stream of a name under a seed: it does not depend on what others draw.
-func Chance(seed uint64, name string) *rand.Rand {
+// RandomStream is the stream of a name under a seed: it does not depend on what others draw.
+func RandomStream(seed uint64, name string) *rand.Rand {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
@@ -22,17 +22,17 @@
 
 // Kind describes a kind of machine. The zero value of a part switches it off.
 type Kind struct {
-	Name   string
-	Cores  float64
-	Speed  float64 // work done in a millisecond on one core, in milliseconds of the yardstick
-	Slots  float64 // jobs that run at once, by their slots
-	Queue  int     // jobs that wait; one more is turned away
-	Memory float64
-
-	// A machine that has just started does ColdFrom of what it can, and all of it after Cold.
-	ColdFrom, Cold float64
-	// Beyond ThrashAt jobs for each core, held or waiting, all goes slower: by Thrash at twice that.
-	ThrashAt, Thrash float64
+	Name       string
+	Cores      float64
+	Speed      float64 // work done in a millisecond on one core, in milliseconds of the yardstick
+	Slots      float64 // jobs that run at once, by their slots
+	QueueLimit int     // jobs that wait; one more is turned away
+	Memory     float64
+
+	// A machine that has just started does ColdCapacity of what it can, and all of it after WarmUpTime.
+	ColdCapacity, WarmUpTime float64
+	// Beyond ThrashThreshold jobs for each core, held or waiting, all goes slower: by ThrashSlowdown at twice that.
+	ThrashThreshold, ThrashSlowdown float64
 	// Handshake is the work of taking a connection.
 	Handshake float64
 	// Sent more than FallMultiple times what it can do now, for FallWindow, while it is cold, it
@@ -66,36 +66,36 @@
 	Deadline float64 // dropped from the queue beyond it; 0 for none
 }
 
-// What tells what became of a job.
-type What uint8
+// EventKind tells what became of a job.
+type EventKind uint8
 
 // What can become of a job.
 const (
-	Started  What = iota
-	Done          // with its effect, or as the repeat of one that had it
-	Failed        // quickly, by a fault of the machine's
-	Returned      // handed back unstarted
-	Lost          // the machine died under it
+	Started  EventKind = iota
+	Done               // with its effect, or as the repeat of one that had it
+	Failed             // quickly, by a fault of the machine's
+	Returned           // handed back unstarted
+	Lost               // the machine died under it
 )
 
 var whats = [...]string{"started", "done", "failed", "returned", "lost"}
 
-func (w What) String() string { return whats[w] }
+func (w EventKind) String() string { return whats[w] }
 
 // Event is news of a job.
 type Event struct {
 	At   float64
 	Job  uint64
-	What What
+	Kind EventKind
 }
 
-// Pod is the memory of keys that a few backends share: when each last had its effect.
-type Pod struct{ ran map[uint64]float64 }
+// DedupGroup is the memory of keys that a few backends share: when each last had its effect.
+type DedupGroup struct{ ran map[uint64]float64 }
 
-// NewPod makes an empty memory.
-func NewPod() *Pod { return &Pod{ran: map[uint64]float64{}} }
+// NewDedupGroup makes an empty memory.
+func NewDedupGroup() *DedupGroup { return &DedupGroup{ran: map[uint64]float64{}} }
 
-func (p *Pod) repeat(now float64, key uint64, window float64) bool {
+func (p *DedupGroup) repeat(now float64, key uint64, window float64) bool {
 	at, ok := p.ran[key]
 	return key != 0 && ok && now-at < window
 }
@@ -109,8 +109,8 @@
 
 // Backend is one machine.
 type Backend struct {
-	Kind Kind
-	Pod  *Pod
+	Kind  Kind
+	Dedup *DedupGroup
 
 	started  float64 // when its process did; long past for a warm one
 	now      float64
@@ -135,18 +135,18 @@
 type arrival struct{ at, work float64 }
 
 // New makes a machine that started at a time, minus infinity for one that is warm.
-func New(k Kind, pod *Pod, started, now float64, chance *rand.Rand) *Backend {
-	b := &Backend{Kind: k, Pod: pod, started: started, now: now, slow: 1, chance: chance}
+func New(k Kind, pod *DedupGroup, started, now float64, chance *rand.Rand) *Backend {
+	b := &Backend{Kind: k, Dedup: pod, started: started, now: now, slow: 1, chance: chance}
 	b.pauses(k.PauseEvery, k.Pause)
 	return b
 }
 
 // Capacity is the part of what it can do that it does at a time, from ColdFrom to 1.
 func (b *Backend) Capacity(now float64) float64 {
-	if b.Kind.Cold <= 0 || now-b.started >= b.Kind.Cold {
+	if b.Kind.WarmUpTime <= 0 || now-b.started >= b.Kind.WarmUpTime {
 		return 1
 	}
-	return b.Kind.ColdFrom + (1-b.Kind.ColdFrom)*max(now-b.started, 0)/b.Kind.Cold
+	return b.Kind.ColdCapacity + (1-b.Kind.ColdCapacity)*max(now-b.started, 0)/b.Kind.WarmUpTime
 }
 
 // StartedAt is when its process started; long past, minus infinity say, for one that is warm.
@@ -155,8 +155,8 @@
 // Down says whether it has died or fallen over.
 func (b *Backend) Down() bool { return b.down }
 
-// Held is how many jobs it has, running and waiting.
-func (b *Backend) Held() (run, wait int) { return len(b.running), len(b.waiting) }
+// JobCounts is how many jobs it has, running and waiting.
+func (b *Backend) JobCounts() (run, wait int) { return len(b.running), len(b.waiting) }
 
 // FreeSlots is how many slots no job has.
 func (b *Backend) FreeSlots() float64 { return max(b.Kind.Slots-b.used, 0) }
@@ -170,9 +170,9 @@
 	if b.used > b.Kind.Cores {
 		r *= b.Kind.Cores / b.used
 	}
-	if at := b.Kind.ThrashAt * b.Kind.Cores; at > 0 && b.Kind.Thrash > 0 {
+	if at := b.Kind.ThrashThreshold * b.Kind.Cores; at > 0 && b.Kind.ThrashSlowdown > 0 {
 		if over := (float64(len(b.running)+len(b.waiting)) - at) / at; over > 0 {
-			r /= 1 + b.Kind.Thrash*over
+			r /= 1 + b.Kind.ThrashSlowdown*over
 		}
 	}
 	return r
@@ -180,10 +180,10 @@
 
 // served is the service that a slot gets between two times, through the ramp.
 func (b *Backend) served(from, to float64) float64 {
-	warm := b.started + b.Kind.Cold
+	warm := b.started + b.Kind.WarmUpTime
 	r := b.rate()
 	sum := 0.0
-	if end := min(to, warm); b.Kind.Cold > 0 && from < end {
+	if end := min(to, warm); b.Kind.WarmUpTime > 0 && from < end {
 		sum += r * (end - from) * (b.Capacity(from) + b.Capacity(end)) / 2
 		from = end
 	}
@@ -199,12 +199,12 @@
 	if r <= 0 {
 		return math.Inf(1)
 	}
-	from, warm := b.now, b.started+b.Kind.Cold
-	if b.Kind.Cold > 0 && from < warm {
+	from, warm := b.now, b.started+b.Kind.WarmUpTime
+	if b.Kind.WarmUpTime > 0 && from < warm {
 		inRamp := b.served(from, warm)
 		if amount <= inRamp {
 			// r * (c t + s t²/2) = amount, with c the capacity now and s its slope
-			c, s := b.Capacity(from), (1-b.Kind.ColdFrom)/b.Kind.Cold
+			c, s := b.Capacity(from), (1-b.Kind.ColdCapacity)/b.Kind.WarmUpTime
 			if s == 0 {
 				return from + amount/(r*c)
 			}
@@ -216,8 +216,8 @@
 	return from + amount/r
 }
 
-// Next is when something happens by itself; +Inf if nothing does.
-func (b *Backend) Next() float64 {
+// NextEvent is when something happens by itself; +Inf if nothing does.
+func (b *Backend) NextEvent() float64 {
 	if b.down || b.frozen {
 		return math.Inf(1)
 	}
@@ -246,7 +246,7 @@
 
 func (b *Backend) advance(now float64) {
 	for !b.down && !b.frozen {
-		next := b.Next()
+		next := b.NextEvent()
 		if next > now {
 			break
 		}
@@ -266,7 +266,7 @@
 	}
 }
 
-func (b *Backend) tell(id uint64, what What) {
+func (b *Backend) tell(id uint64, what EventKind) {
 	b.events = append(b.events, Event{b.now, id, what})
 }
 
@@ -283,7 +283,7 @@
 			b.tell(r.job.ID, Failed)
 		} else {
 			if r.job.Key != 0 {
-				b.Pod.ran[r.job.Key] = b.now
+				b.Dedup.ran[r.job.Key] = b.now
 			}
 			b.tell(r.job.ID, Done)
 		}
@@ -317,7 +317,7 @@
 			break
 		}
 	}
-	return len(b.waiting)+1-i > b.Kind.Queue
+	return len(b.waiting)+1-i > b.Kind.QueueLimit
 }
 
 func (b *Backend) free(j Job) {
@@ -330,7 +330,7 @@
 	b.memory += j.Memory
 	r := running{job: j, begun: b.service, target: b.service + j.Work + b.overhead}
 	b.overhead = 0
-	if b.Pod.repeat(b.now, j.Key, b.Kind.RepeatWindow) {
+	if b.Dedup.repeat(b.now, j.Key, b.Kind.RepeatWindow) {
 		r.target = b.service
 	}
 	if b.failPart > 0 && b.chance.Float64() < b.failPart {
@@ -340,19 +340,19 @@
 	b.tell(j.ID, Started)
 }
 
-// Verdict is what a backend says to a job.
-type Verdict uint8
+// OfferResult is what a backend says to a job.
+type OfferResult uint8
 
 // Verdicts.
 const (
-	Accepted Verdict = iota
-	Full             // turned away unseen
-	Refused          // no process is there to take it
+	Accepted OfferResult = iota
+	Full                 // turned away unseen
+	Refused              // no process is there to take it
 )
 
 // Offer hands it a job, on a new connection or an old one, and returns what has happened until
 // then and by that.
-func (b *Backend) Offer(now float64, j Job, connect bool) (Verdict, []Event) {
+func (b *Backend) Offer(now float64, j Job, connect bool) (OfferResult, []Event) {
 	b.events = b.events[:0]
 	b.advance(now)
 	if b.down {
@@ -425,21 +425,21 @@
 	return b.events
 }
 
-// Trouble is what can be wrong with a machine.
-type Trouble struct {
-	Slow     float64 // times slower; 0 and 1 are none
-	FailPart float64 // of jobs, which fail quickly
-	Taken    float64 // part of the machine that a neighbour has
-	Frozen   bool    // nothing moves, and nothing is told
+// Faults is what can be wrong with a machine.
+type Faults struct {
+	SlowFactor     float64 // times slower; 0 and 1 are none
+	FailureRate    float64 // of jobs, which fail quickly
+	NeighbourShare float64 // part of the machine that a neighbour has
+	Frozen         bool    // nothing moves, and nothing is told
 	// Pauses beside the kind's own, where not 0; see Kind.
 	PauseEvery, Pause float64
 }
 
-// Set has these troubles hold from a time on.
-func (b *Backend) Set(now float64, t Trouble) []Event {
+// SetFaults has these troubles hold from a time on.
+func (b *Backend) SetFaults(now float64, t Faults) []Event {
 	b.events = b.events[:0]
 	b.advance(now)
-	b.slow, b.failPart, b.taken, b.frozen = max(t.Slow, 1), t.FailPart, t.Taken, t.Frozen
+	b.slow, b.failPart, b.taken, b.frozen = max(t.SlowFactor, 1), t.FailureRate, t.NeighbourShare, t.Frozen
 	if t.Pause > 0 {
 		b.pauses(t.PauseEvery, t.Pause)
 	} else {
--- a/internal/lab/fleet/backend_test.go
+++ b/internal/lab/fleet/backend_test.go
@@ -12,18 +12,18 @@
 )
 
 func kind() Kind {
-	return Kind{Cores: 2, Speed: 1, Slots: 2, Queue: 2, ThrashAt: 10, Thrash: 0.5, RepeatWindow: 500}
+	return Kind{Cores: 2, Speed: 1, Slots: 2, QueueLimit: 2, ThrashThreshold: 10, ThrashSlowdown: 0.5, RepeatWindow: 500}
 }
 
 func words(events []Event) string {
 	var out []string
 	for _, e := range events {
-		out = append(out, fmt.Sprintf("%d %s %.0f", e.Job, e.What, e.At))
+		out = append(out, fmt.Sprintf("%d %s %.0f", e.Job, e.Kind, e.At))
 	}
 	return strings.Join(out, ", ")
 }
 
-func warm(k Kind) *Backend { return New(k, NewPod(), math.Inf(-1), 0, Chance(1, "t")) }
+func warm(k Kind) *Backend { return New(k, NewDedupGroup(), math.Inf(-1), 0, RandomStream(1, "t")) }
 
 func offer(t *testing.T, b *Backend, now float64, id uint64, work float64) string {
 	v, e := b.Offer(now, Job{ID: id, Work: work, Slots: 1}, false)
@@ -41,22 +41,22 @@
 	v, _ := b.Offer(0, Job{ID: 5, Work: 1, Slots: 1}, false)
 	assert.Equal(t, Full, v)
 	assert.Equal(t, "2 done 50, 3 started 50, 3 done 60, 4 started 60, 4 done 70, 1 done 100", words(b.Advance(1000)))
-	assert.Equal(t, math.Inf(1), b.Next())
+	assert.Equal(t, math.Inf(1), b.NextEvent())
 }
 
 // TestTroubles: slow by a factor, a neighbour, a freeze and a wake, quick failures.
 func TestTroubles(t *testing.T) {
 	b := warm(kind())
 	offer(t, b, 0, 1, 100)
-	b.Set(50, Trouble{Slow: 10})
-	assert.Equal(t, 550.0, b.Next())
-	b.Set(100, Trouble{Taken: 0.5})
-	assert.Equal(t, 190.0, b.Next())
-	b.Set(110, Trouble{Frozen: true})
+	b.SetFaults(50, Faults{SlowFactor: 10})
+	assert.Equal(t, 550.0, b.NextEvent())
+	b.SetFaults(100, Faults{NeighbourShare: 0.5})
+	assert.Equal(t, 190.0, b.NextEvent())
+	b.SetFaults(110, Faults{Frozen: true})
 	assert.Empty(t, b.Advance(5000))
-	assert.Equal(t, "", words(b.Set(5000, Trouble{})))
+	assert.Equal(t, "", words(b.SetFaults(5000, Faults{})))
 	assert.Equal(t, "1 done 5040", words(b.Advance(6000)))
-	b.Set(6000, Trouble{FailPart: 1})
+	b.SetFaults(6000, Faults{FailureRate: 1})
 	offer(t, b, 6000, 2, 100)
 	assert.Equal(t, "2 failed 6002", words(b.Advance(7000)))
 }
@@ -64,14 +64,14 @@
 // TestCold: a cold machine does less, rises evenly, and falls over if it is sent too much.
 func TestCold(t *testing.T) {
 	k := kind()
-	k.ColdFrom, k.Cold, k.FallMultiple, k.FallWindow = 0.5, 1000, 3, 2000
-	b := New(k, NewPod(), 0, 0, Chance(1, "t"))
+	k.ColdCapacity, k.WarmUpTime, k.FallMultiple, k.FallWindow = 0.5, 1000, 3, 2000
+	b := New(k, NewDedupGroup(), 0, 0, RandomStream(1, "t"))
 	offer(t, b, 0, 1, 750) // the mean of the ramp is 0.75
-	assert.InDelta(t, 1000, b.Next(), 1e-6)
+	assert.InDelta(t, 1000, b.NextEvent(), 1e-6)
 	assert.Equal(t, "1 done 1000", words(b.Advance(1001)))
 
-	k.Queue = 1000
-	b = New(k, NewPod(), 0, 0, Chance(1, "t"))
+	k.QueueLimit = 1000
+	b = New(k, NewDedupGroup(), 0, 0, RandomStream(1, "t"))
 	for i := range 59 { // 3 x 0.5 x 2 cores x 2000 ms is 6000
 		offer(t, b, 0, uint64(i+1), 100)
 	}
@@ -87,8 +87,8 @@
 
 // TestRepeat: a key that had its effect in the pod does not have it again.
 func TestRepeat(t *testing.T) {
-	pod := NewPod()
-	a, b := New(kind(), pod, math.Inf(-1), 0, Chance(1, "a")), New(kind(), pod, math.Inf(-1), 0, Chance(1, "b"))
+	pod := NewDedupGroup()
+	a, b := New(kind(), pod, math.Inf(-1), 0, RandomStream(1, "a")), New(kind(), pod, math.Inf(-1), 0, RandomStream(1, "b"))
 	a.Offer(0, Job{ID: 1, Key: 7, Work: 100, Slots: 1}, false)
 	a.Advance(100)
 	b.Advance(200)
@@ -124,10 +124,10 @@
 	assert.Equal(t, Full, v, "one slot is free, but two wait")
 	assert.Equal(t, "1 done 100, 2 started 100, 2 done 150, 3 started 150, 3 done 160", words(b.Advance(1000)))
 	k := kind()
-	k.Queue = 0
+	k.QueueLimit = 0
 	b = warm(k)
-	b.Set(0, Trouble{Frozen: true})
-	for id, want := range []Verdict{Accepted, Accepted, Full} {
+	b.SetFaults(0, Faults{Frozen: true})
+	for id, want := range []OfferResult{Accepted, Accepted, Full} {
 		v, _ = b.Offer(0, Job{ID: uint64(id + 1), Work: 10, Slots: 1}, false)
 		assert.Equal(t, want, v)
 	}
@@ -157,24 +157,24 @@
 	offer(t, b, 0, 1, 2000)
 	still := 0.0
 	for now := 0.5; now < 1000; now += 0.5 {
-		before := b.Share(1)
+		before := b.Progress(1)
 		require.Empty(t, b.Advance(now))
-		if b.SpeaksAt(now) > now {
+		if b.NextSendTime(now) > now {
 			still += 0.5
-			assert.InDelta(t, before, b.Share(1), 1e-3)
+			assert.InDelta(t, before, b.Progress(1), 1e-3)
 		}
 	}
 	assert.InDelta(t, 1000*30/130, still, 100)
-	assert.InDelta(t, (1000-still)/2000, b.Share(1), 1e-3)
-	b.Set(1000, Trouble{PauseEvery: 1, Pause: 1e6})
+	assert.InDelta(t, (1000-still)/2000, b.Progress(1), 1e-3)
+	b.SetFaults(1000, Faults{PauseEvery: 1, Pause: 1e6})
 	b.Advance(1100)
-	assert.Greater(t, b.SpeaksAt(1100), 1e6)
-	assert.Zero(t, b.Share(2))
+	assert.Greater(t, b.NextSendTime(1100), 1e6)
+	assert.Zero(t, b.Progress(2))
 	b = warm(kind())
 	offer(t, b, 0, 1, 100)
 	offer(t, b, 50, 2, 200)
 	b.Advance(99)
-	assert.InDelta(t, 49.0/200, b.Share(2), 1e-9, "from where it began")
+	assert.InDelta(t, 49.0/200, b.Progress(2), 1e-9, "from where it began")
 }
 
 // TestAnyJobs: whatever is offered, called off and troubled at any time, each job that was accepted
@@ -183,11 +183,11 @@
 func TestAnyJobs(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		k := kind()
-		k.ColdFrom, k.Cold, k.Queue, k.Handshake, k.OnCancel = 0.4, 700, 5, 3, DropAll
+		k.ColdCapacity, k.WarmUpTime, k.QueueLimit, k.Handshake, k.OnCancel = 0.4, 700, 5, 3, DropAll
 		if rapid.Bool().Draw(r, "pauses") {
 			k.PauseEvery, k.Pause = 60, 25
 		}
-		often, seldom := New(k, NewPod(), 0, 0, Chance(1, "t")), New(k, NewPod(), 0, 0, Chance(1, "t"))
+		often, seldom := New(k, NewDedupGroup(), 0, 0, RandomStream(1, "t")), New(k, NewDedupGroup(), 0, 0, RandomStream(1, "t"))
 		var logs [2][]Event
 		now := 0.0
 		for id := uint64(1); id < uint64(rapid.IntRange(2, 30).Draw(r, "n")); id++ {
@@ -201,9 +201,9 @@
 			for i, b := range []*Backend{often, seldom} {
 				switch trouble {
 				case 0:
-					logs[i] = append(logs[i], b.Set(now, Trouble{Slow: 3})...)
+					logs[i] = append(logs[i], b.SetFaults(now, Faults{SlowFactor: 3})...)
 				case 1:
-					logs[i] = append(logs[i], b.Set(now, Trouble{})...)
+					logs[i] = append(logs[i], b.SetFaults(now, Faults{})...)
 				case 2:
 					logs[i] = append(logs[i], b.Cancel(now, id/2)...)
 				default:
@@ -215,14 +215,14 @@
 		}
 		for i, b := range []*Backend{often, seldom} {
 			logs[i] = append(logs[i], b.Advance(now+1e6)...)
-			run, wait := b.Held()
+			run, wait := b.JobCounts()
 			require.Zero(r, run+wait)
 			require.InDelta(r, 0, b.used, 1e-9)
 		}
 		require.Equal(r, words(logs[0]), words(logs[1]))
 		started, ended := map[uint64]bool{}, map[uint64]bool{}
 		for _, e := range logs[0] {
-			if e.What == Started {
+			if e.Kind == Started {
 				require.False(r, started[e.Job])
 				started[e.Job] = true
 				continue
--- a/internal/lab/fleet/pause.go
+++ b/internal/lab/fleet/pause.go
@@ -47,16 +47,16 @@
 	}
 }
 
-// SpeaksAt is when what it has to say at a time goes out: at the end of a pause.
-func (b *Backend) SpeaksAt(now float64) float64 {
+// NextSendTime is when what it has to say at a time goes out: at the end of a pause.
+func (b *Backend) NextSendTime(now float64) float64 {
 	if b.pause.on {
 		return max(now, b.pause.at)
 	}
 	return now
 }
 
-// Share is the part of a running job that is done, as of the last event or Advance; 0 if it does not run.
-func (b *Backend) Share(id uint64) float64 {
+// Progress is the part of a running job that is done, as of the last event or Advance; 0 if it does not run.
+func (b *Backend) Progress(id uint64) float64 {
 	i := slices.IndexFunc(b.running, func(r running) bool { return r.job.ID == id })
 	if i < 0 || b.running[i].target <= b.running[i].begun {
 		return 0
--- a/internal/lab/judge/shares.go
+++ b/internal/lab/judge/shares.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// Shares holds what runs for tenants to their quotas, at each begin: at no moment may more run for a tenant than its quota,
+// QuotaChecker holds what runs for tenants to their quotas, at each begin: at no moment may more run for a tenant than its quota,
 // but for urgent reqs that draw on a reserve, which all tenants share. It counts begins and ends as the far side has
 // them, and knows nothing of leases. A quota that was lowered holds for begins once Grace has passed; what runs on is no
 // breach. Times are milliseconds.
-type Shares struct {
-	Grace   float64
-	Reserve int // urgent reqs that may run beyond their tenants' quotas, of all tenants
+type QuotaChecker struct {
+	LoweringGrace float64
+	Reserve       int // urgent reqs that may run beyond their tenants' quotas, of all tenants
 
 	teams    map[string]*team
-	breaches []Breach
+	breaches []Violation
 	count    int
 	n        int
 }
@@ -26,7 +26,7 @@
 	units int
 }
 
-func (s *Shares) team(name string) *team {
+func (s *QuotaChecker) team(name string) *team {
 	if s.teams == nil {
 		s.teams = map[string]*team{}
 	}
@@ -38,25 +38,25 @@
 	return t
 }
 
-// Quota sets a tenant's quota from a time on. One that is never told has none, and is not limited.
-func (s *Shares) Quota(at float64, name string, units int) {
+// SetQuota sets a tenant's quota from a time on. One that is never told has none, and is not limited.
+func (s *QuotaChecker) SetQuota(at float64, name string, units int) {
 	t := s.team(name)
 	t.quotas = append(t.quotas, quotaFrom{at, units})
 }
 
 // most is the largest quota in force in the grace before a time.
-func (s *Shares) most(at float64, t *team) int {
+func (s *QuotaChecker) most(at float64, t *team) int {
 	most := 0
 	for i := len(t.quotas) - 1; i >= 0; i-- {
-		if most = max(most, t.quotas[i].units); t.quotas[i].at <= at-s.Grace {
+		if most = max(most, t.quotas[i].units); t.quotas[i].at <= at-s.LoweringGrace {
 			break
 		}
 	}
 	return most
 }
 
-// Began takes a begin.
-func (s *Shares) Began(at float64, name string, urgent bool) {
+// HandleStart takes a begin.
+func (s *QuotaChecker) HandleStart(at float64, name string, urgent bool) {
 	s.n++
 	t := s.team(name)
 	t.running++
@@ -84,8 +84,8 @@
 	}
 }
 
-// Ended takes an end.
-func (s *Shares) Ended(name string, urgent bool) {
+// HandleEnd takes an end.
+func (s *QuotaChecker) HandleEnd(name string, urgent bool) {
 	t := s.team(name)
 	t.running--
 	if urgent {
@@ -93,14 +93,14 @@
 	}
 }
 
-func (s *Shares) breach(at float64, says string) {
+func (s *QuotaChecker) breach(at float64, says string) {
 	if s.count++; len(s.breaches) < 100 {
-		s.breaches = append(s.breaches, Breach{Rule: "quota", At: at, Event: s.n, Says: says})
+		s.breaches = append(s.breaches, Violation{Rule: "quota", At: at, Event: s.n, Message: says})
 	}
 }
 
-// Breaches are the first hundred; Count is of all.
-func (s *Shares) Breaches() []Breach { return s.breaches }
+// Violations are the first hundred; Count is of all.
+func (s *QuotaChecker) Violations() []Violation { return s.breaches }
 
 // Count is how many begins broke a rule.
-func (s *Shares) Count() int { return s.count }
+func (s *QuotaChecker) Count() int { return s.count }
--- a/internal/lab/live/backend.go
+++ b/internal/lab/live/backend.go
@@ -28,7 +28,7 @@
 	model    *fleet.Backend
 	reporter *fleet.Reporter
 	chance   *rand.Rand
-	jobs     map[uint64]chan fleet.What
+	jobs     map[uint64]chan fleet.EventKind
 	last     uint64
 	timer    *time.Timer
 	server   *http.Server
@@ -70,10 +70,10 @@
 func (b *backend) tell(list []fleet.Event) {
 	for _, e := range list {
 		if c := b.jobs[e.Job]; c != nil {
-			c <- e.What // its buffer holds all that can become of a job
+			c <- e.Kind // its buffer holds all that can become of a job
 		}
 	}
-	next := b.model.Next()
+	next := b.model.NextEvent()
 	if b.timer != nil {
 		b.timer.Stop()
 	}
@@ -110,7 +110,7 @@
 	connect, _ := r.Context().Value(fresh{}).(*bool)
 	b.mu.Lock()
 	b.last++
-	n, news := b.last, make(chan fleet.What, 4)
+	n, news := b.last, make(chan fleet.EventKind, 4)
 	b.jobs[n] = news
 	b.begun++
 	h := fnv.New64a()
@@ -138,7 +138,7 @@
 }
 
 // follow tells what becomes of a job, line by line.
-func (b *backend) follow(w http.ResponseWriter, r *http.Request, id string, n uint64, news <-chan fleet.What) {
+func (b *backend) follow(w http.ResponseWriter, r *http.Request, id string, n uint64, news <-chan fleet.EventKind) {
 	flush := http.NewResponseController(w)
 	line := func(rest string) {
 		fmt.Fprintf(w, `{"id":%q,"from":%q,%s}`+"\n", id, b.name, rest)
@@ -172,7 +172,7 @@
 func (b *backend) load() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if v, ok := b.reporter.Tell(b.clock(), b.model.FreeSlots(), b.chance); ok {
+	if v, ok := b.reporter.Report(b.clock(), b.model.FreeSlots(), b.chance); ok {
 		return fmt.Sprintf(`,"load":{"x0":%.3f}`, v)
 	}
 	return ""
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -113,7 +113,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	go func() { ended <- st.events(ctx) }()
-	var service judge.Service
+	var service judge.ServiceLevel
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 	res.Clients, err = load.Run(ctx, reqs, load.Options{Targets: targets, Class: "photo", Deadline: time.Duration(sc.Deadline * float64(time.Millisecond)),
 		Retries: sc.Retries, Backoff: time.Duration(sc.Backoff * float64(time.Millisecond)), Seed: sc.Seed, Progress: o.Progress,
@@ -134,8 +134,8 @@
 	if err := <-ended; err != nil && ctx.Err() == nil {
 		return res, err
 	}
-	res.First, res.Served, res.Refused, res.Failed = res.Clients.First, res.Clients.Served, res.Clients.Refused, res.Clients.Failed
-	res.Worst, res.Load = service.Worst(), map[string]int{}
+	res.First, res.Served, res.Refused, res.Failed = res.Clients.FirstReqs, res.Clients.Served, res.Clients.Refused, res.Clients.Failed
+	res.Worst, res.Load = service.WorstWindow(), map[string]int{}
 	for name, b := range st.backends {
 		b.mu.Lock()
 		res.Load[name] = b.begun
@@ -158,9 +158,9 @@
 	if b.Cold {
 		started = 0
 	}
-	x := &backend{name: b.Name, clock: st.clock, work: func(key string) float64 { return st.works[key] }, jobs: map[uint64]chan fleet.What{},
-		model:  fleet.New(b.Kind, fleet.NewPod(), started, 0, fleet.Chance(st.sc.Seed, "backend "+b.Name)),
-		chance: fleet.Chance(st.sc.Seed, "reports "+b.Name), reporter: fleet.NewReporter(st.sc.Report, b.Kind.Slots)}
+	x := &backend{name: b.Name, clock: st.clock, work: func(key string) float64 { return st.works[key] }, jobs: map[uint64]chan fleet.EventKind{},
+		model:  fleet.New(b.Kind, fleet.NewDedupGroup(), started, 0, fleet.RandomStream(st.sc.Seed, "backend "+b.Name)),
+		chance: fleet.RandomStream(st.sc.Seed, "reports "+b.Name), reporter: fleet.NewReporter(st.sc.Report, b.Kind.Slots)}
 	if err := x.listen(); err != nil {
 		return nil, err
 	}
@@ -214,7 +214,7 @@
 		case "start":
 			err = x.start()
 		case "trouble":
-			x.change(func(now float64) []fleet.Event { return x.model.Set(now, e.Trouble) })
+			x.change(func(now float64) []fleet.Event { return x.model.SetFaults(now, e.Trouble) })
 		case "drain":
 			x.change(func(now float64) []fleet.Event { return x.model.Drain(now, true) })
 			later.Go(func() {
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -20,11 +20,11 @@
 	out, err := exec.Command("go", "build", "-buildvcs=false", "-o", program, "tinsail/cmd/tinsail").CombinedOutput()
 	require.NoError(t, err, string(out))
 	sc := sim.Scenario{Seed: 1, Dispatchers: 2, Length: 1500, Rate: 60, Work: 20, Spread: 0.3, Aim: 120, Stretch: 2, Deadline: 5000, Retries: 1, Backoff: 20,
-		Report: fleet.Reports{Period: 100, Delay: 50, Noise: 0.05}}
+		Report: fleet.ReportConfig{Period: 100, Delay: 50, Noise: 0.05}}
 	for i, name := range []string{"a", "b", "c", "d"} {
-		sc.Backends = append(sc.Backends, sim.Backend{Name: name, Pod: i / 2, Cold: name == "d", Kind: fleet.Kind{Name: "std", Cores: 4, Speed: 1, Slots: 4, Queue: 20, ColdFrom: 0.5, Cold: 500}})
+		sc.Backends = append(sc.Backends, sim.Backend{Name: name, Pod: i / 2, Cold: name == "d", Kind: fleet.Kind{Name: "std", Cores: 4, Speed: 1, Slots: 4, QueueLimit: 20, ColdCapacity: 0.5, WarmUpTime: 500}})
 	}
-	sc.Events = []sim.Event{{At: 100, Backend: "a", Do: "ban"}, {At: 200, Backend: "b", Do: "trouble", Trouble: fleet.Trouble{FailPart: 0.5}},
+	sc.Events = []sim.Event{{At: 100, Backend: "a", Do: "ban"}, {At: 200, Backend: "b", Do: "trouble", Trouble: fleet.Faults{FailureRate: 0.5}},
 		{At: 400, Backend: "b", Do: "trouble"}, {At: 500, Backend: "c", Do: "drain", Heard: 50}, {At: 700, Backend: "c", Do: "kill"},
 		{At: 750, Backend: "c", Do: "start"}, {At: 800, Backend: "c", Do: "list", Heard: 20}, {At: 900, Backend: "a", Do: "lift"}, {At: 1000, Backend: "b", Do: "unlist"}}
 	r, err := Play(context.Background(), sc, Options{Program: program})
@@ -49,7 +49,7 @@
 	require.NoError(t, err, string(out))
 	sc := sim.Scenario{Seed: 1, Length: 1000, Rate: 1, Work: 20, Spread: 0.3, Aim: 120, Stretch: 2, Deadline: 5000, Retries: 1, Backoff: 20}
 	for _, name := range []string{"a", "b"} {
-		sc.Backends = append(sc.Backends, sim.Backend{Name: name, Kind: fleet.Kind{Name: "std", Cores: 4, Speed: 1, Slots: 4, Queue: 20}})
+		sc.Backends = append(sc.Backends, sim.Backend{Name: name, Kind: fleet.Kind{Name: "std", Cores: 4, Speed: 1, Slots: 4, QueueLimit: 20}})
 	}
 	for i := range 40 {
 		sc.Times = append(sc.Times, float64(i*20))
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -41,12 +41,12 @@
 
 // Result is what came of it.
 type Result struct {
-	First, Served, Refused, Failed int // Refused and Failed are given up, retries and all
-	Tries                          int
-	Broken                         int // tries whose connection ended without an answer
-	Open                           int
-	Latency                        *hdrhistogram.Histogram // of served first reqs, us
-	Late                           *hdrhistogram.Histogram // of the tool's own sends behind their times, us
+	FirstReqs, Served, Refused, Failed int // Refused and Failed are given up, retries and all
+	Tries                              int
+	Unanswered                         int // tries whose connection ended without an answer
+	Open                               int
+	Latency                            *hdrhistogram.Histogram // of served first reqs, us
+	SendDelay                          *hdrhistogram.Histogram // of the tool's own sends behind their times, us
 }
 
 // Mostly bounds a run: more reqs than this are refused.
@@ -78,7 +78,7 @@
 	tr := &http.Transport{MaxIdleConnsPerHost: 10_000, IdleConnTimeout: time.Minute, DisableCompression: true}
 	defer tr.CloseIdleConnections()
 	r := &run{o: o, client: &http.Client{Transport: tr}, begun: time.Now(), rng: rand.New(rand.NewPCG(o.Seed, 11))}
-	r.res.Latency, r.res.Late = hdrhistogram.New(1, 600_000_000, 3), hdrhistogram.New(1, 600_000_000, 3)
+	r.res.Latency, r.res.SendDelay = hdrhistogram.New(1, 600_000_000, 3), hdrhistogram.New(1, 600_000_000, 3)
 	var all sync.WaitGroup
 	tick := time.Now()
 	for _, q := range reqs {
@@ -92,9 +92,9 @@
 			break
 		}
 		r.mu.Lock()
-		r.res.First++
+		r.res.FirstReqs++
 		r.res.Open++
-		_ = r.res.Late.RecordValue(max(1, time.Since(r.begun.Add(q.At)).Microseconds()))
+		_ = r.res.SendDelay.RecordValue(max(1, time.Since(r.begun.Add(q.At)).Microseconds()))
 		r.mu.Unlock()
 		all.Go(func() { r.first(ctx, q) })
 		if o.Progress != nil && time.Since(tick) > 500*time.Millisecond {
@@ -111,7 +111,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.res
-	c.Latency, c.Late = nil, nil
+	c.Latency, c.SendDelay = nil, nil
 	return c
 }
 
@@ -178,7 +178,7 @@
 	}
 	if err != nil {
 		r.mu.Lock()
-		r.res.Broken++
+		r.res.Unanswered++
 		r.mu.Unlock()
 		return 0, 0
 	}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -60,12 +60,12 @@
 			}
 		}})
 	require.NoError(t, err)
-	assert.Equal(t, []int{5, 3, 1, 1, 0}, []int{r.First, r.Served, r.Refused, r.Failed, r.Open})
+	assert.Equal(t, []int{5, 3, 1, 1, 0}, []int{r.FirstReqs, r.Served, r.Refused, r.Failed, r.Open})
 	assert.Equal(t, 3, good)
 	assert.Equal(t, 8, r.Tries)
-	assert.Equal(t, 1, r.Broken)
+	assert.Equal(t, 1, r.Unanswered)
 	assert.EqualValues(t, 3, r.Latency.TotalCount())
-	assert.EqualValues(t, 5, r.Late.TotalCount())
+	assert.EqualValues(t, 5, r.SendDelay.TotalCount())
 	for id, n := range seen {
 		assert.Equal(t, 1, n, id)
 	}
@@ -85,5 +85,5 @@
 	stop()
 	r, err := Run(ctx, []Req{{At: time.Hour}}, Options{Targets: []string{"127.0.0.1:1"}})
 	assert.ErrorIs(t, err, context.Canceled)
-	assert.Zero(t, r.First)
+	assert.Zero(t, r.FirstReqs)
 }
--- a/internal/lab/recording/change.go
+++ b/internal/lab/recording/change.go
@@ -86,7 +86,7 @@
 	PerSecond               float64       // arrivals a second over the span
 	BusiestSecond           int           // most arrivals in one whole second from the start
 	Classes                 map[string]int
-	SizeMedian, SizeMost    int64 // bytes
+	MedianSize, MaxSize     int64 // bytes
 }
 
 // Summarize sums a recording up. Its cost grows with its length; it holds a map of keys.
@@ -113,7 +113,7 @@
 	}
 	if len(sizes) > 0 {
 		slices.Sort(sizes)
-		s.SizeMedian, s.SizeMost = sizes[len(sizes)/2], sizes[len(sizes)-1]
+		s.MedianSize, s.MaxSize = sizes[len(sizes)/2], sizes[len(sizes)-1]
 	}
 	return s
 }
--- a/internal/lab/recording/recording_test.go
+++ b/internal/lab/recording/recording_test.go
@@ -159,7 +159,7 @@
 	assert.Equal(t, 500, s.Keys)
 	assert.Equal(t, 143, s.BusiestSecond)
 	assert.Equal(t, map[string]int{"photo-ingest": 1000}, s.Classes)
-	assert.Equal(t, int64(99900), s.SizeMost)
+	assert.Equal(t, int64(99900), s.MaxSize)
 }
 
 // FuzzRead: no file, however broken, panics the reader or passes unchecked.
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -20,7 +20,7 @@
 	set := balance.Settings{Instances: 1, Zones: 1, Kinds: 1, MaxAttempts: 5, TellsStart: true, ConnectTimeout: 120, Tick: 2,
 		Rules:   balance.Rules{AnswerSlack: 8, AskEvery: 10000, FallMultiple: 3, FallWindow: 2000, StartCapacity: 0.31, WarmAfter: 9000, DrainGrace: 500},
 		Classes: []balance.Class{{Worth: 1, Aim: 120, Stretch: 2, Deadline: 5000, Kind: -1}}}
-	k := fleet.Kind{Name: "std", Cores: 2, Speed: 1, Slots: 2, Queue: 20}
+	k := fleet.Kind{Name: "std", Cores: 2, Speed: 1, Slots: 2, QueueLimit: 20}
 	sc := sim.Scenario{Length: 3000, Rate: 20, Work: 100, Aim: 120, Deadline: 5000, Backends: []sim.Backend{{Name: "a", Kind: k}, {Name: "b", Kind: k}}}
 	r, err := experiment.Compare(context.Background(), sc, experiment.Variant{Name: "module", Settings: set, Policy: sim.Module},
 		experiment.Variant{Name: "<random>", Settings: set, Policy: experiment.Random}, experiment.Options{Most: 3, Least: 3, Width: -1})
--- a/internal/lab/script/script.go
+++ b/internal/lab/script/script.go
@@ -233,7 +233,7 @@
 
 func (r *reader) reports(a *args) (starlark.Value, error) {
 	r.once(a)
-	r.sc.Report = fleet.Reports{Period: a.number("period_ms", 900, 1, 1e6), Delay: a.number("delay_ms", 300, 0, 1e6), Noise: a.number("noise", 0.04, 0, 1)}
+	r.sc.Report = fleet.ReportConfig{Period: a.number("period_ms", 900, 1, 1e6), Delay: a.number("delay_ms", 300, 0, 1e6), Noise: a.number("noise", 0.04, 0, 1)}
 	return nil, nil
 }
 
@@ -244,11 +244,11 @@
 	}
 	k := fleet.Kind{Name: name, Cores: a.number("cores", 4, 0.1, 1024), Speed: a.number("speed", 1, 0.001, 1000)}
 	k.Slots = a.number("slots", k.Cores, 1, 4096)
-	k.Queue = int(a.number("queue", 40, 0, 1e6))
-	k.ColdFrom = a.number("cold_from", 0.4, 0.001, 1)
-	k.Cold = a.seconds("cold", 6000)
-	k.ThrashAt = a.number("thrash_at", 10, 0, 1e4)
-	k.Thrash = a.number("thrash", 0.5, 0, 100)
+	k.QueueLimit = int(a.number("queue", 40, 0, 1e6))
+	k.ColdCapacity = a.number("cold_from", 0.4, 0.001, 1)
+	k.WarmUpTime = a.seconds("cold", 6000)
+	k.ThrashThreshold = a.number("thrash_at", 10, 0, 1e4)
+	k.ThrashSlowdown = a.number("thrash", 0.5, 0, 100)
 	k.Handshake = a.number("handshake_ms", 3, 0, 1e4)
 	k.FallMultiple = a.number("fall_multiple", 3, 0, 1e4)
 	k.FallWindow = a.seconds("fall_window", 2000)
@@ -313,11 +313,11 @@
 	e := sim.Event{At: at, Do: do}
 	switch do {
 	case "slow":
-		e.Do, e.Trouble.Slow = "trouble", a.number("times", 5, 1, 1e4)
+		e.Do, e.Trouble.SlowFactor = "trouble", a.number("times", 5, 1, 1e4)
 	case "errors":
-		e.Do, e.Trouble.FailPart = "trouble", a.number("part", 0.5, 0, 1)
+		e.Do, e.Trouble.FailureRate = "trouble", a.number("part", 0.5, 0, 1)
 	case "neighbour":
-		e.Do, e.Trouble.Taken = "trouble", a.number("part", 0.5, 0, 0.99)
+		e.Do, e.Trouble.NeighbourShare = "trouble", a.number("part", 0.5, 0, 0.99)
 	case "freeze":
 		e.Do, e.Trouble.Frozen = "trouble", true
 	case "pauses":
--- a/internal/lab/script/script_test.go
+++ b/internal/lab/script/script_test.go
@@ -44,7 +44,7 @@
 	assert.Equal(t, []sim.Burst{{From: 5000, To: 7000, Times: 2.5}}, sc.Bursts)
 	require.Len(t, sc.Events, 4+1+12)
 	assert.Equal(t, "trouble", sc.Events[0].Do)
-	assert.Equal(t, 9.0, sc.Events[3].Trouble.Slow)
+	assert.Equal(t, 9.0, sc.Events[3].Trouble.SlowFactor)
 	assert.Equal(t, 500.0, sc.Events[4].Heard)
 	assert.Equal(t, sim.Site{Unweighted: true, Progress: 1000, Guess: 0.5, Mix: balance.Mix{WorstClass: 0.3}}, sc.Site)
 	assert.Equal(t, []sim.Class{{Name: "x", Share: 2, Work: 50, Spread: 0.4, Aim: 120, Stretch: 2, Deadline: 5000, Worth: 1, Wide: 0.2, Window: 7500,
--- a/internal/lab/sim/accord.go
+++ b/internal/lab/sim/accord.go
@@ -94,7 +94,7 @@
 
 // newKeeper has version 1 in force since long before the run, so that the first reqs are taken by it.
 func newKeeper(w *world) (*keeperAt, error) {
-	k := &keeperAt{w: w, plan: w.sc.Accord.plan(), chance: fleet.Chance(w.sc.Seed, "accord"), dark: math.NaN()}
+	k := &keeperAt{w: w, plan: w.sc.Accord.plan(), chance: fleet.RandomStream(w.sc.Seed, "accord"), dark: math.NaN()}
 	k.rate = k.drawRate()
 	k.state.Apply(accord.Decision{Change: 1, Proposal: accord.ProposalBit | 1, Version: 1, Body: []byte("version 1")})
 	var err error
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -25,7 +25,7 @@
 func (sc *Scenario) Arrivals() iter.Seq[Arrival] {
 	classes := sc.classes()
 	return func(yield func(Arrival) bool) {
-		chance, more := fleet.Chance(sc.Seed, "arrivals"), fleet.Chance(sc.Seed, "classes")
+		chance, more := fleet.RandomStream(sc.Seed, "arrivals"), fleet.RandomStream(sc.Seed, "classes")
 		if sc.Times != nil { // a recording's
 			for _, at := range sc.Times {
 				if at >= sc.Length || !yield(sc.draw(at, chance.NormFloat64(), classes, more)) {
@@ -133,7 +133,7 @@
 	c.side.asked[c] = struct{}{}
 	c.id = fmt.Sprint(c.key, "-", c.tries)
 	deadline := c.until()
-	w.note(judge.Event{What: judge.Asked, Node: c.side.at, Req: c.id, Key: c.key, Deadline: deadline, Work: c.Work, Effect: effects[c.class().Effect]})
+	w.note(judge.Event{Kind: judge.ReqReceived, Node: c.side.at, Req: c.id, Key: c.key, Deadline: deadline, Work: c.Work, Effect: effects[c.class().Effect]})
 	w.tries[c.id] = c
 	job := &core.Job{Method: "POST", Target: "/photo", ID: c.id}
 	q := balance.Request{Class: c.Class, Tenant: c.tenant, Slots: c.Slots, Work: c.Guess, Retry: c.tries > 1}
@@ -156,7 +156,7 @@
 	return 1
 }
 
-var verdicts = [...]judge.Verdict{core.Result: judge.Served, core.Refusal: judge.Refused, core.Failure: judge.Failed}
+var verdicts = [...]judge.AnswerKind{core.Result: judge.Served, core.Refusal: judge.Refused, core.Failure: judge.Failed}
 
 // Answer takes the final answer. That there is no second is the judge's to see.
 func (c *client) Answer(a core.Answer) {
@@ -164,7 +164,7 @@
 	delete(c.side.asked, c)
 	w.open--
 	w.res.Answers++
-	w.note(judge.Event{What: judge.Answered, Node: c.side.at, Req: c.id, Verdict: verdicts[a.Kind]})
+	w.note(judge.Event{Kind: judge.ReqAnswered, Node: c.side.at, Req: c.id, AnswerKind: verdicts[a.Kind]})
 	s := w.second(w.now)
 	switch a.Kind {
 	case core.Result:
@@ -246,7 +246,7 @@
 		}
 		defer w.runs.again(c)
 	}
-	w.service.Weigh(c.begun, c.worth()*c.class().Worth, good)
+	w.service.AddWeighted(c.begun, c.worth()*c.class().Worth, good)
 	if good {
 		r.InTime++
 		r.Good += c.worth()
--- a/internal/lab/sim/desk.go
+++ b/internal/lab/sim/desk.go
@@ -90,14 +90,14 @@
 	if w := d.q.w; a.urgent && w.runs.inside(a.came) {
 		_ = w.res.Quotas.Room.RecordValue(int64((w.now-a.came)*1000) + 1) // in its bounds: patience is shorter
 	}
-	d.q.flight.Began(d.q.w.now, a.name, a.urgent)
+	d.q.flight.HandleStart(d.q.w.now, a.name, a.urgent)
 }
 
 func (d *deskAt) ended(id uint64) {
 	if a, flies := d.flying[id]; flies {
 		delete(d.flying, id)
 		d.q.passes(a.name, a.urgent, -1)
-		d.q.flight.Ended(a.name, a.urgent)
+		d.q.flight.HandleEnd(a.name, a.urgent)
 	}
 }
 
--- a/internal/lab/sim/quotas.go
+++ b/internal/lab/sim/quotas.go
@@ -65,7 +65,7 @@
 	Refused                         int                     // reqs that were out of patience before they had room
 	Notes                           map[string]int
 	Breaches                        int // begins beyond a quota, at the backends or at the dispatchers
-	Broken                          []judge.Breach
+	Broken                          []judge.Violation
 }
 
 func (sc *Scenario) checkQuotas() error {
@@ -122,8 +122,8 @@
 	regions  []*regionAt
 	now      map[string]int       // the quotas in force
 	urgent   []bool               // by class
-	at       judge.Shares         // what runs at backends
-	flight   judge.Shares         // what is in flight at dispatchers
+	at       judge.QuotaChecker   // what runs at backends
+	flight   judge.QuotaChecker   // what is in flight at dispatchers
 	messages int                  // of all dispatchers, in the window
 	mean     map[string]*inFlight // by tenant
 	bytes    []int                // of each dispatcher, in the window
@@ -163,10 +163,10 @@
 func (q *quotas) life() uint64 { q.lives++; return q.lives }
 
 func newQuotas(w *world) (*quotas, error) {
-	q := &quotas{w: w, set: w.sc.Quotas, chance: fleet.Chance(w.sc.Seed, "quotas"), now: map[string]int{}, mean: map[string]*inFlight{}, bytes: make([]int, max(w.sc.Dispatchers, 1))}
+	q := &quotas{w: w, set: w.sc.Quotas, chance: fleet.RandomStream(w.sc.Seed, "quotas"), now: map[string]int{}, mean: map[string]*inFlight{}, bytes: make([]int, max(w.sc.Dispatchers, 1))}
 	// A region that is cut off hears of no change, and may begin by what it holds until its lease and one of its own are over.
 	grace := (q.set.RegionLease + q.set.Lease) * (1 + q.set.Drift) / (1 - q.set.Drift)
-	q.at = judge.Shares{Reserve: q.set.Reserve * len(w.sc.Regions), Grace: grace}
+	q.at = judge.QuotaChecker{Reserve: q.set.Reserve * len(w.sc.Regions), LoweringGrace: grace}
 	q.flight = q.at
 	for _, t := range w.sc.Tenants {
 		q.decide(t.Name, t.Quota)
@@ -187,8 +187,8 @@
 
 func (q *quotas) decide(name string, units int) {
 	q.now[name] = units
-	q.at.Quota(q.w.now, name, units)
-	q.flight.Quota(q.w.now, name, units)
+	q.at.SetQuota(q.w.now, name, units)
+	q.flight.SetQuota(q.w.now, name, units)
 }
 
 // accounts are those that have a quota, by name.
@@ -470,7 +470,7 @@
 	}
 	r := &q.w.res.Quotas
 	r.Breaches = q.at.Count() + q.flight.Count()
-	r.Broken = append(q.at.Breaches(), q.flight.Breaches()...)
+	r.Broken = append(q.at.Violations(), q.flight.Violations()...)
 	win := &q.w.sc.Window
 	s, n := (win.To-win.From)/1000, float64(len(q.bytes))
 	sum := 0
--- a/internal/lab/sim/restart.go
+++ b/internal/lab/sim/restart.go
@@ -43,7 +43,7 @@
 	if old.dead {
 		return
 	}
-	w.note(judge.Event{What: judge.Stopped, Node: old.at})
+	w.note(judge.Event{Kind: judge.DispatcherKilled, Node: old.at})
 	old.dead = true
 	for _, n := range w.names { // in one order, so that a run stays the same
 		for _, id := range slices.Sorted(maps.Keys(w.nodes[n].out)) {
--- a/internal/lab/sim/side.go
+++ b/internal/lab/sim/side.go
@@ -86,7 +86,7 @@
 		}
 		in = append(in, maintenance.Backend(n.entry()))
 		if n.state != balance.Ready {
-			s.w.note(judge.Event{What: judge.Told, Node: s.at, Backend: n.name})
+			s.w.note(judge.Event{Kind: judge.StateReceived, Node: s.at, Backend: n.name})
 		}
 		s.last[n.name] = in[len(in)-1]
 	}
@@ -95,7 +95,7 @@
 
 // tell tells it what the director says of one backend.
 func (s *side) tell(n *node) {
-	s.w.note(judge.Event{What: judge.Told, Node: s.at, Backend: n.name, Ready: n.state == balance.Ready})
+	s.w.note(judge.Event{Kind: judge.StateReceived, Node: s.at, Backend: n.name, Ready: n.state == balance.Ready})
 	if s.last[n.name] = maintenance.Backend(n.entry()); n.state == balance.Gone {
 		delete(s.last, n.name)
 	}
@@ -159,7 +159,7 @@
 			return
 		}
 		t.over = true
-		w.note(judge.Event{What: judge.Ended, Node: s.at, Req: a.Job.ID, Try: a.Number()})
+		w.note(judge.Event{Kind: judge.AttemptEnded, Node: s.at, Req: a.Job.ID, Attempt: a.Number()})
 		t.call()
 	}
 }
@@ -186,7 +186,7 @@
 		if t.over || t.n.out[t.id] != t {
 			return
 		}
-		if share := t.n.model.Share(t.id); t.n.model.SpeaksAt(w.now) == w.now {
+		if share := t.n.model.Progress(t.id); t.n.model.NextSendTime(w.now) == w.now {
 			w.at(w.now+w.delay(), func() { t.side.touch(); t.a.Progress(share) })
 		}
 		t.progress()
@@ -213,7 +213,7 @@
 	if z := c.class().Noise; z > 0 {
 		work *= math.Exp(z*w.attempts.NormFloat64() - z*z/2)
 	}
-	e := judge.Event{What: judge.Sent, Node: s.at, Req: t.a.Job.ID, Key: t.a.Job.IdempotencyKey, Try: t.a.Number(), Backend: t.n.name,
+	e := judge.Event{Kind: judge.AttemptSent, Node: s.at, Req: t.a.Job.ID, Key: t.a.Job.IdempotencyKey, Attempt: t.a.Number(), Backend: t.n.name,
 		Group: t.n.cfg.Pod, Work: c.Work}
 	if part := t.n.model.Capacity(w.now); part < 1 {
 		e.Capacity = part * t.n.cfg.Kind.Cores * t.n.cfg.Kind.Speed
@@ -239,7 +239,7 @@
 func (t *trip) reply(e core.Ending) {
 	w, s := t.side.w, t.side
 	delete(t.n.out, t.id)
-	w.at(t.n.model.SpeaksAt(w.now)+w.delay(), func() {
+	w.at(t.n.model.NextSendTime(w.now)+w.delay(), func() {
 		if e != core.Broken && e != core.Unreached {
 			s.conns[t.n]++
 		}
@@ -247,7 +247,7 @@
 			return
 		}
 		t.over, t.never = true, e == core.Returned || e == core.Unreached
-		w.note(judge.Event{What: judge.Ended, Node: s.at, Req: t.a.Job.ID, Try: t.a.Number(), Never: t.never})
+		w.note(judge.Event{Kind: judge.AttemptEnded, Node: s.at, Req: t.a.Job.ID, Attempt: t.a.Number(), NeverRan: t.never})
 		s.touch()
 		t.a.Ended(e, "", w.report(t.n))
 	})
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -36,7 +36,7 @@
 	Backoff  float64 // before a retry, where no longer pause was advised
 	Latency  float64 // one way, between any two; half of it varies
 	Connect  float64 // further time that a new connection takes
-	Report   fleet.Reports
+	Report   fleet.ReportConfig
 	Backends []Backend
 	Events   []Event
 	// Classes, where given, stand for Work, Spread, Aim, Stretch and Deadline.
@@ -80,7 +80,7 @@
 	// Do is one of Dos. drain, list and unlist are what the director says of it: that it drains, is ready, is gone. ban and lift
 	// are operators' calls at all dispatchers.
 	Do      string
-	Trouble fleet.Trouble
+	Trouble fleet.Faults
 	Heard   float64 // for how long the dispatchers do not hear of it: drain, list and unlist
 }
 
@@ -129,7 +129,7 @@
 	Steps    int     // events of the run
 	Events   int     // of the log
 	Hash     uint64  // of the log
-	Broken   []judge.Breach
+	Broken   []judge.Violation
 	Breaches int // all, where only the first are kept
 	Seconds  []Second
 	Load     map[string]int // jobs begun, by backend
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -16,8 +16,8 @@
 	sc := Scenario{Seed: seed, Length: 20_000, Rate: 100, Work: 200, Spread: 0.4, Aim: 120, Deadline: 5000, Retries: 1, Backoff: 50,
 		Latency: 0.3, Connect: 0.6}
 	for i, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
-		sc.Backends = append(sc.Backends, Backend{Name: name, Pod: i / 4, Kind: fleet.Kind{Name: "std", Cores: 4, Speed: 1, Slots: 4, Queue: 40,
-			ColdFrom: 0.4, Cold: 6000, ThrashAt: 10, Thrash: 0.5, Handshake: 3, FallMultiple: 3, FallWindow: 2000, FallSlack: 3, RepeatWindow: 7500}})
+		sc.Backends = append(sc.Backends, Backend{Name: name, Pod: i / 4, Kind: fleet.Kind{Name: "std", Cores: 4, Speed: 1, Slots: 4, QueueLimit: 40,
+			ColdCapacity: 0.4, WarmUpTime: 6000, ThrashThreshold: 10, ThrashSlowdown: 0.5, Handshake: 3, FallMultiple: 3, FallWindow: 2000, FallSlack: 3, RepeatWindow: 7500}})
 	}
 	return sc
 }
@@ -40,7 +40,7 @@
 // TestSameSeed: a run is the same to the byte, and another seed's is another.
 func TestSameSeed(t *testing.T) {
 	sc := evening(1)
-	sc.Events = []Event{{At: 5000, Backend: "a", Do: "trouble", Trouble: fleet.Trouble{Slow: 5, FailPart: 0.2}}, {At: 9000, Backend: "b", Do: "kill"}}
+	sc.Events = []Event{{At: 5000, Backend: "a", Do: "trouble", Trouble: fleet.Faults{SlowFactor: 5, FailureRate: 0.2}}, {At: 9000, Backend: "b", Do: "kill"}}
 	a, b := play(t, sc), play(t, sc)
 	assert.Equal(t, a, b)
 	sc.Seed = 2
@@ -61,13 +61,13 @@
 		floor  float64
 	}{
 		"slow": {func(s *Scenario) {
-			s.Events = []Event{{At: 3000, Backend: "a", Do: "trouble", Trouble: fleet.Trouble{Slow: 9}}}
+			s.Events = []Event{{At: 3000, Backend: "a", Do: "trouble", Trouble: fleet.Faults{SlowFactor: 9}}}
 		}, 0.85},
 		"fast errors": {func(s *Scenario) {
-			s.Events = []Event{{At: 3000, Backend: "a", Do: "trouble", Trouble: fleet.Trouble{FailPart: 0.9}}}
+			s.Events = []Event{{At: 3000, Backend: "a", Do: "trouble", Trouble: fleet.Faults{FailureRate: 0.9}}}
 		}, 0.85},
 		"frozen, and awake again": {func(s *Scenario) {
-			s.Events = []Event{{At: 3000, Backend: "a", Do: "trouble", Trouble: fleet.Trouble{Frozen: true}}, {At: 8000, Backend: "a", Do: "trouble"}}
+			s.Events = []Event{{At: 3000, Backend: "a", Do: "trouble", Trouble: fleet.Faults{Frozen: true}}, {At: 8000, Backend: "a", Do: "trouble"}}
 		}, 0.8},
 		"burst": {func(s *Scenario) { s.Bursts = []Burst{{5000, 9000, 2.5}} }, 0.5},
 		"killed, heard of 2 s later": {func(s *Scenario) {
@@ -121,7 +121,7 @@
 	for seed := uint64(1); seed <= 3; seed++ {
 		sc := evening(seed)
 		sc.Dispatchers = 4
-		sc.Report = fleet.Reports{Period: 900, Delay: 300, Noise: 0.05}
+		sc.Report = fleet.ReportConfig{Period: 900, Delay: 300, Noise: 0.05}
 		sc.Events = []Event{
 			{At: 4000, Backend: "a", Do: "ban"}, {At: 4500, Backend: "a", Do: "unlist", Heard: 200}, {At: 5000, Backend: "a", Do: "list"},
 			{At: 6000, Backend: "a", Do: "kill"}, {At: 7000, Backend: "a", Do: "start"}, {At: 8000, Backend: "a", Do: "list"}, {At: 9000, Backend: "a", Do: "lift"},
--- a/internal/lab/sim/site.go
+++ b/internal/lab/sim/site.go
@@ -50,7 +50,7 @@
 // Stale has the dispatchers hear of changes later by this, for a while.
 type Stale struct{ From, To, By float64 }
 
-var effects = [...]judge.Effect{balance.Safe: judge.Safe, balance.Deduped: judge.Grouped, balance.Unsafe: judge.Once}
+var effects = [...]judge.Effect{balance.Safe: judge.Repeatable, balance.Deduped: judge.Deduped, balance.Unsafe: judge.NonIdempotent}
 
 // classes are those of the scenario, one at least.
 func (sc *Scenario) classes() []Class {
--- a/internal/lab/sim/site_test.go
+++ b/internal/lab/sim/site_test.go
@@ -16,7 +16,7 @@
 	c.Name, c.Share, c.Work, c.Aim, c.Stretch, c.Deadline, c.Worth = "c", 1, 200, 120, 2, 5000, 1
 	sc := Scenario{Seed: 1, Length: 10_000, Times: times, Work: 200, Deadline: 5000, Latency: 0.1, Connect: 0.1, Classes: []Class{c}}
 	for _, name := range []string{"a", "b"} {
-		sc.Backends = append(sc.Backends, Backend{Name: name, Kind: fleet.Kind{Name: "k", Cores: 2, Slots: 2, Speed: 1, Queue: 4}})
+		sc.Backends = append(sc.Backends, Backend{Name: name, Kind: fleet.Kind{Name: "k", Cores: 2, Slots: 2, Speed: 1, QueueLimit: 4}})
 	}
 	return sc
 }
--- a/internal/lab/sim/tenants.go
+++ b/internal/lab/sim/tenants.go
@@ -128,7 +128,7 @@
 func newRuns(w *world) *runs {
 	n := len(w.sc.Tenants)
 	r := &runs{w: w, since: make([]float64, n), now: make([]int, n), urgent: make([]int, n), sum: make([]float64, n), sumU: make([]float64, n),
-		jobs: map[uint64]*client{}, chance: fleet.Chance(w.sc.Seed, "tenants")}
+		jobs: map[uint64]*client{}, chance: fleet.RandomStream(w.sc.Seed, "tenants")}
 	for _, t := range w.sc.Tenants {
 		w.res.Tenants.Each = append(w.res.Tenants.Each, TenantResult{Name: t.Name, Quota: t.Quota, Wants: t.Wants})
 		r.total += t.Quota
@@ -204,7 +204,7 @@
 		r.urgent[c.tenant]++
 	}
 	if q := r.w.quotas; q != nil {
-		q.at.Began(r.w.now, t.Each[c.tenant].Name, urgent)
+		q.at.HandleStart(r.w.now, t.Each[c.tenant].Name, urgent)
 	}
 	e := &t.Each[c.tenant]
 	e.Most = max(e.Most, r.now[c.tenant]-r.urgent[c.tenant])
@@ -234,7 +234,7 @@
 		r.urgent[c.tenant]--
 	}
 	if q := r.w.quotas; q != nil {
-		q.at.Ended(r.w.res.Tenants.Each[c.tenant].Name, c.class().Urgent)
+		q.at.HandleEnd(r.w.res.Tenants.Each[c.tenant].Name, c.class().Urgent)
 	}
 }
 
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -65,14 +65,14 @@
 	dirty   []*side
 	nodes   map[string]*node
 	byID    map[balance.WorkerID]*node
-	pods    map[int]*fleet.Pod
+	pods    map[int]*fleet.DedupGroup
 	net     *rand.Rand
 	clients *rand.Rand // of arrivals and retries
 	front   *rand.Rand // of which dispatcher a try comes to
 	noise   *rand.Rand // of load reports
 	log     hash.Hash64
-	judge   judge.Judge
-	service judge.Service
+	judge   judge.Checker
+	service judge.ServiceLevel
 	res     Result
 	tries   map[string]*client // by the id of the try
 	next    func() (Arrival, bool)
@@ -96,10 +96,10 @@
 }
 
 func newWorld(sc Scenario, settings balance.Settings, p Policy) (*world, error) {
-	w := &world{ends: math.Inf(1), sc: sc, tries: map[string]*client{}, nodes: map[string]*node{}, byID: map[balance.WorkerID]*node{}, pods: map[int]*fleet.Pod{},
-		net: fleet.Chance(sc.Seed, "network"), clients: fleet.Chance(sc.Seed, "clients"), front: fleet.Chance(sc.Seed, "front"),
-		noise: fleet.Chance(sc.Seed, "reports"), log: fnv.New64a(),
-		policy: p, owners: map[uint64]*trip{}, attempts: fleet.Chance(sc.Seed, "attempts"), where: fleet.Chance(sc.Seed, "regions")}
+	w := &world{ends: math.Inf(1), sc: sc, tries: map[string]*client{}, nodes: map[string]*node{}, byID: map[balance.WorkerID]*node{}, pods: map[int]*fleet.DedupGroup{},
+		net: fleet.RandomStream(sc.Seed, "network"), clients: fleet.RandomStream(sc.Seed, "clients"), front: fleet.RandomStream(sc.Seed, "front"),
+		noise: fleet.RandomStream(sc.Seed, "reports"), log: fnv.New64a(),
+		policy: p, owners: map[uint64]*trip{}, attempts: fleet.RandomStream(sc.Seed, "attempts"), where: fleet.RandomStream(sc.Seed, "regions")}
 	if w.sc.Stretch == 0 {
 		w.sc.Stretch = 2
 	}
@@ -114,10 +114,10 @@
 	w.res.Load = map[string]int{}
 	w.res.Latency = hdrhistogram.New(1, 60_000_000, 3)
 	r := settings.Rules
-	w.judge.Rules = judge.Rules{Slack: r.AnswerSlack + 50, Grace: r.DrainGrace, Single: !settings.MayDuplicate,
+	w.judge.Rules = judge.Rules{AnswerSlack: r.AnswerSlack + 50, SendGrace: r.DrainGrace, SingleAttempt: !settings.MayDuplicate,
 		FallMultiple: r.FallMultiple, FallWindow: r.FallWindow, FallSlack: 3 * mean / share}
 	for i := range settings.Classes {
-		w.judge.Rules.Window = max(w.judge.Rules.Window, settings.Classes[i].RepeatWindow)
+		w.judge.Rules.RepeatWindow = max(w.judge.Rules.RepeatWindow, settings.Classes[i].RepeatWindow)
 	}
 	kinds := map[string]int{}
 	for _, b := range sc.Backends {
@@ -222,13 +222,13 @@
 	e.At = w.now
 	w.res.Events++
 	var b [20]byte
-	b[0], b[1], b[2], b[3] = byte(e.What), byte(e.Node), byte(e.Try), byte(e.Verdict)
+	b[0], b[1], b[2], b[3] = byte(e.Kind), byte(e.Node), byte(e.Attempt), byte(e.AnswerKind)
 	binary.LittleEndian.PutUint64(b[4:], math.Float64bits(w.now))
 	binary.LittleEndian.PutUint64(b[12:], math.Float64bits(e.Work))
 	_, _ = w.log.Write(b[:])
 	_, _ = w.log.Write([]byte(e.Req))
 	_, _ = w.log.Write([]byte(e.Backend))
-	w.judge.Take(e)
+	w.judge.Handle(e)
 }
 
 func (w *world) delay() float64 { return w.sc.Latency * (0.5 + w.net.Float64()) }
@@ -236,18 +236,18 @@
 func (w *world) add(b Backend, kind int) {
 	pod := w.pods[b.Pod]
 	if pod == nil {
-		pod = fleet.NewPod()
+		pod = fleet.NewDedupGroup()
 		w.pods[b.Pod] = pod
 	}
 	if b.Vary > 0 {
-		b.Kind.Speed *= math.Exp(b.Vary*fleet.Chance(w.sc.Seed, "speed "+b.Name).NormFloat64() - b.Vary*b.Vary/2)
+		b.Kind.Speed *= math.Exp(b.Vary*fleet.RandomStream(w.sc.Seed, "speed "+b.Name).NormFloat64() - b.Vary*b.Vary/2)
 	}
 	started := math.Inf(-1)
 	if b.Cold {
 		started = w.now
 	}
 	n := &node{name: b.Name, id: idOf(b.Name), kind: kind, cfg: b, out: map[uint64]*trip{}, wake: math.Inf(1), state: balance.Ready, weight: b.Kind.Slots,
-		model:    fleet.New(b.Kind, pod, started, w.now, fleet.Chance(w.sc.Seed, "backend "+b.Name)),
+		model:    fleet.New(b.Kind, pod, started, w.now, fleet.RandomStream(w.sc.Seed, "backend "+b.Name)),
 		reporter: fleet.NewReporter(w.sc.Report, b.Kind.Slots)}
 	if w.sc.Site.Unweighted {
 		n.weight = 1
@@ -315,7 +315,7 @@
 		n.model.Start(w.now)
 		n.cfg.Cold, n.fell = true, false
 	case "trouble":
-		w.told(n, n.model.Set(w.now, e.Trouble))
+		w.told(n, n.model.SetFaults(w.now, e.Trouble))
 	case "drain":
 		w.told(n, n.model.Drain(w.now, true))
 		say(balance.Draining)
@@ -324,9 +324,9 @@
 	case "unlist":
 		say(balance.Gone)
 	case "ban", "lift":
-		what := judge.Banned
+		what := judge.BanSet
 		if e.Do == "lift" {
-			what = judge.Lifted
+			what = judge.BanLifted
 		}
 		for _, s := range w.sides {
 			if s.dead {
@@ -334,13 +334,13 @@
 			}
 			s.ban(n, e.Do == "ban")
 		}
-		w.note(judge.Event{What: what, Backend: n.name})
+		w.note(judge.Event{Kind: what, Backend: n.name})
 	}
 }
 
 // report is the free slots as the next answer tells them.
 func (w *world) report(n *node) []float32 {
-	if v, ok := n.reporter.Tell(w.now, n.model.FreeSlots(), w.noise); ok {
+	if v, ok := n.reporter.Report(w.now, n.model.FreeSlots(), w.noise); ok {
 		return []float32{float32(v)}
 	}
 	return nil
@@ -349,17 +349,17 @@
 // told passes on what happened at a backend, and sees to it that the next is not missed.
 func (w *world) told(n *node, list []fleet.Event) {
 	for _, e := range list {
-		if e.What == fleet.Started {
+		if e.Kind == fleet.Started {
 			w.began(e.Job)
 		}
-		if w.runs != nil && e.What != fleet.Started {
+		if w.runs != nil && e.Kind != fleet.Started {
 			w.runs.ended(e.Job)
 		}
 		t := n.out[e.Job]
 		if t == nil {
 			continue
 		}
-		switch e.What {
+		switch e.Kind {
 		case fleet.Started:
 			w.at(w.now+w.delay(), func() { t.side.touch(); t.a.Started() })
 			if w.sc.Site.Progress > 0 {
@@ -378,9 +378,9 @@
 	if n.model.Down() && !n.fell {
 		n.fell = true
 		w.res.Fallen++
-		w.note(judge.Event{What: judge.Fell, Backend: n.name})
+		w.note(judge.Event{Kind: judge.BackendOverloaded, Backend: n.name})
 	}
-	if next := n.model.Next(); next < n.wake {
+	if next := n.model.NextEvent(); next < n.wake {
 		n.wake = next
 		w.at(next, func() {
 			if n.wake != next { // an earlier one has taken its place
@@ -409,10 +409,10 @@
 
 // finish adds up.
 func (w *world) finish() {
-	w.res.Whole = w.service.Whole()
-	w.judge.End(w.ends)
-	w.res.Broken, w.res.Breaches = w.judge.Breaches(), w.judge.Count("")
-	w.res.Worst = w.service.Worst()
+	w.res.Whole = w.service.Overall()
+	w.judge.Finish(w.ends)
+	w.res.Broken, w.res.Breaches = w.judge.Violations(), w.judge.Count("")
+	w.res.Worst = w.service.WorstWindow()
 	if w.runs != nil {
 		w.runs.finish()
 	}
