--- a/cmd/tinsail/consul_test.go
+++ b/cmd/tinsail/consul_test.go
@@ -31,12 +31,12 @@
 // consulFixture is a dispatcher in this process whose backends come from a Consul catalogue, a director's list, or both. The
 // backends, the agents and the director are stand-ins.
 type consulFixture struct {
-	t        testing.TB
-	d        *dispatcher
-	agents   []*standin.Agent
-	director *platform.Director
-	backends []*platform.Backend
-	set      *settings.Settings
+	t          testing.TB
+	dispatcher *dispatcher
+	agents     []*standin.Agent
+	director   *platform.Director
+	backends   []*platform.Backend
+	set        *settings.Settings
 }
 
 func newConsulFixture(t testing.TB, agents, backends int, work time.Duration, script string) *consulFixture {
@@ -62,11 +62,11 @@
 	script = strings.ReplaceAll(script, "AGENTS", "["+strings.Join(addresses, ", ")+"]")
 	s.set, err = settings.Parse("s.star", func(string) ([]byte, error) { return []byte(script), nil })
 	require.NoError(t, err)
-	s.d, err = assemble(cfg, s.set, zerolog.Nop(), handoverData{})
+	s.dispatcher, err = assemble(cfg, s.set, zerolog.Nop(), handoverData{})
 	require.NoError(t, err)
-	s.d.start()
-	t.Cleanup(s.d.closeListeners)
-	s.waitFor(func() bool { return s.d.core.ReadyBackends() == backends })
+	s.dispatcher.start()
+	t.Cleanup(s.dispatcher.closeListeners)
+	s.waitFor(func() bool { return s.dispatcher.core.ReadyBackends() == backends })
 	return s
 }
 
@@ -108,7 +108,7 @@
 
 func (s *consulFixture) startLoad(perSec int, within time.Duration, stop <-chan struct{}) *openLoad {
 	l := &openLoad{}
-	f := newFrontClient("HTTP/1.1", s.d.listener.Addr().String(), 256, false)
+	f := newFrontClient("HTTP/1.1", s.dispatcher.listener.Addr().String(), 256, false)
 	l.senders.Go(func() {
 		defer f.client.CloseIdleConnections()
 		tick := time.NewTicker(time.Second / time.Duration(perSec))
@@ -154,7 +154,7 @@
 // is followed, an unreachable catalogue leaves the list as it was, and a reload with another agent drops no attempt.
 func TestServesFromConsul(t *testing.T) {
 	s := newConsulFixture(t, 2, 3, 0, consulScript)
-	f := newFrontClient("HTTP/1.1", s.d.listener.Addr().String(), 8, false)
+	f := newFrontClient("HTTP/1.1", s.dispatcher.listener.Addr().String(), 8, false)
 	sendReqs := func(n int) {
 		for range n {
 			require.NoError(t, f.sendAndCount(fmt.Sprint("s-", lastReqID.Add(1))))
@@ -162,7 +162,7 @@
 	}
 	sendReqs(30)
 	s.agents[0].Maintenance("b01", true)
-	s.waitFor(func() bool { return s.d.core.ReadyBackends() == 2 })
+	s.waitFor(func() bool { return s.dispatcher.core.ReadyBackends() == 2 })
 	before := s.backends[1].Counts().Jobs
 	sendReqs(30)
 	assert.Equal(t, before, s.backends[1].Counts().Jobs, "a draining backend got a request")
@@ -172,7 +172,7 @@
 	defer moved.Close()
 	s.agents[0].Put(s.instance(moved))
 	s.waitFor(func() bool {
-		list, _ := s.d.sources.list.Members()
+		list, _ := s.dispatcher.sources.list.Members()
 		return list[2].Address == moved.Address
 	})
 	before = s.backends[2].Counts().Jobs
@@ -188,10 +188,10 @@
 
 	s.agents[0].Set(standin.Faults{Reset: true})
 	s.agents[1].Set(standin.Faults{Reset: true})
-	s.waitFor(func() bool { return s.d.sources.count.Unreachable.Load() >= 2 })
+	s.waitFor(func() bool { return s.dispatcher.sources.count.Unreachable.Load() >= 2 })
 	sendReqs(30)
-	assert.Equal(t, 2, s.d.core.ReadyBackends(), "the last list holds")
-	assert.Contains(t, s.d.sources.membersJSON(), "silent: believed as it was")
+	assert.Equal(t, 2, s.dispatcher.core.ReadyBackends(), "the last list holds")
+	assert.Contains(t, s.dispatcher.sources.membersJSON(), "silent: believed as it was")
 
 	s.agents[1].Put(s.instance(moved))
 	s.agents[1].Maintenance("b01", true)
@@ -200,16 +200,16 @@
 	moved.Set(platform.Faults{HoldJobs: true})
 	done := make(chan error, 1)
 	go func() { done <- f.sendAndCount("across-the-reload") }()
-	s.waitFor(func() bool { return s.d.core.OpenReqs() == 1 })
+	s.waitFor(func() bool { return s.dispatcher.core.OpenReqs() == 1 })
 	next := *s.set
 	c := *s.set.Consul
 	c.Address = []string{s.agents[1].Address}
 	next.Consul = &c
-	s.d.reloadSources(s.set, &next)
+	s.dispatcher.reloadSources(s.set, &next)
 	s.backends[0].Set(platform.Faults{})
 	moved.Set(platform.Faults{})
 	require.NoError(t, <-done)
-	s.waitFor(func() bool { return strings.Contains(s.d.sources.membersJSON(), `"consul","state":"answers"`) })
+	s.waitFor(func() bool { return strings.Contains(s.dispatcher.sources.membersJSON(), `"consul","state":"answers"`) })
 
 	// A reload also applies rules and the director: the director lists b01 as ready, which the catalogue's maintenance overrides,
 	// and b03, which the catalogue does not know.
@@ -221,19 +221,19 @@
 	last.Backends = &settings.Backends{Director: true}
 	last.MemberRules = &settings.MemberRules{HoldMS: 30_000, WarningDrains: true}
 	s.agents[1].Check("b00", "warning")
-	s.d.reloadSources(&next, &last)
+	s.dispatcher.reloadSources(&next, &last)
 	s.waitFor(func() bool {
-		list, _ := s.d.sources.list.Members()
+		list, _ := s.dispatcher.sources.list.Members()
 		return len(list) == 4 && list[0].State == membership.Draining && list[1].State == membership.Draining && list[3].State == membership.Ready
 	})
-	s.d.reloadSources(&last, &next)
+	s.dispatcher.reloadSources(&last, &next)
 	s.waitFor(func() bool {
-		list, _ := s.d.sources.list.Members()
+		list, _ := s.dispatcher.sources.list.Members()
 		return len(list) == 3 && list[0].State == membership.Ready
 	})
 
 	var out strings.Builder
-	assert.Equal(t, exitOK, execute([]string{"members", "--at", s.d.listener.Addr().String()}, &out, &out), out.String())
+	assert.Equal(t, exitOK, execute([]string{"members", "--at", s.dispatcher.listener.Addr().String()}, &out, &out), out.String())
 	for _, want := range []string{"b00", "b01", "draining", "told to drain", "consul", "answers"} {
 		assert.Contains(t, out.String(), want)
 	}
@@ -281,7 +281,7 @@
 				took = append(took, max(backend.LastJobTime().Sub(markedAt), 0))
 				s.agents[0].Maintenance(backend.Name, false)
 			}
-			s.waitFor(func() bool { return s.d.core.ReadyBackends() == 12 })
+			s.waitFor(func() bool { return s.dispatcher.core.ReadyBackends() == 12 })
 			time.Sleep(10 * time.Millisecond)
 		}
 		close(stop)
--- a/cmd/tinsail/descriptors_test.go
+++ b/cmd/tinsail/descriptors_test.go
@@ -135,7 +135,7 @@
 			t.Logf("descriptors at start %d, maximum %d of %d, served at try %d", atStart, maxHeld.Load(), limit, n)
 			assert.LessOrEqual(t, maxHeld.Load(), int64(limit))
 			_ = p.cmd.Process.Kill()
-			for line := range p.lines {
+			for line := range p.logLines {
 				require.NotEqual(t, "accept failed", line["event"], line["error"])
 			}
 		})
@@ -144,9 +144,9 @@
 
 // limitedProgram is the real program with a limit of descriptors.
 type limitedProgram struct {
-	cmd            *exec.Cmd
-	address, admin string
-	lines          chan map[string]any
+	cmd                   *exec.Cmd
+	address, adminAddress string
+	logLines              chan map[string]any
 }
 
 func startLimited(t *testing.T, discovery string, sockets, allowed int, door bool) *limitedProgram {
@@ -157,7 +157,7 @@
 	if allowed > 0 {
 		limit = fmt.Sprintf("ulimit -n %d && ", allowed)
 	}
-	p := &limitedProgram{cmd: exec.Command("/bin/sh", "-c", limit+`exec "$0" serve --log-format json`, os.Args[0]), lines: make(chan map[string]any, 10_000)}
+	p := &limitedProgram{cmd: exec.Command("/bin/sh", "-c", limit+`exec "$0" serve --log-format json`, os.Args[0]), logLines: make(chan map[string]any, 10_000)}
 	p.cmd.Env = append(os.Environ(), "TINSAIL_TEST_PROGRAM=1", "ROUTER_CONFIG="+conf, "TMPDIR="+t.TempDir())
 	if door {
 		p.cmd.Env = append(p.cmd.Env, "ROUTER_ADMIN=127.0.0.1:0")
@@ -171,16 +171,16 @@
 		var line map[string]any
 		if json.Unmarshal(r.Bytes(), &line) == nil && line["event"] == "serving" {
 			p.address, _ = line["listen"].(string)
-			p.admin, _ = line["admin"].(string)
+			p.adminAddress, _ = line["admin"].(string)
 		}
 	}
 	require.NotEmpty(t, p.address)
 	go func() {
-		defer close(p.lines)
+		defer close(p.logLines)
 		for r.Scan() {
 			var line map[string]any
 			if json.Unmarshal(r.Bytes(), &line) == nil {
-				p.lines <- line
+				p.logLines <- line
 			}
 		}
 	}()
@@ -208,7 +208,7 @@
 // hasRefusedSessions reports whether the process has refused sessions for lack of descriptors.
 func (p *limitedProgram) hasRefusedSessions(t *testing.T) bool {
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGUSR1))
-	for line := range p.lines {
+	for line := range p.logLines {
 		if line["event"] == "counters" {
 			n, _ := line["sessions_refused"].(float64)
 			return n > 0
@@ -221,7 +221,7 @@
 
 // doorAnswers reports whether the door answers a call for metrics, which always succeeds.
 func (p *limitedProgram) doorAnswers() bool {
-	yes, _, err := callDoor(p.admin, door.Call{Operation: door.Metrics})
+	yes, _, err := callDoor(p.adminAddress, door.Call{Operation: door.Metrics})
 	return err == nil && yes
 }
 
--- a/cmd/tinsail/handover.go
+++ b/cmd/tinsail/handover.go
@@ -99,9 +99,9 @@
 
 // processHandover is one process's part in hand-overs: from the process before it, and to the next one.
 type processHandover struct {
-	d      *dispatcher
-	server *handoff.Server
-	from   handoverData
+	dispatcher *dispatcher
+	server     *handoff.Server
+	from       handoverData
 
 	mu           sync.Mutex
 	stage        handover.NewProcess
@@ -117,7 +117,7 @@
 
 // addHandover prepares hand-overs from the process before and to the next one. d.service and d.bans must be set.
 func (d *dispatcher) addHandover(from handoverData) {
-	t := &processHandover{d: d, from: from, maxSockets: d.cfg.Sockets, maxMemory: d.cfg.MemoryBytes}
+	t := &processHandover{dispatcher: d, from: from, maxSockets: d.cfg.Sockets, maxMemory: d.cfg.MemoryBytes}
 	t.server = &handoff.Server{Path: statePath(d.cfg, "sock"), Hello: newHello(d.cfg), Log: d.log,
 		GiveState: t.giveState, StopAccepting: t.stopAccepting, OnNews: t.handleUpdate, OnJoined: t.handleJoined, OnGone: t.handleNextGone}
 	if from.link != nil {
@@ -193,7 +193,7 @@
 // listenForNext listens for a next process that asks this one to hand over.
 func (t *processHandover) listenForNext() {
 	if err := t.server.Listen(); err != nil {
-		t.d.log.Error().Err(err).Msg("hand-over: cannot listen for the next process")
+		t.dispatcher.log.Error().Err(err).Msg("hand-over: cannot listen for the next process")
 	}
 }
 
@@ -219,19 +219,19 @@
 		t.mu.Unlock()
 	case n.MaxSockets > 0:
 		t.mu.Lock()
-		grows := n.MaxSockets > t.maxSockets && n.MaxSockets < t.d.cfg.Sockets
+		grows := n.MaxSockets > t.maxSockets && n.MaxSockets < t.dispatcher.cfg.Sockets
 		if grows {
 			t.maxSockets = n.MaxSockets
 		}
 		sockets, memory := t.maxSockets, t.maxMemory
 		t.mu.Unlock()
 		if grows {
-			t.d.resize(sockets, memory)
+			t.dispatcher.resize(sockets, memory)
 		}
 	case n.Mark != nil:
-		t.d.bans.Merge([]maintenance.Mark{*n.Mark})
+		t.dispatcher.bans.Merge([]maintenance.Mark{*n.Mark})
 	case n.OutOfService != nil:
-		t.d.setOutOfService(*n.OutOfService)
+		t.dispatcher.setOutOfService(*n.OutOfService)
 	}
 }
 
@@ -252,7 +252,7 @@
 	t.mu.Lock()
 	t.peer = l
 	t.mu.Unlock()
-	for _, m := range t.d.bans.ShareWith(func(m maintenance.Mark) { _ = l.Send(handover.StatusUpdate{Mark: &m}) }) {
+	for _, m := range t.dispatcher.bans.ShareWith(func(m maintenance.Mark) { _ = l.Send(handover.StatusUpdate{Mark: &m}) }) {
 		_ = l.Send(handover.StatusUpdate{Mark: &m})
 	}
 }
@@ -274,31 +274,31 @@
 // hands over to a next process.
 func (t *processHandover) handleOldGone(err error) {
 	t.mu.Lock()
-	at, alone := t.stage.Stage(), t.peer == t.from.link
+	stage, alone := t.stage.Stage(), t.peer == t.from.link
 	t.stage.HandleDisconnect()
-	if t.totalSockets = t.d.cfg.Sockets; alone {
-		t.peer, t.maxSockets, t.maxMemory = nil, t.d.cfg.Sockets, t.d.cfg.MemoryBytes
+	if t.totalSockets = t.dispatcher.cfg.Sockets; alone {
+		t.peer, t.maxSockets, t.maxMemory = nil, t.dispatcher.cfg.Sockets, t.dispatcher.cfg.MemoryBytes
 	}
 	t.mu.Unlock()
 	if alone {
-		t.d.bans.ShareWith(nil)
-		t.d.resize(t.d.cfg.Sockets, t.d.cfg.MemoryBytes)
-		t.d.core.SetOverlap(false) // the whole budget for cold backends is this process's again
+		t.dispatcher.bans.ShareWith(nil)
+		t.dispatcher.resize(t.dispatcher.cfg.Sockets, t.dispatcher.cfg.MemoryBytes)
+		t.dispatcher.core.SetOverlap(false) // the whole budget for cold backends is this process's again
 	}
-	t.d.log.Info().Stringer("stage", at).AnErr("link", err).Msg("hand-over: the old process is gone")
+	t.dispatcher.log.Info().Stringer("stage", stage).AnErr("link", err).Msg("hand-over: the old process is gone")
 }
 
 // reservedDescriptors returns how many descriptors a process needs besides sessions and connections to backends.
-func (t *processHandover) reservedDescriptors() int { return 32 + doorDescriptors(t.d.cfg) }
+func (t *processHandover) reservedDescriptors() int { return 32 + doorDescriptors(t.dispatcher.cfg) }
 
 // usedDescriptors returns how many descriptors sessions and connections to backends use now.
 func (t *processHandover) usedDescriptors() int {
-	return t.d.clients.OpenSessions() + t.d.pool.OpenConnections()
+	return t.dispatcher.clients.OpenSessions() + t.dispatcher.pool.OpenConnections()
 }
 
 // giveState gives up a part of the descriptors and memory, and returns this process's state and listeners for the next one.
 func (t *processHandover) giveState() (handover.State, []syscall.Conn) {
-	d := t.d
+	d := t.dispatcher
 	t.mu.Lock()
 	keep, give := handover.SplitDescriptors(t.maxSockets, t.usedDescriptors(), t.reservedDescriptors())
 	t.totalSockets, t.maxSockets, t.maxMemory = t.maxSockets, keep, t.maxMemory/2
@@ -328,7 +328,7 @@
 
 // stopAccepting stops accepting connections, and gives up more descriptors as sessions end.
 func (t *processHandover) stopAccepting() {
-	t.d.service.HandOver()
+	t.dispatcher.service.HandOver()
 	t.given.Add(1)
 	t.mu.Lock()
 	link, total, nextGone := t.peer, t.totalSockets, t.nextGone
@@ -350,7 +350,7 @@
 			}
 			t.mu.Unlock()
 			if shrinks {
-				t.d.pool.Resize(t.d.pool.OpenConnections() + 8)
+				t.dispatcher.pool.Resize(t.dispatcher.pool.OpenConnections() + 8)
 				_ = link.Send(handover.StatusUpdate{MaxSockets: total - keep})
 			}
 		}
@@ -365,11 +365,11 @@
 	t.peer, t.maxSockets, t.maxMemory = nil, t.totalSockets, t.maxMemory*2
 	sockets, memory := t.maxSockets, t.maxMemory
 	t.mu.Unlock()
-	t.d.bans.ShareWith(nil)
-	t.d.resize(sockets, memory)
-	t.d.core.SetOverlap(false)
+	t.dispatcher.bans.ShareWith(nil)
+	t.dispatcher.resize(sockets, memory)
+	t.dispatcher.core.SetOverlap(false)
 	t.failed.Add(1)
 	if accept {
-		t.d.service.ResumeAfterHandOver()
+		t.dispatcher.service.ResumeAfterHandOver()
 	}
 }
--- a/cmd/tinsail/metrics.go
+++ b/cmd/tinsail/metrics.go
@@ -42,7 +42,7 @@
 }
 
 // counterCollector reads the dispatcher's counters at each gathering; it stores no copy.
-type counterCollector struct{ d *dispatcher }
+type counterCollector struct{ dispatcher *dispatcher }
 
 // Describe sends nothing, as the settings decide which counters there are. In client_golang's terms this is an unchecked collector.
 func (counterCollector) Describe(chan<- *prometheus.Desc) {}
@@ -59,9 +59,9 @@
 	}
 	violations := prometheus.NewDesc("tinsail_invariant_violations", "rules that were found broken at run time (docs/operators/invariants.md)", []string{"rule"}, nil)
 	for _, rule := range guard.Rules() {
-		out <- prometheus.MustNewConstMetric(violations, prometheus.CounterValue, float64(c.d.guard.Violations(rule)), rule.String())
+		out <- prometheus.MustNewConstMetric(violations, prometheus.CounterValue, float64(c.dispatcher.guard.Violations(rule)), rule.String())
 	}
-	c.d.count.Each(counterNames, each)
-	c.d.guard.Each(each)
-	c.d.eachPartCounter(each)
+	c.dispatcher.count.Each(counterNames, each)
+	c.dispatcher.guard.Each(each)
+	c.dispatcher.eachPartCounter(each)
 }
--- a/cmd/tinsail/program_test.go
+++ b/cmd/tinsail/program_test.go
@@ -34,13 +34,13 @@
 type program struct {
 	cmd      *exec.Cmd
 	address  [2]string // of HTTP/1.1 and HTTP/2
-	lines    chan map[string]any
+	logLines chan map[string]any
 	director *platform.Director
 	backends []*platform.Backend
 }
 
 func startProgram(t *testing.T, script string, work time.Duration) *program {
-	p := &program{lines: make(chan map[string]any, 1000)}
+	p := &program{logLines: make(chan map[string]any, 1000)}
 	var err error
 	p.director, err = platform.StartDirector()
 	require.NoError(t, err)
@@ -55,13 +55,13 @@
 	var errs io.Reader
 	p.cmd, errs = startServe(t, strings.Replace(string(demoConfig), "127.0.0.1:1", p.director.Address, 1), script)
 	go func() {
-		defer close(p.lines)
+		defer close(p.logLines)
 		for r := bufio.NewScanner(errs); r.Scan(); {
 			var line map[string]any
 			if json.Unmarshal(r.Bytes(), &line) != nil {
 				line = map[string]any{"event": "not a log line", "text": r.Text()}
 			}
-			p.lines <- line
+			p.logLines <- line
 		}
 	}()
 	line := p.awaitEvent(t, "serving")
@@ -96,7 +96,7 @@
 
 // awaitEvent waits for the log line of an event. It fails the test on output that is not a log line.
 func (p *program) awaitEvent(t *testing.T, name string) map[string]any {
-	for line := range p.lines {
+	for line := range p.logLines {
 		require.NotEqual(t, "not a log line", line["event"], line["text"])
 		if line["event"] == name {
 			return line
--- a/cmd/tinsail/restart_test.go
+++ b/cmd/tinsail/restart_test.go
@@ -76,7 +76,7 @@
 	termSent.Store(true)
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 	all.Wait()
-	for range p.lines {
+	for range p.logLines {
 	}
 	assert.NoError(t, p.cmd.Wait())
 	for _, b := range p.backends {
