--- a/internal/network/fleet/accord/accord_test.go
+++ b/internal/network/fleet/accord/accord_test.go
@@ -21,42 +21,43 @@
 	"tinsail/internal/fleet/accord/wire"
 )
 
-// logBuffer keeps what a fleet logs.
+// logBuffer collects the log of a fleet.
 type logBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-func (j *logBuffer) Write(p []byte) (int, error) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.b.Write(p)
+func (l *logBuffer) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.buffer.Write(p)
 }
 
-func (j *logBuffer) contains(text string) bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return strings.Contains(j.b.String(), text)
+func (l *logBuffer) contains(text string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return strings.Contains(l.buffer.String(), text)
 }
 
-// fleet is some dispatchers' parts in one process, on real sockets and disks; each that is no voter
-// asks through relays of its own.
+// fleet runs the accords of several dispatchers in one process, with real sockets and disks. The
+// first three are voters. The others connect to the voters through relays of their own, which can
+// inject faults.
 type fleet struct {
 	t             *testing.T
 	leases        accord.LeaseConfig
 	voters        []Peer
-	relays        [][]*faultnet.TCP // by dispatcher; none of voters
+	relays        [][]*faultnet.TCP // by dispatcher; none for voters
 	dataDirs      []string
 	accords       []*Accord
 	log           logBuffer
-	refuser       atomic.Int64 // the dispatcher that refuses "odd" bodies, -1 for none
+	refuser       atomic.Int64 // the dispatcher that refuses "odd" policies, -1 for none
 	stop          chan struct{}
 	stopSampling  func()
-	mixedVersions atomic.Int64 // looks at which two versions were allowed at once
+	mixedVersions atomic.Int64 // samples in which two versions were allowed at once
 	samples       atomic.Int64
-	overdrawn     atomic.Int64 // looks at which the shares of the budget summed to more than the whole
-	usedEarly     atomic.Int64 // versions that could be used before they were put in force
-	mu            sync.Mutex   // of all, while a part starts
+	overdrawn     atomic.Int64 // samples in which the shares of the budget summed to more than the total
+	usedEarly     atomic.Int64 // versions under which an attempt could start before they were applied
+	mu            sync.Mutex   // of accords, while a dispatcher starts
 }
 
 func newFleet(t *testing.T, n int) *fleet {
@@ -77,7 +78,7 @@
 	var done sync.WaitGroup
 	done.Add(1)
 	f.stopSampling = sync.OnceFunc(func() { close(f.stop); done.Wait() })
-	all := append([]*Accord(nil), f.accords...)
+	accords := append([]*Accord(nil), f.accords...)
 	go func() {
 		defer done.Done()
 		for tick := time.NewTicker(time.Millisecond); ; {
@@ -86,7 +87,7 @@
 				tick.Stop()
 				return
 			case <-tick.C:
-				f.sample(all)
+				f.sample(accords)
 			}
 		}
 	}()
@@ -101,29 +102,29 @@
 	return f
 }
 
-// sample finds two versions that are allowed at once. The gates are read one after another, each before
-// the time: a gate that closed meanwhile is not counted.
-func (f *fleet) sample(all []*Accord) {
-	var gates []*admission
-	for _, a := range all {
-		gates = append(gates, a.member.admission.Load())
+// sample checks whether two versions are allowed at once or the budget is overdrawn. All admissions
+// are read before the time, so that one that has ended meanwhile is not counted.
+func (f *fleet) sample(accords []*Accord) {
+	var admissions []*admission
+	for _, a := range accords {
+		admissions = append(admissions, a.member.admission.Load())
 	}
 	sum := 0
-	for _, a := range all {
+	for _, a := range accords {
 		sum += a.BudgetShare()
 	}
 	if sum > budgetPlan.Total {
 		f.overdrawn.Add(1)
 	}
-	by := uint64(0)
-	for i, g := range gates {
-		if now := all[i].clock.now(); now >= g.AcceptUntil && now >= g.StartUntil {
+	version := uint64(0)
+	for i, allowed := range admissions {
+		if now := accords[i].clock.now(); now >= allowed.AcceptUntil && now >= allowed.StartUntil {
 			continue
 		}
-		if by != 0 && by != g.Version {
+		if version != 0 && version != allowed.Version {
 			f.mixedVersions.Add(1)
 		}
-		by = g.Version
+		version = allowed.Version
 	}
 	f.samples.Add(1)
 }
@@ -131,7 +132,7 @@
 // budgetPlan is the budget that the fleet's leader lends.
 var budgetPlan = budget.Plan{Name: "connections", Total: 60, MaxDispatchers: 8, ReserveShare: 0.2, Lease: 300 * time.Millisecond, Drift: 0.001}
 
-// awaitFairShares waits until all hold their awaitFairShares part of the budget, less one unit.
+// awaitFairShares waits until all dispatchers have their fair share of the budget less one unit.
 func (f *fleet) awaitFairShares() {
 	f.t.Helper()
 	require.Eventually(f.t, func() bool {
@@ -144,6 +145,7 @@
 	}, 20*time.Second, 5*time.Millisecond, "fair shares")
 }
 
+// startDispatcher starts or restarts the accord of dispatcher i.
 func (f *fleet) startDispatcher(i int) {
 	cfg := Config{Leases: f.leases, Name: fmt.Sprintf("n%d", i), Epoch: uint64(time.Now().UnixNano()), Voters: f.voters,
 		CheckPolicy: func(body []byte) error {
@@ -182,7 +184,7 @@
 	f.mu.Unlock()
 }
 
-// awaitVersion waits until the dispatchers that are up, but those skipped, serve by a version.
+// awaitVersion waits until all dispatchers except the skipped ones accept requests under a version.
 func (f *fleet) awaitVersion(version uint64, skip ...int) {
 	f.t.Helper()
 	skipped := map[int]bool{}
@@ -199,27 +201,29 @@
 	}, 20*time.Second, 5*time.Millisecond, "all at version %d", version)
 }
 
+// leader waits until a voter leads and returns its index.
 func (f *fleet) leader() int {
 	f.t.Helper()
-	at := -1
+	leader := -1
 	require.Eventually(f.t, func() bool {
 		for i, a := range f.accords[:3] {
 			if a != nil {
 				if leads, _ := a.voter.leadership(); leads {
-					at = i
+					leader = i
 				}
 			}
 		}
-		return at >= 0
+		return leader >= 0
 	}, 20*time.Second, 5*time.Millisecond, "a leader")
-	return at
+	return leader
 }
 
-// TestFleetOverTCP: three voters and three lessees on loopback. The first policy takes hold by itself,
-// a proposal at a lessee everywhere; one that an older binary refuses is nowhere, with its reason in the
-// log; a lessee that is cut off stops and does not hold up the others, and comes back; the leader is
-// closed with a change under way, and the fleet goes on; it starts again from its disk. At no look are
-// two versions allowed at once.
+// TestFleetOverTCP runs three voters and three other members on loopback. The initial policy comes
+// into force by itself. A policy that a member proposes comes into force everywhere. One that a
+// member refuses is withdrawn, and the reason is logged. A member that is cut off stops accepting
+// requests, does not block a change, and returns. The leader is closed while a change is under way:
+// the change is decided under the next leader, and the closed voter starts again from its disk. In
+// no sample two versions are allowed at once or the budget is overdrawn.
 func TestFleetOverTCP(t *testing.T) {
 	f := newFleet(t, 6)
 	f.awaitVersion(1)
@@ -234,14 +238,14 @@
 	f.refuser.Store(-1)
 	f.awaitVersion(2)
 
-	for _, r := range f.relays[5] { // n5 is cut off ...
+	for _, r := range f.relays[5] { // n5 is cut off
 		r.Set(faultnet.Rule{Blackhole: true})
 	}
 	require.NoError(t, f.accords[4].Propose([]byte("third")))
-	f.awaitVersion(3, 5) // ... and the others go on without it
+	f.awaitVersion(3, 5) // the others change the version without it
 	assert.False(t, f.accords[5].Serves())
 	_, _, ok := f.accords[5].Admit()
-	assert.False(t, ok, "it takes nothing")
+	assert.False(t, ok, "a member that is cut off accepts no request")
 	assert.Positive(t, f.accords[5].Counters.RefusedReqs.Load())
 	for _, r := range f.relays[5] {
 		r.Set(faultnet.Rule{})
@@ -249,22 +253,22 @@
 	}
 	f.awaitVersion(3)
 
-	was := f.leader()
+	closed := f.leader()
 	require.NoError(t, f.accords[3].Propose([]byte("fourth")))
-	f.accords[was].Close()
-	f.awaitVersion(4, was) // proposed anew at the next leader
+	f.accords[closed].Close()
+	f.awaitVersion(4, closed) // the member repeats its proposal to the next leader
 	f.stopSampling()
-	f.startDispatcher(was)
+	f.startDispatcher(closed)
 	f.awaitVersion(4)
 	f.awaitFairShares()
 	assert.Zero(t, f.overdrawn.Load(), "the budget was overdrawn")
-	assert.Zero(t, f.mixedVersions.Load(), "two versions at once, of %d looks", f.samples.Load())
-	assert.Zero(t, f.usedEarly.Load(), "used before it was put in force")
-	t.Logf("%d looks", f.samples.Load())
+	assert.Zero(t, f.mixedVersions.Load(), "samples with two versions at once, of %d", f.samples.Load())
+	assert.Zero(t, f.usedEarly.Load(), "versions that could be used before they were applied")
+	t.Logf("%d samples", f.samples.Load())
 }
 
-// TestUnknownConnectionsClosed: what is no accord link and no stream is closed, and a message of another format ends
-// its link and is counted.
+// TestUnknownConnectionsClosed checks that a connection whose first byte is unknown is closed, and that a member's
+// connection is closed and counted after a message that cannot be decoded.
 func TestUnknownConnectionsClosed(t *testing.T) {
 	f := newFleet(t, 3)
 	f.awaitVersion(1)
@@ -294,36 +298,37 @@
 	}
 }
 
-// TestAdmission: a req is taken before the gate's time alone and stamped by its version, started before its own
-// time by that version alone, and counted while it waits; on no lease it is counted as lapsed.
+// TestAdmission checks that a request is admitted only before AcceptUntil and gets the version in force, that its
+// attempts start only before StartUntil and under that version, that it is counted while it waits, and that a request
+// admitted without a lease is counted as unleased.
 func TestAdmission(t *testing.T) {
 	a := &Accord{clock: clock{time.Now()}, cfg: Config{Leases: accord.LeaseConfig{Lease: 3 * time.Second}}}
 	a.member = &member{accord: a, wakeup: make(chan struct{}, 1)}
-	set := func(g accord.Admission) *admission {
-		now := &admission{Admission: g, waiting: &atomic.Int64{}}
-		a.member.admission.Store(now)
-		return now
+	set := func(allowed accord.Admission) *admission {
+		current := &admission{Admission: allowed, waiting: &atomic.Int64{}}
+		a.member.admission.Store(current)
+		return current
 	}
-	open := set(accord.Admission{Version: 7, AcceptUntil: accord.Never, StartUntil: accord.Never, UnleasedFrom: accord.Never})
+	accepting := set(accord.Admission{Version: 7, AcceptUntil: accord.Never, StartUntil: accord.Never, UnleasedFrom: accord.Never})
 	v, _, ok := a.Admit()
 	assert.True(t, ok)
 	assert.EqualValues(t, 7, v)
 	assert.True(t, a.MayStart(7))
 	assert.False(t, a.MayStart(6))
-	assert.EqualValues(t, 1, open.waiting.Load())
-	a.Begun(6) // of a version before
-	assert.EqualValues(t, 1, open.waiting.Load())
+	assert.EqualValues(t, 1, accepting.waiting.Load())
+	a.Begun(6) // a request of an earlier version
+	assert.EqualValues(t, 1, accepting.waiting.Load())
 	a.Begun(7)
-	assert.Zero(t, open.waiting.Load())
+	assert.Zero(t, accepting.waiting.Load())
 	assert.Zero(t, a.Counters.UnleasedReqs.Load())
 
-	shut := set(accord.Admission{Version: 7, AcceptUntil: 0, StartUntil: accord.Never, UnleasedFrom: accord.Never})
-	_, pause, ok := a.Admit()
+	stopped := set(accord.Admission{Version: 7, AcceptUntil: 0, StartUntil: accord.Never, UnleasedFrom: accord.Never})
+	_, retryAfter, ok := a.Admit()
 	assert.False(t, ok)
-	assert.Equal(t, 500*time.Millisecond, pause)
-	assert.Zero(t, shut.waiting.Load())
+	assert.Equal(t, 500*time.Millisecond, retryAfter)
+	assert.Zero(t, stopped.waiting.Load())
 	assert.EqualValues(t, 1, a.Counters.RefusedReqs.Load())
-	assert.True(t, a.MayStart(7), "what was taken may begin")
+	assert.True(t, a.MayStart(7), "accepted requests may start")
 	assert.False(t, a.Serves())
 
 	set(accord.Admission{Version: 7, AcceptUntil: accord.Never, StartUntil: 0, UnleasedFrom: 0})
@@ -333,17 +338,17 @@
 	assert.False(t, a.MayStart(7))
 }
 
-// BenchmarkTake is what a req pays for its version: taken, started and told begun.
+// BenchmarkTake measures what the accord costs each request: Admit, MayStart and Begun.
 func BenchmarkTake(b *testing.B) {
-	l, err := accord.NewParticipant(accord.LeaseConfig{Lease: time.Second}, "n0", 1)
+	participant, err := accord.NewParticipant(accord.LeaseConfig{Lease: time.Second}, "n0", 1)
 	require.NoError(b, err)
 	a := &Accord{clock: clock{time.Now()}}
-	a.member = &member{accord: a, participant: l, wakeup: make(chan struct{}, 1)}
+	a.member = &member{accord: a, participant: participant, wakeup: make(chan struct{}, 1)}
 	a.member.admission.Store(&admission{Admission: accord.Admission{Version: 1, AcceptUntil: accord.Never, StartUntil: accord.Never, UnleasedFrom: accord.Never}, waiting: &atomic.Int64{}})
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
 			if v, _, ok := a.Admit(); !ok || !a.MayStart(v) {
-				b.Error("not taken")
+				b.Error("not admitted")
 			}
 			a.Begun(1)
 		}
--- a/internal/network/fleet/accord/termstore_test.go
+++ b/internal/network/fleet/accord/termstore_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// failingStore fails by err until a time.
+// failingStore returns err for each write until a time.
 type failingStore struct {
 	raft.StableStore
 	err    error
@@ -28,8 +28,9 @@
 	return nil
 }
 
-// TestTermStoreRetriesFailedWrites: a term that cannot be written for a while is waited for, and then there; the library, which would end the
-// process, hears of no error. Before the log has begun an error is one of the start.
+// TestTermStoreRetriesFailedWrites checks that a write of the term that fails for a while is repeated until it
+// succeeds, and that no error is returned: the Raft library would end the process on one. Before retryErrors is set,
+// as at the start of the log, the error is returned.
 func TestTermStoreRetriesFailedWrites(t *testing.T) {
 	for _, errno := range []error{syscall.ENOSPC, syscall.EIO} {
 		synctest.Test(t, func(t *testing.T) {
@@ -37,14 +38,14 @@
 			store := &termStore{stable: s, log: zerolog.Nop()}
 			assert.ErrorIs(t, store.SetUint64([]byte("term"), 1), errno, "at the start")
 			store.retryErrors.Store(true)
-			begun := time.Now()
+			start := time.Now()
 			go func() {
 				time.Sleep(5 * time.Second)
-				assert.True(t, store.failing.Load(), "it is told meanwhile")
+				assert.True(t, store.failing.Load(), "the failure is reported meanwhile")
 			}()
 			assert.NoError(t, store.SetUint64([]byte("term"), 2))
 			assert.EqualValues(t, 2, s.values["term"])
-			assert.InDelta(t, 10, time.Since(begun).Seconds(), 1)
+			assert.InDelta(t, 10, time.Since(start).Seconds(), 1)
 			assert.False(t, store.failing.Load())
 			assert.Less(t, s.tries, 20)
 		})
--- a/internal/network/fleet/accord/voterquery_test.go
+++ b/internal/network/fleet/accord/voterquery_test.go
@@ -10,42 +10,42 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestVoterQueries: what other parts of the fleet are told by a voter that leads, by one that does not, and by a dispatcher
-// that is none; a term that is not led any more is not confirmed.
+// TestVoterQueries checks the methods of voterquery.go at the voter that leads, at one that does not, and at a
+// dispatcher that is not a voter. A term in which the voter no longer leads is not confirmed.
 func TestVoterQueries(t *testing.T) {
 	f := newFleet(t, 4)
 	f.awaitVersion(1)
 	at := f.leader()
-	leader, other, none := f.accords[at], f.accords[(at+1)%3], f.accords[3]
+	leader, follower, nonVoter := f.accords[at], f.accords[(at+1)%3], f.accords[3]
 	term, ok := leader.LeaderTerm()
 	assert.True(t, ok)
 	assert.True(t, leader.ConfirmLeader(term))
 	assert.False(t, leader.ConfirmLeader(term+1))
-	assert.False(t, other.ConfirmLeader(term))
-	_, ok = other.LeaderTerm()
+	assert.False(t, follower.ConfirmLeader(term))
+	_, ok = follower.LeaderTerm()
 	assert.False(t, ok)
-	assert.Equal(t, leader.cfg.Name, other.Leader())
-	assert.Equal(t, f.voters[at].Address, leader.VoterAddress(other.Leader()))
-	assert.Empty(t, other.VoterAddress("nobody"))
-	assert.True(t, other.NewLog())
+	assert.Equal(t, leader.cfg.Name, follower.Leader())
+	assert.Equal(t, f.voters[at].Address, leader.VoterAddress(follower.Leader()))
+	assert.Empty(t, follower.VoterAddress("nobody"))
+	assert.True(t, follower.NewLog())
 
-	require.NoError(t, none.Propose([]byte("second")))
+	require.NoError(t, nonVoter.Propose([]byte("second")))
 	f.awaitVersion(2)
 	version, body := leader.Decided()
 	assert.EqualValues(t, 2, version)
 	assert.Equal(t, "second", string(body))
-	require.Eventually(t, func() bool { v, _ := other.Decided(); return v == 2 }, 20*time.Second, 5*time.Millisecond)
-	past := other.PastPolicies()
+	require.Eventually(t, func() bool { v, _ := follower.Decided(); return v == 2 }, 20*time.Second, 5*time.Millisecond)
+	past := follower.PastPolicies()
 	require.Len(t, past, 1)
 	assert.Equal(t, "first", string(past[0].Body))
 
-	assert.False(t, none.IsVoter())
-	_, ok = none.LeaderTerm()
-	assert.False(t, ok || none.ConfirmLeader(term) || none.NewLog())
-	version, _ = none.Decided()
+	assert.False(t, nonVoter.IsVoter())
+	_, ok = nonVoter.LeaderTerm()
+	assert.False(t, ok || nonVoter.ConfirmLeader(term) || nonVoter.NewLog())
+	version, _ = nonVoter.Decided()
 	assert.Zero(t, version)
-	assert.Empty(t, none.Leader()+none.VoterAddress(""))
-	assert.Empty(t, none.PastPolicies())
+	assert.Empty(t, nonVoter.Leader()+nonVoter.VoterAddress(""))
+	assert.Empty(t, nonVoter.PastPolicies())
 
 	leader.Close()
 	f.accords[at] = nil
@@ -56,7 +56,8 @@
 	assert.Equal(t, f.accords[at].cfg.Voters, f.voters)
 }
 
-// TestQuotaConnections: a connection that is marked as one of the quotas is closed, unless they took it over.
+// TestQuotaConnections checks that a connection of the quotas is served by the handler that is set, and closed if none
+// is set.
 func TestQuotaConnections(t *testing.T) {
 	f := newFleet(t, 3)
 	dial := func() net.Conn {
@@ -67,20 +68,20 @@
 		require.NoError(t, err)
 		return conn
 	}
-	ended := func(conn net.Conn) (said string) {
+	readAll := func(conn net.Conn) (received string) {
 		p, err := io.ReadAll(conn)
 		if err != nil {
 			assert.ErrorContains(t, err, "reset")
 		}
 		return string(p)
 	}
-	assert.Empty(t, ended(dial()))
+	assert.Empty(t, readAll(dial()))
 	f.accords[0].SetQuotaHandler(func(conn net.Conn) {
 		p := make([]byte, 1)
 		_, _ = io.ReadFull(conn, p)
 		_, _ = conn.Write(append(p, 'y'))
 	})
-	assert.Equal(t, "xy", ended(dial()))
+	assert.Equal(t, "xy", readAll(dial()))
 	f.accords[0].SetQuotaHandler(nil)
-	assert.Empty(t, ended(dial()))
+	assert.Empty(t, readAll(dial()))
 }
