--- a/internal/network/fleet/quota/cost_test.go
+++ b/internal/network/fleet/quota/cost_test.go
@@ -15,11 +15,11 @@
 	"tinsail/internal/fleet/quota/wire"
 )
 
-// alone is a dispatcher's side with no lender to reach, which holds so many units of each of some accounts.
-func alone(t testing.TB, accounts, units int) *Quota {
-	q := &Quota{cfg: Config{Name: "n0", Epoch: 1 << 60, Region: "east", Leases: quota.LeaseConfig{Lease: time.Hour, MaxRunTime: time.Second}, Log: zerolog.Nop()}, start: time.Now()}
+// newWithoutLender is a dispatcher's side with no lender to reach, which holds so many units of each of some accounts.
+func newWithoutLender(t testing.TB, accounts, units int) *Quota {
+	q := &Quota{cfg: Config{Name: "n0", Epoch: 1 << 60, Region: "east", Leases: quota.LeaseConfig{Lease: time.Hour, MaxRunTime: time.Second}, Log: zerolog.Nop()}, origin: time.Now()}
 	var err error
-	q.desk, err = newDesk(q, "")
+	q.dispatcher, err = newDispatcher(q, "")
 	require.NoError(t, err)
 	t.Cleanup(q.Close)
 	p := policy.Policy{Quotas: map[string]int{}}
@@ -31,26 +31,26 @@
 	}
 	q.ApplyPolicy(p)
 	for range 2 { // the first is of a life not heard before, and grants nothing
-		ask, ok := q.desk.due()
+		ask, ok := q.dispatcher.nextRequest()
 		require.True(t, ok)
 		a.Seq = ask.Seq
-		q.desk.heard(wire.Message{Response: &wire.LeaseResponse{From: "east", LeaseResponse: a}})
+		q.dispatcher.handleMessage(wire.Message{Response: &wire.LeaseResponse{From: "east", LeaseResponse: a}})
 	}
 	return q
 }
 
-// TestQuietBytes: what a dispatcher and its lender say to each other where nothing changes, however many accounts there
+// TestUnchangedReportIsSmall: what a dispatcher and its lender say to each other where nothing changes, however many accounts there
 // are: a third of a lease apart, so that at leases of 3 s it is a fiftieth of 15 KB a second at most.
-func TestQuietBytes(t *testing.T) {
-	q := alone(t, 310, 3)
-	q.desk.linked()
-	ask, ok := q.desk.due() // all that it was lent is told once
+func TestUnchangedReportIsSmall(t *testing.T) {
+	q := newWithoutLender(t, 310, 3)
+	q.dispatcher.handleConnect()
+	ask, ok := q.dispatcher.nextRequest() // all that it was lent is told once
 	require.True(t, ok)
 	assert.Len(t, ask.Reports, 310)
 	first := len(frames.Frame(wire.EncodeLeaseRequest(wire.LeaseRequest{To: "east", LeaseRequest: ask})))
-	q.desk.heard(wire.Message{Response: &wire.LeaseResponse{From: "east", LeaseResponse: quota.LeaseResponse{Child: "n0", Epoch: 1 << 60, Seq: ask.Seq, LenderIncarnation: 1 << 60, Lease: 3 * time.Second}}})
-	q.desk.linked()
-	ask, ok = q.desk.due()
+	q.dispatcher.handleMessage(wire.Message{Response: &wire.LeaseResponse{From: "east", LeaseResponse: quota.LeaseResponse{Child: "n0", Epoch: 1 << 60, Seq: ask.Seq, LenderIncarnation: 1 << 60, Lease: 3 * time.Second}}})
+	q.dispatcher.handleConnect()
+	ask, ok = q.dispatcher.nextRequest()
 	require.True(t, ok)
 	assert.Empty(t, ask.Reports)
 	quiet := len(frames.Frame(wire.EncodeLeaseRequest(wire.LeaseRequest{To: "east", LeaseRequest: ask})))
@@ -60,11 +60,11 @@
 	assert.LessOrEqual(t, first, 310*30+100)
 }
 
-// BenchmarkTake is what a req pays for its unit where one is held: taken and left, among so many accounts.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkAcquire is what a req pays for its unit where one is held: taken and left, among so many accounts.
+func BenchmarkAcquire(b *testing.B) {
 	for _, accounts := range []int{1, 310} {
 		b.Run(fmt.Sprint(accounts), func(b *testing.B) {
-			q := alone(b, accounts, 1000)
+			q := newWithoutLender(b, accounts, 1000)
 			until := time.Now().Add(time.Hour)
 			begun := 0
 			for b.Loop() {
--- a/internal/network/fleet/quota/quota.go
+++ b/internal/network/fleet/quota/quota.go
@@ -34,15 +34,15 @@
 	Log         zerolog.Logger
 }
 
-// up is the plan between the root and the regions.
-func (c *Config) up() quota.LeaseConfig {
+// regionLeases is the plan between the root and the regions.
+func (c *Config) regionLeases() quota.LeaseConfig {
 	p := c.Leases
 	p.Lease = c.RegionLease
 	return p
 }
 
-// lends says for which region this dispatcher is named as the lender; empty for none.
-func (c *Config) lends() string {
+// lenderRegion says for which region this dispatcher is named as the lender; empty for none.
+func (c *Config) lenderRegion() string {
 	for _, l := range c.Lenders {
 		if l.Voter == c.Name {
 			return l.Region
@@ -53,16 +53,16 @@
 
 // Bounds.
 const (
-	paceLeast = 2 * time.Millisecond   // between two asks of a holder, however often it is short
-	beatMost  = 100 * time.Millisecond // between two looks at the time
-	linkHeld  = 32                     // messages that wait for a link; one that does not take them is closed
-	asksMost  = 1000                   // asks a second on a link, twice what paceLeast lets a holder send; more close it
-	asksHeld  = 1024                   // asks that wait for the root's confirmation; one beyond is dropped, and asked again
+	minRequestInterval     = 2 * time.Millisecond   // between two asks of a holder, however often it is short
+	maxTickInterval        = 100 * time.Millisecond // between two looks at the time
+	maxQueuedMessages      = 32                     // messages that wait for a link; one that does not take them is closed
+	maxRequestsPerSecond   = 1000                   // asks a second on a link, twice what paceLeast lets a holder send; more close it
+	maxUnconfirmedRequests = 1024                   // asks that wait for the root's confirmation; one beyond is dropped, and asked again
 )
 
-// beat is how often the time is looked at where nothing happens.
-func (c *Config) beat() time.Duration {
-	return min(max(c.Leases.Lease/100, paceLeast), beatMost)
+// tickInterval is how often the time is looked at where nothing happens.
+func (c *Config) tickInterval() time.Duration {
+	return min(max(c.Leases.Lease/100, minRequestInterval), maxTickInterval)
 }
 
 // Counters are the quotas' counters.
@@ -79,28 +79,28 @@
 
 // Quota is a dispatcher's part in the quotas.
 type Quota struct {
-	Counters Counters
-	cfg      Config
-	start    time.Time
-	desk     *desk
-	votes    *votes // nil where it is no voter
+	Counters   Counters
+	cfg        Config
+	origin     time.Time
+	dispatcher *dispatcher
+	voter      *voter // nil where it is no voter
 }
 
 // now is the process's own monotonic clock, from its making.
-func (q *Quota) now() quota.Time { return quota.Time(time.Since(q.start)) }
+func (q *Quota) now() quota.Time { return quota.Time(time.Since(q.origin)) }
 
-// at is the time of a reading of that clock.
-func (q *Quota) at(t quota.Time) time.Time { return q.start.Add(time.Duration(t)) }
+// toTime is the time of a reading of that clock.
+func (q *Quota) toTime(t quota.Time) time.Time { return q.origin.Add(time.Duration(t)) }
 
-// of is the reading of that clock at a time.
-func (q *Quota) of(t time.Time) quota.Time { return quota.Time(t.Sub(q.start)) }
+// fromTime is the reading fromTime that clock at a time.
+func (q *Quota) fromTime(t time.Time) quota.Time { return quota.Time(t.Sub(q.origin)) }
 
 // New starts a dispatcher's part. Close ends it, before the accord is closed.
 func New(cfg Config, a *accord.Accord) (*Quota, error) {
 	if a == nil {
 		return nil, errors.New("quota: no accord")
 	}
-	if err := cfg.up().Check(); err != nil {
+	if err := cfg.regionLeases().Check(); err != nil {
 		return nil, fmt.Errorf("of regions: %w", err)
 	}
 	if cfg.RegionLease < cfg.Leases.Lease {
@@ -115,17 +115,17 @@
 	if to == "" {
 		return nil, fmt.Errorf("quota: no lender is named for region %q", cfg.Region)
 	}
-	if cfg.lends() != "" && !a.IsVoter() {
+	if cfg.lenderRegion() != "" && !a.IsVoter() {
 		return nil, fmt.Errorf("quota: %s is a lender and no voter", cfg.Name)
 	}
-	q := &Quota{cfg: cfg, start: time.Now()}
+	q := &Quota{cfg: cfg, origin: time.Now()}
 	var err error
 	if a.IsVoter() {
-		if q.votes, err = newVotes(q, a); err != nil {
+		if q.voter, err = newVoter(q, a); err != nil {
 			return nil, err
 		}
 	}
-	if q.desk, err = newDesk(q, to); err != nil {
+	if q.dispatcher, err = newDispatcher(q, to); err != nil {
 		q.Close()
 		return nil, err
 	}
@@ -134,28 +134,28 @@
 
 // Close ends this dispatcher's part; what waits is not told. It is called once.
 func (q *Quota) Close() {
-	if q.desk != nil {
-		q.desk.close()
+	if q.dispatcher != nil {
+		q.dispatcher.close()
 	}
-	if q.votes != nil {
-		q.votes.close()
+	if q.voter != nil {
+		q.voter.close()
 	}
 }
 
 // ApplyPolicy puts a policy's quotas in force at this dispatcher.
-func (q *Quota) ApplyPolicy(p policy.Policy) { q.desk.enter(p) }
+func (q *Quota) ApplyPolicy(p policy.Policy) { q.dispatcher.applyPolicy(p) }
 
 // Acquire asks for room for a req of an account, until a time at most. ready is called once, unless leave was called
 // first; from any goroutine, perhaps before Acquire returns. from is the time by which the room counts: the req is over
 // by the policy's run after it. Where there is no room by until, ok is false and pause is advice to its client. leave
 // tells that the req is over, or does not wait any more; it may be called more than once.
 func (q *Quota) Acquire(account string, urgent bool, until time.Time, ready func(from time.Time, pause time.Duration, ok bool)) (leave func()) {
-	return q.desk.take(account, urgent, until, ready)
+	return q.dispatcher.acquire(account, urgent, until, ready)
 }
 
 // Each calls f for the counters and levels of the quotas.
 func (q *Quota) Each(f func(name string, n int64)) {
-	held, used, waiting := q.desk.levels()
+	held, used, waiting := q.dispatcher.gauges()
 	f("quota_held", held)
 	f("quota_in_use", used)
 	f("quota_waiting", waiting)
@@ -164,10 +164,10 @@
 	f("quota_nudged", q.Counters.PollsReceived.Load())
 	f("quota_asks", q.Counters.RequestsSent.Load())
 	f("quota_bad_messages", q.Counters.BadMessages.Load())
-	if q.votes == nil {
+	if q.voter == nil {
 		return
 	}
-	region, root := q.votes.lent()
+	region, root := q.voter.outstanding()
 	f("quota_lent", region)
 	f("quota_lent_root", root)
 	f("quota_called_back", q.Counters.Recalls.Load())
@@ -176,13 +176,13 @@
 	f("quota_floods", q.Counters.Overloads.Load())
 }
 
-// tell logs the steps of a lender, and counts those that the counters tell. level is its region, empty for the root.
-func (q *Quota) tell(level string, notes []quota.Event) {
+// logEvents logs the steps of a lender, and counts those that the counters logEvents. level is its region, empty for the root.
+func (q *Quota) logEvents(level string, notes []quota.Event) {
 	for _, n := range notes {
 		if n.Step == "called back" {
 			q.Counters.Recalls.Add(1)
 		}
-		e := q.cfg.Log.Info().Str("process", q.cfg.Name).Str("lender", levelName(level))
+		e := q.cfg.Log.Info().Str("process", q.cfg.Name).Str("lender", lenderLabel(level))
 		if n.Account != "" {
 			e.Str("account", n.Account)
 		}
@@ -193,7 +193,7 @@
 	}
 }
 
-func levelName(level string) string {
+func lenderLabel(level string) string {
 	if level == "" {
 		return "root"
 	}
--- a/internal/network/fleet/quota/region.go
+++ b/internal/network/fleet/quota/region.go
@@ -8,51 +8,51 @@
 	"tinsail/internal/fleet/quota/wire"
 )
 
-// region is a region's lender, at the voter that is named for it.
-type region struct {
-	v    *votes
-	name string
-	link *asker // to the root
-
-	mu       sync.Mutex
-	region   *quota.RegionLender
-	version  uint64 // of the policy whose reserve and run are in force
-	root     uint64 // the term of the root that knows all that is held and lent here
-	children children
+// regionLender is a regionLender's lender, at the voter that is named for it.
+type regionLender struct {
+	voter    *voter
+	name     string
+	rootConn *lenderConn // to the root
+
+	mu            sync.Mutex
+	lender        *quota.RegionLender
+	policyVersion uint64 // of the policy whose reserve and run are in force
+	reportedTerm  uint64 // the term of the root that knows all that is held and lent here
+	conns         childConns
 }
 
-func newRegion(v *votes, name string) (*region, error) {
+func newRegionLender(v *voter, name string) (*regionLender, error) {
 	cfg := &v.q.cfg
-	r, err := quota.NewRegionLender(cfg.up(), cfg.Leases, name, cfg.Epoch, v.q.now())
+	r, err := quota.NewRegionLender(cfg.regionLeases(), cfg.Leases, name, cfg.Epoch, v.q.now())
 	if err != nil {
 		return nil, err
 	}
 	if v.accord.NewLog() {
 		r.SkipRecovery(v.q.now())
 	}
-	return &region{v: v, name: name, region: r, children: children{}}, nil
+	return &regionLender{voter: v, name: name, lender: r, conns: childConns{}}, nil
 }
 
 // run lets time pass, and takes up what is decided.
-func (r *region) run() {
+func (r *regionLender) run() {
 	for {
 		r.mu.Lock()
-		r.follow()
-		r.region.Tick(r.v.q.now())
-		r.turn()
-		next := r.region.NextTick()
+		r.applyDecidedPolicy()
+		r.lender.Tick(r.voter.q.now())
+		r.flush()
+		next := r.lender.NextTick()
 		r.mu.Unlock()
-		if !r.v.sleep(next) {
+		if !r.voter.sleep(next) {
 			return
 		}
 	}
 }
 
 // sleep waits until a time, at most a beat; false: the voter was closed.
-func (v *votes) sleep(until quota.Time) bool {
-	d := min(max(time.Until(v.q.at(until)), paceLeast), v.q.cfg.beat())
+func (v *voter) sleep(until quota.Time) bool {
+	d := min(max(time.Until(v.q.toTime(until)), minRequestInterval), v.q.cfg.tickInterval())
 	if until == quota.Never {
-		d = v.q.cfg.beat()
+		d = v.q.cfg.tickInterval()
 	}
 	over := time.NewTimer(d)
 	defer over.Stop()
@@ -64,48 +64,48 @@
 	}
 }
 
-// follow takes up the policy that was decided last. r.mu is held.
-func (r *region) follow() {
-	if version, p, ok := r.v.decided(r.version); ok {
-		r.version = version
-		r.region.SetReserve(r.v.q.now(), p.UrgentReserve)
-		r.region.SetMaxRunTime(r.v.q.now(), time.Duration(p.RunMS)*time.Millisecond)
+// applyDecidedPolicy takes up the policy that was decided last. r.mu is held.
+func (r *regionLender) applyDecidedPolicy() {
+	if version, p, ok := r.voter.decidedSince(r.policyVersion); ok {
+		r.policyVersion = version
+		r.lender.SetReserve(r.voter.q.now(), p.UrgentReserve)
+		r.lender.SetMaxRunTime(r.voter.q.now(), time.Duration(p.RunMS)*time.Millisecond)
 	}
 }
 
-// turn does what the lender asks for. r.mu is held.
-func (r *region) turn() {
-	r.children.nudge(r.region.TakePolls())
-	r.v.q.tell(r.name, r.region.TakeEvents())
-	if r.link != nil && r.region.Holder().NextRequestTime() <= r.v.q.now() {
-		r.link.wake()
+// flush does what the lender asks for. r.mu is held.
+func (r *regionLender) flush() {
+	r.conns.poll(r.lender.TakePolls())
+	r.voter.q.logEvents(r.name, r.lender.TakeEvents())
+	if r.rootConn != nil && r.lender.Holder().NextRequestTime() <= r.voter.q.now() {
+		r.rootConn.wake()
 	}
 }
 
-// take answers a dispatcher's ask.
-func (r *region) take(l *link, a quota.LeaseRequest) {
+// handle answers a dispatcher's ask.
+func (r *regionLender) handle(l *childConn, a quota.LeaseRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.children[l.child] = l
-	if answer, ok := r.region.Handle(r.v.q.now(), a); ok {
+	r.conns[l.child] = l
+	if answer, ok := r.lender.Handle(r.voter.q.now(), a); ok {
 		l.send(wire.EncodeLeaseResponse(wire.LeaseResponse{From: r.name, LeaseResponse: answer}))
 	}
-	r.turn()
+	r.flush()
 }
 
-func (r *region) lose(l *link) {
+func (r *regionLender) dropConn(l *childConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.children.lose(l)
+	r.conns.drop(l)
 }
 
-func (r *region) lent() (n int64) {
+func (r *regionLender) outstanding() (n int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return lent(r.region.Lender(), r.v.q.now())
+	return totalOutstanding(r.lender.Lender(), r.voter.q.now())
 }
 
-func lent(l *quota.Lender, now quota.Time) (n int64) {
+func totalOutstanding(l *quota.Lender, now quota.Time) (n int64) {
 	for _, account := range l.Accounts() {
 		n += int64(l.Outstanding(now, account))
 	}
@@ -114,45 +114,45 @@
 
 // The side of the link to the root.
 
-func (r *region) linked() {
+func (r *regionLender) handleConnect() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.region.HandleReconnect()
+	r.lender.HandleReconnect()
 }
 
-func (r *region) due() (quota.LeaseRequest, bool) {
+func (r *regionLender) nextRequest() (quota.LeaseRequest, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.region.NextRequest(r.v.q.now())
+	return r.lender.NextRequest(r.voter.q.now())
 }
 
-func (r *region) next() quota.Time {
+func (r *regionLender) nextRequestTime() quota.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.region.Holder().NextRequestTime()
+	return r.lender.Holder().NextRequestTime()
 }
 
-func (r *region) heard(m wire.Message) {
+func (r *regionLender) handleMessage(m wire.Message) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if m.Response != nil {
-		r.region.HandleResponse(r.v.q.now(), m.Response.LeaseResponse)
+		r.lender.HandleResponse(r.voter.q.now(), m.Response.LeaseResponse)
 		if a := m.Response.LeaseResponse; !a.ResendFull && !a.NoRecord {
-			r.root = a.LenderIncarnation
+			r.reportedTerm = a.LenderIncarnation
 		}
 	} else {
-		r.region.HandlePoll()
-		r.v.q.Counters.PollsReceived.Add(1)
+		r.lender.HandlePoll()
+		r.voter.q.Counters.PollsReceived.Add(1)
 	}
-	r.turn()
+	r.flush()
 }
 
-// heardBy says whether the root of a term, or of a later one, knows all that is held and lent here.
-func (r *region) heardBy(term uint64) bool {
+// reportedTo says whether the root of a term, or of a later one, knows all that is held and lent here.
+func (r *regionLender) reportedTo(term uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.root >= term
+	return r.reportedTerm >= term
 }
 
-// last is nothing: what is lent goes on, and the next life inherits it.
-func (r *region) last() (quota.LeaseRequest, bool) { return quota.LeaseRequest{}, false }
+// finalRequest is nothing: what is lent goes on, and the next life inherits it.
+func (r *regionLender) finalRequest() (quota.LeaseRequest, bool) { return quota.LeaseRequest{}, false }
--- a/internal/network/fleet/quota/voter.go
+++ b/internal/network/fleet/quota/voter.go
@@ -15,110 +15,110 @@
 	"tinsail/internal/network/fleet/accord"
 )
 
-// votes is a voter's side: the root, a region's lender where it is named for one, and the links to both.
-type votes struct {
+// voter is a voter's side: the root, a region's lender where it is named for one, and the links to both.
+type voter struct {
 	q      *Quota
 	accord *accord.Accord
 	root   *root
-	region *region // nil where it is none
+	region *regionLender // nil where it is none
 	stop   chan struct{}
 	done   sync.WaitGroup
 
 	mu     sync.Mutex
 	closed bool
-	links  map[*link]struct{}
+	conns  map[*childConn]struct{}
 }
 
-// link is a holder's connection, at a voter.
-type link struct {
-	v     *votes
-	conn  net.Conn
-	out   chan []byte
-	level string // of the lender that it asks; both are of its first ask
-	child string
-	flood sync.Once
+// childConn is a holder's connection, at a voter.
+type childConn struct {
+	voter        *voter
+	conn         net.Conn
+	queue        chan []byte
+	lenderName   string // of the lender that it asks; both are of its first ask
+	child        string
+	overloadOnce sync.Once
 }
 
 // send queues a message; where the link does not take what it is sent, it is closed.
-func (l *link) send(p []byte) {
+func (l *childConn) send(p []byte) {
 	select {
-	case l.out <- frames.Frame(p):
+	case l.queue <- frames.Frame(p):
 	default:
-		l.flooded()
+		l.closeOverloaded()
 	}
 }
 
-// flooded closes a link, and counts it once.
-func (l *link) flooded() {
-	l.flood.Do(func() { l.v.q.Counters.Overloads.Add(1) })
+// closeOverloaded closes a link, and counts it once.
+func (l *childConn) closeOverloaded() {
+	l.overloadOnce.Do(func() { l.voter.q.Counters.Overloads.Add(1) })
 	l.conn.Close()
 }
 
-// nudge queues a nudge: a hint, never a reason to close a link.
-func (l *link) nudge() {
-	if len(l.out) < linkHeld/2 {
-		l.send(wire.EncodePoll(l.level))
+// poll queues a poll: a hint, never a reason to close a link.
+func (l *childConn) poll() {
+	if len(l.queue) < maxQueuedMessages/2 {
+		l.send(wire.EncodePoll(l.lenderName))
 	}
 }
 
-func newVotes(q *Quota, a *accord.Accord) (*votes, error) {
-	v := &votes{q: q, accord: a, stop: make(chan struct{}), links: map[*link]struct{}{}}
+func newVoter(q *Quota, a *accord.Accord) (*voter, error) {
+	v := &voter{q: q, accord: a, stop: make(chan struct{}), conns: map[*childConn]struct{}{}}
 	v.root = newRoot(v)
-	if name := q.cfg.lends(); name != "" {
+	if name := q.cfg.lenderRegion(); name != "" {
 		var err error
-		if v.region, err = newRegion(v, name); err != nil {
+		if v.region, err = newRegionLender(v, name); err != nil {
 			return nil, err
 		}
 	}
-	v.done.Go(v.root.confirm)
+	v.done.Go(v.root.confirmRequests)
 	v.done.Go(v.root.run)
 	if v.region != nil {
-		v.region.link = newAsker(q, "", v.region, v.leader)
-		v.region.link.start()
+		v.region.rootConn = newLenderConn(q, "", v.region, v.rootAddress)
+		v.region.rootConn.start()
 		v.done.Go(v.region.run)
 	}
 	a.SetQuotaHandler(v.serve)
 	return v, nil
 }
 
-// handOnWait is how long a voter that leads waits at its end for the next root to have heard of this voter's region: some
+// transferTimeout is how long a voter that leads waits at its end for the next root to have heard of this voter's region: some
 // round trips between regions. A root that has not heard of it cannot tell the region's next life what it holds, which
 // gets nothing then until all that this life may have lent is over.
-const handOnWait = 2 * time.Second
+const transferTimeout = 2 * time.Second
 
-// handOn has another voter lead, and waits until its root has answered this voter's region.
-func (v *votes) handOn() {
+// transferLeadership has another voter lead, and waits until its root has answered this voter's region.
+func (v *voter) transferLeadership() {
 	term, _ := v.accord.LeaderTerm()
 	if v.region == nil || !v.accord.TransferLeadership() {
 		return
 	}
-	for over := time.Now().Add(handOnWait); !v.region.heardBy(term+1) && time.Now().Before(over); {
-		time.Sleep(paceLeast)
+	for over := time.Now().Add(transferTimeout); !v.region.reportedTo(term+1) && time.Now().Before(over); {
+		time.Sleep(minRequestInterval)
 	}
 }
 
-func (v *votes) close() {
-	v.handOn()
+func (v *voter) close() {
+	v.transferLeadership()
 	v.accord.SetQuotaHandler(nil)
 	close(v.stop)
 	if v.region != nil {
-		v.region.link.close()
+		v.region.rootConn.close()
 	}
 	v.mu.Lock()
 	v.closed = true
-	for l := range v.links {
+	for l := range v.conns {
 		l.conn.Close()
 	}
 	v.mu.Unlock()
 	v.done.Wait()
 }
 
-// leader is where the voter that leads listens, as far as this one knows.
-func (v *votes) leader() string { return v.accord.VoterAddress(v.accord.Leader()) }
+// rootAddress is where the voter that leads listens, as far as this one knows.
+func (v *voter) rootAddress() string { return v.accord.VoterAddress(v.accord.Leader()) }
 
-// decided is the policy decided last, as this voter's log has it, where it is not the version given; false where it is,
+// decidedSince is the policy decidedSince last, as this voter's log has it, where it is not the version given; false where it is,
 // and where there is none that can be read.
-func (v *votes) decided(known uint64) (version uint64, p policy.Policy, ok bool) {
+func (v *voter) decidedSince(known uint64) (version uint64, p policy.Policy, ok bool) {
 	version, body := v.accord.Decided()
 	if version == known || version == 0 {
 		return version, p, false
@@ -127,24 +127,24 @@
 	return version, p, err == nil
 }
 
-// lent is what the region and the root, where they lend, count as lent.
-func (v *votes) lent() (region, root int64) {
+// outstanding is what the region and the root, where they lend, count as outstanding.
+func (v *voter) outstanding() (region, root int64) {
 	if v.region != nil {
-		region = v.region.lent()
+		region = v.region.outstanding()
 	}
-	return region, v.root.lent()
+	return region, v.root.outstanding()
 }
 
 // serve reads a holder's asks until its link ends.
-func (v *votes) serve(conn net.Conn) {
-	l := &link{v: v, conn: conn, out: make(chan []byte, linkHeld)}
+func (v *voter) serve(conn net.Conn) {
+	l := &childConn{voter: v, conn: conn, queue: make(chan []byte, maxQueuedMessages)}
 	v.mu.Lock()
 	if v.closed {
 		v.mu.Unlock()
 		conn.Close()
 		return
 	}
-	v.links[l] = struct{}{}
+	v.conns[l] = struct{}{}
 	v.done.Add(1)
 	v.mu.Unlock()
 	over := make(chan struct{})
@@ -153,20 +153,20 @@
 	conn.Close()
 	close(over)
 	v.mu.Lock()
-	delete(v.links, l)
+	delete(v.conns, l)
 	v.mu.Unlock()
-	v.root.lose(l)
+	v.root.dropConn(l)
 	if v.region != nil {
-		v.region.lose(l)
+		v.region.dropConn(l)
 	}
 	v.done.Done()
 }
 
-func (l *link) write(over chan struct{}) {
+func (l *childConn) write(over chan struct{}) {
 	for {
 		select {
-		case p := <-l.out:
-			l.conn.SetWriteDeadline(time.Now().Add(l.v.q.cfg.Leases.Lease / 3))
+		case p := <-l.queue:
+			l.conn.SetWriteDeadline(time.Now().Add(l.voter.q.cfg.Leases.Lease / 3))
 			if _, err := l.conn.Write(p); err != nil {
 				l.conn.Close()
 				return
@@ -177,10 +177,10 @@
 	}
 }
 
-func (l *link) read() {
-	q := l.v.q
+func (l *childConn) read() {
+	q := l.voter.q
 	r := bufio.NewReader(l.conn)
-	pace := rate.NewLimiter(asksMost, asksMost)
+	pace := rate.NewLimiter(maxRequestsPerSecond, maxRequestsPerSecond)
 	for {
 		l.conn.SetReadDeadline(time.Now().Add(4 * q.cfg.RegionLease)) // a region's holder asks each third of its lease
 		m, err := wire.ReadMessage(r)
@@ -190,46 +190,46 @@
 			return
 		case err != nil:
 			return
-		case m.Request == nil || l.child != "" && (m.Request.Child != l.child || m.Request.To != l.level):
+		case m.Request == nil || l.child != "" && (m.Request.Child != l.child || m.Request.To != l.lenderName):
 			q.Counters.BadMessages.Add(1)
 			return
 		case !pace.Allow():
-			l.flooded()
+			l.closeOverloaded()
 			return
 		}
 		if l.child == "" {
-			l.child, l.level = m.Request.Child, m.Request.To
+			l.child, l.lenderName = m.Request.Child, m.Request.To
 		}
 		q.Counters.RequestsReceived.Add(1)
 		switch {
-		case l.level == "":
-			l.v.root.ask(l, m.Request.LeaseRequest)
-		case l.v.region != nil && l.v.region.name == l.level:
-			l.v.region.take(l, m.Request.LeaseRequest)
+		case l.lenderName == "":
+			l.voter.root.enqueue(l, m.Request.LeaseRequest)
+		case l.voter.region != nil && l.voter.region.name == l.lenderName:
+			l.voter.region.handle(l, m.Request.LeaseRequest)
 		default:
-			l.away("")
+			l.redirect("")
 		}
 	}
 }
 
-// away says that the lender that was asked is not here.
-func (l *link) away(leader string) {
-	l.v.q.Counters.Redirects.Add(1)
-	l.send(wire.EncodeRedirect(wire.Redirect{From: l.level, Leader: leader}))
+// redirect says that the lender that was asked is not here.
+func (l *childConn) redirect(leader string) {
+	l.voter.q.Counters.Redirects.Add(1)
+	l.send(wire.EncodeRedirect(wire.Redirect{From: l.lenderName, Leader: leader}))
 }
 
-// children are a lender's links by the child's name: the last that it asked on.
-type children map[string]*link
+// childConns are a lender's links by the child's name: the last that it asked on.
+type childConns map[string]*childConn
 
-func (c children) nudge(names []string) {
+func (c childConns) poll(names []string) {
 	for _, name := range names {
 		if l := c[name]; l != nil {
-			l.nudge()
+			l.poll()
 		}
 	}
 }
 
-func (c children) lose(l *link) {
+func (c childConns) drop(l *childConn) {
 	if c[l.child] == l {
 		delete(c, l.child)
 	}
