--- a/internal/network/fleet/quota/conns_test.go
+++ b/internal/network/fleet/quota/conns_test.go
@@ -16,13 +16,13 @@
 	"tinsail/internal/network/fleet/accord"
 )
 
-// dial makes a link to a voter as a holder does.
-func (r *fixture) dial(voter int) net.Conn {
-	conn, err := net.Dial("tcp", r.voterAddresses[voter])
-	require.NoError(r.t, err)
-	r.t.Cleanup(func() { conn.Close() })
+// dial connects to a voter as a holder does.
+func (f *fixture) dial(voter int) net.Conn {
+	conn, err := net.Dial("tcp", f.voterAddresses[voter])
+	require.NoError(f.t, err)
+	f.t.Cleanup(func() { conn.Close() })
 	_, err = conn.Write([]byte{accord.QuotaConn})
-	require.NoError(r.t, err)
+	require.NoError(f.t, err)
 	return conn
 }
 
@@ -30,7 +30,7 @@
 	return frames.Frame(wire.EncodeLeaseRequest(wire.LeaseRequest{To: to, LeaseRequest: quota.LeaseRequest{Child: child, Epoch: 1, Seq: seq, Full: true}}))
 }
 
-// awaitClose reads until the link is awaitClose.
+// awaitClose reads until the peer closes the connection.
 func awaitClose(t *testing.T, conn net.Conn) {
 	conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if _, err := io.ReadAll(conn); err != nil {
@@ -38,12 +38,12 @@
 	}
 }
 
-// TestBadMessageClosesConnection: what is no message, none of a holder, or an ask by another name than the link's first, ends the link
-// and is counted.
+// TestBadMessageClosesConnection checks what closes a holder's connection and is counted: bytes that are no message, a message
+// that no holder sends, and a request with another child or lender than the connection's first one.
 func TestBadMessageClosesConnection(t *testing.T) {
-	r := newFixture(t, 3, 4*time.Second, `{"run_ms":300,"quotas":{"a":1}}`)
-	r.awaitPolicy(1)
-	q := r.member(0).quota
+	f := newFixture(t, 3, 4*time.Second, `{"run_ms":300,"quotas":{"a":1}}`)
+	f.awaitPolicy(1)
+	q := f.member(0).quota
 	for i, p := range [][]byte{
 		[]byte("\x00\x00\x00\x02{}"),
 		[]byte("\xff\xff\xff\xff"),
@@ -52,7 +52,7 @@
 		append(requestFrame("east", "x", 1), requestFrame("east", "y", 2)...),
 		append(requestFrame("east", "x", 3), requestFrame("west", "x", 4)...),
 	} {
-		conn := r.dial(0)
+		conn := f.dial(0)
 		_, err := conn.Write(p)
 		require.NoError(t, err)
 		awaitClose(t, conn)
@@ -60,14 +60,14 @@
 	}
 }
 
-// TestRedirect: an ask for a region's lender that is not here, or for the root at a voter that does not lead, is told
-// so; a child that is no region gets nothing from the root.
+// TestRedirect checks that a request for a region's lender that is not here, or for the root at a voter that does not lead,
+// is answered with a redirect. A child that is no region gets no response from the root.
 func TestRedirect(t *testing.T) {
-	r := newFixture(t, 3, 4*time.Second, `{"run_ms":300,"quotas":{"a":1}}`)
-	r.awaitPolicy(1)
-	leader := r.leader()
-	hear := func(voter int, p []byte) wire.Message {
-		conn := r.dial(voter)
+	f := newFixture(t, 3, 4*time.Second, `{"run_ms":300,"quotas":{"a":1}}`)
+	f.awaitPolicy(1)
+	leader := f.leader()
+	exchange := func(voter int, p []byte) wire.Message {
+		conn := f.dial(voter)
 		_, err := conn.Write(p)
 		require.NoError(t, err)
 		conn.SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -75,65 +75,65 @@
 		require.NoError(t, err)
 		return m
 	}
-	assert.Equal(t, &wire.Redirect{From: "west"}, hear(0, requestFrame("west", "x", 1)).Redirect)
-	assert.Equal(t, &wire.Redirect{From: "", Leader: memberName(leader)}, hear((leader+1)%3, requestFrame("", "north", 1)).Redirect)
-	conn := r.dial(leader)
+	assert.Equal(t, &wire.Redirect{From: "west"}, exchange(0, requestFrame("west", "x", 1)).Redirect)
+	assert.Equal(t, &wire.Redirect{From: "", Leader: memberName(leader)}, exchange((leader+1)%3, requestFrame("", "north", 1)).Redirect)
+	conn := f.dial(leader)
 	_, err := conn.Write(requestFrame("", "north", 1))
 	require.NoError(t, err)
 	awaitClose(t, conn)
-	assert.EqualValues(t, 1, r.member(leader).quota.Counters.BadMessages.Load())
+	assert.EqualValues(t, 1, f.member(leader).quota.Counters.BadMessages.Load())
 }
 
-// TestTooManyRequestsCloseConnection: a link on which more asks come than any holder sends is closed, and counted.
+// TestTooManyRequestsCloseConnection checks that a connection with more requests than any holder sends is closed and counted.
 func TestTooManyRequestsCloseConnection(t *testing.T) {
-	r := newFixture(t, 3, 4*time.Second, `{"run_ms":300,"quotas":{"a":1}}`)
-	r.awaitPolicy(1)
-	conn := r.dial(0)
+	f := newFixture(t, 3, 4*time.Second, `{"run_ms":300,"quotas":{"a":1}}`)
+	f.awaitPolicy(1)
+	conn := f.dial(0)
 	go func() { _, _ = io.Copy(io.Discard, conn) }()
 	var err error
 	for seq := uint64(1); err == nil && seq < 1_000_000; seq++ {
 		_, err = conn.Write(requestFrame("east", "x", seq))
 	}
-	assert.Error(t, err, "it was closed")
-	var late net.Error
-	assert.False(t, errors.As(err, &late) && late.Timeout())
-	r.waitFor("counted", func() bool { return r.member(0).quota.Counters.Overloads.Load() == 1 })
+	assert.Error(t, err, "the connection was not closed")
+	var timeout net.Error
+	assert.False(t, errors.As(err, &timeout) && timeout.Timeout())
+	f.waitFor("the closed connection is counted", func() bool { return f.member(0).quota.Counters.Overloads.Load() == 1 })
 }
 
-// TestSlowReaderIsClosed: a link that takes no answers is closed, and holds up nobody.
+// TestSlowReaderIsClosed checks that a connection whose holder reads nothing is closed, and that sending to it never blocks.
 func TestSlowReaderIsClosed(t *testing.T) {
 	q := &Quota{cfg: Config{Leases: quota.LeaseConfig{Lease: time.Second}}, origin: time.Now()}
 	near, far := net.Pipe()
 	defer near.Close()
-	l := &childConn{voter: &voter{q: q}, conn: far, queue: make(chan []byte, maxQueuedMessages)}
+	c := &childConn{voter: &voter{q: q}, conn: far, queue: make(chan []byte, maxQueuedMessages)}
 	for range maxQueuedMessages / 2 {
-		l.poll()
+		c.poll()
 	}
-	l.poll()
-	assert.Len(t, l.queue, maxQueuedMessages/2, "a nudge is a hint")
+	c.poll()
+	assert.Len(t, c.queue, maxQueuedMessages/2, "a poll is only a hint")
 	for range maxQueuedMessages / 2 {
-		l.redirect("")
+		c.redirect("")
 	}
 	assert.Zero(t, q.Counters.Overloads.Load())
-	l.redirect("")
+	c.redirect("")
 	assert.EqualValues(t, 1, q.Counters.Overloads.Load())
 	_, err := near.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// TestNewRejectsBadConfig: what a configuration lacks is said.
+// TestNewRejectsBadConfig checks that the error names what is wrong with a configuration.
 func TestNewRejectsBadConfig(t *testing.T) {
-	plan := quota.LeaseConfig{Lease: time.Second, MaxRunTime: time.Second}
-	for says, cfg := range map[string]Config{
-		"lease":              {},
-		"shorter":            {Leases: plan, RegionLease: 500 * time.Millisecond},
-		`no lender is named`: {Leases: plan, RegionLease: 4 * time.Second, Region: "east", Lenders: []Lender{{"west", "n0", "127.0.0.1:1"}}},
-		"n0 is a lender and no voter": {Name: "n0", Leases: plan, RegionLease: 4 * time.Second, Region: "west",
+	leases := quota.LeaseConfig{Lease: time.Second, MaxRunTime: time.Second}
+	for message, cfg := range map[string]Config{
+		"quota: lease is not between": {},
+		"shorter":                     {Leases: leases, RegionLease: 500 * time.Millisecond},
+		`no lender is configured`:     {Leases: leases, RegionLease: 4 * time.Second, Region: "east", Lenders: []Lender{{"west", "n0", "127.0.0.1:1"}}},
+		"n0 is configured as a lender but is no voter": {Name: "n0", Leases: leases, RegionLease: 4 * time.Second, Region: "west",
 			Lenders: []Lender{{"west", "n0", "127.0.0.1:1"}}},
 	} {
 		_, err := New(cfg, &accord.Accord{})
-		assert.ErrorContains(t, err, says)
+		assert.ErrorContains(t, err, message)
 	}
 	_, err := New(Config{}, nil)
-	assert.ErrorContains(t, err, "no accord")
+	assert.ErrorContains(t, err, "accord is missing")
 }
--- a/internal/network/fleet/quota/dispatcher.go
+++ b/internal/network/fleet/quota/dispatcher.go
@@ -10,38 +10,39 @@
 	"tinsail/internal/fleet/quota/wire"
 )
 
-// dispatcher is a dispatcher's side: which of its reqs begin, and its link to its region's lender.
+// dispatcher is the part that each dispatcher runs: it limits which of its requests start and borrows units from its
+// region's lender.
 type dispatcher struct {
 	q      *Quota
 	conn   *lenderConn
-	wakeup chan struct{} // something may be due earlier
+	wakeup chan struct{} // the next timeout may be earlier than before
 	stop   chan struct{}
 	done   sync.WaitGroup
 
 	mu              sync.Mutex
 	limiter         *quota.Limiter
 	holder          *quota.Holder
-	lastID          uint64             // ids to reqs
-	waiting         map[uint64]*waiter // reqs that wait
-	used            map[string]int     // as told to the holder last, where it is not 0
-	refusedUnlogged int                // since the last line of the log
-	refusalLoggedAt time.Time          // when that was
+	lastID          uint64             // the newest id that was given to a request
+	waiting         map[uint64]*waiter // by id; has those that wait for a unit
+	used            map[string]int     // units in use by account, as last reported to the holder; without zeros
+	refusedUnlogged int                // requests refused since refusalLoggedAt
+	refusalLoggedAt time.Time          // when refusals were last logged
 }
 
-// waiter is what a req was promised: ready is called once, or never where it left first.
+// waiter is a request that asked for a unit. ready is called at most once, and never after the request was released.
 type waiter struct {
 	ready   func(from time.Time, pause time.Duration, ok bool)
-	settled atomic.Bool // ready was called, or never will be
+	settled atomic.Bool // ready was called, or must not be called any more
 }
 
-func newDispatcher(q *Quota, to string) (*dispatcher, error) {
+func newDispatcher(q *Quota, lenderAddress string) (*dispatcher, error) {
 	h, err := quota.NewHolder(q.cfg.Leases, q.cfg.Name, q.cfg.Epoch, false)
 	if err != nil {
 		return nil, err
 	}
 	d := &dispatcher{q: q, wakeup: make(chan struct{}, 1), stop: make(chan struct{}), limiter: quota.NewLimiter(), holder: h,
 		waiting: map[uint64]*waiter{}, used: map[string]int{}}
-	d.conn = newLenderConn(q, q.cfg.Region, d, func() string { return to })
+	d.conn = newLenderConn(q, q.cfg.Region, d, func() string { return lenderAddress })
 	d.conn.start()
 	d.done.Go(d.run)
 	return d, nil
@@ -53,17 +54,17 @@
 	d.done.Wait()
 }
 
-// run refuses those whose time is over; all else is done when it happens.
+// run refuses waiting requests when they time out. Everything else is handled when it happens.
 func (d *dispatcher) run() {
 	for {
 		d.mu.Lock()
 		next := d.limiter.NextTimeout()
 		d.mu.Unlock()
 		var due <-chan time.Time
-		var over *time.Timer
+		var timer *time.Timer
 		if next < quota.Never {
-			over = time.NewTimer(time.Until(d.q.toTime(next)))
-			due = over.C
+			timer = time.NewTimer(time.Until(d.q.toTime(next)))
+			due = timer.C
 		}
 		select {
 		case <-d.stop:
@@ -71,8 +72,8 @@
 		case <-due:
 		case <-d.wakeup:
 		}
-		if over != nil {
-			over.Stop()
+		if timer != nil {
+			timer.Stop()
 		}
 		d.mu.Lock()
 		d.processAndUnlock()
@@ -80,25 +81,25 @@
 }
 
 func (d *dispatcher) acquire(account string, urgent bool, until time.Time, ready func(time.Time, time.Duration, bool)) func() {
-	r := &waiter{ready: ready}
+	w := &waiter{ready: ready}
 	d.mu.Lock()
 	d.lastID++
 	id := d.lastID
 	now := d.q.now()
 	if d.limiter.Acquire(now, id, account, urgent, d.q.fromTime(until)) {
-		r.settled.Store(true)
+		w.settled.Store(true)
 		d.mu.Unlock()
 		ready(d.q.toTime(now), 0, true)
 	} else {
-		d.waiting[id] = r
+		d.waiting[id] = w
 		d.processAndUnlock()
-		if !r.settled.Load() {
+		if !w.settled.Load() {
 			d.q.Counters.Waited.Add(1)
 			wake(d.wakeup)
 		}
 	}
 	return func() {
-		r.settled.Store(true)
+		w.settled.Store(true)
 		d.mu.Lock()
 		delete(d.waiting, id)
 		d.limiter.Release(id)
@@ -119,19 +120,19 @@
 	d.processAndUnlock()
 }
 
-// processAndUnlock says who begins and who is out of time, and tells the holder what is needed. It gives d.mu back, and only then
-// tells the reqs.
+// processAndUnlock starts and refuses waiting requests and reports the usage to the holder. The caller holds d.mu. It is
+// released before the requests' callbacks run.
 func (d *dispatcher) processAndUnlock() {
-	now := d.q.now() // before the lease is looked at: room counts from here
-	begin, refuse := d.limiter.Admit(now, func(account string) int { return d.holder.Units(now, account) })
-	var said []*waiter
-	for _, id := range append(begin, refuse...) {
-		said = append(said, d.waiting[id])
+	now := d.q.now() // read before the lease is checked: units are held from this time
+	started, expired := d.limiter.Admit(now, func(account string) int { return d.holder.Units(now, account) })
+	var settled []*waiter
+	for _, id := range append(started, expired...) {
+		settled = append(settled, d.waiting[id])
 		delete(d.waiting, id)
 	}
 	d.updateUsage()
 	due := d.holder.NextRequestTime() <= now
-	if n := len(refuse); n > 0 {
+	if n := len(expired); n > 0 {
 		d.q.Counters.Refused.Add(int64(n))
 		if d.refusedUnlogged += n; time.Since(d.refusalLoggedAt) >= time.Second {
 			d.q.cfg.Log.Info().Str("process", d.q.cfg.Name).Int("reqs", d.refusedUnlogged).Msg("quota: refused")
@@ -142,21 +143,21 @@
 	if due {
 		d.conn.wake()
 	}
-	for i, r := range said {
+	for i, w := range settled {
 		switch {
-		case r == nil || r.settled.Swap(true):
-		case i < len(begin):
-			r.ready(d.q.toTime(now), 0, true)
+		case w == nil || w.settled.Swap(true):
+		case i < len(started):
+			w.ready(d.q.toTime(now), 0, true)
 		default:
-			r.ready(time.Time{}, d.q.cfg.Leases.RenewInterval(), false)
+			w.ready(time.Time{}, d.q.cfg.Leases.RenewInterval(), false)
 		}
 	}
 }
 
-// updateUsage tells the holder what is used and wanted. d.mu is held.
+// updateUsage reports changed usage and demand to the holder. The caller holds d.mu.
 func (d *dispatcher) updateUsage() {
-	d.limiter.TakeUsageChanges(func(account string, used, want int) {
-		if d.holder.SetUsage(account, used, want); used > 0 {
+	d.limiter.TakeUsageChanges(func(account string, used, demand int) {
+		if d.holder.SetUsage(account, used, demand); used > 0 {
 			d.used[account] = used
 		} else {
 			delete(d.used, account)
@@ -164,7 +165,7 @@
 	})
 }
 
-// gauges are the units that are held and in use, and the reqs that wait.
+// gauges returns the units that are held and in use, and the number of waiting requests.
 func (d *dispatcher) gauges() (held, used, waiting int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -176,7 +177,7 @@
 	return held, used, int64(len(d.waiting))
 }
 
-// The side of the link.
+// The methods of borrower follow.
 
 func (d *dispatcher) handleConnect() {
 	d.mu.Lock()
@@ -207,14 +208,14 @@
 	d.processAndUnlock()
 }
 
-// finalRequest gives all back, where nothing is in flight.
+// finalRequest returns all units if no request is in flight.
 func (d *dispatcher) finalRequest() (quota.LeaseRequest, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.used) > 0 {
 		return quota.LeaseRequest{}, false
 	}
-	d.holder.HandleReconnect() // whatever is on its way
+	d.holder.HandleReconnect() // a lease request in flight doesn't delay the final one
 	d.holder.Close()
 	return d.holder.NextRequest(d.q.now())
 }
--- a/internal/network/fleet/quota/fixture_test.go
+++ b/internal/network/fleet/quota/fixture_test.go
@@ -21,34 +21,35 @@
 	"tinsail/internal/network/fleet/accord"
 )
 
-// logBuffer keeps what a fleet logs.
+// logBuffer stores the log of a fleet.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (j *logBuffer) Write(p []byte) (int, error) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.b.Write(p)
+func (l *logBuffer) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.b.Write(p)
 }
 
-func (j *logBuffer) contains(text string) bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return strings.Contains(j.b.String(), text)
+func (l *logBuffer) contains(text string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return strings.Contains(l.b.String(), text)
 }
 
 var regions = []string{"east", "west", "south"}
 
-// fixture is a fleet in one process, on real sockets and disks: three voters that are the lenders of three regions, and
-// further dispatchers, each in the region of its number. Each reaches each voter but itself through a relay of its own.
+// fixture is a fleet in one process, with real sockets and files. The first three dispatchers are voters and run the lenders
+// of the three regions. Dispatcher i is in region i%3. It reaches each other voter through a relay of its own, at which
+// faults can be injected.
 type fixture struct {
 	t              *testing.T
 	leases         quota.LeaseConfig
 	regionLease    time.Duration
 	initialPolicy  string
-	voterAddresses []string          // where they listen
+	voterAddresses []string          // where the voters listen
 	relays         [][]*faultnet.TCP // by dispatcher and voter
 	dataDirs       []string
 	log            logBuffer
@@ -61,83 +62,83 @@
 	teams   map[string]*teamLoad
 }
 
-// member is one dispatcher's part; nil fields where it is down.
+// member is one dispatcher that is up.
 type member struct {
 	accord        *accord.Accord
 	quota         *Quota
-	policy        policy.Policy // entered before quota was there
+	policy        policy.Policy // the newest policy, applied by start if quota did not exist yet
 	policyVersion uint64
 	started       atomic.Int64
-	servedVersion atomic.Uint64 // the version in force: before, no req is taken, as the accord has it
+	servedVersion atomic.Uint64 // the version applied at quota; as with the accord, no request is accepted while it is 0
 }
 
-// teamLoad counts what runs of a team, as those that run it see it: from when they were told to begin to before they
-// tell that they have ended.
+// teamLoad counts the running requests of a team as its clients see them: from the callback that starts a request until just
+// before the client releases it.
 type teamLoad struct {
-	running, maxRunning, violations, limit atomic.Int64 // over: begins beyond the cap
+	running, maxRunning, violations, limit atomic.Int64 // violations: requests that started above the limit
 }
 
-func newFixture(t *testing.T, n int, region time.Duration, first string) *fixture {
-	r := &fixture{t: t, leases: quota.LeaseConfig{Lease: 400 * time.Millisecond, MaxRunTime: 300 * time.Millisecond, Drift: 0.001}, regionLease: region, initialPolicy: first,
+func newFixture(t *testing.T, n int, regionLease time.Duration, initialPolicy string) *fixture {
+	f := &fixture{t: t, leases: quota.LeaseConfig{Lease: 400 * time.Millisecond, MaxRunTime: 300 * time.Millisecond, Drift: 0.001}, regionLease: regionLease, initialPolicy: initialPolicy,
 		relays: make([][]*faultnet.TCP, n), members: make([]*member, n), stop: make(chan struct{}), teams: map[string]*teamLoad{}}
-	var held []net.Listener
+	var reserved []net.Listener
 	for range regions {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		held = append(held, l) // until the relays have other ports
-		r.voterAddresses = append(r.voterAddresses, l.Addr().String())
-		r.dataDirs = append(r.dataDirs, t.TempDir())
+		reserved = append(reserved, l) // keeps the port, so that no relay gets it
+		f.voterAddresses = append(f.voterAddresses, l.Addr().String())
+		f.dataDirs = append(f.dataDirs, t.TempDir())
 	}
 	for i := range n {
-		for _, at := range r.voterAddresses {
-			relay, err := faultnet.ListenTCP(at)
+		for _, address := range f.voterAddresses {
+			relay, err := faultnet.ListenTCP(address)
 			require.NoError(t, err)
 			t.Cleanup(relay.Close)
-			r.relays[i] = append(r.relays[i], relay)
+			f.relays[i] = append(f.relays[i], relay)
 		}
 	}
-	for _, l := range held {
+	for _, l := range reserved {
 		l.Close()
 	}
-	t.Cleanup(r.closeAll)
+	t.Cleanup(f.closeAll)
 	for i := range n {
-		r.start(i)
+		f.start(i)
 	}
-	return r
+	return f
 }
 
-// closeAll ends the loads, then all members.
-func (r *fixture) closeAll() {
-	if r.closed {
+// closeAll stops the clients, then all members.
+func (f *fixture) closeAll() {
+	if f.closed {
 		return
 	}
-	r.closed = true
-	close(r.stop)
-	r.loads.Wait()
-	for i := range r.members {
-		r.close(i)
+	f.closed = true
+	close(f.stop)
+	f.loads.Wait()
+	for i := range f.members {
+		f.close(i)
 	}
 }
 
 func memberName(i int) string { return fmt.Sprintf("n%d", i) }
 
-func (r *fixture) address(i, voter int) string {
+func (f *fixture) address(i, voter int) string {
 	if i == voter {
-		return r.voterAddresses[voter]
+		return f.voterAddresses[voter]
 	}
-	return r.relays[i][voter].Addr()
+	return f.relays[i][voter].Addr()
 }
 
-func (r *fixture) start(i int) {
+func (f *fixture) start(i int) {
 	m := &member{}
 	cfg := accord.Config{Leases: leases.LeaseConfig{Lease: 600 * time.Millisecond, Drift: 0.001, ContinueWhenCut: true}, Name: memberName(i), Epoch: uint64(time.Now().UnixNano()),
 		CheckPolicy: func([]byte) error { return nil },
 		ApplyPolicy: func(version uint64, body []byte) error {
 			p, err := policy.Read(body)
-			r.mu.Lock()
+			f.mu.Lock()
 			m.policy, m.policyVersion = p, version
 			q := m.quota
-			r.mu.Unlock()
+			f.mu.Unlock()
 			if q != nil {
 				q.ApplyPolicy(p)
 				m.servedVersion.Store(version)
@@ -145,126 +146,126 @@
 			return err
 		},
 		Log: zerolog.Nop()}
-	mine := Config{Name: cfg.Name, Epoch: cfg.Epoch, Region: regions[i%3], Leases: r.leases, RegionLease: r.regionLease, Log: zerolog.New(&r.log)}
-	for v := range r.voterAddresses {
-		cfg.Voters = append(cfg.Voters, accord.Peer{Name: memberName(v), Address: r.address(i, v)})
-		mine.Lenders = append(mine.Lenders, Lender{regions[v], memberName(v), r.address(i, v)})
+	quotaCfg := Config{Name: cfg.Name, Epoch: cfg.Epoch, Region: regions[i%3], Leases: f.leases, RegionLease: f.regionLease, Log: zerolog.New(&f.log)}
+	for v := range f.voterAddresses {
+		cfg.Voters = append(cfg.Voters, accord.Peer{Name: memberName(v), Address: f.address(i, v)})
+		quotaCfg.Lenders = append(quotaCfg.Lenders, Lender{regions[v], memberName(v), f.address(i, v)})
 	}
-	if i < len(r.voterAddresses) {
-		cfg.DataDir, cfg.InitialPolicy, cfg.Listen = r.dataDirs[i], []byte(r.initialPolicy), r.voterAddresses[i]
+	if i < len(f.voterAddresses) {
+		cfg.DataDir, cfg.InitialPolicy, cfg.Listen = f.dataDirs[i], []byte(f.initialPolicy), f.voterAddresses[i]
 	}
 	var err error
 	m.accord, err = accord.New(cfg)
-	require.NoError(r.t, err)
-	q, err := New(mine, m.accord)
-	require.NoError(r.t, err)
-	r.mu.Lock()
+	require.NoError(f.t, err)
+	q, err := New(quotaCfg, m.accord)
+	require.NoError(f.t, err)
+	f.mu.Lock()
 	m.quota = q
-	r.members[i] = m
-	entered := m.policyVersion
-	r.mu.Unlock()
-	if entered > 0 {
+	f.members[i] = m
+	version := m.policyVersion
+	f.mu.Unlock()
+	if version > 0 {
 		q.ApplyPolicy(m.policy)
 		m.servedVersion.Store(m.policyVersion)
 	}
 }
 
-func (r *fixture) close(i int) {
-	r.mu.Lock()
-	m := r.members[i]
-	r.members[i] = nil
-	r.mu.Unlock()
+func (f *fixture) close(i int) {
+	f.mu.Lock()
+	m := f.members[i]
+	f.members[i] = nil
+	f.mu.Unlock()
 	if m != nil {
 		m.quota.Close()
 		m.accord.Close()
 	}
 }
 
-func (r *fixture) member(i int) *member {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.members[i]
+func (f *fixture) member(i int) *member {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.members[i]
 }
 
-func (r *fixture) team(name string) *teamLoad {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.teams[name] == nil {
-		r.teams[name] = &teamLoad{}
-		r.teams[name].limit.Store(1 << 40)
+func (f *fixture) team(name string) *teamLoad {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.teams[name] == nil {
+		f.teams[name] = &teamLoad{}
+		f.teams[name].limit.Store(1 << 40)
 	}
-	return r.teams[name]
+	return f.teams[name]
 }
 
-// startClient has one client of a team at a dispatcher: reqs one after another, each held for a while.
-func (r *fixture) startClient(i int, team string, urgent bool, hold time.Duration) {
-	run := r.team(team)
-	r.loads.Go(func() {
+// startClient starts a client of a team at a dispatcher. It sends one request after another, and each runs for hold.
+func (f *fixture) startClient(i int, team string, urgent bool, hold time.Duration) {
+	load := f.team(team)
+	f.loads.Go(func() {
 		for {
 			select {
-			case <-r.stop:
+			case <-f.stop:
 				return
 			default:
 			}
-			m := r.member(i)
+			m := f.member(i)
 			if m == nil || m.servedVersion.Load() == 0 {
-				r.sleep(10 * time.Millisecond)
+				f.sleep(10 * time.Millisecond)
 				continue
 			}
-			said := make(chan bool, 1)
-			leave := m.quota.Acquire(team, urgent, time.Now().Add(time.Second), func(_ time.Time, _ time.Duration, ok bool) {
+			granted := make(chan bool, 1)
+			release := m.quota.Acquire(team, urgent, time.Now().Add(time.Second), func(_ time.Time, _ time.Duration, ok bool) {
 				if ok {
 					m.started.Add(1)
-					run.requestStarted()
+					load.requestStarted()
 				}
-				said <- ok
+				granted <- ok
 			})
-			over := time.NewTimer(3 * time.Second) // of a dispatcher that was closed meanwhile
+			timeout := time.NewTimer(3 * time.Second) // a dispatcher that was closed meanwhile never calls back
 			select {
-			case ok := <-said:
+			case ok := <-granted:
 				if ok {
-					r.sleep(hold)
-					run.running.Add(-1)
+					f.sleep(hold)
+					load.running.Add(-1)
 				}
-			case <-over.C:
+			case <-timeout.C:
 			}
-			over.Stop()
-			leave()
+			timeout.Stop()
+			release()
 		}
 	})
 }
 
-func (r *teamLoad) requestStarted() {
-	n := r.running.Add(1)
-	if n > r.limit.Load() {
-		r.violations.Add(1)
+func (l *teamLoad) requestStarted() {
+	n := l.running.Add(1)
+	if n > l.limit.Load() {
+		l.violations.Add(1)
 	}
-	for most := r.maxRunning.Load(); n > most && !r.maxRunning.CompareAndSwap(most, n); most = r.maxRunning.Load() {
+	for old := l.maxRunning.Load(); n > old && !l.maxRunning.CompareAndSwap(old, n); old = l.maxRunning.Load() {
 	}
 }
 
-func (r *fixture) sleep(d time.Duration) {
-	over := time.NewTimer(d)
-	defer over.Stop()
+func (f *fixture) sleep(d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-r.stop:
-	case <-over.C:
+	case <-f.stop:
+	case <-timer.C:
 	}
 }
 
-// waitFor waits for a condition.
-func (r *fixture) waitFor(what string, ok func() bool) {
-	r.t.Helper()
-	require.Eventually(r.t, ok, 30*time.Second, 2*time.Millisecond, what)
+// waitFor waits at most 30 s for a condition.
+func (f *fixture) waitFor(what string, ok func() bool) {
+	f.t.Helper()
+	require.Eventually(f.t, ok, 30*time.Second, 2*time.Millisecond, what)
 }
 
-// setRule sets the setRule of the links that pass between two dispatchers of which f says so.
-func (r *fixture) setRule(rule faultnet.Rule, f func(from, voter int) bool) {
-	for i, all := range r.relays {
-		for v, relay := range all {
-			if f(i, v) {
+// setRule sets the rule of all relays for which selected returns true.
+func (f *fixture) setRule(rule faultnet.Rule, selected func(from, voter int) bool) {
+	for i, relays := range f.relays {
+		for v, relay := range relays {
+			if selected(i, v) {
 				relay.Set(rule)
-				if rule == faultnet.Pass { // bytes were swallowed
+				if rule == faultnet.Pass { // bytes were lost, so the connections can't continue
 					relay.Reset()
 				}
 			}
@@ -272,32 +273,32 @@
 	}
 }
 
-// crossesBorder says of one region whether a link leaves it or comes to it.
+// crossesBorder selects the connections that leave a region or enter it.
 func crossesBorder(region int) func(from, voter int) bool {
 	return func(from, voter int) bool { return (from%3 == region) != (voter == region) }
 }
 
-// leader is the voter that leads.
-func (r *fixture) leader() (at int) {
-	r.waitFor("a leader", func() bool {
-		for i := range r.voterAddresses {
-			if m := r.member(i); m != nil {
+// leader waits until a voter leads and returns it.
+func (f *fixture) leader() (leader int) {
+	f.waitFor("a leader", func() bool {
+		for i := range f.voterAddresses {
+			if m := f.member(i); m != nil {
 				if _, ok := m.accord.LeaderTerm(); ok {
-					at = i
+					leader = i
 					return true
 				}
 			}
 		}
 		return false
 	})
-	return at
+	return leader
 }
 
-// awaitPolicy waits until all that are up, but those skipped, have entered a policy.
-func (r *fixture) awaitPolicy(version uint64, skip ...int) {
-	r.waitFor(fmt.Sprintf("version %d in force", version), func() bool {
-		for i := range r.members {
-			m := r.member(i)
+// awaitPolicy waits until all members that are up, except the skipped ones, have applied a policy version.
+func (f *fixture) awaitPolicy(version uint64, skip ...int) {
+	f.waitFor(fmt.Sprintf("policy version %d is in force", version), func() bool {
+		for i := range f.members {
+			m := f.member(i)
 			if m != nil && m.servedVersion.Load() < version && !contains(skip, i) {
 				return false
 			}
@@ -306,18 +307,18 @@
 	})
 }
 
-func contains(all []int, i int) bool {
-	for _, a := range all {
-		if a == i {
+func contains(list []int, i int) bool {
+	for _, n := range list {
+		if n == i {
 			return true
 		}
 	}
 	return false
 }
 
-// rootOutstanding is what the root counts as rootOutstanding of an account; it is asked of the voter that leads.
-func (r *fixture) rootOutstanding(account string) int {
-	root := r.member(r.leader()).quota.voter.root
+// rootOutstanding returns the units of an account that the root, at the leading voter, counts as lent.
+func (f *fixture) rootOutstanding(account string) int {
+	root := f.member(f.leader()).quota.voter.root
 	root.mu.Lock()
 	defer root.mu.Unlock()
 	if !root.prepareLender() {
@@ -326,9 +327,9 @@
 	return root.lender.Outstanding(root.voter.q.now(), account)
 }
 
-func (r *fixture) startedBy(of func(i int) bool) (n int64) {
-	for i := range r.members {
-		if m := r.member(i); m != nil && of(i) {
+func (f *fixture) startedBy(selected func(i int) bool) (n int64) {
+	for i := range f.members {
+		if m := f.member(i); m != nil && selected(i) {
 			n += m.started.Load()
 		}
 	}
@@ -339,28 +340,29 @@
 
 func inRegion(region int) func(int) bool { return func(i int) bool { return i%3 == region } }
 
-func (r *fixture) assertNoViolations() {
-	for name, run := range r.teams {
-		assert.Zero(r.t, run.violations.Load(), "begins of %s beyond its quota; most at once: %d", name, run.maxRunning.Load())
-		r.t.Logf("%s: at most %d at once of %d", name, run.maxRunning.Load(), run.limit.Load())
+// assertNoViolations checks that no team ever ran more requests than its limit.
+func (f *fixture) assertNoViolations() {
+	for name, load := range f.teams {
+		assert.Zero(f.t, load.violations.Load(), "requests of %s started beyond its quota; max running: %d", name, load.maxRunning.Load())
+		f.t.Logf("%s: at most %d running at once, limit %d", name, load.maxRunning.Load(), load.limit.Load())
 	}
-	r.t.Logf("%d reqs begun", r.startedBy(anyMember))
+	f.t.Logf("%d requests started", f.startedBy(anyMember))
 }
 
 type memberList []*member
 
-func (r *fixture) selectMembers(of func(i int) bool) (out memberList) {
-	for i := range r.members {
-		if m := r.member(i); m != nil && of(i) {
+func (f *fixture) selectMembers(selected func(i int) bool) (out memberList) {
+	for i := range f.members {
+		if m := f.member(i); m != nil && selected(i) {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// held is the units that dispatchers may begin by now.
-func (all memberList) held() (n int64) {
-	for _, m := range all {
+// held returns the units by which these dispatchers may start requests now.
+func (l memberList) held() (n int64) {
+	for _, m := range l {
 		held, _, _ := m.quota.dispatcher.gauges()
 		n += held
 	}
--- a/internal/network/fleet/quota/lenderconn.go
+++ b/internal/network/fleet/quota/lenderconn.go
@@ -16,132 +16,134 @@
 	"tinsail/internal/network/fleet/accord"
 )
 
-// borrower is a holder as its link sees it. Its methods are called from the link's goroutines.
+// borrower is what a lenderConn needs of the holder that it serves. The methods are called from the connection's goroutines.
 type borrower interface {
-	handleConnect()                           // a link was made: what was asked on the one before is lost
-	nextRequest() (quota.LeaseRequest, bool)  // the ask to be sent now
-	nextRequestTime() quota.Time              // when one may be due, if nothing happens before
-	handleMessage(wire.Message)               // an answer or a nudge
-	finalRequest() (quota.LeaseRequest, bool) // the ask to end with, if the holder's life ends in order
+	handleConnect()                           // a connection was opened; requests and responses of the previous one are lost
+	nextRequest() (quota.LeaseRequest, bool)  // the request to be sent now, if one is due
+	nextRequestTime() quota.Time              // when a request is due if nothing else happens before
+	handleMessage(wire.Message)               // a response or a poll
+	finalRequest() (quota.LeaseRequest, bool) // the last request of a holder that ends in an orderly way, if it has one
 }
 
-// lenderConn keeps a holder's link to its lender.
+// lenderConn maintains a holder's connection to its lender and exchanges messages on it.
 type lenderConn struct {
 	q          *Quota
-	lenderName string // the lender's
+	lenderName string // the region's name, or "" for the root
 	borrower   borrower
-	address    func() string // where to ask now; empty: nowhere
+	address    func() string // returns where the lender listens now, or "" if that is unknown
 	wakeup     chan struct{}
-	ctx        context.Context // ends with the holder's life
+	ctx        context.Context // canceled by close
 	cancel     context.CancelFunc
 	done       sync.WaitGroup
 
 	misconfigurationLogged sync.Once
 }
 
-func newLenderConn(q *Quota, level string, s borrower, target func() string) *lenderConn {
-	k := &lenderConn{q: q, lenderName: level, borrower: s, address: target, wakeup: make(chan struct{}, 1)}
-	k.ctx, k.cancel = context.WithCancel(context.Background())
-	return k
+func newLenderConn(q *Quota, lenderName string, b borrower, address func() string) *lenderConn {
+	c := &lenderConn{q: q, lenderName: lenderName, borrower: b, address: address, wakeup: make(chan struct{}, 1)}
+	c.ctx, c.cancel = context.WithCancel(context.Background())
+	return c
 }
 
-// start begins to ask, once its side knows the asker.
-func (k *lenderConn) start() { k.done.Go(k.run) }
+// start starts the connection. It is called once the borrower has its reference to c.
+func (c *lenderConn) start() { c.done.Go(c.run) }
 
-func (k *lenderConn) close() {
-	k.cancel()
-	k.done.Wait()
+func (c *lenderConn) close() {
+	c.cancel()
+	c.done.Wait()
 }
 
-func (k *lenderConn) wake() { wake(k.wakeup) }
+func (c *lenderConn) wake() { wake(c.wakeup) }
 
-// run makes a link wherever there is a lender, and another when it breaks: after a time, not alike at all, so that a
-// lender that comes back is not met by all at once.
-func (k *lenderConn) run() {
-	for k.ctx.Err() == nil {
-		if to := k.address(); to != "" {
-			k.exchange(to)
+// run connects whenever the lender's address is known, and again after a failure. The delay before each attempt is
+// randomized, so that holders do not all reconnect at once to a lender that comes back.
+func (c *lenderConn) run() {
+	for c.ctx.Err() == nil {
+		if address := c.address(); address != "" {
+			c.exchange(address)
 		}
-		k.sleep(k.q.cfg.Leases.Lease/20 + rand.N(k.q.cfg.Leases.Lease/20))
+		c.sleep(c.q.cfg.Leases.Lease/20 + rand.N(c.q.cfg.Leases.Lease/20))
 	}
 }
 
-func (k *lenderConn) sleep(d time.Duration) {
-	over := time.NewTimer(d)
-	defer over.Stop()
+func (c *lenderConn) sleep(d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-k.ctx.Done():
-	case <-over.C:
+	case <-c.ctx.Done():
+	case <-timer.C:
 	}
 }
 
-// exchange asks at one address until the link breaks, the lender is elsewhere, or it is silent.
-func (k *lenderConn) exchange(to string) {
-	plan := k.q.cfg.Leases
-	conn, err := (&net.Dialer{Timeout: plan.Lease / 3}).DialContext(k.ctx, "tcp", to)
+// exchange exchanges messages with the lender at one address, until the connection fails, the lender's address changes, or
+// the lender does not respond for half a lease.
+func (c *lenderConn) exchange(address string) {
+	leases := c.q.cfg.Leases
+	conn, err := (&net.Dialer{Timeout: leases.Lease / 3}).DialContext(c.ctx, "tcp", address)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
 	send := func(p []byte) error {
-		conn.SetWriteDeadline(time.Now().Add(plan.Lease / 3))
+		conn.SetWriteDeadline(time.Now().Add(leases.Lease / 3))
 		_, err := conn.Write(p)
 		return err
 	}
 	if send([]byte{accord.QuotaConn}) != nil {
 		return
 	}
-	k.borrower.handleConnect()
-	var answered atomic.Bool // since the last ask
-	gone := make(chan struct{})
+	c.borrower.handleConnect()
+	var answered atomic.Bool // a response arrived since the newest request was sent
+	closed := make(chan struct{})
 	go func() {
-		defer close(gone)
-		k.readMessages(conn, &answered)
+		defer close(closed)
+		c.readMessages(conn, &answered)
 	}()
 	defer func() {
 		conn.Close()
-		<-gone
+		<-closed
 	}()
-	asked, sent := time.Time{}, time.Time{} // the first ask that has no answer; the last ask
+	unansweredSince, lastSent := time.Time{}, time.Time{} // when the oldest request without a response was sent, and the newest request
 	for {
 		if answered.Load() {
-			asked = time.Time{}
+			unansweredSince = time.Time{}
 		}
 		now := time.Now()
-		if !asked.IsZero() && now.Sub(asked) > plan.Lease/2 || k.address() != to {
-			return // a lender that is stopped, a link that swallows, or another that leads
+		if !unansweredSince.IsZero() && now.Sub(unansweredSince) > leases.Lease/2 || c.address() != address {
+			return // the lender has stopped, the network drops packets, or another voter leads
 		}
-		wait := k.q.cfg.tickInterval()
-		if left := minRequestInterval - now.Sub(sent); left > 0 {
+		wait := c.q.cfg.tickInterval()
+		if left := minRequestInterval - now.Sub(lastSent); left > 0 {
 			wait = left
-		} else if a, ok := k.borrower.nextRequest(); ok {
-			if asked.IsZero() {
-				asked = now
+		} else if request, ok := c.borrower.nextRequest(); ok {
+			if unansweredSince.IsZero() {
+				unansweredSince = now
 			}
-			sent = now
+			lastSent = now
 			answered.Store(false)
-			if send(frames.Frame(wire.EncodeLeaseRequest(wire.LeaseRequest{To: k.lenderName, LeaseRequest: a}))) != nil {
+			if send(frames.Frame(wire.EncodeLeaseRequest(wire.LeaseRequest{To: c.lenderName, LeaseRequest: request}))) != nil {
 				return
 			}
-			k.q.Counters.RequestsSent.Add(1)
+			c.q.Counters.RequestsSent.Add(1)
 			continue
-		} else if asked.IsZero() { // nothing to look for but the next ask, and who leads
-			wait = min(max(k.q.toTime(k.borrower.nextRequestTime()).Sub(now), minRequestInterval), maxTickInterval)
+		} else if unansweredSince.IsZero() { // no response is outstanding: only the next request or another address can need attention
+			wait = min(max(c.q.toTime(c.borrower.nextRequestTime()).Sub(now), minRequestInterval), maxTickInterval)
 		}
-		over := time.NewTimer(wait)
+		timer := time.NewTimer(wait)
 		select {
-		case <-k.ctx.Done():
-		case <-gone:
-		case <-over.C:
-		case <-k.wakeup:
+		case <-c.ctx.Done():
+		case <-closed:
+		case <-timer.C:
+		case <-c.wakeup:
 		}
-		over.Stop()
+		timer.Stop()
 		select {
-		case <-gone:
+		case <-closed:
 			return
-		case <-k.ctx.Done():
-			if a, ok := k.borrower.finalRequest(); ok {
-				_ = send(frames.Frame(wire.EncodeLeaseRequest(wire.LeaseRequest{To: k.lenderName, LeaseRequest: a}))) // else its lease ends by itself
+		case <-c.ctx.Done():
+			if request, ok := c.borrower.finalRequest(); ok {
+				// If this fails, the lease expires.
+				_ = send(frames.Frame(wire.EncodeLeaseRequest(wire.LeaseRequest{To: c.lenderName, LeaseRequest: request})))
 			}
 			return
 		default:
@@ -149,8 +151,8 @@
 	}
 }
 
-// readMessages reads what a lender says until the link ends, which it closes.
-func (k *lenderConn) readMessages(conn net.Conn, answered *atomic.Bool) {
+// readMessages handles the lender's messages until the connection fails. It closes the connection at the end.
+func (c *lenderConn) readMessages(conn net.Conn, answered *atomic.Bool) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for {
@@ -158,24 +160,24 @@
 		switch {
 		case err != nil:
 			if errors.Is(err, wire.ErrMessage) {
-				k.q.Counters.BadMessages.Add(1)
+				c.q.Counters.BadMessages.Add(1)
 			}
 			return
-		case m.Response != nil && m.Response.From == k.lenderName:
+		case m.Response != nil && m.Response.From == c.lenderName:
 			answered.Store(true)
-		case m.Poll != nil && *m.Poll == k.lenderName:
-		case m.Redirect != nil && m.Redirect.From == k.lenderName: // the root is elsewhere; a region's lender only by a fault of the settings
-			if k.lenderName != "" {
-				k.misconfigurationLogged.Do(func() {
-					k.q.cfg.Log.Error().Str("process", k.q.cfg.Name).Str("lender", k.lenderName).Msg("quota: no such lender where the settings name it")
+		case m.Poll != nil && *m.Poll == c.lenderName:
+		case m.Redirect != nil && m.Redirect.From == c.lenderName: // the root has moved; for a region's lender the settings are wrong
+			if c.lenderName != "" {
+				c.misconfigurationLogged.Do(func() {
+					c.q.cfg.Log.Error().Str("process", c.q.cfg.Name).Str("lender", c.lenderName).Msg("quota: no such lender where the settings name it")
 				})
 			}
 			return
 		default:
-			k.q.Counters.BadMessages.Add(1)
+			c.q.Counters.BadMessages.Add(1)
 			return
 		}
-		k.borrower.handleMessage(m)
-		k.wake()
+		c.borrower.handleMessage(m)
+		c.wake()
 	}
 }
--- a/internal/network/fleet/quota/quota.go
+++ b/internal/network/fleet/quota/quota.go
@@ -1,10 +1,10 @@
-// Package quota carries the units of quotas between dispatchers (docs/design/quota.md). It is a thin driver: package
-// fleet/quota decides, fleet/quota/wire frames, the accord says who leads, and this package reads the clock and the
-// sockets.
+// Package quota lends the units of quotas between dispatchers over the network (docs/design/quota.md). It is a thin driver:
+// package fleet/quota decides, fleet/quota/wire encodes messages, the accord says which voter leads, and this package reads
+// the clock and the sockets.
 //
-// A dispatcher's desk is at each of them, with one link to its region's lender. A region's lender is at the voter
-// named for it, with one link to the voter that leads. The root is at every voter and lends while that one leads. Links
-// come to the voters' listen addresses, which the accord's port shares out.
+// Each dispatcher limits its own requests and has one connection to its region's lender. A region's lender runs at the voter
+// that is configured for it and has one connection to the leading voter. Each voter runs the root, which lends only while
+// that voter leads. Connections arrive at the voters' listen addresses; the accord listens there and passes them on.
 package quota
 
 import (
@@ -20,28 +20,28 @@
 	"tinsail/internal/network/fleet/accord"
 )
 
-// Lender says at which voter a region's lender is, and where that voter listens.
+// Lender states which voter runs a region's lender, and where that voter listens.
 type Lender struct{ Region, Voter, Address string }
 
-// Config is what a dispatcher takes part with. All fields are read at the start alone.
+// Config configures a dispatcher's part in the quotas. It is read only by New.
 type Config struct {
-	Name        string // this dispatcher's, unique in the fleet
-	Epoch       uint64 // new and higher with each start of the process
-	Region      string // this dispatcher's
+	Name        string // of this dispatcher, unique in the fleet
+	Epoch       uint64 // higher at each start of the process
+	Region      string // of this dispatcher
 	Lenders     []Lender
 	Leases      quota.LeaseConfig // between a region's lender and its dispatchers
-	RegionLease time.Duration     // between the root and the regions; the rest of the plan is the same
+	RegionLease time.Duration     // between the root and the regions; Drift and MaxRunTime are those of Leases
 	Log         zerolog.Logger
 }
 
-// regionLeases is the plan between the root and the regions.
+// regionLeases returns the lease configuration between the root and the regions.
 func (c *Config) regionLeases() quota.LeaseConfig {
-	p := c.Leases
-	p.Lease = c.RegionLease
-	return p
+	leases := c.Leases
+	leases.Lease = c.RegionLease
+	return leases
 }
 
-// lenderRegion says for which region this dispatcher is named as the lender; empty for none.
+// lenderRegion returns the region whose lender this dispatcher runs, or "" if it runs none.
 func (c *Config) lenderRegion() string {
 	for _, l := range c.Lenders {
 		if l.Voter == c.Name {
@@ -51,72 +51,72 @@
 	return ""
 }
 
-// Bounds.
+// Limits and intervals.
 const (
-	minRequestInterval     = 2 * time.Millisecond   // between two asks of a holder, however often it is short
-	maxTickInterval        = 100 * time.Millisecond // between two looks at the time
-	maxQueuedMessages      = 32                     // messages that wait for a link; one that does not take them is closed
-	maxRequestsPerSecond   = 1000                   // asks a second on a link, twice what paceLeast lets a holder send; more close it
-	maxUnconfirmedRequests = 1024                   // asks that wait for the root's confirmation; one beyond is dropped, and asked again
+	minRequestInterval     = 2 * time.Millisecond   // between two requests of a holder, however often it lacks units
+	maxTickInterval        = 100 * time.Millisecond // between two checks of the time
+	maxQueuedMessages      = 32                     // messages queued for a connection; one that would need more is closed
+	maxRequestsPerSecond   = 1000                   // on one connection, twice what minRequestInterval lets a holder send; more close it
+	maxUnconfirmedRequests = 1024                   // requests that wait for a confirmation of the root's leadership; it drops any further one
 )
 
-// tickInterval is how often the time is looked at where nothing happens.
+// tickInterval is the time between two checks of the time if nothing else happens.
 func (c *Config) tickInterval() time.Duration {
 	return min(max(c.Leases.Lease/100, minRequestInterval), maxTickInterval)
 }
 
-// Counters are the quotas' counters.
+// Counters are the counters of the quotas.
 type Counters struct {
-	Waited, Refused  atomic.Int64 // reqs that did not begin at once; that had no room in time
-	PollsReceived    atomic.Int64 // nudges heard: units were called back from here
-	Recalls          atomic.Int64 // calls of this process's lenders for units
-	RequestsSent     atomic.Int64 // sent to lenders
-	RequestsReceived atomic.Int64 // asks that this process's lenders took in
-	Redirects        atomic.Int64 // asks for a lender that is not here
-	BadMessages      atomic.Int64 // messages that could not be read, or were not a holder's
-	Overloads        atomic.Int64 // links closed since more came than is read, or less was taken than was sent
+	Waited, Refused  atomic.Int64 // requests that did not start at once; requests that got no unit by their deadline
+	PollsReceived    atomic.Int64 // polls from lenders, which ask for a request now, mostly to recall units
+	Recalls          atomic.Int64 // recalls of units by this process's lenders
+	RequestsSent     atomic.Int64 // lease requests sent to lenders
+	RequestsReceived atomic.Int64 // lease requests that this voter read, for any lender
+	Redirects        atomic.Int64 // lease requests answered with a redirect, because their lender is not here
+	BadMessages      atomic.Int64 // messages that could not be decoded, or were not allowed on their connection
+	Overloads        atomic.Int64 // connections closed because the holder sent too many requests or did not read its messages
 }
 
 // Quota is a dispatcher's part in the quotas.
 type Quota struct {
 	Counters   Counters
 	cfg        Config
-	origin     time.Time
+	origin     time.Time // the origin of quota.Time
 	dispatcher *dispatcher
-	voter      *voter // nil where it is no voter
+	voter      *voter // nil if this dispatcher is no voter
 }
 
-// now is the process's own monotonic clock, from its making.
+// now returns the reading of the monotonic clock, counted from the creation of q.
 func (q *Quota) now() quota.Time { return quota.Time(time.Since(q.origin)) }
 
-// toTime is the time of a reading of that clock.
+// toTime converts a reading of that clock.
 func (q *Quota) toTime(t quota.Time) time.Time { return q.origin.Add(time.Duration(t)) }
 
-// fromTime is the reading fromTime that clock at a time.
+// fromTime returns the reading of that clock at a time.
 func (q *Quota) fromTime(t time.Time) quota.Time { return quota.Time(t.Sub(q.origin)) }
 
-// New starts a dispatcher's part. Close ends it, before the accord is closed.
+// New starts a dispatcher's part in the quotas. Close must be called before the accord is closed.
 func New(cfg Config, a *accord.Accord) (*Quota, error) {
 	if a == nil {
-		return nil, errors.New("quota: no accord")
+		return nil, errors.New("quota: accord is missing")
 	}
 	if err := cfg.regionLeases().Check(); err != nil {
-		return nil, fmt.Errorf("of regions: %w", err)
+		return nil, fmt.Errorf("lease configuration of regions: %w", err)
 	}
 	if cfg.RegionLease < cfg.Leases.Lease {
-		return nil, errors.New("quota: a region's lease is shorter than a dispatcher's")
+		return nil, errors.New("quota: region lease is shorter than the dispatchers' lease")
 	}
-	to := ""
+	address := ""
 	for _, l := range cfg.Lenders {
 		if l.Region == cfg.Region {
-			to = l.Address
+			address = l.Address
 		}
 	}
-	if to == "" {
-		return nil, fmt.Errorf("quota: no lender is named for region %q", cfg.Region)
+	if address == "" {
+		return nil, fmt.Errorf("quota: no lender is configured for region %q", cfg.Region)
 	}
 	if cfg.lenderRegion() != "" && !a.IsVoter() {
-		return nil, fmt.Errorf("quota: %s is a lender and no voter", cfg.Name)
+		return nil, fmt.Errorf("quota: %s is configured as a lender but is no voter", cfg.Name)
 	}
 	q := &Quota{cfg: cfg, origin: time.Now()}
 	var err error
@@ -125,14 +125,14 @@
 			return nil, err
 		}
 	}
-	if q.dispatcher, err = newDispatcher(q, to); err != nil {
+	if q.dispatcher, err = newDispatcher(q, address); err != nil {
 		q.Close()
 		return nil, err
 	}
 	return q, nil
 }
 
-// Close ends this dispatcher's part; what waits is not told. It is called once.
+// Close ends this dispatcher's part. The callbacks of waiting requests are not called. It must be called only once.
 func (q *Quota) Close() {
 	if q.dispatcher != nil {
 		q.dispatcher.close()
@@ -142,18 +142,19 @@
 	}
 }
 
-// ApplyPolicy puts a policy's quotas in force at this dispatcher.
+// ApplyPolicy applies a policy's quotas at this dispatcher.
 func (q *Quota) ApplyPolicy(p policy.Policy) { q.dispatcher.applyPolicy(p) }
 
-// Acquire asks for room for a req of an account, until a time at most. ready is called once, unless leave was called
-// first; from any goroutine, perhaps before Acquire returns. from is the time by which the room counts: the req is over
-// by the policy's run after it. Where there is no room by until, ok is false and pause is advice to its client. leave
-// tells that the req is over, or does not wait any more; it may be called more than once.
-func (q *Quota) Acquire(account string, urgent bool, until time.Time, ready func(from time.Time, pause time.Duration, ok bool)) (leave func()) {
+// Acquire asks for a unit for a request of an account. ready is called once, unless release was called first. It may be
+// called from any goroutine, also before Acquire returns. If ok, the unit is held from the time from, and the caller must
+// end the request within the policy's maximum run time after it. If no unit is free by until, ok is false and retryAfter is
+// the delay suggested to the client. release states that the request has ended or no longer waits; it may be called more
+// than once.
+func (q *Quota) Acquire(account string, urgent bool, until time.Time, ready func(from time.Time, retryAfter time.Duration, ok bool)) (release func()) {
 	return q.dispatcher.acquire(account, urgent, until, ready)
 }
 
-// Each calls f for the counters and levels of the quotas.
+// Each calls f with each counter and gauge of the quotas.
 func (q *Quota) Each(f func(name string, n int64)) {
 	held, used, waiting := q.dispatcher.gauges()
 	f("quota_held", held)
@@ -176,26 +177,26 @@
 	f("quota_floods", q.Counters.Overloads.Load())
 }
 
-// logEvents logs the steps of a lender, and counts those that the counters logEvents. level is its region, empty for the root.
-func (q *Quota) logEvents(level string, notes []quota.Event) {
-	for _, n := range notes {
-		if n.Step == "called back" {
+// logEvents logs the events of a lender and counts its recalls. lenderName is its region, or "" for the root.
+func (q *Quota) logEvents(lenderName string, events []quota.Event) {
+	for _, event := range events {
+		if event.Step == "called back" {
 			q.Counters.Recalls.Add(1)
 		}
-		e := q.cfg.Log.Info().Str("process", q.cfg.Name).Str("lender", lenderLabel(level))
-		if n.Account != "" {
-			e.Str("account", n.Account)
+		line := q.cfg.Log.Info().Str("process", q.cfg.Name).Str("lender", lenderLabel(lenderName))
+		if event.Account != "" {
+			line.Str("account", event.Account)
 		}
-		if n.Child != "" {
-			e.Str("child", n.Child)
+		if event.Child != "" {
+			line.Str("child", event.Child)
 		}
-		e.Int("units", n.Units).Msg("quota: " + n.Step)
+		line.Int("units", event.Units).Msg("quota: " + event.Step)
 	}
 }
 
-func lenderLabel(level string) string {
-	if level == "" {
+func lenderLabel(lenderName string) string {
+	if lenderName == "" {
 		return "root"
 	}
-	return level
+	return lenderName
 }
--- a/internal/network/fleet/quota/region.go
+++ b/internal/network/fleet/quota/region.go
@@ -8,16 +8,16 @@
 	"tinsail/internal/fleet/quota/wire"
 )
 
-// regionLender is a regionLender's lender, at the voter that is named for it.
+// regionLender runs a region's lender at the voter that is configured for it.
 type regionLender struct {
 	voter    *voter
 	name     string
-	rootConn *lenderConn // to the root
+	rootConn *lenderConn // nil while the voter is being created
 
 	mu            sync.Mutex
 	lender        *quota.RegionLender
-	policyVersion uint64 // of the policy whose reserve and run are in force
-	reportedTerm  uint64 // the term of the root that knows all that is held and lent here
+	policyVersion uint64 // of the policy whose reserve and maximum run time are applied
+	reportedTerm  uint64 // term of the newest root that this lender has reported everything to that it holds and has lent
 	conns         childConns
 }
 
@@ -33,7 +33,7 @@
 	return &regionLender{voter: v, name: name, lender: r, conns: childConns{}}, nil
 }
 
-// run lets time pass, and takes up what is decided.
+// run advances the lender with time and applies newly decided policies, until the voter is closed.
 func (r *regionLender) run() {
 	for {
 		r.mu.Lock()
@@ -48,23 +48,23 @@
 	}
 }
 
-// sleep waits until a time, at most a beat; false: the voter was closed.
+// sleep waits until a time, at most one tickInterval. It returns false if the voter was closed.
 func (v *voter) sleep(until quota.Time) bool {
 	d := min(max(time.Until(v.q.toTime(until)), minRequestInterval), v.q.cfg.tickInterval())
 	if until == quota.Never {
 		d = v.q.cfg.tickInterval()
 	}
-	over := time.NewTimer(d)
-	defer over.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-v.stop:
 		return false
-	case <-over.C:
+	case <-timer.C:
 		return true
 	}
 }
 
-// applyDecidedPolicy takes up the policy that was decided last. r.mu is held.
+// applyDecidedPolicy applies the newest decided policy. The caller holds r.mu.
 func (r *regionLender) applyDecidedPolicy() {
 	if version, p, ok := r.voter.decidedSince(r.policyVersion); ok {
 		r.policyVersion = version
@@ -73,7 +73,7 @@
 	}
 }
 
-// flush does what the lender asks for. r.mu is held.
+// flush sends the lender's polls, logs its events and sends its own request to the root if one is due. The caller holds r.mu.
 func (r *regionLender) flush() {
 	r.conns.poll(r.lender.TakePolls())
 	r.voter.q.logEvents(r.name, r.lender.TakeEvents())
@@ -82,21 +82,21 @@
 	}
 }
 
-// handle answers a dispatcher's ask.
-func (r *regionLender) handle(l *childConn, a quota.LeaseRequest) {
+// handle answers a dispatcher's request.
+func (r *regionLender) handle(c *childConn, request quota.LeaseRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.conns[l.child] = l
-	if answer, ok := r.lender.Handle(r.voter.q.now(), a); ok {
-		l.send(wire.EncodeLeaseResponse(wire.LeaseResponse{From: r.name, LeaseResponse: answer}))
+	r.conns[c.child] = c
+	if response, ok := r.lender.Handle(r.voter.q.now(), request); ok {
+		c.send(wire.EncodeLeaseResponse(wire.LeaseResponse{From: r.name, LeaseResponse: response}))
 	}
 	r.flush()
 }
 
-func (r *regionLender) dropConn(l *childConn) {
+func (r *regionLender) dropConn(c *childConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.conns.drop(l)
+	r.conns.drop(c)
 }
 
 func (r *regionLender) outstanding() (n int64) {
@@ -105,6 +105,7 @@
 	return totalOutstanding(r.lender.Lender(), r.voter.q.now())
 }
 
+// totalOutstanding returns the outstanding units of all accounts of a lender.
 func totalOutstanding(l *quota.Lender, now quota.Time) (n int64) {
 	for _, account := range l.Accounts() {
 		n += int64(l.Outstanding(now, account))
@@ -112,7 +113,7 @@
 	return n
 }
 
-// The side of the link to the root.
+// The methods of borrower follow, for the connection to the root.
 
 func (r *regionLender) handleConnect() {
 	r.mu.Lock()
@@ -137,8 +138,8 @@
 	defer r.mu.Unlock()
 	if m.Response != nil {
 		r.lender.HandleResponse(r.voter.q.now(), m.Response.LeaseResponse)
-		if a := m.Response.LeaseResponse; !a.ResendFull && !a.NoRecord {
-			r.reportedTerm = a.LenderIncarnation
+		if response := m.Response.LeaseResponse; !response.ResendFull && !response.NoRecord {
+			r.reportedTerm = response.LenderIncarnation
 		}
 	} else {
 		r.lender.HandlePoll()
@@ -147,12 +148,12 @@
 	r.flush()
 }
 
-// reportedTo says whether the root of a term, or of a later one, knows all that is held and lent here.
+// reportedTo reports whether the root of a term or of a later one knows everything that this lender holds and has lent.
 func (r *regionLender) reportedTo(term uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.reportedTerm >= term
 }
 
-// finalRequest is nothing: what is lent goes on, and the next life inherits it.
+// finalRequest returns no request: the lent units stay in use, and the next incarnation of this lender inherits them.
 func (r *regionLender) finalRequest() (quota.LeaseRequest, bool) { return quota.LeaseRequest{}, false }
--- a/internal/network/fleet/quota/root.go
+++ b/internal/network/fleet/quota/root.go
@@ -10,17 +10,17 @@
 	"tinsail/internal/fleet/quota/wire"
 )
 
-// root lends to the regions while this voter leads.
+// root lends to the regions while this voter leads. It has a new incarnation of its lender for each term.
 type root struct {
 	voter       *voter
-	regions     []string // the regions
-	unconfirmed chan unconfirmedRequest
+	regions     []string                // names of all regions
+	unconfirmed chan unconfirmedRequest // requests to be answered once this voter's leadership is confirmed
 
 	mu            sync.Mutex
-	lender        *quota.Lender // of term; it outlives a pause in leading, and no other term
+	lender        *quota.Lender // of term; it is reused if this voter leads the same term again
 	term          uint64
-	policyVersion uint64   // of the policy whose quotas are its capacities
-	accounts      []string // that have one
+	policyVersion uint64   // of the policy whose quotas are the lender's capacities
+	accounts      []string // accounts that have a quota by that policy
 	conns         childConns
 }
 
@@ -37,15 +37,16 @@
 	return r
 }
 
-// enqueue queues a region's enqueue for the majority's word.
-func (r *root) enqueue(l *childConn, a quota.LeaseRequest) {
+// enqueue queues a region's request until this voter's leadership is confirmed by a majority.
+func (r *root) enqueue(c *childConn, request quota.LeaseRequest) {
 	select {
-	case r.unconfirmed <- unconfirmedRequest{l, a}:
-	default: // it asks again
+	case r.unconfirmed <- unconfirmedRequest{c, request}:
+	default: // dropped; the region repeats it
 	}
 }
 
-// run makes a lender at each term that this voter leads, lets time pass, and takes up what is decided.
+// run creates a lender in each term that this voter leads, advances it with time and applies newly decided policies, until
+// the voter is closed.
 func (r *root) run() {
 	for next := quota.Time(0); r.voter.sleep(next); {
 		r.mu.Lock()
@@ -59,8 +60,9 @@
 	}
 }
 
-// prepareLender says whether this voter prepareLender, with a lender of its term whose capacities are those decided last. A term has one
-// leader, so that a lender of the term that is led again has missed nothing. r.mu is held.
+// prepareLender reports whether this voter leads. If it does, r.lender is then the lender of its term, with the capacities
+// of the newest decided policy. A term has only one leader. A lender whose term is led again has therefore missed nothing.
+// The caller holds r.mu.
 func (r *root) prepareLender() bool {
 	term, ok := r.voter.accord.LeaderTerm()
 	if !ok {
@@ -69,9 +71,9 @@
 	if r.lender == nil || r.term != term {
 		version, _ := r.voter.accord.Decided()
 		l, err := quota.NewLender(r.voter.q.cfg.regionLeases(), term, r.voter.q.now(), quota.LenderOptions{Preallocate: true, Children: r.regions,
-			SkipRecovery: version == 0}) // none was ever decided: there was nothing to lend
-		if err != nil { // the plan was checked: a fault of ours
-			r.voter.q.cfg.Log.Error().Err(err).Msg("quota: cannot lend")
+			SkipRecovery: version == 0}) // without a decided policy no earlier lender had anything to lend
+		if err != nil { // New checked the configuration, so this is a bug
+			r.voter.q.cfg.Log.Error().Err(err).Msg("quota: root's lender not created")
 			return false
 		}
 		r.lender, r.term, r.policyVersion, r.accounts = l, term, 0, nil
@@ -96,31 +98,32 @@
 	return true
 }
 
-// assumePastQuotas tells a new lender of quotas that held until a while ago: by them, too, earlier terms may have lent what runs.
+// assumePastQuotas states to a new lender the quotas of earlier policies that ended recently. The lenders of earlier terms
+// may have lent units by them that are still in use.
 func (r *root) assumePastQuotas() {
-	plan := r.voter.q.cfg.regionLeases()
-	for _, p := range r.voter.accord.PastPolicies() {
-		before, err := policy.Read(p.Body)
-		if err != nil || time.Since(p.Until) > plan.QuietPeriod()+plan.DrainPeriod() {
+	leases := r.voter.q.cfg.regionLeases()
+	for _, past := range r.voter.accord.PastPolicies() {
+		p, err := policy.Read(past.Body)
+		if err != nil || time.Since(past.Until) > leases.QuietPeriod()+leases.DrainPeriod() {
 			continue
 		}
-		var shares []quota.Allocation
-		for account, units := range before.Quotas {
-			shares = append(shares, quota.Allocation{Account: account, Units: units})
+		var allocations []quota.Allocation
+		for account, units := range p.Quotas {
+			allocations = append(allocations, quota.Allocation{Account: account, Units: units})
 		}
-		r.lender.AssumeLent(r.voter.q.now(), shares)
-		r.lender.SetMaxRunTime(r.voter.q.now(), time.Duration(before.RunMS)*time.Millisecond)
+		r.lender.AssumeLent(r.voter.q.now(), allocations)
+		r.lender.SetMaxRunTime(r.voter.q.now(), time.Duration(p.RunMS)*time.Millisecond)
 	}
 }
 
-// flush does what the lender asks for. r.mu is held.
+// flush sends the lender's polls and logs its events. The caller holds r.mu.
 func (r *root) flush() {
 	r.conns.poll(r.lender.TakePolls())
 	r.voter.q.logEvents("", r.lender.TakeEvents())
 }
 
-// confirmRequests answers asks in batches: those that are there get a majority's word together that this voter's term has not
-// ended, begun after all of them came.
+// confirmRequests answers requests in batches. For each batch a majority must confirm that this voter's term has not ended.
+// The confirmation starts after all requests of the batch have arrived.
 func (r *root) confirmRequests() {
 	batch := make([]unconfirmedRequest, 0, maxUnconfirmedRequests)
 	for {
@@ -128,13 +131,13 @@
 		select {
 		case <-r.voter.stop:
 			return
-		case a := <-r.unconfirmed:
-			batch = append(batch, a)
+		case request := <-r.unconfirmed:
+			batch = append(batch, request)
 		}
 		for more := true; more && len(batch) < maxUnconfirmedRequests; {
 			select {
-			case a := <-r.unconfirmed:
-				batch = append(batch, a)
+			case request := <-r.unconfirmed:
+				batch = append(batch, request)
 			default:
 				more = false
 			}
@@ -143,15 +146,15 @@
 		leads, term := r.prepareLender(), r.term
 		r.mu.Unlock()
 		if !leads || !r.voter.accord.ConfirmLeader(term) {
-			for _, a := range batch {
-				a.from.redirect(r.voter.accord.Leader())
+			for _, request := range batch {
+				request.from.redirect(r.voter.accord.Leader())
 			}
 			continue
 		}
 		r.mu.Lock()
 		if r.lender != nil && r.term == term {
-			for _, a := range batch {
-				r.handle(a)
+			for _, request := range batch {
+				r.handle(request)
 			}
 			r.flush()
 		}
@@ -159,23 +162,23 @@
 	}
 }
 
-// handle answers an ask. r.mu is held, and that this voter leads is confirmed.
-func (r *root) handle(a unconfirmedRequest) {
-	if !slices.Contains(r.regions, a.request.Child) {
+// handle answers a request after this voter's leadership was confirmed. The caller holds r.mu.
+func (r *root) handle(u unconfirmedRequest) {
+	if !slices.Contains(r.regions, u.request.Child) {
 		r.voter.q.Counters.BadMessages.Add(1)
-		a.from.conn.Close()
+		u.from.conn.Close()
 		return
 	}
-	r.conns[a.request.Child] = a.from
-	if answer, ok := r.lender.Handle(r.voter.q.now(), a.request); ok {
-		a.from.send(wire.EncodeLeaseResponse(wire.LeaseResponse{LeaseResponse: answer}))
+	r.conns[u.request.Child] = u.from
+	if response, ok := r.lender.Handle(r.voter.q.now(), u.request); ok {
+		u.from.send(wire.EncodeLeaseResponse(wire.LeaseResponse{LeaseResponse: response}))
 	}
 }
 
-func (r *root) dropConn(l *childConn) {
+func (r *root) dropConn(c *childConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.conns.drop(l)
+	r.conns.drop(c)
 }
 
 func (r *root) outstanding() int64 {
--- a/internal/network/fleet/quota/voter.go
+++ b/internal/network/fleet/quota/voter.go
@@ -15,12 +15,13 @@
 	"tinsail/internal/network/fleet/accord"
 )
 
-// voter is a voter's side: the root, a region's lender where it is named for one, and the links to both.
+// voter is the part that only voters run: the root, the lender of a region if one is configured here, and the connections
+// of the holders to both.
 type voter struct {
 	q      *Quota
 	accord *accord.Accord
 	root   *root
-	region *regionLender // nil where it is none
+	region *regionLender // nil if this voter runs no region's lender
 	stop   chan struct{}
 	done   sync.WaitGroup
 
@@ -29,35 +30,35 @@
 	conns  map[*childConn]struct{}
 }
 
-// childConn is a holder's connection, at a voter.
+// childConn is a connection from a holder to this voter.
 type childConn struct {
 	voter        *voter
 	conn         net.Conn
-	queue        chan []byte
-	lenderName   string // of the lender that it asks; both are of its first ask
+	queue        chan []byte // framed messages to be sent
+	lenderName   string      // the region's name, or "" for the root; like child, it is set by the first request
 	child        string
 	overloadOnce sync.Once
 }
 
-// send queues a message; where the link does not take what it is sent, it is closed.
-func (l *childConn) send(p []byte) {
+// send queues a message. It closes the connection if the queue is full because the holder does not read.
+func (c *childConn) send(p []byte) {
 	select {
-	case l.queue <- frames.Frame(p):
+	case c.queue <- frames.Frame(p):
 	default:
-		l.closeOverloaded()
+		c.closeOverloaded()
 	}
 }
 
-// closeOverloaded closes a link, and counts it once.
-func (l *childConn) closeOverloaded() {
-	l.overloadOnce.Do(func() { l.voter.q.Counters.Overloads.Add(1) })
-	l.conn.Close()
+// closeOverloaded closes the connection and counts that once.
+func (c *childConn) closeOverloaded() {
+	c.overloadOnce.Do(func() { c.voter.q.Counters.Overloads.Add(1) })
+	c.conn.Close()
 }
 
-// poll queues a poll: a hint, never a reason to close a link.
-func (l *childConn) poll() {
-	if len(l.queue) < maxQueuedMessages/2 {
-		l.send(wire.EncodePoll(l.lenderName))
+// poll queues a poll if the queue is less than half full. A poll is only a hint, so it never closes the connection.
+func (c *childConn) poll() {
+	if len(c.queue) < maxQueuedMessages/2 {
+		c.send(wire.EncodePoll(c.lenderName))
 	}
 }
 
@@ -81,18 +82,19 @@
 	return v, nil
 }
 
-// transferTimeout is how long a voter that leads waits at its end for the next root to have heard of this voter's region: some
-// round trips between regions. A root that has not heard of it cannot tell the region's next life what it holds, which
-// gets nothing then until all that this life may have lent is over.
+// transferTimeout is how long a leading voter that is closed waits until this voter's region has reported to the next root:
+// some round trips between regions. A root without that report cannot tell the next incarnation of the region's lender what
+// this one has lent. The next incarnation then gets no units until everything that this one may have lent is no longer in
+// use.
 const transferTimeout = 2 * time.Second
 
-// transferLeadership has another voter lead, and waits until its root has answered this voter's region.
+// transferLeadership makes another voter lead and waits until its root has answered this voter's region.
 func (v *voter) transferLeadership() {
 	term, _ := v.accord.LeaderTerm()
 	if v.region == nil || !v.accord.TransferLeadership() {
 		return
 	}
-	for over := time.Now().Add(transferTimeout); !v.region.reportedTo(term+1) && time.Now().Before(over); {
+	for deadline := time.Now().Add(transferTimeout); !v.region.reportedTo(term+1) && time.Now().Before(deadline); {
 		time.Sleep(minRequestInterval)
 	}
 }
@@ -106,18 +108,18 @@
 	}
 	v.mu.Lock()
 	v.closed = true
-	for l := range v.conns {
-		l.conn.Close()
+	for c := range v.conns {
+		c.conn.Close()
 	}
 	v.mu.Unlock()
 	v.done.Wait()
 }
 
-// rootAddress is where the voter that leads listens, as far as this one knows.
+// rootAddress returns where the leading voter listens, as far as this voter knows.
 func (v *voter) rootAddress() string { return v.accord.VoterAddress(v.accord.Leader()) }
 
-// decidedSince is the policy decidedSince last, as this voter's log has it, where it is not the version given; false where it is,
-// and where there is none that can be read.
+// decidedSince returns the newest decided policy in this voter's log. It returns false if that is the known version, if no
+// policy was decided yet, or if the policy cannot be decoded.
 func (v *voter) decidedSince(known uint64) (version uint64, p policy.Policy, ok bool) {
 	version, body := v.accord.Decided()
 	if version == known || version == 0 {
@@ -127,7 +129,7 @@
 	return version, p, err == nil
 }
 
-// outstanding is what the region and the root, where they lend, count as outstanding.
+// outstanding returns the units that the region's lender and the root count as lent; 0 for one that does not lend here.
 func (v *voter) outstanding() (region, root int64) {
 	if v.region != nil {
 		region = v.region.outstanding()
@@ -135,54 +137,54 @@
 	return region, v.root.outstanding()
 }
 
-// serve reads a holder's asks until its link ends.
+// serve handles a holder's requests until its connection ends.
 func (v *voter) serve(conn net.Conn) {
-	l := &childConn{voter: v, conn: conn, queue: make(chan []byte, maxQueuedMessages)}
+	c := &childConn{voter: v, conn: conn, queue: make(chan []byte, maxQueuedMessages)}
 	v.mu.Lock()
 	if v.closed {
 		v.mu.Unlock()
 		conn.Close()
 		return
 	}
-	v.conns[l] = struct{}{}
+	v.conns[c] = struct{}{}
 	v.done.Add(1)
 	v.mu.Unlock()
-	over := make(chan struct{})
-	go l.write(over)
-	l.read()
+	done := make(chan struct{})
+	go c.write(done)
+	c.read()
 	conn.Close()
-	close(over)
+	close(done)
 	v.mu.Lock()
-	delete(v.conns, l)
+	delete(v.conns, c)
 	v.mu.Unlock()
-	v.root.dropConn(l)
+	v.root.dropConn(c)
 	if v.region != nil {
-		v.region.dropConn(l)
+		v.region.dropConn(c)
 	}
 	v.done.Done()
 }
 
-func (l *childConn) write(over chan struct{}) {
+func (c *childConn) write(done chan struct{}) {
 	for {
 		select {
-		case p := <-l.queue:
-			l.conn.SetWriteDeadline(time.Now().Add(l.voter.q.cfg.Leases.Lease / 3))
-			if _, err := l.conn.Write(p); err != nil {
-				l.conn.Close()
+		case p := <-c.queue:
+			c.conn.SetWriteDeadline(time.Now().Add(c.voter.q.cfg.Leases.Lease / 3))
+			if _, err := c.conn.Write(p); err != nil {
+				c.conn.Close()
 				return
 			}
-		case <-over:
+		case <-done:
 			return
 		}
 	}
 }
 
-func (l *childConn) read() {
-	q := l.voter.q
-	r := bufio.NewReader(l.conn)
-	pace := rate.NewLimiter(maxRequestsPerSecond, maxRequestsPerSecond)
+func (c *childConn) read() {
+	q := c.voter.q
+	r := bufio.NewReader(c.conn)
+	limit := rate.NewLimiter(maxRequestsPerSecond, maxRequestsPerSecond)
 	for {
-		l.conn.SetReadDeadline(time.Now().Add(4 * q.cfg.RegionLease)) // a region's holder asks each third of its lease
+		c.conn.SetReadDeadline(time.Now().Add(4 * q.cfg.RegionLease)) // a region sends a request each third of its lease
 		m, err := wire.ReadMessage(r)
 		switch {
 		case errors.Is(err, wire.ErrMessage):
@@ -190,47 +192,47 @@
 			return
 		case err != nil:
 			return
-		case m.Request == nil || l.child != "" && (m.Request.Child != l.child || m.Request.To != l.lenderName):
+		case m.Request == nil || c.child != "" && (m.Request.Child != c.child || m.Request.To != c.lenderName):
 			q.Counters.BadMessages.Add(1)
 			return
-		case !pace.Allow():
-			l.closeOverloaded()
+		case !limit.Allow():
+			c.closeOverloaded()
 			return
 		}
-		if l.child == "" {
-			l.child, l.lenderName = m.Request.Child, m.Request.To
+		if c.child == "" {
+			c.child, c.lenderName = m.Request.Child, m.Request.To
 		}
 		q.Counters.RequestsReceived.Add(1)
 		switch {
-		case l.lenderName == "":
-			l.voter.root.enqueue(l, m.Request.LeaseRequest)
-		case l.voter.region != nil && l.voter.region.name == l.lenderName:
-			l.voter.region.handle(l, m.Request.LeaseRequest)
+		case c.lenderName == "":
+			c.voter.root.enqueue(c, m.Request.LeaseRequest)
+		case c.voter.region != nil && c.voter.region.name == c.lenderName:
+			c.voter.region.handle(c, m.Request.LeaseRequest)
 		default:
-			l.redirect("")
+			c.redirect("")
 		}
 	}
 }
 
-// redirect says that the lender that was asked is not here.
-func (l *childConn) redirect(leader string) {
-	l.voter.q.Counters.Redirects.Add(1)
-	l.send(wire.EncodeRedirect(wire.Redirect{From: l.lenderName, Leader: leader}))
+// redirect answers that the lender of the request is not here, and which voter leads, if the lender is the root.
+func (c *childConn) redirect(leader string) {
+	c.voter.q.Counters.Redirects.Add(1)
+	c.send(wire.EncodeRedirect(wire.Redirect{From: c.lenderName, Leader: leader}))
 }
 
-// childConns are a lender's links by the child's name: the last that it asked on.
+// childConns are a lender's connections by the child's name: the one of each child's newest request.
 type childConns map[string]*childConn
 
-func (c childConns) poll(names []string) {
+func (m childConns) poll(names []string) {
 	for _, name := range names {
-		if l := c[name]; l != nil {
-			l.poll()
+		if c := m[name]; c != nil {
+			c.poll()
 		}
 	}
 }
 
-func (c childConns) drop(l *childConn) {
-	if c[l.child] == l {
-		delete(c, l.child)
+func (m childConns) drop(c *childConn) {
+	if m[c.child] == c {
+		delete(m, c.child)
 	}
 }
