--- a/internal/network/fleet/quota/conns_test.go
+++ b/internal/network/fleet/quota/conns_test.go
@@ -27,7 +27,8 @@
 }
 
 func requestFrame(to, child string, seq uint64) []byte {
-	return frames.Frame(wire.EncodeLeaseRequest(wire.LeaseRequest{To: to, LeaseRequest: quota.LeaseRequest{Child: child, Epoch: 1, Seq: seq, Full: true}}))
+	return frames.Frame(wire.EncodeLeaseRequest(wire.LeaseRequest{To: to,
+		LeaseRequest: quota.LeaseRequest{Child: child, Epoch: 1, Seq: seq, Full: true}}))
 }
 
 // awaitClose reads until the peer closes the connection.
@@ -127,7 +128,8 @@
 	for message, cfg := range map[string]Config{
 		"quota: lease is not between": {},
 		"shorter":                     {Leases: leases, RegionLease: 500 * time.Millisecond},
-		`no lender is configured`:     {Leases: leases, RegionLease: 4 * time.Second, Region: "east", Lenders: []Lender{{"west", "n0", "127.0.0.1:1"}}},
+		`no lender is configured`: {Leases: leases, RegionLease: 4 * time.Second, Region: "east",
+			Lenders: []Lender{{"west", "n0", "127.0.0.1:1"}}},
 		"n0 is configured as a lender but is no voter": {Name: "n0", Leases: leases, RegionLease: 4 * time.Second, Region: "west",
 			Lenders: []Lender{{"west", "n0", "127.0.0.1:1"}}},
 	} {
--- a/internal/network/fleet/quota/cost_test.go
+++ b/internal/network/fleet/quota/cost_test.go
@@ -17,7 +17,8 @@
 
 // newWithoutLender returns a dispatcher without a reachable lender, which holds the given number of units of each account.
 func newWithoutLender(t testing.TB, accounts, units int) *Quota {
-	q := &Quota{cfg: Config{Name: "n0", Epoch: 1 << 60, Region: "east", Leases: quota.LeaseConfig{Lease: time.Hour, MaxRunTime: time.Second}, Log: zerolog.Nop()}, origin: time.Now()}
+	q := &Quota{cfg: Config{Name: "n0", Epoch: 1 << 60, Region: "east",
+		Leases: quota.LeaseConfig{Lease: time.Hour, MaxRunTime: time.Second}, Log: zerolog.Nop()}, origin: time.Now()}
 	var err error
 	q.dispatcher, err = newDispatcher(q, "")
 	require.NoError(t, err)
@@ -48,13 +49,15 @@
 	require.True(t, ok)
 	assert.Len(t, request.Reports, 310)
 	full := len(frames.Frame(wire.EncodeLeaseRequest(wire.LeaseRequest{To: "east", LeaseRequest: request})))
-	q.dispatcher.handleMessage(wire.Message{Response: &wire.LeaseResponse{From: "east", LeaseResponse: quota.LeaseResponse{Child: "n0", Epoch: 1 << 60, Seq: request.Seq, LenderIncarnation: 1 << 60, Lease: 3 * time.Second}}})
+	q.dispatcher.handleMessage(wire.Message{Response: &wire.LeaseResponse{From: "east",
+		LeaseResponse: quota.LeaseResponse{Child: "n0", Epoch: 1 << 60, Seq: request.Seq, LenderIncarnation: 1 << 60, Lease: 3 * time.Second}}})
 	q.dispatcher.handleConnect()
 	request, ok = q.dispatcher.nextRequest()
 	require.True(t, ok)
 	assert.Empty(t, request.Reports)
 	unchanged := len(frames.Frame(wire.EncodeLeaseRequest(wire.LeaseRequest{To: "east", LeaseRequest: request})))
-	response := len(frames.Frame(wire.EncodeLeaseResponse(wire.LeaseResponse{From: "east", LeaseResponse: quota.LeaseResponse{Child: "n0", Epoch: 1 << 60, Seq: request.Seq, LenderIncarnation: 1 << 60, Lease: 3 * time.Second}})))
+	response := len(frames.Frame(wire.EncodeLeaseResponse(wire.LeaseResponse{From: "east",
+		LeaseResponse: quota.LeaseResponse{Child: "n0", Epoch: 1 << 60, Seq: request.Seq, LenderIncarnation: 1 << 60, Lease: 3 * time.Second}})))
 	t.Logf("request: %d bytes, response: %d bytes, request with 310 reports: %d bytes", unchanged, response, full)
 	assert.LessOrEqual(t, unchanged+response, 200)
 	assert.LessOrEqual(t, full, 310*30+100)
--- a/internal/network/fleet/quota/fixture_test.go
+++ b/internal/network/fleet/quota/fixture_test.go
@@ -79,7 +79,8 @@
 }
 
 func newFixture(t *testing.T, n int, regionLease time.Duration, initialPolicy string) *fixture {
-	f := &fixture{t: t, leases: quota.LeaseConfig{Lease: 400 * time.Millisecond, MaxRunTime: 300 * time.Millisecond, Drift: 0.001}, regionLease: regionLease, initialPolicy: initialPolicy,
+	f := &fixture{t: t, leases: quota.LeaseConfig{Lease: 400 * time.Millisecond, MaxRunTime: 300 * time.Millisecond, Drift: 0.001},
+		regionLease: regionLease, initialPolicy: initialPolicy,
 		relays: make([][]*faultnet.TCP, n), members: make([]*member, n), stop: make(chan struct{}), teams: map[string]*teamLoad{}}
 	var reserved []net.Listener
 	for range regions {
@@ -131,7 +132,8 @@
 
 func (f *fixture) start(i int) {
 	m := &member{}
-	cfg := accord.Config{Leases: leases.LeaseConfig{Lease: 600 * time.Millisecond, Drift: 0.001, ContinueWhenCut: true}, Name: memberName(i), Epoch: uint64(time.Now().UnixNano()),
+	cfg := accord.Config{Leases: leases.LeaseConfig{Lease: 600 * time.Millisecond, Drift: 0.001, ContinueWhenCut: true},
+		Name: memberName(i), Epoch: uint64(time.Now().UnixNano()),
 		CheckPolicy: func([]byte) error { return nil },
 		ApplyPolicy: func(version uint64, body []byte) error {
 			p, err := policy.Read(body)
@@ -146,7 +148,8 @@
 			return err
 		},
 		Log: zerolog.Nop()}
-	quotaCfg := Config{Name: cfg.Name, Epoch: cfg.Epoch, Region: regions[i%3], Leases: f.leases, RegionLease: f.regionLease, Log: zerolog.New(&f.log)}
+	quotaCfg := Config{Name: cfg.Name, Epoch: cfg.Epoch, Region: regions[i%3],
+		Leases: f.leases, RegionLease: f.regionLease, Log: zerolog.New(&f.log)}
 	for v := range f.voterAddresses {
 		cfg.Voters = append(cfg.Voters, accord.Peer{Name: memberName(v), Address: f.address(i, v)})
 		quotaCfg.Lenders = append(quotaCfg.Lenders, Lender{regions[v], memberName(v), f.address(i, v)})
--- a/internal/network/fleet/quota/lenderconn.go
+++ b/internal/network/fleet/quota/lenderconn.go
@@ -103,7 +103,7 @@
 		conn.Close()
 		<-closed
 	}()
-	unansweredSince, lastSent := time.Time{}, time.Time{} // when the oldest request without a response was sent, and the newest request
+	unansweredSince, lastSent := time.Time{}, time.Time{} // when the oldest unanswered request and the newest request were sent
 	for {
 		if answered.Load() {
 			unansweredSince = time.Time{}
@@ -126,7 +126,7 @@
 			}
 			c.q.Counters.RequestsSent.Add(1)
 			continue
-		} else if unansweredSince.IsZero() { // no response is outstanding: only the next request or another address can need attention
+		} else if unansweredSince.IsZero() { // no response is awaited, so the next event is a request or a new address
 			wait = min(max(c.q.toTime(c.borrower.nextRequestTime()).Sub(now), minRequestInterval), maxTickInterval)
 		}
 		timer := time.NewTimer(wait)
@@ -166,8 +166,8 @@
 		case m.Response != nil && m.Response.From == c.lenderName:
 			answered.Store(true)
 		case m.Poll != nil && *m.Poll == c.lenderName:
-		case m.Redirect != nil && m.Redirect.From == c.lenderName: // the root has moved; for a region's lender the settings are wrong
-			if c.lenderName != "" {
+		case m.Redirect != nil && m.Redirect.From == c.lenderName: // the root is elsewhere; a region's lender never moves
+			if c.lenderName != "" { // the settings name the wrong voter
 				c.misconfigurationLogged.Do(func() {
 					c.q.cfg.Log.Error().Str("process", c.q.cfg.Name).Str("lender", c.lenderName).Msg("quota: no such lender where the settings name it")
 				})
--- a/internal/network/fleet/quota/quota.go
+++ b/internal/network/fleet/quota/quota.go
@@ -51,13 +51,13 @@
 	return ""
 }
 
-// Limits and intervals.
+// Limits and intervals. A connection that exceeds maxQueuedMessages or maxRequestsPerSecond is closed.
 const (
 	minRequestInterval     = 2 * time.Millisecond   // between two requests of a holder, however often it lacks units
 	maxTickInterval        = 100 * time.Millisecond // between two checks of the time
-	maxQueuedMessages      = 32                     // messages queued for a connection; one that would need more is closed
-	maxRequestsPerSecond   = 1000                   // on one connection, twice what minRequestInterval lets a holder send; more close it
-	maxUnconfirmedRequests = 1024                   // requests that wait for a confirmation of the root's leadership; it drops any further one
+	maxQueuedMessages      = 32                     // messages queued for one connection
+	maxRequestsPerSecond   = 1000                   // on one connection, twice what minRequestInterval lets a holder send
+	maxUnconfirmedRequests = 1024                   // requests that wait for the root to confirm that it leads; others are dropped
 )
 
 // tickInterval is the time between two checks of the time if nothing else happens.
@@ -65,10 +65,10 @@
 	return min(max(c.Leases.Lease/100, minRequestInterval), maxTickInterval)
 }
 
-// Counters are the counters of the quotas.
+// Counters counts events since the start. Each gives them their metric names.
 type Counters struct {
 	Waited, Refused  atomic.Int64 // requests that did not start at once; requests that got no unit by their deadline
-	PollsReceived    atomic.Int64 // polls from lenders, which ask for a request now, mostly to recall units
+	PollsReceived    atomic.Int64 // polls from lenders, which want a lease request now to recall units or to grant some
 	Recalls          atomic.Int64 // recalls of units by this process's lenders
 	RequestsSent     atomic.Int64 // lease requests sent to lenders
 	RequestsReceived atomic.Int64 // lease requests that this voter read, for any lender
@@ -86,13 +86,13 @@
 	voter      *voter // nil if this dispatcher is no voter
 }
 
-// now returns the reading of the monotonic clock, counted from the creation of q.
+// now returns the reading of the process's monotonic clock, which starts at 0 when q is created.
 func (q *Quota) now() quota.Time { return quota.Time(time.Since(q.origin)) }
 
-// toTime converts a reading of that clock.
+// toTime converts a reading of that clock to a time.
 func (q *Quota) toTime(t quota.Time) time.Time { return q.origin.Add(time.Duration(t)) }
 
-// fromTime returns the reading of that clock at a time.
+// fromTime converts a time to a reading of that clock.
 func (q *Quota) fromTime(t time.Time) quota.Time { return quota.Time(t.Sub(q.origin)) }
 
 // New starts a dispatcher's part in the quotas. Close must be called before the accord is closed.
@@ -150,7 +150,8 @@
 // end the request within the policy's maximum run time after it. If no unit is free by until, ok is false and retryAfter is
 // the delay suggested to the client. release states that the request has ended or no longer waits; it may be called more
 // than once.
-func (q *Quota) Acquire(account string, urgent bool, until time.Time, ready func(from time.Time, retryAfter time.Duration, ok bool)) (release func()) {
+func (q *Quota) Acquire(account string, urgent bool, until time.Time,
+	ready func(from time.Time, retryAfter time.Duration, ok bool)) (release func()) {
 	return q.dispatcher.acquire(account, urgent, until, ready)
 }
 
--- a/internal/network/fleet/quota/quota_test.go
+++ b/internal/network/fleet/quota/quota_test.go
@@ -101,12 +101,13 @@
 		var releases []func()
 		for range 6 {
 			granted := make(chan bool, 1)
-			releases = append(releases, f.member(at).quota.Acquire("a", false, time.Now().Add(20*time.Second), func(_ time.Time, _ time.Duration, ok bool) {
-				if ok {
-					a.requestStarted()
-				}
-				granted <- ok
-			}))
+			releases = append(releases, f.member(at).quota.Acquire("a", false, time.Now().Add(20*time.Second),
+				func(_ time.Time, _ time.Duration, ok bool) {
+					if ok {
+						a.requestStarted()
+					}
+					granted <- ok
+				}))
 			require.True(t, <-granted, "dispatcher %d", at)
 		}
 		for _, release := range releases {
@@ -130,7 +131,8 @@
 	f.awaitPolicy(1)
 	acquire := func(i int, urgent bool) (chan bool, func()) {
 		granted := make(chan bool, 1)
-		release := f.member(i).quota.Acquire("a", urgent, time.Now().Add(20*time.Second), func(_ time.Time, _ time.Duration, ok bool) { granted <- ok })
+		release := f.member(i).quota.Acquire("a", urgent, time.Now().Add(20*time.Second),
+			func(_ time.Time, _ time.Duration, ok bool) { granted <- ok })
 		return granted, release
 	}
 	for range 3 {
@@ -145,7 +147,8 @@
 	defer releaseOther()
 	next, releaseNext := acquire(3, true)
 	defer releaseNext()
-	f.waitFor("the region's lender knows that the reserve is in use", func() bool { return f.member(0).quota.voter.region.outstanding() >= 1 })
+	f.waitFor("the region's lender knows that the reserve is in use",
+		func() bool { return f.member(0).quota.voter.region.outstanding() >= 1 })
 	select {
 	case <-next:
 		t.Error("a request started beyond the reserve")
@@ -163,7 +166,8 @@
 	f.awaitPolicy(1)
 	granted := make(chan bool, 3)
 	for range 3 {
-		release := f.member(3).quota.Acquire("a", false, time.Now().Add(20*time.Second), func(_ time.Time, _ time.Duration, ok bool) { granted <- ok })
+		release := f.member(3).quota.Acquire("a", false, time.Now().Add(20*time.Second),
+			func(_ time.Time, _ time.Duration, ok bool) { granted <- ok })
 		assert.True(t, <-granted)
 		release()
 	}
@@ -183,7 +187,8 @@
 		first <- ok
 	})
 	assert.True(t, <-first)
-	releaseWaiting := q.Acquire("a", false, time.Now().Add(20*time.Second), func(time.Time, time.Duration, bool) { t.Error("callback of a released request was called") })
+	releaseWaiting := q.Acquire("a", false, time.Now().Add(20*time.Second),
+		func(time.Time, time.Duration, bool) { t.Error("callback of a released request was called") })
 	releaseWaiting()
 	q.Acquire("a", false, time.Now().Add(50*time.Millisecond), func(_ time.Time, retryAfter time.Duration, ok bool) {
 		assert.Positive(t, retryAfter)
--- a/internal/network/fleet/quota/region.go
+++ b/internal/network/fleet/quota/region.go
@@ -17,7 +17,7 @@
 	mu            sync.Mutex
 	lender        *quota.RegionLender
 	policyVersion uint64 // of the policy whose reserve and maximum run time are applied
-	reportedTerm  uint64 // term of the newest root that this lender has reported everything to that it holds and has lent
+	reportedTerm  uint64 // term of the newest root to which this lender has reported all held and lent units
 	conns         childConns
 }
 
--- a/internal/network/fleet/quota/root.go
+++ b/internal/network/fleet/quota/root.go
@@ -70,8 +70,9 @@
 	}
 	if r.lender == nil || r.term != term {
 		version, _ := r.voter.accord.Decided()
-		l, err := quota.NewLender(r.voter.q.cfg.regionLeases(), term, r.voter.q.now(), quota.LenderOptions{Preallocate: true, Children: r.regions,
-			SkipRecovery: version == 0}) // without a decided policy no earlier lender had anything to lend
+		// If version is 0, no policy was ever decided, so no earlier lender had anything to lend.
+		l, err := quota.NewLender(r.voter.q.cfg.regionLeases(), term, r.voter.q.now(), quota.LenderOptions{
+			Preallocate: true, Children: r.regions, SkipRecovery: version == 0})
 		if err != nil { // New checked the configuration, so this is a bug
 			r.voter.q.cfg.Log.Error().Err(err).Msg("quota: root's lender not created")
 			return false
@@ -99,7 +100,7 @@
 }
 
 // assumePastQuotas states to a new lender the quotas of earlier policies that ended recently. The lenders of earlier terms
-// may have lent units by them that are still in use.
+// may have lent units under those quotas that are still in use.
 func (r *root) assumePastQuotas() {
 	leases := r.voter.q.cfg.regionLeases()
 	for _, past := range r.voter.accord.PastPolicies() {
