--- a/cmd/tinsail/accord_history_test.go
+++ b/cmd/tinsail/accord_history_test.go
@@ -14,10 +14,10 @@
 	history "tinsail/internal/standin/accordhistory"
 )
 
-// faultTrial is a fleet that is taken through one case after the other.
+// faultTrial is a fleet that goes through one fault case after the other.
 type faultTrial struct {
 	*recordedFleet
-	version  uint64 // decided last, as far as the cases so far go
+	version  uint64 // decided last by the cases so far
 	policies int
 }
 
@@ -31,16 +31,17 @@
 	return c
 }
 
-// nextPolicy is a policy that was not there before.
+// nextPolicy returns a policy that was not proposed before.
 func (c *faultTrial) nextPolicy() string {
 	c.policies++
 	return fmt.Sprintf(`bans = ["x%d"]`, c.policies)
 }
 
-// propose proposes one more policy at a dispatcher.
+// propose proposes a new policy at a dispatcher.
 func (c *faultTrial) propose(i int) { c.proposePolicy(i, c.nextPolicy()) }
 
-// proposeAndActAt proposes one proposeAndActAt a dispatcher, and does what when the first process tells of a stage of it.
+// proposeAndActAt proposes a new policy at dispatcher i, and calls what when the first process logs this stage
+// of the change.
 func (c *faultTrial) proposeAndActAt(stage string, i int, what func()) {
 	done := make(chan struct{})
 	c.onEvent(stage, func(string) { what(); close(done) })
@@ -48,11 +49,11 @@
 	select {
 	case <-done:
 	case <-time.After(settleTimeout):
-		c.t.Fatalf("never at %s", stage)
+		c.t.Fatalf("no process reached %s", stage)
 	}
 }
 
-// awaitAllBut waits until all awaitAllBut these are on one version more than before the case.
+// awaitAllBut waits until all processes except these are on a version later than the one before the case.
 func (c *faultTrial) awaitAllBut(skip ...int) {
 	c.t.Helper()
 	c.waitFor(fmt.Sprintf("all but %v on version %d", skip, c.version+1), func(lines []history.Line) bool {
@@ -64,8 +65,8 @@
 	})
 }
 
-// runCase plays a case: its faults, which have ended when they return. It decides gain versions, and then
-// reqs are served by the last.
+// runCase runs a case. Its faults have ended when the function returns. It decides gain versions, and then
+// requests are served under the last of them.
 func (c *faultTrial) runCase(name string, gain int, faults func()) {
 	c.t.Helper()
 	began := time.Now()
@@ -78,10 +79,10 @@
 	took, since := time.Since(began), time.Since(over)
 	c.waitFor("its versions", func(lines []history.Line) bool { return lastDecided(lines) == c.version })
 	c.mu.Lock()
-	c.t.Logf("%-42s version %2d: %4d ms, %4d of them after the faults; answers %v", name, c.version, took.Milliseconds(), since.Milliseconds(), c.answersByStatus)
+	c.t.Logf("%-42s version %2d: %4d ms, of which %4d after the faults; answers %v", name, c.version, took.Milliseconds(), since.Milliseconds(), c.answersByStatus)
 	c.answersByStatus = map[int]int{}
 	c.mu.Unlock()
-	c.waitFor("reqs served", func([]history.Line) bool {
+	c.waitFor("requests served", func([]history.Line) bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.answersByStatus[200] >= 30
@@ -98,7 +99,7 @@
 	spans := history.Spans(lines, accordRules)
 	least := time.Hour
 	for v := uint64(1); v <= c.version; v++ {
-		require.Contains(c.t, spans, v, "reqs by the version")
+		require.Contains(c.t, spans, v, "requests under the version")
 		if v > 1 {
 			least = min(least, time.Duration(spans[v][0].T-spans[v-1][1].T))
 		}
@@ -110,14 +111,14 @@
 			reqs[l.Dispatcher+" "+l.Req] = true
 		}
 	}
-	assert.Greater(c.t, starts, len(reqs), "reqs that needed another attempt")
-	c.t.Logf("%d versions; %d reqs with %d starts; the least time between two versions' starts %v", c.version, len(reqs), starts, least)
+	assert.Greater(c.t, starts, len(reqs), "requests that needed another attempt")
+	c.t.Logf("%d versions; %d requests with %d attempts; shortest time between the attempts of two versions %v", c.version, len(reqs), starts, least)
 }
 
-// TestAccordHistory: nine real processes, three of them voters, under load, through one fault after the
-// other while their policy is changed. The whole recorded history is judged by a checker that knows
-// nothing of the program: never two versions at a moment, a change everywhere or nowhere within the note's
-// time after the faults' end, no req lost.
+// TestAccordHistory: nine processes, three of them voters, under load, go through one fault after the other
+// while their policy is changed. The whole recorded history is judged by a checker that shares no code with the
+// program: there are never two versions at a time, a change is in force everywhere or nowhere within the time of
+// the design note after the faults end, and no request is lost.
 func TestAccordHistory(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts twenty processes")
@@ -132,7 +133,7 @@
 			c.proposeAndActAt(stage, 5, func() { c.kill(lead) })
 			c.awaitAllBut()
 		})
-		c.runCase("it starts again", 0, func() { c.start(lead) })
+		c.runCase("it is started again", 0, func() { c.start(lead) })
 	}
 	c.runCase("another voter killed at preparing", 1, func() {
 		voter := (c.leader() + 1) % 3
@@ -141,7 +142,7 @@
 		c.start(voter)
 	})
 	for _, stage := range []string{"checking", "deciding"} {
-		c.runCase("the leader stopped at "+stage, 1, func() {
+		c.runCase("the leader suspended at "+stage, 1, func() {
 			lead := c.leader()
 			c.proposeAndActAt(stage, 4, func() { c.pause(lead) })
 			c.awaitAllBut(lead)
@@ -154,7 +155,7 @@
 		c.awaitAllBut(lead)
 		c.reconnect(lead)
 	})
-	c.runCase("the leader cut off from voters alone", 1, func() {
+	c.runCase("the leader cut off from the voters only", 1, func() {
 		lead := c.leader()
 		links := c.voterRelays(lead)
 		c.proposeAndActAt("deciding", 4, func() {
@@ -169,37 +170,37 @@
 		}
 	})
 	for _, stage := range []string{"checking", "checked n6"} {
-		c.runCase("a lessee stopped at "+stage, 1, func() {
+		c.runCase("a participant suspended at "+stage, 1, func() {
 			c.proposeAndActAt(stage, 4, func() { c.pause(6) })
 			c.awaitAllBut(6)
 			c.resume(6)
 		})
 	}
-	c.runCase("a lessee cut off before the change", 1, func() {
+	c.runCase("a participant cut off before the change", 1, func() {
 		c.disconnect(7)
 		c.propose(4)
 		c.awaitAllBut(7)
 		c.reconnect(7)
 	})
 	for range 2 {
-		c.runCase("a lessee cut off between checked and ready", 1, func() {
+		c.runCase("a participant cut off between checked and ready", 1, func() {
 			c.proposeAndActAt("checked n7", 4, func() { c.disconnect(7) })
 			c.awaitAllBut(7)
 			c.reconnect(7)
 		})
 	}
-	c.runCase("a lessee cut off at decided", 1, func() {
+	c.runCase("a participant cut off at decided", 1, func() {
 		c.proposeAndActAt("decided", 4, func() { c.disconnect(7) })
 		c.awaitAllBut(7)
-		c.waitFor("it stops", func(lines []history.Line) bool { return slices.Contains(history.Unsettled(lines), memberName(7)) })
+		c.waitFor("it stops accepting", func(lines []history.Line) bool { return slices.Contains(history.Unsettled(lines), memberName(7)) })
 		c.reconnect(7)
 	})
-	c.runCase("a lessee cut off over its lease, no change", 0, func() {
+	c.runCase("a participant cut off over its lease, no change", 0, func() {
 		c.disconnect(7)
-		c.waitFor("it stops", func(lines []history.Line) bool { return slices.Contains(history.Unsettled(lines), memberName(7)) })
+		c.waitFor("it stops accepting", func(lines []history.Line) bool { return slices.Contains(history.Unsettled(lines), memberName(7)) })
 		c.reconnect(7)
 	})
-	c.runCase("links of two lessees delay 2 s", 1, func() {
+	c.runCase("links of two participants delay 2 s", 1, func() {
 		for _, i := range []int{6, 7} {
 			c.setRule(i, faultnet.Rule{Delay: 2 * time.Second})
 		}
@@ -212,7 +213,7 @@
 		for _, i := range []int{0, 1} {
 			c.setRule(i, faultnet.Rule{Delay: 2 * time.Second})
 		}
-		c.waitFor("all stop", func(lines []history.Line) bool { return len(history.Unsettled(lines)) >= trialSize })
+		c.waitFor("all stop accepting", func(lines []history.Line) bool { return len(history.Unsettled(lines)) >= trialSize })
 		c.propose(4)
 		c.reconnect(0)
 		c.reconnect(1)
@@ -235,7 +236,7 @@
 		}
 		c.reload(3)
 		c.reload(4)
-		c.waitFor("both end", func(lines []history.Line) bool { // the second after the first, at times
+		c.waitFor("both end", func(lines []history.Line) bool { // sometimes one after the other
 			ended := lastDecided(lines) - c.version
 			for _, l := range lines {
 				if l.Event == "withdrawn" && l.Version == c.version+1 {
@@ -248,17 +249,17 @@
 	})
 	c.runCase("a refusal by one", 0, func() {
 		c.proposePolicy(4, `connections = 400`)
-		heard, told := map[string]bool{}, map[string]bool{}
-		c.waitFor("all that heard of it say withdrawn, and why", func(lines []history.Line) bool {
+		checked, withdrawn := map[string]bool{}, map[string]bool{}
+		c.waitFor("all that checked it log that it was withdrawn, and why", func(lines []history.Line) bool {
 			for _, l := range lines {
 				if l.Version == c.version+1 && l.Change != "0" {
-					heard[l.Process] = heard[l.Process] || l.Event == "checked"
-					told[l.Process] = told[l.Process] || l.Event == "withdrawn" && l.Why != ""
+					checked[l.Process] = checked[l.Process] || l.Event == "checked"
+					withdrawn[l.Process] = withdrawn[l.Process] || l.Event == "withdrawn" && l.Why != ""
 				}
 			}
-			return heard[memberName(trialSize-1)] && len(heard) <= len(told) && !slices.ContainsFunc(slices.Collect(maps.Keys(heard)), func(p string) bool { return !told[p] })
+			return checked[memberName(trialSize-1)] && len(checked) <= len(withdrawn) && !slices.ContainsFunc(slices.Collect(maps.Keys(checked)), func(p string) bool { return !withdrawn[p] })
 		})
-		c.t.Logf("%d of %d heard of the change before one refused it", len(heard), trialSize)
+		c.t.Logf("%d of %d checked the change before one refused it", len(checked), trialSize)
 	})
 	c.runCase("all voters killed and started", 0, func() {
 		for i := range 3 {
@@ -272,14 +273,14 @@
 	c.checkHistory()
 }
 
-// TestAccordLongAbsence: a lessee is cut off when it has checked a change. The change and 20 more are decided
-// without it, and the leader changes. When it is back it may not say that the change was withdrawn.
+// TestAccordLongAbsence: a participant is cut off when it has checked a change. The change and 20 more are
+// decided without it, and the leader changes. When it is back it must not report that the change was withdrawn.
 func TestAccordLongAbsence(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts ten processes")
 	}
 	c := startFaultTrial(t)
-	c.runCase("a lessee cut off at checked, over an election", 21, func() {
+	c.runCase("a participant cut off at checked, over an election", 21, func() {
 		c.proposeAndActAt("checked n7", 4, func() { c.disconnect(7) })
 		for range 20 {
 			c.awaitAllBut(7)
--- a/cmd/tinsail/accord_random_test.go
+++ b/cmd/tinsail/accord_random_test.go
@@ -13,8 +13,9 @@
 	history "tinsail/internal/standin/accordhistory"
 )
 
-// TestAccordHistoryRandomFaults plays faults drawn by a seed, each at a drawn stage of a change, sometimes two
-// at a time; the history is judged as a whole. TINSAIL_ROUNDS and TINSAIL_SEED play more of them, or others.
+// TestAccordHistoryRandomFaults runs faults drawn from a seed, each at a drawn stage of a change, some of them
+// two or three at a time; the whole history is judged. TINSAIL_ROUNDS sets their number and TINSAIL_SEED the
+// seed.
 func TestAccordHistoryRandomFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts a dozen processes")
@@ -42,7 +43,7 @@
 			if random.IntN(3) == 0 {
 				i = c.leader()
 			}
-			if i == proposer || affected[i] || i < 3 && (affected[0] || affected[1] || affected[2]) { // a majority of the voters stays
+			if i == proposer || affected[i] || i < 3 && (affected[0] || affected[1] || affected[2]) { // a majority of the voters stays up
 				continue
 			}
 			affected[i] = true
--- a/cmd/tinsail/accord_rig_test.go
+++ b/cmd/tinsail/accord_rig_test.go
@@ -26,22 +26,23 @@
 	"tinsail/internal/standin/platform"
 )
 
-// The rig's fleet: its lease, and the bound of the note's page "Times" after faults end, E + W + 5 L + d,
-// with five heartbeat time-outs of a third of a lease for E.
+// Times of the rig's fleet: its lease, and the time within which it has to settle after faults end. That is E +
+// W + 5 L + d by the section "Times" of the accord's design note, with five heartbeat timeouts, each a third of
+// a lease, for E.
 const (
 	accordLease   = 900 * time.Millisecond
 	settleTimeout = 5*accordLease/3 + accordLease*1001/999 + 5*accordLease + accordLease/6
 	timingSlack   = 20 * time.Millisecond
 )
 
-// recordedFleet is a fleet of real processes whose history is recorded and recordedFleet. Each process reaches each
-// voter but itself through a relay of its own.
+// recordedFleet is a fleet of processes whose history is recorded and then judged. Each process reaches each
+// voter other than itself through a relay of its own.
 type recordedFleet struct {
 	t        *testing.T
 	size     int
 	director *platform.Director
 	backends []*platform.Backend
-	voters   []string          // where they listen
+	voters   []string          // their listen addresses
 	relays   [][]*faultnet.TCP // by dispatcher and voter
 	dataDir  string
 	stop     chan struct{}
@@ -49,18 +50,18 @@
 
 	mu                sync.Mutex
 	processes         []*fleetProcess
-	lines             []history.Line // of the processes and of what was done to them
-	clientLines       []history.Line // of the clients
+	lines             []history.Line // from the logs of processes and the actions of the rig
+	clientLines       []history.Line // from the clients
 	hooks             map[string]func(process string)
-	answersByStatus   map[int]int // of the clients since the last case, by status; 0: the connection broke
-	missingRetryAfter int         // 503 without Retry-After
+	answersByStatus   map[int]int // since the last case; status 0: the connection failed
+	missingRetryAfter int         // answers 503 without Retry-After
 }
 
 // fleetProcess is one process of a dispatcher.
 type fleetProcess struct {
 	cmd          *exec.Cmd
 	address      string
-	receivesReqs bool // clients ask it
+	receivesReqs bool // clients send requests to it
 	logRead      chan struct{}
 }
 
@@ -75,7 +76,7 @@
 		b, err := platform.StartBackend(fmt.Sprintf("b%d", i), 64, func(id string) time.Duration { return time.Duration(2+len(id)%7) * time.Millisecond })
 		require.NoError(t, err)
 		t.Cleanup(b.Close)
-		b.Set(platform.Faults{Refuse: i == 2, RefuseAfter: 60 * time.Millisecond}) // some reqs need another attempt, and late
+		b.Set(platform.Faults{Refuse: i == 2, RefuseAfter: 60 * time.Millisecond}) // some requests need another attempt, some time later
 		j.director.Set(b.Entry("fast", "here", i, "Ready"))
 		j.backends = append(j.backends, b)
 	}
@@ -87,12 +88,13 @@
 	return j
 }
 
-// startVoterRelays finds addresses for three voters, and makes a relay to each for each of n dispatchers, until the test ends.
+// startVoterRelays finds addresses for three voters and starts, for each of n dispatchers, a relay to each
+// voter, which runs until the test ends.
 func startVoterRelays(t *testing.T, n int) (voters []string, relays [][]*faultnet.TCP) {
 	for range 3 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		defer l.Close() // not before the relays have other ports
+		defer l.Close() // only at the end, so that the relays get other ports
 		voters = append(voters, l.Addr().String())
 	}
 	relays = make([][]*faultnet.TCP, n)
@@ -107,7 +109,8 @@
 	return voters, relays
 }
 
-// votersArg are the voters as dispatcher i's script has them: all but itself by its relays.
+// votersArg returns the voters as they stand in the script of dispatcher i: the others by its relays, itself by
+// its own address.
 func votersArg(i int, voters []string, relays [][]*faultnet.TCP) string {
 	var texts []string
 	for v, at := range voters {
@@ -119,10 +122,11 @@
 	return strings.Join(texts, ", ")
 }
 
+// memberName returns the name of dispatcher i.
 func memberName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// script is that of a dispatcher; policy holds the policy's arguments. The last dispatcher has no
-// budgets(...), so that it cannot take a policy that sets a budget's total.
+// script returns the script of a dispatcher; policy is the arguments of policy(...). The last dispatcher has no
+// budgets(...), so that it cannot accept a policy that sets the total of a budget.
 func (j *recordedFleet) script(i int, policy string) string {
 	text := fmt.Sprintf("policy(%s)\naccord(voters = [%s], lease_ms = %d, data = %q)\n", policy, votersArg(i, j.voters, j.relays),
 		accordLease.Milliseconds(), filepath.Join(j.dataDir, memberName(i)))
@@ -132,15 +136,15 @@
 	return text
 }
 
-// recordEvent adds a line of the rig; the time is that of the call.
+// recordEvent adds a line about an action of the rig, with the time of the call.
 func (j *recordedFleet) recordEvent(event, process string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.lines = append(j.lines, history.Line{T: time.Now().UnixNano(), Side: history.Rig, Event: event, Process: process})
 }
 
-// onEvent has f called, once, when a process first logs an event of the accord from now onEvent; "event n7" means that
-// process alone.
+// onEvent has f called once, when a process first logs this event of the accord from now on; "event n7" means
+// that process alone.
 func (j *recordedFleet) onEvent(event string, f func(process string)) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -164,14 +168,14 @@
 		close(at)
 	}()
 	l.address = <-at
-	require.NotEmpty(j.t, l.address, "%s did not serve", memberName(i))
+	require.NotEmpty(j.t, l.address, "%s did not log that it serves", memberName(i))
 	l.receivesReqs = true
 	j.mu.Lock()
 	j.processes[i] = l
 	j.mu.Unlock()
 }
 
-// handleLogLine takes a line of a process's log; its own time is the line's.
+// handleLogLine records a line of a log, with the time in the line.
 func (j *recordedFleet) handleLogLine(text []byte, at chan string) {
 	var e struct {
 		Time                            time.Time
@@ -182,7 +186,7 @@
 		LeftOut                         int `json:"left_out"`
 	}
 	if json.Unmarshal(text, &e) != nil {
-		fmt.Fprintln(os.Stderr, string(text)) // the race detector's words, say
+		fmt.Fprintln(os.Stderr, string(text)) // for example the race detector's report
 		return
 	}
 	if e.Event == "serving" {
@@ -193,7 +197,7 @@
 	if !ok || e.Process == "" {
 		return
 	}
-	assert.Zero(j.t, e.LeftOut, "lines of %s are missing", e.Event)
+	assert.Zero(j.t, e.LeftOut, "log lines were left out at %s", e.Event)
 	line := history.Line{T: e.Time.UnixNano(), Side: history.Control, Process: e.Process, Event: step, Version: e.Version, Change: e.Change, By: e.By, Why: e.Why}
 	j.mu.Lock()
 	j.lines = append(j.lines, line)
@@ -209,7 +213,7 @@
 	}
 }
 
-// kill ends a process outright.
+// kill ends a process with SIGKILL.
 func (j *recordedFleet) kill(i int) {
 	l := j.stopClients(i)
 	_ = l.cmd.Process.Kill()
@@ -217,7 +221,7 @@
 	j.recordEvent(history.Ended, memberName(i))
 }
 
-// stopClients has clients ask a process no more.
+// stopClients has clients send no further requests to a process.
 func (j *recordedFleet) stopClients(i int) *fleetProcess {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -228,7 +232,7 @@
 func (j *recordedFleet) pause(i int) {
 	j.recordEvent(history.Stopped, memberName(i))
 	require.NoError(j.t, j.processes[i].cmd.Process.Signal(syscall.SIGSTOP))
-	j.stopClients(i) // what is under way waits until it is woken
+	j.stopClients(i) // requests in flight wait until it is resumed
 }
 
 func (j *recordedFleet) resume(i int) {
@@ -239,7 +243,7 @@
 	j.mu.Unlock()
 }
 
-// relaysOf are the relays from a dispatcher, and to it.
+// relaysOf returns the relays from a dispatcher and, for a voter, those to it.
 func (j *recordedFleet) relaysOf(i int) []*faultnet.TCP {
 	all := slices.Clone(j.relays[i])
 	if i < len(j.voters) {
@@ -250,7 +254,7 @@
 	return all
 }
 
-// voterRelays are the relays voterRelays a voter and the other voters, both ways.
+// voterRelays returns the relays between a voter and the other voters, in both directions.
 func (j *recordedFleet) voterRelays(i int) (all []*faultnet.TCP) {
 	for v := range j.voters {
 		if v != i {
@@ -260,7 +264,7 @@
 	return all
 }
 
-// disconnect cuts a dispatcher off from all others.
+// disconnect cuts all links of a dispatcher.
 func (j *recordedFleet) disconnect(i int) {
 	j.setRule(i, faultnet.Rule{Blackhole: true})
 	j.recordEvent(history.Cut, memberName(i))
@@ -269,7 +273,7 @@
 func (j *recordedFleet) reconnect(i int) {
 	j.setRule(i, faultnet.Pass)
 	for _, r := range j.relaysOf(i) {
-		r.Reset() // bytes were swallowed, or are held back
+		r.Reset() // bytes were dropped or are delayed
 	}
 	j.recordEvent(history.Mended, memberName(i))
 }
@@ -280,7 +284,7 @@
 	}
 }
 
-// proposePolicy proposes a policy at a dispatcher.
+// proposePolicy has a dispatcher propose a policy, by a new script and a SIGHUP.
 func (j *recordedFleet) proposePolicy(i int, policy string) {
 	j.writeScript(i, policy)
 	j.reload(i)
@@ -294,7 +298,7 @@
 	assert.NoError(j.t, j.processes[i].cmd.Process.Signal(syscall.SIGHUP))
 }
 
-// waitFor looks in rounds, at most 2,000 of 5 ms, until what holds.
+// waitFor polls the history until the condition holds: at most 2,000 times, 5 ms apart.
 func (j *recordedFleet) waitFor(what string, holds func(lines []history.Line) bool) {
 	j.t.Helper()
 	for range 2000 {
@@ -307,15 +311,15 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	for _, v := range history.Judge(j.fullHistory(), accordRules) { // may say why; reqs are still under way
+	for _, v := range history.Judge(j.fullHistory(), accordRules) { // may give the reason; requests are still in flight
 		if v.Rule != history.NoneLost {
 			j.t.Error(v)
 		}
 	}
-	j.t.Fatalf("never: %s", what)
+	j.t.Fatalf("timed out waiting for: %s", what)
 }
 
-// lastDecided is the highest version that was lastDecided.
+// lastDecided returns the highest version that was decided.
 func lastDecided(lines []history.Line) (v uint64) {
 	for _, l := range lines {
 		if l.Event == "decided" {
@@ -325,7 +329,7 @@
 	return v
 }
 
-// awaitSettled waits until all that run are on the version decided last, which is at least v.
+// awaitSettled waits until all running processes are on the version decided last, which is at least v.
 func (j *recordedFleet) awaitSettled(v uint64) {
 	j.t.Helper()
 	j.waitFor(fmt.Sprintf("all on version %d", v), func(lines []history.Line) bool {
@@ -333,7 +337,7 @@
 	})
 }
 
-// leader is the voter that began to lead last, of those that run.
+// leader returns the voter that became leader last, once that voter runs.
 func (j *recordedFleet) leader() (at int) {
 	j.waitFor("a leader", func(lines []history.Line) bool {
 		for _, l := range lines {
@@ -346,7 +350,8 @@
 	return at
 }
 
-// startLoad runs clients, each with one req at a time, until the rig ends or each has sent its most.
+// startLoad runs clients, each with one request at a time, until the rig ends or each has sent as many as it
+// may.
 func (j *recordedFleet) startLoad(clients, most int) {
 	for c := range clients {
 		j.clients.Go(func() {
@@ -399,7 +404,7 @@
 
 var accordRules = history.Rules{Slack: timingSlack, Lease: accordLease, Settle: settleTimeout, Woken: 8}
 
-// reportViolations has a history judged.
+// reportViolations has a history judged and fails the test for each violation.
 func (j *recordedFleet) reportViolations(lines []history.Line) {
 	j.t.Helper()
 	for _, v := range history.Judge(lines, accordRules) {
@@ -407,14 +412,14 @@
 	}
 }
 
-// fullHistory is the whole history so far.
+// fullHistory returns the history so far, of the processes, the clients and the backends, in order of time.
 func (j *recordedFleet) fullHistory() []history.Line {
 	j.mu.Lock()
 	out := append(slices.Clone(j.lines), j.clientLines...)
 	j.mu.Unlock()
 	for _, b := range j.backends {
 		for _, s := range b.AttemptStarts() {
-			v, _ := strconv.ParseUint(s.Version, 10, 64) // none: 0, which the checker refuses
+			v, _ := strconv.ParseUint(s.Version, 10, 64) // without a version: 0, which the checker rejects
 			out = append(out, history.Line{T: s.At.UnixNano(), Side: history.Backend, Backend: b.Name, Dispatcher: s.Dispatcher, Req: s.Req, Version: v, Started: true})
 		}
 	}
@@ -422,7 +427,7 @@
 	return out
 }
 
-// writeHistory writes the history to the file that TINSAIL_HISTORY names, if it does, also of a test that failed.
+// writeHistory writes the history to the file named by TINSAIL_HISTORY, if it is set, also when the test failed.
 func (j *recordedFleet) writeHistory() {
 	at := os.Getenv("TINSAIL_HISTORY")
 	if at == "" {
--- a/cmd/tinsail/accord_test.go
+++ b/cmd/tinsail/accord_test.go
@@ -23,14 +23,14 @@
 	"tinsail/internal/standin/platform"
 )
 
-// accordFleet is a fleet of real processes with an accord, three of them voters.
+// accordFleet is a fleet of processes with an accord, three of them voters.
 type accordFleet struct {
 	fleet
-	mu           sync.Mutex // of the members' addresses, while clients run
+	mu           sync.Mutex // guards the addresses of members while clients run
 	director     string
-	voters       string // as the script has them
+	voters       string // as they stand in the script
 	dataDir      string
-	budgetKeeper string // of the budget's leases, as the script has it; none if empty
+	budgetKeeper string // arguments of budgets(...) that name the keeper of the leases; may be empty
 }
 
 func (f *accordFleet) script(i, connections int, bans string) string {
@@ -77,7 +77,7 @@
 	return all
 }
 
-// kill ends a member outright.
+// kill ends a member with SIGKILL.
 func (f *accordFleet) kill(i int) {
 	m := f.members[i]
 	_ = m.cmd.Process.Kill()
@@ -85,7 +85,7 @@
 	m.killed = true
 }
 
-// awaitRunning is await, of the members that were not killed.
+// awaitRunning waits until the members that were not killed are ready at a version.
 func (f *accordFleet) awaitRunning(t *testing.T, version int64) {
 	for _, m := range f.members {
 		if !m.killed {
@@ -95,14 +95,14 @@
 	}
 }
 
-// proposePolicy writes a member's script anew and tells it.
+// proposePolicy rewrites the script of a member and has it reload.
 func (f *accordFleet) proposePolicy(t testing.TB, i, connections int, bans string) {
 	m := f.members[i]
 	assert.NoError(t, os.WriteFile(m.cmd.Args[3], []byte(f.script(i, connections, bans)), 0o600))
 	assert.NoError(t, m.cmd.Process.Signal(syscall.SIGHUP))
 }
 
-// awaitVersion waits until the members, but one, are ready at a version.
+// awaitVersion waits until all members but one are ready at a version; skip -1 waits for all.
 func (f *accordFleet) awaitVersion(t testing.TB, version int64, skip int) {
 	for i, m := range f.members {
 		if i != skip {
@@ -112,15 +112,15 @@
 	}
 }
 
-// countByVersion are all attempts at all backends by version; none of one version comes after the first of a
-// later one, but for the time that bytes need on a loaded machine.
+// countByVersion counts the attempts at all backends by version. It checks that no attempt of a version arrives
+// after the first one of a later version, with a tolerance for bytes that are delayed on a loaded machine.
 func (f *accordFleet) countByVersion(t *testing.T) map[int]int {
 	const slack = 20 * time.Millisecond
 	count, first, last := map[int]int{}, map[int]time.Time{}, map[int]time.Time{}
 	for _, b := range f.backends {
 		for _, s := range b.AttemptStarts() {
 			v, err := strconv.Atoi(s.Version)
-			require.NoError(t, err, "an attempt with no version")
+			require.NoError(t, err, "an attempt without a version")
 			require.NotEmpty(t, s.Dispatcher)
 			if count[v]++; count[v] == 1 || s.At.Before(first[v]) {
 				first[v] = s.At
@@ -140,10 +140,9 @@
 	return count
 }
 
-// TestFleetPolicyChange: five real processes under load take a change of the budget and a ban from one
-// script and a SIGHUP: everywhere, and never two versions at once at the backends. A voter is killed
-// and the next change goes on without it; it is back on the version in force. A change that a
-// dispatcher cannot take is nowhere.
+// TestFleetPolicyChange: five processes under load take a change of the budget and a ban from one script and a
+// SIGHUP. All of them take it, and the backends never see two versions at once. A voter is killed, and the next
+// change takes force without it; when it is back it is on the version in force.
 func TestFleetPolicyChange(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts six processes")
@@ -163,7 +162,7 @@
 	f.start(t, 1, n)
 	f.awaitVersion(t, 3, -1)
 	for _, m := range f.members {
-		assert.EqualValues(t, 300/n, m.counter(t, "budget_connections_share"), "of the version in force, not of its script")
+		assert.EqualValues(t, 300/n, m.counter(t, "budget_connections_share"), "from the version in force, not from its script")
 	}
 	count := f.countByVersion(t)
 	t.Logf("served %d of 1200; attempts by version %v", served, count)
@@ -174,7 +173,7 @@
 	assert.NotEmpty(t, startsOfVersion(f.backends[1], "2"))
 }
 
-// leader is the voter that leads, in rounds, at most 2,000 of 5 ms.
+// leader returns the voter that leads, polling at most 2,000 times, 5 ms apart.
 func (f *accordFleet) leader(t *testing.T) int {
 	for range 2000 {
 		for i, m := range f.members[:3] {
@@ -188,10 +187,10 @@
 	return -1
 }
 
-// TestPolicyUnderFaults: six real processes under load. The leader is stopped over its lease while a change is
-// made, and woken; two changes are proposed at once, of which one takes force; two of the six are down during
-// a change and started after it; all voters are killed and started again. At the backends no two
-// versions are ever mixed, and after each fault all are on one version.
+// TestPolicyUnderFaults: six processes under load. The leader is suspended past its lease while a change is
+// made, and resumed. Two changes are proposed at once, of which one takes force. Two of the six are down during
+// a change and started after it. All voters are killed and started again. The backends never see two versions
+// mixed, and after each fault all are on one version.
 func TestPolicyUnderFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts eleven processes")
@@ -219,7 +218,7 @@
 				r.Header.Set("X-Correlation-Id", id)
 				r.Header.Set("Idempotency-Key", id)
 				answer, err := client.Do(r)
-				if err != nil { // stopped, or killed
+				if err != nil { // the member is suspended or was killed
 					time.Sleep(5 * time.Millisecond)
 					continue
 				}
@@ -262,7 +261,7 @@
 	f.awaitVersion(t, 4, -1)
 	f.proposePolicy(t, 4, 450, "")
 	f.awaitVersion(t, 5, -1)
-	f.awaitShares(t, 450, n) // lent by whoever leads now
+	f.awaitShares(t, 450, n) // granted by the current leader
 	sum := int64(0)
 	for _, m := range f.members {
 		sum += m.counter(t, "budget_connections_share")
@@ -277,8 +276,9 @@
 	}
 }
 
-// TestUpgradesOfParticipant: a dispatcher that is no voter is taken over by a new process of it without a loss, as ever:
-// the new one takes clients once it knows which version holds, and both say by which their reqs were taken.
+// TestUpgradesOfParticipant: a dispatcher that is not a voter is replaced by a new process of it without losing
+// a request. The new process accepts clients once it knows the version in force, and both mark their attempts
+// with that version.
 func TestUpgradesOfParticipant(t *testing.T) {
 	f := startAccordFleet(t, 3, "")
 	f.awaitVersion(t, 1, -1)
@@ -293,8 +293,8 @@
 	}
 }
 
-// BenchmarkPropose measures, with 9 and with 20 real processes and leases of 0.9 s, under a light load, the time from
-// SIGHUP at one of them to the version in force at all, as their counters tell it (polled: some 5 ms a process).
+// BenchmarkPropose measures, with 9 and with 20 processes and leases of 0.9 s, the time from the SIGHUP at one
+// of them until all report the version in force. Their counters are polled, which takes some 5 ms per process.
 func BenchmarkPropose(b *testing.B) {
 	for _, n := range []int{9, 20} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -307,7 +307,7 @@
 					f.proposePolicy(b, n-1, 499-len(took), "")
 					f.awaitVersion(b, int64(len(took)+2), -1)
 					took = append(took, time.Since(start))
-					time.Sleep(time.Duration(i*17) * time.Millisecond) // not in step with the renewals
+					time.Sleep(time.Duration(i*17) * time.Millisecond) // not in step with the lease renewals
 				}
 			}
 			slices.Sort(took)
@@ -317,6 +317,7 @@
 	}
 }
 
+// startsOfVersion returns the attempts at a backend under one version.
 func startsOfVersion(b *platform.Backend, version string) (all []platform.AttemptStart) {
 	for _, s := range b.AttemptStarts() {
 		if s.Version == version {
@@ -326,7 +327,7 @@
 	return all
 }
 
-// TestNotReadyWithoutMajority: one voter of three is up: it is not ready, and answers 503 with Retry-After.
+// TestNotReadyWithoutMajority: with one voter of three up, it is not ready and answers 503 with Retry-After.
 func TestNotReadyWithoutMajority(t *testing.T) {
 	f := startAccordFleet(t, 1, "")
 	m := f.members[0]
@@ -346,7 +347,7 @@
 	assert.EqualValues(t, 1, m.counter(t, "accord_fenced_reqs"))
 }
 
-// TestCheckAccord: what the schema cannot say is told with its key.
+// TestCheckAccord: faults that the schema cannot express are reported with their key.
 func TestCheckAccord(t *testing.T) {
 	for script, key := range map[string]string{
 		`policy()`:                           "policy: ",
--- a/cmd/tinsail/fleet_test.go
+++ b/cmd/tinsail/fleet_test.go
@@ -24,15 +24,15 @@
 	"tinsail/internal/standin/platform"
 )
 
-// member is one real process of a fleet of dispatchers.
+// member is one process of a fleet of dispatchers.
 type member struct {
 	cmd           *exec.Cmd
 	address       string
-	keeperAddress string // where it asks for its shares, where it has a budget
-	killed        bool   // it was killed
+	keeperAddress string // where it requests its shares; empty without a budget
+	killed        bool
 }
 
-// startMember starts the program as one dispatcher of a fleet of n, named name, with a script.
+// startMember starts the program as one dispatcher, of this name and with this script, of a fleet of n.
 func startMember(t testing.TB, name string, n int, director, script string) *member {
 	text := strings.Replace(string(demoConfig), "127.0.0.1:1", director, 1)
 	text = strings.Replace(text, `"name": "demo"`, fmt.Sprintf(`"name": %q`, name), 1)
@@ -48,12 +48,12 @@
 			break
 		}
 	}
-	require.NotEmpty(t, m.address, "%s did not serve", name)
+	require.NotEmpty(t, m.address, "%s did not log that it serves", name)
 	go func() { _, _ = io.Copy(io.Discard, errs) }()
 	return m
 }
 
-// counter asks a member for one counter; -1 where it has none.
+// counter returns one counter of the member, -1 where it has none of that name.
 func (m *member) counter(t testing.TB, name string) int64 {
 	answer, err := http.Get("http://" + m.address + "/counters")
 	require.NoError(t, err)
@@ -67,7 +67,7 @@
 	return -1
 }
 
-// awaitCounter asks a member for a counter in rounds, at most 2,000 of 5 ms, until it is at least want.
+// awaitCounter polls a counter until it is at least want: at most 2,000 times, 5 ms apart.
 func (m *member) awaitCounter(t testing.TB, name string, want int64) {
 	for range 2000 {
 		if m.counter(t, name) >= want {
@@ -78,7 +78,7 @@
 	t.Fatalf("%s never reached %d", name, want)
 }
 
-// awaitCounterBelow asks a member for a counter in rounds, at most 2,000 of 5 ms, until it is below want.
+// awaitCounterBelow polls a counter until it is below want: at most 2,000 times, 5 ms apart.
 func (m *member) awaitCounterBelow(t *testing.T, name string, want int64) {
 	for range 2000 {
 		if n := m.counter(t, name); n >= 0 && n < want {
@@ -89,7 +89,8 @@
 	t.Fatalf("%s never fell below %d", name, want)
 }
 
-// maxPerSecond is the most of the times that fall within any second, beginning at any of them.
+// maxPerSecond returns the largest number of the times that fall within one second, whichever of them the second
+// starts at.
 func maxPerSecond(times []time.Time) int {
 	slices.SortFunc(times, func(a, b time.Time) int { return a.Compare(b) })
 	most := 0
@@ -102,12 +103,12 @@
 	return most
 }
 
-// TestFleetBudgetOfConnections: eight real processes share a budget of 80 new connections a
-// second to four backends that close each connection after its answer, so that every job needs
-// one. One process keeps the leases; the others ask it through relays of faultnet. Under load, a
-// link to the keeper is cut and mended, and a process is killed outright. At no second, counted
-// at the backends from any connection on, do new connections from the whole fleet exceed 80
-// beyond one unit for each process. Without the budget the same load opens several times as many.
+// TestFleetBudgetOfConnections: eight processes share a budget of 80 new connections per second to four backends
+// that close each connection after its answer, so that every job needs a new one. One process, the keeper,
+// grants the leases; the others reach it through relays of faultnet. Under load one link to the keeper is cut
+// and restored, and one process is killed. In no second, counted at the backends from any connection on, may new
+// connections of the whole fleet exceed 80 by more than one unit per process. Without the budget the same load
+// opens several times as many.
 func TestFleetBudgetOfConnections(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts sixteen processes")
@@ -119,8 +120,8 @@
 	assert.Greater(t, without, 2*total, "the same load without the budget")
 }
 
-// maxFleetConnections plays the load on eight members, with the budget or without, and returns the
-// most new connections in a second.
+// maxFleetConnections runs the load on eight members, with or without the budget, and returns the largest number
+// of new connections in a second.
 func maxFleetConnections(t *testing.T, budgeted bool) int {
 	const n, total = 8, 80
 	script := func(at string) string {
@@ -149,17 +150,17 @@
 	return most
 }
 
-// TestFleetBudgetLowered: eight real processes hold shares of 80 new connections a second when
-// the total is lowered to 20 by a new script and SIGHUP to each, under load, while one process is
-// ended by SIGTERM. From when every live process tells a share within the new division, new
-// connections from the whole fleet stay within 20 in every second (beyond one unit a process).
+// TestFleetBudgetLowered: eight processes hold shares of 80 new connections per second when the total is lowered
+// to 20, by a new script and a SIGHUP to each, under load, while one process is terminated. Once every remaining
+// process reports a share within the new division, new connections of the whole fleet stay within 20 in every
+// second, plus at most one unit per process.
 func TestFleetBudgetLowered(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts twelve processes")
 	}
 	const n, before, after = 8, 80, 20
-	// after the change each of the seven live members holds no reserve (⌊0.2·20/8⌋ = 0) and
-	// ⌊20/7⌋ = 2 of the pool: a share of 4 or more is one of the old plan
+	// After the change each of the seven remaining members holds no reserve (⌊0.2·20/8⌋ = 0) and ⌊20/7⌋ = 2 of the
+	// pool. A share of 4 or more is one of the old division.
 	const newShare = after / (n - 1)
 	f := startFleet(t, n, func(at string) string { return budgetsScript(before, at) })
 	f.awaitShares(t, before, n)
@@ -189,16 +190,16 @@
 	most := maxPerSecond(since)
 	t.Logf("jobs served %d; new connections %d, %d of them after all had read the new total; most in a second %d before and after, %d after (budget %d, then %d)",
 		served, len(all), len(since), maxPerSecond(all), most, before, after)
-	assert.Positive(t, len(since), "connections after the change")
+	assert.Positive(t, len(since), "new connections after the change")
 	assert.LessOrEqual(t, most, after+n, "new connections in a second, the whole fleet, after the change")
 }
 
-// budgetsScript is a script of a budget of new connections, kept by n0 at at.
+// budgetsScript returns the script of a budget of new connections whose keeper is n0 at the address at.
 func budgetsScript(total int, at string) string {
 	return fmt.Sprintf("budgets(connections = %d, reserve = 0.2, keeper = \"n0\", keeper_at = %q, lease_ms = 600)\n", total, at)
 }
 
-// fleet is members started together, their relays to the keeper, and backends that close each
+// fleet is members started together, their relays to the keeper, and the backends. The backends close each
 // connection after its answer, so that every job needs a new one.
 type fleet struct {
 	members  []*member
@@ -206,9 +207,8 @@
 	backends []*platform.Backend
 }
 
-// startFleet starts a director, four backends and n members, n0 with the keeper's address and the
-// others with a relay of faultnet to it. script makes each member's script from its keeper's
-// address.
+// startFleet starts a director, four backends and n members. n0 gets the address of the keeper, each other
+// member a relay of faultnet to it; script makes the script of a member from that address.
 func startFleet(t *testing.T, n int, script func(at string) string) *fleet {
 	director, err := platform.StartDirector()
 	require.NoError(t, err)
@@ -240,7 +240,7 @@
 	return f
 }
 
-// awaitShares waits until each member holds its reserve and part of the pool, less one.
+// awaitShares waits until each member holds its reserve and its part of the pool, less one unit.
 func (f *fleet) awaitShares(t *testing.T, total, n int) {
 	fair := int64(total/5/n + (total-total/5/n*n)/n - 1)
 	for _, m := range f.members {
@@ -248,7 +248,7 @@
 	}
 }
 
-// connectionTimes are the times of new connectionTimes at the backends from since on.
+// connectionTimes returns the times of new connections at the backends, from since on.
 func (f *fleet) connectionTimes(since time.Time) []time.Time {
 	var times []time.Time
 	for _, b := range f.backends {
@@ -261,8 +261,8 @@
 	return times
 }
 
-// runLoad runs clients that each send jobs in turn to the members and wait 20 ms after a refusal;
-// faults are set by how many jobs have been answered, not by the clock. It returns the jobs served.
+// runLoad runs clients that each send jobs to the members in turn and wait 20 ms after a refusal. Faults start
+// after a number of answered jobs, not at a time. It returns the number of jobs served.
 func (f *fleet) runLoad(t *testing.T, clients, jobs int, faults map[int64]func()) int64 {
 	var answered, served atomic.Int64
 	var all sync.WaitGroup
@@ -279,7 +279,7 @@
 				r.Header.Set("X-Correlation-Id", id)
 				r.Header.Set("Idempotency-Key", id)
 				answer, err := client.Do(r)
-				if err != nil { // a member that was ended
+				if err != nil { // the member has ended
 					continue
 				}
 				_, _ = io.Copy(io.Discard, answer.Body)
@@ -288,7 +288,7 @@
 				case 200:
 					served.Add(1)
 				case 429, 503:
-					time.Sleep(20 * time.Millisecond) // a client that waits a little before its next job
+					time.Sleep(20 * time.Millisecond) // waits before its next job
 				}
 				if fault := faults[answered.Add(1)]; fault != nil {
 					fault()
--- a/cmd/tinsail/quota_rig_test.go
+++ b/cmd/tinsail/quota_rig_test.go
@@ -24,19 +24,20 @@
 	history "tinsail/internal/standin/quotahistory"
 )
 
-// The quota rig's times: leases of dispatchers and of regions, and the longest that a req runs.
+// Times of the quota rig: the leases of dispatchers and of regions, and the longest time that a request runs.
 const (
 	dispatcherLease = 900 * time.Millisecond
 	regionLease     = 5 * time.Second
 	reqRunTime      = 1600 * time.Millisecond
-	clientTimeLeft  = 1200 * time.Millisecond // of each client
+	clientTimeLeft  = 1200 * time.Millisecond // deadline that clients send
 )
 
 var regionNames = []string{"east", "west", "north"}
 
-// recordedQuotaFleet is a fleet of real processes whose teams have quotas, and whose history the backends record. The first three
-// are voters and lenders of their regions; a dispatcher is in the region of its number. Each process reaches each voter
-// but itself through a relay of its own, by which it keeps its links of the accord, of the quotas and of the log.
+// recordedQuotaFleet is a fleet of processes whose teams have quotas, and whose history the backends record. The
+// first three are voters and the lenders of their regions; dispatcher i is in region i mod 3. Each process
+// reaches each voter other than itself through a relay of its own, which carries its links of the accord, of the
+// quotas and of the majority log.
 type recordedQuotaFleet struct {
 	t        *testing.T
 	size     int
@@ -49,19 +50,19 @@
 	clients  sync.WaitGroup
 
 	mu            sync.Mutex
-	policy        string // as the script of whoever is started next has it
+	policy        string // in the scripts of processes that start from now on
 	processes     []*quotaProcess
 	lines         []history.Line
-	runningByTeam map[string]int // attempts at the backends now, by team
-	startsByKey   map[string]int // so far, by team and dispatcher
-	outcomes      map[string]int // reqs by what became of them
-	earlyFailures []string       // that may have run and had no result, though they had time left
+	runningByTeam map[string]int // attempts at the backends now
+	startsByKey   map[string]int // attempts so far, by team and by dispatcher
+	outcomes      map[string]int // number of requests by status, or "broken"
+	earlyFailures []string       // requests that ended without a result before their deadline
 }
 
-// quotaProcess is one process.
+// quotaProcess is one process of a dispatcher.
 type quotaProcess struct {
 	member
-	receivesReqs bool // clients ask it
+	receivesReqs bool // clients send requests to it
 }
 
 func startRecordedQuotaFleet(t *testing.T, n int, policy string) *recordedQuotaFleet {
@@ -88,7 +89,7 @@
 	return f
 }
 
-// stopLoad ends the load.
+// stopLoad ends the load and waits for the clients.
 func (f *recordedQuotaFleet) stopLoad() {
 	select {
 	case <-f.stop:
@@ -98,7 +99,8 @@
 	f.clients.Wait()
 }
 
-// recordBackendEvent takes what a backend saw. An id is "team-" or "team!-" of urgent ones, "dispatcher-" and a number.
+// recordBackendEvent records what a backend saw. An id is "team-", or "team!-" for an urgent request, then
+// "dispatcher-" and numbers.
 func (f *recordedQuotaFleet) recordBackendEvent(backend string, at time.Time, id string, event platform.Event) {
 	team, rest, _ := strings.Cut(id, "-")
 	on, _, _ := strings.Cut(rest, "-")
@@ -115,7 +117,7 @@
 	f.startsByKey[on]++
 }
 
-// recordLimit records a quota from now on.
+// recordLimit records a quota or a reserve that holds from now on.
 func (f *recordedQuotaFleet) recordLimit(event, team string, units int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -159,7 +161,7 @@
 		for lines.Scan() {
 			var e struct{ Event, Listen string }
 			if json.Unmarshal(lines.Bytes(), &e) != nil {
-				fmt.Fprintln(os.Stderr, lines.Text()) // the race detector's words, say
+				fmt.Fprintln(os.Stderr, lines.Text()) // for example the race detector's report
 			} else if e.Event == "serving" {
 				at <- e.Listen
 			}
@@ -167,7 +169,7 @@
 		close(at)
 	}()
 	l.address = <-at
-	require.NotEmpty(f.t, l.address, "%s did not serve", memberName(i))
+	require.NotEmpty(f.t, l.address, "%s did not log that it serves", memberName(i))
 	l.receivesReqs = true
 	f.mu.Lock()
 	f.processes[i] = l
@@ -199,17 +201,17 @@
 	f.mu.Unlock()
 }
 
-// setRegionRule sets the setRegionRule of the links between a region and all others.
+// setRegionRule sets the rule of the links between a region and all others.
 func (f *recordedQuotaFleet) setRegionRule(region int, rule faultnet.Rule) {
 	f.setRelayRules(rule, func(from, to int) bool { return (from == region) != (to == region) })
 }
 
-// setRuleBetween sets the rule of the links setRuleBetween two regions.
+// setRuleBetween sets the rule of the links between two regions.
 func (f *recordedQuotaFleet) setRuleBetween(a, b int, rule faultnet.Rule) {
 	f.setRelayRules(rule, func(from, to int) bool { return from == a && to == b || from == b && to == a })
 }
 
-// setDispatcherRule sets the rule of the links of one dispatcher, and ends those that are there.
+// setDispatcherRule sets the rule of the links of one dispatcher, and resets their connections.
 func (f *recordedQuotaFleet) setDispatcherRule(i int, rule faultnet.Rule) {
 	for _, r := range f.relays[i] {
 		r.Set(rule)
@@ -217,7 +219,8 @@
 	}
 }
 
-// setRelayRules sets the rule of the setRelayRules from processes of one region to the voter of another, of which which says so.
+// setRelayRules sets the rule of the links from the processes of one region to the voter of another, of those
+// pairs that which selects.
 func (f *recordedQuotaFleet) setRelayRules(rule faultnet.Rule, which func(from, to int) bool) {
 	for i, all := range f.relays {
 		for v, r := range all {
@@ -225,14 +228,14 @@
 				continue
 			}
 			r.Set(rule)
-			if rule == faultnet.Pass { // bytes were swallowed, or are held back
+			if rule == faultnet.Pass { // bytes were dropped or are delayed
 				r.Reset()
 			}
 		}
 	}
 }
 
-// proposePolicy has a process propose a policy, which those that start from now on have in their scripts too.
+// proposePolicy has a process propose a policy. Processes started from now on have it in their scripts too.
 func (f *recordedQuotaFleet) proposePolicy(i int, policy string) {
 	f.mu.Lock()
 	f.policy = policy
@@ -242,7 +245,7 @@
 	require.NoError(f.t, l.cmd.Process.Signal(syscall.SIGHUP))
 }
 
-// waitFor asks in rounds, at most 6,000 of 5 ms, waitFor a condition holds.
+// waitFor polls until the condition holds: at most 6,000 times, 5 ms apart.
 func (f *recordedQuotaFleet) waitFor(what string, ok func() bool) {
 	f.t.Helper()
 	for range 6000 {
@@ -253,17 +256,18 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.t.Fatalf("never: %s; running %v, starts %v, answers %v", what, f.runningByTeam, f.startsByKey, f.outcomes)
+	f.t.Fatalf("timed out waiting for: %s; running %v, starts %v, answers %v", what, f.runningByTeam, f.startsByKey, f.outcomes)
 }
 
-// runningAtLeast says whether so many attempts of a team, or more, are at the backends now.
+// runningAtLeast tells whether at least n attempts of a team are at the backends now.
 func (f *recordedQuotaFleet) runningAtLeast(team string, n int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.runningByTeam[team] >= n
 }
 
-// awaitMoreStarts waits until so many awaitMoreStarts attempts began, of a team, a dispatcher, or those of a region where the key is a number.
+// awaitMoreStarts waits until n more attempts have started under these keys, each a team or the name of a
+// dispatcher.
 func (f *recordedQuotaFleet) awaitMoreStarts(n int, keys ...string) {
 	f.t.Helper()
 	was := f.startCount(keys)
@@ -279,7 +283,7 @@
 	return n
 }
 
-// dispatchersOf are the dispatchers dispatchersOf a region that clients ask.
+// dispatchersOf returns the names of the dispatchers of these regions.
 func (f *recordedQuotaFleet) dispatchersOf(regions ...int) (out []string) {
 	for i := range f.size {
 		if slices.Contains(regions, i%3) {
@@ -289,7 +293,7 @@
 	return out
 }
 
-// runningProcesses are the processes that run and are not stopped.
+// runningProcesses returns the processes that run and are not suspended.
 func (f *recordedQuotaFleet) runningProcesses() (out []*quotaProcess) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -301,7 +305,7 @@
 	return out
 }
 
-// awaitVersion waits until all that run are at a version.
+// awaitVersion waits until all running processes are ready at a version.
 func (f *recordedQuotaFleet) awaitVersion(version int64) {
 	for _, l := range f.runningProcesses() {
 		l.awaitCounter(f.t, "accord_version", version)
@@ -309,7 +313,7 @@
 	}
 }
 
-// leader is the voter that leads, of those that run.
+// leader returns the running voter that leads.
 func (f *recordedQuotaFleet) leader() (at int) {
 	f.waitFor("a leader", func() bool {
 		for i, l := range f.processes[:3] {
@@ -323,10 +327,11 @@
 	return at
 }
 
-// awaitLentAtMost waits until the root counts no more as lent than the quotas have, for twenty rounds on end.
+// awaitLentAtMost waits until the root counts no more units as lent than the quotas have, in twenty consecutive
+// polls.
 func (f *recordedQuotaFleet) awaitLentAtMost(units int64) {
 	rounds := 0
-	f.waitFor("room under the lowered quotas", func() bool {
+	f.waitFor("units lent within the lowered quotas", func() bool {
 		rounds++
 		if n := f.processes[f.leader()].counter(f.t, "quota_lent_root"); n <= 0 || n > units {
 			rounds = 0
@@ -335,7 +340,7 @@
 	})
 }
 
-// startLoad runs clients of a team at a dispatcher, each with one req at a time.
+// startLoad runs clients of a team at a dispatcher, each with one request at a time.
 func (f *recordedQuotaFleet) startLoad(i, clients int, team, class string) {
 	for c := range clients {
 		f.clients.Go(func() {
@@ -398,17 +403,17 @@
 	verdicts := history.Judge(lines, rules)
 	for i, v := range verdicts {
 		if i == 20 {
-			f.t.Errorf("and %d further verdicts", len(verdicts)-i)
+			f.t.Errorf("and %d further violations", len(verdicts)-i)
 			break
 		}
 		f.t.Error(v)
 	}
 	assert.Positive(f.t, f.outcomes["200"])
-	assert.Empty(f.t, f.earlyFailures, "reqs failed before their time") // one that had room late, or was in hand at a stop, fails at its time
-	f.t.Logf("%d lines of history; most at once %v; starts %v; answers %v", len(lines), history.Most(lines, rules), f.startsByKey, f.outcomes)
+	assert.Empty(f.t, f.earlyFailures, "requests failed before their deadline") // one that got quota late, or was in flight at a suspension, fails at its deadline
+	f.t.Logf("%d lines of history; most running at once %v; starts %v; answers %v", len(lines), history.Most(lines, rules), f.startsByKey, f.outcomes)
 }
 
-// writeHistory writes the history to the file that TINSAIL_HISTORY names, if it does, also of a test that failed.
+// writeHistory writes the history to the file named by TINSAIL_HISTORY, if it is set, also when the test failed.
 func (f *recordedQuotaFleet) writeHistory() {
 	at := os.Getenv("TINSAIL_HISTORY")
 	if at == "" {
--- a/cmd/tinsail/quota_test.go
+++ b/cmd/tinsail/quota_test.go
@@ -11,16 +11,17 @@
 	history "tinsail/internal/standin/quotahistory"
 )
 
-// quotaRules of the rig: what was lowered holds as soon as the root counts no more as lent, which the rig waits for.
+// quotaRules are the rules of the rig's history: a lowered quota holds as soon as the root counts no more units
+// as lent, which the rig waits for.
 var quotaRules = history.Rules{Notice: 200 * time.Millisecond}
 
-// The rig's quotas, and the reserve of each region.
+// The quotas of the rig's teams, and the reserve of each region.
 const (
 	pressQuota, atelierQuota = 9, 5
 	regionReserve            = 1
 )
 
-// startQuotaHistory starts a fleet with more demand for two teams than their quotas have.
+// startQuotaHistory starts a fleet in which two teams have more demand than their quotas.
 func startQuotaHistory(t *testing.T, n int) *recordedQuotaFleet {
 	f := startRecordedQuotaFleet(t, n, `quotas = {"press": 9, "atelier": 5}, urgent_reserve = 1`)
 	f.recordLimit(history.Quota, "press", pressQuota)
@@ -36,7 +37,7 @@
 	return f
 }
 
-// awaitFullUse waits until all units of both teams are in use again, and reqs of each kind begin.
+// awaitFullUse waits until all units of both teams are in use again and requests of each kind start.
 func (f *recordedQuotaFleet) awaitFullUse(what string, press int) {
 	f.t.Helper()
 	f.waitFor("all units in use "+what, func() bool { return f.runningAtLeast("atelier", atelierQuota) && f.runningAtLeast("press", press) })
@@ -46,13 +47,13 @@
 	f.t.Log("in use again", what)
 }
 
-// quotaFaults are what is done to a fleet whose quotas stay: each leaves it without a fault, not yet at rest. i is a
-// dispatcher that is no voter.
+// quotaFaults are faults during which the quotas stay the same. Each has ended when its function returns, but
+// the fleet may not have settled yet. i is a dispatcher that is not a voter.
 var quotaFaults = []struct {
 	name string
 	run  func(f *recordedQuotaFleet, i int)
 }{
-	{"a region cut off", func(f *recordedQuotaFleet, i int) { // it lives on what it holds, and the others on theirs
+	{"a region cut off", func(f *recordedQuotaFleet, i int) { // it uses the units it holds, and so do the others
 		f.setRegionRule(i%3, faultnet.Rule{Blackhole: true})
 		f.awaitMoreStarts(30, f.dispatchersOf(i%3)...)
 		f.awaitMoreStarts(30, f.dispatchersOf((i+1)%3, (i+2)%3)...)
@@ -63,20 +64,20 @@
 		f.awaitMoreStarts(100, "press")
 		f.setRegionRule(i%3, faultnet.Pass)
 	}},
-	{"a dispatcher stopped", func(f *recordedQuotaFleet, i int) { // over its lease and all that runs, with units in hand
+	{"a dispatcher suspended", func(f *recordedQuotaFleet, i int) { // past its lease and the longest run, while it holds units
 		f.pause(i)
 		time.Sleep(dispatcherLease + reqRunTime + dispatcherLease)
 		f.resume(i)
 		f.awaitMoreStarts(10, memberName(i))
 	}},
-	{"a dispatcher without links", func(f *recordedQuotaFleet, i int) { // what it held is lent to others once its lease and run are over
+	{"a dispatcher without links", func(f *recordedQuotaFleet, i int) { // its units are lent to others once its lease and the longest run are over
 		f.setDispatcherRule(i, faultnet.Rule{Refuse: true})
 		time.Sleep(dispatcherLease + reqRunTime)
 		f.awaitMoreStarts(200, "press")
 		f.setDispatcherRule(i, faultnet.Pass)
 		f.awaitMoreStarts(10, memberName(i))
 	}},
-	{"a lender stopped", func(f *recordedQuotaFleet, i int) {
+	{"a lender suspended", func(f *recordedQuotaFleet, i int) {
 		at := (f.leader() + 1 + i%2) % 3
 		f.pause(at)
 		time.Sleep(dispatcherLease + reqRunTime)
@@ -89,7 +90,7 @@
 		f.start(at)
 		f.start(i)
 	}},
-	{"two regions cut from each other", func(f *recordedQuotaFleet, i int) { // both reach the third
+	{"two regions cut from each other", func(f *recordedQuotaFleet, i int) { // both still reach the third
 		a, b := i%3, (i+1)%3
 		f.setRuleBetween(a, b, faultnet.Rule{Blackhole: true})
 		f.awaitMoreStarts(30, f.dispatchersOf(a)...)
@@ -110,7 +111,7 @@
 		f.awaitMoreStarts(30, f.dispatchersOf((at+1)%3, (at+2)%3)...)
 		f.start(at)
 	}},
-	{"the leader stopped", func(f *recordedQuotaFleet, i int) {
+	{"the leader suspended", func(f *recordedQuotaFleet, i int) {
 		at := f.leader()
 		f.pause(at)
 		f.waitFor("another leads", func() bool { return f.leader() != at })
@@ -118,10 +119,10 @@
 	}},
 }
 
-// TestQuotaHistory: nine real processes in three regions, with more demand for two teams than their quotas have, all the
-// while that links are cut and slow, processes killed and stopped over their leases, and quotas changed. What the backends
-// saw is judged: of no team do more run at once than its quota, and urgent reqs beyond it no more than the reserve; after
-// each fault all of a quota is in use again.
+// TestQuotaHistory: nine processes in three regions, with more demand for two teams than their quotas, while
+// links are cut and slow, processes are killed or suspended past their leases, and quotas change. What the
+// backends saw is judged: no team has more requests running at once than its quota, urgent ones exceed it by no
+// more than the reserve, and after each fault the whole quota is in use again.
 func TestQuotaHistory(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts nine processes")
@@ -135,22 +136,22 @@
 	f.checkHistory(quotaRules)
 }
 
-// changeQuotas lowers a quota under what runs, and raises it.
+// changeQuotas lowers a quota below what is running, and then raises it.
 func (f *recordedQuotaFleet) changeQuotas() {
 	v := f.processes[f.leader()].counter(f.t, "accord_version")
 	f.proposePolicy(f.leader(), `quotas = {"press": 4, "atelier": 5}, urgent_reserve = 1`)
 	f.awaitVersion(v + 1)
 	f.awaitLentAtMost(4 + atelierQuota)
 	f.recordLimit(history.Quota, "press", 4)
-	f.awaitFullUse("of lowered quotas", 4)
+	f.awaitFullUse("under lowered quotas", 4)
 	f.recordLimit(history.Quota, "press", 12)
 	f.proposePolicy(6, `quotas = {"press": 12, "atelier": 5}, urgent_reserve = 1`)
 	f.awaitVersion(v + 2)
-	f.awaitFullUse("of raised quotas", 12)
+	f.awaitFullUse("under raised quotas", 12)
 }
 
-// TestQuotaFaults is the same with as many processes as TINSAIL_QUOTA_PROCESSES says, and its faults in an order and at
-// dispatchers by TINSAIL_QUOTA_SEED, each twice (make measure-quota).
+// TestQuotaFaults is the same with TINSAIL_QUOTA_PROCESSES processes. TINSAIL_QUOTA_SEED draws the order of the
+// faults and their dispatchers; each fault occurs twice (make measure-quota).
 func TestQuotaFaults(t *testing.T) {
 	n, err := strconv.Atoi(os.Getenv("TINSAIL_QUOTA_PROCESSES"))
 	if err != nil || n < 9 || n > 60 {
--- a/cmd/tinsail/quotas_fleet_test.go
+++ b/cmd/tinsail/quotas_fleet_test.go
@@ -21,15 +21,15 @@
 	"tinsail/internal/standin/platform"
 )
 
-// quotaFleet is a fleet of real processes with quotas: three voters, each the lender of its region, and two more
-// dispatchers, in the first two regions.
+// quotaFleet is a fleet of processes with quotas: three voters, each the lender of its region, and up to two
+// more dispatchers, in the first two regions.
 type quotaFleet struct {
 	fleet
-	quota        int // of the team press
+	quota        int // of the team "press"
 	director     string
 	voters       string
 	dataDir      string
-	lenderEvents []chan map[string]any // each member's log lines of lenders
+	lenderEvents []chan map[string]any // each member's log lines about lending
 }
 
 var memberRegions = []string{"east", "west", "north", "east", "west"}
@@ -56,7 +56,8 @@
 		t.Cleanup(b.Close)
 		director.Set(b.Entry("fast", "here", i, "Ready"))
 		f.backends = append(f.backends, b)
-		// An address of this process's own: between the close and the voter's start nobody else is given the port.
+		// An address that only this process uses, so that no other process is given the port between this close and
+		// the start of the voter.
 		pid := os.Getpid()
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>8&0x3f, pid&0xff, 2+i))
 		require.NoError(t, err)
@@ -69,7 +70,7 @@
 	return f
 }
 
-// config is a dispatcher's configuration, with a team and an urgent class beside the demo's.
+// config returns the configuration of a dispatcher, with a team and an urgent class added to those of the demo.
 func (f *quotaFleet) config(t *testing.T, name string) string {
 	var conf map[string]any
 	require.NoError(t, json.Unmarshal(demoConfig, &conf))
@@ -101,7 +102,7 @@
 		}
 		said = lines.Text()
 	}
-	require.NotEmpty(t, m.address, "n%d did not serve: %s", i, said)
+	require.NotEmpty(t, m.address, "n%d did not log that it serves: %s", i, said)
 	events := make(chan map[string]any, 10_000)
 	f.lenderEvents = append(f.lenderEvents, events)
 	go func() {
@@ -120,7 +121,7 @@
 	return m
 }
 
-// send sends one req and returns its status and whether a refusal had advice.
+// send sends one request and returns its status and whether the answer has Retry-After.
 func (f *quotaFleet) send(t *testing.T, to int, id, team, class string, left time.Duration) (status int, advice bool) {
 	r, err := http.NewRequest("POST", "http://"+f.members[to].address+"/"+class+"/1", strings.NewReader("b"))
 	if !assert.NoError(t, err) {
@@ -133,7 +134,7 @@
 	if team != "" {
 		r.Header.Set("X-Account", team)
 	}
-	r.Close = true // a dispatcher that leaves may close a connection between two reqs
+	r.Close = true // a dispatcher that ends may close a connection between two requests
 	answer, err := http.DefaultClient.Do(r)
 	if !assert.NoError(t, err, id) {
 		return 0, false
@@ -143,7 +144,7 @@
 	return answer.StatusCode, answer.Header.Get("Retry-After") != ""
 }
 
-// startedReqs is how many reqs whose ids begin so came to the backends, each once.
+// startedReqs counts the requests with this prefix of their ids that reached a backend, each once.
 func (f *quotaFleet) startedReqs(prefix string) int {
 	seen := map[string]bool{}
 	for _, b := range f.backends {
@@ -156,7 +157,8 @@
 	return len(seen)
 }
 
-// awaitStarted waits in rounds, at most 2,000 of 5 ms, until at least so many have.
+// awaitStarted waits until at least so many requests have reached a backend, polling at most 2,000 times, 5 ms
+// apart.
 func (f *quotaFleet) awaitStarted(t *testing.T, prefix string, want int) {
 	for range 2000 {
 		if f.startedReqs(prefix) >= want {
@@ -164,7 +166,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("%d of %s began, want %d", f.startedReqs(prefix), prefix, want)
+	t.Fatalf("%d of %s started, want %d", f.startedReqs(prefix), prefix, want)
 }
 
 func (f *quotaFleet) setFaults(set platform.Faults) {
@@ -173,9 +175,10 @@
 	}
 }
 
-// checkLimit has the backends end nothing, and sends as many reqs of the team as its quota has, all to the members named: all
-// begin, wherever the units were. Then others, to all members: none begins, and each is refused with advice in its time.
-// meanwhile happens then; what it returns is waited for at the end, when the backends go on and all that began is served.
+// checkLimit has the backends finish nothing and sends as many requests of the team as its quota has, all to the
+// given members. All start, wherever the units were. Then it sends others to all members: none starts, and each
+// is refused with Retry-After within its time. meanwhile runs next; the function that it returns is called at
+// the end, after the backends go on and every started request is served.
 func (f *quotaFleet) checkLimit(t *testing.T, prefix string, to []int, meanwhile func() (wait func())) {
 	f.setFaults(platform.Faults{HoldJobs: true})
 	var clients, late sync.WaitGroup
@@ -190,19 +193,19 @@
 		late.Go(func() {
 			status, advice := f.send(t, i%len(f.members), fmt.Sprintf("%s-late-%d", prefix, i), "press", "photo", 600*time.Millisecond)
 			assert.Equal(t, 503, status, "%s-late-%d", prefix, i)
-			assert.True(t, advice, "a refusal without advice")
+			assert.True(t, advice, "a refusal without Retry-After")
 		})
 	}
 	late.Wait()
 	wait := meanwhile()
-	assert.Equal(t, f.quota, f.startedReqs(prefix+"-"), "began while none ended")
+	assert.Equal(t, f.quota, f.startedReqs(prefix+"-"), "started while none finished")
 	f.setFaults(platform.Faults{})
 	clients.Wait()
 	wait()
 }
 
-// checkDrain has a member checkDrain while it has all units of the team in use and more reqs wait for one: all are served, the ones
-// that wait as units come free, and it ends by itself.
+// checkDrain terminates a member that has all units of the team in use while more requests wait for one. All are
+// served, the waiting ones as units are returned, and the process ends by itself.
 func (f *quotaFleet) checkDrain(t *testing.T, i int) {
 	f.setFaults(platform.Faults{HoldJobs: true})
 	var clients sync.WaitGroup
@@ -227,10 +230,12 @@
 	assert.Equal(t, 3, f.startedReqs("d-"))
 }
 
-// TestFleetQuotas: five real processes in three regions share the quota of a team. While no backend ends anything
-// exactly as many reqs of it are in flight over the whole fleet as the quota has, whichever dispatchers they come to; a req
-// of an urgent class begins all the same, on its region's reserve; reqs of no team are not bound. A changed quota holds at
-// all. A dispatcher that is drained serves also what waits for a unit. One that ends in order gives back what it held at once, not when its lease and run_ms are over.
+// TestFleetQuotas: five processes in three regions share the quota of a team. While no backend finishes
+// anything, exactly as many of its requests are in flight in the whole fleet as the quota has, whichever
+// dispatchers they arrive at. A request of an urgent class starts all the same, on the reserve of its region;
+// requests of no team are not limited. A changed quota holds at all dispatchers. A dispatcher that drains also
+// serves the requests that wait for a unit. One that ends in an orderly way returns its units at once, not when
+// its lease and run_ms are over.
 func TestFleetQuotas(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts five processes")
@@ -240,9 +245,9 @@
 		m.awaitCounter(t, "accord_version", 1)
 		m.awaitCounter(t, "accord_ready", 1)
 	}
-	for _, m := range f.members { // lenders that have just begun do not know what of the reserve was lent before
+	for _, m := range f.members { // a lender that has just started does not know what part of the reserve was lent before
 		for rounds := 0; m.counter(t, "quota_held") < 1; rounds++ {
-			require.Less(t, rounds, 6000, "no unit of the reserve")
+			require.Less(t, rounds, 6000, "no unit of the reserve was lent")
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
@@ -276,25 +281,27 @@
 	east.awaitCounterBelow(t, "quota_in_use", 1)
 	leaves.awaitCounterBelow(t, "quota_in_use", 1)
 	held := leaves.counter(t, "quota_held")
-	assert.Positive(t, held, "it has something to give back: a unit of the reserve, at least, ahead of need")
+	assert.Positive(t, held, "it holds at least one unit of the reserve, lent in advance, to return")
 	require.NoError(t, leaves.cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, leaves.cmd.Wait())
 	f.checkNothingLentAtExpiry(t, "n3")
 }
 
-// checkNothingLentAtExpiry waits until n0 says that it heard nothing of a holder for a lease, and that it counted no units of it any more.
+// checkNothingLentAtExpiry waits until n0 logs that the lease of a dispatcher expired, and checks that it
+// counted no units as lent to it any more.
 func (f *quotaFleet) checkNothingLentAtExpiry(t *testing.T, child string) {
 	for line := range f.lenderEvents[0] {
 		if line["event"] == "quota: lapsed" && line["child"] == child {
-			assert.EqualValues(t, 0, line["units"], "what its lender counted still when the lease of %s was over", child)
+			assert.EqualValues(t, 0, line["units"], "units that the lender still counted when the lease of %s expired", child)
 			return
 		}
 	}
-	t.Fatal("n0 has ended")
+	t.Fatal("the log of n0 ended")
 }
 
-// TestQuotasDuringUpgrade: a process that takes over from another begins nothing on the units that the old one has in
-// use, and that one serves what it took, also what waited for a unit, and gives back what it held when it ends.
+// TestQuotasDuringUpgrade: a process that takes over from another starts nothing on the units that the old one
+// has in use. The old one serves what it accepted, including requests that wait for a unit, and returns its
+// units when it ends.
 func TestQuotasDuringUpgrade(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts five processes")
@@ -341,8 +348,9 @@
 	next.terminate(t)
 }
 
-// TestRestartedRegionAssumesLentUnits: where the voter that leads, and lends to a region, is ended and started again, the next root
-// knows what the region held: the region's next life inherits it and has room at once, not after its lease and run_ms.
+// TestRestartedRegionAssumesLentUnits: the voter that leads and also lends to a region is terminated and started
+// again. The next root knows what the region held. The new incarnation of the region takes that over and grants
+// quota at once, not after its lease and run_ms.
 func TestRestartedRegionAssumesLentUnits(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts four processes")
@@ -350,7 +358,7 @@
 	f := startQuotaFleet(t, 6, 3)
 	at := -1
 	for rounds := 0; at < 0; rounds++ {
-		require.Less(t, rounds, 2000, "nobody leads")
+		require.Less(t, rounds, 2000, "no leader")
 		for i, m := range f.members {
 			m.awaitCounter(t, "accord_ready", 1)
 			if m.counter(t, "accord_leads") == 1 {
@@ -358,7 +366,7 @@
 			}
 		}
 	}
-	f.members[at].awaitCounter(t, "quota_held", 1) // of the reserve: its region lends
+	f.members[at].awaitCounter(t, "quota_held", 1) // a unit of the reserve: its region lends
 	require.NoError(t, f.members[at].cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, f.members[at].cmd.Wait())
 	f.members[at] = f.start(t, at)
@@ -369,7 +377,7 @@
 		case line = <-f.lenderEvents[(at+1)%3]:
 		case line = <-f.lenderEvents[(at+2)%3]:
 		case <-bound:
-			require.Fail(t, "no root knew the region")
+			require.Fail(t, "no root knew what the region held")
 		}
 		if line["event"] == "quota: inherited" && line["lender"] == "root" && line["child"] == memberRegions[at] {
 			return
--- a/cmd/tinsail/quotas_test.go
+++ b/cmd/tinsail/quotas_test.go
@@ -16,7 +16,7 @@
 	"tinsail/internal/settings"
 )
 
-// configWithTeams is a configuration with teams and classes.
+// configWithTeams returns a configuration with teams and classes.
 func configWithTeams() *config.Config {
 	return &config.Config{Name: "a", Names: platform.Names{Tenants: []string{"atelier", "press"}, Classes: []string{"photo", "express"},
 		Deadlines: []time.Duration{5 * time.Second, 2 * time.Second}}, Settings: balance.Settings{Rules: balance.Rules{AnswerSlack: 8}}}
@@ -28,13 +28,13 @@
 	return set
 }
 
-// TestCheckQuotas: what the schema cannot say is told with its key and line.
+// TestCheckQuotas: faults that the schema cannot express are reported with their key and line.
 func TestCheckQuotas(t *testing.T) {
 	const voters = "accord(voters = [\"a=127.0.0.1:1\", \"b=127.0.0.1:2\", \"c=127.0.0.1:3\"], data = \"d\")\n"
 	const call = "quotas(region = \"east\", lenders = [\"east=a\", \"west=b\"])\n"
 	for script, says := range map[string]string{
 		"policy(quotas = {\"press\": 3}, run_ms = 6000)\n" + voters + call: "",
-		"policy()\n" + voters + call:                                       "", // none yet
+		"policy()\n" + voters + call:                                       "", // no quotas yet
 		"policy()\n" + voters:                                              "",
 		call:                                                               "s.star:1:7: quotas: is set, and accord is not",
 		"policy(quotas = {\"press\": 3}, run_ms = 6000)\n" + voters:                                                            "s.star:1:8: policy.quotas: is set, and quotas(...) is not",
@@ -67,7 +67,8 @@
 	}
 }
 
-// TestPolicySizeLimit: names that make a policy larger than the log takes are told at the check, not by a proposal that fails.
+// TestPolicySizeLimit: names that make a policy larger than the log accepts are reported by the check, not by a
+// proposal that fails.
 func TestPolicySizeLimit(t *testing.T) {
 	set := parseSettings(t, "policy(run_ms = 6000)\naccord(voters = [\"a=127.0.0.1:1\"], data = \"d\")\nquotas(region = \"east\", lenders = [\"east=a\"])")
 	cfg := configWithTeams()
@@ -85,7 +86,8 @@
 	assert.NoError(t, checkAccord(cfg, set), "as many with names of 31 bytes fit")
 }
 
-// TestPolicyRefusedWithoutQuotas: it refuses the policy, so that it takes hold nowhere.
+// TestPolicyRefusedWithoutQuotas: a dispatcher without quotas(...) refuses a policy that has quotas, so that the
+// policy takes force nowhere.
 func TestPolicyRefusedWithoutQuotas(t *testing.T) {
 	body := func(p policy.Policy) []byte { return p.Append(nil) }
 	quotas := policy.Policy{Quotas: map[string]int{"press": 3}, RunMS: 6000}
@@ -101,10 +103,11 @@
 	assert.ErrorContains(t, d.checkPolicy(body(quotas)), "policy.run_ms: is 5000, want at least 5008")
 }
 
-// TestFleetQuotasMapNames: the core's numbers are the configuration's names; a req of no team is in no quota, and what is in flight is
-// bounded also while the policy has no quotas.
+// TestFleetQuotasMapNames: the core's numbers of tenants and classes are mapped to the names of the
+// configuration. A request of no team is in no quota, and the time that a request is held is bounded also while
+// the policy has no quotas.
 func TestFleetQuotasMapNames(t *testing.T) {
-	assert.Nil(t, newFleetQuotas(configWithTeams(), &settings.Settings{}), "off without the call")
+	assert.Nil(t, newFleetQuotas(configWithTeams(), &settings.Settings{}), "off without quotas(...)")
 	f := newFleetQuotas(configWithTeams(), &settings.Settings{Quotas: &settings.Quotas{}})
 	assert.Equal(t, 5008*time.Millisecond, f.MaxHold(), "the longest class and the answer slack")
 	assert.Nil(t, f.latest, "no policy is in force")
@@ -121,7 +124,7 @@
 	f.applyPolicy(policy.Policy{Quotas: map[string]int{"press": 3}, RunMS: 7000, UrgentReserve: 1, UrgentClasses: []string{"express"}})
 	assert.Equal(t, 7*time.Second, f.MaxHold())
 	assert.Equal(t, []bool{false, true}, *f.urgent.Load())
-	assert.Equal(t, 7000, f.latest.RunMS, "handed over when the links begin")
+	assert.Equal(t, 7000, f.latest.RunMS, "handed over when the links start")
 	f.applyPolicy(policy.Policy{})
 	assert.Equal(t, 5008*time.Millisecond, f.MaxHold())
 	assert.Equal(t, []bool{false, false}, *f.urgent.Load())
