--- a/internal/lab/fleet/pause.go
+++ b/internal/lab/fleet/pause.go
@@ -6,61 +6,63 @@
 	"slices"
 )
 
-// pause is how a machine stands still now and then: its collector runs, say, or its host is late.
+// pause models short stops of a whole machine, such as garbage collection or a host that does not schedule it.
 type pause struct {
-	every, length float64
-	chance        *rand.Rand // of its own, made at the first pause that may come
-	on            bool
-	at            float64 // when the one that is on ends, or the next begins; +Inf if none does
+	meanInterval, duration float64
+	random                 *rand.Rand // a stream of its own, created when pauses are first configured
+	active                 bool
+	nextChange             float64 // end of the active pause, or start of the next; +Inf for none
 }
 
-// moves says whether jobs get on.
-func (b *Backend) moves() bool { return !b.down && !b.frozen && !b.pause.on }
+// makesProgress reports whether running jobs advance.
+func (b *Backend) makesProgress() bool { return !b.down && !b.frozen && !b.pause.active }
 
-// pauses sets how often and for how long it stands still from now on. What has been set already goes on as it is: looking
-// at a machine must not move its pauses.
-func (b *Backend) pauses(every, length float64) {
+// setPauses configures how often and for how long the machine pauses from now on. A call with the values that
+// are already set changes nothing, so that setting other faults does not shift the pauses.
+func (b *Backend) setPauses(meanInterval, duration float64) {
 	p := &b.pause
-	if p.every == every && p.length == length && p.at != 0 {
+	if p.meanInterval == meanInterval && p.duration == duration && p.nextChange != 0 {
 		return
 	}
-	p.every, p.length, p.on, p.at = every, length, false, math.Inf(1)
-	if every <= 0 || length <= 0 {
+	p.meanInterval, p.duration, p.active, p.nextChange = meanInterval, duration, false, math.Inf(1)
+	if meanInterval <= 0 || duration <= 0 {
 		return
 	}
-	if p.chance == nil {
-		p.chance = rand.New(rand.NewPCG(b.chance.Uint64(), 0))
+	if p.random == nil {
+		p.random = rand.New(rand.NewPCG(b.random.Uint64(), 0))
 	}
-	p.at = b.now + p.every*p.chance.ExpFloat64()
+	p.nextChange = b.now + p.meanInterval*p.random.ExpFloat64()
 }
 
-// turn begins a pause that is due, or ends it.
-func (b *Backend) turn() {
+// switchPause starts or ends a pause if that is due.
+func (b *Backend) switchPause() {
 	p := &b.pause
-	if b.now < p.at {
+	if b.now < p.nextChange {
 		return
 	}
-	if p.on = !p.on; p.on {
-		p.at = b.now + p.length
+	if p.active = !p.active; p.active {
+		p.nextChange = b.now + p.duration
 	} else {
-		p.at = b.now + p.every*p.chance.ExpFloat64()
+		p.nextChange = b.now + p.meanInterval*p.random.ExpFloat64()
 	}
 }
 
-// NextSendTime is when what it has to say at a time goes out: at the end of a pause.
+// NextSendTime returns when a message that is ready at the time now is sent: at once, or at the end of the
+// active pause.
 func (b *Backend) NextSendTime(now float64) float64 {
-	if b.pause.on {
-		return max(now, b.pause.at)
+	if b.pause.active {
+		return max(now, b.pause.nextChange)
 	}
 	return now
 }
 
-// Progress is the part of a running job that is done, as of the last event or Advance; 0 if it does not run.
+// Progress returns the completed fraction of a running job, as of the last event or Advance. It is 0 for a job
+// that is not running.
 func (b *Backend) Progress(id uint64) float64 {
 	i := slices.IndexFunc(b.running, func(r running) bool { return r.job.ID == id })
-	if i < 0 || b.running[i].target <= b.running[i].begun {
+	if i < 0 || b.running[i].endService <= b.running[i].startService {
 		return 0
 	}
 	r := &b.running[i]
-	return min((b.service-r.begun)/(r.target-r.begun), 1)
+	return min((b.slotService-r.startService)/(r.endService-r.startService), 1)
 }
--- a/internal/lab/fleet/report.go
+++ b/internal/lab/fleet/report.go
@@ -2,36 +2,37 @@
 
 import "math/rand/v2"
 
-// ReportConfig is how a backend tells its free slots in its answers. The zero value is: not at all.
+// ReportConfig configures how a backend reports its free slots in its answers. The zero value reports nothing.
 type ReportConfig struct {
-	Period float64 // a figure is refreshed no sooner, ms
-	Delay  float64 // and told so much later
-	Noise  float64 // as a part of the figure, one standard deviation
+	Period float64 // minimum time between two measurements, ms
+	Delay  float64 // from a measurement until it is reported, ms
+	Noise  float64 // standard deviation of the reported value, relative to the value
 }
 
-// Reporter is what one backend tells: a figure that is looked at now and then, told later, and a little
-// wrong. Make it with the slots that are free at first.
+// Reporter computes the free slots that one backend reports. The value is measured periodically, reported
+// with a delay, and subject to noise.
 type Reporter struct {
 	ReportConfig
-	told, seen       float64
-	toldAt, lookedAt float64
+	reported, measured   float64
+	reportAt, measuredAt float64
 }
 
-// NewReporter makes one.
+// NewReporter returns a Reporter that reports free until the first measurement is due.
 func NewReporter(r ReportConfig, free float64) *Reporter {
-	return &Reporter{ReportConfig: r, told: free, seen: free}
+	return &Reporter{ReportConfig: r, reported: free, measured: free}
 }
 
-// Report is the figure in an answer at a time, with so many slots free; ok is false if none is told.
-func (r *Reporter) Report(now, free float64, chance *rand.Rand) (figure float64, ok bool) {
+// Report returns the value for an answer at the time now, when free slots are free. ok is false if the
+// backend reports nothing.
+func (r *Reporter) Report(now, free float64, random *rand.Rand) (value float64, ok bool) {
 	if r.Period <= 0 {
 		return 0, false
 	}
-	if now >= r.toldAt {
-		r.told = r.seen
+	if now >= r.reportAt {
+		r.reported = r.measured
 	}
-	if now-r.lookedAt >= r.Period {
-		r.lookedAt, r.seen, r.toldAt = now, free, now+r.Delay
+	if now-r.measuredAt >= r.Period {
+		r.measuredAt, r.measured, r.reportAt = now, free, now+r.Delay
 	}
-	return max(0, r.told*(1+r.Noise*chance.NormFloat64())), true
+	return max(0, r.reported*(1+r.Noise*random.NormFloat64())), true
 }
