--- a/internal/standin/platform/backend.go
+++ b/internal/standin/platform/backend.go
@@ -13,154 +13,157 @@
 	"tinsail/internal/standin/history"
 )
 
-// Faults are what a backend does wrong, from when they are set until they are set again.
+// Faults are the faults that a backend shows, until Set replaces them.
 type Faults struct {
-	Fail   bool // every job fails at once
-	Refuse bool // every job is turned away unstarted
-	// RefuseAfter is how long each job that is turned away waits for that.
+	Fail   bool // each job fails as soon as it has started
+	Refuse bool // each job is refused with 503 before it starts
+	// RefuseAfter is the delay before a job is refused.
 	RefuseAfter     time.Duration
-	BreakConnection bool // the connection breaks once the job has started
-	HoldJobs        bool // a job that has started does not end until Hold is taken back
-	// FailShare is the part of jobs, 0 to 1 by their ids, that fail as soon as they have started.
+	BreakConnection bool // the connection is closed once the job has started
+	HoldJobs        bool // jobs that have started don't end while this is set
+	// FailShare is the share of jobs, 0 to 1, that fail as soon as they have started. A hash of the id selects them.
 	FailShare float64
-	// CloseEach ends each connection after its answer (Connection: close), so that every job
-	// needs a new one.
+	// CloseEach closes each connection after its answer (Connection: close), so that each job
+	// needs a new connection.
 	CloseEach bool
-	// Reset is where in a job its connection is reset.
+	// Reset is the moment of a job at which its connection is reset.
 	Reset ResetPoint
 }
 
-// Event is what Backend.Told hears of an attempt.
+// Event is an event of an attempt, reported to Backend.OnAttempt.
 type Event string
 
-// Events.
+// Events of an attempt.
 const (
 	Started Event = "start"
 	Ended   Event = "end"
 	Aborted Event = "aborted"
 )
 
-// ResetPoint is a moment in the course of a job.
+// ResetPoint is a moment of a job at which its connection can be reset.
 type ResetPoint uint8
 
-// Points at which a connection can be reset.
+// Moments of a job.
 const (
 	NoReset        ResetPoint = iota
-	BeforeLastByte            // before the req's last byte was read, which a body beyond a buffer's size makes sure of
-	BeforeStart               // after its last byte, before "started" is told
-	AfterStart                // after "started" was told
+	BeforeLastByte            // before the request's last byte is read; certain only with a body larger than the read buffer
+	BeforeStart               // after the last byte, before "started" is sent
+	AfterStart                // after "started" is sent
 )
 
-// Backend runs jobs: a job waits for one of its slots, tells that it has started, runs for as
-// long as Work says and gives a result made of its id. A repeat of a key that ran here, or
-// runs, waits for that run and gets its result: the job's effect happens once.
+// Backend runs jobs. A job waits for a free slot, reports that it has started, takes the time that
+// JobDuration returns and gets a result made from its id. A job whose idempotency key has run here before
+// gets the earlier result, so its effect happens once; a job that runs at the same time as another of its
+// key takes its own time first.
 type Backend struct {
 	Name, Address string
 	JobDuration   func(id string) time.Duration
-	// OnAttempt, set before the first job where it is wanted, hears of each attempt: when its head is whole, and its end:
-	// before the last of its answer is sent, or, aborted, when it is found that its connection is gone.
+	// OnAttempt, if set, is called when an attempt's header has arrived and when the attempt ends: before the last
+	// part of its answer is sent, or, as Aborted, when its connection is found to be gone. Set it before the first job.
 	OnAttempt func(at time.Time, id string, event Event)
 
-	server *http.Server
-	slots  chan struct{}
-	mu     sync.Mutex
-	faults Faults
-	change chan struct{}     // closed when faults change
-	ran    map[string]int    // how often a key's effect happened
-	result map[string]string // by key
-	counts Counts
-	last   time.Time   // that a job's head came
-	conns  []time.Time // when each connection came, the first mostConns
-	seen   []*history.Attempt
-	starts []AttemptStart // of attempts, the first mostConns
+	server        *http.Server
+	slots         chan struct{}
+	mu            sync.Mutex
+	faults        Faults
+	faultsChanged chan struct{}     // closed and replaced when faults change
+	runsByKey     map[string]int    // how often the effect of a key happened
+	results       map[string]string // by idempotency key
+	counts        Counts
+	lastJob       time.Time   // when the header of the latest job arrived
+	connTimes     []time.Time // when each connection was accepted; the first maxRecorded
+	attempts      []*history.Attempt
+	starts        []AttemptStart // the first maxRecorded
 }
 
-// AttemptStart is an attempt whose head is whole here, as it names itself.
+// AttemptStart is an attempt whose header has arrived, with the names that the header carries.
 type AttemptStart struct {
 	At              time.Time
 	Dispatcher, Req string
-	Version         string // empty: it names none
+	Version         string // policy version; empty if the header has none
 }
 
-// AttemptStarts are the attempts that came, in the order in which their heads were whole.
+// AttemptStarts returns the attempts in the order in which their headers arrived.
 func (b *Backend) AttemptStarts() []AttemptStart {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]AttemptStart(nil), b.starts...)
 }
 
-// mostConns bounds what a backend remembers of its connections, and of its attempts.
-const mostConns = 1 << 20
+// maxRecorded limits the connections, and the attempts, that a backend records.
+const maxRecorded = 1 << 20
 
-// Attempts are what it saw of each attempt, in the order in which their heads came.
+// Attempts returns the backend's record of each attempt, in the order in which they were recorded: when their
+// headers arrived or, for one that broke off within its header, when its connection ended.
 func (b *Backend) Attempts() []history.Attempt {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	all := make([]history.Attempt, len(b.seen))
-	for i, a := range b.seen {
+	all := make([]history.Attempt, len(b.attempts))
+	for i, a := range b.attempts {
 		all[i] = *a
 	}
 	return all
 }
 
-// note remembers an attempt; now changes it under the lock.
-func (b *Backend) note(a *history.Attempt) {
+// recordAttempt adds an attempt to the record; later changes to it go through update.
+func (b *Backend) recordAttempt(a *history.Attempt) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if a.Backend = b.Name; len(b.seen) < mostConns {
-		b.seen = append(b.seen, a)
+	if a.Backend = b.Name; len(b.attempts) < maxRecorded {
+		b.attempts = append(b.attempts, a)
 	}
 }
 
-func (b *Backend) now(change func()) {
+// update calls change under the lock, which guards the recorded attempts.
+func (b *Backend) update(change func()) {
 	b.mu.Lock()
 	change()
 	b.mu.Unlock()
 }
 
-// ConnectionTimes are the times at which connections came, oldest first.
+// ConnectionTimes returns when connections were accepted, oldest first.
 func (b *Backend) ConnectionTimes() []time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]time.Time(nil), b.conns...)
+	return append([]time.Time(nil), b.connTimes...)
 }
 
-// part spreads ids over 0 to 1.
-func part(id string) float64 {
+// hashToUnit maps an id to a number from 0 up to 1 by a hash.
+func hashToUnit(id string) float64 {
 	h := fnv.New32a()
 	_, _ = io.WriteString(h, id)
 	return float64(h.Sum32()>>8) / (1 << 24)
 }
 
-// LastJobTime is when the head of the last job came.
+// LastJobTime returns when the header of the latest job arrived.
 func (b *Backend) LastJobTime() time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.last
+	return b.lastJob
 }
 
-// Counts are what a backend has seen.
+// Counts are the numbers of jobs received in full, started, done, and abandoned by the dispatcher before their end.
 type Counts struct{ Jobs, Started, Done, Cancelled int }
 
-// StartBackend listens on a free port of 127.0.0.1, with so many slots.
-func StartBackend(name string, slots int, work func(id string) time.Duration) (*Backend, error) {
+// StartBackend starts a backend with the given number of slots on a free port of 127.0.0.1.
+func StartBackend(name string, slots int, jobDuration func(id string) time.Duration) (*Backend, error) {
 	l, err := listen()
 	if err != nil {
 		return nil, err
 	}
-	return NewBackend(l, name, slots, work), nil
+	return NewBackend(l, name, slots, jobDuration), nil
 }
 
-// NewBackend answers on a listener, which Close closes.
-func NewBackend(l net.Listener, name string, slots int, work func(id string) time.Duration) *Backend {
-	b := &Backend{Name: name, Address: l.Addr().String(), JobDuration: work, slots: make(chan struct{}, slots), change: make(chan struct{}),
-		ran: map[string]int{}, result: map[string]string{}}
-	b.server = serve(&tapped{l, b}, &http.Server{Handler: http.HandlerFunc(b.serve), ConnContext: withTap,
+// NewBackend starts a backend on the listener, which Close closes.
+func NewBackend(l net.Listener, name string, slots int, jobDuration func(id string) time.Duration) *Backend {
+	b := &Backend{Name: name, Address: l.Addr().String(), JobDuration: jobDuration, slots: make(chan struct{}, slots), faultsChanged: make(chan struct{}),
+		runsByKey: map[string]int{}, results: map[string]string{}}
+	b.server = serve(&recordingListener{l, b}, &http.Server{Handler: http.HandlerFunc(b.serve), ConnContext: withConn,
 		ConnState: func(_ net.Conn, s http.ConnState) {
 			if s == http.StateNew {
 				b.mu.Lock()
-				if len(b.conns) < mostConns {
-					b.conns = append(b.conns, time.Now())
+				if len(b.connTimes) < maxRecorded {
+					b.connTimes = append(b.connTimes, time.Now())
 				}
 				b.mu.Unlock()
 			}
@@ -168,39 +171,39 @@
 	return b
 }
 
-// Entry is the backend's line in a list.
+// Entry returns the backend's entry for the director's list. Its weight is the number of slots.
 func (b *Backend) Entry(kind, zone string, group int, status string) Entry {
 	return Entry{Name: b.Name, Address: b.Address, Zone: zone, Type: kind, Group: group, Status: status, Weight: float64(cap(b.slots))}
 }
 
-// Set has the backend fail in these ways from now on.
+// Set replaces the backend's faults.
 func (b *Backend) Set(f Faults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.faults = f
-	close(b.change)
-	b.change = make(chan struct{})
+	close(b.faultsChanged)
+	b.faultsChanged = make(chan struct{})
 }
 
-// Counts tells what the backend has seen so far.
+// Counts returns the counts so far.
 func (b *Backend) Counts() Counts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.counts
 }
 
-// RunsByKey tells how often the effect of each key happened here.
+// RunsByKey returns how often the effect of each idempotency key happened here.
 func (b *Backend) RunsByKey() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	all := make(map[string]int, len(b.ran))
-	for k, n := range b.ran {
+	all := make(map[string]int, len(b.runsByKey))
+	for k, n := range b.runsByKey {
 		all[k] = n
 	}
 	return all
 }
 
-// Close ends the backend and breaks its connections.
+// Close closes the listener and all connections.
 func (b *Backend) Close() { b.server.Close() }
 
 func (b *Backend) load() string {
@@ -209,7 +212,7 @@
 
 func (b *Backend) serve(w http.ResponseWriter, r *http.Request) {
 	if r.Method != "POST" {
-		tapOf(r).whole()
+		connOf(r).completeReq()
 	}
 	switch {
 	case r.Method == "POST":
@@ -222,22 +225,23 @@
 	}
 }
 
-func (b *Backend) state() (Faults, <-chan struct{}) {
+func (b *Backend) faultsAndChange() (Faults, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.faults, b.change
+	return b.faults, b.faultsChanged
 }
 
-func (b *Backend) faulty() Faults { f, _ := b.state(); return f }
+func (b *Backend) currentFaults() Faults { f, _ := b.faultsAndChange(); return f }
 
-func (b *Backend) add(f func(*Counts)) {
+func (b *Backend) updateCounts(f func(*Counts)) {
 	b.mu.Lock()
 	f(&b.counts)
 	b.mu.Unlock()
 }
 
-// told is how long the dispatcher waits, as it says; negative where it does not say.
-func told(r *http.Request) time.Duration {
+// timeLeft returns the request's X-Time-Left-Ms: how long the dispatcher waits. It is negative if the header is
+// missing or invalid.
+func timeLeft(r *http.Request) time.Duration {
 	ms, err := strconv.Atoi(r.Header.Get("X-Time-Left-Ms"))
 	if err != nil {
 		return -1
@@ -245,8 +249,9 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// tell tells that an attempt has come, and gives what tells its end, which is told once.
-func (b *Backend) tell(id string) (end func(Event)) {
+// reportAttempt reports an attempt's start to OnAttempt and returns the function that reports its end; only that
+// function's first call counts.
+func (b *Backend) reportAttempt(id string) (end func(Event)) {
 	if b.OnAttempt == nil || id == "" {
 		return func(Event) {}
 	}
@@ -258,41 +263,41 @@
 func (b *Backend) job(w http.ResponseWriter, r *http.Request) {
 	id, key := r.Header.Get("X-Correlation-Id"), r.Header.Get("Idempotency-Key")
 	b.mu.Lock()
-	b.last = time.Now()
-	if len(b.starts) < mostConns {
-		b.starts = append(b.starts, AttemptStart{b.last, r.Header.Get("X-Dispatcher"), id, r.Header.Get("X-Policy-Version")})
+	b.lastJob = time.Now()
+	if len(b.starts) < maxRecorded {
+		b.starts = append(b.starts, AttemptStart{b.lastJob, r.Header.Get("X-Dispatcher"), id, r.Header.Get("X-Policy-Version")})
 	}
 	b.mu.Unlock()
-	end := b.tell(id)
+	end := b.reportAttempt(id)
 	defer end(Aborted)
-	tap, f := tapOf(r), b.faulty()
-	a := &history.Attempt{ID: id, First: tap.begin(), Told: told(r)}
-	b.note(a)
-	if f.Reset == BeforeLastByte {
-		tap.reset()
+	conn, faults := connOf(r), b.currentFaults()
+	attempt := &history.Attempt{ID: id, First: conn.startAttempt(), Told: timeLeft(r)}
+	b.recordAttempt(attempt)
+	if faults.Reset == BeforeLastByte {
+		conn.reset()
 		panic(http.ErrAbortHandler)
 	}
 	if _, err := io.Copy(io.Discard, r.Body); err != nil || id == "" {
 		http.NotFound(w, r)
 		return
 	}
-	tap.whole()
-	b.now(func() { a.Last = time.Now() })
-	b.add(func(c *Counts) { c.Jobs++ })
-	if f.Reset == BeforeStart {
-		tap.reset()
+	conn.completeReq()
+	b.update(func() { attempt.Last = time.Now() })
+	b.updateCounts(func(c *Counts) { c.Jobs++ })
+	if faults.Reset == BeforeStart {
+		conn.reset()
 		panic(http.ErrAbortHandler)
 	}
-	if f.CloseEach {
+	if faults.CloseEach {
 		w.Header().Set("Connection", "close")
 	}
-	if f.Refuse {
+	if faults.Refuse {
 		select {
-		case <-time.After(f.RefuseAfter):
+		case <-time.After(faults.RefuseAfter):
 		case <-r.Context().Done():
 			return
 		}
-		b.now(func() { a.Never = true })
+		b.update(func() { attempt.Never = true })
 		end(Ended)
 		w.Header().Set("X-Unprocessed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -300,52 +305,52 @@
 	}
 	select {
 	case b.slots <- struct{}{}:
-	case <-r.Context().Done(): // called off while it waited: it never ran
-		b.add(func(c *Counts) { c.Cancelled++ })
+	case <-r.Context().Done(): // cancelled while it waited for a slot: it never ran
+		b.updateCounts(func(c *Counts) { c.Cancelled++ })
 		return
 	}
 	defer func() { <-b.slots }()
-	b.add(func(c *Counts) { c.Started++ })
+	b.updateCounts(func(c *Counts) { c.Started++ })
 	line := func(rest string) {
 		fmt.Fprintf(w, `{"id":%q,"from":%q,%s}`+"\n", id, b.Name, rest)
 		_ = http.NewResponseController(w).Flush()
 	}
 	line(`"state":"started"`)
-	if f.Reset == AfterStart {
-		tap.reset()
+	if faults.Reset == AfterStart {
+		conn.reset()
 		panic(http.ErrAbortHandler)
 	}
-	if f.Fail || f.FailShare > 0 && part(id) < f.FailShare {
+	if faults.Fail || faults.FailShare > 0 && hashToUnit(id) < faults.FailShare {
 		end(Ended)
 		line(`"state":"failed"`)
 		return
 	}
-	if f.BreakConnection {
+	if faults.BreakConnection {
 		panic(http.ErrAbortHandler)
 	}
 	select {
 	case <-time.After(b.JobDuration(id)):
 	case <-r.Context().Done():
-		b.add(func(c *Counts) { c.Cancelled++ })
+		b.updateCounts(func(c *Counts) { c.Cancelled++ })
 		return
 	}
-	for f, change := b.state(); f.HoldJobs; f, change = b.state() {
+	for f, change := b.faultsAndChange(); f.HoldJobs; f, change = b.faultsAndChange() {
 		select {
 		case <-change:
 		case <-r.Context().Done():
-			b.add(func(c *Counts) { c.Cancelled++ })
+			b.updateCounts(func(c *Counts) { c.Cancelled++ })
 			return
 		}
 	}
 	b.mu.Lock()
-	result, again := b.result[key]
-	if key == "" || !again {
+	result, repeated := b.results[key]
+	if key == "" || !repeated {
 		result = "small " + id
-		b.result[key] = result
-		b.ran[key]++
+		b.results[key] = result
+		b.runsByKey[key]++
 	}
 	b.counts.Done++
-	a.Result = result
+	attempt.Result = result
 	b.mu.Unlock()
 	end(Ended)
 	line(fmt.Sprintf(`"state":"done","result":%q,"load":%s`, result, b.load()))
--- a/internal/standin/platform/director.go
+++ b/internal/standin/platform/director.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// Director serves the list of backends, whole and as a watch. Dispatchers reach it by seats; the
-// one that it starts with is at Address.
+// Director serves the list of backends, in full and as a watch that returns changes. Dispatchers reach it
+// through listeners; the main one is at Address.
 type Director struct {
 	Address string
 
-	mu      sync.Mutex
-	index   uint64
-	list    []Entry
-	changes []Change
-	seats   []*DirectorListener
-	moved   chan struct{} // closed at the next change
-	down    bool
-	downs   []span
-	indent  bool
+	mu        sync.Mutex
+	index     uint64
+	list      []Entry
+	changes   []Change
+	listeners []*DirectorListener
+	changed   chan struct{} // closed and replaced at each change
+	down      bool
+	downtimes []span
+	indent    bool
 }
 
-// Entry is a line of the list, as the protocol has it.
+// Entry is a backend in the list, in the protocol's form.
 type Entry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -38,21 +38,21 @@
 	index   uint64
 }
 
-// Change is one change of the list.
+// Change is a change of one entry of the list.
 type Change struct {
 	Index        uint64
 	Name, Status string
 	ChangedAt    time.Time
 }
 
-// span is a time in which something did not work; a zero end is yet to come.
+// span is a period of failure; it lasts still if its end is zero.
 type span struct{ from, to time.Time }
 
-func (s span) holds(at time.Time) bool {
+func (s span) contains(at time.Time) bool {
 	return !at.Before(s.from) && (s.to.IsZero() || at.Before(s.to))
 }
 
-// StartDirector listens on a free port of 127.0.0.1.
+// StartDirector starts a director on a free port of 127.0.0.1.
 func StartDirector() (*Director, error) {
 	l, err := listen()
 	if err != nil {
@@ -61,46 +61,47 @@
 	return NewDirector(l), nil
 }
 
-// NewDirector answers on a listener, which Close closes.
+// NewDirector starts a director on the listener, which Close closes.
 func NewDirector(l net.Listener) *Director {
-	d := &Director{index: 1, moved: make(chan struct{})}
+	d := &Director{index: 1, changed: make(chan struct{})}
 	d.Address = d.AddListener(l, false).Address
 	return d
 }
 
-// Set adds a backend to the list or changes its line. Status is Ready, Terminating or Gone.
+// Set adds a backend to the list or replaces its entry. Status is Ready, Terminating or Gone.
 func (d *Director) Set(e Entry) Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.index++
 	e.index = d.index
-	kept := d.list[:0]
+	others := d.list[:0]
 	for _, old := range d.list {
 		if old.Name != e.Name {
-			kept = append(kept, old)
+			others = append(others, old)
 		}
 	}
-	d.list = append(kept, e)
+	d.list = append(others, e)
 	c := Change{d.index, e.Name, e.Status, time.Now()}
 	d.changes = append(d.changes, c)
-	d.stir()
+	d.wakeCalls()
 	return c
 }
 
-// stir wakes every call that waits. d.mu is held.
-func (d *Director) stir() {
-	close(d.moved)
-	d.moved = make(chan struct{})
+// wakeCalls wakes all waiting calls. d.mu is held.
+func (d *Director) wakeCalls() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// SetIndent has lists come indented, over many lines, or no longer.
+// SetIndent sets whether lists are sent as indented JSON over many lines.
 func (d *Director) SetIndent(on bool) {
 	d.mu.Lock()
 	d.indent = on
 	d.mu.Unlock()
 }
 
-// SetDown has every call fail with 503, and ends the watches, or no longer. Agents are told nothing.
+// SetDown sets whether the director is down: then all calls fail with 503, and so do the watches that are open.
+// Agents keep answering.
 func (d *Director) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -108,19 +109,19 @@
 		return
 	}
 	if d.down = down; down {
-		d.downs = append(d.downs, span{from: time.Now()})
+		d.downtimes = append(d.downtimes, span{from: time.Now()})
 	} else {
-		d.downs[len(d.downs)-1].to = time.Now()
+		d.downtimes[len(d.downtimes)-1].to = time.Now()
 	}
-	d.stir()
+	d.wakeCalls()
 }
 
-// Close ends the director and all watches.
+// Close closes all listeners and their connections.
 func (d *Director) Close() {
 	d.mu.Lock()
-	seats := d.seats
+	listeners := d.listeners
 	d.mu.Unlock()
-	for _, s := range seats {
+	for _, s := range listeners {
 		s.server.Close()
 	}
 }
@@ -130,19 +131,19 @@
 		http.NotFound(w, r)
 		return
 	}
-	c := &call{Call: Call{At: time.Now()}, hush: make(chan struct{})}
+	c := &call{Call: Call{At: time.Now()}, silenced: make(chan struct{})}
 	since, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	if c.Watch = err == nil; c.Watch {
 		ms, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
 		c.Wait = time.Duration(min(ms, 60_000)) * time.Millisecond
 	}
-	s.came(c)
+	s.recordCall(c)
 	answered := s.await(r, c, since)
 	d.mu.Lock()
-	if !answered || !c.SilentAt.IsZero() { // fallen silent, or its caller has gone
+	if !answered || !c.SilentAt.IsZero() { // silenced, or its caller hung up
 		d.mu.Unlock()
 		<-r.Context().Done()
-		s.left(c)
+		s.recordAbandoned(c)
 		panic(http.ErrAbortHandler)
 	}
 	if d.down && !s.agent {
@@ -151,22 +152,22 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	out := struct {
+	answer := struct {
 		Index     uint64  `json:"index"`
 		Snapshot  bool    `json:"snapshot"`
 		Endpoints []Entry `json:"endpoints"`
 	}{d.index, !c.Watch, []Entry{}}
 	for _, e := range d.list {
 		if c.Watch && e.index > since || !c.Watch && e.Status != "Gone" {
-			out.Endpoints = append(out.Endpoints, e)
+			answer.Endpoints = append(answer.Endpoints, e)
 		}
 	}
-	c.Index, c.EndedAt = d.index, time.Now() // noted before a byte goes out: never later than the dispatcher's
+	c.Index, c.EndedAt = d.index, time.Now() // taken before the first byte is sent, so never later than the dispatcher receives it
 	indent := d.indent
 	d.mu.Unlock()
 	enc := json.NewEncoder(w)
 	if indent {
 		enc.SetIndent("", "  ")
 	}
-	_ = enc.Encode(out) // a caller that has gone needs no answer
+	_ = enc.Encode(answer) // fails if the caller has hung up, which is no error here
 }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,6 +1,7 @@
-// Package platform stands in for the platform around a dispatcher: a director and backends, in
-// process and on loopback, written from the published protocol with the standard library's
-// HTTP server. It shares no code with what serves, so that a mistake there shows here.
+// Package platform provides stand-ins for the platform around a dispatcher, a director and backends,
+// for tests and the demo. They run in process on loopback. They are written from the published
+// protocol with the standard library's HTTP server and share no code with the dispatcher, so a
+// mistake in the dispatcher's protocol code isn't repeated here.
 package platform
 
 import (
@@ -8,11 +9,11 @@
 	"net/http"
 )
 
-// listen opens a free port of 127.0.0.1.
+// listen listens on a free port of 127.0.0.1.
 func listen() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
 
-// serve has a server answer on a listener until it is closed.
+// serve runs the server on the listener, in a goroutine, until the server is closed.
 func serve(l net.Listener, s *http.Server) *http.Server {
-	go func() { _ = s.Serve(l) }() // ends with Close
+	go func() { _ = s.Serve(l) }() // returns after Close
 	return s
 }
--- a/internal/standin/platform/raw.go
+++ b/internal/standin/platform/raw.go
@@ -11,32 +11,33 @@
 	"time"
 )
 
-// RawBackend is a backend whose every byte a test writes: it reads reqs, notes them and leaves the answer to
-// Answer, so that half a line, a surplus one or a reset can come at any moment. Close ends it.
+// RawBackend is a backend for tests that write the bytes of each answer themselves. It reads and records requests and
+// leaves the answer to a function, which can send part of a line, an extra line or a reset at any moment.
 type RawBackend struct {
 	Name, Address string
 
-	answer  func(RawReq)
-	l       *net.TCPListener
-	fillers []net.Conn
+	answer   func(RawReq)
+	listener *net.TCPListener
+	fillers  []net.Conn
 
-	mu    sync.Mutex
-	seen  []RawReq
-	conns []*net.TCPConn
-	done  bool
+	mu     sync.Mutex
+	reqs   []RawReq
+	conns  []*net.TCPConn
+	closed bool
 }
 
-// RawReq is a req as far as it came.
+// RawReq is a request, as far as it was received.
 type RawReq struct {
-	Connection, Number int       // the number of its connection, and its own there, from 0
-	ID                 string    // empty: its head never came whole
-	FirstByteAt        time.Time // its first byte came
-	Complete           bool      // its last byte came
+	Connection, Number int    // number of the connection, and of the request on it, from 0
+	ID                 string // empty if its header didn't arrive in full
+	FirstByteAt        time.Time
+	Complete           bool // its last byte arrived
 	TCP                *net.TCPConn
 }
 
-// StartRawBackend listens on a free port of 127.0.0.1. answer is called once a req is whole, in a goroutine of its connection, which
-// reads on when answer returns; nil answers each with its result.
+// StartRawBackend starts a backend on a free port of 127.0.0.1. answer is called when a request has arrived in full,
+// in the connection's goroutine, which reads the next request after answer returns. If answer is nil, each request is
+// answered with ResultAnswer.
 func StartRawBackend(name string, answer func(RawReq)) (*RawBackend, error) {
 	r, err := newRaw(name, answer)
 	if err == nil {
@@ -45,13 +46,14 @@
 	return r, err
 }
 
-// StartStalledBackend is a Raw at which connections don't come up until Release is called: its listener's queue is full.
+// StartStalledBackend starts a RawBackend whose accept queue is full, so that new connections aren't established until
+// AcceptConnections is called.
 func StartStalledBackend(name string, answer func(RawReq)) (*RawBackend, error) {
 	r, err := newRaw(name, answer)
 	if err != nil {
 		return nil, err
 	}
-	if err := r.backlog(0); err != nil {
+	if err := r.setBacklog(0); err != nil {
 		return nil, err
 	}
 	for len(r.fillers) < 10 {
@@ -61,7 +63,7 @@
 		}
 		r.fillers = append(r.fillers, c)
 	}
-	return nil, fmt.Errorf("the queue of %s takes connections without end", r.Address)
+	return nil, fmt.Errorf("the accept queue of %s did not fill up", r.Address)
 }
 
 func newRaw(name string, answer func(RawReq)) (*RawBackend, error) {
@@ -69,16 +71,16 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &RawBackend{Name: name, Address: l.Addr().String(), answer: answer, l: l.(*net.TCPListener)}
+	r := &RawBackend{Name: name, Address: l.Addr().String(), answer: answer, listener: l.(*net.TCPListener)}
 	if r.answer == nil {
 		r.answer = func(q RawReq) { q.Write(r.ResultAnswer(q.ID)) }
 	}
 	return r, nil
 }
 
-// backlog changes how many connections the listener's queue takes.
-func (r *RawBackend) backlog(n int) error {
-	raw, err := r.l.SyscallConn()
+// setBacklog changes the size of the listener's accept queue.
+func (r *RawBackend) setBacklog(n int) error {
+	raw, err := r.listener.SyscallConn()
 	if err != nil {
 		return err
 	}
@@ -89,23 +91,23 @@
 	return failed
 }
 
-// AcceptConnections lets connections come up.
+// AcceptConnections empties the accept queue and accepts connections from then on.
 func (r *RawBackend) AcceptConnections() error {
 	for _, c := range r.fillers {
 		c.Close()
 	}
 	go r.accept()
-	return r.backlog(128)
+	return r.setBacklog(128)
 }
 
 func (r *RawBackend) accept() {
 	for {
-		c, err := r.l.AcceptTCP()
+		c, err := r.listener.AcceptTCP()
 		if err != nil {
 			return
 		}
 		r.mu.Lock()
-		if r.done {
+		if r.closed {
 			c.Close()
 		}
 		n := len(r.conns)
@@ -118,18 +120,18 @@
 func (r *RawBackend) read(n int, c *net.TCPConn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
-	for turn := 0; ; turn++ {
+	for number := 0; ; number++ {
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
-		q := RawReq{Connection: n, Number: turn, FirstByteAt: time.Now(), TCP: c}
+		q := RawReq{Connection: n, Number: number, FirstByteAt: time.Now(), TCP: c}
 		head, err := http.ReadRequest(in)
 		if err == nil {
 			q.ID = head.Header.Get("X-Correlation-Id")
 		}
 		r.mu.Lock()
-		at := len(r.seen)
-		r.seen = append(r.seen, q)
+		at := len(r.reqs)
+		r.reqs = append(r.reqs, q)
 		r.mu.Unlock()
 		if err != nil {
 			return
@@ -142,26 +144,26 @@
 			return
 		}
 		r.mu.Lock()
-		r.seen[at].Complete = true
+		r.reqs[at].Complete = true
 		r.mu.Unlock()
 		q.Complete = true
 		r.answer(q)
 	}
 }
 
-// Reqs are the reqs that came, jobs and probes, in the order of their heads.
+// Reqs returns the requests received, jobs and probes, in the order of their headers.
 func (r *RawBackend) Reqs() []RawReq {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]RawReq(nil), r.seen...)
+	return append([]RawReq(nil), r.reqs...)
 }
 
-// Close ends the listener and resets all connections.
+// Close closes the listener and resets all connections.
 func (r *RawBackend) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.done = true
-	r.l.Close()
+	r.closed = true
+	r.listener.Close()
 	for _, c := range r.fillers {
 		c.Close()
 	}
@@ -171,31 +173,31 @@
 	}
 }
 
-// Entry is its line in a list.
+// Entry returns the backend's entry for the director's list.
 func (r *RawBackend) Entry(group int, status string) Entry {
 	return Entry{Name: r.Name, Address: r.Address, Zone: "here", Type: "fast", Group: group, Status: status, Weight: 64}
 }
 
-// ResultAnswer is a whole answer with the result "small ID".
+// ResultAnswer returns a complete answer with the result "small ID".
 func (r *RawBackend) ResultAnswer(id string) string {
 	return AnswerHeader + EncodeChunk(r.StateLine(id, `"started"`)) + EncodeChunk(r.StateLine(id, fmt.Sprintf(`"done","result":"small %s"`, id))) + "0\r\n\r\n"
 }
 
-// StateLine is a line of an answer, in the given state.
+// StateLine returns a line of an answer. state is inserted as JSON: a quoted state, which further fields may follow.
 func (r *RawBackend) StateLine(id, state string) string {
 	return fmt.Sprintf(`{"id":%q,"from":%q,"state":%s}`+"\n", id, r.Name, state)
 }
 
-// AnswerHeader begins an answer.
+// AnswerHeader is the status line and header of an answer, whose body is chunked.
 const AnswerHeader = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// EncodeChunk frames a piece of an answer.
+// EncodeChunk returns the text as a chunk of a chunked body.
 func EncodeChunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// Write writes to the req's connection in one piece; a peer that has gone doesn't matter.
+// Write writes to the request's connection in one piece. Errors are ignored: the peer may have closed it.
 func (q RawReq) Write(text string) { _, _ = io.WriteString(q.TCP, text) }
 
-// Reset breaks the req's connection as a process that dies does.
+// Reset resets the request's connection, as the kernel does for a process that dies.
 func (q RawReq) Reset() {
 	_ = q.TCP.SetLinger(0)
 	q.TCP.Close()
--- a/internal/standin/platform/tap.go
+++ b/internal/standin/platform/tap.go
@@ -10,90 +10,93 @@
 	"tinsail/internal/standin/history"
 )
 
-// tapped is a backend's listener; its connections note when the first byte of each req came.
-type tapped struct {
+// recordingListener is a backend's listener whose connections record when the first byte of each request arrives.
+type recordingListener struct {
 	net.Listener
 	b *Backend
 }
 
-// Accept wraps the connection.
-func (t *tapped) Accept() (net.Conn, error) {
-	c, err := t.Listener.Accept()
+// Accept returns the next connection as a recordingConn.
+func (c *recordingListener) Accept() (net.Conn, error) {
+	conn, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &tap{Conn: c, b: t.b}, nil
+	return &recordingConn{Conn: conn, b: c.b}, nil
 }
 
-type tap struct {
+// recordingConn is a backend's connection; it records when the first byte of each request arrives, and requests
+// that break off within their header.
+type recordingConn struct {
 	net.Conn
 	b *Backend
 
-	mu    sync.Mutex
-	first time.Time // the first byte of the req that is coming in; zero between reqs
-	noted bool      // its head has come, and it is noted as an attempt
+	mu          sync.Mutex
+	firstByteAt time.Time // of the request being received; zero between requests
+	recorded    bool      // its header has arrived and it is recorded as an attempt
 }
 
-type tapKey struct{}
+// connKey is the context key of a request's connection.
+type connKey struct{}
 
-func withTap(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, tapKey{}, c)
+func withConn(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, connKey{}, c)
 }
 
-func tapOf(r *http.Request) *tap { return r.Context().Value(tapKey{}).(*tap) }
+func connOf(r *http.Request) *recordingConn { return r.Context().Value(connKey{}).(*recordingConn) }
 
-// Read notes the first byte of a req.
-func (t *tap) Read(p []byte) (int, error) {
-	n, err := t.Conn.Read(p)
+// Read reads from the connection and records the time of a request's first byte.
+func (c *recordingConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
 	if n > 0 {
-		t.mu.Lock()
-		if t.first.IsZero() {
-			t.first = time.Now()
+		c.mu.Lock()
+		if c.firstByteAt.IsZero() {
+			c.firstByteAt = time.Now()
 		}
-		t.mu.Unlock()
+		c.mu.Unlock()
 	}
 	return n, err
 }
 
-// begin says when the first byte came of the req whose head is here.
-func (t *tap) begin() time.Time {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.noted = true
-	return t.first
+// startAttempt marks the request whose header has arrived as recorded and returns the time of its first byte.
+func (c *recordingConn) startAttempt() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.recorded = true
+	return c.firstByteAt
 }
 
-// whole says that the req is here to its last byte: the next byte is another's first.
-func (t *tap) whole() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.first, t.noted = time.Time{}, false
+// completeReq is called when a request has arrived in full: the next byte is the first of another.
+func (c *recordingConn) completeReq() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.firstByteAt, c.recorded = time.Time{}, false
 }
 
-// Close notes a req that ended within its head: an attempt whose id nobody knows.
-func (t *tap) Close() error {
-	t.mu.Lock()
-	first, noted := t.first, t.noted
-	t.first, t.noted = time.Time{}, false
-	t.mu.Unlock()
-	if !first.IsZero() && !noted {
-		t.b.note(&history.Attempt{First: first})
+// Close closes the connection. A request that broke off within its header is recorded as an attempt without an id.
+func (c *recordingConn) Close() error {
+	c.mu.Lock()
+	firstByteAt, recorded := c.firstByteAt, c.recorded
+	c.firstByteAt, c.recorded = time.Time{}, false
+	c.mu.Unlock()
+	if !firstByteAt.IsZero() && !recorded {
+		c.b.recordAttempt(&history.Attempt{First: firstByteAt})
 	}
-	return t.Conn.Close()
+	return c.Conn.Close()
 }
 
-// CloseWrite ends the sending alone, where the connection can.
-func (t *tap) CloseWrite() error {
-	if c, ok := t.Conn.(interface{ CloseWrite() error }); ok {
-		return c.CloseWrite()
+// CloseWrite closes the sending side if the connection supports it.
+func (c *recordingConn) CloseWrite() error {
+	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return half.CloseWrite()
 	}
 	return nil
 }
 
-// reset breaks the connection, as a process that dies does.
-func (t *tap) reset() {
-	if c, ok := t.Conn.(*net.TCPConn); ok {
-		_ = c.SetLinger(0) // a close then sends RST, not FIN
+// reset resets the connection, as the kernel does for a process that dies.
+func (c *recordingConn) reset() {
+	if tcp, ok := c.Conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // makes Close send RST instead of FIN
 	}
-	t.Close()
+	c.Close()
 }
--- a/internal/standin/platform/told.go
+++ b/internal/standin/platform/told.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// Figures of the pages ("Figures", and the standing test's "Days at full size").
+// Time limits from the platform's documentation ("Figures", and "Days at full size" of the standing test).
 const (
-	lastsBetween = 200 * time.Millisecond // a watch lasts if the next call comes within this
-	toldAnyhow   = 6 * time.Second        // after it fell silent, or was made
-	toldAfter    = 2 * time.Second        // after the wait of a call that may wait
-	toldAfterHup = 4 * time.Second        // after SIGHUP moved the agent
-	afterFailed  = 4                      // times as long to ask, where the last call failed
+	maxWatchGap           = 200 * time.Millisecond // longest time between an answer and the next call at which a watch continues
+	publishedAfterSilence = 6 * time.Second        // since the call was silenced, or since the change if the watch is open
+	publishedAfterWait    = 2 * time.Second        // since the end of the longest wait of a watch's call
+	publishedAfterSIGHUP  = 4 * time.Second        // since SIGHUP moved the dispatcher to this agent
+	failedPollFactor      = 4                      // multiplies the poll interval if the last call failed
 )
 
-// ProcessInfo are what else says when a change counts as told.
+// ProcessInfo holds what PublishedAt has to know about the dispatcher's process.
 type ProcessInfo struct {
-	StartedAt    time.Time     // of the process
-	MovedAt      time.Time     // it was sent here by SIGHUP; zero: it was here from the start
-	PollInterval time.Duration // the settings' AskEveryMs; of no use for an agent
+	StartedAt    time.Time
+	MovedAt      time.Time     // when SIGHUP moved the process to this agent; zero: it has used it from the start
+	PollInterval time.Duration // the settings' AskEveryMs; not used for an agent
 }
 
-// PublishedAt says when a change counts as told to the seat's dispatcher, by the calls so far; zero: not yet,
-// by anything known now. Where pages leave two readings, it is the earlier time:
-//   - an agent's change counts at once when the agent has it; only a watch that has fallen silent
-//     puts that off, and calls that follow each other in one silence share the first one's clock.
-func (s *DirectorListener) PublishedAt(c Change, t ProcessInfo) time.Time {
+// PublishedAt returns when a change counts as published to the listener's dispatcher, judged by the calls
+// so far; zero if the calls so far give no such time. Where the documentation can be read in two ways, it takes the
+// earlier time:
+//   - A change counts as published as soon as the agent has it. Only a silenced watch delays that, and
+//     consecutive calls that were all silenced count from the time at which the first was silenced.
+func (s *DirectorListener) PublishedAt(c Change, p ProcessInfo) time.Time {
 	s.d.mu.Lock()
-	down, outages := append([]span(nil), s.d.downs...), append([]span(nil), s.outages...)
+	downtimes, outages := append([]span(nil), s.d.downtimes...), append([]span(nil), s.outages...)
 	s.d.mu.Unlock()
 	if s.agent {
-		return toldByAgent(s.Calls(), outages, c, t)
+		return publishedByAgent(s.Calls(), outages, c, p)
 	}
-	return toldWhenAsked(s.Calls(), down, c, t)
+	return publishedByPolling(s.Calls(), downtimes, c, p)
 }
 
-// written is when an answer brought the change; zero: never.
-func written(calls []Call, c Change) time.Time {
+// deliveredAt returns when an answer first contained the change; zero if none did.
+func deliveredAt(calls []Call, c Change) time.Time {
 	for _, k := range calls {
 		if !k.EndedAt.IsZero() && !k.Failed && k.Index >= c.Index {
 			return k.EndedAt
@@ -42,56 +43,57 @@
 	return time.Time{}
 }
 
-func toldByAgent(calls []Call, outages []span, c Change, t ProcessInfo) time.Time {
-	has := latest(c.ChangedAt, t.StartedAt)
+func publishedByAgent(calls []Call, outages []span, c Change, p ProcessInfo) time.Time {
+	published := latest(c.ChangedAt, p.StartedAt)
 	for _, o := range outages {
-		if o.holds(c.ChangedAt) {
+		if o.contains(c.ChangedAt) {
 			if o.to.IsZero() {
 				return time.Time{}
 			}
-			has = latest(has, o.to)
+			published = latest(published, o.to)
 		}
 	}
-	if !t.MovedAt.IsZero() {
-		has = latest(has, t.MovedAt.Add(toldAfterHup))
+	if !p.MovedAt.IsZero() {
+		published = latest(published, p.MovedAt.Add(publishedAfterSIGHUP))
 	}
-	if first := silence(calls, has); first != nil {
-		has = latest(has, overdue(first, first.SilentAt))
+	if first := silenceStart(calls, published); first != nil {
+		published = latest(published, publicationDeadline(first, first.SilentAt))
 	}
-	return earliest(has, written(calls, c))
+	return earliest(published, deliveredAt(calls, c))
 }
 
-func toldWhenAsked(calls []Call, downs []span, c Change, t ProcessInfo) time.Time {
-	if first := silence(calls, c.ChangedAt); first != nil {
-		return earliest(latest(c.ChangedAt, overdue(first, first.SilentAt)), written(calls, c))
+func publishedByPolling(calls []Call, downtimes []span, c Change, p ProcessInfo) time.Time {
+	if first := silenceStart(calls, c.ChangedAt); first != nil {
+		return earliest(latest(c.ChangedAt, publicationDeadline(first, first.SilentAt)), deliveredAt(calls, c))
 	}
-	last, next := around(calls, c.ChangedAt)
-	if last != nil && last.Watch && lasts(last, next, c.ChangedAt) {
-		return earliest(overdue(last, c.ChangedAt), written(calls, c))
+	last, next := callsAround(calls, c.ChangedAt)
+	if last != nil && last.Watch && watchLasts(last, next, c.ChangedAt) {
+		return earliest(publicationDeadline(last, c.ChangedAt), deliveredAt(calls, c))
 	}
-	from, every := t.StartedAt, t.PollInterval
+	from, interval := p.StartedAt, p.PollInterval
 	if last != nil {
 		if from = last.At; last.Failed {
-			every *= afterFailed
-			for _, d := range downs {
-				from = latest(from, d.to) // counted anew
+			interval *= failedPollFactor
+			for _, d := range downtimes {
+				from = latest(from, d.to) // the interval starts again when the director is back
 			}
 		}
 	}
-	return earliest(latest(from, c.ChangedAt).Add(every), written(calls, c))
+	return earliest(latest(from, c.ChangedAt).Add(interval), deliveredAt(calls, c))
 }
 
-// overdue is when what a call should have told counts as told, since when it should have.
-func overdue(c *Call, since time.Time) time.Time {
+// publicationDeadline returns when a change counts as published though the call didn't deliver it. since is when
+// the change was made or the call was silenced.
+func publicationDeadline(c *Call, since time.Time) time.Time {
 	if !c.Watch {
-		return since.Add(toldAnyhow)
+		return since.Add(publishedAfterSilence)
 	}
-	return latest(since.Add(toldAnyhow), c.At.Add(c.Wait+toldAfter))
+	return latest(since.Add(publishedAfterSilence), c.At.Add(c.Wait+publishedAfterWait))
 }
 
-// silence finds the call that began the silence in force at a time: that last call before it has
-// fallen silent, and all between.
-func silence(calls []Call, at time.Time) (first *Call) {
+// silenceStart returns the first of the consecutive calls that were all silenced by the given time and that
+// end with the last call made by then; nil if that last call wasn't silenced.
+func silenceStart(calls []Call, at time.Time) (first *Call) {
 	for i := len(calls) - 1; i >= 0; i-- {
 		c := &calls[i]
 		if c.At.After(at) {
@@ -105,8 +107,8 @@
 	return first
 }
 
-// around finds the last call made by a time, and the next one.
-func around(calls []Call, at time.Time) (last, next *Call) {
+// callsAround returns the last call made by a time and the one after it, nil where there is none.
+func callsAround(calls []Call, at time.Time) (last, next *Call) {
 	for i := range calls {
 		if calls[i].At.After(at) {
 			return last, &calls[i]
@@ -116,15 +118,16 @@
 	return last, nil
 }
 
-// lasts says whether a watch lasts at a time: its call is open, or the next one came in time.
-func lasts(last, next *Call, at time.Time) bool {
+// watchLasts reports whether the watch is in progress at a time: its call is open, or succeeded and the next one came
+// within maxWatchGap.
+func watchLasts(last, next *Call, at time.Time) bool {
 	open := last.EndedAt.IsZero() || at.Before(last.EndedAt)
-	followed := next != nil && !next.At.After(last.EndedAt.Add(lastsBetween))
+	followed := next != nil && !next.At.After(last.EndedAt.Add(maxWatchGap))
 	return open || !last.Failed && followed
 }
 
-func latest(all ...time.Time) (last time.Time) {
-	for _, t := range all {
+func latest(times ...time.Time) (last time.Time) {
+	for _, t := range times {
 		if t.After(last) {
 			last = t
 		}
@@ -132,7 +135,7 @@
 	return last
 }
 
-// earliest is the earlier of two times; a zero one never comes.
+// earliest returns the earlier of two times; a zero time stands for never.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
