--- a/cmd/tinsail/accord_history_test.go
+++ b/cmd/tinsail/accord_history_test.go
@@ -165,7 +165,7 @@
 		})
 		c.awaitAllBut(lead)
 		for _, r := range links {
-			r.Set(faultnet.Pass)
+			r.Set(faultnet.NoFaults)
 			r.Reset()
 		}
 	})
--- a/cmd/tinsail/accord_rig_test.go
+++ b/cmd/tinsail/accord_rig_test.go
@@ -271,7 +271,7 @@
 }
 
 func (j *recordedFleet) reconnect(i int) {
-	j.setRule(i, faultnet.Pass)
+	j.setRule(i, faultnet.NoFaults)
 	for _, r := range j.relaysOf(i) {
 		r.Reset() // bytes were dropped or are delayed
 	}
--- a/cmd/tinsail/fleet_test.go
+++ b/cmd/tinsail/fleet_test.go
@@ -137,7 +137,7 @@
 	served := f.runLoad(t, 16, 80, map[int64]func(){
 		300: func() { f.relays[0].Set(faultnet.Rule{Blackhole: true}) }, // n1 cut off from the keeper
 		600: func() { _ = f.members[2].cmd.Process.Signal(syscall.SIGKILL) },
-		900: func() { f.relays[0].Set(faultnet.Pass) },
+		900: func() { f.relays[0].Set(faultnet.NoFaults) },
 	})
 	times := f.connectionTimes(time.Time{})
 	most := maxPerSecond(times)
@@ -145,7 +145,7 @@
 		budgeted, served, len(times), most, total)
 	assert.Positive(t, served)
 	if budgeted {
-		assert.Positive(t, f.relays[0].Counts().Swallowed, "n1 was cut off")
+		assert.Positive(t, f.relays[0].Counts().Discarded, "n1 was cut off")
 	}
 	return most
 }
--- a/cmd/tinsail/quota_rig_test.go
+++ b/cmd/tinsail/quota_rig_test.go
@@ -228,7 +228,7 @@
 				continue
 			}
 			r.Set(rule)
-			if rule == faultnet.Pass { // bytes were dropped or are delayed
+			if rule == faultnet.NoFaults { // bytes were dropped or are delayed
 				r.Reset()
 			}
 		}
--- a/cmd/tinsail/quota_test.go
+++ b/cmd/tinsail/quota_test.go
@@ -57,12 +57,12 @@
 		f.setRegionRule(i%3, faultnet.Rule{Blackhole: true})
 		f.awaitMoreStarts(30, f.dispatchersOf(i%3)...)
 		f.awaitMoreStarts(30, f.dispatchersOf((i+1)%3, (i+2)%3)...)
-		f.setRegionRule(i%3, faultnet.Pass)
+		f.setRegionRule(i%3, faultnet.NoFaults)
 	}},
 	{"a region's links slow", func(f *recordedQuotaFleet, i int) {
 		f.setRegionRule(i%3, faultnet.Rule{Delay: 40 * time.Millisecond})
 		f.awaitMoreStarts(100, "press")
-		f.setRegionRule(i%3, faultnet.Pass)
+		f.setRegionRule(i%3, faultnet.NoFaults)
 	}},
 	{"a dispatcher suspended", func(f *recordedQuotaFleet, i int) { // past its lease and the longest run, while it holds units
 		f.pause(i)
@@ -74,7 +74,7 @@
 		f.setDispatcherRule(i, faultnet.Rule{Refuse: true})
 		time.Sleep(dispatcherLease + reqRunTime)
 		f.awaitMoreStarts(200, "press")
-		f.setDispatcherRule(i, faultnet.Pass)
+		f.setDispatcherRule(i, faultnet.NoFaults)
 		f.awaitMoreStarts(10, memberName(i))
 	}},
 	{"a lender suspended", func(f *recordedQuotaFleet, i int) {
@@ -95,7 +95,7 @@
 		f.setRuleBetween(a, b, faultnet.Rule{Blackhole: true})
 		f.awaitMoreStarts(30, f.dispatchersOf(a)...)
 		f.awaitMoreStarts(30, f.dispatchersOf(b)...)
-		f.setRuleBetween(a, b, faultnet.Pass)
+		f.setRuleBetween(a, b, faultnet.NoFaults)
 	}},
 	{"all voters killed", func(f *recordedQuotaFleet, _ int) {
 		for v := range 3 {
--- a/internal/budget/mutate_test.go
+++ b/internal/budget/mutate_test.go
@@ -73,11 +73,11 @@
 		}
 	}
 	late := p.Lease + 2*tick
-	return mutate.Setup{Name: "budgets " + name, Seed: 1, Build: sc.build, Tick: tick, From: sc.faultsFrom, Faults: sc.faultsUntil, Late: late,
-		Length: sc.faultsUntil + late + time.Duration(float64(2*p.Lease)/(1-p.Drift)) + 2*tick}
+	return mutate.Setup{Name: "budgets " + name, Seed: 1, Build: sc.build, TickInterval: tick, FaultsFrom: sc.faultsFrom, FaultsUntil: sc.faultsUntil, ExtraDelay: late,
+		Duration: sc.faultsUntil + late + time.Duration(float64(2*p.Lease)/(1-p.Drift)) + 2*tick}
 }
 
-func (sc *scenario) build(seed uint64) mutate.World {
+func (sc *scenario) build(seed uint64) mutate.System {
 	f := &mutationFleet{scenario: sc, random: rand.New(rand.NewPCG(seed, 0))}
 	clock := func() driftingClock {
 		edge := []float64{1 - sc.plan.Drift, 1 + sc.plan.Drift, 1 + sc.plan.Drift*(2*f.random.Float64()-1)}
@@ -198,9 +198,9 @@
 	return f.scenario.plan, f.scenario.replanFrom == 0 || now < f.scenario.replanFrom
 }
 
-// Check checks that the holders together may not spend more than the plan's total, or than the
+// CheckInvariants checks that the holders together may not spend more than the plan's total, or than the
 // larger of the two totals while not all have applied a changed plan.
-func (f *mutationFleet) Check(now time.Duration) error {
+func (f *mutationFleet) CheckInvariants(now time.Duration) error {
 	sum := 0
 	for _, h := range f.holders {
 		if f.present(h, now) {
@@ -218,10 +218,10 @@
 	return nil
 }
 
-// End checks that every present holder has its reserve and its fair share of the pool less one
+// CheckEndState checks that every present holder has its reserve and its fair share of the pool less one
 // unit. Units that a changed plan moves from the reserves to the pool or back are in neither of
 // them until the next start.
-func (f *mutationFleet) End(now time.Duration) error {
+func (f *mutationFleet) CheckEndState(now time.Duration) error {
 	n := 0
 	for _, h := range f.holders {
 		if f.present(h, now) {
@@ -265,10 +265,10 @@
 			t.Parallel()
 			sc.plan = p
 			s := sc.setup(name)
-			if s.Plays = 120; name == "joins and leaves" { // the scenario with the most kinds of events
-				s.Plays = 800
+			if s.MaxRuns = 120; name == "joins and leaves" { // the scenario with the most kinds of events
+				s.MaxRuns = 800
 			}
-			assert.Positive(t, mutate.Test(t, s).Played)
+			assert.Positive(t, mutate.Test(t, s).Runs)
 		})
 	}
 }
--- a/internal/faultnet/pipes.go
+++ b/internal/faultnet/pipes.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// Pipes is a listener whose connections are in memory, so that both sides of a link run on the fake
+// PipeListener is a listener whose connections are in memory, so that both sides of a link run on the fake
 // clock of testing/synctest. Its address is whatever name it is given.
-type Pipes struct {
+type PipeListener struct {
 	Name string
 
 	once sync.Once
@@ -17,13 +17,13 @@
 	done chan struct{}
 }
 
-// ListenPipes makes a listener of that name.
-func ListenPipes(name string) *Pipes {
-	return &Pipes{Name: name, came: make(chan net.Conn), done: make(chan struct{})}
+// ListenPipe makes a listener of that name.
+func ListenPipe(name string) *PipeListener {
+	return &PipeListener{Name: name, came: make(chan net.Conn), done: make(chan struct{})}
 }
 
 // Dial connects, as soon as the listener accepts. A closed one refuses.
-func (p *Pipes) Dial(ctx context.Context, _ string) (net.Conn, error) {
+func (p *PipeListener) Dial(ctx context.Context, _ string) (net.Conn, error) {
 	near, far := net.Pipe()
 	select {
 	case <-p.done:
@@ -41,7 +41,7 @@
 }
 
 // Accept, Close and Addr make it a net.Listener.
-func (p *Pipes) Accept() (net.Conn, error) {
+func (p *PipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.came:
 		return c, nil
@@ -50,9 +50,9 @@
 	}
 }
 
-func (p *Pipes) Close() error { p.once.Do(func() { close(p.done) }); return nil }
+func (p *PipeListener) Close() error { p.once.Do(func() { close(p.done) }); return nil }
 
-func (p *Pipes) Addr() net.Addr { return pipeAddr(p.Name) }
+func (p *PipeListener) Addr() net.Addr { return pipeAddr(p.Name) }
 
 type pipeAddr string
 
--- a/internal/faultnet/relay.go
+++ b/internal/faultnet/relay.go
@@ -24,16 +24,16 @@
 	Blackhole bool
 	// Delay holds each piece this long in each direction before it is passed on.
 	Delay time.Duration
-	// Lag is the time that a piece travels in each direction, while those after it travel behind it: a long
+	// Latency is the time that a piece travels in each direction, while those after it travel behind it: a long
 	// line, where Delay is a narrow one. TCP only.
-	Lag time.Duration
+	Latency time.Duration
 	// DropEvery drops one datagram in so many (UDP only; 0: none). A stream has no such fault:
 	// TCP would send again.
 	DropEvery int
 }
 
-// Pass is the rule of a healthy link.
-var Pass = Rule{}
+// NoFaults is the rule of a healthy link.
+var NoFaults = Rule{}
 
 // TCP is a relay of TCP connections to one target.
 type TCP struct {
@@ -52,7 +52,7 @@
 // Counts are what a relay has done so far.
 type Counts struct {
 	Accepted, Refused, Reset, Ended int // connections
-	Passed, Swallowed               int64
+	Forwarded, Discarded            int64
 }
 
 // Tap looks at what passes. It is called at each connection; out takes what the dialler sends, back what it
@@ -191,8 +191,8 @@
 	r.ended.Broadcast()
 }
 
-// Ended waits until n connections have ended on the dialler's side, and says what was done.
-func (r *TCP) Ended(n int) Counts {
+// AwaitEnded waits until n connections have ended on the dialler's side, and says what was done.
+func (r *TCP) AwaitEnded(n int) Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for r.n.Ended < n {
@@ -221,11 +221,11 @@
 			}
 			if to == nil || rule.Blackhole {
 				r.count(0, int64(n))
-			} else if line != nil || rule.Lag > 0 {
+			} else if line != nil || rule.Latency > 0 {
 				if line == nil {
 					line = newLine(from, to)
 				}
-				line.send(bytes.Clone(buf[:n]), rule.Lag)
+				line.send(bytes.Clone(buf[:n]), rule.Latency)
 				r.count(int64(n), 0)
 			} else if _, werr := to.Write(buf[:n]); werr != nil {
 				from.Close()
@@ -250,7 +250,7 @@
 
 func (r *TCP) count(passed, swallowed int64) {
 	r.mu.Lock()
-	r.n.Passed += passed
-	r.n.Swallowed += swallowed
+	r.n.Forwarded += passed
+	r.n.Discarded += swallowed
 	r.mu.Unlock()
 }
--- a/internal/faultnet/relay_test.go
+++ b/internal/faultnet/relay_test.go
@@ -43,7 +43,7 @@
 func TestPassAndDelayKeepTheBytes(t *testing.T) {
 	target, _ := echo(t)
 	r := relay(t, target)
-	for _, rule := range []Rule{Pass, {Delay: 20 * time.Millisecond}} {
+	for _, rule := range []Rule{NoFaults, {Delay: 20 * time.Millisecond}} {
 		r.Set(rule)
 		began := time.Now()
 		c, err := net.Dial("tcp", r.Addr())
@@ -58,7 +58,7 @@
 		assert.GreaterOrEqual(t, time.Since(began), 2*rule.Delay, "%+v", rule)
 		c.Close()
 	}
-	assert.Equal(t, int64(4*14), r.Ended(2).Passed, "both ways, twice")
+	assert.Equal(t, int64(4*14), r.AwaitEnded(2).Forwarded, "both ways, twice")
 }
 
 func TestRefuseResetsNewConnections(t *testing.T) {
@@ -97,9 +97,9 @@
 	_, err = c.Write([]byte("anyone?"))
 	require.NoError(t, err)
 	c.(*net.TCPConn).CloseWrite()
-	n := r.Ended(1)
-	assert.Equal(t, int64(7), n.Swallowed)
-	assert.Equal(t, int64(0), n.Passed)
+	n := r.AwaitEnded(1)
+	assert.Equal(t, int64(7), n.Discarded)
+	assert.Equal(t, int64(0), n.Forwarded)
 	assert.Empty(t, came, "the target was never dialled")
 	c.Close()
 }
@@ -126,7 +126,7 @@
 		got = append(got, buf[:n]...)
 	}
 	assert.Equal(t, []byte{0, 1, 3, 4, 6, 7}, got, "the third, sixth and ninth are dropped")
-	assert.Equal(t, Counts{Passed: 6, Swallowed: 3}, r.Seen(9))
+	assert.Equal(t, Counts{Forwarded: 6, Discarded: 3}, r.AwaitDatagrams(9))
 }
 
 // TestLagKeepsTheBytes: pieces that travel come whole, in order and none before its time, and a tap sees them all.
@@ -138,7 +138,7 @@
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
 	const lag = 20 * time.Millisecond
-	r.Set(Rule{Lag: lag})
+	r.Set(Rule{Latency: lag})
 	began := time.Now()
 	c, err := net.Dial("tcp", r.Addr())
 	require.NoError(t, err)
@@ -155,7 +155,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, want, got)
 	assert.GreaterOrEqual(t, time.Since(began), 2*lag, "a lower bound alone")
-	assert.Equal(t, int64(2*len(want)), r.Ended(1).Passed)
+	assert.Equal(t, int64(2*len(want)), r.AwaitEnded(1).Forwarded)
 	assert.Equal(t, int64(len(want)), out.Load())
 	assert.Equal(t, int64(len(want)), back.Load())
 }
--- a/internal/faultnet/udp.go
+++ b/internal/faultnet/udp.go
@@ -56,8 +56,8 @@
 	return r.n
 }
 
-// Seen waits until n datagrams, either way, have met the rule, and says what was done.
-func (r *UDP) Seen(n int) Counts {
+// AwaitDatagrams waits until n datagrams, either way, have met the rule, and says what was done.
+func (r *UDP) AwaitDatagrams(n int) Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for r.seen < n {
@@ -84,10 +84,10 @@
 	r.told.Broadcast()
 	rule := r.rule
 	if rule.Refuse || rule.Blackhole || rule.DropEvery > 0 && r.seen%rule.DropEvery == 0 {
-		r.n.Swallowed++
+		r.n.Discarded++
 		return false, 0
 	}
-	r.n.Passed++
+	r.n.Forwarded++
 	return true, rule.Delay
 }
 
--- a/internal/fleet/accord/mutate_test.go
+++ b/internal/fleet/accord/mutate_test.go
@@ -96,11 +96,11 @@
 	config := accordConfig
 	late := 2*config.Lease/3 + accordTick
 	settle := 60*time.Millisecond + config.QuietPeriod() + 5*config.Lease + config.Drain() // the time after faults of docs/design/accord.md
-	return mutate.Setup{Name: "accord " + name, Seed: 1, Build: s.build, Tick: accordTick, From: s.faultsFrom, Faults: s.faultsUntil, Late: late,
-		Length: s.faultsUntil + late + time.Duration(float64(settle)/(1-config.Drift)) + 2*accordTick, Steps: 20_000}
+	return mutate.Setup{Name: "accord " + name, Seed: 1, Build: s.build, TickInterval: accordTick, FaultsFrom: s.faultsFrom, FaultsUntil: s.faultsUntil, ExtraDelay: late,
+		Duration: s.faultsUntil + late + time.Duration(float64(settle)/(1-config.Drift)) + 2*accordTick, MaxEvents: 20_000}
 }
 
-func (s *accordScenario) build(seed uint64) mutate.World {
+func (s *accordScenario) build(seed uint64) mutate.System {
 	f := &accordFleet{scenario: s, rnd: rand.New(rand.NewPCG(seed, 0)), decided: map[uint64]string{}, proposed: map[string]bool{}}
 	clock := func() accordClock {
 		return accordClock{1 + accordConfig.Drift*float64(f.rnd.IntN(3)-1), 1e12 * f.rnd.Float64()}
@@ -396,10 +396,10 @@
 	return append(out, f.runLeader(now, v)...)
 }
 
-// Check checks that at one moment all dispatchers accept or start requests under one version, that the adopted
+// CheckInvariants checks that at one moment all dispatchers accept or start requests under one version, that the adopted
 // version of each is a decided one and never an older one than before, and that a version has one policy, which was
 // proposed.
-func (f *accordFleet) Check(now time.Duration) error {
+func (f *accordFleet) CheckInvariants(now time.Duration) error {
 	version, node := uint64(0), ""
 	for _, p := range f.participants {
 		v, body := p.Current()
@@ -422,9 +422,9 @@
 	return f.violation
 }
 
-// End checks that all dispatchers accept requests under the version decided last, that this is one that the scenario
+// CheckEndState checks that all dispatchers accept requests under the version decided last, that this is one that the scenario
 // allows, and that no change is left.
-func (f *accordFleet) End(now time.Duration) error {
+func (f *accordFleet) CheckEndState(now time.Duration) error {
 	last := uint64(len(f.decided))
 	if !slices.Contains(f.scenario.wantBodies, f.decided[last]) {
 		return fmt.Errorf("decided last is version %d, %q", last, f.decided[last])
@@ -465,10 +465,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := scenario.setup(name)
-			if s.Plays = 12; name == "cut off" { // the scenario in which a late grant does most harm
-				s.Plays = 48
+			if s.MaxRuns = 12; name == "cut off" { // the scenario in which a late grant does most harm
+				s.MaxRuns = 48
 			}
-			assert.Positive(t, mutate.Test(t, s).Played)
+			assert.Positive(t, mutate.Test(t, s).Runs)
 		})
 	}
 }
--- a/internal/fleet/quota/mutate_test.go
+++ b/internal/fleet/quota/mutate_test.go
@@ -110,11 +110,11 @@
 	// How long after the end of all faults each team has its share, see docs/design/quota.md.
 	recoveryBound := downLease.QuietPeriod() + downLease.DrainPeriod() + upLease.RenewInterval() + 2*upLease.ReportDelay() +
 		4*downLease.RenewInterval() + 400*time.Millisecond
-	return mutate.Setup{Name: "quota " + name, Seed: 1, Build: s.build, Tick: mutateTick, From: s.from, Faults: s.end, Late: late,
-		Length: s.end + late + time.Duration(float64(recoveryBound)/(1-downLease.Drift)), Steps: 200_000}
+	return mutate.Setup{Name: "quota " + name, Seed: 1, Build: s.build, TickInterval: mutateTick, FaultsFrom: s.from, FaultsUntil: s.end, ExtraDelay: late,
+		Duration: s.end + late + time.Duration(float64(recoveryBound)/(1-downLease.Drift)), MaxEvents: 200_000}
 }
 
-func (s *quotaScenario) build(seed uint64) mutate.World {
+func (s *quotaScenario) build(seed uint64) mutate.System {
 	f := &quotaFleet{scenario: s, rand: rand.New(rand.NewPCG(seed, 0)), quotas: map[string]int{"team": 10, "other": 4}, running: map[string]int{},
 		changes: []change{{0, 10}}, leader: 0, term: 1, incarnation: 100, done: map[string]bool{}}
 	clock := func() memberClock {
@@ -435,16 +435,16 @@
 	return append(out, f.stepRegion(now, r)...)
 }
 
-// Check records when all units are in use, and returns the first violation of a quota.
-func (f *quotaFleet) Check(now time.Duration) error {
+// CheckInvariants records when all units are in use, and returns the first violation of a quota.
+func (f *quotaFleet) CheckInvariants(now time.Duration) error {
 	if f.running["team"] == f.quotas["team"] && f.running["other"] == f.quotas["other"] {
 		f.lastFull = now
 	}
 	return f.err
 }
 
-// End checks that all units are in use, as the demand is higher than the quotas.
-func (f *quotaFleet) End(now time.Duration) error {
+// CheckEndState checks that all units are in use, as the demand is higher than the quotas.
+func (f *quotaFleet) CheckEndState(now time.Duration) error {
 	if now-f.lastFull > 100*time.Millisecond {
 		return fmt.Errorf("requests in flight: %v, quotas: %v; all units were last in use at %v", f.running, f.quotas, f.lastFull)
 	}
@@ -470,8 +470,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := d.setup(name)
-			s.Plays = 24
-			assert.Positive(t, mutate.Test(t, s).Played)
+			s.MaxRuns = 24
+			assert.Positive(t, mutate.Test(t, s).Runs)
 		})
 	}
 }
--- a/internal/http2/conn_test.go
+++ b/internal/http2/conn_test.go
@@ -442,8 +442,8 @@
 			assert.NoError(t, err)
 			send = send[:i] + strings.Repeat(what, n) + send[strings.Index(send, "}}")+2:]
 		}
-		p.feed(p.frames.Bytes("{hello}"))
-		p.feed(p.frames.Bytes(send))
+		p.feed(p.frames.Encode("{hello}"))
+		p.feed(p.frames.Encode(send))
 		assert.NotZero(t, p.abuses[c.abuse], "%v is counted", c.abuse)
 		assert.Equal(t, http2.ErrCodeEnhanceYourCalm.String(), lastCode(p.events), "%v ends the connection; abuse counted: %v", c.abuse, p.abuses)
 		p.conn.Close()
@@ -463,7 +463,7 @@
 // connection: the HPACK table stays valid for the next stream.
 func TestHPACKBomb(t *testing.T) {
 	p := newPlayer(t, 1<<14, nil)
-	p.feed(p.frames.Bytes("{hello}{post 1 e big=" + strings.Repeat("x", 1800) + "}"))
+	p.feed(p.frames.Encode("{hello}{post 1 e big=" + strings.Repeat("x", 1800) + "}"))
 	block := []byte{0x82, 0x86, 0x84}
 	for range 3000 {
 		block = append(block, 0xbe) // the newest entry of the table
@@ -472,7 +472,7 @@
 	frame = append(frame, 0, byte(len(block)>>8), byte(len(block)), 1, 5, 0, 0, 0, 3)
 	p.feed(append(frame, block...))
 	assert.Equal(t, 1, p.abuses[HeaderList])
-	p.feed(p.frames.Bytes("{post 5 e}"))
+	p.feed(p.frames.Encode("{post 5 e}"))
 	assert.Equal(t, "whole 5", p.events[len(p.events)-1])
 }
 
@@ -480,11 +480,11 @@
 // disconnected before much is held.
 func TestUnreadOutputEndsConnection(t *testing.T) {
 	p := newPlayer(t, 1<<14, func(c *Config) { c.MaxStreams = 1000 })
-	p.feed(p.frames.Bytes("{hello}"))
+	p.feed(p.frames.Encode("{hello}"))
 	out := 0
 	for i := 0; i < 100_000 && !p.conn.ended; i++ {
 		p.now = p.now.Add(time.Hour) // so that no rate limit applies
-		b := p.frames.Bytes("{ping 1}")
+		b := p.frames.Encode("{ping 1}")
 		n := copy(p.conn.Space(), b)
 		p.conn.Filled(n, p.now)
 		for _, ok := p.conn.Next(); ok; _, ok = p.conn.Next() {
--- a/internal/http2/fuzz_test.go
+++ b/internal/http2/fuzz_test.go
@@ -153,7 +153,7 @@
 
 // FuzzConn feeds arbitrary bytes, with and without a valid preface before them.
 func FuzzConn(f *testing.F) {
-	fr := scenario.NewFrames(f)
+	fr := scenario.NewFrameCodec(f)
 	for _, text := range []string{
 		"{hello}{post 1 x}{data 1 e photo}{post 3 e}{rst 3}",
 		"{hello}{set 4 0}{post 1 e}{window 1 5}{set 4 70000}{window 0 1}",
@@ -161,7 +161,7 @@
 		"{hello}{ping 1}{priority 3 1}{frame 99 20}{goaway}{push 1}",
 		"{hello}{post 1 x content-length=70000}{data 1 x a}{post 3 e connection=x}",
 	} {
-		f.Add(fr.Bytes(text), uint64(1), byte(9))
+		f.Add(fr.Encode(text), uint64(1), byte(9))
 	}
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"), uint64(0), byte(3))
 	f.Fuzz(func(t *testing.T, b []byte, seed uint64, piece byte) {
@@ -179,10 +179,10 @@
 // place, with answers, resets, drains and pauses between them.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		fr := scenario.NewFrames(t)
+		fr := scenario.NewFrameCodec(t)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 2))
 		w := newInvariantChecker(t)
-		w.feed(fr.Bytes("{hello}{ack}"), 1000, rng)
+		w.feed(fr.Encode("{hello}{ack}"), 1000, rng)
 		next := 1
 		for range rapid.IntRange(1, 60).Draw(r, "frames") {
 			id := max(1, next-2*rapid.IntRange(0, 6).Draw(r, "back"))
@@ -193,8 +193,8 @@
 				id, next = next, next+2
 			}
 			piece := rapid.IntRange(1, 12_000).Draw(r, "piece")
-			num := scenario.Number(id)
-			w.feed(fr.Bytes(strings.NewReplacer("N", num, "I", num).Replace(text)), piece, rng)
+			num := scenario.FormatStreamID(id)
+			w.feed(fr.Encode(strings.NewReplacer("N", num, "I", num).Replace(text)), piece, rng)
 		}
 		w.close()
 	})
--- a/internal/http2/scenario_test.go
+++ b/internal/http2/scenario_test.go
@@ -25,7 +25,7 @@
 	conn     *Conn
 	now      time.Time
 	piece    int
-	frames   *scenario.Frames
+	frames   *scenario.FrameCodec
 	received []string
 	events   []string
 	held     int
@@ -52,7 +52,7 @@
 		change(&cfg)
 	}
 	p.conn = New(cfg, p.now)
-	p.frames = scenario.NewFrames(t)
+	p.frames = scenario.NewFrameCodec(t)
 	return p
 }
 
@@ -72,7 +72,7 @@
 	p.collectEvents()
 	p.conn.HasOutput()
 	p.collectEvents() // framing an answer can end a draining connection
-	p.received = append(p.received, p.frames.Words(p.conn.TakeOutput(nil))...)
+	p.received = append(p.received, p.frames.Describe(p.conn.TakeOutput(nil))...)
 	p.collectEvents()
 }
 
@@ -149,11 +149,11 @@
 			p.now = p.now.Add(d)
 			p.conn.Expire(p.now)
 			p.collect()
-		case s.Verb == "send" && s.Who == "c":
-			p.feed(p.frames.Bytes(s.Arg))
+		case s.Verb == "send" && s.Actor == "c":
+			p.feed(p.frames.Encode(s.Arg))
 		case s.Verb == "send":
 			p.driverOrder(s.Arg)
-		case s.Verb == "expect" && s.Who == "c":
+		case s.Verb == "expect" && s.Actor == "c":
 			require.Equal(p.t, s.Arg, next(&p.received), s.Line)
 		case s.Verb == "expect":
 			require.Equal(p.t, s.Arg, next(&p.events), s.Line)
--- a/internal/lab/hollow/fleet.go
+++ b/internal/lab/hollow/fleet.go
@@ -149,7 +149,7 @@
 	for from := range Regions {
 		for v, r := range f.relays[from] {
 			if v != from {
-				r.Set(faultnet.Rule{Lag: lag})
+				r.Set(faultnet.Rule{Latency: lag})
 			}
 		}
 	}
@@ -162,7 +162,7 @@
 			if v == from || v != region && from != region {
 				continue
 			}
-			r.Set(faultnet.Rule{Lag: f.Plan.Lag, Blackhole: cut})
+			r.Set(faultnet.Rule{Latency: f.Plan.Lag, Blackhole: cut})
 			if !cut {
 				r.Reset() // bytes were swallowed
 			}
--- a/internal/lab/soak/trouble.go
+++ b/internal/lab/soak/trouble.go
@@ -91,7 +91,7 @@
 func (p *play) relay(b *backend, rule faultnet.Rule, lasts time.Duration) {
 	b.relay.Set(rule)
 	time.Sleep(lasts)
-	b.relay.Set(faultnet.Pass)
+	b.relay.Set(faultnet.NoFaults)
 }
 
 func (p *play) faults(b *backend, f platform.Faults, lasts time.Duration) {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -42,7 +42,7 @@
 	now := time.Unix(1e9, 0)
 	list := map[string]Member{} // as rebuilt from the changes
 	for _, step := range scenario.Steps(t, text) {
-		from := map[string]int{"x": 0, "y": 1}[step.Who]
+		from := map[string]int{"x": 0, "y": 1}[step.Actor]
 		switch {
 		case step.Verb == "wait":
 			d, err := time.ParseDuration(step.Arg)
--- a/internal/mutate/mutate_test.go
+++ b/internal/mutate/mutate_test.go
@@ -28,8 +28,8 @@
 	in      map[[2]string][]byte
 }
 
-func buildToy(fault string) func(uint64) World {
-	return func(uint64) World {
+func buildToy(fault string) func(uint64) System {
+	return func(uint64) System {
 		return &toy{fault: fault, acked: map[string]int{}, copies: map[string]int{}, applied: map[string]int{}, in: map[[2]string][]byte{}}
 	}
 }
@@ -113,7 +113,7 @@
 	return []Message{toyLine(to, "a", "ack"+to, w.copies[to])}
 }
 
-func (w *toy) Check(time.Duration) error {
+func (w *toy) CheckInvariants(time.Duration) error {
 	switch {
 	case w.back:
 		return errors.New("a copy went back")
@@ -125,7 +125,7 @@
 	return nil
 }
 
-func (w *toy) End(time.Duration) error {
+func (w *toy) CheckEndState(time.Duration) error {
 	if w.copies["b"] != w.version || w.copies["c"] != w.version {
 		return fmt.Errorf("copies %v of version %d", w.copies, w.version)
 	}
@@ -133,15 +133,15 @@
 }
 
 func toySetup(fault string) Setup {
-	return Setup{Name: "toy", Seed: 7, Build: buildToy(fault), Tick: 20 * time.Millisecond, Faults: 150 * time.Millisecond,
-		Length: 500 * time.Millisecond, Late: 60 * time.Millisecond, Kinds: Streams, Splits: -1}
+	return Setup{Name: "toy", Seed: 7, Build: buildToy(fault), TickInterval: 20 * time.Millisecond, FaultsUntil: 150 * time.Millisecond,
+		Duration: 500 * time.Millisecond, ExtraDelay: 60 * time.Millisecond, Kinds: StreamKinds, MaxSplits: -1}
 }
 
 // TestHonest: a right protocol survives every mutation, and every kind was played.
 func TestHonest(t *testing.T) {
 	rep := Test(t, toySetup(""))
 	assert.Len(t, rep.ByKind, int(kinds))
-	assert.Equal(t, rep.Possible, rep.Played)
+	assert.Equal(t, rep.Possible, rep.Runs)
 	assert.Equal(t, 20, rep.Messages)
 }
 
@@ -149,28 +149,28 @@
 // how to play it alone, which fails again.
 func TestBites(t *testing.T) {
 	for fault, by := range map[string][]Kind{
-		"never sends again":    {Lost, Cut},
-		"takes it again":       {Twice},
-		"takes an older":       {Late, Swapped, Replayed},
-		"only the next":        {Lost, Swapped},
-		"no checksum":          {Changed},
-		"trusts the length":    {Cut, Split},
+		"never sends again":    {Lost, Truncated},
+		"takes it again":       {Duplicated},
+		"takes an older":       {Delayed, Reordered, Replayed},
+		"only the next":        {Lost, Reordered},
+		"no checksum":          {Corrupted},
+		"trusts the length":    {Truncated, Split},
 		"any addressee":        {Misrouted},
 		"stops at half a line": {Split},
 	} {
 		for _, k := range by {
 			s := toySetup(fault)
-			s.Kinds, s.Draws = []Kind{k}, 8
+			s.Kinds, s.MaxVariants = []Kind{k}, 8
 			rep := s.Run()
 			require.NotEmpty(t, rep.Failures, "%s by %s", fault, k)
 			f := rep.Failures[0]
-			require.NotNil(t, f.Play, "%s: the run without mutations fails: %v", fault, f.Err)
-			assert.Equal(t, k, f.Play.Kind, fault)
-			assert.Contains(t, strings.Join(f.Trace, "\n"), fmt.Sprintf("#%d ", f.Play.Message))
+			require.NotNil(t, f.Mutation, "%s: the run without mutations fails: %v", fault, f.Err)
+			assert.Equal(t, k, f.Mutation.Kind, fault)
+			assert.Contains(t, strings.Join(f.Trace, "\n"), fmt.Sprintf("#%d ", f.Mutation.Message))
 			assert.NotContains(t, f.Error(), "played again it gave", fault)
-			p, err := ParsePlay(f.Play.String())
+			p, err := ParseMutation(f.Mutation.String())
 			require.NoError(t, err)
-			_, alone := s.Only(p)
+			_, alone := s.RunOne(p)
 			require.NotNil(t, alone, fault)
 			assert.Equal(t, first(f.Err), first(alone.Err))
 		}
@@ -179,7 +179,7 @@
 
 // tock is a world that is not what a World must be.
 type tock struct {
-	World
+	System
 	tick func() []Message
 }
 
@@ -189,36 +189,36 @@
 // fails without any mutation are each told, and nothing else is played.
 func TestRefuses(t *testing.T) {
 	s, n := toySetup(""), 0
-	s.Build = func(uint64) World {
+	s.Build = func(uint64) System {
 		n++
 		return tock{buildToy("")(0), func() []Message { return []Message{{From: "a", To: "b", Bytes: []byte{byte(n)}}} }}
 	}
 	assert.ErrorContains(t, s.Run().Failures[0].Err, "not deterministic")
-	s.Build = func(uint64) World {
+	s.Build = func(uint64) System {
 		return tock{buildToy("")(0), func() []Message { return make([]Message, 100) }}
 	}
-	s.Steps = 1000
+	s.MaxEvents = 1000
 	assert.ErrorIs(t, s.Run().Failures[0].Err, errStorm)
 	s = toySetup("")
-	s.Length = s.Tick / 4
+	s.Duration = s.TickInterval / 4
 	assert.ErrorContains(t, s.Run().Failures[0].Err, "end state")
 }
 
 // TestSample: a sample holds every kind, is the same each time, and is what the whole would play.
 func TestSample(t *testing.T) {
 	s := toySetup("takes an older")
-	s.Plays = 45
+	s.MaxRuns = 45
 	a, b := s.Run(), s.Run()
-	assert.Equal(t, 45, a.Played)
+	assert.Equal(t, 45, a.Runs)
 	assert.Len(t, a.ByKind, int(kinds))
 	assert.Equal(t, a.Failed, b.Failed)
-	s.Excuse = func(p Play, of, as Message) string {
-		if p.Kind == Changed && !bytes.Equal(of.Bytes, as.Bytes) {
+	s.Exclude = func(p Mutation, of, as Message) string {
+		if p.Kind == Corrupted && !bytes.Equal(of.Bytes, as.Bytes) {
 			return "as an example"
 		}
 		return ""
 	}
 	c := s.Run()
 	assert.Zero(t, c.ByKind["changed"])
-	assert.Equal(t, 3*c.Messages, c.Excused["as an example"])
+	assert.Equal(t, 3*c.Messages, c.Excluded["as an example"])
 }
--- a/internal/mutate/play.go
+++ b/internal/mutate/play.go
@@ -47,7 +47,7 @@
 
 // change is a play made out: what comes in the message's place.
 type change struct {
-	Play
+	Mutation
 	as  []Message     // in order; empty for Lost
 	due time.Duration // of Late: when it comes, by the run without mutations
 }
@@ -55,7 +55,7 @@
 // run is one play under way.
 type run struct {
 	s     *Setup
-	w     World
+	w     System
 	c     *change // nil without a mutation
 	q     queue
 	seq   int
@@ -78,13 +78,13 @@
 	}()
 	r.w = s.Build(s.Seed)
 	r.push(event{})
-	most := s.Steps
+	most := s.MaxEvents
 	if most == 0 {
 		most = 1_000_000
 	}
 	for steps := 0; len(r.q) > 0; steps++ {
 		e := heap.Pop(&r.q).(event)
-		if e.at > s.Length {
+		if e.at > s.Duration {
 			break
 		}
 		if steps > most {
@@ -95,8 +95,8 @@
 			return r, err
 		}
 	}
-	r.now = s.Length
-	if err := r.w.End(r.now); err != nil {
+	r.now = s.Duration
+	if err := r.w.CheckEndState(r.now); err != nil {
 		return r, fmt.Errorf("end state: %w", err)
 	}
 	return r, nil
@@ -113,10 +113,10 @@
 		for _, n := range r.w.Nodes() {
 			r.send(r.w.Tick(r.now, n))
 		}
-		if err := r.w.Check(r.now); err != nil {
+		if err := r.w.CheckInvariants(r.now); err != nil {
 			return fmt.Errorf("after a tick: %w", err)
 		}
-		r.push(event{at: r.now + r.s.Tick})
+		r.push(event{at: r.now + r.s.TickInterval})
 		return nil
 	}
 	if e.held != nil {
@@ -129,7 +129,7 @@
 	m := *e.m
 	m.Bytes = bytes.Clone(m.Bytes) // the node may keep it, or write into it
 	r.send(r.w.Deliver(r.now, m))
-	if err := r.w.Check(r.now); err != nil {
+	if err := r.w.CheckInvariants(r.now); err != nil {
 		return fmt.Errorf("after message %d of %s to %s: %w", e.n, m.From, m.To, err)
 	}
 	for _, next := range e.then {
@@ -167,11 +167,11 @@
 	r.trace.add(c, n, r.now, "#%d %s>%s %.200q is sent, and %s", n, m.From, m.To, m.Bytes, c.Kind)
 	what := c.Kind.String() + " "
 	switch c.Kind {
-	case Late:
+	case Delayed:
 		r.push(event{at: c.due, m: m, n: n, what: what})
-	case Swapped:
+	case Reordered:
 		held := true
-		e := event{at: due + r.s.Late, m: m, n: n, held: &held, what: what}
+		e := event{at: due + r.s.ExtraDelay, m: m, n: n, held: &held, what: what}
 		r.push(e) // should no successor come
 		r.swap = &e
 	default:
--- a/internal/mutate/run.go
+++ b/internal/mutate/run.go
@@ -20,7 +20,7 @@
 // with each mutation, or a sample of them.
 func (s Setup) Run() Report {
 	start := time.Now()
-	rep := Report{Name: s.Name, Seed: s.Seed, ByKind: map[string]int{}, Excused: map[string]int{}}
+	rep := Report{Name: s.Name, Seed: s.Seed, ByKind: map[string]int{}, Excluded: map[string]int{}}
 	log, nodes, fail := s.base()
 	if fail != nil {
 		rep.Failed, rep.Failures = 1, []Failure{*fail}
@@ -32,7 +32,7 @@
 	fails := make([]*Failure, len(changes))
 	s.each(len(changes), func(i int) { fails[i] = s.one(changes[i]) })
 	for i, c := range changes {
-		rep.Played++
+		rep.Runs++
 		rep.ByKind[c.Kind.String()]++
 		if f := fails[i]; f != nil {
 			if rep.Failed++; len(rep.Failures) < 10 {
@@ -40,35 +40,35 @@
 			}
 		}
 	}
-	rep.Took = time.Since(start)
+	rep.Elapsed = time.Since(start)
 	return rep
 }
 
-// Only plays one mutation and returns what failed, and the trace whether it did or not.
-func (s Setup) Only(p Play) (lines []string, fail *Failure) {
+// RunOne plays one mutation and returns what failed, and the trace whether it did or not.
+func (s Setup) RunOne(p Mutation) (lines []string, fail *Failure) {
 	log, nodes, fail := s.base()
 	if fail != nil {
 		return fail.Trace, fail
 	}
 	var rep Report
 	for _, c := range s.changes(log, nodes, &rep) {
-		if c.Play == p {
+		if c.Mutation == p {
 			t := &trace{}
 			var err error
 			var r *run
 			s.around(func() { r, err = s.play(&c, t) })
 			if err != nil {
-				fail = &Failure{Setup: s.Name, Seed: s.Seed, Play: &p, At: r.now, Err: err, Trace: t.lines()}
+				fail = &Failure{Setup: s.Name, Seed: s.Seed, Mutation: &p, At: r.now, Err: err, Trace: t.lines()}
 			}
 			return t.lines(), fail
 		}
 	}
-	return nil, &Failure{Setup: s.Name, Seed: s.Seed, Play: &p, Err: fmt.Errorf("the run has no such play, or it is excused")}
+	return nil, &Failure{Setup: s.Name, Seed: s.Seed, Mutation: &p, Err: fmt.Errorf("the run has no such play, or it is excused")}
 }
 
 func (s *Setup) around(play func()) {
-	if s.Around != nil {
-		s.Around(play)
+	if s.WrapRun != nil {
+		s.WrapRun(play)
 	} else {
 		play()
 	}
@@ -109,7 +109,7 @@
 		return nil
 	}
 	t := &trace{}
-	f := &Failure{Setup: s.Name, Seed: s.Seed, Play: &c.Play, At: r.now, Err: err}
+	f := &Failure{Setup: s.Name, Seed: s.Seed, Mutation: &c.Mutation, At: r.now, Err: err}
 	var again error
 	s.around(func() { _, again = s.play(&c, t) })
 	if f.Trace = t.lines(); again == nil || first(again) != first(err) {
@@ -124,7 +124,7 @@
 }
 
 func (s *Setup) each(n int, do func(i int)) {
-	if s.Around != nil {
+	if s.WrapRun != nil {
 		for i := range n {
 			do(i)
 		}
@@ -146,11 +146,11 @@
 func (s *Setup) changes(log []sent, nodes []string, rep *Report) (out []change) {
 	kinds := s.Kinds
 	if kinds == nil {
-		kinds = Datagrams
+		kinds = DatagramKinds
 	}
-	faults := s.Faults
+	faults := s.FaultsUntil
 	if faults == 0 {
-		faults = s.Length
+		faults = s.Duration
 	}
 	earlier := map[[2]string][]int{}
 	after := make([]int, len(log)) // the next message of the link
@@ -166,18 +166,18 @@
 		if m.at > faults {
 			break
 		}
-		if m.at < s.From {
+		if m.at < s.FaultsFrom {
 			earlier[m.link()] = append(earlier[m.link()], i)
 			continue
 		}
 		rep.Messages++
 		for _, k := range kinds {
 			for d, c := range s.draws(k, log, i, after[i], earlier[m.link()], nodes) {
-				c.Play = Play{i, k, d}
-				if s.Excuse != nil && len(c.as) > 0 && k != Twice {
-					if why := s.Excuse(c.Play, m.Message, c.as[0]); why != "" {
-						if rep.Excused != nil {
-							rep.Excused[why]++
+				c.Mutation = Mutation{i, k, d}
+				if s.Exclude != nil && len(c.as) > 0 && k != Duplicated {
+					if why := s.Exclude(c.Mutation, m.Message, c.as[0]); why != "" {
+						if rep.Excluded != nil {
+							rep.Excluded[why]++
 						}
 						continue
 					}
@@ -195,23 +195,23 @@
 func (s *Setup) draws(k Kind, log []sent, i, next int, earlier []int, nodes []string) (out []change) {
 	m := log[i].Message
 	rnd := rand.New(rand.NewPCG(s.Seed, uint64(i)<<8|uint64(k)))
-	most := cmp.Or(s.Draws, 3)
+	most := cmp.Or(s.MaxVariants, 3)
 	as := func(b []byte) change { return change{as: []Message{{m.From, m.To, b, 0}}} }
 	switch k {
 	case Lost:
 		return []change{{}}
-	case Twice:
+	case Duplicated:
 		return []change{{as: []Message{m, m}}}
-	case Late:
-		out = []change{{as: []Message{m}, due: log[i].due + s.Late}}
+	case Delayed:
+		out = []change{{as: []Message{m}, due: log[i].due + s.ExtraDelay}}
 		if next >= 0 {
-			out = append(out, change{as: []Message{m}, due: max(log[next].due+1, log[i].due+s.Late/4)})
+			out = append(out, change{as: []Message{m}, due: max(log[next].due+1, log[i].due+s.ExtraDelay/4)})
 		}
-	case Swapped:
+	case Reordered:
 		if next >= 0 {
 			return []change{{as: []Message{m}}}
 		}
-	case Changed:
+	case Corrupted:
 		var digits []int // another digit there is what a reader of text most easily takes
 		for i, c := range m.Bytes {
 			if c >= '0' && c <= '9' {
@@ -229,7 +229,7 @@
 			}
 			out = append(out, as(b))
 		}
-	case Cut:
+	case Truncated:
 		for _, at := range pick(rnd, len(m.Bytes), most) {
 			out = append(out, as(bytes.Clone(m.Bytes[:at])))
 		}
@@ -250,7 +250,7 @@
 			}
 		}
 	case Split:
-		n := s.Splits
+		n := s.MaxSplits
 		if n < 0 {
 			n = len(m.Bytes)
 		}
@@ -278,7 +278,7 @@
 
 // sample keeps as many mutations of each kind, in turn, as Plays allows.
 func (s *Setup) sample(all []change) []change {
-	if s.Plays <= 0 || len(all) <= s.Plays {
+	if s.MaxRuns <= 0 || len(all) <= s.MaxRuns {
 		return all
 	}
 	rnd := rand.New(rand.NewPCG(s.Seed, 1<<63))
@@ -290,9 +290,9 @@
 		rnd.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	}
 	var out []change
-	for len(out) < s.Plays {
+	for len(out) < s.MaxRuns {
 		for k := range by {
-			if len(by[k]) > 0 && len(out) < s.Plays {
+			if len(by[k]) > 0 && len(out) < s.MaxRuns {
 				out, by[k] = append(out, by[k][0]), by[k][1:]
 			}
 		}
@@ -314,28 +314,28 @@
 	switch v := os.Getenv("MUTATE_PLAYS"); v {
 	case "":
 	case "all":
-		s.Plays = 0
-		if s.Splits > 0 {
-			s.Splits = -1
+		s.MaxRuns = 0
+		if s.MaxSplits > 0 {
+			s.MaxSplits = -1
 		}
 	default:
 		n, err := strconv.Atoi(v)
 		if err != nil {
 			t.Fatalf("MUTATE_PLAYS: %v", err)
 		}
-		s.Plays = n
+		s.MaxRuns = n
 	}
 	if v := os.Getenv("MUTATE_ONLY"); v != "" {
-		p, err := ParsePlay(v)
+		p, err := ParseMutation(v)
 		if err != nil {
 			t.Fatalf("MUTATE_ONLY: %v", err)
 		}
-		trace, fail := s.Only(p)
+		trace, fail := s.RunOne(p)
 		t.Log(strings.Join(trace, "\n"))
 		if fail != nil {
 			t.Error(fail.Error())
 		}
-		return Report{Name: s.Name, Seed: s.Seed, Played: 1}
+		return Report{Name: s.Name, Seed: s.Seed, Runs: 1}
 	}
 	rep := s.Run()
 	t.Log(rep)
--- a/internal/network/budgets/budgets_test.go
+++ b/internal/network/budgets/budgets_test.go
@@ -126,6 +126,6 @@
 
 	f.stopWatching()
 	assert.LessOrEqual(t, f.maxSum.Load(), int64(p.Total), "the most that the holders could spend at once")
-	assert.Positive(t, f.relays[1].Counts().Swallowed, "datagrams were lost")
+	assert.Positive(t, f.relays[1].Counts().Discarded, "datagrams were lost")
 	t.Logf("most spent at once %d of %d", f.maxSum.Load(), p.Total)
 }
--- a/internal/network/configured_site_test.go
+++ b/internal/network/configured_site_test.go
@@ -49,12 +49,12 @@
 	require.NoError(t, err)
 	synctest.Test(t, func(t *testing.T) {
 		s := &configuredSite{cfg: cfg}
-		ports := map[string]*faultnet.Pipes{cfg.Discovery: faultnet.ListenPipes(cfg.Discovery)}
-		d := standin.NewDirector(faultnet.ListenPipes("unused"))
+		ports := map[string]*faultnet.PipeListener{cfg.Discovery: faultnet.ListenPipe(cfg.Discovery)}
+		d := standin.NewDirector(faultnet.ListenPipe("unused"))
 		d.AddListener(ports[cfg.Discovery], !cfg.Settings.Subscribe)
 		for i := range 2 * len(cfg.Names.Zones) {
 			name, zone := fmt.Sprint("b", i), cfg.Names.Zones[i/2]
-			ports[name] = faultnet.ListenPipes(name)
+			ports[name] = faultnet.ListenPipe(name)
 			b := standin.NewBackend(ports[name], name, 8, func(string) time.Duration { return 10 * time.Millisecond })
 			s.backends, s.zones = append(s.backends, b), append(s.zones, zone)
 			d.Set(b.Entry(cfg.Names.Kinds[0], zone, 1+i/2, "Ready"))
--- a/internal/network/director_fixture_test.go
+++ b/internal/network/director_fixture_test.go
@@ -39,8 +39,8 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := &directorFixture{firstSeen: map[string]time.Time{}, dials: map[int64]int{}}
-		pipes := faultnet.ListenPipes("d")
-		w.discovery = standin.NewDirector(faultnet.ListenPipes("unused"))
+		pipes := faultnet.ListenPipe("d")
+		w.discovery = standin.NewDirector(faultnet.ListenPipe("unused"))
 		w.seat = w.discovery.AddListener(pipes, pushed)
 		for i := range 4 {
 			w.setStatus(i, "Ready")
--- a/internal/network/director_rig_test.go
+++ b/internal/network/director_rig_test.go
@@ -63,7 +63,7 @@
 	count                   *counters.Set
 	began                   time.Time
 	spells                  []spell
-	pipes                   map[string]*faultnet.Pipes
+	pipes                   map[string]*faultnet.PipeListener
 
 	mu         sync.Mutex
 	restarted  bool    // "d" is another machine now, whose versions have restarted
@@ -88,7 +88,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := &watchRig{count: &counters.Set{}, began: time.Now(), conns: map[*relayedConn]bool{}, listedAt: map[string]time.Time{}, state: map[string]balance.State{}}
-		at := map[string]*faultnet.Pipes{"d": faultnet.ListenPipes("d"), "e": faultnet.ListenPipes("e")}
+		at := map[string]*faultnet.PipeListener{"d": faultnet.ListenPipe("d"), "e": faultnet.ListenPipe("e")}
 		c.pipes = at
 		c.director, c.otherDirector = standin.NewDirector(at["d"]), standin.NewDirector(at["e"])
 		for i := range 4 {
@@ -196,7 +196,7 @@
 	return healthy
 }
 
-func (c *watchRig) dial(ctx context.Context, to *faultnet.Pipes) (net.Conn, error) {
+func (c *watchRig) dial(ctx context.Context, to *faultnet.PipeListener) (net.Conn, error) {
 	c.mu.Lock()
 	own := fault("")
 	if len(c.nextFaults) > 0 {
--- a/internal/network/fleet/quota/fixture_test.go
+++ b/internal/network/fleet/quota/fixture_test.go
@@ -268,7 +268,7 @@
 		for v, relay := range relays {
 			if selected(i, v) {
 				relay.Set(rule)
-				if rule == faultnet.Pass { // bytes were lost, so the connections can't continue
+				if rule == faultnet.NoFaults { // bytes were lost, so the connections can't continue
 					relay.Reset()
 				}
 			}
--- a/internal/network/fleet/quota/quota_test.go
+++ b/internal/network/fleet/quota/quota_test.go
@@ -79,7 +79,7 @@
 		return a.running.Load() == 12 && f.startedBy(inRegion(2)) == before && f.selectMembers(inRegion(2)).held() == 0
 	})
 	require.NoError(t, f.member(6).accord.Propose([]byte(`{"run_ms":300,"quotas":{"a":6}}`)))
-	f.setRule(faultnet.Pass, crossesBorder(2))
+	f.setRule(faultnet.NoFaults, crossesBorder(2))
 	f.awaitPolicy(2)
 	f.waitFor("the lowered quota is kept and in use", func() bool { return f.rootOutstanding("a") <= 6 && a.running.Load() > 0 })
 	a.limit.Store(6)
--- a/internal/network/mutate_test.go
+++ b/internal/network/mutate_test.go
@@ -328,7 +328,7 @@
 	return nil
 }
 
-func (w *mutationWorld) Check(time.Duration) error {
+func (w *mutationWorld) CheckInvariants(time.Duration) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.watched && w.core.ReadyBackends() == 0 { // s1 is ready in every list
@@ -337,8 +337,8 @@
 	return w.violation
 }
 
-// End checks that each request had its answer, nothing of any is kept, and the last requests that can be served were.
-func (w *mutationWorld) End(now time.Duration) error {
+// CheckEndState checks that each request had its answer, nothing of any is kept, and the last requests that can be served were.
+func (w *mutationWorld) CheckEndState(now time.Duration) error {
 	w.advance(now)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -360,10 +360,10 @@
 	return nil
 }
 
-func excuseMutation(p mutate.Play, of, as mutate.Message) string {
+func excuseMutation(p mutate.Mutation, of, as mutate.Message) string {
 	const key = `"result":"`
 	switch at := bytes.Index(of.Bytes, []byte(key)); {
-	case p.Kind == mutate.Changed && at >= 0 && len(of.Bytes) == len(as.Bytes):
+	case p.Kind == mutate.Corrupted && at >= 0 && len(of.Bytes) == len(as.Bytes):
 		from := at + len(key)
 		to := from + bytes.IndexByte(of.Bytes[from:], '"')
 		if bytes.Equal(of.Bytes[:from], as.Bytes[:from]) && bytes.Equal(of.Bytes[to:], as.Bytes[to:]) {
@@ -377,11 +377,11 @@
 
 func newSetup(t *testing.T, name string, reqs int, safe, watched bool) mutate.Setup {
 	var now *mutationWorld
-	return mutate.Setup{Name: "network " + name, Seed: 1, Tick: tickInterval, Faults: firstReqAt + time.Duration(max(reqs-len(reqScripts)-2, 0))*reqInterval,
-		Length: firstReqAt + time.Duration(reqs)*reqInterval + 800*time.Millisecond, Late: 50 * time.Millisecond,
-		Kinds: mutate.Streams, Splits: 3, Excuse: excuseMutation,
-		Build:  func(uint64) mutate.World { now = newMutationWorld(t, reqs, safe, watched); return now },
-		Around: func(play func()) { synctest.Test(t, func(*testing.T) { play(); now.shutdown() }) }}
+	return mutate.Setup{Name: "network " + name, Seed: 1, TickInterval: tickInterval, FaultsUntil: firstReqAt + time.Duration(max(reqs-len(reqScripts)-2, 0))*reqInterval,
+		Duration: firstReqAt + time.Duration(reqs)*reqInterval + 800*time.Millisecond, ExtraDelay: 50 * time.Millisecond,
+		Kinds: mutate.StreamKinds, MaxSplits: 3, Exclude: excuseMutation,
+		Build:   func(uint64) mutate.System { now = newMutationWorld(t, reqs, safe, watched); return now },
+		WrapRun: func(play func()) { synctest.Test(t, func(*testing.T) { play(); now.shutdown() }) }}
 }
 
 // TestAttemptsUnderMutation: whatever is mutated in one write of a backend or of the director, each request has exactly one
@@ -389,24 +389,24 @@
 // served.
 func TestAttemptsUnderMutation(t *testing.T) {
 	s := newSetup(t, "unsafe", defaultReqs, false, false)
-	s.Plays = 150
-	assert.Positive(t, mutate.Test(t, s).Played)
+	s.MaxRuns = 150
+	assert.Positive(t, mutate.Test(t, s).Runs)
 	s = newSetup(t, "safe", defaultReqs, true, false)
-	s.Plays = 45
-	assert.Positive(t, mutate.Test(t, s).Played)
+	s.MaxRuns = 45
+	assert.Positive(t, mutate.Test(t, s).Runs)
 }
 
 // TestWatchUnderMutation: whatever is mutated in one write of the director, the list is right in the end: after at most one
 // call that is never answered and the call after it.
 func TestWatchUnderMutation(t *testing.T) {
 	s := newSetup(t, "watch", 0, false, true)
-	s.Faults, s.Length, s.Tick = 2*time.Second, 20*time.Second, 50*time.Millisecond
-	s.Draws = 5
-	s.Excuse = func(p mutate.Play, of, as mutate.Message) string {
-		if p.Kind == mutate.Changed && json.Valid(as.Bytes) {
+	s.FaultsUntil, s.Duration, s.TickInterval = 2*time.Second, 20*time.Second, 50*time.Millisecond
+	s.MaxVariants = 5
+	s.Exclude = func(p mutate.Mutation, of, as mutate.Message) string {
+		if p.Kind == mutate.Corrupted && json.Valid(as.Bytes) {
 			return "a list that reads as one: the protocol has no sum of it"
 		}
 		return excuseMutation(p, of, as)
 	}
-	assert.Positive(t, mutate.Test(t, s).Played)
+	assert.Positive(t, mutate.Test(t, s).Runs)
 }
--- a/internal/network/scenario_test.go
+++ b/internal/network/scenario_test.go
@@ -52,7 +52,7 @@
 	received []byte
 	closed   bool
 
-	frames     *scenario.Frames // of an HTTP/2 client
+	frames     *scenario.FrameCodec // of an HTTP/2 client
 	frameTexts []string
 }
 
@@ -181,30 +181,30 @@
 	w.t.Helper()
 	for _, s := range scenario.Steps(w.t, text) {
 		w.mu.Lock()
-		p := w.peers[s.Who]
-		if p == nil && s.Verb == "send" && s.Who[0] == 'c' {
-			conn := w.newPeer(s.Who)
-			p = w.peers[s.Who]
+		p := w.peers[s.Actor]
+		if p == nil && s.Verb == "send" && s.Actor[0] == 'c' {
+			conn := w.newPeer(s.Actor)
+			p = w.peers[s.Actor]
 			go w.clients.admit(conn) // "send" with no text only connects
 		}
-		if p == nil && s.Verb == "send" && s.Who[0] == 'h' {
-			conn := w.newPeer(s.Who)
-			p = w.peers[s.Who]
-			p.frames = scenario.NewFrames(w.t)
-			p.frames.Post = ":method=POST :scheme=http :path=/ingest x-correlation-id=r%d idempotency-key=k%d x-time-left-ms=2000"
+		if p == nil && s.Verb == "send" && s.Actor[0] == 'h' {
+			conn := w.newPeer(s.Actor)
+			p = w.peers[s.Actor]
+			p.frames = scenario.NewFrameCodec(w.t)
+			p.frames.PostFields = ":method=POST :scheme=http :path=/ingest x-correlation-id=r%d idempotency-key=k%d x-time-left-ms=2000"
 			go w.http2.admit(conn)
 		}
 		if s.Verb == "close" && p == nil {
-			w.refusedDials[s.Who] = true
+			w.refusedDials[s.Actor] = true
 		}
 		w.mu.Unlock()
 		switch {
 		case s.Verb == "wait":
 			d, err := time.ParseDuration(s.Arg)
 			require.NoError(w.t, err, s.Line)
-			if s.Who != "" { // its connections take that long to come up
+			if s.Actor != "" { // its connections take that long to come up
 				w.mu.Lock()
-				w.dialDelays[s.Who] = d
+				w.dialDelays[s.Actor] = d
 				w.mu.Unlock()
 			} else {
 				time.Sleep(d)
@@ -214,12 +214,12 @@
 			if p != nil && p.frames != nil {
 				got = p.nextFrame()
 			} else if p != nil {
-				got = p.nextMessage(s.Who[0] == 'c')
+				got = p.nextMessage(s.Actor[0] == 'c')
 			}
 			require.Equal(w.t, s.Arg, got, s.Line)
 		case p == nil || s.Verb == "send" && s.Arg == "":
 		case s.Verb == "send" && p.frames != nil:
-			_, err := p.conn.Write(p.frames.Bytes(s.Arg))
+			_, err := p.conn.Write(p.frames.Encode(s.Arg))
 			require.NoError(w.t, err, s.Line)
 		case s.Verb == "send":
 			_, err := p.conn.Write([]byte(expand(s.Arg)))
@@ -235,7 +235,7 @@
 func (p *peer) nextFrame() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.frameTexts = append(p.frameTexts, p.frames.Words(p.received)...)
+	p.frameTexts = append(p.frameTexts, p.frames.Describe(p.received)...)
 	p.received = nil
 	if len(p.frameTexts) == 0 {
 		if p.closed {
--- a/internal/network/site_test.go
+++ b/internal/network/site_test.go
@@ -49,12 +49,12 @@
 		}
 		names := &platform.Names{Classes: []string{"ingest"}, RequiresKey: []bool{effect == balance.Deduped}, Deadlines: []time.Duration{5 * time.Second}}
 		s := &site{history: &history.History{}, terms: standin.ProcessInfo{StartedAt: time.Now(), PollInterval: time.Duration(set.Rules.AskEvery) * time.Millisecond}}
-		at := map[string]*faultnet.Pipes{"d": faultnet.ListenPipes("d")}
-		s.director = standin.NewDirector(faultnet.ListenPipes("unused"))
+		at := map[string]*faultnet.PipeListener{"d": faultnet.ListenPipe("d")}
+		s.director = standin.NewDirector(faultnet.ListenPipe("unused"))
 		s.seat = s.director.AddListener(at["d"], pushed)
 		for i := range 3 {
 			name := fmt.Sprint("b", i)
-			at[name] = faultnet.ListenPipes(name)
+			at[name] = faultnet.ListenPipe(name)
 			b := standin.NewBackend(at[name], name, 8, func(string) time.Duration { return 10 * time.Millisecond })
 			s.backends = append(s.backends, b)
 			s.director.Set(b.Entry("", "", 1, "Ready")) // one group: only its class limits a request's repeats
--- a/internal/platform/mutate_test.go
+++ b/internal/platform/mutate_test.go
@@ -93,8 +93,8 @@
 	result string
 }
 
-func buildReplies(strict bool) func(uint64) mutate.World {
-	return func(uint64) mutate.World {
+func buildReplies(strict bool) func(uint64) mutate.System {
+	return func(uint64) mutate.System {
 		w := &replyModel{strict: strict, conns: map[string]*replyClient{}}
 		for name := range scriptedReplies {
 			w.conns[name] = &replyClient{name: name, parser: NewReplyParser(false, MaxLine), current: -1}
@@ -188,9 +188,9 @@
 	}
 }
 
-// Check verifies that each result belongs to its request, that only requests that never ran are reported as such, and that the buffer is
+// CheckInvariants verifies that each result belongs to its request, that only requests that never ran are reported as such, and that the buffer is
 // bounded.
-func (w *replyModel) Check(time.Duration) error {
+func (w *replyModel) CheckInvariants(time.Duration) error {
 	for name, c := range w.conns {
 		for i, o := range c.outcomes {
 			want := scriptedReplies[name][i]
@@ -210,8 +210,8 @@
 	return nil
 }
 
-// End verifies that each request has one outcome.
-func (w *replyModel) End(time.Duration) error {
+// CheckEndState verifies that each request has one outcome.
+func (w *replyModel) CheckEndState(time.Duration) error {
 	for name, c := range w.conns {
 		if len(c.outcomes) != len(scriptedReplies[name]) {
 			return fmt.Errorf("%s: outcomes %v", name, c.outcomes)
@@ -227,10 +227,10 @@
 
 // undetectableReplyFault returns why a fault cannot be detected from the protocol's bytes, or an empty
 // text.
-func undetectableReplyFault(p mutate.Play, of, as mutate.Message) string {
+func undetectableReplyFault(p mutate.Mutation, of, as mutate.Message) string {
 	const unprocessed = "X-Unprocessed: 1"
 	switch {
-	case p.Kind == mutate.Changed && differsInsideResult(of.Bytes, as.Bytes):
+	case p.Kind == mutate.Corrupted && differsInsideResult(of.Bytes, as.Bytes):
 		return "a byte of the result itself: the protocol has no checksum of it"
 	case (p.Kind == mutate.Replayed || p.Kind == mutate.Misrouted) && bytes.Contains(as.Bytes, []byte(unprocessed)):
 		return "a head does not identify its request: the 'never ran' of another request is taken for this one's"
@@ -250,15 +250,15 @@
 }
 
 func replySetup(name string, strict bool, kinds ...mutate.Kind) mutate.Setup {
-	return mutate.Setup{Name: name, Seed: 1, Build: buildReplies(strict), Tick: reqEvery / 2, Length: 8 * reqEvery,
-		Late: reqEvery, Kinds: kinds, Draws: 12, Splits: -1, Excuse: undetectableReplyFault}
+	return mutate.Setup{Name: name, Seed: 1, Build: buildReplies(strict), TickInterval: reqEvery / 2, Duration: 8 * reqEvery,
+		ExtraDelay: reqEvery, Kinds: kinds, MaxVariants: 12, MaxSplits: -1, Exclude: undetectableReplyFault}
 }
 
 // TestRepliesUnderMutation checks that a fault of the network or a backend in one write of a dialogue gives
 // no request another's result or a false "never ran", and that splitting the bytes changes nothing.
 func TestRepliesUnderMutation(t *testing.T) {
-	assert.Positive(t, mutate.Test(t, replySetup("replies", false, mutate.Datagrams...)).Played)
-	assert.Positive(t, mutate.Test(t, replySetup("replies split", true, mutate.Split)).Played)
+	assert.Positive(t, mutate.Test(t, replySetup("replies", false, mutate.DatagramKinds...)).Runs)
+	assert.Positive(t, mutate.Test(t, replySetup("replies split", true, mutate.Split)).Runs)
 }
 
 // indentedList is a list with line breaks and indentation. directorLists adds compact answers to
@@ -333,16 +333,16 @@
 	return nil
 }
 
-func (w *listModel) Check(time.Duration) error {
+func (w *listModel) CheckInvariants(time.Duration) error {
 	if len(w.parser.data) > 2*(MaxList+MaxHead+2*minReadSpace) {
 		return fmt.Errorf("a buffer of %d bytes", len(w.parser.data))
 	}
 	return nil
 }
 
-// End verifies that an accepted list equals what net/http and encoding/json read from the same bytes, and that nothing
+// CheckEndState verifies that an accepted list equals what net/http and encoding/json read from the same bytes, and that nothing
 // was accepted where they refuse a list.
-func (w *listModel) End(time.Duration) error {
+func (w *listModel) CheckEndState(time.Duration) error {
 	if w.strict && len(w.accepted) != len(directorLists)+1 {
 		return fmt.Errorf("%d replies", len(w.accepted))
 	}
@@ -425,15 +425,15 @@
 }
 
 func listSetup(name string, strict bool, kinds ...mutate.Kind) mutate.Setup {
-	return mutate.Setup{Name: name, Seed: 1, Tick: reqEvery, Length: 7 * reqEvery, Late: reqEvery, Kinds: kinds, Draws: 100, Splits: -1,
-		Build: func(uint64) mutate.World { return &listModel{strict: strict, parser: NewReplyParser(true, MaxList)} }}
+	return mutate.Setup{Name: name, Seed: 1, TickInterval: reqEvery, Duration: 7 * reqEvery, ExtraDelay: reqEvery, Kinds: kinds, MaxVariants: 100, MaxSplits: -1,
+		Build: func(uint64) mutate.System { return &listModel{strict: strict, parser: NewReplyParser(true, MaxList)} }}
 }
 
 // TestListsUnderMutation checks that a list is accepted as the standard library reads it, or not at all, and
 // that every list is accepted however its bytes are split.
 func TestListsUnderMutation(t *testing.T) {
-	s := listSetup("lists", false, mutate.Datagrams...)
-	s.Plays = 900
-	assert.Positive(t, mutate.Test(t, s).Played)
-	assert.Positive(t, mutate.Test(t, listSetup("lists split", true, mutate.Split)).Played)
+	s := listSetup("lists", false, mutate.DatagramKinds...)
+	s.MaxRuns = 900
+	assert.Positive(t, mutate.Test(t, s).Runs)
+	assert.Positive(t, mutate.Test(t, listSetup("lists split", true, mutate.Split)).Runs)
 }
--- a/internal/scenario/frames.go
+++ b/internal/scenario/frames.go
@@ -14,10 +14,10 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// Frames writes and reads HTTP/2 frames for the steps of an HTTP/2 client, one connection's.
-type Frames struct {
-	// Post is the head of a {post}, with %d for the stream.
-	Post string
+// FrameCodec writes and reads HTTP/2 frames for the steps of an HTTP/2 client, one connection's.
+type FrameCodec struct {
+	// PostFields is the head of a {post}, with %d for the stream.
+	PostFields string
 
 	t     testing.TB
 	enc   *hpack.Encoder
@@ -27,9 +27,9 @@
 	dec   *hpack.Decoder
 }
 
-// NewFrames makes the client's side of a connection.
-func NewFrames(t testing.TB) *Frames {
-	p := &Frames{t: t, Post: ":method=POST :scheme=http :path=/photo/1 x-correlation-id=r%d"}
+// NewFrameCodec makes the client's side of a connection.
+func NewFrameCodec(t testing.TB) *FrameCodec {
+	p := &FrameCodec{t: t, PostFields: ":method=POST :scheme=http :path=/photo/1 x-correlation-id=r%d"}
 	p.enc = hpack.NewEncoder(&p.block)
 	p.in = http2.NewFramer(nil, &p.raw)
 	p.dec = hpack.NewDecoder(4096, nil)
@@ -38,9 +38,9 @@
 
 var frame = regexp.MustCompile(`\{(\w+) ?([^{}]*)\}`)
 
-// Bytes writes the frames of a text, {KIND ID FLAGS TEXT} each. Flags: e ends the stream, o leaves the field block open,
+// Encode writes the frames of a text, {KIND ID FLAGS TEXT} each. Flags: e ends the stream, o leaves the field block open,
 // p pads by 8.
-func (p *Frames) Bytes(text string) []byte {
+func (p *FrameCodec) Encode(text string) []byte {
 	var b bytes.Buffer
 	fr := http2.NewFramer(&b, nil)
 	fr.AllowIllegalWrites = true
@@ -74,7 +74,7 @@
 		case "post", "head": // a whole head of a POST, and one as it stands
 			fields := rest
 			if m[1] == "post" {
-				fields = strings.ReplaceAll(p.Post, "%d", args[0]) + " " + rest
+				fields = strings.ReplaceAll(p.PostFields, "%d", args[0]) + " " + rest
 			}
 			_ = fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: p.pack(fields), PadLength: pad,
 				EndStream: strings.Contains(flags, "e"), EndHeaders: !strings.Contains(flags, "o")})
@@ -115,7 +115,7 @@
 	return b.Bytes()
 }
 
-func (p *Frames) pack(fields string) []byte {
+func (p *FrameCodec) pack(fields string) []byte {
 	p.block.Reset()
 	for _, f := range strings.Fields(fields) {
 		i := 1 + strings.IndexByte(f[1:], '=')
@@ -124,12 +124,12 @@
 	return bytes.Clone(p.block.Bytes())
 }
 
-// Number writes a stream's number as Bytes takes it.
-func Number(id int) string { return strconv.Itoa(id) }
+// FormatStreamID writes a stream's number as Bytes takes it.
+func FormatStreamID(id int) string { return strconv.Itoa(id) }
 
-// Words reads what came from the server; half a frame waits for its rest. An answer of HTTP/1.1
+// Describe reads what came from the server; half a frame waits for its rest. An answer of HTTP/1.1
 // is told by its first line.
-func (p *Frames) Words(came []byte) (words []string) {
+func (p *FrameCodec) Describe(came []byte) (words []string) {
 	p.raw.Write(came)
 	if strings.HasPrefix(p.raw.String(), "HTTP/1.1") {
 		line, _, _ := strings.Cut(p.raw.String(), "\r\n")
@@ -148,7 +148,7 @@
 }
 
 // word says what a frame is, by the standard library's reading of it.
-func (p *Frames) word(f http2.Frame) string {
+func (p *FrameCodec) word(f http2.Frame) string {
 	end := ""
 	switch f := f.(type) {
 	case *http2.SettingsFrame:
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -16,7 +16,7 @@
 )
 
 // Step is one line.
-type Step struct{ Line, Who, Verb, Arg string }
+type Step struct{ Line, Actor, Verb, Arg string }
 
 var verbs = []string{"send", "expect", "close", "wait"}
 
@@ -28,7 +28,7 @@
 		s := Step{Line: line}
 		first, rest, _ := strings.Cut(line, " ")
 		if !slices.Contains(verbs, first) {
-			s.Who = first
+			s.Actor = first
 			first, rest, _ = strings.Cut(rest, " ")
 		}
 		if s.Verb, s.Arg = first, rest; line == "" {
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -77,8 +77,8 @@
 // an agent's outage are never answered, that all calls are recorded, and that lists can be indented.
 func TestSilenceAndOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		pipes := faultnet.ListenPipes("d")
-		d := NewDirector(faultnet.ListenPipes("unused"))
+		pipes := faultnet.ListenPipe("d")
+		d := NewDirector(faultnet.ListenPipe("unused"))
 		defer d.Close()
 		listener := d.AddListener(pipes, true)
 		d.Set(Entry{Name: "b0", Status: "Ready"})
