--- a/internal/faultnet/line.go
+++ b/internal/faultnet/line.go
@@ -5,32 +5,34 @@
 	"time"
 )
 
-// travelling bounds the pieces on a line: a sender that is faster than its line waits, as on a real one.
-const travelling = 4096
+// maxInTransit limits the chunks in transit on a delay line. A sender that exceeds it blocks, as on a
+// real connection.
+const maxInTransit = 4096
 
-// line is a direction in which pieces travel, each for its time, in order.
-type line struct {
-	pieces chan piece
-	done   chan struct{}
+// delayLine is one direction of a connection with latency: it delivers chunks in order, each at its
+// due time.
+type delayLine struct {
+	chunks chan chunk
+	done   chan struct{} // closed when the last chunk has been written
 }
 
-type piece struct {
-	bytes []byte
-	due   time.Time
+type chunk struct {
+	data []byte
+	due  time.Time // when to write it to the destination
 }
 
-// newLine makes a line that writes to to; where that fails, it closes from.
-func newLine(from, to net.Conn) *line {
-	l := &line{pieces: make(chan piece, travelling), done: make(chan struct{})}
+// newDelayLine returns a delay line that writes to to. It closes from when a write fails.
+func newDelayLine(from, to net.Conn) *delayLine {
+	l := &delayLine{chunks: make(chan chunk, maxInTransit), done: make(chan struct{})}
 	go func() {
 		defer close(l.done)
-		var failed error
-		for p := range l.pieces {
-			if failed != nil {
+		var writeErr error
+		for c := range l.chunks {
+			if writeErr != nil {
 				continue
 			}
-			time.Sleep(time.Until(p.due))
-			if _, failed = to.Write(p.bytes); failed != nil {
+			time.Sleep(time.Until(c.due))
+			if _, writeErr = to.Write(c.data); writeErr != nil {
 				from.Close()
 			}
 		}
@@ -38,10 +40,14 @@
 	return l
 }
 
-func (l *line) send(p []byte, lag time.Duration) { l.pieces <- piece{p, time.Now().Add(lag)} }
+// send queues data for delivery after latency. It keeps data.
+func (l *delayLine) send(data []byte, latency time.Duration) {
+	l.chunks <- chunk{data, time.Now().Add(latency)}
+}
 
-// end waits for what is on its way. Nothing is sent after it.
-func (l *line) end() {
-	close(l.pieces)
+// drain waits until every queued chunk is delivered or dropped after a failed write. send must not be
+// called after it.
+func (l *delayLine) drain() {
+	close(l.chunks)
 	<-l.done
 }
--- a/internal/faultnet/relay_test.go
+++ b/internal/faultnet/relay_test.go
@@ -13,39 +13,41 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo is a target that sends back what it gets and counts its connections.
-func echo(t *testing.T) (string, <-chan struct{}) {
+// startEcho starts a target that sends back what it receives. It returns its address and a channel
+// with one element for each accepted connection.
+func startEcho(t *testing.T) (string, <-chan struct{}) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	came := make(chan struct{}, 16)
+	accepted := make(chan struct{}, 16)
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			came <- struct{}{}
+			accepted <- struct{}{}
 			go func() { io.Copy(c, c); c.Close() }()
 		}
 	}()
-	return l.Addr().String(), came
+	return l.Addr().String(), accepted
 }
 
-func relay(t *testing.T, target string) *TCP {
+func startRelay(t *testing.T, target string) *TCP {
 	r, err := ListenTCP(target)
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
 	return r
 }
 
-// TestPassAndDelayKeepTheBytes: bytes pass whole, and a delay holds each way back.
-func TestPassAndDelayKeepTheBytes(t *testing.T) {
-	target, _ := echo(t)
-	r := relay(t, target)
+// TestDelayPreservesBytes checks that all bytes arrive unchanged with and without a delay, and that the
+// delay applies to each direction.
+func TestDelayPreservesBytes(t *testing.T) {
+	target, _ := startEcho(t)
+	r := startRelay(t, target)
 	for _, rule := range []Rule{NoFaults, {Delay: 20 * time.Millisecond}} {
 		r.Set(rule)
-		began := time.Now()
+		start := time.Now()
 		c, err := net.Dial("tcp", r.Addr())
 		require.NoError(t, err)
 		_, err = c.Write([]byte("hello, backend"))
@@ -54,57 +56,57 @@
 		got, err := io.ReadAll(c)
 		require.NoError(t, err)
 		assert.Equal(t, "hello, backend", string(got), "%+v", rule)
-		// a lower bound alone: held back once each way, the answer cannot come sooner
-		assert.GreaterOrEqual(t, time.Since(began), 2*rule.Delay, "%+v", rule)
+		// only a lower bound: with one delay in each direction the reply can't arrive sooner
+		assert.GreaterOrEqual(t, time.Since(start), 2*rule.Delay, "%+v", rule)
 		c.Close()
 	}
-	assert.Equal(t, int64(4*14), r.AwaitEnded(2).Forwarded, "both ways, twice")
+	assert.Equal(t, int64(4*14), r.AwaitEnded(2).Forwarded, "14 bytes in both directions, on two connections")
 }
 
 func TestRefuseResetsNewConnections(t *testing.T) {
-	target, came := echo(t)
-	r := relay(t, target)
+	target, accepted := startEcho(t)
+	r := startRelay(t, target)
 	r.Set(Rule{Refuse: true})
 	c, err := net.Dial("tcp", r.Addr())
-	if err == nil { // the reset may come before the dial is through, or after
+	if err == nil { // the reset may arrive before Dial returns or after
 		_, err = c.Read(make([]byte, 1))
 	}
 	assert.True(t, errors.Is(err, syscall.ECONNRESET), "dial or read: %v", err)
 	assert.Equal(t, 1, r.Counts().Refused)
-	assert.Empty(t, came, "nothing reached the target")
+	assert.Empty(t, accepted, "the target accepted no connection")
 }
 
-func TestResetCutsOpenConnections(t *testing.T) {
-	target, _ := echo(t)
-	r := relay(t, target)
+func TestResetClosesOpenConnections(t *testing.T) {
+	target, _ := startEcho(t)
+	r := startRelay(t, target)
 	c, err := net.Dial("tcp", r.Addr())
 	require.NoError(t, err)
 	_, err = c.Write([]byte("x"))
 	require.NoError(t, err)
 	_, err = io.ReadFull(c, make([]byte, 1))
-	require.NoError(t, err, "up and passing")
+	require.NoError(t, err, "the connection is open and forwards")
 	r.Reset()
 	_, err = c.Read(make([]byte, 1))
 	assert.True(t, errors.Is(err, syscall.ECONNRESET), "read: %v", err)
 }
 
-func TestBlackholeSwallowsInSilence(t *testing.T) {
-	target, came := echo(t)
-	r := relay(t, target)
+func TestBlackholeDiscardsSilently(t *testing.T) {
+	target, accepted := startEcho(t)
+	r := startRelay(t, target)
 	r.Set(Rule{Blackhole: true})
 	c, err := net.Dial("tcp", r.Addr())
 	require.NoError(t, err)
 	_, err = c.Write([]byte("anyone?"))
 	require.NoError(t, err)
 	c.(*net.TCPConn).CloseWrite()
-	n := r.AwaitEnded(1)
-	assert.Equal(t, int64(7), n.Discarded)
-	assert.Equal(t, int64(0), n.Forwarded)
-	assert.Empty(t, came, "the target was never dialled")
+	counts := r.AwaitEnded(1)
+	assert.Equal(t, int64(7), counts.Discarded)
+	assert.Equal(t, int64(0), counts.Forwarded)
+	assert.Empty(t, accepted, "the target was never dialled")
 	c.Close()
 }
 
-func TestUDPDropsOneInSo(t *testing.T) {
+func TestUDPDropsEveryNth(t *testing.T) {
 	sink, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
 	defer sink.Close()
@@ -129,17 +131,18 @@
 	assert.Equal(t, Counts{Forwarded: 6, Discarded: 3}, r.AwaitDatagrams(9))
 }
 
-// TestLagKeepsTheBytes: pieces that travel come whole, in order and none before its time, and a tap sees them all.
-func TestLagKeepsTheBytes(t *testing.T) {
-	target, _ := echo(t)
-	var out, back atomic.Int64
+// TestLatencyPreservesBytes checks that bytes sent with latency arrive complete, in order and not too
+// early, and that a tap is given all of them.
+func TestLatencyPreservesBytes(t *testing.T) {
+	target, _ := startEcho(t)
+	var toTarget, toClient atomic.Int64
 	count := func(n *atomic.Int64) func([]byte) { return func(p []byte) { n.Add(int64(len(p))) } }
-	r, err := ListenTapped(target, func() (func([]byte), func([]byte)) { return count(&out), count(&back) })
+	r, err := ListenTapped(target, func() (func([]byte), func([]byte)) { return count(&toTarget), count(&toClient) })
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
-	const lag = 20 * time.Millisecond
-	r.Set(Rule{Latency: lag})
-	began := time.Now()
+	const latency = 20 * time.Millisecond
+	r.Set(Rule{Latency: latency})
+	start := time.Now()
 	c, err := net.Dial("tcp", r.Addr())
 	require.NoError(t, err)
 	defer c.Close()
@@ -154,8 +157,8 @@
 	got, err := io.ReadAll(c)
 	require.NoError(t, err)
 	assert.Equal(t, want, got)
-	assert.GreaterOrEqual(t, time.Since(began), 2*lag, "a lower bound alone")
+	assert.GreaterOrEqual(t, time.Since(start), 2*latency, "only a lower bound")
 	assert.Equal(t, int64(2*len(want)), r.AwaitEnded(1).Forwarded)
-	assert.Equal(t, int64(len(want)), out.Load())
-	assert.Equal(t, int64(len(want)), back.Load())
+	assert.Equal(t, int64(len(want)), toTarget.Load())
+	assert.Equal(t, int64(len(want)), toClient.Load())
 }
--- a/internal/faultnet/udp.go
+++ b/internal/faultnet/udp.go
@@ -6,69 +6,71 @@
 	"time"
 )
 
-// UDP is a relay of datagrams to one target. Each sender gets a socket of its own towards the
-// target, so that answers find their way back; at most mostSenders are kept.
+// UDP is a relay of datagrams to one target. Each sender has a socket of its own towards the
+// target, so that replies can be returned to it. Datagrams from more than maxSenders senders are
+// ignored.
 type UDP struct {
-	in     *net.UDPConn
-	target *net.UDPAddr
+	listener *net.UDPConn
+	target   *net.UDPAddr
 
-	mu      sync.Mutex
-	told    *sync.Cond // when a datagram has been seen
-	rule    Rule
-	seen    int // datagrams, to drop one in DropEvery
-	senders map[string]*net.UDPConn
-	n       Counts
+	mu        sync.Mutex
+	processed *sync.Cond // signalled for each datagram
+	rule      Rule
+	datagrams int                     // processed so far, for DropEvery
+	senders   map[string]*net.UDPConn // sockets towards the target, by the sender's address
+	counts    Counts
 }
 
-// mostSenders bounds the sockets a relay holds: a test with more senders is wrong.
-const mostSenders = 512
+// maxSenders limits a relay's sockets. A test with more senders is faulty.
+const maxSenders = 512
 
-// ListenUDP starts a relay on a free port of 127.0.0.1 to target.
+// ListenUDP starts a relay to target on a free port of 127.0.0.1.
 func ListenUDP(target string) (*UDP, error) {
-	to, err := net.ResolveUDPAddr("udp", target)
+	targetAddr, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
 		return nil, err
 	}
-	in, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	listener, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, err
 	}
-	r := &UDP{in: in, target: to, senders: map[string]*net.UDPConn{}}
-	r.told = sync.NewCond(&r.mu)
+	r := &UDP{listener: listener, target: targetAddr, senders: map[string]*net.UDPConn{}}
+	r.processed = sync.NewCond(&r.mu)
 	go r.forward()
 	return r, nil
 }
 
-// Addr is where to send instead of the target.
-func (r *UDP) Addr() string { return r.in.LocalAddr().String() }
+// Addr returns the address to send to instead of the target's.
+func (r *UDP) Addr() string { return r.listener.LocalAddr().String() }
 
-// Set puts a rule in force; Refuse and Blackhole both swallow every datagram.
+// Set applies rule to all further datagrams. Refuse and Blackhole both discard every datagram.
 func (r *UDP) Set(rule Rule) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rule = rule
 }
 
-// Counts says what it has done so far: datagrams passed and swallowed.
+// Counts returns the numbers of datagrams forwarded and discarded so far.
 func (r *UDP) Counts() Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.n
+	return r.counts
 }
 
-// AwaitDatagrams waits until n datagrams, either way, have met the rule, and says what was done.
+// AwaitDatagrams waits until the rule has been applied to n datagrams in total, in either direction,
+// then returns the totals.
 func (r *UDP) AwaitDatagrams(n int) Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for r.seen < n {
-		r.told.Wait()
+	for r.datagrams < n {
+		r.processed.Wait()
 	}
-	return r.n
+	return r.counts
 }
 
-// Close stops the relay.
+// Close stops the relay and closes its sockets.
 func (r *UDP) Close() {
-	r.in.Close()
+	r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.senders {
@@ -76,64 +78,67 @@
 	}
 }
 
-// pass says whether one more datagram goes through, and after how long.
-func (r *UDP) pass() (bool, time.Duration) {
+// applyRule counts one more datagram and returns whether to forward it, and after which delay.
+func (r *UDP) applyRule() (forward bool, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.seen++
-	r.told.Broadcast()
+	r.datagrams++
+	r.processed.Broadcast()
 	rule := r.rule
-	if rule.Refuse || rule.Blackhole || rule.DropEvery > 0 && r.seen%rule.DropEvery == 0 {
-		r.n.Discarded++
+	if rule.Refuse || rule.Blackhole || rule.DropEvery > 0 && r.datagrams%rule.DropEvery == 0 {
+		r.counts.Discarded++
 		return false, 0
 	}
-	r.n.Forwarded++
+	r.counts.Forwarded++
 	return true, rule.Delay
 }
 
-func (r *UDP) send(to *net.UDPConn, addr *net.UDPAddr, b []byte) {
-	ok, wait := r.pass()
-	if !ok {
+// send writes one datagram to socket as the rule allows. addr is nil if the socket is connected.
+func (r *UDP) send(socket *net.UDPConn, addr *net.UDPAddr, data []byte) {
+	forward, delay := r.applyRule()
+	if !forward {
 		return
 	}
-	b = append([]byte(nil), b...)
-	later := func() {
+	data = append([]byte(nil), data...)
+	write := func() {
 		if addr == nil {
-			to.Write(b)
+			socket.Write(data)
 		} else {
-			to.WriteToUDP(b, addr)
+			socket.WriteToUDP(data, addr)
 		}
 	}
-	if wait > 0 {
-		time.AfterFunc(wait, later)
+	if delay > 0 {
+		time.AfterFunc(delay, write)
 	} else {
-		later()
+		write()
 	}
 }
 
+// forward reads the senders' datagrams until the listener is closed.
 func (r *UDP) forward() {
 	buf := make([]byte, 64<<10)
 	for {
-		n, from, err := r.in.ReadFromUDP(buf)
+		n, from, err := r.listener.ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
-		out := r.sender(from)
-		if out != nil {
-			r.send(out, nil, buf[:n])
+		socket := r.socketFor(from)
+		if socket != nil {
+			r.send(socket, nil, buf[:n])
 		}
 	}
 }
 
-// sender is the socket towards the target for one sender, made at its first datagram; its
-// answers are relayed back by the same rule.
-func (r *UDP) sender(from *net.UDPAddr) *net.UDPConn {
+// socketFor returns the socket towards the target for one sender, opened at its first datagram.
+// Replies on it are returned to the sender under the same rule. It returns nil if there are too many
+// senders or the socket can't be opened.
+func (r *UDP) socketFor(from *net.UDPAddr) *net.UDPConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c, ok := r.senders[from.String()]; ok {
 		return c
 	}
-	if len(r.senders) >= mostSenders {
+	if len(r.senders) >= maxSenders {
 		return nil
 	}
 	c, err := net.DialUDP("udp", nil, r.target)
@@ -148,7 +153,7 @@
 			if err != nil {
 				return
 			}
-			r.send(r.in, from, buf[:n])
+			r.send(r.listener, from, buf[:n])
 		}
 	}()
 	return c
