--- a/internal/scenario/frames.go
+++ b/internal/scenario/frames.go
@@ -14,37 +14,37 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// FrameCodec writes and reads HTTP/2 frames for the steps of an HTTP/2 client, one connection's.
+// FrameCodec encodes and decodes the HTTP/2 frames of one connection, on the client's side.
 type FrameCodec struct {
-	// PostFields is the head of a {post}, with %d for the stream.
+	// PostFields are the header fields of a {post} frame. %d stands for the stream ID.
 	PostFields string
 
-	t     testing.TB
-	enc   *hpack.Encoder
-	block bytes.Buffer
-	in    *http2.Framer
-	raw   bytes.Buffer
-	dec   *hpack.Decoder
+	t            testing.TB
+	encoder      *hpack.Encoder
+	encoded      bytes.Buffer // the encoder's output
+	framer       *http2.Framer
+	received     bytes.Buffer // the framer's input
+	fieldDecoder *hpack.Decoder
 }
 
-// NewFrameCodec makes the client's side of a connection.
+// NewFrameCodec returns a codec for a new connection. Failures are reported to t.
 func NewFrameCodec(t testing.TB) *FrameCodec {
 	p := &FrameCodec{t: t, PostFields: ":method=POST :scheme=http :path=/photo/1 x-correlation-id=r%d"}
-	p.enc = hpack.NewEncoder(&p.block)
-	p.in = http2.NewFramer(nil, &p.raw)
-	p.dec = hpack.NewDecoder(4096, nil)
+	p.encoder = hpack.NewEncoder(&p.encoded)
+	p.framer = http2.NewFramer(nil, &p.received)
+	p.fieldDecoder = hpack.NewDecoder(4096, nil)
 	return p
 }
 
-var frame = regexp.MustCompile(`\{(\w+) ?([^{}]*)\}`)
+var framePattern = regexp.MustCompile(`\{(\w+) ?([^{}]*)\}`)
 
-// Encode writes the frames of a text, {KIND ID FLAGS TEXT} each. Flags: e ends the stream, o leaves the field block open,
-// p pads by 8.
+// Encode encodes the frames of a text, each written as {KIND ID FLAGS TEXT}. Flags: e ends the stream,
+// o leaves the field block open, p pads by 8 bytes. A frame may break the protocol's rules.
 func (p *FrameCodec) Encode(text string) []byte {
-	var b bytes.Buffer
-	fr := http2.NewFramer(&b, nil)
+	var out bytes.Buffer
+	fr := http2.NewFramer(&out, nil)
 	fr.AllowIllegalWrites = true
-	for _, m := range frame.FindAllStringSubmatch(text, -1) {
+	for _, m := range framePattern.FindAllStringSubmatch(text, -1) {
 		args := strings.SplitN(m[2], " ", 3)
 		id64, _ := strconv.ParseUint(args[0], 0, 32)
 		id := uint32(id64)
@@ -60,26 +60,26 @@
 			pad = 8
 		}
 		switch m[1] {
-		case "hello": // the preface and SETTINGS
-			b.WriteString(http2.ClientPreface)
+		case "hello": // the connection preface and SETTINGS
+			out.WriteString(http2.ClientPreface)
 			_ = fr.WriteSettings()
 		case "raw":
 			for _, h := range strings.Fields(m[2]) {
 				n, err := strconv.ParseUint(h, 16, 8)
 				require.NoError(p.t, err)
-				b.WriteByte(byte(n))
+				out.WriteByte(byte(n))
 			}
 		case "text":
-			b.WriteString(strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace(m[2]))
-		case "post", "head": // a whole head of a POST, and one as it stands
+			out.WriteString(strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace(m[2]))
+		case "post", "head": // HEADERS: post adds the fields of PostFields
 			fields := rest
 			if m[1] == "post" {
 				fields = strings.ReplaceAll(p.PostFields, "%d", args[0]) + " " + rest
 			}
-			_ = fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: p.pack(fields), PadLength: pad,
+			_ = fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: p.encodeFields(fields), PadLength: pad,
 				EndStream: strings.Contains(flags, "e"), EndHeaders: !strings.Contains(flags, "o")})
 		case "more":
-			_ = fr.WriteContinuation(id, !strings.Contains(flags, "o"), p.pack(rest))
+			_ = fr.WriteContinuation(id, !strings.Contains(flags, "o"), p.encodeFields(rest))
 		case "data":
 			if pad > 0 {
 				_ = fr.WriteDataPadded(id, strings.Contains(flags, "e"), []byte(rest), make([]byte, pad))
@@ -105,51 +105,52 @@
 			_ = fr.WriteGoAway(0, http2.ErrCodeNo, nil)
 		case "push":
 			_ = fr.WritePushPromise(http2.PushPromiseParam{StreamID: id, PromiseID: 2, EndHeaders: true})
-		case "frame": // of a kind that nobody knows, with a payload of so many bytes
+		case "frame": // a frame of any type, with a zero payload of the given length
 			n, _ := strconv.Atoi(flags)
 			_ = fr.WriteRawFrame(http2.FrameType(id), 0, 0, make([]byte, n))
 		default:
-			p.t.Fatal("no such frame: ", m[0])
+			p.t.Fatal("unknown frame: ", m[0])
 		}
 	}
-	return b.Bytes()
+	return out.Bytes()
 }
 
-func (p *FrameCodec) pack(fields string) []byte {
-	p.block.Reset()
+// encodeFields returns the field block of NAME=VALUE words.
+func (p *FrameCodec) encodeFields(fields string) []byte {
+	p.encoded.Reset()
 	for _, f := range strings.Fields(fields) {
 		i := 1 + strings.IndexByte(f[1:], '=')
-		_ = p.enc.WriteField(hpack.HeaderField{Name: f[:i], Value: f[i+1:]})
+		_ = p.encoder.WriteField(hpack.HeaderField{Name: f[:i], Value: f[i+1:]})
 	}
-	return bytes.Clone(p.block.Bytes())
+	return bytes.Clone(p.encoded.Bytes())
 }
 
-// FormatStreamID writes a stream's number as Bytes takes it.
+// FormatStreamID formats a stream ID as Encode reads it.
 func FormatStreamID(id int) string { return strconv.Itoa(id) }
 
-// Describe reads what came from the server; half a frame waits for its rest. An answer of HTTP/1.1
-// is told by its first line.
-func (p *FrameCodec) Describe(came []byte) (words []string) {
-	p.raw.Write(came)
-	if strings.HasPrefix(p.raw.String(), "HTTP/1.1") {
-		line, _, _ := strings.Cut(p.raw.String(), "\r\n")
-		p.raw.Reset()
+// Describe decodes bytes from the server and returns one description per frame. An incomplete frame
+// is kept until the rest is passed in. An HTTP/1.1 response is described by its status line.
+func (p *FrameCodec) Describe(data []byte) (descriptions []string) {
+	p.received.Write(data)
+	if strings.HasPrefix(p.received.String(), "HTTP/1.1") {
+		line, _, _ := strings.Cut(p.received.String(), "\r\n")
+		p.received.Reset()
 		return []string{line}
 	}
-	for b := p.raw.Bytes(); len(b) >= 9 && len(b) >= 9+(int(b[0])<<16|int(b[1])<<8|int(b[2])); b = p.raw.Bytes() {
-		f, err := p.in.ReadFrame()
+	for b := p.received.Bytes(); len(b) >= 9 && len(b) >= 9+(int(b[0])<<16|int(b[1])<<8|int(b[2])); b = p.received.Bytes() {
+		f, err := p.framer.ReadFrame()
 		if err == io.EOF {
 			break
 		}
 		require.NoError(p.t, err)
-		words = append(words, p.word(f))
+		descriptions = append(descriptions, p.describeFrame(f))
 	}
-	return words
+	return descriptions
 }
 
-// word says what a frame is, by the standard library's reading of it.
-func (p *FrameCodec) word(f http2.Frame) string {
-	end := ""
+// describeFrame describes a frame as golang.org/x/net/http2 decodes it.
+func (p *FrameCodec) describeFrame(f http2.Frame) string {
+	suffix := ""
 	switch f := f.(type) {
 	case *http2.SettingsFrame:
 		if f.IsAck() {
@@ -157,20 +158,20 @@
 		}
 		return "settings"
 	case *http2.HeadersFrame:
-		list, err := p.dec.DecodeFull(f.HeaderBlockFragment())
+		list, err := p.fieldDecoder.DecodeFull(f.HeaderBlockFragment())
 		require.NoError(p.t, err)
 		for _, h := range list[1:] {
-			end += " " + h.Name + "=" + h.Value
+			suffix += " " + h.Name + "=" + h.Value
 		}
 		if f.StreamEnded() {
-			end += " end"
+			suffix += " end"
 		}
-		return fmt.Sprintf("head %d %s%s", f.StreamID, list[0].Value, end)
+		return fmt.Sprintf("head %d %s%s", f.StreamID, list[0].Value, suffix)
 	case *http2.DataFrame:
 		if f.StreamEnded() {
-			end = " end"
+			suffix = " end"
 		}
-		return fmt.Sprintf("data %d %s%s", f.StreamID, strings.ReplaceAll(string(f.Data()), "\n", `\n`), end)
+		return fmt.Sprintf("data %d %s%s", f.StreamID, strings.ReplaceAll(string(f.Data()), "\n", `\n`), suffix)
 	case *http2.RSTStreamFrame:
 		return fmt.Sprintf("rst %d %v", f.StreamID, f.ErrCode)
 	case *http2.GoAwayFrame:
