--- a/cmd/tinsail/arrival_test.go
+++ b/cmd/tinsail/arrival_test.go
@@ -88,8 +88,8 @@
 				continue
 			}
 			assert.NotEqual(t, "short", a.ID, "its time was over")
-			remaining := left - a.Last.Sub(sentAt)
-			assert.LessOrEqual(t, a.Told, remaining+timeLeftSlack, "%s was told more than its client had left", a.ID)
+			remaining := left - a.LastByteAt.Sub(sentAt)
+			assert.LessOrEqual(t, a.TimeLeft, remaining+timeLeftSlack, "%s was told more than its client had left", a.ID)
 		}
 	}
 }
--- a/cmd/tinsail/platform_rules_clients_test.go
+++ b/cmd/tinsail/platform_rules_clients_test.go
@@ -148,14 +148,14 @@
 			if k.sendReq(id) != nil {
 				return true, true
 			}
-			seen.Asked(history.Req{Node: "demo", ID: id, Taken: time.Now(), Until: time.Now().Add(5 * time.Second)})
+			seen.AddReq(history.Req{Dispatcher: "demo", ID: id, SentAt: time.Now(), Deadline: time.Now().Add(5 * time.Second)})
 			_ = k.SetReadDeadline(time.Now().Add(waitTimeout))
 			status, body, closing, err := k.readAnswer()
 			if err != nil {
-				seen.Reset(id, err.Error())
+				seen.AddReset(id, err.Error())
 				return true, true
 			}
-			seen.Answered(history.Answer{ID: id, At: time.Now(), Status: status, Body: body})
+			seen.AddAnswer(history.Answer{ID: id, At: time.Now(), Status: status, Body: body})
 			return closing, false
 		}
 		rest.Add(1)
@@ -185,11 +185,11 @@
 	reached := map[string]bool{}
 	for _, b := range h.backends {
 		for _, a := range b.Attempts() {
-			seen.Attempted(a)
+			seen.AddAttempts(a)
 			reached[a.ID] = true
 		}
 	}
-	for _, b := range seen.Judge(history.Published(500 * time.Millisecond)) {
+	for _, b := range seen.Check(history.BasicRules(500 * time.Millisecond)) {
 		if b.Rule == "reset" && !reached[b.ID] { // the close crossed a request that was never read; the client may send it again
 			continue
 		}
--- a/cmd/tinsail/reset_test.go
+++ b/cmd/tinsail/reset_test.go
@@ -41,13 +41,13 @@
 				id := fmt.Sprint("u", i)
 				_, err = fmt.Fprintf(c, "POST /photo/1 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 				require.NoError(t, err)
-				seen.Asked(history.Req{Node: "demo", ID: id, Unsafe: true, Taken: time.Now()})
+				seen.AddReq(history.Req{Dispatcher: "demo", ID: id, Unsafe: true, SentAt: time.Now()})
 				require.NoError(t, c.SetReadDeadline(time.Now().Add(wait)))
 				status, result, _, err := c.readAnswer()
 				if err != nil {
-					seen.Reset(id, err.Error())
+					seen.AddReset(id, err.Error())
 				} else {
-					seen.Answered(history.Answer{ID: id, At: time.Now(), Status: status, Body: result})
+					seen.AddAnswer(history.Answer{ID: id, At: time.Now(), Status: status, Body: result})
 				}
 				if point != platform.BeforeLastByte {
 					require.Equal(t, 502, status)
@@ -56,9 +56,9 @@
 			}
 			p.terminate(t)
 			for _, b := range h.backends {
-				seen.Attempted(b.Attempts()...)
+				seen.AddAttempts(b.Attempts()...)
 			}
-			assert.Empty(t, seen.Judge(history.Published(500*time.Millisecond)))
+			assert.Empty(t, seen.Check(history.BasicRules(500*time.Millisecond)))
 		})
 	}
 }
--- a/cmd/tinsail/restart_test.go
+++ b/cmd/tinsail/restart_test.go
@@ -46,12 +46,12 @@
 			in := bufio.NewReader(conn)
 			for i, closing := 0, false; !closing; i++ {
 				id := fmt.Sprintf("c%d-%d", c, i)
-				r := history.Req{Node: "demo", ID: id, Until: time.Now().Add(5 * time.Second)}
+				r := history.Req{Dispatcher: "demo", ID: id, Deadline: time.Now().Add(5 * time.Second)}
 				_, err := fmt.Fprintf(conn, "POST /photo/1 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nIdempotency-Key: %s\r\nContent-Length: 1\r\n\r\nb", id, id)
 				if err == nil {
-					r.Taken = time.Now()
+					r.SentAt = time.Now()
 				}
-				h.Asked(r)
+				h.AddReq(r)
 				a, err := http.ReadResponse(in, nil)
 				var body []byte
 				if err == nil {
@@ -59,10 +59,10 @@
 					a.Body.Close()
 				}
 				if err != nil {
-					h.Reset(id, err.Error())
+					h.AddReset(id, err.Error())
 					return
 				}
-				h.Answered(history.Answer{ID: id, At: time.Now(), Status: a.StatusCode, Body: string(body)})
+				h.AddAnswer(history.Answer{ID: id, At: time.Now(), Status: a.StatusCode, Body: string(body)})
 				if closing = a.Close; termSent.Load() {
 					answeredAfterTerm.Add(1)
 				}
@@ -80,9 +80,9 @@
 	}
 	assert.NoError(t, p.cmd.Wait())
 	for _, b := range p.backends {
-		h.Attempted(b.Attempts()...)
+		h.AddAttempts(b.Attempts()...)
 	}
 	t.Logf("answered %d, %d of them after SIGTERM", answered.Load(), answeredAfterTerm.Load())
-	assert.Empty(t, h.Judge(history.Published(500*time.Millisecond)))
+	assert.Empty(t, h.Check(history.BasicRules(500*time.Millisecond)))
 	assert.Greater(t, answeredAfterTerm.Load(), int64(connections), "connections stayed in use after SIGTERM")
 }
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -103,9 +103,9 @@
 }
 
 func (c *client) req(id string, left time.Duration) history.Req {
-	r := history.Req{Node: c.n.name(), ID: id, Unsafe: c.Site.Effect == "non_idempotent", Reused: c.used}
+	r := history.Req{Dispatcher: c.n.name(), ID: id, Unsafe: c.Site.Effect == "non_idempotent", ReusedConnection: c.used}
 	if c.Site.Effect == "idempotency_key" {
-		r.Window = c.Site.Window
+		r.RepeatWindow = c.Site.Window
 	}
 	return r
 }
@@ -118,21 +118,21 @@
 	id, left := c.next()
 	r := c.req(id, left)
 	sent := time.Now()
-	r.Until = sent.Add(left)
+	r.Deadline = sent.Add(left)
 	text := c.head(id, left) + "b"
 	if !c.write(text) {
 		c.drop()
 		return // never whole
 	}
-	r.Taken = time.Now()
+	r.SentAt = time.Now()
 	if c.during(Leave) {
 		time.Sleep(upTo(c.rng, 60*time.Millisecond))
 		c.drop()
-		r.Gone, r.GoneAt = true, time.Now()
-		c.history.Asked(r)
+		r.ClientGone, r.ClientGoneAt = true, time.Now()
+		c.history.AddReq(r)
 		return
 	}
-	_ = c.conn.SetReadDeadline(r.Until.Add(answerWait))
+	_ = c.conn.SetReadDeadline(r.Deadline.Add(answerWait))
 	a, err := http.ReadResponse(c.in, nil)
 	var body []byte
 	if err == nil {
@@ -146,15 +146,15 @@
 			c.excused.Add(1)
 			return
 		}
-		c.history.Asked(r)
+		c.history.AddReq(r)
 		if isTimeout(err) { // lost, by the judge
 			return
 		}
-		c.history.Reset(id, fmt.Sprintf("%v, %v after it was sent", err, time.Since(r.Taken).Round(time.Millisecond)))
+		c.history.AddReset(id, fmt.Sprintf("%v, %v after it was sent", err, time.Since(r.SentAt).Round(time.Millisecond)))
 		return
 	}
-	c.history.Asked(r)
-	c.history.Answered(history.Answer{ID: id, At: time.Now(), Status: a.StatusCode, Body: string(body)})
+	c.history.AddReq(r)
+	c.history.AddAnswer(history.Answer{ID: id, At: time.Now(), Status: a.StatusCode, Body: string(body)})
 	c.judged.Add(1)
 	if c.used = true; a.Close || c.rng.IntN(newConnectionEvery) == 0 {
 		c.drop()
@@ -243,7 +243,7 @@
 	}
 	id, left := c.next()
 	r := c.req(id, left)
-	r.Reused = true // its client is told what was taken
+	r.ReusedConnection = true // its client is told what was taken
 	q, err := http.NewRequest("POST", "http://"+l.streams+"/photo/1", strings.NewReader("b"))
 	if err != nil {
 		return
@@ -254,8 +254,8 @@
 	if c.Site.Effect == "idempotency_key" {
 		q.Header.Set("Idempotency-Key", id)
 	}
-	r.Taken = time.Now()
-	r.Until = r.Taken.Add(left)
+	r.SentAt = time.Now()
+	r.Deadline = r.SentAt.Add(left)
 	var body []byte
 	a, err := c.transport.RoundTrip(q)
 	if err == nil {
@@ -264,14 +264,14 @@
 	}
 	switch {
 	case err == nil:
-		c.history.Asked(r)
-		c.history.Answered(history.Answer{ID: id, At: time.Now(), Status: a.StatusCode, Body: string(body)})
+		c.history.AddReq(r)
+		c.history.AddAnswer(history.Answer{ID: id, At: time.Now(), Status: a.StatusCode, Body: string(body)})
 		c.judged.Add(1)
 	case c.n.killedAfter(c.opened):
 		c.excused.Add(1)
 	default:
-		c.history.Asked(r)
-		c.history.Reset(id, "HTTP/2: "+err.Error())
+		c.history.AddReq(r)
+		c.history.AddReset(id, "HTTP/2: "+err.Error())
 		c.transport.CloseIdleConnections()
 		c.transport = nil
 	}
--- a/internal/lab/soak/play.go
+++ b/internal/lab/soak/play.go
@@ -138,16 +138,16 @@
 func (p *play) judge() *Result {
 	r := &Result{Schedule: p.Schedule, Judged: p.judged.Load(), Excused: p.excused.Load(), Faults: p.broken}
 	for _, b := range p.backends {
-		p.history.Attempted(b.Attempts()...)
+		p.history.AddAttempts(b.Attempts()...)
 	}
 	for _, d := range p.drains {
 		for _, n := range p.nodes {
 			if from := n.told(d.change); !from.IsZero() {
-				p.history.Drained(history.Drain{Node: n.name(), Backend: d.backend, From: from, To: d.back})
+				p.history.AddDrains(history.Drain{Dispatcher: n.name(), Backend: d.backend, PublishedAt: from, ReadyAgainAt: d.back})
 			}
 		}
 	}
-	for _, b := range p.history.Judge(history.Newest(stopSending, p.slack())) {
+	for _, b := range p.history.Check(history.FullRules(stopSending, p.slack())) {
 		r.Breaches = append(r.Breaches, b.String())
 	}
 	for _, n := range p.nodes {
--- a/internal/lab/soak/trouble.go
+++ b/internal/lab/soak/trouble.go
@@ -221,6 +221,6 @@
 	call("online")
 	_ = os.WriteFile(l.shim, nil, 0o600)
 	if !from.IsZero() && n.now() == l {
-		p.history.Drained(history.Drain{Node: n.name(), Backend: b.Name, From: from, To: back})
+		p.history.AddDrains(history.Drain{Dispatcher: n.name(), Backend: b.Name, PublishedAt: from, ReadyAgainAt: back})
 	}
 }
--- a/internal/network/configured_site_test.go
+++ b/internal/network/configured_site_test.go
@@ -124,7 +124,7 @@
 	all := map[int][]history.Attempt{}
 	for i, b := range s.backends {
 		for _, a := range b.Attempts() {
-			if !a.Last.IsZero() {
+			if !a.LastByteAt.IsZero() {
 				all[i] = append(all[i], a)
 			}
 		}
@@ -235,15 +235,15 @@
 			e := <-ended
 			time.Sleep(5 * time.Second)
 			for i, list := range first {
-				sent := list[0].Last
+				sent := list[0].LastByteAt
 				for j, more := range s.fullyReceived() {
 					if j == i {
 						assert.Len(t, more, 1)
 						continue
 					}
-					assert.True(t, repeated, "sent again %v after the first send", more[0].First.Sub(sent))
+					assert.True(t, repeated, "sent again %v after the first send", more[0].FirstByteAt.Sub(sent))
 					assert.Equal(t, s.zones[i], s.zones[j], "only backends of its zone know the key")
-					assert.Less(t, more[0].First.Sub(sent), window)
+					assert.Less(t, more[0].FirstByteAt.Sub(sent), window)
 				}
 			}
 			if repeated {
--- a/internal/network/director_silence_test.go
+++ b/internal/network/director_silence_test.go
@@ -113,7 +113,7 @@
 				drains = append(drains, s.director.Set(s.backends[1].Entry("", "", 1, "Terminating")))
 				all.Wait()
 				for _, c := range drains {
-					s.history.Drained(history.Drain{Node: "n", Backend: c.Name, From: s.seat.PublishedAt(c, s.terms)})
+					s.history.AddDrains(history.Drain{Dispatcher: "n", Backend: c.Name, PublishedAt: s.seat.PublishedAt(c, s.terms)})
 				}
 				b := s.judge()
 				assert.Empty(t, b[:min(len(b), 3)], "pushed %v, silent after %v: %d breaches", pushed, after, len(b))
--- a/internal/network/site_test.go
+++ b/internal/network/site_test.go
@@ -91,25 +91,25 @@
 	defer far.Close()
 	go s.clients.admit(near)
 	began := time.Now()
-	r := history.Req{Node: "n", ID: id, Unsafe: !s.clients.Names.RequiresKey[0], Until: began.Add(5 * time.Second)}
+	r := history.Req{Dispatcher: "n", ID: id, Unsafe: !s.clients.Names.RequiresKey[0], Deadline: began.Add(5 * time.Second)}
 	_, err := fmt.Fprintf(far, "POST /ingest/1 HTTP/1.1\r\nX-Correlation-Id: %s\r\nIdempotency-Key: k%s\r\nX-Time-Left-Ms: 5000\r\nContent-Length: %d\r\n\r\n%s",
 		id, id, len(body), body)
 	if err == nil {
-		r.Taken = time.Now()
+		r.SentAt = time.Now()
 	}
-	s.history.Asked(r)
+	s.history.AddReq(r)
 	a, err := http.ReadResponse(bufio.NewReader(far), nil)
 	if err != nil {
-		s.history.Reset(id, err.Error())
+		s.history.AddReset(id, err.Error())
 		return 0, time.Since(began)
 	}
 	defer a.Body.Close()
 	text, err := io.ReadAll(a.Body)
 	if err != nil {
-		s.history.Reset(id, err.Error())
+		s.history.AddReset(id, err.Error())
 		return 0, time.Since(began)
 	}
-	s.history.Answered(history.Answer{ID: id, At: time.Now(), Status: a.StatusCode, Body: string(text)})
+	s.history.AddAnswer(history.Answer{ID: id, At: time.Now(), Status: a.StatusCode, Body: string(text)})
 	return a.StatusCode, time.Since(began)
 }
 
@@ -130,9 +130,9 @@
 // judge checks the history against the rules.
 func (s *site) judge() []history.Breach {
 	for _, b := range s.backends {
-		s.history.Attempted(b.Attempts()...)
+		s.history.AddAttempts(b.Attempts()...)
 	}
-	return s.history.Judge(history.Published(500 * time.Millisecond))
+	return s.history.Check(history.BasicRules(500 * time.Millisecond))
 }
 
 // TestUnsafeReset: the connection of a request that must not run twice is reset. Before its last byte
@@ -159,7 +159,7 @@
 				received := 0
 				for _, b := range s.backends {
 					for _, a := range b.Attempts() {
-						if !a.Last.IsZero() {
+						if !a.LastByteAt.IsZero() {
 							received++
 						}
 					}
--- a/internal/standin/platform/backend.go
+++ b/internal/standin/platform/backend.go
@@ -271,7 +271,7 @@
 	end := b.reportAttempt(id)
 	defer end(Aborted)
 	conn, faults := connOf(r), b.currentFaults()
-	attempt := &history.Attempt{ID: id, First: conn.startAttempt(), Told: timeLeft(r)}
+	attempt := &history.Attempt{ID: id, FirstByteAt: conn.startAttempt(), TimeLeft: timeLeft(r)}
 	b.recordAttempt(attempt)
 	if faults.Reset == BeforeLastByte {
 		conn.reset()
@@ -282,7 +282,7 @@
 		return
 	}
 	conn.completeReq()
-	b.update(func() { attempt.Last = time.Now() })
+	b.update(func() { attempt.LastByteAt = time.Now() })
 	b.updateCounts(func(c *Counts) { c.Jobs++ })
 	if faults.Reset == BeforeStart {
 		conn.reset()
@@ -297,7 +297,7 @@
 		case <-r.Context().Done():
 			return
 		}
-		b.update(func() { attempt.Never = true })
+		b.update(func() { attempt.NeverRan = true })
 		end(Ended)
 		w.Header().Set("X-Unprocessed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -155,13 +155,13 @@
 		attempts := b.Attempts()
 		require.NotEmpty(t, attempts)
 		assert.Equal(t, "9b", attempts[0].ID)
-		assert.False(t, attempts[0].First.IsZero())
-		assert.Equal(t, want.complete, !attempts[0].Last.IsZero(), "point %d", reset)
+		assert.False(t, attempts[0].FirstByteAt.IsZero())
+		assert.Equal(t, want.complete, !attempts[0].LastByteAt.IsZero(), "point %d", reset)
 		assert.Equal(t, want.started, strings.Contains(string(text), `"started"`) || reset == AfterStart, "point %d", reset)
 		assert.Equal(t, want.result, attempts[0].Result == "small 9b", "point %d", reset)
 		if assert.Len(t, attempts, 2, "part of a header counts as an attempt") {
 			assert.Empty(t, attempts[1].ID)
-			assert.True(t, attempts[1].Last.IsZero() && !attempts[1].First.IsZero())
+			assert.True(t, attempts[1].LastByteAt.IsZero() && !attempts[1].FirstByteAt.IsZero())
 		}
 	}
 }
--- a/internal/standin/platform/recording.go
+++ b/internal/standin/platform/recording.go
@@ -80,7 +80,7 @@
 	c.firstByteAt, c.recorded = time.Time{}, false
 	c.mu.Unlock()
 	if !firstByteAt.IsZero() && !recorded {
-		c.b.recordAttempt(&history.Attempt{First: firstByteAt})
+		c.b.recordAttempt(&history.Attempt{FirstByteAt: firstByteAt})
 	}
 	return c.Conn.Close()
 }
