--- a/internal/budget/keeper.go
+++ b/internal/budget/keeper.go
@@ -28,15 +28,16 @@
 // instead of a smaller one, so that no further record is needed.
 const maxGrantsPerPeer = 8
 
-// Keeper lends the pool of one budget under leases. There must be one keeper only, since two
-// would lend the same units: its driver names it in the settings or runs it at the accord's
-// leader. Memory is bounded: at most Plan.MaxDispatchers peers with maxGrantsPerPeer records each;
-// asks from further peers are granted nothing. Not safe for concurrent use.
+// Keeper lends the pool of one budget under leases. There must be only one keeper of a budget at a
+// time, since two would lend the same units. This package does not elect it: the settings name it,
+// or it runs at the accord's leader. Memory is bounded: at most Plan.MaxDispatchers peers with
+// maxGrantsPerPeer records each; asks from further peers are granted nothing. Not safe for
+// concurrent use.
 type Keeper struct {
 	plan       Plan
 	history    planHistory
 	quietUntil Time                     // nothing is lent before: leases of an earlier process may still be in use
-	grants     map[string][]grantRecord // by peer, those that have not ended: a later end comes with fewer units
+	grants     map[string][]grantRecord // by peer, those that have not ended, in the order of their ends; a later one has fewer units
 }
 
 // NewKeeper starts a keeper. now is a reading of the keeper's clock. It lends nothing for
--- a/internal/budget/mutate_test.go
+++ b/internal/budget/mutate_test.go
@@ -188,11 +188,11 @@
 // inForce returns the changed plan once all have applied it, else the old one. settled is false
 // while some have applied the changed plan and others have not.
 func (f *mutationFleet) inForce(now time.Duration) (p budget.Plan, settled bool) {
-	changed := f.keeperReplanned
+	settled = f.keeperReplanned
 	for _, h := range f.holders {
-		changed = changed && (h.replanned || !f.present(h, now))
+		settled = settled && (h.replanned || !f.present(h, now))
 	}
-	if changed {
+	if settled {
 		return f.scenario.changed, true
 	}
 	return f.scenario.plan, f.scenario.replanFrom == 0 || now < f.scenario.replanFrom
