--- a/internal/lab/fleet/backend.go
+++ b/internal/lab/fleet/backend.go
@@ -143,7 +143,7 @@
 	return b
 }
 
-// Capacity is the part of what it can do that it does at a time, from ColdFrom to 1.
+// Capacity returns the available fraction of the full capacity, from Kind.ColdCapacity to 1.
 func (b *Backend) Capacity(now float64) float64 {
 	if b.Kind.WarmUpTime <= 0 || now-b.startedAt >= b.Kind.WarmUpTime {
 		return 1
--- a/internal/lab/judge/shares.go
+++ b/internal/lab/judge/shares.go
@@ -2,23 +2,23 @@
 
 import "fmt"
 
-// QuotaChecker holds what runs for tenants to their quotas, at each begin: at no moment may more run for a tenant than its quota,
-// but for urgent reqs that draw on a reserve, which all tenants share. It counts begins and ends as the far side has
-// them, and knows nothing of leases. A quota that was lowered holds for begins once Grace has passed; what runs on is no
-// breach. Times are milliseconds.
+// QuotaChecker checks the requests that run for each tenant against the tenants' quotas, at each start. A tenant
+// may never run more requests than its quota, except urgent requests that use a reserve shared by all tenants.
+// It counts starts and ends as the backends see them and knows nothing of leases. A lowered quota applies to
+// starts once LoweringGrace has passed; requests that already run are no violation. Times are milliseconds.
 type QuotaChecker struct {
 	LoweringGrace float64
-	Reserve       int // urgent reqs that may run beyond their tenants' quotas, of all tenants
+	Reserve       int // urgent requests of all tenants that may run beyond the quotas
 
-	teams    map[string]*team
-	breaches []Violation
-	count    int
-	n        int
+	tenants    map[string]*tenant
+	violations []Violation
+	count      int
+	starts     int
 }
 
-type team struct {
+type tenant struct {
 	running, urgent int
-	quotas          []quotaFrom // the newest last
+	quotas          []quotaFrom // the latest is last
 }
 
 type quotaFrom struct {
@@ -26,39 +26,39 @@
 	units int
 }
 
-func (s *QuotaChecker) team(name string) *team {
-	if s.teams == nil {
-		s.teams = map[string]*team{}
+func (s *QuotaChecker) tenant(name string) *tenant {
+	if s.tenants == nil {
+		s.tenants = map[string]*tenant{}
 	}
-	t := s.teams[name]
+	t := s.tenants[name]
 	if t == nil {
-		t = &team{}
-		s.teams[name] = t
+		t = &tenant{}
+		s.tenants[name] = t
 	}
 	return t
 }
 
-// SetQuota sets a tenant's quota from a time on. One that is never told has none, and is not limited.
+// SetQuota sets a tenant's quota from a time on. A tenant without a quota is not limited.
 func (s *QuotaChecker) SetQuota(at float64, name string, units int) {
-	t := s.team(name)
+	t := s.tenant(name)
 	t.quotas = append(t.quotas, quotaFrom{at, units})
 }
 
-// most is the largest quota in force in the grace before a time.
-func (s *QuotaChecker) most(at float64, t *team) int {
-	most := 0
+// maxQuota returns the largest quota in force within LoweringGrace before a time.
+func (s *QuotaChecker) maxQuota(at float64, t *tenant) int {
+	limit := 0
 	for i := len(t.quotas) - 1; i >= 0; i-- {
-		if most = max(most, t.quotas[i].units); t.quotas[i].at <= at-s.LoweringGrace {
+		if limit = max(limit, t.quotas[i].units); t.quotas[i].at <= at-s.LoweringGrace {
 			break
 		}
 	}
-	return most
+	return limit
 }
 
-// HandleStart takes a begin.
+// HandleStart checks the start of a request of a tenant.
 func (s *QuotaChecker) HandleStart(at float64, name string, urgent bool) {
-	s.n++
-	t := s.team(name)
+	s.starts++
+	t := s.tenant(name)
 	t.running++
 	if urgent {
 		t.urgent++
@@ -66,41 +66,41 @@
 	if len(t.quotas) == 0 {
 		return
 	}
-	most := s.most(at, t)
-	if !urgent && t.running-t.urgent > most {
-		s.breach(at, fmt.Sprintf("%d of %s run beside %d urgent ones, its quota is %d", t.running-t.urgent, name, t.urgent, most))
+	limit := s.maxQuota(at, t)
+	if !urgent && t.running-t.urgent > limit {
+		s.violate(at, fmt.Sprintf("%d of %s run beside %d urgent ones, its quota is %d", t.running-t.urgent, name, t.urgent, limit))
 	}
-	if t.running <= most {
+	if t.running <= limit {
 		return
 	}
 	beyond := 0
-	for _, o := range s.teams {
+	for _, o := range s.tenants {
 		if len(o.quotas) > 0 && o.urgent > 0 {
-			beyond += min(o.urgent, max(o.running-s.most(at, o), 0))
+			beyond += min(o.urgent, max(o.running-s.maxQuota(at, o), 0))
 		}
 	}
 	if beyond > s.Reserve {
-		s.breach(at, fmt.Sprintf("%d urgent reqs run beyond their tenants' quotas, the reserve is %d", beyond, s.Reserve))
+		s.violate(at, fmt.Sprintf("%d urgent reqs run beyond their tenants' quotas, the reserve is %d", beyond, s.Reserve))
 	}
 }
 
-// HandleEnd takes an end.
+// HandleEnd counts the end of a request of a tenant.
 func (s *QuotaChecker) HandleEnd(name string, urgent bool) {
-	t := s.team(name)
+	t := s.tenant(name)
 	t.running--
 	if urgent {
 		t.urgent--
 	}
 }
 
-func (s *QuotaChecker) breach(at float64, says string) {
-	if s.count++; len(s.breaches) < 100 {
-		s.breaches = append(s.breaches, Violation{Rule: "quota", At: at, Event: s.n, Message: says})
+func (s *QuotaChecker) violate(at float64, message string) {
+	if s.count++; len(s.violations) < 100 {
+		s.violations = append(s.violations, Violation{Rule: "quota", At: at, Event: s.starts, Message: message})
 	}
 }
 
-// Violations are the first hundred; Count is of all.
-func (s *QuotaChecker) Violations() []Violation { return s.breaches }
+// Violations returns the first hundred violations; Count counts all.
+func (s *QuotaChecker) Violations() []Violation { return s.violations }
 
-// Count is how many begins broke a rule.
+// Count returns the number of violations.
 func (s *QuotaChecker) Count() int { return s.count }
