--- a/cmd/tinsail/accord_rig_test.go
+++ b/cmd/tinsail/accord_rig_test.go
@@ -26,9 +26,9 @@
 	"tinsail/internal/standin/platform"
 )
 
-// Times of the rig's fleet: its lease, and the time within which it has to settle after faults end. That is E +
-// W + 5 L + d by the section "Times" of the accord's design note, with five heartbeat timeouts, each a third of
-// a lease, for E.
+// Times of the rig's fleet: its lease, and the time within which it has to settle after faults end. That is
+// E + W + 5 L + d by the section "Times" of the accord's design note: E is five heartbeat timeouts of a third of a
+// lease each, W a lease prolonged by the clock drift, L the lease, and d a sixth of it.
 const (
 	accordLease   = 900 * time.Millisecond
 	settleTimeout = 5*accordLease/3 + accordLease*1001/999 + 5*accordLease + accordLease/6
@@ -76,7 +76,7 @@
 		b, err := platform.StartBackend(fmt.Sprintf("b%d", i), 64, func(id string) time.Duration { return time.Duration(2+len(id)%7) * time.Millisecond })
 		require.NoError(t, err)
 		t.Cleanup(b.Close)
-		b.Set(platform.Faults{Refuse: i == 2, RefuseAfter: 60 * time.Millisecond}) // some requests need another attempt, some time later
+		b.Set(platform.Faults{Refuse: i == 2, RefuseAfter: 60 * time.Millisecond}) // refused after a delay, so that some requests need another attempt late
 		j.director.Set(b.Entry("fast", "here", i, "Ready"))
 		j.backends = append(j.backends, b)
 	}
--- a/cmd/tinsail/platform_rules_backends_test.go
+++ b/cmd/tinsail/platform_rules_backends_test.go
@@ -50,17 +50,17 @@
 			return strings.TrimSuffix(b.ResultAnswer(q.ID), "0\r\n\r\n") + platform.EncodeChunk(b.StateLine("other", `"done","result":"small other"`)) + "0\r\n\r\n"
 		}},
 		"half an answer in the same piece": {firstStatus: 200, firstAnswer: func(b *platform.RawBackend, q platform.RawReq) string { return b.ResultAnswer(q.ID) + "HTTP/1.1 2" }},
-		"a second answer at rest":          {firstStatus: 200, whileIdle: other},
-		"a byte at rest":                   {firstStatus: 200, whileIdle: func(*platform.RawBackend) string { return "H" }},
-		"half a line at rest":              {firstStatus: 200, whileIdle: func(b *platform.RawBackend) string { return b.StateLine("other", `"done"`)[:20] }},
-		"a line at rest":                   {firstStatus: 200, whileIdle: func(b *platform.RawBackend) string { return b.StateLine("other", `"done","result":"small other"`) }},
-		"a 503 at rest": {firstStatus: 200, whileIdle: func(*platform.RawBackend) string {
+		"a second answer while idle":       {firstStatus: 200, whileIdle: other},
+		"a byte while idle":                {firstStatus: 200, whileIdle: func(*platform.RawBackend) string { return "H" }},
+		"half a line while idle":           {firstStatus: 200, whileIdle: func(b *platform.RawBackend) string { return b.StateLine("other", `"done"`)[:20] }},
+		"a line while idle":                {firstStatus: 200, whileIdle: func(b *platform.RawBackend) string { return b.StateLine("other", `"done","result":"small other"`) }},
+		"a 503 while idle": {firstStatus: 200, whileIdle: func(*platform.RawBackend) string {
 			return "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 		}},
-		"half an answer at rest, then the end": {firstStatus: 200, closesAfter: true, whileIdle: func(*platform.RawBackend) string { return "HTTP/1.1 20" }},
-		"an answer in the moment":              {firstStatus: 200, onSecondReq: other},
-		"half a line in the moment":            {firstStatus: 200, onSecondReq: func(b *platform.RawBackend) string { return b.StateLine("other", `"done"`)[:20] }},
-		"half an answer in the moment":         {firstStatus: 200, onSecondReq: func(*platform.RawBackend) string { return "HTTP/1.1 20" }},
+		"half an answer while idle, then the end": {firstStatus: 200, closesAfter: true, whileIdle: func(*platform.RawBackend) string { return "HTTP/1.1 20" }},
+		"an answer on the second request":         {firstStatus: 200, onSecondReq: other},
+		"half a line on the second request":       {firstStatus: 200, onSecondReq: func(b *platform.RawBackend) string { return b.StateLine("other", `"done"`)[:20] }},
+		"half an answer on the second request":    {firstStatus: 200, onSecondReq: func(*platform.RawBackend) string { return "HTTP/1.1 20" }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var first atomic.Value // the first request of the current round
--- a/cmd/tinsail/platform_rules_clients_test.go
+++ b/cmd/tinsail/platform_rules_clients_test.go
@@ -37,10 +37,10 @@
 // answers or flood. Well-behaved clients beside them are served, and the process stays within its descriptors
 // and its memory.
 func TestMisbehavingClients(t *testing.T) {
-	const sockets, crowd = 256, 600
+	const sockets, clientCount = 256, 600
 	for name, act := range map[string]func(k net.Conn, i int, stop chan struct{}){
 		"say nothing": func(net.Conn, int, chan struct{}) {},
-		"half a req": func(k net.Conn, i int, _ chan struct{}) {
+		"half a request": func(k net.Conn, i int, _ chan struct{}) {
 			_, _ = io.WriteString(k, strings.TrimSuffix(reqText(fmt.Sprint("half-", i)), "b"))
 		},
 		"byte by byte": func(k net.Conn, i int, stop chan struct{}) {
@@ -68,7 +68,7 @@
 				}
 			}
 		},
-		"flood and go": func(k net.Conn, i int, _ chan struct{}) {
+		"flood and close": func(k net.Conn, i int, _ chan struct{}) {
 			_ = k.SetWriteDeadline(time.Now().Add(time.Second))
 			_, _ = io.WriteString(k, reqText(fmt.Sprint("flood-", i))+strings.Repeat("x", 1<<20))
 			k.Close()
@@ -83,7 +83,7 @@
 			before, _ := resourceUse(t, p.cmd.Process.Pid)
 			var all sync.WaitGroup
 			stop, most, memory := make(chan struct{}), 0, 0
-			for i := range crowd {
+			for i := range clientCount {
 				k, err := net.DialTimeout("tcp", h.clientAddress, waitTimeout)
 				if err != nil {
 					continue // not accepted
@@ -105,11 +105,11 @@
 						status, body, _, err = k.readAnswer()
 					}
 					k.Close()
-					require.NoError(t, err, "honest %d", n)
+					require.NoError(t, err, "well-behaved client, request %d", n)
 					if status == 503 { // refused with advice to retry
 						refused++
 						time.Sleep(20 * time.Millisecond)
-						require.Less(t, refused, 3000, "honest %d", n)
+						require.Less(t, refused, 3000, "well-behaved client, request %d", n)
 					} else {
 						require.Equal(t, 200, status, "%s, counters:\n%s", body, h.countersText())
 					}
@@ -200,7 +200,7 @@
 // TestRefusedOverUnread: clients beyond what the descriptors allow are answered 503 with Retry-After, and
 // receive the whole answer although 64 KiB of theirs are unread at that moment.
 func TestRefusedOverUnread(t *testing.T) {
-	const sockets, crowd = 128, 300
+	const sockets, clientCount = 128, 300
 	h := newDeployment(t, "127.0.0.1:0")
 	h.editConfig(`"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, sockets))
 	for _, b := range h.backends {
@@ -211,7 +211,7 @@
 	var all sync.WaitGroup
 	var answered, resets, broken, refused atomic.Int64
 	stop := make(chan struct{})
-	for i := range crowd {
+	for i := range clientCount {
 		k, err := h.dial()
 		require.NoError(t, err)
 		all.Go(func() {
@@ -235,10 +235,10 @@
 			answered.Add(1)
 		})
 	}
-	waitFor(t, "those beyond the limit are answered", func() bool { return answered.Load() >= crowd-sockets })
+	waitFor(t, "those beyond the limit are answered", func() bool { return answered.Load() >= clientCount-sockets })
 	close(stop)
 	all.Wait()
-	t.Logf("of %d: %d refused with 503, %d with an incomplete or another answer", crowd, refused.Load(), broken.Load())
+	t.Logf("of %d: %d refused with 503, %d with an incomplete or another answer", clientCount, refused.Load(), broken.Load())
 	assert.Zero(t, resets.Load(), "reset before the client could read")
 	assert.Zero(t, broken.Load())
 	p.terminate(t)
--- a/cmd/tinsail/platform_rules_test.go
+++ b/cmd/tinsail/platform_rules_test.go
@@ -149,7 +149,7 @@
 
 // leaveWhileWaiting has a client of each kind send a request that has to wait, and then leave. waits returns
 // once all requests wait.
-func leaveWhileWaiting(t *testing.T, h *deployment, waits func(n int)) (gone time.Time) {
+func leaveWhileWaiting(t *testing.T, h *deployment, waits func(n int)) (leftAt time.Time) {
 	conns := map[string]*conn{}
 	for name, l := range departures {
 		c, err := h.dial()
@@ -172,9 +172,9 @@
 			conns[name].Close()
 		}
 	}
-	gone = time.Now()
+	leftAt = time.Now()
 	time.Sleep(time.Second) // the platform's rules allow 0.1 s: an attempt that starts from here on breaks them
-	return gone
+	return leftAt
 }
 
 // TestClientLeavesWhileConnecting: clients leave while the backend connection for their requests is being
@@ -185,7 +185,7 @@
 	h := newEditedDeployment(t, []string{`"ConnectTimeoutMs": 120`, `"ConnectTimeoutMs": 20000`, `"HardLimitMs": 5000`, `"HardLimitMs": 60000`}, held)
 	p := h.start()
 	p.awaitReady()
-	gone := leaveWhileWaiting(t, h, func(n int) {
+	leftAt := leaveWhileWaiting(t, h, func(n int) {
 		waitFor(t, "all are accepted", func() bool { return h.counterOrZero("reqs_taken") >= n })
 		waitFor(t, "a connection being established", func() bool { return pendingConnects(t, held.Address) > 0 })
 	})
@@ -195,7 +195,7 @@
 	assert.Equal(t, 200, h.sendJob())
 	p.terminate(t)
 	for _, q := range held.Reqs() {
-		assert.Contains(t, q.ID, "one-", "started %v after its client had left", q.FirstByteAt.Sub(gone))
+		assert.Contains(t, q.ID, "one-", "started %v after its client had left", q.FirstByteAt.Sub(leftAt))
 	}
 }
 
@@ -204,7 +204,7 @@
 func TestClientLeavesBetweenAttempts(t *testing.T) {
 	for name, ends := range map[string]func(b *platform.RawBackend, q platform.RawReq){
 		"no backend": nil,
-		"turned away": func(_ *platform.RawBackend, q platform.RawReq) {
+		"refused unprocessed": func(_ *platform.RawBackend, q platform.RawReq) {
 			q.Write("HTTP/1.1 503 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
 		},
 		"reset": func(_ *platform.RawBackend, q platform.RawReq) { q.Reset() },
@@ -242,7 +242,7 @@
 			if ends != nil {
 				p.awaitReady()
 			}
-			gone := leaveWhileWaiting(t, h, func(n int) {
+			leftAt := leaveWhileWaiting(t, h, func(n int) {
 				waitFor(t, "all are accepted", func() bool { return h.counterOrZero("reqs_taken") >= n })
 				waitFor(t, "all are at a backend", func() bool { return ends == nil || len(raws[0].Reqs())+len(raws[1].Reqs()) >= n })
 			})
@@ -255,7 +255,7 @@
 			for _, b := range raws {
 				for _, q := range b.Reqs() {
 					if _, leaves := departures[q.ID]; leaves {
-						assert.Less(t, q.FirstByteAt.Sub(gone), 100*time.Millisecond, "%s started after its client had left", q.ID)
+						assert.Less(t, q.FirstByteAt.Sub(leftAt), 100*time.Millisecond, "%s started after its client had left", q.ID)
 					}
 				}
 			}
--- a/cmd/tinsail/quotas_fleet_test.go
+++ b/cmd/tinsail/quotas_fleet_test.go
@@ -93,16 +93,16 @@
 	m := &member{}
 	var errs io.Reader
 	m.cmd, errs = startServe(t, f.config(t, fmt.Sprintf("n%d", i)), f.script(i))
-	lines, said := bufio.NewScanner(errs), ""
+	lines, lastLine := bufio.NewScanner(errs), ""
 	for lines.Scan() {
 		var line map[string]any
 		if json.Unmarshal(lines.Bytes(), &line) == nil && line["event"] == "serving" {
 			m.address, _ = line["listen"].(string)
 			break
 		}
-		said = lines.Text()
+		lastLine = lines.Text()
 	}
-	require.NotEmpty(t, m.address, "n%d did not log that it serves: %s", i, said)
+	require.NotEmpty(t, m.address, "n%d did not log that it serves: %s", i, lastLine)
 	events := make(chan map[string]any, 10_000)
 	f.lenderEvents = append(f.lenderEvents, events)
 	go func() {
@@ -122,7 +122,7 @@
 }
 
 // send sends one request and returns its status and whether the answer has Retry-After.
-func (f *quotaFleet) send(t *testing.T, to int, id, team, class string, left time.Duration) (status int, advice bool) {
+func (f *quotaFleet) send(t *testing.T, to int, id, team, class string, left time.Duration) (status int, retryAfter bool) {
 	r, err := http.NewRequest("POST", "http://"+f.members[to].address+"/"+class+"/1", strings.NewReader("b"))
 	if !assert.NoError(t, err) {
 		return 0, false
@@ -191,9 +191,9 @@
 	f.awaitStarted(t, prefix+"-", f.quota)
 	for i := range 2 * len(f.members) {
 		late.Go(func() {
-			status, advice := f.send(t, i%len(f.members), fmt.Sprintf("%s-late-%d", prefix, i), "press", "photo", 600*time.Millisecond)
+			status, retryAfter := f.send(t, i%len(f.members), fmt.Sprintf("%s-late-%d", prefix, i), "press", "photo", 600*time.Millisecond)
 			assert.Equal(t, 503, status, "%s-late-%d", prefix, i)
-			assert.True(t, advice, "a refusal without Retry-After")
+			assert.True(t, retryAfter, "a refusal without Retry-After")
 		})
 	}
 	late.Wait()
@@ -277,13 +277,13 @@
 
 	f.checkDrain(t, 4)
 
-	east, leaves := f.members[0], f.members[3]
+	east, leaving := f.members[0], f.members[3]
 	east.awaitCounterBelow(t, "quota_in_use", 1)
-	leaves.awaitCounterBelow(t, "quota_in_use", 1)
-	held := leaves.counter(t, "quota_held")
+	leaving.awaitCounterBelow(t, "quota_in_use", 1)
+	held := leaving.counter(t, "quota_held")
 	assert.Positive(t, held, "it holds at least one unit of the reserve, lent in advance, to return")
-	require.NoError(t, leaves.cmd.Process.Signal(syscall.SIGTERM))
-	require.NoError(t, leaves.cmd.Wait())
+	require.NoError(t, leaving.cmd.Process.Signal(syscall.SIGTERM))
+	require.NoError(t, leaving.cmd.Wait())
 	f.checkNothingLentAtExpiry(t, "n3")
 }
 
@@ -333,9 +333,9 @@
 
 	next := h.start()
 	next.awaitEvent(t, "hand-over: serves")
-	status, advice := f.send(t, 3, "new", "press", "photo", 600*time.Millisecond)
+	status, retryAfter := f.send(t, 3, "new", "press", "photo", 600*time.Millisecond)
 	assert.Equal(t, 503, status, "the old process has all units in use")
-	assert.True(t, advice)
+	assert.True(t, retryAfter)
 	assert.Zero(t, f.startedReqs("new")+f.startedReqs("waits"))
 	f.setFaults(platform.Faults{})
 	clients.Wait()
--- a/cmd/tinsail/quotas_test.go
+++ b/cmd/tinsail/quotas_test.go
@@ -32,7 +32,7 @@
 func TestCheckQuotas(t *testing.T) {
 	const voters = "accord(voters = [\"a=127.0.0.1:1\", \"b=127.0.0.1:2\", \"c=127.0.0.1:3\"], data = \"d\")\n"
 	const call = "quotas(region = \"east\", lenders = [\"east=a\", \"west=b\"])\n"
-	for script, says := range map[string]string{
+	for script, want := range map[string]string{
 		"policy(quotas = {\"press\": 3}, run_ms = 6000)\n" + voters + call: "",
 		"policy()\n" + voters + call:                                       "", // no quotas yet
 		"policy()\n" + voters:                                              "",
@@ -58,10 +58,10 @@
 				faults = append(faults, err.Error())
 			}
 		}
-		if says == "" {
+		if want == "" {
 			assert.Empty(t, faults, script)
 		} else {
-			assert.Contains(t, strings.Join(faults, "\n"), says, script)
+			assert.Contains(t, strings.Join(faults, "\n"), want, script)
 		}
 		assert.NotPanics(t, func() { _ = checkQuotas(nil, set); _ = checkQuotas(cfg, nil) }, script)
 	}
@@ -112,14 +112,14 @@
 	assert.Equal(t, 5008*time.Millisecond, f.MaxHold(), "the longest class and the answer slack")
 	assert.Nil(t, f.latest, "no policy is in force")
 	for _, tenant := range []int{-1, 2} {
-		said := 0
+		calls := 0
 		before := time.Now()
 		f.Acquire(tenant, 0, before, func(from time.Time, _ time.Duration, ok bool) {
-			said++
+			calls++
 			assert.True(t, ok)
 			assert.False(t, from.Before(before))
 		})()
-		assert.Equal(t, 1, said)
+		assert.Equal(t, 1, calls)
 	}
 	f.applyPolicy(policy.Policy{Quotas: map[string]int{"press": 3}, RunMS: 7000, UrgentReserve: 1, UrgentClasses: []string{"express"}})
 	assert.Equal(t, 7*time.Second, f.MaxHold())
--- a/cmd/tinsail/shutdown_handover_test.go
+++ b/cmd/tinsail/shutdown_handover_test.go
@@ -62,8 +62,8 @@
 // accepting. If the old process goes away meanwhile, the new one accepts after all, so that no client is left in
 // the accept queue.
 func TestTermBeforeTakeover(t *testing.T) {
-	for _, oldGoes := range []bool{false, true} {
-		t.Run(fmt.Sprint("the old one goes: ", oldGoes), func(t *testing.T) {
+	for _, oldEnds := range []bool{false, true} {
+		t.Run(fmt.Sprint("old process ends: ", oldEnds), func(t *testing.T) {
 			h := newDeployment(t, "127.0.0.1:0")
 			h.director.SetDown(true)
 			clients, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,7 +89,7 @@
 			defer c.Close()
 			_, err = fmt.Fprint(c, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 			require.NoError(t, err)
-			if oldGoes {
+			if oldEnds {
 				link.Close()
 				status, _, _, err := c.readAnswer()
 				require.NoError(t, err)
@@ -101,7 +101,7 @@
 				require.Fail(t, "the old process was told to stop accepting")
 			default:
 			}
-			if !oldGoes {
+			if !oldEnds {
 				require.NoError(t, clients.(*net.TCPListener).SetDeadline(time.Now().Add(20*time.Second)))
 				_, err = clients.Accept()
 				require.NoError(t, err, "new connections are accepted by the old process")
--- a/cmd/tinsail/shutdown_test.go
+++ b/cmd/tinsail/shutdown_test.go
@@ -229,8 +229,8 @@
 	}
 	const reqs = 20
 	var all sync.WaitGroup
-	var begun time.Time // when the shutdown was requested; zero before
-	var cut sync.Map
+	var shutdownAt time.Time // when the shutdown was requested; zero before
+	var failures sync.Map
 	var answered atomic.Int64
 	send := func(id string) {
 		c, err := h.dial()
@@ -239,7 +239,7 @@
 			err = c.sendReq(id)
 		}
 		// A request sent a second or more after SIGTERM may find the process gone, if the machine did not run it meanwhile.
-		late := !begun.IsZero() && time.Since(begun) > time.Second
+		late := !shutdownAt.IsZero() && time.Since(shutdownAt) > time.Second
 		failed := func(err error) bool {
 			if err != nil && late {
 				timing.skip("%s, sent more than a second after SIGTERM: %v", id, err)
@@ -256,7 +256,7 @@
 			answered.Add(1)
 			assert.NotEqual(t, 200, status, id)
 			if failed(err) {
-				cut.Store(id, err)
+				failures.Store(id, err)
 			}
 		})
 	}
@@ -269,7 +269,7 @@
 	if n := h.jobCount(); n < reqs { // the deadline of 1 s has passed already
 		timing.skip("%d of %d at a backend when SIGTERM came", n, reqs)
 	}
-	begun = time.Now()
+	shutdownAt = time.Now()
 	p.sendSignals(t, syscall.SIGTERM)
 	p.awaitShutdown(t)
 	for i := range 10 { // up to 0.9 s after SIGTERM
@@ -282,7 +282,7 @@
 	assert.NoError(t, p.cmd.Wait())
 	for _, b := range h.backends {
 		for _, a := range b.Attempts() {
-			err, found := cut.Load(a.ID)
+			err, found := failures.Load(a.ID)
 			assert.False(t, found, "%s was sent to a backend and not answered: %v", a.ID, err)
 		}
 	}
@@ -440,13 +440,13 @@
 				resting = append(resting, c)
 			}
 			p.sendSignals(t, syscall.SIGTERM)
-			begun := time.Now()
+			termAt := time.Now()
 			p.awaitShutdown(t)
 			p.suspend(t) // before any connection is closed, which is within a second
 			for i, c := range resting {
 				_ = c.sendReq(fmt.Sprint("then-", i)) // fails if the machine was slow and the connection is closed already
 			}
-			time.Sleep(wakes - time.Since(begun))
+			time.Sleep(wakes - time.Since(termAt))
 			p.sendSignals(t, syscall.SIGCONT)
 			answered := map[string]bool{}
 			for i, c := range resting {
--- a/cmd/tinsail/takeover_test.go
+++ b/cmd/tinsail/takeover_test.go
@@ -20,12 +20,12 @@
 // accepting. The new process serves all the same, with the list and the bans of that state.
 func TestOldProcessFails(t *testing.T) {
 	for name, c := range map[string]struct {
-		joined func(*handoff.Link)
-		hand   func()
+		joined        func(*handoff.Link)
+		stopAccepting func()
 	}{
-		"dies once the state is told":  {func(l *handoff.Link) { l.Close() }, func() {}},
-		"dies as the new one accepts":  {nil, nil},
-		"never says that it has ended": {func(*handoff.Link) {}, func() { select {} }},
+		"dies after it sent the state":            {func(l *handoff.Link) { l.Close() }, func() {}},
+		"dies when the new process accepts":       {nil, nil},
+		"never reports that it stopped accepting": {func(*handoff.Link) {}, func() { select {} }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newDeployment(t, "127.0.0.1:0")
@@ -33,11 +33,11 @@
 			clients, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			var link *handoff.Link
-			joined, hand := c.joined, c.hand
+			joined, stopAccepting := c.joined, c.stopAccepting
 			if joined == nil {
-				joined, hand = func(l *handoff.Link) { link = l }, func() { link.Close() }
+				joined, stopAccepting = func(l *handoff.Link) { link = l }, func() { link.Close() }
 			}
-			old := &handoff.Server{Path: h.socketPath(), Hello: h.hello(), Log: zerolog.Nop(), OnJoined: joined, StopAccepting: hand,
+			old := &handoff.Server{Path: h.socketPath(), Hello: h.hello(), Log: zerolog.Nop(), OnJoined: joined, StopAccepting: stopAccepting,
 				OnNews: func(handover.StatusUpdate) {}, OnGone: func(bool) {},
 				GiveState: func() (handover.State, []syscall.Conn) {
 					s := handover.State{MaxSockets: 300, MemoryBytes: 64 << 20, Listeners: []string{"http1"},
