--- a/internal/mutate/mutate.go
+++ b/internal/mutate/mutate.go
@@ -5,45 +5,46 @@
 	"time"
 )
 
-// Message is bytes from one node to another. Bytes belong to the message once it is sent.
+// Message is sent from one node to another. The sender must not change Bytes after sending it.
 type Message struct {
 	From, To string
 	Bytes    []byte
-	Delay    time.Duration // on its way
+	Delay    time.Duration // in transit
 }
 
-// System is what is played: nodes with their own clocks and codecs, and what must hold of them.
-// It is called from one goroutine at a time. Anything that it draws comes from the seed it was
-// built of: two plays without a mutation are the same to the byte.
+// System is the system under test: nodes with their own clocks and codecs, and the checks on them.
+// It is called from one goroutine at a time. All its randomness must come from the seed that it was
+// built from: two runs without a mutation must send identical messages.
 type System interface {
-	// Nodes are the nodes that may be sent to, in the order they are ticked in; fixed.
+	// Nodes returns the nodes that can receive messages, in the order of their ticks. It is constant.
 	Nodes() []string
-	// Tick gives a node its time, and returns what it sends.
+	// Tick advances a node to now and returns the messages that it sends.
 	Tick(now time.Duration, node string) []Message
-	// Deliver hands m to the node m.To, and returns what is sent because of it. A mutated m may
-	// hold any bytes, and may be one that m.To never gets.
+	// Deliver delivers m to the node m.To and returns the messages sent in response. A mutated m
+	// may contain any bytes and may be a message that m.To never receives otherwise.
 	Deliver(now time.Duration, m Message) []Message
-	// CheckInvariants says what does not hold that must at any time. It is asked after each
-	// message and after each round of ticks.
+	// CheckInvariants returns an error if an invariant is violated. It is called after each message
+	// and after each round of ticks.
 	CheckInvariants(now time.Duration) error
-	// CheckEndState says what the end state lacks. It is asked once, at Setup.Length.
+	// CheckEndState returns an error if the end state isn't reached. It is called once, at
+	// Setup.Duration.
 	CheckEndState(now time.Duration) error
 }
 
-// Kind is a way to mutate a message.
+// Kind is a kind of mutation.
 type Kind uint8
 
-// Kinds of mutation.
+// Kinds of mutation. String returns the names in kindNames.
 const (
-	Lost       Kind = iota // never comes
-	Duplicated             // comes, and at once again
-	Delayed                // comes Setup.Late after it was due; in a second draw just past its successor, as that came without mutation
-	Reordered              // comes right behind its successor on the link
-	Corrupted              // one byte is another
-	Truncated              // its end is missing
-	Replayed               // an earlier message of its link comes in its place
-	Misrouted              // another node gets it; in every second draw the right one does, too
-	Split                  // comes in two pieces; for streams, whose bytes may come in any pieces
+	Lost       Kind = iota // never delivered
+	Duplicated             // delivered twice in a row
+	Delayed                // delivered Setup.ExtraDelay late; variant 1: just after its successor, but at least ExtraDelay/4 late
+	Reordered              // delivered right after the next message of its link
+	Corrupted              // one byte changed
+	Truncated              // cut off at the end
+	Replayed               // replaced by an earlier message of its link
+	Misrouted              // delivered to another node; in odd variants to the right one, too
+	Split                  // delivered in two parts; for streams, which may be read in any parts
 	kinds
 )
 
@@ -51,26 +52,26 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// DatagramKinds are the kinds that a network or a faulty peer can do to whole messages.
+// DatagramKinds are the mutations that a network or a faulty peer can apply to whole messages.
 var DatagramKinds = []Kind{Lost, Duplicated, Delayed, Reordered, Corrupted, Truncated, Replayed, Misrouted}
 
-// StreamKinds are those, and Split.
+// StreamKinds are DatagramKinds and Split.
 var StreamKinds = append(append([]Kind{}, DatagramKinds...), Split)
 
-// Mutation is one mutation of one message. Draw numbers the draws of a kind that has several.
+// Mutation identifies one mutation of one message.
 type Mutation struct {
-	Message int // its number in the order of sending, from 0
+	Message int // index of the message in sending order
 	Kind    Kind
-	Variant int
+	Variant int // tells mutations of the same kind apart, from 0
 }
 
 func (p Mutation) String() string { return fmt.Sprintf("%d %s %d", p.Message, p.Kind, p.Variant) }
 
-// ParseMutation reads what String wrote.
+// ParseMutation parses the result of Mutation.String.
 func ParseMutation(s string) (p Mutation, err error) {
 	var kind string
 	if _, err = fmt.Sscanf(s, "%d %s %d", &p.Message, &kind, &p.Variant); err != nil {
-		return p, fmt.Errorf("a play is NUMBER KIND DRAW, not %q", s)
+		return p, fmt.Errorf("a mutation is MESSAGE KIND VARIANT, not %q", s)
 	}
 	for k, name := range kindNames {
 		if name == kind {
@@ -78,76 +79,77 @@
 			return p, nil
 		}
 	}
-	return p, fmt.Errorf("no such mutation: %q", kind)
+	return p, fmt.Errorf("unknown kind of mutation: %q", kind)
 }
 
-// Setup says what to play and how much of it.
+// Setup configures the runs of a system under mutations.
 type Setup struct {
 	Name         string
 	Seed         uint64
 	Build        func(seed uint64) System
-	TickInterval time.Duration // between two ticks of a node
-	Duration     time.Duration // of a play
-	FaultsFrom   time.Duration // messages sent before this are left alone
-	FaultsUntil  time.Duration // and those sent after this; 0 for Length
-	ExtraDelay   time.Duration // how late Late is; several messages of a link should fall into it
-	Kinds        []Kind        // nil for Datagrams
-	MaxVariants  int           // of Changed, Cut, Replayed and Misrouted for a message; 0 for 3
-	MaxSplits    int           // positions at which each message is split; -1 for every one
-	MaxRuns      int           // a sample of so many, drawn from the seed and spread over the messages; 0 for all
-	MaxEvents    int           // events of a play at most: a storm of messages ends it; 0 for a million
-	// Exclude says why a mutation cannot be told from an honest message; "" where it can. of is
-	// the message as it was sent, as is what comes in its place.
-	Exclude func(p Mutation, of, as Message) string
-	// WrapRun, where set, runs each play, one at a time; else plays run side by side.
-	WrapRun func(play func())
+	TickInterval time.Duration // between two rounds of ticks
+	Duration     time.Duration // of a run
+	FaultsFrom   time.Duration // messages sent earlier aren't mutated
+	FaultsUntil  time.Duration // messages sent later aren't mutated; 0 for Duration
+	ExtraDelay   time.Duration // of Delayed; long enough for several messages of a link
+	Kinds        []Kind        // nil for DatagramKinds
+	MaxVariants  int           // of Corrupted, Truncated, Replayed and Misrouted per message; 0 for 3
+	MaxSplits    int           // positions at which each message is split; -1 for all
+	MaxRuns      int           // size of a random sample of the mutations, spread evenly over the kinds; 0 for all
+	MaxEvents    int           // per run, so that endless sending ends it; 0 for a million
+	// Exclude returns why a receiver can't tell a mutated message from a genuine one, or "" if it
+	// can. original is the message as sent, mutated the first one delivered in its place. It isn't
+	// called for Lost and Duplicated.
+	Exclude func(m Mutation, original, mutated Message) string
+	// WrapRun, if set, is called with each run, one at a time. Otherwise runs are concurrent.
+	WrapRun func(run func())
 }
 
-// Failure is a play in which something did not hold.
+// Failure is a run in which a check failed.
 type Failure struct {
 	Setup    string
 	Seed     uint64
-	Mutation *Mutation // nil: the run without mutations
-	At       time.Duration
+	Mutation *Mutation     // nil for the run without a mutation
+	At       time.Duration // simulated time
 	Err      error
-	Trace    []string // around the mutated message, and before the end
+	Trace    []string // events around the mutated message and before the end
 }
 
 func (f Failure) Error() string {
-	play := "unmutated"
+	mutation := "unmutated"
 	if f.Mutation != nil {
-		play = f.Mutation.String()
+		mutation = f.Mutation.String()
 	}
-	s := fmt.Sprintf("%s: seed %d, play %q, at %v: %v\nalone: MUTATE_SEED=%d MUTATE_ONLY=%q", f.Setup, f.Seed, play, f.At, f.Err, f.Seed, play)
+	s := fmt.Sprintf("%s: seed %d, mutation %q, at %v: %v\nto run it alone: MUTATE_SEED=%d MUTATE_ONLY=%q", f.Setup, f.Seed, mutation, f.At, f.Err, f.Seed, mutation)
 	for _, line := range f.Trace {
 		s += "\n  " + line
 	}
 	return s
 }
 
-// Report is what was played.
+// Report is the result of Setup.Run.
 type Report struct {
 	Name     string
 	Seed     uint64
-	Messages int            // of the run without mutations, sent from Setup.From to Setup.Faults
-	Possible int            // mutations of them
-	Runs     int            // of those
-	ByKind   map[string]int // played
-	Excluded map[string]int // by reason; not among Played
+	Messages int            // that can be mutated, sent from Setup.FaultsFrom to Setup.FaultsUntil
+	Possible int            // their mutations, without excluded ones
+	Runs     int            // mutations that were run
+	ByKind   map[string]int // runs by the kind's name
+	Excluded map[string]int // mutations by the reason to exclude them; not among Runs
 	Failed   int
-	Failures []Failure // the first ten
+	Failures []Failure // the first ten at most
 	Elapsed  time.Duration
 }
 
 func (r Report) String() string {
-	s := fmt.Sprintf("%s: seed %d, %d messages, %d mutations, %d played, %d failed, in %v:", r.Name, r.Seed, r.Messages, r.Possible, r.Runs, r.Failed, r.Elapsed.Round(time.Millisecond))
+	s := fmt.Sprintf("%s: seed %d, %d messages, %d mutations, %d run, %d failed, in %v:", r.Name, r.Seed, r.Messages, r.Possible, r.Runs, r.Failed, r.Elapsed.Round(time.Millisecond))
 	for _, k := range kindNames {
 		if n := r.ByKind[k]; n > 0 {
 			s += fmt.Sprintf(" %s %d", k, n)
 		}
 	}
 	for reason, n := range r.Excluded {
-		s += fmt.Sprintf("; excused %d: %s", n, reason)
+		s += fmt.Sprintf("; excluded %d: %s", n, reason)
 	}
 	return s
 }
--- a/internal/mutate/play.go
+++ b/internal/mutate/play.go
@@ -9,94 +9,96 @@
 	"time"
 )
 
-// event is a delivery, or a tick of every node where m is nil. Events of one time come in the
-// order they were made.
+// event is the delivery of a message, or a tick of every node if message is nil. Events of the same
+// time are handled in the order of their creation.
 type event struct {
-	at   time.Duration
-	seq  int
-	m    *Message
-	n    int     // the message's number
-	held *bool   // a swapped message's last chance: false once it has come
-	what string  // for the trace
-	then []event // comes right behind it
+	at        time.Duration
+	seq       int
+	message   *Message
+	number    int     // index of the message in sending order
+	pending   *bool   // for Reordered, shared by both events of the message: false once it is delivered
+	label     string  // kind of mutation, for the trace
+	followers []event // delivered right after it
 }
 
-type queue []event
+// eventQueue is a heap.Interface ordered by time, then by creation.
+type eventQueue []event
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
 	last := len(*q) - 1
 	e := (*q)[last]
 	*q = (*q)[:last]
 	return e
 }
 
-// sent is a message of a run, and when it was due.
-type sent struct {
+// sentMessage is a message of the run without a mutation.
+type sentMessage struct {
 	Message
-	at  time.Duration
-	due time.Duration
+	sentAt time.Duration
+	due    time.Duration // time of delivery
 }
 
-func (s sent) link() [2]string { return [2]string{s.From, s.To} }
+func (s sentMessage) link() [2]string { return [2]string{s.From, s.To} }
 
-// change is a play made out: what comes in the message's place.
-type change struct {
+// plannedMutation is a mutation with the messages to deliver in place of the original.
+type plannedMutation struct {
 	Mutation
-	as  []Message     // in order; empty for Lost
-	due time.Duration // of Late: when it comes, by the run without mutations
+	replacements []Message     // in order of delivery; empty for Lost
+	delayedUntil time.Duration // for Delayed: time of delivery, from the run without a mutation
 }
 
-// run is one play under way.
+// run is one simulation in progress.
 type run struct {
-	s     *Setup
-	w     System
-	c     *change // nil without a mutation
-	q     queue
-	seq   int
-	now   time.Duration
-	sent  int
-	log   []sent // kept without a mutation
-	swap  *event // a swapped message that waits for its successor
-	trace *trace
+	setup     *Setup
+	system    System
+	mutation  *plannedMutation // nil without a mutation
+	queue     eventQueue
+	seq       int
+	now       time.Duration
+	sentCount int
+	sentLog   []sentMessage // recorded only without a mutation
+	heldBack  *event        // a Reordered message until its successor is sent
+	trace     *trace
 }
 
-var errStorm = errors.New("more events than Setup.Steps allows")
+var errTooManyEvents = errors.New("more events than Setup.MaxEvents allows")
 
-// play plays one run and returns when and what did not hold.
-func (s *Setup) play(c *change, t *trace) (r *run, err error) {
-	r = &run{s: s, c: c, trace: t}
+// simulate does one run and returns the first failed check, or a panic as an error. r.now is the time
+// of the failure.
+func (s *Setup) simulate(c *plannedMutation, t *trace) (r *run, err error) {
+	r = &run{setup: s, mutation: c, trace: t}
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic: %v\n%s", p, debug.Stack())
 		}
 	}()
-	r.w = s.Build(s.Seed)
+	r.system = s.Build(s.Seed)
 	r.push(event{})
-	most := s.MaxEvents
-	if most == 0 {
-		most = 1_000_000
+	maxEvents := s.MaxEvents
+	if maxEvents == 0 {
+		maxEvents = 1_000_000
 	}
-	for steps := 0; len(r.q) > 0; steps++ {
-		e := heap.Pop(&r.q).(event)
+	for events := 0; len(r.queue) > 0; events++ {
+		e := heap.Pop(&r.queue).(event)
 		if e.at > s.Duration {
 			break
 		}
-		if steps > most {
-			return r, errStorm
+		if events > maxEvents {
+			return r, errTooManyEvents
 		}
 		r.now = e.at
-		if err := r.take(e); err != nil {
+		if err := r.handle(e); err != nil {
 			return r, err
 		}
 	}
 	r.now = s.Duration
-	if err := r.w.CheckEndState(r.now); err != nil {
+	if err := r.system.CheckEndState(r.now); err != nil {
 		return r, fmt.Errorf("end state: %w", err)
 	}
 	return r, nil
@@ -105,108 +107,109 @@
 func (r *run) push(e event) {
 	r.seq++
 	e.seq = r.seq
-	heap.Push(&r.q, e)
+	heap.Push(&r.queue, e)
 }
 
-func (r *run) take(e event) error {
-	if e.m == nil {
-		for _, n := range r.w.Nodes() {
-			r.send(r.w.Tick(r.now, n))
+// handle delivers a message or ticks every node, then checks the invariants.
+func (r *run) handle(e event) error {
+	if e.message == nil {
+		for _, n := range r.system.Nodes() {
+			r.send(r.system.Tick(r.now, n))
 		}
-		if err := r.w.CheckInvariants(r.now); err != nil {
+		if err := r.system.CheckInvariants(r.now); err != nil {
 			return fmt.Errorf("after a tick: %w", err)
 		}
-		r.push(event{at: r.now + r.s.TickInterval})
+		r.push(event{at: r.now + r.setup.TickInterval})
 		return nil
 	}
-	if e.held != nil {
-		if !*e.held {
+	if e.pending != nil {
+		if !*e.pending {
 			return nil
 		}
-		*e.held = false
+		*e.pending = false
 	}
-	r.trace.add(r.c, e.n, r.now, "#%d %s>%s %s%.200q", e.n, e.m.From, e.m.To, e.what, e.m.Bytes)
-	m := *e.m
-	m.Bytes = bytes.Clone(m.Bytes) // the node may keep it, or write into it
-	r.send(r.w.Deliver(r.now, m))
-	if err := r.w.CheckInvariants(r.now); err != nil {
-		return fmt.Errorf("after message %d of %s to %s: %w", e.n, m.From, m.To, err)
+	r.trace.add(r.mutation, e.number, r.now, "#%d %s>%s %s%.200q", e.number, e.message.From, e.message.To, e.label, e.message.Bytes)
+	m := *e.message
+	m.Bytes = bytes.Clone(m.Bytes) // the node may keep or overwrite it
+	r.send(r.system.Deliver(r.now, m))
+	if err := r.system.CheckInvariants(r.now); err != nil {
+		return fmt.Errorf("after message %d of %s to %s: %w", e.number, m.From, m.To, err)
 	}
-	for _, next := range e.then {
-		if err := r.take(next); err != nil {
+	for _, next := range e.followers {
+		if err := r.handle(next); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// send puts messages on their way, with the mutation where it is one's turn.
+// send schedules the delivery of messages and applies the run's mutation to its message.
 func (r *run) send(list []Message) {
 	for i := range list {
 		m := &list[i]
-		n, due := r.sent, r.now+m.Delay
-		r.sent++
-		if r.c == nil {
-			r.log = append(r.log, sent{Message{m.From, m.To, bytes.Clone(m.Bytes), m.Delay}, r.now, due})
+		n, due := r.sentCount, r.now+m.Delay
+		r.sentCount++
+		if r.mutation == nil {
+			r.sentLog = append(r.sentLog, sentMessage{Message{m.From, m.To, bytes.Clone(m.Bytes), m.Delay}, r.now, due})
 		}
-		if r.c != nil && r.c.Message == n {
-			r.mutate(m, n, due)
+		if r.mutation != nil && r.mutation.Message == n {
+			r.sendMutated(m, n, due)
 			continue
 		}
-		e := event{at: due, m: m, n: n}
-		if s := r.swap; s != nil && s.m.From == m.From && s.m.To == m.To {
-			r.swap = nil
-			e.then = []event{*s}
+		e := event{at: due, message: m, number: n}
+		if held := r.heldBack; held != nil && held.message.From == m.From && held.message.To == m.To {
+			r.heldBack = nil
+			e.followers = []event{*held}
 		}
 		r.push(e)
 	}
 }
 
-func (r *run) mutate(m *Message, n int, due time.Duration) {
-	c := r.c
+// sendMutated schedules what is delivered in place of message n.
+func (r *run) sendMutated(m *Message, n int, due time.Duration) {
+	c := r.mutation
 	r.trace.add(c, n, r.now, "#%d %s>%s %.200q is sent, and %s", n, m.From, m.To, m.Bytes, c.Kind)
-	what := c.Kind.String() + " "
+	label := c.Kind.String() + " "
 	switch c.Kind {
 	case Delayed:
-		r.push(event{at: c.due, m: m, n: n, what: what})
+		r.push(event{at: c.delayedUntil, message: m, number: n, label: label})
 	case Reordered:
-		held := true
-		e := event{at: due + r.s.ExtraDelay, m: m, n: n, held: &held, what: what}
-		r.push(e) // should no successor come
-		r.swap = &e
+		pending := true
+		e := event{at: due + r.setup.ExtraDelay, message: m, number: n, pending: &pending, label: label}
+		r.push(e) // in case no successor is sent
+		r.heldBack = &e
 	default:
-		for i := range c.as {
-			r.push(event{at: due, m: &c.as[i], n: n, what: what})
+		for i := range c.replacements {
+			r.push(event{at: due, message: &c.replacements[i], number: n, label: label})
 		}
 	}
 }
 
-// traceMost is how many lines are kept before the mutated message, after it, and before the end.
-const traceMost = 12
+// maxTraceLines limits the lines kept before the mutated message, after it, and before the end.
+const maxTraceLines = 12
 
-// trace keeps what happened around the mutated message and before the end. A nil trace keeps
-// nothing.
+// trace records the events around the mutated message and before the end. A nil trace records nothing.
 type trace struct {
 	before, after, last []string
-	skipped             int
+	skipped             int // lines left out before last
 }
 
-func (t *trace) add(c *change, n int, now time.Duration, format string, args ...any) {
+func (t *trace) add(c *plannedMutation, n int, now time.Duration, format string, args ...any) {
 	if t == nil {
 		return
 	}
 	line := fmt.Sprintf("%12v ", now) + fmt.Sprintf(format, args...)
 	switch {
 	case c != nil && len(t.after) == 0 && n != c.Message:
-		if t.before = append(t.before, line); len(t.before) > traceMost {
+		if t.before = append(t.before, line); len(t.before) > maxTraceLines {
 			t.before = t.before[1:]
 		}
-	case c != nil && n == c.Message && t.after != nil: // whenever it comes
+	case c != nil && n == c.Message && t.after != nil: // kept however late it is delivered
 		t.after = append(t.after, line)
-	case c != nil && len(t.after) < traceMost:
+	case c != nil && len(t.after) < maxTraceLines:
 		t.after = append(t.after, line)
 	default:
-		if t.last = append(t.last, line); len(t.last) > traceMost {
+		if t.last = append(t.last, line); len(t.last) > maxTraceLines {
 			t.last, t.skipped = t.last[1:], t.skipped+1
 		}
 	}
