--- a/cmd/tinsail-lab/play.go
+++ b/cmd/tinsail-lab/play.go
@@ -144,10 +144,10 @@
 			if err != nil {
 				return err
 			}
-			if o.Most < 1 || o.Most > 100_000 {
-				return faulty{fmt.Errorf("--seeds is %d, want 1 to 100000", o.Most)}
+			if o.MaxSeeds < 1 || o.MaxSeeds > 100_000 {
+				return faulty{fmt.Errorf("--seeds is %d, want 1 to 100000", o.MaxSeeds)}
 			}
-			o.Least, o.Workers = min(8, o.Most), runtime.GOMAXPROCS(0)
+			o.MinSeeds, o.Workers = min(8, o.MaxSeeds), runtime.GOMAXPROCS(0)
 			o.Progress = func(done, most int, diff experiment.Estimate) {
 				fmt.Fprintf(c.ErrOrStderr(), "\r%d of %d seeds, B - A %v   ", done, most, diff)
 			}
@@ -165,17 +165,17 @@
 				}
 				fmt.Fprintln(c.OutOrStdout(), "written to", folder)
 			}
-			if len(r.Broken) > 0 {
-				return fmt.Errorf("%d runs broke a rule", len(r.Broken))
+			if len(r.InvalidRuns) > 0 {
+				return fmt.Errorf("%d runs broke a rule", len(r.InvalidRuns))
 			}
 			return nil
 		},
 	}
 	c.Flags().StringVar(&nameA, "a", "module", "module, random, stop or keep (an accord's when_cut), or a platform's configuration file")
 	c.Flags().StringVar(&nameB, "b", "random", "the same")
-	c.Flags().IntVar(&o.Most, "seeds", 40, "at most")
+	c.Flags().IntVar(&o.MaxSeeds, "seeds", 40, "at most")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "the first; the next are those that follow")
-	c.Flags().Float64Var(&o.Width, "width", 0.01, "stop once the interval of the difference is no wider; negative: never")
+	c.Flags().Float64Var(&o.StopWidth, "width", 0.01, "stop once the interval of the difference is no wider; negative: never")
 	c.Flags().StringVar(&folder, "out", "", "a folder for report.html, report.txt and the plots as PNG; none: text only")
 	return c
 }
--- a/cmd/tinsail-lab/sweep.go
+++ b/cmd/tinsail-lab/sweep.go
@@ -33,8 +33,8 @@
 			if err != nil {
 				return err
 			}
-			if steps < 1 || steps > 1000 || o.Most < 1 || o.Most > 10_000 {
-				return faulty{fmt.Errorf("--steps is %d, want 1 to 1000; --seeds is %d, want 1 to 10000", steps, o.Most)}
+			if steps < 1 || steps > 1000 || o.MaxSeeds < 1 || o.MaxSeeds > 10_000 {
+				return faulty{fmt.Errorf("--steps is %d, want 1 to 1000; --seeds is %d, want 1 to 10000", steps, o.MaxSeeds)}
 			}
 			values := make([]float64, steps)
 			for i := range values {
@@ -48,7 +48,7 @@
 				}
 				variants = append(variants, v)
 			}
-			o.Least, o.Workers = o.Most, runtime.GOMAXPROCS(0)
+			o.MinSeeds, o.Workers = o.MaxSeeds, runtime.GOMAXPROCS(0)
 			o.Progress = func(done, most int, _ experiment.Estimate) {
 				fmt.Fprintf(c.ErrOrStderr(), "\r%d of %d points   ", done, most)
 			}
@@ -70,7 +70,7 @@
 				}
 			}
 			for _, p := range list {
-				if len(p.Broken) > 0 {
+				if len(p.InvalidRuns) > 0 {
 					return fmt.Errorf("a rule was broken")
 				}
 			}
@@ -82,7 +82,7 @@
 	c.Flags().Float64Var(&to, "to", 160, "its last value")
 	c.Flags().IntVar(&steps, "steps", 6, "how many values")
 	c.Flags().StringSliceVar(&names, "variant", []string{"module", "random"}, "module, random, or platform's configuration files")
-	c.Flags().IntVar(&o.Most, "seeds", 8, "for each point")
+	c.Flags().IntVar(&o.MaxSeeds, "seeds", 8, "for each point")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "the first; the next are those that follow")
 	c.Flags().StringVar(&out, "png", "", "a file for the plot; none: text only")
 	return c
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -37,9 +37,9 @@
 // Options say how long an experiment goes on. Zero values are replaced by defaults.
 type Options struct {
 	Seed       uint64  // the first; the next are those that follow
-	Least      int     // seeds before it may stop early, at least 8
-	Most       int     // seeds at most, 40
-	Width      float64 // it stops early once the interval of the difference is no wider, 0.01; negative: never
+	MinSeeds   int     // seeds before it may stop early, at least 8
+	MaxSeeds   int     // seeds at most, 40
+	StopWidth  float64 // it stops early once the interval of the difference is no wider, 0.01; negative: never
 	Confidence float64 // of the intervals, 0.95
 	Workers    int     // seeds at a time, 1
 	Progress   func(done, most int, diff Estimate)
@@ -65,23 +65,23 @@
 	A, B sim.Result
 }
 
-// Broken is a run that broke a rule.
-type Broken struct {
-	Seed    uint64
-	Variant string
-	First   string // the first breach, in words
-	Count   int
+// InvalidRun is a run that broke a rule.
+type InvalidRun struct {
+	Seed           uint64
+	Variant        string
+	FirstViolation string // the first breach, in words
+	Count          int
 }
 
 // Report is what came of an experiment.
 type Report struct {
-	A, B     string
-	Pairs    []Pair // in the order of seeds, those with a broken rule too
-	Sound    int    // pairs on which no rule was broken: those that count below
-	ServiceA Estimate
-	ServiceB Estimate
-	Diff     Estimate // of B over A, paired
-	Broken   []Broken
+	A, B        string
+	Pairs       []Pair // in the order of seeds, those with a broken rule too
+	ValidPairs  int    // pairs on which no rule was broken: those that count below
+	ServiceA    Estimate
+	ServiceB    Estimate
+	Diff        Estimate // of B over A, paired
+	InvalidRuns []InvalidRun
 	// Of first reqs, the part that was served, in time or not.
 	ServedA, ServedB, ServedDiff Estimate
 	StoppedEarly                 bool
@@ -127,12 +127,12 @@
 			*v = d
 		}
 	}
-	or(&o.Least, 8)
-	or(&o.Most, 40)
+	or(&o.MinSeeds, 8)
+	or(&o.MaxSeeds, 40)
 	or(&o.Workers, 1)
-	o.Most = max(o.Most, o.Least)
-	if o.Width == 0 {
-		o.Width = 0.01
+	o.MaxSeeds = max(o.MaxSeeds, o.MinSeeds)
+	if o.StopWidth == 0 {
+		o.StopWidth = 0.01
 	}
 	if o.Confidence <= 0 || o.Confidence >= 1 {
 		o.Confidence = 0.95
@@ -148,8 +148,8 @@
 		pair Pair
 		err  error
 	}
-	for first := 0; first < o.Most && ctx.Err() == nil; first += o.Workers {
-		batch := make([]slot, min(o.Workers, o.Most-first))
+	for first := 0; first < o.MaxSeeds && ctx.Err() == nil; first += o.Workers {
+		batch := make([]slot, min(o.Workers, o.MaxSeeds-first))
 		var all sync.WaitGroup
 		for i := range batch {
 			all.Go(func() {
@@ -171,10 +171,10 @@
 			r.Pairs = append(r.Pairs, batch[i].pair)
 			r.add(o.Confidence)
 			if o.Progress != nil {
-				o.Progress(len(r.Pairs), o.Most, r.Diff)
+				o.Progress(len(r.Pairs), o.MaxSeeds, r.Diff)
 			}
-			if r.Sound >= o.Least && o.Width > 0 && r.Diff.High-r.Diff.Low <= o.Width {
-				r.StoppedEarly = len(r.Pairs) < o.Most
+			if r.ValidPairs >= o.MinSeeds && o.StopWidth > 0 && r.Diff.High-r.Diff.Low <= o.StopWidth {
+				r.StoppedEarly = len(r.Pairs) < o.MaxSeeds
 				return r, nil
 			}
 		}
@@ -190,7 +190,7 @@
 		res  *sim.Result
 	}{{r.A, &p.A}, {r.B, &p.B}} {
 		if x.res.Breaches > 0 {
-			r.Broken = append(r.Broken, Broken{p.Seed, x.name, x.res.Broken[0].String(), x.res.Breaches})
+			r.InvalidRuns = append(r.InvalidRuns, InvalidRun{p.Seed, x.name, x.res.Broken[0].String(), x.res.Breaches})
 		}
 	}
 	var as, bs, ds, servedA, servedB, served []float64
@@ -202,7 +202,7 @@
 			served = append(served, p.B.ServedPart()-p.A.ServedPart())
 		}
 	}
-	r.Sound = len(ds)
+	r.ValidPairs = len(ds)
 	r.ServiceA, r.ServiceB, r.Diff = Bootstrap(as, confidence), Bootstrap(bs, confidence), Bootstrap(ds, confidence)
 	r.ServedA, r.ServedB, r.ServedDiff = Bootstrap(servedA, confidence), Bootstrap(servedB, confidence), Bootstrap(served, confidence)
 }
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -27,12 +27,12 @@
 // TestWorseIsTold: random choice is told apart with few seeds, and keeps the rules.
 func TestWorseIsTold(t *testing.T) {
 	a, b := Variant{"module", defaults.Settings(), sim.Module, nil}, Variant{"random", defaults.Settings(), Random, nil}
-	r, err := Compare(context.Background(), evening(), a, b, Options{Most: 8, Workers: 4})
+	r, err := Compare(context.Background(), evening(), a, b, Options{MaxSeeds: 8, Workers: 4})
 	require.NoError(t, err)
-	assert.Empty(t, r.Broken)
-	assert.Equal(t, 8, r.Sound)
+	assert.Empty(t, r.InvalidRuns)
+	assert.Equal(t, 8, r.ValidPairs)
 	assert.Less(t, r.Diff.High, 0.0, "%v", r.Diff)
-	again, err := Compare(context.Background(), evening(), a, b, Options{Most: 8, Workers: 1})
+	again, err := Compare(context.Background(), evening(), a, b, Options{MaxSeeds: 8, Workers: 1})
 	require.NoError(t, err)
 	assert.Equal(t, r.Diff, again.Diff, "it does not depend on how many run at a time")
 }
@@ -84,12 +84,12 @@
 		d, err := Random(s, a)
 		return reckless{d.(*random)}, err
 	}
-	r, err := Compare(context.Background(), evening(), Variant{"module", defaults.Settings(), sim.Module, nil}, Variant{"reckless", defaults.Settings(), late, nil}, Options{Most: 2, Least: 2})
+	r, err := Compare(context.Background(), evening(), Variant{"module", defaults.Settings(), sim.Module, nil}, Variant{"reckless", defaults.Settings(), late, nil}, Options{MaxSeeds: 2, MinSeeds: 2})
 	require.NoError(t, err)
-	require.Len(t, r.Broken, 2)
-	assert.Equal(t, "reckless", r.Broken[0].Variant)
-	assert.Contains(t, r.Broken[0].First, "may have run in group")
-	assert.Zero(t, r.Sound)
+	require.Len(t, r.InvalidRuns, 2)
+	assert.Equal(t, "reckless", r.InvalidRuns[0].Variant)
+	assert.Contains(t, r.InvalidRuns[0].FirstViolation, "may have run in group")
+	assert.Zero(t, r.ValidPairs)
 	assert.True(t, math.IsNaN(r.Diff.Mean))
 }
 
@@ -98,7 +98,7 @@
 	v := Variant{"module", defaults.Settings(), sim.Module, nil}
 	sc := evening()
 	sc.Length = 2000
-	r, err := Compare(context.Background(), sc, v, v, Options{Most: 50})
+	r, err := Compare(context.Background(), sc, v, v, Options{MaxSeeds: 50})
 	require.NoError(t, err)
 	assert.True(t, r.StoppedEarly)
 	assert.Len(t, r.Pairs, 8)
--- a/internal/lab/experiment/sweep.go
+++ b/internal/lab/experiment/sweep.go
@@ -26,10 +26,10 @@
 
 // Point is one variant at one value of the parameter.
 type Point struct {
-	Variant string
-	Value   float64
-	Service Estimate // of the seeds on which no rule was broken
-	Broken  []Broken
+	Variant     string
+	Value       float64
+	Service     Estimate // of the seeds on which no rule was broken
+	InvalidRuns []InvalidRun
 }
 
 // Sweep plays each variant at each value on the same seeds. Points come in the order of variants, then values. The error names a
@@ -43,7 +43,7 @@
 	var out []Point
 	for _, v := range variants {
 		for _, x := range values {
-			results, errs := make([]sim.Result, o.Most), make([]error, o.Most)
+			results, errs := make([]sim.Result, o.MaxSeeds), make([]error, o.MaxSeeds)
 			var all sync.WaitGroup
 			free := make(chan struct{}, o.Workers)
 			for i := range results {
@@ -67,7 +67,7 @@
 					return out, fmt.Errorf("%s %v, seed %d: %w", param, x, o.Seed+uint64(i), errs[i])
 				}
 				if r := &results[i]; r.Breaches > 0 {
-					p.Broken = append(p.Broken, Broken{o.Seed + uint64(i), v.Name, r.Broken[0].String(), r.Breaches})
+					p.InvalidRuns = append(p.InvalidRuns, InvalidRun{o.Seed + uint64(i), v.Name, r.Broken[0].String(), r.Breaches})
 				} else {
 					good = append(good, r.Service())
 				}
--- a/internal/lab/experiment/sweep_test.go
+++ b/internal/lab/experiment/sweep_test.go
@@ -16,14 +16,14 @@
 	variants := []Variant{{"module", defaults.Settings(), sim.Module, nil}, {"random", defaults.Settings(), Random, nil}}
 	sc := evening()
 	sc.Length = 5000
-	o := Options{Most: 3, Least: 3, Workers: 3}
+	o := Options{MaxSeeds: 3, MinSeeds: 3, Workers: 3}
 	list, err := Sweep(context.Background(), sc, "rate", []float64{60, 250}, variants, o)
 	require.NoError(t, err)
 	require.Len(t, list, 4)
 	for i := 0; i < 4; i += 2 {
 		assert.Equal(t, variants[i/2].Name, list[i].Variant)
 		assert.Greater(t, list[i].Service.Mean, list[i+1].Service.Mean)
-		assert.Empty(t, list[i].Broken)
+		assert.Empty(t, list[i].InvalidRuns)
 	}
 	o.Workers = 1
 	again, err := Sweep(context.Background(), sc, "rate", []float64{60, 250}, variants, o)
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -79,7 +79,7 @@
 
 // Text writes an experiment as text.
 func Text(out io.Writer, r *experiment.Report) {
-	fmt.Fprintf(out, "service, 95%% intervals by the bootstrap; %d seeds, %d without a broken rule%s\n", len(r.Pairs), r.Sound,
+	fmt.Fprintf(out, "service, 95%% intervals by the bootstrap; %d seeds, %d without a broken rule%s\n", len(r.Pairs), r.ValidPairs,
 		map[bool]string{true: ", stopped early"}[r.StoppedEarly])
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "A\t%s\t%v\n", r.A, r.ServiceA)
@@ -88,15 +88,15 @@
 	w.Flush()
 	fmt.Fprintln(out, Verdict(r))
 	versions(out, r)
-	for _, b := range r.Broken {
-		fmt.Fprintf(out, "seed %d: %s BROKE a rule, %d times; %s\n", b.Seed, b.Variant, b.Count, b.First)
+	for _, b := range r.InvalidRuns {
+		fmt.Fprintf(out, "seed %d: %s BROKE a rule, %d times; %s\n", b.Seed, b.Variant, b.Count, b.FirstViolation)
 	}
 }
 
 // Verdict is what the difference says, in words.
 func Verdict(r *experiment.Report) string {
 	switch d := r.Diff; {
-	case r.Sound < 2:
+	case r.ValidPairs < 2:
 		return "nothing can be said: too few seeds without a broken rule"
 	case d.Low > 0:
 		return "B serves more"
@@ -163,7 +163,7 @@
 	if err := plotutil.AddScatters(diff, points); err != nil {
 		return nil, err
 	}
-	if n := len(points); n > 0 && r.Sound > 1 {
+	if n := len(points); n > 0 && r.ValidPairs > 1 {
 		for _, y := range []float64{r.Diff.Low, r.Diff.Mean, r.Diff.High} {
 			l, err := plotter.NewLine(plotter.XYs{{X: points[0].X, Y: y}, {X: points[n-1].X, Y: y}})
 			if err != nil {
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -23,7 +23,7 @@
 	k := fleet.Kind{Name: "std", Cores: 2, Speed: 1, Slots: 2, QueueLimit: 20}
 	sc := sim.Scenario{Length: 3000, Rate: 20, Work: 100, Aim: 120, Deadline: 5000, Backends: []sim.Backend{{Name: "a", Kind: k}, {Name: "b", Kind: k}}}
 	r, err := experiment.Compare(context.Background(), sc, experiment.Variant{Name: "module", Settings: set, Policy: sim.Module},
-		experiment.Variant{Name: "<random>", Settings: set, Policy: experiment.Random}, experiment.Options{Most: 3, Least: 3, Width: -1})
+		experiment.Variant{Name: "<random>", Settings: set, Policy: experiment.Random}, experiment.Options{MaxSeeds: 3, MinSeeds: 3, StopWidth: -1})
 	require.NoError(t, err)
 	return &r
 }
@@ -52,10 +52,10 @@
 
 func TestVerdict(t *testing.T) {
 	for want, r := range map[string]experiment.Report{
-		"B serves more":         {Sound: 9, Diff: experiment.Estimate{Low: 0.01, High: 0.02}},
-		"B serves less":         {Sound: 9, Diff: experiment.Estimate{Low: -0.02, High: -0.01}},
-		"no difference is seen": {Sound: 9, Diff: experiment.Estimate{Low: -0.01, High: 0.01}},
-		"nothing can be said: too few seeds without a broken rule": {Sound: 1},
+		"B serves more":         {ValidPairs: 9, Diff: experiment.Estimate{Low: 0.01, High: 0.02}},
+		"B serves less":         {ValidPairs: 9, Diff: experiment.Estimate{Low: -0.02, High: -0.01}},
+		"no difference is seen": {ValidPairs: 9, Diff: experiment.Estimate{Low: -0.01, High: 0.01}},
+		"nothing can be said: too few seeds without a broken rule": {ValidPairs: 1},
 	} {
 		assert.Equal(t, want, Verdict(&r))
 	}
--- a/internal/lab/report/sweep.go
+++ b/internal/lab/report/sweep.go
@@ -19,8 +19,8 @@
 	fmt.Fprintf(w, "variant\t%s\tservice, 95%% interval\trules\n", param)
 	for _, p := range list {
 		rules := "kept"
-		if len(p.Broken) > 0 {
-			rules = fmt.Sprintf("BROKEN on %d seeds, first %d: %s", len(p.Broken), p.Broken[0].Seed, p.Broken[0].First)
+		if len(p.InvalidRuns) > 0 {
+			rules = fmt.Sprintf("BROKEN on %d seeds, first %d: %s", len(p.InvalidRuns), p.InvalidRuns[0].Seed, p.InvalidRuns[0].FirstViolation)
 		}
 		fmt.Fprintf(w, "%s\t%v\t%v\t%s\n", p.Variant, p.Value, p.Service, rules)
 	}
