--- a/cmd/tinsail/quota_rig_test.go
+++ b/cmd/tinsail/quota_rig_test.go
@@ -107,7 +107,7 @@
 	plain, urgent := strings.CutSuffix(team, "!")
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lines = append(f.lines, history.Line{T: at.UnixNano(), Event: string(event), Team: plain, Req: id, Backend: backend, Urgent: urgent && event == platform.Started})
+	f.lines = append(f.lines, history.Line{Time: at.UnixNano(), Event: string(event), Team: plain, Req: id, Backend: backend, Urgent: urgent && event == platform.Started})
 	if event != platform.Started {
 		f.runningByTeam[plain]--
 		return
@@ -121,7 +121,7 @@
 func (f *recordedQuotaFleet) recordLimit(event, team string, units int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lines = append(f.lines, history.Line{T: time.Now().UnixNano(), Event: event, Team: team, Units: units})
+	f.lines = append(f.lines, history.Line{Time: time.Now().UnixNano(), Event: event, Team: team, Units: units})
 }
 
 func (f *recordedQuotaFleet) script(i int) string {
@@ -400,7 +400,7 @@
 	f.mu.Lock()
 	lines := slices.Clone(f.lines)
 	f.mu.Unlock()
-	verdicts := history.Judge(lines, rules)
+	verdicts := history.Check(lines, rules)
 	for i, v := range verdicts {
 		if i == 20 {
 			f.t.Errorf("and %d further violations", len(verdicts)-i)
@@ -410,7 +410,7 @@
 	}
 	assert.Positive(f.t, f.outcomes["200"])
 	assert.Empty(f.t, f.earlyFailures, "requests failed before their deadline") // one that got quota late, or was in flight at a suspension, fails at its deadline
-	f.t.Logf("%d lines of history; most running at once %v; starts %v; answers %v", len(lines), history.Most(lines, rules), f.startsByKey, f.outcomes)
+	f.t.Logf("%d lines of history; most running at once %v; starts %v; answers %v", len(lines), history.MaxRunning(lines, rules), f.startsByKey, f.outcomes)
 }
 
 // writeHistory writes the history to the file named by TINSAIL_HISTORY, if it is set, also when the test failed.
--- a/cmd/tinsail/quota_test.go
+++ b/cmd/tinsail/quota_test.go
@@ -13,7 +13,7 @@
 
 // quotaRules are the rules of the rig's history: a lowered quota holds as soon as the root counts no more units
 // as lent, which the rig waits for.
-var quotaRules = history.Rules{Notice: 200 * time.Millisecond}
+var quotaRules = history.Rules{MaxAbortDelay: 200 * time.Millisecond}
 
 // The quotas of the rig's teams, and the reserve of each region.
 const (
