--- a/internal/lab/defaults/defaults.go
+++ b/internal/lab/defaults/defaults.go
@@ -1,10 +1,11 @@
-// Package defaults holds the settings that the laboratory gives the decision module where nobody names others.
+// Package defaults holds the default settings that the laboratory gives the decision module.
 package defaults
 
 import "tinsail/internal/balance"
 
-// Settings are those of a site like the demo's: one keyed class, wanted within 120 ms and twice its own
-// running time, repeats dropped by a pod for 7.5 s, cold backends warm within 9 s.
+// Settings returns the settings of a site like the demo's. It has one class with idempotency keys, whose target
+// latency is 120 ms plus twice a job's own running time. Repeats are dropped within a cell of backends for 7.5 s, and
+// cold backends are warm within 9 s.
 func Settings() balance.Settings {
 	return balance.Settings{Instances: 1, Zones: 1, Kinds: 1, MaxAttempts: 5, MayDuplicate: true, MayCancel: true, TellsStart: true,
 		MaxPause: 2000, ConnectTimeout: 120, Tick: 2, Weight: balance.WeightSize,
