--- a/internal/lab/recording/change.go
+++ b/internal/lab/recording/change.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Cut keeps the arrivals from from up to to (to excluded, or all after from where to is 0) and moves them so that the
-// first moment kept is the new start.
+// Cut returns the arrivals at or after from and before to, with times relative to from. If to is 0, all arrivals from
+// from on are kept.
 func Cut(arrivals []Arrival, from, to time.Duration) ([]Arrival, error) {
 	if from < 0 || to < 0 || (to != 0 && to <= from) {
 		return nil, fmt.Errorf("recording: cut from %v to %v: want 0 <= from < to, or to 0 for the end", from, to)
@@ -24,7 +24,7 @@
 	return kept, nil
 }
 
-// Stretch plays the same arrivals over factor times the time: 2 is half the rate, 0.5 twice it.
+// Stretch multiplies the times of the arrivals by factor: 2 halves the rate, 0.5 doubles it.
 func Stretch(arrivals []Arrival, factor float64) ([]Arrival, error) {
 	if !(factor > 0) || factor > 1000 {
 		return nil, fmt.Errorf("recording: stretch by %v: want more than 0 and at most 1000", factor)
@@ -36,10 +36,11 @@
 	return out, nil
 }
 
-// Multiply makes times as many arrivals in the same time: each key's family (a req with its retries) is kept
-// whole times over, with one more family kept by chance for what is left of times, and each copy has a key of its own
-// (key, "*", copy) and comes a little later than its original, by up to spread, so that copies do not come at
-// one instant. Chance is from seed alone: the same seed gives the same file.
+// Multiply returns about times as many arrivals over the same period. All arrivals with one key, a request and its
+// retries, are copied together. Each key gets as many copies as the integer part of times, and one more with a
+// probability of the fractional part. The first copy is unchanged. Each further copy has a key of its own (key, "*",
+// number) and is delayed by a random time of up to spread, so that copies do not arrive at the same instant. The
+// random numbers depend on seed alone: the same seed gives the same result.
 func Multiply(arrivals []Arrival, times float64, spread time.Duration, seed uint64) ([]Arrival, error) {
 	if !(times >= 0) || times > 1000 {
 		return nil, fmt.Errorf("recording: multiply by %v: want 0 to 1000", times)
@@ -47,28 +48,28 @@
 	if spread < 0 {
 		return nil, fmt.Errorf("recording: spread %v is negative", spread)
 	}
-	chance := rand.New(rand.NewPCG(seed, 0x7265636f7264))
-	whole, part := int(times), times-math.Floor(times)
-	copies := map[string]int{} // of each key, decided at its first arrival
-	shift := map[string][]time.Duration{}
+	random := rand.New(rand.NewPCG(seed, 0x7265636f7264))
+	whole, fraction := int(times), times-math.Floor(times)
+	copies := map[string]int{} // number of copies by key, drawn at the key's first arrival
+	delays := map[string][]time.Duration{}
 	var out []Arrival
 	for _, a := range arrivals {
 		n, seen := copies[a.Key]
 		if !seen {
 			n = whole
-			if chance.Float64() < part {
+			if random.Float64() < fraction {
 				n++
 			}
 			copies[a.Key] = n
 			s := make([]time.Duration, n)
-			for c := 1; c < n; c++ { // the first copy keeps its time
-				s[c] = time.Duration(chance.Int64N(int64(spread) + 1))
+			for c := 1; c < n; c++ { // the first copy is not delayed
+				s[c] = time.Duration(random.Int64N(int64(spread) + 1))
 			}
-			shift[a.Key] = s
+			delays[a.Key] = s
 		}
 		for c := range n {
 			b := a
-			b.At += shift[a.Key][c]
+			b.At += delays[a.Key][c]
 			if c > 0 {
 				b.Key = fmt.Sprintf("%s*%d", a.Key, c)
 			}
@@ -79,17 +80,17 @@
 	return out, nil
 }
 
-// Summary is what inspect shows of a recording.
+// Summary holds the statistics of a recording that the inspect command prints.
 type Summary struct {
 	Arrivals, Retries, Keys int
 	Span                    time.Duration // from the start to the last arrival
-	PerSecond               float64       // arrivals a second over the span
-	BusiestSecond           int           // most arrivals in one whole second from the start
+	PerSecond               float64       // mean arrivals per second over the span
+	BusiestSecond           int           // maximum arrivals in one whole second, counted from the start
 	Classes                 map[string]int
 	MedianSize, MaxSize     int64 // bytes
 }
 
-// Summarize sums a recording up. Its cost grows with its length; it holds a map of keys.
+// Summarize computes the Summary of a recording. It keeps all keys and sizes in memory.
 func Summarize(arrivals []Arrival) Summary {
 	s := Summary{Arrivals: len(arrivals), Classes: map[string]int{}}
 	keys := map[string]struct{}{}
--- a/internal/lab/recording/recording.go
+++ b/internal/lab/recording/recording.go
@@ -1,11 +1,11 @@
-// Package recording holds recordings of traffic: the first reqs and retries of a day, each with its time, class,
-// key, size and whether it was a retry, as one Parquet file (columns compress well and any tool of the field reads
-// them). It reads and writes them and changes them (cut, stretch, multiply); it knows no socket and no clock: times
-// are offsets from the start of the recording.
+// Package recording reads, writes and transforms recordings of traffic. A recording is one Parquet file with the
+// first requests and the retries of a period: the time, class, key and size of each, and whether it was a retry.
+// Parquet compresses columns well, and common tools read it. The transformations are cut, stretch and multiply. The
+// package uses no sockets and no clock: times are offsets from the start of the recording.
 //
-// The file carries its schema's version in the key-value metadata under VersionKey. A file of another version, of
-// no version, or whose times go back is refused with an error that names the row or the key: a replay of a file
-// that is not understood would judge a change on traffic that never was.
+// A file carries the version of its schema in the key-value metadata under VersionKey. A file with another version,
+// with no version, or whose times go back is rejected with an error that names the row or the key. Replaying a file
+// that was misread would evaluate a change on traffic that never occurred.
 package recording
 
 import (
@@ -23,28 +23,26 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// Version is the version of the schema that this package writes and reads. A change to Arrival's columns is a new
-// version.
+// Version is the schema version that this package writes and reads. Any change to the columns needs a new version.
 const Version = 1
 
-// VersionKey names the metadata that holds the version.
+// VersionKey is the metadata key of the schema version.
 const VersionKey = "tinsail.recording.version"
 
-// MaxArrivals bounds what is read from one file: a file that claims more is refused before its rows are read,
-// so that a corrupt or hostile count cannot take the memory (about 100 bytes an arrival when read).
+// MaxArrivals limits the rows read from one file. A file that claims more is rejected before its rows are read, so
+// that a corrupt or hostile count cannot exhaust memory (an arrival takes about 100 bytes when read).
 const MaxArrivals = 20_000_000
 
-// Arrival is one req as it came: At from the start of the recording, its class, the key of its effect (the same for a
-// req and its retries), the size of its body in bytes, and whether it was a retry.
+// Arrival is one request as it arrived.
 type Arrival struct {
-	At    time.Duration // kept in whole microseconds in a file
+	At    time.Duration // since the start of the recording; a file stores whole microseconds
 	Class string
-	Key   string
-	Size  int64
+	Key   string // idempotency key, the same for a request and its retries
+	Size  int64  // of the body, in bytes
 	Retry bool
 }
 
-// row is Arrival as a file has it: times in whole microseconds, which any reader understands.
+// row is an Arrival as stored in a file. Times are whole microseconds, which any reader of Parquet understands.
 type row struct {
 	AtMicros int64  `parquet:"at_us,delta"`
 	Class    string `parquet:"class,dict"`
@@ -53,9 +51,9 @@
 	Retry    bool   `parquet:"retry"`
 }
 
-// Write writes the arrivals, which must be in the order of their times, as one file to w. Meta is written beside
-// the version (where the recording came from, say); it may be nil. It returns an error that names the first row
-// out of order or of a negative time or size, and writes nothing then.
+// Write writes the arrivals, which must be ordered by time, as one file to w. The entries of meta, such as the origin
+// of the recording, are written to the metadata beside the version; meta may be nil. If a row is out of order or has
+// a negative time or size, Write writes nothing and returns an error that names the first such row.
 func Write(w io.Writer, arrivals []Arrival, meta map[string]string) error {
 	if err := Check(arrivals); err != nil {
 		return err
@@ -82,15 +80,15 @@
 	return out.Close()
 }
 
-// Read reads a whole file of size bytes. It returns the arrivals and the metadata beside the version. Errors name
-// what is wrong: not Parquet, no or another version, too many rows, a row out of order.
+// Read reads a whole file of size bytes. It returns the arrivals and the metadata without the version. It returns an
+// error if the file is not Parquet, has no version or another one, has too many rows or an invalid row.
 func Read(r io.ReaderAt, size int64) (arrivals []Arrival, meta map[string]string, err error) {
-	defer func() { // the library panics on some files that are broken in ways it does not check
+	defer func() { // the library panics on some corrupt files that its own checks miss
 		if p := recover(); p != nil {
-			arrivals, meta, err = nil, nil, fmt.Errorf("recording: a broken file: %v", p)
+			arrivals, meta, err = nil, nil, fmt.Errorf("recording: corrupt file: %v", p)
 		}
 	}()
-	if err := footer(r, size); err != nil {
+	if err := checkFooter(r, size); err != nil {
 		return nil, nil, err
 	}
 	f, err := parquet.OpenFile(r, size, parquet.SkipPageIndex(true), parquet.SkipBloomFilters(true))
@@ -99,10 +97,10 @@
 	}
 	v, ok := f.Lookup(VersionKey)
 	if !ok {
-		return nil, nil, fmt.Errorf("recording: no %s in its metadata: not a recording of tinsail", VersionKey)
+		return nil, nil, fmt.Errorf("recording: no %s in the metadata: not a recording of tinsail", VersionKey)
 	}
 	if v != strconv.Itoa(Version) {
-		return nil, nil, fmt.Errorf("recording: %s is %q; this program reads version %d alone", VersionKey, v, Version)
+		return nil, nil, fmt.Errorf("recording: %s is %q; this program reads only version %d", VersionKey, v, Version)
 	}
 	meta = map[string]string{}
 	for _, kv := range f.Metadata().KeyValueMetadata {
@@ -112,7 +110,7 @@
 	}
 	n := f.NumRows()
 	if n < 0 || n > MaxArrivals {
-		return nil, nil, fmt.Errorf("recording: %d rows, more than %d", n, MaxArrivals)
+		return nil, nil, fmt.Errorf("recording: %d rows, want at most %d", n, MaxArrivals)
 	}
 	in := parquet.NewGenericReader[row](r)
 	defer in.Close()
@@ -122,7 +120,7 @@
 		k, err := in.Read(rows)
 		for _, x := range rows[:k] {
 			if x.AtMicros > math.MaxInt64/int64(time.Microsecond) {
-				return nil, nil, fmt.Errorf("recording: row %d: at_us %d is past any day", len(arrivals), x.AtMicros)
+				return nil, nil, fmt.Errorf("recording: row %d: at_us %d is out of range", len(arrivals), x.AtMicros)
 			}
 			arrivals = append(arrivals, Arrival{time.Duration(x.AtMicros) * time.Microsecond, x.Class, x.Key, x.Size, x.Retry})
 		}
@@ -139,12 +137,13 @@
 	return arrivals, meta, Check(arrivals)
 }
 
-// MaxFooter bounds the metadata at a file's end. The library reads as much as the footer's length claims before it
-// looks at it: eight bytes "PAR1PAR1" made it take 827 MB.
+// MaxFooter limits the metadata at the end of a file, in bytes. The library allocates as much as the footer's length
+// field claims before it checks the length: the eight bytes "PAR1PAR1" made it allocate 827 MB.
 const MaxFooter = 16 << 20
 
-// footer checks the magic at both ends and that the footer's length fits in the file and under MaxFooter.
-func footer(r io.ReaderAt, size int64) error {
+// checkFooter checks the magic bytes at both ends, and that the footer's length fits into the file and is at most
+// MaxFooter.
+func checkFooter(r io.ReaderAt, size int64) error {
 	if size < 12 {
 		return fmt.Errorf("recording: not a Parquet file: %d bytes", size)
 	}
@@ -165,8 +164,8 @@
 	return nil
 }
 
-// Check returns an error naming the first arrival whose time goes back (a clock that stepped), or whose time or size
-// is negative.
+// Check returns an error that names the first arrival whose time goes back, as after a step of the recording clock,
+// or whose time or size is negative.
 func Check(arrivals []Arrival) error {
 	var last time.Duration
 	for i, a := range arrivals {
@@ -183,8 +182,8 @@
 	return nil
 }
 
-// Sort puts arrivals in the order of their times, keeping the order of those of one time. It is what to do with a
-// recording whose clock stepped back, where the times and not the order of rows are to be believed.
+// Sort orders arrivals by time; arrivals with equal times keep their order. Use it on a recording whose clock stepped
+// back if the times, not the order of the rows, are to be trusted.
 func Sort(arrivals []Arrival) {
 	slices.SortStableFunc(arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 }
--- a/internal/lab/recording/recording_test.go
+++ b/internal/lab/recording/recording_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-func day(n int) []Arrival {
+func testArrivals(n int) []Arrival {
 	var out []Arrival
 	for i := range n {
 		out = append(out, Arrival{At: time.Duration(i) * 7 * time.Millisecond, Class: "photo-ingest", Key: fmt.Sprint("k", i/2),
@@ -21,12 +21,13 @@
 	return out
 }
 
-func written(t *testing.T, a []Arrival, meta map[string]string) *bytes.Reader {
+func writeToReader(t *testing.T, a []Arrival, meta map[string]string) *bytes.Reader {
 	var b bytes.Buffer
 	require.NoError(t, Write(&b, a, meta))
 	return bytes.NewReader(b.Bytes())
 }
 
+// TestRoundTrip checks that Read returns what Write wrote, with the metadata.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a []Arrival
@@ -49,18 +50,20 @@
 	})
 }
 
-func TestRefused(t *testing.T) {
-	r := written(t, day(10), nil)
-	whole := make([]byte, r.Len())
-	_, _ = r.Read(whole)
+// TestUnreadableFilesAreRefused checks that files that are truncated, not Parquet, of another program or of another
+// version are rejected, and that Write rejects metadata under VersionKey.
+func TestUnreadableFilesAreRefused(t *testing.T) {
+	r := writeToReader(t, testArrivals(10), nil)
+	file := make([]byte, r.Len())
+	_, _ = r.Read(file)
 
-	_, _, err := Read(bytes.NewReader(whole[:len(whole)/2]), int64(len(whole)/2))
+	_, _, err := Read(bytes.NewReader(file[:len(file)/2]), int64(len(file)/2))
 	assert.ErrorContains(t, err, "not a Parquet file", "truncated")
 
 	_, _, err = Read(bytes.NewReader([]byte("PAR1 nothing PAR1")), 17)
 	assert.ErrorContains(t, err, "not a Parquet file")
 
-	var b bytes.Buffer // Parquet, but of another program
+	var b bytes.Buffer // a Parquet file of another program
 	w := parquet.NewGenericWriter[row](&b)
 	_, err = w.Write([]row{{AtMicros: 1}})
 	require.NoError(t, err)
@@ -68,25 +71,25 @@
 	_, _, err = Read(bytes.NewReader(b.Bytes()), int64(b.Len()))
 	assert.ErrorContains(t, err, VersionKey)
 
-	b.Reset() // a version to come
+	b.Reset() // a later version
 	w = parquet.NewGenericWriter[row](&b, parquet.KeyValueMetadata(VersionKey, "2"))
 	require.NoError(t, w.Close())
 	_, _, err = Read(bytes.NewReader(b.Bytes()), int64(b.Len()))
 	assert.ErrorContains(t, err, `is "2"`)
 
-	assert.ErrorContains(t, Write(&b, day(2), map[string]string{VersionKey: "1"}), "own")
+	assert.ErrorContains(t, Write(&b, testArrivals(2), map[string]string{VersionKey: "1"}), "own")
 }
 
-// TestClockStepped: a recording whose clock went back is named by its row, on writing and on reading, and Sort
-// mends it.
+// TestClockStepped checks that Write and Read reject a recording whose clock went back and name the row, and that
+// Sort repairs it.
 func TestClockStepped(t *testing.T) {
-	a := day(6)
+	a := testArrivals(6)
 	a[4].At = a[2].At - time.Millisecond
 	var b bytes.Buffer
 	assert.ErrorContains(t, Write(&b, a, nil), "row 4: at_us goes back")
 	assert.Zero(t, b.Len(), "nothing is written")
 
-	b.Reset() // one written by another program, rows as they came
+	b.Reset() // written by another program, with unordered rows
 	w := parquet.NewGenericWriter[row](&b, parquet.KeyValueMetadata(VersionKey, "1"))
 	for _, x := range a {
 		_, err := w.Write([]row{{AtMicros: x.At.Microseconds(), Key: x.Key}})
@@ -103,7 +106,7 @@
 }
 
 func TestCutAndStretch(t *testing.T) {
-	a := day(100) // 0 to 693 ms
+	a := testArrivals(100) // 0 to 693 ms
 	c, err := Cut(a, 70*time.Millisecond, 140*time.Millisecond)
 	require.NoError(t, err)
 	require.Len(t, c, 10)
@@ -115,26 +118,26 @@
 	s, err := Stretch(a, 2)
 	require.NoError(t, err)
 	assert.Equal(t, 2*a[99].At, s[99].At)
-	assert.Equal(t, 7*time.Millisecond, a[1].At, "the original stays")
+	assert.Equal(t, 7*time.Millisecond, a[1].At, "the input is unchanged")
 	_, err = Stretch(a, 0)
 	assert.Error(t, err)
 }
 
-// TestMultiply: a family stays whole (a req and its retries are copied together), copies have keys of their own,
-// the count comes near times over, and one seed gives one outcome.
+// TestMultiply checks that a request and its retries are copied together, that copies have keys of their own, that the
+// number of arrivals is close to the requested multiple, and that a seed determines the result.
 func TestMultiply(t *testing.T) {
-	a := day(2000)
+	a := testArrivals(2000)
 	m, err := Multiply(a, 2.5, 50*time.Millisecond, 7)
 	require.NoError(t, err)
 	assert.InDelta(t, 5000, len(m), 150)
 	require.NoError(t, Check(m))
-	families := map[string][2]int{}
+	countsByKey := map[string][2]int{}
 	for _, x := range m {
-		f := families[x.Key]
-		f[btoi(x.Retry)]++
-		families[x.Key] = f
+		f := countsByKey[x.Key]
+		f[boolToInt(x.Retry)]++
+		countsByKey[x.Key] = f
 	}
-	for k, f := range families {
+	for k, f := range countsByKey {
 		require.Equal(t, [2]int{1, 1}, f, k)
 	}
 	again, err := Multiply(a, 2.5, 50*time.Millisecond, 7)
@@ -145,7 +148,7 @@
 	assert.Empty(t, none)
 }
 
-func btoi(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -153,7 +156,7 @@
 }
 
 func TestSummarize(t *testing.T) {
-	s := Summarize(day(1000)) // 7 ms apart: 143 in a second
+	s := Summarize(testArrivals(1000)) // 7 ms apart: 143 per second
 	assert.Equal(t, 1000, s.Arrivals)
 	assert.Equal(t, 500, s.Retries)
 	assert.Equal(t, 500, s.Keys)
@@ -162,10 +165,10 @@
 	assert.Equal(t, int64(99900), s.MaxSize)
 }
 
-// FuzzRead: no file, however broken, panics the reader or passes unchecked.
+// FuzzRead checks that Read neither panics on corrupt files nor returns arrivals that Check rejects.
 func FuzzRead(f *testing.F) {
 	var b bytes.Buffer
-	require.NoError(f, Write(&b, day(20), map[string]string{"from": "fuzz"}))
+	require.NoError(f, Write(&b, testArrivals(20), map[string]string{"from": "fuzz"}))
 	f.Add(b.Bytes())
 	f.Add(b.Bytes()[:b.Len()-9])
 	f.Add([]byte("PAR1PAR1"))
