--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -7,38 +7,38 @@
 	"strings"
 )
 
-// listName is the list's file at the module's root; most is how many tests it may hold.
+// listName is the list's file at the module's root. maxEntries limits the tests in it.
 const (
-	listName = "KNOWN-RED.txt"
-	most     = 3
+	listName   = "KNOWN-RED.txt"
+	maxEntries = 3
 )
 
-// form of a line, as its faults quote it.
-const form = "PACKAGE TEST | CAUSE | issue NUMBER"
+// lineForm is the form of a line, quoted in messages about malformed lines.
+const lineForm = "PACKAGE TEST | CAUSE | issue NUMBER"
 
 var (
-	testForm  = regexp.MustCompile(`^(\S+) ((?:Test|Fuzz|Example)\S*)$`)
-	causeForm = regexp.MustCompile(`\pL`)
-	issueForm = regexp.MustCompile(`^issue [1-9][0-9]*$`)
+	testPattern  = regexp.MustCompile(`^(\S+) ((?:Test|Fuzz|Example)\S*)$`)
+	causePattern = regexp.MustCompile(`\pL`)
+	issuePattern = regexp.MustCompile(`^issue [1-9][0-9]*$`)
 )
 
-// entry is one line of the list: a test that fails for a real fault which could not be mended yet.
+// entry is one line of the list: a test that fails because of a real fault that isn't fixed yet.
 type entry struct {
 	id    testID
 	cause string
-	issue string
+	issue string // "issue NUMBER"
 }
 
 func (e entry) String() string { return fmt.Sprintf("%s | %s | %s", e.id, e.cause, e.issue) }
 
-// testID names a test by its package's path below the module ("." at the root) and its name as go
-// test prints it; a subtest is TestX/sub.
+// testID identifies a test by its package's path relative to the module ("." for the root) and its
+// name as go test prints it. A subtest is TestX/sub.
 type testID struct{ pkg, name string }
 
 func (t testID) String() string { return t.pkg + " " + t.name }
 
-// readList reads the list in the file; a file that is not there is an empty list.
-func readList(file string) ([]entry, []string) {
+// readList reads the list from a file. A missing file is an empty list.
+func readList(file string) (list []entry, faults []string) {
 	text, err := os.ReadFile(file)
 	switch {
 	case os.IsNotExist(err):
@@ -49,8 +49,8 @@
 	return parseList(string(text))
 }
 
-// parseList reads the list's text and names every fault in it by its line. Empty lines and lines
-// that start with # say nothing.
+// parseList parses the list's text and reports every fault with its line number. Empty lines and lines
+// that start with # are ignored.
 func parseList(text string) (list []entry, faults []string) {
 	seen := map[testID]bool{}
 	for n, line := range strings.Split(text, "\n") {
@@ -69,30 +69,31 @@
 		seen[e.id] = true
 		list = append(list, e)
 	}
-	if len(list) > most {
-		faults = append(faults, fmt.Sprintf("%s: %d tests are listed, %d at most may be", listName, len(list), most))
+	if len(list) > maxEntries {
+		faults = append(faults, fmt.Sprintf("%s: %d tests are listed, %d at most may be", listName, len(list), maxEntries))
 	}
 	return list, faults
 }
 
+// parseLine parses one line. fault is "" if the line is well-formed.
 func parseLine(line string) (e entry, fault string) {
 	parts := strings.Split(line, "|")
 	for i := range parts {
 		parts[i] = strings.TrimSpace(parts[i])
 	}
-	// A subtest's name may hold a bar, so cause and issue are counted from the end.
+	// A subtest's name may contain a bar, so cause and issue are counted from the end.
 	if len(parts) < 3 {
-		return e, "not of the form " + form
+		return e, "not of the form " + lineForm
 	}
 	last := len(parts) - 1
-	name := testForm.FindStringSubmatch(strings.Join(parts[:last-1], "|"))
+	name := testPattern.FindStringSubmatch(strings.Join(parts[:last-1], "|"))
 	switch {
 	case name == nil:
-		return e, "no package and test, wanted " + form
-	case !causeForm.MatchString(parts[last-1]):
-		return e, "no cause, wanted " + form
-	case !issueForm.MatchString(parts[last]):
-		return e, "no issue, wanted " + form
+		return e, "no package and test, wanted " + lineForm
+	case !causePattern.MatchString(parts[last-1]):
+		return e, "no cause, wanted " + lineForm
+	case !issuePattern.MatchString(parts[last]):
+		return e, "no issue, wanted " + lineForm
 	}
 	return entry{testID{name[1], name[2]}, parts[last-1], parts[last]}, ""
 }
--- a/internal/knownred/list_test.go
+++ b/internal/knownred/list_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestListIsRead(t *testing.T) {
+func TestParseList(t *testing.T) {
 	list, faults := parseList(`# PACKAGE TEST | CAUSE | issue NUMBER
 
 internal/network TestClose/half_a|line | a close is lost in a drain | issue 33
@@ -26,11 +26,11 @@
 	list, faults := readList(filepath.Join(t.TempDir(), listName))
 	assert.Empty(t, list)
 	assert.Empty(t, faults)
-	_, faults = readList(t.TempDir()) // a folder can't be read
+	_, faults = readList(t.TempDir()) // reading a folder fails
 	assert.Len(t, faults, 1)
 }
 
-func TestMalformedLines(t *testing.T) {
+func TestMalformedLinesRejected(t *testing.T) {
 	for line, want := range map[string]string{
 		"internal/network TestClose":                             "not of the form",
 		"internal/network TestClose | a cause":                   "not of the form",
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestAFourthLineIsTooMany(t *testing.T) {
+func TestFourthEntryRejected(t *testing.T) {
 	lines := []string{"p TestA | why | issue 1", "p TestB | why | issue 1", "p TestC | why | issue 1"}
 	_, faults := parseList(strings.Join(lines, "\n"))
 	require.Empty(t, faults)
@@ -61,7 +61,7 @@
 	assert.Equal(t, []string{"KNOWN-RED.txt: 4 tests are listed, 3 at most may be"}, faults)
 }
 
-func TestListedTwice(t *testing.T) {
+func TestDuplicateEntryRejected(t *testing.T) {
 	list, faults := parseList("p TestA | why | issue 1\np TestA | another | issue 2")
 	assert.Len(t, list, 1)
 	if assert.Len(t, faults, 1) {
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,9 +1,9 @@
-// Knownred runs `go test -json` with its arguments and fails as go test does, but for the tests that
-// KNOWN-RED.txt lists: they are run too, and their result is printed beside their cause and issue.
-// It is started from the module's root by `make test`, and no part of what is built for a site.
+// Knownred runs `go test -json` with its arguments and fails as go test does, but tolerates failures of
+// the tests listed in KNOWN-RED.txt. Listed tests are run too, and their results are printed with
+// their causes and issues. `make test` runs it at the module's root; it isn't deployed.
 //
-// Passed over is only a failure that a listed test itself reported. A package that does not build,
-// panics, runs out of time, races or is not come to the end of fails the run, whatever is listed.
+// Only a failure that a listed test itself reports is tolerated. A package that doesn't build, panics,
+// times out, has a data race or doesn't finish fails the run, whatever is listed.
 package main
 
 import (
@@ -19,12 +19,12 @@
 
 func main() { os.Exit(run(".", os.Args[1:], os.Stdout)) }
 
-// run tests the module at dir and returns the exit code: 0 if all is well, 1 if a test or the list
-// is at fault, 2 if go could not be run.
+// run tests the module at dir and returns the exit code: 0 on success, 1 if a test or the list is
+// faulty, 2 if go could not be run.
 func run(dir string, args []string, out io.Writer) int {
 	list, faults := readList(filepath.Join(dir, listName))
 	if len(faults) > 0 {
-		// A list that can't be used would only be found out after minutes of tests.
+		// An unusable list is reported before the tests, which take minutes.
 		verdict{faults: faults, failed: len(faults)}.print(out)
 		return 1
 	}
@@ -49,7 +49,8 @@
 	return 0
 }
 
-// goTest feeds the stream from `go test -json` and returns go test's exit code, -1 if a signal ended it.
+// goTest runs `go test -json`, reads its output into s and returns its exit code, or -1 if a signal
+// ended it.
 func (s *stream) goTest(dir string, args []string) (exit int, err error) {
 	cmd := exec.Command("go", append([]string{"test", "-json"}, args...)...)
 	cmd.Dir, cmd.Stderr = dir, os.Stderr
@@ -62,23 +63,23 @@
 	}
 	readErr := s.read(pipe)
 	if readErr != nil {
-		io.Copy(io.Discard, pipe) // go test would wait for a reader
+		io.Copy(io.Discard, pipe) // go test would block on a full pipe
 	}
 	err = cmd.Wait()
-	var ended *exec.ExitError
-	if errors.As(err, &ended) {
-		return ended.ExitCode(), readErr
+	var exitErr *exec.ExitError
+	if errors.As(err, &exitErr) {
+		return exitErr.ExitCode(), readErr
 	}
 	return 0, errors.Join(readErr, err)
 }
 
-// read takes a whole stream. Lines have no bound: a test may print without a line's end.
+// read handles a whole stream. Line length isn't limited, as a test may print without a newline.
 func (s *stream) read(from io.Reader) error {
 	lines := bufio.NewReader(from)
 	for {
 		line, err := lines.ReadBytes('\n')
 		if line = bytes.TrimRight(line, "\r\n"); len(line) > 0 {
-			s.line(line)
+			s.handleLine(line)
 		}
 		switch {
 		case err == io.EOF:
--- a/internal/knownred/run_test.go
+++ b/internal/knownred/run_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// write lays files of a module, given by name, into dir.
-func write(t *testing.T, dir string, files map[string]string) {
+// writeFiles writes a module's files, given by name, into dir.
+func writeFiles(t *testing.T, dir string, files map[string]string) {
 	t.Helper()
 	for name, text := range files {
 		file := filepath.Join(dir, name)
@@ -20,9 +20,9 @@
 	}
 }
 
-// The program over the real go test, on a module with a failing and a passing test, and then with
-// a package that panics and one that does not build.
-func TestRunOnAModule(t *testing.T) {
+// TestRunOnModule runs the program with the real go test on a module with a failing and a passing test,
+// then adds a package that panics and one that doesn't build, then a malformed list.
+func TestRunOnModule(t *testing.T) {
 	t.Setenv("GOFLAGS", "")
 	t.Setenv("GOWORK", "off")
 	dir := t.TempDir()
@@ -32,7 +32,7 @@
 		return exit, out.String()
 	}
 	const head = "import \"testing\"\n\n"
-	write(t, dir, map[string]string{
+	writeFiles(t, dir, map[string]string{
 		"go.mod":          "module small\n\ngo 1.26\n",
 		"a/a_test.go":     "package a\n\n" + head + "func TestGreen(t *testing.T) {}\n\nfunc TestRed(t *testing.T) { t.Run(\"sub\", func(t *testing.T) { t.Error(\"bad\") }) }\n",
 		"root_test.go":    "package small\n\n" + head + "func TestRoot(t *testing.T) {}\n",
@@ -47,7 +47,7 @@
 	assert.Contains(t, out, "passes now: take it off the list: . TestRoot | was slow | issue 8\n")
 	assert.Contains(t, out, "\n2 passed, 1 failed\n")
 
-	write(t, dir, map[string]string{
+	writeFiles(t, dir, map[string]string{
 		"b/b_test.go":   "package b\n\n" + head + "func TestBroken(t *testing.T) { undefined() }\n",
 		"c/c_test.go":   "package c\n\n" + head + "func TestPanic(t *testing.T) { panic(\"x\") }\n\nfunc TestAfter(t *testing.T) {}\n",
 		"KNOWN-RED.txt": "c TestPanic | panics | issue 9\na TestGone | why | issue 8\n",
@@ -61,7 +61,7 @@
 	assert.Contains(t, out, "undefined: undefined")
 	assert.Contains(t, out, "panic: x")
 
-	write(t, dir, map[string]string{"KNOWN-RED.txt": "a TestRed | | issue 9\n"})
+	writeFiles(t, dir, map[string]string{"KNOWN-RED.txt": "a TestRed | | issue 9\n"})
 	exit, out = goTest()
 	assert.Equal(t, 1, exit)
 	assert.Equal(t, "\nfails for:\n  KNOWN-RED.txt:1: no cause, wanted PACKAGE TEST | CAUSE | issue NUMBER: \"a TestRed | | issue 9\"\n\n0 passed, 1 failed\n", out)
--- a/internal/knownred/stream.go
+++ b/internal/knownred/stream.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// event is one line of `go test -json`: of a test binary (test2json) or of a build.
+// event is one line of `go test -json`, from a test binary (test2json) or a build.
 type event struct {
 	Action      string
 	Package     string
@@ -16,50 +16,50 @@
 	FailedBuild string
 }
 
-// test is what one test came to. With -count it may run more than once: one failure is a failure.
+// test is the result of one test. With -count it may run several times; one failure makes it failed.
 type test struct {
-	running bool
-	failed  bool
-	passed  bool
-	skipped bool
-	spoke   bool // it printed or logged something itself, beyond the lines that frame a test
-	quiet   int  // what its package printed before this place is not shown, as this test did not fail
+	running     bool
+	failed      bool
+	passed      bool
+	skipped     bool
+	hasOutput   bool // it printed or logged something, apart from the testing package's own lines
+	hiddenUntil int  // its pieces of the package's output before this index aren't printed, as it didn't fail
 }
 
-// said is one piece of what a package printed; test is empty for what no test printed.
-type said struct{ test, text string }
-
-// pkg is a package as far as its events have come.
-type pkg struct {
-	name   string // below the module
-	output []said
-	tests  map[string]*test
-	order  []string // of tests, by their first run
-	ended  bool
-	failed bool
-	build  bool // it did not build, or did not pass the vet of go test
-	// The testing package's closing word. A binary that panicked, ran out of time or exited by
-	// itself has none: tests that had not begun by then are missing in the stream.
-	closed bool
-	late   bool // something was printed after the closing word
-	raced  bool
+// outputPiece is one piece of a package's output. test is empty if no test printed it.
+type outputPiece struct{ test, text string }
+
+// packageRun is the state of a package's tests after the events so far.
+type packageRun struct {
+	name        string // relative to the module
+	output      []outputPiece
+	tests       map[string]*test
+	order       []string // of the tests' first runs
+	ended       bool
+	failed      bool
+	buildFailed bool // it didn't build, or go test's vet failed
+	// The testing package's last line, PASS or FAIL, was printed. It isn't if the binary panicked,
+	// timed out or exited by itself; tests that hadn't started by then are missing from the stream.
+	summaryPrinted     bool
+	outputAfterSummary bool // something was printed after that line
+	raced              bool // the race detector reported a data race
 }
 
-// stream follows the events of one `go test -json` and prints what go test prints without -json:
-// a line for each package, and the output of what failed.
+// stream handles the events of one `go test -json` and prints what go test prints without -json: a
+// line for each package, and the output of failures.
 type stream struct {
-	module string // its path, which the names of packages leave out
-	out    io.Writer
-	pkgs   map[string]*pkg
-	order  []*pkg
+	module   string // its path, which is removed from packages' names
+	out      io.Writer
+	packages map[string]*packageRun
+	order    []*packageRun // of the packages' first events
 }
 
 func newStream(module string, out io.Writer) *stream {
-	return &stream{module: module, out: out, pkgs: map[string]*pkg{}}
+	return &stream{module: module, out: out, packages: map[string]*packageRun{}}
 }
 
-// line takes one line of the stream. What is no event is printed as it is.
-func (s *stream) line(raw []byte) {
+// handleLine handles one line of the stream. A line that isn't an event is printed unchanged.
+func (s *stream) handleLine(raw []byte) {
 	var e event
 	if json.Unmarshal(raw, &e) != nil || e.Action == "" {
 		fmt.Fprintf(s.out, "%s\n", raw)
@@ -70,32 +70,33 @@
 		io.WriteString(s.out, e.Output)
 	case e.Package == "":
 	case e.Test == "":
-		s.ofPackage(s.pkg(e.Package), e)
+		s.handlePackageEvent(s.packageFor(e.Package), e)
 	default:
-		s.pkg(e.Package).ofTest(e)
+		s.packageFor(e.Package).handleTestEvent(e)
 	}
 }
 
-func (s *stream) pkg(path string) *pkg {
-	p := s.pkgs[path]
+// packageFor returns the state of the package at path, created at its first event.
+func (s *stream) packageFor(path string) *packageRun {
+	p := s.packages[path]
 	if p == nil {
 		name := strings.TrimPrefix(path, s.module+"/")
 		if path == s.module {
 			name = "."
 		}
-		p = &pkg{name: name, tests: map[string]*test{}}
-		s.pkgs[path] = p
+		p = &packageRun{name: name, tests: map[string]*test{}}
+		s.packages[path] = p
 		s.order = append(s.order, p)
 	}
 	return p
 }
 
-func (s *stream) ofPackage(p *pkg, e event) {
+func (s *stream) handlePackageEvent(p *packageRun, e event) {
 	switch e.Action {
 	case "output":
-		p.say(said{"", e.Output})
+		p.addOutput(outputPiece{"", e.Output})
 	case "fail":
-		p.ended, p.failed, p.build = true, true, e.FailedBuild != ""
+		p.ended, p.failed, p.buildFailed = true, true, e.FailedBuild != ""
 		p.print(s.out)
 	case "pass", "skip":
 		p.ended = true
@@ -103,7 +104,7 @@
 	}
 }
 
-func (p *pkg) ofTest(e event) {
+func (p *packageRun) handleTestEvent(e event) {
 	t := p.tests[e.Test]
 	if t == nil {
 		t = &test{}
@@ -112,28 +113,29 @@
 	}
 	switch e.Action {
 	case "run":
-		t.running, p.closed = true, false
+		t.running, p.summaryPrinted = true, false
 	case "output":
-		p.say(said{e.Test, e.Output})
-		t.spoke = t.spoke || !isFrame(e.Output)
+		p.addOutput(outputPiece{e.Test, e.Output})
+		t.hasOutput = t.hasOutput || !isFrameworkLine(e.Output)
 	case "fail":
 		t.running, t.failed = false, true
 	case "pass":
-		t.running, t.passed, t.quiet = false, true, len(p.output)
+		t.running, t.passed, t.hiddenUntil = false, true, len(p.output)
 	case "skip":
-		t.running, t.skipped, t.quiet = false, true, len(p.output)
+		t.running, t.skipped, t.hiddenUntil = false, true, len(p.output)
 	}
 }
 
-func (p *pkg) say(piece said) {
+// addOutput stores a piece of output and looks for the summary line, output after it and data races.
+func (p *packageRun) addOutput(piece outputPiece) {
 	p.output = append(p.output, piece)
 	text := piece.text
 	switch {
 	case piece.test == "" && (text == "FAIL\n" || text == "PASS\n"):
-		p.closed = true
-	case piece.test == "" && p.isResult(text):
-	case p.closed:
-		p.late = true
+		p.summaryPrinted = true
+	case piece.test == "" && p.isResultLine(text):
+	case p.summaryPrinted:
+		p.outputAfterSummary = true
 	}
 	if strings.HasPrefix(text, "WARNING: DATA RACE") || strings.Contains(text, "race detected during execution of test") ||
 		strings.Contains(text, "race detected outside of test execution") {
@@ -141,8 +143,8 @@
 	}
 }
 
-// isResult tells the line by which go test names a package and its result.
-func (p *pkg) isResult(text string) bool {
+// isResultLine reports whether text is a line of go test about a package's result.
+func (p *packageRun) isResultLine(text string) bool {
 	for _, start := range []string{"ok  \t", "FAIL\t", "?   \t", "coverage: ", "exit status "} {
 		if strings.HasPrefix(text, start) {
 			return true
@@ -151,23 +153,26 @@
 	return false
 }
 
-// print shows a package that has ended. Of one that failed all is shown but what tests printed
-// until they passed; what came after that, as a panic's stack may, is shown whatever test it is put down to.
-func (p *pkg) print(out io.Writer) {
+// print writes the output of a package that has ended. For a failed one that is everything except what
+// tests printed until they passed or were skipped. Later output, such as a panic's stack, is written
+// even if go test attributes it to a test that passed.
+func (p *packageRun) print(out io.Writer) {
 	for i, piece := range p.output {
 		switch {
-		case piece.test == "" && (p.failed || p.isResult(piece.text)):
+		case piece.test == "" && (p.failed || p.isResultLine(piece.text)):
 			io.WriteString(out, piece.text)
-		case piece.test != "" && p.failed && i >= p.tests[piece.test].quiet && !isStart(piece.text):
+		case piece.test != "" && p.failed && i >= p.tests[piece.test].hiddenUntil && !isStatusLine(piece.text):
 			io.WriteString(out, piece.text)
 		}
 	}
 	p.output = nil
 }
 
-// isFrame tells the testing package's own lines about a test from what the test says.
-func isFrame(text string) bool {
-	return isStart(text) || strings.HasPrefix(strings.TrimLeft(text, " "), "--- ")
+// isFrameworkLine reports whether text is the testing package's own line about a test, not the test's
+// output.
+func isFrameworkLine(text string) bool {
+	return isStatusLine(text) || strings.HasPrefix(strings.TrimLeft(text, " "), "--- ")
 }
 
-func isStart(text string) bool { return strings.HasPrefix(text, "=== ") }
+// isStatusLine reports whether text is a line such as "=== RUN".
+func isStatusLine(text string) bool { return strings.HasPrefix(text, "=== ") }
--- a/internal/knownred/verdict.go
+++ b/internal/knownred/verdict.go
@@ -6,53 +6,54 @@
 	"strings"
 )
 
-// verdict is what a whole run came to.
+// verdict is the result of a whole run.
 type verdict struct {
-	listed []string // each listed test with its result
-	faults []string // why the run fails; none if it passes
+	listed []string // one line per listed test, with its result
+	faults []string // why the run fails; empty if it passes
 
-	// Test functions, without subtests. A listed one that failed counts as failed too, and so
-	// does a fault that is no test's.
+	// Test functions, without subtests. A listed test that failed counts as failed too, and so
+	// does a fault that belongs to no test.
 	passed, failed, skipped int
 }
 
-// judge says what the run came to. exit is go test's exit code.
+// judge returns the verdict on the run. exit is go test's exit code.
 func (s *stream) judge(list []entry, exit int) verdict {
 	var v verdict
-	red := false
+	packageFailed := false
 	for _, p := range s.order {
-		v.count(p)
+		v.countTests(p)
 		for _, name := range p.order {
 			if p.tests[name].running {
 				v.faults = append(v.faults, testID{p.name, name}.String()+": did not finish")
-			} else if p.tests[name].failed && !p.excused(name, list) {
+			} else if p.tests[name].failed && !p.isExcused(name, list) {
 				v.faults = append(v.faults, testID{p.name, name}.String()+": failed and is not listed")
 			}
 		}
-		if fault := p.fault(); fault != "" {
-			v.beside(p.name + ": " + fault)
+		if fault := p.generalFault(); fault != "" {
+			v.addGeneralFault(p.name + ": " + fault)
 		}
-		red = red || p.failed
+		packageFailed = packageFailed || p.failed
 	}
 	for _, e := range list {
-		v.ofEntry(e, s.find(e.id))
+		v.addEntry(e, s.findTest(e.id))
 	}
 	if v.passed+v.failed == 0 {
-		v.beside("no test was run")
+		v.addGeneralFault("no test was run")
 	}
-	if exit != 0 && !red {
-		v.beside(fmt.Sprintf("go test exited with %d and named no package that failed", exit))
+	if exit != 0 && !packageFailed {
+		v.addGeneralFault(fmt.Sprintf("go test exited with %d and named no package that failed", exit))
 	}
 	return v
 }
 
-// beside takes a fault that is no test's.
-func (v *verdict) beside(fault string) {
+// addGeneralFault adds a fault that belongs to no test.
+func (v *verdict) addGeneralFault(fault string) {
 	v.failed++
 	v.faults = append(v.faults, fault)
 }
 
-func (v *verdict) count(p *pkg) {
+// countTests counts a package's test functions by result.
+func (v *verdict) countTests(p *packageRun) {
 	for _, name := range p.order {
 		t := p.tests[name]
 		switch {
@@ -67,13 +68,14 @@
 	}
 }
 
-// ofEntry notes the result of a listed test. One that was not run is a fault: the list must not be
-// a way to skip a test, and a name that nothing answers to hides that a test was lost.
-func (v *verdict) ofEntry(e entry, t *test) {
+// addEntry adds the result of a listed test; t is nil if it wasn't run. A listed test that was skipped
+// or not run is a fault: the list must not be a way to skip tests, and an entry without a test hides
+// that the test was removed or renamed.
+func (v *verdict) addEntry(e entry, t *test) {
 	switch {
 	case t == nil:
 		v.listed = append(v.listed, "not run: "+e.String())
-		v.beside(e.id.String() + ": listed, but there is no such test, or it was not come to")
+		v.addGeneralFault(e.id.String() + ": listed, but there is no such test, or it was not come to")
 	case t.running:
 		v.listed = append(v.listed, "did not finish: "+e.String())
 	case t.failed:
@@ -82,11 +84,12 @@
 		v.listed = append(v.listed, "passes now: take it off the list: "+e.String())
 	default:
 		v.listed = append(v.listed, "skipped: "+e.String())
-		v.beside(e.id.String() + ": listed, but was skipped; a listed test has to run")
+		v.addGeneralFault(e.id.String() + ": listed, but was skipped; a listed test has to run")
 	}
 }
 
-func (s *stream) find(id testID) *test {
+// findTest returns the test with this id, or nil if it wasn't run.
+func (s *stream) findTest(id testID) *test {
 	for _, p := range s.order {
 		if p.name == id.pkg {
 			return p.tests[id.name]
@@ -95,21 +98,21 @@
 	return nil
 }
 
-// fault names what went wrong in a package beside what its tests said. No listed test excuses it,
-// as it may have kept others from being run, or be anyone's doing.
-func (p *pkg) fault() string {
+// generalFault returns what went wrong in a package apart from its tests' failures, or "". No list entry
+// excuses it, as it may have kept other tests from running and any of them may have caused it.
+func (p *packageRun) generalFault() string {
 	switch {
 	case !p.ended:
 		return "has no result"
 	case !p.failed:
 		return ""
-	case p.build:
+	case p.buildFailed:
 		return "does not build"
-	case !p.closed:
+	case !p.summaryPrinted:
 		return "ended before its tests did (panic, time-out, exit or a fault in its setup)"
 	case p.raced:
 		return "has a data race, which is passed over in no test"
-	case p.late:
+	case p.outputAfterSummary:
 		return "went on after its tests had ended"
 	}
 	for _, t := range p.tests {
@@ -120,30 +123,31 @@
 	return "failed, but none of its tests did"
 }
 
-// excused tells whether a failed test is listed, stands below one that is, or failed only as listed
-// subtests of its own did. Of the last kind it must have said nothing itself: what it says may be a fault of its own.
-func (p *pkg) excused(name string, list []entry) bool {
+// isExcused reports whether a failed test is listed, is a subtest of a listed one, or failed only because
+// of listed subtests. In the last case it must have printed nothing itself, as its output may report a
+// failure of its own.
+func (p *packageRun) isExcused(name string, list []entry) bool {
 	for _, e := range list {
 		if e.id.pkg == p.name && (e.id.name == name || strings.HasPrefix(name, e.id.name+"/")) {
 			return true
 		}
 	}
-	if p.tests[name].spoke {
+	if p.tests[name].hasOutput {
 		return false
 	}
-	below := false
+	subtestFailed := false
 	for _, sub := range p.order {
 		if strings.HasPrefix(sub, name+"/") && p.tests[sub].failed {
-			if !p.excused(sub, list) {
+			if !p.isExcused(sub, list) {
 				return false
 			}
-			below = true
+			subtestFailed = true
 		}
 	}
-	return below
+	return subtestFailed
 }
 
-// print shows the verdict. Its last line is the one that counts tests.
+// print writes the verdict. Its last line has the numbers of tests.
 func (v verdict) print(out io.Writer) {
 	for _, part := range []struct {
 		title string
--- a/internal/knownred/verdict_test.go
+++ b/internal/knownred/verdict_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Streams as go test -json printed them, less their times and most lines of stacks.
+// Streams as printed by go test -json, without times and most lines of stacks.
 const (
-	passes = `{"Action":"start","Package":"small/p"}
+	passingRun = `{"Action":"start","Package":"small/p"}
 {"Action":"run","Package":"small/p","Test":"TestA"}
 {"Action":"output","Package":"small/p","Test":"TestA","Output":"=== RUN   TestA\n"}
 {"Action":"output","Package":"small/p","Test":"TestA","Output":"    a_test.go:3: a quiet word\n"}
@@ -28,7 +28,7 @@
 {"Action":"output","Package":"small/none","Output":"?   \tsmall/none\t[no test files]\n"}
 {"Action":"skip","Package":"small/none"}
 `
-	red = `{"Action":"start","Package":"small/q"}
+	failingRun = `{"Action":"start","Package":"small/q"}
 {"Action":"run","Package":"small/q","Test":"TestRed"}
 {"Action":"output","Package":"small/q","Test":"TestRed","Output":"=== RUN   TestRed\n"}
 {"Action":"output","Package":"small/q","Test":"TestRed","Output":"    a_test.go:3: bad\n"}
@@ -44,7 +44,7 @@
 {"Action":"output","Package":"small/q","Output":"FAIL\tsmall/q\t0.108s\n"}
 {"Action":"fail","Package":"small/q"}
 `
-	deep = `{"Action":"start","Package":"small/s"}
+	failingSubtest = `{"Action":"start","Package":"small/s"}
 {"Action":"run","Package":"small/s","Test":"TestA"}
 {"Action":"output","Package":"small/s","Test":"TestA","Output":"=== RUN   TestA\n"}
 {"Action":"run","Package":"small/s","Test":"TestA/one"}
@@ -62,13 +62,13 @@
 {"Action":"output","Package":"small/s","Output":"FAIL\tsmall/s\t0.108s\n"}
 {"Action":"fail","Package":"small/s"}
 `
-	broken = `{"ImportPath":"small/b [small/b.test]","Action":"build-output","Output":"b/a_test.go:3:27: undefined: x\n"}
+	failingBuild = `{"ImportPath":"small/b [small/b.test]","Action":"build-output","Output":"b/a_test.go:3:27: undefined: x\n"}
 {"ImportPath":"small/b [small/b.test]","Action":"build-fail"}
 {"Action":"start","Package":"small/b"}
 {"Action":"output","Package":"small/b","Output":"FAIL\tsmall/b [build failed]\n"}
 {"Action":"fail","Package":"small/b","FailedBuild":"small/b [small/b.test]"}
 `
-	panics = `{"Action":"start","Package":"small/q"}
+	panickingRun = `{"Action":"start","Package":"small/q"}
 {"Action":"run","Package":"small/q","Test":"TestRed"}
 {"Action":"output","Package":"small/q","Test":"TestRed","Output":"=== RUN   TestRed\n"}
 {"Action":"output","Package":"small/q","Test":"TestRed","Output":"--- FAIL: TestRed (0.00s)\n"}
@@ -78,7 +78,7 @@
 {"Action":"output","Package":"small/q","Output":"FAIL\tsmall/q\t0.215s\n"}
 {"Action":"fail","Package":"small/q"}
 `
-	timesOut = `{"Action":"start","Package":"small/q"}
+	timedOutRun = `{"Action":"start","Package":"small/q"}
 {"Action":"run","Package":"small/q","Test":"TestRed"}
 {"Action":"output","Package":"small/q","Test":"TestRed","Output":"=== RUN   TestRed\n"}
 {"Action":"run","Package":"small/q","Test":"TestRed/deep"}
@@ -86,7 +86,7 @@
 {"Action":"output","Package":"small/q","Output":"FAIL\tsmall/q\t600.3s\n"}
 {"Action":"fail","Package":"small/q"}
 `
-	races = `{"Action":"start","Package":"small/q"}
+	racingRun = `{"Action":"start","Package":"small/q"}
 {"Action":"run","Package":"small/q","Test":"TestRed"}
 {"Action":"output","Package":"small/q","Test":"TestRed","Output":"=== RUN   TestRed\n"}
 {"Action":"output","Package":"small/q","Test":"TestRed","Output":"==================\n"}
@@ -99,7 +99,7 @@
 {"Action":"output","Package":"small/q","Output":"FAIL\tsmall/q\t0.218s\n"}
 {"Action":"fail","Package":"small/q"}
 `
-	exitsLate = `{"Action":"start","Package":"small/p"}
+	exitAfterTests = `{"Action":"start","Package":"small/p"}
 {"Action":"run","Package":"small/p","Test":"TestA"}
 {"Action":"output","Package":"small/p","Test":"TestA","Output":"--- PASS: TestA (0.00s)\n"}
 {"Action":"pass","Package":"small/p","Test":"TestA"}
@@ -109,8 +109,8 @@
 `
 )
 
-// play judges a stream under a list and returns the verdict and all that was printed.
-func play(t *testing.T, stream, list string, exit int) (verdict, string) {
+// evaluate judges a stream with a list and returns the verdict and everything printed.
+func evaluate(t *testing.T, stream, list string, exit int) (verdict, string) {
 	t.Helper()
 	entries, faults := parseList(list)
 	require.Empty(t, faults)
@@ -122,98 +122,101 @@
 	return v, out.String()
 }
 
-func TestGreenRunPasses(t *testing.T) {
-	v, out := play(t, passes, "", 0)
+func TestPassingRunSucceeds(t *testing.T) {
+	v, out := evaluate(t, passingRun, "", 0)
 	assert.Empty(t, v.faults)
 	assert.Equal(t, "ok  \tsmall/p\t1.029s\n?   \tsmall/none\t[no test files]\n\n1 passed, 0 failed, 1 skipped\n", out)
 }
 
 func TestUnlistedFailureFails(t *testing.T) {
 	for _, list := range []string{"", "q TestGreen | why | issue 1", "p TestA | why | issue 1"} {
-		v, out := play(t, passes+red, list, 1)
+		v, out := evaluate(t, passingRun+failingRun, list, 1)
 		assert.Equal(t, []string{"q TestRed: failed and is not listed"}, v.faults)
 		assert.Contains(t, out, "    a_test.go:3: bad\n        in two lines\n--- FAIL: TestRed (0.00s)\nFAIL\nFAIL\tsmall/q\t0.108s\n")
-		assert.NotContains(t, out, "a quiet word", "what passed says nothing")
+		assert.NotContains(t, out, "a quiet word", "output of passed tests is not shown")
 		assert.Contains(t, out, "\n2 passed, 1 failed, 1 skipped\n")
 	}
 }
 
-func TestListedFailureIsPassedOver(t *testing.T) {
-	v, out := play(t, passes+red, "q TestRed | loses a byte | issue 9", 1)
+func TestListedFailureIsTolerated(t *testing.T) {
+	v, out := evaluate(t, passingRun+failingRun, "q TestRed | loses a byte | issue 9", 1)
 	assert.Empty(t, v.faults)
 	assert.Equal(t, []string{"failing, passed over: q TestRed | loses a byte | issue 9"}, v.listed)
-	assert.Contains(t, out, "--- FAIL: TestRed (0.00s)\n", "it is shown in full all the same")
+	assert.Contains(t, out, "--- FAIL: TestRed (0.00s)\n", "a listed failure is shown in full too")
 	assert.Contains(t, out, "\n2 passed, 1 failed, 1 skipped\n")
 }
 
-func TestListedTestThatPassesIsNamed(t *testing.T) {
-	v, _ := play(t, passes, "p TestA | loses a byte | issue 9", 0)
+func TestListedTestThatPassesIsReported(t *testing.T) {
+	v, _ := evaluate(t, passingRun, "p TestA | loses a byte | issue 9", 0)
 	assert.Empty(t, v.faults)
 	assert.Equal(t, []string{"passes now: take it off the list: p TestA | loses a byte | issue 9"}, v.listed)
 }
 
-func TestListedNameHasToExist(t *testing.T) {
+func TestListedTestMustExist(t *testing.T) {
 	for _, name := range []string{"p TestGone", "p TestA/sub", "gone TestA", "small/p TestA"} {
-		v, _ := play(t, passes, name+" | why | issue 1", 0)
+		v, _ := evaluate(t, passingRun, name+" | why | issue 1", 0)
 		assert.Equal(t, []string{name + ": listed, but there is no such test, or it was not come to"}, v.faults)
 		assert.Equal(t, 1, v.failed)
 	}
 }
 
-func TestListedTestHasToRun(t *testing.T) {
-	v, _ := play(t, passes, "p TestS | why | issue 1", 0)
+func TestListedTestMustRun(t *testing.T) {
+	v, _ := evaluate(t, passingRun, "p TestS | why | issue 1", 0)
 	assert.Equal(t, []string{"p TestS: listed, but was skipped; a listed test has to run"}, v.faults)
 }
 
-// A listed subtest takes its parent's failure with it, but no other one's and none of the parent's own.
+// TestSubtests checks that a listed subtest excuses its parent's failure, but not a failure of another
+// subtest or of the parent itself.
 func TestSubtests(t *testing.T) {
-	sub := "s TestA/one | why | issue 1"
-	v, _ := play(t, deep, sub, 1)
+	listedSubtest := "s TestA/one | why | issue 1"
+	v, _ := evaluate(t, failingSubtest, listedSubtest, 1)
 	assert.Empty(t, v.faults)
-	v, _ = play(t, deep, "s TestA | why | issue 1", 1)
+	v, _ = evaluate(t, failingSubtest, "s TestA | why | issue 1", 1)
 	assert.Empty(t, v.faults, "the parent is listed")
-	v, _ = play(t, deep, "", 1)
+	v, _ = evaluate(t, failingSubtest, "", 1)
 	assert.Equal(t, []string{"s TestA: failed and is not listed", "s TestA/one: failed and is not listed"}, v.faults)
-	v, _ = play(t, deep, "s TestA/two | why | issue 1", 1)
+	v, _ = evaluate(t, failingSubtest, "s TestA/two | why | issue 1", 1)
 	assert.Len(t, v.faults, 2, "another subtest is listed")
 
-	other := strings.Replace(deep, `{"Action":"pass","Package":"small/s","Test":"TestA/two"}`,
+	otherFails := strings.Replace(failingSubtest, `{"Action":"pass","Package":"small/s","Test":"TestA/two"}`,
 		`{"Action":"fail","Package":"small/s","Test":"TestA/two"}`, 1)
-	v, _ = play(t, other, sub, 1)
+	v, _ = evaluate(t, otherFails, listedSubtest, 1)
 	assert.Equal(t, []string{"s TestA: failed and is not listed", "s TestA/two: failed and is not listed"}, v.faults)
 
-	end := `{"Action":"output","Package":"small/s","Test":"TestA","Output":"--- FAIL: TestA (0.00s)\n"}`
-	own := strings.Replace(deep, end, `{"Action":"output","Package":"small/s","Test":"TestA","Output":"    a_test.go:9: own\n"}`+"\n"+end, 1)
-	v, _ = play(t, own, sub, 1)
+	parentResult := `{"Action":"output","Package":"small/s","Test":"TestA","Output":"--- FAIL: TestA (0.00s)\n"}`
+	parentFails := strings.Replace(failingSubtest, parentResult, `{"Action":"output","Package":"small/s","Test":"TestA","Output":"    a_test.go:9: own\n"}`+"\n"+parentResult, 1)
+	v, _ = evaluate(t, parentFails, listedSubtest, 1)
 	assert.Equal(t, []string{"s TestA: failed and is not listed"}, v.faults)
 }
 
-// The same name in another package is another test.
-func TestSameNameElsewhere(t *testing.T) {
-	v, _ := play(t, red+strings.ReplaceAll(red, "small/q", "small/q/r"), "q TestRed | why | issue 1", 1)
+// TestSameNameInOtherPackage checks that an entry doesn't excuse a test of the same name in another
+// package.
+func TestSameNameInOtherPackage(t *testing.T) {
+	v, _ := evaluate(t, failingRun+strings.ReplaceAll(failingRun, "small/q", "small/q/r"), "q TestRed | why | issue 1", 1)
 	assert.Equal(t, []string{"q/r TestRed: failed and is not listed"}, v.faults)
 }
 
-// What fails beside the tests is never passed over, though the one test that was run is listed.
-func TestWhatNoListedTestExcuses(t *testing.T) {
-	early := "ended before its tests did (panic, time-out, exit or a fault in its setup)"
-	closing := `{"Action":"output","Package":"small/q","Output":"FAIL\n"}` + "\n"
+// TestGeneralFaultsAreNeverExcused checks that faults other than a test's own failure fail the run,
+// even if the only failing test is listed.
+func TestGeneralFaultsAreNeverExcused(t *testing.T) {
+	endedEarly := "ended before its tests did (panic, time-out, exit or a fault in its setup)"
+	summary := `{"Action":"output","Package":"small/q","Output":"FAIL\n"}` + "\n"
 	for name, c := range map[string]struct {
 		stream string
 		want   []string
 	}{
-		"panic":      {panics, []string{"q: " + early}},
-		"false end":  {strings.Replace(panics, `{"Action":"run"`, closing+`{"Action":"run"`, 1), []string{"q: " + early}},
-		"time-out":   {timesOut, []string{"q TestRed: did not finish", "q TestRed/deep: did not finish", "q: " + early}},
-		"race":       {races, []string{"q: has a data race, which is passed over in no test"}},
-		"late words": {strings.Replace(red, closing, closing+strings.Replace(closing, `FAIL\n`, `leak\n`, 1), 1), []string{"q: went on after its tests had ended"}},
-		"cut off":    {red[:strings.LastIndex(red, `{"Action":"fail"`)], []string{"q: has no result", "go test exited with 1 and named no package that failed"}},
-		"build":      {red + broken, []string{"b: does not build"}},
-		"exit after": {red + exitsLate, []string{"p: failed, but none of its tests did"}},
-		"unfinished": {strings.Replace(red, `{"Action":"pass","Package":"small/q","Test":"TestGreen"}`+"\n", "", 1), []string{"q TestGreen: did not finish"}},
+		"panic":      {panickingRun, []string{"q: " + endedEarly}},
+		"false end":  {strings.Replace(panickingRun, `{"Action":"run"`, summary+`{"Action":"run"`, 1), []string{"q: " + endedEarly}},
+		"time-out":   {timedOutRun, []string{"q TestRed: did not finish", "q TestRed/deep: did not finish", "q: " + endedEarly}},
+		"race":       {racingRun, []string{"q: has a data race, which is passed over in no test"}},
+		"late words": {strings.Replace(failingRun, summary, summary+strings.Replace(summary, `FAIL\n`, `leak\n`, 1), 1), []string{"q: went on after its tests had ended"}},
+		"cut off":    {failingRun[:strings.LastIndex(failingRun, `{"Action":"fail"`)], []string{"q: has no result", "go test exited with 1 and named no package that failed"}},
+		"build":      {failingRun + failingBuild, []string{"b: does not build"}},
+		"exit after": {failingRun + exitAfterTests, []string{"p: failed, but none of its tests did"}},
+		"unfinished": {strings.Replace(failingRun, `{"Action":"pass","Package":"small/q","Test":"TestGreen"}`+"\n", "", 1), []string{"q TestGreen: did not finish"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v, out := play(t, c.stream, "q TestRed | why | issue 1", 1)
+			v, out := evaluate(t, c.stream, "q TestRed | why | issue 1", 1)
 			assert.Equal(t, c.want, v.faults)
 			for _, fault := range c.want {
 				assert.Contains(t, out, "  "+fault+"\n")
@@ -223,34 +226,35 @@
 	}
 }
 
-// A panic of a test that had passed before, as one of its goroutines may cause, is shown.
-func TestPanicAfterATestIsShown(t *testing.T) {
-	late := strings.Replace(passes, `{"Action":"output","Package":"small/p","Output":"PASS\n"}
+// TestPanicAfterPassedTestIsShown checks that a panic attributed to a test that has passed, as one of its
+// goroutines may cause, is shown.
+func TestPanicAfterPassedTestIsShown(t *testing.T) {
+	panicsLater := strings.Replace(passingRun, `{"Action":"output","Package":"small/p","Output":"PASS\n"}
 {"Action":"output","Package":"small/p","Output":"ok  \tsmall/p\t1.029s\n"}
 {"Action":"pass","Package":"small/p"}`, `{"Action":"output","Package":"small/p","Test":"TestA","Output":"panic: late\n"}
 {"Action":"output","Package":"small/p","Output":"FAIL\tsmall/p\t0.1s\n"}
 {"Action":"fail","Package":"small/p"}`, 1)
-	v, out := play(t, late, "", 1)
+	v, out := evaluate(t, panicsLater, "", 1)
 	assert.Len(t, v.faults, 1)
 	assert.Contains(t, out, "panic: late\nFAIL\tsmall/p\t0.1s\n")
 	assert.NotContains(t, out, "a quiet word")
 }
 
-func TestGoTestAtFaultItself(t *testing.T) {
-	v, out := play(t, "not an event\n", "", 2)
+func TestGoTestFailsItself(t *testing.T) {
+	v, out := evaluate(t, "not an event\n", "", 2)
 	assert.Equal(t, []string{"no test was run", "go test exited with 2 and named no package that failed"}, v.faults)
 	assert.Contains(t, out, "not an event\n")
-	v, _ = play(t, passes, "", 1)
+	v, _ = evaluate(t, passingRun, "", 1)
 	assert.Len(t, v.faults, 1)
 }
 
 func TestBuildOutputIsShown(t *testing.T) {
-	_, out := play(t, broken, "", 1)
+	_, out := evaluate(t, failingBuild, "", 1)
 	assert.Contains(t, out, "b/a_test.go:3:27: undefined: x\nFAIL\tsmall/b [build failed]\n")
 }
 
 func TestLongLines(t *testing.T) {
 	long := strings.Repeat("x", 1<<20)
-	_, out := play(t, strings.Replace(red, "bad", long, 1), "", 1)
+	_, out := evaluate(t, strings.Replace(failingRun, "bad", long, 1), "", 1)
 	assert.True(t, strings.Contains(out, long), fmt.Sprintf("%d bytes printed", len(out)))
 }
