--- a/internal/standin/quotahistory/history.go
+++ b/internal/standin/quotahistory/history.go
@@ -1,6 +1,6 @@
-// Package quotahistory judges the recorded history of a fleet whose teams have quotas (docs/design/quota.md). It
-// knows lines alone: what backends saw of reqs, and what quotas were set when. It shares no code with what it judges,
-// so that a mistake there shows here; its tests show that it can say no.
+// Package quotahistory checks the recorded history of a fleet whose teams have quotas (docs/design/quota.md). Its input is
+// the recorded lines alone: what backends observed of requests, and which quotas were set when. It shares no code with the
+// implementation that it checks, so that an error there isn't repeated here. Its tests show that it finds each violation.
 package quotahistory
 
 import (
@@ -13,28 +13,28 @@
 	"time"
 )
 
-// Events of a line.
+// Values of Line.Event.
 const (
-	Start        = "start"   // the head of an attempt is whole at a backend
-	End          = "end"     // the backend is about to send the last of its answer
-	Aborted      = "aborted" // the backend found its connection gone before that
-	Quota        = "quota"   // Units of Team from now on; where they are fewer, from a Settle later
-	QuotaRemoved = "free"    // Team has no quota from now on
-	Reserve      = "reserve" // Units of urgent reserve, over all regions
+	Start        = "start"   // a backend has received the whole head of an attempt
+	End          = "end"     // the backend is about to send the last part of its answer
+	Aborted      = "aborted" // the backend found the connection closed before that
+	Quota        = "quota"   // Team may use Units from now on; a lowered quota holds only after LoweringGrace
+	QuotaRemoved = "free"    // Team has no quota, and so no limit, from now on
+	Reserve      = "reserve" // the urgent reserve is Units from now on, summed over all regions
 )
 
-// Line is one line of the history. T is Unix time in nanoseconds of one clock of the machine.
+// Line is one record of the history.
 type Line struct {
-	Time    int64  `json:"t"`
+	Time    int64  `json:"t"` // Unix time in nanoseconds; all lines use one clock of the machine
 	Event   string `json:"event"`
 	Team    string `json:"team,omitempty"`
 	Req     string `json:"req,omitempty"`
 	Backend string `json:"backend,omitempty"`
-	Urgent  bool   `json:"urgent,omitempty"` // of a start
+	Urgent  bool   `json:"urgent,omitempty"` // set on starts only: the request may use the urgent reserve
 	Units   int    `json:"units,omitempty"`
 }
 
-// Read reads JSON lines. Keys that it does not know are left out.
+// Read decodes JSON lines up to the end of r. Unknown keys are ignored; a line without a time or with an unknown event is an error.
 func Read(r io.Reader) ([]Line, error) {
 	var out []Line
 	for d := json.NewDecoder(r); ; {
@@ -44,7 +44,7 @@
 			return out, nil
 		}
 		if err == nil && (l.Time <= 0 || !slices.Contains([]string{Start, End, Aborted, Quota, QuotaRemoved, Reserve}, l.Event)) {
-			err = fmt.Errorf("line %d: no time, or event %q", len(out)+1, l.Event)
+			err = fmt.Errorf("line %d: no time, or unknown event %q", len(out)+1, l.Event)
 		}
 		if err != nil {
 			return nil, err
@@ -53,15 +53,15 @@
 	}
 }
 
-// Rules are what a history is judged by.
+// Rules are the time limits that the checks allow for.
 type Rules struct {
-	// LoweringGrace is how long after a quota was lowered reqs may still begin by the one before.
+	// LoweringGrace is how long after a quota is lowered requests may still start under the previous one.
 	LoweringGrace time.Duration
-	// MaxAbortDelay is how much later than the dispatcher a backend may find an attempt aborted.
+	// MaxAbortDelay is how much later than the dispatcher a backend may notice that an attempt was aborted.
 	MaxAbortDelay time.Duration
 }
 
-// Violation is a rule that a history breaks.
+// Violation is one breach of a rule: where in the history it was found, and a description.
 type Violation struct {
 	Rule    Rule
 	Time    int64
@@ -71,41 +71,42 @@
 
 func (v Violation) String() string { return fmt.Sprintf("%s: team %q: %s", v.Rule, v.Team, v.Message) }
 
-// Rule names what has to hold.
+// Rule is the name of a rule, as reports print it.
 type Rule string
 
-// The rules. The first two are judged at each start: what runs already is never stopped.
+// The rules. The first two are checked at each start only: lowering a quota never stops requests that already run.
 const (
 	WithinQuota   Rule = "no more of a team run than its quota"
 	WithinReserve Rule = "no more run beyond the quotas than the urgent reserve"
 	Complete      Rule = "the history is whole"
 )
 
-// Check finds all that is wrong with a history, in any order of lines; none: it holds.
+// Check returns every violation in a history, whose lines may come in any order.
 func Check(lines []Line, rules Rules) []Violation {
 	_, out := check(lines, rules)
 	return out
 }
 
-// MaxRunning is the most reqs of each team that ran at once.
+// MaxRunning returns the largest number of requests of each team that ran at the same time.
 func MaxRunning(lines []Line, rules Rules) map[string]int {
-	most, _ := check(lines, rules)
-	return most
+	maxRunning, _ := check(lines, rules)
+	return maxRunning
 }
 
-// teamState is one teamState as the history goes on.
+// teamState is the state of one team at a point of the history. The urgent reserve is held as one more teamState.
 type teamState struct {
-	running, nonUrgent int           // reqs; of them those that are not urgent
-	limits             []limitChange // in the order of time
+	running, nonUrgent int           // running requests, and those of them that are not urgent
+	limits             []limitChange // in order of time
 }
 
-// limitChange is a quota from a time on.
+// limitChange is a quota, or its absence, from a point in time on.
 type limitChange struct {
 	from  int64
-	units int // below 0: none
+	units int // negative: no quota
 }
 
-// limit is the largest quota that was in force within a time; false: there was none for a part of it.
+// limit returns the largest quota that was in force in the period of the given length before now. ok is false if the team
+// had no quota in some part of that period.
 func (t *teamState) limit(now int64, within time.Duration) (units int, ok bool) {
 	for i := len(t.limits) - 1; i >= 0; i-- {
 		q := t.limits[i]
@@ -119,28 +120,29 @@
 	return 0, false
 }
 
-// attemptKey is one attemptKey's place and req.
+// attemptKey identifies the attempts of one request at one backend.
 type attemptKey struct{ backend, req string }
 
-// resolveEnds gives ends of attempts that were aborted the time at which their dispatcher knew, and finds ends that have no
-// start. Of one moment starts come first: two events of one nanosecond are taken the worse way round.
-func resolveEnds(lines []Line, rules Rules) (out []Line, faults []Violation) {
+// resolveEnds returns the lines in order of time and reports ends that have no start. Ends take the team of their start, and
+// aborted attempts the earliest time at which their dispatcher may have known of the end. Of lines with the same time,
+// starts come before ends: the order within one nanosecond is unknown, so the stricter one is assumed.
+func resolveEnds(lines []Line, rules Rules) (out []Line, violations []Violation) {
 	lines = slices.Clone(lines)
-	rank := map[string]int{Start: 1, End: 2, Aborted: 2} // after what was set
+	rank := map[string]int{Start: 1, End: 2, Aborted: 2} // changes of quotas and of the reserve have rank 0 and come first
 	slices.SortStableFunc(lines, func(a, b Line) int { return cmp.Or(cmp.Compare(a.Time, b.Time), rank[a.Event]-rank[b.Event]) })
 	open := map[attemptKey][]Line{}
 	for _, l := range lines {
-		at := attemptKey{l.Backend, l.Req}
+		key := attemptKey{l.Backend, l.Req}
 		switch l.Event {
 		case Start:
-			open[at] = append(open[at], l)
+			open[key] = append(open[key], l)
 		case End, Aborted:
-			started := open[at]
+			started := open[key]
 			if len(started) == 0 {
-				faults = append(faults, Violation{Complete, l.Time, l.Team, fmt.Sprintf("an end of req %q at %s that did not start there", l.Req, l.Backend)})
+				violations = append(violations, Violation{Complete, l.Time, l.Team, fmt.Sprintf("request %q ended at %s without a start there", l.Req, l.Backend)})
 				continue
 			}
-			open[at] = started[1:]
+			open[key] = started[1:]
 			if l.Team = started[0].Team; l.Event == Aborted {
 				l.Time = max(l.Time-rules.MaxAbortDelay.Nanoseconds(), started[0].Time)
 			}
@@ -148,24 +150,24 @@
 		out = append(out, l)
 	}
 	slices.SortStableFunc(out, func(a, b Line) int { return cmp.Or(cmp.Compare(a.Time, b.Time), rank[a.Event]-rank[b.Event]) })
-	return out, faults
+	return out, violations
 }
 
-func check(lines []Line, rules Rules) (most map[string]int, out []Violation) {
+func check(lines []Line, rules Rules) (maxRunning map[string]int, out []Violation) {
 	lines, out = resolveEnds(lines, rules)
-	most = map[string]int{}
+	maxRunning = map[string]int{}
 	teams := map[string]*teamState{}
-	attempts := map[string]int{} // of each req that run
+	attempts := map[string]int{} // running attempts by request
 	urgent := map[string]bool{}
 	reserve := &teamState{limits: []limitChange{{-1 << 62, 0}}}
-	of := func(name string) *teamState {
+	teamOf := func(name string) *teamState {
 		if teams[name] == nil {
 			teams[name] = &teamState{limits: []limitChange{{-1 << 62, -1}}}
 		}
 		return teams[name]
 	}
 	for _, l := range lines {
-		t := of(l.Team)
+		t := teamOf(l.Team)
 		switch l.Event {
 		case Quota:
 			t.limits = append(t.limits, limitChange{l.Time, l.Units})
@@ -183,30 +185,31 @@
 			}
 		case Start:
 			if attempts[l.Req]++; attempts[l.Req] > 1 {
-				continue // a further attempt of a req that runs
+				continue // another attempt of a running request uses no further unit
 			}
 			urgent[l.Req] = l.Urgent
 			if t.running++; !l.Urgent {
 				t.nonUrgent++
 			}
-			most[l.Team] = max(most[l.Team], t.running)
+			maxRunning[l.Team] = max(maxRunning[l.Team], t.running)
 			units, ok := t.limit(l.Time, rules.LoweringGrace)
 			switch beyond := countOverQuota(teams, l.Time, rules.LoweringGrace); {
 			case !ok:
 			case !l.Urgent && t.nonUrgent > units:
-				out = append(out, Violation{WithinQuota, l.Time, l.Team, fmt.Sprintf("req %q starts at %s as the %d. of %d units", l.Req, l.Backend, t.nonUrgent, units)})
+				out = append(out, Violation{WithinQuota, l.Time, l.Team, fmt.Sprintf("request %q starts at %s: %d requests that are not urgent run, quota is %d", l.Req, l.Backend, t.nonUrgent, units)})
 			case beyond > 0:
 				if spare, _ := reserve.limit(l.Time, rules.LoweringGrace); beyond > spare {
-					out = append(out, Violation{WithinReserve, l.Time, l.Team, fmt.Sprintf("req %q starts at %s, %d are beyond the quotas, the reserve is %d",
+					out = append(out, Violation{WithinReserve, l.Time, l.Team, fmt.Sprintf("request %q starts at %s: %d running above the quotas, reserve is %d",
 						l.Req, l.Backend, beyond, spare)})
 				}
 			}
 		}
 	}
-	return most, out
+	return maxRunning, out
 }
 
-// countOverQuota is how many reqs run beyond their teams' quotas: those that were urgent, and no more than are.
+// countOverQuota returns how many requests run above the quotas of their teams. Only urgent requests are counted: a team's
+// excess is at most the number of its urgent requests.
 func countOverQuota(teams map[string]*teamState, now int64, within time.Duration) (n int) {
 	for _, t := range teams {
 		if units, ok := t.limit(now, within); ok {
--- a/internal/standin/quotahistory/history_test.go
+++ b/internal/standin/quotahistory/history_test.go
@@ -16,11 +16,11 @@
 
 var rules = Rules{LoweringGrace: 100 * time.Millisecond, MaxAbortDelay: 10 * time.Millisecond}
 
-// parseLine makes a line from "start a x @b0 !": the event, the team, the req, the backend, urgent.
+// parseLine makes a line at t milliseconds from a text such as "start a x @b0 !": event, team, request, backend, urgent.
 func parseLine(t int64, text string, units ...int) Line {
-	f := strings.Fields(text)
-	l := Line{Time: t * ms, Event: f[0]}
-	for i, w := range f[1:] {
+	fields := strings.Fields(text)
+	l := Line{Time: t * ms, Event: fields[0]}
+	for i, w := range fields[1:] {
 		switch {
 		case w == "!":
 			l.Urgent = true
@@ -45,64 +45,64 @@
 	return out
 }
 
-// appendLines is a history that goes on.
+// appendLines returns the history lines with more added, and leaves lines as it is.
 func appendLines(lines []Line, more ...Line) []Line { return slices.Concat(lines, more) }
 
-// TestCheckAcceptsValidHistories: histories that are well.
+// TestCheckAcceptsValidHistories checks that no violation is found in histories that keep the rules.
 func TestCheckAcceptsValidHistories(t *testing.T) {
 	quota := parseLine(-500, "quota a", 2)
-	for what, lines := range map[string][]Line{
+	for name, lines := range map[string][]Line{
 		"nothing":  nil,
 		"no quota": {parseLine(2, "start a x @b0"), parseLine(2, "start a y @b0"), parseLine(2, "start a z @b0")},
-		"as many as the quota, one after another": {quota, parseLine(2, "start a x @b0"), parseLine(3, "start a y @b1"), parseLine(4, "end a x @b0"), parseLine(5, "start a z @b0")},
-		"another team's":                       {quota, parseLine(2, "start a x @b0"), parseLine(3, "start a y @b1"), parseLine(4, "start b z @b1")},
-		"a second attempt of a req":            {quota, parseLine(2, "start a x @b0"), parseLine(3, "start a x @b1"), parseLine(4, "start a y @b1"), parseLine(5, "end a x @b0"), parseLine(6, "end a x @b1"), parseLine(7, "start a z @b1")},
-		"lowered under what runs":              {quota, parseLine(2, "start a x @b0"), parseLine(3, "start a y @b0"), parseLine(4, "quota a", 1), parseLine(300, "end a x @b0"), parseLine(301, "end a y @b0"), parseLine(302, "start a z @b0")},
-		"begun before all know of a lower one": {quota, parseLine(2, "start a x @b0"), parseLine(3, "quota a", 1), parseLine(99, "start a y @b0")},
-		"an end that the backend finds late":   {quota, parseLine(2, "start a x @b0"), parseLine(3, "start a y @b0"), parseLine(4, "start a z @b0"), parseLine(13, "aborted a x @b0")},
-		"urgent by the reserve":                {quota, parseLine(-500, "reserve", 1), parseLine(2, "start a x @b0"), parseLine(3, "start a y @b0"), parseLine(4, "start a z @b0 !")},
-		"urgent by the quota, others beside":   {quota, parseLine(2, "start a x @b0 !"), parseLine(3, "start a y @b0")},
-		"starts and ends in one moment":        {quota, parseLine(2, "start a x @b0"), parseLine(2, "end a x @b0"), parseLine(2, "start a y @b0")},
-		"an abort found late of a short run":   {quota, parseLine(2, "start a x @b0"), parseLine(2, "start a y @b0"), parseLine(3, "aborted a x @b0"), parseLine(4, "start a z @b0")},
+		"as many as the quota, then one more after an end":            {quota, parseLine(2, "start a x @b0"), parseLine(3, "start a y @b1"), parseLine(4, "end a x @b0"), parseLine(5, "start a z @b0")},
+		"a request of another team":                                   {quota, parseLine(2, "start a x @b0"), parseLine(3, "start a y @b1"), parseLine(4, "start b z @b1")},
+		"a second attempt of a request":                               {quota, parseLine(2, "start a x @b0"), parseLine(3, "start a x @b1"), parseLine(4, "start a y @b1"), parseLine(5, "end a x @b0"), parseLine(6, "end a x @b1"), parseLine(7, "start a z @b1")},
+		"quota lowered below what runs":                               {quota, parseLine(2, "start a x @b0"), parseLine(3, "start a y @b0"), parseLine(4, "quota a", 1), parseLine(300, "end a x @b0"), parseLine(301, "end a y @b0"), parseLine(302, "start a z @b0")},
+		"started within the grace of a lowered quota":                 {quota, parseLine(2, "start a x @b0"), parseLine(3, "quota a", 1), parseLine(99, "start a y @b0")},
+		"an abort that the backend notices late":                      {quota, parseLine(2, "start a x @b0"), parseLine(3, "start a y @b0"), parseLine(4, "start a z @b0"), parseLine(13, "aborted a x @b0")},
+		"urgent within the reserve":                                   {quota, parseLine(-500, "reserve", 1), parseLine(2, "start a x @b0"), parseLine(3, "start a y @b0"), parseLine(4, "start a z @b0 !")},
+		"urgent within the quota, beside another request":             {quota, parseLine(2, "start a x @b0 !"), parseLine(3, "start a y @b0")},
+		"starts and ends at the same time":                            {quota, parseLine(2, "start a x @b0"), parseLine(2, "end a x @b0"), parseLine(2, "start a y @b0")},
+		"an abort noticed late, of an attempt shorter than the delay": {quota, parseLine(2, "start a x @b0"), parseLine(2, "start a y @b0"), parseLine(3, "aborted a x @b0"), parseLine(4, "start a z @b0")},
 	} {
-		assert.Empty(t, brokenRules(lines...), what)
+		assert.Empty(t, brokenRules(lines...), name)
 	}
 }
 
-// TestCheckFindsEachViolation: each way in which a history breaks a rule.
+// TestCheckFindsEachViolation breaks the rules in one way at a time, and gives the lines in reverse order as well.
 func TestCheckFindsEachViolation(t *testing.T) {
 	quota := parseLine(-500, "quota a", 2)
-	two := []Line{quota, parseLine(2, "start a x @b0"), parseLine(3, "start a y @b1")}
-	for what, c := range map[string]struct {
+	twoRunning := []Line{quota, parseLine(2, "start a x @b0"), parseLine(3, "start a y @b1")}
+	for name, c := range map[string]struct {
 		rule  Rule
 		lines []Line
 	}{
-		"one more in the moment of an end":   {WithinQuota, appendLines(two, parseLine(4, "start a z @b0"), parseLine(4, "end a x @b0"))},
-		"one more":                           {WithinQuota, appendLines(two, parseLine(4, "start a z @b0"))},
-		"one more for a moment":              {WithinQuota, appendLines(two, parseLine(4, "start a z @b0"), parseLine(4, "end a z @b0"), parseLine(5, "end a x @b0"))},
-		"an end that comes too late":         {WithinQuota, appendLines(two, parseLine(4, "start a z @b0"), parseLine(5, "end a x @b0"))},
-		"an abort that comes too late":       {WithinQuota, appendLines(two, parseLine(4, "start a z @b0"), parseLine(15, "aborted a x @b0"))},
-		"the end of one attempt of two":      {WithinQuota, appendLines(two, parseLine(4, "start a x @b2"), parseLine(5, "end a x @b0"), parseLine(6, "start a z @b0"))},
-		"after the quota was lowered":        {WithinQuota, appendLines(two, parseLine(4, "quota a", 1), parseLine(5, "end a x @b0"), parseLine(105, "start a z @b0"))},
-		"a quota of none":                    {WithinQuota, []Line{parseLine(-500, "quota a", 0), parseLine(200, "start a x @b0")}},
-		"where there was no quota before":    {WithinQuota, []Line{parseLine(1, "start a x @b0"), parseLine(2, "quota a", 1), parseLine(200, "start a y @b0")}},
-		"urgent, and no reserve":             {WithinReserve, appendLines(two, parseLine(4, "start a z @b0 !"))},
-		"urgent beyond the reserve":          {WithinReserve, appendLines(two, parseLine(-500, "reserve", 1), parseLine(4, "start a z @b0 !"), parseLine(5, "start a u @b0 !"))},
-		"urgent of two teams beyond it":      {WithinReserve, appendLines(two, parseLine(-500, "quota b", 0), parseLine(-500, "reserve", 1), parseLine(4, "start a z @b0 !"), parseLine(115, "start b u @b0 !"))},
-		"one that is not, beside the urgent": {WithinQuota, appendLines(two, parseLine(-500, "reserve", 5), parseLine(4, "start a z @b0 !"), parseLine(5, "start a u @b0"))},
-		"an end with no start":               {Complete, appendLines(two, parseLine(4, "end a z @b0"))},
-		"an end at another backend":          {Complete, appendLines(two, parseLine(4, "end a x @b1"))},
-		"two ends of one start":              {Complete, appendLines(two, parseLine(4, "end a x @b0"), parseLine(5, "aborted a x @b0"))},
+		"one too many, at the same time as an end": {WithinQuota, appendLines(twoRunning, parseLine(4, "start a z @b0"), parseLine(4, "end a x @b0"))},
+		"one too many":                                    {WithinQuota, appendLines(twoRunning, parseLine(4, "start a z @b0"))},
+		"one too many for a short time":                   {WithinQuota, appendLines(twoRunning, parseLine(4, "start a z @b0"), parseLine(4, "end a z @b0"), parseLine(5, "end a x @b0"))},
+		"an end that comes too late":                      {WithinQuota, appendLines(twoRunning, parseLine(4, "start a z @b0"), parseLine(5, "end a x @b0"))},
+		"an abort that comes too late":                    {WithinQuota, appendLines(twoRunning, parseLine(4, "start a z @b0"), parseLine(15, "aborted a x @b0"))},
+		"the end of one attempt of two":                   {WithinQuota, appendLines(twoRunning, parseLine(4, "start a x @b2"), parseLine(5, "end a x @b0"), parseLine(6, "start a z @b0"))},
+		"after the quota was lowered":                     {WithinQuota, appendLines(twoRunning, parseLine(4, "quota a", 1), parseLine(5, "end a x @b0"), parseLine(105, "start a z @b0"))},
+		"a quota of zero":                                 {WithinQuota, []Line{parseLine(-500, "quota a", 0), parseLine(200, "start a x @b0")}},
+		"a first quota, set while a request runs":         {WithinQuota, []Line{parseLine(1, "start a x @b0"), parseLine(2, "quota a", 1), parseLine(200, "start a y @b0")}},
+		"urgent without a reserve":                        {WithinReserve, appendLines(twoRunning, parseLine(4, "start a z @b0 !"))},
+		"urgent beyond the reserve":                       {WithinReserve, appendLines(twoRunning, parseLine(-500, "reserve", 1), parseLine(4, "start a z @b0 !"), parseLine(5, "start a u @b0 !"))},
+		"urgent requests of two teams beyond the reserve": {WithinReserve, appendLines(twoRunning, parseLine(-500, "quota b", 0), parseLine(-500, "reserve", 1), parseLine(4, "start a z @b0 !"), parseLine(115, "start b u @b0 !"))},
+		"not urgent, beside an urgent one":                {WithinQuota, appendLines(twoRunning, parseLine(-500, "reserve", 5), parseLine(4, "start a z @b0 !"), parseLine(5, "start a u @b0"))},
+		"an end without a start":                          {Complete, appendLines(twoRunning, parseLine(4, "end a z @b0"))},
+		"an end at another backend":                       {Complete, appendLines(twoRunning, parseLine(4, "end a x @b1"))},
+		"two ends of one start":                           {Complete, appendLines(twoRunning, parseLine(4, "end a x @b0"), parseLine(5, "aborted a x @b0"))},
 	} {
 		got := brokenRules(c.lines...)
-		if assert.NotEmpty(t, got, what) {
-			assert.Equal(t, c.rule, got[0], what)
+		if assert.NotEmpty(t, got, name) {
+			assert.Equal(t, c.rule, got[0], name)
 		}
-		back := make([]Line, len(c.lines))
+		reversed := make([]Line, len(c.lines))
 		for i, l := range c.lines {
-			back[len(back)-1-i] = l
+			reversed[len(reversed)-1-i] = l
 		}
-		assert.NotEmpty(t, brokenRules(back...), "%s, lines in another order", what)
+		assert.NotEmpty(t, brokenRules(reversed...), "%s, lines in reverse order", name)
 	}
 }
 
@@ -111,7 +111,7 @@
 		parseLine(5, "start b u @b0")}, rules))
 }
 
-// TestRead: what is written is read, and what is no line of a history is refused.
+// TestRead checks that encoded lines are read back the same, and that malformed lines are errors.
 func TestRead(t *testing.T) {
 	lines := []Line{parseLine(1, "quota a", 2), parseLine(2, "start a x @b0 !")}
 	var b bytes.Buffer
