--- a/internal/standin/platform/backend.go
+++ b/internal/standin/platform/backend.go
@@ -57,7 +57,8 @@
 // key takes its own time first.
 type Backend struct {
 	Name, Address string
-	JobDuration   func(id string) time.Duration
+	// JobDuration returns how long the job of an id runs.
+	JobDuration func(id string) time.Duration
 	// OnAttempt, if set, is called when an attempt's header has arrived and when the attempt ends: before the last
 	// part of its answer is sent, or, as Aborted, when its connection is found to be gone. Set it before the first job.
 	OnAttempt func(at time.Time, id string, event Event)
@@ -206,6 +207,7 @@
 // Close closes the listener and all connections.
 func (b *Backend) Close() { b.server.Close() }
 
+// load returns the load that answers and /stats carry: free slots and jobs that hold one.
 func (b *Backend) load() string {
 	return fmt.Sprintf(`{"x0":%d,"busy_reqs":%d}`, cap(b.slots)-len(b.slots), len(b.slots))
 }
@@ -225,6 +227,7 @@
 	}
 }
 
+// faultsAndChange returns the faults and a channel that is closed when they are replaced.
 func (b *Backend) faultsAndChange() (Faults, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -260,6 +263,8 @@
 	return func(e Event) { once.Do(func() { b.OnAttempt(time.Now(), id, e) }) }
 }
 
+// job records an attempt and answers it, with the faults that are set when its header arrives; HoldJobs is read again
+// when the job's time is over.
 func (b *Backend) job(w http.ResponseWriter, r *http.Request) {
 	id, key := r.Header.Get("X-Correlation-Id"), r.Header.Get("Idempotency-Key")
 	b.mu.Lock()
--- a/internal/standin/platform/listener.go
+++ b/internal/standin/platform/listener.go
@@ -100,6 +100,7 @@
 	return all
 }
 
+// recordCall adds a call to the record and silences it during an outage.
 func (s *DirectorListener) recordCall(c *call) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
--- a/internal/standin/platform/published.go
+++ b/internal/standin/platform/published.go
@@ -43,6 +43,8 @@
 	return time.Time{}
 }
 
+// publishedByAgent returns when a change counts as published to a dispatcher that uses an agent: when the agent has it,
+// or after its limit if the agent's calls are silenced then, but no later than its delivery.
 func publishedByAgent(calls []Call, outages []span, c Change, p ProcessInfo) time.Time {
 	published := latest(c.ChangedAt, p.StartedAt)
 	for _, o := range outages {
@@ -62,6 +64,8 @@
 	return earliest(published, deliveredAt(calls, c))
 }
 
+// publishedByPolling returns when a change counts as published to a dispatcher that calls the director itself: after the
+// limit of the silenced or open call, or after the poll interval if there is no watch, but no later than its delivery.
 func publishedByPolling(calls []Call, downtimes []span, c Change, p ProcessInfo) time.Time {
 	if first := silenceStart(calls, c.ChangedAt); first != nil {
 		return earliest(latest(c.ChangedAt, publicationDeadline(first, first.SilentAt)), deliveredAt(calls, c))
@@ -126,6 +130,7 @@
 	return open || !last.Failed && followed
 }
 
+// latest returns the latest of the times, the zero time if there are none.
 func latest(times ...time.Time) (last time.Time) {
 	for _, t := range times {
 		if t.After(last) {
--- a/internal/standin/platform/raw.go
+++ b/internal/standin/platform/raw.go
@@ -18,12 +18,12 @@
 
 	answer   func(RawReq)
 	listener *net.TCPListener
-	fillers  []net.Conn
+	fillers  []net.Conn // connections that fill the accept queue
 
 	mu     sync.Mutex
 	reqs   []RawReq
 	conns  []*net.TCPConn
-	closed bool
+	closed bool // connections accepted from now on are closed at once
 }
 
 // RawReq is a request, as far as it was received.
@@ -67,11 +67,11 @@
 }
 
 func newRaw(name string, answer func(RawReq)) (*RawBackend, error) {
-	l, err := listen()
+	listener, err := listen()
 	if err != nil {
 		return nil, err
 	}
-	r := &RawBackend{Name: name, Address: l.Addr().String(), answer: answer, listener: l.(*net.TCPListener)}
+	r := &RawBackend{Name: name, Address: listener.Addr().String(), answer: answer, listener: listener.(*net.TCPListener)}
 	if r.answer == nil {
 		r.answer = func(q RawReq) { q.Write(r.ResultAnswer(q.ID)) }
 	}
@@ -117,6 +117,7 @@
 	}
 }
 
+// read reads and records the requests of a connection, answers probes and hands jobs to answer.
 func (r *RawBackend) read(n int, c *net.TCPConn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
