--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment compares two variants of a dispatcher on one scenario: both play the same seeds, and the
-// differences are told with an interval. A run on which a rule is broken is no part of any mean: it
-// is told by itself.
+// Package experiment compares variants of a dispatcher in simulation: all variants run with the same seeds, and
+// differences are reported with a confidence interval. A run that violates a rule counts in no mean and is
+// reported separately.
 package experiment
 
 import (
@@ -18,35 +18,36 @@
 	"tinsail/internal/lab/sim"
 )
 
-// Variant is one of the two.
+// Variant is a dispatcher configuration to be compared.
 type Variant struct {
 	Name     string
 	Settings balance.Settings
 	Policy   sim.Policy
-	// Alter, where given, changes its copy of the scenario: what is compared is then no setting of the module's.
+	// Alter, if not nil, changes the variant's copy of the scenario, to compare something other than the dispatcher's
+	// settings.
 	Alter func(*sim.Scenario)
 }
 
-func (v *Variant) play(sc sim.Scenario) (sim.Result, error) {
+func (v *Variant) simulate(sc sim.Scenario) (sim.Result, error) {
 	if v.Alter != nil {
 		v.Alter(&sc)
 	}
 	return sim.PlayWith(sc, v.Settings, v.Policy)
 }
 
-// Options say how long an experiment goes on. Zero values are replaced by defaults.
+// Options bound the length of an experiment. Zero values are replaced by the defaults named here.
 type Options struct {
-	Seed       uint64  // the first; the next are those that follow
-	MinSeeds   int     // seeds before it may stop early, at least 8
-	MaxSeeds   int     // seeds at most, 40
-	StopWidth  float64 // it stops early once the interval of the difference is no wider, 0.01; negative: never
-	Confidence float64 // of the intervals, 0.95
-	Workers    int     // seeds at a time, 1
+	Seed       uint64  // the first seed; each further run takes the next number
+	MinSeeds   int     // seeds without a violation needed for an early stop, 8
+	MaxSeeds   int     // limit of seeds, 40
+	StopWidth  float64 // stop early once the interval of the difference is at most this wide, 0.01; negative: never
+	Confidence float64 // confidence level of the intervals, 0.95
+	Workers    int     // seeds simulated concurrently, 1
 	Progress   func(done, most int, diff Estimate)
 }
 
-// Estimate is a mean and its interval, by the bootstrap (Efron 1979): percentiles of the means of
-// samples drawn anew from the seeds.
+// Estimate is a mean of N values and its confidence interval, by the percentile bootstrap (Efron 1979): percentiles
+// of the means of samples drawn from the values with replacement.
 type Estimate struct {
 	Mean, Low, High float64
 	N               int
@@ -56,42 +57,42 @@
 	return fmt.Sprintf("%.4f [%.4f, %.4f] of %d", e.Mean, e.Low, e.High, e.N)
 }
 
-// Overlaps says whether two intervals have a value in common.
+// Overlaps reports whether two intervals have a value in common.
 func (e Estimate) Overlaps(o Estimate) bool { return e.Low <= o.High && o.Low <= e.High }
 
-// Pair is what both made of one seed.
+// Pair holds the results of both variants with one seed.
 type Pair struct {
 	Seed uint64
 	A, B sim.Result
 }
 
-// InvalidRun is a run that broke a rule.
+// InvalidRun is a run that violated a rule.
 type InvalidRun struct {
 	Seed           uint64
 	Variant        string
-	FirstViolation string // the first breach, in words
+	FirstViolation string // text of the first violation
 	Count          int
 }
 
-// Report is what came of an experiment.
+// Report is the result of an experiment.
 type Report struct {
 	A, B        string
-	Pairs       []Pair // in the order of seeds, those with a broken rule too
-	ValidPairs  int    // pairs on which no rule was broken: those that count below
+	Pairs       []Pair // in the order of seeds, including pairs with an invalid run
+	ValidPairs  int    // number of pairs without a violation; only these count in the estimates
 	ServiceA    Estimate
 	ServiceB    Estimate
-	Diff        Estimate // of B over A, paired
+	Diff        Estimate // B - A, paired by seed
 	InvalidRuns []InvalidRun
-	// Of first reqs, the part that was served, in time or not.
+	// Share of first requests (not retries) that were served, in time or late.
 	ServedA, ServedB, ServedDiff Estimate
 	StoppedEarly                 bool
 }
 
-// resamples are the bootstrap's draws.
+// resamples is the number of samples that the bootstrap draws.
 const resamples = 2000
 
-// Bootstrap estimates the mean of values. The draws come from a seed of their own, so that the same
-// values always give the same interval.
+// Bootstrap estimates the mean of values. Its random generator has a fixed seed, so the same values always give the
+// same interval.
 func Bootstrap(values []float64, confidence float64) Estimate {
 	n := len(values)
 	if n == 0 {
@@ -115,21 +116,21 @@
 	tail := (1 - confidence) / 2
 	e.Low = stat.Quantile(tail, stat.Empirical, means, nil)
 	e.High = stat.Quantile(1-tail, stat.Empirical, means, nil)
-	// Percentiles of few values are too narrow by about this (Hesterberg 2015, section 4.4).
+	// With few values the percentile interval is too narrow by about this factor (Hesterberg 2015, section 4.4).
 	widen := math.Sqrt(float64(n) / float64(n-1))
 	e.Low, e.High = e.Mean+(e.Low-e.Mean)*widen, e.Mean+(e.High-e.Mean)*widen
 	return e
 }
 
 func (o *Options) defaults() {
-	or := func(v *int, d int) {
+	setDefault := func(v *int, d int) {
 		if *v <= 0 {
 			*v = d
 		}
 	}
-	or(&o.MinSeeds, 8)
-	or(&o.MaxSeeds, 40)
-	or(&o.Workers, 1)
+	setDefault(&o.MinSeeds, 8)
+	setDefault(&o.MaxSeeds, 40)
+	setDefault(&o.Workers, 1)
 	o.MaxSeeds = max(o.MaxSeeds, o.MinSeeds)
 	if o.StopWidth == 0 {
 		o.StopWidth = 0.01
@@ -139,8 +140,8 @@
 	}
 }
 
-// Compare plays both variants. Seeds run at a time, but count in their order, so that the report does not depend on
-// which was done first. It ends with what it has when ctx does.
+// Compare runs both variants with each seed. Seeds are simulated concurrently, but counted in their order, so the
+// report doesn't depend on which finished first. When ctx ends, Compare returns what it has so far and ctx's error.
 func Compare(ctx context.Context, sc sim.Scenario, a, b Variant, o Options) (Report, error) {
 	o.defaults()
 	r := Report{A: a.Name, B: b.Name}
@@ -150,20 +151,20 @@
 	}
 	for first := 0; first < o.MaxSeeds && ctx.Err() == nil; first += o.Workers {
 		batch := make([]slot, min(o.Workers, o.MaxSeeds-first))
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for i := range batch {
-			all.Go(func() {
+			wg.Go(func() {
 				s := &batch[i]
 				run := sc
 				run.Seed = o.Seed + uint64(first+i)
 				s.pair.Seed = run.Seed
 				var errA, errB error
-				s.pair.A, errA = a.play(run)
-				s.pair.B, errB = b.play(run)
+				s.pair.A, errA = a.simulate(run)
+				s.pair.B, errB = b.simulate(run)
 				s.err = errors.Join(errA, errB)
 			})
 		}
-		all.Wait()
+		wg.Wait()
 		for i := range batch {
 			if batch[i].err != nil {
 				return r, fmt.Errorf("seed %d: %w", batch[i].pair.Seed, batch[i].err)
@@ -182,7 +183,7 @@
 	return r, ctx.Err()
 }
 
-// add counts the last pair in.
+// add updates the estimates and the invalid runs with the last pair.
 func (r *Report) add(confidence float64) {
 	p := &r.Pairs[len(r.Pairs)-1]
 	for _, x := range []struct {
@@ -193,16 +194,16 @@
 			r.InvalidRuns = append(r.InvalidRuns, InvalidRun{p.Seed, x.name, x.res.Broken[0].String(), x.res.Breaches})
 		}
 	}
-	var as, bs, ds, servedA, servedB, served []float64
+	var serviceA, serviceB, serviceDiff, servedA, servedB, servedDiff []float64
 	for i := range r.Pairs {
 		if p := &r.Pairs[i]; p.A.Breaches == 0 && p.B.Breaches == 0 {
-			as, bs = append(as, p.A.Service()), append(bs, p.B.Service())
-			ds = append(ds, p.B.Service()-p.A.Service())
+			serviceA, serviceB = append(serviceA, p.A.Service()), append(serviceB, p.B.Service())
+			serviceDiff = append(serviceDiff, p.B.Service()-p.A.Service())
 			servedA, servedB = append(servedA, p.A.ServedPart()), append(servedB, p.B.ServedPart())
-			served = append(served, p.B.ServedPart()-p.A.ServedPart())
+			servedDiff = append(servedDiff, p.B.ServedPart()-p.A.ServedPart())
 		}
 	}
-	r.ValidPairs = len(ds)
-	r.ServiceA, r.ServiceB, r.Diff = Bootstrap(as, confidence), Bootstrap(bs, confidence), Bootstrap(ds, confidence)
-	r.ServedA, r.ServedB, r.ServedDiff = Bootstrap(servedA, confidence), Bootstrap(servedB, confidence), Bootstrap(served, confidence)
+	r.ValidPairs = len(serviceDiff)
+	r.ServiceA, r.ServiceB, r.Diff = Bootstrap(serviceA, confidence), Bootstrap(serviceB, confidence), Bootstrap(serviceDiff, confidence)
+	r.ServedA, r.ServedB, r.ServedDiff = Bootstrap(servedA, confidence), Bootstrap(servedB, confidence), Bootstrap(servedDiff, confidence)
 }
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -15,7 +15,7 @@
 	"tinsail/internal/lab/sim"
 )
 
-func evening() sim.Scenario {
+func slowBackendScenario() sim.Scenario {
 	sc := sim.Scenario{Length: 12_000, Rate: 90, Work: 200, Spread: 0.4, Aim: 120, Deadline: 5000, Retries: 1, Backoff: 50, Latency: 0.3, Connect: 0.6}
 	for i, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 		sc.Backends = append(sc.Backends, sim.Backend{Name: name, Pod: i / 4, Kind: fleet.Kind{Name: "std", Cores: 4, Speed: 1, Slots: 4, QueueLimit: 40, ThrashThreshold: 10, ThrashSlowdown: 0.5, RepeatWindow: 7500}})
@@ -24,22 +24,23 @@
 	return sc
 }
 
-// TestWorseIsTold: random choice is told apart with few seeds, and keeps the rules.
-func TestWorseIsTold(t *testing.T) {
+// TestCompareDetectsWorsePolicy: 8 seeds suffice to show that the random policy is worse, and it violates no rule.
+func TestCompareDetectsWorsePolicy(t *testing.T) {
 	a, b := Variant{"module", defaults.Settings(), sim.Module, nil}, Variant{"random", defaults.Settings(), Random, nil}
-	r, err := Compare(context.Background(), evening(), a, b, Options{MaxSeeds: 8, Workers: 4})
+	r, err := Compare(context.Background(), slowBackendScenario(), a, b, Options{MaxSeeds: 8, Workers: 4})
 	require.NoError(t, err)
 	assert.Empty(t, r.InvalidRuns)
 	assert.Equal(t, 8, r.ValidPairs)
 	assert.Less(t, r.Diff.High, 0.0, "%v", r.Diff)
-	again, err := Compare(context.Background(), evening(), a, b, Options{MaxSeeds: 8, Workers: 1})
+	again, err := Compare(context.Background(), slowBackendScenario(), a, b, Options{MaxSeeds: 8, Workers: 1})
 	require.NoError(t, err)
-	assert.Equal(t, r.Diff, again.Diff, "it does not depend on how many run at a time")
+	assert.Equal(t, r.Diff, again.Diff, "the result doesn't depend on the number of workers")
 }
 
-// TestSameIsSame: two experiments with one version, on other seeds, give intervals that overlap in at least 95 of 100 pairs.
-// The values are drawn as services are, since a hundred experiments of runs take minutes: make measure-lab does those.
-func TestSameIsSame(t *testing.T) {
+// TestIntervalsOfEqualVariantsOverlap: the intervals of two experiments with the same variant and different seeds
+// overlap in at least 95 of 100 pairs. The values are drawn from a distribution like that of service levels, since a
+// hundred simulated experiments take minutes: make measure-lab runs those.
+func TestIntervalsOfEqualVariantsOverlap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	overlap := 0
 	for range 100 {
@@ -69,41 +70,42 @@
 	assert.InDelta(t, 0.5+0.37, wide.High, 0.06)
 }
 
-// reckless sends every req to two backends at once, of two pods.
-type reckless struct{ *random }
+// doubleSender sends every request to two backends of different deduplication groups (pods) at once,
+// which violates a rule.
+type doubleSender struct{ *random }
 
-func (d reckless) Arrive(_ balance.Millis, q balance.Request) {
-	d.reqs[q.ID] = &randomReq{open: true, out: 2, attempts: 2}
-	d.act.Dispatch(q.ID, d.ready[0], 0)
-	d.act.Dispatch(q.ID, d.ready[len(d.ready)-1], 0)
+func (d doubleSender) Arrive(_ balance.Millis, q balance.Request) {
+	d.reqs[q.ID] = &randomReq{open: true, inFlight: 2, attempts: 2}
+	d.actions.Dispatch(q.ID, d.ready[0], 0)
+	d.actions.Dispatch(q.ID, d.ready[len(d.ready)-1], 0)
 }
 
-// TestBrokenIsToldByItself: a run that broke a rule is in no mean.
-func TestBrokenIsToldByItself(t *testing.T) {
-	late := func(s balance.Settings, a balance.Actions) (balance.Events, error) {
+// TestInvalidRunsCountInNoMean: a run that violated a rule is reported separately and counts in no mean.
+func TestInvalidRunsCountInNoMean(t *testing.T) {
+	newDoubleSender := func(s balance.Settings, a balance.Actions) (balance.Events, error) {
 		d, err := Random(s, a)
-		return reckless{d.(*random)}, err
+		return doubleSender{d.(*random)}, err
 	}
-	r, err := Compare(context.Background(), evening(), Variant{"module", defaults.Settings(), sim.Module, nil}, Variant{"reckless", defaults.Settings(), late, nil}, Options{MaxSeeds: 2, MinSeeds: 2})
+	r, err := Compare(context.Background(), slowBackendScenario(), Variant{"module", defaults.Settings(), sim.Module, nil}, Variant{"double-sender", defaults.Settings(), newDoubleSender, nil}, Options{MaxSeeds: 2, MinSeeds: 2})
 	require.NoError(t, err)
 	require.Len(t, r.InvalidRuns, 2)
-	assert.Equal(t, "reckless", r.InvalidRuns[0].Variant)
+	assert.Equal(t, "double-sender", r.InvalidRuns[0].Variant)
 	assert.Contains(t, r.InvalidRuns[0].FirstViolation, "may have run in group")
 	assert.Zero(t, r.ValidPairs)
 	assert.True(t, math.IsNaN(r.Diff.Mean))
 }
 
-// TestStops: early once the interval is narrow, and when it is told to.
-func TestStops(t *testing.T) {
+// TestCompareStops: an experiment stops early once the interval is narrow, and when its context is cancelled.
+func TestCompareStops(t *testing.T) {
 	v := Variant{"module", defaults.Settings(), sim.Module, nil}
-	sc := evening()
+	sc := slowBackendScenario()
 	sc.Length = 2000
 	r, err := Compare(context.Background(), sc, v, v, Options{MaxSeeds: 50})
 	require.NoError(t, err)
 	assert.True(t, r.StoppedEarly)
 	assert.Len(t, r.Pairs, 8)
-	ctx, stop := context.WithCancel(context.Background())
-	stop()
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
 	_, err = Compare(ctx, sc, v, v, Options{})
 	assert.ErrorIs(t, err, context.Canceled)
 }
--- a/internal/lab/experiment/sweep.go
+++ b/internal/lab/experiment/sweep.go
@@ -10,7 +10,7 @@
 	"tinsail/internal/lab/sim"
 )
 
-// params are what a sweep may vary, and how.
+// params maps each parameter that a sweep can vary to the function that sets it.
 var params = map[string]func(*sim.Scenario, float64){
 	"rate":         func(s *sim.Scenario, v float64) { s.Rate = v },
 	"work_ms":      func(s *sim.Scenario, v float64) { s.Work = v },
@@ -21,21 +21,21 @@
 	"report_delay": func(s *sim.Scenario, v float64) { s.Report.Delay = v },
 }
 
-// Params are the names of what a sweep may vary, sorted.
+// Params returns the names of the parameters that a sweep can vary, sorted.
 func Params() []string { return slices.Sorted(maps.Keys(params)) }
 
-// Point is one variant at one value of the parameter.
+// Point is the result of one variant at one value of the parameter.
 type Point struct {
 	Variant     string
 	Value       float64
-	Service     Estimate // of the seeds on which no rule was broken
+	Service     Estimate // over the seeds without a violation
 	InvalidRuns []InvalidRun
 }
 
-// Sweep plays each variant at each value on the same seeds. Points come in the order of variants, then values. The error names a
-// parameter that is none, or what is wrong with a scenario that a value makes.
+// Sweep runs each variant at each value with the same seeds. Points are ordered by variant, then by value. It returns
+// an error for an unknown parameter and for a value that makes the scenario invalid.
 func Sweep(ctx context.Context, sc sim.Scenario, param string, values []float64, variants []Variant, o Options) ([]Point, error) {
-	set, known := params[param]
+	apply, known := params[param]
 	if !known {
 		return nil, fmt.Errorf("parameter %q, want one of %q", param, Params())
 	}
@@ -44,24 +44,24 @@
 	for _, v := range variants {
 		for _, x := range values {
 			results, errs := make([]sim.Result, o.MaxSeeds), make([]error, o.MaxSeeds)
-			var all sync.WaitGroup
-			free := make(chan struct{}, o.Workers)
+			var wg sync.WaitGroup
+			workers := make(chan struct{}, o.Workers)
 			for i := range results {
-				all.Go(func() {
-					free <- struct{}{}
-					defer func() { <-free }()
+				wg.Go(func() {
+					workers <- struct{}{}
+					defer func() { <-workers }()
 					if errs[i] = ctx.Err(); errs[i] != nil {
 						return
 					}
 					run := sc
-					set(&run, x)
+					apply(&run, x)
 					run.Seed = o.Seed + uint64(i)
-					results[i], errs[i] = v.play(run)
+					results[i], errs[i] = v.simulate(run)
 				})
 			}
-			all.Wait()
+			wg.Wait()
 			p := Point{Variant: v.Name, Value: x}
-			var good []float64
+			var services []float64
 			for i := range results {
 				if errs[i] != nil {
 					return out, fmt.Errorf("%s %v, seed %d: %w", param, x, o.Seed+uint64(i), errs[i])
@@ -69,10 +69,10 @@
 				if r := &results[i]; r.Breaches > 0 {
 					p.InvalidRuns = append(p.InvalidRuns, InvalidRun{o.Seed + uint64(i), v.Name, r.Broken[0].String(), r.Breaches})
 				} else {
-					good = append(good, r.Service())
+					services = append(services, r.Service())
 				}
 			}
-			p.Service = Bootstrap(good, o.Confidence)
+			p.Service = Bootstrap(services, o.Confidence)
 			out = append(out, p)
 			if o.Progress != nil {
 				o.Progress(len(out), len(variants)*len(values), p.Service)
--- a/internal/lab/experiment/sweep_test.go
+++ b/internal/lab/experiment/sweep_test.go
@@ -11,10 +11,11 @@
 	"tinsail/internal/lab/sim"
 )
 
-// TestSweep: more work than the fleet can do serves less, at each variant; the same sweep gives the same points.
+// TestSweep: each variant serves less when the load exceeds the fleet's capacity, and the same sweep gives the same
+// points with any number of workers.
 func TestSweep(t *testing.T) {
 	variants := []Variant{{"module", defaults.Settings(), sim.Module, nil}, {"random", defaults.Settings(), Random, nil}}
-	sc := evening()
+	sc := slowBackendScenario()
 	sc.Length = 5000
 	o := Options{MaxSeeds: 3, MinSeeds: 3, Workers: 3}
 	list, err := Sweep(context.Background(), sc, "rate", []float64{60, 250}, variants, o)
