--- a/internal/faultnet/udp.go
+++ b/internal/faultnet/udp.go
@@ -79,7 +79,7 @@
 }
 
 // applyRule counts one more datagram and returns whether to forward it, and after which delay.
-func (r *UDP) applyRule() (forward bool, delay time.Duration) {
+func (r *UDP) applyRule() (bool, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.datagrams++
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -37,8 +37,8 @@
 
 func (t testID) String() string { return t.pkg + " " + t.name }
 
-// readList reads the list from a file. A missing file is an empty list.
-func readList(file string) (list []entry, faults []string) {
+// readList reads the list from a file and returns it and its faults. A missing file is an empty list.
+func readList(file string) ([]entry, []string) {
 	text, err := os.ReadFile(file)
 	switch {
 	case os.IsNotExist(err):
