--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -53,7 +53,7 @@
 	Key        string // idempotency key; the same for a request and its retries
 	Attempt    int
 	Backend    string
-	Group      int
+	Group      int     // of the backend; the backends of a group drop each other's repeats
 	Work       float64 // ms on one core of the reference machine
 	Capacity   float64 // current capacity of a cold backend, in work per ms; 0 for a warm one
 	Deadline   float64
@@ -69,9 +69,11 @@
 	SendGrace     float64 // after a drain was received or a ban confirmed, in which an attempt's first byte may still be sent
 	RepeatWindow  float64 // in which a group of backends drops repeats of a key
 	SingleAttempt bool    // a request may have only one running attempt
-	FallMultiple  float64
-	FallWindow    float64
-	FallSlack     float64 // work allowed beyond FallMultiple
+	// The work sent to a cold backend within FallWindow may be at most FallMultiple times what its current capacity
+	// allows, plus FallSlack.
+	FallMultiple float64
+	FallWindow   float64
+	FallSlack    float64
 }
 
 // Violation reports a broken rule and the event that broke it.
@@ -94,7 +96,7 @@
 }
 
 type attempt struct {
-	at       float64
+	at       float64 // when its first byte was sent
 	group    int
 	running  bool
 	neverRan bool
@@ -115,8 +117,8 @@
 
 	events        int
 	reqs          map[string]*req
-	attempts      map[string][]attempt // by Event.Req
-	drainingSince map[nodeBackend]float64
+	attempts      map[string][]attempt    // by Event.Req
+	drainingSince map[nodeBackend]float64 // when a node received that a backend drains
 	bannedSince   map[string]float64
 	recent        map[string][]sentWork // by cold backend, within the last FallWindow
 	violations    []Violation
@@ -293,10 +295,11 @@
 // requests (those that are no retries) that were served within their target latency, over the whole run and in
 // its worst window.
 type ServiceLevel struct {
-	Window  float64  // length of the window for WorstWindow, ms; below 1 s means 10 s
+	Window  float64  // length of the window for WorstWindow, ms; 0, or less than 1 s, means 10 s
 	seconds []second // by the second in which the request arrived
 }
 
+// second holds the worth of the requests of one second: of all, and of those served in time.
 type second struct{ total, good float64 }
 
 // Add counts a first request of worth 1 that arrived at a time, and whether it was served in time.
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -95,6 +95,7 @@
 	}
 }
 
+// TestServiceLevel checks the overall service level and that of the worst window, for two window lengths.
 func TestServiceLevel(t *testing.T) {
 	var s ServiceLevel
 	assert.Equal(t, 1.0, s.Overall())
--- a/internal/lab/judge/shares.go
+++ b/internal/lab/judge/shares.go
@@ -21,6 +21,7 @@
 	quotas          []quotaFrom // the latest is last
 }
 
+// quotaFrom is a quota in force from a time on.
 type quotaFrom struct {
 	at    float64
 	units int
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -44,8 +44,8 @@
 type Result struct {
 	FirstReqs, Served, Refused, Failed int // Refused and Failed were given up after all retries
 	Tries                              int
-	Unanswered                         int // tries without an answer, such as on a broken connection or after the deadline
-	Open                               int
+	Unanswered                         int                     // tries without an answer, such as on a broken connection or after the deadline
+	Open                               int                     // first requests neither served nor given up yet
 	Latency                            *hdrhistogram.Histogram // of served first requests, from their scheduled time, us
 	SendDelay                          *hdrhistogram.Histogram // of the generator's sends after their scheduled times, us
 }
