--- a/cmd/tinsail/budgets.go
+++ b/cmd/tinsail/budgets.go
@@ -134,7 +134,7 @@
 
 // reloadBudgets puts changed totals, counts and reserves of the budgets in force while shares are leased
 // (docs/design/budget.md, "A changed plan"). A smaller share applies from the next unit on; a holder gives up a lease from the
-// larger pool at once. Turning budgets on or off, and another keeper, lease or drift, need a restart, as Settings.Change
+// larger pool at once. Turning budgets on or off, and another keeper, lease or drift, need a restart, as Settings.Changes
 // reports.
 func (d *dispatcher) reloadBudgets(old, next *settings.Settings) error {
 	f := d.budgets
--- a/cmd/tinsail/cost_test.go
+++ b/cmd/tinsail/cost_test.go
@@ -32,7 +32,7 @@
 	h := newDeployment(b, "127.0.0.1:0")
 	for _, backend := range h.backends {
 		backend.JobDuration = func(string) time.Duration { return 0 }
-		backend.Set(platform.Faults{}) // after Work, for the backend's goroutines to see
+		backend.Set(platform.Faults{}) // after JobDuration is set, so that the backend's goroutines see it
 	}
 	p := h.start()
 	p.awaitReady()
--- a/cmd/tinsail/platform_rules_test.go
+++ b/cmd/tinsail/platform_rules_test.go
@@ -23,7 +23,7 @@
 )
 
 // These tests are written from the platform's published rules alone. They start the real program, force two
-// events to happen in a given order, and judge by what the clients and the backends saw.
+// events to happen in a given order, and check what the clients and the backends saw.
 
 // waitTimeout bounds every wait. No assertion depends on it, except that nothing arrived at all.
 const waitTimeout = 60 * time.Second
--- a/cmd/tinsail/restart_test.go
+++ b/cmd/tinsail/restart_test.go
@@ -31,7 +31,7 @@
 			}
 			return 3 * time.Millisecond
 		}
-		b.Set(platform.Faults{}) // after Work, for the backend's goroutines to see
+		b.Set(platform.Faults{}) // after JobDuration is set, so that the backend's goroutines see it
 	}
 	h := &history.History{}
 	var all sync.WaitGroup
--- a/cmd/tinsail/shutdown_test.go
+++ b/cmd/tinsail/shutdown_test.go
@@ -122,8 +122,8 @@
 }
 
 // expectAnswer reads a whole answer and returns whether the server closes the connection after it. When the time
-// of the timing check is over, an error status other than the expected one is not judged, and the check records
-// that.
+// of the timing check is over, an error status other than the expected one is not counted as a failure, and the
+// check records that.
 func (c *conn) expectAnswer(t *testing.T, p *timingCheck, status int, body string) (closing bool) {
 	t.Helper()
 	got, text, closing, err := c.readAnswer()
--- a/cmd/tinsail/upgrade_test.go
+++ b/cmd/tinsail/upgrade_test.go
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// call makes a call at the process's control listener for operators, and returns whether it was answered yes.
+// call makes a call at the process's control listener for operators, and returns whether the answer was positive.
 func (p *process) call(op door.Operation, backend string) bool {
 	yes, _, err := callDoor(p.adminAddress, door.Call{Operation: op, Backend: backend})
 	return err == nil && yes
--- a/internal/balance/api.go
+++ b/internal/balance/api.go
@@ -16,7 +16,7 @@
 
 // MaxProcessPause is the longest time for which a process may be paused between reading its clock and
 // writing to a connection. A decision must still be valid that much later. The figure is that of the
-// standing test ("More than these days").
+// platform's acceptance test.
 const MaxProcessPause Millis = 150
 
 // EffectiveRepeatWindow is how long after an attempt another one may be decided on, for a class whose
@@ -33,7 +33,7 @@
 // Effect is what running a request more than once does.
 type Effect uint8
 
-// Effects, from harmless to forbidden.
+// Effects, from freely repeatable to never repeatable.
 const (
 	Safe    Effect = iota // may be repeated at will
 	Deduped               // carries a key by which a group of workers drops repeats for a limited time
@@ -113,7 +113,8 @@
 	DrainGrace    Millis  // sending to a draining or gone worker must end within this time
 }
 
-// Mix holds the weights by which the result combines the whole and its worst parts.
+// Mix holds the weights by which the overall result combines that of all traffic (Whole) and those of the worst
+// time window, class and tenant.
 type Mix struct{ Whole, WorstWindow, WorstClass, WorstTenant float64 }
 
 // Settings is the complete configuration of a Dispatcher.
--- a/internal/balance/cache.go
+++ b/internal/balance/cache.go
@@ -122,7 +122,7 @@
 }
 
 // totalSpeed returns the sum of the speeds of the ready workers. For more than sampleSize workers it uses the sums by
-// kind, which give the same but for rounding.
+// kind, which differ from it only by rounding.
 func (d *Dispatcher) totalSpeed(now Millis) (total float64) {
 	if len(d.ready) <= sampleSize {
 		for _, i := range d.ready {
--- a/internal/balance/dispatcher.go
+++ b/internal/balance/dispatcher.go
@@ -11,7 +11,7 @@
 	"slices"
 )
 
-// Dispatcher makes the decisions of one node, from its settings and its own events alone.
+// Dispatcher makes the decisions of one process, from its settings and its own events alone.
 type Dispatcher struct {
 	tables
 	cache
@@ -37,7 +37,7 @@
 	zoneColdBudget        []float64  // by zone: jobs that may still be sent to cold workers in this window
 	zoneMaxBudget         []float64  // by zone: largest budget of a cold worker
 	limitStep             float64    // how much a job that did not wait long raises slotLimit
-	coldBudgetShared      bool       // another process of this node serves too: they share the cold budget
+	coldBudgetShared      bool       // another process of this dispatcher serves too: they share the budget
 	listFailures          int        // consecutive failed requests for the list
 }
 
@@ -46,7 +46,7 @@
 	sampleSize      = 64      // most workers examined per request: 64 miss the best tenth once in 800 times
 	preferredBy     = 2.0     // mean number of dispatchers that prefer a worker: it evens out their traffic
 	linksPerKey     = 4.0     // mean number of workers that a key is linked to
-	otherSlotWeight = 0.5     // weight of others' slots against own ones when a copy is placed: known late
+	otherSlotWeight = 0.5     // weight of others' slots relative to own when a copy is placed: known late
 	crossZoneSlots  = 30.0    // mean extra slots of a worker in another zone, per CrossZone; at least 1
 	distantSlots    = 0.75    // mean extra slots of a worker in the own zone beyond preferredDistance
 	copyShare       = 0.2     // work of second copies as a share of the work of first attempts
@@ -55,8 +55,8 @@
 	fastLead        = 0.3     // share of its slots that a fast worker fills before an idle slow one is used
 	minTimeShare    = 0.4     // no job is sent with less than this share of its mean running time left
 	assumedSlots    = 4.0     // initial guess of a worker's slots if sizes are unknown; most have about 4
-	minCount        = 8.0     // least slotLimit and number of preferred workers: fewer show chance, not load
-	rateWindow      = 2000.0  // ms over which rates are averaged: shorter than a surge, longer than a cluster
+	minCount        = 8.0     // minimum of slotLimit and preferred workers: fewer reflect chance, not load
+	rateWindow      = 2000.0  // ms over which rates are averaged: shorter than a surge, longer than a burst
 )
 
 // New validates the settings and returns a dispatcher that reports its decisions to act.
@@ -103,7 +103,7 @@
 	}
 	r := d.addRequest(q)
 	d.recordArrival(now, r)
-	if d.hasRoom(r) {
+	if d.hasCapacity(r) {
 		d.place(now, r)
 	} else if r.overShare {
 		d.refuseOrFail(now, r)
@@ -167,10 +167,10 @@
 }
 
 // shortestQueue is JFSQ: it returns the eligible worker with the least load of own jobs (see load), ties
-// drawn by speed. Others' slots are not counted: many dispatchers learn of them alike, and all would leave
-// one worker for the same few others at once, the worse the more dispatchers there are. Distant workers and
-// other zones count extra slots, drawn anew each time so that load spills over gradually. If linkShare is
-// above 0, only workers linked to the key are eligible.
+// drawn by speed. Others' slots are not counted: many dispatchers learn of them at the same time, and
+// all would move to the same few other workers at once; the more dispatchers, the larger the effect. Distant
+// workers and other zones count extra slots, drawn anew each time so that load spills over gradually. If
+// linkShare is above 0, only workers linked to the key are eligible.
 func (d *Dispatcher) shortestQueue(now Millis, r *request, linkShare float64, ignoreFailures bool) int32 {
 	d.startColdWindow(now)
 	choice, best, total, draw := int32(-1), math.Inf(1), 0.0, d.rng.Float64()
@@ -307,8 +307,8 @@
 
 // usable excludes a worker from the choice after failures: the short queue of a broken worker must not win.
 // After its backoff it gets one job at a time until a job succeeds. A worker that is far slower than its kind
-// is treated alike, since its short queue means no short wait. After failed connections to several workers of
-// a zone and kind, as when a data hall is cut off, the others are tried with a low probability.
+// is treated the same way: its queue is short, but the wait is not. After failed connections to several
+// workers of a zone and kind, as when a data hall is cut off, the others are tried with a low probability.
 func (d *Dispatcher) usable(now Millis, w *worker, draw float64) bool {
 	failRate := d.connectFailRate[w.Zone*d.cfg.Kinds+w.Kind]
 	return now >= w.avoidUntil && (w.backoffLevel == 0 && w.timeRatio < slowRatio || w.ownSlots == 0) &&
@@ -340,18 +340,18 @@
 
 // startColdWindow sets the budgets of cold workers when a new window begins. Each dispatcher gets an equal
 // part of what a cold worker can take. FallMultiple is the margin for random bursts; at least half of it
-// stays unused, as jobs of two windows may meet at their border. Parts below one job are summed and drawn by
-// zone, so that a few dispatchers may send one job to each cold worker of the zone. A worker with a smaller
-// part than the largest gets its job in fewer windows and is drawn more often in those: one job per window
-// from each of many dispatchers that have filled the large workers would be far too much.
+// stays unused, as jobs of two windows may meet at their border. Parts below one job are summed by zone and
+// rounded at random, so that a few dispatchers may send one job to each cold worker of the zone. A worker
+// with a smaller part than the largest gets its job in fewer windows and is drawn more often in those: one
+// job per window from each of many dispatchers that have filled the large workers would be far too much.
 func (d *Dispatcher) startColdWindow(now Millis) {
 	rules, n, last := &d.cfg.Rules, float64(d.cfg.Instances), d.coldWindow
 	if d.coldWindow = d.coldWindowAt(now); d.coldWindow == last {
 		return
 	}
 	share := min(1, rules.FallMultiple/2)
-	if d.coldBudgetShared { // two processes of one node: each gets half of FallMultiple/2, the margin that
-		// one process keeps below FallMultiple, and no minimum of one job, which both would send
+	if d.coldBudgetShared { // two processes of one dispatcher: each gets half of FallMultiple/2, the
+		// margin that one keeps below FallMultiple, and no minimum of one job, which both would send
 		share = min(1, rules.FallMultiple/4)
 	}
 	clear(d.zoneColdBudget)
@@ -424,7 +424,7 @@
 	if d.cfg.TellsStart {
 		return d.cfg.Classes[r.Class].Aim / 2
 	}
-	return d.cfg.Classes[r.Class].Aim/2 + 2*d.classTime[r.Class] // by then most jobs of mean time run
+	return d.cfg.Classes[r.Class].Aim/2 + 2*d.classTime[r.Class] // by then most average jobs have started
 }
 
 // checkOverdue handles an attempt that should have reported by now. A started job without progress is a
@@ -432,7 +432,7 @@
 func (d *Dispatcher) checkOverdue(now Millis, r *request, k int) {
 	a, silence := &r.attempts[k], 2.5*d.cfg.ProgressEvery
 	if a.startedAt > 0 {
-		if silence == 0 { // the timer was set at the dispatch, to detect a wait
+		if silence == 0 { // set at the dispatch, only to detect a job that waits to start
 			return
 		}
 		if now-a.lastProgressAt < silence {
@@ -442,7 +442,7 @@
 		d.recordFailure(now, &d.workers[a.workerIndex], "a started job gone silent")
 	}
 	cost := d.classTime[r.Class] * r.Slots
-	if d.copyBudget >= cost && d.hasRoom(r) && d.cfg.MayDuplicate && len(r.attempts) < d.cfg.MaxAttempts {
+	if d.copyBudget >= cost && d.hasCapacity(r) && d.cfg.MayDuplicate && len(r.attempts) < d.cfg.MaxAttempts {
 		if i := d.pick(now, r); i >= 0 && d.hasFreeSlots(now, &d.workers[i], r) {
 			d.copyBudget -= cost
 			d.send(now, r, i)
@@ -490,13 +490,13 @@
 				d.actions.Cancel(r.ID, k)
 			}
 		}
-	case Full: // it rejects at once and would keep winning: not used until a slot may be free
+	case Full: // its short queue would keep winning: not used until a slot may be free
 		w.avoidUntil = max(w.avoidUntil, now+d.meanTime*d.kindTimeRatio[w.Kind]/max(2, w.ownSlots+1))
-		d.learnOtherSlots(now, w, d.slots(w), o.Attempt > 0) // one may be a burst, two are overload
+		d.learnOtherSlots(now, w, d.slots(w), o.Attempt > 0) // one may be a burst, a second means overload
 	case Error, ConnectFailed, Reset:
 		d.recordFailure(now, w, "failed attempts")
 	}
-	if w.inFlight == 0 && d.cfg.Instances > len(d.ready) { // so many would fill its connection table
+	if w.inFlight == 0 && d.cfg.Instances > len(d.ready) { // that many fill its connection table
 		d.actions.CloseIdle(w.ID)
 	}
 	d.applyReport(now, w, o.Report)
@@ -575,7 +575,7 @@
 
 // recordArrival updates the arrival rates and decides whether a request is beyond its tenant's share. The
 // quota is scaled by this dispatcher's part of all traffic, which is estimated from the other tenants and is
-// at least an equal one. Of a tenant above its quota, a random part of the requests is beyond the share.
+// at least an equal part. Of a tenant above its quota, a random part of the requests is beyond the share.
 func (d *Dispatcher) recordArrival(now Millis, r *request) {
 	work, worth := d.classTime[r.Class]*r.Slots, d.cfg.Classes[r.Class].Worth
 	if d.cfg.WorthByWork {
@@ -591,8 +591,8 @@
 	}
 }
 
-// hasRoom reports whether slotLimit has room for a request. Low-value requests must leave more of it free.
-func (d *Dispatcher) hasRoom(r *request) bool {
+// hasCapacity reports whether a request fits into slotLimit. Low-value requests must leave more of it free.
+func (d *Dispatcher) hasCapacity(r *request) bool {
 	shortfall := 1 - d.cachedValue(r)
 	return d.busySlots+r.Slots <= d.slotLimit*(1-limitReserve*(shortfall*shortfall))
 }
@@ -629,14 +629,14 @@
 	d.setTimer(r, holdTimer, r.heldUntil-now)
 }
 
-// serveHeld sends held requests while there is room, and answers those whose time is up.
+// serveHeld sends held requests while there is capacity, and answers those held for too long.
 func (d *Dispatcher) serveHeld(now Millis) {
 	waiting := d.held
 	d.held = d.held[:0]
 	clear(d.noneEligible)
 	for _, r := range waiting {
 		i, stay := int32(-1), r.open && now < r.heldUntil
-		if stay && d.hasRoom(r) && !d.unplaceable(now, r) {
+		if stay && d.hasCapacity(r) && !d.unplaceable(now, r) {
 			i = d.pick(now, r)
 		}
 		if stay && i < 0 {
@@ -656,7 +656,7 @@
 // refuseOrFail gives the final answer of a request that cannot be served any more.
 func (d *Dispatcher) refuseOrFail(now Millis, r *request) {
 	if d.mayRefuse(now, r) {
-		d.actions.Refuse(r.ID, min(d.cfg.MaxPause, d.cfg.Classes[r.Class].Aim)) // by then there may be room
+		d.actions.Refuse(r.ID, min(d.cfg.MaxPause, d.cfg.Classes[r.Class].Aim)) // capacity may be free then
 	} else {
 		d.actions.Fail(r.ID)
 	}
--- a/internal/balance/state.go
+++ b/internal/balance/state.go
@@ -178,7 +178,7 @@
 	return int64(now / max(d.cfg.Rules.FallWindow, d.cfg.Tick))
 }
 
-// SetOverlap tells a process that another process of this node serves beside it (on), or that it is alone
+// SetOverlap tells a process that another process of this dispatcher serves beside it (on), or that it is alone
 // again (off). It takes effect in the next window; what is left of the budget in this one may still be used.
 //
 // To a cold worker, the two processes of a hand-over are one dispatcher. While both serve, each spends FallMultiple/4
--- a/internal/budget/mutate_test.go
+++ b/internal/budget/mutate_test.go
@@ -13,7 +13,7 @@
 	"tinsail/internal/mutate"
 )
 
-// mutationFleet is a mutate.World of one keeper and eight holders that exchange encoded messages,
+// mutationFleet is a mutate.System of one keeper and eight holders that exchange encoded messages,
 // each with a clock of its own within the drift or at its limit. A scenario says what happens.
 type mutationFleet struct {
 	scenario        *scenario
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -110,7 +110,7 @@
 	answered       bool           // the final answer was given
 	clientGoneAt   atomic.Int64   // stamp of when its client was found to be gone; 0 while it is there
 	policyVersion  uint64         // fleet policy version under which it was admitted; 0 without Versions
-	begunReported  atomic.Bool    // Versions was told that it has begun at a backend or never will
+	begunReported  atomic.Bool    // Versions was notified that it has started at a backend or never will
 	attempts       []*Attempt
 	latest         atomic.Pointer[Attempt] // last element of attempts, read by MayBegin on other goroutines
 	outstanding    int
@@ -178,7 +178,7 @@
 }
 
 // NewWith makes a core with another decision policy than package balance's. The simulator uses it to compare policies and to
-// judge what they would send, so MayBegin doesn't stop such a policy from duplicating an effect. A serving program must use
+// check what they would send, so MayBegin doesn't stop such a policy from duplicating an effect. A serving program must use
 // New.
 func NewWith(read func() time.Time, policy func(balance.Settings, balance.Actions) (balance.Events, error),
 	s balance.Settings, b Backends, d Director, count *counters.Set) (*Core, error) {
@@ -417,7 +417,7 @@
 	}
 }
 
-// HandleList delivers a list of backends, or the news that fetching it failed.
+// HandleList delivers a list of backends, or reports that fetching it failed.
 func (c *Core) HandleList(kind balance.ListKind, list []Entry) {
 	c.post(func() { c.updateList(kind, list) })
 }
--- a/internal/core/ending.go
+++ b/internal/core/ending.go
@@ -29,7 +29,7 @@
 	ClientSilent // the client was idle, or left its request unfinished, for too long
 	ClientBad    // the client sent something that is not a request
 	SessionDone  // the last answer said Connection: close
-	SessionShed  // closed between requests to free its place, or for shutdown
+	SessionShed  // closed between requests to free its descriptor, or for shutdown
 	StreamReset  // the client reset one of several streams on a connection
 
 	// Endings of a call to the director.
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -13,7 +13,8 @@
 // bounds them by what was observed: no start lies in the future, and a start reported by a live watch is no older than the
 // time for which that watch may have missed it.
 
-// maxReportDelay is how late discovery may report a change while it is reachable (the standing test: 6 s).
+// maxReportDelay is how late discovery may report a change while it is reachable (6 s in the platform's
+// acceptance test).
 const maxReportDelay = 6 * time.Second
 
 // maxCommonDelay, in ms, is the longest delay that all reports of a fleet may share: where lists arrive late, every start
--- a/internal/fleet/accord/participant.go
+++ b/internal/fleet/accord/participant.go
@@ -107,7 +107,7 @@
 		r.Change, r.Ack, r.Reason = p.stoppedFor, NoAck, ""
 		if p.drained {
 			r.Ack = Ready
-			if !p.drainReported { // on this request the leader writes off the leases that it granted for earlier ones
+			if !p.drainReported { // on this request the leader counts the leases that it granted for earlier ones as given up
 				p.drainReported, p.ignoreGrantsUpTo = true, p.seq-1
 			}
 		}
--- a/internal/fleet/quota/simulation_test.go
+++ b/internal/fleet/quota/simulation_test.go
@@ -279,7 +279,7 @@
 	heap.Push(&sim.pending, event{sim.now + d, sim.lastSeq, from, to, do})
 }
 
-// advance moves the simulation on by d. Every node is looked at in each tick.
+// advance moves the simulation on by d. Every node is stepped in each tick.
 func (sim *simulation) advance(d time.Duration) {
 	tick := cmp.Or(sim.setup.tick, 20*time.Millisecond)
 	end := sim.now + d
@@ -415,7 +415,7 @@
 	if !n.draining {
 		started, expired := n.limiter.Admit(now, func(account string) int { return n.holder.Units(now, account) })
 		for _, id := range expired {
-			sim.recordVerdict(n, id)
+			sim.recordOutcome(n, id)
 		}
 		for _, id := range started {
 			sim.startReq(n, id)
@@ -451,8 +451,8 @@
 	})
 }
 
-// recordVerdict records that a request was started or refused, which must happen once.
-func (sim *simulation) recordVerdict(n *dispatcherNode, id uint64) {
+// recordOutcome records that a request was started or refused, which must happen once.
+func (sim *simulation) recordOutcome(n *dispatcherNode, id uint64) {
 	if _, waiting := n.unanswered[id]; !waiting {
 		sim.oracle.fail("request %d of %s was started or refused twice, or is unknown", id, n.name)
 	}
@@ -484,7 +484,7 @@
 // the dispatcher.
 func (sim *simulation) startReq(n *dispatcherNode, id uint64) {
 	account := n.unanswered[id]
-	sim.recordVerdict(n, id)
+	sim.recordOutcome(n, id)
 	charged, _ := n.limiter.ChargedAccount(id)
 	maxRun := int64(float64(sim.setup.down.MaxRunTime)/n.rate) - 1
 	duration := time.Duration(maxRun)
--- a/internal/fleet/slices/quality_test.go
+++ b/internal/fleet/slices/quality_test.go
@@ -22,7 +22,7 @@
 	return TypicalDemand{Demand: Demand{Size: Amount{parts, memory}, Isolation: iso, Lifetime: time.Hour}, Weight: weight}
 }
 
-// mixes are made up for the tests: what several kinds of requests need of a device of 1,000 parts and 16 GiB.
+// mixes are invented for the tests. Each lists what several kinds of requests need of a device of 1,000 parts and 16 GiB.
 var mixes = map[string][]TypicalDemand{
 	"photos":  {typical(143, 2048, SharedWithAny, 40), typical(250, 4096, SharedWithAny, 25), typical(500, 6144, SharedWithAny, 20), typical(1000, 16384, Exclusive, 15)},
 	"skewed":  {typical(100, 6144, SharedWithAny, 35), typical(600, 2048, SharedWithAny, 35), typical(300, 4096, SharedWithAny, 20), typical(1000, 12288, SharedWithAny, 10)},
--- a/internal/guard/rule.go
+++ b/internal/guard/rule.go
@@ -3,8 +3,8 @@
 // counts violations by rule and logs one event with the request's id and the last events of that
 // request from a bounded trace. The package does no I/O except the log, and never ends the process.
 //
-// The limits are those of the platform's pages: PROTOCOL ("The rules on sockets") and the standing
-// test.
+// The limits are those of the platform's protocol documentation (its rules on sockets) and of the
+// platform's acceptance test.
 package guard
 
 import (
@@ -56,7 +56,7 @@
 	return all
 }
 
-// Limits from the platform's pages.
+// Limits from the platform's protocol documentation and acceptance test.
 const (
 	ClientGoneGrace = 100 * time.Millisecond // an attempt may still start for this long after its client disconnected
 	TimeLeftSlack   = 150 * time.Millisecond // the time left sent to a backend may exceed the client's by this much
--- a/internal/http2/conn.go
+++ b/internal/http2/conn.go
@@ -78,7 +78,7 @@
 	Ended
 )
 
-// Event is what the received bytes mean.
+// Event is one event that the received bytes, or the passing of time, cause.
 type Event struct {
 	Kind   Kind
 	Stream *Stream
--- a/internal/http2/conn_test.go
+++ b/internal/http2/conn_test.go
@@ -244,7 +244,7 @@
 }
 
 // TestFlowControl checks that answers are sent as the windows allow, in turns, and that an answer
-// that is not read is given up.
+// that is not read is aborted.
 func TestFlowControl(t *testing.T) {
 	two := handshake + `
 		c send {set 4 2}
--- a/internal/http2/scenario_test.go
+++ b/internal/http2/scenario_test.go
@@ -13,7 +13,7 @@
 )
 
 // Scenarios run on a Conn. "c" is the client: it sends and expects frames, in the notation of
-// scenario.Frames. "d" is the driver: it sends orders (answer, reset, free,
+// scenario.FrameCodec. "d" is the driver: it sends orders (answer, reset, free,
 // drain, settle, end) and expects events. wait advances the time. Each scenario is run with its
 // bytes in one piece, byte by byte and in threes.
 
--- a/internal/http2/stream.go
+++ b/internal/http2/stream.go
@@ -15,7 +15,7 @@
 	Body []byte // complete from the BodyComplete event on; the driver may keep it
 	Data any
 
-	// Discard makes the body be counted but not kept. A driver that already knows its answer at
+	// If Discard is set, the body's bytes are counted but not stored. A driver that already knows its answer at
 	// Opened sets it then. A body that ends too early is still the client's fault.
 	Discard bool
 
@@ -40,7 +40,7 @@
 	nextFree       *Stream
 }
 
-// open creates the stream of a head that has begun.
+// open creates the stream of a head that has begun to arrive.
 func (c *Conn) open(id uint32) *Stream {
 	s := c.freeStreams
 	if s == nil {
@@ -297,7 +297,7 @@
 }
 
 // reject answers a stream before its body has arrived completely: an answer without a body, then a
-// reset that does not void it (RFC 9113 section 8.1).
+// reset that does not cancel the answer (RFC 9113 section 8.1).
 func (c *Conn) reject(s *Stream, status string) {
 	if s.opened && !s.answered && !s.remoteClosed {
 		c.event(Event{Kind: Aborted, Stream: s})
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -52,7 +52,7 @@
 	lastListed Backend
 	listed     bool // some list has named it
 	mark       Mark
-	goneOrder  uint64 // position in the order in which backends went; 0 while it is listed
+	goneOrder  uint64 // position in the order in which backends disappeared; 0 while it is listed
 	policyBan  bool   // the fleet's policy bans it, independently of the mark
 }
 
@@ -130,7 +130,7 @@
 	return out
 }
 
-// recordGone records that a backend is gone, and forgets the one that went first if there are too many.
+// recordGone records that a backend is gone, and forgets the one that disappeared first if there are too many.
 func (b *Bans) recordGone(e *entry) {
 	if e.goneOrder == 0 {
 		b.goneCount++
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -6,7 +6,7 @@
 //
 //  1. A drain reported by any source takes effect at once, also while other rules delay or ignore changes.
 //  2. Otherwise a source's latest report holds. A backend that the source no longer names keeps its state for a while (its
-//     drop is doubted) and is then gone.
+//     removal is doubted) and is then gone.
 //  3. The last reports of a source that falls silent stay in force, for as long as its rules say.
 //  4. If too large a part of a source's backends turns critical or vanishes together, the source itself is considered
 //     wrong (panic) and those backends keep their state.
@@ -253,7 +253,7 @@
 	s.dirty[name] = true
 }
 
-// isDown reports whether a check, or the backend's absence, speaks against it. A drain doesn't count, because it is no sign
+// isDown reports whether a backend's check fails or the backend is missing. A drain doesn't count, because it is no sign
 // that the source is wrong.
 func (e *entry) isDown(src *source) bool {
 	return !e.missingSince.IsZero() && e.reported.Health != Drain || e.reported.Health == Critical || e.reported.Health == Warning && src.rules.WarningDrains
--- a/internal/network/backend_conn.go
+++ b/internal/network/backend_conn.go
@@ -81,7 +81,8 @@
 }
 
 // putIdle puts the connection among the idle ones. It is called by the goroutine that ended an exchange on the connection,
-// or that claimed it and wrote nothing. In the second case the idle timeout goes on from before, as it does at the backend.
+// or that claimed it and wrote nothing. In the second case the idle timeout still counts from the last use, as
+// it does at the backend.
 func (c *backendConn) putIdle() {
 	c.mu.Lock()
 	if c.state == stateClosed {
@@ -95,7 +96,7 @@
 	c.conn.SetReadDeadline(used.Add(p.IdleTimeout)) // before it can be claimed: a request that claims it must not lose its own deadline to this one
 	p.mu.Lock()
 	// Checked under the lock that CloseIdleByID takes once a ban is in force: the connection is closed either here or there.
-	// A reading goroutine that has ended took the connection off the list before it was on it: it must not be added any more.
+	// A reading goroutine that has ended cannot remove the connection from the list any more, so it must not be added.
 	if c.readerEnded || c.backend.Banned() {
 		p.mu.Unlock()
 		c.conn.Close() // its reader cleans up
@@ -211,7 +212,7 @@
 }
 
 // finish ends an exchange if it is still under way. While the request is being written this is left to the writer, which
-// knows whether the last byte was sent; it is stopped, as the rest of the request need not be written.
+// knows whether the last byte was sent; its write is interrupted, as the rest of the request need not be sent.
 func (c *backendConn) finish(x *exchange, v outcome) {
 	c.mu.Lock()
 	switch e := c.earlyOutcome; {
--- a/internal/network/backends.go
+++ b/internal/network/backends.go
@@ -86,7 +86,7 @@
 	return p.startExchange(x)
 }
 
-// probeTimeout limits a probe: a slower one tells nothing that an attempt would not.
+// probeTimeout limits a probe: a slower probe gives no information that an attempt would not.
 const probeTimeout = 2 * time.Second
 
 // Probe asks a backend for its load report and calls done once.
@@ -155,7 +155,7 @@
 func (p *Pool) connect(x *exchange) (conn net.Conn, reuse *backendConn, e core.Ending) {
 	begun, othersReached := time.Now(), false
 	d := retryDialer{dial: p.Dial, address: x.backend.Address, timeout: p.ConnectTimeout, count: p.Count, beforeRetry: func(kind localFault) bool {
-		if kind == faultDescriptors { // an idle connection's descriptor serves better for the new one
+		if kind == faultDescriptors { // closing an idle connection frees a descriptor for the new one
 			p.closeOldestIdle()
 		}
 		reuse = p.takeIdle(x.backend)
--- a/internal/network/clients.go
+++ b/internal/network/clients.go
@@ -106,8 +106,8 @@
 	parser         platform.RequestParser
 	firstByteAt    time.Time // when the first byte of the request that is being read reached this machine
 	lastByteAt     time.Time // when the last byte received so far did
-	pipelineTurn   time.Time // when pipelined bytes became the current request: the rest of it is due from then on
-	finalRead      bool      // its time is over, and this is the last read for a request
+	pipelineTurn   time.Time // when pipelined bytes became the current request: the timeout for its rest counts from then
+	finalRead      bool      // its timeout has passed, and this is the last read for a request
 	bufferedBytes  int64     // of the body that is being read or answered
 	clientDeadline time.Time // until then the client of the current request waits for its answer
 }
@@ -140,7 +140,7 @@
 	loop.Run(l)
 }
 
-// admit begins a session. The limit is kept by closing an idle session. If all sessions are busy, a few new clients are read
+// admit begins a session. The limit is enforced by closing an idle session. If all sessions are busy, a few new clients are read
 // so that they can be refused, and further ones are rejected unread: waiting for them would leave regular clients in the
 // kernel's queue behind those who fill it.
 func (c *Clients) admit(conn net.Conn) {
@@ -252,7 +252,7 @@
 	s.bufferedBytes = 0
 }
 
-// received takes in n bytes that were read. A request begins with its first byte.
+// received accounts for n bytes that were read. A request begins with its first byte.
 func (s *session) received(n int, partial bool) {
 	s.lastByteAt = s.arrival.timeOf(time.Now())
 	if !partial {
@@ -287,7 +287,8 @@
 	}
 }
 
-// readEnding ends a session from which nothing more arrived. A client that has sent part of a request is told why.
+// readEnding ends a session from which nothing more arrived. A client that has sent part of a request gets
+// an answer with the reason.
 func (s *session) readEnding(err error, partial bool) core.Ending {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return core.ClientClosed
--- a/internal/network/http2.go
+++ b/internal/network/http2.go
@@ -39,14 +39,14 @@
 	f.Clients.accept(l, f.admit)
 }
 
-// Bounds of a connection's receive window, which is derived from the memory for all bodies.
+// Limits of a connection's receive window, which is derived from the memory for all bodies.
 const (
 	minWindow = 64 << 10
 	maxWindow = 1 << 20
 )
 
 // http2Session is one client's HTTP/2 connection. One goroutine reads and one writes; the state machine is guarded by mu,
-// which is never held while either waits. The core's goroutine only leaves its answers in the inbox.
+// which neither holds while it waits. The core's goroutine only leaves its answers in the inbox.
 type http2Session struct {
 	sessionState
 	front     *HTTP2
@@ -182,9 +182,9 @@
 		arrivedAt := s.arrival.timeOf(now)
 		s.mu.Lock()
 		s.lastByteAt = arrivedAt
-		s.processInbox() // answers decided before these bytes were read must not be lost by what the bytes say
+		s.processInbox() // answers decided before these bytes were read must not be lost because of what the bytes contain
 		s.machine.Filled(n, now)
-		if !begun { // bytes that are no complete preface don't protect a session any longer than silence
+		if !begun { // an incomplete preface protects a session no longer than silence does
 			s.front.Clients.table.reqStarted(&s.sessionState)
 		}
 		s.handleEvents()
--- a/internal/network/table.go
+++ b/internal/network/table.go
@@ -27,7 +27,7 @@
 // shedProtection is the minimum time for which a session of a rank is kept. The first request of a client that has just
 // connected is on its way, and a client does not repeat it by itself, unlike a request that crosses the close of a session
 // in use. A client that sends slowly gets longer, counted from its last byte: it is not stalled while bytes arrive, and its
-// total time is bounded from connecting anyhow.
+// total time since connecting is bounded anyway.
 var shedProtection = [rankBusy]time.Duration{rankSilent: 250 * time.Millisecond, rankPartial: 750 * time.Millisecond}
 
 // trimMinIdle is how long a session must have been idle before trimJobSessions may close it.
@@ -324,7 +324,8 @@
 	}
 }
 
-// requestClose wakes a session's goroutine, which checks whether a request came after all, and closes. t.mu is held.
+// requestClose wakes a session's goroutine, which checks whether a request has arrived in the meantime, and closes the
+// session if not. t.mu is held.
 func (t *table) requestClose(s *sessionState, why guard.Reason) {
 	t.move(s, rankClosing)
 	s.record(guard.SessionCloseAnnounced, why)
@@ -343,8 +344,8 @@
 	}
 }
 
-// sessionCounts returns how many sessions there are, and how many of them connected before a time. The zero time costs
-// nothing and gives 0.
+// sessionCounts returns how many sessions there are, and how many of them connected before a time. For the zero time
+// the second number is 0, at no cost.
 func (t *table) sessionCounts(before time.Time) (all, earlier int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -9,7 +9,7 @@
 import "time"
 
 // Times of a drain, counted from its beginning: the call that takes the dispatcher out of service, or SIGTERM. The platform's
-// figures are in its protocol ("Figures") and in the operators' page.
+// figures are in its protocol documentation and in its documentation for operators.
 const (
 	balancerDelay    = 600 * time.Millisecond // the load balancer may still send new connections
 	killWindow       = 700 * time.Millisecond // a request that arrives later is lost if it is unanswered at the kill
@@ -17,7 +17,7 @@
 	killMargin       = 200 * time.Millisecond // time between the last answers and the kill
 	lastAnswersTime  = 400 * time.Millisecond // time to answer the last requests; most take half of it
 	lateAnswerSlack  = 500 * time.Millisecond // an answer later than its deadline by more is lost anyway
-	quietEvaluations = 5                      // without a session, before the process exits
+	quietEvaluations = 5                      // consecutive evaluations without a session before the process exits
 	// An answer sent before sessions are closed leaves its connection open. The client's next request may be on its way for
 	// this long (a round trip and a busy client) before the connection is closed as idle.
 	lastIdleTimeout = 100 * time.Millisecond
@@ -197,7 +197,7 @@
 	return max(m.LongestDeadline+m.fullDeadlinesUntil.Sub(m.shutdownSince), m.killAfter())
 }
 
-// decideExit decides whether all requests are answered and no client has been left for a moment. It waits that moment because
+// decideExit decides whether all requests are answered and no client has been connected for a moment. It waits that moment because
 // a client whose request crossed the close of its session reconnects at once. Requests that arrive within one evaluation of
 // the exit are refused, so that the process doesn't read a request, send it on, and then exit and cut it.
 func (m *Machine) decideExit(now time.Time, l Load, o *Directives) {
