--- a/cmd/tinsail/accord_history_test.go
+++ b/cmd/tinsail/accord_history_test.go
@@ -26,7 +26,7 @@
 func startFaultTrial(t *testing.T) *faultTrial {
 	c := &faultTrial{recordedFleet: startRecordedFleet(t, trialSize), version: 1}
 	c.awaitSettled(1)
-	c.recordEvent(history.Over, "")
+	c.recordEvent(history.FaultsEnded, "")
 	c.startLoad(16, 10_000)
 	return c
 }
@@ -70,9 +70,9 @@
 func (c *faultTrial) runCase(name string, gain int, faults func()) {
 	c.t.Helper()
 	began := time.Now()
-	c.recordEvent(history.Fault, "")
+	c.recordEvent(history.FaultsStarted, "")
 	faults()
-	c.recordEvent(history.Over, "")
+	c.recordEvent(history.FaultsEnded, "")
 	over := time.Now()
 	c.version += uint64(gain)
 	c.awaitSettled(c.version)
@@ -96,17 +96,17 @@
 	lines := c.fullHistory()
 	c.reportViolations(lines)
 	assert.Zero(c.t, c.missingRetryAfter, "503 without Retry-After")
-	spans := history.Spans(lines, accordRules)
+	spans := history.VersionSpans(lines, accordRules)
 	least := time.Hour
 	for v := uint64(1); v <= c.version; v++ {
 		require.Contains(c.t, spans, v, "requests under the version")
 		if v > 1 {
-			least = min(least, time.Duration(spans[v][0].T-spans[v-1][1].T))
+			least = min(least, time.Duration(spans[v][0].Time-spans[v-1][1].Time))
 		}
 	}
 	starts, reqs := 0, map[string]bool{}
 	for _, l := range lines {
-		if l.Side == history.Backend {
+		if l.Source == history.SourceBackend {
 			starts++
 			reqs[l.Dispatcher+" "+l.Req] = true
 		}
@@ -254,7 +254,7 @@
 			for _, l := range lines {
 				if l.Version == c.version+1 && l.Change != "0" {
 					checked[l.Process] = checked[l.Process] || l.Event == "checked"
-					withdrawn[l.Process] = withdrawn[l.Process] || l.Event == "withdrawn" && l.Why != ""
+					withdrawn[l.Process] = withdrawn[l.Process] || l.Event == "withdrawn" && l.Reason != ""
 				}
 			}
 			return checked[memberName(trialSize-1)] && len(checked) <= len(withdrawn) && !slices.ContainsFunc(slices.Collect(maps.Keys(checked)), func(p string) bool { return !withdrawn[p] })
--- a/cmd/tinsail/accord_random_test.go
+++ b/cmd/tinsail/accord_random_test.go
@@ -80,6 +80,6 @@
 		})
 	}
 	t.Logf("seed %d", seed)
-	c.recordEvent(history.Over, "")
+	c.recordEvent(history.FaultsEnded, "")
 	c.checkHistory()
 }
--- a/cmd/tinsail/accord_rig_test.go
+++ b/cmd/tinsail/accord_rig_test.go
@@ -140,7 +140,7 @@
 func (j *recordedFleet) recordEvent(event, process string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.lines = append(j.lines, history.Line{T: time.Now().UnixNano(), Side: history.Rig, Event: event, Process: process})
+	j.lines = append(j.lines, history.Line{Time: time.Now().UnixNano(), Source: history.SourceRig, Event: event, Process: process})
 }
 
 // onEvent has f called once, when a process first logs this event of the accord from now on; "event n7" means
@@ -155,7 +155,7 @@
 	text := strings.Replace(string(demoConfig), "127.0.0.1:1", j.director.Address, 1)
 	text = strings.Replace(text, `"name": "demo"`, fmt.Sprintf(`"name": %q`, memberName(i)), 1)
 	text = strings.Replace(text, `"Balancers": 1`, fmt.Sprintf(`"Balancers": %d`, j.size), 1)
-	j.recordEvent(history.Began, memberName(i))
+	j.recordEvent(history.ProcessStarted, memberName(i))
 	l := &fleetProcess{logRead: make(chan struct{})}
 	var errs io.Reader
 	l.cmd, errs = startServe(j.t, text, j.script(i, `bans = []`))
@@ -198,7 +198,7 @@
 		return
 	}
 	assert.Zero(j.t, e.LeftOut, "log lines were left out at %s", e.Event)
-	line := history.Line{T: e.Time.UnixNano(), Side: history.Control, Process: e.Process, Event: step, Version: e.Version, Change: e.Change, By: e.By, Why: e.Why}
+	line := history.Line{Time: e.Time.UnixNano(), Source: history.SourceLog, Process: e.Process, Event: step, Version: e.Version, Change: e.Change, Proposer: e.By, Reason: e.Why}
 	j.mu.Lock()
 	j.lines = append(j.lines, line)
 	key := step
@@ -218,7 +218,7 @@
 	l := j.stopClients(i)
 	_ = l.cmd.Process.Kill()
 	_, _ = l.cmd.Process.Wait()
-	j.recordEvent(history.Ended, memberName(i))
+	j.recordEvent(history.ProcessEnded, memberName(i))
 }
 
 // stopClients has clients send no further requests to a process.
@@ -230,13 +230,13 @@
 }
 
 func (j *recordedFleet) pause(i int) {
-	j.recordEvent(history.Stopped, memberName(i))
+	j.recordEvent(history.ProcessSuspended, memberName(i))
 	require.NoError(j.t, j.processes[i].cmd.Process.Signal(syscall.SIGSTOP))
 	j.stopClients(i) // requests in flight wait until it is resumed
 }
 
 func (j *recordedFleet) resume(i int) {
-	j.recordEvent(history.Woken, memberName(i))
+	j.recordEvent(history.ProcessResumed, memberName(i))
 	require.NoError(j.t, j.processes[i].cmd.Process.Signal(syscall.SIGCONT))
 	j.mu.Lock()
 	j.processes[i].receivesReqs = true
@@ -267,7 +267,7 @@
 // disconnect cuts all links of a dispatcher.
 func (j *recordedFleet) disconnect(i int) {
 	j.setRule(i, faultnet.Rule{Blackhole: true})
-	j.recordEvent(history.Cut, memberName(i))
+	j.recordEvent(history.CutOff, memberName(i))
 }
 
 func (j *recordedFleet) reconnect(i int) {
@@ -275,7 +275,7 @@
 	for _, r := range j.relaysOf(i) {
 		r.Reset() // bytes were dropped or are delayed
 	}
-	j.recordEvent(history.Mended, memberName(i))
+	j.recordEvent(history.Reconnected, memberName(i))
 }
 
 func (j *recordedFleet) setRule(i int, rule faultnet.Rule) {
@@ -305,14 +305,14 @@
 		j.mu.Lock()
 		lines := slices.Clone(j.lines)
 		j.mu.Unlock()
-		slices.SortStableFunc(lines, func(a, b history.Line) int { return int(min(max(a.T-b.T, -1), 1)) })
+		slices.SortStableFunc(lines, func(a, b history.Line) int { return int(min(max(a.Time-b.Time, -1), 1)) })
 		if holds(lines) {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	for _, v := range history.Judge(j.fullHistory(), accordRules) { // may give the reason; requests are still in flight
-		if v.Rule != history.NoneLost {
+	for _, v := range history.Check(j.fullHistory(), accordRules) { // may give the reason; requests are still in flight
+		if v.Rule != history.NoReqLost {
 			j.t.Error(v)
 		}
 	}
@@ -376,7 +376,7 @@
 		j.mu.Unlock()
 		return
 	}
-	j.clientLines = append(j.clientLines, history.Line{T: time.Now().UnixNano(), Side: history.Client, Req: id, Dispatcher: memberName(to), Asked: true})
+	j.clientLines = append(j.clientLines, history.Line{Time: time.Now().UnixNano(), Source: history.SourceClient, Req: id, Dispatcher: memberName(to), Sent: true})
 	j.mu.Unlock()
 	status, bare := 0, false
 	r, err := http.NewRequest("POST", "http://"+l.address+"/photo/1", strings.NewReader("b"))
@@ -395,19 +395,19 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.clientLines = append(j.clientLines, history.Line{T: time.Now().UnixNano(), Side: history.Client, Req: id, Dispatcher: memberName(to), Status: status})
+	j.clientLines = append(j.clientLines, history.Line{Time: time.Now().UnixNano(), Source: history.SourceClient, Req: id, Dispatcher: memberName(to), Status: status})
 	j.answersByStatus[status]++
 	if bare {
 		j.missingRetryAfter++
 	}
 }
 
-var accordRules = history.Rules{Slack: timingSlack, Lease: accordLease, Settle: settleTimeout, Woken: 8}
+var accordRules = history.Rules{ClockTolerance: timingSlack, Lease: accordLease, SettleTimeout: settleTimeout, MaxStartsAfterResume: 8}
 
 // reportViolations has a history judged and fails the test for each violation.
 func (j *recordedFleet) reportViolations(lines []history.Line) {
 	j.t.Helper()
-	for _, v := range history.Judge(lines, accordRules) {
+	for _, v := range history.Check(lines, accordRules) {
 		j.t.Error(v)
 	}
 }
@@ -420,10 +420,10 @@
 	for _, b := range j.backends {
 		for _, s := range b.AttemptStarts() {
 			v, _ := strconv.ParseUint(s.Version, 10, 64) // without a version: 0, which the checker rejects
-			out = append(out, history.Line{T: s.At.UnixNano(), Side: history.Backend, Backend: b.Name, Dispatcher: s.Dispatcher, Req: s.Req, Version: v, Started: true})
+			out = append(out, history.Line{Time: s.At.UnixNano(), Source: history.SourceBackend, Backend: b.Name, Dispatcher: s.Dispatcher, Req: s.Req, Version: v, Started: true})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b history.Line) int { return int(min(max(a.T-b.T, -1), 1)) })
+	slices.SortStableFunc(out, func(a, b history.Line) int { return int(min(max(a.Time-b.Time, -1), 1)) })
 	return out
 }
 
--- a/internal/lab/hollow/size/day.go
+++ b/internal/lab/hollow/size/day.go
@@ -39,7 +39,7 @@
 	Asked, Served, Shed int // reqs; Shed: answered, and not with 200
 	Lost                int // reqs whose connection broke
 	Unjudged            int // lines of the accord that a process's log left out
-	Verdicts            []history.Verdict
+	Verdicts            []history.Violation
 	Counts              hollow.Counts
 	ListBytes           int64
 	Real                []hollow.Cost // of the real processes at the end, the voters first
@@ -186,11 +186,11 @@
 func (p *day) cut() error {
 	region := p.r.IntN(hollow.Regions)
 	members, rest := 0, (region+1)%hollow.Regions
-	p.rig(history.Fault, "")
+	p.rig(history.FaultsStarted, "")
 	for i := range p.n {
 		if i%hollow.Regions == region {
 			members++
-			p.rig(history.Cut, hollow.Name(i))
+			p.rig(history.CutOff, hollow.Name(i))
 		}
 	}
 	p.f.Cut(region, true)
@@ -208,7 +208,7 @@
 	p.f.Cut(region, false)
 	for i := range p.n {
 		if i%hollow.Regions == region {
-			p.rig(history.Mended, hollow.Name(i))
+			p.rig(history.Reconnected, hollow.Name(i))
 		}
 	}
 	back := time.Now()
@@ -216,7 +216,7 @@
 		err = p.f.AwaitServing(p.n, p.f.Decided(), settle)
 	}
 	p.rep.Back = time.Since(back)
-	p.rig(history.Over, "")
+	p.rig(history.FaultsEnded, "")
 	return err
 }
 
@@ -238,18 +238,18 @@
 	p.rep.Counts = p.f.Counts()
 	p.rep.ListBytes = p.f.Lists.AskedBytes.Load() + p.f.Lists.ToldBytes.Load()
 	for _, e := range p.f.Events() {
-		side := history.Control
+		side := history.SourceLog
 		if e.Rig {
-			side = history.Rig
+			side = history.SourceRig
 		}
 		p.rep.Unjudged += e.LeftOut
-		p.lines = append(p.lines, history.Line{T: e.At.UnixNano(), Side: side, Process: e.Process, Event: e.Step, Version: e.Version, Change: e.Change, By: e.By, Why: e.Why})
+		p.lines = append(p.lines, history.Line{Time: e.At.UnixNano(), Source: side, Process: e.Process, Event: e.Step, Version: e.Version, Change: e.Change, Proposer: e.By, Reason: e.Why})
 	}
 	p.lines = append(p.lines, p.load.history(p.rep)...)
 	p.lines = append(p.lines, starts(p.f)...)
 	p.rep.Nobody = nobody(p.lines)
 	lease := p.Fleet.Lease
-	p.rep.Verdicts = history.Judge(p.lines, history.Rules{Slack: p.Slack, Lease: lease, Settle: settle, Woken: 8})
+	p.rep.Verdicts = history.Check(p.lines, history.Rules{ClockTolerance: p.Slack, Lease: lease, SettleTimeout: settle, MaxStartsAfterResume: 8})
 	return err
 }
 
@@ -259,11 +259,11 @@
 	first, stops := map[uint64]int64{}, map[uint64][]int64{}
 	for _, l := range lines {
 		switch {
-		case l.Side != history.Control:
-		case l.Event == "serving" && (first[l.Version] == 0 || l.T < first[l.Version]):
-			first[l.Version] = l.T
+		case l.Source != history.SourceLog:
+		case l.Event == "serving" && (first[l.Version] == 0 || l.Time < first[l.Version]):
+			first[l.Version] = l.Time
 		case l.Event == "fenced":
-			stops[l.Version] = append(stops[l.Version], l.T)
+			stops[l.Version] = append(stops[l.Version], l.Time)
 		}
 	}
 	for v, at := range first {
--- a/internal/standin/accordhistory/history_test.go
+++ b/internal/standin/accordhistory/history_test.go
@@ -14,11 +14,11 @@
 
 const ms = int64(time.Millisecond)
 
-var rules = Rules{Slack: 20 * time.Millisecond, Lease: 100 * time.Millisecond, Settle: 300 * time.Millisecond, Woken: 1}
+var rules = Rules{ClockTolerance: 20 * time.Millisecond, Lease: 100 * time.Millisecond, SettleTimeout: 300 * time.Millisecond, MaxStartsAfterResume: 1}
 
-// good is a history in which all holds: version 1, a change that b refuses, a fault of a and c under which
+// validHistory is a history in which all holds: version 1, a change that b refuses, a fault of a and c under which
 // the change "2a" takes hold, a req that breaks because its process was killed.
-const good = `
+const validHistory = `
 {"t":1,"side":"rig","event":"began","process":"a"}
 {"t":1,"side":"rig","event":"began","process":"b"}
 {"t":1,"side":"rig","event":"began","process":"c"}
@@ -66,10 +66,10 @@
 {"t":999,"side":"client","req":"r5","status":503}
 `
 
-// history is the good history with lines added; t is in milliseconds.
-func history(t *testing.T, without string, more ...string) []Line {
+// historyWith is the good historyWith with lines added; t is in milliseconds.
+func historyWith(t *testing.T, without string, more ...string) []Line {
 	var kept []string
-	for _, text := range append(strings.Split(strings.TrimSpace(good), "\n"), more...) {
+	for _, text := range append(strings.Split(strings.TrimSpace(validHistory), "\n"), more...) {
 		if without == "" || !strings.Contains(text, without) {
 			kept = append(kept, text)
 		}
@@ -77,72 +77,72 @@
 	lines, err := Read(strings.NewReader(strings.Join(kept, "\n")))
 	require.NoError(t, err)
 	for i := range lines {
-		lines[i].T *= ms
+		lines[i].Time *= ms
 	}
 	return lines
 }
 
-// TestItSaysNo: the good history holds, and each rule finds its own breach and nothing else does.
-func TestItSaysNo(t *testing.T) {
-	assert.Empty(t, Judge(history(t, ""), rules))
+// TestCheckFindsEachViolation: the good history holds, and each rule finds its own breach and nothing else does.
+func TestCheckFindsEachViolation(t *testing.T) {
+	assert.Empty(t, Check(historyWith(t, ""), rules))
 	for name, c := range map[string]struct {
 		want    Rule
 		without string
 		more    []string
 	}{
-		"an old start after a new one": {OneAtOnce, "", []string{`{"t":560,"side":"backend","dispatcher":"b","req":"x","version":1,"started":true}`}},
-		"a new one before the old end": {OneAtOnce, "", []string{`{"t":399,"side":"backend","dispatcher":"b","req":"x","version":2,"started":true}`,
+		"an old start after a new one": {OneVersionAtOnce, "", []string{`{"t":560,"side":"backend","dispatcher":"b","req":"x","version":1,"started":true}`}},
+		"a new one before the old end": {OneVersionAtOnce, "", []string{`{"t":399,"side":"backend","dispatcher":"b","req":"x","version":2,"started":true}`,
 			`{"t":398,"side":"control","process":"b","event":"decided","version":2,"change":"2a","by":"b"}`}},
-		"a second start after a wake":       {OneAtOnce, "", []string{`{"t":606,"side":"backend","dispatcher":"c","req":"x","version":1,"started":true}`}},
-		"a start long after a wake":         {OneAtOnce, "", []string{`{"t":650,"side":"backend","dispatcher":"c","req":"x","version":1,"started":true}`}},
-		"two versions of a req":             {OneOfReq, "", []string{`{"t":25,"side":"backend","dispatcher":"a","req":"r1","version":2}`}},
-		"a start with no version":           {OneOfReq, "", []string{`{"t":25,"side":"backend","dispatcher":"a","req":"x"}`}},
-		"used before it was decided":        {DecidedFirst, "", []string{`{"t":481,"side":"backend","dispatcher":"b","req":"x","version":2,"started":true}`}},
-		"used and never decided":            {DecidedFirst, "", []string{`{"t":990,"side":"backend","dispatcher":"b","req":"x","version":3,"started":true}`}},
-		"decided twice":                     {OneContent, "", []string{`{"t":525,"side":"control","process":"c","event":"decided","version":2,"change":"2c","by":"b"}`}},
-		"decided by two":                    {OneContent, "", []string{`{"t":525,"side":"control","process":"c","event":"decided","version":2,"change":"2a","by":"c"}`}},
-		"one change, two versions":          {OneContent, "", []string{`{"t":525,"side":"control","process":"b","event":"decided","version":3,"change":"2a","by":"b"}`, `{"t":800,"side":"control","process":"a","event":"in force","version":3,"change":"2a"}`, `{"t":800,"side":"control","process":"b","event":"in force","version":3,"change":"2a"}`, `{"t":800,"side":"control","process":"c","event":"in force","version":3,"change":"2a"}`}},
-		"in force with another content":     {OneContent, "", []string{`{"t":760,"side":"control","process":"c","event":"in force","version":2,"change":"2c"}`}},
-		"decided and withdrawn":             {EndsOnce, "", []string{`{"t":525,"side":"control","process":"c","event":"withdrawn","version":2,"change":"2a"}`}},
-		"decided although one refused":      {RefusedEnds, "", []string{`{"t":510,"side":"control","process":"c","event":"checked","version":2,"change":"2a","why":"no"}`}},
-		"a version goes back":               {NeverBack, "", []string{`{"t":800,"side":"control","process":"b","event":"in force","version":1,"change":"1a"}`, `{"t":801,"side":"control","process":"b","event":"in force","version":2,"change":"2a"}`}},
-		"a version is left out":             {NeverBack, `"version":2,"change":"2a"`, []string{`{"t":525,"side":"control","process":"b","event":"decided","version":3,"change":"2a"}`}},
-		"a req without an answer":           {NoneLost, `"req":"r4","status"`, nil},
-		"a req with two":                    {NoneLost, "", []string{`{"t":35,"side":"client","req":"r1","status":200}`}},
-		"a req that broke, its process not": {NoneLost, "", []string{`{"t":35,"side":"client","req":"x","dispatcher":"b","asked":true}`, `{"t":36,"side":"client","req":"x"}`}},
-		"an answer nobody asked":            {NoneLost, "", []string{`{"t":36,"side":"client","req":"x","status":200}`}},
-		"one stays behind":                  {Settles, `"t":701`, nil},
-		"one is late":                       {Settles, `"t":701`, []string{`{"t":930,"side":"control","process":"a","event":"in force","version":2,"change":"2a"}`}},
-		"one stays fenced":                  {Settles, "", []string{`{"t":702,"side":"control","process":"b","event":"fenced","version":2,"why":"lease over"}`}},
-		"a change without an end":           {Settles, "", []string{`{"t":605,"side":"control","process":"b","event":"checking","version":3,"change":"2d"}`}},
-		"the first fault finds one behind":  {Settles, `"t":12,"side":"control","process":"b"`, nil},
+		"a second start after a wake":       {OneVersionAtOnce, "", []string{`{"t":606,"side":"backend","dispatcher":"c","req":"x","version":1,"started":true}`}},
+		"a start long after a wake":         {OneVersionAtOnce, "", []string{`{"t":650,"side":"backend","dispatcher":"c","req":"x","version":1,"started":true}`}},
+		"two versions of a req":             {OneVersionPerReq, "", []string{`{"t":25,"side":"backend","dispatcher":"a","req":"r1","version":2}`}},
+		"a start with no version":           {OneVersionPerReq, "", []string{`{"t":25,"side":"backend","dispatcher":"a","req":"x"}`}},
+		"used before it was decided":        {DecidedBeforeUse, "", []string{`{"t":481,"side":"backend","dispatcher":"b","req":"x","version":2,"started":true}`}},
+		"used and never decided":            {DecidedBeforeUse, "", []string{`{"t":990,"side":"backend","dispatcher":"b","req":"x","version":3,"started":true}`}},
+		"decided twice":                     {OneChangePerVersion, "", []string{`{"t":525,"side":"control","process":"c","event":"decided","version":2,"change":"2c","by":"b"}`}},
+		"decided by two":                    {OneChangePerVersion, "", []string{`{"t":525,"side":"control","process":"c","event":"decided","version":2,"change":"2a","by":"c"}`}},
+		"one change, two versions":          {OneChangePerVersion, "", []string{`{"t":525,"side":"control","process":"b","event":"decided","version":3,"change":"2a","by":"b"}`, `{"t":800,"side":"control","process":"a","event":"in force","version":3,"change":"2a"}`, `{"t":800,"side":"control","process":"b","event":"in force","version":3,"change":"2a"}`, `{"t":800,"side":"control","process":"c","event":"in force","version":3,"change":"2a"}`}},
+		"in force with another content":     {OneChangePerVersion, "", []string{`{"t":760,"side":"control","process":"c","event":"in force","version":2,"change":"2c"}`}},
+		"decided and withdrawn":             {OneResultPerChange, "", []string{`{"t":525,"side":"control","process":"c","event":"withdrawn","version":2,"change":"2a"}`}},
+		"decided although one refused":      {RefusedNotDecided, "", []string{`{"t":510,"side":"control","process":"c","event":"checked","version":2,"change":"2a","why":"no"}`}},
+		"a version goes back":               {VersionsIncrease, "", []string{`{"t":800,"side":"control","process":"b","event":"in force","version":1,"change":"1a"}`, `{"t":801,"side":"control","process":"b","event":"in force","version":2,"change":"2a"}`}},
+		"a version is left out":             {VersionsIncrease, `"version":2,"change":"2a"`, []string{`{"t":525,"side":"control","process":"b","event":"decided","version":3,"change":"2a"}`}},
+		"a req without an answer":           {NoReqLost, `"req":"r4","status"`, nil},
+		"a req with two":                    {NoReqLost, "", []string{`{"t":35,"side":"client","req":"r1","status":200}`}},
+		"a req that broke, its process not": {NoReqLost, "", []string{`{"t":35,"side":"client","req":"x","dispatcher":"b","asked":true}`, `{"t":36,"side":"client","req":"x"}`}},
+		"an answer nobody asked":            {NoReqLost, "", []string{`{"t":36,"side":"client","req":"x","status":200}`}},
+		"one stays behind":                  {SettlesAfterFaults, `"t":701`, nil},
+		"one is late":                       {SettlesAfterFaults, `"t":701`, []string{`{"t":930,"side":"control","process":"a","event":"in force","version":2,"change":"2a"}`}},
+		"one stays fenced":                  {SettlesAfterFaults, "", []string{`{"t":702,"side":"control","process":"b","event":"fenced","version":2,"why":"lease over"}`}},
+		"a change without an end":           {SettlesAfterFaults, "", []string{`{"t":605,"side":"control","process":"b","event":"checking","version":3,"change":"2d"}`}},
+		"the first fault finds one behind":  {SettlesAfterFaults, `"t":12,"side":"control","process":"b"`, nil},
 		"a start after the cut":             {StopsWhenCut, "", []string{`{"t":530,"side":"backend","dispatcher":"c","req":"r2","version":1,"started":true}`}},
 	} {
-		got := Judge(history(t, c.without, c.more...), rules)
+		got := Check(historyWith(t, c.without, c.more...), rules)
 		if assert.NotEmpty(t, got, name) {
-			assert.True(t, slices.ContainsFunc(got, func(v Verdict) bool { return v.Rule == c.want }), "%s: want %q of %v", name, c.want, got)
+			assert.True(t, slices.ContainsFunc(got, func(v Violation) bool { return v.Rule == c.want }), "%s: want %q of %v", name, c.want, got)
 		}
 		for _, v := range got {
-			allowed := v.Rule == c.want || c.without != "" && c.want == NeverBack || name == "a start after the cut" && v.Rule == OneAtOnce
+			allowed := v.Rule == c.want || c.without != "" && c.want == VersionsIncrease || name == "a start after the cut" && v.Rule == OneVersionAtOnce
 			assert.True(t, allowed, "%s: %v", name, v)
 		}
 	}
 }
 
-// TestKeep: under "keep" a cut-off dispatcher may go on by the old version, and nothing else may differ.
-func TestKeep(t *testing.T) {
+// TestContinueWhenCut: under "keep" a cut-off dispatcher may go on by the old version, and nothing else may differ.
+func TestContinueWhenCut(t *testing.T) {
 	keep := rules
-	keep.Keep = true
+	keep.ContinueWhenCut = true
 	late := `{"t":590,"side":"backend","dispatcher":"c","req":"x","version":1,"started":true}`
-	assert.Len(t, Judge(history(t, "", late), rules), 2)
-	assert.Empty(t, Judge(history(t, "", late), keep))
-	assert.NotEmpty(t, Judge(history(t, `"t":701`, late), keep))
+	assert.Len(t, Check(historyWith(t, "", late), rules), 2)
+	assert.Empty(t, Check(historyWith(t, "", late), keep))
+	assert.NotEmpty(t, Check(historyWith(t, `"t":701`, late), keep))
 }
 
 // TestRead: lines are read as they are written, and what is no line of a history is not.
 func TestRead(t *testing.T) {
 	var b bytes.Buffer
-	want := history(t, "")
+	want := historyWith(t, "")
 	for _, l := range want {
 		require.NoError(t, json.NewEncoder(&b).Encode(l))
 	}
@@ -155,21 +155,21 @@
 	}
 }
 
-// TestNobodyOwesAnEnd: a change of which only a leader knew that was killed, or leads no more, needs no end; one
+// TestChangeOnlyTheLeaderKnewNeedsNoResult: a change of which only a leader knew that was killed, or leads no more, needs no end; one
 // that another process checked does.
-func TestNobodyOwesAnEnd(t *testing.T) {
+func TestChangeOnlyTheLeaderKnewNeedsNoResult(t *testing.T) {
 	checking := `{"t":402,"side":"control","process":"a","event":"checking","version":2,"change":"1c"}`
-	assert.Empty(t, Judge(history(t, "", checking), rules))
-	got := Judge(history(t, "", checking, `{"t":403,"side":"control","process":"b","event":"checked","version":2,"change":"1c"}`), rules)
+	assert.Empty(t, Check(historyWith(t, "", checking), rules))
+	got := Check(historyWith(t, "", checking, `{"t":403,"side":"control","process":"b","event":"checked","version":2,"change":"1c"}`), rules)
 	require.Len(t, got, 1)
-	assert.Equal(t, Settles, got[0].Rule)
+	assert.Equal(t, SettlesAfterFaults, got[0].Rule)
 	late := `{"t":605,"side":"control","process":"b","event":"checking","version":3,"change":"2d"}`
-	assert.NotEmpty(t, Judge(history(t, "", late), rules))
-	assert.Empty(t, Judge(history(t, "", late, `{"t":606,"side":"control","process":"b","event":"leads no more"}`), rules))
+	assert.NotEmpty(t, Check(historyWith(t, "", late), rules))
+	assert.Empty(t, Check(historyWith(t, "", late, `{"t":606,"side":"control","process":"b","event":"leads no more"}`), rules))
 }
 
 // TestUnsettled names who is behind.
 func TestUnsettled(t *testing.T) {
-	assert.Empty(t, Unsettled(history(t, "")))
-	assert.Equal(t, []string{"a"}, Unsettled(history(t, `"t":701`)))
+	assert.Empty(t, Unsettled(historyWith(t, "")))
+	assert.Equal(t, []string{"a"}, Unsettled(historyWith(t, `"t":701`)))
 }
--- a/internal/standin/accordhistory/settle.go
+++ b/internal/standin/accordhistory/settle.go
@@ -6,93 +6,93 @@
 	"time"
 )
 
-// fleet is what a history has told of the processes up to some line.
-type fleet struct {
-	held    map[string]uint64 // by each that runs
-	fenced  map[string]bool
-	away    map[string]bool // stopped
-	over    map[string]bool // changes that have an end
-	decided uint64
-	// open are the changes that were checking and have no end, each with the processes that owe one: the
+// fleetState is what a history has told of the processes up to some line.
+type fleetState struct {
+	versions     map[string]uint64 // by each that runs
+	notAccepting map[string]bool
+	suspended    map[string]bool // stopped
+	ended        map[string]bool // changes that have an end
+	decided      uint64
+	// pending are the changes that were checking and have no end, each with the processes that owe one: the
 	// leader while it leads, and who checked it. Nobody owes it once all of them were ended.
-	open map[string]map[string]bool
+	pending map[string]map[string]bool
 }
 
-func newFleet() *fleet {
-	return &fleet{held: map[string]uint64{}, fenced: map[string]bool{}, away: map[string]bool{}, over: map[string]bool{}, open: map[string]map[string]bool{}}
+func newFleetState() *fleetState {
+	return &fleetState{versions: map[string]uint64{}, notAccepting: map[string]bool{}, suspended: map[string]bool{}, ended: map[string]bool{}, pending: map[string]map[string]bool{}}
 }
 
-func (f *fleet) take(l Line) {
-	switch l.Side + " " + l.Event {
-	case Rig + " " + Began:
-		f.held[l.Process], f.fenced[l.Process] = 0, true
-		delete(f.away, l.Process)
-	case Rig + " " + Ended:
-		delete(f.held, l.Process)
-		f.owesNot(l.Process)
-		f.owesNot(l.Process + leading)
-	case Rig + " " + Stopped:
-		f.away[l.Process] = true
-	case Rig + " " + Woken:
-		delete(f.away, l.Process)
-	case Control + " in force":
-		if _, runs := f.held[l.Process]; runs {
-			f.held[l.Process], f.fenced[l.Process] = l.Version, false
+func (f *fleetState) handle(l Line) {
+	switch l.Source + " " + l.Event {
+	case SourceRig + " " + ProcessStarted:
+		f.versions[l.Process], f.notAccepting[l.Process] = 0, true
+		delete(f.suspended, l.Process)
+	case SourceRig + " " + ProcessEnded:
+		delete(f.versions, l.Process)
+		f.removePending(l.Process)
+		f.removePending(l.Process + leaderSuffix)
+	case SourceRig + " " + ProcessSuspended:
+		f.suspended[l.Process] = true
+	case SourceRig + " " + ProcessResumed:
+		delete(f.suspended, l.Process)
+	case SourceLog + " in force":
+		if _, runs := f.versions[l.Process]; runs {
+			f.versions[l.Process], f.notAccepting[l.Process] = l.Version, false
 		}
-	case Control + " serving":
-		f.fenced[l.Process] = false
-	case Control + " fenced":
-		f.fenced[l.Process] = true
-	case Control + " checking":
-		f.owes(l.Change, l.Process+leading)
-	case Control + " leads no more":
-		f.owesNot(l.Process + leading)
-	case Control + " checked":
-		f.owes(l.Change, l.Process)
-	case Control + " decided":
+	case SourceLog + " serving":
+		f.notAccepting[l.Process] = false
+	case SourceLog + " fenced":
+		f.notAccepting[l.Process] = true
+	case SourceLog + " checking":
+		f.addPending(l.Change, l.Process+leaderSuffix)
+	case SourceLog + " leads no more":
+		f.removePending(l.Process + leaderSuffix)
+	case SourceLog + " checked":
+		f.addPending(l.Change, l.Process)
+	case SourceLog + " decided":
 		f.decided = max(f.decided, l.Version)
-		f.ends(l.Change)
-	case Control + " withdrawn":
-		f.ends(l.Change)
+		f.endChange(l.Change)
+	case SourceLog + " withdrawn":
+		f.endChange(l.Change)
 	}
 }
 
-const leading = " leading"
+const leaderSuffix = " leading"
 
-func (f *fleet) owes(change, who string) {
-	if f.over[change] {
+func (f *fleetState) addPending(change, who string) {
+	if f.ended[change] {
 		return
 	}
-	if f.open[change] == nil {
-		f.open[change] = map[string]bool{}
+	if f.pending[change] == nil {
+		f.pending[change] = map[string]bool{}
 	}
-	f.open[change][who] = true
+	f.pending[change][who] = true
 }
 
-func (f *fleet) owesNot(who string) {
-	for c, all := range f.open {
+func (f *fleetState) removePending(who string) {
+	for c, all := range f.pending {
 		if delete(all, who); len(all) == 0 {
-			delete(f.open, c)
+			delete(f.pending, c)
 		}
 	}
 }
 
-func (f *fleet) ends(change string) {
-	f.over[change] = true
-	delete(f.open, change)
+func (f *fleetState) endChange(change string) {
+	f.ended[change] = true
+	delete(f.pending, change)
 }
 
-// amiss names who is not on the version decided last, or fenced, and the changes without an end.
-func (f *fleet) amiss() []string {
+// unsettled names who is not on the version decided last, or fenced, and the changes without an end.
+func (f *fleetState) unsettled() []string {
 	var out []string
-	for p, v := range f.held {
-		if !f.away[p] && (v != f.decided || f.fenced[p]) {
+	for p, v := range f.versions {
+		if !f.suspended[p] && (v != f.decided || f.notAccepting[p]) {
 			out = append(out, p)
 		}
 	}
-	for c, all := range f.open {
+	for c, all := range f.pending {
 		for who := range all {
-			if !f.away[strings.TrimSuffix(who, leading)] {
+			if !f.suspended[strings.TrimSuffix(who, leaderSuffix)] {
 				out = append(out, "change "+c)
 				break
 			}
@@ -105,39 +105,39 @@
 // Unsettled says who, at the end of the lines so far, is not taking by the version decided last, and
 // which changes have no end. The lines must be in order of their times.
 func Unsettled(lines []Line) []string {
-	f := newFleet()
+	f := newFleetState()
 	for _, l := range lines {
-		f.take(l)
+		f.handle(l)
 	}
-	return f.amiss()
+	return f.unsettled()
 }
 
-// settles finds that the fleet was not on one version a named time after the faults' end, or when the
+// checkSettles finds that the fleet was not on one version a named time after the faults' end, or when the
 // next fault came if that was sooner.
-func (j *judge) settles() {
-	f, over := newFleet(), int64(0)
+func (j *checker) checkSettles() {
+	f, over := newFleetState(), int64(0)
 	look := func(at int64) {
 		if over == 0 {
 			return
 		}
-		if who := f.amiss(); len(who) > 0 {
-			j.no(Settles, "%v after the faults' end: %v, version %d", time.Duration(at-over), who, f.decided)
+		if who := f.unsettled(); len(who) > 0 {
+			j.report(SettlesAfterFaults, "%v after the faults' end: %v, version %d", time.Duration(at-over), who, f.decided)
 		}
 		over = 0
 	}
 	for _, l := range j.lines {
-		if over > 0 && l.T > over+int64(j.rules.Settle) {
-			look(over + int64(j.rules.Settle))
+		if over > 0 && l.Time > over+int64(j.rules.SettleTimeout) {
+			look(over + int64(j.rules.SettleTimeout))
 		}
-		if l.Side == Rig && l.Event == Fault {
-			look(l.T)
+		if l.Source == SourceRig && l.Event == FaultsStarted {
+			look(l.Time)
 		}
-		f.take(l)
-		if l.Side == Rig && l.Event == Over {
-			over = l.T
+		f.handle(l)
+		if l.Source == SourceRig && l.Event == FaultsEnded {
+			over = l.Time
 		}
 	}
 	if n := len(j.lines); n > 0 {
-		look(j.lines[n-1].T)
+		look(j.lines[n-1].Time)
 	}
 }
