--- a/internal/balance/health_test.go
+++ b/internal/balance/health_test.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// TestQuickErrorsDoNotWin: a worker that fails at once always has a low load and must not win for that.
+// TestQuickErrorsDoNotWin: a worker that fails at once always has a low load and must not be preferred because of it.
 func TestQuickErrorsDoNotWin(t *testing.T) {
 	for _, result := range []Result{Error, ConnectFailed, Full, Reset} {
 		d, rec := startDispatcher(t, testSettings(), fleet(6))
--- a/internal/core/clock.go
+++ b/internal/core/clock.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// clock provides the module's time: Unix milliseconds at program start, carried on by the monotonic clock. Start times of
+// clock provides the module's time: Unix milliseconds at program start, advanced by the monotonic clock. Start times of
 // backends are Unix times and need no conversion, a step of the system clock has no effect, and a backend that started before
 // this program doesn't get a start of zero or less, which the module reads as "long ago".
 type clock struct {
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -8,7 +8,7 @@
 
 // The list gives the start of a backend's process as Unix time, from a clock that may disagree with this machine's: a wall
 // clock can be off by seconds or an hour, also since before this process began. The module's clock is this machine's wall time
-// at program start, carried on by the monotonic clock. A start time that is far off would make a cold backend look warm, or
+// at program start, advanced by the monotonic clock. A start time that is far off would make a cold backend look warm, or
 // keep a warm one cold forever. This file is the only place that converts listed start times to the module's clock, and it
 // bounds them by what was observed: no start lies in the future, and a start reported by a live watch is no older than the
 // time for which that watch may have missed it.
@@ -77,7 +77,7 @@
 	c.clock.originMillis += float64(by) / float64(time.Millisecond)
 }
 
-// Now returns the time on the module's clock: Unix ms by the wall clock at program start, carried on by the monotonic clock.
+// Now returns the time on the module's clock: Unix ms by the wall clock at program start, advanced by the monotonic clock.
 func (c *Core) Now() balance.Millis { return c.clock.now() }
 
 // watchSilence returns for how many ms the watch that delivers a list was silent before it; negative if the list doesn't
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -58,7 +58,7 @@
 	Started float64 `json:"started"`
 }
 
-// StatusUpdate is a later message from either process. Each message carries one piece of news.
+// StatusUpdate is a later message from either process. Each message carries one update.
 type StatusUpdate struct {
 	Ready            bool              `json:"ready,omitempty"`   // from the new process: it accepts connections
 	StoppedAccepting bool              `json:"taken,omitempty"`   // from the old process: it no longer accepts
--- a/internal/http2/send.go
+++ b/internal/http2/send.go
@@ -103,7 +103,7 @@
 }
 
 // finishAnswer closes a stream whose answer is completely framed. If the client is still sending, a
-// reset with NO_ERROR tells it to stop, which does not void the answer.
+// reset with NO_ERROR tells it to stop, which does not cancel the answer.
 func (c *Conn) finishAnswer(s *Stream) {
 	s.answerPending = false
 	c.limits.credit(4)
--- a/internal/network/await_test.go
+++ b/internal/network/await_test.go
@@ -87,7 +87,7 @@
 
 // TestClientCloseDetectedWhileWaiting: a client that closes while its request waits is noticed whatever it sent after the
 // request, even more than is buffered or than the sockets hold. The backends answer nothing: if the connection were not read,
-// the session would stay for the request's whole time.
+// the session would stay until the request's deadline.
 func TestClientCloseDetectedWhileWaiting(t *testing.T) {
 	flood := strings.Repeat("x", 12<<20)
 	for name, c := range map[string]struct {
--- a/internal/network/fleet/quota/quota.go
+++ b/internal/network/fleet/quota/quota.go
@@ -68,7 +68,7 @@
 // Counters counts events since the start. Each gives them their metric names.
 type Counters struct {
 	Waited, Refused  atomic.Int64 // requests that did not start at once; requests that got no unit by their deadline
-	PollsReceived    atomic.Int64 // polls from lenders, which want a lease request now to recall units or to grant some
+	PollsReceived    atomic.Int64 // polls from lenders, which ask for a lease request now to recall units or to grant some
 	Recalls          atomic.Int64 // recalls of units by this process's lenders
 	RequestsSent     atomic.Int64 // lease requests sent to lenders
 	RequestsReceived atomic.Int64 // lease requests that this voter read, for any lender
