--- a/internal/lab/script/script.go
+++ b/internal/lab/script/script.go
@@ -26,10 +26,12 @@
 type Fault struct {
 	File         string
 	Line, Column int
-	Says         string
+	Problem      string
 }
 
-func (f Fault) Error() string { return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Says) }
+func (f Fault) Error() string {
+	return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Problem)
+}
 
 type reader struct {
 	sc    sim.Scenario
