--- a/internal/lab/script/accord.go
+++ b/internal/lab/script/accord.go
@@ -6,7 +6,7 @@
 	"tinsail/internal/lab/sim"
 )
 
-// accord has the dispatchers take reqs by versions of one policy.
+// accord makes the dispatchers agree on policy versions and accept requests under the version in force.
 func (r *reader) accord(a *args) (starlark.Value, error) {
 	r.once(a)
 	r.sc.Accord = sim.Accord{Lease: a.number("lease_ms", 3000, 100, 600_000), Drift: a.number("drift", 0.001, 0, 0.1),
@@ -16,16 +16,16 @@
 	return nil, nil
 }
 
-// cut cuts dispatchers, counted from 0, or all of a region off from the accord.
+// cut disconnects dispatchers, numbered from 0, or all dispatchers of a region, from the accord.
 func (r *reader) cut(a *args) (starlark.Value, error) {
 	c := sim.Cut{At: a.seconds("start", 0), Length: a.seconds("length", 10_000)}
 	if v, ok := a.named("region"); ok {
 		name, _ := starlark.AsString(v)
-		c.Nodes = r.region(a, name)
+		c.Nodes = r.dispatchersOf(a, name)
 		r.sc.Cuts = append(r.sc.Cuts, c)
 		return nil, nil
 	}
-	v, ok := a.next("dispatchers")
+	v, ok := a.value("dispatchers")
 	list, isList := v.(starlark.Iterable)
 	if !ok || !isList {
 		a.fail("dispatchers is missing, or no list of numbers")
@@ -38,7 +38,7 @@
 	return nil, nil
 }
 
-// change has a dispatcher, counted from 0, propose a new version.
+// change makes a dispatcher, numbered from 0, propose a new policy version.
 func (r *reader) change(a *args) (starlark.Value, error) {
 	r.sc.Changes = append(r.sc.Changes, sim.Change{At: a.seconds("start", 0), Node: int(a.number("dispatcher", 0, 0, 999))})
 	return nil, nil
--- a/internal/lab/script/quotas.go
+++ b/internal/lab/script/quotas.go
@@ -6,7 +6,8 @@
 	"tinsail/internal/lab/sim"
 )
 
-// quotas has the tenants' quotas lent in levels, over the regions that regions() has named before.
+// quotas enables the lending of tenants' quotas in levels (root, region, dispatcher). The script must call regions()
+// before.
 func (r *reader) quotas(a *args) (starlark.Value, error) {
 	r.once(a)
 	n := len(r.sc.Regions)
@@ -41,36 +42,36 @@
 	return nil, nil
 }
 
-// sever has a region lose the others, or one other, for a while: messages between them are lost.
+// sever partitions a region from all others, or from one other, for some time: messages between them are lost.
 func (r *reader) sever(a *args) (starlark.Value, error) {
-	s := sim.Span{In: r.regionAt(a, "region"), To: -1, At: a.seconds("start", 0), Length: a.seconds("length", 300_000)}
+	s := sim.Span{In: r.regionIndex(a, "region"), To: -1, At: a.seconds("start", 0), Length: a.seconds("length", 300_000)}
 	if _, ok := a.kw["other"]; ok {
-		s.To = r.regionAt(a, "other")
+		s.To = r.regionIndex(a, "other")
 	}
 	r.sc.Spans = append(r.sc.Spans, s)
 	return nil, nil
 }
 
-// crash kills the lender of a region, or the root, whose next life is in a region.
+// crash kills the lender of a region, or the root lender, whose next incarnation runs in the given region.
 func (r *reader) crash(a *args) (starlark.Value, error) {
 	c := sim.Crash{At: a.seconds("start", 0), Down: a.seconds("down", 2000), Region: -1}
 	if _, ok := a.kw["to"]; ok {
-		c.To = r.regionAt(a, "to")
+		c.To = r.regionIndex(a, "to")
 	} else {
-		c.Region = r.regionAt(a, "lender")
+		c.Region = r.regionIndex(a, "lender")
 	}
 	r.sc.Crashes = append(r.sc.Crashes, c)
 	return nil, nil
 }
 
-// requota changes a tenant's quota.
+// requota changes a tenant's quota at a given time.
 func (r *reader) requota(a *args) (starlark.Value, error) {
 	r.sc.Requotas = append(r.sc.Requotas, sim.Requota{Tenant: a.text("tenant"), At: a.seconds("start", 0), Quota: int(a.number("quota", 1, 1, 1e6))})
 	return nil, nil
 }
 
-// regionAt takes a region by its name.
-func (r *reader) regionAt(a *args, key string) int {
+// regionIndex removes a keyword argument that names a region, and returns the index of that region.
+func (r *reader) regionIndex(a *args, key string) int {
 	v, _ := a.named(key)
 	name, _ := starlark.AsString(v)
 	for i := range r.sc.Regions {
--- a/internal/lab/script/script.go
+++ b/internal/lab/script/script.go
@@ -1,6 +1,6 @@
-// Package script reads a scenario of the laboratory: a Starlark file (https://github.com/google/starlark-go) whose calls say
-// which dispatchers, backends, traffic and troubles there are. Times are seconds in scripts and
-// milliseconds in what they make.
+// Package script reads scenarios of the laboratory. A scenario is a Starlark file
+// (https://github.com/google/starlark-go) whose calls define dispatchers, backends, traffic and faults. Times are
+// in seconds in scripts, except for keys that end in ms, and in milliseconds in the resulting sim.Scenario.
 package script
 
 import (
@@ -16,13 +16,13 @@
 	"tinsail/internal/lab/sim"
 )
 
-// Bounds on a run of a script.
+// Limits of one script: execution steps of the interpreter, and events of the scenario.
 const (
 	maxSteps  = 5_000_000
 	maxEvents = 200_000
 )
 
-// Fault is what is wrong with a script, and where.
+// Fault is an error in a script, with its position.
 type Fault struct {
 	File         string
 	Line, Column int
@@ -34,14 +34,15 @@
 }
 
 type reader struct {
-	sc    sim.Scenario
-	kinds map[string]fleet.Kind
-	told  map[string]bool // calls that are made once
+	sc     sim.Scenario
+	kinds  map[string]fleet.Kind
+	called map[string]bool // calls made so far, of those allowed once
 }
 
-// Load reads a script. The seed is the caller's to set. The error is a Fault, or what Starlark says of the text.
+// Load reads a script. The caller sets the scenario's seed. The error is a Fault, or an error of the Starlark
+// interpreter.
 func Load(name string, text []byte) (sim.Scenario, error) {
-	r := &reader{kinds: map[string]fleet.Kind{}, told: map[string]bool{}}
+	r := &reader{kinds: map[string]fleet.Kind{}, called: map[string]bool{}}
 	r.sc = sim.Scenario{Length: 30_000, Rate: 100, Work: 250, Spread: 0.4, Aim: 120, Stretch: 2, Deadline: 5000, Retries: 1, Backoff: 50,
 		Latency: 0.3, Connect: 0.6}
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
@@ -62,11 +63,11 @@
 			}
 			v, err := f(a)
 			if err == nil {
-				err = a.rest()
+				err = a.checkUnused()
 			}
 			if err != nil {
-				at := t.CallFrame(1).Pos
-				return nil, Fault{at.Filename(), int(at.Line), int(at.Col), err.Error()}
+				callPos := t.CallFrame(1).Pos
+				return nil, Fault{callPos.Filename(), int(callPos.Line), int(callPos.Col), err.Error()}
 			}
 			if v == nil {
 				v = starlark.None
@@ -88,7 +89,7 @@
 	return r.sc, nil
 }
 
-// args are a call's values; what is asked for is taken out, and what is left is a fault.
+// args holds the arguments of a call. Each read removes its argument; arguments that remain at the end are an error.
 type args struct {
 	call string
 	pos  starlark.Tuple
@@ -96,13 +97,14 @@
 	err  error
 }
 
+// fail records the first error of the call.
 func (a *args) fail(format string, v ...any) {
 	if a.err == nil {
 		a.err = fmt.Errorf(a.call+": "+format, v...)
 	}
 }
 
-func (a *args) rest() error {
+func (a *args) checkUnused() error {
 	for name := range a.kw {
 		a.fail("there is no %s", name)
 	}
@@ -112,15 +114,15 @@
 	return a.err
 }
 
-func plural(n int, what string) string {
+func plural(n int, noun string) string {
 	if n == 1 {
-		return "one " + what
+		return "one " + noun
 	}
-	return fmt.Sprint(n, " ", what, "s")
+	return fmt.Sprint(n, " ", noun, "s")
 }
 
-// next takes the next value by place, or by its name.
-func (a *args) next(name string) (starlark.Value, bool) {
+// value removes and returns the argument given by this name, or else the next positional one.
+func (a *args) value(name string) (starlark.Value, bool) {
 	if v, ok := a.kw[name]; ok {
 		delete(a.kw, name)
 		return v, true
@@ -133,37 +135,37 @@
 	return nil, false
 }
 
-// named takes a value that is only given by its name.
+// named removes and returns a keyword argument.
 func (a *args) named(name string) (starlark.Value, bool) {
 	v, ok := a.kw[name]
 	delete(a.kw, name)
 	return v, ok
 }
 
-// number takes a named number within bounds.
-func (a *args) number(name string, or, least, most float64) float64 {
+// number removes and returns a keyword argument that is a number from lower to upper.
+func (a *args) number(name string, defaultValue, lower, upper float64) float64 {
 	v, ok := a.named(name)
 	if !ok {
-		return or
+		return defaultValue
 	}
-	return a.bounded(name, v, least, most)
+	return a.bounded(name, v, lower, upper)
 }
 
-func (a *args) bounded(name string, v starlark.Value, least, most float64) float64 {
+func (a *args) bounded(name string, v starlark.Value, lower, upper float64) float64 {
 	f, ok := starlark.AsFloat(v)
-	if !ok || math.IsNaN(f) || f < least || f > most {
-		a.fail("%s is %s, want a number from %v to %v", name, v, least, most)
-		return least // the script ends by it, but not before the call does
+	if !ok || math.IsNaN(f) || f < lower || f > upper {
+		a.fail("%s is %s, want a number from %v to %v", name, v, lower, upper)
+		return lower // the recorded error ends the script only after the call has returned
 	}
 	return f
 }
 
-func (a *args) seconds(name string, or float64) float64 {
-	return 1000 * a.number(name, or/1000, 0, 86_400)
+func (a *args) seconds(name string, defaultMS float64) float64 {
+	return 1000 * a.number(name, defaultMS/1000, 0, 86_400)
 }
 
 func (a *args) text(name string) string {
-	v, ok := a.next(name)
+	v, ok := a.value(name)
 	s, isText := starlark.AsString(v)
 	if !ok || !isText || s == "" {
 		a.fail("%s is missing or no text", name)
@@ -171,9 +173,9 @@
 	return s
 }
 
-// names takes one name or a list of them.
+// names removes and returns an argument that is one name or a list of names.
 func (a *args) names(name string) []string {
-	v, ok := a.next(name)
+	v, ok := a.value(name)
 	if s, isText := starlark.AsString(v); ok && isText {
 		return []string{s}
 	}
@@ -194,10 +196,10 @@
 }
 
 func (r *reader) once(a *args) {
-	if r.told[a.call] {
+	if r.called[a.call] {
 		a.fail("is called a second time")
 	}
-	r.told[a.call] = true
+	r.called[a.call] = true
 }
 
 func (r *reader) traffic(a *args) (starlark.Value, error) {
@@ -224,7 +226,7 @@
 
 func (r *reader) dispatchers(a *args) (starlark.Value, error) {
 	r.once(a)
-	v, ok := a.next("count")
+	v, ok := a.value("count")
 	if !ok {
 		a.fail("count is missing")
 		return nil, nil
@@ -265,7 +267,7 @@
 
 func (r *reader) backends(a *args) (starlark.Value, error) {
 	prefix := a.text("prefix")
-	v, ok := a.next("count")
+	v, ok := a.value("count")
 	if !ok {
 		a.fail("count is missing")
 		return nil, nil
@@ -304,9 +306,10 @@
 	r.sc.Events = append(r.sc.Events, e)
 }
 
-// event is at(seconds, backends, what, ...): one of sim.Dos, or slow, errors, neighbour, pauses, freeze and well, which are troubles.
+// event handles at(seconds, backends, action, ...). The action is one of sim.Dos, or one of slow, errors, neighbour,
+// pauses, freeze and well, which set the backends' faults; well clears them.
 func (r *reader) event(a *args) (starlark.Value, error) {
-	v, ok := a.next("time")
+	v, ok := a.value("time")
 	if !ok {
 		a.fail("time is missing")
 		return nil, nil
@@ -338,7 +341,7 @@
 	return nil, nil
 }
 
-// deploy drains, kills, starts and lists backends again, some at a time.
+// deploy restarts backends in batches: each is drained, killed, started 500 ms later, and listed again.
 func (r *reader) deploy(a *args) (starlark.Value, error) {
 	names := a.names("backends")
 	start, batch := a.seconds("start", 0), int(a.number("batch", 1, 1, 1e5))
--- a/internal/lab/script/script_test.go
+++ b/internal/lab/script/script_test.go
@@ -56,7 +56,7 @@
 	assert.Equal(t, []any{[]sim.Cut{{At: 2000, Length: 3000, Nodes: []int{1, 2}}}, []sim.Change{{At: 4000, Node: 1}}}, []any{sc.Cuts, sc.Changes})
 }
 
-// TestTenantsAndRegions: what the calls of a large day make.
+// TestTenantsAndRegions: the calls for tenants, regions and measuring give the expected scenario.
 func TestTenantsAndRegions(t *testing.T) {
 	sc, err := Load("x.star", []byte(`
 traffic(length = 20)
@@ -80,7 +80,7 @@
 	assert.Equal(t, []any{0.0, false, true}, []any{sc.Classes[0].Share, sc.Classes[0].Urgent, sc.Classes[1].Urgent})
 }
 
-// TestQuotas: what the calls of quotas lent in levels make.
+// TestQuotas: the calls for quotas lent in levels give the expected scenario, and wrong ones the expected faults.
 func TestQuotas(t *testing.T) {
 	const head = `
 dispatchers(6)
@@ -120,8 +120,9 @@
 	assert.ErrorContains(t, err, "x.star:2:7: quotas: call regions() before")
 }
 
-// TestQuotasSmall: the small form of the coming size, with the same code as the large: never over a quota, each team what is
-// its, urgent reqs in time, control within the letter's 15 KB a second.
+// TestQuotasSmall simulates a small form of the large quota scenarios, with the same code: no team exceeds its quota,
+// each team gets what is due to it, urgent requests start in time, and control traffic stays within the required
+// 15 KB a second.
 func TestQuotasSmall(t *testing.T) {
 	text, err := os.ReadFile("../../../lab/scenarios/quotas-small.star")
 	require.NoError(t, err)
@@ -133,65 +134,66 @@
 		assert.Empty(t, r.Broken)
 		assert.Empty(t, r.Quotas.Broken)
 		assert.Equal(t, 1.0, r.Tenants.Over())
-		assert.Greater(t, r.Tenants.Least(), 0.93) // jobs of 12 s: a unit's way from region to region counts twentyfold
+		assert.Greater(t, r.Tenants.Least(), 0.93) // with jobs of 12 s the time in which a unit moves between regions weighs 20 times as much
 		assert.Greater(t, r.Tenants.Use(), 0.95)
 		assert.Less(t, float64(r.Tenants.Urgent.Max())/1e6, 2.3)
 		assert.Zero(t, r.Tenants.Never)
 		assert.Less(t, r.Quotas.MostRate, 15_000.0)
 
-		before := sc
-		before.Quotas = sim.Quotas{}
-		b, err := sim.Play(before, defaults.Settings())
+		withoutQuotas := sc
+		withoutQuotas.Quotas = sim.Quotas{}
+		b, err := sim.Play(withoutQuotas, defaults.Settings())
 		require.NoError(t, err)
 		assert.Greater(t, b.Tenants.Over(), 2.0, "without quotas")
 	}
 }
 
-// TestFaults: whoever wrote a script is told where and what.
+// TestFaults: an error in a script is reported with its position and cause.
 func TestFaults(t *testing.T) {
-	const fine = "k = kind(\"k\")\nb = backends(\"b\", 2, k)\n"
+	const validHead = "k = kind(\"k\")\nb = backends(\"b\", 2, k)\n"
 	for text, want := range map[string]string{
-		"":                                                        "x.star:1:1: the script calls backends() nowhere",
-		fine + "traffic(rate = 0)":                                "x.star:3:8: traffic: rate is 0, want a number from 0.01",
-		fine + "traffic(rate = \"a\")":                            `traffic: rate is "a", want a number`,
-		fine + "traffic(rat = 3)":                                 "traffic: there is no rat",
-		fine + "traffic()\ntraffic()":                             "x.star:4:8: traffic: is called a second time",
-		fine + "dispatchers(0)":                                   "dispatchers: count is 0, want a number from 1 to 1000",
-		fine + "at(1, b, \"explode\")":                            `at: do is "explode", want slow`,
-		fine + "at(1, 3, \"kill\")":                               "at: backends is missing, or neither a name nor a list",
-		fine + "at(1, b, \"kill\", times = 3)":                    "at: there is no times",
-		fine + "at(1, b, \"slow\", 4, 5)":                         "at: takes 2 values less",
-		fine + "kind(\"k\")":                                      "kind: k is there already",
-		fine + "job_class(\"c\", effect = \"x\")":                 `job_class: effect is "x", want one of keyed, safe, unsafe`,
-		fine + "site(weights = 3)":                                "site: weights is \"\", want one of none, size",
-		fine + "restart(dispatcher = 1.5e3)":                      "restart: dispatcher is 1500.0",
-		fine + "accord(when_cut = \"go\")":                        `accord: when_cut is "go", want one of keep, stop`,
-		fine + "cut(dispatchers = 3)":                             "cut: dispatchers is missing, or no list of numbers",
-		fine + "tenants(\"t\", 2)":                                "x.star:3:8: tenants: job_class is missing or no text",
-		fine + "tenants(\"t\", 2, quota = 0)":                     "tenants: quota is 0, want a number from 1",
-		fine + "tenants(\"t\", 2, job_class = \"all\", qota = 3)": "tenants: there is no qota",
-		fine + "regions([\"a\", \"b\"])":                          "x.star:3:8: regions: names holds 2 regions for one dispatcher",
-		fine + "cut(region = \"x\")":                              `cut: region is "x", which regions() has not named`,
-		fine + "measure(start = -1)":                              "measure: start is -1",
-		fine + "heavy(part = 2)":                                  "heavy: part is 2",
-		"kind(\"k\", cancel = \"no\")":                            "kind: cancel is \"no\", want one of all, none, queued",
-		"backends(\"b\", 2, \"none\")":                            `backends: kind is "none", which no kind() has made`,
-		fine + "while True: pass":                                 "does not support while loops",
-		fine + "def f():\n  f()\nf()":                             "called recursively",
-		fine + "[x for x in range(100000000)]":                    "too many steps",
-		fine + "unknown()":                                        "undefined: unknown",
-		fine + "burst(times = float(\"nan\"))":                    "burst: times is nan",
-		fine + "reports(period_ms = -1)":                          "reports: period_ms is -1",
-		fine + "deploy(b, start = 1, batch = 0)":                  "deploy: batch is 0",
+		"":                                                             "x.star:1:1: the script calls backends() nowhere",
+		validHead + "traffic(rate = 0)":                                "x.star:3:8: traffic: rate is 0, want a number from 0.01",
+		validHead + "traffic(rate = \"a\")":                            `traffic: rate is "a", want a number`,
+		validHead + "traffic(rat = 3)":                                 "traffic: there is no rat",
+		validHead + "traffic()\ntraffic()":                             "x.star:4:8: traffic: is called a second time",
+		validHead + "dispatchers(0)":                                   "dispatchers: count is 0, want a number from 1 to 1000",
+		validHead + "at(1, b, \"explode\")":                            `at: do is "explode", want slow`,
+		validHead + "at(1, 3, \"kill\")":                               "at: backends is missing, or neither a name nor a list",
+		validHead + "at(1, b, \"kill\", times = 3)":                    "at: there is no times",
+		validHead + "at(1, b, \"slow\", 4, 5)":                         "at: takes 2 values less",
+		validHead + "kind(\"k\")":                                      "kind: k is there already",
+		validHead + "job_class(\"c\", effect = \"x\")":                 `job_class: effect is "x", want one of keyed, safe, unsafe`,
+		validHead + "site(weights = 3)":                                "site: weights is \"\", want one of none, size",
+		validHead + "restart(dispatcher = 1.5e3)":                      "restart: dispatcher is 1500.0",
+		validHead + "accord(when_cut = \"go\")":                        `accord: when_cut is "go", want one of keep, stop`,
+		validHead + "cut(dispatchers = 3)":                             "cut: dispatchers is missing, or no list of numbers",
+		validHead + "tenants(\"t\", 2)":                                "x.star:3:8: tenants: job_class is missing or no text",
+		validHead + "tenants(\"t\", 2, quota = 0)":                     "tenants: quota is 0, want a number from 1",
+		validHead + "tenants(\"t\", 2, job_class = \"all\", qota = 3)": "tenants: there is no qota",
+		validHead + "regions([\"a\", \"b\"])":                          "x.star:3:8: regions: names holds 2 regions for one dispatcher",
+		validHead + "cut(region = \"x\")":                              `cut: region is "x", which regions() has not named`,
+		validHead + "measure(start = -1)":                              "measure: start is -1",
+		validHead + "heavy(part = 2)":                                  "heavy: part is 2",
+		"kind(\"k\", cancel = \"no\")":                                 "kind: cancel is \"no\", want one of all, none, queued",
+		"backends(\"b\", 2, \"none\")":                                 `backends: kind is "none", which no kind() has made`,
+		validHead + "while True: pass":                                 "does not support while loops",
+		validHead + "def f():\n  f()\nf()":                             "called recursively",
+		validHead + "[x for x in range(100000000)]":                    "too many steps",
+		validHead + "unknown()":                                        "undefined: unknown",
+		validHead + "burst(times = float(\"nan\"))":                    "burst: times is nan",
+		validHead + "reports(period_ms = -1)":                          "reports: period_ms is -1",
+		validHead + "deploy(b, start = 1, batch = 0)":                  "deploy: batch is 0",
 	} {
 		_, err := Load("x.star", []byte(text))
 		assert.ErrorContains(t, err, want, text)
 	}
 }
 
-// TestSites: the two sites' scenarios play by the rules, on several seeds, and show what they are there for.
+// TestSites: the scenarios of the two sites violate no rule on several seeds, and each that is meant to cause a kind of
+// failed requests causes more than 20 of them.
 func TestSites(t *testing.T) {
-	for name, shows := range map[string]string{"feeds": "", "feeds-roll": "lost begun", "feeds-overload": "late", "ingest": "", "ingest-fleet": "late"} {
+	for name, wantFailure := range map[string]string{"feeds": "", "feeds-roll": "lost begun", "feeds-overload": "late", "ingest": "", "ingest-fleet": "late"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			text, err := os.ReadFile("../../../lab/scenarios/" + name + ".star")
@@ -205,20 +207,20 @@
 				assert.Equal(t, []int{0, r.First}, []int{r.Twice, r.Served + r.Refused + r.Failed})
 				wrong := 0
 				for _, c := range r.Classes {
-					wrong += c.Wrong[shows]
+					wrong += c.Wrong[wantFailure]
 				}
-				assert.Equal(t, shows != "", wrong > 20, "seed %d: %d", sc.Seed, wrong)
+				assert.Equal(t, wantFailure != "", wrong > 20, "seed %d: %d", sc.Seed, wrong)
 			}
 		})
 	}
 }
 
-// TestScenarios: those of the repository are read, and hold to what a scenario must.
-func TestScenarios(t *testing.T) {
+// TestRepositoryScenariosLoad: every scenario of the repository can be read.
+func TestRepositoryScenariosLoad(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/scenarios/*.star")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
-	size, err := filepath.Glob("../../../lab/scenarios/size/*.star") // too large to be played in tests
+	size, err := filepath.Glob("../../../lab/scenarios/size/*.star") // too large to be simulated in tests
 	require.NoError(t, err)
 	require.NotEmpty(t, size)
 	for _, f := range append(files, size...) {
--- a/internal/lab/script/site.go
+++ b/internal/lab/script/site.go
@@ -11,9 +11,9 @@
 	"tinsail/internal/lab/sim"
 )
 
-// oneOf takes a named word.
-func oneOf[T any](a *args, name, or string, words map[string]T) T {
-	word := or
+// oneOf removes a keyword argument that must be one of the words, and returns the word's value.
+func oneOf[T any](a *args, name, defaultWord string, words map[string]T) T {
+	word := defaultWord
 	if v, ok := a.named(name); ok {
 		word, _ = starlark.AsString(v)
 	}
@@ -24,7 +24,8 @@
 	return out
 }
 
-// class adds a class of reqs; what traffic() says of works, aims and deadlines then counts for nothing.
+// class adds a class of requests. Where classes exist, the work, aim and deadline of traffic() are not used for
+// requests; they only are the defaults of a class.
 func (r *reader) class(a *args) (starlark.Value, error) {
 	s := &r.sc
 	s.Classes = append(s.Classes, sim.Class{Name: a.text("name"), Share: share(a), Work: a.number("work_ms", s.Work, 0.001, 1e6),
@@ -35,7 +36,8 @@
 	return nil, nil
 }
 
-// share is a class's part of the reqs that traffic() has come; one of tenants' standing demand has none of them.
+// share returns a class's share of the requests that arrive by traffic(). A class of tenants' standing demand has no
+// such share: its requests come from tenants().
 func share(a *args) float64 {
 	if a.number("standing", 0, 0, 1) == 1 {
 		return 0
@@ -43,7 +45,7 @@
 	return a.number("share", 1, 0.001, 1000)
 }
 
-// site says what a site's settings have beside its classes.
+// site sets the dispatchers' settings of a site, other than its classes.
 func (r *reader) site(a *args) (starlark.Value, error) {
 	r.once(a)
 	r.sc.Site = sim.Site{
@@ -56,7 +58,7 @@
 	return nil, nil
 }
 
-// heavy has part of a class's reqs cost so many times as much for a while.
+// heavy multiplies the work of part of a class's requests for some time.
 func (r *reader) heavy(a *args) (starlark.Value, error) {
 	from := a.seconds("start", 0)
 	h := sim.Heavy{From: from, To: from + a.seconds("length", 10_000), Part: a.number("part", 0.02, 0, 1), Times: a.number("times", 10, 1, 1e4)}
@@ -67,14 +69,14 @@
 	return nil, nil
 }
 
-// stale has the dispatchers hear of changes later, for a while.
+// stale delays the dispatchers' knowledge of changes of the list of backends for some time.
 func (r *reader) stale(a *args) (starlark.Value, error) {
 	from := a.seconds("start", 0)
 	r.sc.Stale = append(r.sc.Stale, sim.Stale{From: from, To: from + a.seconds("length", 10_000), By: a.seconds("by", 5000)})
 	return nil, nil
 }
 
-// restart kills a dispatcher, counted from 0, and starts it again with its last list.
+// restart kills a dispatcher, numbered from 0, and starts it again with the last list of backends that it had.
 func (r *reader) restart(a *args) (starlark.Value, error) {
 	r.sc.Restarts = append(r.sc.Restarts, sim.Restart{At: a.seconds("start", 0), Node: int(a.number("dispatcher", 0, 0, 999)),
 		Down: a.seconds("down", 800), Notice: a.seconds("notice", 2500), Orderly: a.number("orderly", 0, 0, 1) == 1})
--- a/internal/lab/script/tenants.go
+++ b/internal/lab/script/tenants.go
@@ -8,10 +8,10 @@
 	"tinsail/internal/lab/sim"
 )
 
-// tenants adds customers that each keep so many times their quota of jobs wanted.
+// tenants adds tenants. Each has a standing demand for jobs, a multiple of its quota.
 func (r *reader) tenants(a *args) (starlark.Value, error) {
 	prefix := a.text("prefix")
-	v, ok := a.next("count")
+	v, ok := a.value("count")
 	if !ok {
 		a.fail("count is missing")
 		return nil, nil
@@ -25,8 +25,8 @@
 	if t.Class == "" {
 		a.fail("job_class is missing or no text")
 	}
-	if len(r.sc.Tenants)+count > mostTenants {
-		a.fail("more than %d tenants", mostTenants)
+	if len(r.sc.Tenants)+count > maxTenants {
+		a.fail("more than %d tenants", maxTenants)
 	}
 	if a.err != nil {
 		return nil, nil
@@ -40,17 +40,18 @@
 	return starlark.NewList(names), nil
 }
 
-// mostTenants bounds what a slip of the pen asks for: each is a line in every dispatcher.
-const mostTenants = 10_000
+// maxTenants limits the tenants of a scenario, in case of a typing error: each tenant has an entry in every dispatcher.
+const maxTenants = 10_000
 
-// measure says over which part of the run tenants' shares are measured, and how long their first reqs are spread over.
+// measure sets the part of the run over which tenants' shares are measured, and the time over which their first
+// requests are spread.
 func (r *reader) measure(a *args) (starlark.Value, error) {
 	r.once(a)
 	r.sc.Window = sim.Window{From: a.seconds("start", 0), To: a.seconds("end", r.sc.Length), Ramp: a.seconds("ramp", 10_000)}
 	return nil, nil
 }
 
-// regions shares the dispatchers out over regions, in order, as evenly as can be.
+// regions divides the dispatchers among regions, in order and as evenly as possible.
 func (r *reader) regions(a *args) (starlark.Value, error) {
 	r.once(a)
 	names := a.names("names")
@@ -71,8 +72,8 @@
 	return nil, nil
 }
 
-// region gives the dispatchers of a region by its name.
-func (r *reader) region(a *args, name string) []int {
+// dispatchersOf returns the dispatchers of the region with this name.
+func (r *reader) dispatchersOf(a *args, name string) []int {
 	for i := range r.sc.Regions {
 		if r.sc.Regions[i].Name == name {
 			return r.sc.Regions[i].Dispatchers
