--- a/cmd/tinsail/accord_rig_test.go
+++ b/cmd/tinsail/accord_rig_test.go
@@ -35,7 +35,7 @@
 	timingSlack   = 20 * time.Millisecond
 )
 
-// recordedFleet is a fleet of processes whose history is recorded and then judged. Each process reaches each
+// recordedFleet is a fleet of processes whose history is recorded and then checked. Each process reaches each
 // voter other than itself through a relay of its own.
 type recordedFleet struct {
 	t        *testing.T
@@ -404,7 +404,7 @@
 
 var accordRules = history.Rules{ClockTolerance: timingSlack, Lease: accordLease, SettleTimeout: settleTimeout, MaxStartsAfterResume: 8}
 
-// reportViolations has a history judged and fails the test for each violation.
+// reportViolations checks a history and fails the test for each violation.
 func (j *recordedFleet) reportViolations(lines []history.Line) {
 	j.t.Helper()
 	for _, v := range history.Check(lines, accordRules) {
--- a/cmd/tinsail/quota_rig_test.go
+++ b/cmd/tinsail/quota_rig_test.go
@@ -393,7 +393,7 @@
 	}
 }
 
-// checkHistory ends the load and has the history judged.
+// checkHistory ends the load and checks the history.
 func (f *recordedQuotaFleet) checkHistory(rules history.Rules) {
 	f.t.Helper()
 	f.stopLoad()
--- a/internal/balance/dispatcher.go
+++ b/internal/balance/dispatcher.go
@@ -496,7 +496,7 @@
 	case Error, ConnectFailed, Reset:
 		d.recordFailure(now, w, "failed attempts")
 	}
-	if w.inFlight == 0 && d.cfg.Instances > len(d.ready) { // that many fill its connection table
+	if w.inFlight == 0 && d.cfg.Instances > len(d.ready) { // idle connections of so many fill its table
 		d.actions.CloseIdle(w.ID)
 	}
 	d.applyReport(now, w, o.Report)
--- a/internal/fleet/accord/accord_test.go
+++ b/internal/fleet/accord/accord_test.go
@@ -29,7 +29,7 @@
 			config := LeaseConfig{Lease: time.Second, Drift: rapid.SampledFrom([]float64{0, 0.001, 0.05}).Draw(t, "drift")}
 			n := rapid.IntRange(2, 9).Draw(t, "dispatchers")
 			config.ContinueWhenCut = rapid.IntRange(0, 9).Draw(t, "keep") == 0 // then all holds but the mutual exclusion of versions
-			s, violation := playSchedule(config, n, rapid.IntRange(5, 60).Draw(t, "steps"), rapid.Uint64().Draw(t, "seed"))
+			s, violation := runSchedule(config, n, rapid.IntRange(5, 60).Draw(t, "steps"), rapid.Uint64().Draw(t, "seed"))
 			require.Empty(t, violation)
 			total++
 			decided += int(s.state.Version)
@@ -42,7 +42,7 @@
 // TestThreeHundred checks the same with as many dispatchers as the largest fleet has.
 func TestThreeHundred(t *testing.T) {
 	for seed := range uint64(scheduleCount(200) / 200) {
-		s, violation := playSchedule(LeaseConfig{Lease: time.Second, Drift: 0.01}, 300, 12, seed)
+		s, violation := runSchedule(LeaseConfig{Lease: time.Second, Drift: 0.01}, 300, 12, seed)
 		require.Empty(t, violation, "seed %d", seed)
 		require.Positive(t, s.servingSeen)
 	}
--- a/internal/fleet/accord/simulation_test.go
+++ b/internal/fleet/accord/simulation_test.go
@@ -377,8 +377,8 @@
 	return ""
 }
 
-// playSchedule plays random faults and proposals, ends all faults, and returns which guarantee was broken.
-func playSchedule(config LeaseConfig, n, steps int, seed uint64) (*simulation, string) {
+// runSchedule applies random faults and proposals, ends all faults, and returns which guarantee was broken.
+func runSchedule(config LeaseConfig, n, steps int, seed uint64) (*simulation, string) {
 	s := newSimulation(config, n, seed)
 	s.propose(s.dispatchers[0], "first")
 	if s.rnd.IntN(2) == 0 {
--- a/internal/network/http2_client_test.go
+++ b/internal/network/http2_client_test.go
@@ -105,7 +105,7 @@
 	return all
 }
 
-// http2Client is an HTTP/2 client that uses x/net's Framer. What it sends is collected and goes out in one write.
+// http2Client is an HTTP/2 client that uses x/net's Framer. Its frames are buffered, and flush sends them in one write.
 type http2Client struct {
 	t       *testing.T
 	conn    *net.TCPConn
@@ -114,7 +114,7 @@
 	decoder *hpack.Decoder
 }
 
-// connectHTTP2 connects and sends the preface with windows that are wide open. read is the size of its receive buffer; 0 for
+// connectHTTP2 connects and sends the preface, with very large flow-control windows. read is the size of its receive buffer; 0 for
 // the default.
 func connectHTTP2(t *testing.T, address string, read int) *http2Client {
 	c := dialHTTP2(t, address, read)
@@ -142,7 +142,7 @@
 	c.framer.WriteWindowUpdate(0, 1<<30)
 }
 
-// appendReq collects a request without a body.
+// appendReq buffers a request without a body.
 func (c *http2Client) appendReq(stream uint32, fields ...string) {
 	var block bytes.Buffer
 	enc := hpack.NewEncoder(&block)
@@ -162,10 +162,10 @@
 	c.appendReq(stream, ":method", "GET", ":scheme", "http", ":path", path)
 }
 
-// appendInvalid collects a frame that ends a connection: DATA on a stream that was never opened.
+// appendInvalid buffers a frame that ends a connection: DATA on a stream that was never opened.
 func (c *http2Client) appendInvalid() { c.framer.WriteRawFrame(http2.FrameData, 0, 99999, []byte("x")) }
 
-// flush writes what is collected.
+// flush writes the buffered frames.
 func (c *http2Client) flush() {
 	_, err := c.conn.Write(c.out.Bytes())
 	require.NoError(c.t, err)
@@ -303,7 +303,7 @@
 	return c, a, l
 }
 
-// startWithLongDeadlines starts a dispatcher whose requests have an hour, so that no deadline ends them in a test.
+// startWithLongDeadlines starts a dispatcher whose requests have a deadline of one hour, so that no deadline ends them in a test.
 func startWithLongDeadlines(t *testing.T, b core.Backends, change ...func(*Clients)) *testServer {
 	long := func(c *Clients) { c.Names.Deadlines, c.LongestDeadline = []time.Duration{time.Hour}, time.Hour }
 	return startServer(t, b, append([]func(*Clients){long}, change...)...)
