--- a/internal/standin/accordhistory/history.go
+++ b/internal/standin/accordhistory/history.go
@@ -1,7 +1,7 @@
-// Package accordhistory judges the recorded history of a fleet that changes its policy by the accord
-// (docs/design/accord.md). It knows lines alone: what backends saw, what the processes logged, what
-// clients were answered and what the rig did to them. It shares no code with what it judges, so that a
-// mistake there shows here; its tests show that it can say no.
+// Package accordhistory checks the recorded history of a fleet that changes its policy through the accord
+// (docs/design/accord.md). Its input is the recorded lines alone: what backends observed, what the processes logged,
+// what clients were answered and what the test rig did to the processes. It shares no code with the implementation that it
+// checks, so that an error there isn't repeated here. Its tests show that it finds each violation.
 package accordhistory
 
 import (
@@ -13,45 +13,45 @@
 	"time"
 )
 
-// The sides that a line can come from.
+// Values of Line.Source: where a line comes from.
 const (
-	SourceBackend = "backend" // an attempt's head is whole (started) or its end is sent
-	SourceLog     = "control" // a log event of the accord, its name without "accord: "
-	SourceClient  = "client"  // a req was asked, or has its status
-	SourceRig     = "rig"     // what was done to a process, or to the fleet
+	SourceBackend = "backend" // a backend received the whole head of an attempt (Started), or sent the end of its answer
+	SourceLog     = "control" // a process logged an event of the accord; Event is its name without "accord: "
+	SourceClient  = "client"  // a client sent a request, or received its status
+	SourceRig     = "rig"     // the rig did something to a process or to the fleet
 )
 
-// Events of the rig. Those of one process name it; FaultsStarted and FaultsEnded are the fleet's.
+// Values of Line.Event for SourceRig. FaultsStarted and FaultsEnded concern the whole fleet; the others name the process.
 const (
-	ProcessStarted   = "began"   // a life of a process begins
-	ProcessEnded     = "ended"   // it was killed or has ended
-	ProcessSuspended = "stopped" // it is stopped by a signal
-	ProcessResumed   = "woken"   // it runs again
-	CutOff           = "cut"     // it hears of no voter any more
+	ProcessStarted   = "began"   // a new incarnation of the process starts
+	ProcessEnded     = "ended"   // it was killed or has exited
+	ProcessSuspended = "stopped" // it was suspended by a signal
+	ProcessResumed   = "woken"   // it was resumed
+	CutOff           = "cut"     // it no longer receives anything from any voter
 	Reconnected      = "mended"
-	FaultsStarted    = "fault" // the fleet has faults from now on
-	FaultsEnded      = "over"  // no fault is left: from here on the fleet has to settle
+	FaultsStarted    = "fault" // faults are in effect from now on
+	FaultsEnded      = "over"  // no fault is in effect any more; the fleet has to settle from now on
 )
 
-// Line is one line of the history. T is Unix time in nanoseconds of one clock of the machine.
+// Line is one record of the history.
 type Line struct {
-	Time       int64  `json:"t"`
+	Time       int64  `json:"t"` // Unix time in nanoseconds; all lines use one clock of the machine
 	Source     string `json:"side"`
 	Backend    string `json:"backend,omitempty"`
-	Dispatcher string `json:"dispatcher,omitempty"` // of a client's line: whom it asked
+	Dispatcher string `json:"dispatcher,omitempty"` // on client lines: the dispatcher the request was sent to
 	Req        string `json:"req,omitempty"`
 	Version    uint64 `json:"version,omitempty"`
-	Started    bool   `json:"started,omitempty"`
+	Started    bool   `json:"started,omitempty"` // on backend lines: the attempt arrived; otherwise its answer ended
 	Process    string `json:"process,omitempty"`
 	Event      string `json:"event,omitempty"`
 	Change     string `json:"change,omitempty"`
 	Reason     string `json:"why,omitempty"`
 	Proposer   string `json:"by,omitempty"`
-	Sent       bool   `json:"asked,omitempty"`
-	Status     int    `json:"status,omitempty"` // 0 of a client's line that is no ask: its connection broke
+	Sent       bool   `json:"asked,omitempty"`  // on client lines: the request was sent; otherwise its status arrived
+	Status     int    `json:"status,omitempty"` // on client lines without Sent: the status; 0: the connection broke
 }
 
-// Read reads JSON lines. Keys that it does not know are left out.
+// Read decodes JSON lines up to the end of r. Unknown keys are ignored; a line without a time or with an unknown source is an error.
 func Read(r io.Reader) ([]Line, error) {
 	var out []Line
 	for d := json.NewDecoder(r); ; {
@@ -61,7 +61,7 @@
 			return out, nil
 		}
 		if err == nil && (l.Time <= 0 || !slices.Contains([]string{SourceBackend, SourceLog, SourceClient, SourceRig}, l.Source)) {
-			err = fmt.Errorf("line %d: no time, or side %q", len(out)+1, l.Source)
+			err = fmt.Errorf("line %d: no time, or unknown source %q", len(out)+1, l.Source)
 		}
 		if err != nil {
 			return nil, err
@@ -70,22 +70,24 @@
 	}
 }
 
-// Rules are what a history is judged by.
+// Rules are the time limits and allowances of the checks.
 type Rules struct {
-	// ClockTolerance is the most that a start's bytes may travel and wait, and that a line's time may be late.
+	// ClockTolerance is the longest delay allowed between the start of an attempt and its arrival at the backend, and
+	// between an event and the time of its line.
 	ClockTolerance time.Duration
-	// Lease is L: what was taken before a cut begins within it. 0: cuts are not judged.
+	// Lease is the lease duration L: a dispatcher that is cut off may start attempts for this long. 0: cuts are not checked.
 	Lease time.Duration
-	// SettleTimeout is the time after the faults' end within which the fleet is on one version.
+	// SettleTimeout is the time after the end of the faults within which the fleet must be on one version.
 	SettleTimeout time.Duration
-	// MaxStartsAfterResume is how many starts of one process within Slack of its wake are not counted as versions at
-	// one moment: the attempts that were between check and write when it was stopped.
+	// MaxStartsAfterResume is how many starts of one process within ClockTolerance of its resumption may use an older
+	// version than others already do: these attempts had passed the check but weren't written when it was suspended.
 	MaxStartsAfterResume int
-	// ContinueWhenCut leaves out what when_cut = "keep" does not promise: one version at a moment, and cuts.
+	// ContinueWhenCut skips the rules that the setting when_cut = "keep" doesn't guarantee: one version at a moment, and
+	// stopping when cut off.
 	ContinueWhenCut bool
 }
 
-// Violation is a rule that a history breaks.
+// Violation is one breach of a rule, with a description.
 type Violation struct {
 	Rule    Rule
 	Message string
@@ -93,10 +95,10 @@
 
 func (v Violation) String() string { return string(v.Rule) + ": " + v.Message }
 
-// Rule names what has to hold.
+// Rule is the name of a rule, as reports print it.
 type Rule string
 
-// The rules, as the note's page on the recorded history has them, and two of its promises.
+// The rules: those of the section on the recorded history in docs/design/accord.md, and two more of its guarantees.
 const (
 	OneVersionAtOnce    Rule = "one version at a moment"
 	OneVersionPerReq    Rule = "one version of a req"
@@ -110,46 +112,48 @@
 	RefusedNotDecided   Rule = "what one refused is nowhere"
 )
 
-// Check finds all that is wrong with a history, in any order of lines; none: it holds.
+// Check returns every violation in a history, whose lines may come in any order.
 func Check(lines []Line, rules Rules) []Violation {
-	j := &checker{rules: rules, lines: slices.Clone(lines)}
-	slices.SortStableFunc(j.lines, func(a, b Line) int { return int(min(max(a.Time-b.Time, -1), 1)) })
+	c := &checker{rules: rules, lines: slices.Clone(lines)}
+	slices.SortStableFunc(c.lines, func(a, b Line) int { return int(min(max(a.Time-b.Time, -1), 1)) })
 	if !rules.ContinueWhenCut {
-		j.checkOneVersionAtOnce()
-		j.checkCutOff()
+		c.checkOneVersionAtOnce()
+		c.checkCutOff()
 	}
-	j.checkReqs()
-	j.checkDecisions()
-	j.checkResults()
-	j.checkVersionOrder()
-	j.checkAnswers()
-	j.checkSettles()
-	return j.out
+	c.checkReqs()
+	c.checkDecisions()
+	c.checkResults()
+	c.checkVersionOrder()
+	c.checkAnswers()
+	c.checkSettles()
+	return c.out
 }
 
+// checker holds the lines, in order of time, and the violations found so far.
 type checker struct {
 	rules Rules
 	lines []Line
 	out   []Violation
 }
 
-func (j *checker) report(r Rule, text string, args ...any) {
-	j.out = append(j.out, Violation{r, fmt.Sprintf(text, args...)})
+func (c *checker) report(r Rule, text string, args ...any) {
+	c.out = append(c.out, Violation{r, fmt.Sprintf(text, args...)})
 }
 
-// VersionSpans are the first and last start of each version, less those that a woken process had in hand.
+// VersionSpans returns the first and the last start of each version. It leaves out up to MaxStartsAfterResume late starts of a
+// process that was resumed. The lines must be in order of time.
 func VersionSpans(lines []Line, rules Rules) map[uint64][2]Line {
-	out, woke, excused := map[uint64][2]Line{}, map[string]int64{}, map[string]int{}
+	out, resumedAt, lateStarts := map[uint64][2]Line{}, map[string]int64{}, map[string]int{}
 	for _, l := range lines {
 		if l.Source == SourceRig && l.Event == ProcessResumed {
-			woke[l.Process], excused[l.Process] = l.Time, 0
+			resumedAt[l.Process], lateStarts[l.Process] = l.Time, 0
 		}
 		if l.Source != SourceBackend || !l.Started {
 			continue
 		}
 		span, seen := out[l.Version]
-		if at, ok := woke[l.Dispatcher]; ok && seen && l.Time-at <= int64(rules.ClockTolerance) && excused[l.Dispatcher] < rules.MaxStartsAfterResume && hasLaterVersion(out, l) {
-			excused[l.Dispatcher]++
+		if at, ok := resumedAt[l.Dispatcher]; ok && seen && l.Time-at <= int64(rules.ClockTolerance) && lateStarts[l.Dispatcher] < rules.MaxStartsAfterResume && hasLaterVersion(out, l) {
+			lateStarts[l.Dispatcher]++
 			continue
 		}
 		if !seen {
@@ -161,7 +165,7 @@
 	return out
 }
 
-// hasLaterVersion says whether a version after the line's has started already.
+// hasLaterVersion reports whether a version later than that of the line has already started.
 func hasLaterVersion(spans map[uint64][2]Line, l Line) bool {
 	for v := range spans {
 		if v > l.Version {
@@ -171,95 +175,95 @@
 	return false
 }
 
-func (j *checker) checkOneVersionAtOnce() {
-	spans := VersionSpans(j.lines, j.rules)
+func (c *checker) checkOneVersionAtOnce() {
+	spans := VersionSpans(c.lines, c.rules)
 	for a, old := range spans {
 		for b, next := range spans {
-			if a < b && old[1].Time-int64(j.rules.ClockTolerance) >= next[0].Time {
-				j.report(OneVersionAtOnce, "%s began %s by %d %v after %s began %s by %d", old[1].Dispatcher, old[1].Req, a,
+			if a < b && old[1].Time-int64(c.rules.ClockTolerance) >= next[0].Time {
+				c.report(OneVersionAtOnce, "%s started %s under version %d %v after %s started %s under version %d", old[1].Dispatcher, old[1].Req, a,
 					time.Duration(old[1].Time-next[0].Time), next[0].Dispatcher, next[0].Req, b)
 			}
 		}
 	}
 }
 
-// checkCutOff finds starts of a dispatcher that has been cut off for a lease.
-func (j *checker) checkCutOff() {
+// checkCutOff finds attempts that a dispatcher started after it had been cut off for longer than a lease.
+func (c *checker) checkCutOff() {
 	cut := map[string]int64{}
-	for _, l := range j.lines {
+	for _, l := range c.lines {
 		switch {
 		case l.Source == SourceRig && l.Event == CutOff:
 			cut[l.Process] = l.Time
 		case l.Source == SourceRig && (l.Event == Reconnected || l.Event == ProcessStarted):
 			delete(cut, l.Process)
-		case l.Source == SourceBackend && l.Started && j.rules.Lease > 0:
-			if at, ok := cut[l.Dispatcher]; ok && l.Time > at+int64(j.rules.Lease+j.rules.ClockTolerance) {
-				j.report(StopsWhenCut, "%s began %s %v after it was cut off", l.Dispatcher, l.Req, time.Duration(l.Time-at))
+		case l.Source == SourceBackend && l.Started && c.rules.Lease > 0:
+			if at, ok := cut[l.Dispatcher]; ok && l.Time > at+int64(c.rules.Lease+c.rules.ClockTolerance) {
+				c.report(StopsWhenCut, "%s started %s %v after it was cut off", l.Dispatcher, l.Req, time.Duration(l.Time-at))
 			}
 		}
 	}
 }
 
-// checkReqs finds checkReqs with two versions from one dispatcher, or with none, and versions used before they
-// were decided.
-func (j *checker) checkReqs() {
+// checkReqs finds requests that one dispatcher sent under two versions or under none, and versions used before they were
+// decided.
+func (c *checker) checkReqs() {
 	decided := map[uint64]int64{}
-	for _, l := range j.lines {
+	for _, l := range c.lines {
 		if _, ok := decided[l.Version]; l.Source == SourceLog && l.Event == "decided" && !ok {
 			decided[l.Version] = l.Time
 		}
 	}
-	of, told := map[[2]string]uint64{}, map[uint64]bool{}
-	for _, l := range j.lines {
+	versions, reported := map[[2]string]uint64{}, map[uint64]bool{}
+	for _, l := range c.lines {
 		if l.Source != SourceBackend {
 			continue
 		}
 		key := [2]string{l.Dispatcher, l.Req}
-		if v, ok := of[key]; ok && v != l.Version || l.Version == 0 {
-			j.report(OneVersionPerReq, "%s of %s by %d and %d", l.Req, l.Dispatcher, v, l.Version)
+		if v, ok := versions[key]; ok && v != l.Version || l.Version == 0 {
+			c.report(OneVersionPerReq, "%s was sent by %s under versions %d and %d", l.Req, l.Dispatcher, v, l.Version)
 		}
-		of[key] = l.Version
-		if at, ok := decided[l.Version]; l.Started && !told[l.Version] && (!ok || l.Time+int64(j.rules.ClockTolerance) < at) {
-			told[l.Version] = true
-			j.report(DecidedBeforeUse, "%s began by %d, decided at no earlier time", l.Req, l.Version)
+		versions[key] = l.Version
+		if at, ok := decided[l.Version]; l.Started && !reported[l.Version] && (!ok || l.Time+int64(c.rules.ClockTolerance) < at) {
+			reported[l.Version] = true
+			c.report(DecidedBeforeUse, "%s started under version %d, which was not decided before", l.Req, l.Version)
 		}
 	}
 }
 
-// checkDecisions finds versions with two contents.
-func (j *checker) checkDecisions() {
-	change, by := map[uint64]string{}, map[uint64]string{}
-	for _, l := range j.lines {
+// checkDecisions finds versions with two changes or two proposers, and changes with two versions.
+func (c *checker) checkDecisions() {
+	changes, proposers := map[uint64]string{}, map[uint64]string{}
+	for _, l := range c.lines {
 		if l.Source != SourceLog || l.Event != "decided" && l.Event != "in force" {
 			continue
 		}
-		if l.Event == "in force" && (l.Change == "0" || l.Change == "") { // its first lease, and not by a change that it took part in
+		if l.Event == "in force" && (l.Change == "0" || l.Change == "") { // the version of its first lease, without a change that it took part in
 			continue
 		}
-		if was, ok := change[l.Version]; ok && was != l.Change {
-			j.report(OneChangePerVersion, "%d is the change %s and, at %s, %s", l.Version, was, l.Process, l.Change)
+		if known, ok := changes[l.Version]; ok && known != l.Change {
+			c.report(OneChangePerVersion, "version %d is change %s and, at %s, change %s", l.Version, known, l.Process, l.Change)
 		}
-		change[l.Version] = l.Change
+		changes[l.Version] = l.Change
 		if l.Event == "decided" {
-			if was, ok := by[l.Version]; ok && was != l.Proposer {
-				j.report(OneChangePerVersion, "%d is by %s and, at %s, by %s", l.Version, was, l.Process, l.Proposer)
+			if known, ok := proposers[l.Version]; ok && known != l.Proposer {
+				c.report(OneChangePerVersion, "version %d was proposed by %s and, at %s, by %s", l.Version, known, l.Process, l.Proposer)
 			}
-			by[l.Version] = l.Proposer
+			proposers[l.Version] = l.Proposer
 		}
 	}
-	for v, c := range change {
-		for w, d := range change {
-			if v < w && c == d {
-				j.report(OneChangePerVersion, "the change %s is %d and %d", c, v, w)
+	for v, change := range changes {
+		for w, other := range changes {
+			if v < w && change == other {
+				c.report(OneChangePerVersion, "change %s is version %d and version %d", change, v, w)
 			}
 		}
 	}
 }
 
-// checkResults finds changes that were decided and withdrawn, or decided although one refused.
-func (j *checker) checkResults() {
+// checkResults finds changes that were both decided and withdrawn, or decided although a process refused them.
+func (c *checker) checkResults() {
 	decided, withdrawn, refused := map[string]bool{}, map[string]string{}, map[string]string{}
-	for _, l := range j.lines {
+	for _, l := range c.lines {
 		if l.Source != SourceLog || l.Change == "0" || l.Change == "" {
 			continue
 		}
@@ -274,66 +278,66 @@
 			}
 		}
 	}
-	for c := range decided {
-		if p, ok := withdrawn[c]; ok {
-			j.report(OneResultPerChange, "%s was decided, and is withdrawn at %s", c, p)
+	for change := range decided {
+		if p, ok := withdrawn[change]; ok {
+			c.report(OneResultPerChange, "change %s was decided, but withdrawn at %s", change, p)
 		}
-		if p, ok := refused[c]; ok {
-			j.report(RefusedNotDecided, "%s was decided, and %s refused it", c, p)
+		if p, ok := refused[change]; ok {
+			c.report(RefusedNotDecided, "change %s was decided, but %s refused it", change, p)
 		}
 	}
 }
 
-// checkVersionOrder finds versions that go down in one life of a process.
-func (j *checker) checkVersionOrder() {
-	held, most := map[string]uint64{}, uint64(0)
-	for _, l := range j.lines {
+// checkVersionOrder finds versions that decrease within one incarnation of a process, and decided versions that skip a number.
+func (c *checker) checkVersionOrder() {
+	versions, decided := map[string]uint64{}, uint64(0)
+	for _, l := range c.lines {
 		switch {
 		case l.Source == SourceRig && l.Event == ProcessStarted:
-			delete(held, l.Process)
+			delete(versions, l.Process)
 		case l.Source == SourceLog && l.Event == "in force":
-			if l.Version < held[l.Process] {
-				j.report(VersionsIncrease, "%s had %d and then %d", l.Process, held[l.Process], l.Version)
+			if l.Version < versions[l.Process] {
+				c.report(VersionsIncrease, "%s went from version %d back to %d", l.Process, versions[l.Process], l.Version)
 			}
-			held[l.Process] = l.Version
+			versions[l.Process] = l.Version
 		case l.Source == SourceLog && l.Event == "decided":
-			if l.Version > most+1 {
-				j.report(VersionsIncrease, "%d was decided after %d", l.Version, most)
+			if l.Version > decided+1 {
+				c.report(VersionsIncrease, "version %d was decided directly after %d", l.Version, decided)
 			}
-			most = max(most, l.Version)
+			decided = max(decided, l.Version)
 		}
 	}
 }
 
-// checkAnswers finds reqs with no status or two. One that broke because its dispatcher was ended under it was
-// not lost by the accord.
-func (j *checker) checkAnswers() {
+// checkAnswers finds requests without exactly one status. A request whose connection broke, or that has no status, isn't
+// counted as lost if its dispatcher's process ended after it was sent: the accord didn't cause that.
+func (c *checker) checkAnswers() {
 	type req struct {
-		to     string
-		at     int64
-		status []int
+		dispatcher string
+		sentAt     int64
+		statuses   []int
 	}
 	reqs, ended := map[string]*req{}, map[string][]int64{}
-	for _, l := range j.lines {
+	for _, l := range c.lines {
 		switch {
 		case l.Source == SourceRig && l.Event == ProcessEnded:
 			ended[l.Process] = append(ended[l.Process], l.Time)
 		case l.Source != SourceClient:
 		case l.Sent:
-			reqs[l.Req] = &req{to: l.Dispatcher, at: l.Time}
+			reqs[l.Req] = &req{dispatcher: l.Dispatcher, sentAt: l.Time}
 		case reqs[l.Req] == nil:
-			j.report(NoReqLost, "%s has %d and was never asked", l.Req, l.Status)
+			c.report(NoReqLost, "request %s has status %d but was never sent", l.Req, l.Status)
 		default:
-			reqs[l.Req].status = append(reqs[l.Req].status, l.Status)
+			reqs[l.Req].statuses = append(reqs[l.Req].statuses, l.Status)
 		}
 	}
 	for id, r := range reqs {
-		over := slices.ContainsFunc(ended[r.to], func(at int64) bool { return at >= r.at-int64(j.rules.ClockTolerance) })
+		processEnded := slices.ContainsFunc(ended[r.dispatcher], func(at int64) bool { return at >= r.sentAt-int64(c.rules.ClockTolerance) })
 		switch {
-		case len(r.status) == 1 && (r.status[0] != 0 || over):
-		case len(r.status) == 0 && over:
+		case len(r.statuses) == 1 && (r.statuses[0] != 0 || processEnded):
+		case len(r.statuses) == 0 && processEnded:
 		default:
-			j.report(NoReqLost, "%s, asked of %s, has the answers %v", id, r.to, r.status)
+			c.report(NoReqLost, "request %s, sent to %s, has statuses %v", id, r.dispatcher, r.statuses)
 		}
 	}
 }
--- a/internal/standin/accordhistory/history_test.go
+++ b/internal/standin/accordhistory/history_test.go
@@ -16,8 +16,8 @@
 
 var rules = Rules{ClockTolerance: 20 * time.Millisecond, Lease: 100 * time.Millisecond, SettleTimeout: 300 * time.Millisecond, MaxStartsAfterResume: 1}
 
-// validHistory is a history in which all holds: version 1, a change that b refuses, a fault of a and c under which
-// the change "2a" takes hold, a req that breaks because its process was killed.
+// validHistory keeps all rules: version 1 is decided, b refuses a change, change "2a" is decided while a and c have faults, and
+// a request breaks because its process was killed.
 const validHistory = `
 {"t":1,"side":"rig","event":"began","process":"a"}
 {"t":1,"side":"rig","event":"began","process":"b"}
@@ -66,15 +66,15 @@
 {"t":999,"side":"client","req":"r5","status":503}
 `
 
-// historyWith is the good historyWith with lines added; t is in milliseconds.
+// historyWith returns validHistory less the lines that contain without, if it isn't empty, plus more. Texts give t in milliseconds.
 func historyWith(t *testing.T, without string, more ...string) []Line {
-	var kept []string
+	var texts []string
 	for _, text := range append(strings.Split(strings.TrimSpace(validHistory), "\n"), more...) {
 		if without == "" || !strings.Contains(text, without) {
-			kept = append(kept, text)
+			texts = append(texts, text)
 		}
 	}
-	lines, err := Read(strings.NewReader(strings.Join(kept, "\n")))
+	lines, err := Read(strings.NewReader(strings.Join(texts, "\n")))
 	require.NoError(t, err)
 	for i := range lines {
 		lines[i].Time *= ms
@@ -82,7 +82,7 @@
 	return lines
 }
 
-// TestCheckFindsEachViolation: the good history holds, and each rule finds its own breach and nothing else does.
+// TestCheckFindsEachViolation checks that validHistory has no violation, and that each fault breaks its own rule and no other.
 func TestCheckFindsEachViolation(t *testing.T) {
 	assert.Empty(t, Check(historyWith(t, ""), rules))
 	for name, c := range map[string]struct {
@@ -90,33 +90,33 @@
 		without string
 		more    []string
 	}{
-		"an old start after a new one": {OneVersionAtOnce, "", []string{`{"t":560,"side":"backend","dispatcher":"b","req":"x","version":1,"started":true}`}},
-		"a new one before the old end": {OneVersionAtOnce, "", []string{`{"t":399,"side":"backend","dispatcher":"b","req":"x","version":2,"started":true}`,
+		"a start under the old version after one under the new": {OneVersionAtOnce, "", []string{`{"t":560,"side":"backend","dispatcher":"b","req":"x","version":1,"started":true}`}},
+		"a start under the new version before the last under the old": {OneVersionAtOnce, "", []string{`{"t":399,"side":"backend","dispatcher":"b","req":"x","version":2,"started":true}`,
 			`{"t":398,"side":"control","process":"b","event":"decided","version":2,"change":"2a","by":"b"}`}},
-		"a second start after a wake":       {OneVersionAtOnce, "", []string{`{"t":606,"side":"backend","dispatcher":"c","req":"x","version":1,"started":true}`}},
-		"a start long after a wake":         {OneVersionAtOnce, "", []string{`{"t":650,"side":"backend","dispatcher":"c","req":"x","version":1,"started":true}`}},
-		"two versions of a req":             {OneVersionPerReq, "", []string{`{"t":25,"side":"backend","dispatcher":"a","req":"r1","version":2}`}},
-		"a start with no version":           {OneVersionPerReq, "", []string{`{"t":25,"side":"backend","dispatcher":"a","req":"x"}`}},
-		"used before it was decided":        {DecidedBeforeUse, "", []string{`{"t":481,"side":"backend","dispatcher":"b","req":"x","version":2,"started":true}`}},
-		"used and never decided":            {DecidedBeforeUse, "", []string{`{"t":990,"side":"backend","dispatcher":"b","req":"x","version":3,"started":true}`}},
-		"decided twice":                     {OneChangePerVersion, "", []string{`{"t":525,"side":"control","process":"c","event":"decided","version":2,"change":"2c","by":"b"}`}},
-		"decided by two":                    {OneChangePerVersion, "", []string{`{"t":525,"side":"control","process":"c","event":"decided","version":2,"change":"2a","by":"c"}`}},
-		"one change, two versions":          {OneChangePerVersion, "", []string{`{"t":525,"side":"control","process":"b","event":"decided","version":3,"change":"2a","by":"b"}`, `{"t":800,"side":"control","process":"a","event":"in force","version":3,"change":"2a"}`, `{"t":800,"side":"control","process":"b","event":"in force","version":3,"change":"2a"}`, `{"t":800,"side":"control","process":"c","event":"in force","version":3,"change":"2a"}`}},
-		"in force with another content":     {OneChangePerVersion, "", []string{`{"t":760,"side":"control","process":"c","event":"in force","version":2,"change":"2c"}`}},
-		"decided and withdrawn":             {OneResultPerChange, "", []string{`{"t":525,"side":"control","process":"c","event":"withdrawn","version":2,"change":"2a"}`}},
-		"decided although one refused":      {RefusedNotDecided, "", []string{`{"t":510,"side":"control","process":"c","event":"checked","version":2,"change":"2a","why":"no"}`}},
-		"a version goes back":               {VersionsIncrease, "", []string{`{"t":800,"side":"control","process":"b","event":"in force","version":1,"change":"1a"}`, `{"t":801,"side":"control","process":"b","event":"in force","version":2,"change":"2a"}`}},
-		"a version is left out":             {VersionsIncrease, `"version":2,"change":"2a"`, []string{`{"t":525,"side":"control","process":"b","event":"decided","version":3,"change":"2a"}`}},
-		"a req without an answer":           {NoReqLost, `"req":"r4","status"`, nil},
-		"a req with two":                    {NoReqLost, "", []string{`{"t":35,"side":"client","req":"r1","status":200}`}},
-		"a req that broke, its process not": {NoReqLost, "", []string{`{"t":35,"side":"client","req":"x","dispatcher":"b","asked":true}`, `{"t":36,"side":"client","req":"x"}`}},
-		"an answer nobody asked":            {NoReqLost, "", []string{`{"t":36,"side":"client","req":"x","status":200}`}},
-		"one stays behind":                  {SettlesAfterFaults, `"t":701`, nil},
-		"one is late":                       {SettlesAfterFaults, `"t":701`, []string{`{"t":930,"side":"control","process":"a","event":"in force","version":2,"change":"2a"}`}},
-		"one stays fenced":                  {SettlesAfterFaults, "", []string{`{"t":702,"side":"control","process":"b","event":"fenced","version":2,"why":"lease over"}`}},
-		"a change without an end":           {SettlesAfterFaults, "", []string{`{"t":605,"side":"control","process":"b","event":"checking","version":3,"change":"2d"}`}},
-		"the first fault finds one behind":  {SettlesAfterFaults, `"t":12,"side":"control","process":"b"`, nil},
-		"a start after the cut":             {StopsWhenCut, "", []string{`{"t":530,"side":"backend","dispatcher":"c","req":"r2","version":1,"started":true}`}},
+		"a second start after a resumption":           {OneVersionAtOnce, "", []string{`{"t":606,"side":"backend","dispatcher":"c","req":"x","version":1,"started":true}`}},
+		"a start long after a resumption":             {OneVersionAtOnce, "", []string{`{"t":650,"side":"backend","dispatcher":"c","req":"x","version":1,"started":true}`}},
+		"two versions of a request":                   {OneVersionPerReq, "", []string{`{"t":25,"side":"backend","dispatcher":"a","req":"r1","version":2}`}},
+		"a start with no version":                     {OneVersionPerReq, "", []string{`{"t":25,"side":"backend","dispatcher":"a","req":"x"}`}},
+		"used before it was decided":                  {DecidedBeforeUse, "", []string{`{"t":481,"side":"backend","dispatcher":"b","req":"x","version":2,"started":true}`}},
+		"used but never decided":                      {DecidedBeforeUse, "", []string{`{"t":990,"side":"backend","dispatcher":"b","req":"x","version":3,"started":true}`}},
+		"two changes decided as one version":          {OneChangePerVersion, "", []string{`{"t":525,"side":"control","process":"c","event":"decided","version":2,"change":"2c","by":"b"}`}},
+		"two proposers of one version":                {OneChangePerVersion, "", []string{`{"t":525,"side":"control","process":"c","event":"decided","version":2,"change":"2a","by":"c"}`}},
+		"one change, two versions":                    {OneChangePerVersion, "", []string{`{"t":525,"side":"control","process":"b","event":"decided","version":3,"change":"2a","by":"b"}`, `{"t":800,"side":"control","process":"a","event":"in force","version":3,"change":"2a"}`, `{"t":800,"side":"control","process":"b","event":"in force","version":3,"change":"2a"}`, `{"t":800,"side":"control","process":"c","event":"in force","version":3,"change":"2a"}`}},
+		"another change in force as the version":      {OneChangePerVersion, "", []string{`{"t":760,"side":"control","process":"c","event":"in force","version":2,"change":"2c"}`}},
+		"decided and withdrawn":                       {OneResultPerChange, "", []string{`{"t":525,"side":"control","process":"c","event":"withdrawn","version":2,"change":"2a"}`}},
+		"decided although one refused":                {RefusedNotDecided, "", []string{`{"t":510,"side":"control","process":"c","event":"checked","version":2,"change":"2a","why":"no"}`}},
+		"a version decreases":                         {VersionsIncrease, "", []string{`{"t":800,"side":"control","process":"b","event":"in force","version":1,"change":"1a"}`, `{"t":801,"side":"control","process":"b","event":"in force","version":2,"change":"2a"}`}},
+		"a version is skipped":                        {VersionsIncrease, `"version":2,"change":"2a"`, []string{`{"t":525,"side":"control","process":"b","event":"decided","version":3,"change":"2a"}`}},
+		"a request without an answer":                 {NoReqLost, `"req":"r4","status"`, nil},
+		"a request with two answers":                  {NoReqLost, "", []string{`{"t":35,"side":"client","req":"r1","status":200}`}},
+		"a broken request whose process did not end":  {NoReqLost, "", []string{`{"t":35,"side":"client","req":"x","dispatcher":"b","asked":true}`, `{"t":36,"side":"client","req":"x"}`}},
+		"an answer to no request":                     {NoReqLost, "", []string{`{"t":36,"side":"client","req":"x","status":200}`}},
+		"a process stays behind":                      {SettlesAfterFaults, `"t":701`, nil},
+		"a process is late":                           {SettlesAfterFaults, `"t":701`, []string{`{"t":930,"side":"control","process":"a","event":"in force","version":2,"change":"2a"}`}},
+		"a process does not accept again":             {SettlesAfterFaults, "", []string{`{"t":702,"side":"control","process":"b","event":"fenced","version":2,"why":"lease over"}`}},
+		"a change without a result":                   {SettlesAfterFaults, "", []string{`{"t":605,"side":"control","process":"b","event":"checking","version":3,"change":"2d"}`}},
+		"a process is behind before the first faults": {SettlesAfterFaults, `"t":12,"side":"control","process":"b"`, nil},
+		"a start after the cut":                       {StopsWhenCut, "", []string{`{"t":530,"side":"backend","dispatcher":"c","req":"r2","version":1,"started":true}`}},
 	} {
 		got := Check(historyWith(t, c.without, c.more...), rules)
 		if assert.NotEmpty(t, got, name) {
@@ -129,17 +129,18 @@
 	}
 }
 
-// TestContinueWhenCut: under "keep" a cut-off dispatcher may go on by the old version, and nothing else may differ.
+// TestContinueWhenCut checks that under "keep" a dispatcher that is cut off may continue with the old version, and that the
+// other rules still apply.
 func TestContinueWhenCut(t *testing.T) {
 	keep := rules
 	keep.ContinueWhenCut = true
-	late := `{"t":590,"side":"backend","dispatcher":"c","req":"x","version":1,"started":true}`
-	assert.Len(t, Check(historyWith(t, "", late), rules), 2)
-	assert.Empty(t, Check(historyWith(t, "", late), keep))
-	assert.NotEmpty(t, Check(historyWith(t, `"t":701`, late), keep))
+	lateStart := `{"t":590,"side":"backend","dispatcher":"c","req":"x","version":1,"started":true}`
+	assert.Len(t, Check(historyWith(t, "", lateStart), rules), 2)
+	assert.Empty(t, Check(historyWith(t, "", lateStart), keep))
+	assert.NotEmpty(t, Check(historyWith(t, `"t":701`, lateStart), keep))
 }
 
-// TestRead: lines are read as they are written, and what is no line of a history is not.
+// TestRead checks that encoded lines are read back the same, and that malformed lines are errors.
 func TestRead(t *testing.T) {
 	var b bytes.Buffer
 	want := historyWith(t, "")
@@ -155,20 +156,20 @@
 	}
 }
 
-// TestChangeOnlyTheLeaderKnewNeedsNoResult: a change of which only a leader knew that was killed, or leads no more, needs no end; one
-// that another process checked does.
+// TestChangeOnlyTheLeaderKnewNeedsNoResult checks that a change needs no result if only its leader knew of it, and that leader
+// was killed or no longer leads. A change that another process checked does need one.
 func TestChangeOnlyTheLeaderKnewNeedsNoResult(t *testing.T) {
 	checking := `{"t":402,"side":"control","process":"a","event":"checking","version":2,"change":"1c"}`
 	assert.Empty(t, Check(historyWith(t, "", checking), rules))
 	got := Check(historyWith(t, "", checking, `{"t":403,"side":"control","process":"b","event":"checked","version":2,"change":"1c"}`), rules)
 	require.Len(t, got, 1)
 	assert.Equal(t, SettlesAfterFaults, got[0].Rule)
-	late := `{"t":605,"side":"control","process":"b","event":"checking","version":3,"change":"2d"}`
-	assert.NotEmpty(t, Check(historyWith(t, "", late), rules))
-	assert.Empty(t, Check(historyWith(t, "", late, `{"t":606,"side":"control","process":"b","event":"leads no more"}`), rules))
+	unfinished := `{"t":605,"side":"control","process":"b","event":"checking","version":3,"change":"2d"}`
+	assert.NotEmpty(t, Check(historyWith(t, "", unfinished), rules))
+	assert.Empty(t, Check(historyWith(t, "", unfinished, `{"t":606,"side":"control","process":"b","event":"leads no more"}`), rules))
 }
 
-// TestUnsettled names who is behind.
+// TestUnsettled checks that the processes that are behind are named.
 func TestUnsettled(t *testing.T) {
 	assert.Empty(t, Unsettled(historyWith(t, "")))
 	assert.Equal(t, []string{"a"}, Unsettled(historyWith(t, `"t":701`)))
--- a/internal/standin/accordhistory/settle.go
+++ b/internal/standin/accordhistory/settle.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// fleetState is what a history has told of the processes up to some line.
+// fleetState is the state of the processes and changes, as the lines up to some point of the history show it.
 type fleetState struct {
-	versions     map[string]uint64 // by each that runs
+	versions     map[string]uint64 // version in force at each running process
 	notAccepting map[string]bool
-	suspended    map[string]bool // stopped
-	ended        map[string]bool // changes that have an end
+	suspended    map[string]bool
+	ended        map[string]bool // changes that were decided or withdrawn
 	decided      uint64
-	// pending are the changes that were checking and have no end, each with the processes that owe one: the
-	// leader while it leads, and who checked it. Nobody owes it once all of them were ended.
+	// pending holds the changes being checked that have no result yet, each with the processes from which one is expected:
+	// the leader, while it leads, and each process that checked it. Once none of them is left, no result is expected.
 	pending map[string]map[string]bool
 }
 
@@ -57,22 +57,23 @@
 	}
 }
 
+// leaderSuffix marks an entry of pending that a process has as the leader.
 const leaderSuffix = " leading"
 
-func (f *fleetState) addPending(change, who string) {
+func (f *fleetState) addPending(change, process string) {
 	if f.ended[change] {
 		return
 	}
 	if f.pending[change] == nil {
 		f.pending[change] = map[string]bool{}
 	}
-	f.pending[change][who] = true
+	f.pending[change][process] = true
 }
 
-func (f *fleetState) removePending(who string) {
-	for c, all := range f.pending {
-		if delete(all, who); len(all) == 0 {
-			delete(f.pending, c)
+func (f *fleetState) removePending(process string) {
+	for change, waiting := range f.pending {
+		if delete(waiting, process); len(waiting) == 0 {
+			delete(f.pending, change)
 		}
 	}
 }
@@ -82,7 +83,8 @@
 	delete(f.pending, change)
 }
 
-// unsettled names who is not on the version decided last, or fenced, and the changes without an end.
+// unsettled returns, sorted, the processes that are not on the last decided version or do not accept requests, and the
+// changes without a result. Suspended processes are left out.
 func (f *fleetState) unsettled() []string {
 	var out []string
 	for p, v := range f.versions {
@@ -90,10 +92,10 @@
 			out = append(out, p)
 		}
 	}
-	for c, all := range f.pending {
-		for who := range all {
-			if !f.suspended[strings.TrimSuffix(who, leaderSuffix)] {
-				out = append(out, "change "+c)
+	for change, waiting := range f.pending {
+		for process := range waiting {
+			if !f.suspended[strings.TrimSuffix(process, leaderSuffix)] {
+				out = append(out, "change "+change)
 				break
 			}
 		}
@@ -102,8 +104,8 @@
 	return out
 }
 
-// Unsettled says who, at the end of the lines so far, is not taking by the version decided last, and
-// which changes have no end. The lines must be in order of their times.
+// Unsettled returns the processes that, at the end of the lines, don't accept requests under the last decided version, and
+// the changes without a result. The lines must be in order of time.
 func Unsettled(lines []Line) []string {
 	f := newFleetState()
 	for _, l := range lines {
@@ -112,32 +114,32 @@
 	return f.unsettled()
 }
 
-// checkSettles finds that the fleet was not on one version a named time after the faults' end, or when the
-// next fault came if that was sooner.
-func (j *checker) checkSettles() {
-	f, over := newFleetState(), int64(0)
-	look := func(at int64) {
-		if over == 0 {
+// checkSettles finds that the fleet wasn't on one version SettleTimeout after the end of the faults. If the next faults or
+// the end of the history come sooner, it checks at that time.
+func (c *checker) checkSettles() {
+	f, faultsEnded := newFleetState(), int64(0)
+	checkAt := func(at int64) {
+		if faultsEnded == 0 {
 			return
 		}
-		if who := f.unsettled(); len(who) > 0 {
-			j.report(SettlesAfterFaults, "%v after the faults' end: %v, version %d", time.Duration(at-over), who, f.decided)
+		if unsettled := f.unsettled(); len(unsettled) > 0 {
+			c.report(SettlesAfterFaults, "%v after the end of the faults: %v not settled, version %d", time.Duration(at-faultsEnded), unsettled, f.decided)
 		}
-		over = 0
+		faultsEnded = 0
 	}
-	for _, l := range j.lines {
-		if over > 0 && l.Time > over+int64(j.rules.SettleTimeout) {
-			look(over + int64(j.rules.SettleTimeout))
+	for _, l := range c.lines {
+		if faultsEnded > 0 && l.Time > faultsEnded+int64(c.rules.SettleTimeout) {
+			checkAt(faultsEnded + int64(c.rules.SettleTimeout))
 		}
 		if l.Source == SourceRig && l.Event == FaultsStarted {
-			look(l.Time)
+			checkAt(l.Time)
 		}
 		f.handle(l)
 		if l.Source == SourceRig && l.Event == FaultsEnded {
-			over = l.Time
+			faultsEnded = l.Time
 		}
 	}
-	if n := len(j.lines); n > 0 {
-		look(j.lines[n-1].Time)
+	if n := len(c.lines); n > 0 {
+		checkAt(c.lines[n-1].Time)
 	}
 }
