--- a/cmd/tinsail/consul_test.go
+++ b/cmd/tinsail/consul_test.go
@@ -161,7 +161,7 @@
 		}
 	}
 	sendReqs(30)
-	s.agents[0].Maintenance("b01", true)
+	s.agents[0].SetMaintenance("b01", true)
 	s.waitFor(func() bool { return s.dispatcher.core.ReadyBackends() == 2 })
 	before := s.backends[1].Counts().Jobs
 	sendReqs(30)
@@ -186,16 +186,16 @@
 	assert.Equal(t, before, s.backends[2].Counts().Jobs, "the old address got a request")
 	assert.Positive(t, moved.Counts().Jobs)
 
-	s.agents[0].Set(standin.Faults{Reset: true})
-	s.agents[1].Set(standin.Faults{Reset: true})
+	s.agents[0].SetFaults(standin.Faults{Reset: true})
+	s.agents[1].SetFaults(standin.Faults{Reset: true})
 	s.waitFor(func() bool { return s.dispatcher.sources.count.Unreachable.Load() >= 2 })
 	sendReqs(30)
 	assert.Equal(t, 2, s.dispatcher.core.ReadyBackends(), "the last list holds")
 	assert.Contains(t, s.dispatcher.sources.membersJSON(), "silent: believed as it was")
 
 	s.agents[1].Put(s.instance(moved))
-	s.agents[1].Maintenance("b01", true)
-	s.agents[1].Set(standin.Faults{})
+	s.agents[1].SetMaintenance("b01", true)
+	s.agents[1].SetFaults(standin.Faults{})
 	s.backends[0].Set(platform.Faults{HoldJobs: true})
 	moved.Set(platform.Faults{HoldJobs: true})
 	done := make(chan error, 1)
@@ -220,7 +220,7 @@
 	last := next
 	last.Backends = &settings.Backends{Director: true}
 	last.MemberRules = &settings.MemberRules{HoldMS: 30_000, WarningDrains: true}
-	s.agents[1].Check("b00", "warning")
+	s.agents[1].SetCheckStatus("b00", "warning")
 	s.dispatcher.reloadSources(&next, &last)
 	s.waitFor(func() bool {
 		list, _ := s.dispatcher.sources.list.Members()
@@ -274,12 +274,12 @@
 			for k := range atOnce {
 				backend := s.backends[(round*atOnce+k)%12]
 				marked[backend] = time.Now()
-				s.agents[0].Maintenance(backend.Name, true)
+				s.agents[0].SetMaintenance(backend.Name, true)
 			}
 			time.Sleep(60 * time.Millisecond)
 			for backend, markedAt := range marked {
 				took = append(took, max(backend.LastJobTime().Sub(markedAt), 0))
-				s.agents[0].Maintenance(backend.Name, false)
+				s.agents[0].SetMaintenance(backend.Name, false)
 			}
 			s.waitFor(func() bool { return s.dispatcher.core.ReadyBackends() == 12 })
 			time.Sleep(10 * time.Millisecond)
@@ -312,14 +312,14 @@
 		}
 		before := run(5*time.Second, func() {})
 		silent := run(25*time.Second, func() {
-			s.agents[0].Set(standin.Faults{Silent: true})
+			s.agents[0].SetFaults(standin.Faults{Silent: true})
 			time.Sleep(5 * time.Second)
 			s.backends[0].Close()
-			s.agents[0].Remove("b00")
-			s.agents[0].Maintenance("b01", true)
+			s.agents[0].RemoveService("b00")
+			s.agents[0].SetMaintenance("b01", true)
 			s.addBackend(20 * time.Millisecond)
 		})
-		after := run(5*time.Second, func() { s.agents[0].Set(standin.Faults{}) })
+		after := run(5*time.Second, func() { s.agents[0].SetFaults(standin.Faults{}) })
 		b.ReportMetric(before.inTimePercent(), "before-%")
 		b.ReportMetric(silent.inTimePercent(), "silent-%")
 		b.ReportMetric(after.inTimePercent(), "after-%")
@@ -380,7 +380,7 @@
 				b.ReportMetric(float64(heapBytes()-before)/1024, "heap-KiB")
 				used, lists := processorTime(), w.Counts.Lists.Load()
 				for i := range n / 10 {
-					a.Check("i"+strconv.Itoa(i), []string{"warning", "passing"}[i%2])
+					a.SetCheckStatus("i"+strconv.Itoa(i), []string{"warning", "passing"}[i%2])
 					time.Sleep(time.Second / time.Duration(n/10))
 				}
 				b.ReportMetric(float64((processorTime()-used).Microseconds())/1000, "cpu-ms/s")
--- a/cmd/tinsail/ready_test.go
+++ b/cmd/tinsail/ready_test.go
@@ -109,7 +109,7 @@
 	agent, err := standin.Start()
 	require.NoError(t, err)
 	t.Cleanup(agent.Close)
-	agent.Set(standin.Faults{Silent: true})
+	agent.SetFaults(standin.Faults{Silent: true})
 	h := newDeployment(t, "127.0.0.1:0")
 	h.writeKnownList(0)
 	h.scriptPath = filepath.Join(t.TempDir(), "s.star")
--- a/cmd/tinsail/shutdown_test.go
+++ b/cmd/tinsail/shutdown_test.go
@@ -480,10 +480,10 @@
 	require.NoError(t, os.WriteFile(h.scriptPath, []byte(`consul(address = [`+strconv.Quote(agent.Address)+`], service = "photo", register = "origin")
 backends(director = True)`), 0o600))
 	p, _ := h.startReady(t)
-	for len(agent.Services()) == 0 {
+	for len(agent.ServiceStatuses()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	agent.Set(standin.Faults{Silent: true})
+	agent.SetFaults(standin.Faults{Silent: true})
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 	for { // whichever event comes first
 		line := <-p.logLines
@@ -496,6 +496,6 @@
 		}
 	}
 	assert.False(t, h.isReady())
-	agent.Set(standin.Faults{})
+	agent.SetFaults(standin.Faults{})
 	p.terminate(t)
 }
--- a/internal/consul/consul_test.go
+++ b/internal/consul/consul_test.go
@@ -110,14 +110,14 @@
 	a.Put(standin.Service{ID: "p2", Service: "photo", Port: 82})
 	r.events.waitFor(t, "[p1=81/0 p2=82/0]")
 	a.Put(standin.Service{ID: "q1", Service: "other", Address: "127.0.0.1", Port: 99})
-	a.Check("p1", "warning")
+	a.SetCheckStatus("p1", "warning")
 	r.events.waitFor(t, "[p1=81/1 p2=82/0]")
-	a.Check("p1", "critical")
+	a.SetCheckStatus("p1", "critical")
 	r.events.waitFor(t, "[p1=81/2 p2=82/0]")
-	a.Maintenance("p2", true)
+	a.SetMaintenance("p2", true)
 	r.events.waitFor(t, "[p1=81/2 p2=82/3]")
-	a.Maintenance("p2", false)
-	a.Remove("p1")
+	a.SetMaintenance("p2", false)
+	a.RemoveService("p1")
 	r.events.waitFor(t, "[p2=82/0]")
 	r.events.waitFor(t, "same") // the wait time passed without a change
 }
@@ -140,11 +140,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := startWatch(t, 1, nil)
 			r.events.waitFor(t, "[p1=81/0]")
-			r.agents[0].Set(c.fault)
+			r.agents[0].SetFaults(c.fault)
 			r.events.waitFor(t, "failed")
 			assert.Positive(t, c.count(r.watch.Counts))
 			r.agents[0].Put(standin.Service{ID: "p2", Service: "photo", Port: 82})
-			r.agents[0].Set(standin.Faults{})
+			r.agents[0].SetFaults(standin.Faults{})
 			r.events.waitFor(t, "[p1=81/0 p2=82/0]")
 		})
 	}
@@ -154,9 +154,9 @@
 func TestSilentAgentTimesOut(t *testing.T) {
 	r := startWatch(t, 1, func(c *Config) { c.Timeout = 100 * time.Millisecond })
 	r.events.waitFor(t, "[p1=81/0]")
-	r.agents[0].Set(standin.Faults{Silent: true})
+	r.agents[0].SetFaults(standin.Faults{Silent: true})
 	r.events.waitFor(t, "failed")
-	r.agents[0].Set(standin.Faults{})
+	r.agents[0].SetFaults(standin.Faults{})
 	r.events.waitFor(t, "[p1=81/0]")
 }
 
@@ -165,11 +165,11 @@
 func TestIndexGoesBack(t *testing.T) {
 	r := startWatch(t, 1, nil)
 	r.events.waitFor(t, "[p1=81/0]")
-	r.agents[0].Set(standin.Faults{Back: 5, Empty: true})
+	r.agents[0].SetFaults(standin.Faults{Back: 5, Empty: true})
 	for r.watch.Counts.Restarted.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	r.agents[0].Set(standin.Faults{})
+	r.agents[0].SetFaults(standin.Faults{})
 	r.events.waitFor(t, "[p1=81/0]")
 }
 
@@ -189,7 +189,7 @@
 	r := startWatch(t, 1, nil)
 	a := r.agents[0]
 	r.events.waitFor(t, "[p1=81/0]")
-	a.Set(standin.Faults{Malformed: true, Double: true})
+	a.SetFaults(standin.Faults{Malformed: true, Double: true})
 	a.Put(standin.Service{ID: "p2", Service: "photo", Port: 82, Meta: map[string]string{"weight": "much"}})
 	a.Put(standin.Service{ID: "p3", Service: "photo", Port: 83, Meta: map[string]string{"weight": "8", "kind": "b", "zone": "y", "group": "7"}})
 	r.events.waitFor(t, "[p1=81/0 p3=83/0]")
@@ -221,7 +221,7 @@
 func TestTokenIsNeverLogged(t *testing.T) {
 	r := startWatch(t, 1, func(c *Config) { c.Token = "secret-1" })
 	r.events.waitFor(t, "[p1=81/0]")
-	r.agents[0].Token("secret-2")
+	r.agents[0].RequireToken("secret-2")
 	r.events.waitFor(t, "failed")
 	assert.NotContains(t, r.log.String(), "secret")
 	assert.Positive(t, r.watch.Counts.Forbidden.Load())
@@ -236,7 +236,7 @@
 	require.NoError(t, err)
 	r.agents[0].Put(standin.Service{ID: "p3", Service: "photo", Port: 83, Weights: standin.Weights{Passing: 10, Warning: 2},
 		Meta: map[string]string{"kind": "b", "zone": "nowhere", "group": "7", "started_ms": "99"}})
-	r.agents[0].Check("p3", "warning")
+	r.agents[0].SetCheckStatus("p3", "warning")
 	list, _, err := agents[0].Health().Service("photo", "", false, nil)
 	require.NoError(t, err)
 	b, reason := f.backend(list[1])
@@ -264,17 +264,17 @@
 	r.Start()
 	state := func(want string) {
 		t.Helper()
-		for start := time.Now(); a.Services()["tinsail-1"] != want; time.Sleep(time.Millisecond) {
+		for start := time.Now(); a.ServiceStatuses()["tinsail-1"] != want; time.Sleep(time.Millisecond) {
 			require.Less(t, time.Since(start), 30*time.Second, "state %s was not reached", want)
 		}
 	}
 	up := map[bool]string{false: "passing", true: "critical"}[http] // the simulated agent makes no HTTP checks
 	state(up)
-	a.Forget()
+	a.RemoveAll()
 	state(up)
 	r.EnterMaintenance()
 	state("maintenance")
-	a.Forget()
+	a.RemoveAll()
 	state("maintenance")
 	r.Deregister()
 	state("")
--- a/internal/standin/consul/consul.go
+++ b/internal/standin/consul/consul.go
@@ -60,15 +60,15 @@
 type Agent struct {
 	Address string
 
-	server *http.Server
-	mu     sync.Mutex
-	index  uint64
-	list   map[string]*instance // by service id
-	moved  chan struct{}
-	faults Faults
-	change chan struct{}
-	calls  int
-	token  string
+	server        *http.Server
+	mu            sync.Mutex
+	index         uint64
+	instances     map[string]*instance // by service id
+	indexChanged  chan struct{}
+	faults        Faults
+	faultsChanged chan struct{}
+	calls         int
+	token         string
 }
 
 // Start listens on a free port of 127.0.0.1.
@@ -76,13 +76,13 @@
 
 // StartAt listens on an address.
 func StartAt(address string) (*Agent, error) {
-	a := &Agent{index: 10, list: map[string]*instance{}, moved: make(chan struct{}), change: make(chan struct{})}
+	a := &Agent{index: 10, instances: map[string]*instance{}, indexChanged: make(chan struct{}), faultsChanged: make(chan struct{})}
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	a.Address = l.Addr().String()
-	a.server = &http.Server{Handler: http.HandlerFunc(a.serve)}
+	a.server = &http.Server{Handler: http.HandlerFunc(a.handle)}
 	go func() { _ = a.server.Serve(l) }() // ends with Close
 	return a, nil
 }
@@ -90,20 +90,20 @@
 // Close ends the agent and all calls.
 func (a *Agent) Close() { a.server.Close() }
 
-// Token has every call without this token answered 403.
-func (a *Agent) Token(token string) {
+// RequireToken has every call without this token answered 403.
+func (a *Agent) RequireToken(token string) {
 	a.mu.Lock()
 	a.token = token
 	a.mu.Unlock()
 }
 
-// Set has the agent fail in these ways from now on.
-func (a *Agent) Set(f Faults) {
+// SetFaults has the agent fail in these ways from now on.
+func (a *Agent) SetFaults(f Faults) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.faults = f
-	close(a.change)
-	a.change = make(chan struct{})
+	close(a.faultsChanged)
+	a.faultsChanged = make(chan struct{})
 }
 
 // Calls is how many calls came so far.
@@ -116,13 +116,13 @@
 // Put adds a service or changes it; it passes.
 func (a *Agent) Put(s Service) {
 	a.update(func() {
-		i := a.list[s.ID]
+		i := a.instances[s.ID]
 		if i == nil {
 			i = &instance{}
 			i.Node.Node, i.Node.Address, i.Node.Datacenter = "node-1", "127.0.0.1", "dc1"
 			i.Checks = []Check{{Node: "node-1", CheckID: "service:" + s.ID, Status: "passing", ServiceID: s.ID, ServiceName: s.Service}}
 			s.CreateIndex = a.index
-			a.list[s.ID] = i
+			a.instances[s.ID] = i
 		}
 		if s.Weights == (Weights{}) {
 			s.Weights = Weights{1, 1}
@@ -132,19 +132,19 @@
 	})
 }
 
-// Check sets the status of a service's own check: passing, warning or critical.
-func (a *Agent) Check(id, status string) {
+// SetCheckStatus sets the status of a service's own check: passing, warning or critical.
+func (a *Agent) SetCheckStatus(id, status string) {
 	a.update(func() {
-		if i := a.list[id]; i != nil {
+		if i := a.instances[id]; i != nil {
 			i.Checks[0].Status = status
 		}
 	})
 }
 
-// Maintenance puts a service into maintenance, or takes it back.
-func (a *Agent) Maintenance(id string, on bool) {
+// SetMaintenance puts a service into maintenance, or takes it back.
+func (a *Agent) SetMaintenance(id string, on bool) {
 	a.update(func() {
-		i := a.list[id]
+		i := a.instances[id]
 		if i == nil {
 			return
 		}
@@ -155,18 +155,18 @@
 	})
 }
 
-// Remove drops a service.
-func (a *Agent) Remove(id string) { a.update(func() { delete(a.list, id) }) }
+// RemoveService drops a service.
+func (a *Agent) RemoveService(id string) { a.update(func() { delete(a.instances, id) }) }
 
-// Forget drops all services, as an agent does that restarts without its data.
-func (a *Agent) Forget() { a.update(func() { clear(a.list) }) }
+// RemoveAll drops all services, as an agent does that restarts without its data.
+func (a *Agent) RemoveAll() { a.update(func() { clear(a.instances) }) }
 
-// Services tells the ids that are there with the status of all their checks together.
-func (a *Agent) Services() map[string]string {
+// ServiceStatuses tells the ids that are there with the status of all their checks together.
+func (a *Agent) ServiceStatuses() map[string]string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	all := map[string]string{}
-	for id, i := range a.list {
+	for id, i := range a.instances {
 		all[id] = "passing"
 		for _, c := range i.Checks {
 			if c.Status != "passing" {
@@ -186,16 +186,16 @@
 	defer a.mu.Unlock()
 	a.index++
 	f()
-	close(a.moved)
-	a.moved = make(chan struct{})
+	close(a.indexChanged)
+	a.indexChanged = make(chan struct{})
 }
 
-// fault does what is wrong now, and says whether the call is over by it.
-func (a *Agent) fault(w http.ResponseWriter, r *http.Request) (f Faults, over bool) {
+// applyFaults does what is wrong now, and says whether the call is over by it.
+func (a *Agent) applyFaults(w http.ResponseWriter, r *http.Request) (f Faults, over bool) {
 	for {
 		a.mu.Lock()
 		f = a.faults
-		change := a.change
+		change := a.faultsChanged
 		a.mu.Unlock()
 		if !f.Silent {
 			break
@@ -223,7 +223,7 @@
 	return f, false
 }
 
-func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
+func (a *Agent) handle(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/lab/faults" && r.Method == "PUT" { // no path of Consul's: orders by hand
 		var f Faults
 		d := json.NewDecoder(r.Body)
@@ -232,14 +232,14 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		a.Set(f)
+		a.SetFaults(f)
 		return
 	}
 	a.mu.Lock()
 	a.calls++
 	token := a.token
 	a.mu.Unlock()
-	f, over := a.fault(w, r)
+	f, over := a.applyFaults(w, r)
 	if over {
 		return
 	}
@@ -251,20 +251,20 @@
 	name := path[strings.LastIndexByte(path, '/')+1:]
 	switch {
 	case strings.HasPrefix(path, "health/service/"):
-		a.health(w, r, name, f)
+		a.handleHealth(w, r, name, f)
 	case path == "agent/service/register" && r.Method == "PUT":
-		a.register(w, r)
+		a.handleRegister(w, r)
 	case strings.HasPrefix(path, "agent/service/deregister/") && r.Method == "PUT":
-		a.Remove(name)
+		a.RemoveService(name)
 	case strings.HasPrefix(path, "agent/service/maintenance/") && r.Method == "PUT":
-		if _, ok := a.Services()[name]; !ok {
+		if _, ok := a.ServiceStatuses()[name]; !ok {
 			http.Error(w, "unknown service", http.StatusNotFound)
 			return
 		}
-		a.Maintenance(name, r.URL.Query().Get("enable") == "true")
+		a.SetMaintenance(name, r.URL.Query().Get("enable") == "true")
 	case strings.HasPrefix(path, "agent/service/") && r.Method == "GET":
 		a.mu.Lock()
-		i := a.list[name]
+		i := a.instances[name]
 		a.mu.Unlock()
 		if i == nil {
 			http.Error(w, "unknown service ID: "+name, http.StatusNotFound)
@@ -272,13 +272,13 @@
 		}
 		_ = json.NewEncoder(w).Encode(map[string]any{"ID": name})
 	case strings.HasPrefix(path, "agent/check/update/") && r.Method == "PUT":
-		a.updateCheck(w, r, strings.TrimPrefix(path, "agent/check/update/"))
+		a.handleCheckUpdate(w, r, strings.TrimPrefix(path, "agent/check/update/"))
 	default:
 		http.NotFound(w, r)
 	}
 }
 
-func (a *Agent) register(w http.ResponseWriter, r *http.Request) {
+func (a *Agent) handleRegister(w http.ResponseWriter, r *http.Request) {
 	var s struct {
 		ID, Name, Address string
 		Port              int
@@ -290,38 +290,38 @@
 		return
 	}
 	a.Put(Service{ID: s.ID, Service: s.Name, Address: s.Address, Port: s.Port, Tags: s.Tags, Meta: s.Meta})
-	a.Check(s.ID, "critical") // a TTL check is critical until it is first passed
+	a.SetCheckStatus(s.ID, "critical") // a TTL check is critical until it is first passed
 }
 
-func (a *Agent) updateCheck(w http.ResponseWriter, r *http.Request, check string) {
+func (a *Agent) handleCheckUpdate(w http.ResponseWriter, r *http.Request, check string) {
 	var u struct{ Status string }
 	if err := json.NewDecoder(r.Body).Decode(&u); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	id := strings.TrimPrefix(check, "service:")
-	if _, ok := a.Services()[id]; !ok {
+	if _, ok := a.ServiceStatuses()[id]; !ok {
 		http.Error(w, fmt.Sprintf("Unknown check ID %q", check), http.StatusNotFound)
 		return
 	}
-	a.Check(id, u.Status)
+	a.SetCheckStatus(id, u.Status)
 }
 
-// health answers /v1/health/service/NAME, at once or when something newer than index is there.
-func (a *Agent) health(w http.ResponseWriter, r *http.Request, name string, f Faults) {
+// handleHealth answers /v1/handleHealth/service/NAME, at once or when something newer than index is there.
+func (a *Agent) handleHealth(w http.ResponseWriter, r *http.Request, name string, f Faults) {
 	q := r.URL.Query()
 	index, _ := strconv.ParseUint(q.Get("index"), 10, 64)
 	if wait, err := time.ParseDuration(q.Get("wait")); index > 0 && err == nil {
-		a.await(r, index, min(wait, 10*time.Minute))
+		a.awaitIndex(r, index, min(wait, 10*time.Minute))
 		var over bool
-		if f, over = a.fault(w, r); over { // it may have gone wrong meanwhile
+		if f, over = a.applyFaults(w, r); over { // it may have gone wrong meanwhile
 			return
 		}
 	}
 	a.mu.Lock()
 	out := []instance{}
-	for _, id := range slices.Sorted(maps.Keys(a.list)) {
-		i := *a.list[id]
+	for _, id := range slices.Sorted(maps.Keys(a.instances)) {
+		i := *a.instances[id]
 		i.Checks = slices.Clone(i.Checks)
 		tagged := true
 		for _, tag := range q["tag"] {
@@ -362,12 +362,12 @@
 	_, _ = w.Write(body) // a caller that has gone needs no answer
 }
 
-func (a *Agent) await(r *http.Request, index uint64, wait time.Duration) {
+func (a *Agent) awaitIndex(r *http.Request, index uint64, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		a.mu.Lock()
-		newer, moved, change := a.index > index, a.moved, a.change
+		newer, moved, change := a.index > index, a.indexChanged, a.faultsChanged
 		a.mu.Unlock()
 		if newer {
 			return
