--- a/internal/lab/capacity/virtual/main.go
+++ b/internal/lab/capacity/virtual/main.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	name := strings.TrimSuffix(filepath.Base(path), ".star")
-	got := map[string]*report.Teams{"before": {Name: "before"}, "lent": {Name: "lent"}}
+	got := map[string]*report.TeamTotals{"before": {Name: "before"}, "lent": {Name: "lent"}}
 	var (
 		mu    sync.Mutex
 		wg    sync.WaitGroup
@@ -88,7 +88,7 @@
 	}
 	wg.Wait()
 	for _, v := range []string{"before", "lent"} {
-		if len(got[v].Least) > 0 {
+		if len(got[v].WorstShares) > 0 {
 			fmt.Println(name, v, got[v])
 		}
 	}
@@ -108,7 +108,7 @@
 		row("least-part", "of its quota, the worst off within it", t.Least()),
 		row("most-over", "times a quota at one moment", t.Over()),
 		row("use", "of all quotas", t.Use()),
-		row("urgent-late", "of urgent reqs, begun later than 2.3 s", report.Late(&r.Tenants)),
+		row("urgent-late", "of urgent reqs, begun later than 2.3 s", report.LateShare(&r.Tenants)),
 		row("urgent-p999", "s", float64(t.Urgent.ValueAtQuantile(99.9))/1e6),
 		row("broken", "rules", float64(r.Breaches+q.Breaches)),
 	}
--- a/internal/lab/report/teams.go
+++ b/internal/lab/report/teams.go
@@ -19,8 +19,8 @@
 // urgentAim is within what urgent work has to start, us.
 const urgentAim = 2_300_000
 
-// Late is the part of urgent reqs that began after the aim, or never.
-func Late(t *sim.TenantsResult) float64 {
+// LateShare is the part of urgent reqs that began after the aim, or never.
+func LateShare(t *sim.TenantsResult) float64 {
 	n := t.Urgent.TotalCount() + int64(t.Never)
 	return float64(n-within(t.Urgent, urgentAim)) / float64(max(n, 1))
 }
@@ -34,42 +34,42 @@
 	return n
 }
 
-// Teams adds up what plays of one variant gave.
-type Teams struct {
-	Name       string
-	Least, Use []float64 // by play
-	Over       float64   // of all plays
-	Parts      []float64 // by team, sums
-	Quotas     []int
-	Urgent     *hdrhistogram.Histogram
-	Never      int
-	Bytes      float64 // a second, of the dispatcher with most of all plays
-	Broken     int
+// TeamTotals adds up what plays of one variant gave.
+type TeamTotals struct {
+	Name                      string
+	WorstShares, Utilizations []float64 // by play
+	MaxOverQuota              float64   // of all plays
+	ShareSums                 []float64 // by team, sums
+	Quotas                    []int
+	Urgent                    *hdrhistogram.Histogram
+	NeverStarted              int
+	MaxByteRate               float64 // a second, of the dispatcher with most of all plays
+	Violations                int
 }
 
 // Add takes a play.
-func (s *Teams) Add(r *sim.Result) {
+func (s *TeamTotals) Add(r *sim.Result) {
 	t := &r.Tenants
-	s.Least, s.Use, s.Over = append(s.Least, t.Least()), append(s.Use, t.Use()), max(s.Over, t.Over())
-	s.Broken += r.Breaches + r.Quotas.Breaches
-	s.Bytes = max(s.Bytes, r.Quotas.MostRate)
+	s.WorstShares, s.Utilizations, s.MaxOverQuota = append(s.WorstShares, t.Least()), append(s.Utilizations, t.Use()), max(s.MaxOverQuota, t.Over())
+	s.Violations += r.Breaches + r.Quotas.Breaches
+	s.MaxByteRate = max(s.MaxByteRate, r.Quotas.MostRate)
 	if s.Urgent == nil {
-		s.Parts, s.Urgent = make([]float64, len(t.Each)), hdrhistogram.New(1, 100_000_000_000, 3)
+		s.ShareSums, s.Urgent = make([]float64, len(t.Each)), hdrhistogram.New(1, 100_000_000_000, 3)
 		for i := range t.Each {
 			s.Quotas = append(s.Quotas, t.Each[i].Quota)
 		}
 	}
 	for i := range t.Each {
-		s.Parts[i] += (t.Each[i].Running - t.Each[i].Urgent) / float64(t.Each[i].Quota)
+		s.ShareSums[i] += (t.Each[i].Running - t.Each[i].Urgent) / float64(t.Each[i].Quota)
 	}
 	s.Urgent.Merge(t.Urgent)
-	s.Never += t.Never
+	s.NeverStarted += t.Never
 }
 
-func (s *Teams) String() string {
-	n := s.Urgent.TotalCount() + int64(s.Never)
+func (s *TeamTotals) String() string {
+	n := s.Urgent.TotalCount() + int64(s.NeverStarted)
 	return fmt.Sprintf("worst off within its quota %v, use %v, at most %.3f times a quota, %d of %d urgent reqs within 2.3 s (p50 %.3f s, p99.9 %.3f s), %.0f bytes/s at a dispatcher at most, %d broken",
-		experiment.Bootstrap(s.Least, 0.95), experiment.Bootstrap(s.Use, 0.95), s.Over, within(s.Urgent, urgentAim), n, inSeconds(s.Urgent, 50), inSeconds(s.Urgent, 99.9), s.Bytes, s.Broken)
+		experiment.Bootstrap(s.WorstShares, 0.95), experiment.Bootstrap(s.Utilizations, 0.95), s.MaxOverQuota, within(s.Urgent, urgentAim), n, inSeconds(s.Urgent, 50), inSeconds(s.Urgent, 99.9), s.MaxByteRate, s.Violations)
 }
 
 func inSeconds(h *hdrhistogram.Histogram, q float64) float64 {
@@ -80,7 +80,7 @@
 func TeamsLine(r *sim.Result) string {
 	t, q := &r.Tenants, &r.Quotas
 	out := fmt.Sprintf("running %.0f of %.0f slots, use %.4f, worst off %.4f, over %.3f; urgent %d, p50 %.3f s, p99.9 %.3f s, late %.5f; rules broken %d",
-		t.Running, t.Slots, t.Use(), t.Least(), t.Over(), t.Urgent.TotalCount()+int64(t.Never), inSeconds(t.Urgent, 50), inSeconds(t.Urgent, 99.9), Late(t), r.Breaches)
+		t.Running, t.Slots, t.Use(), t.Least(), t.Over(), t.Urgent.TotalCount()+int64(t.Never), inSeconds(t.Urgent, 50), inSeconds(t.Urgent, 99.9), LateShare(t), r.Breaches)
 	if q.Room != nil {
 		out += fmt.Sprintf("; room p99.9 %.3f s, %.1f messages/s and %.0f bytes/s a dispatcher (most %.0f), %d beyond quotas, %v", inSeconds(q.Room, 99.9), q.MessageRate, q.MeanRate, q.MostRate, q.Breaches, q.Notes)
 	}
@@ -100,7 +100,7 @@
 }
 
 // PlotTeams draws what each team got of its quota, and how long urgent reqs waited, into a folder.
-func PlotTeams(folder, name string, all ...*Teams) error {
+func PlotTeams(folder, name string, all ...*TeamTotals) error {
 	shares, waits := plot.New(), plot.New()
 	shares.Title.Text, shares.X.Label.Text, shares.Y.Label.Text = "What each team got, "+name, "team, as the scenario names them", "part of its quota, mean"
 	waits.Title.Text, waits.X.Label.Text, waits.Y.Label.Text = "How long urgent reqs waited, "+name, "s until the job began", "part that waited longer"
@@ -108,14 +108,14 @@
 	waits.X.Scale, waits.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	waits.Y.Scale, waits.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	for i, s := range all {
-		if len(s.Least) == 0 {
+		if len(s.WorstShares) == 0 {
 			continue
 		}
 		var dots, line plotter.XYs
-		for k, p := range s.Parts {
-			dots = append(dots, plotter.XY{X: float64(k + 1), Y: max(p/float64(len(s.Least)), 0.01)})
+		for k, p := range s.ShareSums {
+			dots = append(dots, plotter.XY{X: float64(k + 1), Y: max(p/float64(len(s.WorstShares)), 0.01)})
 		}
-		n, seen := float64(s.Urgent.TotalCount()+int64(s.Never)), 0.0
+		n, seen := float64(s.Urgent.TotalCount()+int64(s.NeverStarted)), 0.0
 		for _, b := range s.Urgent.Distribution() {
 			if b.Count > 0 {
 				seen += float64(b.Count)
