--- a/internal/lab/report/accord.go
+++ b/internal/lab/report/accord.go
@@ -11,18 +11,19 @@
 	"tinsail/internal/lab/sim"
 )
 
-// withAccord says whether the dispatchers took reqs by versions.
-func withAccord(r *experiment.Report) bool {
+// hasAccord reports whether the dispatchers accepted requests under policy versions of the accord.
+func hasAccord(r *experiment.Report) bool {
 	return len(r.Pairs) > 0 && r.Pairs[0].A.Accord.Most > 0
 }
 
-func kept(r *experiment.Report, a bool) plotter.XYs {
-	return over(r, a, func(s sim.Second) int { return s.Kept })
+func servedBySecond(r *experiment.Report, a bool) plotter.XYs {
+	return shareBySecond(r, a, func(s sim.Second) int { return s.Kept })
 }
 
-// versions writes what the accord did, where there was one: means of all seeds, and most of all.
-func versions(out io.Writer, r *experiment.Report) {
-	if !withAccord(r) {
+// writeAccord writes the accord's results, if the scenario has an accord: means over all seeds, and the maximum number of
+// versions in use at once.
+func writeAccord(out io.Writer, r *experiment.Report) {
+	if !hasAccord(r) {
 		return
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -30,7 +31,7 @@
 	for _, a := range []bool{true, false} {
 		var sum sim.AccordResult
 		first, n := 0, float64(len(r.Pairs))
-		each(r, a, func(x *sim.Result) {
+		forEachRun(r, a, func(x *sim.Result) {
 			first += x.First
 			sum.Fenced += x.Accord.Fenced
 			sum.FencedCut += x.Accord.FencedCut
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report tells people what an experiment showed: as text, as plots (gonum/plot), and as one HTML page that
-// needs no other file.
+// Package report formats the results of simulations for people: as text, as plots (gonum/plot), and as one
+// self-contained HTML page.
 package report
 
 import (
@@ -25,7 +25,7 @@
 	"tinsail/internal/lab/sim"
 )
 
-// Run writes one run as text.
+// Run writes the result of one run as text.
 func Run(out io.Writer, r *sim.Result) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "service\t%.4f (whole %.4f, worst 10 s %.4f)\n", r.Service(), r.InTimePart(), r.Worst)
@@ -33,8 +33,8 @@
 	for i := range r.Classes {
 		c := &r.Classes[i]
 		fmt.Fprintf(w, "class %s\t%.4f; %d of %d in time", c.Name, c.Part(), c.InTime, c.First)
-		for _, how := range slices.Sorted(maps.Keys(c.Wrong)) {
-			fmt.Fprintf(w, ", %s %d", how, c.Wrong[how])
+		for _, outcome := range slices.Sorted(maps.Keys(c.Wrong)) {
+			fmt.Fprintf(w, ", %s %d", outcome, c.Wrong[outcome])
 		}
 		if c.Early > 0 {
 			fmt.Fprintf(w, "; %d given up too early", c.Early)
@@ -45,9 +45,9 @@
 		fmt.Fprintf(w, "ran twice\t%d that must not\n", r.Twice)
 	}
 	fmt.Fprintf(w, "answers, attempts\t%d, %d\n", r.Answers, r.Attempts)
-	fmt.Fprintf(w, "latency ms\tp50 %.0f, p99 %.0f, p99.9 %.0f\n", ms(r.Latency, 50), ms(r.Latency, 99), ms(r.Latency, 99.9))
-	least, most := spread(r.Load)
-	fmt.Fprintf(w, "jobs at a backend\t%d to %d\n", least, most)
+	fmt.Fprintf(w, "latency ms\tp50 %.0f, p99 %.0f, p99.9 %.0f\n", percentileMS(r.Latency, 50), percentileMS(r.Latency, 99), percentileMS(r.Latency, 99.9))
+	lowest, highest := jobRange(r.Load)
+	fmt.Fprintf(w, "jobs at a backend\t%d to %d\n", lowest, highest)
 	if a := &r.Accord; a.Most > 0 {
 		fmt.Fprintf(w, "accord\tversion %d, at most %d in use at one moment; fenced %d (%d where cut off), taken by one that was over %d, none took for %.0f ms\n",
 			a.Version, a.Most, a.Fenced, a.FencedCut, a.Over, a.Dark)
@@ -64,20 +64,22 @@
 	w.Flush()
 }
 
-func ms(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
+func percentileMS(h *hdrhistogram.Histogram, q float64) float64 {
+	return float64(h.ValueAtQuantile(q)) / 1000
+}
 
-func spread(load map[string]int) (least, most int) {
+func jobRange(load map[string]int) (lowest, highest int) {
 	first := true
 	for _, n := range load {
-		if first || n < least {
-			least = n
+		if first || n < lowest {
+			lowest = n
 		}
-		most, first = max(most, n), false
+		highest, first = max(highest, n), false
 	}
-	return least, most
+	return lowest, highest
 }
 
-// Text writes an experiment as text.
+// Text writes the result of an experiment as text.
 func Text(out io.Writer, r *experiment.Report) {
 	fmt.Fprintf(out, "service, 95%% intervals by the bootstrap; %d seeds, %d without a broken rule%s\n", len(r.Pairs), r.ValidPairs,
 		map[bool]string{true: ", stopped early"}[r.StoppedEarly])
@@ -87,13 +89,13 @@
 	fmt.Fprintf(w, "B - A\tpaired\t%v\n", r.Diff)
 	w.Flush()
 	fmt.Fprintln(out, Verdict(r))
-	versions(out, r)
+	writeAccord(out, r)
 	for _, b := range r.InvalidRuns {
 		fmt.Fprintf(out, "seed %d: %s BROKE a rule, %d times; %s\n", b.Seed, b.Variant, b.Count, b.FirstViolation)
 	}
 }
 
-// Verdict is what the difference says, in words.
+// Verdict states in words whether B serves more or less than A, judged by the interval of the difference.
 func Verdict(r *experiment.Report) string {
 	switch d := r.Diff; {
 	case r.ValidPairs < 2:
@@ -107,14 +109,14 @@
 	}
 }
 
-// figure is a plot and what it is called.
+// figure is a plot and its name.
 type figure struct {
 	Name string
 	plot *plot.Plot
 }
 
-// Plots draws an experiment.
-func plots(r *experiment.Report) ([]figure, error) {
+// drawPlots draws the plots of an experiment.
+func drawPlots(r *experiment.Report) ([]figure, error) {
 	var out []figure
 	lines := func(name, title, x, y string, series ...any) error {
 		p := plot.New()
@@ -126,24 +128,24 @@
 		out = append(out, figure{name, p})
 		return nil
 	}
-	if err := lines("service", "Served in time, mean of all seeds", "second", "part", r.A, seconds(r, true), r.B, seconds(r, false)); err != nil {
+	if err := lines("service", "Served in time, mean of all seeds", "second", "part", r.A, inTimeBySecond(r, true), r.B, inTimeBySecond(r, false)); err != nil {
 		return nil, err
 	}
-	if withAccord(r) {
-		if err := lines("served", "Served in time or late, mean of all seeds", "second", "part", r.A, kept(r, true), r.B, kept(r, false)); err != nil {
+	if hasAccord(r) {
+		if err := lines("served", "Served in time or late, mean of all seeds", "second", "part", r.A, servedBySecond(r, true), r.B, servedBySecond(r, false)); err != nil {
 			return nil, err
 		}
 	}
-	if err := lines("latency", "Latency of what was served", "ms", "part", r.A, latency(r, true), r.B, latency(r, false)); err != nil {
+	if err := lines("latency", "Latency of what was served", "ms", "part", r.A, latencyCurve(r, true), r.B, latencyCurve(r, false)); err != nil {
 		return nil, err
 	}
-	if err := lines("load", "Jobs begun at each backend, the busiest first, mean of all seeds", "backend", "jobs", r.A, load(r, true), r.B, load(r, false)); err != nil {
+	if err := lines("load", "Jobs begun at each backend, the busiest first, mean of all seeds", "backend", "jobs", r.A, loadByBackend(r, true), r.B, loadByBackend(r, false)); err != nil {
 		return nil, err
 	}
 	mix := plot.New()
 	mix.Title.Text, mix.Y.Label.Text = "What became of first reqs, mean of all seeds", "part"
 	for i, side := range []bool{true, false} {
-		bars, err := plotter.NewBarChart(answers(r, side), vg.Points(28))
+		bars, err := plotter.NewBarChart(answerShares(r, side), vg.Points(28))
 		if err != nil {
 			return nil, err
 		}
@@ -178,7 +180,7 @@
 	return append(out, figure{"difference", diff}), nil
 }
 
-func each(r *experiment.Report, a bool, f func(*sim.Result)) {
+func forEachRun(r *experiment.Report, a bool, f func(*sim.Result)) {
 	for i := range r.Pairs {
 		if a {
 			f(&r.Pairs[i].A)
@@ -188,41 +190,41 @@
 	}
 }
 
-func seconds(r *experiment.Report, a bool) plotter.XYs {
-	return over(r, a, func(s sim.Second) int { return s.InTime })
+func inTimeBySecond(r *experiment.Report, a bool) plotter.XYs {
+	return shareBySecond(r, a, func(s sim.Second) int { return s.InTime })
 }
 
-// over is a part of what was asked in each second.
-func over(r *experiment.Report, a bool, of func(sim.Second) int) (out plotter.XYs) {
-	var good, asked []float64
-	each(r, a, func(x *sim.Result) {
+// shareBySecond returns, for each second, the share of its requests that count selects, over all seeds.
+func shareBySecond(r *experiment.Report, a bool, count func(sim.Second) int) (out plotter.XYs) {
+	var counted, total []float64
+	forEachRun(r, a, func(x *sim.Result) {
 		for i, s := range x.Seconds {
-			for len(good) <= i {
-				good, asked = append(good, 0), append(asked, 0)
+			for len(counted) <= i {
+				counted, total = append(counted, 0), append(total, 0)
 			}
-			good[i], asked[i] = good[i]+float64(of(s)), asked[i]+float64(s.Asked)
+			counted[i], total[i] = counted[i]+float64(count(s)), total[i]+float64(s.Asked)
 		}
 	})
-	for i := range good {
-		if asked[i] > 0 {
-			out = append(out, plotter.XY{X: float64(i), Y: good[i] / asked[i]})
+	for i := range counted {
+		if total[i] > 0 {
+			out = append(out, plotter.XY{X: float64(i), Y: counted[i] / total[i]})
 		}
 	}
 	return out
 }
 
-func latency(r *experiment.Report, a bool) (out plotter.XYs) {
+func latencyCurve(r *experiment.Report, a bool) (out plotter.XYs) {
 	all := hdrhistogram.New(1, 60_000_000, 3)
-	each(r, a, func(x *sim.Result) { all.Merge(x.Latency) })
+	forEachRun(r, a, func(x *sim.Result) { all.Merge(x.Latency) })
 	for q := 0.0; q <= 99.9; q += 0.9 {
-		out = append(out, plotter.XY{X: ms(all, q), Y: q / 100})
+		out = append(out, plotter.XY{X: percentileMS(all, q), Y: q / 100})
 	}
 	return out
 }
 
-func load(r *experiment.Report, a bool) (out plotter.XYs) {
+func loadByBackend(r *experiment.Report, a bool) (out plotter.XYs) {
 	var sum []float64
-	each(r, a, func(x *sim.Result) {
+	forEachRun(r, a, func(x *sim.Result) {
 		var jobs []int
 		for _, n := range x.Load {
 			jobs = append(jobs, n)
@@ -242,9 +244,9 @@
 	return out
 }
 
-func answers(r *experiment.Report, a bool) plotter.Values {
+func answerShares(r *experiment.Report, a bool) plotter.Values {
 	v, first := make(plotter.Values, 4), 0.0
-	each(r, a, func(x *sim.Result) {
+	forEachRun(r, a, func(x *sim.Result) {
 		first += float64(x.First)
 		v[0] += float64(x.InTime)
 		v[1] += float64(x.Served - x.InTime)
@@ -257,15 +259,16 @@
 	return v
 }
 
-// Size of a plot.
+// Size of each plot.
 const (
 	width  = 16 * vg.Centimeter
 	height = 9 * vg.Centimeter
 )
 
-// Images draws all plots in a format, svg or png, by name.
+// Images draws all plots of an experiment in a format, svg or png. It returns the images by name, and the names in
+// their order.
 func Images(r *experiment.Report, format string) (map[string][]byte, []string, error) {
-	list, err := plots(r)
+	list, err := drawPlots(r)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -289,7 +292,7 @@
 <body><h1>{{.Title}}</h1><pre>{{.Text}}</pre>{{range .Images}}<p><img alt="{{.Name}}" src="{{.Data}}"></p>{{end}}</body></html>
 `))
 
-// HTML writes one page that holds all.
+// HTML writes the text and all plots of an experiment as one page.
 func HTML(out io.Writer, title string, r *experiment.Report) error {
 	images, names, err := Images(r, "svg")
 	if err != nil {
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -16,7 +16,7 @@
 	"tinsail/internal/lab/sim"
 )
 
-func sample(t *testing.T) *experiment.Report {
+func compareSmallFleet(t *testing.T) *experiment.Report {
 	set := balance.Settings{Instances: 1, Zones: 1, Kinds: 1, MaxAttempts: 5, TellsStart: true, ConnectTimeout: 120, Tick: 2,
 		Rules:   balance.Rules{AnswerSlack: 8, AskEvery: 10000, FallMultiple: 3, FallWindow: 2000, StartCapacity: 0.31, WarmAfter: 9000, DrainGrace: 500},
 		Classes: []balance.Class{{Worth: 1, Aim: 120, Stretch: 2, Deadline: 5000, Kind: -1}}}
@@ -28,9 +28,9 @@
 	return &r
 }
 
-// TestReport: the page needs no other file and takes names as text; each plot is a picture.
+// TestReport: the page refers to no other file and escapes names, and each plot is a valid image.
 func TestReport(t *testing.T) {
-	r := sample(t)
+	r := compareSmallFleet(t)
 	var page bytes.Buffer
 	require.NoError(t, HTML(&page, "a & b", r))
 	text := page.String()
--- a/internal/lab/report/sweep.go
+++ b/internal/lab/report/sweep.go
@@ -13,7 +13,7 @@
 	"tinsail/internal/lab/experiment"
 )
 
-// SweepText writes a sweep as text.
+// SweepText writes the result of a sweep as text.
 func SweepText(out io.Writer, param string, list []experiment.Point) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "variant\t%s\tservice, 95%% interval\trules\n", param)
@@ -27,24 +27,24 @@
 	w.Flush()
 }
 
-// points are a variant's, with their intervals.
-type points struct {
+// pointsWithErrors holds the points of one variant with their intervals.
+type pointsWithErrors struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// SweepPNG draws it.
+// SweepPNG draws the result of a sweep.
 func SweepPNG(param string, list []experiment.Point) ([]byte, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Service, with 95% intervals", param, "service"
 	var names []string
-	all := map[string]*points{}
+	all := map[string]*pointsWithErrors{}
 	for _, x := range list {
 		if all[x.Variant] == nil {
-			all[x.Variant] = &points{}
+			all[x.Variant] = &pointsWithErrors{}
 			names = append(names, x.Variant)
 		}
-		if x.Service.N < 2 { // nothing to draw an interval of
+		if x.Service.N < 2 { // one value or none gives no finite interval
 			continue
 		}
 		s := all[x.Variant]
--- a/internal/lab/report/teams.go
+++ b/internal/lab/report/teams.go
@@ -16,38 +16,38 @@
 	"tinsail/internal/lab/sim"
 )
 
-// urgentAim is within what urgent work has to start, us.
+// urgentAim is the time within which urgent jobs must start, in microseconds.
 const urgentAim = 2_300_000
 
-// LateShare is the part of urgent reqs that began after the aim, or never.
+// LateShare returns the share of urgent requests whose job started after urgentAim, or never.
 func LateShare(t *sim.TenantsResult) float64 {
 	n := t.Urgent.TotalCount() + int64(t.Never)
-	return float64(n-within(t.Urgent, urgentAim)) / float64(max(n, 1))
+	return float64(n-countWithin(t.Urgent, urgentAim)) / float64(max(n, 1))
 }
 
-func within(h *hdrhistogram.Histogram, most int64) (n int64) {
+func countWithin(h *hdrhistogram.Histogram, limit int64) (n int64) {
 	for _, b := range h.Distribution() {
-		if b.To <= most {
+		if b.To <= limit {
 			n += b.Count
 		}
 	}
 	return n
 }
 
-// TeamTotals adds up what plays of one variant gave.
+// TeamTotals accumulates the results of several runs of one variant.
 type TeamTotals struct {
 	Name                      string
-	WorstShares, Utilizations []float64 // by play
-	MaxOverQuota              float64   // of all plays
-	ShareSums                 []float64 // by team, sums
+	WorstShares, Utilizations []float64 // one value a run: the share of the worst-off team, and the use of all quotas
+	MaxOverQuota              float64   // maximum over all runs of what a team had at once, in multiples of its quota
+	ShareSums                 []float64 // by team, summed over the runs: jobs running without urgent ones, divided by the quota
 	Quotas                    []int
 	Urgent                    *hdrhistogram.Histogram
 	NeverStarted              int
-	MaxByteRate               float64 // a second, of the dispatcher with most of all plays
+	MaxByteRate               float64 // bytes per second of the busiest dispatcher in any run
 	Violations                int
 }
 
-// Add takes a play.
+// Add adds the result of a run.
 func (s *TeamTotals) Add(r *sim.Result) {
 	t := &r.Tenants
 	s.WorstShares, s.Utilizations, s.MaxOverQuota = append(s.WorstShares, t.Least()), append(s.Utilizations, t.Use()), max(s.MaxOverQuota, t.Over())
@@ -69,37 +69,38 @@
 func (s *TeamTotals) String() string {
 	n := s.Urgent.TotalCount() + int64(s.NeverStarted)
 	return fmt.Sprintf("worst off within its quota %v, use %v, at most %.3f times a quota, %d of %d urgent reqs within 2.3 s (p50 %.3f s, p99.9 %.3f s), %.0f bytes/s at a dispatcher at most, %d broken",
-		experiment.Bootstrap(s.WorstShares, 0.95), experiment.Bootstrap(s.Utilizations, 0.95), s.MaxOverQuota, within(s.Urgent, urgentAim), n, inSeconds(s.Urgent, 50), inSeconds(s.Urgent, 99.9), s.MaxByteRate, s.Violations)
+		experiment.Bootstrap(s.WorstShares, 0.95), experiment.Bootstrap(s.Utilizations, 0.95), s.MaxOverQuota, countWithin(s.Urgent, urgentAim), n, percentileSeconds(s.Urgent, 50), percentileSeconds(s.Urgent, 99.9), s.MaxByteRate, s.Violations)
 }
 
-func inSeconds(h *hdrhistogram.Histogram, q float64) float64 {
+func percentileSeconds(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1e6
 }
 
-// TeamsLine is a play in a line.
+// TeamsLine returns a summary of a run in one line.
 func TeamsLine(r *sim.Result) string {
 	t, q := &r.Tenants, &r.Quotas
 	out := fmt.Sprintf("running %.0f of %.0f slots, use %.4f, worst off %.4f, over %.3f; urgent %d, p50 %.3f s, p99.9 %.3f s, late %.5f; rules broken %d",
-		t.Running, t.Slots, t.Use(), t.Least(), t.Over(), t.Urgent.TotalCount()+int64(t.Never), inSeconds(t.Urgent, 50), inSeconds(t.Urgent, 99.9), LateShare(t), r.Breaches)
+		t.Running, t.Slots, t.Use(), t.Least(), t.Over(), t.Urgent.TotalCount()+int64(t.Never), percentileSeconds(t.Urgent, 50), percentileSeconds(t.Urgent, 99.9), LateShare(t), r.Breaches)
 	if q.Room != nil {
-		out += fmt.Sprintf("; room p99.9 %.3f s, %.1f messages/s and %.0f bytes/s a dispatcher (most %.0f), %d beyond quotas, %v", inSeconds(q.Room, 99.9), q.MessageRate, q.MeanRate, q.MostRate, q.Breaches, q.Notes)
+		out += fmt.Sprintf("; room p99.9 %.3f s, %.1f messages/s and %.0f bytes/s a dispatcher (most %.0f), %d beyond quotas, %v", percentileSeconds(q.Room, 99.9), q.MessageRate, q.MeanRate, q.MostRate, q.Breaches, q.Notes)
 	}
 	worst := slices.Clone(t.Each)
 	slices.SortFunc(worst, func(a, b sim.TenantResult) int { return cmp.Compare(a.Part(), b.Part()) })
 	for _, e := range worst[:min(len(worst), 4)] {
 		out += fmt.Sprintf("; %s %.3f of %.1f", e.Name, e.Part(), e.Due())
 	}
-	held := 0.0
+	unitsInFlight := 0.0
 	for i := range t.Each {
-		held += t.Each[i].InFlight
+		unitsInFlight += t.Each[i].InFlight
 	}
 	if q.Room != nil {
-		out += fmt.Sprintf(", %.0f units in flight", held)
+		out += fmt.Sprintf(", %.0f units in flight", unitsInFlight)
 	}
 	return out
 }
 
-// PlotTeams draws what each team got of its quota, and how long urgent reqs waited, into a folder.
+// PlotTeams writes two plots into a folder: the share of its quota that each team used, and how long urgent requests
+// waited.
 func PlotTeams(folder, name string, all ...*TeamTotals) error {
 	shares, waits := plot.New(), plot.New()
 	shares.Title.Text, shares.X.Label.Text, shares.Y.Label.Text = "What each team got, "+name, "team, as the scenario names them", "part of its quota, mean"
@@ -115,11 +116,11 @@
 		for k, p := range s.ShareSums {
 			dots = append(dots, plotter.XY{X: float64(k + 1), Y: max(p/float64(len(s.WorstShares)), 0.01)})
 		}
-		n, seen := float64(s.Urgent.TotalCount()+int64(s.NeverStarted)), 0.0
+		n, started := float64(s.Urgent.TotalCount()+int64(s.NeverStarted)), 0.0
 		for _, b := range s.Urgent.Distribution() {
 			if b.Count > 0 {
-				seen += float64(b.Count)
-				line = append(line, plotter.XY{X: max(float64(b.To)/1e6, 1e-4), Y: max(1-seen/n, 0.5/n)})
+				started += float64(b.Count)
+				line = append(line, plotter.XY{X: max(float64(b.To)/1e6, 1e-4), Y: max(1-started/n, 0.5/n)})
 			}
 		}
 		d, err := plotter.NewScatter(dots)
@@ -138,8 +139,8 @@
 		waits.Legend.Add(s.Name, l)
 	}
 	shares.Legend.Top, waits.Legend.Top = true, true
-	for what, p := range map[string]*plot.Plot{"teams": shares, "urgent": waits} {
-		if err := p.Save(width, height, filepath.Join(folder, name+"-"+what+".svg")); err != nil {
+	for suffix, p := range map[string]*plot.Plot{"teams": shares, "urgent": waits} {
+		if err := p.Save(width, height, filepath.Join(folder, name+"-"+suffix+".svg")); err != nil {
 			return err
 		}
 	}
