--- a/cmd/tinsail/accord_history_test.go
+++ b/cmd/tinsail/accord_history_test.go
@@ -89,7 +89,7 @@
 	})
 }
 
-// checkHistory ends the load and has the history judged.
+// checkHistory ends the load and checks the history.
 func (c *faultTrial) checkHistory() {
 	close(c.stop)
 	c.clients.Wait()
@@ -116,7 +116,7 @@
 }
 
 // TestAccordHistory: nine processes, three of them voters, under load, go through one fault after the other
-// while their policy is changed. The whole recorded history is judged by a checker that shares no code with the
+// while their policy is changed. The whole recorded history is verified by a checker that shares no code with the
 // program: there are never two versions at a time, a change is in force everywhere or nowhere within the time of
 // the design note after the faults end, and no request is lost.
 func TestAccordHistory(t *testing.T) {
--- a/cmd/tinsail/accord_random_test.go
+++ b/cmd/tinsail/accord_random_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestAccordHistoryRandomFaults runs faults drawn from a seed, each at a drawn stage of a change, some of them
-// two or three at a time; the whole history is judged. TINSAIL_ROUNDS sets their number and TINSAIL_SEED the
+// two or three at a time; the whole history is checked. TINSAIL_ROUNDS sets their number and TINSAIL_SEED the
 // seed.
 func TestAccordHistoryRandomFaults(t *testing.T) {
 	if testing.Short() {
--- a/cmd/tinsail/accord_test.go
+++ b/cmd/tinsail/accord_test.go
@@ -28,7 +28,7 @@
 	fleet
 	mu           sync.Mutex // guards the addresses of members while clients run
 	director     string
-	voters       string // as they stand in the script
+	voters       string // as written in the script
 	dataDir      string
 	budgetKeeper string // arguments of budgets(...) that name the keeper of the leases; may be empty
 }
@@ -142,7 +142,7 @@
 
 // TestFleetPolicyChange: five processes under load take a change of the budget and a ban from one script and a
 // SIGHUP. All of them take it, and the backends never see two versions at once. A voter is killed, and the next
-// change takes force without it; when it is back it is on the version in force.
+// change takes effect without it; when it is back it is on the version in force.
 func TestFleetPolicyChange(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts six processes")
@@ -188,7 +188,7 @@
 }
 
 // TestPolicyUnderFaults: six processes under load. The leader is suspended past its lease while a change is
-// made, and resumed. Two changes are proposed at once, of which one takes force. Two of the six are down during
+// made, and resumed. Two changes are proposed at once, of which one takes effect. Two of the six are down during
 // a change and started after it. All voters are killed and started again. The backends never see two versions
 // mixed, and after each fault all are on one version.
 func TestPolicyUnderFaults(t *testing.T) {
--- a/cmd/tinsail/door.go
+++ b/cmd/tinsail/door.go
@@ -18,7 +18,7 @@
 // maxDoorCallers limits the concurrent connections to the door, the operators' control listener: each may use a descriptor.
 const maxDoorCallers = 16
 
-// doorDescriptors returns how many descriptors of the limit are set aside for the door: its callers, one connection being
+// doorDescriptors returns how many descriptors of the limit are reserved for the door: its callers, one connection being
 // accepted, and the listener.
 func doorDescriptors(cfg *config.Config) int {
 	if cfg.Admin == "" {
--- a/cmd/tinsail/quota_test.go
+++ b/cmd/tinsail/quota_test.go
@@ -121,7 +121,7 @@
 
 // TestQuotaHistory: nine processes in three regions, with more demand for two teams than their quotas, while
 // links are cut and slow, processes are killed or suspended past their leases, and quotas change. What the
-// backends saw is judged: no team has more requests running at once than its quota, urgent ones exceed it by no
+// backends saw is checked: no team has more requests running at once than its quota, urgent ones exceed it by no
 // more than the reserve, and after each fault the whole quota is in use again.
 func TestQuotaHistory(t *testing.T) {
 	if testing.Short() {
--- a/internal/balance/limits_test.go
+++ b/internal/balance/limits_test.go
@@ -124,7 +124,7 @@
 }
 
 // TestWorkBeyondSharesDoesNotRaiseTheLimit: work beyond shares may fill six tenths of the limit and a little more. Where
-// there are shares, that alone must not raise the limit, or a burst of one tenant would make room for itself.
+// there are shares, that alone must not raise the limit, or a burst of one tenant would raise the limit for itself.
 func TestWorkBeyondSharesDoesNotRaiseTheLimit(t *testing.T) {
 	for _, c := range []struct {
 		tenants []Tenant
--- a/internal/network/director_fault_test.go
+++ b/internal/network/director_fault_test.go
@@ -25,7 +25,7 @@
 				mid := from + time.Duration(1+(i+j+k/3)%3*4)*time.Second
 				end := mid + time.Duration(50+1000*k+50*((i*3+j*5)%20))*time.Millisecond
 				withWatch(t, PollTimings(ask), func(c *watchRig) {
-					c.spells = []spell{{from, mid, first}, {mid, end, second}}
+					c.faultPeriods = []faultPeriod{{from, mid, first}, {mid, end, second}}
 					c.begin()
 					for b, at := range []time.Duration{from, mid, end} {
 						c.until(at + 10*time.Millisecond)
@@ -54,7 +54,7 @@
 			}
 			for end := 8 * time.Second; end < 10*time.Second; end += 250 * time.Millisecond {
 				withWatch(t, PollTimings(ask), func(c *watchRig) {
-					c.spells = []spell{{time.Second, end, refused}}
+					c.faultPeriods = []faultPeriod{{time.Second, end, refused}}
 					c.begin()
 					c.until(end)
 					silentSince := c.injectNext(mute, second)
@@ -80,7 +80,7 @@
 				mid := from + time.Duration(1500+(i+j)%3*700)*time.Millisecond
 				end := mid + time.Duration(10+(30*i+70*j)%500)*time.Millisecond
 				withWatch(t, AgentTimings().WithinGrace(grace), func(c *watchRig) {
-					c.spells = []spell{{from, mid, first}, {mid, end, second}}
+					c.faultPeriods = []faultPeriod{{from, mid, first}, {mid, end, second}}
 					c.begin()
 					for b, at := range []time.Duration{from, mid, end - 5*time.Millisecond} {
 						c.until(at)
@@ -112,7 +112,7 @@
 				}
 				withWatch(t, timings, func(c *watchRig) {
 					if f != healthy {
-						c.spells = []spell{{from, end, f}}
+						c.faultPeriods = []faultPeriod{{from, end, f}}
 					}
 					c.begin()
 					c.until(from - time.Millisecond)
@@ -159,7 +159,7 @@
 					for range 10 {
 						setStatus(c.director, 3, "Ready")
 					}
-					c.spells = []spell{{time.Second, time.Second + long, f}}
+					c.faultPeriods = []faultPeriod{{time.Second, time.Second + long, f}}
 					c.begin()
 					c.until(time.Second + long/2)
 					c.mu.Lock()
--- a/internal/network/director_rig_test.go
+++ b/internal/network/director_rig_test.go
@@ -49,8 +49,8 @@
 
 const listHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// spell is a period in which a fault hits all calls, including those under way at its beginning.
-type spell struct {
+// faultPeriod is a period in which a fault hits all calls, including those under way at its beginning.
+type faultPeriod struct {
 	from, to time.Duration
 	fault    fault
 }
@@ -62,7 +62,7 @@
 	watch                   *Director
 	count                   *counters.Set
 	began                   time.Time
-	spells                  []spell
+	faultPeriods            []faultPeriod
 	pipes                   map[string]*faultnet.PipeListener
 
 	mu         sync.Mutex
@@ -79,7 +79,7 @@
 	rig      *watchRig
 	near     net.Conn // the relay's end of what the dispatcher holds
 	far      net.Conn // to the stand-in; nil if the relay answers itself
-	ownFault fault    // of this connection alone; "" for the one of the current spell
+	ownFault fault    // of this connection alone; "" for the one of the current fault period
 	once     sync.Once
 }
 
@@ -132,9 +132,9 @@
 	return time.Now().Add(time.Hour)
 }
 
-// begin starts the watch and the timers of the spells.
+// begin starts the watch and the timers of the fault periods.
 func (c *watchRig) begin() {
-	for _, s := range c.spells {
+	for _, s := range c.faultPeriods {
 		time.AfterFunc(s.from-time.Since(c.began), func() { c.injectAll(s.fault) })
 	}
 	c.watch.Subscribe()
@@ -186,9 +186,9 @@
 	}
 }
 
-// currentFault returns the fault of the current spell.
+// currentFault returns the fault of the current fault period.
 func (c *watchRig) currentFault() fault {
-	for _, s := range c.spells {
+	for _, s := range c.faultPeriods {
 		if at := time.Since(c.began); at >= s.from && at < s.to {
 			return s.fault
 		}
--- a/internal/network/http2_test.go
+++ b/internal/network/http2_test.go
@@ -68,7 +68,7 @@
 			h1 expect head 1 408 end
 			h1 expect rst 1 NO_ERROR
 			s1/1 expect no connection`,
-		"the fields are judged as HTTP/1.1's are": helloScript + `
+		"the fields are validated as HTTP/1.1's are": helloScript + `
 			h1 send {head 1 e :method=POST :scheme=http :path=/ingest}
 			h1 expect head 1 400
 			h1 expect data 1 400: a bad X-Correlation-Id or Idempotency-Key\n end
--- a/internal/network/localfault.go
+++ b/internal/network/localfault.go
@@ -60,7 +60,7 @@
 // own timeout ended, now is when its failure was noticed.
 func localFaultOf(err error, due, now time.Time) localFault {
 	var errno syscall.Errno
-	if errors.As(err, &errno) { // the system's verdict; ETIMEDOUT means that the remote side was silent
+	if errors.As(err, &errno) { // the system's error code; ETIMEDOUT means that the remote side was silent
 		return localFaultByErrno[errno]
 	}
 	var netErr net.Error
--- a/internal/network/mutate_test.go
+++ b/internal/network/mutate_test.go
@@ -21,13 +21,13 @@
 	"tinsail/internal/platform"
 )
 
-// mutationWorld is a dispatcher without its fronts, on pipes: the real core and dispatch module, pool, links and director's
+// mutationSystem is a dispatcher without its fronts, on pipes: the real core and dispatch module, pool, links and director's
 // watch. What its peers write are the messages to mutate. A message's To is the connection, for example s1/2 for the second one
 // made to backend s1. Requests are of a class that must never run twice, unless safe.
-type mutationWorld struct {
+type mutationSystem struct {
 	*fixture
 	reqs         int  // how many
-	safe         bool // requests may run twice, and two attempts may be out together
+	safe         bool // requests may run twice, and two attempts may be in flight together
 	watched      bool // the list of backends must be right in the end
 	start        time.Time
 	stop         chan struct{}
@@ -56,7 +56,7 @@
 	return reqScripts[n%len(reqScripts)]
 }
 
-func newMutationWorld(t *testing.T, reqs int, safe, watched bool) *mutationWorld {
+func newMutationWorld(t *testing.T, reqs int, safe, watched bool) *mutationSystem {
 	s := balance.Settings{Seed: 1, Instances: 1, Zones: 1, Kinds: 1, MaxAttempts: 3, MayCancel: true,
 		TellsStart: true, ConnectTimeout: 120, Tick: 2, Subscribe: true,
 		Rules:   balance.Rules{AnswerSlack: 8, AskEvery: 10000, FallMultiple: 3, FallWindow: 2000, StartCapacity: 0.31, WarmAfter: 9000, DrainGrace: 500},
@@ -65,7 +65,7 @@
 		s.MayDuplicate, s.Classes[0].Effect = true, balance.Safe
 	}
 	names := &platform.Names{Classes: []string{"ingest"}, RequiresKey: []bool{true}, Deadlines: []time.Duration{5 * time.Second}, Columns: []string{"x0"}}
-	w := &mutationWorld{reqs: reqs, safe: safe, watched: watched, fixture: &fixture{t: t, count: &counters.Set{}, peers: map[string]*peer{}, refusedDials: map[string]bool{}, dialDelays: map[string]time.Duration{}, dialCounts: map[string]int{}},
+	w := &mutationSystem{reqs: reqs, safe: safe, watched: watched, fixture: &fixture{t: t, count: &counters.Set{}, peers: map[string]*peer{}, refusedDials: map[string]bool{}, dialDelays: map[string]time.Duration{}, dialCounts: map[string]int{}},
 		start: time.Now(), stop: make(chan struct{}), arrivals: map[string]int{}, calls: map[string]int{}, waiting: map[string]int{}, answers: map[string][]core.Answer{}}
 	w.pool = &Pool{Names: names, Count: w.count, ConnectTimeout: 120 * time.Millisecond, IdleTimeout: 7 * time.Second, MaxConnections: 50, Dial: w.dial}
 	w.director = &Director{Names: names, Count: w.count, Address: "d", Timings: PollTimings(10 * time.Second), Dial: w.dial, Stop: w.stop}
@@ -81,7 +81,7 @@
 }
 
 // shutdown ends everything that the run began.
-func (w *mutationWorld) shutdown() {
+func (w *mutationSystem) shutdown() {
 	w.fixture.mu.Lock()
 	for _, n := range w.Nodes() {
 		name, _, _ := strings.Cut(n, "/")
@@ -96,17 +96,17 @@
 	synctest.Wait()
 }
 
-func (w *mutationWorld) Nodes() []string {
+func (w *mutationSystem) Nodes() []string {
 	return []string{"us", "s1/1", "s1/2", "s2/1", "s2/2", "s2/3", "d/1"}
 }
 
 // advance moves the clock on to a time of the run, and waits until all goroutines wait.
-func (w *mutationWorld) advance(now time.Duration) {
+func (w *mutationSystem) advance(now time.Duration) {
 	time.Sleep(time.Until(w.start.Add(now)))
 	synctest.Wait()
 }
 
-func (w *mutationWorld) Tick(now time.Duration, node string) (out []mutate.Message) {
+func (w *mutationSystem) Tick(now time.Duration, node string) (out []mutate.Message) {
 	if node != "us" {
 		return nil
 	}
@@ -140,7 +140,7 @@
 	return out
 }
 
-func (w *mutationWorld) takeReq(id string) {
+func (w *mutationSystem) takeReq(id string) {
 	left := 500 * time.Millisecond
 	if reqScript(id) == "silent" {
 		left = 150 * time.Millisecond
@@ -150,7 +150,7 @@
 }
 
 type mutationClient struct {
-	w  *mutationWorld
+	w  *mutationSystem
 	id string
 }
 
@@ -179,7 +179,7 @@
 }
 
 // nextReq returns the next complete request that has arrived on a connection, or nil.
-func (w *mutationWorld) nextReq(conn string) *http.Request {
+func (w *mutationSystem) nextReq(conn string) *http.Request {
 	w.fixture.mu.Lock()
 	p := w.peers[conn]
 	w.fixture.mu.Unlock()
@@ -203,7 +203,7 @@
 }
 
 // backendReplies returns what a backend writes for a request.
-func (w *mutationWorld) backendReplies(conn string, q *http.Request) (out []mutate.Message) {
+func (w *mutationSystem) backendReplies(conn string, q *http.Request) (out []mutate.Message) {
 	id := q.Header.Get("X-Correlation-Id")
 	w.arrivals[id]++
 	kind := reqScript(id)
@@ -213,7 +213,7 @@
 		}
 		if kind = "done"; reqScript(id) == "slow done" {
 			kind = reqScript(id)
-		} else if !scriptServes(id) { // a repeat fares no better
+		} else if !scriptServes(id) { // a repeat would fail too
 			kind = "failed"
 		}
 	}
@@ -267,7 +267,7 @@
 
 // listVersion returns the version of the list: s3 is in it at first and removed later; s2 drains for a while. The dispatch
 // module subscribes half a second after its start.
-func (w *mutationWorld) listVersion(now time.Duration) int {
+func (w *mutationSystem) listVersion(now time.Duration) int {
 	switch {
 	case now < 800*time.Millisecond:
 		return 42
@@ -278,14 +278,14 @@
 }
 
 // parseWatch returns the version that a call to the director names, -1 if it asks for the whole list.
-func (w *mutationWorld) parseWatch(q *http.Request) int {
+func (w *mutationSystem) parseWatch(q *http.Request) int {
 	since := -1
 	fmt.Sscan(q.URL.Query().Get("since"), &since)
 	return since
 }
 
 // directorReply answers a call.
-func (w *mutationWorld) directorReply(conn string, since int, now time.Duration) []mutate.Message {
+func (w *mutationSystem) directorReply(conn string, since int, now time.Duration) []mutate.Message {
 	index := w.listVersion(now)
 	entry := func(name, status string) string {
 		return fmt.Sprintf("\n  {\"name\":\"%s\",\"address\":\"%s\",\"zone\":\"a\",\"type\":\"m\",\"group\":1,\"status\":\"%s\",\"weight\":4.0,\"since_ms\":0}", name, name, status)
@@ -310,7 +310,7 @@
 		{From: "d", To: conn, Bytes: []byte(text), Delay: 2 * time.Millisecond}}
 }
 
-func (w *mutationWorld) Deliver(now time.Duration, m mutate.Message) []mutate.Message {
+func (w *mutationSystem) Deliver(now time.Duration, m mutate.Message) []mutate.Message {
 	w.advance(now)
 	w.fixture.mu.Lock()
 	p := w.peers[m.To]
@@ -328,7 +328,7 @@
 	return nil
 }
 
-func (w *mutationWorld) CheckInvariants(time.Duration) error {
+func (w *mutationSystem) CheckInvariants(time.Duration) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.watched && w.core.ReadyBackends() == 0 { // s1 is ready in every list
@@ -338,7 +338,7 @@
 }
 
 // CheckEndState checks that each request had its answer, nothing of any is kept, and the last requests that can be served were.
-func (w *mutationWorld) CheckEndState(now time.Duration) error {
+func (w *mutationSystem) CheckEndState(now time.Duration) error {
 	w.advance(now)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -376,7 +376,7 @@
 }
 
 func newSetup(t *testing.T, name string, reqs int, safe, watched bool) mutate.Setup {
-	var now *mutationWorld
+	var now *mutationSystem
 	return mutate.Setup{Name: "network " + name, Seed: 1, TickInterval: tickInterval, FaultsUntil: firstReqAt + time.Duration(max(reqs-len(reqScripts)-2, 0))*reqInterval,
 		Duration: firstReqAt + time.Duration(reqs)*reqInterval + 800*time.Millisecond, ExtraDelay: 50 * time.Millisecond,
 		Kinds: mutate.StreamKinds, MaxSplits: 3, Exclude: excuseMutation,
