--- a/internal/standin/consul/consul.go
+++ b/internal/standin/consul/consul.go
@@ -1,6 +1,6 @@
-// Package consul stands in for a Consul agent: the part of its published HTTP API (v1) that has to
-// do with services and their health, with blocking queries, and with faults on command. In
-// process and on loopback; it shares no code with what serves.
+// Package consul simulates a Consul agent for tests and the laboratory: the part of its published HTTP API (v1) that concerns
+// services and their health, with blocking queries and with faults that can be switched on. It runs in process, on
+// loopback, and shares no code with the Consul client that it tests.
 package consul
 
 import (
@@ -16,16 +16,16 @@
 	"time"
 )
 
-// Check is a health check of a service.
+// Check is a health check of a service, encoded as in Consul's API.
 type Check struct {
 	Node, CheckID, Name, Status, Output string
 	ServiceID, ServiceName              string
 }
 
-// Weights of a service, by its health.
+// Weights are the load balancing weights of a service, by the status of its checks.
 type Weights struct{ Passing, Warning int }
 
-// Service is an instance of a service.
+// Service is one instance of a service, encoded as in Consul's API.
 type Service struct {
 	ID, Service, Address     string
 	Port                     int
@@ -35,46 +35,48 @@
 	CreateIndex, ModifyIndex uint64
 }
 
+// instance is an entry of the answer to /v1/health/service/NAME. Its field names are those of Consul's API.
 type instance struct {
 	Service Service
 	Node    struct{ Node, Address, Datacenter string }
 	Checks  []Check
 }
 
-// Faults are what the agent does wrong, from when they are set until they are set again.
+// Faults are the faults of the agent, in effect until they are set again. The field names are also the JSON keys of PUT
+// /lab/faults.
 type Faults struct {
-	Silent    bool          // no call is answered, for as long as this lasts
-	Reset     bool          // every connection is reset
-	Status    int           // every call is answered with this status
-	Slow      time.Duration // before every answer
-	Half      bool          // bodies break off in the middle
+	Silent    bool          // calls wait without an answer while this is set
+	Reset     bool          // every connection is closed without an answer
+	Status    int           // every call is answered with this status; 0: none
+	Slow      time.Duration // delay before every answer
+	Half      bool          // bodies of lists end after half of their length
 	Empty     bool          // lists are empty
-	Double    bool          // lists name everything twice
-	Back      uint64        // the index is told lower by this
-	NoLeader  bool          // X-Consul-KnownLeader: false
-	Stale     time.Duration // X-Consul-LastContact
-	Malformed bool          // one more entry without an address, one with port 0, one with a control byte in its name
+	Double    bool          // lists contain every entry twice
+	Back      uint64        // X-Consul-Index is lower by this than the true index
+	NoLeader  bool          // X-Consul-KnownLeader is false
+	Stale     time.Duration // value of X-Consul-LastContact
+	Malformed bool          // lists have three more entries: one without an address, one with port 0, one with a control byte in its ID
 }
 
-// Agent is a Consul agent.
+// Agent is a simulated Consul agent.
 type Agent struct {
-	Address string
+	Address string // host and port it listens on
 
 	server        *http.Server
 	mu            sync.Mutex
 	index         uint64
-	instances     map[string]*instance // by service id
-	indexChanged  chan struct{}
+	instances     map[string]*instance // by service ID
+	indexChanged  chan struct{}        // closed, and replaced, when index grows
 	faults        Faults
-	faultsChanged chan struct{}
+	faultsChanged chan struct{} // closed, and replaced, when the faults are set
 	calls         int
-	token         string
+	token         string // required of every call; empty: none
 }
 
-// Start listens on a free port of 127.0.0.1.
+// Start starts an agent on a free port of 127.0.0.1.
 func Start() (*Agent, error) { return StartAt("127.0.0.1:0") }
 
-// StartAt listens on an address.
+// StartAt starts an agent that listens on the given address.
 func StartAt(address string) (*Agent, error) {
 	a := &Agent{index: 10, instances: map[string]*instance{}, indexChanged: make(chan struct{}), faultsChanged: make(chan struct{})}
 	l, err := net.Listen("tcp", address)
@@ -83,21 +85,21 @@
 	}
 	a.Address = l.Addr().String()
 	a.server = &http.Server{Handler: http.HandlerFunc(a.handle)}
-	go func() { _ = a.server.Serve(l) }() // ends with Close
+	go func() { _ = a.server.Serve(l) }() // returns when Close is called
 	return a, nil
 }
 
-// Close ends the agent and all calls.
+// Close stops the agent and closes its connections.
 func (a *Agent) Close() { a.server.Close() }
 
-// RequireToken has every call without this token answered 403.
+// RequireToken makes the agent answer 403 to calls without this token.
 func (a *Agent) RequireToken(token string) {
 	a.mu.Lock()
 	a.token = token
 	a.mu.Unlock()
 }
 
-// SetFaults has the agent fail in these ways from now on.
+// SetFaults replaces the faults of the agent.
 func (a *Agent) SetFaults(f Faults) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -106,14 +108,14 @@
 	a.faultsChanged = make(chan struct{})
 }
 
-// Calls is how many calls came so far.
+// Calls returns how many calls the agent has received, apart from those that set faults.
 func (a *Agent) Calls() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.calls
 }
 
-// Put adds a service or changes it; it passes.
+// Put adds or replaces a service. The check of a new one is passing; weights default to 1.
 func (a *Agent) Put(s Service) {
 	a.update(func() {
 		i := a.instances[s.ID]
@@ -132,7 +134,7 @@
 	})
 }
 
-// SetCheckStatus sets the status of a service's own check: passing, warning or critical.
+// SetCheckStatus sets the status of a service's own check to passing, warning or critical.
 func (a *Agent) SetCheckStatus(id, status string) {
 	a.update(func() {
 		if i := a.instances[id]; i != nil {
@@ -141,7 +143,7 @@
 	})
 }
 
-// SetMaintenance puts a service into maintenance, or takes it back.
+// SetMaintenance puts a service into maintenance, or ends it.
 func (a *Agent) SetMaintenance(id string, on bool) {
 	a.update(func() {
 		i := a.instances[id]
@@ -155,13 +157,14 @@
 	})
 }
 
-// RemoveService drops a service.
+// RemoveService removes a service.
 func (a *Agent) RemoveService(id string) { a.update(func() { delete(a.instances, id) }) }
 
-// RemoveAll drops all services, as an agent does that restarts without its data.
+// RemoveAll removes all services, as happens when an agent restarts without its data.
 func (a *Agent) RemoveAll() { a.update(func() { clear(a.instances) }) }
 
-// ServiceStatuses tells the ids that are there with the status of all their checks together.
+// ServiceStatuses returns the status of every service by ID: maintenance, or the status of its last check that isn't passing,
+// or passing.
 func (a *Agent) ServiceStatuses() map[string]string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -181,6 +184,7 @@
 	return all
 }
 
+// update runs f under the lock with a new index, and wakes the blocking queries.
 func (a *Agent) update(f func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -190,18 +194,18 @@
 	a.indexChanged = make(chan struct{})
 }
 
-// applyFaults does what is wrong now, and says whether the call is over by it.
-func (a *Agent) applyFaults(w http.ResponseWriter, r *http.Request) (f Faults, over bool) {
+// applyFaults applies the current faults to a call. done reports that the call needs no further answer.
+func (a *Agent) applyFaults(w http.ResponseWriter, r *http.Request) (f Faults, done bool) {
 	for {
 		a.mu.Lock()
 		f = a.faults
-		change := a.faultsChanged
+		faultsChanged := a.faultsChanged
 		a.mu.Unlock()
 		if !f.Silent {
 			break
 		}
 		select {
-		case <-change:
+		case <-faultsChanged:
 		case <-r.Context().Done():
 			return f, true
 		}
@@ -224,7 +228,7 @@
 }
 
 func (a *Agent) handle(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path == "/lab/faults" && r.Method == "PUT" { // no path of Consul's: orders by hand
+	if r.URL.Path == "/lab/faults" && r.Method == "PUT" { // not a path of Consul's API: sets the faults by hand
 		var f Faults
 		d := json.NewDecoder(r.Body)
 		d.DisallowUnknownFields()
@@ -239,8 +243,8 @@
 	a.calls++
 	token := a.token
 	a.mu.Unlock()
-	f, over := a.applyFaults(w, r)
-	if over {
+	f, done := a.applyFaults(w, r)
+	if done {
 		return
 	}
 	if token != "" && r.Header.Get("X-Consul-Token") != token {
@@ -290,7 +294,7 @@
 		return
 	}
 	a.Put(Service{ID: s.ID, Service: s.Name, Address: s.Address, Port: s.Port, Tags: s.Tags, Meta: s.Meta})
-	a.SetCheckStatus(s.ID, "critical") // a TTL check is critical until it is first passed
+	a.SetCheckStatus(s.ID, "critical") // a TTL check is critical until its first update
 }
 
 func (a *Agent) handleCheckUpdate(w http.ResponseWriter, r *http.Request, check string) {
@@ -307,14 +311,14 @@
 	a.SetCheckStatus(id, u.Status)
 }
 
-// handleHealth answers /v1/handleHealth/service/NAME, at once or when something newer than index is there.
+// handleHealth answers /v1/health/service/NAME. With a wait and an index in the query, it first waits for a newer index.
 func (a *Agent) handleHealth(w http.ResponseWriter, r *http.Request, name string, f Faults) {
 	q := r.URL.Query()
 	index, _ := strconv.ParseUint(q.Get("index"), 10, 64)
 	if wait, err := time.ParseDuration(q.Get("wait")); index > 0 && err == nil {
 		a.awaitIndex(r, index, min(wait, 10*time.Minute))
-		var over bool
-		if f, over = a.applyFaults(w, r); over { // it may have gone wrong meanwhile
+		var done bool
+		if f, done = a.applyFaults(w, r); done { // the faults may have changed during the wait
 			return
 		}
 	}
@@ -331,19 +335,19 @@
 			out = append(out, i)
 		}
 	}
-	at := a.index
+	current := a.index
 	a.mu.Unlock()
 	if f.Double {
 		out = append(out, out...)
 	}
 	if f.Malformed {
-		bad := func(id, address string, port int) {
+		addMalformed := func(id, address string, port int) {
 			i := instance{Service: Service{ID: id, Service: name, Address: address, Port: port}}
 			out = append(out, i)
 		}
-		bad("no-address", "", 80)
-		bad("no-port", "127.0.0.1", 0)
-		bad("con\x01trol", "127.0.0.1", 80)
+		addMalformed("no-address", "", 80)
+		addMalformed("no-port", "127.0.0.1", 0)
+		addMalformed("con\x01trol", "127.0.0.1", 80)
 	}
 	body, err := json.Marshal(out)
 	if err != nil {
@@ -352,29 +356,31 @@
 	}
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	h.Set("X-Consul-Index", strconv.FormatUint(at-min(f.Back, at), 10))
+	h.Set("X-Consul-Index", strconv.FormatUint(current-min(f.Back, current), 10))
 	h.Set("X-Consul-KnownLeader", strconv.FormatBool(!f.NoLeader))
 	h.Set("X-Consul-LastContact", strconv.FormatInt(f.Stale.Milliseconds(), 10))
 	if f.Half {
 		h.Set("Content-Length", strconv.Itoa(len(body)))
 		body = body[:len(body)/2]
 	}
-	_, _ = w.Write(body) // a caller that has gone needs no answer
+	_, _ = w.Write(body) // fails only if the caller has closed the connection
 }
 
+// awaitIndex returns when the agent's index is larger than the given one, the faults change, the wait is over or the caller has
+// closed the connection.
 func (a *Agent) awaitIndex(r *http.Request, index uint64, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		a.mu.Lock()
-		newer, moved, change := a.index > index, a.indexChanged, a.faultsChanged
+		newer, indexChanged, faultsChanged := a.index > index, a.indexChanged, a.faultsChanged
 		a.mu.Unlock()
 		if newer {
 			return
 		}
 		select {
-		case <-moved:
-		case <-change:
+		case <-indexChanged:
+		case <-faultsChanged:
 			return
 		case <-timer.C:
 			return
