--- a/internal/lab/experiment/random.go
+++ b/internal/lab/experiment/random.go
@@ -9,8 +9,8 @@
 // Random is a policy that keeps the rules and uses no information about load: it sends each request to a random ready
 // worker, and again to a random one if the request is proven not to have run. It is the baseline that every other
 // policy should exceed.
-func Random(s balance.Settings, act balance.Actions) (balance.Events, error) {
-	return &random{actions: act, settings: s, rng: rand.New(rand.NewPCG(s.Seed, 7)), reqs: map[balance.RequestID]*randomReq{}, readyIndex: map[balance.WorkerID]int{}}, nil
+func Random(s balance.Settings, actions balance.Actions) (balance.Events, error) {
+	return &random{actions: actions, settings: s, rng: rand.New(rand.NewPCG(s.Seed, 7)), reqs: map[balance.RequestID]*randomReq{}, readyIndex: map[balance.WorkerID]int{}}, nil
 }
 
 type random struct {
