--- a/internal/lab/capacity/virtual/main.go
+++ b/internal/lab/capacity/virtual/main.go
@@ -65,7 +65,7 @@
 				defer func() { <-turns; wg.Done() }()
 				s := sc
 				if s.Seed = uint64(seed); variant == "before" {
-					s.Quotas, s.Spans, s.Crashes, s.Requotas = sim.Quotas{}, nil, nil, nil
+					s.Quotas, s.Partitions, s.LenderCrashes, s.QuotaChanges = sim.Quotas{}, nil, nil, nil
 				}
 				r, err := sim.Play(s, defaults.Settings())
 				mu.Lock()
--- a/internal/lab/script/accord.go
+++ b/internal/lab/script/accord.go
@@ -21,7 +21,7 @@
 	c := sim.Cut{At: a.seconds("start", 0), Length: a.seconds("length", 10_000)}
 	if v, ok := a.named("region"); ok {
 		name, _ := starlark.AsString(v)
-		c.Nodes = r.dispatchersOf(a, name)
+		c.Dispatchers = r.dispatchersOf(a, name)
 		r.sc.Cuts = append(r.sc.Cuts, c)
 		return nil, nil
 	}
@@ -32,7 +32,7 @@
 		return nil, nil
 	}
 	for x := range starlark.Elements(list) {
-		c.Nodes = append(c.Nodes, int(a.bounded("dispatchers", x, 0, 999)))
+		c.Dispatchers = append(c.Dispatchers, int(a.bounded("dispatchers", x, 0, 999)))
 	}
 	r.sc.Cuts = append(r.sc.Cuts, c)
 	return nil, nil
@@ -40,6 +40,6 @@
 
 // change makes a dispatcher, numbered from 0, propose a new policy version.
 func (r *reader) change(a *args) (starlark.Value, error) {
-	r.sc.Changes = append(r.sc.Changes, sim.Change{At: a.seconds("start", 0), Node: int(a.number("dispatcher", 0, 0, 999))})
+	r.sc.PolicyChanges = append(r.sc.PolicyChanges, sim.PolicyChange{At: a.seconds("start", 0), Dispatcher: int(a.number("dispatcher", 0, 0, 999))})
 	return nil, nil
 }
--- a/internal/lab/script/quotas.go
+++ b/internal/lab/script/quotas.go
@@ -44,29 +44,29 @@
 
 // sever partitions a region from all others, or from one other, for some time: messages between them are lost.
 func (r *reader) sever(a *args) (starlark.Value, error) {
-	s := sim.Span{In: r.regionIndex(a, "region"), To: -1, At: a.seconds("start", 0), Length: a.seconds("length", 300_000)}
+	s := sim.Partition{Region: r.regionIndex(a, "region"), Other: -1, At: a.seconds("start", 0), Length: a.seconds("length", 300_000)}
 	if _, ok := a.kw["other"]; ok {
-		s.To = r.regionIndex(a, "other")
+		s.Other = r.regionIndex(a, "other")
 	}
-	r.sc.Spans = append(r.sc.Spans, s)
+	r.sc.Partitions = append(r.sc.Partitions, s)
 	return nil, nil
 }
 
 // crash kills the lender of a region, or the root lender, whose next incarnation runs in the given region.
 func (r *reader) crash(a *args) (starlark.Value, error) {
-	c := sim.Crash{At: a.seconds("start", 0), Down: a.seconds("down", 2000), Region: -1}
+	c := sim.LenderCrash{At: a.seconds("start", 0), Down: a.seconds("down", 2000), Region: -1}
 	if _, ok := a.kw["to"]; ok {
 		c.To = r.regionIndex(a, "to")
 	} else {
 		c.Region = r.regionIndex(a, "lender")
 	}
-	r.sc.Crashes = append(r.sc.Crashes, c)
+	r.sc.LenderCrashes = append(r.sc.LenderCrashes, c)
 	return nil, nil
 }
 
 // requota changes a tenant's quota at a given time.
 func (r *reader) requota(a *args) (starlark.Value, error) {
-	r.sc.Requotas = append(r.sc.Requotas, sim.Requota{Tenant: a.text("tenant"), At: a.seconds("start", 0), Quota: int(a.number("quota", 1, 1, 1e6))})
+	r.sc.QuotaChanges = append(r.sc.QuotaChanges, sim.QuotaChange{Tenant: a.text("tenant"), At: a.seconds("start", 0), Quota: int(a.number("quota", 1, 1, 1e6))})
 	return nil, nil
 }
 
--- a/internal/lab/script/script_test.go
+++ b/internal/lab/script/script_test.go
@@ -53,7 +53,7 @@
 		[]sim.Restart{{At: 9000, Node: 2, Down: 500, Notice: 1000}}}, []any{sc.Heavy, sc.Stale, sc.Restarts})
 	assert.Equal(t, 7000.0, sc.Events[len(sc.Events)-4].At, "the second batch")
 	assert.Equal(t, sim.Accord{Lease: 900, Drift: 0.001, Keep: true, Latency: 1, Loss: 0.1, Flush: 5, Check: 2, Probe: 500}, sc.Accord)
-	assert.Equal(t, []any{[]sim.Cut{{At: 2000, Length: 3000, Nodes: []int{1, 2}}}, []sim.Change{{At: 4000, Node: 1}}}, []any{sc.Cuts, sc.Changes})
+	assert.Equal(t, []any{[]sim.Cut{{At: 2000, Length: 3000, Dispatchers: []int{1, 2}}}, []sim.PolicyChange{{At: 4000, Dispatcher: 1}}}, []any{sc.Cuts, sc.PolicyChanges})
 }
 
 // TestTenantsAndRegions: the calls for tenants, regions and measuring give the expected scenario.
@@ -76,7 +76,7 @@
 	assert.Equal(t, []sim.Tenant{{Name: "big1", Quota: 30, Wants: 75, At: 3, Class: "batch", Think: 200},
 		{Name: "t1", Quota: 30, Wants: 30, Class: "batch"}, {Name: "t2", Quota: 30, Wants: 30, Class: "batch"}}, sc.Tenants)
 	assert.Equal(t, sim.Window{From: 5000, To: 20_000, Ramp: 2000}, sc.Window)
-	assert.Equal(t, []sim.Cut{{At: 2000, Length: 3000, Nodes: []int{3, 4, 5, 6}}}, sc.Cuts)
+	assert.Equal(t, []sim.Cut{{At: 2000, Length: 3000, Dispatchers: []int{3, 4, 5, 6}}}, sc.Cuts)
 	assert.Equal(t, []any{0.0, false, true}, []any{sc.Classes[0].Share, sc.Classes[0].Urgent, sc.Classes[1].Urgent})
 }
 
@@ -99,9 +99,9 @@
 `))
 	require.NoError(t, err)
 	assert.Equal(t, sim.Quotas{Lease: 900, RegionLease: 8000, Run: 5000, Reserve: 7, Far: []float64{5, 80, 150}, Loss: 0.1, Drift: 0.001, Latency: 1, Elect: 5000}, sc.Quotas)
-	assert.Equal(t, []sim.Span{{At: 1000, Length: 2000, In: 1, To: -1}, {At: 3000, Length: 4000, In: 1, To: 2}}, sc.Spans)
-	assert.Equal(t, []sim.Crash{{At: 5000, Down: 2000, Region: 2}, {At: 6000, Down: 1000, Region: -1, To: 1}}, sc.Crashes)
-	assert.Equal(t, []sim.Requota{{At: 7000, Tenant: "t2", Quota: 9}}, sc.Requotas)
+	assert.Equal(t, []sim.Partition{{At: 1000, Length: 2000, Region: 1, Other: -1}, {At: 3000, Length: 4000, Region: 1, Other: 2}}, sc.Partitions)
+	assert.Equal(t, []sim.LenderCrash{{At: 5000, Down: 2000, Region: 2}, {At: 6000, Down: 1000, Region: -1, To: 1}}, sc.LenderCrashes)
+	assert.Equal(t, []sim.QuotaChange{{At: 7000, Tenant: "t2", Quota: 9}}, sc.QuotaChanges)
 	assert.True(t, sc.Restarts[0].Orderly)
 	for text, want := range map[string]string{
 		"quotas(between_ms = [3])":              "x.star:7:7: quotas: between_ms holds one delay, want one for each of 3 pairs",
--- a/internal/lab/sim/accord.go
+++ b/internal/lab/sim/accord.go
@@ -29,14 +29,14 @@
 // Cut loses every message between the keeper and some dispatchers, counted from 0, for a while. Clients and backends
 // reach them as before.
 type Cut struct {
-	At, Length float64
-	Nodes      []int
+	At, Length  float64
+	Dispatchers []int
 }
 
-// Change is a new version, proposed at a time by a dispatcher.
-type Change struct {
-	At   float64
-	Node int
+// PolicyChange is a new version, proposed at a time by a dispatcher.
+type PolicyChange struct {
+	At         float64
+	Dispatcher int
 }
 
 // AccordResult is what came of the accord.
@@ -66,21 +66,21 @@
 func (sc *Scenario) checkAccord() error {
 	a, most := &sc.Accord, max(sc.Dispatchers, 1)
 	if a.Lease == 0 {
-		if len(sc.Cuts)+len(sc.Changes) > 0 {
+		if len(sc.Cuts)+len(sc.PolicyChanges) > 0 {
 			return fmt.Errorf("cuts and changes want an accord")
 		}
 		return nil
 	}
 	for _, c := range sc.Cuts {
-		for _, n := range c.Nodes {
+		for _, n := range c.Dispatchers {
 			if n < 0 || n >= most {
 				return fmt.Errorf("dispatcher %d is cut off, which is none", n)
 			}
 		}
 	}
-	for _, c := range sc.Changes {
-		if c.Node < 0 || c.Node >= most {
-			return fmt.Errorf("dispatcher %d proposes a change, which is none", c.Node)
+	for _, c := range sc.PolicyChanges {
+		if c.Dispatcher < 0 || c.Dispatcher >= most {
+			return fmt.Errorf("dispatcher %d proposes a change, which is none", c.Dispatcher)
 		}
 	}
 	return a.plan().Check()
@@ -126,7 +126,7 @@
 // severed says whether a dispatcher is cut off now.
 func (w *world) severed(node int) bool {
 	for _, c := range w.sc.Cuts {
-		if w.now >= c.At && w.now < c.At+c.Length && slices.Contains(c.Nodes, node) {
+		if w.now >= c.At && w.now < c.At+c.Length && slices.Contains(c.Dispatchers, node) {
 			return true
 		}
 	}
@@ -180,9 +180,9 @@
 			s.unready = !s.dead && !s.fence.Serves()
 		}
 	})
-	for i, c := range w.sc.Changes {
+	for i, c := range w.sc.PolicyChanges {
 		w.at(c.At, func() {
-			s := w.sides[c.Node]
+			s := w.sides[c.Dispatcher]
 			version, _ := s.fence.lessee.Current()
 			// One of its own that is under way is not overtaken.
 			_ = s.fence.lessee.Propose(accord.ProposalBit|uint64(i+2), fmt.Appendf(nil, "version %d by change %d", version+1, i))
--- a/internal/lab/sim/accord_test.go
+++ b/internal/lab/sim/accord_test.go
@@ -15,8 +15,8 @@
 	sc := evening(seed)
 	sc.Dispatchers, sc.Retries, sc.Backoff, sc.Length, sc.Rate = 4, 6, 100, 16_000, 60
 	sc.Accord = Accord{Lease: 3000, Drift: 0.05, Keep: keep, Latency: 1, Flush: 5, Check: 2, Probe: 1000}
-	sc.Cuts = []Cut{{At: 6000, Length: 8000, Nodes: []int{3}}}
-	sc.Changes = []Change{{At: 7000, Node: 0}}
+	sc.Cuts = []Cut{{At: 6000, Length: 8000, Dispatchers: []int{3}}}
+	sc.PolicyChanges = []PolicyChange{{At: 7000, Dispatcher: 0}}
 	return sc
 }
 
@@ -59,7 +59,7 @@
 // for that, refuses from then on, and takes again once its link is back.
 func TestFenceIsTheLease(t *testing.T) {
 	sc := severedEvening(1, false)
-	sc.Changes, sc.Accord.Drift, sc.Rate = nil, 0, 0.01
+	sc.PolicyChanges, sc.Accord.Drift, sc.Rate = nil, 0, 0.01
 	w, err := newWorld(sc, defaults.Settings(), Module)
 	require.NoError(t, err)
 	w.begin()
@@ -100,8 +100,8 @@
 func TestAccordFaults(t *testing.T) {
 	for want, change := range map[string]func(*Scenario){
 		"want an accord":          func(s *Scenario) { s.Accord = Accord{} },
-		"dispatcher 4 is cut off": func(s *Scenario) { s.Cuts[0].Nodes = []int{4} },
-		"dispatcher 9 proposes":   func(s *Scenario) { s.Changes[0].Node = 9 },
+		"dispatcher 4 is cut off": func(s *Scenario) { s.Cuts[0].Dispatchers = []int{4} },
+		"dispatcher 9 proposes":   func(s *Scenario) { s.PolicyChanges[0].Dispatcher = 9 },
 		"lease is not between":    func(s *Scenario) { s.Accord.Lease = 1 },
 	} {
 		sc := severedEvening(1, false)
--- a/internal/lab/sim/quotas.go
+++ b/internal/lab/sim/quotas.go
@@ -32,21 +32,21 @@
 	whole bool // a seeded fault for tests: a dispatcher begins by a lease until its whole length, and past it
 }
 
-// Span is the part of a day in which regions lose each other: what is between In and the others, or only between In and To.
-type Span struct {
-	At, Length float64
-	In, To     int // To -1: all others
+// Partition is the part of a day in which regions lose each other: what is between In and the others, or only between In and To.
+type Partition struct {
+	At, Length    float64
+	Region, Other int // To -1: all others
 }
 
-// Crash is a lender that is killed, and started again with nothing but its reserve: that of a region, or the root (Region
+// LenderCrash is a lender that is killed, and started again with nothing but its reserve: that of a region, or the root (Region
 // -1), whose next life is in region To.
-type Crash struct {
+type LenderCrash struct {
 	At, Down   float64
 	Region, To int
 }
 
-// Requota is a change of a tenant's quota, in force at all lenders and dispatchers at once.
-type Requota struct {
+// QuotaChange is a change of a tenant's quota, in force at all lenders and dispatchers at once.
+type QuotaChange struct {
 	At     float64
 	Tenant string
 	Quota  int
@@ -71,26 +71,26 @@
 func (sc *Scenario) checkQuotas() error {
 	q := &sc.Quotas
 	if q.Lease == 0 {
-		if len(sc.Spans)+len(sc.Crashes)+len(sc.Requotas) > 0 {
+		if len(sc.Partitions)+len(sc.LenderCrashes)+len(sc.QuotaChanges) > 0 {
 			return fmt.Errorf("spans, crashes and changes of quotas want quotas")
 		}
 		return nil
 	}
 	n := len(sc.Regions)
-	for _, s := range sc.Spans {
-		if s.In < 0 || s.In >= n || s.To < -1 || s.To >= n {
-			return fmt.Errorf("region %d is cut off from %d, of %d", s.In, s.To, n)
+	for _, s := range sc.Partitions {
+		if s.Region < 0 || s.Region >= n || s.Other < -1 || s.Other >= n {
+			return fmt.Errorf("region %d is cut off from %d, of %d", s.Region, s.Other, n)
 		}
 	}
-	for _, c := range sc.Crashes {
+	for _, c := range sc.LenderCrashes {
 		if c.Region < -1 || c.Region >= n || c.To < 0 || c.To >= n {
 			return fmt.Errorf("the lender of region %d is killed, of %d", c.Region, n)
 		}
 	}
-	if !slices.IsSortedFunc(sc.Requotas, func(a, b Requota) int { return cmp.Compare(a.At, b.At) }) {
+	if !slices.IsSortedFunc(sc.QuotaChanges, func(a, b QuotaChange) int { return cmp.Compare(a.At, b.At) }) {
 		return fmt.Errorf("changes of quotas out of the order of their times")
 	}
-	for _, r := range sc.Requotas {
+	for _, r := range sc.QuotaChanges {
 		if !slices.ContainsFunc(sc.Tenants, func(t Tenant) bool { return t.Name == r.Tenant }) {
 			return fmt.Errorf("a change of the quota of tenant %q, which is none", r.Tenant)
 		}
@@ -217,9 +217,9 @@
 }
 
 func (q *quotas) severed(a, b int) bool {
-	for _, s := range q.w.sc.Spans {
+	for _, s := range q.w.sc.Partitions {
 		if a != b && q.w.now >= s.At && q.w.now < s.At+s.Length &&
-			(s.To < 0 && (a == s.In || b == s.In) || s.To >= 0 && (a == s.In && b == s.To || a == s.To && b == s.In)) {
+			(s.Other < 0 && (a == s.Region || b == s.Region) || s.Other >= 0 && (a == s.Region && b == s.Other || a == s.Other && b == s.Region)) {
 			return true
 		}
 	}
@@ -425,14 +425,14 @@
 // begin sets the events of the day: leaders that are cut off and replaced, lenders that are killed, changes of quotas.
 func (q *quotas) begin() {
 	w := q.w
-	for _, s := range w.sc.Spans {
+	for _, s := range w.sc.Partitions {
 		w.at(s.At+q.set.Elect, func() {
-			if s.To < 0 && q.root.region == s.In && w.now < s.At+s.Length {
-				q.must(q.elect((s.In+1)%len(q.regions), false))
+			if s.Other < 0 && q.root.region == s.Region && w.now < s.At+s.Length {
+				q.must(q.elect((s.Region+1)%len(q.regions), false))
 			}
 		})
 	}
-	for _, c := range w.sc.Crashes {
+	for _, c := range w.sc.LenderCrashes {
 		w.at(c.At, func() {
 			if c.Region < 0 {
 				q.root.gone = true
@@ -444,7 +444,7 @@
 			w.at(w.now+c.Down, func() { q.must(g.start()) })
 		})
 	}
-	for _, r := range w.sc.Requotas {
+	for _, r := range w.sc.QuotaChanges {
 		w.at(r.At, func() {
 			q.decide(r.Tenant, r.Quota)
 			if !q.root.gone {
--- a/internal/lab/sim/quotas_test.go
+++ b/internal/lab/sim/quotas_test.go
@@ -40,12 +40,12 @@
 func TestQuotasUnderFaults(t *testing.T) {
 	for name, harm := range map[string]func(*Scenario){
 		"loss":                   func(sc *Scenario) { sc.Quotas.Loss = 0.1 },
-		"a region cut off":       func(sc *Scenario) { sc.Spans = []Span{{At: 8000, Length: 20_000, In: 0, To: -1}} },
-		"two lose each other":    func(sc *Scenario) { sc.Spans = []Span{{At: 8000, Length: 10_000, In: 1, To: 2}} },
-		"a region's lender dies": func(sc *Scenario) { sc.Crashes = []Crash{{At: 12_000, Down: 700, Region: 1}} },
-		"the root dies":          func(sc *Scenario) { sc.Crashes = []Crash{{At: 12_000, Down: 700, Region: -1, To: 2}} },
+		"a region cut off":       func(sc *Scenario) { sc.Partitions = []Partition{{At: 8000, Length: 20_000, Region: 0, Other: -1}} },
+		"two lose each other":    func(sc *Scenario) { sc.Partitions = []Partition{{At: 8000, Length: 10_000, Region: 1, Other: 2}} },
+		"a region's lender dies": func(sc *Scenario) { sc.LenderCrashes = []LenderCrash{{At: 12_000, Down: 700, Region: 1}} },
+		"the root dies":          func(sc *Scenario) { sc.LenderCrashes = []LenderCrash{{At: 12_000, Down: 700, Region: -1, To: 2}} },
 		"both die at once": func(sc *Scenario) {
-			sc.Crashes = []Crash{{At: 12_000, Down: 700, Region: 0}, {At: 12_000, Down: 900, Region: -1, To: 1}}
+			sc.LenderCrashes = []LenderCrash{{At: 12_000, Down: 700, Region: 0}, {At: 12_000, Down: 900, Region: -1, To: 1}}
 		},
 		"dispatchers restart": func(sc *Scenario) {
 			for i := range 9 {
@@ -53,13 +53,13 @@
 			}
 		},
 		"quotas change while cut off": func(sc *Scenario) {
-			sc.Spans = []Span{{At: 8000, Length: 15_000, In: 2, To: -1}}
-			sc.Requotas = []Requota{{At: 10_000, Tenant: "a", Quota: 5}, {At: 12_000, Tenant: "b", Quota: 20}, {At: 20_000, Tenant: "a", Quota: 12}}
+			sc.Partitions = []Partition{{At: 8000, Length: 15_000, Region: 2, Other: -1}}
+			sc.QuotaChanges = []QuotaChange{{At: 10_000, Tenant: "a", Quota: 5}, {At: 12_000, Tenant: "b", Quota: 20}, {At: 20_000, Tenant: "a", Quota: 12}}
 		},
 		"clocks drift, all at once": func(sc *Scenario) {
 			sc.Quotas.Drift, sc.Quotas.Loss = 0.05, 0.05
-			sc.Spans = []Span{{At: 8000, Length: 12_000, In: 0, To: -1}}
-			sc.Crashes = []Crash{{At: 14_000, Down: 300, Region: 0}, {At: 22_000, Down: 300, Region: -1, To: 0}}
+			sc.Partitions = []Partition{{At: 8000, Length: 12_000, Region: 0, Other: -1}}
+			sc.LenderCrashes = []LenderCrash{{At: 14_000, Down: 300, Region: 0}, {At: 22_000, Down: 300, Region: -1, To: 0}}
 			sc.Restarts = []Restart{{At: 11_000, Node: 1, Down: 200}, {At: 12_000, Node: 8, Down: 200}}
 		},
 	} {
@@ -81,7 +81,7 @@
 	for seed := range uint64(4) {
 		sc := lentDay(seed, 1)
 		sc.Quotas.RegionLease = 60_000
-		sc.Spans = []Span{{At: 10_000, Length: 30_000, In: 0, To: -1}}
+		sc.Partitions = []Partition{{At: 10_000, Length: 30_000, Region: 0, Other: -1}}
 		r := play(t, sc)
 		assert.Empty(t, r.Quotas.Broken)
 		// A third of the 72 units are lent to it, and it has jobs of 6 s for 30 s.
@@ -120,10 +120,10 @@
 	for want, harm := range map[string]func(*Scenario){
 		"a delay for each pair":                func(sc *Scenario) { sc.Quotas.Far = nil },
 		"lease is not between":                 func(sc *Scenario) { sc.Quotas.Lease = 1 },
-		"region 7 is cut off":                  func(sc *Scenario) { sc.Spans = []Span{{In: 7, To: -1}} },
-		"the lender of region 3 is killed":     func(sc *Scenario) { sc.Crashes = []Crash{{Region: 3}} },
-		`quota of tenant "z", which is none`:   func(sc *Scenario) { sc.Requotas = []Requota{{Tenant: "z", Quota: 1}} },
-		"spans, crashes and changes of quotas": func(sc *Scenario) { sc.Quotas, sc.Spans = Quotas{}, []Span{{To: -1}} },
+		"region 7 is cut off":                  func(sc *Scenario) { sc.Partitions = []Partition{{Region: 7, Other: -1}} },
+		"the lender of region 3 is killed":     func(sc *Scenario) { sc.LenderCrashes = []LenderCrash{{Region: 3}} },
+		`quota of tenant "z", which is none`:   func(sc *Scenario) { sc.QuotaChanges = []QuotaChange{{Tenant: "z", Quota: 1}} },
+		"spans, crashes and changes of quotas": func(sc *Scenario) { sc.Quotas, sc.Partitions = Quotas{}, []Partition{{Other: -1}} },
 	} {
 		sc := lentDay(1, 1)
 		harm(&sc)
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -40,21 +40,21 @@
 	Backends []Backend
 	Events   []Event
 	// Classes, where given, stand for Work, Spread, Aim, Stretch and Deadline.
-	Classes  []Class
-	Site     Site
-	Heavy    []Heavy
-	Stale    []Stale
-	Restarts []Restart
-	Accord   Accord
-	Cuts     []Cut
-	Changes  []Change
-	Tenants  []Tenant
-	Window   Window
-	Regions  []Region
-	Quotas   Quotas
-	Spans    []Span
-	Crashes  []Crash
-	Requotas []Requota
+	Classes       []Class
+	Site          Site
+	Heavy         []Heavy
+	Stale         []Stale
+	Restarts      []Restart
+	Accord        Accord
+	Cuts          []Cut
+	PolicyChanges []PolicyChange
+	Tenants       []Tenant
+	Window        Window
+	Regions       []Region
+	Quotas        Quotas
+	Partitions    []Partition
+	LenderCrashes []LenderCrash
+	QuotaChanges  []QuotaChange
 }
 
 // Burst multiplies the rate for a while.
--- a/internal/lab/sim/tenants.go
+++ b/internal/lab/sim/tenants.go
@@ -268,7 +268,7 @@
 			at = to
 		}
 	}
-	for _, c := range r.w.sc.Requotas { // in the order of their times
+	for _, c := range r.w.sc.QuotaChanges { // in the order of their times
 		if c.Tenant == t.Name {
 			until(c.At)
 			units = c.Quota
