--- a/cmd/tinsail-lab/play.go
+++ b/cmd/tinsail-lab/play.go
@@ -43,7 +43,7 @@
 		return experiment.Variant{Name: name, Settings: defaults.Settings(), Policy: sim.Module}, nil
 	case "stop", "keep":
 		return experiment.Variant{Name: name, Settings: defaults.Settings(), Policy: sim.Module,
-			Alter: func(sc *sim.Scenario) { sc.Accord.Keep = name == "keep" }}, nil
+			Alter: func(sc *sim.Scenario) { sc.Accord.ContinueWhenCut = name == "keep" }}, nil
 	case "random":
 		return experiment.Variant{Name: name, Settings: defaults.Settings(), Policy: experiment.Random}, nil
 	}
--- a/internal/lab/capacity/virtual/main.go
+++ b/internal/lab/capacity/virtual/main.go
@@ -77,8 +77,8 @@
 					got[variant].Add(&r)
 					fmt.Printf("%s %s seed %d: %s\n", name, variant, seed, report.TeamsLine(&r))
 				}
-				if err == nil && (r.Breaches > 0 || variant == "lent" && r.Quotas.Breaches > 0) {
-					err = fmt.Errorf("%s, seed %d: %d rules broken, %d begins beyond a quota: %v %v", name, seed, r.Breaches, r.Quotas.Breaches, r.Broken, r.Quotas.Broken)
+				if err == nil && (r.Breaches > 0 || variant == "lent" && r.Quotas.ViolationCount > 0) {
+					err = fmt.Errorf("%s, seed %d: %d rules broken, %d begins beyond a quota: %v %v", name, seed, r.Breaches, r.Quotas.ViolationCount, r.Broken, r.Quotas.Violations)
 				}
 				if fault == nil {
 					fault = err
@@ -105,17 +105,17 @@
 		return capacity.Row{Slope: "virtual-" + name + "-" + what, Unit: unit, Against: "seed", X: float64(seed), Y: y, How: capacity.Virtual, Note: variant}
 	}
 	out := []capacity.Row{
-		row("least-part", "of its quota, the worst off within it", t.Least()),
-		row("most-over", "times a quota at one moment", t.Over()),
-		row("use", "of all quotas", t.Use()),
+		row("least-part", "of its quota, the worst off within it", t.WorstShare()),
+		row("most-over", "times a quota at one moment", t.MaxOverQuota()),
+		row("use", "of all quotas", t.Utilization()),
 		row("urgent-late", "of urgent reqs, begun later than 2.3 s", report.LateShare(&r.Tenants)),
-		row("urgent-p999", "s", float64(t.Urgent.ValueAtQuantile(99.9))/1e6),
-		row("broken", "rules", float64(r.Breaches+q.Breaches)),
+		row("urgent-p999", "s", float64(t.UrgentStartDelay.ValueAtQuantile(99.9))/1e6),
+		row("broken", "rules", float64(r.Breaches+q.ViolationCount)),
 	}
-	if q.Room != nil {
-		out = append(out, row("room-p999", "s", float64(q.Room.ValueAtQuantile(99.9))/1e6),
-			row("bytes-most", "bytes a second of the dispatcher with most", q.MostRate), row("bytes-mean", "bytes a second of a dispatcher", q.MeanRate),
-			row("messages-mean", "messages a second of a dispatcher", q.MessageRate))
+	if q.UrgentGrantDelay != nil {
+		out = append(out, row("room-p999", "s", float64(q.UrgentGrantDelay.ValueAtQuantile(99.9))/1e6),
+			row("bytes-most", "bytes a second of the dispatcher with most", q.MaxByteRate), row("bytes-mean", "bytes a second of a dispatcher", q.MeanByteRate),
+			row("messages-mean", "messages a second of a dispatcher", q.MeanMessageRate))
 	}
 	return out
 }
--- a/internal/lab/report/accord.go
+++ b/internal/lab/report/accord.go
@@ -13,7 +13,7 @@
 
 // hasAccord reports whether the dispatchers accepted requests under policy versions of the accord.
 func hasAccord(r *experiment.Report) bool {
-	return len(r.Pairs) > 0 && r.Pairs[0].A.Accord.Most > 0
+	return len(r.Pairs) > 0 && r.Pairs[0].A.Accord.MaxVersions > 0
 }
 
 func servedBySecond(r *experiment.Report, a bool) plotter.XYs {
@@ -33,16 +33,16 @@
 		first, n := 0, float64(len(r.Pairs))
 		forEachRun(r, a, func(x *sim.Result) {
 			first += x.First
-			sum.Fenced += x.Accord.Fenced
-			sum.FencedCut += x.Accord.FencedCut
-			sum.Over += x.Accord.Over
-			sum.OverStarts += x.Accord.OverStarts
-			sum.Dark += x.Accord.Dark
-			sum.Most = max(sum.Most, x.Accord.Most)
+			sum.Refused += x.Accord.Refused
+			sum.RefusedWhileCut += x.Accord.RefusedWhileCut
+			sum.OutdatedAccepted += x.Accord.OutdatedAccepted
+			sum.OutdatedStarts += x.Accord.OutdatedStarts
+			sum.Outage += x.Accord.Outage
+			sum.MaxVersions = max(sum.MaxVersions, x.Accord.MaxVersions)
 		})
 		fmt.Fprintf(w, "%s\t%.0f first reqs\tfenced %.1f, where cut off %.1f\ttaken by a version that was over %.1f, begun %.1f\tversions at one moment %d\tnone took for %.0f ms\n",
-			map[bool]string{true: r.A, false: r.B}[a], float64(first)/n, float64(sum.Fenced)/n, float64(sum.FencedCut)/n,
-			float64(sum.Over)/n, float64(sum.OverStarts)/n, sum.Most, sum.Dark/n)
+			map[bool]string{true: r.A, false: r.B}[a], float64(first)/n, float64(sum.Refused)/n, float64(sum.RefusedWhileCut)/n,
+			float64(sum.OutdatedAccepted)/n, float64(sum.OutdatedStarts)/n, sum.MaxVersions, sum.Outage/n)
 	}
 	w.Flush()
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -48,9 +48,9 @@
 	fmt.Fprintf(w, "latency ms\tp50 %.0f, p99 %.0f, p99.9 %.0f\n", percentileMS(r.Latency, 50), percentileMS(r.Latency, 99), percentileMS(r.Latency, 99.9))
 	lowest, highest := jobRange(r.Load)
 	fmt.Fprintf(w, "jobs at a backend\t%d to %d\n", lowest, highest)
-	if a := &r.Accord; a.Most > 0 {
+	if a := &r.Accord; a.MaxVersions > 0 {
 		fmt.Fprintf(w, "accord\tversion %d, at most %d in use at one moment; fenced %d (%d where cut off), taken by one that was over %d, none took for %.0f ms\n",
-			a.Version, a.Most, a.Fenced, a.FencedCut, a.Over, a.Dark)
+			a.Version, a.MaxVersions, a.Refused, a.RefusedWhileCut, a.OutdatedAccepted, a.Outage)
 	}
 	fmt.Fprintf(w, "log\t%016x, %d events, %d steps\n", r.Hash, r.Events, r.Steps)
 	if r.Breaches == 0 {
--- a/internal/lab/report/teams.go
+++ b/internal/lab/report/teams.go
@@ -21,8 +21,8 @@
 
 // LateShare returns the share of urgent requests whose job started after urgentAim, or never.
 func LateShare(t *sim.TenantsResult) float64 {
-	n := t.Urgent.TotalCount() + int64(t.Never)
-	return float64(n-countWithin(t.Urgent, urgentAim)) / float64(max(n, 1))
+	n := t.UrgentStartDelay.TotalCount() + int64(t.UrgentNeverStarted)
+	return float64(n-countWithin(t.UrgentStartDelay, urgentAim)) / float64(max(n, 1))
 }
 
 func countWithin(h *hdrhistogram.Histogram, limit int64) (n int64) {
@@ -50,20 +50,20 @@
 // Add adds the result of a run.
 func (s *TeamTotals) Add(r *sim.Result) {
 	t := &r.Tenants
-	s.WorstShares, s.Utilizations, s.MaxOverQuota = append(s.WorstShares, t.Least()), append(s.Utilizations, t.Use()), max(s.MaxOverQuota, t.Over())
-	s.Violations += r.Breaches + r.Quotas.Breaches
-	s.MaxByteRate = max(s.MaxByteRate, r.Quotas.MostRate)
+	s.WorstShares, s.Utilizations, s.MaxOverQuota = append(s.WorstShares, t.WorstShare()), append(s.Utilizations, t.Utilization()), max(s.MaxOverQuota, t.MaxOverQuota())
+	s.Violations += r.Breaches + r.Quotas.ViolationCount
+	s.MaxByteRate = max(s.MaxByteRate, r.Quotas.MaxByteRate)
 	if s.Urgent == nil {
-		s.ShareSums, s.Urgent = make([]float64, len(t.Each)), hdrhistogram.New(1, 100_000_000_000, 3)
-		for i := range t.Each {
-			s.Quotas = append(s.Quotas, t.Each[i].Quota)
+		s.ShareSums, s.Urgent = make([]float64, len(t.ByTenant)), hdrhistogram.New(1, 100_000_000_000, 3)
+		for i := range t.ByTenant {
+			s.Quotas = append(s.Quotas, t.ByTenant[i].Quota)
 		}
 	}
-	for i := range t.Each {
-		s.ShareSums[i] += (t.Each[i].Running - t.Each[i].Urgent) / float64(t.Each[i].Quota)
+	for i := range t.ByTenant {
+		s.ShareSums[i] += (t.ByTenant[i].Running - t.ByTenant[i].RunningUrgent) / float64(t.ByTenant[i].Quota)
 	}
-	s.Urgent.Merge(t.Urgent)
-	s.NeverStarted += t.Never
+	s.Urgent.Merge(t.UrgentStartDelay)
+	s.NeverStarted += t.UrgentNeverStarted
 }
 
 func (s *TeamTotals) String() string {
@@ -80,20 +80,20 @@
 func TeamsLine(r *sim.Result) string {
 	t, q := &r.Tenants, &r.Quotas
 	out := fmt.Sprintf("running %.0f of %.0f slots, use %.4f, worst off %.4f, over %.3f; urgent %d, p50 %.3f s, p99.9 %.3f s, late %.5f; rules broken %d",
-		t.Running, t.Slots, t.Use(), t.Least(), t.Over(), t.Urgent.TotalCount()+int64(t.Never), percentileSeconds(t.Urgent, 50), percentileSeconds(t.Urgent, 99.9), LateShare(t), r.Breaches)
-	if q.Room != nil {
-		out += fmt.Sprintf("; room p99.9 %.3f s, %.1f messages/s and %.0f bytes/s a dispatcher (most %.0f), %d beyond quotas, %v", percentileSeconds(q.Room, 99.9), q.MessageRate, q.MeanRate, q.MostRate, q.Breaches, q.Notes)
+		t.Running, t.Slots, t.Utilization(), t.WorstShare(), t.MaxOverQuota(), t.UrgentStartDelay.TotalCount()+int64(t.UrgentNeverStarted), percentileSeconds(t.UrgentStartDelay, 50), percentileSeconds(t.UrgentStartDelay, 99.9), LateShare(t), r.Breaches)
+	if q.UrgentGrantDelay != nil {
+		out += fmt.Sprintf("; room p99.9 %.3f s, %.1f messages/s and %.0f bytes/s a dispatcher (most %.0f), %d beyond quotas, %v", percentileSeconds(q.UrgentGrantDelay, 99.9), q.MeanMessageRate, q.MeanByteRate, q.MaxByteRate, q.ViolationCount, q.Events)
 	}
-	worst := slices.Clone(t.Each)
-	slices.SortFunc(worst, func(a, b sim.TenantResult) int { return cmp.Compare(a.Part(), b.Part()) })
+	worst := slices.Clone(t.ByTenant)
+	slices.SortFunc(worst, func(a, b sim.TenantResult) int { return cmp.Compare(a.EntitlementShare(), b.EntitlementShare()) })
 	for _, e := range worst[:min(len(worst), 4)] {
-		out += fmt.Sprintf("; %s %.3f of %.1f", e.Name, e.Part(), e.Due())
+		out += fmt.Sprintf("; %s %.3f of %.1f", e.Name, e.EntitlementShare(), e.Entitlement())
 	}
 	unitsInFlight := 0.0
-	for i := range t.Each {
-		unitsInFlight += t.Each[i].InFlight
+	for i := range t.ByTenant {
+		unitsInFlight += t.ByTenant[i].InFlight
 	}
-	if q.Room != nil {
+	if q.UrgentGrantDelay != nil {
 		out += fmt.Sprintf(", %.0f units in flight", unitsInFlight)
 	}
 	return out
--- a/internal/lab/script/accord.go
+++ b/internal/lab/script/accord.go
@@ -10,9 +10,9 @@
 func (r *reader) accord(a *args) (starlark.Value, error) {
 	r.once(a)
 	r.sc.Accord = sim.Accord{Lease: a.number("lease_ms", 3000, 100, 600_000), Drift: a.number("drift", 0.001, 0, 0.1),
-		Keep:    oneOf(a, "when_cut", "stop", map[string]bool{"stop": false, "keep": true}),
-		Latency: a.number("latency_ms", 1, 0, 1e5), Loss: a.number("loss", 0, 0, 1), Flush: a.number("flush_ms", 5, 0, 1e5),
-		Check: a.number("check_ms", 2, 0, 1e5), Probe: a.number("probe_ms", 1000, 1, 1e6)}
+		ContinueWhenCut: oneOf(a, "when_cut", "stop", map[string]bool{"stop": false, "keep": true}),
+		Latency:         a.number("latency_ms", 1, 0, 1e5), Loss: a.number("loss", 0, 0, 1), FlushTime: a.number("flush_ms", 5, 0, 1e5),
+		CheckTime: a.number("check_ms", 2, 0, 1e5), ProbeInterval: a.number("probe_ms", 1000, 1, 1e6)}
 	return nil, nil
 }
 
--- a/internal/lab/script/quotas.go
+++ b/internal/lab/script/quotas.go
@@ -15,9 +15,9 @@
 		a.fail("call regions() before")
 	}
 	q := sim.Quotas{Lease: a.number("lease_ms", 3000, 100, 86_400_000), RegionLease: a.number("region_lease_ms", 600_000, 100, 86_400_000),
-		Run: a.number("run_ms", 1_000_000, 0, 86_400_000), Drift: a.number("drift", 0.001, 0, 0.1), Reserve: int(a.number("urgent_reserve", 0, 0, 1e6)),
-		Latency: a.number("latency_ms", 1, 0, 1e5), Loss: a.number("loss", 0, 0, 1), Elect: a.number("elect_ms", 5000, 0, 1e6)}
-	q.Far = make([]float64, n*(n-1)/2)
+		MaxRunTime: a.number("run_ms", 1_000_000, 0, 86_400_000), Drift: a.number("drift", 0.001, 0, 0.1), Reserve: int(a.number("urgent_reserve", 0, 0, 1e6)),
+		Latency: a.number("latency_ms", 1, 0, 1e5), Loss: a.number("loss", 0, 0, 1), ElectionTime: a.number("elect_ms", 5000, 0, 1e6)}
+	q.RegionDelays = make([]float64, n*(n-1)/2)
 	v, ok := a.named("between_ms")
 	if !ok {
 		v = starlark.MakeInt(50)
@@ -26,15 +26,15 @@
 	switch {
 	case !isList:
 		ms := a.bounded("between_ms", v, 0, 1e5)
-		for i := range q.Far {
-			q.Far[i] = ms
+		for i := range q.RegionDelays {
+			q.RegionDelays[i] = ms
 		}
-	case list.Len() != len(q.Far):
-		a.fail("between_ms holds %s, want one for each of %s, first with second, first with third", plural(list.Len(), "delay"), plural(len(q.Far), "pair"))
+	case list.Len() != len(q.RegionDelays):
+		a.fail("between_ms holds %s, want one for each of %s, first with second, first with third", plural(list.Len(), "delay"), plural(len(q.RegionDelays), "pair"))
 	default:
 		i := 0
 		for x := range starlark.Elements(list) {
-			q.Far[i] = a.bounded("between_ms", x, 0, 1e5)
+			q.RegionDelays[i] = a.bounded("between_ms", x, 0, 1e5)
 			i++
 		}
 	}
@@ -56,7 +56,7 @@
 func (r *reader) crash(a *args) (starlark.Value, error) {
 	c := sim.LenderCrash{At: a.seconds("start", 0), Down: a.seconds("down", 2000), Region: -1}
 	if _, ok := a.kw["to"]; ok {
-		c.To = r.regionIndex(a, "to")
+		c.NextRegion = r.regionIndex(a, "to")
 	} else {
 		c.Region = r.regionIndex(a, "lender")
 	}
--- a/internal/lab/script/script_test.go
+++ b/internal/lab/script/script_test.go
@@ -52,7 +52,7 @@
 	assert.Equal(t, []any{[]sim.Heavy{{From: 1000, To: 3000, Class: "x", Part: 0.1, Times: 9}}, []sim.Stale{{From: 3000, To: 7000, By: 6000}},
 		[]sim.Restart{{At: 9000, Node: 2, Down: 500, Notice: 1000}}}, []any{sc.Heavy, sc.Stale, sc.Restarts})
 	assert.Equal(t, 7000.0, sc.Events[len(sc.Events)-4].At, "the second batch")
-	assert.Equal(t, sim.Accord{Lease: 900, Drift: 0.001, Keep: true, Latency: 1, Loss: 0.1, Flush: 5, Check: 2, Probe: 500}, sc.Accord)
+	assert.Equal(t, sim.Accord{Lease: 900, Drift: 0.001, ContinueWhenCut: true, Latency: 1, Loss: 0.1, FlushTime: 5, CheckTime: 2, ProbeInterval: 500}, sc.Accord)
 	assert.Equal(t, []any{[]sim.Cut{{At: 2000, Length: 3000, Dispatchers: []int{1, 2}}}, []sim.PolicyChange{{At: 4000, Dispatcher: 1}}}, []any{sc.Cuts, sc.PolicyChanges})
 }
 
@@ -73,8 +73,8 @@
 `))
 	require.NoError(t, err)
 	assert.Equal(t, []sim.Region{{Name: "east", Dispatchers: []int{0, 1, 2}}, {Name: "west", Dispatchers: []int{3, 4, 5, 6}}}, sc.Regions)
-	assert.Equal(t, []sim.Tenant{{Name: "big1", Quota: 30, Wants: 75, At: 3, Class: "batch", Think: 200},
-		{Name: "t1", Quota: 30, Wants: 30, Class: "batch"}, {Name: "t2", Quota: 30, Wants: 30, Class: "batch"}}, sc.Tenants)
+	assert.Equal(t, []sim.Tenant{{Name: "big1", Quota: 30, Demand: 75, DispatcherCount: 3, Class: "batch", ThinkTime: 200},
+		{Name: "t1", Quota: 30, Demand: 30, Class: "batch"}, {Name: "t2", Quota: 30, Demand: 30, Class: "batch"}}, sc.Tenants)
 	assert.Equal(t, sim.Window{From: 5000, To: 20_000, Ramp: 2000}, sc.Window)
 	assert.Equal(t, []sim.Cut{{At: 2000, Length: 3000, Dispatchers: []int{3, 4, 5, 6}}}, sc.Cuts)
 	assert.Equal(t, []any{0.0, false, true}, []any{sc.Classes[0].Share, sc.Classes[0].Urgent, sc.Classes[1].Urgent})
@@ -98,9 +98,9 @@
 restart(start = 8, dispatcher = 1, orderly = 1)
 `))
 	require.NoError(t, err)
-	assert.Equal(t, sim.Quotas{Lease: 900, RegionLease: 8000, Run: 5000, Reserve: 7, Far: []float64{5, 80, 150}, Loss: 0.1, Drift: 0.001, Latency: 1, Elect: 5000}, sc.Quotas)
+	assert.Equal(t, sim.Quotas{Lease: 900, RegionLease: 8000, MaxRunTime: 5000, Reserve: 7, RegionDelays: []float64{5, 80, 150}, Loss: 0.1, Drift: 0.001, Latency: 1, ElectionTime: 5000}, sc.Quotas)
 	assert.Equal(t, []sim.Partition{{At: 1000, Length: 2000, Region: 1, Other: -1}, {At: 3000, Length: 4000, Region: 1, Other: 2}}, sc.Partitions)
-	assert.Equal(t, []sim.LenderCrash{{At: 5000, Down: 2000, Region: 2}, {At: 6000, Down: 1000, Region: -1, To: 1}}, sc.LenderCrashes)
+	assert.Equal(t, []sim.LenderCrash{{At: 5000, Down: 2000, Region: 2}, {At: 6000, Down: 1000, Region: -1, NextRegion: 1}}, sc.LenderCrashes)
 	assert.Equal(t, []sim.QuotaChange{{At: 7000, Tenant: "t2", Quota: 9}}, sc.QuotaChanges)
 	assert.True(t, sc.Restarts[0].Orderly)
 	for text, want := range map[string]string{
@@ -132,19 +132,19 @@
 		r, err := sim.Play(sc, defaults.Settings())
 		require.NoError(t, err)
 		assert.Empty(t, r.Broken)
-		assert.Empty(t, r.Quotas.Broken)
-		assert.Equal(t, 1.0, r.Tenants.Over())
-		assert.Greater(t, r.Tenants.Least(), 0.93) // with jobs of 12 s the time in which a unit moves between regions weighs 20 times as much
-		assert.Greater(t, r.Tenants.Use(), 0.95)
-		assert.Less(t, float64(r.Tenants.Urgent.Max())/1e6, 2.3)
-		assert.Zero(t, r.Tenants.Never)
-		assert.Less(t, r.Quotas.MostRate, 15_000.0)
+		assert.Empty(t, r.Quotas.Violations)
+		assert.Equal(t, 1.0, r.Tenants.MaxOverQuota())
+		assert.Greater(t, r.Tenants.WorstShare(), 0.93) // with jobs of 12 s the time in which a unit moves between regions weighs 20 times as much
+		assert.Greater(t, r.Tenants.Utilization(), 0.95)
+		assert.Less(t, float64(r.Tenants.UrgentStartDelay.Max())/1e6, 2.3)
+		assert.Zero(t, r.Tenants.UrgentNeverStarted)
+		assert.Less(t, r.Quotas.MaxByteRate, 15_000.0)
 
 		withoutQuotas := sc
 		withoutQuotas.Quotas = sim.Quotas{}
 		b, err := sim.Play(withoutQuotas, defaults.Settings())
 		require.NoError(t, err)
-		assert.Greater(t, b.Tenants.Over(), 2.0, "without quotas")
+		assert.Greater(t, b.Tenants.MaxOverQuota(), 2.0, "without quotas")
 	}
 }
 
--- a/internal/lab/script/tenants.go
+++ b/internal/lab/script/tenants.go
@@ -17,8 +17,8 @@
 		return nil, nil
 	}
 	count := int(a.bounded("count", v, 1, 10_000))
-	t := sim.Tenant{Quota: int(a.number("quota", 30, 1, 1e6)), At: int(a.number("at", 0, 0, 1000)), Think: a.number("think_ms", 200, 0, 1e6)}
-	t.Wants = int(float64(t.Quota)*a.number("times", 1, 0, 1000) + 0.5)
+	t := sim.Tenant{Quota: int(a.number("quota", 30, 1, 1e6)), DispatcherCount: int(a.number("at", 0, 0, 1000)), ThinkTime: a.number("think_ms", 200, 0, 1e6)}
+	t.Demand = int(float64(t.Quota)*a.number("times", 1, 0, 1000) + 0.5)
 	if v, ok := a.named("job_class"); ok {
 		t.Class, _ = starlark.AsString(v)
 	}
--- a/internal/lab/sim/accord.go
+++ b/internal/lab/sim/accord.go
@@ -14,16 +14,16 @@
 // Accord has the dispatchers take reqs by versions of one policy (docs/design/accord.md): the real Lessee at each, one
 // real Keeper, and links between them. The zero value is a fleet without an accord. Times are milliseconds.
 type Accord struct {
-	Lease   float64 // 0: no accord
-	Drift   float64 // of each clock's rate, drawn: slowest, right or fastest
-	Keep    bool    // a dispatcher that is cut off goes on by the version it knew
-	Latency float64 // one way between a dispatcher and the keeper, and between voters; half of it varies
-	Loss    float64 // part of the messages that never arrive
-	Flush   float64 // a decided entry's way to a majority's disks
-	Check   float64 // what a dispatcher needs to check a body
-	Probe   float64 // how often the front asks each dispatcher whether it is ready
+	Lease           float64 // 0: no accord
+	Drift           float64 // of each clock's rate, drawn: slowest, right or fastest
+	ContinueWhenCut bool    // a dispatcher that is cut off goes on by the version it knew
+	Latency         float64 // one way between a dispatcher and the keeper, and between voters; half of it varies
+	Loss            float64 // part of the messages that never arrive
+	FlushTime       float64 // a decided entry's way to a majority's disks
+	CheckTime       float64 // what a dispatcher needs to check a body
+	ProbeInterval   float64 // how often the front asks each dispatcher whether it is ready
 
-	whole bool // a seeded fault for tests: a lease is used to its whole length, not to what is left of it for drift
+	faultFullLease bool // a seeded fault for tests: a lease is used to its whole length, not to what is left of it for drift
 }
 
 // Cut loses every message between the keeper and some dispatchers, counted from 0, for a while. Clients and backends
@@ -41,14 +41,14 @@
 
 // AccordResult is what came of the accord.
 type AccordResult struct {
-	Version    uint64  // decided last
-	Fenced     int     // tries refused, since the dispatcher might take none
-	FencedCut  int     // of them, by a dispatcher that was cut off
-	AskedCut   int     // tries that came to a dispatcher that was cut off
-	Over       int     // tries taken by a version after a later one was decided
-	OverStarts int     // attempts begun by one
-	Most       int     // versions that dispatchers might begin attempts by at one moment, at most
-	Dark       float64 // for how long no dispatcher took reqs
+	Version          uint64  // decided last
+	Refused          int     // tries refused, since the dispatcher might take none
+	RefusedWhileCut  int     // of them, by a dispatcher that was cut off
+	ReceivedWhileCut int     // tries that came to a dispatcher that was cut off
+	OutdatedAccepted int     // tries taken by a version after a later one was decided
+	OutdatedStarts   int     // attempts begun by one
+	MaxVersions      int     // versions that dispatchers might begin attempts by at one moment, at most
+	Outage           float64 // for how long no dispatcher took reqs
 }
 
 // keeperAt is the keeper with its clock and the majority's log.
@@ -87,7 +87,7 @@
 }
 
 func (a *Accord) plan() accord.LeaseConfig {
-	return accord.LeaseConfig{Lease: span(a.Lease), Drift: a.Drift, ContinueWhenCut: a.Keep}
+	return accord.LeaseConfig{Lease: span(a.Lease), Drift: a.Drift, ContinueWhenCut: a.ContinueWhenCut}
 }
 
 func span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
@@ -146,7 +146,7 @@
 func (k *keeperAt) turn() {
 	w := k.w
 	if d, ok := k.TakeDecision(); ok {
-		w.at(w.now+w.sc.Accord.Flush, func() {
+		w.at(w.now+w.sc.Accord.FlushTime, func() {
 			k.state.Apply(d)
 			k.Applied(w.clock(k.rate), k.state)
 			k.turn()
@@ -175,7 +175,7 @@
 		}
 	}
 	w.beat(w.sc.Accord.Lease/50, func() { k.Tick(w.clock(k.rate)); k.turn() })
-	w.beat(w.sc.Accord.Probe, func() {
+	w.beat(w.sc.Accord.ProbeInterval, func() {
 		for _, s := range w.sides {
 			s.unready = !s.dead && !s.fence.Serves()
 		}
@@ -214,12 +214,12 @@
 			used = append(used, v)
 		}
 	}
-	r.Most = max(r.Most, len(used))
+	r.MaxVersions = max(r.MaxVersions, len(used))
 	switch {
 	case !serves && math.IsNaN(k.dark):
 		k.dark = w.now
 	case serves && !math.IsNaN(k.dark):
-		r.Dark += w.now - k.dark
+		r.Outage += w.now - k.dark
 		k.dark = math.NaN()
 	}
 }
--- a/internal/lab/sim/accord_test.go
+++ b/internal/lab/sim/accord_test.go
@@ -14,7 +14,7 @@
 func severedEvening(seed uint64, keep bool) Scenario {
 	sc := evening(seed)
 	sc.Dispatchers, sc.Retries, sc.Backoff, sc.Length, sc.Rate = 4, 6, 100, 16_000, 60
-	sc.Accord = Accord{Lease: 3000, Drift: 0.05, Keep: keep, Latency: 1, Flush: 5, Check: 2, Probe: 1000}
+	sc.Accord = Accord{Lease: 3000, Drift: 0.05, ContinueWhenCut: keep, Latency: 1, FlushTime: 5, CheckTime: 2, ProbeInterval: 1000}
 	sc.Cuts = []Cut{{At: 6000, Length: 8000, Dispatchers: []int{3}}}
 	sc.PolicyChanges = []PolicyChange{{At: 7000, Dispatcher: 0}}
 	return sc
@@ -28,16 +28,16 @@
 			sc := severedEvening(seed, false)
 			sc.Accord.Loss = loss
 			r := play(t, sc).Accord
-			assert.Equal(t, []any{1, 0, 0, uint64(2)}, []any{r.Most, r.Over, r.OverStarts, r.Version}, "seed %d, loss %v", seed, loss)
-			assert.Positive(t, r.FencedCut)
+			assert.Equal(t, []any{1, 0, 0, uint64(2)}, []any{r.MaxVersions, r.OutdatedAccepted, r.OutdatedStarts, r.Version}, "seed %d, loss %v", seed, loss)
+			assert.Positive(t, r.RefusedWhileCut)
 		}
 		if seed%4 > 0 {
 			continue
 		}
 		r := play(t, severedEvening(seed, true)).Accord
-		assert.Equal(t, []any{2, 0, uint64(2)}, []any{r.Most, r.FencedCut, r.Version}, "seed %d", seed)
-		assert.Greater(t, r.Over, 50)
-		assert.Positive(t, r.OverStarts)
+		assert.Equal(t, []any{2, 0, uint64(2)}, []any{r.MaxVersions, r.RefusedWhileCut, r.Version}, "seed %d", seed)
+		assert.Greater(t, r.OutdatedAccepted, 50)
+		assert.Positive(t, r.OutdatedStarts)
 	}
 }
 
@@ -47,8 +47,8 @@
 	seen := 0
 	for seed := range uint64(16) {
 		sc := severedEvening(seed, false)
-		sc.Accord.whole = true
-		if r := play(t, sc).Accord; r.Most > 1 {
+		sc.Accord.faultFullLease = true
+		if r := play(t, sc).Accord; r.MaxVersions > 1 {
 			seen++
 		}
 	}
@@ -83,7 +83,7 @@
 	w.next = func() (Arrival, bool) { return Arrival{}, false }
 	w.open++ // so that the run goes on
 	require.NoError(t, w.run())
-	assert.Equal(t, []int{4, 4}, []int{w.res.Accord.Fenced, w.res.Accord.FencedCut})
+	assert.Equal(t, []int{4, 4}, []int{w.res.Accord.Refused, w.res.Accord.RefusedWhileCut})
 }
 
 // TestUnreadyIsLeft: the front sends no more to a dispatcher that it has heard takes none, so that a cut costs the tries
@@ -91,9 +91,9 @@
 func TestUnreadyIsLeft(t *testing.T) {
 	sc := severedEvening(5, false)
 	near := play(t, sc)
-	sc.Accord.Probe = 60_000
+	sc.Accord.ProbeInterval = 60_000
 	far := play(t, sc)
-	assert.Greater(t, far.Accord.FencedCut, 3*near.Accord.FencedCut)
+	assert.Greater(t, far.Accord.RefusedWhileCut, 3*near.Accord.RefusedWhileCut)
 	assert.Equal(t, near.First, near.Served)
 }
 
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -127,7 +127,7 @@
 		return
 	}
 	if w.keeper != nil && w.severed(c.side.at) {
-		w.res.Accord.AskedCut++
+		w.res.Accord.ReceivedWhileCut++
 	}
 	w.open++
 	c.side.asked[c] = struct{}{}
@@ -242,7 +242,7 @@
 	w, r := c.w, &c.w.res.Classes[c.Class]
 	if w.runs != nil {
 		if c.class().Urgent && c.ran == 0 && w.runs.inside(c.begun) {
-			w.res.Tenants.Never++
+			w.res.Tenants.UrgentNeverStarted++
 		}
 		defer w.runs.again(c)
 	}
--- a/internal/lab/sim/desk.go
+++ b/internal/lab/sim/desk.go
@@ -79,16 +79,16 @@
 }
 
 // MaxHold is the longest that room may be held.
-func (d *deskAt) MaxHold() time.Duration { return span(d.q.set.Run) }
+func (d *deskAt) MaxHold() time.Duration { return span(d.q.set.MaxRunTime) }
 
 func (d *deskAt) begun(id uint64, a account) {
 	d.flying[id] = a
 	d.q.passes(a.name, a.urgent, 1)
 	if d.q.alone(d.q.w.sc.RegionOf(d.side.at)) {
-		d.q.w.res.Quotas.Alone++
+		d.q.w.res.Quotas.StartedIsolated++
 	}
 	if w := d.q.w; a.urgent && w.runs.inside(a.came) {
-		_ = w.res.Quotas.Room.RecordValue(int64((w.now-a.came)*1000) + 1) // in its bounds: patience is shorter
+		_ = w.res.Quotas.UrgentGrantDelay.RecordValue(int64((w.now-a.came)*1000) + 1) // in its bounds: patience is shorter
 	}
 	d.q.flight.HandleStart(d.q.w.now, a.name, a.urgent)
 }
@@ -128,7 +128,7 @@
 
 func (d *deskAt) units(name string) int {
 	units := d.holder.Units(d.now(d.q.w), name)
-	if !d.q.set.whole {
+	if !d.q.set.faultKeepUnits {
 		return units
 	}
 	d.held[name] = max(d.held[name], units) // the seeded fault: what was held once is held for good
@@ -169,7 +169,7 @@
 
 func (d *deskAt) ask(a quota.LeaseRequest) {
 	q := d.q
-	q.w.res.Quotas.Asks++
+	q.w.res.Quotas.Requests++
 	q.near(d.side.at, sizeOfAsk(a))
 	region := q.w.sc.RegionOf(d.side.at)
 	q.carry(region, region, func() { q.regions[region].take(d, a) })
--- a/internal/lab/sim/fence.go
+++ b/internal/lab/sim/fence.go
@@ -33,7 +33,7 @@
 // ends are until when reqs may be taken and attempts started, by the own clock.
 func (f *fence) ends() (take, start accord.Time) {
 	g, a := f.lessee.Admission(), &f.side.w.sc.Accord
-	if a.whole && !a.Keep && g.AcceptUntil > 0 {
+	if a.faultFullLease && !a.ContinueWhenCut && g.AcceptUntil > 0 {
 		whole := g.StartUntil.Add(span(a.Lease) - f.side.w.keeper.plan.UsableLease())
 		return whole, whole
 	}
@@ -44,16 +44,16 @@
 func (f *fence) Admit() (version uint64, pause time.Duration, ok bool) {
 	w := f.side.w
 	if take, _ := f.ends(); f.now() >= take {
-		w.res.Accord.Fenced++
+		w.res.Accord.Refused++
 		if w.severed(f.side.at) {
-			w.res.Accord.FencedCut++
+			w.res.Accord.RefusedWhileCut++
 		}
 		return 0, w.keeper.plan.Drain(), false
 	}
 	version = f.lessee.Admission().Version
 	f.waiting[version]++
 	if version < w.keeper.state.Version {
-		w.res.Accord.Over++
+		w.res.Accord.OutdatedAccepted++
 	}
 	return version, 0, true
 }
@@ -107,7 +107,7 @@
 	version, _ := f.lessee.Current()
 	f.lessee.Tick(f.now(), f.waiting[version])
 	for _, c := range f.lessee.TakeChecks() {
-		w.at(w.now+w.sc.Accord.Check, func() {
+		w.at(w.now+w.sc.Accord.CheckTime, func() {
 			if !f.side.dead {
 				f.lessee.ReportCheck(f.now(), c, nil)
 				f.turn()
--- a/internal/lab/sim/quotas.go
+++ b/internal/lab/sim/quotas.go
@@ -19,17 +19,17 @@
 // region, the real Desk and Holder at each dispatcher, and links between them. The zero value is a fleet without. Times
 // are milliseconds.
 type Quotas struct {
-	Lease       float64 // of a dispatcher's units; 0: no quotas
-	RegionLease float64
-	Drift       float64 // of each clock's rate, drawn: slowest, right or fastest
-	Run         float64 // the longest that a req may be in flight once it has room
-	Reserve     int     // units for urgent reqs, in each region
-	Latency     float64 // one way within a region; half of it varies
-	Far         []float64
-	Loss        float64 // part of the messages that never arrive
-	Elect       float64 // from the root's region being cut off to another leader's first word
+	Lease        float64 // of a dispatcher's units; 0: no quotas
+	RegionLease  float64
+	Drift        float64 // of each clock's rate, drawn: slowest, right or fastest
+	MaxRunTime   float64 // the longest that a req may be in flight once it has room
+	Reserve      int     // units for urgent reqs, in each region
+	Latency      float64 // one way within a region; half of it varies
+	RegionDelays []float64
+	Loss         float64 // part of the messages that never arrive
+	ElectionTime float64 // from the root's region being cut off to another leader's first word
 
-	whole bool // a seeded fault for tests: a dispatcher begins by a lease until its whole length, and past it
+	faultKeepUnits bool // a seeded fault for tests: a dispatcher begins by a lease until its whole length, and past it
 }
 
 // Partition is the part of a day in which regions lose each other: what is between In and the others, or only between In and To.
@@ -41,8 +41,8 @@
 // LenderCrash is a lender that is killed, and started again with nothing but its reserve: that of a region, or the root (Region
 // -1), whose next life is in region To.
 type LenderCrash struct {
-	At, Down   float64
-	Region, To int
+	At, Down           float64
+	Region, NextRegion int
 }
 
 // QuotaChange is a change of a tenant's quota, in force at all lenders and dispatchers at once.
@@ -54,18 +54,18 @@
 
 // QuotasResult is what came of the quotas.
 type QuotasResult struct {
-	Asks, Answers, Nudges int // of dispatchers
-	Far                   int // messages between regions
-	Bytes                 int // of all messages between dispatchers and their region's lender
-	FarBytes              int
+	Requests, Responses, Polls int // of dispatchers
+	InterRegionMessages        int // messages between regions
+	Bytes                      int // of all messages between dispatchers and their region's lender
+	InterRegionBytes           int
 	// Of dispatchers and their lender, both ways, a second of the window: bytes of the one that had most, bytes and messages of all.
-	MostRate, MeanRate, MessageRate float64
-	Room                            *hdrhistogram.Histogram // of urgent reqs in the window: from the try to room for it, us
-	Alone                           int                     // reqs that had room in a region while it was cut off from all others
-	Refused                         int                     // reqs that were out of patience before they had room
-	Notes                           map[string]int
-	Breaches                        int // begins beyond a quota, at the backends or at the dispatchers
-	Broken                          []judge.Violation
+	MaxByteRate, MeanByteRate, MeanMessageRate float64
+	UrgentGrantDelay                           *hdrhistogram.Histogram // of urgent reqs in the window: from the try to room for it, us
+	StartedIsolated                            int                     // reqs that had room in a region while it was cut off from all others
+	Refused                                    int                     // reqs that were out of patience before they had room
+	Events                                     map[string]int
+	ViolationCount                             int // begins beyond a quota, at the backends or at the dispatchers
+	Violations                                 []judge.Violation
 }
 
 func (sc *Scenario) checkQuotas() error {
@@ -83,7 +83,7 @@
 		}
 	}
 	for _, c := range sc.LenderCrashes {
-		if c.Region < -1 || c.Region >= n || c.To < 0 || c.To >= n {
+		if c.Region < -1 || c.Region >= n || c.NextRegion < 0 || c.NextRegion >= n {
 			return fmt.Errorf("the lender of region %d is killed, of %d", c.Region, n)
 		}
 	}
@@ -95,7 +95,7 @@
 			return fmt.Errorf("a change of the quota of tenant %q, which is none", r.Tenant)
 		}
 	}
-	if n == 0 || len(sc.Tenants) == 0 || len(q.Far) != n*(n-1)/2 {
+	if n == 0 || len(sc.Tenants) == 0 || len(q.RegionDelays) != n*(n-1)/2 {
 		return fmt.Errorf("quotas want tenants, regions and a delay for each pair of them")
 	}
 	if err := q.up().Check(); err != nil {
@@ -105,11 +105,11 @@
 }
 
 func (q *Quotas) up() quota.LeaseConfig {
-	return quota.LeaseConfig{Lease: span(q.RegionLease), MaxRunTime: span(q.Run), Drift: q.Drift}
+	return quota.LeaseConfig{Lease: span(q.RegionLease), MaxRunTime: span(q.MaxRunTime), Drift: q.Drift}
 }
 
 func (q *Quotas) down() quota.LeaseConfig {
-	return quota.LeaseConfig{Lease: span(q.Lease), MaxRunTime: span(q.Run), Drift: q.Drift}
+	return quota.LeaseConfig{Lease: span(q.Lease), MaxRunTime: span(q.MaxRunTime), Drift: q.Drift}
 }
 
 // quotas is all of it in a run.
@@ -174,8 +174,8 @@
 	for _, c := range w.classes {
 		q.urgent = append(q.urgent, c.Urgent)
 	}
-	w.res.Quotas.Notes = map[string]int{}
-	w.res.Quotas.Room = hdrhistogram.New(1, 100_000_000_000, 3)
+	w.res.Quotas.Events = map[string]int{}
+	w.res.Quotas.UrgentGrantDelay = hdrhistogram.New(1, 100_000_000_000, 3)
 	for i := range w.sc.Regions {
 		q.regions = append(q.regions, &regionAt{q: q, at: i})
 		if err := q.regions[i].start(); err != nil {
@@ -213,7 +213,7 @@
 		a, b = b, a
 	}
 	n := len(q.regions)
-	return q.set.Far[a*n-a*(a+1)/2+b-a-1]
+	return q.set.RegionDelays[a*n-a*(a+1)/2+b-a-1]
 }
 
 func (q *quotas) severed(a, b int) bool {
@@ -332,13 +332,13 @@
 }
 
 func (q *quotas) far2(bytes int) {
-	q.w.res.Quotas.Far++
-	q.w.res.Quotas.FarBytes += bytes
+	q.w.res.Quotas.InterRegionMessages++
+	q.w.res.Quotas.InterRegionBytes += bytes
 }
 
 func (q *quotas) notes(level string, list []quota.Event) {
 	for _, n := range list {
-		q.w.res.Quotas.Notes[level+n.Step]++
+		q.w.res.Quotas.Events[level+n.Step]++
 	}
 }
 
@@ -379,7 +379,7 @@
 	}
 	q := g.q
 	if answer, ok := g.region.Handle(g.now(q.w), a); ok {
-		q.w.res.Quotas.Answers++
+		q.w.res.Quotas.Responses++
 		q.near(d.side.at, sizeOfAnswer(answer))
 		q.carry(g.at, g.at, func() { d.answered(answer) })
 	}
@@ -400,7 +400,7 @@
 	for _, name := range g.region.TakePolls() {
 		node := 0
 		_, _ = fmt.Sscanf(name, "n%d", &node)
-		q.w.res.Quotas.Nudges++
+		q.w.res.Quotas.Polls++
 		q.near(node, sizeOfNudge)
 		q.carry(g.at, g.at, func() {
 			if d := q.w.sides[node].desk; !d.side.dead {
@@ -426,7 +426,7 @@
 func (q *quotas) begin() {
 	w := q.w
 	for _, s := range w.sc.Partitions {
-		w.at(s.At+q.set.Elect, func() {
+		w.at(s.At+q.set.ElectionTime, func() {
 			if s.Other < 0 && q.root.region == s.Region && w.now < s.At+s.Length {
 				q.must(q.elect((s.Region+1)%len(q.regions), false))
 			}
@@ -436,7 +436,7 @@
 		w.at(c.At, func() {
 			if c.Region < 0 {
 				q.root.gone = true
-				w.at(w.now+c.Down, func() { q.must(q.elect(c.To, false)) })
+				w.at(w.now+c.Down, func() { q.must(q.elect(c.NextRegion, false)) })
 				return
 			}
 			g := q.regions[c.Region]
@@ -463,21 +463,21 @@
 }
 
 func (q *quotas) finish() {
-	for i := range q.w.res.Tenants.Each {
-		e, win := &q.w.res.Tenants.Each[i], &q.w.sc.Window
+	for i := range q.w.res.Tenants.ByTenant {
+		e, win := &q.w.res.Tenants.ByTenant[i], &q.w.sc.Window
 		q.passes(e.Name, false, 0)
 		e.InFlight = q.mean[e.Name].sum / (win.To - win.From)
 	}
 	r := &q.w.res.Quotas
-	r.Breaches = q.at.Count() + q.flight.Count()
-	r.Broken = append(q.at.Violations(), q.flight.Violations()...)
+	r.ViolationCount = q.at.Count() + q.flight.Count()
+	r.Violations = append(q.at.Violations(), q.flight.Violations()...)
 	win := &q.w.sc.Window
 	s, n := (win.To-win.From)/1000, float64(len(q.bytes))
 	sum := 0
 	for _, b := range q.bytes {
 		sum += b
 	}
-	r.MostRate, r.MeanRate, r.MessageRate = float64(slices.Max(q.bytes))/s, float64(sum)/s/n, float64(q.messages)/s/n
+	r.MaxByteRate, r.MeanByteRate, r.MeanMessageRate = float64(slices.Max(q.bytes))/s, float64(sum)/s/n, float64(q.messages)/s/n
 }
 
 // What messages cost, as the codec writes them.
--- a/internal/lab/sim/quotas_test.go
+++ b/internal/lab/sim/quotas_test.go
@@ -15,7 +15,7 @@
 		sc.Backends[i].Kind.Cores, sc.Backends[i].Kind.Slots = 12, 12
 	}
 	sc.Classes[0].Work, sc.Length, sc.Window = 6000, 40_000, Window{From: 10_000, To: 40_000, Ramp: 1000}
-	sc.Quotas = Quotas{Lease: 500, RegionLease: 9000, Drift: 0.001, Run: 60_000, Reserve: 4, Latency: 0.3, Far: []float64{5, 40, 70}, Elect: 1000}
+	sc.Quotas = Quotas{Lease: 500, RegionLease: 9000, Drift: 0.001, MaxRunTime: 60_000, Reserve: 4, Latency: 0.3, RegionDelays: []float64{5, 40, 70}, ElectionTime: 1000}
 	return sc
 }
 
@@ -24,14 +24,14 @@
 func TestQuotasHold(t *testing.T) {
 	for seed := range uint64(4) {
 		r := play(t, lentDay(seed, 10))
-		assert.Empty(t, r.Quotas.Broken, "seed %d", seed)
-		assert.Equal(t, 1.0, r.Tenants.Over())
-		assert.Greater(t, r.Tenants.Least(), 0.9)
-		assert.Greater(t, r.Tenants.Use(), 0.92)
-		assert.Less(t, float64(r.Tenants.Urgent.Max())/1e6, 2.3)
-		assert.Zero(t, r.Tenants.Never)
-		assert.Positive(t, r.Tenants.Urgent.TotalCount())
-		assert.Less(t, r.Quotas.MostRate, 15_000.0, "bytes a second")
+		assert.Empty(t, r.Quotas.Violations, "seed %d", seed)
+		assert.Equal(t, 1.0, r.Tenants.MaxOverQuota())
+		assert.Greater(t, r.Tenants.WorstShare(), 0.9)
+		assert.Greater(t, r.Tenants.Utilization(), 0.92)
+		assert.Less(t, float64(r.Tenants.UrgentStartDelay.Max())/1e6, 2.3)
+		assert.Zero(t, r.Tenants.UrgentNeverStarted)
+		assert.Positive(t, r.Tenants.UrgentStartDelay.TotalCount())
+		assert.Less(t, r.Quotas.MaxByteRate, 15_000.0, "bytes a second")
 	}
 }
 
@@ -43,9 +43,11 @@
 		"a region cut off":       func(sc *Scenario) { sc.Partitions = []Partition{{At: 8000, Length: 20_000, Region: 0, Other: -1}} },
 		"two lose each other":    func(sc *Scenario) { sc.Partitions = []Partition{{At: 8000, Length: 10_000, Region: 1, Other: 2}} },
 		"a region's lender dies": func(sc *Scenario) { sc.LenderCrashes = []LenderCrash{{At: 12_000, Down: 700, Region: 1}} },
-		"the root dies":          func(sc *Scenario) { sc.LenderCrashes = []LenderCrash{{At: 12_000, Down: 700, Region: -1, To: 2}} },
+		"the root dies": func(sc *Scenario) {
+			sc.LenderCrashes = []LenderCrash{{At: 12_000, Down: 700, Region: -1, NextRegion: 2}}
+		},
 		"both die at once": func(sc *Scenario) {
-			sc.LenderCrashes = []LenderCrash{{At: 12_000, Down: 700, Region: 0}, {At: 12_000, Down: 900, Region: -1, To: 1}}
+			sc.LenderCrashes = []LenderCrash{{At: 12_000, Down: 700, Region: 0}, {At: 12_000, Down: 900, Region: -1, NextRegion: 1}}
 		},
 		"dispatchers restart": func(sc *Scenario) {
 			for i := range 9 {
@@ -59,7 +61,7 @@
 		"clocks drift, all at once": func(sc *Scenario) {
 			sc.Quotas.Drift, sc.Quotas.Loss = 0.05, 0.05
 			sc.Partitions = []Partition{{At: 8000, Length: 12_000, Region: 0, Other: -1}}
-			sc.LenderCrashes = []LenderCrash{{At: 14_000, Down: 300, Region: 0}, {At: 22_000, Down: 300, Region: -1, To: 0}}
+			sc.LenderCrashes = []LenderCrash{{At: 14_000, Down: 300, Region: 0}, {At: 22_000, Down: 300, Region: -1, NextRegion: 0}}
 			sc.Restarts = []Restart{{At: 11_000, Node: 1, Down: 200}, {At: 12_000, Node: 8, Down: 200}}
 		},
 	} {
@@ -69,8 +71,8 @@
 				sc := lentDay(seed, 10)
 				harm(&sc)
 				r := play(t, sc)
-				assert.Empty(t, r.Quotas.Broken, "seed %d", seed)
-				assert.Greater(t, r.Tenants.Use(), 0.25, "seed %d", seed)
+				assert.Empty(t, r.Quotas.Violations, "seed %d", seed)
+				assert.Greater(t, r.Tenants.Utilization(), 0.25, "seed %d", seed)
 			}
 		})
 	}
@@ -83,10 +85,10 @@
 		sc.Quotas.RegionLease = 60_000
 		sc.Partitions = []Partition{{At: 10_000, Length: 30_000, Region: 0, Other: -1}}
 		r := play(t, sc)
-		assert.Empty(t, r.Quotas.Broken)
+		assert.Empty(t, r.Quotas.Violations)
 		// A third of the 72 units are lent to it, and it has jobs of 6 s for 30 s.
-		assert.Greater(t, r.Quotas.Alone, 60, "seed %d", seed)
-		assert.Greater(t, r.Tenants.Use(), 0.67, "seed %d", seed)
+		assert.Greater(t, r.Quotas.StartedIsolated, 60, "seed %d", seed)
+		assert.Greater(t, r.Tenants.Utilization(), 0.67, "seed %d", seed)
 	}
 }
 
@@ -95,11 +97,11 @@
 	seen := 0
 	for seed := range uint64(4) {
 		sc := lentDay(seed, 10)
-		sc.Quotas.whole = true
+		sc.Quotas.faultKeepUnits = true
 		for i := range sc.Tenants {
-			sc.Tenants[i].Wants = 3 * sc.Tenants[i].Quota
+			sc.Tenants[i].Demand = 3 * sc.Tenants[i].Quota
 		}
-		if r := play(t, sc); r.Quotas.Breaches > 0 {
+		if r := play(t, sc); r.Quotas.ViolationCount > 0 {
 			seen++
 		}
 	}
@@ -118,7 +120,7 @@
 // TestQuotasWantWhatThereIs: faults of a scenario are told.
 func TestQuotasWantWhatThereIs(t *testing.T) {
 	for want, harm := range map[string]func(*Scenario){
-		"a delay for each pair":                func(sc *Scenario) { sc.Quotas.Far = nil },
+		"a delay for each pair":                func(sc *Scenario) { sc.Quotas.RegionDelays = nil },
 		"lease is not between":                 func(sc *Scenario) { sc.Quotas.Lease = 1 },
 		"region 7 is cut off":                  func(sc *Scenario) { sc.Partitions = []Partition{{Region: 7, Other: -1}} },
 		"the lender of region 3 is killed":     func(sc *Scenario) { sc.LenderCrashes = []LenderCrash{{Region: 3}} },
--- a/internal/lab/sim/side.go
+++ b/internal/lab/sim/side.go
@@ -206,7 +206,7 @@
 		return
 	}
 	if w.keeper != nil && t.a.Version() < w.keeper.state.Version {
-		w.res.Accord.OverStarts++
+		w.res.Accord.OutdatedStarts++
 	}
 	c := w.tries[t.a.Job.ID]
 	work := c.Work
--- a/internal/lab/sim/tenants.go
+++ b/internal/lab/sim/tenants.go
@@ -13,13 +13,13 @@
 
 // Tenant is a customer that keeps a number of jobs wanted: as one ends, its next req comes.
 type Tenant struct {
-	Name  string
-	Quota int // jobs that may run for it at once over the fleet
-	Wants int // jobs that it wants running at once
-	// At is how many dispatchers all its reqs come to, drawn by its name; 0 for all.
-	At    int
-	Class string
-	Think float64 // between an end and the next req, on average, ms
+	Name   string
+	Quota  int // jobs that may run for it at once over the fleet
+	Demand int // jobs that it wants running at once
+	// DispatcherCount is how many dispatchers all its reqs come to, drawn by its name; 0 for all.
+	DispatcherCount int
+	Class           string
+	ThinkTime       float64 // between an end and the next req, on average, ms
 }
 
 // Window is the part of a run that shares are measured over, ms; Ramp is how long the first reqs of tenants are spread over.
@@ -27,57 +27,59 @@
 
 // TenantResult is what a tenant got. Means are over the window.
 type TenantResult struct {
-	Name         string
-	Quota, Wants int
-	Running      float64 // jobs that ran at backends, on average
-	Urgent       float64 // of them, of urgent classes
-	Most         int     // jobs not of urgent classes that ran at once, at most, at any time
-	Starts       int
-	due          float64
-	InFlight     float64 // with quotas: units in use by reqs not of urgent classes
+	Name          string
+	Quota, Demand int
+	Running       float64 // jobs that ran at backends, on average
+	RunningUrgent float64 // of them, of urgent classes
+	MaxRunning    int     // jobs not of urgent classes that ran at once, at most, at any time
+	Starts        int
+	entitlement   float64
+	InFlight      float64 // with quotas: units in use by reqs not of urgent classes
 }
 
-// Due is what the tenant should have had running, on average where its quota changed.
-func (t *TenantResult) Due() float64 { return t.due }
+// Entitlement is what the tenant should have had running, on average where its quota changed.
+func (t *TenantResult) Entitlement() float64 { return t.entitlement }
 
-// Part is the part of its due that it got.
-func (t *TenantResult) Part() float64 { return (t.Running - t.Urgent) / max(t.Due(), 1) }
+// EntitlementShare is the part of its due that it got.
+func (t *TenantResult) EntitlementShare() float64 {
+	return (t.Running - t.RunningUrgent) / max(t.Entitlement(), 1)
+}
 
 // TenantsResult is what all tenants got.
 type TenantsResult struct {
-	Each    []TenantResult
-	Slots   float64                 // of all backends
-	Running float64                 // on average
-	Urgent  *hdrhistogram.Histogram // of reqs of urgent classes: from the first try to the job's begin, us
-	Other   *hdrhistogram.Histogram
-	Never   int // urgent reqs in the window that never began
+	ByTenant           []TenantResult
+	Slots              float64                 // of all backends
+	Running            float64                 // on average
+	UrgentStartDelay   *hdrhistogram.Histogram // of reqs of urgent classes: from the first try to the job's begin, us
+	OtherStartDelay    *hdrhistogram.Histogram
+	UrgentNeverStarted int // urgent reqs in the window that never began
 }
 
-// Use is the part of what was there and wanted that was in use. Quotas bound what is wanted.
-func (t *TenantsResult) Use() float64 {
+// Utilization is the part of what was there and wanted that was in use. Quotas bound what is wanted.
+func (t *TenantsResult) Utilization() float64 {
 	due, running := 0.0, 0.0
-	for i := range t.Each {
-		due, running = due+t.Each[i].Due(), running+t.Each[i].Running-t.Each[i].Urgent
+	for i := range t.ByTenant {
+		due, running = due+t.ByTenant[i].Entitlement(), running+t.ByTenant[i].Running-t.ByTenant[i].RunningUrgent
 	}
 	return running / max(min(due, t.Slots), 1)
 }
 
-// Least is the smallest part that any tenant got whose wants are within its quota.
-func (t *TenantsResult) Least() float64 {
+// WorstShare is the smallest part that any tenant got whose wants are within its quota.
+func (t *TenantsResult) WorstShare() float64 {
 	least := math.Inf(1)
-	for i := range t.Each {
-		if t.Each[i].Wants <= t.Each[i].Quota {
-			least = min(least, t.Each[i].Part())
+	for i := range t.ByTenant {
+		if t.ByTenant[i].Demand <= t.ByTenant[i].Quota {
+			least = min(least, t.ByTenant[i].EntitlementShare())
 		}
 	}
 	return least
 }
 
-// Over is the largest number of times over its quota that any tenant had running at a moment.
-func (t *TenantsResult) Over() float64 {
+// MaxOverQuota is the largest number of times over its quota that any tenant had running at a moment.
+func (t *TenantsResult) MaxOverQuota() float64 {
 	over := 0.0
-	for i := range t.Each {
-		over = max(over, float64(t.Each[i].Most)/float64(max(t.Each[i].Quota, 1)))
+	for i := range t.ByTenant {
+		over = max(over, float64(t.ByTenant[i].MaxRunning)/float64(max(t.ByTenant[i].Quota, 1)))
 	}
 	return over
 }
@@ -103,8 +105,8 @@
 		switch {
 		case t.Name == "" || names[t.Name]:
 			return fmt.Errorf("tenant %q stands there twice, or has no name", t.Name)
-		case t.Quota < 1 || t.Wants < 0 || t.Wants > mostBackends:
-			return fmt.Errorf("tenant %q: a quota of %d and %d wanted", t.Name, t.Quota, t.Wants)
+		case t.Quota < 1 || t.Demand < 0 || t.Demand > mostBackends:
+			return fmt.Errorf("tenant %q: a quota of %d and %d wanted", t.Name, t.Quota, t.Demand)
 		case classAt(classes, t.Class) < 0:
 			return fmt.Errorf("tenant %q: reqs of class %q, which is none", t.Name, t.Class)
 		}
@@ -130,14 +132,14 @@
 	r := &runs{w: w, since: make([]float64, n), now: make([]int, n), urgent: make([]int, n), sum: make([]float64, n), sumU: make([]float64, n),
 		jobs: map[uint64]*client{}, chance: fleet.RandomStream(w.sc.Seed, "tenants")}
 	for _, t := range w.sc.Tenants {
-		w.res.Tenants.Each = append(w.res.Tenants.Each, TenantResult{Name: t.Name, Quota: t.Quota, Wants: t.Wants})
+		w.res.Tenants.ByTenant = append(w.res.Tenants.ByTenant, TenantResult{Name: t.Name, Quota: t.Quota, Demand: t.Demand})
 		r.total += t.Quota
 	}
 	for _, b := range w.sc.Backends {
 		w.res.Tenants.Slots += b.Kind.Slots
 	}
-	w.res.Tenants.Urgent = hdrhistogram.New(1, 100_000_000_000, 3)
-	w.res.Tenants.Other = hdrhistogram.New(1, 100_000_000_000, 3)
+	w.res.Tenants.UrgentStartDelay = hdrhistogram.New(1, 100_000_000_000, 3)
+	w.res.Tenants.OtherStartDelay = hdrhistogram.New(1, 100_000_000_000, 3)
 	return r
 }
 
@@ -145,7 +147,7 @@
 func (r *runs) stand() {
 	w := r.w
 	for i := range w.sc.Tenants {
-		for range w.sc.Tenants[i].Wants {
+		for range w.sc.Tenants[i].Demand {
 			w.at(w.sc.Window.Ramp*r.chance.Float64(), func() { r.ask(i, r.chance.Float64()) })
 		}
 	}
@@ -185,7 +187,7 @@
 // again has the next req of a standing demand come, after one is over.
 func (r *runs) again(c *client) {
 	w := r.w
-	if at := w.now + r.chance.ExpFloat64()*w.sc.Tenants[c.tenant].Think; c.stands && at < w.sc.Length {
+	if at := w.now + r.chance.ExpFloat64()*w.sc.Tenants[c.tenant].ThinkTime; c.stands && at < w.sc.Length {
 		w.at(at, func() { r.ask(c.tenant, 1) })
 	}
 }
@@ -204,17 +206,17 @@
 		r.urgent[c.tenant]++
 	}
 	if q := r.w.quotas; q != nil {
-		q.at.HandleStart(r.w.now, t.Each[c.tenant].Name, urgent)
+		q.at.HandleStart(r.w.now, t.ByTenant[c.tenant].Name, urgent)
 	}
-	e := &t.Each[c.tenant]
-	e.Most = max(e.Most, r.now[c.tenant]-r.urgent[c.tenant])
+	e := &t.ByTenant[c.tenant]
+	e.MaxRunning = max(e.MaxRunning, r.now[c.tenant]-r.urgent[c.tenant])
 	if c.ran > 1 || !r.inside(c.begun) {
 		return
 	}
 	e.Starts++
-	h := t.Other
+	h := t.OtherStartDelay
 	if urgent {
-		h = t.Urgent
+		h = t.UrgentStartDelay
 	}
 	_ = h.RecordValue(int64((r.w.now-c.begun)*1000) + 1) // in its bounds: a client has no more patience than a day
 }
@@ -234,7 +236,7 @@
 		r.urgent[c.tenant]--
 	}
 	if q := r.w.quotas; q != nil {
-		q.at.HandleEnd(r.w.res.Tenants.Each[c.tenant].Name, c.class().Urgent)
+		q.at.HandleEnd(r.w.res.Tenants.ByTenant[c.tenant].Name, c.class().Urgent)
 	}
 }
 
@@ -250,11 +252,11 @@
 
 func (r *runs) finish() {
 	win, t := &r.w.sc.Window, &r.w.res.Tenants
-	for i := range t.Each {
+	for i := range t.ByTenant {
 		r.pass(i)
-		t.Each[i].due = r.due(i)
-		t.Each[i].Running, t.Each[i].Urgent = r.sum[i]/(win.To-win.From), r.sumU[i]/(win.To-win.From)
-		t.Running += t.Each[i].Running
+		t.ByTenant[i].entitlement = r.due(i)
+		t.ByTenant[i].Running, t.ByTenant[i].RunningUrgent = r.sum[i]/(win.To-win.From), r.sumU[i]/(win.To-win.From)
+		t.Running += t.ByTenant[i].Running
 	}
 }
 
@@ -264,7 +266,7 @@
 	at, units, sum := win.From, t.Quota, 0.0
 	until := func(to float64) {
 		if to = min(to, win.To); to > at {
-			sum += (to - at) * float64(min(units, t.Wants))
+			sum += (to - at) * float64(min(units, t.Demand))
 			at = to
 		}
 	}
@@ -314,7 +316,7 @@
 	w := c.w
 	at := 0
 	if w.runs != nil {
-		at = w.sc.Tenants[c.tenant].At
+		at = w.sc.Tenants[c.tenant].DispatcherCount
 	}
 	if at == 0 && len(w.sc.Regions) < 2 {
 		return fronts
--- a/internal/lab/sim/tenants_test.go
+++ b/internal/lab/sim/tenants_test.go
@@ -23,9 +23,9 @@
 		sc.Backends = append(sc.Backends, Backend{Name: string(rune('a' + len(sc.Backends))), Kind: kind, Pod: len(sc.Backends) / 3})
 	}
 	for i := range 6 {
-		sc.Tenants = append(sc.Tenants, Tenant{Name: string(rune('a' + i)), Quota: 12, Wants: 12, Class: "batch", Think: 50})
+		sc.Tenants = append(sc.Tenants, Tenant{Name: string(rune('a' + i)), Quota: 12, Demand: 12, Class: "batch", ThinkTime: 50})
 	}
-	sc.Tenants[0].Wants *= times
+	sc.Tenants[0].Demand *= times
 	return sc
 }
 
@@ -34,16 +34,16 @@
 func TestTenantsKeepTheirDemand(t *testing.T) {
 	for seed := range uint64(4) {
 		r := play(t, teamDay(seed, 1))
-		assert.Greater(t, r.Tenants.Least(), 0.85, "seed %d", seed)
-		assert.InDelta(t, 0.95, r.Tenants.Use(), 0.07)
-		assert.LessOrEqual(t, r.Tenants.Over(), 1.0, "no more is wanted")
+		assert.Greater(t, r.Tenants.WorstShare(), 0.85, "seed %d", seed)
+		assert.InDelta(t, 0.95, r.Tenants.Utilization(), 0.07)
+		assert.LessOrEqual(t, r.Tenants.MaxOverQuota(), 1.0, "no more is wanted")
 		assert.Equal(t, r.First, r.Served+r.Refused+r.Failed+r.Open)
-		assert.Positive(t, r.Tenants.Urgent.TotalCount())
+		assert.Positive(t, r.Tenants.UrgentStartDelay.TotalCount())
 		assert.InDelta(t, 80, r.Tenants.Slots, 0)
 	}
 	sc := teamDay(1, 1)
 	for i := range sc.Tenants {
-		sc.Tenants[i].At = 3
+		sc.Tenants[i].DispatcherCount = 3
 	}
 	w, err := newWorld(sc, defaults.Settings(), Module)
 	if !assert.NoError(t, err) {
@@ -63,8 +63,8 @@
 func TestGreedyTenantIsNotHeldToItsShare(t *testing.T) {
 	for seed := range uint64(4) {
 		r := play(t, teamDay(seed, 10)).Tenants
-		assert.Greater(t, r.Over(), 2.0, "seed %d", seed)
-		assert.Less(t, r.Least(), 0.95)
+		assert.Greater(t, r.MaxOverQuota(), 2.0, "seed %d", seed)
+		assert.Less(t, r.WorstShare(), 0.95)
 	}
 }
 
