--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -15,7 +15,7 @@
 
 func rowsOf(f func(x float64) float64, xs ...float64) (rows []Row) {
 	for _, x := range xs {
-		rows = append(rows, Row{Slope: "s", Unit: "bytes", Against: "backends", X: x, Y: f(x), How: Real})
+		rows = append(rows, Row{Slope: "s", Unit: "bytes", Against: "backends", X: x, Y: f(x), Method: Real})
 	}
 	return rows
 }
@@ -25,9 +25,9 @@
 	const page = "../../../docs/CAPACITY.md"
 	text, err := os.ReadFile(page)
 	require.NoError(t, err)
-	all, err := ReadAll("../../../docs/capacity")
+	all, err := ReadFolder("../../../docs/capacity")
 	require.NoError(t, err)
-	out, err := Page(string(text), all)
+	out, err := RenderPage(string(text), all)
 	require.NoError(t, err)
 	assert.Equal(t, out, string(text), "make capacity-page makes it anew")
 }
@@ -38,7 +38,7 @@
 	rows[1].Note = `says "it", and more`
 	require.NoError(t, Append(at, rows[:1]...))
 	require.NoError(t, Append(at, rows[1:]...))
-	got, err := Read(at)
+	got, err := ReadFile(at)
 	require.NoError(t, err)
 	for i := range rows {
 		assert.InEpsilon(t, rows[i].Y, got[i].Y, 1e-9)
@@ -48,13 +48,13 @@
 
 	other := rows[0]
 	other.Slope = "t"
-	require.NoError(t, Replace(at, other))
-	require.NoError(t, Replace(at, rows[0]))
-	got, err = Read(at)
+	require.NoError(t, ReplaceSlopes(at, other))
+	require.NoError(t, ReplaceSlopes(at, rows[0]))
+	got, err = ReadFile(at)
 	require.NoError(t, err)
 	require.Len(t, got, 2)
 	assert.Equal(t, "t", got[0].Slope)
-	all, err := ReadAll(filepath.Dir(at))
+	all, err := ReadFolder(filepath.Dir(at))
 	require.NoError(t, err)
 	assert.Len(t, all, 2)
 }
@@ -71,35 +71,35 @@
 		{"s,bytes,backends,1,2,real", "wrong number of fields"},
 	} {
 		require.NoError(t, os.WriteFile(at, []byte(good+c.line+"\n"), 0o600))
-		_, err := Read(at)
+		_, err := ReadFile(at)
 		assert.ErrorContains(t, err, c.says, c.line)
 		assert.ErrorContains(t, err, at)
 	}
-	assert.Error(t, Append(at, Row{Slope: "s", Unit: "u", Against: "x", Y: math.Inf(1), How: Real}))
+	assert.Error(t, Append(at, Row{Slope: "s", Unit: "u", Against: "x", Y: math.Inf(1), Method: Real}))
 }
 
 func TestFitOfALine(t *testing.T) {
 	l, err := Fit(rowsOf(func(x float64) float64 { return 3 + 2*x }, 50, 100, 200, 1000))
 	require.NoError(t, err)
-	assert.InDelta(t, 3, l.A, 1e-9)
-	assert.InDelta(t, 2, l.B, 1e-12)
-	assert.InDelta(t, 0, l.BHalf, 1e-9)
+	assert.InDelta(t, 3, l.Intercept, 1e-9)
+	assert.InDelta(t, 2, l.Gradient, 1e-12)
+	assert.InDelta(t, 0, l.GradientHalfWidth, 1e-9)
 	assert.InDelta(t, 1, l.R2, 1e-12)
-	assert.False(t, l.Bend)
-	y, half := l.At(580)
+	assert.False(t, l.Curved)
+	y, half := l.Predict(580)
 	assert.InDelta(t, 1163, y, 1e-9)
 	assert.InDelta(t, 0, half, 1e-6)
-	assert.InDelta(t, 1163, l.Between(580), 1e-9)
+	assert.InDelta(t, 1163, l.Interpolate(580), 1e-9)
 
 	l, err = Fit(rowsOf(func(x float64) float64 { return 140 + math.Floor(math.Log10(x)) }, 50, 100, 200, 1000, 2000))
 	require.NoError(t, err)
-	assert.False(t, l.Bend, "two bytes of 140, by the digits of a number")
+	assert.False(t, l.Curved, "two bytes of 140, by the digits of a number")
 	l, err = Fit(rowsOf(func(x float64) float64 { return 100 + x*x/1e5 }, 50, 100, 200, 1000, 2000))
 	require.NoError(t, err)
-	assert.True(t, l.Bend)
+	assert.True(t, l.Curved)
 
 	_, err = Fit(rowsOf(func(x float64) float64 { return x }, 1, 2, 3, 3, 3))
-	assert.ErrorIs(t, err, ErrFewSizes)
+	assert.ErrorIs(t, err, ErrTooFewSizes)
 	mixed := rowsOf(func(x float64) float64 { return x }, 1, 2, 3, 4)
 	mixed[2].Unit = "KB"
 	_, err = Fit(mixed)
@@ -112,13 +112,13 @@
 	y := map[float64]float64{1: 2, 2: 4, 3: 5, 4: 8}
 	l, err := Fit(rowsOf(func(x float64) float64 { return y[x] }, 1, 2, 3, 4))
 	require.NoError(t, err)
-	assert.InDelta(t, 1.9, l.B, 1e-9)
-	assert.InDelta(t, 0, l.A, 1e-9)
-	assert.InDelta(t, 4.3027*math.Sqrt(0.35/5), l.BHalf, 1e-3)
+	assert.InDelta(t, 1.9, l.Gradient, 1e-9)
+	assert.InDelta(t, 0, l.Intercept, 1e-9)
+	assert.InDelta(t, 4.3027*math.Sqrt(0.35/5), l.GradientHalfWidth, 1e-3)
 	assert.InDelta(t, 1-0.7/18.75, l.R2, 1e-9)
-	assert.InDelta(t, -0.7, l.Residual, 1e-9)
-	assert.InDelta(t, 3, l.ResidualX, 0)
-	_, half := l.At(2.5)
+	assert.InDelta(t, -0.7, l.MaxResidual, 1e-9)
+	assert.InDelta(t, 3, l.MaxResidualX, 0)
+	_, half := l.Predict(2.5)
 	assert.InDelta(t, 4.3027*math.Sqrt(0.35*1.25), half, 1e-3)
 }
 
@@ -135,13 +135,13 @@
 			return l
 		}
 		l := noisy(0)
-		if math.Abs(l.B-3) <= l.BHalf {
+		if math.Abs(l.Gradient-3) <= l.GradientHalfWidth {
 			held++
 		}
-		if l.Bend {
+		if l.Curved {
 			seen++
 		}
-		if !noisy(0.003).Bend {
+		if !noisy(0.003).Curved {
 			missed++
 		}
 	}
@@ -152,12 +152,12 @@
 
 func TestPage(t *testing.T) {
 	all := map[string][]Row{"s": rowsOf(func(x float64) float64 { return 2 * x }, 10, 20, 30, 40), "q": rowsOf(func(x float64) float64 { return x * x }, 10, 20, 30, 40)}
-	all["s"][3].How = Hollow
+	all["s"][3].Method = Hollow
 	for i := range all["q"] {
 		all["q"][i].Slope = "q"
 	}
 	text := "# A\n<!-- summary -->\n<!-- end -->\n<!-- slope s at=50,100 limit=150 -->\nold\n<!-- end -->\nbetween\n<!-- slope q at=25,50 -->\n<!-- end -->\nafter\n"
-	out, err := Page(text, all)
+	out, err := RenderPage(text, all)
 	require.NoError(t, err)
 	for _, want := range []string{"no bend", "| 40 | 80 | 80 to 80 | 80 | 1 | hollow |", "| *50* | *100* |", "limit 150, factor left 1.50",
 		"**limit 150 missed by a factor of 1.33**", "**bends**", "| *25* | *650* |", "between the sizes next to it", "| *50* | *2,300* |", "by the last two sizes", "\nbetween\n", "\nafter\n",
@@ -165,17 +165,17 @@
 		assert.Contains(t, out, want)
 	}
 	assert.NotContains(t, out, "old")
-	again, err := Page(out, all)
+	again, err := RenderPage(out, all)
 	require.NoError(t, err)
 	assert.Equal(t, out, again)
 	for marker, says := range map[string]string{"<!-- slope r -->\n<!-- end -->": "slope r", "<!-- slope s by=3 -->\n<!-- end -->": "marker says", "<!-- slope s -->\n": "not each ends"} {
-		_, err := Page(marker, all)
+		_, err := RenderPage(marker, all)
 		assert.ErrorContains(t, err, says)
 	}
 }
 
 func TestFigure(t *testing.T) {
 	for v, want := range map[float64]string{0: "0", 580: "580", 1234567: "1,234,567", -1234: "-1,234", 0.01234: "0.0123", 12.34: "12.3", 3: "3", 1e-9: "1.00e-09", -0.5: "-0.500"} {
-		assert.Equal(t, want, Figure(v), fmt.Sprint(v))
+		assert.Equal(t, want, FormatFigure(v), fmt.Sprint(v))
 	}
 }
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// LeastSizes is how many different sizes a line is fitted through at least: with fewer no bend would show.
-	LeastSizes = 4
+	// MinSizes is how many different sizes a line is fitted through at least: with fewer no bend would show.
+	MinSizes   = 4
 	confidence = 0.95
 	// bendPart is how far a curve has to leave the line, as a part of the span of what was measured, to count as a bend:
 	// counts that hardly vary would make any crumb significant.
@@ -22,36 +22,36 @@
 	bendLeast = 0.02
 )
 
-// ErrFewSizes is returned by Fit for rows of fewer sizes than LeastSizes.
-var ErrFewSizes = errors.New("too few sizes to fit a line")
+// ErrTooFewSizes is returned by Fit for rows of fewer sizes than LeastSizes.
+var ErrTooFewSizes = errors.New("too few sizes to fit a line")
 
 // Line is y = A + B·x through rows, by least squares.
 type Line struct {
-	Slope, Unit, Against string
-	A, B                 float64
-	AHalf, BHalf         float64 // half of the 95% intervals
-	R2                   float64
-	Residual, ResidualX  float64 // the largest, with its sign (measured less line), and where
-	Bend                 bool    // a curve through the rows leaves the line beyond noise, a twentieth of the span and a fiftieth of the largest figure
-	Leaves               float64 // how far the curve leaves the line at most, as a part of the span measured
-	Sizes                []Size  // ascending
+	Slope, Unit, Against                  string
+	Intercept, Gradient                   float64
+	InterceptHalfWidth, GradientHalfWidth float64 // half of the 95% intervals
+	R2                                    float64
+	MaxResidual, MaxResidualX             float64     // the largest, with its sign (measured less line), and where
+	Curved                                bool        // a curve through the rows leaves the line beyond noise, a twentieth of the span and a fiftieth of the largest figure
+	CurveDeviation                        float64     // how far the curve leaves the line at most, as a part of the span measured
+	Sizes                                 []SizeStats // ascending
 
 	n          float64
 	s, t       float64 // deviation of the rows from the line; of Student's distribution
 	meanX, sxx float64
 }
 
-// Size is what was measured at one size.
-type Size struct {
-	X, Mean, Least, Most float64
-	Rows                 int
-	How                  string // of all its rows, in the order in which they came
+// SizeStats is what was measured at one size.
+type SizeStats struct {
+	X, Mean, Min, Max float64
+	Rows              int
+	Methods           string // of all its rows, in the order in which they came
 }
 
 // Fit fits a line through the rows of one slope, of at least LeastSizes sizes.
 func Fit(rows []Row) (*Line, error) {
 	if len(rows) == 0 {
-		return nil, ErrFewSizes
+		return nil, ErrTooFewSizes
 	}
 	first := rows[0]
 	l := &Line{Slope: first.Slope, Unit: first.Unit, Against: first.Against, Sizes: sizes(rows)}
@@ -65,19 +65,19 @@
 		}
 		xs, ys = append(xs, r.X), append(ys, r.Y)
 	}
-	if len(l.Sizes) < LeastSizes {
-		return nil, fmt.Errorf("%s: %w: %d of %d", l.Slope, ErrFewSizes, len(l.Sizes), LeastSizes)
+	if len(l.Sizes) < MinSizes {
+		return nil, fmt.Errorf("%s: %w: %d of %d", l.Slope, ErrTooFewSizes, len(l.Sizes), MinSizes)
 	}
-	l.n, l.ResidualX = float64(len(xs)), xs[0]
-	l.A, l.B = stat.LinearRegression(xs, ys, nil, false)
+	l.n, l.MaxResidualX = float64(len(xs)), xs[0]
+	l.Intercept, l.Gradient = stat.LinearRegression(xs, ys, nil, false)
 	l.meanX = stat.Mean(xs, nil)
 	rss := 0.0
 	for i, x := range xs {
 		l.sxx += (x - l.meanX) * (x - l.meanX)
-		d := ys[i] - (l.A + l.B*x)
+		d := ys[i] - (l.Intercept + l.Gradient*x)
 		rss += d * d
-		if math.Abs(d) > math.Abs(l.Residual) {
-			l.Residual, l.ResidualX = d, x
+		if math.Abs(d) > math.Abs(l.MaxResidual) {
+			l.MaxResidual, l.MaxResidualX = d, x
 		}
 	}
 	l.R2 = 1
@@ -86,8 +86,8 @@
 	}
 	l.s = math.Sqrt(rss / (l.n - 2))
 	l.t = student(l.n - 2)
-	l.BHalf = l.t * l.s / math.Sqrt(l.sxx)
-	l.AHalf = l.t * l.s * math.Sqrt(1/l.n+l.meanX*l.meanX/l.sxx)
+	l.GradientHalfWidth = l.t * l.s / math.Sqrt(l.sxx)
+	l.InterceptHalfWidth = l.t * l.s * math.Sqrt(1/l.n+l.meanX*l.meanX/l.sxx)
 	l.bend(xs, ys, rss)
 	return l, nil
 }
@@ -110,7 +110,7 @@
 	for i, x := range xs {
 		q := sq[i] - (a + b*x)
 		qq += q * q
-		qy += q * (ys[i] - (l.A + l.B*x))
+		qy += q * (ys[i] - (l.Intercept + l.Gradient*x))
 		most = max(most, math.Abs(q))
 	}
 	if qq == 0 || l.n < 4 {
@@ -121,20 +121,20 @@
 	half := student(l.n-3) * math.Sqrt(left/(l.n-3)/qq)
 	leaves, largest := math.Abs(c)*most, max(math.Abs(slices.Max(ys)), math.Abs(slices.Min(ys)))
 	if span := slices.Max(ys) - slices.Min(ys); span > 0 {
-		l.Leaves = leaves / span
+		l.CurveDeviation = leaves / span
 	}
-	l.Bend = math.Abs(c) > half && l.Leaves > bendPart && leaves > bendLeast*largest
+	l.Curved = math.Abs(c) > half && l.CurveDeviation > bendPart && leaves > bendLeast*largest
 }
 
-// At is the line at a size, with half of the 95% interval of one more measurement there. Beyond the sizes measured it is
+// Predict is the line at a size, with half of the 95% interval of one more measurement there. Beyond the sizes measured it is
 // worked out, and for a line that bends it is wrong: see Between.
-func (l *Line) At(x float64) (y, half float64) {
+func (l *Line) Predict(x float64) (y, half float64) {
 	d := x - l.meanX
-	return l.A + l.B*x, l.t * l.s * math.Sqrt(1+1/l.n+d*d/l.sxx)
+	return l.Intercept + l.Gradient*x, l.t * l.s * math.Sqrt(1+1/l.n+d*d/l.sxx)
 }
 
-// Between is what the means of the two sizes next to x give, in a straight line: beyond the ends that of the last two.
-func (l *Line) Between(x float64) float64 {
+// Interpolate is what the means of the two sizes next to x give, in a straight line: beyond the ends that of the last two.
+func (l *Line) Interpolate(x float64) float64 {
 	k := 1
 	for k < len(l.Sizes)-1 && l.Sizes[k].X < x {
 		k++
@@ -143,42 +143,42 @@
 	return p.Mean + (q.Mean-p.Mean)*(x-p.X)/(q.X-p.X)
 }
 
-// Best is the line at a size, or Between where it bends, and says which.
-func (l *Line) Best(x float64) (y float64, how string) {
-	switch y, _ = l.At(x); {
-	case !l.Bend:
+// Estimate is the line at a size, or Between where it bends, and says which.
+func (l *Line) Estimate(x float64) (y float64, how string) {
+	switch y, _ = l.Predict(x); {
+	case !l.Curved:
 		return y, "worked out, by the line"
-	case l.Within(x):
-		return l.Between(x), "worked out, between the sizes next to it"
+	case l.InRange(x):
+		return l.Interpolate(x), "worked out, between the sizes next to it"
 	}
-	return l.Between(x), "worked out, by the last two sizes"
+	return l.Interpolate(x), "worked out, by the last two sizes"
 }
 
-// Within says whether a size lies between those that were measured.
-func (l *Line) Within(x float64) bool {
+// InRange says whether a size lies between those that were measured.
+func (l *Line) InRange(x float64) bool {
 	return x >= l.Sizes[0].X && x <= l.Sizes[len(l.Sizes)-1].X
 }
 
-func sizes(rows []Row) []Size {
-	at := map[float64]*Size{}
+func sizes(rows []Row) []SizeStats {
+	at := map[float64]*SizeStats{}
 	sum := map[float64]float64{}
 	for _, r := range rows {
 		s := at[r.X]
 		if s == nil {
-			s = &Size{X: r.X, Least: r.Y, Most: r.Y, How: r.How}
+			s = &SizeStats{X: r.X, Min: r.Y, Max: r.Y, Methods: r.Method}
 			at[r.X] = s
-		} else if s.How != r.How && s.How != r.How+" and "+s.How {
-			s.How = r.How + " and " + s.How
+		} else if s.Methods != r.Method && s.Methods != r.Method+" and "+s.Methods {
+			s.Methods = r.Method + " and " + s.Methods
 		}
 		s.Rows++
-		s.Least, s.Most = min(s.Least, r.Y), max(s.Most, r.Y)
+		s.Min, s.Max = min(s.Min, r.Y), max(s.Max, r.Y)
 		sum[r.X] += r.Y
 	}
-	var all []Size
+	var all []SizeStats
 	for x, s := range at {
 		s.Mean = sum[x] / float64(s.Rows)
 		all = append(all, *s)
 	}
-	slices.SortFunc(all, func(a, b Size) int { return cmp.Compare(a.X, b.X) })
+	slices.SortFunc(all, func(a, b SizeStats) int { return cmp.Compare(a.X, b.X) })
 	return all
 }
--- a/internal/lab/capacity/measure/flight.go
+++ b/internal/lab/capacity/measure/flight.go
@@ -279,7 +279,7 @@
 				note = fmt.Sprintf("HTTP/2, %d reqs a connection, a body of %d bytes", streams, f.Body)
 			}
 			row := func(what, unit string, y float64) {
-				rows = append(rows, capacity.Row{Slope: name + "-" + what, Unit: unit, Against: "reqs in flight", X: float64(n), Y: y, How: capacity.Real, Note: note})
+				rows = append(rows, capacity.Row{Slope: name + "-" + what, Unit: unit, Against: "reqs in flight", X: float64(n), Y: y, Method: capacity.Real, Note: note})
 			}
 			row("rss", "MB", h.RSS)
 			row("anon", "MB", h.Anon)
@@ -312,7 +312,7 @@
 		if h.InFlight+h.Refused+h.Unanswered != n {
 			return nil, errors.New("a req was neither held nor turned away")
 		}
-		rows = append(rows, capacity.Row{Slope: name, Unit: "reqs in flight at most", Against: "descriptors allowed", X: float64(s), Y: float64(h.InFlight), How: capacity.Real,
+		rows = append(rows, capacity.Row{Slope: name, Unit: "reqs in flight at most", Against: "descriptors allowed", X: float64(s), Y: float64(h.InFlight), Method: capacity.Real,
 			Note: fmt.Sprintf("%d offered, %d refused, %d turned away without an answer, %.0f descriptors held", n, h.Refused, h.Unanswered, h.Descriptors)})
 	}
 	return rows, nil
@@ -328,7 +328,7 @@
 			return nil, fmt.Errorf("%s, %d dispatchers: %w", name, n, err)
 		}
 		row := func(what, unit string, y float64) {
-			rows = append(rows, capacity.Row{Slope: name + "-" + what, Unit: unit, Against: "dispatchers", X: float64(n), Y: y, How: capacity.Real,
+			rows = append(rows, capacity.Row{Slope: name + "-" + what, Unit: unit, Against: "dispatchers", X: float64(n), Y: y, Method: capacity.Real,
 				Note: fmt.Sprintf("%d offered, %d refused, %d turned away without an answer, %d descriptors and %d MB allowed each", reqs, h.Refused, h.Unanswered, f.Sockets, f.MemoryMB)})
 		}
 		row("in-flight", "reqs in flight", float64(h.InFlight))
@@ -347,7 +347,7 @@
 			return nil, fmt.Errorf("%s, %d MB: %w", name, n, err)
 		}
 		row := func(what, unit string, y float64) {
-			rows = append(rows, capacity.Row{Slope: name + "-" + what, Unit: unit, Against: "MB allowed", X: float64(n), Y: y, How: capacity.Real,
+			rows = append(rows, capacity.Row{Slope: name + "-" + what, Unit: unit, Against: "MB allowed", X: float64(n), Y: y, Method: capacity.Real,
 				Note: fmt.Sprintf("%d offered, %d in flight", reqs, h.InFlight)})
 		}
 		row("rss", "MB", h.RSS)
--- a/internal/lab/capacity/measure/list.go
+++ b/internal/lab/capacity/measure/list.go
@@ -130,7 +130,7 @@
 		}
 		took := last.at.Sub(i.first.at).Seconds()
 		row := func(what, unit string, y float64) {
-			rows = append(rows, capacity.Row{Slope: name + "-" + what, Unit: unit, Against: against, X: i.x, Y: y, How: capacity.Real, Note: note})
+			rows = append(rows, capacity.Row{Slope: name + "-" + what, Unit: unit, Against: against, X: i.x, Y: y, Method: capacity.Real, Note: note})
 		}
 		row("cpu", "% of a core", 100*(last.cpu-i.first.cpu).Seconds()/took)
 		row("rss", "MB", last.rss)
--- a/internal/lab/capacity/measure/module.go
+++ b/internal/lab/capacity/measure/module.go
@@ -141,7 +141,7 @@
 			return nil, fmt.Errorf("%s: %w", note, err)
 		}
 		row := func(what, unit string, y float64) {
-			rows = append(rows, capacity.Row{Slope: name + "-" + what, Unit: unit, Against: against, X: float64(x), Y: y, How: capacity.InProcess, Note: note})
+			rows = append(rows, capacity.Row{Slope: name + "-" + what, Unit: unit, Against: against, X: float64(x), Y: y, Method: capacity.InProcess, Note: note})
 		}
 		if m.Timed {
 			row("us", "us a req", r.ns/1000)
--- a/internal/lab/capacity/measure/place.go
+++ b/internal/lab/capacity/measure/place.go
@@ -45,7 +45,7 @@
 				return nil, err
 			}
 			row := func(what, unit string, y float64) {
-				rows = append(rows, capacity.Row{Slope: "placement-" + what, Unit: unit, Against: "devices", X: float64(n), Y: y, How: capacity.InProcess, Note: "the mix photos, full devices"})
+				rows = append(rows, capacity.Row{Slope: "placement-" + what, Unit: unit, Against: "devices", X: float64(n), Y: y, Method: capacity.InProcess, Note: "the mix photos, full devices"})
 			}
 			if timed {
 				row("us", "us a placement", us)
--- a/internal/lab/capacity/measure/recovery.go
+++ b/internal/lab/capacity/measure/recovery.go
@@ -68,7 +68,7 @@
 					return nil, err
 				}
 				row := func(what, unit string, y float64) {
-					rows = append(rows, capacity.Row{Slope: name + "-" + what, Unit: unit, Against: "backends", X: float64(n), Y: y, How: capacity.Real, Note: note})
+					rows = append(rows, capacity.Row{Slope: name + "-" + what, Unit: unit, Against: "backends", X: float64(n), Y: y, Method: capacity.Real, Note: note})
 				}
 				if timed {
 					row("ms", "ms", ms[0])
@@ -93,7 +93,7 @@
 				return nil, err
 			}
 			row := func(what, unit string, y float64) {
-				rows = append(rows, capacity.Row{Slope: "restart-all-" + what, Unit: unit, Against: "dispatchers at once", X: float64(n), Y: y, How: capacity.Real, Note: fmt.Sprintf("%d backends", workers)})
+				rows = append(rows, capacity.Row{Slope: "restart-all-" + what, Unit: unit, Against: "dispatchers at once", X: float64(n), Y: y, Method: capacity.Real, Note: fmt.Sprintf("%d backends", workers)})
 			}
 			if timed {
 				most := 0.0
--- a/internal/lab/capacity/page/main.go
+++ b/internal/lab/capacity/page/main.go
@@ -9,7 +9,7 @@
 )
 
 func main() {
-	if err := capacity.Rewrite("docs/CAPACITY.md", "docs/capacity"); err != nil {
+	if err := capacity.UpdatePage("docs/CAPACITY.md", "docs/capacity"); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
--- a/internal/lab/capacity/rows.go
+++ b/internal/lab/capacity/rows.go
@@ -29,7 +29,7 @@
 	Unit    string // of Y, such as "bytes a second"
 	Against string // what X counts, such as "backends"
 	X, Y    float64
-	How     string // Real, Hollow, Virtual or InProcess
+	Method  string // Real, Hollow, Virtual or InProcess
 	Note    string // what else it needs to be told apart; may be empty
 }
 
@@ -37,7 +37,7 @@
 
 func (r Row) record() []string {
 	f := func(v float64) string { return strconv.FormatFloat(v, 'g', 10, 64) }
-	return []string{r.Slope, r.Unit, r.Against, f(r.X), f(r.Y), r.How, r.Note}
+	return []string{r.Slope, r.Unit, r.Against, f(r.X), f(r.Y), r.Method, r.Note}
 }
 
 // Check names what is wrong with a row.
@@ -53,8 +53,8 @@
 		return fmt.Errorf("%s: unit or against is empty", r.Slope)
 	case math.IsNaN(r.X) || math.IsInf(r.X, 0) || math.IsNaN(r.Y) || math.IsInf(r.Y, 0):
 		return fmt.Errorf("%s: x is %v and y %v, want finite numbers", r.Slope, r.X, r.Y)
-	case !slices.Contains([]string{Real, Hollow, Virtual, InProcess}, r.How):
-		return fmt.Errorf("%s: how is %q", r.Slope, r.How)
+	case !slices.Contains([]string{Real, Hollow, Virtual, InProcess}, r.Method):
+		return fmt.Errorf("%s: how is %q", r.Slope, r.Method)
 	}
 	return nil
 }
@@ -67,10 +67,10 @@
 	return write(path, os.O_APPEND|os.O_WRONLY, false, rows)
 }
 
-// Replace is Append, but all rows that a file held of the slopes that rows name go first: a slope that is measured
+// ReplaceSlopes is Append, but all rows that a file held of the slopes that rows name go first: a slope that is measured
 // anew is not mixed with what an older program cost.
-func Replace(path string, rows ...Row) error {
-	old, err := Read(path)
+func ReplaceSlopes(path string, rows ...Row) error {
+	old, err := ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
@@ -104,8 +104,8 @@
 	return errors.Join(w.Error(), f.Close())
 }
 
-// Read reads a file's rows in their order. Errors name file and line.
-func Read(path string) ([]Row, error) {
+// ReadFile reads a file's rows in their order. Errors name file and line.
+func ReadFile(path string) ([]Row, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -126,7 +126,7 @@
 		if line == 1 && slices.Equal(rec, header) {
 			continue
 		}
-		row := Row{Slope: rec[0], Unit: rec[1], Against: rec[2], How: rec[5], Note: rec[6]}
+		row := Row{Slope: rec[0], Unit: rec[1], Against: rec[2], Method: rec[5], Note: rec[6]}
 		var errX, errY error
 		row.X, errX = strconv.ParseFloat(rec[3], 64)
 		row.Y, errY = strconv.ParseFloat(rec[4], 64)
@@ -137,15 +137,15 @@
 	}
 }
 
-// ReadAll reads all files of a folder and groups their rows by slope.
-func ReadAll(folder string) (map[string][]Row, error) {
+// ReadFolder reads all files of a folder and groups their rows by slope.
+func ReadFolder(folder string) (map[string][]Row, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.csv"))
 	if err != nil {
 		return nil, err
 	}
 	all := map[string][]Row{}
 	for _, p := range paths {
-		rows, err := Read(p)
+		rows, err := ReadFile(p)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/capacity/run/main.go
+++ b/internal/lab/capacity/run/main.go
@@ -90,7 +90,7 @@
 		begun := time.Now()
 		rows, err := parts[name](measure.Program{Args: []string{*program}})
 		if err == nil {
-			err = capacity.Replace(filepath.Join(*folder, name+".csv"), rows...)
+			err = capacity.ReplaceSlopes(filepath.Join(*folder, name+".csv"), rows...)
 		}
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
--- a/internal/lab/capacity/tables.go
+++ b/internal/lab/capacity/tables.go
@@ -17,8 +17,8 @@
 // The summary has a line for each slope of the page whose marker names sizes.
 var summary = regexp.MustCompile(`(?s)(<!-- summary -->\n).*?(<!-- end -->)`)
 
-// Page puts the table of each slope into a page's text, between its markers. A marker without rows is an error.
-func Page(text string, all map[string][]Row) (string, error) {
+// RenderPage puts the table of each slope into a page's text, between its markers. A marker without rows is an error.
+func RenderPage(text string, all map[string][]Row) (string, error) {
 	var failed error
 	var lines strings.Builder
 	lines.WriteString("| slope | against | sizes | what it says there | limit | factor left | line |\n| --- | --- | ---: | ---: | ---: | ---: | --- |\n")
@@ -81,21 +81,21 @@
 func (k marker) summary() string {
 	var xs, ys, left []string
 	for _, x := range k.at {
-		y, _ := k.line.Best(x)
-		xs, ys = append(xs, Figure(x)), append(ys, Figure(y))
+		y, _ := k.line.Estimate(x)
+		xs, ys = append(xs, FormatFigure(x)), append(ys, FormatFigure(y))
 		switch {
 		case math.IsNaN(k.limit):
 		case y > k.limit:
-			left = append(left, fmt.Sprintf("**missed by %s**", Figure(y/k.limit)))
+			left = append(left, fmt.Sprintf("**missed by %s**", FormatFigure(y/k.limit)))
 		default:
-			left = append(left, Figure(k.limit/y))
+			left = append(left, FormatFigure(k.limit/y))
 		}
 	}
 	limit, line := "", "straight"
 	if !math.IsNaN(k.limit) {
-		limit = Figure(k.limit)
+		limit = FormatFigure(k.limit)
 	}
-	if k.line.Bend {
+	if k.line.Curved {
 		line = "bends"
 	}
 	return fmt.Sprintf("| `%s`, %s | %s | %s | %s | %s | %s | %s |\n", k.line.Slope, k.line.Unit, k.line.Against, strings.Join(xs, "; "), strings.Join(ys, "; "),
@@ -107,37 +107,37 @@
 func (l *Line) Table(at []float64, limit float64) string {
 	var b strings.Builder
 	bend := "no bend"
-	if l.Bend {
-		bend = fmt.Sprintf("**bends** (by %s of the span)", percent(l.Leaves))
+	if l.Curved {
+		bend = fmt.Sprintf("**bends** (by %s of the span)", percent(l.CurveDeviation))
 	}
 	fmt.Fprintf(&b, "`%s`, %s against %s: %s + %s (± %s) · x, R² %.4f, largest residual %s at %s, %s.\n\n", l.Slope, l.Unit, l.Against,
-		Figure(l.A), Figure(l.B), Figure(l.BHalf), l.R2, Figure(l.Residual), Figure(l.ResidualX), bend)
+		FormatFigure(l.Intercept), FormatFigure(l.Gradient), FormatFigure(l.GradientHalfWidth), l.R2, FormatFigure(l.MaxResidual), FormatFigure(l.MaxResidualX), bend)
 	fmt.Fprintf(&b, "| %s | %s | least to most | line | rows | how |\n| ---: | ---: | ---: | ---: | ---: | --- |\n", l.Against, l.Unit)
 	for _, s := range l.Sizes {
-		fmt.Fprintf(&b, "| %s | %s | %s to %s | %s | %d | %s |\n", Figure(s.X), Figure(s.Mean), Figure(s.Least), Figure(s.Most), Figure(l.A+l.B*s.X), s.Rows, s.How)
+		fmt.Fprintf(&b, "| %s | %s | %s to %s | %s | %d | %s |\n", FormatFigure(s.X), FormatFigure(s.Mean), FormatFigure(s.Min), FormatFigure(s.Max), FormatFigure(l.Intercept+l.Gradient*s.X), s.Rows, s.Methods)
 	}
 	for _, x := range at {
-		y, how := l.Best(x)
+		y, how := l.Estimate(x)
 		line := ""
-		if !l.Bend {
-			_, half := l.At(x)
-			line = fmt.Sprintf("± %s", Figure(half))
+		if !l.Curved {
+			_, half := l.Predict(x)
+			line = fmt.Sprintf("± %s", FormatFigure(half))
 		}
 		if !math.IsNaN(limit) {
-			how += fmt.Sprintf("; limit %s, factor left %s", Figure(limit), Figure(limit/y))
+			how += fmt.Sprintf("; limit %s, factor left %s", FormatFigure(limit), FormatFigure(limit/y))
 			if y > limit {
-				how = fmt.Sprintf("%s; **limit %s missed by a factor of %s**", strings.Split(how, ";")[0], Figure(limit), Figure(y/limit))
+				how = fmt.Sprintf("%s; **limit %s missed by a factor of %s**", strings.Split(how, ";")[0], FormatFigure(limit), FormatFigure(y/limit))
 			}
 		}
-		fmt.Fprintf(&b, "| *%s* | *%s* | | %s | | %s |\n", Figure(x), Figure(y), line, how)
+		fmt.Fprintf(&b, "| *%s* | *%s* | | %s | | %s |\n", FormatFigure(x), FormatFigure(y), line, how)
 	}
 	return b.String()
 }
 
 func percent(v float64) string { return fmt.Sprintf("%.0f%%", 100*v) }
 
-// Figure is a number for people: three digits, thousands set apart.
-func Figure(v float64) string {
+// FormatFigure is a number for people: three digits, thousands set apart.
+func FormatFigure(v float64) string {
 	if v == 0 {
 		return "0"
 	}
@@ -162,17 +162,17 @@
 	return s
 }
 
-// Rewrite makes a page's tables anew from the rows of a folder.
-func Rewrite(page, folder string) error {
+// UpdatePage makes a page's tables anew from the rows of a folder.
+func UpdatePage(page, folder string) error {
 	text, err := os.ReadFile(page)
 	if err != nil {
 		return err
 	}
-	all, err := ReadAll(folder)
+	all, err := ReadFolder(folder)
 	if err != nil {
 		return err
 	}
-	out, err := Page(string(text), all)
+	out, err := RenderPage(string(text), all)
 	if err != nil {
 		return fmt.Errorf("%s: %w", page, err)
 	}
--- a/internal/lab/capacity/virtual/main.go
+++ b/internal/lab/capacity/virtual/main.go
@@ -102,7 +102,7 @@
 func figures(name, variant string, seed int, r *sim.Result) []capacity.Row {
 	t, q := &r.Tenants, &r.Quotas
 	row := func(what, unit string, y float64) capacity.Row {
-		return capacity.Row{Slope: "virtual-" + name + "-" + what, Unit: unit, Against: "seed", X: float64(seed), Y: y, How: capacity.Virtual, Note: variant}
+		return capacity.Row{Slope: "virtual-" + name + "-" + what, Unit: unit, Against: "seed", X: float64(seed), Y: y, Method: capacity.Virtual, Note: variant}
 	}
 	out := []capacity.Row{
 		row("least-part", "of its quota, the worst off within it", t.WorstShare()),
--- a/internal/lab/hollow/measure/control.go
+++ b/internal/lab/hollow/measure/control.go
@@ -58,7 +58,7 @@
 }
 
 func (s *sheet) add(slope, unit string, x, y float64, how string) {
-	s.rows = append(s.rows, capacity.Row{Slope: slope, Unit: unit, Against: s.against, X: x, Y: y, How: how, Note: s.note})
+	s.rows = append(s.rows, capacity.Row{Slope: slope, Unit: unit, Against: s.against, X: x, Y: y, Method: how, Note: s.note})
 	fmt.Fprintf(os.Stderr, "%-34s %8.4g %-24s %10.4g %s\n", slope, x, s.against, y, unit)
 }
 
