--- a/cmd/tinsail-lab/live.go
+++ b/cmd/tinsail-lab/live.go
@@ -59,7 +59,7 @@
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: sockets %.4f, model %.4f, difference %+.4f\n", args[0], r.Service(), model.Service(), r.Service()-model.Service())
 			fmt.Fprintf(c.OutOrStdout(), "  sockets: %d first, %d in time, %d served, %d refused, %d failed; p50 %d ms, p99 %d ms; the tool's own lateness p99 %d us, most %d us\n",
-				r.First, r.InTime, r.Served, r.Refused, r.Failed, r.Clients.Latency.ValueAtQuantile(50)/1000, r.Clients.Latency.ValueAtQuantile(99)/1000,
+				r.FirstReqs, r.InTime, r.Served, r.Refused, r.Failed, r.Clients.Latency.ValueAtQuantile(50)/1000, r.Clients.Latency.ValueAtQuantile(99)/1000,
 				r.Clients.SendDelay.ValueAtQuantile(99), r.Clients.SendDelay.Max())
 			fmt.Fprintf(c.OutOrStdout(), "  model:   %d first, %d in time, %d served, %d refused, %d failed; p50 %d ms, p99 %d ms\n",
 				model.First, model.InTime, model.Served, model.Refused, model.Failed, model.Latency.ValueAtQuantile(50)/1000, model.Latency.ValueAtQuantile(99)/1000)
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -33,18 +33,18 @@
 
 // Result is what came of it on sockets.
 type Result struct {
-	First, InTime, Served, Refused, Failed int
-	Worst                                  float64
-	Clients                                load.Result
-	Load                                   map[string]int // jobs begun, by backend
-	Unserved                               []string       // the first few, with when each came and its last status
+	FirstReqs, InTime, Served, Refused, Failed int
+	WorstWindow                                float64
+	Clients                                    load.Result
+	JobsByBackend                              map[string]int // jobs begun, by backend
+	Unserved                                   []string       // the first few, with when each came and its last status
 }
 
 const mostUnserved = 10
 
 // Service is the operators' figure, as the model's.
 func (r *Result) Service() float64 {
-	return 0.85*float64(r.InTime)/float64(max(r.First, 1)) + 0.15*r.Worst
+	return 0.85*float64(r.InTime)/float64(max(r.FirstReqs, 1)) + 0.15*r.WorstWindow
 }
 
 // configText is a dispatcher's configuration; it has the settings that package defaults has.
@@ -134,11 +134,11 @@
 	if err := <-ended; err != nil && ctx.Err() == nil {
 		return res, err
 	}
-	res.First, res.Served, res.Refused, res.Failed = res.Clients.FirstReqs, res.Clients.Served, res.Clients.Refused, res.Clients.Failed
-	res.Worst, res.Load = service.WorstWindow(), map[string]int{}
+	res.FirstReqs, res.Served, res.Refused, res.Failed = res.Clients.FirstReqs, res.Clients.Served, res.Clients.Refused, res.Clients.Failed
+	res.WorstWindow, res.JobsByBackend = service.WorstWindow(), map[string]int{}
 	for name, b := range st.backends {
 		b.mu.Lock()
-		res.Load[name] = b.begun
+		res.JobsByBackend[name] = b.begun
 		b.mu.Unlock()
 	}
 	return res, nil
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -33,11 +33,11 @@
 	for range sc.Arrivals() {
 		n++
 	}
-	assert.Equal(t, n, r.First)
+	assert.Equal(t, n, r.FirstReqs)
 	assert.Equal(t, n, r.Served+r.Refused+r.Failed)
 	assert.Greater(t, r.Served, n*3/4)
 	assert.LessOrEqual(t, r.InTime, r.Served)
-	assert.Positive(t, r.Load["d"])
+	assert.Positive(t, r.JobsByBackend["d"])
 	_, err = Play(context.Background(), sc, Options{Program: "/none"})
 	assert.Error(t, err)
 }
@@ -59,6 +59,6 @@
 	}
 	r, err := Play(context.Background(), sc, Options{Program: program})
 	require.NoError(t, err)
-	assert.Equal(t, 60, r.First, "the recording's, not Rate's one a second")
+	assert.Equal(t, 60, r.FirstReqs, "the recording's, not Rate's one a second")
 	assert.Equal(t, 60, r.Served+r.Refused+r.Failed)
 }
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -35,15 +35,15 @@
 // run asks until the play's length is over.
 func (c *client) run() {
 	defer c.drop()
-	for time.Since(c.begun) < Length {
+	for time.Since(c.begun) < PlayDuration {
 		if c.conn == nil && !c.n.fronted() {
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
 		switch {
-		case c.during(Half):
+		case c.during(PartialRequest):
 			c.half()
-		case c.during(Flood):
+		case c.during(InvalidRequest):
 			c.flood()
 		default:
 			c.ask()
@@ -53,10 +53,10 @@
 }
 
 // during says whether a trouble of clients is on, for this client and this time.
-func (c *client) during(k Kind) bool {
+func (c *client) during(k FaultKind) bool {
 	at := time.Since(c.begun)
-	for _, t := range c.Troubles {
-		if t.Kind == k && at >= t.At && at < t.At+t.For && c.rng.IntN(3) == 0 {
+	for _, t := range c.Faults {
+		if t.Kind == k && at >= t.Start && at < t.Start+t.Duration && c.rng.IntN(3) == 0 {
 			return true
 		}
 	}
@@ -96,7 +96,7 @@
 func (c *client) next() (id string, left time.Duration) {
 	c.asked++
 	left = c.Site.Deadline*3/4 + upTo(c.rng, c.Site.Deadline/4)
-	if c.during(Short) {
+	if c.during(ShortDeadline) {
 		left = time.Millisecond + upTo(c.rng, 30*time.Millisecond)
 	}
 	return fmt.Sprintf("%s-%d", c.name, c.asked), left
@@ -125,7 +125,7 @@
 		return // never whole
 	}
 	r.SentAt = time.Now()
-	if c.during(Leave) {
+	if c.during(ClientAbort) {
 		time.Sleep(upTo(c.rng, 60*time.Millisecond))
 		c.drop()
 		r.ClientGone, r.ClientGoneAt = true, time.Now()
@@ -175,7 +175,7 @@
 // write writes a request, in pieces while clients are slow.
 func (c *client) write(text string) bool {
 	_ = c.conn.SetWriteDeadline(time.Now().Add(5 * time.Second))
-	if c.during(Slow) {
+	if c.during(SlowWrites) {
 		for range 3 {
 			n := 1 + c.rng.IntN(20)
 			if _, err := io.WriteString(c.conn, text[:n]); err != nil {
@@ -225,7 +225,7 @@
 
 // streams asks over HTTP/2 until the play's length is over.
 func (c *client) streams() {
-	for time.Since(c.begun) < Length {
+	for time.Since(c.begun) < PlayDuration {
 		if l := c.n.now(); c.n.fronted() && l.streams != "" {
 			c.stream(l)
 		}
--- a/internal/lab/soak/play.go
+++ b/internal/lab/soak/play.go
@@ -16,25 +16,25 @@
 	"tinsail/internal/standin/platform"
 )
 
-// Programs are the binaries that plays start.
-type Programs struct {
+// Binaries are the binaries that plays start.
+type Binaries struct {
 	Shipped string // as it is shipped
 	Shim    string // built with the tag shim
 }
 
 // Result is what came of a play.
 type Result struct {
-	Schedule Schedule
-	Judged   int64    // requests with a whole answer
-	Excused  int64    // requests on a process that was killed
-	Breaches []string // of the rules, by the far sides
-	Violated []string // invariants that the program itself found broken, and its panics
-	Faults   []string // of the play: processes that did not end or start, clients left waiting
+	Schedule            Schedule
+	Judged              int64    // requests with a whole answer
+	Excused             int64    // requests on a process that was killed
+	Breaches            []string // of the rules, by the far sides
+	InvariantViolations []string // invariants that the program itself found broken, and its panics
+	Failures            []string // of the play: processes that did not end or start, clients left waiting
 }
 
 // Failed says whether anything was broken.
 func (r *Result) Failed() bool {
-	return len(r.Breaches)+len(r.Violated)+len(r.Faults) > 0
+	return len(r.Breaches)+len(r.InvariantViolations)+len(r.Failures) > 0
 }
 
 // play is a play that is going on.
@@ -68,8 +68,8 @@
 const machine = 60 * time.Millisecond
 
 func (s *Schedule) slack() time.Duration {
-	for _, t := range s.Troubles {
-		if t.Kind == HoldUp {
+	for _, t := range s.Faults {
+		if t.Kind == Pause {
 			return machine + holdUp
 		}
 	}
@@ -77,7 +77,7 @@
 }
 
 // Play plays a schedule and judges it. The folder is removed.
-func Play(s Schedule, with Programs) (*Result, error) {
+func Play(s Schedule, with Binaries) (*Result, error) {
 	folder, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 			}
 		}
 	}
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		troubles.Go(func() { p.apply(t) })
 	}
 	clients.Wait()
@@ -136,7 +136,7 @@
 const stopSending = 500 * time.Millisecond
 
 func (p *play) judge() *Result {
-	r := &Result{Schedule: p.Schedule, Judged: p.judged.Load(), Excused: p.excused.Load(), Faults: p.broken}
+	r := &Result{Schedule: p.Schedule, Judged: p.judged.Load(), Excused: p.excused.Load(), Failures: p.broken}
 	for _, b := range p.backends {
 		p.history.AddAttempts(b.Attempts()...)
 	}
@@ -155,11 +155,11 @@
 			l.mu.Lock()
 			for _, text := range l.violated {
 				if p.slack() == machine || !isTimed(text) {
-					r.Violated = append(r.Violated, text)
+					r.InvariantViolations = append(r.InvariantViolations, text)
 				}
 			}
 			if l.killed.IsZero() && l.exit != nil {
-				r.Faults = append(r.Faults, fmt.Sprintf("%s ended by itself: %v", n.name(), l.exit))
+				r.Failures = append(r.Failures, fmt.Sprintf("%s ended by itself: %v", n.name(), l.exit))
 			}
 			l.mu.Unlock()
 		}
@@ -194,10 +194,10 @@
 }
 
 // Shrink leaves out troubles as long as the play still fails, and returns the least schedule that did, with its result.
-func Shrink(r *Result, with Programs) *Result {
-	for i := 0; i < len(r.Schedule.Troubles); {
+func Shrink(r *Result, with Binaries) *Result {
+	for i := 0; i < len(r.Schedule.Faults); {
 		less := r.Schedule
-		less.Troubles = append(append([]Trouble(nil), less.Troubles[:i]...), less.Troubles[i+1:]...)
+		less.Faults = append(append([]Fault(nil), less.Faults[:i]...), less.Faults[i+1:]...)
 		again, err := Play(less, with)
 		if err == nil && again.Failed() {
 			r = again
--- a/internal/lab/soak/run/main.go
+++ b/internal/lab/soak/run/main.go
@@ -27,7 +27,7 @@
 		fmt.Fprintf(os.Stderr, "--seeds is %q, want FIRST-LAST\n", *seeds)
 		os.Exit(2)
 	}
-	with := soak.Programs{Shipped: *shipped, Shim: *shim}
+	with := soak.Binaries{Shipped: *shipped, Shim: *shim}
 	plan := soak.Plan(last)[first-1:]
 	results := playAll(plan, with, *side, time.Now().Add(time.Duration(*minutes*float64(time.Minute))))
 	if report(results, with, *shrink) {
@@ -36,7 +36,7 @@
 }
 
 // playAll plays schedules, some side by side, in the order of their seeds.
-func playAll(plan []soak.Schedule, with soak.Programs, side int, until time.Time) (out []*soak.Result) {
+func playAll(plan []soak.Schedule, with soak.Binaries, side int, until time.Time) (out []*soak.Result) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	next := make(chan soak.Schedule)
@@ -45,7 +45,7 @@
 			for s := range next {
 				r, err := soak.Play(s, with)
 				if err != nil {
-					r = &soak.Result{Schedule: s, Faults: []string{err.Error()}}
+					r = &soak.Result{Schedule: s, Failures: []string{err.Error()}}
 				}
 				mu.Lock()
 				out = append(out, r)
@@ -66,8 +66,8 @@
 }
 
 // report prints, and returns whether a seed failed.
-func report(results []*soak.Result, with soak.Programs, shrink bool) (failed bool) {
-	var pairs soak.Pairs
+func report(results []*soak.Result, with soak.Binaries, shrink bool) (failed bool) {
+	var pairs soak.PairCounts
 	var judged, excused int64
 	bad, shipped := 0, 0
 	for _, r := range results {
@@ -83,10 +83,10 @@
 			r = soak.Shrink(r, with)
 		}
 		fmt.Printf("seed %d FAILED: %d processes, shim %v, %+v\n", r.Schedule.Seed, r.Schedule.Processes, r.Schedule.Shim, r.Schedule.Site)
-		for _, t := range r.Schedule.Troubles {
+		for _, t := range r.Schedule.Faults {
 			fmt.Printf("    trouble %s\n", t)
 		}
-		for _, list := range [][]string{r.Breaches, r.Violated, r.Faults} {
+		for _, list := range [][]string{r.Breaches, r.InvariantViolations, r.Failures} {
 			for _, text := range list[:min(len(list), 12)] {
 				fmt.Printf("    %s\n", text[:min(len(text), 1500)])
 			}
@@ -94,15 +94,15 @@
 	}
 	fmt.Print(matrix(&pairs))
 	fmt.Printf("%d seeds (%d with the program as shipped), %d requests judged, %d excused on killed processes, %d seeds failed, each pair at least %d times\n",
-		len(results), shipped, judged, excused, bad, pairs.Least())
+		len(results), shipped, judged, excused, bad, pairs.Min())
 	return bad > 0
 }
 
 // matrix is how often each pair of kinds overlapped, one row a kind.
-func matrix(pairs *soak.Pairs) string {
+func matrix(pairs *soak.PairCounts) string {
 	var b strings.Builder
 	for a := range pairs {
-		fmt.Fprintf(&b, "%-12s", soak.Kind(a))
+		fmt.Fprintf(&b, "%-12s", soak.FaultKind(a))
 		for _, n := range pairs[a] {
 			fmt.Fprintf(&b, "%4d", n)
 		}
--- a/internal/lab/soak/schedule.go
+++ b/internal/lab/soak/schedule.go
@@ -9,59 +9,59 @@
 	"time"
 )
 
-// Kind is a kind of trouble.
-type Kind uint8
+// FaultKind is a kind of trouble.
+type FaultKind uint8
 
 // Kinds of trouble: at processes, at the list, at backends, on the way to them, of clients, and at the system's border. The last
 // need the program that is built with the tag shim.
 const (
-	Term        Kind = iota // SIGTERM, then a new process
-	Kill                    // SIGKILL, then a new process
-	Reload                  // SIGHUP, three in quick succession
-	HandOver                // a new process takes over
-	HoldUp                  // the process does not run for 0.15 s, some times
-	Descriptors             // the process may open no further descriptor
-	Silent                  // open watches fall silent
-	Down                    // the director fails every call
-	Drain                   // a backend drains, goes, and comes back cold
-	Refuse                  // a backend refuses connections
-	Hang                    // backends do not end their jobs
-	Reset                   // a backend resets connections within jobs
-	TurnAway                // a backend turns jobs away
-	Fail                    // a backend fails jobs
-	CloseEach               // a backend closes each connection after its answer
-	Blackhole               // what is sent to a backend is swallowed
-	Delay                   // the way to a backend is slow
-	Cut                     // open connections to a backend are reset
-	Half                    // clients stop in the middle of a request and stay
-	Leave                   // clients go before their answers
-	Flood                   // clients send what is no request, and much of it
-	Slow                    // clients write a few bytes at a time
-	Short                   // clients have 1 to 30 ms left
-	Errno                   // accept, socket and connect fail by an errno
-	ShortIO                 // reads and writes take a few bytes
-	Folder                  // the lasting folder fails, and a backend is banned and called back
-	Wall                    // SIGKILL; the new process's wall clock is off
+	Sigterm           FaultKind = iota // SIGTERM, then a new process
+	Sigkill                            // SIGKILL, then a new process
+	Reload                             // SIGHUP, three in quick succession
+	HandOver                           // a new process takes over
+	Pause                              // the process does not run for 0.15 s, some times
+	DescriptorLimit                    // the process may open no further descriptor
+	WatchStall                         // open watches fall silent
+	DirectorDown                       // the director fails every call
+	DrainBackend                       // a backend drains, goes, and comes back cold
+	RefuseConnections                  // a backend refuses connections
+	HangJobs                           // backends do not end their jobs
+	ResetMidJob                        // a backend resets connections within jobs
+	RejectJobs                         // a backend turns jobs away
+	FailJobs                           // a backend fails jobs
+	CloseAfterAnswer                   // a backend closes each connection after its answer
+	Blackhole                          // what is sent to a backend is swallowed
+	NetworkDelay                       // the way to a backend is slow
+	ResetConnections                   // open connections to a backend are reset
+	PartialRequest                     // clients stop in the middle of a request and stay
+	ClientAbort                        // clients go before their answers
+	InvalidRequest                     // clients send what is no request, and much of it
+	SlowWrites                         // clients write a few bytes at a time
+	ShortDeadline                      // clients have 1 to 30 ms left
+	SyscallErrors                      // accept, socket and connect fail by an errno
+	ShortIO                            // reads and writes take a few bytes
+	StorageErrors                      // the lasting folder fails, and a backend is banned and called back
+	ClockSkew                          // SIGKILL; the new process's wall clock is off
 	kinds
 )
 
 var kindNames = [kinds]string{"term", "kill", "reload", "hand-over", "hold-up", "descriptors", "silent", "down", "drain", "refuse", "hang", "reset",
 	"turn-away", "fail", "close-each", "blackhole", "delay", "cut", "half", "leave", "flood", "slow", "short", "errno", "short-io", "folder", "wall"}
 
-func (k Kind) String() string { return kindNames[k] }
+func (k FaultKind) String() string { return kindNames[k] }
 
 // needsShim says that only the program built with the tag shim can play it.
-func (k Kind) needsShim() bool { return k >= Errno }
+func (k FaultKind) needsShim() bool { return k >= SyscallErrors }
 
-// Trouble is one trouble of a schedule.
-type Trouble struct {
-	Kind    Kind
-	At, For time.Duration // from the play's beginning
-	Target  int           // a process or a backend, by number; what fits is taken modulo their count
+// Fault is one trouble of a schedule.
+type Fault struct {
+	Kind            FaultKind
+	Start, Duration time.Duration // from the play's beginning
+	Target          int           // a process or a backend, by number; what fits is taken modulo their count
 }
 
-func (t Trouble) String() string {
-	return fmt.Sprintf("%s at %v for %v on %d", t.Kind, t.At, t.For, t.Target)
+func (t Fault) String() string {
+	return fmt.Sprintf("%s at %v for %v on %d", t.Kind, t.Start, t.Duration, t.Target)
 }
 
 // Site is what a play's settings differ by.
@@ -78,27 +78,27 @@
 	Processes int
 	Shim      bool // the program is the one built with the tag shim
 	Site      Site
-	Troubles  []Trouble
+	Faults    []Fault
 }
 
 // Times of a play.
 const (
-	groups    = 3                      // of troubles that overlap
-	perGroup  = 3                      // troubles of a group
-	firstAt   = 600 * time.Millisecond // of the first group
-	groupsLie = 1800 * time.Millisecond
-	overlap   = 400 * time.Millisecond // within which a group's troubles begin
-	Length    = firstAt + groups*groupsLie
+	groups       = 3                      // of troubles that overlap
+	perGroup     = 3                      // troubles of a group
+	firstAt      = 600 * time.Millisecond // of the first group
+	groupsLie    = 1800 * time.Millisecond
+	overlap      = 400 * time.Millisecond // within which a group's troubles begin
+	PlayDuration = firstAt + groups*groupsLie
 )
 
-// Pairs counts how often two kinds overlap.
-type Pairs [kinds][kinds]int
+// PairCounts counts how often two kinds overlap.
+type PairCounts [kinds][kinds]int
 
 // Add counts a schedule's pairs.
-func (p *Pairs) Add(s Schedule) {
-	for i, a := range s.Troubles {
-		for _, b := range s.Troubles[:i] {
-			if a.At < b.At+b.For && b.At < a.At+a.For && a.Kind != b.Kind {
+func (p *PairCounts) Add(s Schedule) {
+	for i, a := range s.Faults {
+		for _, b := range s.Faults[:i] {
+			if a.Start < b.Start+b.Duration && b.Start < a.Start+a.Duration && a.Kind != b.Kind {
 				p[a.Kind][b.Kind]++
 				p[b.Kind][a.Kind]++
 			}
@@ -106,8 +106,8 @@
 	}
 }
 
-// Least is how often the pair that was played least was played.
-func (p *Pairs) Least() int {
+// Min is how often the pair that was played least was played.
+func (p *PairCounts) Min() int {
 	least := -1
 	for a := range kinds {
 		for b := range a {
@@ -122,7 +122,7 @@
 // Plan gives the schedules of the seeds up to last. Kinds are put together so that each pair comes up as often as others; a seed's
 // schedule is the same whatever last is.
 func Plan(last uint64) []Schedule {
-	var seen Pairs
+	var seen PairCounts
 	out := make([]Schedule, 0, last)
 	for seed := uint64(1); seed <= last; seed++ {
 		s := plan(seed, &seen)
@@ -132,7 +132,7 @@
 	return out
 }
 
-func plan(seed uint64, seen *Pairs) Schedule {
+func plan(seed uint64, seen *PairCounts) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 39))
 	s := Schedule{Seed: seed, Processes: 3, Shim: seed%4 != 0, Site: sites[seed%uint64(len(sites))]}
 	switch {
@@ -143,24 +143,24 @@
 	}
 	for g := range groups {
 		for _, k := range group(rng, seen, s.Shim) {
-			s.Troubles = append(s.Troubles, Trouble{Kind: k, At: firstAt + time.Duration(g)*groupsLie + upTo(rng, overlap),
-				For: 700*time.Millisecond + upTo(rng, 600*time.Millisecond), Target: rng.IntN(24)})
+			s.Faults = append(s.Faults, Fault{Kind: k, Start: firstAt + time.Duration(g)*groupsLie + upTo(rng, overlap),
+				Duration: 700*time.Millisecond + upTo(rng, 600*time.Millisecond), Target: rng.IntN(24)})
 		}
 	}
 	return s
 }
 
 // group draws the kinds of a group: the pair that was played least of those that can be, and what makes the least played pairs with it.
-func group(rng *rand.Rand, seen *Pairs, shim bool) (out []Kind) {
+func group(rng *rand.Rand, seen *PairCounts, shim bool) (out []FaultKind) {
 	most := kinds
 	if !shim {
-		most = Errno
+		most = SyscallErrors
 	}
 	order := rng.Perm(int(most))
 	for len(out) < perGroup {
-		best, least := Kind(0), -1
+		best, least := FaultKind(0), -1
 		for _, i := range order {
-			k, count := Kind(i), 0
+			k, count := FaultKind(i), 0
 			for _, o := range out {
 				if o == k {
 					count = 1 << 20
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -16,16 +16,16 @@
 func TestPlan(t *testing.T) {
 	plan := Plan(200)
 	assert.Equal(t, plan[:20], Plan(20))
-	var pairs Pairs
+	var pairs PairCounts
 	sizes, shipped := map[int]int{}, 0
 	for i, s := range plan {
 		assert.EqualValues(t, i+1, s.Seed)
 		pairs.Add(s)
 		sizes[s.Processes]++
-		require.Len(t, s.Troubles, groups*perGroup)
+		require.Len(t, s.Faults, groups*perGroup)
 		for g := range groups {
-			in := map[Kind]bool{}
-			for _, x := range s.Troubles[g*perGroup : (g+1)*perGroup] {
+			in := map[FaultKind]bool{}
+			for _, x := range s.Faults[g*perGroup : (g+1)*perGroup] {
 				in[x.Kind] = true
 				assert.False(t, x.Kind.needsShim() && !s.Shim)
 			}
@@ -35,7 +35,7 @@
 			shipped++
 		}
 	}
-	assert.GreaterOrEqual(t, pairs.Least(), 3)
+	assert.GreaterOrEqual(t, pairs.Min(), 3)
 	assert.GreaterOrEqual(t, shipped, 40)
 	assert.GreaterOrEqual(t, sizes[24], 20)
 	assert.GreaterOrEqual(t, sizes[1], 40)
@@ -59,12 +59,12 @@
 			out = append(out, text)
 		}
 	}
-	for _, text := range r.Violated {
+	for _, text := range r.InvariantViolations {
 		if !isTimed(text) {
 			out = append(out, text)
 		}
 	}
-	for _, text := range r.Faults {
+	for _, text := range r.Failures {
 		if strings.Contains(text, "ended by itself") {
 			out = append(out, text)
 		}
@@ -74,15 +74,15 @@
 
 // TestUntimed: the small form passes over nothing that is without a time.
 func TestUntimed(t *testing.T) {
-	r := &Result{Breaches: []string{"told: x", "twice: y", "lost: z"}, Violated: []string{"time_told: a", "close_owed: b", "panic: c"},
-		Faults: []string{"n1 ended by itself: exit status 2", "n0 did not end within 3s"}}
+	r := &Result{Breaches: []string{"told: x", "twice: y", "lost: z"}, InvariantViolations: []string{"time_told: a", "close_owed: b", "panic: c"},
+		Failures: []string{"n1 ended by itself: exit status 2", "n0 did not end within 3s"}}
 	assert.Equal(t, []string{"twice: y", "close_owed: b", "panic: c", "n1 ended by itself: exit status 2"}, untimed(r))
 }
 
 // TestSmallSoak plays a seed of one process, one of three and one with the program as shipped, and wants nothing broken that does not
 // hang on time: the machine may be busy with other tests.
 func TestSmallSoak(t *testing.T) {
-	with := Programs{Shipped: build(t, "tinsail"), Shim: build(t, "tinsail-shim", "-tags", "shim")}
+	with := Binaries{Shipped: build(t, "tinsail"), Shim: build(t, "tinsail-shim", "-tags", "shim")}
 	plan := Plan(4)
 	for _, seed := range []int{1, 3, 4} {
 		r, err := Play(plan[seed-1], with)
--- a/internal/lab/soak/trouble.go
+++ b/internal/lab/soak/trouble.go
@@ -15,73 +15,73 @@
 )
 
 // apply plays one trouble from its time to its end. Clients' troubles are played by the clients.
-func (p *play) apply(t Trouble) {
-	time.Sleep(time.Until(p.begun.Add(t.At)))
+func (p *play) apply(t Fault) {
+	time.Sleep(time.Until(p.begun.Add(t.Start)))
 	n := p.nodes[t.Target%len(p.nodes)]
 	b := p.backends[t.Target%len(p.backends)]
 	switch t.Kind {
-	case Term, Kill, Wall:
+	case Sigterm, Sigkill, ClockSkew:
 		p.restart(n, t)
 	case HandOver:
 		p.handOver(n)
 	case Reload:
 		for range 3 {
 			n.now().signal(syscall.SIGHUP)
-			time.Sleep(t.For / 10)
+			time.Sleep(t.Duration / 10)
 		}
-	case HoldUp:
+	case Pause:
 		for range 3 {
 			n.now().signal(syscall.SIGSTOP)
 			time.Sleep(holdUp)
 			n.now().signal(syscall.SIGCONT)
 			time.Sleep(holdUp)
 		}
-	case Descriptors:
-		p.shortOfDescriptors(n.now(), t.For)
-	case Silent:
+	case DescriptorLimit:
+		p.shortOfDescriptors(n.now(), t.Duration)
+	case WatchStall:
 		for _, n := range p.nodes {
 			n.now().seat.SilenceOpenCalls()
 		}
-	case Down:
+	case DirectorDown:
 		p.director.SetDown(true)
-		time.Sleep(t.For)
+		time.Sleep(t.Duration)
 		p.director.SetDown(false)
-	case Drain:
+	case DrainBackend:
 		p.drain(b, t)
-	case Refuse:
-		p.relay(b, faultnet.Rule{Refuse: true}, t.For)
+	case RefuseConnections:
+		p.relay(b, faultnet.Rule{Refuse: true}, t.Duration)
 	case Blackhole:
-		p.relay(b, faultnet.Rule{Blackhole: true}, t.For)
+		p.relay(b, faultnet.Rule{Blackhole: true}, t.Duration)
 		b.relay.Reset() // what was swallowed never comes
-	case Delay:
-		p.relay(b, faultnet.Rule{Delay: 15 * time.Millisecond}, t.For)
-	case Cut:
+	case NetworkDelay:
+		p.relay(b, faultnet.Rule{Delay: 15 * time.Millisecond}, t.Duration)
+	case ResetConnections:
 		for range 5 {
 			b.relay.Reset()
-			time.Sleep(t.For / 5)
+			time.Sleep(t.Duration / 5)
 		}
-	case Hang:
+	case HangJobs:
 		for _, b := range p.backends[:2] {
 			b.Set(platform.Faults{HoldJobs: true})
 		}
-		time.Sleep(t.For)
+		time.Sleep(t.Duration)
 		for _, b := range p.backends[:2] {
 			b.Set(platform.Faults{})
 		}
-	case Reset:
-		p.faults(b, platform.Faults{Reset: platform.ResetPoint(1 + t.Target%3)}, t.For)
-	case TurnAway:
-		p.faults(b, platform.Faults{Refuse: true}, t.For)
-	case Fail:
-		p.faults(b, platform.Faults{FailShare: 0.5}, t.For)
-	case CloseEach:
-		p.faults(b, platform.Faults{CloseEach: true}, t.For)
-	case Errno:
+	case ResetMidJob:
+		p.faults(b, platform.Faults{Reset: platform.ResetPoint(1 + t.Target%3)}, t.Duration)
+	case RejectJobs:
+		p.faults(b, platform.Faults{Refuse: true}, t.Duration)
+	case FailJobs:
+		p.faults(b, platform.Faults{FailShare: 0.5}, t.Duration)
+	case CloseAfterAnswer:
+		p.faults(b, platform.Faults{CloseEach: true}, t.Duration)
+	case SyscallErrors:
 		p.shim(n, []string{"EMFILE", "ENFILE", "ENOBUFS", "EADDRNOTAVAIL", "ENETUNREACH", "ECONNABORTED"}[t.Target%6], shortage)
 	case ShortIO:
-		p.shim(n, "short", t.For)
-	case Folder:
-		p.ban(n, b, []string{"ENOSPC", "EIO"}[t.Target%2], t.For)
+		p.shim(n, "short", t.Duration)
+	case StorageErrors:
+		p.ban(n, b, []string{"ENOSPC", "EIO"}[t.Target%2], t.Duration)
 	}
 }
 
@@ -125,10 +125,10 @@
 }
 
 // drain has a backend drain, go and come back cold.
-func (p *play) drain(b *backend, t Trouble) {
+func (p *play) drain(b *backend, t Fault) {
 	cell := t.Target % 2
 	change := p.director.Set(b.entry(cell, "Terminating"))
-	time.Sleep(t.For)
+	time.Sleep(t.Duration)
 	p.director.Set(b.entry(cell, "Gone"))
 	time.Sleep(100 * time.Millisecond)
 	b.since = time.Now().UnixMilli()
@@ -140,16 +140,16 @@
 }
 
 // restart ends a process and starts the next one.
-func (p *play) restart(n *node, t Trouble) {
+func (p *play) restart(n *node, t Fault) {
 	if !n.claim() {
 		return
 	}
 	defer n.free()
 	old, signal, wall := n.now(), syscall.SIGKILL, time.Duration(0)
-	if t.Kind == Term {
+	if t.Kind == Sigterm {
 		signal = syscall.SIGTERM
 	}
-	if t.Kind == Wall {
+	if t.Kind == ClockSkew {
 		wall = []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second}[t.Target%4]
 	}
 	old.signal(signal)
