--- a/internal/lab/sim/accord.go
+++ b/internal/lab/sim/accord.go
@@ -51,8 +51,8 @@
 	Outage           float64 // for how long no dispatcher took reqs
 }
 
-// keeperAt is the keeper with its clock and the majority's log.
-type keeperAt struct {
+// leader is the keeper with its clock and the majority's log.
+type leader struct {
 	*accord.Leader
 	w      *world
 	plan   accord.LeaseConfig
@@ -87,14 +87,14 @@
 }
 
 func (a *Accord) plan() accord.LeaseConfig {
-	return accord.LeaseConfig{Lease: span(a.Lease), Drift: a.Drift, ContinueWhenCut: a.ContinueWhenCut}
+	return accord.LeaseConfig{Lease: msToDuration(a.Lease), Drift: a.Drift, ContinueWhenCut: a.ContinueWhenCut}
 }
 
-func span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func msToDuration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// newKeeper has version 1 in force since long before the run, so that the first reqs are taken by it.
-func newKeeper(w *world) (*keeperAt, error) {
-	k := &keeperAt{w: w, plan: w.sc.Accord.plan(), chance: fleet.RandomStream(w.sc.Seed, "accord"), dark: math.NaN()}
+// newLeader has version 1 in force since long before the run, so that the first reqs are taken by it.
+func newLeader(w *world) (*leader, error) {
+	k := &leader{w: w, plan: w.sc.Accord.plan(), chance: fleet.RandomStream(w.sc.Seed, "accord"), dark: math.NaN()}
 	k.rate = k.drawRate()
 	k.state.Apply(accord.Decision{Change: 1, Proposal: accord.ProposalBit | 1, Version: 1, Body: []byte("version 1")})
 	var err error
@@ -102,29 +102,29 @@
 	return k, err
 }
 
-func (k *keeperAt) drawRate() float64 { return 1 + k.plan.Drift*float64(k.chance.IntN(3)-1) }
+func (k *leader) drawRate() float64 { return 1 + k.plan.Drift*float64(k.chance.IntN(3)-1) }
 
-// at is a clock's reading: the same instant on all, at the rate of each.
-func (w *world) clock(rate float64) accord.Time { return accord.Time(w.now * 1e6 * rate) }
+// at is a accordTime's reading: the same instant on all, at the rate of each.
+func (w *world) accordTime(rate float64) accord.Time { return accord.Time(w.now * 1e6 * rate) }
 
-func (k *keeperAt) delay() float64 {
+func (k *leader) delay() float64 {
 	return k.w.sc.Accord.Latency * (0.5 + k.chance.Float64())
 }
 
 // carry has a message between a dispatcher and the keeper arrive, or not.
-func (k *keeperAt) carry(node int, further float64, arrive func()) {
-	if k.chance.Float64() < k.w.sc.Accord.Loss || k.w.severed(node) {
+func (k *leader) carry(node int, further float64, arrive func()) {
+	if k.chance.Float64() < k.w.sc.Accord.Loss || k.w.cutOff(node) {
 		return
 	}
 	k.w.at(k.w.now+k.delay()+further, func() {
-		if !k.w.severed(node) {
+		if !k.w.cutOff(node) {
 			arrive()
 		}
 	})
 }
 
-// severed says whether a dispatcher is cut off now.
-func (w *world) severed(node int) bool {
+// cutOff says whether a dispatcher is cut off now.
+func (w *world) cutOff(node int) bool {
 	for _, c := range w.sc.Cuts {
 		if w.now >= c.At && w.now < c.At+c.Length && slices.Contains(c.Dispatchers, node) {
 			return true
@@ -134,74 +134,74 @@
 }
 
 // ask takes an ask, once a majority has confirmed the keeper by a round trip, and answers it.
-func (k *keeperAt) ask(f *fence, a accord.LeaseRequest) {
+func (k *leader) ask(f *participant, a accord.LeaseRequest) {
 	k.carry(f.side.at, k.delay()+k.delay(), func() {
-		answer := k.Handle(k.w.clock(k.rate), a)
+		answer := k.Handle(k.w.accordTime(k.rate), a)
 		k.carry(f.side.at, 0, func() { f.answered(answer) })
 		k.turn()
 	})
 }
 
 // turn carries out what the keeper wants.
-func (k *keeperAt) turn() {
+func (k *leader) turn() {
 	w := k.w
 	if d, ok := k.TakeDecision(); ok {
 		w.at(w.now+w.sc.Accord.FlushTime, func() {
 			k.state.Apply(d)
-			k.Applied(w.clock(k.rate), k.state)
+			k.Applied(w.accordTime(k.rate), k.state)
 			k.turn()
 		})
 	}
 	if k.TakePoll() {
 		for _, s := range w.sides {
-			k.carry(s.at, 0, func() { s.fence.nudged() })
+			k.carry(s.at, 0, func() { s.participant.nudged() })
 		}
 	}
 	k.TakeEvents()
 }
 
-// begin starts the accord with all dispatchers on version 1 under a lease.
-func (w *world) begin() {
-	k := w.keeper
+// startAccord starts the accord with all dispatchers on version 1 under a lease.
+func (w *world) startAccord() {
+	k := w.leader
 	for _, s := range w.sides {
-		for !s.fence.lessee.Serving() {
-			s.fence.lessee.RequestNow()
-			if a, ok := s.fence.lessee.NextRequest(s.fence.now()); ok {
-				s.fence.lessee.HandleResponse(s.fence.now(), k.Handle(w.clock(k.rate), a))
+		for !s.participant.lessee.Serving() {
+			s.participant.lessee.RequestNow()
+			if a, ok := s.participant.lessee.NextRequest(s.participant.now()); ok {
+				s.participant.lessee.HandleResponse(s.participant.now(), k.Handle(w.accordTime(k.rate), a))
 			}
-			for _, c := range s.fence.lessee.TakeChecks() {
-				s.fence.lessee.ReportCheck(s.fence.now(), c, nil)
+			for _, c := range s.participant.lessee.TakeChecks() {
+				s.participant.lessee.ReportCheck(s.participant.now(), c, nil)
 			}
 		}
 	}
-	w.beat(w.sc.Accord.Lease/50, func() { k.Tick(w.clock(k.rate)); k.turn() })
-	w.beat(w.sc.Accord.ProbeInterval, func() {
+	w.repeat(w.sc.Accord.Lease/50, func() { k.Tick(w.accordTime(k.rate)); k.turn() })
+	w.repeat(w.sc.Accord.ProbeInterval, func() {
 		for _, s := range w.sides {
-			s.unready = !s.dead && !s.fence.Serves()
+			s.unready = !s.dead && !s.participant.Serves()
 		}
 	})
 	for i, c := range w.sc.PolicyChanges {
 		w.at(c.At, func() {
 			s := w.sides[c.Dispatcher]
-			version, _ := s.fence.lessee.Current()
+			version, _ := s.participant.lessee.Current()
 			// One of its own that is under way is not overtaken.
-			_ = s.fence.lessee.Propose(accord.ProposalBit|uint64(i+2), fmt.Appendf(nil, "version %d by change %d", version+1, i))
-			s.fence.turn()
+			_ = s.participant.lessee.Propose(accord.ProposalBit|uint64(i+2), fmt.Appendf(nil, "version %d by change %d", version+1, i))
+			s.participant.turn()
 		})
 	}
 }
 
-// beat does something again and again, from a first time that is drawn.
-func (w *world) beat(every float64, do func()) {
+// repeat does something again and again, from a first time that is drawn.
+func (w *world) repeat(every float64, do func()) {
 	var again func()
 	again = func() { do(); w.at(w.now+every, again) }
-	w.at(w.now+every*w.keeper.chance.Float64(), again)
+	w.at(w.now+every*w.leader.chance.Float64(), again)
 }
 
-// look counts the versions that attempts may begin by now. A gate opens only at an event of its lessee, after
+// recordVersions counts the versions that attempts may begin by now. A gate opens only at an event of its lessee, after
 // which this is called, so that no moment is missed. It also counts the time in which nobody takes reqs.
-func (w *world) look() {
-	r, k := &w.res.Accord, w.keeper
+func (w *world) recordVersions() {
+	r, k := &w.res.Accord, w.leader
 	r.Version = k.state.Version
 	var used []uint64
 	serves := false
@@ -209,8 +209,8 @@
 		if s.dead {
 			continue
 		}
-		serves = serves || s.fence.Serves()
-		if v, may := s.fence.starts(); may && !slices.Contains(used, v) {
+		serves = serves || s.participant.Serves()
+		if v, may := s.participant.starts(); may && !slices.Contains(used, v) {
 			used = append(used, v)
 		}
 	}
--- a/internal/lab/sim/accord_test.go
+++ b/internal/lab/sim/accord_test.go
@@ -62,8 +62,8 @@
 	sc.PolicyChanges, sc.Accord.Drift, sc.Rate = nil, 0, 0.01
 	w, err := newWorld(sc, defaults.Settings(), Module)
 	require.NoError(t, err)
-	w.begin()
-	f := w.sides[3].fence
+	w.startAccord()
+	f := w.sides[3].participant
 	w.at(sc.Cuts[0].At+1, func() {
 		g, after := f.lessee.Admission(), math.Nextafter(1, 2)
 		take, start := float64(g.AcceptUntil)/1e6, float64(g.StartUntil)/1e6
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -59,10 +59,10 @@
 	w.at(a.At, func() {
 		w.res.First++
 		c := &client{w: w, n: w.res.First, key: fmt.Sprint("k", w.res.First), Arrival: a, begun: w.now}
-		if w.runs != nil {
-			c.tenant = w.runs.draw()
+		if w.tenants != nil {
+			c.tenant = w.tenants.drawTenant()
 		}
-		c.region = w.region()
+		c.region = w.drawRegion()
 		c.ask()
 		w.arrive()
 	})
@@ -113,7 +113,7 @@
 		r.First++
 		r.Asked += c.worth()
 	}
-	fronts := c.near(w.fronts())
+	fronts := c.reachable(w.fronts())
 	if len(fronts) == 0 {
 		c.unreachable()
 		return
@@ -126,7 +126,7 @@
 		c.unreachable()
 		return
 	}
-	if w.keeper != nil && w.severed(c.side.at) {
+	if w.leader != nil && w.cutOff(c.side.at) {
 		w.res.Accord.ReceivedWhileCut++
 	}
 	w.open++
@@ -240,11 +240,11 @@
 // over ends a first req.
 func (c *client) over(good bool, how string) {
 	w, r := c.w, &c.w.res.Classes[c.Class]
-	if w.runs != nil {
-		if c.class().Urgent && c.ran == 0 && w.runs.inside(c.begun) {
+	if w.tenants != nil {
+		if c.class().Urgent && c.ran == 0 && w.tenants.inWindow(c.begun) {
 			w.res.Tenants.UrgentNeverStarted++
 		}
-		defer w.runs.again(c)
+		defer w.tenants.scheduleNext(c)
 	}
 	w.service.AddWeighted(c.begun, c.worth()*c.class().Worth, good)
 	if good {
--- a/internal/lab/sim/desk.go
+++ b/internal/lab/sim/desk.go
@@ -7,10 +7,10 @@
 	"tinsail/internal/fleet/quota"
 )
 
-// deskAt is a dispatcher's side: the core's Quotas by the real Desk, with the real Holder.
-type deskAt struct {
+// dispatcherQuotas is a dispatcher's side: the core's Quotas by the real Desk, with the real Holder.
+type dispatcherQuotas struct {
 	clock
-	q      *quotas
+	q      *quotaSimulation
 	side   *side
 	desk   *quota.Limiter
 	holder *quota.Holder
@@ -27,9 +27,9 @@
 	came   float64
 }
 
-func newDesk(s *side) (*deskAt, error) {
+func newDispatcherQuotas(s *side) (*dispatcherQuotas, error) {
 	q := s.w.quotas
-	d := &deskAt{clock: q.clock(), q: q, side: s, desk: quota.NewLimiter(), ready: map[uint64]func(time.Time, time.Duration, bool){}, held: map[string]int{}, flying: map[uint64]account{}}
+	d := &dispatcherQuotas{clock: q.clock(), q: q, side: s, desk: quota.NewLimiter(), ready: map[uint64]func(time.Time, time.Duration, bool){}, held: map[string]int{}, flying: map[uint64]account{}}
 	var err error
 	if d.holder, err = quota.NewHolder(q.set.down(), fmt.Sprint("n", s.at), q.life(), false); err != nil {
 		return nil, err
@@ -40,7 +40,7 @@
 }
 
 // soon sets a turn for this moment: the core is in the middle of an event.
-func (d *deskAt) soon() {
+func (d *dispatcherQuotas) soon() {
 	if d.set {
 		return
 	}
@@ -49,7 +49,7 @@
 }
 
 // Acquire asks for room: core.Quotas.
-func (d *deskAt) Acquire(tenant, class int, until time.Time, ready func(time.Time, time.Duration, bool)) (leave func()) {
+func (d *dispatcherQuotas) Acquire(tenant, class int, until time.Time, ready func(time.Time, time.Duration, bool)) (leave func()) {
 	w := d.q.w
 	d.last++
 	id, name := d.last, ""
@@ -79,21 +79,21 @@
 }
 
 // MaxHold is the longest that room may be held.
-func (d *deskAt) MaxHold() time.Duration { return span(d.q.set.MaxRunTime) }
+func (d *dispatcherQuotas) MaxHold() time.Duration { return msToDuration(d.q.set.MaxRunTime) }
 
-func (d *deskAt) begun(id uint64, a account) {
+func (d *dispatcherQuotas) begun(id uint64, a account) {
 	d.flying[id] = a
 	d.q.passes(a.name, a.urgent, 1)
 	if d.q.alone(d.q.w.sc.RegionOf(d.side.at)) {
 		d.q.w.res.Quotas.StartedIsolated++
 	}
-	if w := d.q.w; a.urgent && w.runs.inside(a.came) {
+	if w := d.q.w; a.urgent && w.tenants.inWindow(a.came) {
 		_ = w.res.Quotas.UrgentGrantDelay.RecordValue(int64((w.now-a.came)*1000) + 1) // in its bounds: patience is shorter
 	}
 	d.q.flight.HandleStart(d.q.w.now, a.name, a.urgent)
 }
 
-func (d *deskAt) ended(id uint64) {
+func (d *dispatcherQuotas) ended(id uint64) {
 	if a, flies := d.flying[id]; flies {
 		delete(d.flying, id)
 		d.q.passes(a.name, a.urgent, -1)
@@ -101,9 +101,9 @@
 	}
 }
 
-// died takes what was in flight at a dispatcher that was killed out of the count, once its attempts are called off; one
+// stop takes what was in flight at a dispatcher that was killed out of the count, once its attempts are called off; one
 // that ends in order says then that it holds nothing.
-func (d *deskAt) died(orderly bool) {
+func (d *dispatcherQuotas) stop(orderly bool) {
 	w := d.q.w
 	w.at(w.now+2*w.sc.Latency, func() {
 		for id := range d.flying {
@@ -126,7 +126,7 @@
 	})
 }
 
-func (d *deskAt) units(name string) int {
+func (d *dispatcherQuotas) units(name string) int {
 	units := d.holder.Units(d.now(d.q.w), name)
 	if !d.q.set.faultKeepUnits {
 		return units
@@ -136,7 +136,7 @@
 }
 
 // turn carries out what the desk and the holder want.
-func (d *deskAt) turn() {
+func (d *dispatcherQuotas) turn() {
 	if d.side.dead {
 		return
 	}
@@ -159,7 +159,7 @@
 // refusedPause is advised to clients of reqs that had no room in time.
 const refusedPause = 500 * time.Millisecond
 
-func (d *deskAt) say(id uint64, pause time.Duration, ok bool) {
+func (d *dispatcherQuotas) say(id uint64, pause time.Duration, ok bool) {
 	if ready := d.ready[id]; ready != nil {
 		delete(d.ready, id)
 		ready(d.q.w.time(), pause, ok)
@@ -167,7 +167,7 @@
 	}
 }
 
-func (d *deskAt) ask(a quota.LeaseRequest) {
+func (d *dispatcherQuotas) ask(a quota.LeaseRequest) {
 	q := d.q
 	q.w.res.Quotas.Requests++
 	q.near(d.side.at, sizeOfAsk(a))
@@ -175,7 +175,7 @@
 	q.carry(region, region, func() { q.regions[region].take(d, a) })
 }
 
-func (d *deskAt) answered(a quota.LeaseResponse) {
+func (d *dispatcherQuotas) answered(a quota.LeaseResponse) {
 	if !d.side.dead {
 		d.holder.HandleResponse(d.now(d.q.w), a)
 		d.turn()
@@ -183,7 +183,7 @@
 }
 
 // passes counts what is in flight of a tenant, of no urgent class, from now on.
-func (q *quotas) passes(name string, urgent bool, more int) {
+func (q *quotaSimulation) passes(name string, urgent bool, more int) {
 	if urgent {
 		return
 	}
--- a/internal/lab/sim/fence.go
+++ b/internal/lab/sim/fence.go
@@ -7,59 +7,59 @@
 	"tinsail/internal/fleet/accord"
 )
 
-// fence is one dispatcher's side of the accord: the core's Versions by the real Lessee's gate, read at the dispatcher's
+// participant is one dispatcher's side of the accord: the core's Versions by the real Lessee's gate, read at the dispatcher's
 // own clock.
-type fence struct {
+type participant struct {
 	side    *side
 	lessee  *accord.Participant
 	rate    float64
 	waiting map[uint64]int // reqs taken by a version that have begun nowhere
 }
 
-func newFence(s *side) (*fence, error) {
-	k := s.w.keeper
+func newParticipant(s *side) (*participant, error) {
+	k := s.w.leader
 	k.lives++
-	f := &fence{side: s, rate: k.drawRate(), waiting: map[uint64]int{}}
+	f := &participant{side: s, rate: k.drawRate(), waiting: map[uint64]int{}}
 	var err error
 	if f.lessee, err = accord.NewParticipant(k.plan, fmt.Sprint("n", s.at), k.lives); err != nil {
 		return nil, err
 	}
-	s.w.beat(s.w.sc.Accord.Lease/100, f.turn)
+	s.w.repeat(s.w.sc.Accord.Lease/100, f.turn)
 	return f, nil
 }
 
-func (f *fence) now() accord.Time { return f.side.w.clock(f.rate) }
+func (f *participant) now() accord.Time { return f.side.w.accordTime(f.rate) }
 
 // ends are until when reqs may be taken and attempts started, by the own clock.
-func (f *fence) ends() (take, start accord.Time) {
+func (f *participant) ends() (take, start accord.Time) {
 	g, a := f.lessee.Admission(), &f.side.w.sc.Accord
 	if a.faultFullLease && !a.ContinueWhenCut && g.AcceptUntil > 0 {
-		whole := g.StartUntil.Add(span(a.Lease) - f.side.w.keeper.plan.UsableLease())
+		whole := g.StartUntil.Add(msToDuration(a.Lease) - f.side.w.leader.plan.UsableLease())
 		return whole, whole
 	}
 	return g.AcceptUntil, g.StartUntil
 }
 
 // Admit admits a req by the version in force: core.Versions.
-func (f *fence) Admit() (version uint64, pause time.Duration, ok bool) {
+func (f *participant) Admit() (version uint64, pause time.Duration, ok bool) {
 	w := f.side.w
 	if take, _ := f.ends(); f.now() >= take {
 		w.res.Accord.Refused++
-		if w.severed(f.side.at) {
+		if w.cutOff(f.side.at) {
 			w.res.Accord.RefusedWhileCut++
 		}
-		return 0, w.keeper.plan.Drain(), false
+		return 0, w.leader.plan.Drain(), false
 	}
 	version = f.lessee.Admission().Version
 	f.waiting[version]++
-	if version < w.keeper.state.Version {
+	if version < w.leader.state.Version {
 		w.res.Accord.OutdatedAccepted++
 	}
 	return version, 0, true
 }
 
 // Begun tells that a req has begun, or never will. A lessee that has stopped waits for the last.
-func (f *fence) Begun(version uint64) {
+func (f *participant) Begun(version uint64) {
 	f.waiting[version]--
 	if g := f.lessee.Admission(); g.Version == version && f.waiting[version] == 0 && g.AcceptUntil == 0 {
 		f.side.w.at(f.side.w.now, f.turn)
@@ -67,31 +67,31 @@
 }
 
 // MayStart says whether an attempt of a req that was taken by a version may start now.
-func (f *fence) MayStart(version uint64) bool {
+func (f *participant) MayStart(version uint64) bool {
 	v, may := f.starts()
 	return may && v == version
 }
 
 // starts is the version that attempts may start by, if they may now.
-func (f *fence) starts() (uint64, bool) {
+func (f *participant) starts() (uint64, bool) {
 	_, start := f.ends()
 	return f.lessee.Admission().Version, f.now() < start
 }
 
 // Serves says whether reqs are taken now.
-func (f *fence) Serves() bool {
+func (f *participant) Serves() bool {
 	take, _ := f.ends()
 	return f.now() < take
 }
 
-func (f *fence) answered(a accord.LeaseResponse) {
+func (f *participant) answered(a accord.LeaseResponse) {
 	if !f.side.dead {
 		f.lessee.HandleResponse(f.now(), a)
 		f.turn()
 	}
 }
 
-func (f *fence) nudged() {
+func (f *participant) nudged() {
 	if !f.side.dead {
 		f.lessee.RequestNow()
 		f.turn()
@@ -99,7 +99,7 @@
 }
 
 // turn carries out what the lessee wants.
-func (f *fence) turn() {
+func (f *participant) turn() {
 	w := f.side.w
 	if f.side.dead {
 		return
@@ -117,7 +117,7 @@
 	f.lessee.TakeActivation()
 	f.lessee.TakeEvents()
 	if a, ok := f.lessee.NextRequest(f.now()); ok {
-		w.keeper.ask(f, a)
+		w.leader.ask(f, a)
 	}
-	w.look()
+	w.recordVersions()
 }
--- a/internal/lab/sim/quotas.go
+++ b/internal/lab/sim/quotas.go
@@ -105,15 +105,15 @@
 }
 
 func (q *Quotas) up() quota.LeaseConfig {
-	return quota.LeaseConfig{Lease: span(q.RegionLease), MaxRunTime: span(q.MaxRunTime), Drift: q.Drift}
+	return quota.LeaseConfig{Lease: msToDuration(q.RegionLease), MaxRunTime: msToDuration(q.MaxRunTime), Drift: q.Drift}
 }
 
 func (q *Quotas) down() quota.LeaseConfig {
-	return quota.LeaseConfig{Lease: span(q.Lease), MaxRunTime: span(q.MaxRunTime), Drift: q.Drift}
+	return quota.LeaseConfig{Lease: msToDuration(q.Lease), MaxRunTime: msToDuration(q.MaxRunTime), Drift: q.Drift}
 }
 
-// quotas is all of it in a run.
-type quotas struct {
+// quotaSimulation is all of it in a run.
+type quotaSimulation struct {
 	w        *world
 	set      Quotas
 	chance   *rand.Rand
@@ -156,14 +156,14 @@
 	})
 }
 
-func (q *quotas) clock() clock {
+func (q *quotaSimulation) clock() clock {
 	return clock{rate: 1 + q.set.Drift*float64(q.chance.IntN(3)-1), wake: math.Inf(1)}
 }
 
-func (q *quotas) life() uint64 { q.lives++; return q.lives }
+func (q *quotaSimulation) life() uint64 { q.lives++; return q.lives }
 
-func newQuotas(w *world) (*quotas, error) {
-	q := &quotas{w: w, set: w.sc.Quotas, chance: fleet.RandomStream(w.sc.Seed, "quotas"), now: map[string]int{}, mean: map[string]*inFlight{}, bytes: make([]int, max(w.sc.Dispatchers, 1))}
+func newQuotas(w *world) (*quotaSimulation, error) {
+	q := &quotaSimulation{w: w, set: w.sc.Quotas, chance: fleet.RandomStream(w.sc.Seed, "quotas"), now: map[string]int{}, mean: map[string]*inFlight{}, bytes: make([]int, max(w.sc.Dispatchers, 1))}
 	// A region that is cut off hears of no change, and may begin by what it holds until its lease and one of its own are over.
 	grace := (q.set.RegionLease + q.set.Lease) * (1 + q.set.Drift) / (1 - q.set.Drift)
 	q.at = judge.QuotaChecker{Reserve: q.set.Reserve * len(w.sc.Regions), LoweringGrace: grace}
@@ -185,14 +185,14 @@
 	return q, q.elect(0, true)
 }
 
-func (q *quotas) decide(name string, units int) {
+func (q *quotaSimulation) decide(name string, units int) {
 	q.now[name] = units
 	q.at.SetQuota(q.w.now, name, units)
 	q.flight.SetQuota(q.w.now, name, units)
 }
 
 // accounts are those that have a quota, by name.
-func (q *quotas) accounts() []string {
+func (q *quotaSimulation) accounts() []string {
 	var out []string
 	for _, t := range q.w.sc.Tenants {
 		out = append(out, t.Name)
@@ -205,7 +205,7 @@
 }
 
 // far is the delay between two regions, one way.
-func (q *quotas) far(a, b int) float64 {
+func (q *quotaSimulation) far(a, b int) float64 {
 	if a == b {
 		return q.set.Latency
 	}
@@ -216,7 +216,7 @@
 	return q.set.RegionDelays[a*n-a*(a+1)/2+b-a-1]
 }
 
-func (q *quotas) severed(a, b int) bool {
+func (q *quotaSimulation) severed(a, b int) bool {
 	for _, s := range q.w.sc.Partitions {
 		if a != b && q.w.now >= s.At && q.w.now < s.At+s.Length &&
 			(s.Other < 0 && (a == s.Region || b == s.Region) || s.Other >= 0 && (a == s.Region && b == s.Other || a == s.Other && b == s.Region)) {
@@ -227,7 +227,7 @@
 }
 
 // alone says whether a region is cut off from all others.
-func (q *quotas) alone(region int) bool {
+func (q *quotaSimulation) alone(region int) bool {
 	for i := range q.regions {
 		if i != region && !q.severed(i, region) {
 			return false
@@ -237,7 +237,7 @@
 }
 
 // carry has a message between two regions, or within one, arrive, or not.
-func (q *quotas) carry(a, b int, arrive func()) {
+func (q *quotaSimulation) carry(a, b int, arrive func()) {
 	w := q.w
 	if q.chance.Float64() < q.set.Loss || q.severed(a, b) {
 		return
@@ -252,14 +252,14 @@
 // rootAt is the root: the accord's leader.
 type rootAt struct {
 	clock
-	q      *quotas
+	q      *quotaSimulation
 	lender *quota.Lender
 	region int
 	gone   bool
 }
 
 // elect starts a life of the root in a region; the one before may grant nothing from then on.
-func (q *quotas) elect(region int, first bool) error {
+func (q *quotaSimulation) elect(region int, first bool) error {
 	if q.root != nil {
 		q.root.gone = true
 	}
@@ -331,12 +331,12 @@
 	r.again(q.w, r.lender.NextTick(), r.turn)
 }
 
-func (q *quotas) far2(bytes int) {
+func (q *quotaSimulation) far2(bytes int) {
 	q.w.res.Quotas.InterRegionMessages++
 	q.w.res.Quotas.InterRegionBytes += bytes
 }
 
-func (q *quotas) notes(level string, list []quota.Event) {
+func (q *quotaSimulation) notes(level string, list []quota.Event) {
 	for _, n := range list {
 		q.w.res.Quotas.Events[level+n.Step]++
 	}
@@ -345,7 +345,7 @@
 // regionAt is a region's lender.
 type regionAt struct {
 	clock
-	q      *quotas
+	q      *quotaSimulation
 	at     int
 	region *quota.RegionLender
 	dead   bool
@@ -373,7 +373,7 @@
 }
 
 // take answers a dispatcher's ask.
-func (g *regionAt) take(d *deskAt, a quota.LeaseRequest) {
+func (g *regionAt) take(d *dispatcherQuotas, a quota.LeaseRequest) {
 	if g.dead {
 		return
 	}
@@ -403,7 +403,7 @@
 		q.w.res.Quotas.Polls++
 		q.near(node, sizeOfNudge)
 		q.carry(g.at, g.at, func() {
-			if d := q.w.sides[node].desk; !d.side.dead {
+			if d := q.w.sides[node].quotas; !d.side.dead {
 				d.holder.HandlePoll()
 				d.turn()
 			}
@@ -414,16 +414,16 @@
 }
 
 // near counts the bytes of a message between a dispatcher and its region's lender.
-func (q *quotas) near(node, bytes int) {
+func (q *quotaSimulation) near(node, bytes int) {
 	q.w.res.Quotas.Bytes += bytes
-	if q.w.runs.inside(q.w.now) {
+	if q.w.tenants.inWindow(q.w.now) {
 		q.bytes[node] += bytes
 		q.messages++
 	}
 }
 
-// begin sets the events of the day: leaders that are cut off and replaced, lenders that are killed, changes of quotas.
-func (q *quotas) begin() {
+// scheduleFaults sets the events of the day: leaders that are cut off and replaced, lenders that are killed, changes of quotas.
+func (q *quotaSimulation) scheduleFaults() {
 	w := q.w
 	for _, s := range w.sc.Partitions {
 		w.at(s.At+q.set.ElectionTime, func() {
@@ -456,13 +456,13 @@
 }
 
 // must is for what the scenario's check has found sound.
-func (q *quotas) must(err error) {
+func (q *quotaSimulation) must(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-func (q *quotas) finish() {
+func (q *quotaSimulation) finish() {
 	for i := range q.w.res.Tenants.ByTenant {
 		e, win := &q.w.res.Tenants.ByTenant[i], &q.w.sc.Window
 		q.passes(e.Name, false, 0)
--- a/internal/lab/sim/restart.go
+++ b/internal/lab/sim/restart.go
@@ -60,8 +60,8 @@
 			}
 		}
 	}
-	if old.desk != nil {
-		old.desk.died(r.Orderly)
+	if old.quotas != nil {
+		old.quotas.stop(r.Orderly)
 	}
 	for _, c := range old.clients() {
 		c.lost()
--- a/internal/lab/sim/side.go
+++ b/internal/lab/sim/side.go
@@ -13,34 +13,34 @@
 
 // side is one dispatcher: the real core and module, the real bans over its list, and its connections.
 type side struct {
-	w       *world
-	at      int
-	core    *core.Core
-	bans    maintenance.Bans
-	conns   map[*node]int // idle connections
-	timer   float64       // that an event is set for; +Inf if none
-	dirty   bool
-	asked   map[*client]struct{}           // that wait for its answer
-	last    map[string]maintenance.Backend // the list as it was last told
-	dead    bool                           // killed; another may serve in its place
-	fronted bool                           // the front sends it clients
-	unready bool                           // the front has heard that it takes none
-	fence   *fence                         // nil without an accord
-	desk    *deskAt                        // nil without quotas
+	w           *world
+	at          int
+	core        *core.Core
+	bans        maintenance.Bans
+	conns       map[*node]int // idle connections
+	timer       float64       // that an event is set for; +Inf if none
+	dirty       bool
+	asked       map[*client]struct{}           // that wait for its answer
+	last        map[string]maintenance.Backend // the list as it was last told
+	dead        bool                           // killed; another may serve in its place
+	fronted     bool                           // the front sends it clients
+	unready     bool                           // the front has heard that it takes none
+	participant *participant                   // nil without an accord
+	quotas      *dispatcherQuotas              // nil without quotas
 }
 
 func newSide(w *world, at int, settings balance.Settings, p Policy) (s *side, err error) {
 	s = &side{w: w, at: at, conns: map[*node]int{}, timer: math.Inf(1),
 		asked: map[*client]struct{}{}, last: map[string]maintenance.Backend{}, fronted: true}
 	s.core, err = core.NewWith(w.time, p, settings, s, s, &counters.Set{})
-	if err == nil && w.keeper != nil {
-		if s.fence, err = newFence(s); err == nil {
-			s.core.Versions = s.fence
+	if err == nil && w.leader != nil {
+		if s.participant, err = newParticipant(s); err == nil {
+			s.core.Versions = s.participant
 		}
 	}
 	if err == nil && w.quotas != nil {
-		if s.desk, err = newDesk(s); err == nil {
-			s.core.Quotas = s.desk
+		if s.quotas, err = newDispatcherQuotas(s); err == nil {
+			s.core.Quotas = s.quotas
 		}
 	}
 	return s, err
@@ -170,8 +170,8 @@
 	w.at(w.now+w.delay(), func() {
 		if t.n.out[t.id] != nil {
 			delete(t.n.out, t.id)
-			if w.runs != nil && t.n.cfg.Kind.OnCancel == fleet.DropAll {
-				w.runs.ended(t.id)
+			if w.tenants != nil && t.n.cfg.Kind.OnCancel == fleet.DropAll {
+				w.tenants.handleEnd(t.id)
 			}
 			w.told(t.n, t.n.model.Cancel(w.now, t.id))
 		}
@@ -205,7 +205,7 @@
 		t.a.Ended(core.Unsent, "", nil)
 		return
 	}
-	if w.keeper != nil && t.a.Version() < w.keeper.state.Version {
+	if w.leader != nil && t.a.Version() < w.leader.state.Version {
 		w.res.Accord.OutdatedStarts++
 	}
 	c := w.tries[t.a.Job.ID]
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -183,8 +183,8 @@
 	for _, r := range sc.Restarts {
 		w.at(r.At, func() { w.restart(r) })
 	}
-	if w.keeper != nil {
-		w.begin()
+	if w.leader != nil {
+		w.startAccord()
 	}
 	for _, e := range sc.Events {
 		w.at(e.At, func() { w.happen(e) })
@@ -194,10 +194,10 @@
 	defer stop()
 	w.arrive()
 	if w.quotas != nil {
-		w.quotas.begin()
+		w.quotas.scheduleFaults()
 	}
-	if w.runs != nil {
-		w.runs.stand()
+	if w.tenants != nil {
+		w.tenants.startDemand()
 	}
 	if err := w.run(); err != nil {
 		return Result{}, err
--- a/internal/lab/sim/site.go
+++ b/internal/lab/sim/site.go
@@ -128,7 +128,7 @@
 	}
 	put(&s.OverShareWorth, sc.Site.Over)
 	if len(sc.Tenants) > 0 && sc.Quotas.Lease == 0 { // else no tenant has more than its quota, and none is metered
-		s.Tenants = sc.tenants()
+		s.Tenants = sc.moduleTenants()
 	}
 	s.Instances = max(sc.Dispatchers, 1)
 	return s
--- a/internal/lab/sim/tenants.go
+++ b/internal/lab/sim/tenants.go
@@ -84,8 +84,8 @@
 	return over
 }
 
-// runs counts the jobs that run for each tenant, as the backends have them.
-type runs struct {
+// tenantJobs counts the jobs that run for each tenant, as the backends have them.
+type tenantJobs struct {
 	w      *world
 	since  []float64
 	now    []int
@@ -107,7 +107,7 @@
 			return fmt.Errorf("tenant %q stands there twice, or has no name", t.Name)
 		case t.Quota < 1 || t.Demand < 0 || t.Demand > mostBackends:
 			return fmt.Errorf("tenant %q: a quota of %d and %d wanted", t.Name, t.Quota, t.Demand)
-		case classAt(classes, t.Class) < 0:
+		case classIndex(classes, t.Class) < 0:
 			return fmt.Errorf("tenant %q: reqs of class %q, which is none", t.Name, t.Class)
 		}
 		names[t.Name] = true
@@ -118,7 +118,7 @@
 	return nil
 }
 
-func classAt(classes []Class, name string) int {
+func classIndex(classes []Class, name string) int {
 	for i := range classes {
 		if classes[i].Name == name {
 			return i
@@ -127,9 +127,9 @@
 	return -1
 }
 
-func newRuns(w *world) *runs {
+func newTenantJobs(w *world) *tenantJobs {
 	n := len(w.sc.Tenants)
-	r := &runs{w: w, since: make([]float64, n), now: make([]int, n), urgent: make([]int, n), sum: make([]float64, n), sumU: make([]float64, n),
+	r := &tenantJobs{w: w, since: make([]float64, n), now: make([]int, n), urgent: make([]int, n), sum: make([]float64, n), sumU: make([]float64, n),
 		jobs: map[uint64]*client{}, chance: fleet.RandomStream(w.sc.Seed, "tenants")}
 	for _, t := range w.sc.Tenants {
 		w.res.Tenants.ByTenant = append(w.res.Tenants.ByTenant, TenantResult{Name: t.Name, Quota: t.Quota, Demand: t.Demand})
@@ -143,38 +143,38 @@
 	return r
 }
 
-// stand has the tenants' first reqs come, in an order that is drawn; works are cut by chance, as if they had run before.
-func (r *runs) stand() {
+// startDemand has the tenants' first reqs come, in an order that is drawn; works are cut by chance, as if they had run before.
+func (r *tenantJobs) startDemand() {
 	w := r.w
 	for i := range w.sc.Tenants {
 		for range w.sc.Tenants[i].Demand {
-			w.at(w.sc.Window.Ramp*r.chance.Float64(), func() { r.ask(i, r.chance.Float64()) })
+			w.at(w.sc.Window.Ramp*r.chance.Float64(), func() { r.submit(i, r.chance.Float64()) })
 		}
 	}
 }
 
-// ask has a tenant's next req come.
-func (r *runs) ask(tenant int, part float64) {
+// submit has a tenant's next req come.
+func (r *tenantJobs) submit(tenant int, part float64) {
 	w := r.w
-	class := classAt(w.classes, w.sc.Tenants[tenant].Class)
+	class := classIndex(w.classes, w.sc.Tenants[tenant].Class)
 	c := &w.classes[class]
 	w.res.First++
 	z := r.chance.NormFloat64()
 	a := Arrival{At: w.now, Slots: 1, Class: class, Work: part * c.Work * math.Exp(c.Spread*z-c.Spread*c.Spread/2)}
-	cl := &client{w: w, n: w.res.First, key: fmt.Sprint("k", w.res.First), Arrival: a, begun: w.now, tenant: tenant, region: w.region(), stands: true}
+	cl := &client{w: w, n: w.res.First, key: fmt.Sprint("k", w.res.First), Arrival: a, begun: w.now, tenant: tenant, region: w.drawRegion(), stands: true}
 	cl.ask()
 }
 
-// region draws the region that a client is in.
-func (w *world) region() int {
+// drawRegion draws the drawRegion that a client is in.
+func (w *world) drawRegion() int {
 	if n := len(w.sc.Regions); n > 0 {
 		return w.where.IntN(n)
 	}
 	return 0
 }
 
-// draw gives a req of no tenant's standing demand a tenant, by quota.
-func (r *runs) draw() int {
+// drawTenant gives a req of no tenant's standing demand a tenant, by quota.
+func (r *tenantJobs) drawTenant() int {
 	at := r.chance.IntN(max(r.total, 1))
 	for i := range r.w.sc.Tenants {
 		if at -= r.w.sc.Tenants[i].Quota; at < 0 {
@@ -184,16 +184,16 @@
 	return 0
 }
 
-// again has the next req of a standing demand come, after one is over.
-func (r *runs) again(c *client) {
+// scheduleNext has the next req of a standing demand come, after one is over.
+func (r *tenantJobs) scheduleNext(c *client) {
 	w := r.w
 	if at := w.now + r.chance.ExpFloat64()*w.sc.Tenants[c.tenant].ThinkTime; c.stands && at < w.sc.Length {
-		w.at(at, func() { r.ask(c.tenant, 1) })
+		w.at(at, func() { r.submit(c.tenant, 1) })
 	}
 }
 
-// began counts a job that begins at a backend.
-func (r *runs) began(job uint64, c *client) {
+// handleStart counts a job that begins at a backend.
+func (r *tenantJobs) handleStart(job uint64, c *client) {
 	t := &r.w.res.Tenants
 	if _, known := r.jobs[job]; known {
 		return
@@ -210,7 +210,7 @@
 	}
 	e := &t.ByTenant[c.tenant]
 	e.MaxRunning = max(e.MaxRunning, r.now[c.tenant]-r.urgent[c.tenant])
-	if c.ran > 1 || !r.inside(c.begun) {
+	if c.ran > 1 || !r.inWindow(c.begun) {
 		return
 	}
 	e.Starts++
@@ -221,10 +221,12 @@
 	_ = h.RecordValue(int64((r.w.now-c.begun)*1000) + 1) // in its bounds: a client has no more patience than a day
 }
 
-func (r *runs) inside(at float64) bool { return at >= r.w.sc.Window.From && at < r.w.sc.Window.To }
+func (r *tenantJobs) inWindow(at float64) bool {
+	return at >= r.w.sc.Window.From && at < r.w.sc.Window.To
+}
 
-// ended counts a job that runs no more, however that came.
-func (r *runs) ended(job uint64) {
+// handleEnd counts a job that runs no more, however that came.
+func (r *tenantJobs) handleEnd(job uint64) {
 	c := r.jobs[job]
 	if c == nil {
 		return
@@ -241,7 +243,7 @@
 }
 
 // pass adds what ran for a tenant since it last changed.
-func (r *runs) pass(tenant int) {
+func (r *tenantJobs) pass(tenant int) {
 	win := &r.w.sc.Window
 	if d := min(r.w.now, win.To) - max(r.since[tenant], win.From); d > 0 {
 		r.sum[tenant] += d * float64(r.now[tenant])
@@ -250,7 +252,7 @@
 	r.since[tenant] = r.w.now
 }
 
-func (r *runs) finish() {
+func (r *tenantJobs) finish() {
 	win, t := &r.w.sc.Window, &r.w.res.Tenants
 	for i := range t.ByTenant {
 		r.pass(i)
@@ -261,7 +263,7 @@
 }
 
 // due is what a tenant should have had running over the window, by its quotas.
-func (r *runs) due(i int) float64 {
+func (r *tenantJobs) due(i int) float64 {
 	win, t := &r.w.sc.Window, &r.w.sc.Tenants[i]
 	at, units, sum := win.From, t.Quota, 0.0
 	until := func(to float64) {
@@ -280,8 +282,8 @@
 	return sum / (win.To - win.From)
 }
 
-// tenants are the module's: shares by the jobs that a quota lets begin in a second.
-func (sc *Scenario) tenants() []balance.Tenant {
+// moduleTenants are the module's: shares by the jobs that a quota lets begin in a second.
+func (sc *Scenario) moduleTenants() []balance.Tenant {
 	classes := sc.classes()
 	total := 0
 	for _, t := range sc.Tenants {
@@ -289,7 +291,7 @@
 	}
 	out := make([]balance.Tenant, len(sc.Tenants))
 	for i, t := range sc.Tenants {
-		out[i] = balance.Tenant{Share: float64(t.Quota) / float64(total), QuotaPerS: float64(t.Quota) * 1000 / classes[classAt(classes, t.Class)].Work}
+		out[i] = balance.Tenant{Share: float64(t.Quota) / float64(total), QuotaPerS: float64(t.Quota) * 1000 / classes[classIndex(classes, t.Class)].Work}
 	}
 	return out
 }
@@ -311,11 +313,11 @@
 	return 0
 }
 
-// near are the dispatchers that a client's reqs come to, of those that the front sends to.
-func (c *client) near(fronts []*side) []*side {
+// reachable are the dispatchers that a client's reqs come to, of those that the front sends to.
+func (c *client) reachable(fronts []*side) []*side {
 	w := c.w
 	at := 0
-	if w.runs != nil {
+	if w.tenants != nil {
 		at = w.sc.Tenants[c.tenant].DispatcherCount
 	}
 	if at == 0 && len(w.sc.Regions) < 2 {
--- a/internal/lab/sim/tenants_test.go
+++ b/internal/lab/sim/tenants_test.go
@@ -51,7 +51,7 @@
 	}
 	seen := map[int]bool{}
 	for region := range 3 {
-		for _, s := range (&client{w: w, tenant: 2, region: region}).near(w.fronts()) {
+		for _, s := range (&client{w: w, tenant: 2, region: region}).reachable(w.fronts()) {
 			seen[s.at] = true
 		}
 	}
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -89,10 +89,10 @@
 	attempts *rand.Rand       // of what attempts of a job differ by
 	heard    float64          // when the last change is heard: a stale list keeps their order
 	restarts int
-	keeper   *keeperAt  // nil without an accord
-	runs     *runs      // nil without tenants
-	quotas   *quotas    // nil without quotas
-	where    *rand.Rand // of which region a client is in
+	leader   *leader          // nil without an accord
+	tenants  *tenantJobs      // nil without tenants
+	quotas   *quotaSimulation // nil without quotas
+	where    *rand.Rand       // of which region a client is in
 }
 
 func newWorld(sc Scenario, settings balance.Settings, p Policy) (*world, error) {
@@ -128,14 +128,14 @@
 	settings.Kinds = max(settings.Kinds, len(kinds))
 	w.settings = settings
 	if len(sc.Tenants) > 0 {
-		w.runs = newRuns(w)
+		w.tenants = newTenantJobs(w)
 	}
 	for _, b := range sc.Backends {
 		w.add(b, kinds[b.Kind.Name])
 	}
 	if sc.Accord.Lease > 0 {
 		var err error
-		if w.keeper, err = newKeeper(w); err != nil {
+		if w.leader, err = newLeader(w); err != nil {
 			return nil, err
 		}
 	}
@@ -181,7 +181,7 @@
 		if w.open == 0 && w.now > w.sc.Length && w.quiet() {
 			return nil
 		}
-		if w.runs != nil && w.now > w.sc.Length { // what waits or runs on is owed an answer later
+		if w.tenants != nil && w.now > w.sc.Length { // what waits or runs on is owed an answer later
 			w.ends, w.res.Open = w.now, w.open
 			return nil
 		}
@@ -352,8 +352,8 @@
 		if e.Kind == fleet.Started {
 			w.began(e.Job)
 		}
-		if w.runs != nil && e.Kind != fleet.Started {
-			w.runs.ended(e.Job)
+		if w.tenants != nil && e.Kind != fleet.Started {
+			w.tenants.handleEnd(e.Job)
 		}
 		t := n.out[e.Job]
 		if t == nil {
@@ -399,8 +399,8 @@
 	t.began = true
 	c := w.tries[t.a.Job.ID]
 	c.ran++
-	if w.runs != nil {
-		w.runs.began(job, c)
+	if w.tenants != nil {
+		w.tenants.handleStart(job, c)
 	}
 	if c.ran == 2 && c.class().Effect == balance.Unsafe {
 		w.res.Twice++
@@ -413,8 +413,8 @@
 	w.judge.Finish(w.ends)
 	w.res.Broken, w.res.Breaches = w.judge.Violations(), w.judge.Count("")
 	w.res.Worst = w.service.WorstWindow()
-	if w.runs != nil {
-		w.runs.finish()
+	if w.tenants != nil {
+		w.tenants.finish()
 	}
 	if w.quotas != nil {
 		w.quotas.finish()
