--- a/internal/network/fleet/accord/log.go
+++ b/internal/network/fleet/accord/log.go
@@ -150,7 +150,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: mux, MaxPool: 3, Timeout: 2 * timeout, Logger: config.Logger})
+	transport := raftTransport{raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: mux, MaxPool: 3, Timeout: 2 * timeout, Logger: config.Logger})}
 	var voters raft.Configuration
 	for _, p := range cfg.Voters {
 		voters.Servers = append(voters.Servers, raft.Server{Suffrage: raft.Voter, ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Address)})
--- a/internal/network/fleet/accord/termstore.go
+++ b/internal/network/fleet/accord/termstore.go
@@ -15,9 +15,9 @@
 // own, until it succeeds. Meanwhile the library's goroutine waits: the voter neither votes nor leads, and no majority
 // confirms that it leads.
 //
-// The library also handles heartbeats outside its own goroutines, and does not wait for that when it is shut down. A
-// heartbeat with a new term that arrives then would find the store closed, which is an error. So a write never returns
-// once the store is closed.
+// A log that is closed while its store fails does not wait for the library's goroutines (see majorityLog.close). A write
+// that is repeated after that would find the store closed, which is an error. So a write never returns once the store is
+// closed.
 type termStore struct {
 	*raftboltdb.BoltStore
 	stable      raft.StableStore // the BoltStore, except in tests
