--- a/internal/network/fleet/accord/accord_test.go
+++ b/internal/network/fleet/accord/accord_test.go
@@ -33,12 +33,14 @@
 	return l.buffer.Write(p)
 }
 
-func (l *logBuffer) contains(text string) bool {
+func (l *logBuffer) text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Contains(l.buffer.String(), text)
+	return l.buffer.String()
 }
 
+func (l *logBuffer) contains(text string) bool { return strings.Contains(l.text(), text) }
+
 // fleet runs the accords of several dispatchers in one process, with real sockets and disks. The
 // first three are voters. The others connect to the voters through relays of their own, which can
 // inject faults.
--- a/internal/network/fleet/accord/deposed_test.go
+++ b/internal/network/fleet/accord/deposed_test.go
@@ -1,11 +1,13 @@
 package accord
 
 import (
+	"strings"
 	"testing"
 	"time"
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
+	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
@@ -40,3 +42,25 @@
 		assert.NotEqual(t, wire.EncodeDecision(decision), entry.Data, "entry %d of term %d, in which no voter was elected", entry.Index, entry.Term)
 	}
 }
+
+// TestFailedDecisionEndsLeadership: a leader whose decision cannot be appended to the log is dropped, and that is
+// logged once, as for a leader that is dropped because its term has ended.
+func TestFailedDecisionEndsLeadership(t *testing.T) {
+	var buffer logBuffer
+	voters := []Peer{{"n0", "127.0.0.1:0"}, {"n1", "127.0.0.1:1"}, {"n2", "127.0.0.1:2"}}
+	leases := accord.LeaseConfig{Lease: time.Second}
+	v := &voter{accord: &Accord{cfg: Config{Name: "n0", Leases: leases, Voters: voters, DataDir: t.TempDir(), Log: zerolog.New(&buffer)}}, leaderTerm: 3}
+	mux, err := newConnMux(voters[0].Address, voters[0].Address, nil)
+	require.NoError(t, err)
+	defer mux.Close()
+	v.log, err = openLog(&v.accord.cfg, voters[0], mux, func(accord.Event) {})
+	require.NoError(t, err)
+	defer v.log.close()
+	leader, err := accord.NewLeader(leases, 3, 0, accord.State{})
+	require.NoError(t, err)
+	v.leader = leader
+	v.submit(leader, accord.Decision{Version: 1}) // fails, as no other voter runs and this one is not elected
+	assert.Nil(t, v.leader)
+	v.stopLeading()
+	assert.Equal(t, 1, strings.Count(buffer.text(), "accord: leads no more"))
+}
--- a/internal/network/fleet/accord/voter.go
+++ b/internal/network/fleet/accord/voter.go
@@ -164,23 +164,21 @@
 	v.accord.cfg.Log.Info().Str("process", v.accord.cfg.Name).Uint64("term", term).Msg("accord: leads")
 }
 
-// stopLeading drops the leader, if there is one, and logs that.
+// stopLeading drops the leader, if there is one.
 func (v *voter) stopLeading() {
 	v.mu.Lock()
-	wasLeading := v.leader != nil
+	defer v.mu.Unlock()
 	v.dropLeader()
-	term := v.leaderTerm
-	v.mu.Unlock()
-	if wasLeading {
-		v.accord.cfg.Log.Info().Str("process", v.accord.cfg.Name).Uint64("term", term).Msg("accord: leads no more")
-	}
 }
 
-// dropLeader drops the leader and remembers its count of changes. v.mu is held.
+// dropLeader drops the leader, if there is one, remembers its count of changes and logs that this voter no longer
+// leads. v.mu is held.
 func (v *voter) dropLeader() {
-	if v.leader != nil {
-		v.changeCount, v.leader = v.leader.ChangeCount(), nil
+	if v.leader == nil {
+		return
 	}
+	v.changeCount, v.leader = v.leader.ChangeCount(), nil
+	v.accord.cfg.Log.Info().Str("process", v.accord.cfg.Name).Uint64("term", v.leaderTerm).Msg("accord: leads no more")
 }
 
 // serveMember queues a member's requests until the connection ends.
