--- a/internal/lab/hollow/dispatcher.go
+++ b/internal/lab/hollow/dispatcher.go
@@ -27,9 +27,9 @@
 
 // Dispatcher is a hollow one.
 type Dispatcher struct {
-	Accord *accord.Accord // nil where the settings have none
-	Count  counters.Set
-	Listed atomic.Int64 // lines of the list that were told
+	Accord      *accord.Accord // nil where the settings have none
+	Counters    counters.Set
+	ListEntries atomic.Int64 // lines of the list that were told
 
 	budgets *settings.Budgets
 	most    int
@@ -38,9 +38,9 @@
 
 var reading sync.Mutex
 
-// Start starts a dispatcher from what a real one reads: its configuration and its settings script. Of the script it
+// StartDispatcher starts a dispatcher from what a real one reads: its configuration and its settings script. Of the script it
 // takes accord(...), budgets(...) and policy(...); log may be nil. Close ends it.
-func Start(conf, script []byte, log io.Writer) (*Dispatcher, error) {
+func StartDispatcher(conf, script []byte, log io.Writer) (*Dispatcher, error) {
 	cfg, err := config.Parse(conf, func(string) string { return "" })
 	if err != nil {
 		return nil, err
@@ -57,8 +57,8 @@
 			return nil, err
 		}
 	}
-	watch := &network.Director{Names: &cfg.Names, Count: &d.Count, Address: cfg.Discovery, Dial: network.DialTCP, Stop: d.stop,
-		OnList:  func(_ balance.ListKind, list []core.Entry) { d.Listed.Add(int64(len(list))) },
+	watch := &network.Director{Names: &cfg.Names, Count: &d.Counters, Address: cfg.Discovery, Dial: network.DialTCP, Stop: d.stop,
+		OnList:  func(_ balance.ListKind, list []core.Entry) { d.ListEntries.Add(int64(len(list))) },
 		Timings: network.AgentTimings().WithinGrace(time.Duration(cfg.Settings.Rules.DrainGrace * float64(time.Millisecond)))}
 	if cfg.Settings.Subscribe {
 		watch.Timings = network.PollTimings(time.Duration(cfg.Settings.Rules.AskEvery * float64(time.Millisecond)))
--- a/internal/lab/hollow/events.go
+++ b/internal/lab/hollow/events.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Events follows what the dispatchers' logs tell of the accord.
-type Events struct {
+// eventLog follows what the dispatchers' logs tell of the accord.
+type eventLog struct {
 	mu  sync.Mutex
-	at  map[string]*State
+	at  map[string]*dispatcherState
 	log []Event // since they were last handed out
 
 	decided uint64
@@ -20,35 +20,35 @@
 
 // Event is a step of the accord at a dispatcher.
 type Event struct {
-	At      time.Time // as it was heard
-	Process string
-	Step    string // the accord's own word, or one of the rig's
-	Version uint64
-	Change  string
-	By, Why string
-	Rig     bool // it was done to the process
-	LeftOut int  // lines of this step that the process's log left out before
+	Time             time.Time // as it was heard
+	Process          string
+	Name             string // the accord's own word, or one of the rig's
+	Version          uint64
+	Change           string
+	Proposer, Reason string
+	FromRig          bool // it was done to the process
+	DroppedLines     int  // lines of this step that the process's log left out before
 }
 
 // What is done to a process.
 const (
-	Began = "began"
-	Ended = "ended"
+	ProcessStarted = "began"
+	ProcessEnded   = "ended"
 )
 
-// State is how a dispatcher stands.
-type State struct {
+// dispatcherState is how a dispatcher stands.
+type dispatcherState struct {
 	Version uint64 // in force
 	Serves  bool
 	Leads   bool
 }
 
-func newEvents() *Events { return &Events{at: map[string]*State{}} }
+func newEvents() *eventLog { return &eventLog{at: map[string]*dispatcherState{}} }
 
 // heard takes the log of a dispatcher.
-func (e *Events) heard(process string) io.Writer {
+func (e *eventLog) heard(process string) io.Writer {
 	e.mu.Lock()
-	s := &State{}
+	s := &dispatcherState{}
 	e.at[process] = s
 	e.mu.Unlock()
 	return writerFunc(func(p []byte) (int, error) {
@@ -67,18 +67,18 @@
 				if l.Time.IsZero() { // a hollow one's: it is written as it happens
 					l.Time = time.Now()
 				}
-				e.take(s, Event{At: l.Time, Process: process, Step: step, Version: l.Version, Change: l.Change, By: l.By, Why: l.Why, LeftOut: l.LeftOut})
+				e.take(s, Event{Time: l.Time, Process: process, Name: step, Version: l.Version, Change: l.Change, Proposer: l.By, Reason: l.Why, DroppedLines: l.LeftOut})
 			}
 		}
 		return len(p), nil
 	})
 }
 
-func (e *Events) take(s *State, ev Event) {
+func (e *eventLog) take(s *dispatcherState, ev Event) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.log = append(e.log, ev)
-	switch ev.Step {
+	switch ev.Name {
 	case "in force":
 		s.Version = ev.Version
 	case "serving":
@@ -95,21 +95,21 @@
 }
 
 // rig notes what is done to a process.
-func (e *Events) rig(process, what string) {
+func (e *eventLog) rig(process, what string) {
 	e.mu.Lock()
-	e.log = append(e.log, Event{At: time.Now(), Process: process, Step: what, Rig: true})
+	e.log = append(e.log, Event{Time: time.Now(), Process: process, Name: what, FromRig: true})
 	e.mu.Unlock()
 }
 
 // gone forgets a dispatcher that has ended.
-func (e *Events) gone(process string) {
+func (e *eventLog) gone(process string) {
 	e.mu.Lock()
 	delete(e.at, process)
-	e.log = append(e.log, Event{At: time.Now(), Process: process, Step: Ended, Rig: true})
+	e.log = append(e.log, Event{Time: time.Now(), Process: process, Name: ProcessEnded, FromRig: true})
 	e.mu.Unlock()
 }
 
-func (e *Events) serving(version uint64) (n int) {
+func (e *eventLog) serving(version uint64) (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range e.at {
@@ -126,7 +126,7 @@
 	defer f.events.mu.Unlock()
 	at := -1
 	for i := range Regions {
-		if s := f.events.at[Name(i)]; s != nil && s.Leads {
+		if s := f.events.at[DispatcherName(i)]; s != nil && s.Leads {
 			if at >= 0 {
 				return -1
 			}
@@ -136,26 +136,26 @@
 	return at
 }
 
-// Leads says whether a voter says that it leads.
-func (f *Fleet) Leads(voter int) bool {
+// IsLeader says whether a voter says that it leads.
+func (f *Fleet) IsLeader(voter int) bool {
 	f.events.mu.Lock()
 	defer f.events.mu.Unlock()
-	s := f.events.at[Name(voter)]
+	s := f.events.at[DispatcherName(voter)]
 	return s != nil && s.Leads
 }
 
-// Decided is the highest version that a voter told as decided.
-func (f *Fleet) Decided() uint64 {
+// LastDecided is the highest version that a voter told as decided.
+func (f *Fleet) LastDecided() uint64 {
 	f.events.mu.Lock()
 	defer f.events.mu.Unlock()
 	return f.events.decided
 }
 
-// Tell notes among the events what is done to a process, or with no name to the fleet.
-func (f *Fleet) Tell(process, what string) { f.events.rig(process, what) }
+// RecordRigEvent notes among the events what is done to a process, or with no name to the fleet.
+func (f *Fleet) RecordRigEvent(process, what string) { f.events.rig(process, what) }
 
-// Events hands out what was heard since it was last called.
-func (f *Fleet) Events() []Event {
+// TakeEvents hands out what was heard since it was last called.
+func (f *Fleet) TakeEvents() []Event {
 	f.events.mu.Lock()
 	defer f.events.mu.Unlock()
 	log := f.events.log
--- a/internal/lab/hollow/fleet.go
+++ b/internal/lab/hollow/fleet.go
@@ -22,37 +22,37 @@
 // modulo Regions.
 const Regions = 3
 
-// Plan is a fleet to be started.
-type Plan struct {
+// FleetConfig is a fleet to be started.
+type FleetConfig struct {
 	Program []string // what starts a real dispatcher, before its "serve"
 	Env     []string // of a real dispatcher, beside this process's
 
-	Real   int // dispatchers that are processes, the voters among them; 0: the voters are in this process, too
-	Hollow int
-	Bare   bool // no accord and no budgets
+	Real          int // dispatchers that are processes, the voters among them; 0: the voters are in this process, too
+	Hollow        int
+	WithoutAccord bool // no accord and no budgets
 
-	Lease   time.Duration
-	Lag     time.Duration // one way between two regions
-	Bans    []string      // of the first policy
-	Workers int           // of the list
+	Lease         time.Duration
+	RegionLatency time.Duration // one way between two regions
+	Bans          []string      // of the first policy
+	Workers       int           // of the list
 }
 
-func (p Plan) size() int { return p.Real + p.Hollow }
+func (p FleetConfig) size() int { return p.Real + p.Hollow }
 
 // Fleet is real and hollow dispatchers around three voters, with a director and workers. Between each region and
 // each voter, and before the director, stands a relay.
 type Fleet struct {
-	Plan     Plan
-	Director *platform.Director
-	Workers  *Workers
-	Meter    [Regions][Regions]Meter // by the region that asks and the voter
-	Lists    ListMeter
+	Config    FleetConfig
+	Director  *platform.Director
+	Workers   *Workers
+	Meters    [Regions][Regions]Meter // by the region that asks and the voter
+	ListMeter ListMeter
 
 	dir    string
 	voters []string // where they listen
 	relays [Regions][Regions]*faultnet.TCP
 	list   *faultnet.TCP
-	events *Events
+	events *eventLog
 
 	mu     sync.Mutex
 	Real   []*Process    // by number; the first three are the voters
@@ -60,7 +60,7 @@
 }
 
 // ListMeter counts the bytes that dispatchers and the director exchange, and the pieces in which they came.
-type ListMeter struct{ Asked, Told, AskedBytes, ToldBytes atomic.Int64 }
+type ListMeter struct{ RequestChunks, ResponseChunks, RequestBytes, ResponseBytes atomic.Int64 }
 
 func (l *ListMeter) tap() (out, back func([]byte)) {
 	one := func(n, size *atomic.Int64) func([]byte) {
@@ -71,22 +71,22 @@
 			}
 		}
 	}
-	return one(&l.Asked, &l.AskedBytes), one(&l.Told, &l.ToldBytes)
+	return one(&l.RequestChunks, &l.RequestBytes), one(&l.ResponseChunks, &l.ResponseBytes)
 }
 
-// TrueBetween is the size to which hollow dispatchers cost the voters among themselves what real ones do, within a tenth. What the
+// MaxSizeForVoterTraffic is the size to which hollow dispatchers cost the voters among themselves what real ones do, within a tenth. What the
 // members' links cost is true at any size. Timers of one process that end within its millisecond fire together, so that hollow dispatchers'
 // asks come in clumps, which a round confirms together: at 100 there were 18% fewer heartbeats than with real ones.
-const TrueBetween = 20
+const MaxSizeForVoterTraffic = 20
 
 // spread is over what time hollow dispatchers start. Real ones take that long by themselves; hollow ones that all
 // began in one moment would ask in step from then on, be confirmed together, and cost the voters fewer rounds than
 // real ones do.
 const spread = 2 * time.Second
 
-// Launch starts a fleet. Close ends it, also one whose start failed.
-func Launch(p Plan) (*Fleet, error) {
-	f := &Fleet{Plan: p, events: newEvents()}
+// StartFleet starts a fleet. Close ends it, also one whose start failed.
+func StartFleet(p FleetConfig) (*Fleet, error) {
+	f := &Fleet{Config: p, events: newEvents()}
 	err := f.launch()
 	if err != nil {
 		f.Close()
@@ -96,7 +96,7 @@
 }
 
 func (f *Fleet) launch() (err error) {
-	p := f.Plan
+	p := f.Config
 	if p.Real > 0 && p.Real < Regions || p.size() < Regions {
 		return fmt.Errorf("%d real and %d hollow dispatchers, want none or %d real ones, the voters, or more", p.Real, p.Hollow, Regions)
 	}
@@ -109,7 +109,7 @@
 	if f.Workers, err = StartWorkers(f.Director, p.Workers); err != nil {
 		return err
 	}
-	if f.list, err = faultnet.ListenTapped(f.Director.Address, f.Lists.tap); err != nil {
+	if f.list, err = faultnet.ListenTapped(f.Director.Address, f.ListMeter.tap); err != nil {
 		return err
 	}
 	for v := range Regions {
@@ -120,16 +120,16 @@
 		f.voters = append(f.voters, l.Addr().String())
 		l.Close()
 		for from := range Regions {
-			if f.relays[from][v], err = faultnet.ListenTapped(f.voters[v], f.Meter[from][v].Tap); err != nil {
+			if f.relays[from][v], err = faultnet.ListenTapped(f.voters[v], f.Meters[from][v].Tap); err != nil {
 				return err
 			}
 		}
 	}
-	f.SetLag(p.Lag)
+	f.SetRegionLatency(p.RegionLatency)
 	f.Real, f.Hollow = make([]*Process, p.Real), make([]*Dispatcher, p.Hollow)
 	first := max(p.Real, Regions)
 	for i := range p.size() {
-		if i == first && !p.Bare { // a first version that came later would have all ask in step, too
+		if i == first && !p.WithoutAccord { // a first version that came later would have all ask in step, too
 			if err := f.AwaitServing(first, 1, serveWait); err != nil {
 				return err
 			}
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// SetLag sets the time that a piece travels between two regions, one way.
-func (f *Fleet) SetLag(lag time.Duration) {
+// SetRegionLatency sets the time that a piece travels between two regions, one way.
+func (f *Fleet) SetRegionLatency(lag time.Duration) {
 	for from := range Regions {
 		for v, r := range f.relays[from] {
 			if v != from {
@@ -155,14 +155,14 @@
 	}
 }
 
-// Cut cuts a region off from the two others, or ends that.
-func (f *Fleet) Cut(region int, cut bool) {
+// SetIsolated cuts a region off from the two others, or ends that.
+func (f *Fleet) SetIsolated(region int, cut bool) {
 	for from := range Regions {
 		for v, r := range f.relays[from] {
 			if v == from || v != region && from != region {
 				continue
 			}
-			r.Set(faultnet.Rule{Latency: f.Plan.Lag, Blackhole: cut})
+			r.Set(faultnet.Rule{Latency: f.Config.RegionLatency, Blackhole: cut})
 			if !cut {
 				r.Reset() // bytes were swallowed
 			}
@@ -170,23 +170,23 @@
 	}
 }
 
-// Name is what a dispatcher is called.
-func Name(i int) string { return fmt.Sprintf("n%d", i) }
+// DispatcherName is what a dispatcher is called.
+func DispatcherName(i int) string { return fmt.Sprintf("n%d", i) }
 
 // Start starts a dispatcher, which must not run: a real or a hollow one by its number.
 func (f *Fleet) Start(i int) error {
 	conf, script := f.config(i), f.script(i)
-	f.events.rig(Name(i), Began)
-	if i < f.Plan.Real {
-		p, err := launch(f.Plan.Program, f.Plan.Env, f.dir, Name(i), conf, script, f.events.heard(Name(i)))
+	f.events.rig(DispatcherName(i), ProcessStarted)
+	if i < f.Config.Real {
+		p, err := launch(f.Config.Program, f.Config.Env, f.dir, DispatcherName(i), conf, script, f.events.heard(DispatcherName(i)))
 		f.mu.Lock()
 		f.Real[i] = p
 		f.mu.Unlock()
 		return err
 	}
-	d, err := Start(conf, script, f.events.heard(Name(i)))
+	d, err := StartDispatcher(conf, script, f.events.heard(DispatcherName(i)))
 	f.mu.Lock()
-	f.Hollow[i-f.Plan.Real] = d
+	f.Hollow[i-f.Config.Real] = d
 	f.mu.Unlock()
 	return err
 }
@@ -195,27 +195,27 @@
 func (f *Fleet) Stop(i int) {
 	f.mu.Lock()
 	var end func()
-	if i < f.Plan.Real {
+	if i < f.Config.Real {
 		if p := f.Real[i]; p != nil {
 			end = p.Kill
 		}
 		f.Real[i] = nil
 	} else {
-		if d := f.Hollow[i-f.Plan.Real]; d != nil {
+		if d := f.Hollow[i-f.Config.Real]; d != nil {
 			end = d.Close
 		}
-		f.Hollow[i-f.Plan.Real] = nil
+		f.Hollow[i-f.Config.Real] = nil
 	}
 	f.mu.Unlock()
 	if end != nil {
 		end()
 	}
-	f.events.gone(Name(i))
+	f.events.gone(DispatcherName(i))
 }
 
-// Retire has a dispatcher end as its operators would, by SIGTERM, and kills it where it has not ended after so long.
-func (f *Fleet) Retire(i int, most time.Duration) {
-	if i < f.Plan.Real {
+// Terminate has a dispatcher end as its operators would, by SIGTERM, and kills it where it has not ended after so long.
+func (f *Fleet) Terminate(i int, most time.Duration) {
+	if i < f.Config.Real {
 		f.mu.Lock()
 		p := f.Real[i]
 		f.mu.Unlock()
@@ -234,11 +234,11 @@
 // confirm, which waits for an answer that the log's library owes from before its end).
 func (f *Fleet) Close() {
 	var all sync.WaitGroup
-	for i := f.Plan.size() - 1; i >= 0; i-- {
+	for i := f.Config.size() - 1; i >= 0; i-- {
 		if i == Regions-1 {
 			all.Wait()
 		}
-		if i < f.Plan.Real && i < len(f.Real) || i >= f.Plan.Real && i-f.Plan.Real < len(f.Hollow) {
+		if i < f.Config.Real && i < len(f.Real) || i >= f.Config.Real && i-f.Config.Real < len(f.Hollow) {
 			all.Go(func() { f.Stop(i) })
 		}
 	}
@@ -280,14 +280,14 @@
     "Weights": "nominal",
     "Zones": ["here"]
   }
-}`, Name(i), f.list.Addr(), i+1, f.Plan.size()))
+}`, DispatcherName(i), f.list.Addr(), i+1, f.Config.size()))
 }
 
 // connections is the budget of the fleet in new connections a second.
 const connections = 100_000
 
 func (f *Fleet) script(i int) []byte {
-	if f.Plan.Bare {
+	if f.Config.WithoutAccord {
 		return nil
 	}
 	var voters []string
@@ -295,11 +295,11 @@
 		if v != i {
 			at = f.relays[i%Regions][v].Addr()
 		}
-		voters = append(voters, fmt.Sprintf("%q", Name(v)+"="+at))
+		voters = append(voters, fmt.Sprintf("%q", DispatcherName(v)+"="+at))
 	}
-	bans, _ := json.Marshal(append([]string{}, f.Plan.Bans...)) // a list of texts is one of the script's, too
+	bans, _ := json.Marshal(append([]string{}, f.Config.Bans...)) // a list of texts is one of the script's, too
 	return fmt.Appendf(nil, "policy(bans = %s, connections = %d)\naccord(voters = [%s], lease_ms = %d, data = %q)\nbudgets(connections = %d, keeper = \"leader\")\n",
-		bans, connections, strings.Join(voters, ", "), f.Plan.Lease.Milliseconds(), filepath.Join(f.dir, Name(i)), connections)
+		bans, connections, strings.Join(voters, ", "), f.Config.Lease.Milliseconds(), filepath.Join(f.dir, DispatcherName(i)), connections)
 }
 
 // Address is where a real dispatcher serves clients; empty where it is not up.
@@ -312,11 +312,11 @@
 	return f.Real[i].Address
 }
 
-// Counts is what all relays before the voters have passed.
-func (f *Fleet) Counts() (c Counts) {
+// Traffic is what all relays before the voters have passed.
+func (f *Fleet) Traffic() (c Traffic) {
 	for from := range Regions {
 		for v := range Regions {
-			c = c.Plus(f.Meter[from][v].Counts())
+			c = c.Add(f.Meters[from][v].Traffic())
 		}
 	}
 	return c
@@ -335,10 +335,10 @@
 	return nil
 }
 
-// Serving is how many dispatchers take reqs by a version, which is not below the one given.
-func (f *Fleet) Serving(version uint64) int { return f.events.serving(version) }
+// ServingCount is how many dispatchers take reqs by a version, which is not below the one given.
+func (f *Fleet) ServingCount(version uint64) int { return f.events.serving(version) }
 
 // AwaitServing waits until n dispatchers take reqs by a version or a later one.
 func (f *Fleet) AwaitServing(n int, version uint64, most time.Duration) error {
-	return f.Await(fmt.Sprintf("%d dispatchers on version %d", n, version), most, func() bool { return f.Serving(version) >= n })
+	return f.Await(fmt.Sprintf("%d dispatchers on version %d", n, version), most, func() bool { return f.ServingCount(version) >= n })
 }
--- a/internal/lab/hollow/measure/change.go
+++ b/internal/lab/hollow/measure/change.go
@@ -27,33 +27,33 @@
 		return c, err
 	}
 	p.Bans = bans(size, nth)
-	f.Events()
-	counts, begun := f.Counts(), time.Now()
+	f.TakeEvents()
+	counts, begun := f.Traffic(), time.Now()
 	if err := proposer.Propose(p.Append(nil)); err != nil {
 		return c, err
 	}
 	if err := f.AwaitServing(n, version+1, time.Minute); err != nil {
 		return c, err
 	}
-	after := f.Counts().Since(counts)
-	c.links, c.between = after.Members(), after.Log()
+	after := f.Traffic().Since(counts)
+	c.links, c.between = after.MemberTotal(), after.RaftTotal()
 	stopped := map[string]time.Time{}
 	var lastStop, firstServe, lastServe time.Time
 	served := 0
-	for _, e := range f.Events() {
+	for _, e := range f.TakeEvents() {
 		switch {
-		case e.Step == "fenced" && e.Version == version:
-			stopped[e.Process] = e.At
-			lastStop = e.At
-		case e.Step == "serving" && e.Version == version+1:
+		case e.Name == "fenced" && e.Version == version:
+			stopped[e.Process] = e.Time
+			lastStop = e.Time
+		case e.Name == "serving" && e.Version == version+1:
 			if firstServe.IsZero() {
-				firstServe = e.At
+				firstServe = e.Time
 			}
 			if at, ok := stopped[e.Process]; ok {
-				c.idle += e.At.Sub(at)
+				c.idle += e.Time.Sub(at)
 				served++
 			}
-			lastServe = e.At
+			lastServe = e.Time
 		}
 	}
 	if served < n {
@@ -64,8 +64,8 @@
 }
 
 // changes makes changes at one fleet and adds the rows of each.
-func (r Run) changes(s *sheet, name string, x float64, p hollow.Plan, size int, before func(*hollow.Fleet) (n int)) error {
-	f, err := hollow.Launch(p)
+func (r Run) changes(s *sheet, name string, x float64, p hollow.FleetConfig, size int, before func(*hollow.Fleet) (n int)) error {
+	f, err := hollow.StartFleet(p)
 	if err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 }
 
 // hollowPlan is one with the voters and a few more real, and the last hollow.
-func (r Run) hollowPlan(n int) hollow.Plan {
+func (r Run) hollowPlan(n int) hollow.FleetConfig {
 	p := r.plan(n)
 	p.Real = min(p.Real, n-1)
 	p.Hollow = n - p.Real
--- a/internal/lab/hollow/measure/control.go
+++ b/internal/lab/hollow/measure/control.go
@@ -36,14 +36,14 @@
 	return all
 }
 
-func (r Run) plan(n int) hollow.Plan {
-	p := hollow.Plan{Program: r.Program, Env: r.Env, Real: min(n, r.Real), Lease: r.Lease, Lag: r.Lag, Workers: r.Workers, Bans: bans(r.Bans, 0)}
+func (r Run) plan(n int) hollow.FleetConfig {
+	p := hollow.FleetConfig{Program: r.Program, Env: r.Env, Real: min(n, r.Real), Lease: r.Lease, RegionLatency: r.Lag, Workers: r.Workers, Bans: bans(r.Bans, 0)}
 	p.Hollow = n - p.Real
 	return p
 }
 
 // how is how rows of a fleet were got.
-func how(p hollow.Plan) string {
+func how(p hollow.FleetConfig) string {
 	if p.Hollow > 0 {
 		return capacity.Hollow
 	}
@@ -63,11 +63,11 @@
 }
 
 // costs are those of the real processes of a fleet.
-func costs(f *hollow.Fleet) ([]hollow.Cost, error) {
-	out := make([]hollow.Cost, len(f.Real))
+func costs(f *hollow.Fleet) ([]hollow.ResourceUsage, error) {
+	out := make([]hollow.ResourceUsage, len(f.Real))
 	for i, p := range f.Real {
 		var err error
-		if out[i], err = hollow.CostOf(p.PID()); err != nil {
+		if out[i], err = hollow.ReadResourceUsage(p.PID()); err != nil {
 			return nil, err
 		}
 	}
@@ -77,14 +77,14 @@
 const mb = 1 << 20
 
 // steady measures a fleet in which nothing changes, at the size x of the sheet; name is what the slopes' names begin with.
-func (r Run) steady(s *sheet, name string, x float64, p hollow.Plan) error {
-	f, err := hollow.Launch(p)
+func (r Run) steady(s *sheet, name string, x float64, p hollow.FleetConfig) error {
+	f, err := hollow.StartFleet(p)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	n := p.Real + p.Hollow
-	if !p.Bare {
+	if !p.WithoutAccord {
 		if err := f.AwaitServing(n, 1, time.Minute); err != nil {
 			return err
 		}
@@ -98,39 +98,39 @@
 	return nil
 }
 
-func (r Run) window(f *hollow.Fleet, s *sheet, name string, x float64, p hollow.Plan) error {
+func (r Run) window(f *hollow.Fleet, s *sheet, name string, x float64, p hollow.FleetConfig) error {
 	before, err := costs(f)
 	if err != nil {
 		return err
 	}
-	counts, asked, told, leads, begun := f.Counts(), f.Lists.AskedBytes.Load(), f.Lists.ToldBytes.Load(), f.Leader(), time.Now()
+	counts, asked, told, leads, begun := f.Traffic(), f.ListMeter.RequestBytes.Load(), f.ListMeter.ResponseBytes.Load(), f.Leader(), time.Now()
 	time.Sleep(r.Window)
 	secs := time.Since(begun).Seconds()
 	after, err := costs(f)
 	if err != nil {
 		return err
 	}
-	c := f.Counts().Since(counts)
+	c := f.Traffic().Since(counts)
 	n := float64(p.Real + p.Hollow)
-	if !p.Bare && (leads < 0 || f.Leader() != leads || c[hollow.Others].Messages > 0) {
+	if !p.WithoutAccord && (leads < 0 || f.Leader() != leads || c[hollow.OtherRaftRequests].Messages > 0) {
 		return fmt.Errorf("%s at %v: the leader changed, nothing is measured", name, x)
 	}
 	cpu := func(i int) float64 { return 100 * (after[i].CPU - before[i].CPU).Seconds() / secs }
 	var own, mem, files float64
 	k := 0.0
 	for i := range after {
-		if i < hollow.Regions && !p.Bare {
+		if i < hollow.Regions && !p.WithoutAccord {
 			continue
 		}
-		own, mem, files, k = own+cpu(i), mem+float64(after[i].Memory)/mb, files+float64(after[i].Files), k+1
+		own, mem, files, k = own+cpu(i), mem+float64(after[i].Memory)/mb, files+float64(after[i].OpenFiles), k+1
 	}
 	if k > 0 {
 		s.add(name+"-dispatcher-cpu", "% of a core", x, own/k, how(p))
 		s.add(name+"-dispatcher-memory", "MB", x, mem/k, how(p))
 		s.add(name+"-dispatcher-descriptors", "descriptors", x, files/k, how(p))
 	}
-	s.add(name+"-dispatcher-list-bytes", "bytes a second", x, float64(f.Lists.AskedBytes.Load()-asked+f.Lists.ToldBytes.Load()-told)/n/secs, how(p))
-	if p.Bare {
+	s.add(name+"-dispatcher-list-bytes", "bytes a second", x, float64(f.ListMeter.RequestBytes.Load()-asked+f.ListMeter.ResponseBytes.Load()-told)/n/secs, how(p))
+	if p.WithoutAccord {
 		return nil
 	}
 	other, otherMem := 0.0, 0.0
@@ -142,20 +142,20 @@
 	if p.Real > 0 {
 		s.add(name+"-leader-cpu", "% of a core", x, cpu(leads), how(p))
 		s.add(name+"-leader-memory", "MB", x, float64(after[leads].Memory)/mb, how(p))
-		s.add(name+"-leader-descriptors", "descriptors", x, float64(after[leads].Files), how(p))
+		s.add(name+"-leader-descriptors", "descriptors", x, float64(after[leads].OpenFiles), how(p))
 		s.add(name+"-voter-cpu", "% of a core", x, other, how(p))
 		s.add(name+"-voter-memory", "MB", x, otherMem, how(p))
 	}
-	s.add(name+"-leader-bytes", "bytes a second", x, float64(c.Members().Bytes)/secs, how(p))
-	s.add(name+"-link-bytes", "bytes a second", x, float64(c.Members().Bytes)/secs/(n-1), how(p)) // the leader's own has no link
-	s.add(name+"-link-messages", "messages a second", x, float64(c.Members().Messages)/secs/(n-1), how(p))
-	if p.Hollow > 0 && n > hollow.TrueBetween {
+	s.add(name+"-leader-bytes", "bytes a second", x, float64(c.MemberTotal().Bytes)/secs, how(p))
+	s.add(name+"-link-bytes", "bytes a second", x, float64(c.MemberTotal().Bytes)/secs/(n-1), how(p)) // the leader's own has no link
+	s.add(name+"-link-messages", "messages a second", x, float64(c.MemberTotal().Messages)/secs/(n-1), how(p))
+	if p.Hollow > 0 && n > hollow.MaxSizeForVoterTraffic {
 		return nil
 	}
-	s.add(name+"-between-bytes", "bytes a second", x, float64(c.Log().Bytes)/secs, how(p))
-	s.add(name+"-between-messages", "messages a second", x, 2*float64(c.Log().Messages)/secs, how(p)) // each is answered
-	s.add(name+"-between-heartbeats", "messages a second", x, float64(c[hollow.Beats].Messages)/secs, how(p))
-	s.add(name+"-between-commit-timeouts", "messages a second", x, float64(c[hollow.Timeouts].Messages)/secs, how(p))
+	s.add(name+"-between-bytes", "bytes a second", x, float64(c.RaftTotal().Bytes)/secs, how(p))
+	s.add(name+"-between-messages", "messages a second", x, 2*float64(c.RaftTotal().Messages)/secs, how(p)) // each is answered
+	s.add(name+"-between-heartbeats", "messages a second", x, float64(c[hollow.Heartbeats].Messages)/secs, how(p))
+	s.add(name+"-between-commit-timeouts", "messages a second", x, float64(c[hollow.CommitTimeouts].Messages)/secs, how(p))
 	return nil
 }
 
@@ -175,7 +175,7 @@
 	s := &sheet{against: "dispatchers", note: fmt.Sprintf("%d workers", r.Workers)}
 	for _, n := range sizes {
 		p := r.plan(n)
-		p.Bare = true
+		p.WithoutAccord = true
 		if err := r.steady(s, "bare", float64(n), p); err != nil {
 			return nil, err
 		}
--- a/internal/lab/hollow/measure/recovery.go
+++ b/internal/lab/hollow/measure/recovery.go
@@ -16,9 +16,9 @@
 }
 
 func spend(f *hollow.Fleet) spent {
-	c := f.Counts()
-	l := &f.Lists
-	return spent{time.Now(), c.Members(), c.Log(), hollow.Tally{Messages: l.Asked.Load() + l.Told.Load(), Bytes: l.AskedBytes.Load() + l.ToldBytes.Load()}}
+	c := f.Traffic()
+	l := &f.ListMeter
+	return spent{time.Now(), c.MemberTotal(), c.RaftTotal(), hollow.Tally{Messages: l.RequestChunks.Load() + l.ResponseChunks.Load(), Bytes: l.RequestBytes.Load() + l.ResponseBytes.Load()}}
 }
 
 // beyond is what was spent from a to b beyond the pace of the time from before to a; not below 0.
@@ -58,7 +58,7 @@
 
 func (r Run) recoveries(s *sheet, n int) error {
 	p, x := r.plan(n), float64(n)
-	f, err := hollow.Launch(p)
+	f, err := hollow.StartFleet(p)
 	if err != nil {
 		return err
 	}
@@ -103,9 +103,9 @@
 // voter kills the leader and starts it again.
 func (r Run) voter(s *sheet, f *hollow.Fleet, x float64, n int) error {
 	leads := f.Leader()
-	f.Events()
+	f.TakeEvents()
 	var elected time.Duration
-	err := r.recovery(s, f, "restart-leader", x, how(f.Plan), func() error {
+	err := r.recovery(s, f, "restart-leader", x, how(f.Config), func() error {
 		begun := time.Now()
 		f.Stop(leads)
 		if err := f.Await("a new leader", time.Minute, func() bool { return f.Leader() >= 0 }); err != nil {
@@ -121,13 +121,13 @@
 		return err
 	}
 	fenced := map[string]bool{}
-	for _, e := range f.Events() {
-		if e.Step == "fenced" && e.Process != hollow.Name(leads) {
+	for _, e := range f.TakeEvents() {
+		if e.Name == "fenced" && e.Process != hollow.DispatcherName(leads) {
 			fenced[e.Process] = true
 		}
 	}
-	s.add("restart-leader-elected", "ms", x, float64(elected.Microseconds())/1000, how(f.Plan))
-	s.add("restart-leader-fenced", "dispatchers that stopped", x, float64(len(fenced)), how(f.Plan))
+	s.add("restart-leader-elected", "ms", x, float64(elected.Microseconds())/1000, how(f.Config))
+	s.add("restart-leader-fenced", "dispatchers that stopped", x, float64(len(fenced)), how(f.Config))
 	return nil
 }
 
@@ -157,7 +157,7 @@
 	s := &sheet{against: "dispatchers", note: fmt.Sprintf("lease %v, %d names, %d workers; voters keep their logs", r.Lease, r.Bans, r.Workers)}
 	for _, n := range sizes {
 		p := r.plan(n)
-		f, err := hollow.Launch(p)
+		f, err := hollow.StartFleet(p)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/hollow/measure/rounds.go
+++ b/internal/lab/hollow/measure/rounds.go
@@ -45,7 +45,7 @@
 	for _, n := range sizes {
 		p := r.plan(n)
 		p.Real, p.Hollow = 0, n
-		f, err := hollow.Launch(p)
+		f, err := hollow.StartFleet(p)
 		if err != nil {
 			return nil, err
 		}
@@ -64,15 +64,15 @@
 }
 
 func (r Run) round(f *hollow.Fleet, s *sheet, name string, x float64, counted *rounds) {
-	counts, n, begun := f.Counts(), counted.n.Load(), time.Now()
+	counts, n, begun := f.Traffic(), counted.n.Load(), time.Now()
 	time.Sleep(r.Window)
 	secs := time.Since(begun).Seconds()
-	c, k := f.Counts().Since(counts), float64(counted.n.Load()-n)
-	own := float64(c[hollow.Asks].Messages) / (x - 1) // the leader's own member asks it without a relay
-	asks := float64(c[hollow.Asks].Messages) + own
+	c, k := f.Traffic().Since(counts), float64(counted.n.Load()-n)
+	own := float64(c[hollow.MemberRequests].Messages) / (x - 1) // the leader's own member asks it without a relay
+	asks := float64(c[hollow.MemberRequests].Messages) + own
 	s.add(name+"-a-second", "rounds a second", x, k/secs, capacity.Hollow)
 	s.add(name+"-asks", "asks a second", x, asks/secs, capacity.Hollow)
 	s.add(name+"-asks-each", "asks a round", x, asks/k, capacity.Hollow)
-	s.add(name+"-heartbeats", "messages a second", x, float64(c[hollow.Beats].Messages)/secs, capacity.Hollow)
-	s.add(name+"-bytes", "bytes a second", x, float64(c.Log().Bytes)/secs, capacity.Hollow)
+	s.add(name+"-heartbeats", "messages a second", x, float64(c[hollow.Heartbeats].Messages)/secs, capacity.Hollow)
+	s.add(name+"-bytes", "bytes a second", x, float64(c.RaftTotal().Bytes)/secs, capacity.Hollow)
 }
--- a/internal/lab/hollow/meter.go
+++ b/internal/lab/hollow/meter.go
@@ -12,35 +12,35 @@
 	"tinsail/internal/faultnet"
 )
 
-// Kind is what a message at a voter's address is for.
-type Kind int
+// MessageKind is what a message at a voter's address is for.
+type MessageKind int
 
 // Kinds. Of the log's library's messages only the asking side is a kind of its own: what answers it counts in
-// bytes alone, as Replies.
+// bytes alone, as RaftResponses.
 const (
-	Asks     Kind = iota // from members: of leases and of shares
-	Answers              // to members
-	Beats                // heartbeats, at their pace or to confirm that the leader leads
-	Timeouts             // appends without an entry, at the commit time-out
-	Entries              // appends with entries
-	Others               // votes, snapshots, hand-overs
-	Replies              // to all of the log's library's
-	Unread               // what could not be read: there must be none
+	MemberRequests    MessageKind = iota // from members: of leases and of shares
+	MemberAnswers                        // to members
+	Heartbeats                           // heartbeats, at their pace or to confirm that the leader leads
+	CommitTimeouts                       // appends without an entry, at the commit time-out
+	LogEntries                           // appends with entries
+	OtherRaftRequests                    // votes, snapshots, hand-overs
+	RaftResponses                        // to all of the log's library's
+	Undecoded                            // what could not be read: there must be none
 	kinds
 )
 
-func (k Kind) String() string {
+func (k MessageKind) String() string {
 	return [...]string{"asks", "answers", "heartbeats", "commit time-outs", "entries", "others", "replies", "unread"}[k]
 }
 
 // Tally is how much came of a kind.
 type Tally struct{ Messages, Bytes int64 }
 
-// Counts are tallies by kind.
-type Counts [kinds]Tally
+// Traffic are tallies by kind.
+type Traffic [kinds]Tally
 
 // Since is what came after an earlier reading.
-func (c Counts) Since(old Counts) Counts {
+func (c Traffic) Since(old Traffic) Traffic {
 	for k := range c {
 		c[k].Messages -= old[k].Messages
 		c[k].Bytes -= old[k].Bytes
@@ -48,8 +48,8 @@
 	return c
 }
 
-// Plus is the sum.
-func (c Counts) Plus(d Counts) Counts {
+// Add is the sum.
+func (c Traffic) Add(d Traffic) Traffic {
 	for k := range c {
 		c[k].Messages += d[k].Messages
 		c[k].Bytes += d[k].Bytes
@@ -57,18 +57,18 @@
 	return c
 }
 
-// Log is the part of the log's library: all that goes between the voters for it.
-func (c Counts) Log() (t Tally) {
-	for _, k := range []Kind{Beats, Timeouts, Entries, Others, Replies, Unread} {
+// RaftTotal is the part of the log's library: all that goes between the voters for it.
+func (c Traffic) RaftTotal() (t Tally) {
+	for _, k := range []MessageKind{Heartbeats, CommitTimeouts, LogEntries, OtherRaftRequests, RaftResponses, Undecoded} {
 		t.Messages += c[k].Messages
 		t.Bytes += c[k].Bytes
 	}
 	return t
 }
 
-// Members is the part of the members' links.
-func (c Counts) Members() Tally {
-	return Tally{c[Asks].Messages + c[Answers].Messages, c[Asks].Bytes + c[Answers].Bytes}
+// MemberTotal is the part of the members' links.
+func (c Traffic) MemberTotal() Tally {
+	return Tally{c[MemberRequests].Messages + c[MemberAnswers].Messages, c[MemberRequests].Bytes + c[MemberAnswers].Bytes}
 }
 
 // Meter counts what passes relays that stand before voters' addresses. It is for concurrent use.
@@ -76,13 +76,13 @@
 	messages, bytes [kinds]atomic.Int64
 }
 
-func (m *Meter) add(k Kind, messages, bytes int64) {
+func (m *Meter) add(k MessageKind, messages, bytes int64) {
 	m.messages[k].Add(messages)
 	m.bytes[k].Add(bytes)
 }
 
-// Counts reads the meter.
-func (m *Meter) Counts() (c Counts) {
+// Traffic reads the meter.
+func (m *Meter) Traffic() (c Traffic) {
 	for k := range c {
 		c[k] = Tally{m.messages[k].Load(), m.bytes[k].Load()}
 	}
@@ -106,9 +106,9 @@
 			p = p[1:]
 			switch mark.Load() {
 			case memberMark:
-				m.add(Asks, 0, 1)
+				m.add(MemberRequests, 0, 1)
 			case logMark:
-				m.add(Others, 0, 1)
+				m.add(OtherRaftRequests, 0, 1)
 				var r *io.PipeReader
 				r, log = io.Pipe()
 				go m.read(r)
@@ -119,23 +119,23 @@
 		}
 		switch {
 		case mark.Load() == memberMark:
-			m.add(Asks, ask.take(p), int64(len(p)))
+			m.add(MemberRequests, ask.take(p), int64(len(p)))
 		case log != nil && len(p) == 0:
 			log.Close()
 		case log != nil:
 			_, _ = log.Write(p) // read until the end, whatever it says
 		default:
-			m.add(Unread, 0, int64(len(p)))
+			m.add(Undecoded, 0, int64(len(p)))
 		}
 	}
 	back = func(p []byte) {
 		switch mark.Load() {
 		case memberMark:
-			m.add(Answers, answer.take(p), int64(len(p)))
+			m.add(MemberAnswers, answer.take(p), int64(len(p)))
 		case logMark:
-			m.add(Replies, 0, int64(len(p)))
+			m.add(RaftResponses, 0, int64(len(p)))
 		default:
-			m.add(Unread, 0, int64(len(p)))
+			m.add(Undecoded, 0, int64(len(p)))
 		}
 	}
 	return out, back
@@ -189,17 +189,17 @@
 		if err != nil {
 			return
 		}
-		k, rest := Others, int64(0)
+		k, rest := OtherRaftRequests, int64(0)
 		switch kind {
 		case rpcAppend:
 			var q raft.AppendEntriesRequest
 			switch err = dec.Decode(&q); {
 			case len(q.Entries) > 0:
-				k = Entries
+				k = LogEntries
 			case q.PrevLogEntry == 0 && q.LeaderCommitIndex == 0:
-				k = Beats
+				k = Heartbeats
 			default:
-				k = Timeouts
+				k = CommitTimeouts
 			}
 		case rpcVote:
 			err = dec.Decode(&raft.RequestVoteRequest{})
@@ -218,9 +218,9 @@
 			_, err = io.CopyN(io.Discard, in, rest)
 		}
 		if err != nil {
-			m.add(Unread, 1, in.n)
+			m.add(Undecoded, 1, in.n)
 			n, _ := io.Copy(io.Discard, in.r)
-			m.add(Unread, 0, n)
+			m.add(Undecoded, 0, n)
 			return
 		}
 		m.add(k, 1, in.n)
--- a/internal/lab/hollow/meter_test.go
+++ b/internal/lab/hollow/meter_test.go
@@ -34,10 +34,10 @@
 		back(answer)
 		out(nil)
 		back(nil)
-		c := m.Counts()
-		assert.Equal(t, Tally{int64(n), total}, c[Asks])
-		assert.Equal(t, Tally{1, int64(len(answer))}, c[Answers])
-		assert.Zero(t, c[Unread])
+		c := m.Traffic()
+		assert.Equal(t, Tally{int64(n), total}, c[MemberRequests])
+		assert.Equal(t, Tally{1, int64(len(answer))}, c[MemberAnswers])
+		assert.Zero(t, c[Undecoded])
 	})
 }
 
@@ -46,8 +46,8 @@
 	m := &Meter{}
 	out, back := m.Tap()
 	out([]byte{logMark})
-	size := map[Kind]int64{Others: 1}
-	send := func(kind byte, q any, k Kind, more ...byte) {
+	size := map[MessageKind]int64{OtherRaftRequests: 1}
+	send := func(kind byte, q any, k MessageKind, more ...byte) {
 		text := []byte{kind}
 		var b []byte
 		require.NoError(t, codec.NewEncoderBytes(&b, &codec.MsgpackHandle{}).Encode(q))
@@ -56,21 +56,21 @@
 		out(text[:1])
 		out(text[1:])
 	}
-	send(rpcAppend, raft.AppendEntriesRequest{Term: 3}, Beats)
-	send(rpcAppend, raft.AppendEntriesRequest{Term: 3, PrevLogEntry: 7, LeaderCommitIndex: 7}, Timeouts)
-	send(rpcAppend, raft.AppendEntriesRequest{Term: 3, PrevLogEntry: 7, Entries: []*raft.Log{{Data: []byte("body")}}}, Entries)
-	send(rpcVote, raft.RequestVoteRequest{Term: 3}, Others)
-	send(rpcPreVote, raft.RequestPreVoteRequest{Term: 3}, Others)
-	send(rpcSnapshot, raft.InstallSnapshotRequest{Size: 3}, Others, 'a', 'b', 'c')
-	send(rpcHandOver, raft.TimeoutNowRequest{}, Others)
+	send(rpcAppend, raft.AppendEntriesRequest{Term: 3}, Heartbeats)
+	send(rpcAppend, raft.AppendEntriesRequest{Term: 3, PrevLogEntry: 7, LeaderCommitIndex: 7}, CommitTimeouts)
+	send(rpcAppend, raft.AppendEntriesRequest{Term: 3, PrevLogEntry: 7, Entries: []*raft.Log{{Data: []byte("body")}}}, LogEntries)
+	send(rpcVote, raft.RequestVoteRequest{Term: 3}, OtherRaftRequests)
+	send(rpcPreVote, raft.RequestPreVoteRequest{Term: 3}, OtherRaftRequests)
+	send(rpcSnapshot, raft.InstallSnapshotRequest{Size: 3}, OtherRaftRequests, 'a', 'b', 'c')
+	send(rpcHandOver, raft.TimeoutNowRequest{}, OtherRaftRequests)
 	back([]byte("1234"))
 	out([]byte{9, 9})
-	size[Unread] = 2
+	size[Undecoded] = 2
 	out(nil)
-	require.Eventually(t, func() bool { return m.Counts()[Unread].Bytes == 2 }, time.Minute, time.Millisecond)
-	c := m.Counts()
-	for k, want := range map[Kind]int64{Beats: 1, Timeouts: 1, Entries: 1, Others: 4, Unread: 1} {
+	require.Eventually(t, func() bool { return m.Traffic()[Undecoded].Bytes == 2 }, time.Minute, time.Millisecond)
+	c := m.Traffic()
+	for k, want := range map[MessageKind]int64{Heartbeats: 1, CommitTimeouts: 1, LogEntries: 1, OtherRaftRequests: 4, Undecoded: 1} {
 		assert.Equal(t, Tally{want, size[k]}, c[k], k)
 	}
-	assert.Equal(t, int64(4), c[Replies].Bytes)
+	assert.Equal(t, int64(4), c[RaftResponses].Bytes)
 }
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -87,8 +87,8 @@
 	<-p.ended
 }
 
-// Ended says whether it has ended.
-func (p *Process) Ended() bool {
+// Exited says whether it has ended.
+func (p *Process) Exited() bool {
 	select {
 	case <-p.ended:
 		return true
@@ -97,33 +97,33 @@
 	}
 }
 
-// Cost is what a process has cost so far.
-type Cost struct {
-	CPU     time.Duration // user and system, in steps of 10 ms
-	Memory  int64         // bytes that are resident
-	Threads int64
-	Files   int // descriptors that are open
+// ResourceUsage is what a process has cost so far.
+type ResourceUsage struct {
+	CPU       time.Duration // user and system, in steps of 10 ms
+	Memory    int64         // bytes that are resident
+	Threads   int64
+	OpenFiles int // descriptors that are open
 }
 
 // tick is the kernel's unit of processor time in /proc (USER_HZ, which is 100 on Linux).
 const tick = 10 * time.Millisecond
 
-// CostOf reads what a process has cost, of this machine's /proc; -1 is this process.
-func CostOf(pid int) (Cost, error) {
+// ReadResourceUsage reads what a process has cost, of this machine's /proc; -1 is this process.
+func ReadResourceUsage(pid int) (ResourceUsage, error) {
 	at := filepath.Join("/proc", strconv.Itoa(pid))
 	if pid < 0 {
 		at = "/proc/self"
 	}
 	text, err := os.ReadFile(filepath.Join(at, "stat"))
 	if err != nil {
-		return Cost{}, err
+		return ResourceUsage{}, err
 	}
 	_, after, ok := strings.Cut(string(text), ") ")
 	f := strings.Fields(after)
 	if !ok || len(f) < 22 {
-		return Cost{}, fmt.Errorf("%s/stat has %d fields", at, len(f))
+		return ResourceUsage{}, fmt.Errorf("%s/stat has %d fields", at, len(f))
 	}
 	n := func(i int) int64 { v, _ := strconv.ParseInt(f[i], 10, 64); return v } // 0 is the third field of proc(5)
 	files, err := os.ReadDir(filepath.Join(at, "fd"))
-	return Cost{CPU: time.Duration(n(11)+n(12)) * tick, Memory: n(21) * int64(os.Getpagesize()), Threads: n(17), Files: len(files)}, err
+	return ResourceUsage{CPU: time.Duration(n(11)+n(12)) * tick, Memory: n(21) * int64(os.Getpagesize()), Threads: n(17), OpenFiles: len(files)}, err
 }
--- a/internal/lab/hollow/size/day.go
+++ b/internal/lab/hollow/size/day.go
@@ -16,7 +16,7 @@
 
 // Day is what is played. It is bounded by its counts, and by Most in time.
 type Day struct {
-	Fleet    hollow.Plan
+	Fleet    hollow.FleetConfig
 	Teams    int           // names in the policy
 	Changes  int           // of the policy, one after another
 	Restarts int           // of dispatchers, spread over the changes, half of them within one; every third is a kill
@@ -40,10 +40,10 @@
 	Lost                int // reqs whose connection broke
 	Unjudged            int // lines of the accord that a process's log left out
 	Verdicts            []history.Violation
-	Counts              hollow.Counts
+	Counts              hollow.Traffic
 	ListBytes           int64
-	Real                []hollow.Cost // of the real processes at the end, the voters first
-	Own                 hollow.Cost   // of this process: hollow dispatchers, workers, relays, clients and judge
+	Real                []hollow.ResourceUsage // of the real processes at the end, the voters first
+	Own                 hollow.ResourceUsage   // of this process: hollow dispatchers, workers, relays, clients and judge
 }
 
 // Memory is that of all processes in bytes.
@@ -72,7 +72,7 @@
 // Play plays a day. An error is a day that could not be played to its end; what was played of it is in the report.
 func Play(d Day) (*Report, error) {
 	rep := &Report{}
-	f, err := hollow.Launch(d.Fleet)
+	f, err := hollow.StartFleet(d.Fleet)
 	if err != nil {
 		return rep, err
 	}
@@ -172,7 +172,7 @@
 		p.f.Stop(i)
 		p.rep.Killed++
 	} else {
-		p.f.Retire(i, 5*time.Second)
+		p.f.Terminate(i, 5*time.Second)
 		p.rep.Restarted++
 	}
 	if err := p.f.Start(i); err != nil {
@@ -190,12 +190,12 @@
 	for i := range p.n {
 		if i%hollow.Regions == region {
 			members++
-			p.rig(history.CutOff, hollow.Name(i))
+			p.rig(history.CutOff, hollow.DispatcherName(i))
 		}
 	}
-	p.f.Cut(region, true)
+	p.f.SetIsolated(region, true)
 	begun := time.Now()
-	err := p.f.Await("a leader of the rest", settle, func() bool { return p.f.Leads(rest) || p.f.Leads((rest+1)%hollow.Regions) })
+	err := p.f.Await("a leader of the rest", settle, func() bool { return p.f.IsLeader(rest) || p.f.IsLeader((rest+1)%hollow.Regions) })
 	if err == nil {
 		changed := time.Now()
 		var version uint64
@@ -205,22 +205,22 @@
 		p.rep.CutChange = time.Since(changed)
 	}
 	time.Sleep(time.Until(begun.Add(p.Cut)))
-	p.f.Cut(region, false)
+	p.f.SetIsolated(region, false)
 	for i := range p.n {
 		if i%hollow.Regions == region {
-			p.rig(history.Reconnected, hollow.Name(i))
+			p.rig(history.Reconnected, hollow.DispatcherName(i))
 		}
 	}
 	back := time.Now()
 	if err == nil {
-		err = p.f.AwaitServing(p.n, p.f.Decided(), settle)
+		err = p.f.AwaitServing(p.n, p.f.LastDecided(), settle)
 	}
 	p.rep.Back = time.Since(back)
 	p.rig(history.FaultsEnded, "")
 	return err
 }
 
-func (p *day) rig(what, process string) { p.f.Tell(process, what) }
+func (p *day) rig(what, process string) { p.f.RecordRigEvent(process, what) }
 
 // judge takes the history and what it cost.
 func (p *day) judge() error {
@@ -229,21 +229,21 @@
 		if q == nil {
 			continue
 		}
-		c, e := hollow.CostOf(q.PID())
+		c, e := hollow.ReadResourceUsage(q.PID())
 		err = errors.Join(err, e)
 		p.rep.Real = append(p.rep.Real, c)
 	}
-	own, e := hollow.CostOf(-1)
+	own, e := hollow.ReadResourceUsage(-1)
 	p.rep.Own, err = own, errors.Join(err, e)
-	p.rep.Counts = p.f.Counts()
-	p.rep.ListBytes = p.f.Lists.AskedBytes.Load() + p.f.Lists.ToldBytes.Load()
-	for _, e := range p.f.Events() {
+	p.rep.Counts = p.f.Traffic()
+	p.rep.ListBytes = p.f.ListMeter.RequestBytes.Load() + p.f.ListMeter.ResponseBytes.Load()
+	for _, e := range p.f.TakeEvents() {
 		side := history.SourceLog
-		if e.Rig {
+		if e.FromRig {
 			side = history.SourceRig
 		}
-		p.rep.Unjudged += e.LeftOut
-		p.lines = append(p.lines, history.Line{Time: e.At.UnixNano(), Source: side, Process: e.Process, Event: e.Step, Version: e.Version, Change: e.Change, Proposer: e.By, Reason: e.Why})
+		p.rep.Unjudged += e.DroppedLines
+		p.lines = append(p.lines, history.Line{Time: e.Time.UnixNano(), Source: side, Process: e.Process, Event: e.Name, Version: e.Version, Change: e.Change, Proposer: e.Proposer, Reason: e.Reason})
 	}
 	p.lines = append(p.lines, p.load.history(p.rep)...)
 	p.lines = append(p.lines, starts(p.f)...)
--- a/internal/lab/hollow/size/day_test.go
+++ b/internal/lab/hollow/size/day_test.go
@@ -23,9 +23,9 @@
 
 // full is the letter's size, as far as one machine plays it; small is the same in little.
 var (
-	full = Day{Fleet: hollow.Plan{Real: 30, Hollow: 270, Lease: 1500 * time.Millisecond, Lag: 25 * time.Millisecond, Workers: 580},
+	full = Day{Fleet: hollow.FleetConfig{Real: 30, Hollow: 270, Lease: 1500 * time.Millisecond, RegionLatency: 25 * time.Millisecond, Workers: 580},
 		Teams: 310, Changes: 240, Restarts: 190, Starts: 36, Cut: 20 * time.Second, Slack: 20 * time.Millisecond, Most: 12 * time.Minute, Seed: 1}
-	small = Day{Fleet: hollow.Plan{Real: 5, Hollow: 10, Lease: 1500 * time.Millisecond, Lag: 5 * time.Millisecond, Workers: 12},
+	small = Day{Fleet: hollow.FleetConfig{Real: 5, Hollow: 10, Lease: 1500 * time.Millisecond, RegionLatency: 5 * time.Millisecond, Workers: 12},
 		Teams: 40, Changes: 8, Restarts: 6, Starts: 20, Cut: 4 * time.Second, Slack: 20 * time.Millisecond, Most: 3 * time.Minute, Seed: 1}
 )
 
@@ -49,7 +49,7 @@
 	require.NoError(t, err)
 	assert.Len(t, r.Everywhere, d.Changes)
 	assert.GreaterOrEqual(t, r.Restarted+r.Killed, d.Restarts*(d.Changes-1)/d.Changes)
-	assert.Zero(t, r.Counts[hollow.Unread].Bytes)
+	assert.Zero(t, r.Counts[hollow.Undecoded].Bytes)
 	assert.Equal(t, r.Asked, r.Served+r.Shed+r.Lost, "one answer each, or a connection that broke")
 	assert.NotZero(t, r.Served)
 	assert.Less(t, r.Memory(), int64(12<<30))
@@ -67,12 +67,12 @@
 	t.Logf("reqs: asked %d, 200 %d, other answers %d, broken %d", r.Asked, r.Served, r.Shed, r.Lost)
 	t.Logf("lines left out by logs: %d; verdicts: %d", r.Unjudged, len(r.Verdicts))
 	for k, c := range r.Counts {
-		t.Logf("%-18v %9d messages %12d bytes", hollow.Kind(k), c.Messages, c.Bytes)
+		t.Logf("%-18v %9d messages %12d bytes", hollow.MessageKind(k), c.Messages, c.Bytes)
 	}
 	t.Logf("lists: %d bytes", r.ListBytes)
 	for i, c := range r.Real {
 		if i < hollow.Regions+1 {
-			t.Logf("process %d: %v of processor time, %d MB, %d threads, %d descriptors", i, c.CPU, c.Memory>>20, c.Threads, c.Files)
+			t.Logf("process %d: %v of processor time, %d MB, %d threads, %d descriptors", i, c.CPU, c.Memory>>20, c.Threads, c.OpenFiles)
 		}
 	}
 	t.Logf("this process: %v, %d MB; all: %d MB in %d processes", r.Own.CPU, r.Own.Memory>>20, r.Memory()>>20, len(r.Real)+1)
--- a/internal/lab/hollow/size/load.go
+++ b/internal/lab/hollow/size/load.go
@@ -80,7 +80,7 @@
 	id := fmt.Sprintf("s-%d", l.sent)
 	to := l.up[l.sent%len(l.up)]
 	address := l.f.Address(to)
-	l.lines = append(l.lines, history.Line{Time: time.Now().UnixNano(), Source: history.SourceClient, Req: id, Dispatcher: hollow.Name(to), Sent: true})
+	l.lines = append(l.lines, history.Line{Time: time.Now().UnixNano(), Source: history.SourceClient, Req: id, Dispatcher: hollow.DispatcherName(to), Sent: true})
 	l.mu.Unlock()
 	status := 0
 	r, err := http.NewRequest("POST", "http://"+address+"/photo/1", strings.NewReader("b"))
@@ -99,7 +99,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.by[status]++
-	l.lines = append(l.lines, history.Line{Time: time.Now().UnixNano(), Source: history.SourceClient, Req: id, Dispatcher: hollow.Name(to), Status: status})
+	l.lines = append(l.lines, history.Line{Time: time.Now().UnixNano(), Source: history.SourceClient, Req: id, Dispatcher: hollow.DispatcherName(to), Status: status})
 }
 
 // history is that of the clients, counted into a report.
@@ -120,7 +120,7 @@
 
 // starts are the attempts that the workers saw.
 func starts(f *hollow.Fleet) (out []history.Line) {
-	for _, b := range f.Workers.All() {
+	for _, b := range f.Workers.Backends() {
 		for _, s := range b.AttemptStarts() {
 			v, _ := strconv.ParseUint(s.Version, 10, 64) // none: 0, which the checker refuses
 			out = append(out, history.Line{Time: s.At.UnixNano(), Source: history.SourceBackend, Backend: b.Name, Dispatcher: s.Dispatcher, Req: s.Req, Version: v, Started: true})
--- a/internal/lab/hollow/truth_test.go
+++ b/internal/lab/hollow/truth_test.go
@@ -31,11 +31,11 @@
 	os.Exit(code)
 }
 
-func fleet(t *testing.T, p Plan) *Fleet {
+func fleet(t *testing.T, p FleetConfig) *Fleet {
 	var err error
 	p.Program, err = program()
 	require.NoError(t, err)
-	f, err := Launch(p)
+	f, err := StartFleet(p)
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
 	return f
@@ -52,23 +52,23 @@
 		n, err = strconv.Atoi(text)
 		require.NoError(t, err)
 	}
-	plan := Plan{Real: n, Lease: 900 * time.Millisecond, Workers: 6}
+	plan := FleetConfig{Real: n, Lease: 900 * time.Millisecond, Workers: 6}
 	real := fleet(t, plan)
 	plan.Real, plan.Hollow = Regions, n-Regions
 	hollow := fleet(t, plan)
 	for _, f := range []*Fleet{real, hollow} {
 		require.NoError(t, f.AwaitServing(n, 1, time.Minute))
 	}
-	var a, b Counts
+	var a, b Traffic
 	for play := 1; ; play++ { // an election in one of the two fleets alone, of a starved machine, is no difference of theirs
-		first, second := real.Counts(), hollow.Counts()
+		first, second := real.Traffic(), hollow.Traffic()
 		most := int64(n * 40) // asks of leases and shares that the real fleet's voters get meanwhile
-		require.NoError(t, real.Await("asks", 2*time.Minute, func() bool { return real.Counts().Since(first)[Asks].Messages >= most }))
-		a, b = real.Counts().Since(first), hollow.Counts().Since(second)
+		require.NoError(t, real.Await("asks", 2*time.Minute, func() bool { return real.Traffic().Since(first)[MemberRequests].Messages >= most }))
+		a, b = real.Traffic().Since(first), hollow.Traffic().Since(second)
 		for k := range kinds {
 			t.Logf("%-18v real %6d of %8d bytes, hollow %6d of %8d bytes", k, a[k].Messages, a[k].Bytes, b[k].Messages, b[k].Bytes)
 		}
-		if a[Others].Messages+b[Others].Messages == 0 {
+		if a[OtherRaftRequests].Messages+b[OtherRaftRequests].Messages == 0 {
 			break
 		}
 		t.Logf("play %d: an election, played again", play)
@@ -77,18 +77,18 @@
 			require.NoError(t, f.AwaitServing(n, 1, time.Minute))
 		}
 	}
-	assert.Zero(t, a[Unread].Bytes+b[Unread].Bytes)
+	assert.Zero(t, a[Undecoded].Bytes+b[Undecoded].Bytes)
 	same := func(what string, x, y int64) {
 		assert.InEpsilon(t, float64(x), float64(y), 0.1, what)
 	}
-	same("messages of asks", a[Asks].Messages, b[Asks].Messages)
-	same("bytes of asks", a[Asks].Bytes, b[Asks].Bytes)
-	same("messages of answers", a[Answers].Messages, b[Answers].Messages)
-	same("bytes of answers", a[Answers].Bytes, b[Answers].Bytes)
-	if n > TrueBetween {
-		t.Logf("between the voters: messages real %d, hollow %d; bytes real %d, hollow %d: not used from hollow ones", a.Log().Messages, b.Log().Messages, a.Log().Bytes, b.Log().Bytes)
+	same("messages of asks", a[MemberRequests].Messages, b[MemberRequests].Messages)
+	same("bytes of asks", a[MemberRequests].Bytes, b[MemberRequests].Bytes)
+	same("messages of answers", a[MemberAnswers].Messages, b[MemberAnswers].Messages)
+	same("bytes of answers", a[MemberAnswers].Bytes, b[MemberAnswers].Bytes)
+	if n > MaxSizeForVoterTraffic {
+		t.Logf("between the voters: messages real %d, hollow %d; bytes real %d, hollow %d: not used from hollow ones", a.RaftTotal().Messages, b.RaftTotal().Messages, a.RaftTotal().Bytes, b.RaftTotal().Bytes)
 		return
 	}
-	same("messages between the voters", a.Log().Messages, b.Log().Messages)
-	same("bytes between the voters", a.Log().Bytes, b.Log().Bytes)
+	same("messages between the voters", a.RaftTotal().Messages, b.RaftTotal().Messages)
+	same("bytes between the voters", a.RaftTotal().Bytes, b.RaftTotal().Bytes)
 }
--- a/internal/lab/hollow/workers.go
+++ b/internal/lab/hollow/workers.go
@@ -8,8 +8,8 @@
 	"tinsail/internal/standin/platform"
 )
 
-// Accelerators is how many a fleet of workers has: 1,100 at 580, and in that proportion at others.
-func Accelerators(workers int) int { return workers * 1100 / 580 }
+// AcceleratorCount is how many a fleet of workers has: 1,100 at 580, and in that proportion at others.
+func AcceleratorCount(workers int) int { return workers * 1100 / 580 }
 
 // Workers are hollow workers in one process: each a listener that answers and a line of the director's list, with
 // its accelerators as its slots.
@@ -24,7 +24,7 @@
 // StartWorkers starts workers and lists them. Close ends them.
 func StartWorkers(d *platform.Director, n int) (*Workers, error) {
 	w := &Workers{director: d}
-	total := Accelerators(n)
+	total := AcceleratorCount(n)
 	for i := range n {
 		slots := total*(i+1)/n - total*i/n
 		b, err := platform.StartBackend(fmt.Sprintf("w-%03d", i), slots, func(string) time.Duration { return 20 * time.Millisecond })
@@ -38,19 +38,19 @@
 	return w, nil
 }
 
-// All are the backends that stand for them.
-func (w *Workers) All() []*platform.Backend { return w.all }
+// Backends are the backends that stand for them.
+func (w *Workers) Backends() []*platform.Backend { return w.all }
 
-// Slots are the accelerators of all.
-func (w *Workers) Slots() (n int) {
+// SlotCount are the accelerators of all.
+func (w *Workers) SlotCount() (n int) {
 	for _, s := range w.slots {
 		n += s
 	}
 	return n
 }
 
-// Tell has the next worker in turn drain, or be ready again: one line of news.
-func (w *Workers) Tell() {
+// ToggleNextStatus has the next worker in turn drain, or be ready again: one line of news.
+func (w *Workers) ToggleNextStatus() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.all) == 0 {
