--- a/internal/lab/capacity/run/accord.go
+++ b/internal/lab/capacity/run/accord.go
@@ -13,8 +13,8 @@
 
 // steady is a fleet in which nothing changes; changing is one that does.
 var (
-	steady   = hollow.Run{Real: mostReal, Workers: 30, Lease: 3 * time.Second, Settle: 2 * time.Second, Window: 8 * time.Second, Repeats: 2}
-	changing = hollow.Run{Real: 6, Workers: 6, Lease: 3 * time.Second, Bans: hollow.Teams, Repeats: 5}
+	steady   = hollow.Runner{MaxReal: mostReal, Workers: 30, Lease: 3 * time.Second, Settle: 2 * time.Second, Window: 8 * time.Second, Repeats: 2}
+	changing = hollow.Runner{MaxReal: 6, Workers: 6, Lease: 3 * time.Second, BannedNames: hollow.TeamCount, Repeats: 5}
 )
 
 func ms(n ...int) (all []time.Duration) {
@@ -27,48 +27,50 @@
 // accordParts are the parts that need the accord.
 var accordParts = map[string]func(measure.Program) ([]capacity.Row, error){
 	"accord": func(p measure.Program) ([]capacity.Row, error) {
-		return with(steady, p).Voters(9, 20, 40, 80, 160, 300)
+		return with(steady, p).SteadyByFleetSize(9, 20, 40, 80, 160, 300)
+	},
+	"accord-bare": func(p measure.Program) ([]capacity.Row, error) {
+		return with(steady, p).WithoutAccordByFleetSize(3, 6, 9, 12)
 	},
-	"accord-bare": func(p measure.Program) ([]capacity.Row, error) { return with(steady, p).Bare(3, 6, 9, 12) },
 	"accord-lease": func(p measure.Program) ([]capacity.Row, error) {
-		return with(steady, p).Leases(20, ms(1000, 1500, 3000, 9000)...)
+		return with(steady, p).SteadyByLease(20, ms(1000, 1500, 3000, 9000)...)
 	},
 	"accord-lag": func(p measure.Program) ([]capacity.Row, error) {
-		return with(steady, p).Lags(40, ms(0, 5, 25, 75, 150)...)
+		return with(steady, p).SteadyByLatency(40, ms(0, 5, 25, 75, 150)...)
 	},
 	"rounds": func(p measure.Program) ([]capacity.Row, error) {
-		return with(steady, p).Rounds(3, 9, 20, 40, 80, 160, 300)
+		return with(steady, p).LeadershipRoundsByFleetSize(3, 9, 20, 40, 80, 160, 300)
 	},
 	"rounds-lag": func(p measure.Program) ([]capacity.Row, error) {
 		r := with(steady, p)
-		r.Lag = 25 * time.Millisecond
-		return r.Rounds(9, 20, 40, 80, 160, 300)
+		r.RegionLatency = 25 * time.Millisecond
+		return r.LeadershipRoundsByFleetSize(9, 20, 40, 80, 160, 300)
 	},
 	"recovery": func(p measure.Program) ([]capacity.Row, error) {
 		r := with(steady, p)
-		r.Workers, r.Bans, r.Real, r.Window = 580, hollow.Teams, 20, 3*time.Second
-		return r.Recoveries(9, 20, 40, 80)
+		r.Workers, r.BannedNames, r.MaxReal, r.Window = 580, hollow.TeamCount, 20, 3*time.Second
+		return r.RestartsByFleetSize(9, 20, 40, 80)
 	},
 	"recovery-all": func(p measure.Program) ([]capacity.Row, error) {
 		r := with(steady, p)
-		r.Workers, r.Bans, r.Real = 580, hollow.Teams, 40
-		return r.Cold(9, 20, 40, 80)
+		r.Workers, r.BannedNames, r.MaxReal = 580, hollow.TeamCount, 40
+		return r.FleetRestartByFleetSize(9, 20, 40, 80)
 	},
 	"change": func(p measure.Program) ([]capacity.Row, error) {
-		return with(changing, p).Changes(9, 20, 40, 80, 160, 300)
+		return with(changing, p).ChangeByFleetSize(9, 20, 40, 80, 160, 300)
 	},
 	"change-size": func(p measure.Program) ([]capacity.Row, error) {
-		return with(changing, p).Sizes(20, 1, 77, 155, 310, 620)
+		return with(changing, p).ChangeByPolicySize(20, 1, 77, 155, 310, 620)
 	},
 	"change-lag": func(p measure.Program) ([]capacity.Row, error) {
-		return with(changing, p).Distances(20, ms(0, 5, 25, 75, 150)...)
+		return with(changing, p).ChangeByLatency(20, ms(0, 5, 25, 75, 150)...)
 	},
 	"change-down": func(p measure.Program) ([]capacity.Row, error) {
-		return with(changing, p).Downs(20, ms(600, 1000, 2000, 3000)...)
+		return with(changing, p).ChangeAfterKillByLease(20, ms(600, 1000, 2000, 3000)...)
 	},
 }
 
-func with(r hollow.Run, p measure.Program) hollow.Run {
+func with(r hollow.Runner, p measure.Program) hollow.Runner {
 	r.Program, r.Env = p.Args, p.Env
 	return r
 }
--- a/internal/lab/hollow/measure/change.go
+++ b/internal/lab/hollow/measure/change.go
@@ -64,7 +64,7 @@
 }
 
 // changes makes changes at one fleet and adds the rows of each.
-func (r Run) changes(s *sheet, name string, x float64, p hollow.FleetConfig, size int, before func(*hollow.Fleet) (n int)) error {
+func (r Runner) changes(s *sheet, name string, x float64, p hollow.FleetConfig, size int, before func(*hollow.Fleet) (n int)) error {
 	f, err := hollow.StartFleet(p)
 	if err != nil {
 		return err
@@ -100,29 +100,29 @@
 }
 
 // hollowPlan is one with the voters and a few more real, and the last hollow.
-func (r Run) hollowPlan(n int) hollow.FleetConfig {
+func (r Runner) hollowPlan(n int) hollow.FleetConfig {
 	p := r.plan(n)
 	p.Real = min(p.Real, n-1)
 	p.Hollow = n - p.Real
 	return p
 }
 
-// Changes measures a change of the policy against dispatchers.
-func (r Run) Changes(sizes ...int) ([]capacity.Row, error) {
-	s := &sheet{against: "dispatchers", note: fmt.Sprintf("lease %v, %d names", r.Lease, r.Bans)}
+// ChangeByFleetSize measures a change of the policy against dispatchers.
+func (r Runner) ChangeByFleetSize(sizes ...int) ([]capacity.Row, error) {
+	s := &sheet{against: "dispatchers", note: fmt.Sprintf("lease %v, %d names", r.Lease, r.BannedNames)}
 	for _, n := range sizes {
-		if err := r.changes(s, "change", float64(n), r.hollowPlan(n), r.Bans, nil); err != nil {
+		if err := r.changes(s, "change", float64(n), r.hollowPlan(n), r.BannedNames, nil); err != nil {
 			return nil, err
 		}
 	}
 	return s.rows, nil
 }
 
-// Sizes measures it against the names in a policy.
-func (r Run) Sizes(n int, sizes ...int) ([]capacity.Row, error) {
+// ChangeByPolicySize measures it against the names in a policy.
+func (r Runner) ChangeByPolicySize(n int, sizes ...int) ([]capacity.Row, error) {
 	s := &sheet{against: "names in the policy", note: fmt.Sprintf("%d dispatchers, lease %v", n, r.Lease)}
 	for _, size := range sizes {
-		r.Bans = size
+		r.BannedNames = size
 		if err := r.changes(s, "change-size", float64(size), r.hollowPlan(n), size, nil); err != nil {
 			return nil, err
 		}
@@ -130,25 +130,25 @@
 	return s.rows, nil
 }
 
-// Distances measures it against the time that a piece travels between regions, one way.
-func (r Run) Distances(n int, lags ...time.Duration) ([]capacity.Row, error) {
-	s := &sheet{against: "ms between regions", note: fmt.Sprintf("%d dispatchers, lease %v, %d names", n, r.Lease, r.Bans)}
+// ChangeByLatency measures it against the time that a piece travels between regions, one way.
+func (r Runner) ChangeByLatency(n int, lags ...time.Duration) ([]capacity.Row, error) {
+	s := &sheet{against: "ms between regions", note: fmt.Sprintf("%d dispatchers, lease %v, %d names", n, r.Lease, r.BannedNames)}
 	for _, l := range lags {
-		r.Lag = l
-		if err := r.changes(s, "change-lag", float64(l.Milliseconds()), r.hollowPlan(n), r.Bans, nil); err != nil {
+		r.RegionLatency = l
+		if err := r.changes(s, "change-lag", float64(l.Milliseconds()), r.hollowPlan(n), r.BannedNames, nil); err != nil {
 			return nil, err
 		}
 	}
 	return s.rows, nil
 }
 
-// Downs measures it against the lease, with a dispatcher killed just before each change: its lease has to be waited out.
-func (r Run) Downs(n int, leases ...time.Duration) ([]capacity.Row, error) {
-	s := &sheet{against: "s of lease", note: fmt.Sprintf("%d dispatchers, %d names, one killed just before", n, r.Bans)}
+// ChangeAfterKillByLease measures it against the lease, with a dispatcher killed just before each change: its lease has to be waited out.
+func (r Runner) ChangeAfterKillByLease(n int, leases ...time.Duration) ([]capacity.Row, error) {
+	s := &sheet{against: "s of lease", note: fmt.Sprintf("%d dispatchers, %d names, one killed just before", n, r.BannedNames)}
 	for _, l := range leases {
 		r.Lease = l
 		at := 0
-		err := r.changes(s, "change-down", l.Seconds(), r.hollowPlan(n), r.Bans, func(f *hollow.Fleet) int {
+		err := r.changes(s, "change-down", l.Seconds(), r.hollowPlan(n), r.BannedNames, func(f *hollow.Fleet) int {
 			f.Stop(hollow.Regions + at)
 			at++
 			return n - at
--- a/internal/lab/hollow/measure/control.go
+++ b/internal/lab/hollow/measure/control.go
@@ -11,22 +11,22 @@
 	"tinsail/internal/lab/hollow"
 )
 
-// Run is how fleets are measured.
-type Run struct {
-	Program []string // of real dispatchers
-	Env     []string // of theirs, beside this process's
-	Real    int      // most of a fleet that are real; the rest is hollow
-	Workers int
-	Lease   time.Duration
-	Lag     time.Duration
-	Bans    int // names in the policy
+// Runner is how fleets are measured.
+type Runner struct {
+	Program       []string // of real dispatchers
+	Env           []string // of theirs, beside this process's
+	MaxReal       int      // most of a fleet that are real; the rest is hollow
+	Workers       int
+	Lease         time.Duration
+	RegionLatency time.Duration
+	BannedNames   int // names in the policy
 
 	Settle, Window time.Duration
 	Repeats        int
 }
 
-// Teams is what the letter has; a policy that names as many stands for one that has a line for each team.
-const Teams = 310
+// TeamCount is what the letter has; a policy that names as many stands for one that has a line for each team.
+const TeamCount = 310
 
 // bans are n names of the length of a team's line in a policy.
 func bans(n, change int) (all []string) {
@@ -36,8 +36,8 @@
 	return all
 }
 
-func (r Run) plan(n int) hollow.FleetConfig {
-	p := hollow.FleetConfig{Program: r.Program, Env: r.Env, Real: min(n, r.Real), Lease: r.Lease, RegionLatency: r.Lag, Workers: r.Workers, Bans: bans(r.Bans, 0)}
+func (r Runner) plan(n int) hollow.FleetConfig {
+	p := hollow.FleetConfig{Program: r.Program, Env: r.Env, Real: min(n, r.MaxReal), Lease: r.Lease, RegionLatency: r.RegionLatency, Workers: r.Workers, Bans: bans(r.BannedNames, 0)}
 	p.Hollow = n - p.Real
 	return p
 }
@@ -77,7 +77,7 @@
 const mb = 1 << 20
 
 // steady measures a fleet in which nothing changes, at the size x of the sheet; name is what the slopes' names begin with.
-func (r Run) steady(s *sheet, name string, x float64, p hollow.FleetConfig) error {
+func (r Runner) steady(s *sheet, name string, x float64, p hollow.FleetConfig) error {
 	f, err := hollow.StartFleet(p)
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 	return nil
 }
 
-func (r Run) window(f *hollow.Fleet, s *sheet, name string, x float64, p hollow.FleetConfig) error {
+func (r Runner) window(f *hollow.Fleet, s *sheet, name string, x float64, p hollow.FleetConfig) error {
 	before, err := costs(f)
 	if err != nil {
 		return err
@@ -159,8 +159,8 @@
 	return nil
 }
 
-// Voters measures dispatchers, leader, voters and what goes between them, against dispatchers.
-func (r Run) Voters(sizes ...int) ([]capacity.Row, error) {
+// SteadyByFleetSize measures dispatchers, leader, voters and what goes between them, against dispatchers.
+func (r Runner) SteadyByFleetSize(sizes ...int) ([]capacity.Row, error) {
 	s := &sheet{against: "dispatchers", note: fmt.Sprintf("lease %v, %d workers", r.Lease, r.Workers)}
 	for _, n := range sizes {
 		if err := r.steady(s, "accord", float64(n), r.plan(n)); err != nil {
@@ -170,8 +170,8 @@
 	return s.rows, nil
 }
 
-// Bare measures dispatchers without accord and budgets, against dispatchers; all are real.
-func (r Run) Bare(sizes ...int) ([]capacity.Row, error) {
+// WithoutAccordByFleetSize measures dispatchers without accord and budgets, against dispatchers; all are real.
+func (r Runner) WithoutAccordByFleetSize(sizes ...int) ([]capacity.Row, error) {
 	s := &sheet{against: "dispatchers", note: fmt.Sprintf("%d workers", r.Workers)}
 	for _, n := range sizes {
 		p := r.plan(n)
@@ -183,8 +183,8 @@
 	return s.rows, nil
 }
 
-// Leases measures the same against the lease, in seconds, at one count of dispatchers.
-func (r Run) Leases(n int, leases ...time.Duration) ([]capacity.Row, error) {
+// SteadyByLease measures the same against the lease, in seconds, at one count of dispatchers.
+func (r Runner) SteadyByLease(n int, leases ...time.Duration) ([]capacity.Row, error) {
 	s := &sheet{against: "leases a second", note: fmt.Sprintf("%d dispatchers, %d workers", n, r.Workers)}
 	for _, l := range leases {
 		r.Lease = l
@@ -195,11 +195,11 @@
 	return s.rows, nil
 }
 
-// Lags measures the same against the time that a piece travels between regions, one way.
-func (r Run) Lags(n int, lags ...time.Duration) ([]capacity.Row, error) {
+// SteadyByLatency measures the same against the time that a piece travels between regions, one way.
+func (r Runner) SteadyByLatency(n int, lags ...time.Duration) ([]capacity.Row, error) {
 	s := &sheet{against: "ms between regions", note: fmt.Sprintf("%d dispatchers, lease %v", n, r.Lease)}
 	for _, l := range lags {
-		r.Lag = l
+		r.RegionLatency = l
 		if err := r.steady(s, "lag", float64(l.Milliseconds()), r.plan(n)); err != nil {
 			return nil, err
 		}
--- a/internal/lab/hollow/measure/measure_test.go
+++ b/internal/lab/hollow/measure/measure_test.go
@@ -31,10 +31,10 @@
 	os.Exit(code)
 }
 
-func small(t *testing.T) Run {
+func small(t *testing.T) Runner {
 	p, err := program()
 	require.NoError(t, err)
-	return Run{Program: p, Real: 5, Workers: 6, Lease: 1500 * time.Millisecond, Settle: 300 * time.Millisecond, Window: 2 * time.Second, Repeats: 1, Bans: 20}
+	return Runner{Program: p, MaxReal: 5, Workers: 6, Lease: 1500 * time.Millisecond, Settle: 300 * time.Millisecond, Window: 2 * time.Second, Repeats: 1, BannedNames: 20}
 }
 
 // of is the mean of a slope's rows at a size.
@@ -54,7 +54,7 @@
 // held another) beside what is said of it.
 func TestSmallControl(t *testing.T) {
 	r := small(t)
-	rows, err := r.Voters(4, 8, 16)
+	rows, err := r.SteadyByFleetSize(4, 8, 16)
 	require.NoError(t, err)
 	for _, row := range rows {
 		require.NoError(t, row.Check())
@@ -68,14 +68,14 @@
 
 func TestSmallChange(t *testing.T) {
 	r := small(t)
-	rows, err := r.Changes(4, 8)
+	rows, err := r.ChangeByFleetSize(4, 8)
 	require.NoError(t, err)
 	body := float64(len(bans(20, 0))*30 + 70)
 	for _, n := range []float64{4, 8} {
 		assert.Less(t, of(t, rows, "change-link-bytes", n), 3*body+6000)
 		assert.Greater(t, of(t, rows, "change-link-bytes", n), body/2)
 	}
-	rows, err = r.Downs(6, r.Lease)
+	rows, err = r.ChangeAfterKillByLease(6, r.Lease)
 	require.NoError(t, err)
 	assert.NotEmpty(t, rows)
 }
@@ -83,10 +83,10 @@
 // TestSmallRecovery: whoever is restarted, all serve again, and one list is read by each that began anew.
 func TestSmallRecovery(t *testing.T) {
 	r := small(t)
-	rows, err := r.Recoveries(6)
+	rows, err := r.RestartsByFleetSize(6)
 	require.NoError(t, err)
 	assert.NotZero(t, of(t, rows, "restart-dispatchers-list-bytes", 6))
-	rows, err = r.Cold(5)
+	rows, err = r.FleetRestartByFleetSize(5)
 	require.NoError(t, err)
 	assert.NotZero(t, of(t, rows, "restart-fleet-link-messages", 5))
 }
@@ -94,8 +94,8 @@
 // TestSmallRounds: a round confirms all asks that came before it, so that there are never more rounds than asks.
 func TestSmallRounds(t *testing.T) {
 	r := small(t)
-	r.Lag = 10 * time.Millisecond
-	rows, err := r.Rounds(4, 12)
+	r.RegionLatency = 10 * time.Millisecond
+	rows, err := r.LeadershipRoundsByFleetSize(4, 12)
 	require.NoError(t, err)
 	for _, n := range []float64{4, 12} {
 		assert.GreaterOrEqual(t, of(t, rows, "rounds-lag-10-asks-each", n), 0.9)
@@ -108,7 +108,7 @@
 	p, err := program()
 	require.NoError(b, err)
 	for b.Loop() {
-		_, err = Run{Program: p, Real: 3, Workers: 30, Lease: 3 * time.Second, Settle: time.Second, Window: 20 * time.Second, Repeats: 1}.Voters(300)
+		_, err = Runner{Program: p, MaxReal: 3, Workers: 30, Lease: 3 * time.Second, Settle: time.Second, Window: 20 * time.Second, Repeats: 1}.SteadyByFleetSize(300)
 		require.NoError(b, err)
 	}
 }
--- a/internal/lab/hollow/measure/recovery.go
+++ b/internal/lab/hollow/measure/recovery.go
@@ -28,7 +28,7 @@
 }
 
 // recovery measures what break breaks, until it is whole again. mended says how long that took.
-func (r Run) recovery(s *sheet, f *hollow.Fleet, name string, x float64, how string, mend func() error) error {
+func (r Runner) recovery(s *sheet, f *hollow.Fleet, name string, x float64, how string, mend func() error) error {
 	before := spend(f)
 	time.Sleep(r.Window)
 	begun := spend(f)
@@ -44,10 +44,10 @@
 	return nil
 }
 
-// Recoveries measures restarts against dispatchers: of one dispatcher, of all that are no voters within a moment, and of
+// RestartsByFleetSize measures restarts against dispatchers: of one dispatcher, of all that are no voters within a moment, and of
 // the voter that leads. A restart's time runs from the start of what was killed, or for the leader from its kill, until all serve.
-func (r Run) Recoveries(sizes ...int) ([]capacity.Row, error) {
-	s := &sheet{against: "dispatchers", note: fmt.Sprintf("lease %v, %d names, %d workers", r.Lease, r.Bans, r.Workers)}
+func (r Runner) RestartsByFleetSize(sizes ...int) ([]capacity.Row, error) {
+	s := &sheet{against: "dispatchers", note: fmt.Sprintf("lease %v, %d names, %d workers", r.Lease, r.BannedNames, r.Workers)}
 	for _, n := range sizes {
 		if err := r.recoveries(s, n); err != nil {
 			return nil, err
@@ -56,7 +56,7 @@
 	return s.rows, nil
 }
 
-func (r Run) recoveries(s *sheet, n int) error {
+func (r Runner) recoveries(s *sheet, n int) error {
 	p, x := r.plan(n), float64(n)
 	f, err := hollow.StartFleet(p)
 	if err != nil {
@@ -101,7 +101,7 @@
 }
 
 // voter kills the leader and starts it again.
-func (r Run) voter(s *sheet, f *hollow.Fleet, x float64, n int) error {
+func (r Runner) voter(s *sheet, f *hollow.Fleet, x float64, n int) error {
 	leads := f.Leader()
 	f.TakeEvents()
 	var elected time.Duration
@@ -152,9 +152,9 @@
 	return first
 }
 
-// Cold measures the start of a whole fleet at a time, the voters with empty logs, until all serve.
-func (r Run) Cold(sizes ...int) ([]capacity.Row, error) {
-	s := &sheet{against: "dispatchers", note: fmt.Sprintf("lease %v, %d names, %d workers; voters keep their logs", r.Lease, r.Bans, r.Workers)}
+// FleetRestartByFleetSize measures the start of a whole fleet at a time, the voters with empty logs, until all serve.
+func (r Runner) FleetRestartByFleetSize(sizes ...int) ([]capacity.Row, error) {
+	s := &sheet{against: "dispatchers", note: fmt.Sprintf("lease %v, %d names, %d workers; voters keep their logs", r.Lease, r.BannedNames, r.Workers)}
 	for _, n := range sizes {
 		p := r.plan(n)
 		f, err := hollow.StartFleet(p)
--- a/internal/lab/hollow/measure/rounds.go
+++ b/internal/lab/hollow/measure/rounds.go
@@ -28,10 +28,10 @@
 	r.IncrCounter(key, v)
 }
 
-// Rounds counts the rounds to confirm leadership against dispatchers, with the asks that they confirm and the heartbeats
+// LeadershipRoundsByFleetSize counts the rounds to confirm leadership against dispatchers, with the asks that they confirm and the heartbeats
 // that they take. The voters are in this process: counts alone are taken.
-func (r Run) Rounds(sizes ...int) ([]capacity.Row, error) {
-	s := &sheet{against: "dispatchers", note: fmt.Sprintf("lease %v, %v between regions", r.Lease, r.Lag)}
+func (r Runner) LeadershipRoundsByFleetSize(sizes ...int) ([]capacity.Row, error) {
+	s := &sheet{against: "dispatchers", note: fmt.Sprintf("lease %v, %v between regions", r.Lease, r.RegionLatency)}
 	counted := &rounds{}
 	c := metrics.DefaultConfig("")
 	c.EnableHostname, c.EnableRuntimeMetrics = false, false
@@ -39,8 +39,8 @@
 		return nil, err
 	}
 	name := "rounds"
-	if r.Lag > 0 {
-		name = fmt.Sprintf("rounds-lag-%d", r.Lag.Milliseconds())
+	if r.RegionLatency > 0 {
+		name = fmt.Sprintf("rounds-lag-%d", r.RegionLatency.Milliseconds())
 	}
 	for _, n := range sizes {
 		p := r.plan(n)
@@ -63,7 +63,7 @@
 	return s.rows, nil
 }
 
-func (r Run) round(f *hollow.Fleet, s *sheet, name string, x float64, counted *rounds) {
+func (r Runner) round(f *hollow.Fleet, s *sheet, name string, x float64, counted *rounds) {
 	counts, n, begun := f.Traffic(), counted.n.Load(), time.Now()
 	time.Sleep(r.Window)
 	secs := time.Since(begun).Seconds()
