--- a/cmd/tinsail/capacity_test.go
+++ b/cmd/tinsail/capacity_test.go
@@ -36,8 +36,8 @@
 // TestDiscoveryTrafficFollowsChanges: a dispatcher's traffic with discovery does not grow with the list while nothing changes, and
 // grows only with the number of changes otherwise.
 func TestDiscoveryTrafficFollowsChanges(t *testing.T) {
-	o := measure.Idle{Repeats: 1, Settle: time.Second, Window: 5 * time.Second}
-	rows, err := measure.List(thisProgram, o, 50, 1000)
+	o := measure.IdleConfig{Repeats: 1, Settle: time.Second, Window: 5 * time.Second}
+	rows, err := measure.ListSizes(thisProgram, o, 50, 1000)
 	require.NoError(t, err)
 	for _, x := range []float64{50, 1000} {
 		// A call waits 2.5 s: besides the two calls that fill a window, one or two begin or end in it.
@@ -45,7 +45,7 @@
 		assert.LessOrEqual(t, figures(t, rows, "list-bytes-in", x)[0], 250.0)
 		assert.LessOrEqual(t, figures(t, rows, "list-bytes-out", x)[0], 250.0)
 	}
-	rows, err = measure.Changes(thisProgram, o, 1000, 10)
+	rows, err = measure.ListChangeRates(thisProgram, o, 1000, 10)
 	require.NoError(t, err)
 	calls := figures(t, rows, "changes-calls", 10)[0]
 	assert.Positive(t, calls)
@@ -56,7 +56,7 @@
 // TestRestartReadsListOnce: a starting process requests the list once, whatever its size, and the bytes grow with the list. Each of
 // ten processes that start at once costs as much as one.
 func TestRestartReadsListOnce(t *testing.T) {
-	one, err := measure.Restart(thisProgram, 1, false, 100, 400)
+	one, err := measure.RestartOne(thisProgram, 1, false, 100, 400)
 	require.NoError(t, err)
 	for _, x := range []float64{100, 400} {
 		assert.LessOrEqual(t, figures(t, one, "restart-calls", x)[0], 3.0)
@@ -72,8 +72,8 @@
 // arrived when they were to be refused. Requests beyond are refused, and no accepted request is lost. (TestRefusedOverUnread
 // checks whether each refused client is told so.)
 func TestDescriptorsPerReqInFlight(t *testing.T) {
-	f := measure.Flight{Body: 1, Sockets: 2000, MemoryMB: 192, Dispatchers: 1, Workers: 20}
-	rows, err := measure.InFlight(thisProgram, f, "h1", 2, 50, 250)
+	f := measure.InFlightConfig{BodyBytes: 1, Sockets: 2000, MemoryMB: 192, Dispatchers: 1, Backends: 20}
+	rows, err := measure.InFlightCounts(thisProgram, f, "h1", 2, 50, 250)
 	require.NoError(t, err)
 	perReq := func(slope string) float64 {
 		return (figures(t, rows, slope, 250)[0] - figures(t, rows, slope, 50)[0]) / 200
@@ -81,11 +81,11 @@
 	assert.InDelta(t, 2, perReq("h1-descriptors"), 0.1)
 	assert.LessOrEqual(t, perReq("h1-goroutines"), 6.0)
 	f.HTTP2 = true
-	rows, err = measure.InFlight(thisProgram, f, "h2", 2, 50, 250)
+	rows, err = measure.InFlightCounts(thisProgram, f, "h2", 2, 50, 250)
 	require.NoError(t, err)
 	assert.InDelta(t, 1, perReq("h2-descriptors"), 0.1)
 
-	rows, err = measure.Most(thisProgram, measure.Flight{Body: 1, MemoryMB: 192, Dispatchers: 1, Workers: 20}, "most", 128, 512)
+	rows, err = measure.MaxInFlight(thisProgram, measure.InFlightConfig{BodyBytes: 1, MemoryMB: 192, Dispatchers: 1, Backends: 20}, "most", 128, 512)
 	require.NoError(t, err)
 	for _, x := range []float64{128, 512} {
 		inFlight := figures(t, rows, "most", x)[0]
--- a/internal/lab/capacity/measure/flight.go
+++ b/internal/lab/capacity/measure/flight.go
@@ -19,33 +19,33 @@
 	"tinsail/internal/standin/platform"
 )
 
-// Flight says how reqs in flight are brought about: clients of a front send a req each, backends begin it and hold it.
-type Flight struct {
+// InFlightConfig says how reqs in flight are brought about: clients of a front send a req each, backends begin it and hold it.
+type InFlightConfig struct {
 	HTTP2       bool // 100 reqs a connection, else one
-	Body        int  // bytes
+	BodyBytes   int  // bytes
 	Sockets     int  // of a dispatcher's limits
 	MemoryMB    int
 	Dispatchers int
-	Workers     int // backends
+	Backends    int // backends
 
-	Still time.Duration // for which processor time is taken while nothing moves; 0: not at all, and no other times either
+	QuietWindow time.Duration // for which processor time is taken while nothing moves; 0: not at all, and no other times either
 }
 
 // streams is how many reqs a client of HTTP/2 has on a connection.
 const streams = 100
 
-// Held is what came of it at one dispatcher.
-type Held struct {
-	InFlight, Refused           int            // of all dispatchers
-	Unanswered                  int            // of all dispatchers: turned away without a whole answer
-	Why                         map[string]int // of those without an answer, by error
-	Served                      int            // of all dispatchers, after the backends let go; 0 where goroutines were counted instead
-	RSS, Anon                   float64
-	Descriptors                 float64
-	CPU                         float64 // ms, from the first connection until all were held or answered
-	Still                       float64 // % of a core, while nothing moves
-	Goroutines                  float64 // 0 where reqs were served to their ends
-	AnonBefore, RSSBefore, Open float64 // before the first req
+// HoldResult is what came of it at one dispatcher.
+type HoldResult struct {
+	InFlight, Refused                        int            // of all dispatchers
+	Unanswered                               int            // of all dispatchers: turned away without a whole answer
+	ErrorCounts                              map[string]int // of those without an answer, by error
+	Served                                   int            // of all dispatchers, after the backends let go; 0 where goroutines were counted instead
+	RSS, Anon                                float64
+	OpenDescriptors                          float64
+	AcceptCPUMillis                          float64 // ms, from the first connection until all were held or answered
+	QuietCPUPercent                          float64 // % of a core, while nothing moves
+	Goroutines                               float64 // 0 where reqs were served to their ends
+	AnonBefore, RSSBefore, DescriptorsBefore float64 // before the first req
 }
 
 type clients struct {
@@ -114,20 +114,20 @@
 
 // Hold brings n reqs in flight over the dispatchers and returns what the first of them holds then. count has that process
 // write its goroutines and end; else the backends let go and all answers are waited for.
-func (f Flight) Hold(p Program, n int, count bool) (h Held, err error) {
+func (f InFlightConfig) Hold(p Program, n int, count bool) (h HoldResult, err error) {
 	from, err := startDirector(0)
 	if err != nil {
 		return h, err
 	}
 	defer from.Close()
-	slots := max(weight, 2*n/f.Workers+1)
+	slots := max(weight, 2*n/f.Backends+1)
 	var backends []*platform.Backend
 	defer func() {
 		for _, b := range backends {
 			b.Close()
 		}
 	}()
-	for i := range f.Workers {
+	for i := range f.Backends {
 		b, err := platform.StartBackend(fmt.Sprintf("worker-%04d", i), slots, func(string) time.Duration { return 0 })
 		if err != nil {
 			return h, err
@@ -161,7 +161,7 @@
 	if h.RSSBefore, h.AnonBefore, err = first.memory(); err != nil {
 		return h, err
 	}
-	if h.Open, err = first.descriptors(); err != nil {
+	if h.DescriptorsBefore, err = first.descriptors(); err != nil {
 		return h, err
 	}
 	before, err := first.cpu()
@@ -169,7 +169,7 @@
 		return h, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &clients{ctx: ctx, why: map[string]int{}, body: []byte(strings.Repeat("b", f.Body))}
+	c := &clients{ctx: ctx, why: map[string]int{}, body: []byte(strings.Repeat("b", f.BodyBytes))}
 	defer func() {
 		cancel()
 		for _, end := range c.close {
@@ -198,23 +198,23 @@
 	if err != nil {
 		return h, err
 	}
-	h.CPU = float64((after - before).Microseconds()) / 1000
-	if f.Still > 0 {
-		time.Sleep(f.Still)
+	h.AcceptCPUMillis = float64((after - before).Microseconds()) / 1000
+	if f.QuietWindow > 0 {
+		time.Sleep(f.QuietWindow)
 		last, err := first.cpu()
 		if err != nil {
 			return h, err
 		}
-		h.Still = 100 * float64(last-after) / float64(f.Still)
+		h.QuietCPUPercent = 100 * float64(last-after) / float64(f.QuietWindow)
 	}
 	c.mu.Lock()
-	h.Unanswered, h.Why = int(c.failed.Load()), maps.Clone(c.why)
+	h.Unanswered, h.ErrorCounts = int(c.failed.Load()), maps.Clone(c.why)
 	c.mu.Unlock()
 	h.InFlight, h.Refused = held(), int(c.answered.Load())-h.Unanswered
 	if h.RSS, h.Anon, err = first.memory(); err != nil {
 		return h, err
 	}
-	if h.Descriptors, err = first.descriptors(); err != nil {
+	if h.OpenDescriptors, err = first.descriptors(); err != nil {
 		return h, err
 	}
 	if count {
@@ -236,7 +236,7 @@
 }
 
 // offer sends n reqs, over all dispatchers by turns.
-func (f Flight) offer(c *clients, all []*dispatcher, n int) {
+func (f InFlightConfig) offer(c *clients, all []*dispatcher, n int) {
 	var transports []*http.Transport
 	turn := make(chan struct{}, 64) // connections being made at once
 	var sent sync.WaitGroup
@@ -261,9 +261,9 @@
 	sent.Wait()
 }
 
-// InFlight is what a dispatcher holds against the reqs in flight at it. In the last of the repeats its goroutines are counted, in
+// InFlightCounts is what a dispatcher holds against the reqs in flight at it. In the last of the repeats its goroutines are counted, in
 // the others every req is served to its end.
-func InFlight(p Program, f Flight, name string, repeats int, reqs ...int) (rows []capacity.Row, err error) {
+func InFlightCounts(p Program, f InFlightConfig, name string, repeats int, reqs ...int) (rows []capacity.Row, err error) {
 	for _, n := range reqs {
 		for k := range repeats {
 			count := k == repeats-1
@@ -272,21 +272,21 @@
 				return nil, fmt.Errorf("%s, %d reqs: %w", name, n, err)
 			}
 			if h.InFlight != n {
-				return nil, fmt.Errorf("%s: %d of %d reqs are in flight, %d refused, %d without an answer: %v", name, h.InFlight, n, h.Refused, h.Unanswered, h.Why)
+				return nil, fmt.Errorf("%s: %d of %d reqs are in flight, %d refused, %d without an answer: %v", name, h.InFlight, n, h.Refused, h.Unanswered, h.ErrorCounts)
 			}
-			note := fmt.Sprintf("HTTP/1.1, a body of %d bytes", f.Body)
+			note := fmt.Sprintf("HTTP/1.1, a body of %d bytes", f.BodyBytes)
 			if f.HTTP2 {
-				note = fmt.Sprintf("HTTP/2, %d reqs a connection, a body of %d bytes", streams, f.Body)
+				note = fmt.Sprintf("HTTP/2, %d reqs a connection, a body of %d bytes", streams, f.BodyBytes)
 			}
 			row := func(what, unit string, y float64) {
 				rows = append(rows, capacity.Row{Slope: name + "-" + what, Unit: unit, Against: "reqs in flight", X: float64(n), Y: y, Method: capacity.Real, Note: note})
 			}
 			row("rss", "MB", h.RSS)
 			row("anon", "MB", h.Anon)
-			row("descriptors", "descriptors", h.Descriptors)
-			if f.Still > 0 {
-				row("cpu", "ms to take them", h.CPU)
-				row("still", "% of a core while they wait", h.Still)
+			row("descriptors", "descriptors", h.OpenDescriptors)
+			if f.QuietWindow > 0 {
+				row("cpu", "ms to take them", h.AcceptCPUMillis)
+				row("still", "% of a core while they wait", h.QuietCPUPercent)
 			}
 			if count {
 				row("goroutines", "goroutines", h.Goroutines)
@@ -296,9 +296,9 @@
 	return rows, nil
 }
 
-// Most is how many reqs a dispatcher has in flight at most, against its limit of descriptors, where more are offered. Whoever is
+// MaxInFlight is how many reqs a dispatcher has in flight at most, against its limit of descriptors, where more are offered. Whoever is
 // beyond that has to be told to come back.
-func Most(p Program, f Flight, name string, sockets ...int) (rows []capacity.Row, err error) {
+func MaxInFlight(p Program, f InFlightConfig, name string, sockets ...int) (rows []capacity.Row, err error) {
 	for _, s := range sockets {
 		f.Sockets = s
 		n := s*9/20 + 100
@@ -313,14 +313,14 @@
 			return nil, errors.New("a req was neither held nor turned away")
 		}
 		rows = append(rows, capacity.Row{Slope: name, Unit: "reqs in flight at most", Against: "descriptors allowed", X: float64(s), Y: float64(h.InFlight), Method: capacity.Real,
-			Note: fmt.Sprintf("%d offered, %d refused, %d turned away without an answer, %.0f descriptors held", n, h.Refused, h.Unanswered, h.Descriptors)})
+			Note: fmt.Sprintf("%d offered, %d refused, %d turned away without an answer, %.0f descriptors held", n, h.Refused, h.Unanswered, h.OpenDescriptors)})
 	}
 	return rows, nil
 }
 
-// Few is how many of the reqs offered are in flight where few dispatchers take them, each with its limit of descriptors, and what the
+// DispatcherCounts is how many of the reqs offered are in flight where few dispatchers take them, each with its limit of descriptors, and what the
 // first of them then holds.
-func Few(p Program, f Flight, name string, reqs int, dispatchers ...int) (rows []capacity.Row, err error) {
+func DispatcherCounts(p Program, f InFlightConfig, name string, reqs int, dispatchers ...int) (rows []capacity.Row, err error) {
 	for _, n := range dispatchers {
 		f.Dispatchers = n
 		h, err := f.Hold(p, reqs, false)
@@ -337,9 +337,9 @@
 	return rows, nil
 }
 
-// Memory is what so many reqs in flight cost a dispatcher against the memory that it is allowed: its collector works towards three
+// MemoryLimits is what so many reqs in flight cost a dispatcher against the memory that it is allowed: its collector works towards three
 // quarters of that, and nothing else keeps to it.
-func Memory(p Program, f Flight, name string, reqs int, mb ...int) (rows []capacity.Row, err error) {
+func MemoryLimits(p Program, f InFlightConfig, name string, reqs int, mb ...int) (rows []capacity.Row, err error) {
 	for _, n := range mb {
 		f.MemoryMB = n
 		h, err := f.Hold(p, reqs, false)
@@ -351,8 +351,8 @@
 				Note: fmt.Sprintf("%d offered, %d in flight", reqs, h.InFlight)})
 		}
 		row("rss", "MB", h.RSS)
-		row("cpu", "ms to take them", h.CPU)
-		row("still", "% of a core while they wait", h.Still)
+		row("cpu", "ms to take them", h.AcceptCPUMillis)
+		row("still", "% of a core while they wait", h.QuietCPUPercent)
 	}
 	return rows, nil
 }
--- a/internal/lab/capacity/measure/list.go
+++ b/internal/lab/capacity/measure/list.go
@@ -8,9 +8,9 @@
 	"tinsail/internal/standin/platform"
 )
 
-// Idle says how dispatchers without load are measured: all of a part at once, side by side, over one window, so that a part takes
+// IdleConfig says how dispatchers without load are measured: all of a part at once, side by side, over one window, so that a part takes
 // one window whatever its sizes; each has a discovery service of its own.
-type Idle struct {
+type IdleConfig struct {
 	Repeats int
 	Settle  time.Duration // what a start leaves to do is over by then
 	Window  time.Duration // of processor time, bytes and messages
@@ -86,7 +86,7 @@
 }
 
 // idleSlopes measures all sizes, as often as repeats say, in one window. name is before each slope's name.
-func idleSlopes(p Program, o Idle, name, against, note string, sizes []size) (rows []capacity.Row, err error) {
+func idleSlopes(p Program, o IdleConfig, name, against, note string, sizes []size) (rows []capacity.Row, err error) {
 	var all []*idle
 	stop := make(chan struct{})
 	defer func() {
@@ -161,8 +161,8 @@
 	}
 }
 
-// List is a dispatcher's control without load against the number of backends in its list.
-func List(p Program, o Idle, workers ...int) ([]capacity.Row, error) {
+// ListSizes is a dispatcher's control without load against the number of backends in its list.
+func ListSizes(p Program, o IdleConfig, workers ...int) ([]capacity.Row, error) {
 	var sizes []size
 	for _, n := range workers {
 		sizes = append(sizes, size{x: float64(n), workers: n})
@@ -170,8 +170,8 @@
 	return idleSlopes(p, o, "list", "backends", "idle; discovery answers on request", sizes)
 }
 
-// Pushed is List where discovery is an agent beside the dispatcher, which is asked more often.
-func Pushed(p Program, o Idle, workers ...int) ([]capacity.Row, error) {
+// ListSizesPushed is List where discovery is an agent beside the dispatcher, which is asked more often.
+func ListSizesPushed(p Program, o IdleConfig, workers ...int) ([]capacity.Row, error) {
 	var sizes []size
 	for _, n := range workers {
 		sizes = append(sizes, size{x: float64(n), workers: n, pushed: true})
@@ -179,8 +179,8 @@
 	return idleSlopes(p, o, "agent", "backends", "idle; discovery is an agent beside it", sizes)
 }
 
-// Changes is a dispatcher's control against changes of its list a second.
-func Changes(p Program, o Idle, workers int, rates ...float64) ([]capacity.Row, error) {
+// ListChangeRates is a dispatcher's control against changes of its list a second.
+func ListChangeRates(p Program, o IdleConfig, workers int, rates ...float64) ([]capacity.Row, error) {
 	var sizes []size
 	for _, r := range rates {
 		sizes = append(sizes, size{x: r, workers: workers, changes: r})
@@ -188,8 +188,8 @@
 	return idleSlopes(p, o, "changes", "changes a second", fmt.Sprintf("%d backends; one drains or comes back", workers), sizes)
 }
 
-// Tenants is a dispatcher's control against the tenants in its configuration.
-func Tenants(p Program, o Idle, workers int, tenants ...int) ([]capacity.Row, error) {
+// TenantCounts is a dispatcher's control against the tenants in its configuration.
+func TenantCounts(p Program, o IdleConfig, workers int, tenants ...int) ([]capacity.Row, error) {
 	var sizes []size
 	for _, n := range tenants {
 		sizes = append(sizes, size{x: float64(n), workers: workers, tenants: n})
--- a/internal/lab/capacity/measure/measure_test.go
+++ b/internal/lab/capacity/measure/measure_test.go
@@ -25,7 +25,7 @@
 // TestModuleMemory: on its ordinary path the module allocates next to nothing, however many backends, reqs and teams there are, and
 // what it holds grows no faster than they.
 func TestModuleMemory(t *testing.T) {
-	m := Module{Workers: 580, InFlight: 100, Teams: 310, Rounds: 2000, Repeats: 2}
+	m := ModuleConfig{Workers: 580, InFlight: 100, Teams: 310, Rounds: 2000, Repeats: 2}
 	rows, err := ModuleSlopes(m, []int{100, 1000}, []int{300, 3000}, []int{31, 310})
 	require.NoError(t, err)
 	for slope, xs := range map[string][2]float64{"module-workers": {100, 1000}, "module-flight": {300, 3000}, "module-teams": {31, 310}} {
--- a/internal/lab/capacity/measure/module.go
+++ b/internal/lab/capacity/measure/module.go
@@ -14,12 +14,12 @@
 // dispatchers is how many the module is told that there are.
 const dispatchers = 300
 
-// Module says how the decision module is measured by itself: as one of many dispatchers.
-type Module struct {
+// ModuleConfig says how the decision module is measured by itself: as one of many dispatchers.
+type ModuleConfig struct {
 	Workers, InFlight, Teams int
 	Rounds                   int // reqs that are timed, from arrival to answer
 	Repeats                  int
-	Timed                    bool
+	IncludeTimes             bool
 }
 
 // sent notes where the reqs that are in flight went, and nothing else: ids come in turn, so that a ring holds them.
@@ -39,7 +39,7 @@
 func (s *sent) Subscribe()                                                           {}
 func (s *sent) Log(string)                                                           {}
 
-func (m Module) settings() balance.Settings {
+func (m ModuleConfig) settings() balance.Settings {
 	s := balance.Settings{Seed: 1, Self: 0, Instances: dispatchers, Zones: 1, Kinds: 2, Weight: balance.WeightSize, Metrics: []balance.Metric{balance.MetricFreeSlots}, ReportInAnswer: true, TellsStart: true,
 		Subscribe: true, MaxAttempts: 3, MayCancel: true, MaxPause: 2000, ConnectTimeout: 120, Tick: 2,
 		Rules:   balance.Rules{AnswerSlack: 8, AskEvery: 10000, FallMultiple: 3, FallWindow: 2000, StartCapacity: 0.31, WarmAfter: 9000, DrainGrace: 500},
@@ -50,7 +50,7 @@
 	return s
 }
 
-func (m Module) list() (list []balance.Worker) {
+func (m ModuleConfig) list() (list []balance.Worker) {
 	// Slots for what would be in flight at all dispatchers, and a margin: who has none left refuses, which is another decision.
 	size := math.Ceil(2*dispatchers*float64(m.InFlight)/float64(m.Workers)) + weight
 	for i := range m.Workers {
@@ -66,7 +66,7 @@
 
 // run brings InFlight reqs in flight, then has Rounds more come while as many end. One req is its arrival with the choice, its
 // start and its answer.
-func (m Module) run() (r moduleRun, err error) {
+func (m ModuleConfig) run() (r moduleRun, err error) {
 	s := &sent{to: make([]balance.WorkerID, m.InFlight+2)} // before what is held is counted
 	var before, filled, after runtime.MemStats
 	runtime.GC()
@@ -133,7 +133,7 @@
 }
 
 // rows measures at one size of one kind.
-func (m Module) rows(name, against string, x int) (rows []capacity.Row, err error) {
+func (m ModuleConfig) rows(name, against string, x int) (rows []capacity.Row, err error) {
 	note := fmt.Sprintf("%d backends, %d reqs in flight, %d teams; arrival, start and answer of one req", m.Workers, m.InFlight, m.Teams)
 	for range m.Repeats {
 		r, err := m.run()
@@ -143,7 +143,7 @@
 		row := func(what, unit string, y float64) {
 			rows = append(rows, capacity.Row{Slope: name + "-" + what, Unit: unit, Against: against, X: float64(x), Y: y, Method: capacity.InProcess, Note: note})
 		}
-		if m.Timed {
+		if m.IncludeTimes {
 			row("us", "us a req", r.ns/1000)
 		}
 		row("allocated", "bytes allocated a req", math.Round(r.bytes))
@@ -153,8 +153,8 @@
 }
 
 // ModuleSlopes are the module's time and memory against workers, reqs in flight and teams, each with the others as m says.
-func ModuleSlopes(m Module, workers, flights, teams []int) (rows []capacity.Row, err error) {
-	add := func(m Module, name, against string, x int) {
+func ModuleSlopes(m ModuleConfig, workers, flights, teams []int) (rows []capacity.Row, err error) {
+	add := func(m ModuleConfig, name, against string, x int) {
 		if err != nil {
 			return
 		}
--- a/internal/lab/capacity/measure/recovery.go
+++ b/internal/lab/capacity/measure/recovery.go
@@ -52,10 +52,10 @@
 	return ms, calls, in, out, err
 }
 
-// Restart is a restart of one dispatcher against the size of the list: ms until it is ready, and what discovery is asked and sends.
+// RestartOne is a restart of one dispatcher against the size of the list: ms until it is ready, and what discovery is asked and sends.
 // Where the list was known only the time and the calls are told.
 // timed says whether the machine is quiet enough for times; where not only counts are returned.
-func Restart(p Program, repeats int, timed bool, workers ...int) (rows []capacity.Row, err error) {
+func RestartOne(p Program, repeats int, timed bool, workers ...int) (rows []capacity.Row, err error) {
 	for _, n := range workers {
 		for range repeats {
 			for _, known := range []bool{false, true} {
--- a/internal/lab/capacity/run/main.go
+++ b/internal/lab/capacity/run/main.go
@@ -18,57 +18,57 @@
 // parts are what can be measured, at its full size.
 var parts = map[string]func(measure.Program) ([]capacity.Row, error){
 	"list": func(p measure.Program) ([]capacity.Row, error) {
-		return measure.List(p, idle, 50, 100, 200, 580, 1000, 2000)
+		return measure.ListSizes(p, idle, 50, 100, 200, 580, 1000, 2000)
 	},
 	"agent": func(p measure.Program) ([]capacity.Row, error) {
-		return measure.Pushed(p, idle, 50, 200, 580, 1000, 2000)
+		return measure.ListSizesPushed(p, idle, 50, 200, 580, 1000, 2000)
 	},
 	"changes": func(p measure.Program) ([]capacity.Row, error) {
-		return measure.Changes(p, idle, 580, 0, 1, 2, 5, 10)
+		return measure.ListChangeRates(p, idle, 580, 0, 1, 2, 5, 10)
 	},
 	"tenants": func(p measure.Program) ([]capacity.Row, error) {
-		return measure.Tenants(p, idle, 580, 10, 50, 100, 310, 620)
+		return measure.TenantCounts(p, idle, 580, 10, 50, 100, 310, 620)
 	},
-	"flight":    flight(measure.Flight{Body: 1, Still: 5 * time.Second}, "flight"),
-	"flight-4k": flight(measure.Flight{Body: 4096}, "flight-4k"),
-	"flight-h2": flight(measure.Flight{Body: 1, HTTP2: true}, "flight-h2"),
+	"flight":    flight(measure.InFlightConfig{BodyBytes: 1, QuietWindow: 5 * time.Second}, "flight"),
+	"flight-4k": flight(measure.InFlightConfig{BodyBytes: 4096}, "flight-4k"),
+	"flight-h2": flight(measure.InFlightConfig{BodyBytes: 1, HTTP2: true}, "flight-h2"),
 	"most": func(p measure.Program) ([]capacity.Row, error) {
-		f := measure.Flight{Body: 1, MemoryMB: 192, Dispatchers: 1, Workers: 580}
-		rows, err := measure.Most(p, f, "most", 256, 1024, 4096, 10000, 20000)
+		f := measure.InFlightConfig{BodyBytes: 1, MemoryMB: 192, Dispatchers: 1, Backends: 580}
+		rows, err := measure.MaxInFlight(p, f, "most", 256, 1024, 4096, 10000, 20000)
 		if err != nil {
 			return nil, err
 		}
 		f.HTTP2 = true
-		more, err := measure.Most(p, f, "most-h2", 256, 1024, 4096, 10000, 16000)
+		more, err := measure.MaxInFlight(p, f, "most-h2", 256, 1024, 4096, 10000, 16000)
 		return append(rows, more...), err
 	},
 	"few": func(p measure.Program) ([]capacity.Row, error) {
-		return measure.Few(p, measure.Flight{Body: 1, Sockets: 1024, MemoryMB: 192, Workers: 580}, "few", 9100, 5, 10, 15, 20)
+		return measure.DispatcherCounts(p, measure.InFlightConfig{BodyBytes: 1, Sockets: 1024, MemoryMB: 192, Backends: 580}, "few", 9100, 5, 10, 15, 20)
 	},
 	"memory": func(p measure.Program) ([]capacity.Row, error) {
-		return measure.Memory(p, measure.Flight{Body: 1, Sockets: 20000, Dispatchers: 1, Workers: 580, Still: time.Second}, "memory", 8900, 128, 192, 256, 320, 384, 512)
+		return measure.MemoryLimits(p, measure.InFlightConfig{BodyBytes: 1, Sockets: 20000, Dispatchers: 1, Backends: 580, QuietWindow: time.Second}, "memory", 8900, 128, 192, 256, 320, 384, 512)
 	},
 	"module": func(measure.Program) ([]capacity.Row, error) {
-		return measure.ModuleSlopes(measure.Module{Workers: 580, InFlight: 100, Teams: 310, Rounds: 20000, Repeats: 3, Timed: true},
+		return measure.ModuleSlopes(measure.ModuleConfig{Workers: 580, InFlight: 100, Teams: 310, Rounds: 20000, Repeats: 3, IncludeTimes: true},
 			[]int{50, 100, 200, 580, 1000, 2000, 4000}, []int{100, 300, 1000, 3000, 9100}, []int{10, 50, 100, 310, 620})
 	},
 	"placements": func(measure.Program) ([]capacity.Row, error) {
 		return measure.Placements(3, 20000, true, 100, 300, 600, 1100, 2200)
 	},
 	"restart": func(p measure.Program) ([]capacity.Row, error) {
-		return measure.Restart(p, 3, true, 50, 100, 200, 580, 1000, 2000)
+		return measure.RestartOne(p, 3, true, 50, 100, 200, 580, 1000, 2000)
 	},
 	"restart-all": func(p measure.Program) ([]capacity.Row, error) {
 		return measure.RestartAll(p, 2, true, 580, 5, 10, 20, 40)
 	},
 }
 
-var idle = measure.Idle{Repeats: 2, Settle: 3 * time.Second, Window: 30 * time.Second}
+var idle = measure.IdleConfig{Repeats: 2, Settle: 3 * time.Second, Window: 30 * time.Second}
 
-func flight(f measure.Flight, name string) func(measure.Program) ([]capacity.Row, error) {
-	f.Sockets, f.MemoryMB, f.Dispatchers, f.Workers = 20000, 512, 1, 580
+func flight(f measure.InFlightConfig, name string) func(measure.Program) ([]capacity.Row, error) {
+	f.Sockets, f.MemoryMB, f.Dispatchers, f.Backends = 20000, 512, 1, 580
 	return func(p measure.Program) ([]capacity.Row, error) {
-		return measure.InFlight(p, f, name, 2, 30, 100, 300, 1000, 3000, 8900)
+		return measure.InFlightCounts(p, f, name, 2, 30, 100, 300, 1000, 3000, 8900)
 	}
 }
 
