--- a/internal/lab/sim/accord.go
+++ b/internal/lab/sim/accord.go
@@ -54,13 +54,13 @@
 // leader is the keeper with its clock and the majority's log.
 type leader struct {
 	*accord.Leader
-	w      *world
-	plan   accord.LeaseConfig
-	rate   float64
-	state  accord.State
-	chance *rand.Rand
-	lives  uint64
-	dark   float64 // since when nobody takes reqs; NaN while somebody does
+	w           *world
+	config      accord.LeaseConfig
+	clockRate   float64
+	state       accord.State
+	random      *rand.Rand
+	epochs      uint64
+	outageSince float64 // since when nobody takes reqs; NaN while somebody does
 }
 
 func (sc *Scenario) checkAccord() error {
@@ -83,10 +83,10 @@
 			return fmt.Errorf("dispatcher %d proposes a change, which is none", c.Dispatcher)
 		}
 	}
-	return a.plan().Check()
+	return a.leaseConfig().Check()
 }
 
-func (a *Accord) plan() accord.LeaseConfig {
+func (a *Accord) leaseConfig() accord.LeaseConfig {
 	return accord.LeaseConfig{Lease: msToDuration(a.Lease), Drift: a.Drift, ContinueWhenCut: a.ContinueWhenCut}
 }
 
@@ -94,29 +94,29 @@
 
 // newLeader has version 1 in force since long before the run, so that the first reqs are taken by it.
 func newLeader(w *world) (*leader, error) {
-	k := &leader{w: w, plan: w.sc.Accord.plan(), chance: fleet.RandomStream(w.sc.Seed, "accord"), dark: math.NaN()}
-	k.rate = k.drawRate()
+	k := &leader{w: w, config: w.sc.Accord.leaseConfig(), random: fleet.RandomStream(w.sc.Seed, "accord"), outageSince: math.NaN()}
+	k.clockRate = k.drawClockRate()
 	k.state.Apply(accord.Decision{Change: 1, Proposal: accord.ProposalBit | 1, Version: 1, Body: []byte("version 1")})
 	var err error
-	k.Leader, err = accord.NewLeader(k.plan, 1, -accord.Time(k.plan.QuietPeriod()), k.state)
+	k.Leader, err = accord.NewLeader(k.config, 1, -accord.Time(k.config.QuietPeriod()), k.state)
 	return k, err
 }
 
-func (k *leader) drawRate() float64 { return 1 + k.plan.Drift*float64(k.chance.IntN(3)-1) }
+func (k *leader) drawClockRate() float64 { return 1 + k.config.Drift*float64(k.random.IntN(3)-1) }
 
 // at is a accordTime's reading: the same instant on all, at the rate of each.
 func (w *world) accordTime(rate float64) accord.Time { return accord.Time(w.now * 1e6 * rate) }
 
-func (k *leader) delay() float64 {
-	return k.w.sc.Accord.Latency * (0.5 + k.chance.Float64())
+func (k *leader) drawDelay() float64 {
+	return k.w.sc.Accord.Latency * (0.5 + k.random.Float64())
 }
 
-// carry has a message between a dispatcher and the keeper arrive, or not.
-func (k *leader) carry(node int, further float64, arrive func()) {
-	if k.chance.Float64() < k.w.sc.Accord.Loss || k.w.cutOff(node) {
+// send has a message between a dispatcher and the keeper arrive, or not.
+func (k *leader) send(node int, further float64, arrive func()) {
+	if k.random.Float64() < k.w.sc.Accord.Loss || k.w.cutOff(node) {
 		return
 	}
-	k.w.at(k.w.now+k.delay()+further, func() {
+	k.w.at(k.w.now+k.drawDelay()+further, func() {
 		if !k.w.cutOff(node) {
 			arrive()
 		}
@@ -133,28 +133,28 @@
 	return false
 }
 
-// ask takes an ask, once a majority has confirmed the keeper by a round trip, and answers it.
-func (k *leader) ask(f *participant, a accord.LeaseRequest) {
-	k.carry(f.side.at, k.delay()+k.delay(), func() {
-		answer := k.Handle(k.w.accordTime(k.rate), a)
-		k.carry(f.side.at, 0, func() { f.answered(answer) })
-		k.turn()
+// handleRequest takes an handleRequest, once a majority has confirmed the keeper by a round trip, and answers it.
+func (k *leader) handleRequest(f *participant, a accord.LeaseRequest) {
+	k.send(f.side.at, k.drawDelay()+k.drawDelay(), func() {
+		answer := k.Handle(k.w.accordTime(k.clockRate), a)
+		k.send(f.side.at, 0, func() { f.handleResponse(answer) })
+		k.step()
 	})
 }
 
-// turn carries out what the keeper wants.
-func (k *leader) turn() {
+// step carries out what the keeper wants.
+func (k *leader) step() {
 	w := k.w
 	if d, ok := k.TakeDecision(); ok {
 		w.at(w.now+w.sc.Accord.FlushTime, func() {
 			k.state.Apply(d)
-			k.Applied(w.accordTime(k.rate), k.state)
-			k.turn()
+			k.Applied(w.accordTime(k.clockRate), k.state)
+			k.step()
 		})
 	}
 	if k.TakePoll() {
 		for _, s := range w.sides {
-			k.carry(s.at, 0, func() { s.participant.nudged() })
+			k.send(s.at, 0, func() { s.participant.handlePoll() })
 		}
 	}
 	k.TakeEvents()
@@ -164,17 +164,17 @@
 func (w *world) startAccord() {
 	k := w.leader
 	for _, s := range w.sides {
-		for !s.participant.lessee.Serving() {
-			s.participant.lessee.RequestNow()
-			if a, ok := s.participant.lessee.NextRequest(s.participant.now()); ok {
-				s.participant.lessee.HandleResponse(s.participant.now(), k.Handle(w.accordTime(k.rate), a))
+		for !s.participant.accord.Serving() {
+			s.participant.accord.RequestNow()
+			if a, ok := s.participant.accord.NextRequest(s.participant.now()); ok {
+				s.participant.accord.HandleResponse(s.participant.now(), k.Handle(w.accordTime(k.clockRate), a))
 			}
-			for _, c := range s.participant.lessee.TakeChecks() {
-				s.participant.lessee.ReportCheck(s.participant.now(), c, nil)
+			for _, c := range s.participant.accord.TakeChecks() {
+				s.participant.accord.ReportCheck(s.participant.now(), c, nil)
 			}
 		}
 	}
-	w.repeat(w.sc.Accord.Lease/50, func() { k.Tick(w.accordTime(k.rate)); k.turn() })
+	w.repeat(w.sc.Accord.Lease/50, func() { k.Tick(w.accordTime(k.clockRate)); k.step() })
 	w.repeat(w.sc.Accord.ProbeInterval, func() {
 		for _, s := range w.sides {
 			s.unready = !s.dead && !s.participant.Serves()
@@ -183,10 +183,10 @@
 	for i, c := range w.sc.PolicyChanges {
 		w.at(c.At, func() {
 			s := w.sides[c.Dispatcher]
-			version, _ := s.participant.lessee.Current()
+			version, _ := s.participant.accord.Current()
 			// One of its own that is under way is not overtaken.
-			_ = s.participant.lessee.Propose(accord.ProposalBit|uint64(i+2), fmt.Appendf(nil, "version %d by change %d", version+1, i))
-			s.participant.turn()
+			_ = s.participant.accord.Propose(accord.ProposalBit|uint64(i+2), fmt.Appendf(nil, "version %d by change %d", version+1, i))
+			s.participant.step()
 		})
 	}
 }
@@ -195,7 +195,7 @@
 func (w *world) repeat(every float64, do func()) {
 	var again func()
 	again = func() { do(); w.at(w.now+every, again) }
-	w.at(w.now+every*w.leader.chance.Float64(), again)
+	w.at(w.now+every*w.leader.random.Float64(), again)
 }
 
 // recordVersions counts the versions that attempts may begin by now. A gate opens only at an event of its lessee, after
@@ -210,16 +210,16 @@
 			continue
 		}
 		serves = serves || s.participant.Serves()
-		if v, may := s.participant.starts(); may && !slices.Contains(used, v) {
+		if v, may := s.participant.startVersion(); may && !slices.Contains(used, v) {
 			used = append(used, v)
 		}
 	}
 	r.MaxVersions = max(r.MaxVersions, len(used))
 	switch {
-	case !serves && math.IsNaN(k.dark):
-		k.dark = w.now
-	case serves && !math.IsNaN(k.dark):
-		r.Outage += w.now - k.dark
-		k.dark = math.NaN()
+	case !serves && math.IsNaN(k.outageSince):
+		k.outageSince = w.now
+	case serves && !math.IsNaN(k.outageSince):
+		r.Outage += w.now - k.outageSince
+		k.outageSince = math.NaN()
 	}
 }
--- a/internal/lab/sim/accord_test.go
+++ b/internal/lab/sim/accord_test.go
@@ -10,8 +10,8 @@
 	"tinsail/internal/lab/defaults"
 )
 
-// severedEvening is an evening of four dispatchers, of which one is cut off while a change is made.
-func severedEvening(seed uint64, keep bool) Scenario {
+// cutEvening is an evening of four dispatchers, of which one is cut off while a change is made.
+func cutEvening(seed uint64, keep bool) Scenario {
 	sc := evening(seed)
 	sc.Dispatchers, sc.Retries, sc.Backoff, sc.Length, sc.Rate = 4, 6, 100, 16_000, 60
 	sc.Accord = Accord{Lease: 3000, Drift: 0.05, ContinueWhenCut: keep, Latency: 1, FlushTime: 5, CheckTime: 2, ProbeInterval: 1000}
@@ -20,12 +20,12 @@
 	return sc
 }
 
-// TestOneVersionWhereCut: over seeds, with lost messages too, dispatchers never may begin by two versions at one moment
+// TestOneVersionInUseDuringCut: over seeds, with lost messages too, dispatchers never may begin by two versions at one moment
 // under stop, and no req is taken by one that is over. Under keep both happen. All end on the new version.
-func TestOneVersionWhereCut(t *testing.T) {
+func TestOneVersionInUseDuringCut(t *testing.T) {
 	for seed := range uint64(16) {
 		for _, loss := range []float64{0, 0.2} {
-			sc := severedEvening(seed, false)
+			sc := cutEvening(seed, false)
 			sc.Accord.Loss = loss
 			r := play(t, sc).Accord
 			assert.Equal(t, []any{1, 0, 0, uint64(2)}, []any{r.MaxVersions, r.OutdatedAccepted, r.OutdatedStarts, r.Version}, "seed %d, loss %v", seed, loss)
@@ -34,19 +34,19 @@
 		if seed%4 > 0 {
 			continue
 		}
-		r := play(t, severedEvening(seed, true)).Accord
+		r := play(t, cutEvening(seed, true)).Accord
 		assert.Equal(t, []any{2, 0, uint64(2)}, []any{r.MaxVersions, r.RefusedWhileCut, r.Version}, "seed %d", seed)
 		assert.Greater(t, r.OutdatedAccepted, 50)
 		assert.Positive(t, r.OutdatedStarts)
 	}
 }
 
-// TestWholeLeaseIsSeen: a dispatcher that uses its lease to the whole length, with a slow clock beside a keeper's fast
+// TestFullLeaseFaultIsDetected: a dispatcher that uses its lease to the whole length, with a slow clock beside a keeper's fast
 // one, goes on after others have begun the next version: the count of versions shows it.
-func TestWholeLeaseIsSeen(t *testing.T) {
+func TestFullLeaseFaultIsDetected(t *testing.T) {
 	seen := 0
 	for seed := range uint64(16) {
-		sc := severedEvening(seed, false)
+		sc := cutEvening(seed, false)
 		sc.Accord.faultFullLease = true
 		if r := play(t, sc).Accord; r.MaxVersions > 1 {
 			seen++
@@ -55,17 +55,17 @@
 	assert.Positive(t, seen)
 }
 
-// TestFenceIsTheLease: a dispatcher that is cut off takes until the lease's last moment for taking, begins until its last
+// TestCutDispatcherStopsAtLeaseEnd: a dispatcher that is cut off takes until the lease's last moment for taking, begins until its last
 // for that, refuses from then on, and takes again once its link is back.
-func TestFenceIsTheLease(t *testing.T) {
-	sc := severedEvening(1, false)
+func TestCutDispatcherStopsAtLeaseEnd(t *testing.T) {
+	sc := cutEvening(1, false)
 	sc.PolicyChanges, sc.Accord.Drift, sc.Rate = nil, 0, 0.01
 	w, err := newWorld(sc, defaults.Settings(), Module)
 	require.NoError(t, err)
 	w.startAccord()
 	f := w.sides[3].participant
 	w.at(sc.Cuts[0].At+1, func() {
-		g, after := f.lessee.Admission(), math.Nextafter(1, 2)
+		g, after := f.accord.Admission(), math.Nextafter(1, 2)
 		take, start := float64(g.AcceptUntil)/1e6, float64(g.StartUntil)/1e6
 		assert.Equal(t, []float64{500, 3000}, []float64{math.Round(start - take), math.Round(sc.Accord.Lease)})
 		assert.Greater(t, take, sc.Cuts[0].At+3000*(1-1./6-1./3)-10, "half a lease at least")
@@ -86,10 +86,10 @@
 	assert.Equal(t, []int{4, 4}, []int{w.res.Accord.Refused, w.res.Accord.RefusedWhileCut})
 }
 
-// TestUnreadyIsLeft: the front sends no more to a dispatcher that it has heard takes none, so that a cut costs the tries
+// TestProbeKeepsClientsFromUnreadyDispatcher: the front sends no more to a dispatcher that it has heard takes none, so that a cut costs the tries
 // until then; a front that asks only every minute sends it its share all the while.
-func TestUnreadyIsLeft(t *testing.T) {
-	sc := severedEvening(5, false)
+func TestProbeKeepsClientsFromUnreadyDispatcher(t *testing.T) {
+	sc := cutEvening(5, false)
 	near := play(t, sc)
 	sc.Accord.ProbeInterval = 60_000
 	far := play(t, sc)
@@ -97,14 +97,14 @@
 	assert.Equal(t, near.First, near.Served)
 }
 
-func TestAccordFaults(t *testing.T) {
+func TestAccordScenarioErrors(t *testing.T) {
 	for want, change := range map[string]func(*Scenario){
 		"want an accord":          func(s *Scenario) { s.Accord = Accord{} },
 		"dispatcher 4 is cut off": func(s *Scenario) { s.Cuts[0].Dispatchers = []int{4} },
 		"dispatcher 9 proposes":   func(s *Scenario) { s.PolicyChanges[0].Dispatcher = 9 },
 		"lease is not between":    func(s *Scenario) { s.Accord.Lease = 1 },
 	} {
-		sc := severedEvening(1, false)
+		sc := cutEvening(1, false)
 		change(&sc)
 		_, err := Play(sc, defaults.Settings())
 		assert.ErrorContains(t, err, want)
--- a/internal/lab/sim/fence.go
+++ b/internal/lab/sim/fence.go
@@ -10,31 +10,31 @@
 // participant is one dispatcher's side of the accord: the core's Versions by the real Lessee's gate, read at the dispatcher's
 // own clock.
 type participant struct {
-	side    *side
-	lessee  *accord.Participant
-	rate    float64
-	waiting map[uint64]int // reqs taken by a version that have begun nowhere
+	side      *side
+	accord    *accord.Participant
+	clockRate float64
+	waiting   map[uint64]int // reqs taken by a version that have begun nowhere
 }
 
 func newParticipant(s *side) (*participant, error) {
 	k := s.w.leader
-	k.lives++
-	f := &participant{side: s, rate: k.drawRate(), waiting: map[uint64]int{}}
+	k.epochs++
+	f := &participant{side: s, clockRate: k.drawClockRate(), waiting: map[uint64]int{}}
 	var err error
-	if f.lessee, err = accord.NewParticipant(k.plan, fmt.Sprint("n", s.at), k.lives); err != nil {
+	if f.accord, err = accord.NewParticipant(k.config, fmt.Sprint("n", s.at), k.epochs); err != nil {
 		return nil, err
 	}
-	s.w.repeat(s.w.sc.Accord.Lease/100, f.turn)
+	s.w.repeat(s.w.sc.Accord.Lease/100, f.step)
 	return f, nil
 }
 
-func (f *participant) now() accord.Time { return f.side.w.accordTime(f.rate) }
+func (f *participant) now() accord.Time { return f.side.w.accordTime(f.clockRate) }
 
-// ends are until when reqs may be taken and attempts started, by the own clock.
-func (f *participant) ends() (take, start accord.Time) {
-	g, a := f.lessee.Admission(), &f.side.w.sc.Accord
+// deadlines are until when reqs may be taken and attempts started, by the own clock.
+func (f *participant) deadlines() (take, start accord.Time) {
+	g, a := f.accord.Admission(), &f.side.w.sc.Accord
 	if a.faultFullLease && !a.ContinueWhenCut && g.AcceptUntil > 0 {
-		whole := g.StartUntil.Add(msToDuration(a.Lease) - f.side.w.leader.plan.UsableLease())
+		whole := g.StartUntil.Add(msToDuration(a.Lease) - f.side.w.leader.config.UsableLease())
 		return whole, whole
 	}
 	return g.AcceptUntil, g.StartUntil
@@ -43,14 +43,14 @@
 // Admit admits a req by the version in force: core.Versions.
 func (f *participant) Admit() (version uint64, pause time.Duration, ok bool) {
 	w := f.side.w
-	if take, _ := f.ends(); f.now() >= take {
+	if take, _ := f.deadlines(); f.now() >= take {
 		w.res.Accord.Refused++
 		if w.cutOff(f.side.at) {
 			w.res.Accord.RefusedWhileCut++
 		}
-		return 0, w.leader.plan.Drain(), false
+		return 0, w.leader.config.Drain(), false
 	}
-	version = f.lessee.Admission().Version
+	version = f.accord.Admission().Version
 	f.waiting[version]++
 	if version < w.leader.state.Version {
 		w.res.Accord.OutdatedAccepted++
@@ -61,63 +61,63 @@
 // Begun tells that a req has begun, or never will. A lessee that has stopped waits for the last.
 func (f *participant) Begun(version uint64) {
 	f.waiting[version]--
-	if g := f.lessee.Admission(); g.Version == version && f.waiting[version] == 0 && g.AcceptUntil == 0 {
-		f.side.w.at(f.side.w.now, f.turn)
+	if g := f.accord.Admission(); g.Version == version && f.waiting[version] == 0 && g.AcceptUntil == 0 {
+		f.side.w.at(f.side.w.now, f.step)
 	}
 }
 
 // MayStart says whether an attempt of a req that was taken by a version may start now.
 func (f *participant) MayStart(version uint64) bool {
-	v, may := f.starts()
+	v, may := f.startVersion()
 	return may && v == version
 }
 
-// starts is the version that attempts may start by, if they may now.
-func (f *participant) starts() (uint64, bool) {
-	_, start := f.ends()
-	return f.lessee.Admission().Version, f.now() < start
+// startVersion is the version that attempts may start by, if they may now.
+func (f *participant) startVersion() (uint64, bool) {
+	_, start := f.deadlines()
+	return f.accord.Admission().Version, f.now() < start
 }
 
 // Serves says whether reqs are taken now.
 func (f *participant) Serves() bool {
-	take, _ := f.ends()
+	take, _ := f.deadlines()
 	return f.now() < take
 }
 
-func (f *participant) answered(a accord.LeaseResponse) {
+func (f *participant) handleResponse(a accord.LeaseResponse) {
 	if !f.side.dead {
-		f.lessee.HandleResponse(f.now(), a)
-		f.turn()
+		f.accord.HandleResponse(f.now(), a)
+		f.step()
 	}
 }
 
-func (f *participant) nudged() {
+func (f *participant) handlePoll() {
 	if !f.side.dead {
-		f.lessee.RequestNow()
-		f.turn()
+		f.accord.RequestNow()
+		f.step()
 	}
 }
 
-// turn carries out what the lessee wants.
-func (f *participant) turn() {
+// step carries out what the lessee wants.
+func (f *participant) step() {
 	w := f.side.w
 	if f.side.dead {
 		return
 	}
-	version, _ := f.lessee.Current()
-	f.lessee.Tick(f.now(), f.waiting[version])
-	for _, c := range f.lessee.TakeChecks() {
+	version, _ := f.accord.Current()
+	f.accord.Tick(f.now(), f.waiting[version])
+	for _, c := range f.accord.TakeChecks() {
 		w.at(w.now+w.sc.Accord.CheckTime, func() {
 			if !f.side.dead {
-				f.lessee.ReportCheck(f.now(), c, nil)
-				f.turn()
+				f.accord.ReportCheck(f.now(), c, nil)
+				f.step()
 			}
 		})
 	}
-	f.lessee.TakeActivation()
-	f.lessee.TakeEvents()
-	if a, ok := f.lessee.NextRequest(f.now()); ok {
-		w.leader.ask(f, a)
+	f.accord.TakeActivation()
+	f.accord.TakeEvents()
+	if a, ok := f.accord.NextRequest(f.now()); ok {
+		w.leader.handleRequest(f, a)
 	}
 	w.recordVersions()
 }
--- a/internal/lab/sim/quotas.go
+++ b/internal/lab/sim/quotas.go
@@ -98,86 +98,86 @@
 	if n == 0 || len(sc.Tenants) == 0 || len(q.RegionDelays) != n*(n-1)/2 {
 		return fmt.Errorf("quotas want tenants, regions and a delay for each pair of them")
 	}
-	if err := q.up().Check(); err != nil {
+	if err := q.regionLeaseConfig().Check(); err != nil {
 		return err
 	}
-	return q.down().Check()
+	return q.dispatcherLeaseConfig().Check()
 }
 
-func (q *Quotas) up() quota.LeaseConfig {
+func (q *Quotas) regionLeaseConfig() quota.LeaseConfig {
 	return quota.LeaseConfig{Lease: msToDuration(q.RegionLease), MaxRunTime: msToDuration(q.MaxRunTime), Drift: q.Drift}
 }
 
-func (q *Quotas) down() quota.LeaseConfig {
+func (q *Quotas) dispatcherLeaseConfig() quota.LeaseConfig {
 	return quota.LeaseConfig{Lease: msToDuration(q.Lease), MaxRunTime: msToDuration(q.MaxRunTime), Drift: q.Drift}
 }
 
 // quotaSimulation is all of it in a run.
 type quotaSimulation struct {
-	w        *world
-	set      Quotas
-	chance   *rand.Rand
-	lives    uint64
-	root     *rootAt
-	regions  []*regionAt
-	now      map[string]int       // the quotas in force
-	urgent   []bool               // by class
-	at       judge.QuotaChecker   // what runs at backends
-	flight   judge.QuotaChecker   // what is in flight at dispatchers
-	messages int                  // of all dispatchers, in the window
-	mean     map[string]*inFlight // by tenant
-	bytes    []int                // of each dispatcher, in the window
-}
-
-// clock is a process's own, with the event that is set for its next turn.
-type clock struct {
-	rate float64
-	wake float64
-}
-
-func (c *clock) now(w *world) quota.Time { return quota.Time(w.now * 1e6 * c.rate) }
-
-// again sets an event for a time of the clock, unless one is set for an earlier one.
-func (c *clock) again(w *world, next quota.Time, turn func()) {
+	w                  *world
+	config             Quotas
+	random             *rand.Rand
+	epochs             uint64
+	root               *rootLender
+	regions            []*regionLender
+	current            map[string]int             // the quotas in force
+	urgentClass        []bool                     // by class
+	backendChecker     judge.QuotaChecker         // what runs at backends
+	dispatcherChecker  judge.QuotaChecker         // what is in flight at dispatchers
+	dispatcherMessages int                        // of all dispatchers, in the window
+	inFlight           map[string]*tenantInFlight // by tenant
+	dispatcherBytes    []int                      // of each dispatcher, in the window
+}
+
+// processClock is a process's own, with the event that is set for its next turn.
+type processClock struct {
+	rate   float64
+	wakeAt float64
+}
+
+func (c *processClock) now(w *world) quota.Time { return quota.Time(w.now * 1e6 * c.rate) }
+
+// schedule sets an event for a time of the clock, unless one is set for an earlier one.
+func (c *processClock) schedule(w *world, next quota.Time, turn func()) {
 	if next == quota.Never {
 		return
 	}
 	// Rounded up: an event that came a hair too early would set itself again and again.
 	at := max(float64(next)/1e6/c.rate, w.now) + 0.01
-	if at >= c.wake {
+	if at >= c.wakeAt {
 		return
 	}
-	c.wake = at
+	c.wakeAt = at
 	w.at(at, func() {
-		if c.wake == at {
-			c.wake = math.Inf(1)
+		if c.wakeAt == at {
+			c.wakeAt = math.Inf(1)
 			turn()
 		}
 	})
 }
 
-func (q *quotaSimulation) clock() clock {
-	return clock{rate: 1 + q.set.Drift*float64(q.chance.IntN(3)-1), wake: math.Inf(1)}
+func (q *quotaSimulation) newClock() processClock {
+	return processClock{rate: 1 + q.config.Drift*float64(q.random.IntN(3)-1), wakeAt: math.Inf(1)}
 }
 
-func (q *quotaSimulation) life() uint64 { q.lives++; return q.lives }
+func (q *quotaSimulation) nextEpoch() uint64 { q.epochs++; return q.epochs }
 
 func newQuotas(w *world) (*quotaSimulation, error) {
-	q := &quotaSimulation{w: w, set: w.sc.Quotas, chance: fleet.RandomStream(w.sc.Seed, "quotas"), now: map[string]int{}, mean: map[string]*inFlight{}, bytes: make([]int, max(w.sc.Dispatchers, 1))}
+	q := &quotaSimulation{w: w, config: w.sc.Quotas, random: fleet.RandomStream(w.sc.Seed, "quotas"), current: map[string]int{}, inFlight: map[string]*tenantInFlight{}, dispatcherBytes: make([]int, max(w.sc.Dispatchers, 1))}
 	// A region that is cut off hears of no change, and may begin by what it holds until its lease and one of its own are over.
-	grace := (q.set.RegionLease + q.set.Lease) * (1 + q.set.Drift) / (1 - q.set.Drift)
-	q.at = judge.QuotaChecker{Reserve: q.set.Reserve * len(w.sc.Regions), LoweringGrace: grace}
-	q.flight = q.at
+	grace := (q.config.RegionLease + q.config.Lease) * (1 + q.config.Drift) / (1 - q.config.Drift)
+	q.backendChecker = judge.QuotaChecker{Reserve: q.config.Reserve * len(w.sc.Regions), LoweringGrace: grace}
+	q.dispatcherChecker = q.backendChecker
 	for _, t := range w.sc.Tenants {
-		q.decide(t.Name, t.Quota)
+		q.setQuota(t.Name, t.Quota)
 	}
 	for _, c := range w.classes {
-		q.urgent = append(q.urgent, c.Urgent)
+		q.urgentClass = append(q.urgentClass, c.Urgent)
 	}
 	w.res.Quotas.Events = map[string]int{}
 	w.res.Quotas.UrgentGrantDelay = hdrhistogram.New(1, 100_000_000_000, 3)
 	for i := range w.sc.Regions {
-		q.regions = append(q.regions, &regionAt{q: q, at: i})
+		q.regions = append(q.regions, &regionLender{q: q, index: i})
 		if err := q.regions[i].start(); err != nil {
 			return nil, err
 		}
@@ -185,10 +185,10 @@
 	return q, q.elect(0, true)
 }
 
-func (q *quotaSimulation) decide(name string, units int) {
-	q.now[name] = units
-	q.at.SetQuota(q.w.now, name, units)
-	q.flight.SetQuota(q.w.now, name, units)
+func (q *quotaSimulation) setQuota(name string, units int) {
+	q.current[name] = units
+	q.backendChecker.SetQuota(q.w.now, name, units)
+	q.dispatcherChecker.SetQuota(q.w.now, name, units)
 }
 
 // accounts are those that have a quota, by name.
@@ -197,26 +197,26 @@
 	for _, t := range q.w.sc.Tenants {
 		out = append(out, t.Name)
 	}
-	if q.set.Reserve > 0 {
+	if q.config.Reserve > 0 {
 		out = append(out, quota.ReserveAccount)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// far is the delay between two regions, one way.
-func (q *quotaSimulation) far(a, b int) float64 {
+// delay is the delay between two regions, one way.
+func (q *quotaSimulation) delay(a, b int) float64 {
 	if a == b {
-		return q.set.Latency
+		return q.config.Latency
 	}
 	if a > b {
 		a, b = b, a
 	}
 	n := len(q.regions)
-	return q.set.RegionDelays[a*n-a*(a+1)/2+b-a-1]
+	return q.config.RegionDelays[a*n-a*(a+1)/2+b-a-1]
 }
 
-func (q *quotaSimulation) severed(a, b int) bool {
+func (q *quotaSimulation) partitioned(a, b int) bool {
 	for _, s := range q.w.sc.Partitions {
 		if a != b && q.w.now >= s.At && q.w.now < s.At+s.Length &&
 			(s.Other < 0 && (a == s.Region || b == s.Region) || s.Other >= 0 && (a == s.Region && b == s.Other || a == s.Other && b == s.Region)) {
@@ -226,199 +226,199 @@
 	return false
 }
 
-// alone says whether a region is cut off from all others.
-func (q *quotaSimulation) alone(region int) bool {
+// isolated says whether a region is cut off from all others.
+func (q *quotaSimulation) isolated(region int) bool {
 	for i := range q.regions {
-		if i != region && !q.severed(i, region) {
+		if i != region && !q.partitioned(i, region) {
 			return false
 		}
 	}
 	return len(q.regions) > 1
 }
 
-// carry has a message between two regions, or within one, arrive, or not.
-func (q *quotaSimulation) carry(a, b int, arrive func()) {
+// send has a message between two regions, or within one, arrive, or not.
+func (q *quotaSimulation) send(a, b int, arrive func()) {
 	w := q.w
-	if q.chance.Float64() < q.set.Loss || q.severed(a, b) {
+	if q.random.Float64() < q.config.Loss || q.partitioned(a, b) {
 		return
 	}
-	w.at(w.now+q.far(a, b)*(0.75+0.5*q.chance.Float64()), func() {
-		if !q.severed(a, b) {
+	w.at(w.now+q.delay(a, b)*(0.75+0.5*q.random.Float64()), func() {
+		if !q.partitioned(a, b) {
 			arrive()
 		}
 	})
 }
 
-// rootAt is the root: the accord's leader.
-type rootAt struct {
-	clock
+// rootLender is the root: the accord's leader.
+type rootLender struct {
+	processClock
 	q      *quotaSimulation
 	lender *quota.Lender
 	region int
-	gone   bool
+	dead   bool
 }
 
 // elect starts a life of the root in a region; the one before may grant nothing from then on.
 func (q *quotaSimulation) elect(region int, first bool) error {
 	if q.root != nil {
-		q.root.gone = true
+		q.root.dead = true
 	}
-	r := &rootAt{clock: q.clock(), q: q, region: region}
+	r := &rootLender{processClock: q.newClock(), q: q, region: region}
 	var known []string
 	for _, g := range q.w.sc.Regions {
 		known = append(known, g.Name)
 	}
 	var err error
-	r.lender, err = quota.NewLender(q.set.up(), q.life(), r.now(q.w), quota.LenderOptions{Preallocate: true, Children: known, SkipRecovery: first})
+	r.lender, err = quota.NewLender(q.config.regionLeaseConfig(), q.nextEpoch(), r.now(q.w), quota.LenderOptions{Preallocate: true, Children: known, SkipRecovery: first})
 	if err != nil {
 		return err
 	}
 	for _, a := range q.accounts() {
 		if a != quota.ReserveAccount {
-			r.lender.SetCapacity(r.now(q.w), a, q.now[a])
+			r.lender.SetCapacity(r.now(q.w), a, q.current[a])
 		}
 	}
 	q.root = r
-	r.turn()
+	r.step()
 	return nil
 }
 
-// take answers a region's ask, once another voter has confirmed by a round trip that this one leads.
-func (r *rootAt) take(g *regionAt, a quota.LeaseRequest) {
+// handleRequest answers a region's ask, once another voter has confirmed by a round trip that this one leads.
+func (r *rootLender) handleRequest(g *regionLender, a quota.LeaseRequest) {
 	q, nearest := r.q, -1
 	for i := range q.regions {
-		if i != r.region && !q.severed(i, r.region) && (nearest < 0 || q.far(i, r.region) < q.far(nearest, r.region)) {
+		if i != r.region && !q.partitioned(i, r.region) && (nearest < 0 || q.delay(i, r.region) < q.delay(nearest, r.region)) {
 			nearest = i
 		}
 	}
-	if r.gone || nearest < 0 && len(q.regions) > 1 {
+	if r.dead || nearest < 0 && len(q.regions) > 1 {
 		return
 	}
 	confirm := func() {
-		if r.gone {
+		if r.dead {
 			return
 		}
 		if answer, ok := r.lender.Handle(r.now(q.w), a); ok {
-			q.far2(sizeOfAnswer(answer))
-			q.carry(r.region, g.at, func() { g.answered(answer) })
+			q.countInterRegionMessage(responseSize(answer))
+			q.send(r.region, g.index, func() { g.handleResponse(answer) })
 		}
-		r.turn()
+		r.step()
 	}
 	if nearest < 0 {
 		confirm()
 		return
 	}
-	q.carry(r.region, nearest, func() { q.carry(nearest, r.region, confirm) })
+	q.send(r.region, nearest, func() { q.send(nearest, r.region, confirm) })
 }
 
-func (r *rootAt) turn() {
-	if r.gone {
+func (r *rootLender) step() {
+	if r.dead {
 		return
 	}
 	q := r.q
 	r.lender.Tick(r.now(q.w))
 	for _, name := range r.lender.TakePolls() {
 		g := q.regions[slices.IndexFunc(q.w.sc.Regions, func(x Region) bool { return x.Name == name })]
-		q.far2(sizeOfNudge)
-		q.carry(r.region, g.at, func() {
+		q.countInterRegionMessage(pollSize)
+		q.send(r.region, g.index, func() {
 			if !g.dead {
-				g.region.HandlePoll()
-				g.turn()
+				g.lender.HandlePoll()
+				g.step()
 			}
 		})
 	}
-	q.notes("root ", r.lender.TakeEvents())
-	r.again(q.w, r.lender.NextTick(), r.turn)
+	q.countEvents("root ", r.lender.TakeEvents())
+	r.schedule(q.w, r.lender.NextTick(), r.step)
 }
 
-func (q *quotaSimulation) far2(bytes int) {
+func (q *quotaSimulation) countInterRegionMessage(bytes int) {
 	q.w.res.Quotas.InterRegionMessages++
 	q.w.res.Quotas.InterRegionBytes += bytes
 }
 
-func (q *quotaSimulation) notes(level string, list []quota.Event) {
+func (q *quotaSimulation) countEvents(level string, list []quota.Event) {
 	for _, n := range list {
 		q.w.res.Quotas.Events[level+n.Step]++
 	}
 }
 
-// regionAt is a region's lender.
-type regionAt struct {
-	clock
+// regionLender is a region's lender.
+type regionLender struct {
+	processClock
 	q      *quotaSimulation
-	at     int
-	region *quota.RegionLender
+	index  int
+	lender *quota.RegionLender
 	dead   bool
 }
 
-func (g *regionAt) start() (err error) {
+func (g *regionLender) start() (err error) {
 	q := g.q
-	g.clock, g.dead = q.clock(), false
-	g.region, err = quota.NewRegionLender(q.set.up(), q.set.down(), q.w.sc.Regions[g.at].Name, q.life(), g.now(q.w))
+	g.processClock, g.dead = q.newClock(), false
+	g.lender, err = quota.NewRegionLender(q.config.regionLeaseConfig(), q.config.dispatcherLeaseConfig(), q.w.sc.Regions[g.index].Name, q.nextEpoch(), g.now(q.w))
 	if err == nil {
 		if q.root == nil { // the run's first lives
-			g.region.SkipRecovery(g.now(q.w))
+			g.lender.SkipRecovery(g.now(q.w))
 		}
-		g.region.SetReserve(g.now(q.w), q.set.Reserve)
-		q.w.at(q.w.now, g.turn)
+		g.lender.SetReserve(g.now(q.w), q.config.Reserve)
+		q.w.at(q.w.now, g.step)
 	}
 	return err
 }
 
-func (g *regionAt) answered(a quota.LeaseResponse) {
+func (g *regionLender) handleResponse(a quota.LeaseResponse) {
 	if !g.dead {
-		g.region.HandleResponse(g.now(g.q.w), a)
-		g.turn()
+		g.lender.HandleResponse(g.now(g.q.w), a)
+		g.step()
 	}
 }
 
-// take answers a dispatcher's ask.
-func (g *regionAt) take(d *dispatcherQuotas, a quota.LeaseRequest) {
+// handleRequest answers a dispatcher's ask.
+func (g *regionLender) handleRequest(d *dispatcherQuotas, a quota.LeaseRequest) {
 	if g.dead {
 		return
 	}
 	q := g.q
-	if answer, ok := g.region.Handle(g.now(q.w), a); ok {
+	if answer, ok := g.lender.Handle(g.now(q.w), a); ok {
 		q.w.res.Quotas.Responses++
-		q.near(d.side.at, sizeOfAnswer(answer))
-		q.carry(g.at, g.at, func() { d.answered(answer) })
+		q.countDispatcherMessage(d.side.at, responseSize(answer))
+		q.send(g.index, g.index, func() { d.handleResponse(answer) })
 	}
-	g.turn()
+	g.step()
 }
 
-func (g *regionAt) turn() {
+func (g *regionLender) step() {
 	if g.dead {
 		return
 	}
 	q := g.q
-	g.region.Tick(g.now(q.w))
-	if a, ok := g.region.NextRequest(g.now(q.w)); ok {
-		q.far2(sizeOfAsk(a))
+	g.lender.Tick(g.now(q.w))
+	if a, ok := g.lender.NextRequest(g.now(q.w)); ok {
+		q.countInterRegionMessage(requestSize(a))
 		root := q.root
-		q.carry(g.at, root.region, func() { root.take(g, a) })
+		q.send(g.index, root.region, func() { root.handleRequest(g, a) })
 	}
-	for _, name := range g.region.TakePolls() {
+	for _, name := range g.lender.TakePolls() {
 		node := 0
 		_, _ = fmt.Sscanf(name, "n%d", &node)
 		q.w.res.Quotas.Polls++
-		q.near(node, sizeOfNudge)
-		q.carry(g.at, g.at, func() {
+		q.countDispatcherMessage(node, pollSize)
+		q.send(g.index, g.index, func() {
 			if d := q.w.sides[node].quotas; !d.side.dead {
 				d.holder.HandlePoll()
-				d.turn()
+				d.step()
 			}
 		})
 	}
-	q.notes("region ", g.region.TakeEvents())
-	g.again(q.w, g.region.NextTick(), g.turn)
+	q.countEvents("region ", g.lender.TakeEvents())
+	g.schedule(q.w, g.lender.NextTick(), g.step)
 }
 
-// near counts the bytes of a message between a dispatcher and its region's lender.
-func (q *quotaSimulation) near(node, bytes int) {
+// countDispatcherMessage counts the bytes of a message between a dispatcher and its region's lender.
+func (q *quotaSimulation) countDispatcherMessage(node, bytes int) {
 	q.w.res.Quotas.Bytes += bytes
 	if q.w.tenants.inWindow(q.w.now) {
-		q.bytes[node] += bytes
-		q.messages++
+		q.dispatcherBytes[node] += bytes
+		q.dispatcherMessages++
 	}
 }
 
@@ -426,37 +426,37 @@
 func (q *quotaSimulation) scheduleFaults() {
 	w := q.w
 	for _, s := range w.sc.Partitions {
-		w.at(s.At+q.set.ElectionTime, func() {
+		w.at(s.At+q.config.ElectionTime, func() {
 			if s.Other < 0 && q.root.region == s.Region && w.now < s.At+s.Length {
-				q.must(q.elect((s.Region+1)%len(q.regions), false))
+				q.panicOnError(q.elect((s.Region+1)%len(q.regions), false))
 			}
 		})
 	}
 	for _, c := range w.sc.LenderCrashes {
 		w.at(c.At, func() {
 			if c.Region < 0 {
-				q.root.gone = true
-				w.at(w.now+c.Down, func() { q.must(q.elect(c.NextRegion, false)) })
+				q.root.dead = true
+				w.at(w.now+c.Down, func() { q.panicOnError(q.elect(c.NextRegion, false)) })
 				return
 			}
 			g := q.regions[c.Region]
 			g.dead = true
-			w.at(w.now+c.Down, func() { q.must(g.start()) })
+			w.at(w.now+c.Down, func() { q.panicOnError(g.start()) })
 		})
 	}
 	for _, r := range w.sc.QuotaChanges {
 		w.at(r.At, func() {
-			q.decide(r.Tenant, r.Quota)
-			if !q.root.gone {
+			q.setQuota(r.Tenant, r.Quota)
+			if !q.root.dead {
 				q.root.lender.SetCapacity(q.root.now(w), r.Tenant, r.Quota)
-				q.root.turn()
+				q.root.step()
 			}
 		})
 	}
 }
 
-// must is for what the scenario's check has found sound.
-func (q *quotaSimulation) must(err error) {
+// panicOnError is for what the scenario's check has found sound.
+func (q *quotaSimulation) panicOnError(err error) {
 	if err != nil {
 		panic(err)
 	}
@@ -465,28 +465,28 @@
 func (q *quotaSimulation) finish() {
 	for i := range q.w.res.Tenants.ByTenant {
 		e, win := &q.w.res.Tenants.ByTenant[i], &q.w.sc.Window
-		q.passes(e.Name, false, 0)
-		e.InFlight = q.mean[e.Name].sum / (win.To - win.From)
+		q.countInFlight(e.Name, false, 0)
+		e.InFlight = q.inFlight[e.Name].sum / (win.To - win.From)
 	}
 	r := &q.w.res.Quotas
-	r.ViolationCount = q.at.Count() + q.flight.Count()
-	r.Violations = append(q.at.Violations(), q.flight.Violations()...)
+	r.ViolationCount = q.backendChecker.Count() + q.dispatcherChecker.Count()
+	r.Violations = append(q.backendChecker.Violations(), q.dispatcherChecker.Violations()...)
 	win := &q.w.sc.Window
-	s, n := (win.To-win.From)/1000, float64(len(q.bytes))
+	s, n := (win.To-win.From)/1000, float64(len(q.dispatcherBytes))
 	sum := 0
-	for _, b := range q.bytes {
+	for _, b := range q.dispatcherBytes {
 		sum += b
 	}
-	r.MaxByteRate, r.MeanByteRate, r.MeanMessageRate = float64(slices.Max(q.bytes))/s, float64(sum)/s/n, float64(q.messages)/s/n
+	r.MaxByteRate, r.MeanByteRate, r.MeanMessageRate = float64(slices.Max(q.dispatcherBytes))/s, float64(sum)/s/n, float64(q.dispatcherMessages)/s/n
 }
 
 // What messages cost, as the codec writes them.
-var sizeOfNudge = len(wire.EncodePoll("v1"))
+var pollSize = len(wire.EncodePoll("v1"))
 
-func sizeOfAsk(a quota.LeaseRequest) int {
+func requestSize(a quota.LeaseRequest) int {
 	return len(wire.EncodeLeaseRequest(wire.LeaseRequest{To: "v1", LeaseRequest: a}))
 }
 
-func sizeOfAnswer(a quota.LeaseResponse) int {
+func responseSize(a quota.LeaseResponse) int {
 	return len(wire.EncodeLeaseResponse(wire.LeaseResponse{From: "v1", LeaseResponse: a}))
 }
--- a/internal/lab/sim/quotas_test.go
+++ b/internal/lab/sim/quotas_test.go
@@ -8,9 +8,9 @@
 	"tinsail/internal/lab/defaults"
 )
 
-// lentDay is teamDay with its quotas lent in levels, jobs of 6 s, and backends that are not full of them.
-func lentDay(seed uint64, times int) Scenario {
-	sc := teamDay(seed, times)
+// quotaScenario is teamDay with its quotas lent in levels, jobs of 6 s, and backends that are not full of them.
+func quotaScenario(seed uint64, times int) Scenario {
+	sc := teamScenario(seed, times)
 	for i := range sc.Backends {
 		sc.Backends[i].Kind.Cores, sc.Backends[i].Kind.Slots = 12, 12
 	}
@@ -23,7 +23,7 @@
 // theirs; urgent reqs begin in time though their tenants' units are all in use, and messages cost little.
 func TestQuotasHold(t *testing.T) {
 	for seed := range uint64(4) {
-		r := play(t, lentDay(seed, 10))
+		r := play(t, quotaScenario(seed, 10))
 		assert.Empty(t, r.Quotas.Violations, "seed %d", seed)
 		assert.Equal(t, 1.0, r.Tenants.MaxOverQuota())
 		assert.Greater(t, r.Tenants.WorstShare(), 0.9)
@@ -68,7 +68,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(4) {
-				sc := lentDay(seed, 10)
+				sc := quotaScenario(seed, 10)
 				harm(&sc)
 				r := play(t, sc)
 				assert.Empty(t, r.Quotas.Violations, "seed %d", seed)
@@ -78,10 +78,10 @@
 	}
 }
 
-// TestCutOffRegionLivesOnWhatItHolds: a region that is cut off goes on beginning jobs by the units lent to it.
-func TestCutOffRegionLivesOnWhatItHolds(t *testing.T) {
+// TestIsolatedRegionUsesHeldUnits: a region that is cut off goes on beginning jobs by the units lent to it.
+func TestIsolatedRegionUsesHeldUnits(t *testing.T) {
 	for seed := range uint64(4) {
-		sc := lentDay(seed, 1)
+		sc := quotaScenario(seed, 1)
 		sc.Quotas.RegionLease = 60_000
 		sc.Partitions = []Partition{{At: 10_000, Length: 30_000, Region: 0, Other: -1}}
 		r := play(t, sc)
@@ -92,11 +92,11 @@
 	}
 }
 
-// TestLeaseHeldForGoodIsSeen: the judge finds dispatchers that go on by what was lent to them once.
-func TestLeaseHeldForGoodIsSeen(t *testing.T) {
+// TestKeptUnitsFaultIsDetected: the judge finds dispatchers that go on by what was lent to them once.
+func TestKeptUnitsFaultIsDetected(t *testing.T) {
 	seen := 0
 	for seed := range uint64(4) {
-		sc := lentDay(seed, 10)
+		sc := quotaScenario(seed, 10)
 		sc.Quotas.faultKeepUnits = true
 		for i := range sc.Tenants {
 			sc.Tenants[i].Demand = 3 * sc.Tenants[i].Quota
@@ -108,17 +108,17 @@
 	assert.Equal(t, 4, seen)
 }
 
-// TestQuotasSameSeed: a run with quotas is the same to the byte.
-func TestQuotasSameSeed(t *testing.T) {
-	sc := lentDay(3, 10)
+// TestQuotasAreDeterministic: a run with quotas is the same to the byte.
+func TestQuotasAreDeterministic(t *testing.T) {
+	sc := quotaScenario(3, 10)
 	sc.Quotas.Loss = 0.05
 	a, b := play(t, sc), play(t, sc)
 	assert.Equal(t, a.Hash, b.Hash)
 	assert.Equal(t, a.Quotas, b.Quotas)
 }
 
-// TestQuotasWantWhatThereIs: faults of a scenario are told.
-func TestQuotasWantWhatThereIs(t *testing.T) {
+// TestQuotaScenarioErrors: faults of a scenario are told.
+func TestQuotaScenarioErrors(t *testing.T) {
 	for want, harm := range map[string]func(*Scenario){
 		"a delay for each pair":                func(sc *Scenario) { sc.Quotas.RegionDelays = nil },
 		"lease is not between":                 func(sc *Scenario) { sc.Quotas.Lease = 1 },
@@ -127,7 +127,7 @@
 		`quota of tenant "z", which is none`:   func(sc *Scenario) { sc.QuotaChanges = []QuotaChange{{Tenant: "z", Quota: 1}} },
 		"spans, crashes and changes of quotas": func(sc *Scenario) { sc.Quotas, sc.Partitions = Quotas{}, []Partition{{Other: -1}} },
 	} {
-		sc := lentDay(1, 1)
+		sc := quotaScenario(1, 1)
 		harm(&sc)
 		_, err := Play(sc, defaults.Settings())
 		assert.ErrorContains(t, err, want)
--- a/internal/lab/sim/tenants.go
+++ b/internal/lab/sim/tenants.go
@@ -86,15 +86,15 @@
 
 // tenantJobs counts the jobs that run for each tenant, as the backends have them.
 type tenantJobs struct {
-	w      *world
-	since  []float64
-	now    []int
-	urgent []int
-	sum    []float64 // of ms times jobs, in the window
-	sumU   []float64
-	jobs   map[uint64]*client
-	chance *rand.Rand
-	total  int // of the tenants' quotas
+	w             *world
+	changedAt     []float64
+	running       []int
+	runningUrgent []int
+	sum           []float64 // of ms times jobs, in the window
+	urgentSum     []float64
+	jobs          map[uint64]*client
+	random        *rand.Rand
+	totalQuota    int // of the tenants' quotas
 }
 
 func (sc *Scenario) checkTenants() error {
@@ -129,11 +129,11 @@
 
 func newTenantJobs(w *world) *tenantJobs {
 	n := len(w.sc.Tenants)
-	r := &tenantJobs{w: w, since: make([]float64, n), now: make([]int, n), urgent: make([]int, n), sum: make([]float64, n), sumU: make([]float64, n),
-		jobs: map[uint64]*client{}, chance: fleet.RandomStream(w.sc.Seed, "tenants")}
+	r := &tenantJobs{w: w, changedAt: make([]float64, n), running: make([]int, n), runningUrgent: make([]int, n), sum: make([]float64, n), urgentSum: make([]float64, n),
+		jobs: map[uint64]*client{}, random: fleet.RandomStream(w.sc.Seed, "tenants")}
 	for _, t := range w.sc.Tenants {
 		w.res.Tenants.ByTenant = append(w.res.Tenants.ByTenant, TenantResult{Name: t.Name, Quota: t.Quota, Demand: t.Demand})
-		r.total += t.Quota
+		r.totalQuota += t.Quota
 	}
 	for _, b := range w.sc.Backends {
 		w.res.Tenants.Slots += b.Kind.Slots
@@ -148,7 +148,7 @@
 	w := r.w
 	for i := range w.sc.Tenants {
 		for range w.sc.Tenants[i].Demand {
-			w.at(w.sc.Window.Ramp*r.chance.Float64(), func() { r.submit(i, r.chance.Float64()) })
+			w.at(w.sc.Window.Ramp*r.random.Float64(), func() { r.submit(i, r.random.Float64()) })
 		}
 	}
 }
@@ -159,7 +159,7 @@
 	class := classIndex(w.classes, w.sc.Tenants[tenant].Class)
 	c := &w.classes[class]
 	w.res.First++
-	z := r.chance.NormFloat64()
+	z := r.random.NormFloat64()
 	a := Arrival{At: w.now, Slots: 1, Class: class, Work: part * c.Work * math.Exp(c.Spread*z-c.Spread*c.Spread/2)}
 	cl := &client{w: w, n: w.res.First, key: fmt.Sprint("k", w.res.First), Arrival: a, begun: w.now, tenant: tenant, region: w.drawRegion(), stands: true}
 	cl.ask()
@@ -175,7 +175,7 @@
 
 // drawTenant gives a req of no tenant's standing demand a tenant, by quota.
 func (r *tenantJobs) drawTenant() int {
-	at := r.chance.IntN(max(r.total, 1))
+	at := r.random.IntN(max(r.totalQuota, 1))
 	for i := range r.w.sc.Tenants {
 		if at -= r.w.sc.Tenants[i].Quota; at < 0 {
 			return i
@@ -187,7 +187,7 @@
 // scheduleNext has the next req of a standing demand come, after one is over.
 func (r *tenantJobs) scheduleNext(c *client) {
 	w := r.w
-	if at := w.now + r.chance.ExpFloat64()*w.sc.Tenants[c.tenant].ThinkTime; c.stands && at < w.sc.Length {
+	if at := w.now + r.random.ExpFloat64()*w.sc.Tenants[c.tenant].ThinkTime; c.stands && at < w.sc.Length {
 		w.at(at, func() { r.submit(c.tenant, 1) })
 	}
 }
@@ -199,17 +199,17 @@
 		return
 	}
 	r.jobs[job] = c
-	r.pass(c.tenant)
-	r.now[c.tenant]++
+	r.accumulate(c.tenant)
+	r.running[c.tenant]++
 	urgent := c.class().Urgent
 	if urgent {
-		r.urgent[c.tenant]++
+		r.runningUrgent[c.tenant]++
 	}
 	if q := r.w.quotas; q != nil {
-		q.at.HandleStart(r.w.now, t.ByTenant[c.tenant].Name, urgent)
+		q.backendChecker.HandleStart(r.w.now, t.ByTenant[c.tenant].Name, urgent)
 	}
 	e := &t.ByTenant[c.tenant]
-	e.MaxRunning = max(e.MaxRunning, r.now[c.tenant]-r.urgent[c.tenant])
+	e.MaxRunning = max(e.MaxRunning, r.running[c.tenant]-r.runningUrgent[c.tenant])
 	if c.ran > 1 || !r.inWindow(c.begun) {
 		return
 	}
@@ -232,38 +232,38 @@
 		return
 	}
 	delete(r.jobs, job)
-	r.pass(c.tenant)
-	r.now[c.tenant]--
+	r.accumulate(c.tenant)
+	r.running[c.tenant]--
 	if c.class().Urgent {
-		r.urgent[c.tenant]--
+		r.runningUrgent[c.tenant]--
 	}
 	if q := r.w.quotas; q != nil {
-		q.at.HandleEnd(r.w.res.Tenants.ByTenant[c.tenant].Name, c.class().Urgent)
+		q.backendChecker.HandleEnd(r.w.res.Tenants.ByTenant[c.tenant].Name, c.class().Urgent)
 	}
 }
 
-// pass adds what ran for a tenant since it last changed.
-func (r *tenantJobs) pass(tenant int) {
+// accumulate adds what ran for a tenant since it last changed.
+func (r *tenantJobs) accumulate(tenant int) {
 	win := &r.w.sc.Window
-	if d := min(r.w.now, win.To) - max(r.since[tenant], win.From); d > 0 {
-		r.sum[tenant] += d * float64(r.now[tenant])
-		r.sumU[tenant] += d * float64(r.urgent[tenant])
+	if d := min(r.w.now, win.To) - max(r.changedAt[tenant], win.From); d > 0 {
+		r.sum[tenant] += d * float64(r.running[tenant])
+		r.urgentSum[tenant] += d * float64(r.runningUrgent[tenant])
 	}
-	r.since[tenant] = r.w.now
+	r.changedAt[tenant] = r.w.now
 }
 
 func (r *tenantJobs) finish() {
 	win, t := &r.w.sc.Window, &r.w.res.Tenants
 	for i := range t.ByTenant {
-		r.pass(i)
-		t.ByTenant[i].entitlement = r.due(i)
-		t.ByTenant[i].Running, t.ByTenant[i].RunningUrgent = r.sum[i]/(win.To-win.From), r.sumU[i]/(win.To-win.From)
+		r.accumulate(i)
+		t.ByTenant[i].entitlement = r.entitlement(i)
+		t.ByTenant[i].Running, t.ByTenant[i].RunningUrgent = r.sum[i]/(win.To-win.From), r.urgentSum[i]/(win.To-win.From)
 		t.Running += t.ByTenant[i].Running
 	}
 }
 
-// due is what a tenant should have had running over the window, by its quotas.
-func (r *tenantJobs) due(i int) float64 {
+// entitlement is what a tenant should have had running over the window, by its quotas.
+func (r *tenantJobs) entitlement(i int) float64 {
 	win, t := &r.w.sc.Window, &r.w.sc.Tenants[i]
 	at, units, sum := win.From, t.Quota, 0.0
 	until := func(to float64) {
