--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -13,261 +13,265 @@
 	"tinsail/internal/standin/history"
 )
 
-// client is one client of a node: a request at a time, on connections that it keeps.
+// client sends requests to the dispatcher of one node, one at a time, on connections that it keeps open.
 type client struct {
 	*play
-	n      *node
-	name   string
-	rng    *rand.Rand
-	asked  int
-	conn   net.Conn
-	in     *bufio.Reader
-	used   bool      // conn has carried an answer
-	opened time.Time // conn, or transport
+	node         *node
+	name         string
+	rng          *rand.Rand
+	requestCount int
+	conn         net.Conn
+	reader       *bufio.Reader
+	reused       bool      // conn has carried an answer
+	connectedAt  time.Time // when conn was opened or transport was created
 
-	transport *http.Transport // over HTTP/2 ...
-	to        *life           // ... to this process
+	transport        *http.Transport // for HTTP/2
+	transportProcess *process        // the process that transport is connected to
 }
 
-// clientsPerNode use HTTP/1.1, and one more HTTP/2.
+// clientsPerNode is the number of HTTP/1.1 clients of each node. One more client uses HTTP/2.
 const clientsPerNode = 4
 
-// run asks until the play's length is over.
-func (c *client) run() {
-	defer c.drop()
-	for time.Since(c.begun) < PlayDuration {
-		if c.conn == nil && !c.n.fronted() {
+// runHTTP1 sends requests over HTTP/1.1 until PlayDuration has passed.
+func (c *client) runHTTP1() {
+	defer c.closeConn()
+	for time.Since(c.startedAt) < PlayDuration {
+		if c.conn == nil && !c.node.acceptsNewConnections() {
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
 		switch {
-		case c.during(PartialRequest):
-			c.half()
-		case c.during(InvalidRequest):
-			c.flood()
+		case c.drawFault(PartialRequest):
+			c.sendPartialRequest()
+		case c.drawFault(InvalidRequest):
+			c.sendInvalidRequest()
 		default:
-			c.ask()
+			c.sendRequest()
 		}
-		time.Sleep(upTo(c.rng, 12*time.Millisecond))
+		time.Sleep(randomBelow(c.rng, 12*time.Millisecond))
 	}
 }
 
-// during says whether a trouble of clients is on, for this client and this time.
-func (c *client) during(k FaultKind) bool {
-	at := time.Since(c.begun)
-	for _, t := range c.Faults {
-		if t.Kind == k && at >= t.Start && at < t.Start+t.Duration && c.rng.IntN(3) == 0 {
+// drawFault reports whether the client shows a client fault now: while a fault of the kind is active, with a probability of
+// one third.
+func (c *client) drawFault(k FaultKind) bool {
+	elapsed := time.Since(c.startedAt)
+	for _, f := range c.Faults {
+		if f.Kind == k && elapsed >= f.Start && elapsed < f.Start+f.Duration && c.rng.IntN(3) == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *client) drop() {
+func (c *client) closeConn() {
 	if c.conn != nil {
 		c.conn.Close()
 	}
 	c.conn = nil
 }
 
-func (c *client) dial() bool {
+// connect opens a connection unless there is one, and reports whether there is one now.
+func (c *client) connect() bool {
 	if c.conn != nil {
 		return true
 	}
-	conn, err := net.DialTimeout("tcp", c.n.address(), time.Second)
+	conn, err := net.DialTimeout("tcp", c.node.listenAddress(), time.Second)
 	if err != nil {
 		return false
 	}
-	c.conn, c.in, c.used, c.opened = conn, bufio.NewReader(conn), false, time.Now()
+	c.conn, c.reader, c.reused, c.connectedAt = conn, bufio.NewReader(conn), false, time.Now()
 	return true
 }
 
-// head is a request without its body, of one byte.
-func (c *client) head(id string, left time.Duration) string {
-	key := "Idempotency-Key: " + id + "\r\n"
+// requestHeader returns the request line and headers of a request whose body is one byte long.
+func (c *client) requestHeader(id string, timeLeft time.Duration) string {
+	keyHeader := "Idempotency-Key: " + id + "\r\n"
 	if c.Site.Effect != "idempotency_key" {
-		key = ""
+		keyHeader = ""
 	}
 	return fmt.Sprintf("POST /photo/1 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\n%sX-Service-Class: photo\r\nX-Time-Left-Ms: %d\r\nContent-Length: 1\r\n\r\n",
-		id, key, left.Milliseconds())
+		id, keyHeader, timeLeft.Milliseconds())
 }
 
-// next draws a request: its id, and how long its client waits.
-func (c *client) next() (id string, left time.Duration) {
-	c.asked++
-	left = c.Site.Deadline*3/4 + upTo(c.rng, c.Site.Deadline/4)
-	if c.during(ShortDeadline) {
-		left = time.Millisecond + upTo(c.rng, 30*time.Millisecond)
+// nextRequest returns the id of the next request and how long the client waits for its answer.
+func (c *client) nextRequest() (id string, timeLeft time.Duration) {
+	c.requestCount++
+	timeLeft = c.Site.Deadline*3/4 + randomBelow(c.rng, c.Site.Deadline/4)
+	if c.drawFault(ShortDeadline) {
+		timeLeft = time.Millisecond + randomBelow(c.rng, 30*time.Millisecond)
 	}
-	return fmt.Sprintf("%s-%d", c.name, c.asked), left
+	return fmt.Sprintf("%s-%d", c.name, c.requestCount), timeLeft
 }
 
-func (c *client) req(id string, left time.Duration) history.Req {
-	r := history.Req{Dispatcher: c.n.name(), ID: id, Unsafe: c.Site.Effect == "non_idempotent", ReusedConnection: c.used}
+// newReq returns the record of a request for the history, without its times.
+func (c *client) newReq(id string, timeLeft time.Duration) history.Req {
+	r := history.Req{Dispatcher: c.node.name(), ID: id, Unsafe: c.Site.Effect == "non_idempotent", ReusedConnection: c.reused}
 	if c.Site.Effect == "idempotency_key" {
 		r.RepeatWindow = c.Site.Window
 	}
 	return r
 }
 
-// ask sends a request and waits for its answer, or leaves before it.
-func (c *client) ask() {
-	if !c.dial() {
+// sendRequest sends a request and waits for its answer, or closes the connection before the answer during ClientAbort.
+func (c *client) sendRequest() {
+	if !c.connect() {
 		return
 	}
-	id, left := c.next()
-	r := c.req(id, left)
-	sent := time.Now()
-	r.Deadline = sent.Add(left)
-	text := c.head(id, left) + "b"
+	id, timeLeft := c.nextRequest()
+	r := c.newReq(id, timeLeft)
+	startedAt := time.Now()
+	r.Deadline = startedAt.Add(timeLeft)
+	text := c.requestHeader(id, timeLeft) + "b"
 	if !c.write(text) {
-		c.drop()
-		return // never whole
+		c.closeConn()
+		return // not sent in full, so no answer is required
 	}
 	r.SentAt = time.Now()
-	if c.during(ClientAbort) {
-		time.Sleep(upTo(c.rng, 60*time.Millisecond))
-		c.drop()
+	if c.drawFault(ClientAbort) {
+		time.Sleep(randomBelow(c.rng, 60*time.Millisecond))
+		c.closeConn()
 		r.ClientGone, r.ClientGoneAt = true, time.Now()
 		c.history.AddReq(r)
 		return
 	}
-	_ = c.conn.SetReadDeadline(r.Deadline.Add(answerWait))
-	a, err := http.ReadResponse(c.in, nil)
+	_ = c.conn.SetReadDeadline(r.Deadline.Add(lateAnswerWait))
+	answer, err := http.ReadResponse(c.reader, nil)
 	var body []byte
 	if err == nil {
-		body, err = io.ReadAll(a.Body)
-		a.Body.Close()
+		body, err = io.ReadAll(answer.Body)
+		answer.Body.Close()
 	}
 	if err != nil {
-		opened := c.opened
-		c.drop()
-		if c.n.killedAfter(opened) {
+		connectedAt := c.connectedAt
+		c.closeConn()
+		if c.node.wasKilledAfter(connectedAt) {
 			c.excused.Add(1)
 			return
 		}
 		c.history.AddReq(r)
-		if isTimeout(err) { // lost, by the judge
+		if isTimeout(err) { // the history's rules report it as lost
 			return
 		}
 		c.history.AddReset(id, fmt.Sprintf("%v, %v after it was sent", err, time.Since(r.SentAt).Round(time.Millisecond)))
 		return
 	}
 	c.history.AddReq(r)
-	c.history.AddAnswer(history.Answer{ID: id, At: time.Now(), Status: a.StatusCode, Body: string(body)})
+	c.history.AddAnswer(history.Answer{ID: id, At: time.Now(), Status: answer.StatusCode, Body: string(body)})
 	c.judged.Add(1)
-	if c.used = true; a.Close || c.rng.IntN(newConnectionEvery) == 0 {
-		c.drop()
+	if c.reused = true; answer.Close || c.rng.IntN(answersPerConnection) == 0 {
+		c.closeConn()
 	}
 }
 
-// newConnectionEvery is after how many answers, on average, a client takes a new connection.
-const newConnectionEvery = 8
+// answersPerConnection is the mean number of answers after which a client opens a new connection.
+const answersPerConnection = 8
 
-// answerWait is how long after its time a client waits on, to tell a late answer from none.
-const answerWait = 3 * time.Second
+// lateAnswerWait is how long a client waits past its deadline, to tell a late answer from a missing one.
+const lateAnswerWait = 3 * time.Second
 
 func isTimeout(err error) bool {
-	ne, ok := err.(net.Error)
-	return ok && ne.Timeout()
+	netErr, ok := err.(net.Error)
+	return ok && netErr.Timeout()
 }
 
-// write writes a request, in pieces while clients are slow.
+// write writes a request, in several small pieces during SlowWrites. It reports whether it wrote all of it.
 func (c *client) write(text string) bool {
 	_ = c.conn.SetWriteDeadline(time.Now().Add(5 * time.Second))
-	if c.during(SlowWrites) {
+	if c.drawFault(SlowWrites) {
 		for range 3 {
 			n := 1 + c.rng.IntN(20)
 			if _, err := io.WriteString(c.conn, text[:n]); err != nil {
 				return false
 			}
 			text = text[n:]
-			time.Sleep(upTo(c.rng, 15*time.Millisecond))
+			time.Sleep(randomBelow(c.rng, 15*time.Millisecond))
 		}
 	}
 	_, err := io.WriteString(c.conn, text)
 	return err == nil
 }
 
-// half sends a part of a request and stays. It is owed an error or a close within 3 s.
-func (c *client) half() {
-	c.drop()
-	if !c.dial() {
+// sendPartialRequest sends part of a request and waits. The dispatcher must answer with an error or close the connection
+// within 3 s.
+func (c *client) sendPartialRequest() {
+	c.closeConn()
+	if !c.connect() {
 		return
 	}
-	defer c.drop()
-	id, left := c.next()
-	text := c.head(id, left)
+	defer c.closeConn()
+	id, timeLeft := c.nextRequest()
+	text := c.requestHeader(id, timeLeft)
 	_, _ = io.WriteString(c.conn, text[:1+c.rng.IntN(len(text)-1)])
-	_ = c.conn.SetReadDeadline(c.opened.Add(halfOwed + halfSlack))
-	if _, err := c.in.ReadByte(); isTimeout(err) && !c.n.killedAfter(c.opened) {
-		c.fault("a client with half a request had neither an error nor a close within %v", halfOwed+halfSlack)
+	_ = c.conn.SetReadDeadline(c.connectedAt.Add(partialRequestLimit + partialRequestSlack))
+	if _, err := c.reader.ReadByte(); isTimeout(err) && !c.node.wasKilledAfter(c.connectedAt) {
+		c.addFailure("a client that had sent part of a request got neither an error nor a close within %v", partialRequestLimit+partialRequestSlack)
 	}
 }
 
-// halfOwed is the page's figure, halfSlack what hold-ups and a busy machine add.
 const (
-	halfOwed  = 3 * time.Second
-	halfSlack = 1500 * time.Millisecond
+	partialRequestLimit = 3 * time.Second         // documented limit for closing a connection with a partial request
+	partialRequestSlack = 1500 * time.Millisecond // for the delay by paused processes and a busy machine
 )
 
-// flood sends what is no request, and reads what comes.
-func (c *client) flood() {
-	c.drop()
-	if !c.dial() {
+// sendInvalidRequest sends 200 KiB that are no valid request, and reads whatever the dispatcher answers.
+func (c *client) sendInvalidRequest() {
+	c.closeConn()
+	if !c.connect() {
 		return
 	}
-	defer c.drop()
+	defer c.closeConn()
 	_ = c.conn.SetDeadline(time.Now().Add(time.Second))
 	_, _ = io.WriteString(c.conn, "NONSENSE / x\r\n\r\n"+strings.Repeat("x", 200<<10))
 	_, _ = io.Copy(io.Discard, c.conn)
 }
 
-// streams asks over HTTP/2 until the play's length is over.
-func (c *client) streams() {
-	for time.Since(c.begun) < PlayDuration {
-		if l := c.n.now(); c.n.fronted() && l.streams != "" {
-			c.stream(l)
+// runHTTP2 sends requests over HTTP/2 until PlayDuration has passed.
+func (c *client) runHTTP2() {
+	for time.Since(c.startedAt) < PlayDuration {
+		if p := c.node.currentProcess(); c.node.acceptsNewConnections() && p.http2Address != "" {
+			c.sendHTTP2Request(p)
 		}
-		time.Sleep(5*time.Millisecond + upTo(c.rng, 20*time.Millisecond))
+		time.Sleep(5*time.Millisecond + randomBelow(c.rng, 20*time.Millisecond))
 	}
 }
 
-func (c *client) stream(l *life) {
-	if c.transport == nil || c.to != l {
+// sendHTTP2Request sends a request over HTTP/2 to a process and waits for its answer.
+func (c *client) sendHTTP2Request(p *process) {
+	if c.transport == nil || c.transportProcess != p {
 		if c.transport != nil {
 			c.transport.CloseIdleConnections()
 		}
-		c.transport, c.to, c.opened = &http.Transport{Protocols: new(http.Protocols)}, l, time.Now()
+		c.transport, c.transportProcess, c.connectedAt = &http.Transport{Protocols: new(http.Protocols)}, p, time.Now()
 		c.transport.Protocols.SetUnencryptedHTTP2(true)
 	}
-	id, left := c.next()
-	r := c.req(id, left)
-	r.ReusedConnection = true // its client is told what was taken
-	q, err := http.NewRequest("POST", "http://"+l.streams+"/photo/1", strings.NewReader("b"))
+	id, timeLeft := c.nextRequest()
+	r := c.newReq(id, timeLeft)
+	r.ReusedConnection = true // over HTTP/2, the client learns which requests were accepted
+	req, err := http.NewRequest("POST", "http://"+p.http2Address+"/photo/1", strings.NewReader("b"))
 	if err != nil {
 		return
 	}
-	q.GetBody = nil // the transport is not to send it again by itself
-	q.Header.Set("X-Correlation-Id", id)
-	q.Header.Set("X-Time-Left-Ms", fmt.Sprint(left.Milliseconds()))
+	req.GetBody = nil // keeps the transport from sending the request again by itself
+	req.Header.Set("X-Correlation-Id", id)
+	req.Header.Set("X-Time-Left-Ms", fmt.Sprint(timeLeft.Milliseconds()))
 	if c.Site.Effect == "idempotency_key" {
-		q.Header.Set("Idempotency-Key", id)
+		req.Header.Set("Idempotency-Key", id)
 	}
 	r.SentAt = time.Now()
-	r.Deadline = r.SentAt.Add(left)
+	r.Deadline = r.SentAt.Add(timeLeft)
 	var body []byte
-	a, err := c.transport.RoundTrip(q)
+	answer, err := c.transport.RoundTrip(req)
 	if err == nil {
-		body, err = io.ReadAll(a.Body)
-		a.Body.Close()
+		body, err = io.ReadAll(answer.Body)
+		answer.Body.Close()
 	}
 	switch {
 	case err == nil:
 		c.history.AddReq(r)
-		c.history.AddAnswer(history.Answer{ID: id, At: time.Now(), Status: a.StatusCode, Body: string(body)})
+		c.history.AddAnswer(history.Answer{ID: id, At: time.Now(), Status: answer.StatusCode, Body: string(body)})
 		c.judged.Add(1)
-	case c.n.killedAfter(c.opened):
+	case c.node.wasKilledAfter(c.connectedAt):
 		c.excused.Add(1)
 	default:
 		c.history.AddReq(r)
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -14,213 +14,219 @@
 	"tinsail/internal/standin/platform"
 )
 
-// apply plays one trouble from its time to its end. Clients' troubles are played by the clients.
-func (p *play) apply(t Fault) {
-	time.Sleep(time.Until(p.begun.Add(t.Start)))
-	n := p.nodes[t.Target%len(p.nodes)]
-	b := p.backends[t.Target%len(p.backends)]
-	switch t.Kind {
+// inject injects one fault from its start to its end. It ignores client faults, which the clients themselves show.
+func (p *play) inject(f Fault) {
+	time.Sleep(time.Until(p.startedAt.Add(f.Start)))
+	n := p.nodes[f.Target%len(p.nodes)]
+	b := p.backends[f.Target%len(p.backends)]
+	switch f.Kind {
 	case Sigterm, Sigkill, ClockSkew:
-		p.restart(n, t)
+		p.restart(n, f)
 	case HandOver:
 		p.handOver(n)
 	case Reload:
 		for range 3 {
-			n.now().signal(syscall.SIGHUP)
-			time.Sleep(t.Duration / 10)
+			n.currentProcess().signal(syscall.SIGHUP)
+			time.Sleep(f.Duration / 10)
 		}
 	case Pause:
 		for range 3 {
-			n.now().signal(syscall.SIGSTOP)
-			time.Sleep(holdUp)
-			n.now().signal(syscall.SIGCONT)
-			time.Sleep(holdUp)
+			n.currentProcess().signal(syscall.SIGSTOP)
+			time.Sleep(pauseLength)
+			n.currentProcess().signal(syscall.SIGCONT)
+			time.Sleep(pauseLength)
 		}
 	case DescriptorLimit:
-		p.shortOfDescriptors(n.now(), t.Duration)
+		p.limitDescriptors(n.currentProcess(), f.Duration)
 	case WatchStall:
 		for _, n := range p.nodes {
-			n.now().seat.SilenceOpenCalls()
+			n.currentProcess().directorListener.SilenceOpenCalls()
 		}
 	case DirectorDown:
 		p.director.SetDown(true)
-		time.Sleep(t.Duration)
+		time.Sleep(f.Duration)
 		p.director.SetDown(false)
 	case DrainBackend:
-		p.drain(b, t)
+		p.drainBackend(b, f)
 	case RefuseConnections:
-		p.relay(b, faultnet.Rule{Refuse: true}, t.Duration)
+		p.setRelayRule(b, faultnet.Rule{Refuse: true}, f.Duration)
 	case Blackhole:
-		p.relay(b, faultnet.Rule{Blackhole: true}, t.Duration)
-		b.relay.Reset() // what was swallowed never comes
+		p.setRelayRule(b, faultnet.Rule{Blackhole: true}, f.Duration)
+		b.relay.Reset() // data that was dropped is never delivered later
 	case NetworkDelay:
-		p.relay(b, faultnet.Rule{Delay: 15 * time.Millisecond}, t.Duration)
+		p.setRelayRule(b, faultnet.Rule{Delay: 15 * time.Millisecond}, f.Duration)
 	case ResetConnections:
 		for range 5 {
 			b.relay.Reset()
-			time.Sleep(t.Duration / 5)
+			time.Sleep(f.Duration / 5)
 		}
 	case HangJobs:
 		for _, b := range p.backends[:2] {
 			b.Set(platform.Faults{HoldJobs: true})
 		}
-		time.Sleep(t.Duration)
+		time.Sleep(f.Duration)
 		for _, b := range p.backends[:2] {
 			b.Set(platform.Faults{})
 		}
 	case ResetMidJob:
-		p.faults(b, platform.Faults{Reset: platform.ResetPoint(1 + t.Target%3)}, t.Duration)
+		p.setBackendFaults(b, platform.Faults{Reset: platform.ResetPoint(1 + f.Target%3)}, f.Duration)
 	case RejectJobs:
-		p.faults(b, platform.Faults{Refuse: true}, t.Duration)
+		p.setBackendFaults(b, platform.Faults{Refuse: true}, f.Duration)
 	case FailJobs:
-		p.faults(b, platform.Faults{FailShare: 0.5}, t.Duration)
+		p.setBackendFaults(b, platform.Faults{FailShare: 0.5}, f.Duration)
 	case CloseAfterAnswer:
-		p.faults(b, platform.Faults{CloseEach: true}, t.Duration)
+		p.setBackendFaults(b, platform.Faults{CloseEach: true}, f.Duration)
 	case SyscallErrors:
-		p.shim(n, []string{"EMFILE", "ENFILE", "ENOBUFS", "EADDRNOTAVAIL", "ENETUNREACH", "ECONNABORTED"}[t.Target%6], shortage)
+		p.setShimFault(n, []string{"EMFILE", "ENFILE", "ENOBUFS", "EADDRNOTAVAIL", "ENETUNREACH", "ECONNABORTED"}[f.Target%6], shortageDuration)
 	case ShortIO:
-		p.shim(n, "short", t.Duration)
+		p.setShimFault(n, "short", f.Duration)
 	case StorageErrors:
-		p.ban(n, b, []string{"ENOSPC", "EIO"}[t.Target%2], t.Duration)
+		p.banDuringStorageFault(n, b, []string{"ENOSPC", "EIO"}[f.Target%2], f.Duration)
 	}
 }
 
-// holdUp is what the pages grant between a look at the clock and a write.
-const holdUp = 150 * time.Millisecond
+// pauseLength is the delay that the documentation allows between reading the clock and a write.
+const pauseLength = 150 * time.Millisecond
 
-func (p *play) relay(b *backend, rule faultnet.Rule, lasts time.Duration) {
+// setRelayRule applies a rule to the relay of a backend for a time.
+func (p *play) setRelayRule(b *backend, rule faultnet.Rule, duration time.Duration) {
 	b.relay.Set(rule)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	b.relay.Set(faultnet.NoFaults)
 }
 
-func (p *play) faults(b *backend, f platform.Faults, lasts time.Duration) {
+// setBackendFaults makes a backend show faults for a time.
+func (p *play) setBackendFaults(b *backend, f platform.Faults, duration time.Duration) {
 	b.Set(f)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	b.Set(platform.Faults{})
 }
 
-func (p *play) shim(n *node, fault string, lasts time.Duration) {
-	name := n.now().shim
+// setShimFault makes the shim of a node's current process inject a fault for a time.
+func (p *play) setShimFault(n *node, fault string, duration time.Duration) {
+	name := n.currentProcess().shimFile
 	_ = os.WriteFile(name, []byte(fault), 0o600)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	_ = os.WriteFile(name, nil, 0o600)
 }
 
-// shortage is how long a process is short of something at the system's border.
-const shortage = 400 * time.Millisecond
+// shortageDuration is how long a system call or a resource limit fails in a process.
+const shortageDuration = 400 * time.Millisecond
 
-// shortOfDescriptors leaves a process no further descriptor for a while, twice in all.
-func (p *play) shortOfDescriptors(l *life, lasts time.Duration) {
-	var old unix.Rlimit
-	if unix.Prlimit(l.cmd.Process.Pid, unix.RLIMIT_NOFILE, nil, &old) != nil {
+// limitDescriptors twice lowers a process's limit of open files for a while, so that it can open no more.
+func (p *play) limitDescriptors(target *process, duration time.Duration) {
+	var original unix.Rlimit
+	if unix.Prlimit(target.cmd.Process.Pid, unix.RLIMIT_NOFILE, nil, &original) != nil {
 		return
 	}
 	for range 2 {
-		_ = unix.Prlimit(l.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 8, Max: old.Max}, nil)
-		time.Sleep(shortage)
-		_ = unix.Prlimit(l.cmd.Process.Pid, unix.RLIMIT_NOFILE, &old, nil)
-		time.Sleep(max(lasts/2-shortage, 50*time.Millisecond))
+		_ = unix.Prlimit(target.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 8, Max: original.Max}, nil)
+		time.Sleep(shortageDuration)
+		_ = unix.Prlimit(target.cmd.Process.Pid, unix.RLIMIT_NOFILE, &original, nil)
+		time.Sleep(max(duration/2-shortageDuration, 50*time.Millisecond))
 	}
 }
 
-// drain has a backend drain, go and come back cold.
-func (p *play) drain(b *backend, t Fault) {
-	cell := t.Target % 2
+// drainBackend lists a backend as draining, then as gone, then as ready with a new start time, so that it counts as cold.
+func (p *play) drainBackend(b *backend, f Fault) {
+	cell := f.Target % 2
 	change := p.director.Set(b.entry(cell, "Terminating"))
-	time.Sleep(t.Duration)
+	time.Sleep(f.Duration)
 	p.director.Set(b.entry(cell, "Gone"))
 	time.Sleep(100 * time.Millisecond)
-	b.since = time.Now().UnixMilli()
-	back := time.Now()
+	b.startedMS = time.Now().UnixMilli()
+	readyAgainAt := time.Now()
 	p.director.Set(b.entry(cell, "Ready"))
 	p.mu.Lock()
-	p.drains = append(p.drains, drained{b.Name, change, back})
+	p.drains = append(p.drains, drain{b.Name, change, readyAgainAt})
 	p.mu.Unlock()
 }
 
-// restart ends a process and starts the next one.
-func (p *play) restart(n *node, t Fault) {
-	if !n.claim() {
+// restart ends a process with the signal of the fault and starts the next one.
+func (p *play) restart(n *node, f Fault) {
+	if !n.beginRestart() {
 		return
 	}
-	defer n.free()
-	old, signal, wall := n.now(), syscall.SIGKILL, time.Duration(0)
-	if t.Kind == Sigterm {
+	defer n.endRestart()
+	old, signal, wallOffset := n.currentProcess(), syscall.SIGKILL, time.Duration(0)
+	if f.Kind == Sigterm {
 		signal = syscall.SIGTERM
 	}
-	if t.Kind == ClockSkew {
-		wall = []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second}[t.Target%4]
+	if f.Kind == ClockSkew {
+		wallOffset = []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second}[f.Target%4]
 	}
 	old.signal(signal)
 	select {
-	case <-old.over:
-	case <-time.After(p.killAfter()):
-		p.fault("%s did not end within %v of SIGTERM", n.name(), p.killAfter())
+	case <-old.exited:
+	case <-time.After(p.stopTimeout()):
+		p.addFailure("%s did not end within %v of SIGTERM", n.name(), p.stopTimeout())
 		old.signal(syscall.SIGKILL)
-		<-old.over
+		<-old.exited
 	}
-	if _, err := n.start(wall); err != nil {
-		p.fault("%s", err)
+	if _, err := n.start(wallOffset); err != nil {
+		p.addFailure("%s", err)
 	}
 }
 
-// killAfter is when the page's kill comes after SIGTERM, and what a busy machine adds.
-func (p *play) killAfter() time.Duration {
+// stopTimeout returns how long after SIGTERM the operator sends SIGKILL according to the documentation, plus 1 s for a busy
+// machine.
+func (p *play) stopTimeout() time.Duration {
 	return min(p.Site.Deadline, 3*time.Second) + 700*time.Millisecond + time.Second
 }
 
-// handOver starts a second process beside the first, and ends the first one when it says that it serves.
+// handOver starts a second process at the same address, waits up to 6 s until it is ready, and then ends the first one.
 func (p *play) handOver(n *node) {
-	if !n.claim() {
+	if !n.beginRestart() {
 		return
 	}
-	defer n.free()
-	old := n.now()
+	defer n.endRestart()
+	old := n.currentProcess()
 	next, err := n.start(0)
 	if err != nil {
-		p.fault("hand-over: %s", err)
+		p.addFailure("hand-over: %s", err)
 		return
 	}
 	for end := time.Now().Add(6 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if a, err := http.Get("http://" + next.admin + "/control/ready"); err == nil {
-			a.Body.Close()
-			if a.StatusCode == 200 {
+		if answer, err := http.Get("http://" + next.adminAddress + "/control/ready"); err == nil {
+			answer.Body.Close()
+			if answer.StatusCode == 200 {
 				break
 			}
 		}
 	}
 	old.signal(syscall.SIGTERM)
 	select {
-	case <-old.over:
-	case <-time.After(p.killAfter() + time.Second):
-		p.fault("%s, which had handed over, did not end", n.name())
+	case <-old.exited:
+	case <-time.After(p.stopTimeout() + time.Second):
+		p.addFailure("the old process of %s did not end after the hand-over", n.name())
 		old.signal(syscall.SIGKILL)
-		<-old.over
+		<-old.exited
 	}
 }
 
-// ban has a backend banned and called back while the folder fails.
-func (p *play) ban(n *node, b *backend, fault string, lasts time.Duration) {
-	l := n.now()
-	_ = os.WriteFile(l.shim, []byte(fault), 0o600)
-	call := func(op string) time.Time {
-		a, err := http.Post(fmt.Sprintf("http://%s/control/photo-workers/%s/%s", l.admin, b.Name, op), "", nil)
+// banDuringStorageFault bans and unbans a backend by calls at the door while the shim makes file operations in the state
+// folder fail.
+func (p *play) banDuringStorageFault(n *node, b *backend, fault string, duration time.Duration) {
+	target := n.currentProcess()
+	_ = os.WriteFile(target.shimFile, []byte(fault), 0o600)
+	callDoor := func(verb string) time.Time {
+		answer, err := http.Post(fmt.Sprintf("http://%s/control/photo-workers/%s/%s", target.adminAddress, b.Name, verb), "", nil)
 		if err != nil {
 			return time.Time{}
 		}
-		a.Body.Close()
-		if a.StatusCode != http.StatusOK && a.StatusCode != http.StatusInternalServerError { // which says that it holds in this process
+		answer.Body.Close()
+		// 500 says that the ban is in force in this process but could not be stored.
+		if answer.StatusCode != http.StatusOK && answer.StatusCode != http.StatusInternalServerError {
 			return time.Time{}
 		}
 		return time.Now()
 	}
-	from := call("offline") // whether it would outlive the process or not, it holds in this one
-	time.Sleep(lasts)
-	back := time.Now()
-	call("online")
-	_ = os.WriteFile(l.shim, nil, 0o600)
-	if !from.IsZero() && n.now() == l {
-		p.history.AddDrains(history.Drain{Dispatcher: n.name(), Backend: b.Name, PublishedAt: from, ReadyAgainAt: back})
+	bannedAt := callDoor("offline") // in force in this process, whether or not it is stored for the next one
+	time.Sleep(duration)
+	readyAgainAt := time.Now()
+	callDoor("online")
+	_ = os.WriteFile(target.shimFile, nil, 0o600)
+	if !bannedAt.IsZero() && n.currentProcess() == target {
+		p.history.AddDrains(history.Drain{Dispatcher: n.name(), Backend: b.Name, PublishedAt: bannedAt, ReadyAgainAt: readyAgainAt})
 	}
 }
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -18,61 +18,62 @@
 
 const backendCount = 5
 
-// config is a process's configuration.
-const config = `{"name":%q,"listen":%q,"admin":"127.0.0.1:0","discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":512},
+// configFormat is the format of a dispatcher's configuration file.
+const configFormat = `{"name":%q,"listen":%q,"admin":"127.0.0.1:0","discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":512},
 "settings":{"Allowed":{"Cancel":true,"ConnIdleMs":5000,"ConnectTimeoutMs":150,"MaxAttempts":4,"MaxRetryAfterMs":500,"MayDuplicate":true,"RetryAfter":true},
 "Balancers":%d,"Classes":[{"AimMs":150,"AimStretch":2,"DedupScope":%q,"Effect":%q,"HardLimitMs":%d,"Name":"photo","RepeatWindowMs":%d,"Worth":1}],
 "FamilyInfo":{"TellsStart":true},"GranularityMs":2,"Models":["fast"],
 "Obligations":{"AnswerSlackMs":8,"AskEveryMs":8000,"FallMs":2000,"FallMultiple":3,"StartCapacity":0.31,"StopSendingWithinMs":500,"WarmAfterMs":4000},
 "RegistryMode":%q,"Weights":"nominal","Zones":["here"]}}`
 
-// backend is one with its relay, which dispatchers know it by.
+// backend is a simulated backend with the relay through which the dispatchers reach it.
 type backend struct {
 	*platform.Backend
-	relay *faultnet.TCP
-	since int64
+	relay     *faultnet.TCP
+	startedMS int64 // start time that the list of backends gives, ms since the epoch; 0: none
 }
 
+// entry returns the backend's entry in the list of backends, with the relay's address.
 func (b *backend) entry(cell int, status string) platform.Entry {
 	e := b.Entry("fast", "here", cell, status)
-	e.Address, e.SinceMS = b.relay.Addr(), b.since
+	e.Address, e.SinceMS = b.relay.Addr(), b.startedMS
 	return e
 }
 
-// life is one process of a dispatcher.
-type life struct {
-	cmd    *exec.Cmd
-	seat   *platform.DirectorListener
-	began  time.Time
-	admin  string
-	shim   string // the file that the shim reads
-	conf   string
-	served chan struct{} // closed once it has told its addresses
-	over   chan struct{} // closed once it has ended
+// process is one process of a dispatcher.
+type process struct {
+	cmd              *exec.Cmd
+	directorListener *platform.DirectorListener
+	startedAt        time.Time
+	adminAddress     string
+	shimFile         string // the shim reads the fault to inject from it
+	configFile       string
+	serving          chan struct{} // closed once the process has logged its addresses
+	exited           chan struct{} // closed once the process has ended
 
-	mu       sync.Mutex
-	ended    time.Time
-	asked    time.Time // SIGTERM or SIGKILL was sent
-	killed   time.Time // SIGKILL was sent
-	violated []string
-	streams  string // address of HTTP/2
-	exit     error
+	mu              sync.Mutex
+	exitedAt        time.Time
+	stopRequestedAt time.Time // when the first SIGTERM or SIGKILL was sent
+	killedAt        time.Time // when SIGKILL was sent
+	violations      []string  // invariant violations from the log, and the text of panics
+	http2Address    string
+	exitErr         error
 }
 
-// node is a dispatcher: a name, an address, a folder, and one process after another.
+// node is a dispatcher: a name, an address and a folder, which its successive processes use.
 type node struct {
-	f      *fleet
+	fleet  *fleet
 	number int
 	folder string
 
 	mu         sync.Mutex
-	lives      []*life
-	addr       string
-	restarting bool // by a trouble
+	processes  []*process
+	address    string
+	restarting bool // a fault is restarting it
 }
 
-// claim takes the node for a restart; false if another trouble restarts it now.
-func (n *node) claim() bool {
+// beginRestart reserves the node for a restart. It returns false if another fault is restarting it.
+func (n *node) beginRestart() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.restarting {
@@ -82,7 +83,8 @@
 	return true
 }
 
-func (n *node) free() {
+// endRestart ends the reservation that beginRestart made.
+func (n *node) endRestart() {
 	n.mu.Lock()
 	n.restarting = false
 	n.mu.Unlock()
@@ -90,163 +92,167 @@
 
 func (n *node) name() string { return fmt.Sprintf("n%d", n.number) }
 
-// now is the process that serves, or was started last.
-func (n *node) now() *life {
+// currentProcess returns the process that was started last.
+func (n *node) currentProcess() *process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.lives[len(n.lives)-1]
+	return n.processes[len(n.processes)-1]
 }
 
-func (n *node) address() string {
+func (n *node) listenAddress() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.addr
+	return n.address
 }
 
-// killedAfter says whether a process of the node was killed by SIGKILL after then: what was on it is nobody's fault.
-func (n *node) killedAfter(then time.Time) bool {
+// wasKilledAfter reports whether SIGKILL ended a process of the node after the given time. Requests that were open then are
+// excused.
+func (n *node) wasKilledAfter(at time.Time) bool {
 	n.mu.Lock()
-	lives := append([]*life(nil), n.lives...)
+	processes := append([]*process(nil), n.processes...)
 	n.mu.Unlock()
-	for _, l := range lives {
-		if l.killedAfter(then) {
+	for _, p := range processes {
+		if p.wasKilledAfter(at) {
 			return true
 		}
 	}
 	return false
 }
 
-// fronted says whether the front sends the node new connections: up to 0.3 s after SIGTERM (the page: 0.2 to 0.4 s).
-func (n *node) fronted() bool {
-	l := n.now()
-	asked := l.askedAt()
-	return !l.isOver() && (asked.IsZero() || time.Since(asked) < 300*time.Millisecond)
+// acceptsNewConnections reports whether the front end sends new connections to the node: until 0.3 s after SIGTERM (the
+// documentation says 0.2 to 0.4 s).
+func (n *node) acceptsNewConnections() bool {
+	p := n.currentProcess()
+	stopRequestedAt := p.stopRequestTime()
+	return !p.hasExited() && (stopRequestedAt.IsZero() || time.Since(stopRequestedAt) < 300*time.Millisecond)
 }
 
-// start starts a process, with its wall clock off by so much, and waits until it listens.
-func (n *node) start(wall time.Duration) (*life, error) {
+// start starts a process whose wall clock is off by wallOffset, and waits until it listens.
+func (n *node) start(wallOffset time.Duration) (*process, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	n.mu.Lock()
-	number, listen := len(n.lives), n.addr
+	number, listen := len(n.processes), n.address
 	n.mu.Unlock()
-	p := &life{seat: n.f.director.AddListener(l, n.f.Site.Pushed), began: time.Now(), served: make(chan struct{}), over: make(chan struct{}),
-		conf: filepath.Join(n.folder, fmt.Sprintf("c%d.json", number)), shim: filepath.Join(n.folder, fmt.Sprintf("shim%d", number))}
-	mode := "on_request"
-	if n.f.Site.Pushed {
-		mode = "pushed"
+	p := &process{directorListener: n.fleet.director.AddListener(l, n.fleet.Site.Pushed), startedAt: time.Now(), serving: make(chan struct{}), exited: make(chan struct{}),
+		configFile: filepath.Join(n.folder, fmt.Sprintf("c%d.json", number)), shimFile: filepath.Join(n.folder, fmt.Sprintf("shim%d", number))}
+	registryMode := "on_request"
+	if n.fleet.Site.Pushed {
+		registryMode = "pushed"
 	}
-	text := fmt.Sprintf(config, n.name(), listen, p.seat.Address, n.f.Seed*100+uint64(n.number)+1, n.f.Processes, n.f.Site.Scope, n.f.Site.Effect,
-		n.f.Site.Deadline.Milliseconds(), n.f.Site.Window.Milliseconds(), mode)
-	if err := os.WriteFile(p.conf, []byte(text), 0o600); err != nil {
+	config := fmt.Sprintf(configFormat, n.name(), listen, p.directorListener.Address, n.fleet.Seed*100+uint64(n.number)+1, n.fleet.Processes, n.fleet.Site.Scope, n.fleet.Site.Effect,
+		n.fleet.Site.Deadline.Milliseconds(), n.fleet.Site.Window.Milliseconds(), registryMode)
+	if err := os.WriteFile(p.configFile, []byte(config), 0o600); err != nil {
 		return nil, err
 	}
 	script := filepath.Join(n.folder, "settings.star")
 	if err := os.WriteFile(script, []byte(`http2(listen = "127.0.0.1:0")`), 0o600); err != nil {
 		return nil, err
 	}
-	p.cmd = exec.Command(n.f.program, "serve", "--log-format", "json", "--settings", script)
-	p.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+p.conf, "TMPDIR="+n.folder, "TINSAIL_SHIM="+p.shim,
-		fmt.Sprintf("TINSAIL_SHIM_WALL_MS=%d", wall.Milliseconds()))
-	errs, err := p.cmd.StderrPipe()
+	p.cmd = exec.Command(n.fleet.program, "serve", "--log-format", "json", "--settings", script)
+	p.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+p.configFile, "TMPDIR="+n.folder, "TINSAIL_SHIM="+p.shimFile,
+		fmt.Sprintf("TINSAIL_SHIM_WALL_MS=%d", wallOffset.Milliseconds()))
+	stderr, err := p.cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go p.follow(bufio.NewScanner(errs))
+	go p.readLog(bufio.NewScanner(stderr))
 	select {
-	case <-p.served:
-	case <-p.over:
-		return nil, fmt.Errorf("%s ended at its start: %v", n.name(), p.exit)
-	case <-time.After(startWait):
+	case <-p.serving:
+	case <-p.exited:
+		return nil, fmt.Errorf("%s exited during startup: %v", n.name(), p.exitErr)
+	case <-time.After(startTimeout):
 		p.cmd.Process.Kill()
-		return nil, fmt.Errorf("%s did not listen within %v", n.name(), startWait)
+		return nil, fmt.Errorf("%s did not listen within %v", n.name(), startTimeout)
 	}
 	n.mu.Lock()
-	n.lives = append(n.lives, p)
+	n.processes = append(n.processes, p)
 	n.mu.Unlock()
 	return p, nil
 }
 
-const startWait = 10 * time.Second
+const startTimeout = 10 * time.Second
 
-// follow reads a process's log to its end.
-func (p *life) follow(in *bufio.Scanner) {
+// readLog reads the log of the process until its end, then waits for the process to exit.
+func (p *process) readLog(in *bufio.Scanner) {
 	in.Buffer(nil, 1<<20)
 	for in.Scan() {
 		var line map[string]any
 		if json.Unmarshal(in.Bytes(), &line) != nil {
 			p.mu.Lock()
-			p.violated = append(p.violated, in.Text()) // a panic's words
+			p.violations = append(p.violations, in.Text()) // the text of a panic
 			p.mu.Unlock()
 			continue
 		}
 		switch line["event"] {
 		case "serving":
 			p.mu.Lock()
-			p.admin, _ = line["admin"].(string)
-			p.streams, _ = line["http2"].(string)
+			p.adminAddress, _ = line["admin"].(string)
+			p.http2Address, _ = line["http2"].(string)
 			p.mu.Unlock()
-			close(p.served)
+			close(p.serving)
 		case "door", "service", "hand-over: the old process is gone":
 			if os.Getenv("SOAK_LOG") != "" {
 				fmt.Println(time.Now().Format("05.000"), p.cmd.Process.Pid, in.Text())
 			}
 		case "invariant violated":
 			p.mu.Lock()
-			p.violated = append(p.violated, fmt.Sprintf("%v: request %v: %v %v", line["rule"], line["request"], line["says"], line["trace"]))
+			p.violations = append(p.violations, fmt.Sprintf("%v: request %v: %v %v", line["rule"], line["request"], line["says"], line["trace"]))
 			p.mu.Unlock()
 		}
 	}
 	err := p.cmd.Wait()
 	p.mu.Lock()
-	p.exit, p.ended = err, time.Now()
+	p.exitErr, p.exitedAt = err, time.Now()
 	p.mu.Unlock()
-	close(p.over)
+	close(p.exited)
 }
 
-func (p *life) signal(s syscall.Signal) {
+// signal sends a signal and records the time of SIGTERM and SIGKILL.
+func (p *process) signal(s syscall.Signal) {
 	if s == syscall.SIGTERM || s == syscall.SIGKILL {
 		p.mu.Lock()
-		if p.asked.IsZero() {
-			p.asked = time.Now()
+		if p.stopRequestedAt.IsZero() {
+			p.stopRequestedAt = time.Now()
 		}
 		if s == syscall.SIGKILL {
-			p.killed = time.Now()
+			p.killedAt = time.Now()
 		}
 		p.mu.Unlock()
 	}
 	_ = p.cmd.Process.Signal(s)
 }
 
-// killedAfter says whether it was killed by SIGKILL and was there still after then: it ends some milliseconds after the signal.
-func (p *life) killedAfter(then time.Time) bool {
+// wasKilledAfter reports whether SIGKILL was sent and the process was still running after the given time. It ends some
+// milliseconds after the signal.
+func (p *process) wasKilledAfter(at time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.killed.IsZero() && (p.ended.IsZero() || p.ended.After(then))
+	return !p.killedAt.IsZero() && (p.exitedAt.IsZero() || p.exitedAt.After(at))
 }
 
-// askedAt is when it was told to end; zero if it was not.
-func (p *life) askedAt() time.Time {
+// stopRequestTime returns when the first SIGTERM or SIGKILL was sent; zero if none was.
+func (p *process) stopRequestTime() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.asked
+	return p.stopRequestedAt
 }
 
-func (p *life) isOver() bool {
+func (p *process) hasExited() bool {
 	select {
-	case <-p.over:
+	case <-p.exited:
 		return true
 	default:
 		return false
 	}
 }
 
-// fleet is all of a play.
+// fleet holds the director, the backends and the dispatchers of a play.
 type fleet struct {
 	Schedule
 	program  string
@@ -256,6 +262,7 @@
 	nodes    []*node
 }
 
+// newFleet starts the director, the backends and one process of each dispatcher.
 func newFleet(s Schedule, program, folder string) (*fleet, error) {
 	f := &fleet{Schedule: s, program: program, folder: folder}
 	var err error
@@ -277,11 +284,11 @@
 		f.director.Set(f.backends[i].entry(i%2, "Ready"))
 	}
 	for i := range s.Processes {
-		n := &node{f: f, number: i, folder: filepath.Join(folder, fmt.Sprintf("n%d", i))}
+		n := &node{fleet: f, number: i, folder: filepath.Join(folder, fmt.Sprintf("n%d", i))}
 		if err := os.MkdirAll(n.folder, 0o700); err != nil {
 			return nil, err
 		}
-		if n.addr, err = freeAddress(); err != nil { // its own from the first process on: a hand-over goes by it
+		if n.address, err = freeAddress(); err != nil { // fixed, since all processes of the node listen at it, also during a hand-over
 			return nil, err
 		}
 		if _, err := n.start(0); err != nil {
@@ -292,7 +299,7 @@
 	return f, nil
 }
 
-// freeAddress is one that nobody listens at now.
+// freeAddress returns an address at which nothing listens now.
 func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -302,14 +309,14 @@
 	return l.Addr().String(), nil
 }
 
-// close ends all that is left.
+// close kills the processes that still run, and closes the backends and the director.
 func (f *fleet) close() {
 	for _, n := range f.nodes {
-		for _, p := range n.lives {
-			if !p.isOver() {
+		for _, p := range n.processes {
+			if !p.hasExited() {
 				p.cmd.Process.Signal(syscall.SIGCONT)
 				p.cmd.Process.Kill()
-				<-p.over
+				<-p.exited
 			}
 		}
 	}
--- a/internal/lab/soak/play.go
+++ b/internal/lab/soak/play.go
@@ -16,67 +16,68 @@
 	"tinsail/internal/standin/platform"
 )
 
-// Binaries are the binaries that plays start.
+// Binaries are the paths of the dispatcher binaries that plays start.
 type Binaries struct {
 	Shipped string // as it is shipped
 	Shim    string // built with the tag shim
 }
 
-// Result is what came of a play.
+// Result is the outcome of a play.
 type Result struct {
 	Schedule            Schedule
-	Judged              int64    // requests with a whole answer
-	Excused             int64    // requests on a process that was killed
-	Breaches            []string // of the rules, by the far sides
-	InvariantViolations []string // invariants that the program itself found broken, and its panics
-	Failures            []string // of the play: processes that did not end or start, clients left waiting
+	Judged              int64    // requests with a complete answer
+	Excused             int64    // requests that were open when their process was killed
+	Breaches            []string // breaches of the rules, as the clients, backends and director observed them
+	InvariantViolations []string // invariant violations that the dispatchers logged, and their panics
+	Failures            []string // processes that did not start or end as they should, clients left waiting
 }
 
-// Failed says whether anything was broken.
+// Failed reports whether the play found any breach, violation or failure.
 func (r *Result) Failed() bool {
 	return len(r.Breaches)+len(r.InvariantViolations)+len(r.Failures) > 0
 }
 
-// play is a play that is going on.
+// play is a play in progress.
 type play struct {
 	*fleet
-	begun   time.Time
-	history history.History
-	judged  atomic.Int64
-	excused atomic.Int64
-
-	mu     sync.Mutex
-	drains []drained
-	broken []string
+	startedAt time.Time
+	history   history.History
+	judged    atomic.Int64
+	excused   atomic.Int64
+
+	mu       sync.Mutex
+	drains   []drain
+	failures []string
 }
 
-// drained is a drain that was played.
-type drained struct {
-	backend string
-	change  platform.Change
-	back    time.Time
+// drain is a drain of a backend that the play has injected.
+type drain struct {
+	backend      string
+	change       platform.Change
+	readyAgainAt time.Time
 }
 
-func (p *play) fault(form string, args ...any) {
+func (p *play) addFailure(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.broken = append(p.broken, fmt.Sprintf(form, args...))
+	p.failures = append(p.failures, fmt.Sprintf(format, args...))
 }
 
-// machine is what the far sides may note too late on a busy machine. Where a play holds processes up, what the page grants for
-// that comes on top.
-const machine = 60 * time.Millisecond
+// machineDelay is how late clients and backends may record an event on a busy machine. In a play that pauses processes,
+// the delay that the documentation allows for that is added.
+const machineDelay = 60 * time.Millisecond
 
-func (s *Schedule) slack() time.Duration {
-	for _, t := range s.Faults {
-		if t.Kind == Pause {
-			return machine + holdUp
+// clockTolerance returns the tolerance of the history's time limits for a play of the schedule.
+func (s *Schedule) clockTolerance() time.Duration {
+	for _, f := range s.Faults {
+		if f.Kind == Pause {
+			return machineDelay + pauseLength
 		}
 	}
-	return machine
+	return machineDelay
 }
 
-// Play plays a schedule and judges it. The folder is removed.
+// Play runs a schedule and judges it. Its temporary folder is removed at the end.
 func Play(s Schedule, with Binaries) (*Result, error) {
 	folder, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -92,97 +93,101 @@
 		return nil, err
 	}
 	defer f.close()
-	p := &play{fleet: f, begun: time.Now()}
-	var clients, troubles sync.WaitGroup
+	p := &play{fleet: f, startedAt: time.Now()}
+	var clients, faults sync.WaitGroup
 	for _, n := range f.nodes {
 		for i := range clientsPerNode + 1 {
-			c := &client{play: p, n: n, name: fmt.Sprintf("s%d-%s-c%d", s.Seed, n.name(), i), rng: rand.New(rand.NewPCG(s.Seed, uint64(n.number*100+i)))}
+			c := &client{play: p, node: n, name: fmt.Sprintf("s%d-%s-c%d", s.Seed, n.name(), i), rng: rand.New(rand.NewPCG(s.Seed, uint64(n.number*100+i)))}
 			if i < clientsPerNode {
-				clients.Go(c.run)
+				clients.Go(c.runHTTP1)
 			} else {
-				clients.Go(c.streams)
+				clients.Go(c.runHTTP2)
 			}
 		}
 	}
-	for _, t := range s.Faults {
-		troubles.Go(func() { p.apply(t) })
+	for _, fault := range s.Faults {
+		faults.Go(func() { p.inject(fault) })
 	}
 	clients.Wait()
-	troubles.Wait()
-	p.end()
+	faults.Wait()
+	p.stopProcesses()
 	return p.judge(), nil
 }
 
-// end ends all processes as an operator does.
-func (p *play) end() {
+// stopProcesses ends all processes as an operator does: by SIGTERM, and by SIGKILL if they don't end in time.
+func (p *play) stopProcesses() {
 	var all sync.WaitGroup
 	for _, n := range p.nodes {
-		l := n.now()
-		l.signal(syscall.SIGTERM)
+		current := n.currentProcess()
+		current.signal(syscall.SIGTERM)
 		all.Go(func() {
 			select {
-			case <-l.over:
-			case <-time.After(p.killAfter()):
-				p.fault("%s did not end within %v of the last SIGTERM", n.name(), p.killAfter())
-				l.signal(syscall.SIGKILL)
-				<-l.over
+			case <-current.exited:
+			case <-time.After(p.stopTimeout()):
+				p.addFailure("%s did not end within %v of the last SIGTERM", n.name(), p.stopTimeout())
+				current.signal(syscall.SIGKILL)
+				<-current.exited
 			}
 		})
 	}
 	all.Wait()
 }
 
-// stopSending is the settings' StopSendingWithinMs.
+// stopSending is StopSendingWithinMs of the dispatchers' settings.
 const stopSending = 500 * time.Millisecond
 
+// judge checks the history against the rules and collects what the dispatchers logged.
 func (p *play) judge() *Result {
-	r := &Result{Schedule: p.Schedule, Judged: p.judged.Load(), Excused: p.excused.Load(), Failures: p.broken}
+	r := &Result{Schedule: p.Schedule, Judged: p.judged.Load(), Excused: p.excused.Load(), Failures: p.failures}
 	for _, b := range p.backends {
 		p.history.AddAttempts(b.Attempts()...)
 	}
 	for _, d := range p.drains {
 		for _, n := range p.nodes {
-			if from := n.told(d.change); !from.IsZero() {
-				p.history.AddDrains(history.Drain{Dispatcher: n.name(), Backend: d.backend, PublishedAt: from, ReadyAgainAt: d.back})
+			if publishedAt := n.publishedAt(d.change); !publishedAt.IsZero() {
+				p.history.AddDrains(history.Drain{Dispatcher: n.name(), Backend: d.backend, PublishedAt: publishedAt, ReadyAgainAt: d.readyAgainAt})
 			}
 		}
 	}
-	for _, b := range p.history.Check(history.FullRules(stopSending, p.slack())) {
+	for _, b := range p.history.Check(history.FullRules(stopSending, p.clockTolerance())) {
 		r.Breaches = append(r.Breaches, b.String())
 	}
 	for _, n := range p.nodes {
-		for _, l := range n.lives {
-			l.mu.Lock()
-			for _, text := range l.violated {
-				if p.slack() == machine || !isTimed(text) {
+		for _, process := range n.processes {
+			process.mu.Lock()
+			for _, text := range process.violations {
+				if p.clockTolerance() == machineDelay || !isTimed(text) {
 					r.InvariantViolations = append(r.InvariantViolations, text)
 				}
 			}
-			if l.killed.IsZero() && l.exit != nil {
-				r.Failures = append(r.Failures, fmt.Sprintf("%s ended by itself: %v", n.name(), l.exit))
+			if process.killedAt.IsZero() && process.exitErr != nil {
+				r.Failures = append(r.Failures, fmt.Sprintf("%s ended by itself: %v", n.name(), process.exitErr))
 			}
-			l.mu.Unlock()
+			process.mu.Unlock()
 		}
 	}
 	sort.Strings(r.Breaches)
 	return r
 }
 
-// timedRules are the program's own checks that a process which was held up between its clock and its write breaks by that alone.
+// timedRules are the dispatcher's own invariants that a process also violates if it is paused between reading the clock
+// and a write.
 var timedRules = []string{"begin_client_gone", "begin_drained", "repeat_window", "time_told", "answer_late"}
 
+// isTimed reports whether a violation is of one of the timedRules.
 func isTimed(violation string) bool {
 	rule, _, _ := strings.Cut(violation, ":")
 	return slices.Contains(timedRules, rule)
 }
 
-// told is when a change counts as told to the node: to the last of its processes that were there.
-func (n *node) told(c platform.Change) (last time.Time) {
-	for _, l := range n.lives {
-		if !l.ended.IsZero() && l.ended.Before(c.ChangedAt) {
+// publishedAt returns when a change counts as published to all processes of the node that had not exited before it; zero if
+// it doesn't count as published to one of them.
+func (n *node) publishedAt(c platform.Change) (last time.Time) {
+	for _, p := range n.processes {
+		if !p.exitedAt.IsZero() && p.exitedAt.Before(c.ChangedAt) {
 			continue
 		}
-		at := l.seat.PublishedAt(c, platform.ProcessInfo{StartedAt: l.began, PollInterval: 8 * time.Second})
+		at := p.directorListener.PublishedAt(c, platform.ProcessInfo{StartedAt: p.startedAt, PollInterval: 8 * time.Second})
 		if at.IsZero() {
 			return time.Time{}
 		}
@@ -193,12 +198,13 @@
 	return last
 }
 
-// Shrink leaves out troubles as long as the play still fails, and returns the least schedule that did, with its result.
+// Shrink leaves out faults one by one as long as the play still fails. It returns the result of the failed play with the
+// fewest faults.
 func Shrink(r *Result, with Binaries) *Result {
 	for i := 0; i < len(r.Schedule.Faults); {
-		less := r.Schedule
-		less.Faults = append(append([]Fault(nil), less.Faults[:i]...), less.Faults[i+1:]...)
-		again, err := Play(less, with)
+		smaller := r.Schedule
+		smaller.Faults = append(append([]Fault(nil), smaller.Faults[:i]...), smaller.Faults[i+1:]...)
+		again, err := Play(smaller, with)
 		if err == nil && again.Failed() {
 			r = again
 			continue
