--- a/internal/lab/sim/accord.go
+++ b/internal/lab/sim/accord.go
@@ -11,47 +11,48 @@
 	"tinsail/internal/lab/fleet"
 )
 
-// Accord has the dispatchers take reqs by versions of one policy (docs/design/accord.md): the real Lessee at each, one
-// real Keeper, and links between them. The zero value is a fleet without an accord. Times are milliseconds.
+// Accord makes the dispatchers accept reqs under versions of one policy (docs/design/accord.md), with a real
+// accord.Participant in each dispatcher, one real accord.Leader, and simulated links between them. The zero value is a
+// fleet without an accord. Times are milliseconds.
 type Accord struct {
-	Lease           float64 // 0: no accord
-	Drift           float64 // of each clock's rate, drawn: slowest, right or fastest
-	ContinueWhenCut bool    // a dispatcher that is cut off goes on by the version it knew
-	Latency         float64 // one way between a dispatcher and the keeper, and between voters; half of it varies
-	Loss            float64 // part of the messages that never arrive
-	FlushTime       float64 // a decided entry's way to a majority's disks
-	CheckTime       float64 // what a dispatcher needs to check a body
-	ProbeInterval   float64 // how often the front asks each dispatcher whether it is ready
+	Lease           float64 // 0 means no accord
+	Drift           float64 // maximum error of a clock's rate; each clock is drawn to be slowest, exact or fastest
+	ContinueWhenCut bool    // a dispatcher that is cut off continues with the version that it knows
+	Latency         float64 // mean one-way delay between a dispatcher and the leader, and between voters; each message takes 0.5 to 1.5 times this
+	Loss            float64 // share of the messages that are lost
+	FlushTime       float64 // from a decision to its entry being on the disks of a majority
+	CheckTime       float64 // how long a dispatcher takes to check a policy
+	ProbeInterval   float64 // how often the load balancer in front checks whether each dispatcher is ready
 
-	faultFullLease bool // a seeded fault for tests: a lease is used to its whole length, not to what is left of it for drift
+	faultFullLease bool // a fault injected by tests: a lease is used to its full length, without the margin for clock drift
 }
 
-// Cut loses every message between the keeper and some dispatchers, counted from 0, for a while. Clients and backends
-// reach them as before.
+// Cut drops all messages between the accord's leader and some dispatchers, numbered from 0, for some time. Clients and
+// backends still reach these dispatchers.
 type Cut struct {
 	At, Length  float64
 	Dispatchers []int
 }
 
-// PolicyChange is a new version, proposed at a time by a dispatcher.
+// PolicyChange is a new policy version that a dispatcher proposes at a given time.
 type PolicyChange struct {
 	At         float64
 	Dispatcher int
 }
 
-// AccordResult is what came of the accord.
+// AccordResult is what a run measured about the accord. A try is one request of a client, which may retry.
 type AccordResult struct {
-	Version          uint64  // decided last
-	Refused          int     // tries refused, since the dispatcher might take none
-	RefusedWhileCut  int     // of them, by a dispatcher that was cut off
-	ReceivedWhileCut int     // tries that came to a dispatcher that was cut off
-	OutdatedAccepted int     // tries taken by a version after a later one was decided
-	OutdatedStarts   int     // attempts begun by one
-	MaxVersions      int     // versions that dispatchers might begin attempts by at one moment, at most
-	Outage           float64 // for how long no dispatcher took reqs
+	Version          uint64  // the last one decided
+	Refused          int     // tries refused because the dispatcher was not allowed to accept reqs
+	RefusedWhileCut  int     // of these, tries refused by a dispatcher that was cut off
+	ReceivedWhileCut int     // tries received by a dispatcher that was cut off
+	OutdatedAccepted int     // tries accepted under a version after a later one was decided
+	OutdatedStarts   int     // attempts started under such a version
+	MaxVersions      int     // maximum number of versions under which dispatchers could start attempts at the same time
+	Outage           float64 // total time during which no dispatcher accepted reqs
 }
 
-// leader is the keeper with its clock and the majority's log.
+// leader is the accord's leader, with its clock and the state that the majority's log has reached.
 type leader struct {
 	*accord.Leader
 	w           *world
@@ -60,27 +61,27 @@
 	state       accord.State
 	random      *rand.Rand
 	epochs      uint64
-	outageSince float64 // since when nobody takes reqs; NaN while somebody does
+	outageSince float64 // since when no dispatcher accepts reqs; NaN while one does
 }
 
 func (sc *Scenario) checkAccord() error {
-	a, most := &sc.Accord, max(sc.Dispatchers, 1)
+	a, dispatchers := &sc.Accord, max(sc.Dispatchers, 1)
 	if a.Lease == 0 {
 		if len(sc.Cuts)+len(sc.PolicyChanges) > 0 {
-			return fmt.Errorf("cuts and changes want an accord")
+			return fmt.Errorf("cuts and policy changes require an accord")
 		}
 		return nil
 	}
 	for _, c := range sc.Cuts {
 		for _, n := range c.Dispatchers {
-			if n < 0 || n >= most {
-				return fmt.Errorf("dispatcher %d is cut off, which is none", n)
+			if n < 0 || n >= dispatchers {
+				return fmt.Errorf("a cut names dispatcher %d, but there are only %d", n, dispatchers)
 			}
 		}
 	}
 	for _, c := range sc.PolicyChanges {
-		if c.Dispatcher < 0 || c.Dispatcher >= most {
-			return fmt.Errorf("dispatcher %d proposes a change, which is none", c.Dispatcher)
+		if c.Dispatcher < 0 || c.Dispatcher >= dispatchers {
+			return fmt.Errorf("dispatcher %d proposes a policy change, but there are only %d", c.Dispatcher, dispatchers)
 		}
 	}
 	return a.leaseConfig().Check()
@@ -92,89 +93,91 @@
 
 func msToDuration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// newLeader has version 1 in force since long before the run, so that the first reqs are taken by it.
+// newLeader returns a leader under which version 1 has been in force since long before the run, so that the first
+// reqs are accepted under it.
 func newLeader(w *world) (*leader, error) {
-	k := &leader{w: w, config: w.sc.Accord.leaseConfig(), random: fleet.RandomStream(w.sc.Seed, "accord"), outageSince: math.NaN()}
-	k.clockRate = k.drawClockRate()
-	k.state.Apply(accord.Decision{Change: 1, Proposal: accord.ProposalBit | 1, Version: 1, Body: []byte("version 1")})
+	l := &leader{w: w, config: w.sc.Accord.leaseConfig(), random: fleet.RandomStream(w.sc.Seed, "accord"), outageSince: math.NaN()}
+	l.clockRate = l.drawClockRate()
+	l.state.Apply(accord.Decision{Change: 1, Proposal: accord.ProposalBit | 1, Version: 1, Body: []byte("version 1")})
 	var err error
-	k.Leader, err = accord.NewLeader(k.config, 1, -accord.Time(k.config.QuietPeriod()), k.state)
-	return k, err
+	l.Leader, err = accord.NewLeader(l.config, 1, -accord.Time(l.config.QuietPeriod()), l.state)
+	return l, err
 }
 
-func (k *leader) drawClockRate() float64 { return 1 + k.config.Drift*float64(k.random.IntN(3)-1) }
+func (l *leader) drawClockRate() float64 { return 1 + l.config.Drift*float64(l.random.IntN(3)-1) }
 
-// at is a accordTime's reading: the same instant on all, at the rate of each.
+// accordTime returns what a clock of the given rate shows. All clocks show 0 at the start of the run.
 func (w *world) accordTime(rate float64) accord.Time { return accord.Time(w.now * 1e6 * rate) }
 
-func (k *leader) drawDelay() float64 {
-	return k.w.sc.Accord.Latency * (0.5 + k.random.Float64())
+func (l *leader) drawDelay() float64 {
+	return l.w.sc.Accord.Latency * (0.5 + l.random.Float64())
 }
 
-// send has a message between a dispatcher and the keeper arrive, or not.
-func (k *leader) send(node int, further float64, arrive func()) {
-	if k.random.Float64() < k.w.sc.Accord.Loss || k.w.cutOff(node) {
+// send delivers a message between a dispatcher and the leader after a random delay plus extraDelay, unless it is lost.
+func (l *leader) send(dispatcher int, extraDelay float64, deliver func()) {
+	if l.random.Float64() < l.w.sc.Accord.Loss || l.w.cutOff(dispatcher) {
 		return
 	}
-	k.w.at(k.w.now+k.drawDelay()+further, func() {
-		if !k.w.cutOff(node) {
-			arrive()
+	l.w.at(l.w.now+l.drawDelay()+extraDelay, func() {
+		if !l.w.cutOff(dispatcher) {
+			deliver()
 		}
 	})
 }
 
-// cutOff says whether a dispatcher is cut off now.
-func (w *world) cutOff(node int) bool {
+// cutOff reports whether a dispatcher is cut off now.
+func (w *world) cutOff(dispatcher int) bool {
 	for _, c := range w.sc.Cuts {
-		if w.now >= c.At && w.now < c.At+c.Length && slices.Contains(c.Dispatchers, node) {
+		if w.now >= c.At && w.now < c.At+c.Length && slices.Contains(c.Dispatchers, dispatcher) {
 			return true
 		}
 	}
 	return false
 }
 
-// handleRequest takes an handleRequest, once a majority has confirmed the keeper by a round trip, and answers it.
-func (k *leader) handleRequest(f *participant, a accord.LeaseRequest) {
-	k.send(f.side.at, k.drawDelay()+k.drawDelay(), func() {
-		answer := k.Handle(k.w.accordTime(k.clockRate), a)
-		k.send(f.side.at, 0, func() { f.handleResponse(answer) })
-		k.step()
+// handleRequest sends a participant's lease request to the leader, which responds after a round trip in which a
+// majority has confirmed that it still leads.
+func (l *leader) handleRequest(p *participant, request accord.LeaseRequest) {
+	l.send(p.side.at, l.drawDelay()+l.drawDelay(), func() {
+		response := l.Handle(l.w.accordTime(l.clockRate), request)
+		l.send(p.side.at, 0, func() { p.handleResponse(response) })
+		l.step()
 	})
 }
 
-// step carries out what the keeper wants.
-func (k *leader) step() {
-	w := k.w
-	if d, ok := k.TakeDecision(); ok {
+// step performs the actions that the leader asks for.
+func (l *leader) step() {
+	w := l.w
+	if decision, ok := l.TakeDecision(); ok {
 		w.at(w.now+w.sc.Accord.FlushTime, func() {
-			k.state.Apply(d)
-			k.Applied(w.accordTime(k.clockRate), k.state)
-			k.step()
+			l.state.Apply(decision)
+			l.Applied(w.accordTime(l.clockRate), l.state)
+			l.step()
 		})
 	}
-	if k.TakePoll() {
+	if l.TakePoll() {
 		for _, s := range w.sides {
-			k.send(s.at, 0, func() { s.participant.handlePoll() })
+			l.send(s.at, 0, func() { s.participant.handlePoll() })
 		}
 	}
-	k.TakeEvents()
+	l.TakeEvents()
 }
 
-// startAccord starts the accord with all dispatchers on version 1 under a lease.
+// startAccord starts the accord: all dispatchers have adopted version 1 and hold a lease of it.
 func (w *world) startAccord() {
-	k := w.leader
+	l := w.leader
 	for _, s := range w.sides {
 		for !s.participant.accord.Serving() {
 			s.participant.accord.RequestNow()
-			if a, ok := s.participant.accord.NextRequest(s.participant.now()); ok {
-				s.participant.accord.HandleResponse(s.participant.now(), k.Handle(w.accordTime(k.clockRate), a))
+			if request, ok := s.participant.accord.NextRequest(s.participant.now()); ok {
+				s.participant.accord.HandleResponse(s.participant.now(), l.Handle(w.accordTime(l.clockRate), request))
 			}
-			for _, c := range s.participant.accord.TakeChecks() {
-				s.participant.accord.ReportCheck(s.participant.now(), c, nil)
+			for _, check := range s.participant.accord.TakeChecks() {
+				s.participant.accord.ReportCheck(s.participant.now(), check, nil)
 			}
 		}
 	}
-	w.repeat(w.sc.Accord.Lease/50, func() { k.Tick(w.accordTime(k.clockRate)); k.step() })
+	w.repeat(w.sc.Accord.Lease/50, func() { l.Tick(w.accordTime(l.clockRate)); l.step() })
 	w.repeat(w.sc.Accord.ProbeInterval, func() {
 		for _, s := range w.sides {
 			s.unready = !s.dead && !s.participant.Serves()
@@ -184,42 +187,43 @@
 		w.at(c.At, func() {
 			s := w.sides[c.Dispatcher]
 			version, _ := s.participant.accord.Current()
-			// One of its own that is under way is not overtaken.
+			// The error is ignored: a proposal fails while an earlier one of the same dispatcher is pending.
 			_ = s.participant.accord.Propose(accord.ProposalBit|uint64(i+2), fmt.Appendf(nil, "version %d by change %d", version+1, i))
 			s.participant.step()
 		})
 	}
 }
 
-// repeat does something again and again, from a first time that is drawn.
-func (w *world) repeat(every float64, do func()) {
-	var again func()
-	again = func() { do(); w.at(w.now+every, again) }
-	w.at(w.now+every*w.leader.random.Float64(), again)
+// repeat calls do once per interval until the run ends. The first call comes after a random part of the interval.
+func (w *world) repeat(interval float64, do func()) {
+	var tick func()
+	tick = func() { do(); w.at(w.now+interval, tick) }
+	w.at(w.now+interval*w.leader.random.Float64(), tick)
 }
 
-// recordVersions counts the versions that attempts may begin by now. A gate opens only at an event of its lessee, after
-// which this is called, so that no moment is missed. It also counts the time in which nobody takes reqs.
+// recordVersions counts the versions under which attempts may start now, and the time during which no dispatcher
+// accepts reqs. It is called after each event of a participant. No other event lets a participant start attempts, so
+// the maximum of the count is exact.
 func (w *world) recordVersions() {
-	r, k := &w.res.Accord, w.leader
-	r.Version = k.state.Version
+	r, l := &w.res.Accord, w.leader
+	r.Version = l.state.Version
 	var used []uint64
-	serves := false
+	anyServes := false
 	for _, s := range w.sides {
 		if s.dead {
 			continue
 		}
-		serves = serves || s.participant.Serves()
-		if v, may := s.participant.startVersion(); may && !slices.Contains(used, v) {
-			used = append(used, v)
+		anyServes = anyServes || s.participant.Serves()
+		if version, ok := s.participant.startVersion(); ok && !slices.Contains(used, version) {
+			used = append(used, version)
 		}
 	}
 	r.MaxVersions = max(r.MaxVersions, len(used))
 	switch {
-	case !serves && math.IsNaN(k.outageSince):
-		k.outageSince = w.now
-	case serves && !math.IsNaN(k.outageSince):
-		r.Outage += w.now - k.outageSince
-		k.outageSince = math.NaN()
+	case !anyServes && math.IsNaN(l.outageSince):
+		l.outageSince = w.now
+	case anyServes && !math.IsNaN(l.outageSince):
+		r.Outage += w.now - l.outageSince
+		l.outageSince = math.NaN()
 	}
 }
--- a/internal/lab/sim/accord_test.go
+++ b/internal/lab/sim/accord_test.go
@@ -10,18 +10,20 @@
 	"tinsail/internal/lab/defaults"
 )
 
-// cutEvening is an evening of four dispatchers, of which one is cut off while a change is made.
-func cutEvening(seed uint64, keep bool) Scenario {
+// cutEvening returns the evening scenario with four dispatchers, one of which is cut off from the accord while
+// another one proposes a change.
+func cutEvening(seed uint64, continueWhenCut bool) Scenario {
 	sc := evening(seed)
 	sc.Dispatchers, sc.Retries, sc.Backoff, sc.Length, sc.Rate = 4, 6, 100, 16_000, 60
-	sc.Accord = Accord{Lease: 3000, Drift: 0.05, ContinueWhenCut: keep, Latency: 1, FlushTime: 5, CheckTime: 2, ProbeInterval: 1000}
+	sc.Accord = Accord{Lease: 3000, Drift: 0.05, ContinueWhenCut: continueWhenCut, Latency: 1, FlushTime: 5, CheckTime: 2, ProbeInterval: 1000}
 	sc.Cuts = []Cut{{At: 6000, Length: 8000, Dispatchers: []int{3}}}
 	sc.PolicyChanges = []PolicyChange{{At: 7000, Dispatcher: 0}}
 	return sc
 }
 
-// TestOneVersionInUseDuringCut: over seeds, with lost messages too, dispatchers never may begin by two versions at one moment
-// under stop, and no req is taken by one that is over. Under keep both happen. All end on the new version.
+// TestOneVersionInUseDuringCut checks over several seeds, also with lost messages, that dispatchers which stop when
+// cut off never may start attempts under two versions at once, and accept no req under an outdated version. If they
+// continue when cut off, both happen. In the end all are on the new version.
 func TestOneVersionInUseDuringCut(t *testing.T) {
 	for seed := range uint64(16) {
 		for _, loss := range []float64{0, 0.2} {
@@ -41,68 +43,71 @@
 	}
 }
 
-// TestFullLeaseFaultIsDetected: a dispatcher that uses its lease to the whole length, with a slow clock beside a keeper's fast
-// one, goes on after others have begun the next version: the count of versions shows it.
+// TestFullLeaseFaultIsDetected checks that MaxVersions shows the injected fault: a dispatcher with a slow clock that
+// uses the full length of a lease from a leader with a fast clock continues after others have started attempts under
+// the next version.
 func TestFullLeaseFaultIsDetected(t *testing.T) {
-	seen := 0
+	detected := 0
 	for seed := range uint64(16) {
 		sc := cutEvening(seed, false)
 		sc.Accord.faultFullLease = true
 		if r := play(t, sc).Accord; r.MaxVersions > 1 {
-			seen++
+			detected++
 		}
 	}
-	assert.Positive(t, seen)
+	assert.Positive(t, detected)
 }
 
-// TestCutDispatcherStopsAtLeaseEnd: a dispatcher that is cut off takes until the lease's last moment for taking, begins until its last
-// for that, refuses from then on, and takes again once its link is back.
+// TestCutDispatcherStopsAtLeaseEnd checks that a dispatcher that is cut off accepts reqs until its lease's
+// AcceptUntil, starts attempts until its StartUntil, does neither after that, and accepts reqs again once it is
+// connected.
 func TestCutDispatcherStopsAtLeaseEnd(t *testing.T) {
 	sc := cutEvening(1, false)
 	sc.PolicyChanges, sc.Accord.Drift, sc.Rate = nil, 0, 0.01
 	w, err := newWorld(sc, defaults.Settings(), Module)
 	require.NoError(t, err)
 	w.startAccord()
-	f := w.sides[3].participant
+	p := w.sides[3].participant
 	w.at(sc.Cuts[0].At+1, func() {
-		g, after := f.accord.Admission(), math.Nextafter(1, 2)
-		take, start := float64(g.AcceptUntil)/1e6, float64(g.StartUntil)/1e6
-		assert.Equal(t, []float64{500, 3000}, []float64{math.Round(start - take), math.Round(sc.Accord.Lease)})
-		assert.Greater(t, take, sc.Cuts[0].At+3000*(1-1./6-1./3)-10, "half a lease at least")
-		for at, want := range map[float64][2]bool{take - 1: {true, true}, take * after: {false, true}, start - 1: {false, true}, start * after: {false, false},
+		admission, justAfter := p.accord.Admission(), math.Nextafter(1, 2)
+		acceptUntil, startUntil := float64(admission.AcceptUntil)/1e6, float64(admission.StartUntil)/1e6
+		assert.Equal(t, []float64{500, 3000}, []float64{math.Round(startUntil - acceptUntil), math.Round(sc.Accord.Lease)})
+		assert.Greater(t, acceptUntil, sc.Cuts[0].At+3000*(1-1./6-1./3)-10, "at least half of the lease was left")
+		for at, want := range map[float64][2]bool{acceptUntil - 1: {true, true}, acceptUntil * justAfter: {false, true}, startUntil - 1: {false, true}, startUntil * justAfter: {false, false},
 			sc.Cuts[0].At + sc.Cuts[0].Length - 1: {false, false}, sc.Cuts[0].At + sc.Cuts[0].Length + 1100: {true, true}} {
 			w.at(at, func() {
-				_, _, took := f.Admit()
-				if took {
-					f.Begun(1)
+				_, _, accepted := p.Admit()
+				if accepted {
+					p.Begun(1)
 				}
-				assert.Equal(t, want, [2]bool{took, f.MayStart(1)}, "at %v ms", at)
+				assert.Equal(t, want, [2]bool{accepted, p.MayStart(1)}, "at %v ms", at)
 			})
 		}
 	})
 	w.next = func() (Arrival, bool) { return Arrival{}, false }
-	w.open++ // so that the run goes on
+	w.open++ // so that the run does not end
 	require.NoError(t, w.run())
 	assert.Equal(t, []int{4, 4}, []int{w.res.Accord.Refused, w.res.Accord.RefusedWhileCut})
 }
 
-// TestProbeKeepsClientsFromUnreadyDispatcher: the front sends no more to a dispatcher that it has heard takes none, so that a cut costs the tries
-// until then; a front that asks only every minute sends it its share all the while.
+// TestProbeKeepsClientsFromUnreadyDispatcher checks that the load balancer in front sends no more clients to a
+// dispatcher that its probe found not ready, so that a cut costs only the tries before that. A load balancer that
+// probes only every minute sends the dispatcher its share of clients all the time.
 func TestProbeKeepsClientsFromUnreadyDispatcher(t *testing.T) {
 	sc := cutEvening(5, false)
-	near := play(t, sc)
+	oftenProbed := play(t, sc)
 	sc.Accord.ProbeInterval = 60_000
-	far := play(t, sc)
-	assert.Greater(t, far.Accord.RefusedWhileCut, 3*near.Accord.RefusedWhileCut)
-	assert.Equal(t, near.First, near.Served)
+	rarelyProbed := play(t, sc)
+	assert.Greater(t, rarelyProbed.Accord.RefusedWhileCut, 3*oftenProbed.Accord.RefusedWhileCut)
+	assert.Equal(t, oftenProbed.First, oftenProbed.Served)
 }
 
 func TestAccordScenarioErrors(t *testing.T) {
 	for want, change := range map[string]func(*Scenario){
-		"want an accord":          func(s *Scenario) { s.Accord = Accord{} },
-		"dispatcher 4 is cut off": func(s *Scenario) { s.Cuts[0].Dispatchers = []int{4} },
-		"dispatcher 9 proposes":   func(s *Scenario) { s.PolicyChanges[0].Dispatcher = 9 },
-		"lease is not between":    func(s *Scenario) { s.Accord.Lease = 1 },
+		"require an accord":                     func(s *Scenario) { s.Accord = Accord{} },
+		"a cut names dispatcher 4":              func(s *Scenario) { s.Cuts[0].Dispatchers = []int{4} },
+		"dispatcher 9 proposes a policy change": func(s *Scenario) { s.PolicyChanges[0].Dispatcher = 9 },
+		"lease is not between":                  func(s *Scenario) { s.Accord.Lease = 1 },
 	} {
 		sc := cutEvening(1, false)
 		change(&sc)
--- a/internal/lab/sim/participant.go
+++ b/internal/lab/sim/participant.go
@@ -7,117 +7,118 @@
 	"tinsail/internal/fleet/accord"
 )
 
-// participant is one dispatcher's side of the accord: the core's Versions by the real Lessee's gate, read at the dispatcher's
-// own clock.
+// participant is one dispatcher's participant in the accord. It implements core.Versions with the admission of the
+// real accord.Participant, which is checked against the dispatcher's own clock.
 type participant struct {
 	side      *side
 	accord    *accord.Participant
 	clockRate float64
-	waiting   map[uint64]int // reqs taken by a version that have begun nowhere
+	waiting   map[uint64]int // by version: reqs accepted under it that have not started at any backend
 }
 
 func newParticipant(s *side) (*participant, error) {
-	k := s.w.leader
-	k.epochs++
-	f := &participant{side: s, clockRate: k.drawClockRate(), waiting: map[uint64]int{}}
+	leader := s.w.leader
+	leader.epochs++
+	p := &participant{side: s, clockRate: leader.drawClockRate(), waiting: map[uint64]int{}}
 	var err error
-	if f.accord, err = accord.NewParticipant(k.config, fmt.Sprint("n", s.at), k.epochs); err != nil {
+	if p.accord, err = accord.NewParticipant(leader.config, fmt.Sprint("n", s.at), leader.epochs); err != nil {
 		return nil, err
 	}
-	s.w.repeat(s.w.sc.Accord.Lease/100, f.step)
-	return f, nil
+	s.w.repeat(s.w.sc.Accord.Lease/100, p.step)
+	return p, nil
 }
 
-func (f *participant) now() accord.Time { return f.side.w.accordTime(f.clockRate) }
+func (p *participant) now() accord.Time { return p.side.w.accordTime(p.clockRate) }
 
-// deadlines are until when reqs may be taken and attempts started, by the own clock.
-func (f *participant) deadlines() (take, start accord.Time) {
-	g, a := f.accord.Admission(), &f.side.w.sc.Accord
-	if a.faultFullLease && !a.ContinueWhenCut && g.AcceptUntil > 0 {
-		whole := g.StartUntil.Add(msToDuration(a.Lease) - f.side.w.leader.config.UsableLease())
-		return whole, whole
+// deadlines returns until when reqs may be accepted and attempts started, by the dispatcher's own clock.
+func (p *participant) deadlines() (acceptUntil, startUntil accord.Time) {
+	admission, scenario := p.accord.Admission(), &p.side.w.sc.Accord
+	if scenario.faultFullLease && !scenario.ContinueWhenCut && admission.AcceptUntil > 0 {
+		leaseEnd := admission.StartUntil.Add(msToDuration(scenario.Lease) - p.side.w.leader.config.UsableLease())
+		return leaseEnd, leaseEnd
 	}
-	return g.AcceptUntil, g.StartUntil
+	return admission.AcceptUntil, admission.StartUntil
 }
 
-// Admit admits a req by the version in force: core.Versions.
-func (f *participant) Admit() (version uint64, pause time.Duration, ok bool) {
-	w := f.side.w
-	if take, _ := f.deadlines(); f.now() >= take {
+// Admit implements core.Versions: it admits a req under the version in force.
+func (p *participant) Admit() (version uint64, retryAfter time.Duration, ok bool) {
+	w := p.side.w
+	if acceptUntil, _ := p.deadlines(); p.now() >= acceptUntil {
 		w.res.Accord.Refused++
-		if w.cutOff(f.side.at) {
+		if w.cutOff(p.side.at) {
 			w.res.Accord.RefusedWhileCut++
 		}
 		return 0, w.leader.config.Drain(), false
 	}
-	version = f.accord.Admission().Version
-	f.waiting[version]++
+	version = p.accord.Admission().Version
+	p.waiting[version]++
 	if version < w.leader.state.Version {
 		w.res.Accord.OutdatedAccepted++
 	}
 	return version, 0, true
 }
 
-// Begun tells that a req has begun, or never will. A lessee that has stopped waits for the last.
-func (f *participant) Begun(version uint64) {
-	f.waiting[version]--
-	if g := f.accord.Admission(); g.Version == version && f.waiting[version] == 0 && g.AcceptUntil == 0 {
-		f.side.w.at(f.side.w.now, f.step)
+// Begun implements core.Versions: it reports that a req has started, or never will. After the last one a participant
+// that has stopped accepting reqs for a change need not wait for the end of the drain.
+func (p *participant) Begun(version uint64) {
+	p.waiting[version]--
+	if admission := p.accord.Admission(); admission.Version == version && p.waiting[version] == 0 && admission.AcceptUntil == 0 {
+		p.side.w.at(p.side.w.now, p.step)
 	}
 }
 
-// MayStart says whether an attempt of a req that was taken by a version may start now.
-func (f *participant) MayStart(version uint64) bool {
-	v, may := f.startVersion()
-	return may && v == version
+// MayStart implements core.Versions: it reports whether an attempt of a req accepted under a version may start now.
+func (p *participant) MayStart(version uint64) bool {
+	current, ok := p.startVersion()
+	return ok && current == version
 }
 
-// startVersion is the version that attempts may start by, if they may now.
-func (f *participant) startVersion() (uint64, bool) {
-	_, start := f.deadlines()
-	return f.accord.Admission().Version, f.now() < start
+// startVersion returns the version under which attempts may start, and whether they may start now.
+func (p *participant) startVersion() (uint64, bool) {
+	_, startUntil := p.deadlines()
+	return p.accord.Admission().Version, p.now() < startUntil
 }
 
-// Serves says whether reqs are taken now.
-func (f *participant) Serves() bool {
-	take, _ := f.deadlines()
-	return f.now() < take
+// Serves implements core.Versions: it reports whether reqs are accepted now.
+func (p *participant) Serves() bool {
+	acceptUntil, _ := p.deadlines()
+	return p.now() < acceptUntil
 }
 
-func (f *participant) handleResponse(a accord.LeaseResponse) {
-	if !f.side.dead {
-		f.accord.HandleResponse(f.now(), a)
-		f.step()
+func (p *participant) handleResponse(response accord.LeaseResponse) {
+	if !p.side.dead {
+		p.accord.HandleResponse(p.now(), response)
+		p.step()
 	}
 }
 
-func (f *participant) handlePoll() {
-	if !f.side.dead {
-		f.accord.RequestNow()
-		f.step()
+func (p *participant) handlePoll() {
+	if !p.side.dead {
+		p.accord.RequestNow()
+		p.step()
 	}
 }
 
-// step carries out what the lessee wants.
-func (f *participant) step() {
-	w := f.side.w
-	if f.side.dead {
+// step advances the participant to the current time and performs the actions that it asks for.
+func (p *participant) step() {
+	w := p.side.w
+	if p.side.dead {
 		return
 	}
-	version, _ := f.accord.Current()
-	f.accord.Tick(f.now(), f.waiting[version])
-	for _, c := range f.accord.TakeChecks() {
+	version, _ := p.accord.Current()
+	p.accord.Tick(p.now(), p.waiting[version])
+	for _, check := range p.accord.TakeChecks() {
 		w.at(w.now+w.sc.Accord.CheckTime, func() {
-			if !f.side.dead {
-				f.accord.ReportCheck(f.now(), c, nil)
-				f.step()
+			if !p.side.dead {
+				p.accord.ReportCheck(p.now(), check, nil)
+				p.step()
 			}
 		})
 	}
-	f.accord.TakeActivation()
-	f.accord.TakeEvents()
-	if a, ok := f.accord.NextRequest(f.now()); ok {
-		w.leader.handleRequest(f, a)
+	p.accord.TakeActivation()
+	p.accord.TakeEvents()
+	if request, ok := p.accord.NextRequest(p.now()); ok {
+		w.leader.handleRequest(p, request)
 	}
 	w.recordVersions()
 }
