--- a/internal/lab/sim/tenants.go
+++ b/internal/lab/sim/tenants.go
@@ -11,71 +11,75 @@
 	"tinsail/internal/lab/fleet"
 )
 
-// Tenant is a customer that keeps a number of jobs wanted: as one ends, its next req comes.
+// Tenant is a customer with a standing demand for jobs: when one of its reqs ends, the next one follows.
 type Tenant struct {
 	Name   string
-	Quota  int // jobs that may run for it at once over the fleet
-	Demand int // jobs that it wants running at once
-	// DispatcherCount is how many dispatchers all its reqs come to, drawn by its name; 0 for all.
+	Quota  int // how many of its jobs may run at once in the whole fleet
+	Demand int // how many jobs it tries to keep running
+	// DispatcherCount limits its reqs to that many dispatchers, chosen by the hash of its name. 0 means all.
 	DispatcherCount int
 	Class           string
-	ThinkTime       float64 // between an end and the next req, on average, ms
+	ThinkTime       float64 // mean delay between the end of a req and the next req, ms
 }
 
-// Window is the part of a run that shares are measured over, ms; Ramp is how long the first reqs of tenants are spread over.
+// Window is the part of a run in which tenants' shares are measured. The tenants' first reqs are spread over the time
+// Ramp at the start of the run. Times are milliseconds.
 type Window struct{ From, To, Ramp float64 }
 
-// TenantResult is what a tenant got. Means are over the window.
+// TenantResult is what a run measured for a tenant. Means are over the window.
 type TenantResult struct {
 	Name          string
 	Quota, Demand int
-	Running       float64 // jobs that ran at backends, on average
-	RunningUrgent float64 // of them, of urgent classes
-	MaxRunning    int     // jobs not of urgent classes that ran at once, at most, at any time
+	Running       float64 // mean number of jobs running at backends
+	RunningUrgent float64 // of these, jobs of urgent classes
+	MaxRunning    int     // maximum number of jobs running at once at any time, without urgent ones
 	Starts        int
 	entitlement   float64
-	InFlight      float64 // with quotas: units in use by reqs not of urgent classes
+	InFlight      float64 // only with quotas: mean number of units used by reqs that are not urgent
 }
 
-// Entitlement is what the tenant should have had running, on average where its quota changed.
+// Entitlement returns how many jobs the tenant should have had running: the smaller of its demand and its quota, on
+// average over the window where the quota changed.
 func (t *TenantResult) Entitlement() float64 { return t.entitlement }
 
-// EntitlementShare is the part of its due that it got.
+// EntitlementShare returns the share of its entitlement that the tenant got, without urgent jobs.
 func (t *TenantResult) EntitlementShare() float64 {
 	return (t.Running - t.RunningUrgent) / max(t.Entitlement(), 1)
 }
 
-// TenantsResult is what all tenants got.
+// TenantsResult is what a run measured for all tenants.
 type TenantsResult struct {
 	ByTenant           []TenantResult
-	Slots              float64                 // of all backends
-	Running            float64                 // on average
-	UrgentStartDelay   *hdrhistogram.Histogram // of reqs of urgent classes: from the first try to the job's begin, us
-	OtherStartDelay    *hdrhistogram.Histogram
-	UrgentNeverStarted int // urgent reqs in the window that never began
+	Slots              float64                 // total of all backends
+	Running            float64                 // mean number of running jobs
+	UrgentStartDelay   *hdrhistogram.Histogram // of reqs of urgent classes, from the first try to the start of the job, us
+	OtherStartDelay    *hdrhistogram.Histogram // the same of all other reqs
+	UrgentNeverStarted int                     // urgent reqs in the window whose job never started
 }
 
-// Utilization is the part of what was there and wanted that was in use. Quotas bound what is wanted.
+// Utilization returns the jobs running, without urgent ones, as a share of what could run: the sum of all
+// entitlements, or all slots if there are fewer.
 func (t *TenantsResult) Utilization() float64 {
-	due, running := 0.0, 0.0
+	entitled, running := 0.0, 0.0
 	for i := range t.ByTenant {
-		due, running = due+t.ByTenant[i].Entitlement(), running+t.ByTenant[i].Running-t.ByTenant[i].RunningUrgent
+		entitled, running = entitled+t.ByTenant[i].Entitlement(), running+t.ByTenant[i].Running-t.ByTenant[i].RunningUrgent
 	}
-	return running / max(min(due, t.Slots), 1)
+	return running / max(min(entitled, t.Slots), 1)
 }
 
-// WorstShare is the smallest part that any tenant got whose wants are within its quota.
+// WorstShare returns the smallest EntitlementShare of the tenants whose demand is within their quota.
 func (t *TenantsResult) WorstShare() float64 {
-	least := math.Inf(1)
+	worst := math.Inf(1)
 	for i := range t.ByTenant {
 		if t.ByTenant[i].Demand <= t.ByTenant[i].Quota {
-			least = min(least, t.ByTenant[i].EntitlementShare())
+			worst = min(worst, t.ByTenant[i].EntitlementShare())
 		}
 	}
-	return least
+	return worst
 }
 
-// MaxOverQuota is the largest number of times over its quota that any tenant had running at a moment.
+// MaxOverQuota returns the largest number of jobs, without urgent ones, that any tenant had running at once, in
+// multiples of its quota.
 func (t *TenantsResult) MaxOverQuota() float64 {
 	over := 0.0
 	for i := range t.ByTenant {
@@ -84,17 +88,18 @@
 	return over
 }
 
-// tenantJobs counts the jobs that run for each tenant, as the backends have them.
+// tenantJobs creates the tenants' reqs and counts the jobs that run for each tenant at the backends. Slices are
+// indexed by tenant.
 type tenantJobs struct {
 	w             *world
 	changedAt     []float64
 	running       []int
 	runningUrgent []int
-	sum           []float64 // of ms times jobs, in the window
-	urgentSum     []float64
+	sum           []float64 // running jobs summed over the window, in jobs times ms
+	urgentSum     []float64 // the same for urgent jobs
 	jobs          map[uint64]*client
 	random        *rand.Rand
-	totalQuota    int // of the tenants' quotas
+	totalQuota    int // sum of the quotas of all tenants
 }
 
 func (sc *Scenario) checkTenants() error {
@@ -104,20 +109,21 @@
 		t := &sc.Tenants[i]
 		switch {
 		case t.Name == "" || names[t.Name]:
-			return fmt.Errorf("tenant %q stands there twice, or has no name", t.Name)
+			return fmt.Errorf("tenant name %q is empty or not unique", t.Name)
 		case t.Quota < 1 || t.Demand < 0 || t.Demand > mostBackends:
-			return fmt.Errorf("tenant %q: a quota of %d and %d wanted", t.Name, t.Quota, t.Demand)
+			return fmt.Errorf("tenant %q: invalid quota %d or demand %d", t.Name, t.Quota, t.Demand)
 		case classIndex(classes, t.Class) < 0:
-			return fmt.Errorf("tenant %q: reqs of class %q, which is none", t.Name, t.Class)
+			return fmt.Errorf("tenant %q: class %q does not exist", t.Name, t.Class)
 		}
 		names[t.Name] = true
 	}
 	if len(sc.Tenants) > 0 && !(sc.Window.To > sc.Window.From && sc.Window.To <= sc.Length) {
-		return fmt.Errorf("shares measured from %v to %v ms of %v", sc.Window.From, sc.Window.To, sc.Length)
+		return fmt.Errorf("measurement window from %v to %v ms is empty or exceeds the run of %v ms", sc.Window.From, sc.Window.To, sc.Length)
 	}
 	return nil
 }
 
+// classIndex returns the index of the class with this name, or -1.
 func classIndex(classes []Class, name string) int {
 	for i := range classes {
 		if classes[i].Name == name {
@@ -129,43 +135,44 @@
 
 func newTenantJobs(w *world) *tenantJobs {
 	n := len(w.sc.Tenants)
-	r := &tenantJobs{w: w, changedAt: make([]float64, n), running: make([]int, n), runningUrgent: make([]int, n), sum: make([]float64, n), urgentSum: make([]float64, n),
+	j := &tenantJobs{w: w, changedAt: make([]float64, n), running: make([]int, n), runningUrgent: make([]int, n), sum: make([]float64, n), urgentSum: make([]float64, n),
 		jobs: map[uint64]*client{}, random: fleet.RandomStream(w.sc.Seed, "tenants")}
 	for _, t := range w.sc.Tenants {
 		w.res.Tenants.ByTenant = append(w.res.Tenants.ByTenant, TenantResult{Name: t.Name, Quota: t.Quota, Demand: t.Demand})
-		r.totalQuota += t.Quota
+		j.totalQuota += t.Quota
 	}
 	for _, b := range w.sc.Backends {
 		w.res.Tenants.Slots += b.Kind.Slots
 	}
 	w.res.Tenants.UrgentStartDelay = hdrhistogram.New(1, 100_000_000_000, 3)
 	w.res.Tenants.OtherStartDelay = hdrhistogram.New(1, 100_000_000_000, 3)
-	return r
+	return j
 }
 
-// startDemand has the tenants' first reqs come, in an order that is drawn; works are cut by chance, as if they had run before.
-func (r *tenantJobs) startDemand() {
-	w := r.w
+// startDemand schedules the tenants' first reqs at random times. Their work is shortened at random, as if the jobs
+// had been running before.
+func (j *tenantJobs) startDemand() {
+	w := j.w
 	for i := range w.sc.Tenants {
 		for range w.sc.Tenants[i].Demand {
-			w.at(w.sc.Window.Ramp*r.random.Float64(), func() { r.submit(i, r.random.Float64()) })
+			w.at(w.sc.Window.Ramp*j.random.Float64(), func() { j.submit(i, j.random.Float64()) })
 		}
 	}
 }
 
-// submit has a tenant's next req come.
-func (r *tenantJobs) submit(tenant int, part float64) {
-	w := r.w
+// submit creates a req of a tenant and sends it. workShare scales the work of its job.
+func (j *tenantJobs) submit(tenant int, workShare float64) {
+	w := j.w
 	class := classIndex(w.classes, w.sc.Tenants[tenant].Class)
 	c := &w.classes[class]
 	w.res.First++
-	z := r.random.NormFloat64()
-	a := Arrival{At: w.now, Slots: 1, Class: class, Work: part * c.Work * math.Exp(c.Spread*z-c.Spread*c.Spread/2)}
-	cl := &client{w: w, n: w.res.First, key: fmt.Sprint("k", w.res.First), Arrival: a, begun: w.now, tenant: tenant, region: w.drawRegion(), stands: true}
+	z := j.random.NormFloat64()
+	arrival := Arrival{At: w.now, Slots: 1, Class: class, Work: workShare * c.Work * math.Exp(c.Spread*z-c.Spread*c.Spread/2)}
+	cl := &client{w: w, n: w.res.First, key: fmt.Sprint("k", w.res.First), Arrival: arrival, begun: w.now, tenant: tenant, region: w.drawRegion(), stands: true}
 	cl.ask()
 }
 
-// drawRegion draws the drawRegion that a client is in.
+// drawRegion returns a random region for a client; 0 if there are no regions.
 func (w *world) drawRegion() int {
 	if n := len(w.sc.Regions); n > 0 {
 		return w.where.IntN(n)
@@ -173,116 +180,119 @@
 	return 0
 }
 
-// drawTenant gives a req of no tenant's standing demand a tenant, by quota.
-func (r *tenantJobs) drawTenant() int {
-	at := r.random.IntN(max(r.totalQuota, 1))
-	for i := range r.w.sc.Tenants {
-		if at -= r.w.sc.Tenants[i].Quota; at < 0 {
+// drawTenant returns a random tenant, weighted by quota, for a req that is not part of a standing demand.
+func (j *tenantJobs) drawTenant() int {
+	rest := j.random.IntN(max(j.totalQuota, 1))
+	for i := range j.w.sc.Tenants {
+		if rest -= j.w.sc.Tenants[i].Quota; rest < 0 {
 			return i
 		}
 	}
 	return 0
 }
 
-// scheduleNext has the next req of a standing demand come, after one is over.
-func (r *tenantJobs) scheduleNext(c *client) {
-	w := r.w
-	if at := w.now + r.random.ExpFloat64()*w.sc.Tenants[c.tenant].ThinkTime; c.stands && at < w.sc.Length {
-		w.at(at, func() { r.submit(c.tenant, 1) })
+// scheduleNext schedules the next req of a standing demand after one has ended.
+func (j *tenantJobs) scheduleNext(c *client) {
+	w := j.w
+	if at := w.now + j.random.ExpFloat64()*w.sc.Tenants[c.tenant].ThinkTime; c.stands && at < w.sc.Length {
+		w.at(at, func() { j.submit(c.tenant, 1) })
 	}
 }
 
-// handleStart counts a job that begins at a backend.
-func (r *tenantJobs) handleStart(job uint64, c *client) {
-	t := &r.w.res.Tenants
-	if _, known := r.jobs[job]; known {
+// handleStart counts a job that starts at a backend.
+func (j *tenantJobs) handleStart(job uint64, c *client) {
+	t := &j.w.res.Tenants
+	if _, known := j.jobs[job]; known {
 		return
 	}
-	r.jobs[job] = c
-	r.accumulate(c.tenant)
-	r.running[c.tenant]++
+	j.jobs[job] = c
+	j.accumulate(c.tenant)
+	j.running[c.tenant]++
 	urgent := c.class().Urgent
 	if urgent {
-		r.runningUrgent[c.tenant]++
+		j.runningUrgent[c.tenant]++
 	}
-	if q := r.w.quotas; q != nil {
-		q.backendChecker.HandleStart(r.w.now, t.ByTenant[c.tenant].Name, urgent)
+	if q := j.w.quotas; q != nil {
+		q.backendChecker.HandleStart(j.w.now, t.ByTenant[c.tenant].Name, urgent)
 	}
-	e := &t.ByTenant[c.tenant]
-	e.MaxRunning = max(e.MaxRunning, r.running[c.tenant]-r.runningUrgent[c.tenant])
-	if c.ran > 1 || !r.inWindow(c.begun) {
+	result := &t.ByTenant[c.tenant]
+	result.MaxRunning = max(result.MaxRunning, j.running[c.tenant]-j.runningUrgent[c.tenant])
+	if c.ran > 1 || !j.inWindow(c.begun) {
 		return
 	}
-	e.Starts++
-	h := t.OtherStartDelay
+	result.Starts++
+	delays := t.OtherStartDelay
 	if urgent {
-		h = t.UrgentStartDelay
+		delays = t.UrgentStartDelay
 	}
-	_ = h.RecordValue(int64((r.w.now-c.begun)*1000) + 1) // in its bounds: a client has no more patience than a day
+	_ = delays.RecordValue(int64((j.w.now-c.begun)*1000) + 1) // cannot fail: no client waits longer than a day, and the maximum is higher
 }
 
-func (r *tenantJobs) inWindow(at float64) bool {
-	return at >= r.w.sc.Window.From && at < r.w.sc.Window.To
+// inWindow reports whether a time is in the measurement window.
+func (j *tenantJobs) inWindow(at float64) bool {
+	return at >= j.w.sc.Window.From && at < j.w.sc.Window.To
 }
 
-// handleEnd counts a job that runs no more, however that came.
-func (r *tenantJobs) handleEnd(job uint64) {
-	c := r.jobs[job]
+// handleEnd counts a job that no longer runs, whatever the reason.
+func (j *tenantJobs) handleEnd(job uint64) {
+	c := j.jobs[job]
 	if c == nil {
 		return
 	}
-	delete(r.jobs, job)
-	r.accumulate(c.tenant)
-	r.running[c.tenant]--
+	delete(j.jobs, job)
+	j.accumulate(c.tenant)
+	j.running[c.tenant]--
 	if c.class().Urgent {
-		r.runningUrgent[c.tenant]--
+		j.runningUrgent[c.tenant]--
 	}
-	if q := r.w.quotas; q != nil {
-		q.backendChecker.HandleEnd(r.w.res.Tenants.ByTenant[c.tenant].Name, c.class().Urgent)
+	if q := j.w.quotas; q != nil {
+		q.backendChecker.HandleEnd(j.w.res.Tenants.ByTenant[c.tenant].Name, c.class().Urgent)
 	}
 }
 
-// accumulate adds what ran for a tenant since it last changed.
-func (r *tenantJobs) accumulate(tenant int) {
-	win := &r.w.sc.Window
-	if d := min(r.w.now, win.To) - max(r.changedAt[tenant], win.From); d > 0 {
-		r.sum[tenant] += d * float64(r.running[tenant])
-		r.urgentSum[tenant] += d * float64(r.runningUrgent[tenant])
-	}
-	r.changedAt[tenant] = r.w.now
+// accumulate adds the time since a tenant's counts last changed to its sums over time. It must be called before each
+// change.
+func (j *tenantJobs) accumulate(tenant int) {
+	window := &j.w.sc.Window
+	if elapsed := min(j.w.now, window.To) - max(j.changedAt[tenant], window.From); elapsed > 0 {
+		j.sum[tenant] += elapsed * float64(j.running[tenant])
+		j.urgentSum[tenant] += elapsed * float64(j.runningUrgent[tenant])
+	}
+	j.changedAt[tenant] = j.w.now
 }
 
-func (r *tenantJobs) finish() {
-	win, t := &r.w.sc.Window, &r.w.res.Tenants
+func (j *tenantJobs) finish() {
+	window, t := &j.w.sc.Window, &j.w.res.Tenants
 	for i := range t.ByTenant {
-		r.accumulate(i)
-		t.ByTenant[i].entitlement = r.entitlement(i)
-		t.ByTenant[i].Running, t.ByTenant[i].RunningUrgent = r.sum[i]/(win.To-win.From), r.urgentSum[i]/(win.To-win.From)
+		j.accumulate(i)
+		t.ByTenant[i].entitlement = j.entitlement(i)
+		t.ByTenant[i].Running, t.ByTenant[i].RunningUrgent = j.sum[i]/(window.To-window.From), j.urgentSum[i]/(window.To-window.From)
 		t.Running += t.ByTenant[i].Running
 	}
 }
 
-// entitlement is what a tenant should have had running over the window, by its quotas.
-func (r *tenantJobs) entitlement(i int) float64 {
-	win, t := &r.w.sc.Window, &r.w.sc.Tenants[i]
-	at, units, sum := win.From, t.Quota, 0.0
-	until := func(to float64) {
-		if to = min(to, win.To); to > at {
+// entitlement returns how many jobs a tenant should have had running on average over the window, by its quotas.
+func (j *tenantJobs) entitlement(i int) float64 {
+	window, t := &j.w.sc.Window, &j.w.sc.Tenants[i]
+	at, units, sum := window.From, t.Quota, 0.0
+	addUntil := func(to float64) {
+		if to = min(to, window.To); to > at {
 			sum += (to - at) * float64(min(units, t.Demand))
 			at = to
 		}
 	}
-	for _, c := range r.w.sc.QuotaChanges { // in the order of their times
+	for _, c := range j.w.sc.QuotaChanges { // checkQuotas has checked that they are in order of time
 		if c.Tenant == t.Name {
-			until(c.At)
+			addUntil(c.At)
 			units = c.Quota
 		}
 	}
-	until(win.To)
-	return sum / (win.To - win.From)
+	addUntil(window.To)
+	return sum / (window.To - window.From)
 }
 
-// moduleTenants are the module's: shares by the jobs that a quota lets begin in a second.
+// moduleTenants returns the tenants' settings for the decision module: each tenant's share of all quotas, and the
+// jobs that its quota allows to start in a second.
 func (sc *Scenario) moduleTenants() []balance.Tenant {
 	classes := sc.classes()
 	total := 0
@@ -296,39 +306,41 @@
 	return out
 }
 
-// Region is a part of the fleet: its dispatchers stand side by side, clients in it come to them alone.
+// Region is a part of the fleet. The numbers of its dispatchers are consecutive, and clients in it use only these
+// dispatchers.
 type Region struct {
 	Name        string
 	Dispatchers []int
 }
 
-// RegionOf is where a dispatcher stands; 0 where there are no regions.
-func (sc *Scenario) RegionOf(node int) int {
+// RegionOf returns the index of the region that a dispatcher is in; 0 if there are no regions.
+func (sc *Scenario) RegionOf(dispatcher int) int {
 	for i := range sc.Regions {
 		d := sc.Regions[i].Dispatchers
-		if node >= d[0] && node <= d[len(d)-1] {
+		if dispatcher >= d[0] && dispatcher <= d[len(d)-1] {
 			return i
 		}
 	}
 	return 0
 }
 
-// reachable are the dispatchers that a client's reqs come to, of those that the front sends to.
+// reachable returns the dispatchers that a client's reqs may go to, out of those to which the load balancer in front
+// sends: those of its tenant if DispatcherCount limits them, otherwise those of its region.
 func (c *client) reachable(fronts []*side) []*side {
 	w := c.w
-	at := 0
+	count := 0
 	if w.tenants != nil {
-		at = w.sc.Tenants[c.tenant].DispatcherCount
+		count = w.sc.Tenants[c.tenant].DispatcherCount
 	}
-	if at == 0 && len(w.sc.Regions) < 2 {
+	if count == 0 && len(w.sc.Regions) < 2 {
 		return fronts
 	}
 	n := len(w.sides)
-	mine := func(s *side) bool {
-		if at > 0 {
+	allowed := func(s *side) bool {
+		if count > 0 {
 			first := int(hashOf(w.sc.Tenants[c.tenant].Name) % uint64(n))
-			for i := range at { // spread over regions
-				if (first+i*n/at)%n == s.at {
+			for i := range count { // spread evenly over all dispatchers, and so over the regions
+				if (first+i*n/count)%n == s.at {
 					return true
 				}
 			}
@@ -338,12 +350,12 @@
 	}
 	var out []*side
 	for _, s := range fronts {
-		if mine(s) {
+		if allowed(s) {
 			out = append(out, s)
 		}
 	}
-	for i := 0; len(out) == 0 && i < n; i++ { // none is ready: the front knows no better
-		if s := w.sides[i]; s.fronted && mine(s) {
+	for i := 0; len(out) == 0 && i < n; i++ { // no allowed dispatcher is ready: the load balancer sends to all of them
+		if s := w.sides[i]; s.fronted && allowed(s) {
 			out = append(out, s)
 		}
 	}
--- a/internal/lab/sim/tenants_test.go
+++ b/internal/lab/sim/tenants_test.go
@@ -10,9 +10,9 @@
 	"tinsail/internal/lab/fleet"
 )
 
-// teamScenario is a small form of the coming size: nine dispatchers in three regions, six teams whose jobs run for 2.5 s, one of
-// them that wants times its quota.
-func teamScenario(seed uint64, times int) Scenario {
+// teamScenario returns a small scenario with nine dispatchers in three regions and six tenants whose jobs run for
+// 2.5 s. The demand of the first tenant is demandFactor times its quota, that of the others equals their quota.
+func teamScenario(seed uint64, demandFactor int) Scenario {
 	kind := fleet.Kind{Name: "m", Cores: 8, Speed: 1, Slots: 8, OnCancel: fleet.DropAll}
 	sc := Scenario{Seed: seed, Dispatchers: 9, Length: 20_000, Rate: 0.5, Work: 2500, Spread: 0.4, Deadline: 60_000, Retries: 100, Backoff: 100,
 		Latency: 0.3, Connect: 0.6, Window: Window{From: 8000, To: 20_000, Ramp: 1000},
@@ -25,18 +25,19 @@
 	for i := range 6 {
 		sc.Tenants = append(sc.Tenants, Tenant{Name: string(rune('a' + i)), Quota: 12, Demand: 12, Class: "batch", ThinkTime: 50})
 	}
-	sc.Tenants[0].Demand *= times
+	sc.Tenants[0].Demand *= demandFactor
 	return sc
 }
 
-// TestTenantsRunTheirDemand: where there is room for all, each tenant has running about what it wants, no more, and each
-// req has one answer. A req of a tenant that comes to three dispatchers comes to no other.
+// TestTenantsRunTheirDemand checks that if there are slots for all, each tenant has about as many jobs running as it
+// demands and not more, and each req gets one answer. Reqs of a tenant that is limited to three dispatchers go to no
+// other.
 func TestTenantsRunTheirDemand(t *testing.T) {
 	for seed := range uint64(4) {
 		r := play(t, teamScenario(seed, 1))
 		assert.Greater(t, r.Tenants.WorstShare(), 0.85, "seed %d", seed)
 		assert.InDelta(t, 0.95, r.Tenants.Utilization(), 0.07)
-		assert.LessOrEqual(t, r.Tenants.MaxOverQuota(), 1.0, "no more is wanted")
+		assert.LessOrEqual(t, r.Tenants.MaxOverQuota(), 1.0, "no tenant demands more than its quota")
 		assert.Equal(t, r.First, r.Served+r.Refused+r.Failed+r.Open)
 		assert.Positive(t, r.Tenants.UrgentStartDelay.TotalCount())
 		assert.InDelta(t, 80, r.Tenants.Slots, 0)
@@ -49,17 +50,17 @@
 	if !assert.NoError(t, err) {
 		return
 	}
-	seen := map[int]bool{}
+	used := map[int]bool{}
 	for region := range 3 {
 		for _, s := range (&client{w: w, tenant: 2, region: region}).reachable(w.fronts()) {
-			seen[s.at] = true
+			used[s.at] = true
 		}
 	}
-	assert.Len(t, seen, 3)
+	assert.Len(t, used, 3)
 }
 
-// TestTenantExceedsQuotaWithoutQuotas: without quotas a tenant that wants ten times its quota has several times that
-// running, and others lack what is theirs. This is the fault that quotas are there for.
+// TestTenantExceedsQuotaWithoutQuotas checks that without quotas a tenant that demands ten times its quota has
+// several times its quota running, and other tenants get less than their entitlement. Quotas exist to prevent this.
 func TestTenantExceedsQuotaWithoutQuotas(t *testing.T) {
 	for seed := range uint64(4) {
 		r := play(t, teamScenario(seed, 10)).Tenants
@@ -68,16 +69,16 @@
 	}
 }
 
-// TestTenantScenarioErrors: faults of a scenario are told.
+// TestTenantScenarioErrors checks that errors in a scenario are reported.
 func TestTenantScenarioErrors(t *testing.T) {
-	for want, harm := range map[string]func(*Scenario){
-		`tenant "a" stands there twice`:        func(sc *Scenario) { sc.Tenants[1].Name = "a" },
-		`tenant "a": a quota of 0`:             func(sc *Scenario) { sc.Tenants[0].Quota = 0 },
-		`tenant "b": reqs of class "x"`:        func(sc *Scenario) { sc.Tenants[1].Class = "x" },
-		"shares measured from 8000 to 8000 ms": func(sc *Scenario) { sc.Window.To = 8000 },
+	for want, breakScenario := range map[string]func(*Scenario){
+		`tenant name "a" is empty or not unique`:  func(sc *Scenario) { sc.Tenants[1].Name = "a" },
+		`tenant "a": invalid quota 0`:             func(sc *Scenario) { sc.Tenants[0].Quota = 0 },
+		`tenant "b": class "x" does not exist`:    func(sc *Scenario) { sc.Tenants[1].Class = "x" },
+		"measurement window from 8000 to 8000 ms": func(sc *Scenario) { sc.Window.To = 8000 },
 	} {
 		sc := teamScenario(1, 1)
-		harm(&sc)
+		breakScenario(&sc)
 		_, err := Play(sc, defaults.Settings())
 		assert.ErrorContains(t, err, want)
 	}
