--- a/internal/lab/sim/dispatcher_quotas.go
+++ b/internal/lab/sim/dispatcher_quotas.go
@@ -7,7 +7,8 @@
 	"tinsail/internal/fleet/quota"
 )
 
-// dispatcherQuotas is a dispatcher's side: the core's Quotas by the real Desk, with the real Holder.
+// dispatcherQuotas is the part of the quotas in a dispatcher. It implements core.Quotas with a real quota.Limiter and
+// a real quota.Holder.
 type dispatcherQuotas struct {
 	processClock
 	q             *quotaSimulation
@@ -16,11 +17,12 @@
 	holder        *quota.Holder
 	lastID        uint64
 	waiting       map[uint64]func(time.Time, time.Duration, bool)
-	stepScheduled bool           // a turn is set for this moment
-	maxHeld       map[string]int // what was held last, for the seeded fault
+	stepScheduled bool           // a step is scheduled for the current time
+	maxHeld       map[string]int // most units held so far, by account; only for the injected fault
 	inFlight      map[uint64]quotaReq
 }
 
+// quotaReq is a req that waits for a unit or holds one.
 type quotaReq struct {
 	account   string
 	urgent    bool
@@ -39,7 +41,7 @@
 	return d, nil
 }
 
-// scheduleStep sets a turn for this moment: the core is in the middle of an event.
+// scheduleStep schedules a step for the current time, after the event that the core is handling.
 func (d *dispatcherQuotas) scheduleStep() {
 	if d.stepScheduled {
 		return
@@ -48,25 +50,25 @@
 	d.q.w.at(d.q.w.now, func() { d.stepScheduled = false; d.step() })
 }
 
-// Acquire asks for room: core.Quotas.
-func (d *dispatcherQuotas) Acquire(tenant, class int, until time.Time, ready func(time.Time, time.Duration, bool)) (leave func()) {
+// Acquire implements core.Quotas: it asks for a unit of a tenant's quota.
+func (d *dispatcherQuotas) Acquire(tenant, class int, until time.Time, ready func(time.Time, time.Duration, bool)) (release func()) {
 	w := d.q.w
 	d.lastID++
-	id, name := d.lastID, ""
+	id, account := d.lastID, ""
 	if tenant < len(w.sc.Tenants) {
-		name = w.sc.Tenants[tenant].Name
+		account = w.sc.Tenants[tenant].Name
 	}
-	a := quotaReq{name, d.q.urgentClass[class], w.now}
-	patience := float64(until.Sub(origin))/1e6 - w.now
-	if d.limiter.Acquire(d.now(w), id, name, a.urgent, d.now(w)+quota.Time(patience*1e6*d.rate)) {
-		d.handleStart(id, a)
+	req := quotaReq{account, d.q.urgentClass[class], w.now}
+	timeLeft := float64(until.Sub(origin))/1e6 - w.now
+	if d.limiter.Acquire(d.now(w), id, account, req.urgent, d.now(w)+quota.Time(timeLeft*1e6*d.rate)) {
+		d.handleStart(id, req)
 		ready(w.time(), 0, true)
 	} else {
-		d.waiting[id] = func(from time.Time, pause time.Duration, ok bool) {
+		d.waiting[id] = func(from time.Time, retryAfter time.Duration, ok bool) {
 			if ok {
-				d.handleStart(id, a)
+				d.handleStart(id, req)
 			}
-			ready(from, pause, ok)
+			ready(from, retryAfter, ok)
 		}
 		d.scheduleStep()
 	}
@@ -78,31 +80,31 @@
 	}
 }
 
-// MaxHold is the longest that room may be held.
+// MaxHold implements core.Quotas: it returns the longest time for which a req may hold a unit.
 func (d *dispatcherQuotas) MaxHold() time.Duration { return msToDuration(d.q.config.MaxRunTime) }
 
-func (d *dispatcherQuotas) handleStart(id uint64, a quotaReq) {
-	d.inFlight[id] = a
-	d.q.countInFlight(a.account, a.urgent, 1)
+func (d *dispatcherQuotas) handleStart(id uint64, req quotaReq) {
+	d.inFlight[id] = req
+	d.q.countInFlight(req.account, req.urgent, 1)
 	if d.q.isolated(d.q.w.sc.RegionOf(d.side.at)) {
 		d.q.w.res.Quotas.StartedIsolated++
 	}
-	if w := d.q.w; a.urgent && w.tenants.inWindow(a.arrivedAt) {
-		_ = w.res.Quotas.UrgentGrantDelay.RecordValue(int64((w.now-a.arrivedAt)*1000) + 1) // in its bounds: patience is shorter
+	if w := d.q.w; req.urgent && w.tenants.inWindow(req.arrivedAt) {
+		_ = w.res.Quotas.UrgentGrantDelay.RecordValue(int64((w.now-req.arrivedAt)*1000) + 1) // cannot fail: the req's deadline is below the histogram's maximum
 	}
-	d.q.dispatcherChecker.HandleStart(d.q.w.now, a.account, a.urgent)
+	d.q.dispatcherChecker.HandleStart(d.q.w.now, req.account, req.urgent)
 }
 
 func (d *dispatcherQuotas) handleEnd(id uint64) {
-	if a, flies := d.inFlight[id]; flies {
+	if req, ok := d.inFlight[id]; ok {
 		delete(d.inFlight, id)
-		d.q.countInFlight(a.account, a.urgent, -1)
-		d.q.dispatcherChecker.HandleEnd(a.account, a.urgent)
+		d.q.countInFlight(req.account, req.urgent, -1)
+		d.q.dispatcherChecker.HandleEnd(req.account, req.urgent)
 	}
 }
 
-// stop takes what was in flight at a dispatcher that was killed out of the count, once its attempts are called off; one
-// that ends in order says then that it holds nothing.
+// stop ends the reqs in flight of a dispatcher that was killed, once the backends have cancelled its attempts. After
+// an orderly end the dispatcher then returns all its units to its region's lender.
 func (d *dispatcherQuotas) stop(orderly bool) {
 	w := d.q.w
 	w.at(w.now+2*w.sc.Latency, func() {
@@ -116,89 +118,94 @@
 		for id := range d.waiting {
 			d.limiter.Release(id)
 		}
-		d.limiter.SetQuotas(d.now(w), nil) // nothing is wanted ahead of need
+		d.limiter.SetQuotas(d.now(w), nil) // so that no unit of the reserve is requested in advance
 		d.limiter.TakeUsageChanges(d.holder.SetUsage)
 		d.holder.HandlePoll()
-		d.holder.HandleReconnect() // it waits for no answer
-		if a, ok := d.holder.NextRequest(d.now(w)); ok {
-			d.sendRequest(a)
+		d.holder.HandleReconnect() // the request is sent without waiting for the response to an earlier one
+		if request, ok := d.holder.NextRequest(d.now(w)); ok {
+			d.sendRequest(request)
 		}
 	})
 }
 
-func (d *dispatcherQuotas) units(name string) int {
-	units := d.holder.Units(d.now(d.q.w), name)
+// units returns how many units of an account may be in use.
+func (d *dispatcherQuotas) units(account string) int {
+	units := d.holder.Units(d.now(d.q.w), account)
 	if !d.q.config.faultKeepUnits {
 		return units
 	}
-	d.maxHeld[name] = max(d.maxHeld[name], units) // the seeded fault: what was held once is held for good
-	return d.maxHeld[name]
+	d.maxHeld[account] = max(d.maxHeld[account], units) // the injected fault: units once held are never given up
+	return d.maxHeld[account]
 }
 
-// step carries out what the desk and the holder want.
+// step performs the actions that the limiter and the holder ask for, and schedules the next step.
 func (d *dispatcherQuotas) step() {
 	if d.side.dead {
 		return
 	}
 	w := d.q.w
-	begin, refuse := d.limiter.Admit(d.now(w), d.units)
-	for _, id := range begin {
+	started, expired := d.limiter.Admit(d.now(w), d.units)
+	for _, id := range started {
 		d.reply(id, 0, true)
 	}
-	for _, id := range refuse {
+	for _, id := range expired {
 		w.res.Quotas.Refused++
 		d.reply(id, refusalRetryAfter, false)
 	}
 	d.limiter.TakeUsageChanges(d.holder.SetUsage)
-	if a, ok := d.holder.NextRequest(d.now(w)); ok {
-		d.sendRequest(a)
+	if request, ok := d.holder.NextRequest(d.now(w)); ok {
+		d.sendRequest(request)
 	}
 	d.schedule(w, min(d.holder.NextRequestTime(), d.limiter.NextTimeout()), d.step)
 }
 
-// refusalRetryAfter is advised to clients of reqs that had no room in time.
+// refusalRetryAfter is the delay suggested to clients of reqs that got no unit in time.
 const refusalRetryAfter = 500 * time.Millisecond
 
-func (d *dispatcherQuotas) reply(id uint64, pause time.Duration, ok bool) {
+// reply reports to the core whether a waiting req got a unit.
+func (d *dispatcherQuotas) reply(id uint64, retryAfter time.Duration, ok bool) {
 	if ready := d.waiting[id]; ready != nil {
 		delete(d.waiting, id)
-		ready(d.q.w.time(), pause, ok)
+		ready(d.q.w.time(), retryAfter, ok)
 		d.side.touch()
 	}
 }
 
-func (d *dispatcherQuotas) sendRequest(a quota.LeaseRequest) {
+func (d *dispatcherQuotas) sendRequest(request quota.LeaseRequest) {
 	q := d.q
 	q.w.res.Quotas.Requests++
-	q.countDispatcherMessage(d.side.at, requestSize(a))
+	q.countDispatcherMessage(d.side.at, requestSize(request))
 	region := q.w.sc.RegionOf(d.side.at)
-	q.send(region, region, func() { q.regions[region].handleRequest(d, a) })
+	q.send(region, region, func() { q.regions[region].handleRequest(d, request) })
 }
 
-func (d *dispatcherQuotas) handleResponse(a quota.LeaseResponse) {
+func (d *dispatcherQuotas) handleResponse(response quota.LeaseResponse) {
 	if !d.side.dead {
-		d.holder.HandleResponse(d.now(d.q.w), a)
+		d.holder.HandleResponse(d.now(d.q.w), response)
 		d.step()
 	}
 }
 
-// countInFlight counts what is in flight of a tenant, of no urgent class, from now on.
-func (q *quotaSimulation) countInFlight(name string, urgent bool, more int) {
+// countInFlight changes the number of a tenant's reqs in flight by delta, and updates their sum over time. Urgent
+// reqs are not counted.
+func (q *quotaSimulation) countInFlight(name string, urgent bool, delta int) {
 	if urgent {
 		return
 	}
-	f, win := q.inFlight[name], &q.w.sc.Window
+	f, window := q.inFlight[name], &q.w.sc.Window
 	if f == nil {
 		f = &tenantInFlight{}
 		q.inFlight[name] = f
 	}
-	if d := min(q.w.now, win.To) - max(f.changedAt, win.From); d > 0 {
-		f.sum += d * float64(f.count)
+	if elapsed := min(q.w.now, window.To) - max(f.changedAt, window.From); elapsed > 0 {
+		f.sum += elapsed * float64(f.count)
 	}
 	f.changedAt = q.w.now
-	f.count += more
+	f.count += delta
 }
 
+// tenantInFlight is the number of a tenant's reqs in flight, when it last changed, and its sum over the measurement
+// window in reqs times ms.
 type tenantInFlight struct {
 	count          int
 	changedAt, sum float64
--- a/internal/lab/sim/quotas.go
+++ b/internal/lab/sim/quotas.go
@@ -15,88 +15,89 @@
 	"tinsail/internal/lab/judge"
 )
 
-// Quotas has the tenants' quotas lent in levels (docs/design/quota.md): the real Lender at the root, a real Region in each
-// region, the real Desk and Holder at each dispatcher, and links between them. The zero value is a fleet without. Times
-// are milliseconds.
+// Quotas enables the lending of tenants' quotas in levels (docs/design/quota.md), with a real quota.Lender at the
+// root, a real quota.RegionLender in each region, a real quota.Limiter and quota.Holder in each dispatcher, and
+// simulated links between them. The zero value is a fleet without quotas. Times are milliseconds.
 type Quotas struct {
-	Lease        float64 // of a dispatcher's units; 0: no quotas
-	RegionLease  float64
-	Drift        float64 // of each clock's rate, drawn: slowest, right or fastest
-	MaxRunTime   float64 // the longest that a req may be in flight once it has room
-	Reserve      int     // units for urgent reqs, in each region
-	Latency      float64 // one way within a region; half of it varies
-	RegionDelays []float64
-	Loss         float64 // part of the messages that never arrive
-	ElectionTime float64 // from the root's region being cut off to another leader's first word
+	Lease        float64   // of the units lent to a dispatcher; 0 means no quotas
+	RegionLease  float64   // of the units lent to a region
+	Drift        float64   // maximum error of a clock's rate; each clock is drawn to be slowest, exact or fastest
+	MaxRunTime   float64   // the longest time that a req may be in flight once it has a unit
+	Reserve      int       // units for urgent reqs in each region
+	Latency      float64   // mean one-way delay within a region; each message takes 0.75 to 1.25 times the mean
+	RegionDelays []float64 // like Latency, for each pair of regions: first with second, first with third, and so on
+	Loss         float64   // share of the messages that are lost
+	ElectionTime float64   // from the isolation of the root's region until another leader starts
 
-	faultKeepUnits bool // a seeded fault for tests: a dispatcher begins by a lease until its whole length, and past it
+	faultKeepUnits bool // a fault injected by tests: a dispatcher starts reqs with units whose lease has ended or that it has returned
 }
 
-// Partition is the part of a day in which regions lose each other: what is between In and the others, or only between In and To.
+// Partition drops all messages between a region and another one, or all others, for some time.
 type Partition struct {
 	At, Length    float64
-	Region, Other int // To -1: all others
+	Region, Other int // Other is -1 for all other regions
 }
 
-// LenderCrash is a lender that is killed, and started again with nothing but its reserve: that of a region, or the root (Region
-// -1), whose next life is in region To.
+// LenderCrash kills a lender and starts it again after the time Down, without any state but its reserve. It is the
+// lender of a region, or the root if Region is -1. The next incarnation of the root is in NextRegion.
 type LenderCrash struct {
 	At, Down           float64
 	Region, NextRegion int
 }
 
-// QuotaChange is a change of a tenant's quota, in force at all lenders and dispatchers at once.
+// QuotaChange changes a tenant's quota at all lenders and dispatchers at once.
 type QuotaChange struct {
 	At     float64
 	Tenant string
 	Quota  int
 }
 
-// QuotasResult is what came of the quotas.
+// QuotasResult is what a run measured about quotas.
 type QuotasResult struct {
-	Requests, Responses, Polls int // of dispatchers
-	InterRegionMessages        int // messages between regions
+	Requests, Responses, Polls int // between dispatchers and their region's lender
+	InterRegionMessages        int // sent between regions
 	Bytes                      int // of all messages between dispatchers and their region's lender
-	InterRegionBytes           int
-	// Of dispatchers and their lender, both ways, a second of the window: bytes of the one that had most, bytes and messages of all.
+	InterRegionBytes           int // of the messages between regions
+	// Traffic between a dispatcher and its lender in both directions, per second of the window: the bytes of the
+	// dispatcher with most, and the mean bytes and messages of all dispatchers.
 	MaxByteRate, MeanByteRate, MeanMessageRate float64
-	UrgentGrantDelay                           *hdrhistogram.Histogram // of urgent reqs in the window: from the try to room for it, us
-	StartedIsolated                            int                     // reqs that had room in a region while it was cut off from all others
-	Refused                                    int                     // reqs that were out of patience before they had room
-	Events                                     map[string]int
-	ViolationCount                             int // begins beyond a quota, at the backends or at the dispatchers
-	Violations                                 []judge.Violation
+	UrgentGrantDelay                           *hdrhistogram.Histogram // of urgent reqs in the window: from the try to its unit, us
+	StartedIsolated                            int                     // reqs that got a unit in a region while it was cut off from all others
+	Refused                                    int                     // reqs that got no unit before their deadline
+	Events                                     map[string]int          // events of the lenders, by level and step
+	ViolationCount                             int                     // starts beyond a quota, seen at the backends or at the dispatchers
+	Violations                                 []judge.Violation       // the first hundred of each
 }
 
 func (sc *Scenario) checkQuotas() error {
 	q := &sc.Quotas
 	if q.Lease == 0 {
 		if len(sc.Partitions)+len(sc.LenderCrashes)+len(sc.QuotaChanges) > 0 {
-			return fmt.Errorf("spans, crashes and changes of quotas want quotas")
+			return fmt.Errorf("partitions, lender crashes and quota changes require quotas")
 		}
 		return nil
 	}
 	n := len(sc.Regions)
-	for _, s := range sc.Partitions {
-		if s.Region < 0 || s.Region >= n || s.Other < -1 || s.Other >= n {
-			return fmt.Errorf("region %d is cut off from %d, of %d", s.Region, s.Other, n)
+	for _, p := range sc.Partitions {
+		if p.Region < 0 || p.Region >= n || p.Other < -1 || p.Other >= n {
+			return fmt.Errorf("a partition separates region %d from %d, but there are only %d regions", p.Region, p.Other, n)
 		}
 	}
 	for _, c := range sc.LenderCrashes {
 		if c.Region < -1 || c.Region >= n || c.NextRegion < 0 || c.NextRegion >= n {
-			return fmt.Errorf("the lender of region %d is killed, of %d", c.Region, n)
+			return fmt.Errorf("a lender crash names region %d and next region %d, but there are only %d regions", c.Region, c.NextRegion, n)
 		}
 	}
 	if !slices.IsSortedFunc(sc.QuotaChanges, func(a, b QuotaChange) int { return cmp.Compare(a.At, b.At) }) {
-		return fmt.Errorf("changes of quotas out of the order of their times")
+		return fmt.Errorf("quota changes are not in order of time")
 	}
-	for _, r := range sc.QuotaChanges {
-		if !slices.ContainsFunc(sc.Tenants, func(t Tenant) bool { return t.Name == r.Tenant }) {
-			return fmt.Errorf("a change of the quota of tenant %q, which is none", r.Tenant)
+	for _, c := range sc.QuotaChanges {
+		if !slices.ContainsFunc(sc.Tenants, func(t Tenant) bool { return t.Name == c.Tenant }) {
+			return fmt.Errorf("a quota change names tenant %q, which does not exist", c.Tenant)
 		}
 	}
 	if n == 0 || len(sc.Tenants) == 0 || len(q.RegionDelays) != n*(n-1)/2 {
-		return fmt.Errorf("quotas want tenants, regions and a delay for each pair of them")
+		return fmt.Errorf("quotas require tenants, regions and one delay for each pair of regions")
 	}
 	if err := q.regionLeaseConfig().Check(); err != nil {
 		return err
@@ -104,15 +105,17 @@
 	return q.dispatcherLeaseConfig().Check()
 }
 
+// regionLeaseConfig returns the leases between the root and the regions.
 func (q *Quotas) regionLeaseConfig() quota.LeaseConfig {
 	return quota.LeaseConfig{Lease: msToDuration(q.RegionLease), MaxRunTime: msToDuration(q.MaxRunTime), Drift: q.Drift}
 }
 
+// dispatcherLeaseConfig returns the leases between a region and its dispatchers.
 func (q *Quotas) dispatcherLeaseConfig() quota.LeaseConfig {
 	return quota.LeaseConfig{Lease: msToDuration(q.Lease), MaxRunTime: msToDuration(q.MaxRunTime), Drift: q.Drift}
 }
 
-// quotaSimulation is all of it in a run.
+// quotaSimulation is the lenders of a run, the links between them, and what is measured.
 type quotaSimulation struct {
 	w                  *world
 	config             Quotas
@@ -121,28 +124,28 @@
 	root               *rootLender
 	regions            []*regionLender
 	current            map[string]int             // the quotas in force
-	urgentClass        []bool                     // by class
-	backendChecker     judge.QuotaChecker         // what runs at backends
-	dispatcherChecker  judge.QuotaChecker         // what is in flight at dispatchers
-	dispatcherMessages int                        // of all dispatchers, in the window
+	urgentClass        []bool                     // by index of the class
+	backendChecker     judge.QuotaChecker         // of the reqs that run at backends
+	dispatcherChecker  judge.QuotaChecker         // of the reqs that are in flight at dispatchers
+	dispatcherMessages int                        // of all dispatchers in the window
 	inFlight           map[string]*tenantInFlight // by tenant
-	dispatcherBytes    []int                      // of each dispatcher, in the window
+	dispatcherBytes    []int                      // of each dispatcher in the window
 }
 
-// processClock is a process's own, with the event that is set for its next turn.
+// processClock is the clock of a process, and the time at which its next step is scheduled.
 type processClock struct {
 	rate   float64
-	wakeAt float64
+	wakeAt float64 // in simulated time, ms; +Inf if no step is scheduled
 }
 
 func (c *processClock) now(w *world) quota.Time { return quota.Time(w.now * 1e6 * c.rate) }
 
-// schedule sets an event for a time of the clock, unless one is set for an earlier one.
-func (c *processClock) schedule(w *world, next quota.Time, turn func()) {
+// schedule schedules a step for a time by the clock, unless one is scheduled that is not later.
+func (c *processClock) schedule(w *world, next quota.Time, step func()) {
 	if next == quota.Never {
 		return
 	}
-	// Rounded up: an event that came a hair too early would set itself again and again.
+	// Rounded up: a step slightly before its time would find nothing due and schedule itself again and again.
 	at := max(float64(next)/1e6/c.rate, w.now) + 0.01
 	if at >= c.wakeAt {
 		return
@@ -151,7 +154,7 @@
 	w.at(at, func() {
 		if c.wakeAt == at {
 			c.wakeAt = math.Inf(1)
-			turn()
+			step()
 		}
 	})
 }
@@ -164,7 +167,8 @@
 
 func newQuotas(w *world) (*quotaSimulation, error) {
 	q := &quotaSimulation{w: w, config: w.sc.Quotas, random: fleet.RandomStream(w.sc.Seed, "quotas"), current: map[string]int{}, inFlight: map[string]*tenantInFlight{}, dispatcherBytes: make([]int, max(w.sc.Dispatchers, 1))}
-	// A region that is cut off hears of no change, and may begin by what it holds until its lease and one of its own are over.
+	// A region that is cut off does not learn of a lowered quota. Reqs may start with the units it holds until its
+	// lease and then a lease that it granted to a dispatcher have ended.
 	grace := (q.config.RegionLease + q.config.Lease) * (1 + q.config.Drift) / (1 - q.config.Drift)
 	q.backendChecker = judge.QuotaChecker{Reserve: q.config.Reserve * len(w.sc.Regions), LoweringGrace: grace}
 	q.dispatcherChecker = q.backendChecker
@@ -191,7 +195,7 @@
 	q.dispatcherChecker.SetQuota(q.w.now, name, units)
 }
 
-// accounts are those that have a quota, by name.
+// accounts returns the accounts that have a quota, sorted by name.
 func (q *quotaSimulation) accounts() []string {
 	var out []string
 	for _, t := range q.w.sc.Tenants {
@@ -204,7 +208,7 @@
 	return out
 }
 
-// delay is the delay between two regions, one way.
+// delay returns the mean one-way delay between two regions, or within one.
 func (q *quotaSimulation) delay(a, b int) float64 {
 	if a == b {
 		return q.config.Latency
@@ -216,17 +220,18 @@
 	return q.config.RegionDelays[a*n-a*(a+1)/2+b-a-1]
 }
 
+// partitioned reports whether two regions are cut off from each other now.
 func (q *quotaSimulation) partitioned(a, b int) bool {
-	for _, s := range q.w.sc.Partitions {
-		if a != b && q.w.now >= s.At && q.w.now < s.At+s.Length &&
-			(s.Other < 0 && (a == s.Region || b == s.Region) || s.Other >= 0 && (a == s.Region && b == s.Other || a == s.Other && b == s.Region)) {
+	for _, p := range q.w.sc.Partitions {
+		if a != b && q.w.now >= p.At && q.w.now < p.At+p.Length &&
+			(p.Other < 0 && (a == p.Region || b == p.Region) || p.Other >= 0 && (a == p.Region && b == p.Other || a == p.Other && b == p.Region)) {
 			return true
 		}
 	}
 	return false
 }
 
-// isolated says whether a region is cut off from all others.
+// isolated reports whether a region is cut off from all others now.
 func (q *quotaSimulation) isolated(region int) bool {
 	for i := range q.regions {
 		if i != region && !q.partitioned(i, region) {
@@ -236,20 +241,20 @@
 	return len(q.regions) > 1
 }
 
-// send has a message between two regions, or within one, arrive, or not.
-func (q *quotaSimulation) send(a, b int, arrive func()) {
+// send delivers a message between two regions, or within one, after a random delay, unless it is lost.
+func (q *quotaSimulation) send(a, b int, deliver func()) {
 	w := q.w
 	if q.random.Float64() < q.config.Loss || q.partitioned(a, b) {
 		return
 	}
 	w.at(w.now+q.delay(a, b)*(0.75+0.5*q.random.Float64()), func() {
 		if !q.partitioned(a, b) {
-			arrive()
+			deliver()
 		}
 	})
 }
 
-// rootLender is the root: the accord's leader.
+// rootLender is the root of the lenders. In a real fleet it runs in the accord's leader.
 type rootLender struct {
 	processClock
 	q      *quotaSimulation
@@ -258,24 +263,24 @@
 	dead   bool
 }
 
-// elect starts a life of the root in a region; the one before may grant nothing from then on.
+// elect starts an incarnation of the root in a region. The one before grants nothing from then on.
 func (q *quotaSimulation) elect(region int, first bool) error {
 	if q.root != nil {
 		q.root.dead = true
 	}
 	r := &rootLender{processClock: q.newClock(), q: q, region: region}
-	var known []string
-	for _, g := range q.w.sc.Regions {
-		known = append(known, g.Name)
+	var children []string
+	for _, child := range q.w.sc.Regions {
+		children = append(children, child.Name)
 	}
 	var err error
-	r.lender, err = quota.NewLender(q.config.regionLeaseConfig(), q.nextEpoch(), r.now(q.w), quota.LenderOptions{Preallocate: true, Children: known, SkipRecovery: first})
+	r.lender, err = quota.NewLender(q.config.regionLeaseConfig(), q.nextEpoch(), r.now(q.w), quota.LenderOptions{Preallocate: true, Children: children, SkipRecovery: first})
 	if err != nil {
 		return err
 	}
-	for _, a := range q.accounts() {
-		if a != quota.ReserveAccount {
-			r.lender.SetCapacity(r.now(q.w), a, q.current[a])
+	for _, account := range q.accounts() {
+		if account != quota.ReserveAccount {
+			r.lender.SetCapacity(r.now(q.w), account, q.current[account])
 		}
 	}
 	q.root = r
@@ -283,8 +288,9 @@
 	return nil
 }
 
-// handleRequest answers a region's ask, once another voter has confirmed by a round trip that this one leads.
-func (r *rootLender) handleRequest(g *regionLender, a quota.LeaseRequest) {
+// handleRequest responds to a region's lease request after a round trip to the nearest other region, where another
+// voter confirms that this one leads.
+func (r *rootLender) handleRequest(l *regionLender, request quota.LeaseRequest) {
 	q, nearest := r.q, -1
 	for i := range q.regions {
 		if i != r.region && !q.partitioned(i, r.region) && (nearest < 0 || q.delay(i, r.region) < q.delay(nearest, r.region)) {
@@ -294,23 +300,24 @@
 	if r.dead || nearest < 0 && len(q.regions) > 1 {
 		return
 	}
-	confirm := func() {
+	respond := func() {
 		if r.dead {
 			return
 		}
-		if answer, ok := r.lender.Handle(r.now(q.w), a); ok {
-			q.countInterRegionMessage(responseSize(answer))
-			q.send(r.region, g.index, func() { g.handleResponse(answer) })
+		if response, ok := r.lender.Handle(r.now(q.w), request); ok {
+			q.countInterRegionMessage(responseSize(response))
+			q.send(r.region, l.index, func() { l.handleResponse(response) })
 		}
 		r.step()
 	}
 	if nearest < 0 {
-		confirm()
+		respond()
 		return
 	}
-	q.send(r.region, nearest, func() { q.send(nearest, r.region, confirm) })
+	q.send(r.region, nearest, func() { q.send(nearest, r.region, respond) })
 }
 
+// step performs the actions that the lender asks for, and schedules the next step.
 func (r *rootLender) step() {
 	if r.dead {
 		return
@@ -318,12 +325,12 @@
 	q := r.q
 	r.lender.Tick(r.now(q.w))
 	for _, name := range r.lender.TakePolls() {
-		g := q.regions[slices.IndexFunc(q.w.sc.Regions, func(x Region) bool { return x.Name == name })]
+		l := q.regions[slices.IndexFunc(q.w.sc.Regions, func(x Region) bool { return x.Name == name })]
 		q.countInterRegionMessage(pollSize)
-		q.send(r.region, g.index, func() {
-			if !g.dead {
-				g.lender.HandlePoll()
-				g.step()
+		q.send(r.region, l.index, func() {
+			if !l.dead {
+				l.lender.HandlePoll()
+				l.step()
 			}
 		})
 	}
@@ -336,13 +343,13 @@
 	q.w.res.Quotas.InterRegionBytes += bytes
 }
 
-func (q *quotaSimulation) countEvents(level string, list []quota.Event) {
-	for _, n := range list {
-		q.w.res.Quotas.Events[level+n.Step]++
+func (q *quotaSimulation) countEvents(level string, events []quota.Event) {
+	for _, event := range events {
+		q.w.res.Quotas.Events[level+event.Step]++
 	}
 }
 
-// regionLender is a region's lender.
+// regionLender is the lender of a region.
 type regionLender struct {
 	processClock
 	q      *quotaSimulation
@@ -351,84 +358,87 @@
 	dead   bool
 }
 
-func (g *regionLender) start() (err error) {
-	q := g.q
-	g.processClock, g.dead = q.newClock(), false
-	g.lender, err = quota.NewRegionLender(q.config.regionLeaseConfig(), q.config.dispatcherLeaseConfig(), q.w.sc.Regions[g.index].Name, q.nextEpoch(), g.now(q.w))
+// start starts an incarnation of the lender.
+func (l *regionLender) start() (err error) {
+	q := l.q
+	l.processClock, l.dead = q.newClock(), false
+	l.lender, err = quota.NewRegionLender(q.config.regionLeaseConfig(), q.config.dispatcherLeaseConfig(), q.w.sc.Regions[l.index].Name, q.nextEpoch(), l.now(q.w))
 	if err == nil {
-		if q.root == nil { // the run's first lives
-			g.lender.SkipRecovery(g.now(q.w))
+		if q.root == nil { // the first incarnations of the run
+			l.lender.SkipRecovery(l.now(q.w))
 		}
-		g.lender.SetReserve(g.now(q.w), q.config.Reserve)
-		q.w.at(q.w.now, g.step)
+		l.lender.SetReserve(l.now(q.w), q.config.Reserve)
+		q.w.at(q.w.now, l.step)
 	}
 	return err
 }
 
-func (g *regionLender) handleResponse(a quota.LeaseResponse) {
-	if !g.dead {
-		g.lender.HandleResponse(g.now(g.q.w), a)
-		g.step()
+func (l *regionLender) handleResponse(response quota.LeaseResponse) {
+	if !l.dead {
+		l.lender.HandleResponse(l.now(l.q.w), response)
+		l.step()
 	}
 }
 
-// handleRequest answers a dispatcher's ask.
-func (g *regionLender) handleRequest(d *dispatcherQuotas, a quota.LeaseRequest) {
-	if g.dead {
+// handleRequest responds to a dispatcher's lease request.
+func (l *regionLender) handleRequest(d *dispatcherQuotas, request quota.LeaseRequest) {
+	if l.dead {
 		return
 	}
-	q := g.q
-	if answer, ok := g.lender.Handle(g.now(q.w), a); ok {
+	q := l.q
+	if response, ok := l.lender.Handle(l.now(q.w), request); ok {
 		q.w.res.Quotas.Responses++
-		q.countDispatcherMessage(d.side.at, responseSize(answer))
-		q.send(g.index, g.index, func() { d.handleResponse(answer) })
+		q.countDispatcherMessage(d.side.at, responseSize(response))
+		q.send(l.index, l.index, func() { d.handleResponse(response) })
 	}
-	g.step()
+	l.step()
 }
 
-func (g *regionLender) step() {
-	if g.dead {
+// step performs the actions that the lender asks for, and schedules the next step.
+func (l *regionLender) step() {
+	if l.dead {
 		return
 	}
-	q := g.q
-	g.lender.Tick(g.now(q.w))
-	if a, ok := g.lender.NextRequest(g.now(q.w)); ok {
-		q.countInterRegionMessage(requestSize(a))
+	q := l.q
+	l.lender.Tick(l.now(q.w))
+	if request, ok := l.lender.NextRequest(l.now(q.w)); ok {
+		q.countInterRegionMessage(requestSize(request))
 		root := q.root
-		q.send(g.index, root.region, func() { root.handleRequest(g, a) })
+		q.send(l.index, root.region, func() { root.handleRequest(l, request) })
 	}
-	for _, name := range g.lender.TakePolls() {
-		node := 0
-		_, _ = fmt.Sscanf(name, "n%d", &node)
+	for _, name := range l.lender.TakePolls() {
+		dispatcher := 0
+		_, _ = fmt.Sscanf(name, "n%d", &dispatcher)
 		q.w.res.Quotas.Polls++
-		q.countDispatcherMessage(node, pollSize)
-		q.send(g.index, g.index, func() {
-			if d := q.w.sides[node].quotas; !d.side.dead {
+		q.countDispatcherMessage(dispatcher, pollSize)
+		q.send(l.index, l.index, func() {
+			if d := q.w.sides[dispatcher].quotas; !d.side.dead {
 				d.holder.HandlePoll()
 				d.step()
 			}
 		})
 	}
-	q.countEvents("region ", g.lender.TakeEvents())
-	g.schedule(q.w, g.lender.NextTick(), g.step)
+	q.countEvents("region ", l.lender.TakeEvents())
+	l.schedule(q.w, l.lender.NextTick(), l.step)
 }
 
-// countDispatcherMessage counts the bytes of a message between a dispatcher and its region's lender.
-func (q *quotaSimulation) countDispatcherMessage(node, bytes int) {
+// countDispatcherMessage counts a message between a dispatcher and its region's lender.
+func (q *quotaSimulation) countDispatcherMessage(dispatcher, bytes int) {
 	q.w.res.Quotas.Bytes += bytes
 	if q.w.tenants.inWindow(q.w.now) {
-		q.dispatcherBytes[node] += bytes
+		q.dispatcherBytes[dispatcher] += bytes
 		q.dispatcherMessages++
 	}
 }
 
-// scheduleFaults sets the events of the day: leaders that are cut off and replaced, lenders that are killed, changes of quotas.
+// scheduleFaults schedules the events of the scenario: replacements of a root that is cut off, crashes of lenders,
+// and quota changes. Partitions need no events, as send looks them up.
 func (q *quotaSimulation) scheduleFaults() {
 	w := q.w
-	for _, s := range w.sc.Partitions {
-		w.at(s.At+q.config.ElectionTime, func() {
-			if s.Other < 0 && q.root.region == s.Region && w.now < s.At+s.Length {
-				q.panicOnError(q.elect((s.Region+1)%len(q.regions), false))
+	for _, p := range w.sc.Partitions {
+		w.at(p.At+q.config.ElectionTime, func() {
+			if p.Other < 0 && q.root.region == p.Region && w.now < p.At+p.Length {
+				q.panicOnError(q.elect((p.Region+1)%len(q.regions), false))
 			}
 		})
 	}
@@ -439,23 +449,23 @@
 				w.at(w.now+c.Down, func() { q.panicOnError(q.elect(c.NextRegion, false)) })
 				return
 			}
-			g := q.regions[c.Region]
-			g.dead = true
-			w.at(w.now+c.Down, func() { q.panicOnError(g.start()) })
+			l := q.regions[c.Region]
+			l.dead = true
+			w.at(w.now+c.Down, func() { q.panicOnError(l.start()) })
 		})
 	}
-	for _, r := range w.sc.QuotaChanges {
-		w.at(r.At, func() {
-			q.setQuota(r.Tenant, r.Quota)
+	for _, c := range w.sc.QuotaChanges {
+		w.at(c.At, func() {
+			q.setQuota(c.Tenant, c.Quota)
 			if !q.root.dead {
-				q.root.lender.SetCapacity(q.root.now(w), r.Tenant, r.Quota)
+				q.root.lender.SetCapacity(q.root.now(w), c.Tenant, c.Quota)
 				q.root.step()
 			}
 		})
 	}
 }
 
-// panicOnError is for what the scenario's check has found sound.
+// panicOnError panics on errors that cannot happen because Scenario.check accepted the configuration.
 func (q *quotaSimulation) panicOnError(err error) {
 	if err != nil {
 		panic(err)
@@ -464,29 +474,31 @@
 
 func (q *quotaSimulation) finish() {
 	for i := range q.w.res.Tenants.ByTenant {
-		e, win := &q.w.res.Tenants.ByTenant[i], &q.w.sc.Window
-		q.countInFlight(e.Name, false, 0)
-		e.InFlight = q.inFlight[e.Name].sum / (win.To - win.From)
+		result, window := &q.w.res.Tenants.ByTenant[i], &q.w.sc.Window
+		q.countInFlight(result.Name, false, 0)
+		result.InFlight = q.inFlight[result.Name].sum / (window.To - window.From)
 	}
 	r := &q.w.res.Quotas
 	r.ViolationCount = q.backendChecker.Count() + q.dispatcherChecker.Count()
 	r.Violations = append(q.backendChecker.Violations(), q.dispatcherChecker.Violations()...)
-	win := &q.w.sc.Window
-	s, n := (win.To-win.From)/1000, float64(len(q.dispatcherBytes))
-	sum := 0
+	window := &q.w.sc.Window
+	seconds, dispatchers := (window.To-window.From)/1000, float64(len(q.dispatcherBytes))
+	totalBytes := 0
 	for _, b := range q.dispatcherBytes {
-		sum += b
+		totalBytes += b
 	}
-	r.MaxByteRate, r.MeanByteRate, r.MeanMessageRate = float64(slices.Max(q.dispatcherBytes))/s, float64(sum)/s/n, float64(q.dispatcherMessages)/s/n
+	r.MaxByteRate, r.MeanByteRate, r.MeanMessageRate = float64(slices.Max(q.dispatcherBytes))/seconds, float64(totalBytes)/seconds/dispatchers, float64(q.dispatcherMessages)/seconds/dispatchers
 }
 
-// What messages cost, as the codec writes them.
+// pollSize is the encoded size of a poll.
 var pollSize = len(wire.EncodePoll("v1"))
 
-func requestSize(a quota.LeaseRequest) int {
-	return len(wire.EncodeLeaseRequest(wire.LeaseRequest{To: "v1", LeaseRequest: a}))
+// requestSize returns the encoded size of a lease request.
+func requestSize(request quota.LeaseRequest) int {
+	return len(wire.EncodeLeaseRequest(wire.LeaseRequest{To: "v1", LeaseRequest: request}))
 }
 
-func responseSize(a quota.LeaseResponse) int {
-	return len(wire.EncodeLeaseResponse(wire.LeaseResponse{From: "v1", LeaseResponse: a}))
+// responseSize returns the encoded size of a response.
+func responseSize(response quota.LeaseResponse) int {
+	return len(wire.EncodeLeaseResponse(wire.LeaseResponse{From: "v1", LeaseResponse: response}))
 }
--- a/internal/lab/sim/quotas_test.go
+++ b/internal/lab/sim/quotas_test.go
@@ -8,9 +8,9 @@
 	"tinsail/internal/lab/defaults"
 )
 
-// quotaScenario is teamDay with its quotas lent in levels, jobs of 6 s, and backends that are not full of them.
-func quotaScenario(seed uint64, times int) Scenario {
-	sc := teamScenario(seed, times)
+// quotaScenario returns teamScenario with quotas, jobs of 6 s, and more slots than the quotas use.
+func quotaScenario(seed uint64, demandFactor int) Scenario {
+	sc := teamScenario(seed, demandFactor)
 	for i := range sc.Backends {
 		sc.Backends[i].Kind.Cores, sc.Backends[i].Kind.Slots = 12, 12
 	}
@@ -19,8 +19,9 @@
 	return sc
 }
 
-// TestQuotasHold: a tenant that wants ten times its quota has that quota, never more, and each of the others what is
-// theirs; urgent reqs begin in time though their tenants' units are all in use, and messages cost little.
+// TestQuotasHold checks that a tenant that demands ten times its quota never has more than its quota running, and
+// each other tenant gets its entitlement. Urgent reqs start in time although all units of their tenants are in use,
+// and the messages need little bandwidth.
 func TestQuotasHold(t *testing.T) {
 	for seed := range uint64(4) {
 		r := play(t, quotaScenario(seed, 10))
@@ -35,18 +36,18 @@
 	}
 }
 
-// TestQuotasUnderFaults: whatever is lost, cut off, killed or changed, no more runs for a tenant than its quota, and each
-// req has one answer.
+// TestQuotasUnderFaults checks that no tenant ever runs more reqs than its quota under lost messages, partitions,
+// crashes, restarts and quota changes, that each req gets one answer, and that jobs still run.
 func TestQuotasUnderFaults(t *testing.T) {
-	for name, harm := range map[string]func(*Scenario){
-		"loss":                   func(sc *Scenario) { sc.Quotas.Loss = 0.1 },
-		"a region cut off":       func(sc *Scenario) { sc.Partitions = []Partition{{At: 8000, Length: 20_000, Region: 0, Other: -1}} },
-		"two lose each other":    func(sc *Scenario) { sc.Partitions = []Partition{{At: 8000, Length: 10_000, Region: 1, Other: 2}} },
-		"a region's lender dies": func(sc *Scenario) { sc.LenderCrashes = []LenderCrash{{At: 12_000, Down: 700, Region: 1}} },
-		"the root dies": func(sc *Scenario) {
+	for name, addFaults := range map[string]func(*Scenario){
+		"lost messages":                           func(sc *Scenario) { sc.Quotas.Loss = 0.1 },
+		"a region is isolated":                    func(sc *Scenario) { sc.Partitions = []Partition{{At: 8000, Length: 20_000, Region: 0, Other: -1}} },
+		"two regions are cut off from each other": func(sc *Scenario) { sc.Partitions = []Partition{{At: 8000, Length: 10_000, Region: 1, Other: 2}} },
+		"a region's lender crashes":               func(sc *Scenario) { sc.LenderCrashes = []LenderCrash{{At: 12_000, Down: 700, Region: 1}} },
+		"the root crashes": func(sc *Scenario) {
 			sc.LenderCrashes = []LenderCrash{{At: 12_000, Down: 700, Region: -1, NextRegion: 2}}
 		},
-		"both die at once": func(sc *Scenario) {
+		"a region's lender and the root crash at once": func(sc *Scenario) {
 			sc.LenderCrashes = []LenderCrash{{At: 12_000, Down: 700, Region: 0}, {At: 12_000, Down: 900, Region: -1, NextRegion: 1}}
 		},
 		"dispatchers restart": func(sc *Scenario) {
@@ -54,11 +55,11 @@
 				sc.Restarts = append(sc.Restarts, Restart{At: 9000 + 300*float64(i), Node: i, Down: 300, Orderly: i%2 == 0})
 			}
 		},
-		"quotas change while cut off": func(sc *Scenario) {
+		"quotas change while a region is isolated": func(sc *Scenario) {
 			sc.Partitions = []Partition{{At: 8000, Length: 15_000, Region: 2, Other: -1}}
 			sc.QuotaChanges = []QuotaChange{{At: 10_000, Tenant: "a", Quota: 5}, {At: 12_000, Tenant: "b", Quota: 20}, {At: 20_000, Tenant: "a", Quota: 12}}
 		},
-		"clocks drift, all at once": func(sc *Scenario) {
+		"clock drift, lost messages, isolation, crashes and restarts": func(sc *Scenario) {
 			sc.Quotas.Drift, sc.Quotas.Loss = 0.05, 0.05
 			sc.Partitions = []Partition{{At: 8000, Length: 12_000, Region: 0, Other: -1}}
 			sc.LenderCrashes = []LenderCrash{{At: 14_000, Down: 300, Region: 0}, {At: 22_000, Down: 300, Region: -1, NextRegion: 0}}
@@ -69,7 +70,7 @@
 			t.Parallel()
 			for seed := range uint64(4) {
 				sc := quotaScenario(seed, 10)
-				harm(&sc)
+				addFaults(&sc)
 				r := play(t, sc)
 				assert.Empty(t, r.Quotas.Violations, "seed %d", seed)
 				assert.Greater(t, r.Tenants.Utilization(), 0.25, "seed %d", seed)
@@ -78,7 +79,8 @@
 	}
 }
 
-// TestIsolatedRegionUsesHeldUnits: a region that is cut off goes on beginning jobs by the units lent to it.
+// TestIsolatedRegionUsesHeldUnits checks that a region that is cut off continues to start jobs with the units lent to
+// it.
 func TestIsolatedRegionUsesHeldUnits(t *testing.T) {
 	for seed := range uint64(4) {
 		sc := quotaScenario(seed, 1)
@@ -86,15 +88,16 @@
 		sc.Partitions = []Partition{{At: 10_000, Length: 30_000, Region: 0, Other: -1}}
 		r := play(t, sc)
 		assert.Empty(t, r.Quotas.Violations)
-		// A third of the 72 units are lent to it, and it has jobs of 6 s for 30 s.
+		// A third of the 72 units is lent to it, and it runs jobs of 6 s for 30 s.
 		assert.Greater(t, r.Quotas.StartedIsolated, 60, "seed %d", seed)
 		assert.Greater(t, r.Tenants.Utilization(), 0.67, "seed %d", seed)
 	}
 }
 
-// TestKeptUnitsFaultIsDetected: the judge finds dispatchers that go on by what was lent to them once.
+// TestKeptUnitsFaultIsDetected checks that the judge detects the injected fault: dispatchers continue to use units
+// that they no longer hold.
 func TestKeptUnitsFaultIsDetected(t *testing.T) {
-	seen := 0
+	detected := 0
 	for seed := range uint64(4) {
 		sc := quotaScenario(seed, 10)
 		sc.Quotas.faultKeepUnits = true
@@ -102,13 +105,13 @@
 			sc.Tenants[i].Demand = 3 * sc.Tenants[i].Quota
 		}
 		if r := play(t, sc); r.Quotas.ViolationCount > 0 {
-			seen++
+			detected++
 		}
 	}
-	assert.Equal(t, 4, seen)
+	assert.Equal(t, 4, detected)
 }
 
-// TestQuotasAreDeterministic: a run with quotas is the same to the byte.
+// TestQuotasAreDeterministic checks that two runs of the same scenario with quotas have identical logs and results.
 func TestQuotasAreDeterministic(t *testing.T) {
 	sc := quotaScenario(3, 10)
 	sc.Quotas.Loss = 0.05
@@ -117,18 +120,18 @@
 	assert.Equal(t, a.Quotas, b.Quotas)
 }
 
-// TestQuotaScenarioErrors: faults of a scenario are told.
+// TestQuotaScenarioErrors checks that errors in a scenario are reported.
 func TestQuotaScenarioErrors(t *testing.T) {
-	for want, harm := range map[string]func(*Scenario){
-		"a delay for each pair":                func(sc *Scenario) { sc.Quotas.RegionDelays = nil },
-		"lease is not between":                 func(sc *Scenario) { sc.Quotas.Lease = 1 },
-		"region 7 is cut off":                  func(sc *Scenario) { sc.Partitions = []Partition{{Region: 7, Other: -1}} },
-		"the lender of region 3 is killed":     func(sc *Scenario) { sc.LenderCrashes = []LenderCrash{{Region: 3}} },
-		`quota of tenant "z", which is none`:   func(sc *Scenario) { sc.QuotaChanges = []QuotaChange{{Tenant: "z", Quota: 1}} },
-		"spans, crashes and changes of quotas": func(sc *Scenario) { sc.Quotas, sc.Partitions = Quotas{}, []Partition{{Other: -1}} },
+	for want, breakScenario := range map[string]func(*Scenario){
+		"one delay for each pair of regions":                          func(sc *Scenario) { sc.Quotas.RegionDelays = nil },
+		"lease is not between":                                        func(sc *Scenario) { sc.Quotas.Lease = 1 },
+		"a partition separates region 7":                              func(sc *Scenario) { sc.Partitions = []Partition{{Region: 7, Other: -1}} },
+		"a lender crash names region 3":                               func(sc *Scenario) { sc.LenderCrashes = []LenderCrash{{Region: 3}} },
+		`a quota change names tenant "z", which does not exist`:       func(sc *Scenario) { sc.QuotaChanges = []QuotaChange{{Tenant: "z", Quota: 1}} },
+		"partitions, lender crashes and quota changes require quotas": func(sc *Scenario) { sc.Quotas, sc.Partitions = Quotas{}, []Partition{{Other: -1}} },
 	} {
 		sc := quotaScenario(1, 1)
-		harm(&sc)
+		breakScenario(&sc)
 		_, err := Play(sc, defaults.Settings())
 		assert.ErrorContains(t, err, want)
 	}
