--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -12,56 +12,57 @@
 )
 
 const (
-	// MinSizes is how many different sizes a line is fitted through at least: with fewer no bend would show.
+	// MinSizes is the minimum number of different sizes for a fit: with fewer, curvature would not show.
 	MinSizes   = 4
 	confidence = 0.95
-	// bendPart is how far a curve has to leave the line, as a part of the span of what was measured, to count as a bend:
-	// counts that hardly vary would make any crumb significant.
-	bendPart = 0.05
-	// bendLeast is the same as a part of the largest figure: where all are alike the span is a crumb itself.
-	bendLeast = 0.02
+	// minCurveDeviation is how far a fitted curve has to deviate from the line to count as curvature, as a fraction of the
+	// span of the measured values. Without it, any tiny deviation of counts that hardly vary would be significant.
+	minCurveDeviation = 0.05
+	// minRelativeDeviation is the same threshold as a fraction of the largest absolute value: if all values are nearly
+	// equal, the span is tiny as well.
+	minRelativeDeviation = 0.02
 )
 
-// ErrTooFewSizes is returned by Fit for rows of fewer sizes than LeastSizes.
+// ErrTooFewSizes is returned by Fit for rows with fewer than MinSizes different sizes.
 var ErrTooFewSizes = errors.New("too few sizes to fit a line")
 
-// Line is y = A + B·x through rows, by least squares.
+// Line is a least-squares fit of y = Intercept + Gradient·x through the rows of one slope.
 type Line struct {
 	Slope, Unit, Against                  string
 	Intercept, Gradient                   float64
-	InterceptHalfWidth, GradientHalfWidth float64 // half of the 95% intervals
+	InterceptHalfWidth, GradientHalfWidth float64 // half widths of the 95% confidence intervals
 	R2                                    float64
-	MaxResidual, MaxResidualX             float64     // the largest, with its sign (measured less line), and where
-	Curved                                bool        // a curve through the rows leaves the line beyond noise, a twentieth of the span and a fiftieth of the largest figure
-	CurveDeviation                        float64     // how far the curve leaves the line at most, as a part of the span measured
+	MaxResidual, MaxResidualX             float64     // the largest residual by magnitude, signed (measured minus line), and its x
+	Curved                                bool        // a quadratic term is significant; see fitCurve
+	CurveDeviation                        float64     // largest deviation of the fitted curve from the line, as a fraction of the measured span
 	Sizes                                 []SizeStats // ascending
 
-	n          float64
-	s, t       float64 // deviation of the rows from the line; of Student's distribution
-	meanX, sxx float64
+	n               float64 // number of rows
+	stdErr, tFactor float64 // residual standard error; t quantile of a 95% interval
+	meanX, sxx      float64 // mean of x; sum of squared deviations of x from it
 }
 
-// SizeStats is what was measured at one size.
+// SizeStats summarizes the rows measured at one size.
 type SizeStats struct {
 	X, Mean, Min, Max float64
 	Rows              int
-	Methods           string // of all its rows, in the order in which they came
+	Methods           string // methods of all its rows, joined with "and", later ones first
 }
 
-// Fit fits a line through the rows of one slope, of at least LeastSizes sizes.
+// Fit fits a line through the rows of one slope, which need at least MinSizes different sizes.
 func Fit(rows []Row) (*Line, error) {
 	if len(rows) == 0 {
 		return nil, ErrTooFewSizes
 	}
 	first := rows[0]
-	l := &Line{Slope: first.Slope, Unit: first.Unit, Against: first.Against, Sizes: sizes(rows)}
+	l := &Line{Slope: first.Slope, Unit: first.Unit, Against: first.Against, Sizes: summarizeSizes(rows)}
 	var xs, ys []float64
 	for _, r := range rows {
 		if err := r.Check(); err != nil {
 			return nil, err
 		}
 		if r.Slope != l.Slope || r.Unit != l.Unit || r.Against != l.Against {
-			return nil, fmt.Errorf("%s in %s against %s is fitted with %s in %s against %s", r.Slope, r.Unit, r.Against, l.Slope, l.Unit, l.Against)
+			return nil, fmt.Errorf("cannot fit %s in %s against %s together with %s in %s against %s", r.Slope, r.Unit, r.Against, l.Slope, l.Unit, l.Against)
 		}
 		xs, ys = append(xs, r.X), append(ys, r.Y)
 	}
@@ -71,69 +72,71 @@
 	l.n, l.MaxResidualX = float64(len(xs)), xs[0]
 	l.Intercept, l.Gradient = stat.LinearRegression(xs, ys, nil, false)
 	l.meanX = stat.Mean(xs, nil)
-	rss := 0.0
+	residualSquares := 0.0
 	for i, x := range xs {
 		l.sxx += (x - l.meanX) * (x - l.meanX)
-		d := ys[i] - (l.Intercept + l.Gradient*x)
-		rss += d * d
-		if math.Abs(d) > math.Abs(l.MaxResidual) {
-			l.MaxResidual, l.MaxResidualX = d, x
+		residual := ys[i] - (l.Intercept + l.Gradient*x)
+		residualSquares += residual * residual
+		if math.Abs(residual) > math.Abs(l.MaxResidual) {
+			l.MaxResidual, l.MaxResidualX = residual, x
 		}
 	}
 	l.R2 = 1
-	if v := stat.Variance(ys, nil) * (l.n - 1); v > 0 {
-		l.R2 = max(0, 1-rss/v)
+	if totalSquares := stat.Variance(ys, nil) * (l.n - 1); totalSquares > 0 {
+		l.R2 = max(0, 1-residualSquares/totalSquares)
 	}
-	l.s = math.Sqrt(rss / (l.n - 2))
-	l.t = student(l.n - 2)
-	l.GradientHalfWidth = l.t * l.s / math.Sqrt(l.sxx)
-	l.InterceptHalfWidth = l.t * l.s * math.Sqrt(1/l.n+l.meanX*l.meanX/l.sxx)
-	l.bend(xs, ys, rss)
+	l.stdErr = math.Sqrt(residualSquares / (l.n - 2))
+	l.tFactor = tQuantile(l.n - 2)
+	l.GradientHalfWidth = l.tFactor * l.stdErr / math.Sqrt(l.sxx)
+	l.InterceptHalfWidth = l.tFactor * l.stdErr * math.Sqrt(1/l.n+l.meanX*l.meanX/l.sxx)
+	l.fitCurve(xs, ys, residualSquares)
 	return l, nil
 }
 
-// student is the factor of a 95% interval.
-func student(free float64) float64 {
-	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: free}.Quantile(1 - (1-confidence)/2)
+// tQuantile returns the factor of a 95% interval for Student's t distribution.
+func tQuantile(degreesOfFreedom float64) float64 {
+	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: degreesOfFreedom}.Quantile(1 - (1-confidence)/2)
 }
 
-// bend looks whether a term in x² fits what the line leaves over. The part of x² that is no line in x is taken by itself, so that
-// one factor is left to fit.
-func (l *Line) bend(xs, ys []float64, rss float64) {
-	sq := make([]float64, len(xs))
+// fitCurve tests whether a quadratic term fits the residuals of the line. It uses the component of x² that is orthogonal to a
+// line in x, so that only one coefficient is left to fit. Curved is set if the coefficient is significant at 95% and the curve
+// deviates from the line by more than minCurveDeviation of the span and minRelativeDeviation of the largest value.
+func (l *Line) fitCurve(xs, ys []float64, residualSquares float64) {
+	squares := make([]float64, len(xs))
 	for i, x := range xs {
-		sq[i] = (x - l.meanX) * (x - l.meanX)
+		squares[i] = (x - l.meanX) * (x - l.meanX)
 	}
-	a, b := stat.LinearRegression(xs, sq, nil, false)
-	var qq, qy float64
-	most := 0.0
+	intercept, gradient := stat.LinearRegression(xs, squares, nil, false)
+	var sumOrthogonal2, sumOrthogonalY float64
+	maxOrthogonal := 0.0
 	for i, x := range xs {
-		q := sq[i] - (a + b*x)
-		qq += q * q
-		qy += q * (ys[i] - (l.Intercept + l.Gradient*x))
-		most = max(most, math.Abs(q))
+		orthogonal := squares[i] - (intercept + gradient*x)
+		sumOrthogonal2 += orthogonal * orthogonal
+		sumOrthogonalY += orthogonal * (ys[i] - (l.Intercept + l.Gradient*x))
+		maxOrthogonal = max(maxOrthogonal, math.Abs(orthogonal))
 	}
-	if qq == 0 || l.n < 4 {
+	if sumOrthogonal2 == 0 || l.n < 4 {
 		return
 	}
-	c := qy / qq
-	left := max(0, rss-c*qy)
-	half := student(l.n-3) * math.Sqrt(left/(l.n-3)/qq)
-	leaves, largest := math.Abs(c)*most, max(math.Abs(slices.Max(ys)), math.Abs(slices.Min(ys)))
+	coefficient := sumOrthogonalY / sumOrthogonal2
+	remaining := max(0, residualSquares-coefficient*sumOrthogonalY)
+	halfWidth := tQuantile(l.n-3) * math.Sqrt(remaining/(l.n-3)/sumOrthogonal2)
+	deviation, largest := math.Abs(coefficient)*maxOrthogonal, max(math.Abs(slices.Max(ys)), math.Abs(slices.Min(ys)))
 	if span := slices.Max(ys) - slices.Min(ys); span > 0 {
-		l.CurveDeviation = leaves / span
+		l.CurveDeviation = deviation / span
 	}
-	l.Curved = math.Abs(c) > half && l.CurveDeviation > bendPart && leaves > bendLeast*largest
+	l.Curved = math.Abs(coefficient) > halfWidth && l.CurveDeviation > minCurveDeviation && deviation > minRelativeDeviation*largest
 }
 
-// Predict is the line at a size, with half of the 95% interval of one more measurement there. Beyond the sizes measured it is
-// worked out, and for a line that bends it is wrong: see Between.
-func (l *Line) Predict(x float64) (y, half float64) {
+// Predict returns the value of the line at x and the half width of the 95% prediction interval for one more measurement there.
+// Outside the measured sizes it extrapolates. For a curved line it is wrong: see Interpolate.
+func (l *Line) Predict(x float64) (y, halfWidth float64) {
 	d := x - l.meanX
-	return l.Intercept + l.Gradient*x, l.t * l.s * math.Sqrt(1+1/l.n+d*d/l.sxx)
+	return l.Intercept + l.Gradient*x, l.tFactor * l.stdErr * math.Sqrt(1+1/l.n+d*d/l.sxx)
 }
 
-// Interpolate is what the means of the two sizes next to x give, in a straight line: beyond the ends that of the last two.
+// Interpolate returns the value at x of the straight line through the means of the two sizes next to x. Outside the measured
+// sizes it extrapolates from the nearest two.
 func (l *Line) Interpolate(x float64) float64 {
 	k := 1
 	for k < len(l.Sizes)-1 && l.Sizes[k].X < x {
@@ -143,7 +146,7 @@
 	return p.Mean + (q.Mean-p.Mean)*(x-p.X)/(q.X-p.X)
 }
 
-// Estimate is the line at a size, or Between where it bends, and says which.
+// Estimate returns Predict's value at x, or Interpolate's value if the line is curved, and how the value was obtained.
 func (l *Line) Estimate(x float64) (y float64, how string) {
 	switch y, _ = l.Predict(x); {
 	case !l.Curved:
@@ -154,29 +157,30 @@
 	return l.Interpolate(x), "worked out, by the last two sizes"
 }
 
-// InRange says whether a size lies between those that were measured.
+// InRange reports whether x lies within the range of measured sizes.
 func (l *Line) InRange(x float64) bool {
 	return x >= l.Sizes[0].X && x <= l.Sizes[len(l.Sizes)-1].X
 }
 
-func sizes(rows []Row) []SizeStats {
-	at := map[float64]*SizeStats{}
-	sum := map[float64]float64{}
+// summarizeSizes returns a summary of the rows at each size, in ascending order of size.
+func summarizeSizes(rows []Row) []SizeStats {
+	byX := map[float64]*SizeStats{}
+	sums := map[float64]float64{}
 	for _, r := range rows {
-		s := at[r.X]
+		s := byX[r.X]
 		if s == nil {
 			s = &SizeStats{X: r.X, Min: r.Y, Max: r.Y, Methods: r.Method}
-			at[r.X] = s
+			byX[r.X] = s
 		} else if s.Methods != r.Method && s.Methods != r.Method+" and "+s.Methods {
 			s.Methods = r.Method + " and " + s.Methods
 		}
 		s.Rows++
 		s.Min, s.Max = min(s.Min, r.Y), max(s.Max, r.Y)
-		sum[r.X] += r.Y
+		sums[r.X] += r.Y
 	}
 	var all []SizeStats
-	for x, s := range at {
-		s.Mean = sum[x] / float64(s.Rows)
+	for x, s := range byX {
+		s.Mean = sums[x] / float64(s.Rows)
 		all = append(all, *s)
 	}
 	slices.SortFunc(all, func(a, b SizeStats) int { return cmp.Compare(a.X, b.X) })
--- a/internal/lab/capacity/page/main.go
+++ b/internal/lab/capacity/page/main.go
@@ -1,4 +1,5 @@
-// Command page makes the tables of docs/CAPACITY.md from the rows in docs/capacity, in the folder where it is started.
+// Command page regenerates the tables of docs/CAPACITY.md from the rows in docs/capacity. Both paths are relative to the
+// working directory.
 package main
 
 import (
--- a/internal/lab/capacity/tables.go
+++ b/internal/lab/capacity/tables.go
@@ -10,118 +10,120 @@
 	"strings"
 )
 
-// A table stands between these lines of a page, the first with the slope's name and, where wanted, sizes at which the line is to be
-// worked out and the limit it is held against, in the slope's unit: <!-- slope NAME at=580,1160 limit=15000 -->
-var marked = regexp.MustCompile(`(?s)(<!-- slope ([^\n]*?) -->\n).*?(<!-- end -->)`)
+// tableMarkers matches a table between its markers. The first marker names the slope and optionally sizes at which the line is
+// evaluated and a limit in the slope's unit: <!-- slope NAME at=580,1160 limit=15000 -->
+var tableMarkers = regexp.MustCompile(`(?s)(<!-- slope ([^\n]*?) -->\n).*?(<!-- end -->)`)
 
-// The summary has a line for each slope of the page whose marker names sizes.
-var summary = regexp.MustCompile(`(?s)(<!-- summary -->\n).*?(<!-- end -->)`)
+// summaryMarkers matches the summary table, which has a line for each slope of the page whose marker names sizes.
+var summaryMarkers = regexp.MustCompile(`(?s)(<!-- summary -->\n).*?(<!-- end -->)`)
 
-// RenderPage puts the table of each slope into a page's text, between its markers. A marker without rows is an error.
-func RenderPage(text string, all map[string][]Row) (string, error) {
+// RenderPage returns a page's text with the table of each slope, and the summary, regenerated between its markers. A marker
+// without rows is an error.
+func RenderPage(text string, bySlope map[string][]Row) (string, error) {
 	var failed error
-	var lines strings.Builder
-	lines.WriteString("| slope | against | sizes | what it says there | limit | factor left | line |\n| --- | --- | ---: | ---: | ---: | ---: | --- |\n")
-	out := marked.ReplaceAllStringFunc(text, func(found string) string {
-		m := marked.FindStringSubmatch(found)
-		k, err := readMarker(m[2], all)
+	var summary strings.Builder
+	summary.WriteString("| slope | against | sizes | what it says there | limit | factor left | line |\n| --- | --- | ---: | ---: | ---: | ---: | --- |\n")
+	out := tableMarkers.ReplaceAllStringFunc(text, func(section string) string {
+		groups := tableMarkers.FindStringSubmatch(section)
+		m, err := parseMarker(groups[2], bySlope)
 		if err != nil {
 			failed = errors.Join(failed, err)
-			return found
+			return section
 		}
-		if len(k.at) > 0 {
-			lines.WriteString(k.summary())
+		if len(m.at) > 0 {
+			summary.WriteString(m.summaryLine())
 		}
-		return m[1] + k.line.Table(k.at, k.limit) + m[3]
+		return groups[1] + m.line.Table(m.at, m.limit) + groups[3]
 	})
-	if opened := strings.Count(text, "<!-- slope "); failed == nil && opened != len(marked.FindAllString(text, -1)) {
-		failed = fmt.Errorf("%d tables are begun, and not each ends", opened)
+	if begins := strings.Count(text, "<!-- slope "); failed == nil && begins != len(tableMarkers.FindAllString(text, -1)) {
+		failed = fmt.Errorf("%d slope markers, but not every one has a matching end marker", begins)
 	}
-	out = summary.ReplaceAllStringFunc(out, func(found string) string {
-		m := summary.FindStringSubmatch(found)
-		return m[1] + lines.String() + m[2]
+	out = summaryMarkers.ReplaceAllStringFunc(out, func(section string) string {
+		groups := summaryMarkers.FindStringSubmatch(section)
+		return groups[1] + summary.String() + groups[2]
 	})
 	return out, failed
 }
 
-// marker is what a table's first line asks for.
+// marker holds the parsed options of a table's first marker.
 type marker struct {
 	line  *Line
-	at    []float64
-	limit float64 // NaN: none
+	at    []float64 // sizes to estimate
+	limit float64 // NaN: no limit
 }
 
-func readMarker(text string, all map[string][]Row) (k marker, err error) {
-	words := strings.Fields(text)
-	if len(words) == 0 {
-		return k, errors.New("a marker names no slope")
-	}
-	k.limit = math.NaN()
-	if k.line, err = Fit(all[words[0]]); err != nil {
-		return k, fmt.Errorf("slope %s: %w", words[0], err)
-	}
-	for _, w := range words[1:] {
-		key, text, _ := strings.Cut(w, "=")
-		for _, v := range strings.Split(text, ",") {
-			x, err := strconv.ParseFloat(v, 64)
+// parseMarker parses the words of a slope marker and fits the line of its slope.
+func parseMarker(text string, bySlope map[string][]Row) (m marker, err error) {
+	fields := strings.Fields(text)
+	if len(fields) == 0 {
+		return m, errors.New("a slope marker has no slope name")
+	}
+	m.limit = math.NaN()
+	if m.line, err = Fit(bySlope[fields[0]]); err != nil {
+		return m, fmt.Errorf("slope %s: %w", fields[0], err)
+	}
+	for _, option := range fields[1:] {
+		key, values, _ := strings.Cut(option, "=")
+		for _, value := range strings.Split(values, ",") {
+			x, err := strconv.ParseFloat(value, 64)
 			switch {
 			case err != nil || key != "at" && key != "limit":
-				return k, fmt.Errorf("slope %s: marker says %q, want at=SIZE,... or limit=NUMBER", words[0], w)
+				return m, fmt.Errorf("slope %s: invalid marker option %q, want at=SIZE,... or limit=NUMBER", fields[0], option)
 			case key == "at":
-				k.at = append(k.at, x)
+				m.at = append(m.at, x)
 			default:
-				k.limit = x
+				m.limit = x
 			}
 		}
 	}
-	return k, nil
+	return m, nil
 }
 
-// summary is a line of the summary: sizes and figures in the marker's order.
-func (k marker) summary() string {
-	var xs, ys, left []string
-	for _, x := range k.at {
-		y, _ := k.line.Estimate(x)
+// summaryLine returns the slope's line of the summary table, with sizes and figures in the marker's order.
+func (m marker) summaryLine() string {
+	var xs, ys, factorsLeft []string
+	for _, x := range m.at {
+		y, _ := m.line.Estimate(x)
 		xs, ys = append(xs, FormatFigure(x)), append(ys, FormatFigure(y))
 		switch {
-		case math.IsNaN(k.limit):
-		case y > k.limit:
-			left = append(left, fmt.Sprintf("**missed by %s**", FormatFigure(y/k.limit)))
+		case math.IsNaN(m.limit):
+		case y > m.limit:
+			factorsLeft = append(factorsLeft, fmt.Sprintf("**missed by %s**", FormatFigure(y/m.limit)))
 		default:
-			left = append(left, FormatFigure(k.limit/y))
+			factorsLeft = append(factorsLeft, FormatFigure(m.limit/y))
 		}
 	}
-	limit, line := "", "straight"
-	if !math.IsNaN(k.limit) {
-		limit = FormatFigure(k.limit)
+	limit, shape := "", "straight"
+	if !math.IsNaN(m.limit) {
+		limit = FormatFigure(m.limit)
 	}
-	if k.line.Curved {
-		line = "bends"
+	if m.line.Curved {
+		shape = "bends"
 	}
-	return fmt.Sprintf("| `%s`, %s | %s | %s | %s | %s | %s | %s |\n", k.line.Slope, k.line.Unit, k.line.Against, strings.Join(xs, "; "), strings.Join(ys, "; "),
-		limit, strings.Join(left, "; "), line)
+	return fmt.Sprintf("| `%s`, %s | %s | %s | %s | %s | %s | %s |\n", m.line.Slope, m.line.Unit, m.line.Against, strings.Join(xs, "; "), strings.Join(ys, "; "),
+		limit, strings.Join(factorsLeft, "; "), shape)
 }
 
-// Table is a slope in Markdown: its line, what was measured at each size, and the line at further sizes with the factor that it leaves
-// of a limit (NaN: none).
+// Table renders a slope in Markdown: the fitted line, the measurements at each size, and the estimates at further sizes with the
+// factor left to the limit (NaN: no limit).
 func (l *Line) Table(at []float64, limit float64) string {
 	var b strings.Builder
-	bend := "no bend"
+	shape := "no bend"
 	if l.Curved {
-		bend = fmt.Sprintf("**bends** (by %s of the span)", percent(l.CurveDeviation))
+		shape = fmt.Sprintf("**bends** (by %s of the span)", percent(l.CurveDeviation))
 	}
 	fmt.Fprintf(&b, "`%s`, %s against %s: %s + %s (± %s) · x, R² %.4f, largest residual %s at %s, %s.\n\n", l.Slope, l.Unit, l.Against,
-		FormatFigure(l.Intercept), FormatFigure(l.Gradient), FormatFigure(l.GradientHalfWidth), l.R2, FormatFigure(l.MaxResidual), FormatFigure(l.MaxResidualX), bend)
+		FormatFigure(l.Intercept), FormatFigure(l.Gradient), FormatFigure(l.GradientHalfWidth), l.R2, FormatFigure(l.MaxResidual), FormatFigure(l.MaxResidualX), shape)
 	fmt.Fprintf(&b, "| %s | %s | least to most | line | rows | how |\n| ---: | ---: | ---: | ---: | ---: | --- |\n", l.Against, l.Unit)
 	for _, s := range l.Sizes {
 		fmt.Fprintf(&b, "| %s | %s | %s to %s | %s | %d | %s |\n", FormatFigure(s.X), FormatFigure(s.Mean), FormatFigure(s.Min), FormatFigure(s.Max), FormatFigure(l.Intercept+l.Gradient*s.X), s.Rows, s.Methods)
 	}
 	for _, x := range at {
 		y, how := l.Estimate(x)
-		line := ""
+		interval := ""
 		if !l.Curved {
-			_, half := l.Predict(x)
-			line = fmt.Sprintf("± %s", FormatFigure(half))
+			_, halfWidth := l.Predict(x)
+			interval = fmt.Sprintf("± %s", FormatFigure(halfWidth))
 		}
 		if !math.IsNaN(limit) {
 			how += fmt.Sprintf("; limit %s, factor left %s", FormatFigure(limit), FormatFigure(limit/y))
@@ -129,14 +131,15 @@
 				how = fmt.Sprintf("%s; **limit %s missed by a factor of %s**", strings.Split(how, ";")[0], FormatFigure(limit), FormatFigure(y/limit))
 			}
 		}
-		fmt.Fprintf(&b, "| *%s* | *%s* | | %s | | %s |\n", FormatFigure(x), FormatFigure(y), line, how)
+		fmt.Fprintf(&b, "| *%s* | *%s* | | %s | | %s |\n", FormatFigure(x), FormatFigure(y), interval, how)
 	}
 	return b.String()
 }
 
 func percent(v float64) string { return fmt.Sprintf("%.0f%%", 100*v) }
 
-// FormatFigure is a number for people: three digits, thousands set apart.
+// FormatFigure formats a number for display with at least three significant digits, integers without decimals, and thousands
+// separated by commas.
 func FormatFigure(v float64) string {
 	if v == 0 {
 		return "0"
@@ -162,17 +165,17 @@
 	return s
 }
 
-// UpdatePage makes a page's tables anew from the rows of a folder.
+// UpdatePage regenerates the tables of a page from the rows of a folder.
 func UpdatePage(page, folder string) error {
 	text, err := os.ReadFile(page)
 	if err != nil {
 		return err
 	}
-	all, err := ReadFolder(folder)
+	bySlope, err := ReadFolder(folder)
 	if err != nil {
 		return err
 	}
-	out, err := RenderPage(string(text), all)
+	out, err := RenderPage(string(text), bySlope)
 	if err != nil {
 		return fmt.Errorf("%s: %w", page, err)
 	}
