--- a/internal/lab/capacity/tables.go
+++ b/internal/lab/capacity/tables.go
@@ -49,7 +49,7 @@
 type marker struct {
 	line  *Line
 	at    []float64 // sizes to estimate
-	limit float64 // NaN: no limit
+	limit float64   // NaN: no limit
 }
 
 // parseMarker parses the words of a slope marker and fits the line of its slope.
