--- a/internal/lab/capacity/run/main.go
+++ b/internal/lab/capacity/run/main.go
@@ -1,5 +1,5 @@
-// Command run measures the slopes of docs/CAPACITY.md, by parts, in the folder where it is started: rows go to
-// docs/capacity/PART.csv in place of those of the same slopes.
+// Command run measures the slopes of docs/CAPACITY.md, one part or all. The rows of a part are written to docs/capacity/PART.csv,
+// relative to the working directory, and replace the rows of the same slopes there.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"tinsail/internal/lab/capacity/measure"
 )
 
-// parts are what can be measured, at its full size.
+// parts maps each part's name to its measurement at full size.
 var parts = map[string]func(measure.Program) ([]capacity.Row, error){
 	"list": func(p measure.Program) ([]capacity.Row, error) {
 		return measure.ListSizes(p, idle, 50, 100, 200, 580, 1000, 2000)
@@ -29,17 +29,17 @@
 	"tenants": func(p measure.Program) ([]capacity.Row, error) {
 		return measure.TenantCounts(p, idle, 580, 10, 50, 100, 310, 620)
 	},
-	"flight":    flight(measure.InFlightConfig{BodyBytes: 1, QuietWindow: 5 * time.Second}, "flight"),
-	"flight-4k": flight(measure.InFlightConfig{BodyBytes: 4096}, "flight-4k"),
-	"flight-h2": flight(measure.InFlightConfig{BodyBytes: 1, HTTP2: true}, "flight-h2"),
+	"flight":    inFlightPart(measure.InFlightConfig{BodyBytes: 1, QuietWindow: 5 * time.Second}, "flight"),
+	"flight-4k": inFlightPart(measure.InFlightConfig{BodyBytes: 4096}, "flight-4k"),
+	"flight-h2": inFlightPart(measure.InFlightConfig{BodyBytes: 1, HTTP2: true}, "flight-h2"),
 	"most": func(p measure.Program) ([]capacity.Row, error) {
-		f := measure.InFlightConfig{BodyBytes: 1, MemoryMB: 192, Dispatchers: 1, Backends: 580}
-		rows, err := measure.MaxInFlight(p, f, "most", 256, 1024, 4096, 10000, 20000)
+		c := measure.InFlightConfig{BodyBytes: 1, MemoryMB: 192, Dispatchers: 1, Backends: 580}
+		rows, err := measure.MaxInFlight(p, c, "most", 256, 1024, 4096, 10000, 20000)
 		if err != nil {
 			return nil, err
 		}
-		f.HTTP2 = true
-		more, err := measure.MaxInFlight(p, f, "most-h2", 256, 1024, 4096, 10000, 16000)
+		c.HTTP2 = true
+		more, err := measure.MaxInFlight(p, c, "most-h2", 256, 1024, 4096, 10000, 16000)
 		return append(rows, more...), err
 	},
 	"few": func(p measure.Program) ([]capacity.Row, error) {
@@ -63,31 +63,33 @@
 	},
 }
 
+// idle has the settings of all measurements of idle dispatchers.
 var idle = measure.IdleConfig{Repeats: 2, Settle: 3 * time.Second, Window: 30 * time.Second}
 
-func flight(f measure.InFlightConfig, name string) func(measure.Program) ([]capacity.Row, error) {
-	f.Sockets, f.MemoryMB, f.Dispatchers, f.Backends = 20000, 512, 1, 580
+// inFlightPart returns a measurement against the number of reqs in flight at one dispatcher with 580 backends.
+func inFlightPart(c measure.InFlightConfig, name string) func(measure.Program) ([]capacity.Row, error) {
+	c.Sockets, c.MemoryMB, c.Dispatchers, c.Backends = 20000, 512, 1, 580
 	return func(p measure.Program) ([]capacity.Row, error) {
-		return measure.InFlightCounts(p, f, name, 2, 30, 100, 300, 1000, 3000, 8900)
+		return measure.InFlightCounts(p, c, name, 2, 30, 100, 300, 1000, 3000, 8900)
 	}
 }
 
 func main() {
-	part := flag.String("part", "", "the part to measure; empty for all")
-	program := flag.String("program", "bin/tinsail", "the dispatcher")
-	folder := flag.String("folder", "docs/capacity", "where rows go")
+	part := flag.String("part", "", "`part` to measure; all if empty")
+	program := flag.String("program", "bin/tinsail", "`path` of the dispatcher program")
+	folder := flag.String("folder", "docs/capacity", "`folder` that the rows are written to")
 	flag.Parse()
 	maps.Copy(parts, accordParts)
 	names := slices.Sorted(maps.Keys(parts))
 	if *part != "" {
 		if parts[*part] == nil {
-			fmt.Fprintf(os.Stderr, "no part is named %q, but %q\n", *part, names)
+			fmt.Fprintf(os.Stderr, "unknown part %q, want one of %q\n", *part, names)
 			os.Exit(2)
 		}
 		names = []string{*part}
 	}
 	for _, name := range names {
-		begun := time.Now()
+		start := time.Now()
 		rows, err := parts[name](measure.Program{Args: []string{*program}})
 		if err == nil {
 			err = capacity.ReplaceSlopes(filepath.Join(*folder, name+".csv"), rows...)
@@ -96,6 +98,6 @@
 			fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 			os.Exit(1)
 		}
-		fmt.Printf("%s: %d rows in %.0f s\n", name, len(rows), time.Since(begun).Seconds())
+		fmt.Printf("%s: %d rows in %.0f s\n", name, len(rows), time.Since(start).Seconds())
 	}
 }
