--- a/internal/lab/sim/accord.go
+++ b/internal/lab/sim/accord.go
@@ -55,12 +55,12 @@
 // leader is the accord's leader, with its clock and the state that the majority's log has reached.
 type leader struct {
 	*accord.Leader
-	w           *world
+	world       *world
 	config      accord.LeaseConfig
 	clockRate   float64
 	state       accord.State
 	random      *rand.Rand
-	epochs      uint64
+	epochs      uint64  // the last epoch given to a participant
 	outageSince float64 // since when no dispatcher accepts reqs; NaN while one does
 }
 
@@ -96,7 +96,7 @@
 // newLeader returns a leader under which version 1 has been in force since long before the run, so that the first
 // reqs are accepted under it.
 func newLeader(w *world) (*leader, error) {
-	l := &leader{w: w, config: w.sc.Accord.leaseConfig(), random: fleet.RandomStream(w.sc.Seed, "accord"), outageSince: math.NaN()}
+	l := &leader{world: w, config: w.sc.Accord.leaseConfig(), random: fleet.RandomStream(w.sc.Seed, "accord"), outageSince: math.NaN()}
 	l.clockRate = l.drawClockRate()
 	l.state.Apply(accord.Decision{Change: 1, Proposal: accord.ProposalBit | 1, Version: 1, Body: []byte("version 1")})
 	var err error
@@ -104,22 +104,24 @@
 	return l, err
 }
 
+// drawClockRate returns the rate of a clock that is slowest, exact or fastest.
 func (l *leader) drawClockRate() float64 { return 1 + l.config.Drift*float64(l.random.IntN(3)-1) }
 
 // accordTime returns what a clock of the given rate shows. All clocks show 0 at the start of the run.
 func (w *world) accordTime(rate float64) accord.Time { return accord.Time(w.now * 1e6 * rate) }
 
+// drawDelay returns the random one-way delay of a message.
 func (l *leader) drawDelay() float64 {
-	return l.w.sc.Accord.Latency * (0.5 + l.random.Float64())
+	return l.world.sc.Accord.Latency * (0.5 + l.random.Float64())
 }
 
 // send delivers a message between a dispatcher and the leader after a random delay plus extraDelay, unless it is lost.
 func (l *leader) send(dispatcher int, extraDelay float64, deliver func()) {
-	if l.random.Float64() < l.w.sc.Accord.Loss || l.w.cutOff(dispatcher) {
+	if l.random.Float64() < l.world.sc.Accord.Loss || l.world.cutOff(dispatcher) {
 		return
 	}
-	l.w.at(l.w.now+l.drawDelay()+extraDelay, func() {
-		if !l.w.cutOff(dispatcher) {
+	l.world.at(l.world.now+l.drawDelay()+extraDelay, func() {
+		if !l.world.cutOff(dispatcher) {
 			deliver()
 		}
 	})
@@ -139,7 +141,7 @@
 // majority has confirmed that it still leads.
 func (l *leader) handleRequest(p *participant, request accord.LeaseRequest) {
 	l.send(p.side.at, l.drawDelay()+l.drawDelay(), func() {
-		response := l.Handle(l.w.accordTime(l.clockRate), request)
+		response := l.Handle(l.world.accordTime(l.clockRate), request)
 		l.send(p.side.at, 0, func() { p.handleResponse(response) })
 		l.step()
 	})
@@ -147,7 +149,7 @@
 
 // step performs the actions that the leader asks for.
 func (l *leader) step() {
-	w := l.w
+	w := l.world
 	if decision, ok := l.TakeDecision(); ok {
 		w.at(w.now+w.sc.Accord.FlushTime, func() {
 			l.state.Apply(decision)
--- a/internal/lab/sim/dispatcher_quotas.go
+++ b/internal/lab/sim/dispatcher_quotas.go
@@ -11,27 +11,27 @@
 // a real quota.Holder.
 type dispatcherQuotas struct {
 	processClock
-	q             *quotaSimulation
+	simulation    *quotaSimulation
 	side          *side
 	limiter       *quota.Limiter
 	holder        *quota.Holder
-	lastID        uint64
-	waiting       map[uint64]func(time.Time, time.Duration, bool)
-	stepScheduled bool           // a step is scheduled for the current time
-	maxHeld       map[string]int // most units held so far, by account; only for the injected fault
-	inFlight      map[uint64]quotaReq
+	lastID        uint64                                          // the last id given to a req
+	waiting       map[uint64]func(time.Time, time.Duration, bool) // callbacks of waiting reqs, by id
+	stepScheduled bool                                            // a step is scheduled for the current time
+	maxHeld       map[string]int                                  // most units held so far, by account; only for the injected fault
+	inFlight      map[uint64]quotaReq                             // by id
 }
 
 // quotaReq is a req that waits for a unit or holds one.
 type quotaReq struct {
 	account   string
 	urgent    bool
-	arrivedAt float64
+	arrivedAt float64 // in simulated time, ms
 }
 
 func newDispatcherQuotas(s *side) (*dispatcherQuotas, error) {
 	q := s.w.quotas
-	d := &dispatcherQuotas{processClock: q.newClock(), q: q, side: s, limiter: quota.NewLimiter(), waiting: map[uint64]func(time.Time, time.Duration, bool){}, maxHeld: map[string]int{}, inFlight: map[uint64]quotaReq{}}
+	d := &dispatcherQuotas{processClock: q.newClock(), simulation: q, side: s, limiter: quota.NewLimiter(), waiting: map[uint64]func(time.Time, time.Duration, bool){}, maxHeld: map[string]int{}, inFlight: map[uint64]quotaReq{}}
 	var err error
 	if d.holder, err = quota.NewHolder(q.config.dispatcherLeaseConfig(), fmt.Sprint("n", s.at), q.nextEpoch(), false); err != nil {
 		return nil, err
@@ -47,18 +47,18 @@
 		return
 	}
 	d.stepScheduled = true
-	d.q.w.at(d.q.w.now, func() { d.stepScheduled = false; d.step() })
+	d.simulation.world.at(d.simulation.world.now, func() { d.stepScheduled = false; d.step() })
 }
 
 // Acquire implements core.Quotas: it asks for a unit of a tenant's quota.
 func (d *dispatcherQuotas) Acquire(tenant, class int, until time.Time, ready func(time.Time, time.Duration, bool)) (release func()) {
-	w := d.q.w
+	w := d.simulation.world
 	d.lastID++
 	id, account := d.lastID, ""
 	if tenant < len(w.sc.Tenants) {
 		account = w.sc.Tenants[tenant].Name
 	}
-	req := quotaReq{account, d.q.urgentClass[class], w.now}
+	req := quotaReq{account, d.simulation.urgentClass[class], w.now}
 	timeLeft := float64(until.Sub(origin))/1e6 - w.now
 	if d.limiter.Acquire(d.now(w), id, account, req.urgent, d.now(w)+quota.Time(timeLeft*1e6*d.rate)) {
 		d.handleStart(id, req)
@@ -81,32 +81,36 @@
 }
 
 // MaxHold implements core.Quotas: it returns the longest time for which a req may hold a unit.
-func (d *dispatcherQuotas) MaxHold() time.Duration { return msToDuration(d.q.config.MaxRunTime) }
+func (d *dispatcherQuotas) MaxHold() time.Duration {
+	return msToDuration(d.simulation.config.MaxRunTime)
+}
 
+// handleStart counts a req that got a unit.
 func (d *dispatcherQuotas) handleStart(id uint64, req quotaReq) {
 	d.inFlight[id] = req
-	d.q.countInFlight(req.account, req.urgent, 1)
-	if d.q.isolated(d.q.w.sc.RegionOf(d.side.at)) {
-		d.q.w.res.Quotas.StartedIsolated++
+	d.simulation.countInFlight(req.account, req.urgent, 1)
+	if d.simulation.isolated(d.simulation.world.sc.RegionOf(d.side.at)) {
+		d.simulation.world.res.Quotas.StartedIsolated++
 	}
-	if w := d.q.w; req.urgent && w.tenants.inWindow(req.arrivedAt) {
+	if w := d.simulation.world; req.urgent && w.tenants.inWindow(req.arrivedAt) {
 		_ = w.res.Quotas.UrgentGrantDelay.RecordValue(int64((w.now-req.arrivedAt)*1000) + 1) // cannot fail: the req's deadline is below the histogram's maximum
 	}
-	d.q.dispatcherChecker.HandleStart(d.q.w.now, req.account, req.urgent)
+	d.simulation.dispatcherChecker.HandleStart(d.simulation.world.now, req.account, req.urgent)
 }
 
+// handleEnd counts a req that no longer holds a unit; one that held none is ignored.
 func (d *dispatcherQuotas) handleEnd(id uint64) {
 	if req, ok := d.inFlight[id]; ok {
 		delete(d.inFlight, id)
-		d.q.countInFlight(req.account, req.urgent, -1)
-		d.q.dispatcherChecker.HandleEnd(req.account, req.urgent)
+		d.simulation.countInFlight(req.account, req.urgent, -1)
+		d.simulation.dispatcherChecker.HandleEnd(req.account, req.urgent)
 	}
 }
 
 // stop ends the reqs in flight of a dispatcher that was killed, once the backends have cancelled its attempts. After
 // an orderly end the dispatcher then returns all its units to its region's lender.
 func (d *dispatcherQuotas) stop(orderly bool) {
-	w := d.q.w
+	w := d.simulation.world
 	w.at(w.now+2*w.sc.Latency, func() {
 		for id := range d.inFlight {
 			d.limiter.Release(id)
@@ -130,8 +134,8 @@
 
 // units returns how many units of an account may be in use.
 func (d *dispatcherQuotas) units(account string) int {
-	units := d.holder.Units(d.now(d.q.w), account)
-	if !d.q.config.faultKeepUnits {
+	units := d.holder.Units(d.now(d.simulation.world), account)
+	if !d.simulation.config.faultKeepUnits {
 		return units
 	}
 	d.maxHeld[account] = max(d.maxHeld[account], units) // the injected fault: units once held are never given up
@@ -143,7 +147,7 @@
 	if d.side.dead {
 		return
 	}
-	w := d.q.w
+	w := d.simulation.world
 	started, expired := d.limiter.Admit(d.now(w), d.units)
 	for _, id := range started {
 		d.reply(id, 0, true)
@@ -166,22 +170,23 @@
 func (d *dispatcherQuotas) reply(id uint64, retryAfter time.Duration, ok bool) {
 	if ready := d.waiting[id]; ready != nil {
 		delete(d.waiting, id)
-		ready(d.q.w.time(), retryAfter, ok)
+		ready(d.simulation.world.time(), retryAfter, ok)
 		d.side.touch()
 	}
 }
 
+// sendRequest sends a lease request to the region's lender.
 func (d *dispatcherQuotas) sendRequest(request quota.LeaseRequest) {
-	q := d.q
-	q.w.res.Quotas.Requests++
+	q := d.simulation
+	q.world.res.Quotas.Requests++
 	q.countDispatcherMessage(d.side.at, requestSize(request))
-	region := q.w.sc.RegionOf(d.side.at)
+	region := q.world.sc.RegionOf(d.side.at)
 	q.send(region, region, func() { q.regions[region].handleRequest(d, request) })
 }
 
 func (d *dispatcherQuotas) handleResponse(response quota.LeaseResponse) {
 	if !d.side.dead {
-		d.holder.HandleResponse(d.now(d.q.w), response)
+		d.holder.HandleResponse(d.now(d.simulation.world), response)
 		d.step()
 	}
 }
@@ -192,15 +197,15 @@
 	if urgent {
 		return
 	}
-	f, window := q.inFlight[name], &q.w.sc.Window
+	f, window := q.inFlight[name], &q.world.sc.Window
 	if f == nil {
 		f = &tenantInFlight{}
 		q.inFlight[name] = f
 	}
-	if elapsed := min(q.w.now, window.To) - max(f.changedAt, window.From); elapsed > 0 {
+	if elapsed := min(q.world.now, window.To) - max(f.changedAt, window.From); elapsed > 0 {
 		f.sum += elapsed * float64(f.count)
 	}
-	f.changedAt = q.w.now
+	f.changedAt = q.world.now
 	f.count += delta
 }
 
--- a/internal/lab/sim/quotas.go
+++ b/internal/lab/sim/quotas.go
@@ -117,10 +117,10 @@
 
 // quotaSimulation is the lenders of a run, the links between them, and what is measured.
 type quotaSimulation struct {
-	w                  *world
+	world              *world
 	config             Quotas
 	random             *rand.Rand
-	epochs             uint64
+	epochs             uint64 // the last epoch given to an incarnation
 	root               *rootLender
 	regions            []*regionLender
 	current            map[string]int             // the quotas in force
@@ -159,14 +159,15 @@
 	})
 }
 
+// newClock returns a clock with a random rate.
 func (q *quotaSimulation) newClock() processClock {
 	return processClock{rate: 1 + q.config.Drift*float64(q.random.IntN(3)-1), wakeAt: math.Inf(1)}
 }
 
 func (q *quotaSimulation) nextEpoch() uint64 { q.epochs++; return q.epochs }
 
-func newQuotas(w *world) (*quotaSimulation, error) {
-	q := &quotaSimulation{w: w, config: w.sc.Quotas, random: fleet.RandomStream(w.sc.Seed, "quotas"), current: map[string]int{}, inFlight: map[string]*tenantInFlight{}, dispatcherBytes: make([]int, max(w.sc.Dispatchers, 1))}
+func newQuotaSimulation(w *world) (*quotaSimulation, error) {
+	q := &quotaSimulation{world: w, config: w.sc.Quotas, random: fleet.RandomStream(w.sc.Seed, "quotas"), current: map[string]int{}, inFlight: map[string]*tenantInFlight{}, dispatcherBytes: make([]int, max(w.sc.Dispatchers, 1))}
 	// A region that is cut off does not learn of a lowered quota. Reqs may start with the units it holds until its
 	// lease and then a lease that it granted to a dispatcher have ended.
 	grace := (q.config.RegionLease + q.config.Lease) * (1 + q.config.Drift) / (1 - q.config.Drift)
@@ -181,7 +182,7 @@
 	w.res.Quotas.Events = map[string]int{}
 	w.res.Quotas.UrgentGrantDelay = hdrhistogram.New(1, 100_000_000_000, 3)
 	for i := range w.sc.Regions {
-		q.regions = append(q.regions, &regionLender{q: q, index: i})
+		q.regions = append(q.regions, &regionLender{simulation: q, index: i})
 		if err := q.regions[i].start(); err != nil {
 			return nil, err
 		}
@@ -189,16 +190,17 @@
 	return q, q.elect(0, true)
 }
 
+// setQuota sets the quota that is in force from now on, also for the checkers.
 func (q *quotaSimulation) setQuota(name string, units int) {
 	q.current[name] = units
-	q.backendChecker.SetQuota(q.w.now, name, units)
-	q.dispatcherChecker.SetQuota(q.w.now, name, units)
+	q.backendChecker.SetQuota(q.world.now, name, units)
+	q.dispatcherChecker.SetQuota(q.world.now, name, units)
 }
 
 // accounts returns the accounts that have a quota, sorted by name.
 func (q *quotaSimulation) accounts() []string {
 	var out []string
-	for _, t := range q.w.sc.Tenants {
+	for _, t := range q.world.sc.Tenants {
 		out = append(out, t.Name)
 	}
 	if q.config.Reserve > 0 {
@@ -222,8 +224,8 @@
 
 // partitioned reports whether two regions are cut off from each other now.
 func (q *quotaSimulation) partitioned(a, b int) bool {
-	for _, p := range q.w.sc.Partitions {
-		if a != b && q.w.now >= p.At && q.w.now < p.At+p.Length &&
+	for _, p := range q.world.sc.Partitions {
+		if a != b && q.world.now >= p.At && q.world.now < p.At+p.Length &&
 			(p.Other < 0 && (a == p.Region || b == p.Region) || p.Other >= 0 && (a == p.Region && b == p.Other || a == p.Other && b == p.Region)) {
 			return true
 		}
@@ -243,7 +245,7 @@
 
 // send delivers a message between two regions, or within one, after a random delay, unless it is lost.
 func (q *quotaSimulation) send(a, b int, deliver func()) {
-	w := q.w
+	w := q.world
 	if q.random.Float64() < q.config.Loss || q.partitioned(a, b) {
 		return
 	}
@@ -257,10 +259,10 @@
 // rootLender is the root of the lenders. In a real fleet it runs in the accord's leader.
 type rootLender struct {
 	processClock
-	q      *quotaSimulation
-	lender *quota.Lender
-	region int
-	dead   bool
+	simulation *quotaSimulation
+	lender     *quota.Lender
+	region     int
+	dead       bool
 }
 
 // elect starts an incarnation of the root in a region. The one before grants nothing from then on.
@@ -268,19 +270,19 @@
 	if q.root != nil {
 		q.root.dead = true
 	}
-	r := &rootLender{processClock: q.newClock(), q: q, region: region}
+	r := &rootLender{processClock: q.newClock(), simulation: q, region: region}
 	var children []string
-	for _, child := range q.w.sc.Regions {
+	for _, child := range q.world.sc.Regions {
 		children = append(children, child.Name)
 	}
 	var err error
-	r.lender, err = quota.NewLender(q.config.regionLeaseConfig(), q.nextEpoch(), r.now(q.w), quota.LenderOptions{Preallocate: true, Children: children, SkipRecovery: first})
+	r.lender, err = quota.NewLender(q.config.regionLeaseConfig(), q.nextEpoch(), r.now(q.world), quota.LenderOptions{Preallocate: true, Children: children, SkipRecovery: first})
 	if err != nil {
 		return err
 	}
 	for _, account := range q.accounts() {
 		if account != quota.ReserveAccount {
-			r.lender.SetCapacity(r.now(q.w), account, q.current[account])
+			r.lender.SetCapacity(r.now(q.world), account, q.current[account])
 		}
 	}
 	q.root = r
@@ -291,7 +293,7 @@
 // handleRequest responds to a region's lease request after a round trip to the nearest other region, where another
 // voter confirms that this one leads.
 func (r *rootLender) handleRequest(l *regionLender, request quota.LeaseRequest) {
-	q, nearest := r.q, -1
+	q, nearest := r.simulation, -1
 	for i := range q.regions {
 		if i != r.region && !q.partitioned(i, r.region) && (nearest < 0 || q.delay(i, r.region) < q.delay(nearest, r.region)) {
 			nearest = i
@@ -304,7 +306,7 @@
 		if r.dead {
 			return
 		}
-		if response, ok := r.lender.Handle(r.now(q.w), request); ok {
+		if response, ok := r.lender.Handle(r.now(q.world), request); ok {
 			q.countInterRegionMessage(responseSize(response))
 			q.send(r.region, l.index, func() { l.handleResponse(response) })
 		}
@@ -322,10 +324,10 @@
 	if r.dead {
 		return
 	}
-	q := r.q
-	r.lender.Tick(r.now(q.w))
+	q := r.simulation
+	r.lender.Tick(r.now(q.world))
 	for _, name := range r.lender.TakePolls() {
-		l := q.regions[slices.IndexFunc(q.w.sc.Regions, func(x Region) bool { return x.Name == name })]
+		l := q.regions[slices.IndexFunc(q.world.sc.Regions, func(x Region) bool { return x.Name == name })]
 		q.countInterRegionMessage(pollSize)
 		q.send(r.region, l.index, func() {
 			if !l.dead {
@@ -335,47 +337,48 @@
 		})
 	}
 	q.countEvents("root ", r.lender.TakeEvents())
-	r.schedule(q.w, r.lender.NextTick(), r.step)
+	r.schedule(q.world, r.lender.NextTick(), r.step)
 }
 
 func (q *quotaSimulation) countInterRegionMessage(bytes int) {
-	q.w.res.Quotas.InterRegionMessages++
-	q.w.res.Quotas.InterRegionBytes += bytes
+	q.world.res.Quotas.InterRegionMessages++
+	q.world.res.Quotas.InterRegionBytes += bytes
 }
 
+// countEvents counts events of a lender by its level and the step that they report.
 func (q *quotaSimulation) countEvents(level string, events []quota.Event) {
 	for _, event := range events {
-		q.w.res.Quotas.Events[level+event.Step]++
+		q.world.res.Quotas.Events[level+event.Step]++
 	}
 }
 
 // regionLender is the lender of a region.
 type regionLender struct {
 	processClock
-	q      *quotaSimulation
-	index  int
-	lender *quota.RegionLender
-	dead   bool
+	simulation *quotaSimulation
+	index      int
+	lender     *quota.RegionLender
+	dead       bool
 }
 
 // start starts an incarnation of the lender.
 func (l *regionLender) start() (err error) {
-	q := l.q
+	q := l.simulation
 	l.processClock, l.dead = q.newClock(), false
-	l.lender, err = quota.NewRegionLender(q.config.regionLeaseConfig(), q.config.dispatcherLeaseConfig(), q.w.sc.Regions[l.index].Name, q.nextEpoch(), l.now(q.w))
+	l.lender, err = quota.NewRegionLender(q.config.regionLeaseConfig(), q.config.dispatcherLeaseConfig(), q.world.sc.Regions[l.index].Name, q.nextEpoch(), l.now(q.world))
 	if err == nil {
 		if q.root == nil { // the first incarnations of the run
-			l.lender.SkipRecovery(l.now(q.w))
+			l.lender.SkipRecovery(l.now(q.world))
 		}
-		l.lender.SetReserve(l.now(q.w), q.config.Reserve)
-		q.w.at(q.w.now, l.step)
+		l.lender.SetReserve(l.now(q.world), q.config.Reserve)
+		q.world.at(q.world.now, l.step)
 	}
 	return err
 }
 
 func (l *regionLender) handleResponse(response quota.LeaseResponse) {
 	if !l.dead {
-		l.lender.HandleResponse(l.now(l.q.w), response)
+		l.lender.HandleResponse(l.now(l.simulation.world), response)
 		l.step()
 	}
 }
@@ -385,9 +388,9 @@
 	if l.dead {
 		return
 	}
-	q := l.q
-	if response, ok := l.lender.Handle(l.now(q.w), request); ok {
-		q.w.res.Quotas.Responses++
+	q := l.simulation
+	if response, ok := l.lender.Handle(l.now(q.world), request); ok {
+		q.world.res.Quotas.Responses++
 		q.countDispatcherMessage(d.side.at, responseSize(response))
 		q.send(l.index, l.index, func() { d.handleResponse(response) })
 	}
@@ -399,9 +402,9 @@
 	if l.dead {
 		return
 	}
-	q := l.q
-	l.lender.Tick(l.now(q.w))
-	if request, ok := l.lender.NextRequest(l.now(q.w)); ok {
+	q := l.simulation
+	l.lender.Tick(l.now(q.world))
+	if request, ok := l.lender.NextRequest(l.now(q.world)); ok {
 		q.countInterRegionMessage(requestSize(request))
 		root := q.root
 		q.send(l.index, root.region, func() { root.handleRequest(l, request) })
@@ -409,23 +412,23 @@
 	for _, name := range l.lender.TakePolls() {
 		dispatcher := 0
 		_, _ = fmt.Sscanf(name, "n%d", &dispatcher)
-		q.w.res.Quotas.Polls++
+		q.world.res.Quotas.Polls++
 		q.countDispatcherMessage(dispatcher, pollSize)
 		q.send(l.index, l.index, func() {
-			if d := q.w.sides[dispatcher].quotas; !d.side.dead {
+			if d := q.world.sides[dispatcher].quotas; !d.side.dead {
 				d.holder.HandlePoll()
 				d.step()
 			}
 		})
 	}
 	q.countEvents("region ", l.lender.TakeEvents())
-	l.schedule(q.w, l.lender.NextTick(), l.step)
+	l.schedule(q.world, l.lender.NextTick(), l.step)
 }
 
 // countDispatcherMessage counts a message between a dispatcher and its region's lender.
 func (q *quotaSimulation) countDispatcherMessage(dispatcher, bytes int) {
-	q.w.res.Quotas.Bytes += bytes
-	if q.w.tenants.inWindow(q.w.now) {
+	q.world.res.Quotas.Bytes += bytes
+	if q.world.tenants.inWindow(q.world.now) {
 		q.dispatcherBytes[dispatcher] += bytes
 		q.dispatcherMessages++
 	}
@@ -434,7 +437,7 @@
 // scheduleFaults schedules the events of the scenario: replacements of a root that is cut off, crashes of lenders,
 // and quota changes. Partitions need no events, as send looks them up.
 func (q *quotaSimulation) scheduleFaults() {
-	w := q.w
+	w := q.world
 	for _, p := range w.sc.Partitions {
 		w.at(p.At+q.config.ElectionTime, func() {
 			if p.Other < 0 && q.root.region == p.Region && w.now < p.At+p.Length {
@@ -473,15 +476,15 @@
 }
 
 func (q *quotaSimulation) finish() {
-	for i := range q.w.res.Tenants.ByTenant {
-		result, window := &q.w.res.Tenants.ByTenant[i], &q.w.sc.Window
+	for i := range q.world.res.Tenants.ByTenant {
+		result, window := &q.world.res.Tenants.ByTenant[i], &q.world.sc.Window
 		q.countInFlight(result.Name, false, 0)
 		result.InFlight = q.inFlight[result.Name].sum / (window.To - window.From)
 	}
-	r := &q.w.res.Quotas
+	r := &q.world.res.Quotas
 	r.ViolationCount = q.backendChecker.Count() + q.dispatcherChecker.Count()
 	r.Violations = append(q.backendChecker.Violations(), q.dispatcherChecker.Violations()...)
-	window := &q.w.sc.Window
+	window := &q.world.sc.Window
 	seconds, dispatchers := (window.To-window.From)/1000, float64(len(q.dispatcherBytes))
 	totalBytes := 0
 	for _, b := range q.dispatcherBytes {
--- a/internal/lab/sim/quotas_test.go
+++ b/internal/lab/sim/quotas_test.go
@@ -126,7 +126,7 @@
 		"one delay for each pair of regions":                          func(sc *Scenario) { sc.Quotas.RegionDelays = nil },
 		"lease is not between":                                        func(sc *Scenario) { sc.Quotas.Lease = 1 },
 		"a partition separates region 7":                              func(sc *Scenario) { sc.Partitions = []Partition{{Region: 7, Other: -1}} },
-		"a lender crash names region 3":                               func(sc *Scenario) { sc.LenderCrashes = []LenderCrash{{Region: 3}} },
+		"a lender crash names region 3 and next region 0":             func(sc *Scenario) { sc.LenderCrashes = []LenderCrash{{Region: 3}} },
 		`a quota change names tenant "z", which does not exist`:       func(sc *Scenario) { sc.QuotaChanges = []QuotaChange{{Tenant: "z", Quota: 1}} },
 		"partitions, lender crashes and quota changes require quotas": func(sc *Scenario) { sc.Quotas, sc.Partitions = Quotas{}, []Partition{{Other: -1}} },
 	} {
--- a/internal/lab/sim/tenants.go
+++ b/internal/lab/sim/tenants.go
@@ -33,8 +33,8 @@
 	Running       float64 // mean number of jobs running at backends
 	RunningUrgent float64 // of these, jobs of urgent classes
 	MaxRunning    int     // maximum number of jobs running at once at any time, without urgent ones
-	Starts        int
-	entitlement   float64
+	Starts        int     // reqs that came in the window whose job started
+	entitlement   float64 // see Entitlement
 	InFlight      float64 // only with quotas: mean number of units used by reqs that are not urgent
 }
 
@@ -91,13 +91,13 @@
 // tenantJobs creates the tenants' reqs and counts the jobs that run for each tenant at the backends. Slices are
 // indexed by tenant.
 type tenantJobs struct {
-	w             *world
+	world         *world
 	changedAt     []float64
 	running       []int
 	runningUrgent []int
-	sum           []float64 // running jobs summed over the window, in jobs times ms
-	urgentSum     []float64 // the same for urgent jobs
-	jobs          map[uint64]*client
+	runningSum    []float64          // running jobs summed over the window, in jobs times ms
+	urgentSum     []float64          // the same for urgent jobs
+	jobs          map[uint64]*client // running jobs, by id
 	random        *rand.Rand
 	totalQuota    int // sum of the quotas of all tenants
 }
@@ -135,7 +135,7 @@
 
 func newTenantJobs(w *world) *tenantJobs {
 	n := len(w.sc.Tenants)
-	j := &tenantJobs{w: w, changedAt: make([]float64, n), running: make([]int, n), runningUrgent: make([]int, n), sum: make([]float64, n), urgentSum: make([]float64, n),
+	j := &tenantJobs{world: w, changedAt: make([]float64, n), running: make([]int, n), runningUrgent: make([]int, n), runningSum: make([]float64, n), urgentSum: make([]float64, n),
 		jobs: map[uint64]*client{}, random: fleet.RandomStream(w.sc.Seed, "tenants")}
 	for _, t := range w.sc.Tenants {
 		w.res.Tenants.ByTenant = append(w.res.Tenants.ByTenant, TenantResult{Name: t.Name, Quota: t.Quota, Demand: t.Demand})
@@ -152,7 +152,7 @@
 // startDemand schedules the tenants' first reqs at random times. Their work is shortened at random, as if the jobs
 // had been running before.
 func (j *tenantJobs) startDemand() {
-	w := j.w
+	w := j.world
 	for i := range w.sc.Tenants {
 		for range w.sc.Tenants[i].Demand {
 			w.at(w.sc.Window.Ramp*j.random.Float64(), func() { j.submit(i, j.random.Float64()) })
@@ -162,7 +162,7 @@
 
 // submit creates a req of a tenant and sends it. workShare scales the work of its job.
 func (j *tenantJobs) submit(tenant int, workShare float64) {
-	w := j.w
+	w := j.world
 	class := classIndex(w.classes, w.sc.Tenants[tenant].Class)
 	c := &w.classes[class]
 	w.res.First++
@@ -183,8 +183,8 @@
 // drawTenant returns a random tenant, weighted by quota, for a req that is not part of a standing demand.
 func (j *tenantJobs) drawTenant() int {
 	rest := j.random.IntN(max(j.totalQuota, 1))
-	for i := range j.w.sc.Tenants {
-		if rest -= j.w.sc.Tenants[i].Quota; rest < 0 {
+	for i := range j.world.sc.Tenants {
+		if rest -= j.world.sc.Tenants[i].Quota; rest < 0 {
 			return i
 		}
 	}
@@ -193,7 +193,7 @@
 
 // scheduleNext schedules the next req of a standing demand after one has ended.
 func (j *tenantJobs) scheduleNext(c *client) {
-	w := j.w
+	w := j.world
 	if at := w.now + j.random.ExpFloat64()*w.sc.Tenants[c.tenant].ThinkTime; c.stands && at < w.sc.Length {
 		w.at(at, func() { j.submit(c.tenant, 1) })
 	}
@@ -201,7 +201,7 @@
 
 // handleStart counts a job that starts at a backend.
 func (j *tenantJobs) handleStart(job uint64, c *client) {
-	t := &j.w.res.Tenants
+	t := &j.world.res.Tenants
 	if _, known := j.jobs[job]; known {
 		return
 	}
@@ -212,8 +212,8 @@
 	if urgent {
 		j.runningUrgent[c.tenant]++
 	}
-	if q := j.w.quotas; q != nil {
-		q.backendChecker.HandleStart(j.w.now, t.ByTenant[c.tenant].Name, urgent)
+	if q := j.world.quotas; q != nil {
+		q.backendChecker.HandleStart(j.world.now, t.ByTenant[c.tenant].Name, urgent)
 	}
 	result := &t.ByTenant[c.tenant]
 	result.MaxRunning = max(result.MaxRunning, j.running[c.tenant]-j.runningUrgent[c.tenant])
@@ -225,12 +225,12 @@
 	if urgent {
 		delays = t.UrgentStartDelay
 	}
-	_ = delays.RecordValue(int64((j.w.now-c.begun)*1000) + 1) // cannot fail: no client waits longer than a day, and the maximum is higher
+	_ = delays.RecordValue(int64((j.world.now-c.begun)*1000) + 1) // cannot fail: no client waits longer than a day, and the maximum is higher
 }
 
 // inWindow reports whether a time is in the measurement window.
 func (j *tenantJobs) inWindow(at float64) bool {
-	return at >= j.w.sc.Window.From && at < j.w.sc.Window.To
+	return at >= j.world.sc.Window.From && at < j.world.sc.Window.To
 }
 
 // handleEnd counts a job that no longer runs, whatever the reason.
@@ -245,35 +245,36 @@
 	if c.class().Urgent {
 		j.runningUrgent[c.tenant]--
 	}
-	if q := j.w.quotas; q != nil {
-		q.backendChecker.HandleEnd(j.w.res.Tenants.ByTenant[c.tenant].Name, c.class().Urgent)
+	if q := j.world.quotas; q != nil {
+		q.backendChecker.HandleEnd(j.world.res.Tenants.ByTenant[c.tenant].Name, c.class().Urgent)
 	}
 }
 
 // accumulate adds the time since a tenant's counts last changed to its sums over time. It must be called before each
 // change.
 func (j *tenantJobs) accumulate(tenant int) {
-	window := &j.w.sc.Window
-	if elapsed := min(j.w.now, window.To) - max(j.changedAt[tenant], window.From); elapsed > 0 {
-		j.sum[tenant] += elapsed * float64(j.running[tenant])
+	window := &j.world.sc.Window
+	if elapsed := min(j.world.now, window.To) - max(j.changedAt[tenant], window.From); elapsed > 0 {
+		j.runningSum[tenant] += elapsed * float64(j.running[tenant])
 		j.urgentSum[tenant] += elapsed * float64(j.runningUrgent[tenant])
 	}
-	j.changedAt[tenant] = j.w.now
+	j.changedAt[tenant] = j.world.now
 }
 
+// finish computes the results at the end of the run.
 func (j *tenantJobs) finish() {
-	window, t := &j.w.sc.Window, &j.w.res.Tenants
+	window, t := &j.world.sc.Window, &j.world.res.Tenants
 	for i := range t.ByTenant {
 		j.accumulate(i)
 		t.ByTenant[i].entitlement = j.entitlement(i)
-		t.ByTenant[i].Running, t.ByTenant[i].RunningUrgent = j.sum[i]/(window.To-window.From), j.urgentSum[i]/(window.To-window.From)
+		t.ByTenant[i].Running, t.ByTenant[i].RunningUrgent = j.runningSum[i]/(window.To-window.From), j.urgentSum[i]/(window.To-window.From)
 		t.Running += t.ByTenant[i].Running
 	}
 }
 
 // entitlement returns how many jobs a tenant should have had running on average over the window, by its quotas.
 func (j *tenantJobs) entitlement(i int) float64 {
-	window, t := &j.w.sc.Window, &j.w.sc.Tenants[i]
+	window, t := &j.world.sc.Window, &j.world.sc.Tenants[i]
 	at, units, sum := window.From, t.Quota, 0.0
 	addUntil := func(to float64) {
 		if to = min(to, window.To); to > at {
@@ -281,7 +282,7 @@
 			at = to
 		}
 	}
-	for _, c := range j.w.sc.QuotaChanges { // checkQuotas has checked that they are in order of time
+	for _, c := range j.world.sc.QuotaChanges { // checkQuotas has checked that they are in order of time
 		if c.Tenant == t.Name {
 			addUntil(c.At)
 			units = c.Quota
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -141,7 +141,7 @@
 	}
 	if sc.Quotas.Lease > 0 {
 		var err error
-		if w.quotas, err = newQuotas(w); err != nil {
+		if w.quotas, err = newQuotaSimulation(w); err != nil {
 			return nil, err
 		}
 	}
