--- a/internal/lab/live/backend.go
+++ b/internal/lab/live/backend.go
@@ -1,5 +1,6 @@
-// Package live plays a scenario of the laboratory in real time on loopback sockets, with the real program between stand-ins that are driven
-// by the same model of a backend as in virtual time. What both make of a scenario can be held against each other.
+// Package live plays a scenario in real time on loopback sockets. The real dispatchers run between simulated clients,
+// backends and a director; the backends follow the same model as in virtual time, so that the results of the two can be
+// compared.
 package live
 
 import (
@@ -17,60 +18,61 @@
 	"tinsail/internal/lab/fleet"
 )
 
-// backend is a photo worker on a socket: its protocol is the platform's, its doings the model's.
+// backend is a simulated backend on a socket. It speaks the platform's protocol and follows the model of package fleet.
 type backend struct {
 	name    string
 	address string
-	clock   func() float64           // ms from the start of the run
-	work    func(key string) float64 // of a job, on the yardstick
+	clock   func() float64           // ms since the start of the run
+	work    func(key string) float64 // work of the job with a key, in ms on one core of the reference machine
 
-	mu       sync.Mutex
-	model    *fleet.Backend
-	reporter *fleet.Reporter
-	chance   *rand.Rand
-	jobs     map[uint64]chan fleet.EventKind
-	last     uint64
-	timer    *time.Timer
-	server   *http.Server
-	begun    int
+	mu           sync.Mutex
+	model        *fleet.Backend
+	reporter     *fleet.Reporter
+	random       *rand.Rand
+	jobs         map[uint64]chan fleet.EventKind // events of the open jobs, by id
+	lastJob      uint64
+	timer        *time.Timer // fires at the model's next event
+	server       *http.Server
+	receivedJobs int
 }
 
-type fresh struct{}
+// newConnKey is the context key of a *bool that is true until the first job of a connection.
+type newConnKey struct{}
 
-// listen serves at its address, a free one the first time.
+// listen serves at the backend's address, or at a free one if it has none yet.
 func (b *backend) listen() error {
-	at := b.address
-	if at == "" {
-		at = "127.0.0.1:0"
+	address := b.address
+	if address == "" {
+		address = "127.0.0.1:0"
 	}
-	l, err := net.Listen("tcp", at)
+	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
 	b.address = l.Addr().String()
 	s := &http.Server{Handler: http.HandlerFunc(b.serve), ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
-		first := true
-		return context.WithValue(ctx, fresh{}, &first)
+		isNew := true
+		return context.WithValue(ctx, newConnKey{}, &isNew)
 	}}
 	b.mu.Lock()
 	b.server = s
 	b.mu.Unlock()
-	go func() { _ = s.Serve(l) }() // ends with Close
+	go func() { _ = s.Serve(l) }() // until Close
 	return nil
 }
 
-// change lets something happen to the model, and passes on what came of it.
-func (b *backend) change(f func(now float64) []fleet.Event) {
+// update changes the model and delivers the resulting events.
+func (b *backend) update(change func(now float64) []fleet.Event) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tell(f(b.clock()))
+	b.deliver(change(b.clock()))
 }
 
-// tell passes events on to the jobs they concern, and sets the timer for the next. b.mu is held.
-func (b *backend) tell(list []fleet.Event) {
-	for _, e := range list {
-		if c := b.jobs[e.Job]; c != nil {
-			c <- e.Kind // its buffer holds all that can become of a job
+// deliver passes events to their jobs and sets the timer for the model's next event. The caller holds b.mu.
+func (b *backend) deliver(events []fleet.Event) {
+	for _, e := range events {
+		if job := b.jobs[e.Job]; job != nil {
+			job <- e.Kind // never blocks: the buffer holds all events that a job can have
 		}
 	}
 	next := b.model.NextEvent()
@@ -81,10 +83,10 @@
 		return
 	}
 	wait := time.Duration(max(next-b.clock(), 0) * float64(time.Millisecond))
-	b.timer = time.AfterFunc(wait, func() { b.change(b.model.Advance) })
+	b.timer = time.AfterFunc(wait, func() { b.update(b.model.Advance) })
 }
 
-// kill ends its process: connections break, and new ones are refused.
+// kill simulates the end of the backend's process: open connections break, and new ones are refused.
 func (b *backend) kill() {
 	b.mu.Lock()
 	s := b.server
@@ -92,12 +94,12 @@
 	if s != nil {
 		s.Close()
 	}
-	b.change(b.model.Kill)
+	b.update(b.model.Kill)
 }
 
-// start starts it again, cold.
+// start starts the backend again, cold.
 func (b *backend) start() error {
-	b.change(func(now float64) []fleet.Event { b.model.Start(now); return nil })
+	b.update(func(now float64) []fleet.Event { b.model.Start(now); return nil })
 	return b.listen()
 }
 
@@ -107,26 +109,26 @@
 		http.NotFound(w, r)
 		return
 	}
-	connect, _ := r.Context().Value(fresh{}).(*bool)
+	newConn, _ := r.Context().Value(newConnKey{}).(*bool)
 	b.mu.Lock()
-	b.last++
-	n, news := b.last, make(chan fleet.EventKind, 4)
-	b.jobs[n] = news
-	b.begun++
-	h := fnv.New64a()
-	_, _ = io.WriteString(h, key)
-	verdict, list := b.model.Offer(b.clock(), fleet.Job{ID: n, Key: h.Sum64(), Work: b.work(key), Slots: 1}, connect != nil && *connect)
-	if connect != nil {
-		*connect = false
+	b.lastJob++
+	job, events := b.lastJob, make(chan fleet.EventKind, 4)
+	b.jobs[job] = events
+	b.receivedJobs++
+	hash := fnv.New64a()
+	_, _ = io.WriteString(hash, key)
+	result, list := b.model.Offer(b.clock(), fleet.Job{ID: job, Key: hash.Sum64(), Work: b.work(key), Slots: 1}, newConn != nil && *newConn)
+	if newConn != nil {
+		*newConn = false
 	}
-	b.tell(list)
+	b.deliver(list)
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
-		delete(b.jobs, n)
+		delete(b.jobs, job)
 		b.mu.Unlock()
 	}()
-	switch verdict {
+	switch result {
 	case fleet.Full:
 		w.Header().Set("X-Unprocessed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -134,30 +136,31 @@
 	case fleet.Refused:
 		panic(http.ErrAbortHandler)
 	}
-	b.follow(w, r, id, n, news)
+	b.answer(w, r, id, job, events)
 }
 
-// follow tells what becomes of a job, line by line.
-func (b *backend) follow(w http.ResponseWriter, r *http.Request, id string, n uint64, news <-chan fleet.EventKind) {
-	flush := http.NewResponseController(w)
-	line := func(rest string) {
-		fmt.Fprintf(w, `{"id":%q,"from":%q,%s}`+"\n", id, b.name, rest)
-		_ = flush.Flush() // a dispatcher that has gone is seen by the context
+// answer sends the events of a job to the dispatcher, one line each, until the job ends or the dispatcher closes the
+// connection, which cancels the job.
+func (b *backend) answer(w http.ResponseWriter, r *http.Request, id string, job uint64, events <-chan fleet.EventKind) {
+	controller := http.NewResponseController(w)
+	writeLine := func(fields string) {
+		fmt.Fprintf(w, `{"id":%q,"from":%q,%s}`+"\n", id, b.name, fields)
+		_ = controller.Flush() // if the dispatcher has closed the connection, the request's context says so
 	}
 	for {
 		select {
 		case <-r.Context().Done():
-			b.change(func(now float64) []fleet.Event { return b.model.Cancel(now, n) })
+			b.update(func(now float64) []fleet.Event { return b.model.Cancel(now, job) })
 			return
-		case what := <-news:
-			switch what {
+		case event := <-events:
+			switch event {
 			case fleet.Started:
-				line(`"state":"started"`)
+				writeLine(`"state":"started"`)
 				continue
 			case fleet.Done:
-				line(`"state":"done","result":"small"` + b.load())
+				writeLine(`"state":"done","result":"small"` + b.loadField())
 			case fleet.Failed:
-				line(`"state":"failed"` + b.load())
+				writeLine(`"state":"failed"` + b.loadField())
 			case fleet.Returned:
 				w.Header().Set("X-Unprocessed", "1")
 				w.WriteHeader(http.StatusServiceUnavailable)
@@ -169,10 +172,11 @@
 	}
 }
 
-func (b *backend) load() string {
+// loadField returns the load field of an answer, with a leading comma, or an empty string if the backend reports no load.
+func (b *backend) loadField() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if v, ok := b.reporter.Report(b.clock(), b.model.FreeSlots(), b.chance); ok {
+	if v, ok := b.reporter.Report(b.clock(), b.model.FreeSlots(), b.random); ok {
 		return fmt.Sprintf(`,"load":{"x0":%.3f}`, v)
 	}
 	return ""
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -25,30 +25,30 @@
 	"tinsail/internal/standin/platform"
 )
 
-// Options say with what a scenario is played.
+// Options configure a run.
 type Options struct {
-	Program  string // the dispatcher's binary
-	Progress func(load.Result)
+	Program  string            // path of the dispatcher's binary
+	Progress func(load.Result) // called during the run; may be nil
 }
 
-// Result is what came of it on sockets.
+// Result is the outcome of a scenario on sockets.
 type Result struct {
-	FirstReqs, InTime, Served, Refused, Failed int
-	WorstWindow                                float64
+	FirstReqs, InTime, Served, Refused, Failed int     // first requests, without their retries, and what became of them
+	WorstWindow                                float64 // fraction served in time in the worst 10 s
 	Clients                                    load.Result
-	JobsByBackend                              map[string]int // jobs begun, by backend
-	Unserved                                   []string       // the first few, with when each came and its last status
+	JobsByBackend                              map[string]int // jobs that each backend received, including those that it rejected
+	Unserved                                   []string       // the first few requests that were not served, with their times and last status
 }
 
-const mostUnserved = 10
+const maxUnserved = 10
 
-// Service is the operators' figure, as the model's.
+// Service returns the service level that the operators use, computed as in the model's result.
 func (r *Result) Service() float64 {
 	return 0.85*float64(r.InTime)/float64(max(r.FirstReqs, 1)) + 0.15*r.WorstWindow
 }
 
-// configText is a dispatcher's configuration; it has the settings that package defaults has.
-const configText = `{"name":"lab-%d","listen":"127.0.0.1:0","admin":"127.0.0.1:0","discovery":%q,"seed":"%x",
+// configFormat is the format of a dispatcher's configuration file. Its settings are those of package defaults.
+const configFormat = `{"name":"lab-%d","listen":"127.0.0.1:0","admin":"127.0.0.1:0","discovery":%q,"seed":"%x",
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},
 "settings":{"Allowed":{"Cancel":true,"ConnIdleMs":60000,"ConnectTimeoutMs":120,"MaxAttempts":5,"MaxRetryAfterMs":2000,"MayDuplicate":true,"Probes":false,"RetryAfter":true},
 "Balancers":%d,"Classes":[{"AimMs":120,"AimStretch":2,"DedupScope":"cell","Effect":"idempotency_key","HardLimitMs":5000,"Name":"photo","RepeatWindowMs":7500,"Worth":1}],
@@ -56,31 +56,33 @@
 "Obligations":{"AnswerSlackMs":8,"AskEveryMs":10000,"FallMs":2000,"FallMultiple":3,"StartCapacity":0.31,"StopSendingWithinMs":500,"WarmAfterMs":9000},
 "RegistryMode":"on_request",%s"Weights":"nominal","Zones":["here"]}}`
 
-type stage struct {
-	sc       sim.Scenario
-	begun    atomic.Pointer[time.Time] // nil before the first req may come
-	director *platform.Director
-	backends map[string]*backend
-	works    map[string]float64
-	doors    []string
+// testbed holds the director, the backends and the dispatchers of a run.
+type testbed struct {
+	scenario       sim.Scenario
+	startedAt      atomic.Pointer[time.Time] // time 0 of the scenario; nil until the dispatchers are ready
+	director       *platform.Director
+	backends       map[string]*backend
+	workByKey      map[string]float64
+	adminAddresses []string
 }
 
-// Play plays a scenario in real time. It starts the program once for each dispatcher, ends those processes by SIGTERM, and touches no other.
+// Play plays a scenario in real time. It starts a process of the binary for each dispatcher and ends these processes, and
+// no others, with SIGTERM.
 func Play(ctx context.Context, sc sim.Scenario, o Options) (res Result, err error) {
 	if len(sc.Classes)+len(sc.Restarts)+len(sc.Heavy)+len(sc.Stale) > 0 || sc.Site != (sim.Site{}) {
-		return res, errors.New("classes, restarts and sites are played in virtual time alone so far")
+		return res, errors.New("scenarios with classes, restarts, heavy or stale periods or a site can be played in virtual time only")
 	}
-	st := &stage{sc: sc, backends: map[string]*backend{}, works: map[string]float64{}}
-	if st.director, err = platform.StartDirector(); err != nil {
+	tb := &testbed{scenario: sc, backends: map[string]*backend{}, workByKey: map[string]float64{}}
+	if tb.director, err = platform.StartDirector(); err != nil {
 		return res, err
 	}
-	defer st.director.Close()
+	defer tb.director.Close()
 	for _, b := range sc.Backends {
-		x, err := st.add(b)
+		simulated, err := tb.addBackend(b)
 		if err != nil {
 			return res, err
 		}
-		defer x.kill()
+		defer simulated.kill()
 	}
 	folder, err := os.MkdirTemp("", "tinsail-live-")
 	if err != nil {
@@ -89,149 +91,152 @@
 	defer os.RemoveAll(folder)
 	var targets []string
 	for i := range max(sc.Dispatchers, 1) {
-		p, err := st.start(ctx, o.Program, folder, i)
+		p, err := tb.startDispatcher(ctx, o.Program, folder, i)
 		if err != nil {
 			return res, err
 		}
-		defer p.end()
-		targets, st.doors = append(targets, p.listen), append(st.doors, p.admin)
+		defer p.stop()
+		targets, tb.adminAddresses = append(targets, p.listenAddress), append(tb.adminAddresses, p.adminAddress)
 	}
-	for _, t := range targets {
-		if err := ready(ctx, t); err != nil {
+	for _, target := range targets {
+		if err := awaitReady(ctx, target); err != nil {
 			return res, err
 		}
 	}
 	var reqs []load.Req
 	for a := range sc.Arrivals() {
 		key := fmt.Sprint("k", len(reqs)+1)
-		st.works[key] = a.Work
+		tb.workByKey[key] = a.Work
 		reqs = append(reqs, load.Req{At: time.Duration(a.At * float64(time.Millisecond)), Key: key})
 	}
 	now := time.Now()
-	st.begun.Store(&now)
-	ended := make(chan error, 1)
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
-	go func() { ended <- st.events(ctx) }()
+	tb.startedAt.Store(&now)
+	eventsDone := make(chan error, 1)
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	go func() { eventsDone <- tb.runEvents(ctx) }()
 	var service judge.ServiceLevel
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 	res.Clients, err = load.Run(ctx, reqs, load.Options{Targets: targets, Class: "photo", Deadline: time.Duration(sc.Deadline * float64(time.Millisecond)),
 		Retries: sc.Retries, Backoff: time.Duration(sc.Backoff * float64(time.Millisecond)), Seed: sc.Seed, Progress: o.Progress,
-		Done: func(key string, came, answered time.Duration, status int) {
-			if status != http.StatusOK && len(res.Unserved) < mostUnserved {
-				res.Unserved = append(res.Unserved, fmt.Sprintf("%s came at %.3f s, %d after %.0f ms", key, came.Seconds(), status, ms(answered-came)))
+		Done: func(key string, scheduled, answered time.Duration, status int) {
+			if status != http.StatusOK && len(res.Unserved) < maxUnserved {
+				res.Unserved = append(res.Unserved, fmt.Sprintf("%s at %.3f s: status %d after %.0f ms", key, scheduled.Seconds(), status, ms(answered-scheduled)))
 			}
-			ok := status == http.StatusOK && ms(answered-came) <= sc.Aim+sc.Stretch*st.works[key]
-			if ok {
+			inTime := status == http.StatusOK && ms(answered-scheduled) <= sc.Aim+sc.Stretch*tb.workByKey[key]
+			if inTime {
 				res.InTime++
 			}
-			service.Add(ms(came), ok)
+			service.Add(ms(scheduled), inTime)
 		}})
 	if err != nil {
 		return res, err
 	}
-	stop()
-	if err := <-ended; err != nil && ctx.Err() == nil {
+	cancel()
+	if err := <-eventsDone; err != nil && ctx.Err() == nil {
 		return res, err
 	}
 	res.FirstReqs, res.Served, res.Refused, res.Failed = res.Clients.FirstReqs, res.Clients.Served, res.Clients.Refused, res.Clients.Failed
 	res.WorstWindow, res.JobsByBackend = service.WorstWindow(), map[string]int{}
-	for name, b := range st.backends {
+	for name, b := range tb.backends {
 		b.mu.Lock()
-		res.JobsByBackend[name] = b.begun
+		res.JobsByBackend[name] = b.receivedJobs
 		b.mu.Unlock()
 	}
 	return res, nil
 }
 
-func (st *stage) clock() float64 {
-	if at := st.begun.Load(); at != nil {
-		return float64(time.Since(*at)) / float64(time.Millisecond)
+// clock returns the time of the scenario in ms; 0 before it starts.
+func (tb *testbed) clock() float64 {
+	if startedAt := tb.startedAt.Load(); startedAt != nil {
+		return float64(time.Since(*startedAt)) / float64(time.Millisecond)
 	}
 	return 0
 }
 
-// add makes a backend. Its memory of keys is its own: the model locks nothing, and what a pod would drop
-// beyond that is a copy that begins after another backend has done the job, which is rare.
-func (st *stage) add(b sim.Backend) (*backend, error) {
-	started := -1e12
+// addBackend starts a backend and lists it as ready. Each backend remembers idempotency keys by itself, although the
+// backends of a pod would share them, since the model has no lock. So a copy of a job that begins after another backend
+// of the pod has done the job is not dropped, which is rare.
+func (tb *testbed) addBackend(b sim.Backend) (*backend, error) {
+	startedAt := -1e12
 	if b.Cold {
-		started = 0
+		startedAt = 0
 	}
-	x := &backend{name: b.Name, clock: st.clock, work: func(key string) float64 { return st.works[key] }, jobs: map[uint64]chan fleet.EventKind{},
-		model:  fleet.New(b.Kind, fleet.NewDedupGroup(), started, 0, fleet.RandomStream(st.sc.Seed, "backend "+b.Name)),
-		chance: fleet.RandomStream(st.sc.Seed, "reports "+b.Name), reporter: fleet.NewReporter(st.sc.Report, b.Kind.Slots)}
-	if err := x.listen(); err != nil {
+	simulated := &backend{name: b.Name, clock: tb.clock, work: func(key string) float64 { return tb.workByKey[key] }, jobs: map[uint64]chan fleet.EventKind{},
+		model:  fleet.New(b.Kind, fleet.NewDedupGroup(), startedAt, 0, fleet.RandomStream(tb.scenario.Seed, "backend "+b.Name)),
+		random: fleet.RandomStream(tb.scenario.Seed, "reports "+b.Name), reporter: fleet.NewReporter(tb.scenario.Report, b.Kind.Slots)}
+	if err := simulated.listen(); err != nil {
 		return nil, err
 	}
-	st.backends[b.Name] = x
-	st.list(b, "Ready")
-	return x, nil
+	tb.backends[b.Name] = simulated
+	tb.listBackend(b, "Ready")
+	return simulated, nil
 }
 
-func (st *stage) list(b sim.Backend, status string) {
-	x := st.backends[b.Name]
-	e := platform.Entry{Name: b.Name, Address: x.address, Zone: "here", Type: b.Kind.Name, Group: b.Pod, Status: status, Weight: b.Kind.Slots}
-	x.mu.Lock()
-	if at := x.model.StartedAt(); at >= 0 {
+// listBackend sets the backend's entry in the director's list.
+func (tb *testbed) listBackend(b sim.Backend, status string) {
+	simulated := tb.backends[b.Name]
+	entry := platform.Entry{Name: b.Name, Address: simulated.address, Zone: "here", Type: b.Kind.Name, Group: b.Pod, Status: status, Weight: b.Kind.Slots}
+	simulated.mu.Lock()
+	if startedAt := simulated.model.StartedAt(); startedAt >= 0 {
 		origin := time.Now()
-		if b := st.begun.Load(); b != nil {
-			origin = *b
+		if scenarioStart := tb.startedAt.Load(); scenarioStart != nil {
+			origin = *scenarioStart
 		}
-		e.SinceMS = origin.UnixMilli() + int64(at)
+		entry.SinceMS = origin.UnixMilli() + int64(startedAt)
 	}
-	x.mu.Unlock()
-	st.director.Set(e)
+	simulated.mu.Unlock()
+	tb.director.Set(entry)
 }
 
-// events has happen what the scenario says, each at its time.
-func (st *stage) events(ctx context.Context) error {
-	list := append([]sim.Event{}, st.sc.Events...)
-	for i := range list { // what is heard late happens late here
-		switch list[i].Do {
+// runEvents causes the events of the scenario, each at its time.
+func (tb *testbed) runEvents(ctx context.Context) error {
+	events := append([]sim.Event{}, tb.scenario.Events...)
+	for i := range events { // changes of the list that the dispatchers hear of late are made late
+		switch events[i].Do {
 		case "list", "unlist":
-			list[i].At += list[i].Heard
+			events[i].At += events[i].Heard
 		}
 	}
-	sort.SliceStable(list, func(i, j int) bool { return list[i].At < list[j].At })
-	known := map[string]sim.Backend{}
-	for _, b := range st.sc.Backends {
-		known[b.Name] = b
+	sort.SliceStable(events, func(i, j int) bool { return events[i].At < events[j].At })
+	backends := map[string]sim.Backend{}
+	for _, b := range tb.scenario.Backends {
+		backends[b.Name] = b
 	}
-	var later sync.WaitGroup
-	defer later.Wait()
-	for _, e := range list {
+	var delayed sync.WaitGroup
+	defer delayed.Wait()
+	for _, e := range events {
 		select {
-		case <-time.After(time.Until(st.begun.Load().Add(time.Duration(e.At * float64(time.Millisecond))))):
+		case <-time.After(time.Until(tb.startedAt.Load().Add(time.Duration(e.At * float64(time.Millisecond))))):
 		case <-ctx.Done():
 			return nil
 		}
-		x, b := st.backends[e.Backend], known[e.Backend]
+		simulated, b := tb.backends[e.Backend], backends[e.Backend]
 		var err error
 		switch e.Do {
 		case "kill":
-			x.kill()
+			simulated.kill()
 		case "start":
-			err = x.start()
+			err = simulated.start()
 		case "trouble":
-			x.change(func(now float64) []fleet.Event { return x.model.SetFaults(now, e.Trouble) })
+			simulated.update(func(now float64) []fleet.Event { return simulated.model.SetFaults(now, e.Trouble) })
 		case "drain":
-			x.change(func(now float64) []fleet.Event { return x.model.Drain(now, true) })
-			later.Go(func() {
+			simulated.update(func(now float64) []fleet.Event { return simulated.model.Drain(now, true) })
+			delayed.Go(func() {
 				select {
 				case <-time.After(time.Duration(e.Heard * float64(time.Millisecond))):
-					st.list(b, "Terminating")
+					tb.listBackend(b, "Terminating")
 				case <-ctx.Done():
 				}
 			})
 		case "list":
-			st.list(b, "Ready")
+			tb.listBackend(b, "Ready")
 		case "unlist":
-			st.list(b, "Gone")
+			tb.listBackend(b, "Gone")
 		case "ban":
-			err = st.call(e.Backend, "offline")
+			err = tb.callDoors(e.Backend, "offline")
 		case "lift":
-			err = st.call(e.Backend, "online")
+			err = tb.callDoors(e.Backend, "online")
 		}
 		if err != nil {
 			return fmt.Errorf("%s of %s: %w", e.Do, e.Backend, err)
@@ -240,101 +245,102 @@
 	return nil
 }
 
-// call makes an operators' call at every dispatcher.
-func (st *stage) call(backend, verb string) error {
-	for _, d := range st.doors {
-		a, err := http.Post("http://"+d+"/control/photo-workers/"+backend+"/"+verb, "", nil)
+// callDoors makes an operators' call for a backend at the door of every dispatcher.
+func (tb *testbed) callDoors(backend, verb string) error {
+	for _, address := range tb.adminAddresses {
+		answer, err := http.Post("http://"+address+"/control/photo-workers/"+backend+"/"+verb, "", nil)
 		if err != nil {
 			return err
 		}
-		a.Body.Close()
-		if a.StatusCode/100 != 2 {
-			return fmt.Errorf("the door of %s says %d", d, a.StatusCode)
+		answer.Body.Close()
+		if answer.StatusCode/100 != 2 {
+			return fmt.Errorf("the door at %s answered with status %d", address, answer.StatusCode)
 		}
 	}
 	return nil
 }
 
-// process is one dispatcher.
+// process is a dispatcher's process.
 type process struct {
-	cmd           *exec.Cmd
-	listen, admin string
-	over          chan struct{}
+	cmd                         *exec.Cmd
+	listenAddress, adminAddress string
+	stderrClosed                chan struct{} // closed at the end of its log
 }
 
-func (st *stage) start(ctx context.Context, program, folder string, i int) (*process, error) {
-	kinds, seen := []string{}, map[string]bool{}
-	for _, b := range st.sc.Backends {
+// startDispatcher starts the i-th dispatcher and waits until it has logged its addresses.
+func (tb *testbed) startDispatcher(ctx context.Context, program, folder string, i int) (*process, error) {
+	kindNames, seen := []string{}, map[string]bool{}
+	for _, b := range tb.scenario.Backends {
 		if !seen[b.Kind.Name] {
 			seen[b.Kind.Name] = true
-			kinds = append(kinds, b.Kind.Name)
+			kindNames = append(kindNames, b.Kind.Name)
 		}
 	}
-	models, err := json.Marshal(kinds)
+	models, err := json.Marshal(kindNames)
 	if err != nil {
 		return nil, err
 	}
-	reports := ""
-	if st.sc.Report.Period > 0 {
-		reports = `"Report":{"Columns":["x0"],"How":"answers"},`
+	reportSetting := ""
+	if tb.scenario.Report.Period > 0 {
+		reportSetting = `"Report":{"Columns":["x0"],"How":"answers"},`
 	}
-	path, tmp := filepath.Join(folder, fmt.Sprint(i, ".json")), filepath.Join(folder, fmt.Sprint("tmp", i))
-	text := fmt.Sprintf(configText, i, st.director.Address, st.sc.Seed*1_000_003+uint64(i), max(st.sc.Dispatchers, 1), models, reports)
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+	configPath, tempDir := filepath.Join(folder, fmt.Sprint(i, ".json")), filepath.Join(folder, fmt.Sprint("tmp", i))
+	config := fmt.Sprintf(configFormat, i, tb.director.Address, tb.scenario.Seed*1_000_003+uint64(i), max(tb.scenario.Dispatchers, 1), models, reportSetting)
+	if err := os.WriteFile(configPath, []byte(config), 0o600); err != nil {
 		return nil, err
 	}
-	if err := os.Mkdir(tmp, 0o700); err != nil {
+	if err := os.Mkdir(tempDir, 0o700); err != nil {
 		return nil, err
 	}
-	p := &process{cmd: exec.CommandContext(ctx, program, "serve", "--log-format", "json"), over: make(chan struct{})}
-	p.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+path, "TMPDIR="+tmp)
-	errs, err := p.cmd.StderrPipe()
+	p := &process{cmd: exec.CommandContext(ctx, program, "serve", "--log-format", "json"), stderrClosed: make(chan struct{})}
+	p.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+configPath, "TMPDIR="+tempDir)
+	stderr, err := p.cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	told := make(chan error, 1)
+	started := make(chan error, 1)
 	go func() {
-		defer close(p.over)
-		lines := bufio.NewScanner(errs)
-		last := ""
+		defer close(p.stderrClosed)
+		lines := bufio.NewScanner(stderr)
+		lastLine := ""
 		for lines.Scan() {
-			var l struct{ Event, Listen, Admin string }
-			last = lines.Text()
-			if json.Unmarshal(lines.Bytes(), &l) == nil && l.Event == "serving" {
-				p.listen, p.admin = l.Listen, l.Admin
-				told <- nil
+			var line struct{ Event, Listen, Admin string }
+			lastLine = lines.Text()
+			if json.Unmarshal(lines.Bytes(), &line) == nil && line.Event == "serving" {
+				p.listenAddress, p.adminAddress = line.Listen, line.Admin
+				started <- nil
 				break
 			}
 		}
-		if p.listen == "" {
-			told <- fmt.Errorf("%s does not serve: %s", program, last)
+		if p.listenAddress == "" {
+			started <- fmt.Errorf("%s did not start to serve; last log line: %s", program, lastLine)
 		}
-		_, _ = io.Copy(io.Discard, errs)
+		_, _ = io.Copy(io.Discard, stderr)
 	}()
-	if err := <-told; err != nil {
-		p.end()
+	if err := <-started; err != nil {
+		p.stop()
 		return nil, err
 	}
 	return p, nil
 }
 
-// end ends this process, which is ours.
-func (p *process) end() {
+// stop ends the process with SIGTERM and waits for it.
+func (p *process) stop() {
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
-	<-p.over
+	<-p.stderrClosed
 	_ = p.cmd.Wait()
 }
 
-// ready waits until a dispatcher has heard of its backends.
-func ready(ctx context.Context, address string) error {
+// awaitReady waits until a dispatcher reports that it is ready, which means that it has a list of backends.
+func awaitReady(ctx context.Context, address string) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{}).DialContext}}
 	for ctx.Err() == nil {
-		if a, err := client.Get("http://" + address + "/health/ready"); err == nil {
-			a.Body.Close()
-			if a.StatusCode == http.StatusOK {
+		if answer, err := client.Get("http://" + address + "/health/ready"); err == nil {
+			answer.Body.Close()
+			if answer.StatusCode == http.StatusOK {
 				return nil
 			}
 		}
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -13,12 +13,12 @@
 	"tinsail/internal/lab/sim"
 )
 
-// TestPlay: a short scenario with every kind of event goes through the real program: each req has an end, and who is banned,
-// dead or gone is not what the rest is served by.
+// TestPlay checks a short scenario with every kind of event on the real dispatcher: each req is served, refused or
+// failed, and most are served although backends are banned, killed and removed meanwhile.
 func TestPlay(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "tinsail")
-	out, err := exec.Command("go", "build", "-buildvcs=false", "-o", program, "tinsail/cmd/tinsail").CombinedOutput()
-	require.NoError(t, err, string(out))
+	output, err := exec.Command("go", "build", "-buildvcs=false", "-o", program, "tinsail/cmd/tinsail").CombinedOutput()
+	require.NoError(t, err, string(output))
 	sc := sim.Scenario{Seed: 1, Dispatchers: 2, Length: 1500, Rate: 60, Work: 20, Spread: 0.3, Aim: 120, Stretch: 2, Deadline: 5000, Retries: 1, Backoff: 20,
 		Report: fleet.ReportConfig{Period: 100, Delay: 50, Noise: 0.05}}
 	for i, name := range []string{"a", "b", "c", "d"} {
@@ -29,24 +29,25 @@
 		{At: 750, Backend: "c", Do: "start"}, {At: 800, Backend: "c", Do: "list", Heard: 20}, {At: 900, Backend: "a", Do: "lift"}, {At: 1000, Backend: "b", Do: "unlist"}}
 	r, err := Play(context.Background(), sc, Options{Program: program})
 	require.NoError(t, err)
-	n := 0
+	arrivals := 0
 	for range sc.Arrivals() {
-		n++
+		arrivals++
 	}
-	assert.Equal(t, n, r.FirstReqs)
-	assert.Equal(t, n, r.Served+r.Refused+r.Failed)
-	assert.Greater(t, r.Served, n*3/4)
+	assert.Equal(t, arrivals, r.FirstReqs)
+	assert.Equal(t, arrivals, r.Served+r.Refused+r.Failed)
+	assert.Greater(t, r.Served, arrivals*3/4)
 	assert.LessOrEqual(t, r.InTime, r.Served)
 	assert.Positive(t, r.JobsByBackend["d"])
 	_, err = Play(context.Background(), sc, Options{Program: "/none"})
 	assert.Error(t, err)
 }
 
-// TestReplay: a recording's times go to the real program as they are, a burst of them at one instant too.
+// TestReplay checks that reqs are sent to the real dispatcher at the times of a recording, including a burst at a single
+// instant.
 func TestReplay(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "tinsail")
-	out, err := exec.Command("go", "build", "-buildvcs=false", "-o", program, "tinsail/cmd/tinsail").CombinedOutput()
-	require.NoError(t, err, string(out))
+	output, err := exec.Command("go", "build", "-buildvcs=false", "-o", program, "tinsail/cmd/tinsail").CombinedOutput()
+	require.NoError(t, err, string(output))
 	sc := sim.Scenario{Seed: 1, Length: 1000, Rate: 1, Work: 20, Spread: 0.3, Aim: 120, Stretch: 2, Deadline: 5000, Retries: 1, Backoff: 20}
 	for _, name := range []string{"a", "b"} {
 		sc.Backends = append(sc.Backends, sim.Backend{Name: name, Kind: fleet.Kind{Name: "std", Cores: 4, Speed: 1, Slots: 4, QueueLimit: 20}})
@@ -54,11 +55,11 @@
 	for i := range 40 {
 		sc.Times = append(sc.Times, float64(i*20))
 	}
-	for range 20 { // twenty at once
+	for range 20 { // a burst
 		sc.Times = append(sc.Times, 900)
 	}
 	r, err := Play(context.Background(), sc, Options{Program: program})
 	require.NoError(t, err)
-	assert.Equal(t, 60, r.FirstReqs, "the recording's, not Rate's one a second")
+	assert.Equal(t, 60, r.FirstReqs, "the reqs of the recording, not those of Rate")
 	assert.Equal(t, 60, r.Served+r.Refused+r.Failed)
 }
