--- a/cmd/tinsail-lab/live.go
+++ b/cmd/tinsail-lab/live.go
@@ -20,7 +20,7 @@
 	var program, replay string
 	var quiet bool
 	c := &cobra.Command{
-		Use: "live SCENARIO.star", Short: "Play a scenario on loopback sockets with the real program, and hold the model against it", Args: oneScenario,
+		Use: "live SCENARIO.star", Short: "Play a scenario on loopback sockets with the real program, and hold the model against it", Args: requireOneScenario,
 		Long: `live plays a scenario in real time: the real program between stand-ins on loopback addresses, under
 open-loop clients. The model plays the same arrivals in virtual time; both services and their
 difference are printed.
@@ -28,26 +28,26 @@
 Exit codes: 0 done, 1 the run failed, 2 the scenario or a flag is faulty.`,
 		Example: `  tinsail lab live lab/scenarios/slowed.star --program bin/tinsail`,
 		RunE: func(c *cobra.Command, args []string) error {
-			sc, err := scenarioOf(args[0])
+			sc, err := loadScenario(args[0])
 			if err != nil {
 				return err
 			}
 			sc.Seed = seed
-			if replay != "" { // the same times on sockets and in the model
-				if sc.Times, err = timesOf(replay); err != nil {
+			if replay != "" { // for both the sockets and the model
+				if sc.Times, err = readFirstReqTimes(replay); err != nil {
 					return err
 				}
 			}
 			model, err := sim.Play(sc, defaults.Settings())
 			if err != nil {
-				return faulty{err}
+				return inputError{err}
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			begun, o := time.Now(), live.Options{Program: program}
+			startedAt, o := time.Now(), live.Options{Program: program}
 			if !quiet {
 				o.Progress = func(r load.Result) {
-					fmt.Fprintf(c.ErrOrStderr(), "\r%3.0f s: %d reqs, %d served, %d refused, %d failed, %d open   ", time.Since(begun).Seconds(), r.FirstReqs, r.Served, r.Refused, r.Failed, r.Open)
+					fmt.Fprintf(c.ErrOrStderr(), "\r%3.0f s: %d reqs, %d served, %d refused, %d failed, %d open   ", time.Since(startedAt).Seconds(), r.FirstReqs, r.Served, r.Refused, r.Failed, r.Open)
 				}
 			}
 			r, err := live.Play(ctx, sc, o)
--- a/cmd/tinsail-lab/recordings.go
+++ b/cmd/tinsail-lab/recordings.go
@@ -16,28 +16,28 @@
 	"tinsail/internal/lab/sim"
 )
 
-// readRecording reads a whole recording; its faults are the caller's.
+// readRecording reads a whole recording and its metadata. All its errors are input errors.
 func readRecording(path string) ([]recording.Arrival, map[string]string, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, nil, faulty{err}
+		return nil, nil, inputError{err}
 	}
 	defer f.Close()
 	info, err := f.Stat()
 	if err != nil {
-		return nil, nil, faulty{err}
+		return nil, nil, inputError{err}
 	}
 	a, meta, err := recording.Read(f, info.Size())
 	if err != nil {
-		return nil, nil, faulty{fmt.Errorf("%s: %w", path, err)}
+		return nil, nil, inputError{fmt.Errorf("%s: %w", path, err)}
 	}
 	return a, meta, nil
 }
 
-// writeRecording writes whole or not at all: under another name, then renamed.
+// writeRecording writes a recording to a temporary file and then renames it, so that path never holds part of one.
 func writeRecording(path string, a []recording.Arrival, meta map[string]string) error {
 	if path == "" {
-		return faulty{fmt.Errorf("--out is wanted")}
+		return inputError{fmt.Errorf("--out is required")}
 	}
 	f, err := os.CreateTemp(filepath.Dir(path), ".recording-*")
 	if err != nil {
@@ -46,7 +46,7 @@
 	defer os.Remove(f.Name())
 	if err := recording.Write(f, a, meta); err != nil {
 		f.Close()
-		return faulty{err}
+		return inputError{err}
 	}
 	if err := f.Close(); err != nil {
 		return err
@@ -54,9 +54,9 @@
 	return os.Rename(f.Name(), path)
 }
 
-// timesOf reads the first reqs of a recording as times in ms, for a scenario to play. Retries are left out: the
-// scenario's clients retry as it says.
-func timesOf(path string) ([]float64, error) {
+// readFirstReqTimes returns the times in ms of the first reqs of a recording, for a scenario to play. Retries are left
+// out, since the scenario defines how its clients retry.
+func readFirstReqTimes(path string) ([]float64, error) {
 	a, _, err := readRecording(path)
 	if err != nil {
 		return nil, err
@@ -70,9 +70,9 @@
 	return times, nil
 }
 
-// fromScenario is what a scenario's generator sends: its first reqs, each of its own key. Sizes are 0: the
-// scenario's reqs have work, not bodies.
-func fromScenario(sc *sim.Scenario) []recording.Arrival {
+// scenarioArrivals returns the first reqs that a scenario's generator sends, each with its own key. Their sizes are 0,
+// since the reqs of a scenario have work and no bodies.
+func scenarioArrivals(sc *sim.Scenario) []recording.Arrival {
 	var a []recording.Arrival
 	for x := range sc.Arrivals() {
 		a = append(a, recording.Arrival{At: time.Duration(math.Round(x.At * float64(time.Millisecond))), Class: "lab",
@@ -85,17 +85,17 @@
 	var out string
 	var seed uint64
 	c := &cobra.Command{
-		Use: "record SCENARIO.star", Short: "Write the arrivals of a scenario as a recording", Args: oneScenario,
+		Use: "record SCENARIO.star", Short: "Write the arrivals of a scenario as a recording", Args: requireOneScenario,
 		Long: `lab record writes the first reqs that a scenario's generator sends, at their times, as a recording:
 one Parquet file of at_us, class, key, size and retry, with its schema's version in its metadata.`,
 		Example: `  tinsail lab record lab/scenarios/calm.star --seed 3 --out calm.parquet`,
 		RunE: func(c *cobra.Command, args []string) error {
-			sc, err := scenarioOf(args[0])
+			sc, err := loadScenario(args[0])
 			if err != nil {
 				return err
 			}
 			sc.Seed = seed
-			a := fromScenario(&sc)
+			a := scenarioArrivals(&sc)
 			if err := writeRecording(out, a, map[string]string{"tinsail.from": filepath.Base(args[0]), "tinsail.seed": fmt.Sprint(sc.Seed)}); err != nil {
 				return err
 			}
@@ -132,14 +132,14 @@
 	}
 }
 
-// rewrite reads a recording, changes it and writes the outcome whole to out, and says how many arrivals it has.
-func rewrite(c *cobra.Command, in, out string, change func([]recording.Arrival, map[string]string) ([]recording.Arrival, error)) error {
+// rewriteRecording reads the recording in, changes it and writes the result to out. It prints the number of arrivals.
+func rewriteRecording(c *cobra.Command, in, out string, change func([]recording.Arrival, map[string]string) ([]recording.Arrival, error)) error {
 	a, meta, err := readRecording(in)
 	if err != nil {
 		return err
 	}
 	if a, err = change(a, meta); err != nil {
-		return faulty{err}
+		return inputError{err}
 	}
 	if err := writeRecording(out, a, meta); err != nil {
 		return err
@@ -159,7 +159,7 @@
 (a req and its retries, copied together, each copy with a key of its own, up to --spread later).`,
 		Example: `  tinsail lab scale calm.parquet --times 2.5 --out busy.parquet`,
 		RunE: func(c *cobra.Command, args []string) error {
-			return rewrite(c, args[0], out, func(a []recording.Arrival, meta map[string]string) ([]recording.Arrival, error) {
+			return rewriteRecording(c, args[0], out, func(a []recording.Arrival, meta map[string]string) ([]recording.Arrival, error) {
 				a, err := recording.Stretch(a, stretch)
 				if err != nil {
 					return nil, err
@@ -184,7 +184,7 @@
 		Use: "cut RECORDING.parquet", Short: "Keep a stretch of a recording, moved to start at 0", Args: cobra.ExactArgs(1),
 		Example: `  tinsail lab cut day.parquet --from 10m --to 15m --out evening.parquet`,
 		RunE: func(c *cobra.Command, args []string) error {
-			return rewrite(c, args[0], out, func(a []recording.Arrival, _ map[string]string) ([]recording.Arrival, error) {
+			return rewriteRecording(c, args[0], out, func(a []recording.Arrival, _ map[string]string) ([]recording.Arrival, error) {
 				return recording.Cut(a, from, to)
 			})
 		},
--- a/cmd/tinsail-lab/sweep.go
+++ b/cmd/tinsail-lab/sweep.go
@@ -19,30 +19,30 @@
 	var param, out string
 	var from, to float64
 	var steps int
-	var names []string
+	var variantNames []string
 	o := experiment.Options{}
 	c := &cobra.Command{
-		Use: "sweep SCENARIO.star", Short: "Play a scenario over a range of one parameter", Args: oneScenario,
+		Use: "sweep SCENARIO.star", Short: "Play a scenario over a range of one parameter", Args: requireOneScenario,
 		Long: `sweep plays each variant at each value of a parameter, on the same seeds, and prints its service
 with a 95% interval. Parameters: ` + strings.Join(experiment.Params(), ", ") + `.
 
 Exit codes: 0 done, 1 a rule was broken, 2 the scenario or a flag is faulty.`,
 		Example: `  tinsail lab sweep lab/scenarios/calm.star --param rate --from 60 --to 180 --steps 7 --png rate.png`,
 		RunE: func(c *cobra.Command, args []string) error {
-			sc, err := scenarioOf(args[0])
+			sc, err := loadScenario(args[0])
 			if err != nil {
 				return err
 			}
 			if steps < 1 || steps > 1000 || o.MaxSeeds < 1 || o.MaxSeeds > 10_000 {
-				return faulty{fmt.Errorf("--steps is %d, want 1 to 1000; --seeds is %d, want 1 to 10000", steps, o.MaxSeeds)}
+				return inputError{fmt.Errorf("--steps is %d, want 1 to 1000; --seeds is %d, want 1 to 10000", steps, o.MaxSeeds)}
 			}
 			values := make([]float64, steps)
 			for i := range values {
 				values[i] = from + (to-from)*float64(i)/float64(max(steps-1, 1))
 			}
 			var variants []experiment.Variant
-			for _, n := range names {
-				v, err := variantOf(n)
+			for _, name := range variantNames {
+				v, err := parseVariant(name)
 				if err != nil {
 					return err
 				}
@@ -54,14 +54,14 @@
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			list, err := experiment.Sweep(ctx, sc, param, values, variants, o)
+			points, err := experiment.Sweep(ctx, sc, param, values, variants, o)
 			fmt.Fprintln(c.ErrOrStderr())
 			if err != nil {
-				return faulty{err}
+				return inputError{err}
 			}
-			report.SweepText(c.OutOrStdout(), param, list)
+			report.SweepText(c.OutOrStdout(), param, points)
 			if out != "" {
-				png, err := report.SweepPNG(param, list)
+				png, err := report.SweepPNG(param, points)
 				if err != nil {
 					return err
 				}
@@ -69,7 +69,7 @@
 					return err
 				}
 			}
-			for _, p := range list {
+			for _, p := range points {
 				if len(p.InvalidRuns) > 0 {
 					return fmt.Errorf("a rule was broken")
 				}
@@ -81,7 +81,7 @@
 	c.Flags().Float64Var(&from, "from", 60, "its first value")
 	c.Flags().Float64Var(&to, "to", 160, "its last value")
 	c.Flags().IntVar(&steps, "steps", 6, "how many values")
-	c.Flags().StringSliceVar(&names, "variant", []string{"module", "random"}, "module, random, or platform's configuration files")
+	c.Flags().StringSliceVar(&variantNames, "variant", []string{"module", "random"}, "module, random, or platform's configuration files")
 	c.Flags().IntVar(&o.MaxSeeds, "seeds", 8, "for each point")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "the first; the next are those that follow")
 	c.Flags().StringVar(&out, "png", "", "a file for the plot; none: text only")
