--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -36,7 +36,7 @@
 func (c *client) runHTTP1() {
 	defer c.closeConn()
 	for time.Since(c.startedAt) < PlayDuration {
-		if c.conn == nil && !c.node.acceptsNewConnections() {
+		if c.conn == nil && !c.node.receivesNewConnections() {
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
@@ -229,7 +229,7 @@
 // runHTTP2 sends requests over HTTP/2 until PlayDuration has passed.
 func (c *client) runHTTP2() {
 	for time.Since(c.startedAt) < PlayDuration {
-		if p := c.node.currentProcess(); c.node.acceptsNewConnections() && p.http2Address != "" {
+		if p := c.node.currentProcess(); c.node.receivesNewConnections() && p.http2Address != "" {
 			c.sendHTTP2Request(p)
 		}
 		time.Sleep(5*time.Millisecond + randomBelow(c.rng, 20*time.Millisecond))
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -204,8 +204,7 @@
 	}
 }
 
-// banDuringStorageFault bans and unbans a backend by calls at the door while the shim makes file operations in the state
-// folder fail.
+// banDuringStorageFault bans and unbans a backend by calls at the door while the shim makes writes to the state folder fail.
 func (p *play) banDuringStorageFault(n *node, b *backend, fault string, duration time.Duration) {
 	target := n.currentProcess()
 	_ = os.WriteFile(target.shimFile, []byte(fault), 0o600)
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -119,9 +119,9 @@
 	return false
 }
 
-// acceptsNewConnections reports whether the front end sends new connections to the node: until 0.3 s after SIGTERM (the
+// receivesNewConnections reports whether the front end sends new connections to the node: until 0.3 s after SIGTERM (the
 // documentation says 0.2 to 0.4 s).
-func (n *node) acceptsNewConnections() bool {
+func (n *node) receivesNewConnections() bool {
 	p := n.currentProcess()
 	stopRequestedAt := p.stopRequestTime()
 	return !p.hasExited() && (stopRequestedAt.IsZero() || time.Since(stopRequestedAt) < 300*time.Millisecond)
--- a/internal/lab/soak/schedule.go
+++ b/internal/lab/soak/schedule.go
@@ -42,7 +42,7 @@
 	ShortDeadline                      // clients have 1 to 30 ms left
 	SyscallErrors                      // accept, socket and connect fail with an errno
 	ShortIO                            // reads and writes transfer only a few bytes
-	StorageErrors                      // file operations in the state folder fail while a backend is banned and unbanned
+	StorageErrors                      // writes to the state folder fail while a backend is banned and unbanned
 	ClockSkew                          // SIGKILL, then a new process whose wall clock is off
 	kindCount
 )
