--- a/cmd/tinsail-lab/live.go
+++ b/cmd/tinsail-lab/live.go
@@ -38,7 +38,7 @@
 					return err
 				}
 			}
-			model, err := sim.Play(sc, defaults.Settings())
+			model, err := sim.Run(sc, defaults.Settings())
 			if err != nil {
 				return inputError{err}
 			}
--- a/cmd/tinsail-lab/run.go
+++ b/cmd/tinsail-lab/run.go
@@ -105,7 +105,7 @@
 					return err
 				}
 			}
-			r, err := sim.PlayWith(sc, variant.Settings, variant.Policy)
+			r, err := sim.RunWithPolicy(sc, variant.Settings, variant.Policy)
 			if err != nil {
 				return inputError{err}
 			}
--- a/internal/lab/capacity/virtual/main.go
+++ b/internal/lab/capacity/virtual/main.go
@@ -67,7 +67,7 @@
 				if s.Seed = uint64(seed); variant == "before" {
 					s.Quotas, s.Partitions, s.LenderCrashes, s.QuotaChanges = sim.Quotas{}, nil, nil, nil
 				}
-				result, err := sim.Play(s, defaults.Settings())
+				result, err := sim.Run(s, defaults.Settings())
 				mu.Lock()
 				defer mu.Unlock()
 				if err == nil && rows != "" {
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -32,7 +32,7 @@
 	if v.Alter != nil {
 		v.Alter(&sc)
 	}
-	return sim.PlayWith(sc, v.Settings, v.Policy)
+	return sim.RunWithPolicy(sc, v.Settings, v.Policy)
 }
 
 // Options bound the length of an experiment. Zero values are replaced by the defaults named here.
--- a/internal/lab/script/script.go
+++ b/internal/lab/script/script.go
@@ -333,7 +333,7 @@
 		e.Heard = a.seconds("heard", 0)
 	case "kill", "start", "ban", "lift":
 	default:
-		a.fail("do is %q, want slow, errors, neighbour, pauses, freeze, well or one of %s", do, strings.Join(sim.Dos, ", "))
+		a.fail("do is %q, want slow, errors, neighbour, pauses, freeze, well or one of %s", do, strings.Join(sim.EventActions, ", "))
 	}
 	for _, e.Backend = range names {
 		r.add(a, e)
--- a/internal/lab/script/script_test.go
+++ b/internal/lab/script/script_test.go
@@ -129,7 +129,7 @@
 	sc, err := Load("quotas-small.star", text)
 	require.NoError(t, err)
 	for sc.Seed = 1; sc.Seed <= 4; sc.Seed++ {
-		r, err := sim.Play(sc, defaults.Settings())
+		r, err := sim.Run(sc, defaults.Settings())
 		require.NoError(t, err)
 		assert.Empty(t, r.Broken)
 		assert.Empty(t, r.Quotas.Violations)
@@ -142,7 +142,7 @@
 
 		withoutQuotas := sc
 		withoutQuotas.Quotas = sim.Quotas{}
-		b, err := sim.Play(withoutQuotas, defaults.Settings())
+		b, err := sim.Run(withoutQuotas, defaults.Settings())
 		require.NoError(t, err)
 		assert.Greater(t, b.Tenants.MaxOverQuota(), 2.0, "without quotas")
 	}
@@ -201,7 +201,7 @@
 			sc, err := Load(name, text)
 			require.NoError(t, err)
 			for sc.Seed = 1; sc.Seed <= 3; sc.Seed++ {
-				r, err := sim.Play(sc, defaults.Settings())
+				r, err := sim.Run(sc, defaults.Settings())
 				require.NoError(t, err)
 				assert.Empty(t, r.Broken, "seed %d", sc.Seed)
 				assert.Equal(t, []int{0, r.First}, []int{r.Twice, r.Served + r.Refused + r.Failed})
--- a/internal/lab/sim/accord.go
+++ b/internal/lab/sim/accord.go
@@ -96,7 +96,7 @@
 // newLeader returns a leader under which version 1 has been in force since long before the run, so that the first
 // reqs are accepted under it.
 func newLeader(w *world) (*leader, error) {
-	l := &leader{world: w, config: w.sc.Accord.leaseConfig(), random: fleet.RandomStream(w.sc.Seed, "accord"), outageSince: math.NaN()}
+	l := &leader{world: w, config: w.scenario.Accord.leaseConfig(), random: fleet.RandomStream(w.scenario.Seed, "accord"), outageSince: math.NaN()}
 	l.clockRate = l.drawClockRate()
 	l.state.Apply(accord.Decision{Change: 1, Proposal: accord.ProposalBit | 1, Version: 1, Body: []byte("version 1")})
 	var err error
@@ -112,15 +112,15 @@
 
 // drawDelay returns the random one-way delay of a message.
 func (l *leader) drawDelay() float64 {
-	return l.world.sc.Accord.Latency * (0.5 + l.random.Float64())
+	return l.world.scenario.Accord.Latency * (0.5 + l.random.Float64())
 }
 
 // send delivers a message between a dispatcher and the leader after a random delay plus extraDelay, unless it is lost.
 func (l *leader) send(dispatcher int, extraDelay float64, deliver func()) {
-	if l.random.Float64() < l.world.sc.Accord.Loss || l.world.cutOff(dispatcher) {
+	if l.random.Float64() < l.world.scenario.Accord.Loss || l.world.cutOff(dispatcher) {
 		return
 	}
-	l.world.at(l.world.now+l.drawDelay()+extraDelay, func() {
+	l.world.schedule(l.world.now+l.drawDelay()+extraDelay, func() {
 		if !l.world.cutOff(dispatcher) {
 			deliver()
 		}
@@ -129,7 +129,7 @@
 
 // cutOff reports whether a dispatcher is cut off now.
 func (w *world) cutOff(dispatcher int) bool {
-	for _, c := range w.sc.Cuts {
+	for _, c := range w.scenario.Cuts {
 		if w.now >= c.At && w.now < c.At+c.Length && slices.Contains(c.Dispatchers, dispatcher) {
 			return true
 		}
@@ -140,9 +140,9 @@
 // handleRequest sends a participant's lease request to the leader, which responds after a round trip in which a
 // majority has confirmed that it still leads.
 func (l *leader) handleRequest(p *participant, request accord.LeaseRequest) {
-	l.send(p.side.at, l.drawDelay()+l.drawDelay(), func() {
+	l.send(p.side.index, l.drawDelay()+l.drawDelay(), func() {
 		response := l.Handle(l.world.accordTime(l.clockRate), request)
-		l.send(p.side.at, 0, func() { p.handleResponse(response) })
+		l.send(p.side.index, 0, func() { p.handleResponse(response) })
 		l.step()
 	})
 }
@@ -151,15 +151,15 @@
 func (l *leader) step() {
 	w := l.world
 	if decision, ok := l.TakeDecision(); ok {
-		w.at(w.now+w.sc.Accord.FlushTime, func() {
+		w.schedule(w.now+w.scenario.Accord.FlushTime, func() {
 			l.state.Apply(decision)
 			l.Applied(w.accordTime(l.clockRate), l.state)
 			l.step()
 		})
 	}
 	if l.TakePoll() {
-		for _, s := range w.sides {
-			l.send(s.at, 0, func() { s.participant.handlePoll() })
+		for _, s := range w.dispatchers {
+			l.send(s.index, 0, func() { s.participant.handlePoll() })
 		}
 	}
 	l.TakeEvents()
@@ -168,7 +168,7 @@
 // startAccord starts the accord: all dispatchers have adopted version 1 and hold a lease of it.
 func (w *world) startAccord() {
 	l := w.leader
-	for _, s := range w.sides {
+	for _, s := range w.dispatchers {
 		for !s.participant.accord.Serving() {
 			s.participant.accord.RequestNow()
 			if request, ok := s.participant.accord.NextRequest(s.participant.now()); ok {
@@ -179,15 +179,15 @@
 			}
 		}
 	}
-	w.repeat(w.sc.Accord.Lease/50, func() { l.Tick(w.accordTime(l.clockRate)); l.step() })
-	w.repeat(w.sc.Accord.ProbeInterval, func() {
-		for _, s := range w.sides {
-			s.unready = !s.dead && !s.participant.Serves()
+	w.repeat(w.scenario.Accord.Lease/50, func() { l.Tick(w.accordTime(l.clockRate)); l.step() })
+	w.repeat(w.scenario.Accord.ProbeInterval, func() {
+		for _, s := range w.dispatchers {
+			s.notReady = !s.dead && !s.participant.Serves()
 		}
 	})
-	for i, c := range w.sc.PolicyChanges {
-		w.at(c.At, func() {
-			s := w.sides[c.Dispatcher]
+	for i, c := range w.scenario.PolicyChanges {
+		w.schedule(c.At, func() {
+			s := w.dispatchers[c.Dispatcher]
 			version, _ := s.participant.accord.Current()
 			// The error is ignored: a proposal fails while an earlier one of the same dispatcher is pending.
 			_ = s.participant.accord.Propose(accord.ProposalBit|uint64(i+2), fmt.Appendf(nil, "version %d by change %d", version+1, i))
@@ -199,19 +199,19 @@
 // repeat calls do once per interval until the run ends. The first call comes after a random part of the interval.
 func (w *world) repeat(interval float64, do func()) {
 	var tick func()
-	tick = func() { do(); w.at(w.now+interval, tick) }
-	w.at(w.now+interval*w.leader.random.Float64(), tick)
+	tick = func() { do(); w.schedule(w.now+interval, tick) }
+	w.schedule(w.now+interval*w.leader.random.Float64(), tick)
 }
 
 // recordVersions counts the versions under which attempts may start now, and the time during which no dispatcher
 // accepts reqs. It is called after each event of a participant. No other event lets a participant start attempts, so
 // the maximum of the count is exact.
 func (w *world) recordVersions() {
-	r, l := &w.res.Accord, w.leader
+	r, l := &w.result.Accord, w.leader
 	r.Version = l.state.Version
 	var used []uint64
 	anyServes := false
-	for _, s := range w.sides {
+	for _, s := range w.dispatchers {
 		if s.dead {
 			continue
 		}
--- a/internal/lab/sim/accord_test.go
+++ b/internal/lab/sim/accord_test.go
@@ -13,7 +13,7 @@
 // cutEvening returns the evening scenario with four dispatchers, one of which is cut off from the accord while
 // another one proposes a change.
 func cutEvening(seed uint64, continueWhenCut bool) Scenario {
-	sc := evening(seed)
+	sc := eightBackendScenario(seed)
 	sc.Dispatchers, sc.Retries, sc.Backoff, sc.Length, sc.Rate = 4, 6, 100, 16_000, 60
 	sc.Accord = Accord{Lease: 3000, Drift: 0.05, ContinueWhenCut: continueWhenCut, Latency: 1, FlushTime: 5, CheckTime: 2, ProbeInterval: 1000}
 	sc.Cuts = []Cut{{At: 6000, Length: 8000, Dispatchers: []int{3}}}
@@ -29,14 +29,14 @@
 		for _, loss := range []float64{0, 0.2} {
 			sc := cutEvening(seed, false)
 			sc.Accord.Loss = loss
-			r := play(t, sc).Accord
+			r := runChecked(t, sc).Accord
 			assert.Equal(t, []any{1, 0, 0, uint64(2)}, []any{r.MaxVersions, r.OutdatedAccepted, r.OutdatedStarts, r.Version}, "seed %d, loss %v", seed, loss)
 			assert.Positive(t, r.RefusedWhileCut)
 		}
 		if seed%4 > 0 {
 			continue
 		}
-		r := play(t, cutEvening(seed, true)).Accord
+		r := runChecked(t, cutEvening(seed, true)).Accord
 		assert.Equal(t, []any{2, 0, uint64(2)}, []any{r.MaxVersions, r.RefusedWhileCut, r.Version}, "seed %d", seed)
 		assert.Greater(t, r.OutdatedAccepted, 50)
 		assert.Positive(t, r.OutdatedStarts)
@@ -51,7 +51,7 @@
 	for seed := range uint64(16) {
 		sc := cutEvening(seed, false)
 		sc.Accord.faultFullLease = true
-		if r := play(t, sc).Accord; r.MaxVersions > 1 {
+		if r := runChecked(t, sc).Accord; r.MaxVersions > 1 {
 			detected++
 		}
 	}
@@ -67,15 +67,15 @@
 	w, err := newWorld(sc, defaults.Settings(), Module)
 	require.NoError(t, err)
 	w.startAccord()
-	p := w.sides[3].participant
-	w.at(sc.Cuts[0].At+1, func() {
+	p := w.dispatchers[3].participant
+	w.schedule(sc.Cuts[0].At+1, func() {
 		admission, justAfter := p.accord.Admission(), math.Nextafter(1, 2)
 		acceptUntil, startUntil := float64(admission.AcceptUntil)/1e6, float64(admission.StartUntil)/1e6
 		assert.Equal(t, []float64{500, 3000}, []float64{math.Round(startUntil - acceptUntil), math.Round(sc.Accord.Lease)})
 		assert.Greater(t, acceptUntil, sc.Cuts[0].At+3000*(1-1./6-1./3)-10, "at least half of the lease was left")
 		for at, want := range map[float64][2]bool{acceptUntil - 1: {true, true}, acceptUntil * justAfter: {false, true}, startUntil - 1: {false, true}, startUntil * justAfter: {false, false},
 			sc.Cuts[0].At + sc.Cuts[0].Length - 1: {false, false}, sc.Cuts[0].At + sc.Cuts[0].Length + 1100: {true, true}} {
-			w.at(at, func() {
+			w.schedule(at, func() {
 				_, _, accepted := p.Admit()
 				if accepted {
 					p.Begun(1)
@@ -85,9 +85,9 @@
 		}
 	})
 	w.next = func() (Arrival, bool) { return Arrival{}, false }
-	w.open++ // so that the run does not end
+	w.unanswered++ // so that the run does not end
 	require.NoError(t, w.run())
-	assert.Equal(t, []int{4, 4}, []int{w.res.Accord.Refused, w.res.Accord.RefusedWhileCut})
+	assert.Equal(t, []int{4, 4}, []int{w.result.Accord.Refused, w.result.Accord.RefusedWhileCut})
 }
 
 // TestProbeKeepsClientsFromUnreadyDispatcher checks that the load balancer in front sends no more clients to a
@@ -95,9 +95,9 @@
 // probes only every minute sends the dispatcher its share of clients all the time.
 func TestProbeKeepsClientsFromUnreadyDispatcher(t *testing.T) {
 	sc := cutEvening(5, false)
-	oftenProbed := play(t, sc)
+	oftenProbed := runChecked(t, sc)
 	sc.Accord.ProbeInterval = 60_000
-	rarelyProbed := play(t, sc)
+	rarelyProbed := runChecked(t, sc)
 	assert.Greater(t, rarelyProbed.Accord.RefusedWhileCut, 3*oftenProbed.Accord.RefusedWhileCut)
 	assert.Equal(t, oftenProbed.First, oftenProbed.Served)
 }
@@ -111,7 +111,7 @@
 	} {
 		sc := cutEvening(1, false)
 		change(&sc)
-		_, err := Play(sc, defaults.Settings())
+		_, err := Run(sc, defaults.Settings())
 		assert.ErrorContains(t, err, want)
 	}
 }
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -56,9 +56,9 @@
 	if !ok {
 		return
 	}
-	w.at(a.At, func() {
-		w.res.First++
-		c := &client{w: w, n: w.res.First, key: fmt.Sprint("k", w.res.First), Arrival: a, begun: w.now}
+	w.schedule(a.At, func() {
+		w.result.First++
+		c := &client{world: w, n: w.result.First, key: fmt.Sprint("k", w.result.First), Arrival: a, arrivedAt: w.now}
 		if w.tenants != nil {
 			c.tenant = w.tenants.drawTenant()
 		}
@@ -71,86 +71,86 @@
 // client is one first req with its retries.
 type client struct {
 	Arrival
-	w     *world
-	n     int
-	key   string
-	begun float64
-	tries int
-	side  *side
-	id    string  // of the try
-	trips []*trip // of the try
-	ran   int     // how often a job of its began, in all tries
+	world      *world
+	n          int
+	key        string
+	arrivedAt  float64
+	tries      int
+	dispatcher *dispatcher
+	id         string     // of the try
+	trips      []*attempt // of the try
+	starts     int        // how often a job of its began, in all tries
 
 	tenant, region int
-	stands         bool // part of its tenant's standing demand
+	standing       bool // part of its tenant's standing demand
 }
 
 func (w *world) second(at float64) *Second {
 	i := int(at / 1000)
-	for len(w.res.Seconds) <= i {
-		w.res.Seconds = append(w.res.Seconds, Second{})
+	for len(w.result.Seconds) <= i {
+		w.result.Seconds = append(w.result.Seconds, Second{})
 	}
-	return &w.res.Seconds[i]
+	return &w.result.Seconds[i]
 }
 
-func (c *client) class() *Class { return &c.w.classes[c.Class] }
+func (c *client) class() *Class { return &c.world.classes[c.Class] }
 
 // until is when its patience ends: that of a class is for all tries, that of a scenario without classes for each.
 func (c *client) until() float64 {
-	if len(c.w.sc.Classes) == 0 {
-		return c.w.now + c.class().Deadline
+	if len(c.world.scenario.Classes) == 0 {
+		return c.world.now + c.class().Deadline
 	}
-	return c.begun + c.class().Deadline
+	return c.arrivedAt + c.class().Deadline
 }
 
 func (c *client) ask() {
-	w := c.w
+	w := c.world
 	c.tries++
 	c.trips = c.trips[:0]
 	if c.tries == 1 {
 		w.second(w.now).Asked++
-		r := &w.res.Classes[c.Class]
+		r := &w.result.Classes[c.Class]
 		r.First++
 		r.Asked += c.worth()
 	}
-	fronts := c.reachable(w.fronts())
+	fronts := c.reachable(w.routedDispatchers())
 	if len(fronts) == 0 {
 		c.unreachable()
 		return
 	}
-	c.side = fronts[0]
+	c.dispatcher = fronts[0]
 	if n := len(fronts); n > 1 {
-		c.side = fronts[w.front.IntN(n)]
+		c.dispatcher = fronts[w.front.IntN(n)]
 	}
-	if c.side.dead {
+	if c.dispatcher.dead {
 		c.unreachable()
 		return
 	}
-	if w.leader != nil && w.cutOff(c.side.at) {
-		w.res.Accord.ReceivedWhileCut++
+	if w.leader != nil && w.cutOff(c.dispatcher.index) {
+		w.result.Accord.ReceivedWhileCut++
 	}
-	w.open++
-	c.side.asked[c] = struct{}{}
+	w.unanswered++
+	c.dispatcher.asked[c] = struct{}{}
 	c.id = fmt.Sprint(c.key, "-", c.tries)
 	deadline := c.until()
-	w.note(judge.Event{Kind: judge.ReqReceived, Node: c.side.at, Req: c.id, Key: c.key, Deadline: deadline, Work: c.Work, Effect: effects[c.class().Effect]})
+	w.note(judge.Event{Kind: judge.ReqReceived, Node: c.dispatcher.index, Req: c.id, Key: c.key, Deadline: deadline, Work: c.Work, Effect: effects[c.class().Effect]})
 	w.tries[c.id] = c
 	job := &core.Job{Method: "POST", Target: "/photo", ID: c.id}
 	q := balance.Request{Class: c.Class, Tenant: c.tenant, Slots: c.Slots, Work: c.Guess, Retry: c.tries > 1}
 	if c.class().Effect == balance.Deduped {
 		job.IdempotencyKey = c.key
 	}
-	if len(w.sc.Classes) == 0 { // where classes are told, reqs concern nothing that could be told again
+	if len(w.scenario.Classes) == 0 { // where classes are told, reqs concern nothing that could be told again
 		q.Key = hashOf(c.key)
 	}
 	left := time.Duration((deadline - w.now) * float64(time.Millisecond))
-	c.side.core.Submit(q, job, w.time(), left, c)
-	c.side.touch()
+	c.dispatcher.core.Submit(q, job, w.time(), left, c)
+	c.dispatcher.markDirty()
 }
 
 // worth is what the req counts, relative to others of its class.
 func (c *client) worth() float64 {
-	if c.w.sc.Site.ByWork {
+	if c.world.scenario.Site.ByWork {
 		return c.Work
 	}
 	return 1
@@ -160,11 +160,11 @@
 
 // Answer takes the final answer. That there is no second is the judge's to see.
 func (c *client) Answer(a core.Answer) {
-	w := c.w
-	delete(c.side.asked, c)
-	w.open--
-	w.res.Answers++
-	w.note(judge.Event{Kind: judge.ReqAnswered, Node: c.side.at, Req: c.id, AnswerKind: verdicts[a.Kind]})
+	w := c.world
+	delete(c.dispatcher.asked, c)
+	w.unanswered--
+	w.result.Answers++
+	w.note(judge.Event{Kind: judge.ReqAnswered, Node: c.dispatcher.index, Req: c.id, AnswerKind: verdicts[a.Kind]})
 	s := w.second(w.now)
 	switch a.Kind {
 	case core.Result:
@@ -175,38 +175,38 @@
 		s.Failed++
 	}
 	if a.Kind == core.Result {
-		w.res.Served++
-		w.second(c.begun).Kept++
-		good := w.now-c.begun <= c.class().Aim+c.class().Stretch*c.Work
+		w.result.Served++
+		w.second(c.arrivedAt).Kept++
+		good := w.now-c.arrivedAt <= c.class().Aim+c.class().Stretch*c.Work
 		if good {
-			w.res.InTime++
-			w.second(c.begun).InTime++
+			w.result.InTime++
+			w.second(c.arrivedAt).InTime++
 		}
 		c.over(good, "late")
-		_ = w.res.Latency.RecordValue(int64((w.now-c.begun)*1000) + 1) // in its bounds: it is over by the last deadline
+		_ = w.result.Latency.RecordValue(int64((w.now-c.arrivedAt)*1000) + 1) // in its bounds: it is over by the last deadline
 		return
 	}
 	// Clients of classes come back after a failure only where a repeat harms nobody.
-	again := a.Kind == core.Refusal || len(w.sc.Classes) == 0 || c.class().Effect == balance.Safe
+	again := a.Kind == core.Refusal || len(w.scenario.Classes) == 0 || c.class().Effect == balance.Safe
 	c.ended([...]string{core.Refusal: "refused ", core.Failure: "failed "}[a.Kind]+c.where(), a.Kind, again, float64(a.RetryAfter)/float64(time.Millisecond))
 }
 
 // ended ends a try that was not served: another follows, or the first req is over.
 func (c *client) ended(how string, v core.AnswerKind, again bool, least float64) {
-	w := c.w
-	if again && c.tries <= w.sc.Retries {
-		pause := max(w.sc.Backoff*(0.5+w.clients.Float64()), least)
-		if len(w.sc.Classes) == 0 || w.now+pause < c.begun+c.class().Deadline {
-			w.open++ // it is not over
-			w.at(w.now+pause, func() { w.open--; c.ask() })
+	w := c.world
+	if again && c.tries <= w.scenario.Retries {
+		pause := max(w.scenario.Backoff*(0.5+w.clients.Float64()), least)
+		if len(w.scenario.Classes) == 0 || w.now+pause < c.arrivedAt+c.class().Deadline {
+			w.unanswered++ // it is not over
+			w.schedule(w.now+pause, func() { w.unanswered--; c.ask() })
 			return
 		}
 	}
 	c.over(false, how)
 	if v == core.Refusal {
-		w.res.Refused++
+		w.result.Refused++
 	} else {
-		w.res.Failed++
+		w.result.Failed++
 	}
 }
 
@@ -239,14 +239,14 @@
 
 // over ends a first req.
 func (c *client) over(good bool, how string) {
-	w, r := c.w, &c.w.res.Classes[c.Class]
+	w, r := c.world, &c.world.result.Classes[c.Class]
 	if w.tenants != nil {
-		if c.class().Urgent && c.ran == 0 && w.tenants.inWindow(c.begun) {
-			w.res.Tenants.UrgentNeverStarted++
+		if c.class().Urgent && c.starts == 0 && w.tenants.inWindow(c.arrivedAt) {
+			w.result.Tenants.UrgentNeverStarted++
 		}
 		defer w.tenants.scheduleNext(c)
 	}
-	w.service.AddWeighted(c.begun, c.worth()*c.class().Worth, good)
+	w.service.AddWeighted(c.arrivedAt, c.worth()*c.class().Worth, good)
 	if good {
 		r.InTime++
 		r.Good += c.worth()
@@ -255,7 +255,7 @@
 	r.Wrong[how]++
 	// Nobody decided on what was late, lost or reached no dispatcher.
 	decided := strings.HasPrefix(how, "refused") || strings.HasPrefix(how, "failed")
-	if aim := c.begun + c.class().Aim + c.class().Stretch*c.Work; decided && c.never() && w.now+c.Work <= aim {
+	if aim := c.arrivedAt + c.class().Aim + c.class().Stretch*c.Work; decided && c.never() && w.now+c.Work <= aim {
 		r.Early++
 	}
 }
--- a/internal/lab/sim/dispatcher_quotas.go
+++ b/internal/lab/sim/dispatcher_quotas.go
@@ -12,7 +12,7 @@
 type dispatcherQuotas struct {
 	processClock
 	simulation    *quotaSimulation
-	side          *side
+	side          *dispatcher
 	limiter       *quota.Limiter
 	holder        *quota.Holder
 	lastID        uint64                                          // the last id given to a req
@@ -29,14 +29,14 @@
 	arrivedAt float64 // in simulated time, ms
 }
 
-func newDispatcherQuotas(s *side) (*dispatcherQuotas, error) {
-	q := s.w.quotas
+func newDispatcherQuotas(s *dispatcher) (*dispatcherQuotas, error) {
+	q := s.world.quotas
 	d := &dispatcherQuotas{processClock: q.newClock(), simulation: q, side: s, limiter: quota.NewLimiter(), waiting: map[uint64]func(time.Time, time.Duration, bool){}, maxHeld: map[string]int{}, inFlight: map[uint64]quotaReq{}}
 	var err error
-	if d.holder, err = quota.NewHolder(q.config.dispatcherLeaseConfig(), fmt.Sprint("n", s.at), q.nextEpoch(), false); err != nil {
+	if d.holder, err = quota.NewHolder(q.config.dispatcherLeaseConfig(), fmt.Sprint("n", s.index), q.nextEpoch(), false); err != nil {
 		return nil, err
 	}
-	d.limiter.SetQuotas(d.now(s.w), q.accounts())
+	d.limiter.SetQuotas(d.now(s.world), q.accounts())
 	d.scheduleStep()
 	return d, nil
 }
@@ -47,7 +47,7 @@
 		return
 	}
 	d.stepScheduled = true
-	d.simulation.world.at(d.simulation.world.now, func() { d.stepScheduled = false; d.step() })
+	d.simulation.world.schedule(d.simulation.world.now, func() { d.stepScheduled = false; d.step() })
 }
 
 // Acquire implements core.Quotas: it asks for a unit of a tenant's quota.
@@ -55,8 +55,8 @@
 	w := d.simulation.world
 	d.lastID++
 	id, account := d.lastID, ""
-	if tenant < len(w.sc.Tenants) {
-		account = w.sc.Tenants[tenant].Name
+	if tenant < len(w.scenario.Tenants) {
+		account = w.scenario.Tenants[tenant].Name
 	}
 	req := quotaReq{account, d.simulation.urgentClass[class], w.now}
 	timeLeft := float64(until.Sub(origin))/1e6 - w.now
@@ -89,11 +89,11 @@
 func (d *dispatcherQuotas) handleStart(id uint64, req quotaReq) {
 	d.inFlight[id] = req
 	d.simulation.countInFlight(req.account, req.urgent, 1)
-	if d.simulation.isolated(d.simulation.world.sc.RegionOf(d.side.at)) {
-		d.simulation.world.res.Quotas.StartedIsolated++
+	if d.simulation.isolated(d.simulation.world.scenario.RegionOf(d.side.index)) {
+		d.simulation.world.result.Quotas.StartedIsolated++
 	}
 	if w := d.simulation.world; req.urgent && w.tenants.inWindow(req.arrivedAt) {
-		_ = w.res.Quotas.UrgentGrantDelay.RecordValue(int64((w.now-req.arrivedAt)*1000) + 1) // cannot fail: the req's deadline is below the histogram's maximum
+		_ = w.result.Quotas.UrgentGrantDelay.RecordValue(int64((w.now-req.arrivedAt)*1000) + 1) // cannot fail: the req's deadline is below the histogram's maximum
 	}
 	d.simulation.dispatcherChecker.HandleStart(d.simulation.world.now, req.account, req.urgent)
 }
@@ -111,7 +111,7 @@
 // an orderly end the dispatcher then returns all its units to its region's lender.
 func (d *dispatcherQuotas) stop(orderly bool) {
 	w := d.simulation.world
-	w.at(w.now+2*w.sc.Latency, func() {
+	w.schedule(w.now+2*w.scenario.Latency, func() {
 		for id := range d.inFlight {
 			d.limiter.Release(id)
 			d.handleEnd(id)
@@ -153,7 +153,7 @@
 		d.reply(id, 0, true)
 	}
 	for _, id := range expired {
-		w.res.Quotas.Refused++
+		w.result.Quotas.Refused++
 		d.reply(id, refusalRetryAfter, false)
 	}
 	d.limiter.TakeUsageChanges(d.holder.SetUsage)
@@ -171,16 +171,16 @@
 	if ready := d.waiting[id]; ready != nil {
 		delete(d.waiting, id)
 		ready(d.simulation.world.time(), retryAfter, ok)
-		d.side.touch()
+		d.side.markDirty()
 	}
 }
 
 // sendRequest sends a lease request to the region's lender.
 func (d *dispatcherQuotas) sendRequest(request quota.LeaseRequest) {
 	q := d.simulation
-	q.world.res.Quotas.Requests++
-	q.countDispatcherMessage(d.side.at, requestSize(request))
-	region := q.world.sc.RegionOf(d.side.at)
+	q.world.result.Quotas.Requests++
+	q.countDispatcherMessage(d.side.index, requestSize(request))
+	region := q.world.scenario.RegionOf(d.side.index)
 	q.send(region, region, func() { q.regions[region].handleRequest(d, request) })
 }
 
@@ -197,7 +197,7 @@
 	if urgent {
 		return
 	}
-	f, window := q.inFlight[name], &q.world.sc.Window
+	f, window := q.inFlight[name], &q.world.scenario.Window
 	if f == nil {
 		f = &tenantInFlight{}
 		q.inFlight[name] = f
--- a/internal/lab/sim/participant.go
+++ b/internal/lab/sim/participant.go
@@ -10,31 +10,31 @@
 // participant is one dispatcher's participant in the accord. It implements core.Versions with the admission of the
 // real accord.Participant, which is checked against the dispatcher's own clock.
 type participant struct {
-	side      *side
+	side      *dispatcher
 	accord    *accord.Participant
 	clockRate float64
 	waiting   map[uint64]int // by version: reqs accepted under it that have not started at any backend
 }
 
-func newParticipant(s *side) (*participant, error) {
-	leader := s.w.leader
+func newParticipant(s *dispatcher) (*participant, error) {
+	leader := s.world.leader
 	leader.epochs++
 	p := &participant{side: s, clockRate: leader.drawClockRate(), waiting: map[uint64]int{}}
 	var err error
-	if p.accord, err = accord.NewParticipant(leader.config, fmt.Sprint("n", s.at), leader.epochs); err != nil {
+	if p.accord, err = accord.NewParticipant(leader.config, fmt.Sprint("n", s.index), leader.epochs); err != nil {
 		return nil, err
 	}
-	s.w.repeat(s.w.sc.Accord.Lease/100, p.step)
+	s.world.repeat(s.world.scenario.Accord.Lease/100, p.step)
 	return p, nil
 }
 
-func (p *participant) now() accord.Time { return p.side.w.accordTime(p.clockRate) }
+func (p *participant) now() accord.Time { return p.side.world.accordTime(p.clockRate) }
 
 // deadlines returns until when reqs may be accepted and attempts started, by the dispatcher's own clock.
 func (p *participant) deadlines() (acceptUntil, startUntil accord.Time) {
-	admission, scenario := p.accord.Admission(), &p.side.w.sc.Accord
+	admission, scenario := p.accord.Admission(), &p.side.world.scenario.Accord
 	if scenario.faultFullLease && !scenario.ContinueWhenCut && admission.AcceptUntil > 0 {
-		leaseEnd := admission.StartUntil.Add(msToDuration(scenario.Lease) - p.side.w.leader.config.UsableLease())
+		leaseEnd := admission.StartUntil.Add(msToDuration(scenario.Lease) - p.side.world.leader.config.UsableLease())
 		return leaseEnd, leaseEnd
 	}
 	return admission.AcceptUntil, admission.StartUntil
@@ -42,18 +42,18 @@
 
 // Admit implements core.Versions: it admits a req under the version in force.
 func (p *participant) Admit() (version uint64, retryAfter time.Duration, ok bool) {
-	w := p.side.w
+	w := p.side.world
 	if acceptUntil, _ := p.deadlines(); p.now() >= acceptUntil {
-		w.res.Accord.Refused++
-		if w.cutOff(p.side.at) {
-			w.res.Accord.RefusedWhileCut++
+		w.result.Accord.Refused++
+		if w.cutOff(p.side.index) {
+			w.result.Accord.RefusedWhileCut++
 		}
 		return 0, w.leader.config.Drain(), false
 	}
 	version = p.accord.Admission().Version
 	p.waiting[version]++
 	if version < w.leader.state.Version {
-		w.res.Accord.OutdatedAccepted++
+		w.result.Accord.OutdatedAccepted++
 	}
 	return version, 0, true
 }
@@ -63,7 +63,7 @@
 func (p *participant) Begun(version uint64) {
 	p.waiting[version]--
 	if admission := p.accord.Admission(); admission.Version == version && p.waiting[version] == 0 && admission.AcceptUntil == 0 {
-		p.side.w.at(p.side.w.now, p.step)
+		p.side.world.schedule(p.side.world.now, p.step)
 	}
 }
 
@@ -101,14 +101,14 @@
 
 // step advances the participant to the current time and performs the actions that it asks for.
 func (p *participant) step() {
-	w := p.side.w
+	w := p.side.world
 	if p.side.dead {
 		return
 	}
 	version, _ := p.accord.Current()
 	p.accord.Tick(p.now(), p.waiting[version])
 	for _, check := range p.accord.TakeChecks() {
-		w.at(w.now+w.sc.Accord.CheckTime, func() {
+		w.schedule(w.now+w.scenario.Accord.CheckTime, func() {
 			if !p.side.dead {
 				p.accord.ReportCheck(p.now(), check, nil)
 				p.step()
--- a/internal/lab/sim/quotas.go
+++ b/internal/lab/sim/quotas.go
@@ -151,7 +151,7 @@
 		return
 	}
 	c.wakeAt = at
-	w.at(at, func() {
+	w.schedule(at, func() {
 		if c.wakeAt == at {
 			c.wakeAt = math.Inf(1)
 			step()
@@ -167,21 +167,21 @@
 func (q *quotaSimulation) nextEpoch() uint64 { q.epochs++; return q.epochs }
 
 func newQuotaSimulation(w *world) (*quotaSimulation, error) {
-	q := &quotaSimulation{world: w, config: w.sc.Quotas, random: fleet.RandomStream(w.sc.Seed, "quotas"), current: map[string]int{}, inFlight: map[string]*tenantInFlight{}, dispatcherBytes: make([]int, max(w.sc.Dispatchers, 1))}
+	q := &quotaSimulation{world: w, config: w.scenario.Quotas, random: fleet.RandomStream(w.scenario.Seed, "quotas"), current: map[string]int{}, inFlight: map[string]*tenantInFlight{}, dispatcherBytes: make([]int, max(w.scenario.Dispatchers, 1))}
 	// A region that is cut off does not learn of a lowered quota. Reqs may start with the units it holds until its
 	// lease and then a lease that it granted to a dispatcher have ended.
 	grace := (q.config.RegionLease + q.config.Lease) * (1 + q.config.Drift) / (1 - q.config.Drift)
-	q.backendChecker = judge.QuotaChecker{Reserve: q.config.Reserve * len(w.sc.Regions), LoweringGrace: grace}
+	q.backendChecker = judge.QuotaChecker{Reserve: q.config.Reserve * len(w.scenario.Regions), LoweringGrace: grace}
 	q.dispatcherChecker = q.backendChecker
-	for _, t := range w.sc.Tenants {
+	for _, t := range w.scenario.Tenants {
 		q.setQuota(t.Name, t.Quota)
 	}
 	for _, c := range w.classes {
 		q.urgentClass = append(q.urgentClass, c.Urgent)
 	}
-	w.res.Quotas.Events = map[string]int{}
-	w.res.Quotas.UrgentGrantDelay = hdrhistogram.New(1, 100_000_000_000, 3)
-	for i := range w.sc.Regions {
+	w.result.Quotas.Events = map[string]int{}
+	w.result.Quotas.UrgentGrantDelay = hdrhistogram.New(1, 100_000_000_000, 3)
+	for i := range w.scenario.Regions {
 		q.regions = append(q.regions, &regionLender{simulation: q, index: i})
 		if err := q.regions[i].start(); err != nil {
 			return nil, err
@@ -200,7 +200,7 @@
 // accounts returns the accounts that have a quota, sorted by name.
 func (q *quotaSimulation) accounts() []string {
 	var out []string
-	for _, t := range q.world.sc.Tenants {
+	for _, t := range q.world.scenario.Tenants {
 		out = append(out, t.Name)
 	}
 	if q.config.Reserve > 0 {
@@ -224,7 +224,7 @@
 
 // partitioned reports whether two regions are cut off from each other now.
 func (q *quotaSimulation) partitioned(a, b int) bool {
-	for _, p := range q.world.sc.Partitions {
+	for _, p := range q.world.scenario.Partitions {
 		if a != b && q.world.now >= p.At && q.world.now < p.At+p.Length &&
 			(p.Other < 0 && (a == p.Region || b == p.Region) || p.Other >= 0 && (a == p.Region && b == p.Other || a == p.Other && b == p.Region)) {
 			return true
@@ -249,7 +249,7 @@
 	if q.random.Float64() < q.config.Loss || q.partitioned(a, b) {
 		return
 	}
-	w.at(w.now+q.delay(a, b)*(0.75+0.5*q.random.Float64()), func() {
+	w.schedule(w.now+q.delay(a, b)*(0.75+0.5*q.random.Float64()), func() {
 		if !q.partitioned(a, b) {
 			deliver()
 		}
@@ -272,7 +272,7 @@
 	}
 	r := &rootLender{processClock: q.newClock(), simulation: q, region: region}
 	var children []string
-	for _, child := range q.world.sc.Regions {
+	for _, child := range q.world.scenario.Regions {
 		children = append(children, child.Name)
 	}
 	var err error
@@ -327,7 +327,7 @@
 	q := r.simulation
 	r.lender.Tick(r.now(q.world))
 	for _, name := range r.lender.TakePolls() {
-		l := q.regions[slices.IndexFunc(q.world.sc.Regions, func(x Region) bool { return x.Name == name })]
+		l := q.regions[slices.IndexFunc(q.world.scenario.Regions, func(x Region) bool { return x.Name == name })]
 		q.countInterRegionMessage(pollSize)
 		q.send(r.region, l.index, func() {
 			if !l.dead {
@@ -341,14 +341,14 @@
 }
 
 func (q *quotaSimulation) countInterRegionMessage(bytes int) {
-	q.world.res.Quotas.InterRegionMessages++
-	q.world.res.Quotas.InterRegionBytes += bytes
+	q.world.result.Quotas.InterRegionMessages++
+	q.world.result.Quotas.InterRegionBytes += bytes
 }
 
 // countEvents counts events of a lender by its level and the step that they report.
 func (q *quotaSimulation) countEvents(level string, events []quota.Event) {
 	for _, event := range events {
-		q.world.res.Quotas.Events[level+event.Step]++
+		q.world.result.Quotas.Events[level+event.Step]++
 	}
 }
 
@@ -365,13 +365,13 @@
 func (l *regionLender) start() (err error) {
 	q := l.simulation
 	l.processClock, l.dead = q.newClock(), false
-	l.lender, err = quota.NewRegionLender(q.config.regionLeaseConfig(), q.config.dispatcherLeaseConfig(), q.world.sc.Regions[l.index].Name, q.nextEpoch(), l.now(q.world))
+	l.lender, err = quota.NewRegionLender(q.config.regionLeaseConfig(), q.config.dispatcherLeaseConfig(), q.world.scenario.Regions[l.index].Name, q.nextEpoch(), l.now(q.world))
 	if err == nil {
 		if q.root == nil { // the first incarnations of the run
 			l.lender.SkipRecovery(l.now(q.world))
 		}
 		l.lender.SetReserve(l.now(q.world), q.config.Reserve)
-		q.world.at(q.world.now, l.step)
+		q.world.schedule(q.world.now, l.step)
 	}
 	return err
 }
@@ -390,8 +390,8 @@
 	}
 	q := l.simulation
 	if response, ok := l.lender.Handle(l.now(q.world), request); ok {
-		q.world.res.Quotas.Responses++
-		q.countDispatcherMessage(d.side.at, responseSize(response))
+		q.world.result.Quotas.Responses++
+		q.countDispatcherMessage(d.side.index, responseSize(response))
 		q.send(l.index, l.index, func() { d.handleResponse(response) })
 	}
 	l.step()
@@ -412,10 +412,10 @@
 	for _, name := range l.lender.TakePolls() {
 		dispatcher := 0
 		_, _ = fmt.Sscanf(name, "n%d", &dispatcher)
-		q.world.res.Quotas.Polls++
+		q.world.result.Quotas.Polls++
 		q.countDispatcherMessage(dispatcher, pollSize)
 		q.send(l.index, l.index, func() {
-			if d := q.world.sides[dispatcher].quotas; !d.side.dead {
+			if d := q.world.dispatchers[dispatcher].quotas; !d.side.dead {
 				d.holder.HandlePoll()
 				d.step()
 			}
@@ -427,7 +427,7 @@
 
 // countDispatcherMessage counts a message between a dispatcher and its region's lender.
 func (q *quotaSimulation) countDispatcherMessage(dispatcher, bytes int) {
-	q.world.res.Quotas.Bytes += bytes
+	q.world.result.Quotas.Bytes += bytes
 	if q.world.tenants.inWindow(q.world.now) {
 		q.dispatcherBytes[dispatcher] += bytes
 		q.dispatcherMessages++
@@ -438,27 +438,27 @@
 // and quota changes. Partitions need no events, as send looks them up.
 func (q *quotaSimulation) scheduleFaults() {
 	w := q.world
-	for _, p := range w.sc.Partitions {
-		w.at(p.At+q.config.ElectionTime, func() {
+	for _, p := range w.scenario.Partitions {
+		w.schedule(p.At+q.config.ElectionTime, func() {
 			if p.Other < 0 && q.root.region == p.Region && w.now < p.At+p.Length {
 				q.panicOnError(q.elect((p.Region+1)%len(q.regions), false))
 			}
 		})
 	}
-	for _, c := range w.sc.LenderCrashes {
-		w.at(c.At, func() {
+	for _, c := range w.scenario.LenderCrashes {
+		w.schedule(c.At, func() {
 			if c.Region < 0 {
 				q.root.dead = true
-				w.at(w.now+c.Down, func() { q.panicOnError(q.elect(c.NextRegion, false)) })
+				w.schedule(w.now+c.Down, func() { q.panicOnError(q.elect(c.NextRegion, false)) })
 				return
 			}
 			l := q.regions[c.Region]
 			l.dead = true
-			w.at(w.now+c.Down, func() { q.panicOnError(l.start()) })
+			w.schedule(w.now+c.Down, func() { q.panicOnError(l.start()) })
 		})
 	}
-	for _, c := range w.sc.QuotaChanges {
-		w.at(c.At, func() {
+	for _, c := range w.scenario.QuotaChanges {
+		w.schedule(c.At, func() {
 			q.setQuota(c.Tenant, c.Quota)
 			if !q.root.dead {
 				q.root.lender.SetCapacity(q.root.now(w), c.Tenant, c.Quota)
@@ -476,15 +476,15 @@
 }
 
 func (q *quotaSimulation) finish() {
-	for i := range q.world.res.Tenants.ByTenant {
-		result, window := &q.world.res.Tenants.ByTenant[i], &q.world.sc.Window
+	for i := range q.world.result.Tenants.ByTenant {
+		result, window := &q.world.result.Tenants.ByTenant[i], &q.world.scenario.Window
 		q.countInFlight(result.Name, false, 0)
 		result.InFlight = q.inFlight[result.Name].sum / (window.To - window.From)
 	}
-	r := &q.world.res.Quotas
+	r := &q.world.result.Quotas
 	r.ViolationCount = q.backendChecker.Count() + q.dispatcherChecker.Count()
 	r.Violations = append(q.backendChecker.Violations(), q.dispatcherChecker.Violations()...)
-	window := &q.world.sc.Window
+	window := &q.world.scenario.Window
 	seconds, dispatchers := (window.To-window.From)/1000, float64(len(q.dispatcherBytes))
 	totalBytes := 0
 	for _, b := range q.dispatcherBytes {
--- a/internal/lab/sim/quotas_test.go
+++ b/internal/lab/sim/quotas_test.go
@@ -24,7 +24,7 @@
 // and the messages need little bandwidth.
 func TestQuotasHold(t *testing.T) {
 	for seed := range uint64(4) {
-		r := play(t, quotaScenario(seed, 10))
+		r := runChecked(t, quotaScenario(seed, 10))
 		assert.Empty(t, r.Quotas.Violations, "seed %d", seed)
 		assert.Equal(t, 1.0, r.Tenants.MaxOverQuota())
 		assert.Greater(t, r.Tenants.WorstShare(), 0.9)
@@ -71,7 +71,7 @@
 			for seed := range uint64(4) {
 				sc := quotaScenario(seed, 10)
 				addFaults(&sc)
-				r := play(t, sc)
+				r := runChecked(t, sc)
 				assert.Empty(t, r.Quotas.Violations, "seed %d", seed)
 				assert.Greater(t, r.Tenants.Utilization(), 0.25, "seed %d", seed)
 			}
@@ -86,7 +86,7 @@
 		sc := quotaScenario(seed, 1)
 		sc.Quotas.RegionLease = 60_000
 		sc.Partitions = []Partition{{At: 10_000, Length: 30_000, Region: 0, Other: -1}}
-		r := play(t, sc)
+		r := runChecked(t, sc)
 		assert.Empty(t, r.Quotas.Violations)
 		// A third of the 72 units is lent to it, and it runs jobs of 6 s for 30 s.
 		assert.Greater(t, r.Quotas.StartedIsolated, 60, "seed %d", seed)
@@ -104,7 +104,7 @@
 		for i := range sc.Tenants {
 			sc.Tenants[i].Demand = 3 * sc.Tenants[i].Quota
 		}
-		if r := play(t, sc); r.Quotas.ViolationCount > 0 {
+		if r := runChecked(t, sc); r.Quotas.ViolationCount > 0 {
 			detected++
 		}
 	}
@@ -115,7 +115,7 @@
 func TestQuotasAreDeterministic(t *testing.T) {
 	sc := quotaScenario(3, 10)
 	sc.Quotas.Loss = 0.05
-	a, b := play(t, sc), play(t, sc)
+	a, b := runChecked(t, sc), runChecked(t, sc)
 	assert.Equal(t, a.Hash, b.Hash)
 	assert.Equal(t, a.Quotas, b.Quotas)
 }
@@ -132,7 +132,7 @@
 	} {
 		sc := quotaScenario(1, 1)
 		breakScenario(&sc)
-		_, err := Play(sc, defaults.Settings())
+		_, err := Run(sc, defaults.Settings())
 		assert.ErrorContains(t, err, want)
 	}
 }
--- a/internal/lab/sim/restart.go
+++ b/internal/lab/sim/restart.go
@@ -20,17 +20,17 @@
 	Orderly bool
 }
 
-// fronts are the dispatchers that the front sends clients to, dead ones that it has not noticed among them. Where it
+// routedDispatchers are the dispatchers that the front sends clients to, dead ones that it has not noticed among them. Where it
 // has heard of none that it is ready it sends to all, as a front that knows no better.
-func (w *world) fronts() []*side {
+func (w *world) routedDispatchers() []*dispatcher {
 	out := w.fronted[:0]
-	for _, s := range w.sides {
-		if s.fronted && !s.unready {
+	for _, s := range w.dispatchers {
+		if s.routed && !s.notReady {
 			out = append(out, s)
 		}
 	}
-	for i := 0; len(out) == 0 && i < len(w.sides); i++ {
-		if s := w.sides[i]; s.fronted {
+	for i := 0; len(out) == 0 && i < len(w.dispatchers); i++ {
+		if s := w.dispatchers[i]; s.routed {
 			out = append(out, s)
 		}
 	}
@@ -39,15 +39,15 @@
 }
 
 func (w *world) restart(r Restart) {
-	old := w.sides[r.Node]
+	old := w.dispatchers[r.Node]
 	if old.dead {
 		return
 	}
-	w.note(judge.Event{Kind: judge.DispatcherKilled, Node: old.at})
+	w.note(judge.Event{Kind: judge.DispatcherKilled, Node: old.index})
 	old.dead = true
 	for _, n := range w.names { // in one order, so that a run stays the same
-		for _, id := range slices.Sorted(maps.Keys(w.nodes[n].out)) {
-			if t := w.nodes[n].out[id]; t.side == old {
+		for _, id := range slices.Sorted(maps.Keys(w.backends[n].out)) {
+			if t := w.backends[n].out[id]; t.dispatcher == old {
 				t.over = true
 				t.call()
 			}
@@ -66,16 +66,16 @@
 	for _, c := range old.clients() {
 		c.lost()
 	}
-	w.at(w.now+r.Notice, func() { old.fronted = false })
-	w.at(w.now+r.Down, func() {
+	w.schedule(w.now+r.Notice, func() { old.routed = false })
+	w.schedule(w.now+r.Down, func() {
 		w.restarts++
 		settings := w.settings
-		settings.Seed, settings.Self = w.sc.Seed*1_000_003+uint64(r.Node)+uint64(w.restarts)*7919, r.Node
+		settings.Seed, settings.Self = w.scenario.Seed*1_000_003+uint64(r.Node)+uint64(w.restarts)*7919, r.Node
 		s, err := newSide(w, r.Node, settings, w.policy)
 		if err != nil { // the same settings have made one before
 			panic(err)
 		}
-		w.sides[r.Node], old.fronted = s, false
+		w.dispatchers[r.Node], old.routed = s, false
 		last := make([]maintenance.Backend, 0, len(w.names))
 		for _, n := range w.names {
 			if b, known := old.last[n]; known {
@@ -84,7 +84,7 @@
 		}
 		s.listed(balance.ListCached, last)
 		// Where lists are pushed, the agent tells at once what it has.
-		w.at(w.now+w.delay(), func() {
+		w.schedule(w.now+w.delay(), func() {
 			if !s.dead {
 				s.whole(w.list())
 			}
@@ -93,7 +93,7 @@
 }
 
 // clients are those that wait for this dispatcher, in the order in which they came.
-func (s *side) clients() []*client {
+func (s *dispatcher) clients() []*client {
 	var out []*client
 	for c := range s.asked {
 		out = append(out, c)
@@ -104,15 +104,15 @@
 
 // lost ends a try whose dispatcher was killed.
 func (c *client) lost() {
-	w := c.w
-	delete(c.side.asked, c)
-	w.open--
+	w := c.world
+	delete(c.dispatcher.asked, c)
+	w.unanswered--
 	w.second(w.now).Failed++
 	c.ended("lost "+c.where(), core.Failure, c.class().Effect == balance.Safe, 0)
 }
 
 // unreachable ends a try that no dispatcher took.
 func (c *client) unreachable() {
-	c.w.second(c.w.now).Failed++
+	c.world.second(c.world.now).Failed++
 	c.ended("unreachable", core.Failure, true, 0)
 }
--- a/internal/lab/sim/side.go
+++ b/internal/lab/sim/side.go
@@ -11,27 +11,27 @@
 	"tinsail/internal/maintenance"
 )
 
-// side is one dispatcher: the real core and module, the real bans over its list, and its connections.
-type side struct {
-	w           *world
-	at          int
+// dispatcher is one dispatcher: the real core and module, the real bans over its list, and its connections.
+type dispatcher struct {
+	world       *world
+	index       int
 	core        *core.Core
 	bans        maintenance.Bans
-	conns       map[*node]int // idle connections
-	timer       float64       // that an event is set for; +Inf if none
+	conns       map[*backend]int // idle connections
+	timer       float64          // that an event is set for; +Inf if none
 	dirty       bool
 	asked       map[*client]struct{}           // that wait for its answer
 	last        map[string]maintenance.Backend // the list as it was last told
 	dead        bool                           // killed; another may serve in its place
-	fronted     bool                           // the front sends it clients
-	unready     bool                           // the front has heard that it takes none
+	routed      bool                           // the front sends it clients
+	notReady    bool                           // the front has heard that it takes none
 	participant *participant                   // nil without an accord
 	quotas      *dispatcherQuotas              // nil without quotas
 }
 
-func newSide(w *world, at int, settings balance.Settings, p Policy) (s *side, err error) {
-	s = &side{w: w, at: at, conns: map[*node]int{}, timer: math.Inf(1),
-		asked: map[*client]struct{}{}, last: map[string]maintenance.Backend{}, fronted: true}
+func newSide(w *world, at int, settings balance.Settings, p Policy) (s *dispatcher, err error) {
+	s = &dispatcher{world: w, index: at, conns: map[*backend]int{}, timer: math.Inf(1),
+		asked: map[*client]struct{}{}, last: map[string]maintenance.Backend{}, routed: true}
 	s.core, err = core.NewWith(w.time, p, settings, s, s, &counters.Set{})
 	if err == nil && w.leader != nil {
 		if s.participant, err = newParticipant(s); err == nil {
@@ -46,16 +46,16 @@
 	return s, err
 }
 
-// touch notes that something has come to it.
-func (s *side) touch() {
+// markDirty notes that something has come to it.
+func (s *dispatcher) markDirty() {
 	if !s.dirty {
 		s.dirty = true
-		s.w.dirty = append(s.w.dirty, s)
+		s.world.dirty = append(s.world.dirty, s)
 	}
 }
 
 // step has the core take what has come and what is due, and sets an event for its next timer.
-func (s *side) step() {
+func (s *dispatcher) step() {
 	if s.dead {
 		return
 	}
@@ -69,16 +69,16 @@
 		return
 	}
 	s.timer = next
-	s.w.at(next, func() {
+	s.world.schedule(next, func() {
 		if s.timer == next {
 			s.timer = math.Inf(1)
 		}
-		s.touch()
+		s.markDirty()
 	})
 }
 
 // whole tells it the whole list.
-func (s *side) whole(list []*node) {
+func (s *dispatcher) whole(list []*backend) {
 	in := make([]maintenance.Backend, 0, len(list))
 	for _, n := range list {
 		if n.state == balance.Gone {
@@ -86,7 +86,7 @@
 		}
 		in = append(in, maintenance.Backend(n.entry()))
 		if n.state != balance.Ready {
-			s.w.note(judge.Event{Kind: judge.StateReceived, Node: s.at, Backend: n.name})
+			s.world.note(judge.Event{Kind: judge.StateReceived, Node: s.index, Backend: n.name})
 		}
 		s.last[n.name] = in[len(in)-1]
 	}
@@ -94,8 +94,8 @@
 }
 
 // tell tells it what the director says of one backend.
-func (s *side) tell(n *node) {
-	s.w.note(judge.Event{Kind: judge.StateReceived, Node: s.at, Backend: n.name, Ready: n.state == balance.Ready})
+func (s *dispatcher) tell(n *backend) {
+	s.world.note(judge.Event{Kind: judge.StateReceived, Node: s.index, Backend: n.name, Ready: n.state == balance.Ready})
 	if s.last[n.name] = maintenance.Backend(n.entry()); n.state == balance.Gone {
 		delete(s.last, n.name)
 	}
@@ -103,8 +103,8 @@
 }
 
 // ban is an operator's call.
-func (s *side) ban(n *node, on bool) {
-	now, call := float64(s.w.time().UnixNano())/1e6, s.bans.Online
+func (s *dispatcher) ban(n *backend, on bool) {
+	now, call := float64(s.world.time().UnixNano())/1e6, s.bans.Online
 	if on {
 		call = s.bans.Offline
 	}
@@ -118,56 +118,56 @@
 	s.listed(balance.ListDelta, change)
 }
 
-func (s *side) listed(kind balance.ListKind, list []maintenance.Backend) {
+func (s *dispatcher) listed(kind balance.ListKind, list []maintenance.Backend) {
 	out := make([]core.Entry, len(list))
 	for i := range list {
 		out[i] = core.Entry(list[i])
 	}
 	s.core.HandleList(kind, out)
-	s.touch()
+	s.markDirty()
 }
 
-// trip is an attempt under way.
-type trip struct {
-	side *side
-	n    *node
-	id   uint64
-	a    *core.Attempt
-	over bool
+// attempt is an attempt under way.
+type attempt struct {
+	dispatcher *dispatcher
+	n          *backend
+	id         uint64
+	a          *core.Attempt
+	over       bool
 	// never is what its dispatcher was told, began what happened.
 	never, began bool
 }
 
 // Send carries an attempt out on the model.
-func (s *side) Send(a *core.Attempt) func() {
-	w := s.w
+func (s *dispatcher) Send(a *core.Attempt) func() {
+	w := s.world
 	w.jobs++
-	t := &trip{side: s, n: w.byID[a.Backend.ID], id: w.jobs, a: a}
+	t := &attempt{dispatcher: s, n: w.byID[a.Backend.ID], id: w.jobs, a: a}
 	c := w.tries[a.Job.ID]
 	c.trips = append(c.trips, t)
-	w.res.Attempts++
+	w.result.Attempts++
 	wait := w.delay()
 	connect := s.conns[t.n] == 0
 	if !connect {
 		s.conns[t.n]--
 	} else {
-		wait += w.sc.Connect
+		wait += w.scenario.Connect
 	}
-	w.at(w.now+wait, func() { t.begin(connect) })
+	w.schedule(w.now+wait, func() { t.begin(connect) })
 	return func() {
 		if t.over {
 			return
 		}
 		t.over = true
-		w.note(judge.Event{Kind: judge.AttemptEnded, Node: s.at, Req: a.Job.ID, Attempt: a.Number()})
+		w.note(judge.Event{Kind: judge.AttemptEnded, Node: s.index, Req: a.Job.ID, Attempt: a.Number()})
 		t.call()
 	}
 }
 
 // call calls the job off at its backend, by closing its connection.
-func (t *trip) call() {
-	w := t.side.w
-	w.at(w.now+w.delay(), func() {
+func (t *attempt) call() {
+	w := t.dispatcher.world
+	w.schedule(w.now+w.delay(), func() {
 		if t.n.out[t.id] != nil {
 			delete(t.n.out, t.id)
 			if w.tenants != nil && t.n.cfg.Kind.OnCancel == fleet.DropAll {
@@ -179,47 +179,47 @@
 }
 
 // progress tells the share that is done, every so often while the job runs.
-func (t *trip) progress() {
-	w := t.side.w
-	w.at(w.now+w.sc.Site.Progress, func() {
+func (t *attempt) progress() {
+	w := t.dispatcher.world
+	w.schedule(w.now+w.scenario.Site.Progress, func() {
 		w.told(t.n, t.n.model.Advance(w.now))
 		if t.over || t.n.out[t.id] != t {
 			return
 		}
 		if share := t.n.model.Progress(t.id); t.n.model.NextSendTime(w.now) == w.now {
-			w.at(w.now+w.delay(), func() { t.side.touch(); t.a.Progress(share) })
+			w.schedule(w.now+w.delay(), func() { t.dispatcher.markDirty(); t.a.Progress(share) })
 		}
 		t.progress()
 	})
 }
 
 // begin is the moment of the first byte, and of the last: jobs are short.
-func (t *trip) begin(connect bool) {
-	w, s := t.side.w, t.side
+func (t *attempt) begin(connect bool) {
+	w, s := t.dispatcher.world, t.dispatcher
 	if t.over {
 		return
 	}
 	if !t.a.MayBegin() {
 		t.over, t.never = true, true
-		s.touch()
+		s.markDirty()
 		t.a.Ended(core.Unsent, "", nil)
 		return
 	}
 	if w.leader != nil && t.a.Version() < w.leader.state.Version {
-		w.res.Accord.OutdatedStarts++
+		w.result.Accord.OutdatedStarts++
 	}
 	c := w.tries[t.a.Job.ID]
 	work := c.Work
 	if z := c.class().Noise; z > 0 {
 		work *= math.Exp(z*w.attempts.NormFloat64() - z*z/2)
 	}
-	e := judge.Event{Kind: judge.AttemptSent, Node: s.at, Req: t.a.Job.ID, Key: t.a.Job.IdempotencyKey, Attempt: t.a.Number(), Backend: t.n.name,
+	e := judge.Event{Kind: judge.AttemptSent, Node: s.index, Req: t.a.Job.ID, Key: t.a.Job.IdempotencyKey, Attempt: t.a.Number(), Backend: t.n.name,
 		Group: t.n.cfg.Pod, Work: c.Work}
 	if part := t.n.model.Capacity(w.now); part < 1 {
 		e.Capacity = part * t.n.cfg.Kind.Cores * t.n.cfg.Kind.Speed
 	}
 	w.note(e)
-	w.res.Load[t.n.name]++
+	w.result.Load[t.n.name]++
 	t.n.out[t.id], w.owners[t.id] = t, t
 	job := fleet.Job{ID: t.id, Work: work, Slots: c.Slots}
 	if key := t.a.Job.IdempotencyKey; key != "" {
@@ -236,10 +236,10 @@
 }
 
 // reply ends an attempt a network's way later; its connection may carry another.
-func (t *trip) reply(e core.Ending) {
-	w, s := t.side.w, t.side
+func (t *attempt) reply(e core.Ending) {
+	w, s := t.dispatcher.world, t.dispatcher
 	delete(t.n.out, t.id)
-	w.at(t.n.model.NextSendTime(w.now)+w.delay(), func() {
+	w.schedule(t.n.model.NextSendTime(w.now)+w.delay(), func() {
 		if e != core.Broken && e != core.Unreached {
 			s.conns[t.n]++
 		}
@@ -247,23 +247,23 @@
 			return
 		}
 		t.over, t.never = true, e == core.Returned || e == core.Unreached
-		w.note(judge.Event{Kind: judge.AttemptEnded, Node: s.at, Req: t.a.Job.ID, Attempt: t.a.Number(), NeverRan: t.never})
-		s.touch()
+		w.note(judge.Event{Kind: judge.AttemptEnded, Node: s.index, Req: t.a.Job.ID, Attempt: t.a.Number(), NeverRan: t.never})
+		s.markDirty()
 		t.a.Ended(e, "", w.report(t.n))
 	})
 }
 
 // Probe answers nothing: scenarios have no probes.
-func (s *side) Probe(_ *core.Backend, done func(core.Ending, []float32)) {
-	s.w.at(s.w.now+s.w.delay(), func() { s.touch(); done(core.Failed, nil) })
+func (s *dispatcher) Probe(_ *core.Backend, done func(core.Ending, []float32)) {
+	s.world.schedule(s.world.now+s.world.delay(), func() { s.markDirty(); done(core.Failed, nil) })
 }
 
 // CloseIdle closes the idle connections to a backend.
-func (s *side) CloseIdle(b *core.Backend) {
-	if n := s.w.byID[b.ID]; n != nil {
+func (s *dispatcher) CloseIdle(b *core.Backend) {
+	if n := s.world.byID[b.ID]; n != nil {
 		delete(s.conns, n)
 	}
 }
 
 // Subscribe does nothing: lists come by themselves.
-func (s *side) Subscribe() {}
+func (s *dispatcher) Subscribe() {}
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -70,8 +70,8 @@
 	Vary float64
 }
 
-// Dos are what can happen to a backend; see Event.
-var Dos = []string{"kill", "start", "drain", "list", "unlist", "trouble", "ban", "lift"}
+// EventActions are what can happen to a backend; see Event.
+var EventActions = []string{"kill", "start", "drain", "list", "unlist", "trouble", "ban", "lift"}
 
 // Event is something that happens to a backend.
 type Event struct {
@@ -163,13 +163,13 @@
 // Module is the real decision module.
 func Module(s balance.Settings, a balance.Actions) (balance.Events, error) { return balance.New(s, a) }
 
-// Play plays a scenario to its end, with the real module.
-func Play(sc Scenario, settings balance.Settings) (Result, error) {
-	return PlayWith(sc, settings, Module)
+// Run plays a scenario to its end, with the real module.
+func Run(sc Scenario, settings balance.Settings) (Result, error) {
+	return RunWithPolicy(sc, settings, Module)
 }
 
-// PlayWith plays it with a policy. The error is the scenario's fault, or that of a run that gets nowhere.
-func PlayWith(sc Scenario, settings balance.Settings, p Policy) (Result, error) {
+// RunWithPolicy plays it with a policy. The error is the scenario's fault, or that of a run that gets nowhere.
+func RunWithPolicy(sc Scenario, settings balance.Settings, p Policy) (Result, error) {
 	if err := sc.check(); err != nil {
 		return Result{}, err
 	}
@@ -177,17 +177,17 @@
 	if err != nil {
 		return Result{}, err
 	}
-	for _, s := range w.sides {
+	for _, s := range w.dispatchers {
 		s.whole(w.list())
 	}
 	for _, r := range sc.Restarts {
-		w.at(r.At, func() { w.restart(r) })
+		w.schedule(r.At, func() { w.restart(r) })
 	}
 	if w.leader != nil {
 		w.startAccord()
 	}
 	for _, e := range sc.Events {
-		w.at(e.At, func() { w.happen(e) })
+		w.schedule(e.At, func() { w.happen(e) })
 	}
 	var stop func()
 	w.next, stop = iter.Pull(sc.Arrivals())
@@ -203,7 +203,7 @@
 		return Result{}, err
 	}
 	w.finish()
-	return w.res, nil
+	return w.result, nil
 }
 
 // Bounds on a scenario: more is a slip of the pen, or takes longer than anybody waits.
@@ -222,7 +222,7 @@
 		names[b.Name] = true
 	}
 	dos := map[string]bool{}
-	for _, d := range Dos {
+	for _, d := range EventActions {
 		dos[d] = true
 	}
 	for _, e := range sc.Events {
@@ -230,7 +230,7 @@
 		case !names[e.Backend]:
 			return fmt.Errorf("an event at %v names backend %q, which is none", e.At, e.Backend)
 		case !dos[e.Do]:
-			return fmt.Errorf("an event at %v does %q, want one of %q", e.At, e.Do, Dos)
+			return fmt.Errorf("an event at %v does %q, want one of %q", e.At, e.Do, EventActions)
 		}
 	}
 	most := 1.0
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -12,7 +12,7 @@
 	"tinsail/internal/lab/fleet"
 )
 
-func evening(seed uint64) Scenario {
+func eightBackendScenario(seed uint64) Scenario {
 	sc := Scenario{Seed: seed, Length: 20_000, Rate: 100, Work: 200, Spread: 0.4, Aim: 120, Deadline: 5000, Retries: 1, Backoff: 50,
 		Latency: 0.3, Connect: 0.6}
 	for i, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
@@ -29,9 +29,9 @@
 	assert.Equal(t, r.First, r.Served+r.Refused+r.Failed+r.Open)
 }
 
-func play(t *testing.T, sc Scenario) Result {
+func runChecked(t *testing.T, sc Scenario) Result {
 	t.Helper()
-	r, err := Play(sc, defaults.Settings())
+	r, err := Run(sc, defaults.Settings())
 	require.NoError(t, err)
 	whole(t, r)
 	return r
@@ -39,17 +39,17 @@
 
 // TestSameSeed: a run is the same to the byte, and another seed's is another.
 func TestSameSeed(t *testing.T) {
-	sc := evening(1)
+	sc := eightBackendScenario(1)
 	sc.Events = []Event{{At: 5000, Backend: "a", Do: "trouble", Trouble: fleet.Faults{SlowFactor: 5, FailureRate: 0.2}}, {At: 9000, Backend: "b", Do: "kill"}}
-	a, b := play(t, sc), play(t, sc)
+	a, b := runChecked(t, sc), runChecked(t, sc)
 	assert.Equal(t, a, b)
 	sc.Seed = 2
-	assert.NotEqual(t, a.Hash, play(t, sc).Hash)
+	assert.NotEqual(t, a.Hash, runChecked(t, sc).Hash)
 }
 
 // TestCalm: a fleet at two thirds of what it can do serves nearly all in time.
 func TestCalm(t *testing.T) {
-	r := play(t, evening(3))
+	r := runChecked(t, eightBackendScenario(3))
 	assert.Greater(t, r.First, 1800)
 	assert.Greater(t, r.InTimePart(), 0.95)
 }
@@ -83,9 +83,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 3; seed++ {
-				sc := evening(seed)
+				sc := eightBackendScenario(seed)
 				c.change(&sc)
-				r := play(t, sc)
+				r := runChecked(t, sc)
 				assert.Greater(t, r.InTimePart(), c.floor, "seed %d: %+v", seed, r)
 			}
 		})
@@ -94,20 +94,20 @@
 
 // TestBadScenario: what a scenario names wrongly is told.
 func TestBadScenario(t *testing.T) {
-	sc := evening(1)
+	sc := eightBackendScenario(1)
 	sc.Events = []Event{{Backend: "z"}}
-	_, err := Play(sc, defaults.Settings())
+	_, err := Run(sc, defaults.Settings())
 	assert.ErrorContains(t, err, `names backend "z"`)
-	sc = evening(1)
+	sc = eightBackendScenario(1)
 	sc.Backends = append(sc.Backends, sc.Backends[0])
-	_, err = Play(sc, defaults.Settings())
+	_, err = Run(sc, defaults.Settings())
 	assert.ErrorContains(t, err, `backend "a" stands there twice`)
 }
 
 // BenchmarkPlay tells how much faster than time a day is played.
 func BenchmarkPlay(b *testing.B) {
 	for b.Loop() {
-		r, err := Play(evening(1), defaults.Settings())
+		r, err := Run(eightBackendScenario(1), defaults.Settings())
 		if err != nil || r.Breaches > 0 {
 			b.Fatal(err, r)
 		}
@@ -119,7 +119,7 @@
 // and what a ban and its end mean is seen at the backend.
 func TestManyDispatchers(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		sc := evening(seed)
+		sc := eightBackendScenario(seed)
 		sc.Dispatchers = 4
 		sc.Report = fleet.ReportConfig{Period: 900, Delay: 300, Noise: 0.05}
 		sc.Events = []Event{
@@ -127,12 +127,12 @@
 			{At: 6000, Backend: "a", Do: "kill"}, {At: 7000, Backend: "a", Do: "start"}, {At: 8000, Backend: "a", Do: "list"}, {At: 9000, Backend: "a", Do: "lift"},
 			{At: 19_000, Backend: "b", Do: "ban"},
 		}
-		r := play(t, sc)
+		r := runChecked(t, sc)
 		assert.Greater(t, r.InTimePart(), 0.95, "seed %d", seed)
 		assert.Greater(t, r.Load["a"], 50, "used before its ban and after it")
-		assert.Equal(t, r, play(t, sc))
+		assert.Equal(t, r, runChecked(t, sc))
 		sc.Dispatchers = 1
-		assert.NotEqual(t, r.Hash, play(t, sc).Hash)
+		assert.NotEqual(t, r.Hash, runChecked(t, sc).Hash)
 	}
 }
 
@@ -147,9 +147,9 @@
 
 // TestRulesAreSeen: the judge finds what a policy breaks that the core does not prevent: it is not blind.
 func TestRulesAreSeen(t *testing.T) {
-	sc := evening(1)
+	sc := eightBackendScenario(1)
 	sc.Backends[0].Cold = true
-	r, err := PlayWith(sc, defaults.Settings(), func(s balance.Settings, a balance.Actions) (balance.Events, error) {
+	r, err := RunWithPolicy(sc, defaults.Settings(), func(s balance.Settings, a balance.Actions) (balance.Events, error) {
 		d, err := balance.New(s, a)
 		return &first{d, a, idOf("a")}, err
 	})
@@ -162,7 +162,7 @@
 func BenchmarkSizes(b *testing.B) {
 	for _, size := range []struct{ dispatchers, backends int }{{1, 10}, {1, 100}, {1, 1000}, {20, 100}, {200, 100}} {
 		b.Run(fmt.Sprint(size.dispatchers, "x", size.backends), func(b *testing.B) {
-			sc := evening(1)
+			sc := eightBackendScenario(1)
 			kind := sc.Backends[0].Kind
 			sc.Dispatchers, sc.Length, sc.Rate, sc.Backends = size.dispatchers, 2000, 12*float64(size.backends), nil
 			for i := range size.backends {
@@ -170,7 +170,7 @@
 			}
 			steps := 0
 			for b.Loop() {
-				r, err := Play(sc, defaults.Settings())
+				r, err := Run(sc, defaults.Settings())
 				if err != nil || r.Breaches > 0 {
 					b.Fatal(err, r.Broken)
 				}
@@ -184,7 +184,7 @@
 // TestReplay: recorded times stand for the scenario's own arrivals, all of them within its length and none beyond,
 // and a burst in the recording is played as it came.
 func TestReplay(t *testing.T) {
-	sc := evening(4)
+	sc := eightBackendScenario(4)
 	for i := range 1500 { // 100 a second, and a burst of 300 in the second from 5 s
 		sc.Times = append(sc.Times, float64(i)*10)
 		if i >= 500 && i < 600 {
@@ -192,9 +192,9 @@
 		}
 	}
 	sc.Times = append(sc.Times, 25_000) // past the length
-	r := play(t, sc)
+	r := runChecked(t, sc)
 	assert.Equal(t, 1700, r.First)
 	sc.Times[3], sc.Times[4] = sc.Times[4], sc.Times[3]
-	_, err := Play(sc, defaults.Settings())
+	_, err := Run(sc, defaults.Settings())
 	assert.ErrorContains(t, err, "out of the order")
 }
--- a/internal/lab/sim/site_test.go
+++ b/internal/lab/sim/site_test.go
@@ -30,7 +30,7 @@
 		c.Wide = wide
 		sc := bench(c, 0, 1)
 		sc.Backends = sc.Backends[:1]
-		r := play(t, sc)
+		r := runChecked(t, sc)
 		assert.Equal(t, 2, r.Served)
 		assert.InDelta(t, most, float64(r.Latency.Max())/1000, 3, "slots %v", wide+1)
 	}
@@ -48,7 +48,7 @@
 func TestTwice(t *testing.T) {
 	for effect, want := range map[balance.Effect]int{balance.Unsafe: 1, balance.Safe: 0} {
 		sc := bench(Class{Effect: effect}, 5)
-		r, err := PlayWith(sc, defaults.Settings(), func(s balance.Settings, a balance.Actions) (balance.Events, error) {
+		r, err := RunWithPolicy(sc, defaults.Settings(), func(s balance.Settings, a balance.Actions) (balance.Events, error) {
 			d, err := balance.New(s, a)
 			return &twice{first{d, a, 0}}, err
 		})
@@ -71,11 +71,11 @@
 		}
 		sc.Restarts = []Restart{{At: 50, Down: 800, Notice: 2500}}
 		sc.Events = []Event{{At: 100, Backend: "a", Do: "unlist", Heard: 100}}
-		r := play(t, sc)
+		r := runChecked(t, sc)
 		assert.Equal(t, c.wrong, r.Classes[0].Wrong)
 		assert.Equal(t, 3, r.InTime)
 		assert.LessOrEqual(t, r.Load["a"], 1, "only what came before the change")
-		assert.Equal(t, r, play(t, sc))
+		assert.Equal(t, r, runChecked(t, sc))
 	}
 }
 
@@ -110,7 +110,7 @@
 }
 
 func (e *ear) play(t *testing.T, sc Scenario) Result {
-	r, err := PlayWith(sc, defaults.Settings(), func(s balance.Settings, a balance.Actions) (balance.Events, error) {
+	r, err := RunWithPolicy(sc, defaults.Settings(), func(s balance.Settings, a balance.Actions) (balance.Events, error) {
 		d, err := balance.New(s, a)
 		e.Events, e.set = d, s
 		return e, err
@@ -155,7 +155,7 @@
 
 // TestHeavy: part of a class's reqs cost more for a while, and the rest of the arrivals stays as it is.
 func TestHeavy(t *testing.T) {
-	sc := evening(5)
+	sc := eightBackendScenario(5)
 	sc.Classes = []Class{{Name: "x", Share: 3, Work: 100, Deadline: 5000}, {Name: "y", Share: 1, Work: 100, Deadline: 5000, Wide: 0.5}}
 	sc.Heavy = []Heavy{{From: 5000, To: 10_000, Class: "y", Part: 0.5, Times: 10}}
 	heavy, ys, wide, n := 0, 0, 0, 0
@@ -181,11 +181,11 @@
 		func(s *Scenario) { s.Classes[1].Deadline = 0 },
 		func(s *Scenario) { s.Restarts = []Restart{{Node: 1}} },
 	} {
-		sc := evening(5)
+		sc := eightBackendScenario(5)
 		sc.Classes = []Class{{Name: "x", Share: 3, Work: 100, Deadline: 5000}, {Name: "y", Share: 1, Work: 100, Deadline: 5000}}
 		sc.Heavy = []Heavy{{Class: "y"}}
 		bad(&sc)
-		_, err := Play(sc, defaults.Settings())
+		_, err := Run(sc, defaults.Settings())
 		assert.Error(t, err)
 	}
 }
--- a/internal/lab/sim/tenants.go
+++ b/internal/lab/sim/tenants.go
@@ -134,18 +134,18 @@
 }
 
 func newTenantJobs(w *world) *tenantJobs {
-	n := len(w.sc.Tenants)
+	n := len(w.scenario.Tenants)
 	j := &tenantJobs{world: w, changedAt: make([]float64, n), running: make([]int, n), runningUrgent: make([]int, n), runningSum: make([]float64, n), urgentSum: make([]float64, n),
-		jobs: map[uint64]*client{}, random: fleet.RandomStream(w.sc.Seed, "tenants")}
-	for _, t := range w.sc.Tenants {
-		w.res.Tenants.ByTenant = append(w.res.Tenants.ByTenant, TenantResult{Name: t.Name, Quota: t.Quota, Demand: t.Demand})
+		jobs: map[uint64]*client{}, random: fleet.RandomStream(w.scenario.Seed, "tenants")}
+	for _, t := range w.scenario.Tenants {
+		w.result.Tenants.ByTenant = append(w.result.Tenants.ByTenant, TenantResult{Name: t.Name, Quota: t.Quota, Demand: t.Demand})
 		j.totalQuota += t.Quota
 	}
-	for _, b := range w.sc.Backends {
-		w.res.Tenants.Slots += b.Kind.Slots
+	for _, b := range w.scenario.Backends {
+		w.result.Tenants.Slots += b.Kind.Slots
 	}
-	w.res.Tenants.UrgentStartDelay = hdrhistogram.New(1, 100_000_000_000, 3)
-	w.res.Tenants.OtherStartDelay = hdrhistogram.New(1, 100_000_000_000, 3)
+	w.result.Tenants.UrgentStartDelay = hdrhistogram.New(1, 100_000_000_000, 3)
+	w.result.Tenants.OtherStartDelay = hdrhistogram.New(1, 100_000_000_000, 3)
 	return j
 }
 
@@ -153,9 +153,9 @@
 // had been running before.
 func (j *tenantJobs) startDemand() {
 	w := j.world
-	for i := range w.sc.Tenants {
-		for range w.sc.Tenants[i].Demand {
-			w.at(w.sc.Window.Ramp*j.random.Float64(), func() { j.submit(i, j.random.Float64()) })
+	for i := range w.scenario.Tenants {
+		for range w.scenario.Tenants[i].Demand {
+			w.schedule(w.scenario.Window.Ramp*j.random.Float64(), func() { j.submit(i, j.random.Float64()) })
 		}
 	}
 }
@@ -163,18 +163,18 @@
 // submit creates a req of a tenant and sends it. workShare scales the work of its job.
 func (j *tenantJobs) submit(tenant int, workShare float64) {
 	w := j.world
-	class := classIndex(w.classes, w.sc.Tenants[tenant].Class)
+	class := classIndex(w.classes, w.scenario.Tenants[tenant].Class)
 	c := &w.classes[class]
-	w.res.First++
+	w.result.First++
 	z := j.random.NormFloat64()
 	arrival := Arrival{At: w.now, Slots: 1, Class: class, Work: workShare * c.Work * math.Exp(c.Spread*z-c.Spread*c.Spread/2)}
-	cl := &client{w: w, n: w.res.First, key: fmt.Sprint("k", w.res.First), Arrival: arrival, begun: w.now, tenant: tenant, region: w.drawRegion(), stands: true}
+	cl := &client{world: w, n: w.result.First, key: fmt.Sprint("k", w.result.First), Arrival: arrival, arrivedAt: w.now, tenant: tenant, region: w.drawRegion(), standing: true}
 	cl.ask()
 }
 
 // drawRegion returns a random region for a client; 0 if there are no regions.
 func (w *world) drawRegion() int {
-	if n := len(w.sc.Regions); n > 0 {
+	if n := len(w.scenario.Regions); n > 0 {
 		return w.where.IntN(n)
 	}
 	return 0
@@ -183,8 +183,8 @@
 // drawTenant returns a random tenant, weighted by quota, for a req that is not part of a standing demand.
 func (j *tenantJobs) drawTenant() int {
 	rest := j.random.IntN(max(j.totalQuota, 1))
-	for i := range j.world.sc.Tenants {
-		if rest -= j.world.sc.Tenants[i].Quota; rest < 0 {
+	for i := range j.world.scenario.Tenants {
+		if rest -= j.world.scenario.Tenants[i].Quota; rest < 0 {
 			return i
 		}
 	}
@@ -194,14 +194,14 @@
 // scheduleNext schedules the next req of a standing demand after one has ended.
 func (j *tenantJobs) scheduleNext(c *client) {
 	w := j.world
-	if at := w.now + j.random.ExpFloat64()*w.sc.Tenants[c.tenant].ThinkTime; c.stands && at < w.sc.Length {
-		w.at(at, func() { j.submit(c.tenant, 1) })
+	if at := w.now + j.random.ExpFloat64()*w.scenario.Tenants[c.tenant].ThinkTime; c.standing && at < w.scenario.Length {
+		w.schedule(at, func() { j.submit(c.tenant, 1) })
 	}
 }
 
 // handleStart counts a job that starts at a backend.
 func (j *tenantJobs) handleStart(job uint64, c *client) {
-	t := &j.world.res.Tenants
+	t := &j.world.result.Tenants
 	if _, known := j.jobs[job]; known {
 		return
 	}
@@ -217,7 +217,7 @@
 	}
 	result := &t.ByTenant[c.tenant]
 	result.MaxRunning = max(result.MaxRunning, j.running[c.tenant]-j.runningUrgent[c.tenant])
-	if c.ran > 1 || !j.inWindow(c.begun) {
+	if c.starts > 1 || !j.inWindow(c.arrivedAt) {
 		return
 	}
 	result.Starts++
@@ -225,12 +225,12 @@
 	if urgent {
 		delays = t.UrgentStartDelay
 	}
-	_ = delays.RecordValue(int64((j.world.now-c.begun)*1000) + 1) // cannot fail: no client waits longer than a day, and the maximum is higher
+	_ = delays.RecordValue(int64((j.world.now-c.arrivedAt)*1000) + 1) // cannot fail: no client waits longer than a day, and the maximum is higher
 }
 
 // inWindow reports whether a time is in the measurement window.
 func (j *tenantJobs) inWindow(at float64) bool {
-	return at >= j.world.sc.Window.From && at < j.world.sc.Window.To
+	return at >= j.world.scenario.Window.From && at < j.world.scenario.Window.To
 }
 
 // handleEnd counts a job that no longer runs, whatever the reason.
@@ -246,14 +246,14 @@
 		j.runningUrgent[c.tenant]--
 	}
 	if q := j.world.quotas; q != nil {
-		q.backendChecker.HandleEnd(j.world.res.Tenants.ByTenant[c.tenant].Name, c.class().Urgent)
+		q.backendChecker.HandleEnd(j.world.result.Tenants.ByTenant[c.tenant].Name, c.class().Urgent)
 	}
 }
 
 // accumulate adds the time since a tenant's counts last changed to its sums over time. It must be called before each
 // change.
 func (j *tenantJobs) accumulate(tenant int) {
-	window := &j.world.sc.Window
+	window := &j.world.scenario.Window
 	if elapsed := min(j.world.now, window.To) - max(j.changedAt[tenant], window.From); elapsed > 0 {
 		j.runningSum[tenant] += elapsed * float64(j.running[tenant])
 		j.urgentSum[tenant] += elapsed * float64(j.runningUrgent[tenant])
@@ -263,7 +263,7 @@
 
 // finish computes the results at the end of the run.
 func (j *tenantJobs) finish() {
-	window, t := &j.world.sc.Window, &j.world.res.Tenants
+	window, t := &j.world.scenario.Window, &j.world.result.Tenants
 	for i := range t.ByTenant {
 		j.accumulate(i)
 		t.ByTenant[i].entitlement = j.entitlement(i)
@@ -274,7 +274,7 @@
 
 // entitlement returns how many jobs a tenant should have had running on average over the window, by its quotas.
 func (j *tenantJobs) entitlement(i int) float64 {
-	window, t := &j.world.sc.Window, &j.world.sc.Tenants[i]
+	window, t := &j.world.scenario.Window, &j.world.scenario.Tenants[i]
 	at, units, sum := window.From, t.Quota, 0.0
 	addUntil := func(to float64) {
 		if to = min(to, window.To); to > at {
@@ -282,7 +282,7 @@
 			at = to
 		}
 	}
-	for _, c := range j.world.sc.QuotaChanges { // checkQuotas has checked that they are in order of time
+	for _, c := range j.world.scenario.QuotaChanges { // checkQuotas has checked that they are in order of time
 		if c.Tenant == t.Name {
 			addUntil(c.At)
 			units = c.Quota
@@ -327,36 +327,36 @@
 
 // reachable returns the dispatchers that a client's reqs may go to, out of those to which the load balancer in front
 // sends: those of its tenant if DispatcherCount limits them, otherwise those of its region.
-func (c *client) reachable(fronts []*side) []*side {
-	w := c.w
+func (c *client) reachable(fronts []*dispatcher) []*dispatcher {
+	w := c.world
 	count := 0
 	if w.tenants != nil {
-		count = w.sc.Tenants[c.tenant].DispatcherCount
+		count = w.scenario.Tenants[c.tenant].DispatcherCount
 	}
-	if count == 0 && len(w.sc.Regions) < 2 {
+	if count == 0 && len(w.scenario.Regions) < 2 {
 		return fronts
 	}
-	n := len(w.sides)
-	allowed := func(s *side) bool {
+	n := len(w.dispatchers)
+	allowed := func(s *dispatcher) bool {
 		if count > 0 {
-			first := int(hashOf(w.sc.Tenants[c.tenant].Name) % uint64(n))
+			first := int(hashOf(w.scenario.Tenants[c.tenant].Name) % uint64(n))
 			for i := range count { // spread evenly over all dispatchers, and so over the regions
-				if (first+i*n/count)%n == s.at {
+				if (first+i*n/count)%n == s.index {
 					return true
 				}
 			}
 			return false
 		}
-		return w.sc.RegionOf(s.at) == c.region
+		return w.scenario.RegionOf(s.index) == c.region
 	}
-	var out []*side
+	var out []*dispatcher
 	for _, s := range fronts {
 		if allowed(s) {
 			out = append(out, s)
 		}
 	}
 	for i := 0; len(out) == 0 && i < n; i++ { // no allowed dispatcher is ready: the load balancer sends to all of them
-		if s := w.sides[i]; s.fronted && allowed(s) {
+		if s := w.dispatchers[i]; s.routed && allowed(s) {
 			out = append(out, s)
 		}
 	}
--- a/internal/lab/sim/tenants_test.go
+++ b/internal/lab/sim/tenants_test.go
@@ -34,7 +34,7 @@
 // other.
 func TestTenantsRunTheirDemand(t *testing.T) {
 	for seed := range uint64(4) {
-		r := play(t, teamScenario(seed, 1))
+		r := runChecked(t, teamScenario(seed, 1))
 		assert.Greater(t, r.Tenants.WorstShare(), 0.85, "seed %d", seed)
 		assert.InDelta(t, 0.95, r.Tenants.Utilization(), 0.07)
 		assert.LessOrEqual(t, r.Tenants.MaxOverQuota(), 1.0, "no tenant demands more than its quota")
@@ -52,8 +52,8 @@
 	}
 	used := map[int]bool{}
 	for region := range 3 {
-		for _, s := range (&client{w: w, tenant: 2, region: region}).reachable(w.fronts()) {
-			used[s.at] = true
+		for _, s := range (&client{world: w, tenant: 2, region: region}).reachable(w.routedDispatchers()) {
+			used[s.index] = true
 		}
 	}
 	assert.Len(t, used, 3)
@@ -63,7 +63,7 @@
 // several times its quota running, and other tenants get less than their entitlement. Quotas exist to prevent this.
 func TestTenantExceedsQuotaWithoutQuotas(t *testing.T) {
 	for seed := range uint64(4) {
-		r := play(t, teamScenario(seed, 10)).Tenants
+		r := runChecked(t, teamScenario(seed, 10)).Tenants
 		assert.Greater(t, r.MaxOverQuota(), 2.0, "seed %d", seed)
 		assert.Less(t, r.WorstShare(), 0.95)
 	}
@@ -79,7 +79,7 @@
 	} {
 		sc := teamScenario(1, 1)
 		breakScenario(&sc)
-		_, err := Play(sc, defaults.Settings())
+		_, err := Run(sc, defaults.Settings())
 		assert.ErrorContains(t, err, want)
 	}
 }
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -40,14 +40,14 @@
 	return x
 }
 
-// node is a backend with what is out at it.
-type node struct {
+// backend is a backend with what is out at it.
+type backend struct {
 	name   string
 	id     balance.WorkerID
 	kind   int
 	cfg    Backend
 	model  *fleet.Backend
-	out    map[uint64]*trip
+	out    map[uint64]*attempt
 	wake   float64 // that an event for it is set for
 	fell   bool
 	weight float64       // as the director has it
@@ -57,37 +57,37 @@
 }
 
 type world struct {
-	sc      Scenario
-	now     float64
-	queue   events
-	seq     uint64
-	sides   []*side
-	dirty   []*side
-	nodes   map[string]*node
-	byID    map[balance.WorkerID]*node
-	pods    map[int]*fleet.DedupGroup
-	net     *rand.Rand
-	clients *rand.Rand // of arrivals and retries
-	front   *rand.Rand // of which dispatcher a try comes to
-	noise   *rand.Rand // of load reports
-	log     hash.Hash64
-	judge   judge.Checker
-	service judge.ServiceLevel
-	res     Result
-	tries   map[string]*client // by the id of the try
-	next    func() (Arrival, bool)
-	jobs    uint64
-	open    int
+	scenario    Scenario
+	now         float64
+	queue       events
+	seq         uint64
+	dispatchers []*dispatcher
+	dirty       []*dispatcher
+	backends    map[string]*backend
+	byID        map[balance.WorkerID]*backend
+	pods        map[int]*fleet.DedupGroup
+	net         *rand.Rand
+	clients     *rand.Rand // of arrivals and retries
+	front       *rand.Rand // of which dispatcher a try comes to
+	noise       *rand.Rand // of load reports
+	log         hash.Hash64
+	judge       judge.Checker
+	service     judge.ServiceLevel
+	result      Result
+	tries       map[string]*client // by the id of the try
+	next        func() (Arrival, bool)
+	jobs        uint64
+	unanswered  int
 
 	settings balance.Settings
 	policy   Policy
 	classes  []Class
 	names    []string // of the backends, in the scenario's order
-	fronted  []*side
-	owners   map[uint64]*trip // of jobs that have not begun
-	ends     float64          // what is owed later is not judged
-	attempts *rand.Rand       // of what attempts of a job differ by
-	heard    float64          // when the last change is heard: a stale list keeps their order
+	fronted  []*dispatcher
+	owners   map[uint64]*attempt // of jobs that have not begun
+	ends     float64             // what is owed later is not judged
+	attempts *rand.Rand          // of what attempts of a job differ by
+	heard    float64             // when the last change is heard: a stale list keeps their order
 	restarts int
 	leader   *leader          // nil without an accord
 	tenants  *tenantJobs      // nil without tenants
@@ -96,23 +96,23 @@
 }
 
 func newWorld(sc Scenario, settings balance.Settings, p Policy) (*world, error) {
-	w := &world{ends: math.Inf(1), sc: sc, tries: map[string]*client{}, nodes: map[string]*node{}, byID: map[balance.WorkerID]*node{}, pods: map[int]*fleet.DedupGroup{},
+	w := &world{ends: math.Inf(1), scenario: sc, tries: map[string]*client{}, backends: map[string]*backend{}, byID: map[balance.WorkerID]*backend{}, pods: map[int]*fleet.DedupGroup{},
 		net: fleet.RandomStream(sc.Seed, "network"), clients: fleet.RandomStream(sc.Seed, "clients"), front: fleet.RandomStream(sc.Seed, "front"),
 		noise: fleet.RandomStream(sc.Seed, "reports"), log: fnv.New64a(),
-		policy: p, owners: map[uint64]*trip{}, attempts: fleet.RandomStream(sc.Seed, "attempts"), where: fleet.RandomStream(sc.Seed, "regions")}
-	if w.sc.Stretch == 0 {
-		w.sc.Stretch = 2
+		policy: p, owners: map[uint64]*attempt{}, attempts: fleet.RandomStream(sc.Seed, "attempts"), where: fleet.RandomStream(sc.Seed, "regions")}
+	if w.scenario.Stretch == 0 {
+		w.scenario.Stretch = 2
 	}
-	w.classes = w.sc.classes()
-	settings = w.sc.settings(settings)
-	w.res.Mix = w.sc.Site.Mix
+	w.classes = w.scenario.classes()
+	settings = w.scenario.settings(settings)
+	w.result.Mix = w.scenario.Site.Mix
 	mean, share := 0.0, 0.0
 	for _, c := range w.classes {
-		w.res.Classes = append(w.res.Classes, ClassResult{Name: c.Name, Wrong: map[string]int{}})
+		w.result.Classes = append(w.result.Classes, ClassResult{Name: c.Name, Wrong: map[string]int{}})
 		mean, share = mean+c.Share*c.Work, share+c.Share
 	}
-	w.res.Load = map[string]int{}
-	w.res.Latency = hdrhistogram.New(1, 60_000_000, 3)
+	w.result.Load = map[string]int{}
+	w.result.Latency = hdrhistogram.New(1, 60_000_000, 3)
 	r := settings.Rules
 	w.judge.Rules = judge.Rules{AnswerSlack: r.AnswerSlack + 50, SendGrace: r.DrainGrace, SingleAttempt: !settings.MayDuplicate,
 		FallMultiple: r.FallMultiple, FallWindow: r.FallWindow, FallSlack: 3 * mean / share}
@@ -151,7 +151,7 @@
 		if err != nil {
 			return nil, err
 		}
-		w.sides = append(w.sides, s)
+		w.dispatchers = append(w.dispatchers, s)
 	}
 	return w, nil
 }
@@ -160,7 +160,7 @@
 	return origin.Add(time.Duration(math.Round(w.now * float64(time.Millisecond))))
 }
 
-func (w *world) at(t float64, do func()) {
+func (w *world) schedule(t float64, do func()) {
 	w.seq++
 	heap.Push(&w.queue, event{max(t, w.now), w.seq, do})
 }
@@ -173,16 +173,16 @@
 	for i := range w.classes {
 		longest = max(longest, w.classes[i].Deadline)
 	}
-	for end := w.sc.Length + longest + 10_000; w.now <= end && len(w.queue) > 0; w.res.Steps++ {
+	for end := w.scenario.Length + longest + 10_000; w.now <= end && len(w.queue) > 0; w.result.Steps++ {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
 		e.do()
 		w.settle()
-		if w.open == 0 && w.now > w.sc.Length && w.quiet() {
+		if w.unanswered == 0 && w.now > w.scenario.Length && w.quiet() {
 			return nil
 		}
-		if w.tenants != nil && w.now > w.sc.Length { // what waits or runs on is owed an answer later
-			w.ends, w.res.Open = w.now, w.open
+		if w.tenants != nil && w.now > w.scenario.Length { // what waits or runs on is owed an answer later
+			w.ends, w.result.Open = w.now, w.unanswered
 			return nil
 		}
 		if still++; w.now != last {
@@ -196,7 +196,7 @@
 
 // quiet says whether nothing is out at any backend: only timers are left, that nobody waits for.
 func (w *world) quiet() bool {
-	for _, n := range w.nodes {
+	for _, n := range w.backends {
 		if len(n.out) > 0 {
 			return false
 		}
@@ -220,7 +220,7 @@
 // note judges an event and adds it to the log whose hash identifies the run.
 func (w *world) note(e judge.Event) {
 	e.At = w.now
-	w.res.Events++
+	w.result.Events++
 	var b [20]byte
 	b[0], b[1], b[2], b[3] = byte(e.Kind), byte(e.Node), byte(e.Attempt), byte(e.AnswerKind)
 	binary.LittleEndian.PutUint64(b[4:], math.Float64bits(w.now))
@@ -231,7 +231,7 @@
 	w.judge.Handle(e)
 }
 
-func (w *world) delay() float64 { return w.sc.Latency * (0.5 + w.net.Float64()) }
+func (w *world) delay() float64 { return w.scenario.Latency * (0.5 + w.net.Float64()) }
 
 func (w *world) add(b Backend, kind int) {
 	pod := w.pods[b.Pod]
@@ -240,27 +240,27 @@
 		w.pods[b.Pod] = pod
 	}
 	if b.Vary > 0 {
-		b.Kind.Speed *= math.Exp(b.Vary*fleet.RandomStream(w.sc.Seed, "speed "+b.Name).NormFloat64() - b.Vary*b.Vary/2)
+		b.Kind.Speed *= math.Exp(b.Vary*fleet.RandomStream(w.scenario.Seed, "speed "+b.Name).NormFloat64() - b.Vary*b.Vary/2)
 	}
 	started := math.Inf(-1)
 	if b.Cold {
 		started = w.now
 	}
-	n := &node{name: b.Name, id: idOf(b.Name), kind: kind, cfg: b, out: map[uint64]*trip{}, wake: math.Inf(1), state: balance.Ready, weight: b.Kind.Slots,
-		model:    fleet.New(b.Kind, pod, started, w.now, fleet.RandomStream(w.sc.Seed, "backend "+b.Name)),
-		reporter: fleet.NewReporter(w.sc.Report, b.Kind.Slots)}
-	if w.sc.Site.Unweighted {
+	n := &backend{name: b.Name, id: idOf(b.Name), kind: kind, cfg: b, out: map[uint64]*attempt{}, wake: math.Inf(1), state: balance.Ready, weight: b.Kind.Slots,
+		model:    fleet.New(b.Kind, pod, started, w.now, fleet.RandomStream(w.scenario.Seed, "backend "+b.Name)),
+		reporter: fleet.NewReporter(w.scenario.Report, b.Kind.Slots)}
+	if w.scenario.Site.Unweighted {
 		n.weight = 1
 	}
-	w.nodes[b.Name], w.byID[n.id] = n, n
+	w.backends[b.Name], w.byID[n.id] = n, n
 	w.names = append(w.names, b.Name)
 }
 
 // list is all backends, in the scenario's order.
-func (w *world) list() []*node {
-	list := make([]*node, len(w.names))
+func (w *world) list() []*backend {
+	list := make([]*backend, len(w.names))
 	for i, name := range w.names {
-		list[i] = w.nodes[name]
+		list[i] = w.backends[name]
 	}
 	return list
 }
@@ -274,7 +274,7 @@
 }
 
 // entry is a backend's line in the director's list.
-func (n *node) entry() core.Entry {
+func (n *backend) entry() core.Entry {
 	e := core.Entry{Name: n.name, Address: n.name, Worker: balance.Worker{ID: n.id, Kind: n.kind, Cell: n.cfg.Pod, State: n.state, Weight: n.weight}}
 	if n.cfg.Cold {
 		e.Started = float64(origin.UnixMilli()) + n.model.StartedAt()
@@ -283,21 +283,21 @@
 }
 
 func (w *world) happen(e Event) {
-	n := w.nodes[e.Backend]
+	n := w.backends[e.Backend]
 	say := func(s balance.State) {
 		heard := w.now + e.Heard
-		for _, x := range w.sc.Stale {
+		for _, x := range w.scenario.Stale {
 			if w.now >= x.From && w.now < x.To {
 				heard += x.By
 			}
 		}
-		if len(w.sc.Stale) > 0 { // what is heard late holds up what comes behind it
+		if len(w.scenario.Stale) > 0 { // what is heard late holds up what comes behind it
 			w.heard = max(w.heard, heard)
 			heard = w.heard
 		}
-		w.at(heard, func() {
+		w.schedule(heard, func() {
 			n.state = s
-			for _, d := range w.sides {
+			for _, d := range w.dispatchers {
 				if !d.dead {
 					d.tell(n)
 				}
@@ -308,7 +308,7 @@
 	case "kill":
 		n.fell = true // by hand, which is no fall
 		w.told(n, n.model.Kill(w.now))
-		for _, s := range w.sides {
+		for _, s := range w.dispatchers {
 			delete(s.conns, n)
 		}
 	case "start":
@@ -328,7 +328,7 @@
 		if e.Do == "lift" {
 			what = judge.BanLifted
 		}
-		for _, s := range w.sides {
+		for _, s := range w.dispatchers {
 			if s.dead {
 				continue
 			}
@@ -339,7 +339,7 @@
 }
 
 // report is the free slots as the next answer tells them.
-func (w *world) report(n *node) []float32 {
+func (w *world) report(n *backend) []float32 {
 	if v, ok := n.reporter.Report(w.now, n.model.FreeSlots(), w.noise); ok {
 		return []float32{float32(v)}
 	}
@@ -347,7 +347,7 @@
 }
 
 // told passes on what happened at a backend, and sees to it that the next is not missed.
-func (w *world) told(n *node, list []fleet.Event) {
+func (w *world) told(n *backend, list []fleet.Event) {
 	for _, e := range list {
 		if e.Kind == fleet.Started {
 			w.began(e.Job)
@@ -361,8 +361,8 @@
 		}
 		switch e.Kind {
 		case fleet.Started:
-			w.at(w.now+w.delay(), func() { t.side.touch(); t.a.Started() })
-			if w.sc.Site.Progress > 0 {
+			w.schedule(w.now+w.delay(), func() { t.dispatcher.markDirty(); t.a.Started() })
+			if w.scenario.Site.Progress > 0 {
 				t.progress()
 			}
 		case fleet.Done:
@@ -377,12 +377,12 @@
 	}
 	if n.model.Down() && !n.fell {
 		n.fell = true
-		w.res.Fallen++
+		w.result.Fallen++
 		w.note(judge.Event{Kind: judge.BackendOverloaded, Backend: n.name})
 	}
 	if next := n.model.NextEvent(); next < n.wake {
 		n.wake = next
-		w.at(next, func() {
+		w.schedule(next, func() {
 			if n.wake != next { // an earlier one has taken its place
 				return
 			}
@@ -398,26 +398,26 @@
 	delete(w.owners, job)
 	t.began = true
 	c := w.tries[t.a.Job.ID]
-	c.ran++
+	c.starts++
 	if w.tenants != nil {
 		w.tenants.handleStart(job, c)
 	}
-	if c.ran == 2 && c.class().Effect == balance.Unsafe {
-		w.res.Twice++
+	if c.starts == 2 && c.class().Effect == balance.Unsafe {
+		w.result.Twice++
 	}
 }
 
 // finish adds up.
 func (w *world) finish() {
-	w.res.Whole = w.service.Overall()
+	w.result.Whole = w.service.Overall()
 	w.judge.Finish(w.ends)
-	w.res.Broken, w.res.Breaches = w.judge.Violations(), w.judge.Count("")
-	w.res.Worst = w.service.WorstWindow()
+	w.result.Broken, w.result.Breaches = w.judge.Violations(), w.judge.Count("")
+	w.result.Worst = w.service.WorstWindow()
 	if w.tenants != nil {
 		w.tenants.finish()
 	}
 	if w.quotas != nil {
 		w.quotas.finish()
 	}
-	w.res.Hash = w.log.Sum64()
+	w.result.Hash = w.log.Sum64()
 }
