--- a/cmd/tinsail/budgets.go
+++ b/cmd/tinsail/budgets.go
@@ -54,7 +54,7 @@
 
 // equalShare returns the share of a plan when dispatchers exchange no messages: the total divided by the fleet's estimated size.
 func equalShare(p budget.Plan, instances int) int {
-	return budget.Split(p.Total, budget.Estimate(instances, p.MaxDispatchers), 0)
+	return budget.Split(p.Total, budget.EstimateFleetSize(instances, p.MaxDispatchers), 0)
 }
 
 // checkBudgets checks the budget settings where the schema cannot: a keeper needs its address, and an address its keeper.
@@ -91,7 +91,7 @@
 	f := &fleetBudgets{}
 	plan := connectionsPlan(b, d.cfg.Settings.Instances)
 	f.configured.Store(b)
-	f.fleetSize.Store(int64(budget.Estimate(d.cfg.Settings.Instances, plan.MaxDispatchers)))
+	f.fleetSize.Store(int64(budget.EstimateFleetSize(d.cfg.Settings.Instances, plan.MaxDispatchers)))
 	if b.Keeper == keeperIsLeader {
 		f.leaderShare = &leaderShare{}
 		f.share = f.leaderShare
@@ -165,7 +165,7 @@
 	if err := plan.Check(); err != nil {
 		return err
 	}
-	f.fleetSize.Store(int64(budget.Estimate(instances, plan.MaxDispatchers)))
+	f.fleetSize.Store(int64(budget.EstimateFleetSize(instances, plan.MaxDispatchers)))
 	if f.leaderShare != nil { // the leader's shares follow the version in force by themselves
 		return nil
 	}
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -22,18 +22,18 @@
 
 // Split returns a dispatcher's share of total units without communication: ⌊total / fleet⌋, but
 // not less than minimum. fleet is the estimated number of dispatchers that spend the budget
-// (Estimate). If n dispatchers run, the shares sum to at most total·n/fleet; if n·minimum > total,
+// (EstimateFleetSize). If n dispatchers run, the shares sum to at most total·n/fleet; if n·minimum > total,
 // the minimum may exceed the total by up to n·minimum − total. A fleet below 1 counts as 1, a
 // negative total as 0.
 func Split(total, fleet, minimum int) int {
 	return max(max(total, 0)/max(fleet, 1), minimum, 0)
 }
 
-// Estimate returns the size of the fleet as one dispatcher can estimate it without communication:
+// EstimateFleetSize returns the size of the fleet as one dispatcher can estimate it without communication:
 // the maximum of the configured number of instances and the numbers of dispatchers seen in lists
 // or reports, and at least 1. The maximum is taken since an estimate that is too high only makes
 // the shares smaller.
-func Estimate(configured int, seen ...int) int {
+func EstimateFleetSize(configured int, seen ...int) int {
 	n := max(configured, 1)
 	for _, s := range seen {
 		n = max(n, s)
--- a/internal/budget/holder.go
+++ b/internal/budget/holder.go
@@ -43,18 +43,18 @@
 // the whole pool, of which the keeper grants a fair share.
 func (h *Holder) SetWanted(units int) { h.wanted = max(units, 0) }
 
-// NextAsk returns the ask that the caller must send to the keeper now, if one is due. It may be
+// NextRequest returns the ask that the caller must send to the keeper now, if one is due. It may be
 // called at any time, also right after a failure to send: an ask is due at most once per
 // RenewInterval.
-func (h *Holder) NextAsk(now Time) (Ask, bool) {
+func (h *Holder) NextRequest(now Time) (LeaseRequest, bool) {
 	if h.seq > 0 && !h.askNow && now < h.nextAskAt { // the first ask is due at once: the clock may read less than 0, the initial nextAskAt
-		return Ask{}, false
+		return LeaseRequest{}, false
 	}
 	h.askNow = false
 	h.seq++
 	h.sent[h.seq%askHistory] = sentAsk{h.seq, now}
 	h.nextAskAt = now.Add(h.plan.RenewInterval())
-	return Ask{Peer: h.name, Epoch: h.epoch, Seq: h.seq, Wanted: h.wanted}, true
+	return LeaseRequest{Peer: h.name, Epoch: h.epoch, Seq: h.seq, Wanted: h.wanted}, true
 }
 
 // HandleGrant applies a grant that has arrived from the keeper. A grant is ignored if it is for
--- a/internal/budget/keeper.go
+++ b/internal/budget/keeper.go
@@ -1,7 +1,7 @@
 package budget
 
-// Ask is a holder's message to the keeper that requests or renews a share of the pool.
-type Ask struct {
+// LeaseRequest is a holder's message to the keeper that requests or renews a share of the pool.
+type LeaseRequest struct {
 	Peer   string // the dispatcher's name, the same after a restart
 	Epoch  uint64 // new with each start of the holder, so that it ignores grants for an earlier incarnation
 	Seq    uint64 // increases with each ask of the epoch
@@ -84,12 +84,12 @@
 	return others
 }
 
-// HandleAsk returns the grant for an ask. now is a reading of the keeper's clock. The peer gets at
+// Handle returns the grant for an ask. now is a reading of the keeper's clock. The peer gets at
 // most an equal share of the pool among the peers that hold a lease, and no more than the others
 // leave free: a new peer gets only units that are free or whose lease has ended. What a peer was
 // granted before stays counted until that lease ends: the peer may still use it, because of a grant
 // that is yet to arrive.
-func (k *Keeper) HandleAsk(now Time, a Ask) Grant {
+func (k *Keeper) Handle(now Time, a LeaseRequest) Grant {
 	g := Grant{Peer: a.Peer, Epoch: a.Epoch, Seq: a.Seq, Total: k.plan.Total}
 	others := k.prune(now, a.Peer)
 	own, known := k.grants[a.Peer]
--- a/internal/budget/lease_test.go
+++ b/internal/budget/lease_test.go
@@ -43,7 +43,7 @@
 type message struct {
 	at    int64 // real time of arrival
 	to    int   // -1 for the keeper, else the index of a holder
-	ask   Ask
+	ask   LeaseRequest
 	grant Grant
 }
 
@@ -65,7 +65,7 @@
 	return sum
 }
 
-func (sim *simulation) send(t *rapid.T, to int, from int, ask Ask, grant Grant, lossy bool) {
+func (sim *simulation) send(t *rapid.T, to int, from int, ask LeaseRequest, grant Grant, lossy bool) {
 	if sim.holders[from].cut || lossy && rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
 		return
 	}
@@ -81,7 +81,7 @@
 		if h.left {
 			continue
 		}
-		if a, ok := h.holder.NextAsk(h.clock.at(sim.realTime)); ok {
+		if a, ok := h.holder.NextRequest(h.clock.at(sim.realTime)); ok {
 			sim.send(t, -1, i, a, Grant{}, lossy)
 		}
 	}
@@ -98,8 +98,8 @@
 	for _, msg := range due {
 		if msg.to < 0 {
 			from := sim.index(msg.ask.Peer)
-			g := sim.keeper.HandleAsk(sim.keeperClock.at(sim.realTime), msg.ask)
-			sim.send(t, from, from, Ask{}, g, lossy)
+			g := sim.keeper.Handle(sim.keeperClock.at(sim.realTime), msg.ask)
+			sim.send(t, from, from, LeaseRequest{}, g, lossy)
 		} else if h := sim.holders[msg.to]; !h.left && !h.cut {
 			h.holder.HandleGrant(h.clock.at(sim.realTime), msg.grant)
 		}
@@ -222,12 +222,12 @@
 	k, err := NewKeeper(p, 0)
 	require.NoError(t, err)
 	start := Time(p.QuietPeriod())
-	g := k.HandleAsk(start, Ask{Peer: "a", Seq: 1, Wanted: 80})
+	g := k.Handle(start, LeaseRequest{Peer: "a", Seq: 1, Wanted: 80})
 	require.Equal(t, 80, g.Units, "a is alone and gets the whole pool")
 	// a crashes here and b joins
-	g = k.HandleAsk(start.Add(p.Lease/2), Ask{Peer: "b", Seq: 1, Wanted: 80})
+	g = k.Handle(start.Add(p.Lease/2), LeaseRequest{Peer: "b", Seq: 1, Wanted: 80})
 	assert.Equal(t, 0, g.Units, "a's lease has not ended: nothing is free")
-	g = k.HandleAsk(start.Add(p.Lease), Ask{Peer: "b", Seq: 2, Wanted: 80})
+	g = k.Handle(start.Add(p.Lease), LeaseRequest{Peer: "b", Seq: 2, Wanted: 80})
 	assert.Equal(t, 80, g.Units, "a's lease has ended")
 }
 
@@ -242,10 +242,10 @@
 	h, err := NewHolder(p, "a", 1)
 	require.NoError(t, err)
 	real := int64(p.QuietPeriod()) // the quiet period has passed on the keeper's fast clock
-	a, ok := h.NextAsk(slow.at(real))
+	a, ok := h.NextRequest(slow.at(real))
 	require.True(t, ok)
 	lentAt := real + int64(100*time.Millisecond) // the ask arrives late
-	g := k.HandleAsk(fast.at(lentAt), a)
+	g := k.Handle(fast.at(lentAt), a)
 	require.Equal(t, p.Pool(), g.Units)
 	h.HandleGrant(slow.at(lentAt), g)
 	freedAt := lentAt
@@ -263,10 +263,10 @@
 	p := Plan{Name: "connections", Total: 100, MaxDispatchers: 2, Lease: time.Second}
 	old, err := NewHolder(p, "a", 1)
 	require.NoError(t, err)
-	a, _ := old.NextAsk(0)
+	a, _ := old.NextRequest(0)
 	again, err := NewHolder(p, "a", 2)
 	require.NoError(t, err)
-	again.NextAsk(Time(time.Second))
+	again.NextRequest(Time(time.Second))
 	again.HandleGrant(Time(time.Second), Grant{Peer: "a", Epoch: a.Epoch, Seq: a.Seq, Units: 100})
 	assert.Equal(t, 0, again.Share(Time(time.Second)))
 }
@@ -278,11 +278,11 @@
 	k, err := NewKeeper(p, 0)
 	require.NoError(t, err)
 	at := Time(p.QuietPeriod())
-	require.Equal(t, 90, k.HandleAsk(at, Ask{Peer: "a", Seq: 1, Wanted: 90}).Units)
-	require.Equal(t, 0, k.HandleAsk(at, Ask{Peer: "b", Seq: 1, Wanted: 90}).Units, "nothing is free")
-	require.Equal(t, 45, k.HandleAsk(at.Add(p.Lease/4), Ask{Peer: "a", Seq: 2, Wanted: 90}).Units, "a is reduced to its fair share")
-	assert.Equal(t, 0, k.HandleAsk(at.Add(p.Lease/2), Ask{Peer: "b", Seq: 2, Wanted: 90}).Units, "a's first grant has not ended")
-	assert.Equal(t, 45, k.HandleAsk(at.Add(p.Lease), Ask{Peer: "b", Seq: 3, Wanted: 90}).Units, "a's first grant has ended")
+	require.Equal(t, 90, k.Handle(at, LeaseRequest{Peer: "a", Seq: 1, Wanted: 90}).Units)
+	require.Equal(t, 0, k.Handle(at, LeaseRequest{Peer: "b", Seq: 1, Wanted: 90}).Units, "nothing is free")
+	require.Equal(t, 45, k.Handle(at.Add(p.Lease/4), LeaseRequest{Peer: "a", Seq: 2, Wanted: 90}).Units, "a is reduced to its fair share")
+	assert.Equal(t, 0, k.Handle(at.Add(p.Lease/2), LeaseRequest{Peer: "b", Seq: 2, Wanted: 90}).Units, "a's first grant has not ended")
+	assert.Equal(t, 45, k.Handle(at.Add(p.Lease), LeaseRequest{Peer: "b", Seq: 3, Wanted: 90}).Units, "a's first grant has ended")
 	assert.Equal(t, 90, k.Lent(at.Add(p.Lease)))
 }
 
@@ -292,9 +292,9 @@
 	assert.Equal(t, 1, Split(100, 300, 1), "the minimum")
 	assert.Equal(t, 600, Split(600, 0, 0), "a fleet below 1 counts as 1")
 	assert.Equal(t, 0, Split(-5, 3, 0))
-	assert.Equal(t, 300, Estimate(300, 12, 40))
-	assert.Equal(t, 41, Estimate(0, 12, 41))
-	assert.Equal(t, 1, Estimate(0))
+	assert.Equal(t, 300, EstimateFleetSize(300, 12, 40))
+	assert.Equal(t, 41, EstimateFleetSize(0, 12, 41))
+	assert.Equal(t, 1, EstimateFleetSize(0))
 }
 
 func TestPlanCheckNamesTheField(t *testing.T) {
--- a/internal/budget/mutate_test.go
+++ b/internal/budget/mutate_test.go
@@ -154,8 +154,8 @@
 		h.replanned = true
 		check(h.holder.Replan(sc.changed))
 	}
-	if a, due := h.holder.NextAsk(h.clock.at(now)); due {
-		return f.message(now, node, "keeper", wire.AppendAsk(nil, sc.plan.Name, a))
+	if a, due := h.holder.NextRequest(h.clock.at(now)); due {
+		return f.message(now, node, "keeper", wire.AppendLeaseRequest(nil, sc.plan.Name, a))
 	}
 	return nil
 }
@@ -179,10 +179,10 @@
 		}
 		return nil
 	}
-	if msg.Ask == nil || m.From == "keeper" { // a grant is sent to holders only
+	if msg.LeaseRequest == nil || m.From == "keeper" { // a grant is sent to holders only
 		return nil
 	}
-	return f.message(now, "keeper", m.From, wire.AppendGrant(nil, msg.Budget, f.keeper.HandleAsk(f.keeperClock.at(now), *msg.Ask)))
+	return f.message(now, "keeper", m.From, wire.AppendGrant(nil, msg.Budget, f.keeper.Handle(f.keeperClock.at(now), *msg.LeaseRequest)))
 }
 
 // inForce returns the changed plan once all have applied it, else the old one. settled is false
--- a/internal/budget/wire/wire.go
+++ b/internal/budget/wire/wire.go
@@ -34,16 +34,16 @@
 
 // Message is a decoded datagram: an ask or a grant of one budget.
 type Message struct {
-	Budget string
-	Ask    *budget.Ask   // nil unless it is an ask
-	Grant  *budget.Grant // nil unless it is a grant
+	Budget       string
+	LeaseRequest *budget.LeaseRequest // nil unless it is an ask
+	Grant        *budget.Grant        // nil unless it is a grant
 }
 
 // ErrMessage is wrapped by every error of Decode.
 var ErrMessage = errors.New("bad budget message")
 
-// AppendAsk appends the encoded ask for the budget called name to b.
-func AppendAsk(b []byte, name string, a budget.Ask) []byte {
+// AppendLeaseRequest appends the encoded ask for the budget called name to b.
+func AppendLeaseRequest(b []byte, name string, a budget.LeaseRequest) []byte {
 	start := len(b)
 	return appendChecksum(fmt.Appendf(b, "%s ask %s %s %d %d %d 0 ", version, name, a.Peer, a.Epoch, a.Seq, a.Wanted), start)
 }
@@ -103,7 +103,7 @@
 	}
 	switch string(f[1]) {
 	case "ask":
-		m.Ask = &budget.Ask{Peer: peer, Epoch: epoch, Seq: seq, Wanted: units}
+		m.LeaseRequest = &budget.LeaseRequest{Peer: peer, Epoch: epoch, Seq: seq, Wanted: units}
 	case "grant":
 		m.Grant = &budget.Grant{Peer: peer, Epoch: epoch, Seq: seq, Units: units, Total: of}
 	default:
--- a/internal/budget/wire/wire_test.go
+++ b/internal/budget/wire/wire_test.go
@@ -12,10 +12,10 @@
 )
 
 func TestRoundTrip(t *testing.T) {
-	a := budget.Ask{Peer: "n17", Epoch: 9034128871, Seq: 42, Wanted: 600}
-	m, err := Decode(AppendAsk(nil, "connections", a))
+	a := budget.LeaseRequest{Peer: "n17", Epoch: 9034128871, Seq: 42, Wanted: 600}
+	m, err := Decode(AppendLeaseRequest(nil, "connections", a))
 	require.NoError(t, err)
-	assert.Equal(t, Message{Budget: "connections", Ask: &a}, m)
+	assert.Equal(t, Message{Budget: "connections", LeaseRequest: &a}, m)
 	g := budget.Grant{Peer: "n17", Epoch: 9034128871, Seq: 42, Units: 25, Total: 800}
 	m, err = Decode(AppendGrant(nil, "connections", g))
 	require.NoError(t, err)
@@ -71,8 +71,8 @@
 			return
 		}
 		var again []byte
-		if m.Ask != nil {
-			again = AppendAsk(nil, m.Budget, *m.Ask)
+		if m.LeaseRequest != nil {
+			again = AppendLeaseRequest(nil, m.Budget, *m.LeaseRequest)
 		} else {
 			again = AppendGrant(nil, m.Budget, *m.Grant)
 		}
--- a/internal/fleet/accord/wire/budget.go
+++ b/internal/fleet/accord/wire/budget.go
@@ -15,7 +15,7 @@
 type (
 	BudgetRequest struct {
 		Budget  string
-		Request budget.Ask
+		Request budget.LeaseRequest
 	}
 	BudgetGrant struct {
 		Budget string
@@ -64,7 +64,7 @@
 	if r.Units > MaxUnits || invalidName(r.Budget) || invalidName(r.Peer) {
 		return nil, fmt.Errorf("%w: a field of the budget request is out of range", ErrMessage)
 	}
-	return &BudgetRequest{r.Budget, budget.Ask{Peer: r.Peer, Epoch: r.Epoch, Seq: r.Seq, Wanted: int(r.Units)}}, nil
+	return &BudgetRequest{r.Budget, budget.LeaseRequest{Peer: r.Peer, Epoch: r.Epoch, Seq: r.Seq, Wanted: int(r.Units)}}, nil
 }
 
 func decodeBudgetGrant(p []byte) (*BudgetGrant, error) {
--- a/internal/fleet/accord/wire/wire_test.go
+++ b/internal/fleet/accord/wire/wire_test.go
@@ -32,7 +32,7 @@
 	m, err = Decode(EncodePoll())
 	require.NoError(t, err)
 	assert.Equal(t, Message{Poll: true}, m)
-	request := BudgetRequest{"connections", budget.Ask{Peer: "n3", Epoch: 7, Seq: 2, Wanted: 480}}
+	request := BudgetRequest{"connections", budget.LeaseRequest{Peer: "n3", Epoch: 7, Seq: 2, Wanted: 480}}
 	m, err = Decode(EncodeBudgetRequest(request))
 	require.NoError(t, err)
 	assert.Equal(t, Message{BudgetRequest: &request}, m)
@@ -84,7 +84,7 @@
 		"an extra key":      modified(func(m map[string]any) { m["more"] = 1 }),
 		"a missing key":     modified(func(m map[string]any) { delete(m, "why") }),
 		"a reason too long": withoutChecksum(EncodeLeaseRequest(long)), "no name": withoutChecksum(EncodeLeaseRequest(noName)), "unknown acknowledgement": withoutChecksum(EncodeLeaseRequest(unknownAck)),
-		"unknown stage": withoutChecksum(EncodeLeaseResponse(unknownStage)), "too long": make([]byte, MaxFrame+1), "no budget name": withoutChecksum(EncodeBudgetRequest(BudgetRequest{Request: budget.Ask{Peer: "n1"}})),
+		"unknown stage": withoutChecksum(EncodeLeaseResponse(unknownStage)), "too long": make([]byte, MaxFrame+1), "no budget name": withoutChecksum(EncodeBudgetRequest(BudgetRequest{Request: budget.LeaseRequest{Peer: "n1"}})),
 		"too many units": withoutChecksum(EncodeBudgetGrant(BudgetGrant{"c", budget.Grant{Peer: "n1", Units: MaxUnits + 1}})), "a log entry as a message": withoutChecksum(EncodeDecision(accord.Decision{})),
 		"a second checksum": EncodeLeaseRequest(sampleRequest),
 	} {
@@ -153,7 +153,7 @@
 	f.Add(withoutChecksum(EncodeLeaseRequest(sampleRequest)))
 	f.Add(withoutChecksum(EncodeLeaseResponse(sampleResponse)))
 	f.Add(withoutChecksum(EncodePoll()))
-	f.Add(withoutChecksum(EncodeBudgetRequest(BudgetRequest{"connections", budget.Ask{Peer: "n3", Epoch: 7, Seq: 2, Wanted: 480}})))
+	f.Add(withoutChecksum(EncodeBudgetRequest(BudgetRequest{"connections", budget.LeaseRequest{Peer: "n3", Epoch: 7, Seq: 2, Wanted: 480}})))
 	f.Add(withoutChecksum(EncodeBudgetGrant(BudgetGrant{"connections", budget.Grant{Peer: "n3", Epoch: 7, Seq: 2, Units: 48, Total: 600}})))
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff, 0xa1, 'f', 2})
 	f.Fuzz(func(t *testing.T, p []byte) {
--- a/internal/network/budgets/budgets.go
+++ b/internal/network/budgets/budgets.go
@@ -60,12 +60,12 @@
 		m, err := wire.Decode(buf[:n])
 		k.mu.Lock()
 		kp := k.keepers[m.Budget]
-		if err != nil || m.Ask == nil || kp == nil {
+		if err != nil || m.LeaseRequest == nil || kp == nil {
 			k.bad++
 			k.mu.Unlock()
 			continue
 		}
-		g := kp.HandleAsk(k.clock.Now(), *m.Ask)
+		g := kp.Handle(k.clock.Now(), *m.LeaseRequest)
 		k.mu.Unlock()
 		out = wire.AppendGrant(out[:0], m.Budget, g)
 		k.conn.WriteToUDP(out, from) // if the grant is lost the holder asks again
@@ -161,12 +161,12 @@
 	var out []byte
 	for range tick.C {
 		h.mu.Lock()
-		a, due := h.holder.NextAsk(h.clock.Now())
+		a, due := h.holder.NextRequest(h.clock.Now())
 		h.mu.Unlock()
 		if !due {
 			continue
 		}
-		out = wire.AppendAsk(out[:0], h.name, a)
+		out = wire.AppendLeaseRequest(out[:0], h.name, a)
 		if _, err := h.conn.Write(out); err != nil && isClosed(err) {
 			return
 		}
--- a/internal/network/fleet/accord/budget.go
+++ b/internal/network/fleet/accord/budget.go
@@ -36,7 +36,7 @@
 // grantBudget answers a budget request. v.mu is held, and a majority has confirmed that this voter leads.
 func (v *voter) grantBudget(from *link, req *wire.BudgetRequest) {
 	if v.budgetKeeper != nil && req.Budget == v.budgetName {
-		from.send(wire.EncodeBudgetGrant(wire.BudgetGrant{Budget: req.Budget, Grant: v.budgetKeeper.HandleAsk(budget.Time(v.accord.clock.now()), req.Request)}))
+		from.send(wire.EncodeBudgetGrant(wire.BudgetGrant{Budget: req.Budget, Grant: v.budgetKeeper.Handle(budget.Time(v.accord.clock.now()), req.Request)}))
 	}
 }
 
@@ -70,7 +70,7 @@
 	if m.budgetHolder == nil {
 		return wire.BudgetRequest{}, false
 	}
-	ask, ok := m.budgetHolder.NextAsk(budget.Time(m.accord.clock.now()))
+	ask, ok := m.budgetHolder.NextRequest(budget.Time(m.accord.clock.now()))
 	return wire.BudgetRequest{Budget: m.budgetName, Request: ask}, ok
 }
 
