--- a/internal/budget/lease_test.go
+++ b/internal/budget/lease_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// simulation runs one keeper and some holders on a network that loses and delays messages and cuts
-// links. Each process has a clock of its own, whose rate is within the plan's drift. The keeper and
-// the holders see only their own clocks, never the simulation's real time.
+// simulation runs one keeper and some holders on a network that loses and delays messages and cuts links. Each
+// process has a clock of its own, whose rate is within the plan's drift. The keeper and the holders see only their
+// own clocks, never the simulation's real time.
 type simulation struct {
 	plan        Plan
 	realTime    int64 // nanoseconds
@@ -36,15 +36,15 @@
 	name   string
 	holder *Holder
 	clock  clock
-	left   bool // has left: it asks for nothing and spends nothing
+	left   bool // has left: it sends no requests and spends nothing
 	cut    bool // no message passes between it and the keeper
 }
 
 type message struct {
-	at    int64 // real time of arrival
-	to    int   // -1 for the keeper, else the index of a holder
-	ask   LeaseRequest
-	grant Grant
+	at      int64 // real time of arrival
+	to      int   // -1 for the keeper, else the index of a holder
+	request LeaseRequest
+	grant   Grant
 }
 
 func (sim *simulation) newHolder(t *rapid.T, i int) *Holder {
@@ -65,24 +65,25 @@
 	return sum
 }
 
-func (sim *simulation) send(t *rapid.T, to int, from int, ask LeaseRequest, grant Grant, lossy bool) {
-	if sim.holders[from].cut || lossy && rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
+// send sends a message over the link of the given holder, unless the link is cut or the message is lost.
+func (sim *simulation) send(t *rapid.T, to int, holder int, request LeaseRequest, grant Grant, lossy bool) {
+	if sim.holders[holder].cut || lossy && rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
 		return
 	}
 	delay := rapid.Int64Range(0, sim.maxDelay).Draw(t, "delay")
-	sim.inTransit = append(sim.inTransit, message{at: sim.realTime + delay, to: to, ask: ask, grant: grant})
+	sim.inTransit = append(sim.inTransit, message{at: sim.realTime + delay, to: to, request: request, grant: grant})
 }
 
-// step advances real time by dt nanoseconds, sends the asks that are due and delivers the messages
-// that have arrived.
+// step advances real time by dt nanoseconds, sends the lease requests that are due and delivers the messages that
+// have arrived.
 func (sim *simulation) step(t *rapid.T, dt int64, lossy bool) {
 	sim.realTime += dt
 	for i, h := range sim.holders {
 		if h.left {
 			continue
 		}
-		if a, ok := h.holder.NextRequest(h.clock.at(sim.realTime)); ok {
-			sim.send(t, -1, i, a, Grant{}, lossy)
+		if request, ok := h.holder.NextRequest(h.clock.at(sim.realTime)); ok {
+			sim.send(t, -1, i, request, Grant{}, lossy)
 		}
 	}
 	kept := sim.inTransit[:0]
@@ -97,8 +98,8 @@
 	sim.inTransit = kept
 	for _, msg := range due {
 		if msg.to < 0 {
-			from := sim.index(msg.ask.Peer)
-			g := sim.keeper.Handle(sim.keeperClock.at(sim.realTime), msg.ask)
+			from := sim.index(msg.request.Peer)
+			g := sim.keeper.Handle(sim.keeperClock.at(sim.realTime), msg.request)
 			sim.send(t, from, from, LeaseRequest{}, g, lossy)
 		} else if h := sim.holders[msg.to]; !h.left && !h.cut {
 			h.holder.HandleGrant(h.clock.at(sim.realTime), msg.grant)
@@ -128,8 +129,8 @@
 	return sim
 }
 
-// run makes a number of steps of dt and checks after each that the holders may spend no more than
-// limit. lossy(k) says whether the k-th step loses messages.
+// run makes a number of steps of dt and checks after each that the holders may spend no more than limit. lossy(k)
+// says whether the k-th step loses messages.
 func (sim *simulation) run(t *rapid.T, steps int, dt time.Duration, limit int, lossy func(k int) bool) {
 	for k := range steps {
 		sim.step(t, int64(dt), lossy(k))
@@ -151,13 +152,13 @@
 
 func drawPlan(t *rapid.T) Plan {
 	return Plan{Name: "connections", Total: rapid.IntRange(0, 600).Draw(t, "total"),
-		MaxDispatchers: rapid.IntRange(1, 12).Draw(t, "most"), ReserveShare: rapid.Float64Range(0, 1).Draw(t, "part"),
+		MaxDispatchers: rapid.IntRange(1, 12).Draw(t, "max_dispatchers"), ReserveShare: rapid.Float64Range(0, 1).Draw(t, "reserve_share"),
 		Lease: time.Duration(rapid.IntRange(300, 3000).Draw(t, "lease_ms")) * time.Millisecond,
 		Drift: rapid.Float64Range(0, MaxDrift).Draw(t, "drift")}
 }
 
-// drawClock draws a clock, often one at a limit of the drift: with a fast keeper and a slow holder
-// the holder's use of a lease comes closest to the lease's end.
+// drawClock draws a clock, often one at a limit of the drift: with a fast keeper and a slow holder the holder's use
+// of a lease comes closest to the lease's end.
 func drawClock(t *rapid.T, p Plan, label string) clock {
 	rate := rapid.SampledFrom([]float64{1 - p.Drift, 1 + p.Drift, 0}).Draw(t, label+"_edge")
 	if rate == 0 {
@@ -166,10 +167,10 @@
 	return clock{rate: rate, offset: rapid.Int64Range(-1e12, 1e12).Draw(t, label+"_offset")}
 }
 
-// TestSharesNeverExceedTotal checks that the holders together may never spend more than the total,
-// whatever happens: random joins, leaves, crashes of holders and of the keeper, cut links, lost and
-// late messages, drifting clocks. Once the faults end, every present holder has its reserve and its
-// fair share of the pool less one unit within 4 leases and the keeper's quiet period.
+// TestSharesNeverExceedTotal checks that the holders together may never spend more than the total, whatever happens:
+// random joins, leaves, crashes of holders and of the keeper, cut links, lost and late messages, drifting clocks.
+// Once the faults end, every present holder has its reserve and its fair share of the pool less one unit within 4
+// leases and the keeper's quiet period.
 func TestSharesNeverExceedTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPlan(t)
@@ -215,8 +216,8 @@
 	})
 }
 
-// TestCrashedHolderShareComesBackAfterItsLease checks that the keeper counts the units of a crashed
-// holder until its lease ends. Until then a new holder gets only what is free.
+// TestCrashedHolderShareComesBackAfterItsLease checks that the keeper counts the units of a crashed holder until its
+// lease ends. Until then a new holder gets only what is free.
 func TestCrashedHolderShareComesBackAfterItsLease(t *testing.T) {
 	p := Plan{Name: "probes", Total: 100, MaxDispatchers: 4, ReserveShare: 0.2, Lease: time.Second}
 	k, err := NewKeeper(p, 0)
@@ -231,9 +232,8 @@
 	assert.Equal(t, 80, g.Units, "a's lease has ended")
 }
 
-// TestPartitionFallsBackToTheReserve checks that a holder that is cut off spends only its reserve
-// before, in real time, the keeper lends the units again. The holder's clock is as slow and the
-// keeper's as fast as the drift allows.
+// TestPartitionFallsBackToTheReserve checks that a holder that is cut off spends only its reserve before, in real
+// time, the keeper lends the units again. The holder's clock is as slow and the keeper's as fast as the drift allows.
 func TestPartitionFallsBackToTheReserve(t *testing.T) {
 	p := Plan{Name: "retries", Total: 1000, MaxDispatchers: 10, ReserveShare: 0.1, Lease: 2 * time.Second, Drift: 0.05}
 	slow, fast := clock{rate: 1 - p.Drift}, clock{rate: 1 + p.Drift}
@@ -241,11 +241,11 @@
 	require.NoError(t, err)
 	h, err := NewHolder(p, "a", 1)
 	require.NoError(t, err)
-	real := int64(p.QuietPeriod()) // the quiet period has passed on the keeper's fast clock
-	a, ok := h.NextRequest(slow.at(real))
+	sentAt := int64(p.QuietPeriod()) // the quiet period has passed on the keeper's fast clock
+	request, ok := h.NextRequest(slow.at(sentAt))
 	require.True(t, ok)
-	lentAt := real + int64(100*time.Millisecond) // the ask arrives late
-	g := k.Handle(fast.at(lentAt), a)
+	lentAt := sentAt + int64(100*time.Millisecond) // the request arrives late
+	g := k.Handle(fast.at(lentAt), request)
 	require.Equal(t, p.Pool(), g.Units)
 	h.HandleGrant(slow.at(lentAt), g)
 	freedAt := lentAt
@@ -256,23 +256,22 @@
 	assert.Equal(t, p.Reserve()+p.Pool(), h.Share(slow.at(freedAt-int64(p.Lease)/2)), "reserve and grant before")
 }
 
-// TestGrantForEarlierIncarnationIgnored checks that a holder that has started again ignores a grant
-// for its earlier incarnation. The keeper counts that lease from an earlier time than the holder
-// would.
+// TestGrantForEarlierIncarnationIgnored checks that a holder that has started again ignores a grant for its earlier
+// incarnation. The keeper counts that lease from an earlier time than the holder would.
 func TestGrantForEarlierIncarnationIgnored(t *testing.T) {
 	p := Plan{Name: "connections", Total: 100, MaxDispatchers: 2, Lease: time.Second}
 	old, err := NewHolder(p, "a", 1)
 	require.NoError(t, err)
-	a, _ := old.NextRequest(0)
+	request, _ := old.NextRequest(0)
 	again, err := NewHolder(p, "a", 2)
 	require.NoError(t, err)
 	again.NextRequest(Time(time.Second))
-	again.HandleGrant(Time(time.Second), Grant{Peer: "a", Epoch: a.Epoch, Seq: a.Seq, Units: 100})
+	again.HandleGrant(Time(time.Second), Grant{Peer: "a", Epoch: request.Epoch, Seq: request.Seq, Units: 100})
 	assert.Equal(t, 0, again.Share(Time(time.Second)))
 }
 
-// TestReducedGrantWaitsForOldLease checks that after a renewal with fewer units the keeper counts
-// the earlier grant until it ends, since the holder may still be using it.
+// TestReducedGrantWaitsForOldLease checks that after a renewal with fewer units the keeper counts the earlier grant
+// until it ends, since the holder may still be using it.
 func TestReducedGrantWaitsForOldLease(t *testing.T) {
 	p := Plan{Name: "connections", Total: 90, MaxDispatchers: 3, Lease: time.Second}
 	k, err := NewKeeper(p, 0)
@@ -302,7 +301,7 @@
 	require.NoError(t, good.Check())
 	for field, spoil := range map[string]func(*Plan){
 		"total": func(p *Plan) { p.Total = -1 }, "most": func(p *Plan) { p.MaxDispatchers = 0 },
-		"part": func(p *Plan) { p.ReserveShare = 1.5 }, "lease": func(p *Plan) { p.Lease = 0 },
+		"reserve": func(p *Plan) { p.ReserveShare = 1.5 }, "lease": func(p *Plan) { p.Lease = 0 },
 		"drift": func(p *Plan) { p.Drift = 0.2 },
 	} {
 		p := good
@@ -312,11 +311,11 @@
 	assert.Equal(t, good.Total, good.MaxDispatchers*good.Reserve()+good.Pool(), "reserves and pool sum to the total")
 }
 
-// TestThreeHundredJoinAtOnce: after a release 300 dispatchers start together and ask at once, and
-// one message in ten is lost for the duration of a lease. The sum never exceeds the total, and two
-// leases later each holder has its fair share less one unit. The first holders that ask get more,
-// since the pool is divided among those that have asked so far; the others get their share once
-// those leases end. The two leases (2 L) that the design allows for the start cover this.
+// TestThreeHundredJoinAtOnce: after a release 300 dispatchers start together and send their requests at once, and one
+// message in ten is lost for the duration of a lease. The sum never exceeds the total, and two leases later each
+// holder has its fair share less one unit. The first holders get more, since the pool is divided among those whose
+// requests have arrived so far; the others get their share once those leases end. The two leases (2 L) that the
+// design allows for the start cover this.
 func TestThreeHundredJoinAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Plan{Name: "connections", Total: 3000, MaxDispatchers: 300, ReserveShare: 0.2, Lease: 3 * time.Second, Drift: 0.001}
@@ -328,9 +327,8 @@
 	})
 }
 
-// TestFlappingPeerKeepsTotal: a peer leaves and comes back as a new incarnation every second, for
-// twenty seconds. The sum of the shares never exceeds the total, and once the peer stays all
-// holders get their fair shares.
+// TestFlappingPeerKeepsTotal: a peer leaves and comes back as a new incarnation every second, for twenty seconds. The
+// sum of the shares never exceeds the total, and once the peer stays all holders get their fair shares.
 func TestFlappingPeerKeepsTotal(t *testing.T) {
 	p := Plan{Name: "probes", Total: 100, MaxDispatchers: 5, ReserveShare: 0.1, Lease: 2 * time.Second, Drift: 0.01}
 	rapid.Check(t, func(t *rapid.T) {
@@ -347,10 +345,9 @@
 	})
 }
 
-// TestLoweredTotalHoldsOnceAllApplyIt: a reload halves the total while units are lent. The keeper
-// and the holders apply it one after another at random times. Until the last has done so, the sum
-// of the shares stays within the old total; from then on it stays within the new one, and every
-// holder gets its new fair share.
+// TestLoweredTotalHoldsOnceAllApplyIt: a reload halves the total while units are lent. The keeper and the holders
+// apply it one after another at random times. Until the last has done so, the sum of the shares stays within the old
+// total; from then on it stays within the new one, and every holder gets its new fair share.
 func TestLoweredTotalHoldsOnceAllApplyIt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Plan{Name: "connections", Total: 400, MaxDispatchers: 5, ReserveShare: 0.25, Lease: time.Second, Drift: 0.01}
--- a/internal/budget/mutate_test.go
+++ b/internal/budget/mutate_test.go
@@ -13,8 +13,8 @@
 	"tinsail/internal/mutate"
 )
 
-// mutationFleet is a mutate.System of one keeper and eight holders that exchange encoded messages,
-// each with a clock of its own within the drift or at its limit. A scenario says what happens.
+// mutationFleet is a mutate.System of one keeper and eight holders that exchange encoded messages, each with a clock
+// of its own within the drift or at its limit. A scenario says what happens.
 type mutationFleet struct {
 	scenario        *scenario
 	keeper          *budget.Keeper
@@ -25,8 +25,8 @@
 	random          *rand.Rand
 }
 
-// scenario says what happens when, in real time from the end of the keeper's first quiet period.
-// An event whose time is 0 does not happen.
+// scenario says what happens when, in real time from the end of the keeper's first quiet period. An event whose time
+// is 0 does not happen.
 type scenario struct {
 	plan, changed           budget.Plan
 	joinedBy                time.Duration // the holders join one after another until then
@@ -58,12 +58,12 @@
 	restarted, replanned bool
 }
 
-// tick is the interval at which the holders are asked for messages.
+// tick is the interval at which the nodes' Tick is called.
 const tick = 10 * time.Millisecond
 
-// setup returns the setup of the scenario's runs. After the last fault comes the time for a late
-// message, and then the time that the design allows until the end state: two leases on the slowest
-// clock, and two ticks, since holders send asks only at ticks.
+// setup returns the setup of the scenario's runs. After the last fault comes the time for a late message, and then
+// the time that the design allows until the end state: two leases on the slowest clock, and two ticks, since holders
+// send lease requests only at ticks.
 func (sc *scenario) setup(name string) mutate.Setup {
 	p := sc.plan
 	quiet := p.QuietPeriod() * 11 / 10
@@ -80,8 +80,8 @@
 func (sc *scenario) build(seed uint64) mutate.System {
 	f := &mutationFleet{scenario: sc, random: rand.New(rand.NewPCG(seed, 0))}
 	clock := func() driftingClock {
-		edge := []float64{1 - sc.plan.Drift, 1 + sc.plan.Drift, 1 + sc.plan.Drift*(2*f.random.Float64()-1)}
-		return driftingClock{edge[f.random.IntN(3)], f.random.Int64N(2e12) - 1e12}
+		rates := []float64{1 - sc.plan.Drift, 1 + sc.plan.Drift, 1 + sc.plan.Drift*(2*f.random.Float64()-1)}
+		return driftingClock{rates[f.random.IntN(3)], f.random.Int64N(2e12) - 1e12}
 	}
 	f.keeperClock = clock()
 	f.keeper = must(budget.NewKeeper(sc.plan, f.keeperClock.at(0)))
@@ -154,8 +154,8 @@
 		h.replanned = true
 		check(h.holder.Replan(sc.changed))
 	}
-	if a, due := h.holder.NextRequest(h.clock.at(now)); due {
-		return f.message(now, node, "keeper", wire.AppendLeaseRequest(nil, sc.plan.Name, a))
+	if request, due := h.holder.NextRequest(h.clock.at(now)); due {
+		return f.message(now, node, "keeper", wire.AppendLeaseRequest(nil, sc.plan.Name, request))
 	}
 	return nil
 }
@@ -166,8 +166,8 @@
 	}
 }
 
-// Deliver does what the drivers in internal/network/budgets do: the keeper sends a grant to whoever
-// sent an ask, and a holder handles grants of its budget.
+// Deliver does what the drivers in internal/network/budgets do: the keeper sends a grant to whoever sent a lease
+// request, and a holder handles grants of its budget.
 func (f *mutationFleet) Deliver(now time.Duration, m mutate.Message) []mutate.Message {
 	msg, err := wire.Decode(m.Bytes)
 	if err != nil || msg.Budget != f.scenario.plan.Name {
@@ -185,8 +185,8 @@
 	return f.message(now, "keeper", m.From, wire.AppendGrant(nil, msg.Budget, f.keeper.Handle(f.keeperClock.at(now), *msg.LeaseRequest)))
 }
 
-// inForce returns the changed plan once all have applied it, else the old one. settled is false
-// while some have applied the changed plan and others have not.
+// inForce returns the changed plan once all have applied it, else the old one. settled is false while some have
+// applied the changed plan and others have not.
 func (f *mutationFleet) inForce(now time.Duration) (p budget.Plan, settled bool) {
 	settled = f.keeperReplanned
 	for _, h := range f.holders {
@@ -198,8 +198,8 @@
 	return f.scenario.plan, f.scenario.replanFrom == 0 || now < f.scenario.replanFrom
 }
 
-// CheckInvariants checks that the holders together may not spend more than the plan's total, or than the
-// larger of the two totals while not all have applied a changed plan.
+// CheckInvariants checks that the holders together may not spend more than the plan's total, or than the larger of
+// the two totals while not all have applied a changed plan.
 func (f *mutationFleet) CheckInvariants(now time.Duration) error {
 	sum := 0
 	for _, h := range f.holders {
@@ -218,9 +218,8 @@
 	return nil
 }
 
-// CheckEndState checks that every present holder has its reserve and its fair share of the pool less one
-// unit. Units that a changed plan moves from the reserves to the pool or back are in neither of
-// them until the next start.
+// CheckEndState checks that every present holder has its reserve and its fair share of the pool less one unit. Units
+// that a changed plan moves from the reserves to the pool or back are in neither of them until the next start.
 func (f *mutationFleet) CheckEndState(now time.Duration) error {
 	n := 0
 	for _, h := range f.holders {
@@ -242,9 +241,8 @@
 	return nil
 }
 
-// TestFleetUnderMutation checks that whatever happens to any one message, the shares never sum to
-// more than the total, and that all holders have their fair shares again within the time that
-// docs/design/budget.md states.
+// TestFleetUnderMutation checks that whatever happens to any one message, the shares never sum to more than the
+// total, and that all holders have their fair shares again within the time that docs/design/budget.md states.
 func TestFleetUnderMutation(t *testing.T) {
 	const ms = time.Millisecond
 	p := budget.Plan{Name: "connections", Total: 400, MaxDispatchers: 9, ReserveShare: 0.25, Lease: 300 * ms, Drift: 0.05}
--- a/internal/budget/planhistory_test.go
+++ b/internal/budget/planhistory_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestMixedPlansStayWithinTotal: after several changes of the plan, some dispatchers apply one plan
-// and the others, or the keeper, another one. Reserves and pool together stay within the larger of
-// the two totals, as long as there are no more dispatchers than each of the two plans allows.
+// TestMixedPlansStayWithinTotal: after several changes of the plan, some dispatchers apply one plan and the others,
+// or the keeper, another one. Reserves and pool together stay within the larger of the two totals, as long as there
+// are no more dispatchers than each of the two plans allows.
 func TestMixedPlansStayWithinTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var history planHistory
@@ -31,8 +31,8 @@
 	})
 }
 
-// TestTotalChangeTakesEffectAtOnce checks that a change of the total alone holds nothing back, apart
-// from what rounding moves.
+// TestTotalChangeTakesEffectAtOnce checks that a change of the total alone holds nothing back, apart from what
+// rounding moves.
 func TestTotalChangeTakesEffectAtOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPlan(t)
--- a/internal/budget/wire/wire.go
+++ b/internal/budget/wire/wire.go
@@ -1,15 +1,15 @@
-// Package wire encodes and decodes the messages by which dispatchers share a budget: asks and
-// grants (package budget), each in a UDP datagram of its own. A message is a line of text, so that
-// it can be read in a packet capture.
+// Package wire encodes and decodes the messages by which dispatchers share a budget: lease requests (of the kind ask)
+// and grants (package budget), each in a UDP datagram of its own. A message is a line of text, so that it can be read
+// in a packet capture.
 //
 //	TSB2 ask connections n17 9034128871 42 600 0 2308a3e5
 //	TSB2 grant connections n17 9034128871 42 25 800 9f26f500
 //
-// The fields are: the format's version, the kind, the budget's name, the name of the peer that
-// asks, its epoch, the ask's number, the units wanted or granted, the total of the keeper's plan
-// (0 in an ask), and the CRC-32C in hex of everything before it, the space included. The checksum
-// is needed because a units field with one digit changed in transit is still valid and would lift
-// the sum of the shares above the total; UDP's own checksum has 16 bits and is optional.
+// The fields are: the format's version, the kind, the budget's name, the name of the peer that sent the request, its
+// epoch, the request's number, the units wanted or granted, the total of the keeper's plan (0 in a request), and the
+// CRC-32C in hex of everything before it, the space included. The checksum is needed because a units field with one
+// digit changed in transit is still valid and would lift the sum of the shares above the total; UDP's own checksum has
+// 16 bits and is optional.
 //
 // The package uses no socket and no clock.
 package wire
@@ -32,20 +32,20 @@
 	version    = "TSB2"
 )
 
-// Message is a decoded datagram: an ask or a grant of one budget.
+// Message is a decoded datagram: a lease request or a grant of one budget.
 type Message struct {
 	Budget       string
-	LeaseRequest *budget.LeaseRequest // nil unless it is an ask
+	LeaseRequest *budget.LeaseRequest // nil unless it is a lease request
 	Grant        *budget.Grant        // nil unless it is a grant
 }
 
 // ErrMessage is wrapped by every error of Decode.
 var ErrMessage = errors.New("bad budget message")
 
-// AppendLeaseRequest appends the encoded ask for the budget called name to b.
-func AppendLeaseRequest(b []byte, name string, a budget.LeaseRequest) []byte {
+// AppendLeaseRequest appends the encoded lease request for the budget called name to b.
+func AppendLeaseRequest(b []byte, name string, r budget.LeaseRequest) []byte {
 	start := len(b)
-	return appendChecksum(fmt.Appendf(b, "%s ask %s %s %d %d %d 0 ", version, name, a.Peer, a.Epoch, a.Seq, a.Wanted), start)
+	return appendChecksum(fmt.Appendf(b, "%s ask %s %s %d %d %d 0 ", version, name, r.Peer, r.Epoch, r.Seq, r.Wanted), start)
 }
 
 // AppendGrant appends the encoded grant of the budget called name to b.
@@ -73,7 +73,7 @@
 	if string(f[0]) != version {
 		return Message{}, fmt.Errorf("%w: version %q, want %s", ErrMessage, f[0], version)
 	}
-	// The checksum must follow the last space and be followed by a newline: anything else fails here.
+	// The checksum must follow the last space, and a newline must follow it: any other message is refused here.
 	at := bytes.LastIndexByte(p, ' ') + 1
 	if want := appendChecksum(p[:at:at], 0); !bytes.Equal(want, p) {
 		return Message{}, fmt.Errorf("%w: checksum %q, want %q", ErrMessage, f[8], bytes.TrimSpace(want[at:]))
@@ -90,7 +90,7 @@
 	epoch, err1 := strconv.ParseUint(string(f[4]), 10, 64)
 	seq, err2 := strconv.ParseUint(string(f[5]), 10, 64)
 	units, err3 := strconv.Atoi(string(f[6]))
-	of, err4 := strconv.Atoi(string(f[7]))
+	total, err4 := strconv.Atoi(string(f[7]))
 	switch {
 	case err1 != nil:
 		return Message{}, fmt.Errorf("%w: epoch %q", ErrMessage, f[4])
@@ -98,14 +98,14 @@
 		return Message{}, fmt.Errorf("%w: seq %q", ErrMessage, f[5])
 	case err3 != nil || units < 0 || units > MaxUnits:
 		return Message{}, fmt.Errorf("%w: units %q, want 0 to %d", ErrMessage, f[6], MaxUnits)
-	case err4 != nil || of < 0 || of > MaxUnits:
+	case err4 != nil || total < 0 || total > MaxUnits:
 		return Message{}, fmt.Errorf("%w: total %q, want 0 to %d", ErrMessage, f[7], MaxUnits)
 	}
 	switch string(f[1]) {
 	case "ask":
 		m.LeaseRequest = &budget.LeaseRequest{Peer: peer, Epoch: epoch, Seq: seq, Wanted: units}
 	case "grant":
-		m.Grant = &budget.Grant{Peer: peer, Epoch: epoch, Seq: seq, Units: units, Total: of}
+		m.Grant = &budget.Grant{Peer: peer, Epoch: epoch, Seq: seq, Units: units, Total: total}
 	default:
 		return Message{}, fmt.Errorf("%w: kind %q, want ask or grant", ErrMessage, f[1])
 	}
--- a/internal/budget/wire/wire_test.go
+++ b/internal/budget/wire/wire_test.go
@@ -12,10 +12,10 @@
 )
 
 func TestRoundTrip(t *testing.T) {
-	a := budget.LeaseRequest{Peer: "n17", Epoch: 9034128871, Seq: 42, Wanted: 600}
-	m, err := Decode(AppendLeaseRequest(nil, "connections", a))
+	r := budget.LeaseRequest{Peer: "n17", Epoch: 9034128871, Seq: 42, Wanted: 600}
+	m, err := Decode(AppendLeaseRequest(nil, "connections", r))
 	require.NoError(t, err)
-	assert.Equal(t, Message{Budget: "connections", LeaseRequest: &a}, m)
+	assert.Equal(t, Message{Budget: "connections", LeaseRequest: &r}, m)
 	g := budget.Grant{Peer: "n17", Epoch: 9034128871, Seq: 42, Units: 25, Total: 800}
 	m, err = Decode(AppendGrant(nil, "connections", g))
 	require.NoError(t, err)
--- a/internal/network/budgets/budgets_test.go
+++ b/internal/network/budgets/budgets_test.go
@@ -16,8 +16,8 @@
 	"tinsail/internal/faultnet"
 )
 
-// fleet is a keeper and holders on real UDP sockets, each holder behind a relay of its own, and a
-// goroutine that adds up the holders' shares every millisecond.
+// fleet is a keeper and holders on real UDP sockets, each holder behind a relay of its own, and a goroutine that adds
+// up the holders' shares every millisecond.
 type fleet struct {
 	plan         budget.Plan
 	keeper       *Keeper
@@ -66,7 +66,7 @@
 			case <-f.stop:
 				return
 			case <-tick.C:
-				if s := int64(f.sum()); s > f.maxSum.Load() {
+				if s := int64(f.spendable()); s > f.maxSum.Load() {
 					f.maxSum.Store(s)
 				}
 			}
@@ -76,7 +76,7 @@
 	return f
 }
 
-func (f *fleet) sum() int {
+func (f *fleet) spendable() int {
 	s := 0
 	for _, h := range f.holders {
 		s += h.Share()
@@ -84,10 +84,10 @@
 	return s
 }
 
-// settled waits until every holder but the skipped ones has its fair part of the pool among those that
-// are reachable, less one unit.
-func (f *fleet) settled(t *testing.T, what string, living int, skip ...int) {
-	want := f.plan.Reserve() + f.plan.Pool()/living - 1
+// awaitFairShares waits until every holder but the skipped ones has its reserve and its fair share of the pool among
+// the reachable holders, less one unit.
+func (f *fleet) awaitFairShares(t *testing.T, what string, reachable int, skip ...int) {
+	want := f.plan.Reserve() + f.plan.Pool()/reachable - 1
 	require.Eventually(t, func() bool {
 		for i, h := range f.holders {
 			if !slices.Contains(skip, i) && h.Share() < want {
@@ -98,31 +98,30 @@
 	}, 20*time.Second, 5*time.Millisecond, "%s: every holder at %d or more", what, want)
 }
 
-// TestSharesOverUDPUnderFaults: eight holders and a keeper on loopback. A holder that is cut off falls
-// to its reserve, and the others get its part only after its lease has ended. With one datagram in three
-// lost all keep their parts. A keeper that crashes and restarts lends nothing for its quiet
-// time: all holders fall back to their reserves, and get their parts again later. In no millisecond do the shares
-// add up to more than the total.
+// TestSharesOverUDPUnderFaults: eight holders and a keeper on loopback. A holder that is cut off falls to its
+// reserve, and the others get its share of the pool only after its lease has ended. With one datagram in three lost
+// all keep their shares. A keeper that crashes and restarts lends nothing for its quiet period: all holders fall back
+// to their reserves, and get their shares again later. In no millisecond do the shares add up to more than the total.
 func TestSharesOverUDPUnderFaults(t *testing.T) {
 	p := budget.Plan{Name: "connections", Total: 800, MaxDispatchers: 10, ReserveShare: 0.2, Lease: 300 * time.Millisecond, Drift: 0.01}
 	f := newFleet(t, p, 8)
-	f.settled(t, "at the start", 8)
+	f.awaitFairShares(t, "at the start", 8)
 
 	f.relays[0].Set(faultnet.Rule{Blackhole: true}) // a partition: n0 alone
 	require.Eventually(t, func() bool { return f.holders[0].Share() == p.Reserve() }, 10*time.Second, time.Millisecond,
 		"n0 cut off falls to its reserve")
-	f.settled(t, "n0 cut off", 7, 0)
+	f.awaitFairShares(t, "n0 cut off", 7, 0)
 
 	for _, r := range f.relays {
 		r.Set(faultnet.Rule{DropEvery: 3})
 	}
-	f.settled(t, "n0 back, a third of the datagrams lost", 8)
+	f.awaitFairShares(t, "n0 back, a third of the datagrams lost", 8)
 
 	f.keeper.conn.Close() // the keeper crashes ...
 	f.keeper = startKeeper(t, p, f.keeperAddr)
-	require.Eventually(t, func() bool { return f.sum() == 8*p.Reserve() }, 10*time.Second, time.Millisecond,
+	require.Eventually(t, func() bool { return f.spendable() == 8*p.Reserve() }, 10*time.Second, time.Millisecond,
 		"... all fall to their reserves while the new keeper is quiet")
-	f.settled(t, "after the keeper's restart", 8)
+	f.awaitFairShares(t, "after the keeper's restart", 8)
 
 	f.stopWatching()
 	assert.LessOrEqual(t, f.maxSum.Load(), int64(p.Total), "the most that the holders could spend at once")
--- a/internal/network/budgets/limiter.go
+++ b/internal/network/budgets/limiter.go
@@ -29,8 +29,8 @@
 func (f *FixedShare) Set(n int) { f.n.Store(int64(n)) }
 
 // Limiter limits the rate of units to a share, which it reads again at each unit. At most a fifth of the share may be
-// spent at once and the rest at an even rate, so that no second, wherever it begins, spends more than the
-// share (a burst b and a rate share − b).
+// spent at once and the rest at an even rate, so that no second, wherever it begins, spends more than the share (a
+// burst b and a rate share − b).
 type Limiter struct {
 	share   Sharer
 	mu      sync.Mutex
@@ -46,8 +46,8 @@
 	return &Limiter{share: share, limiter: rate.NewLimiter(limit, burst)}
 }
 
-// limitAndBurst returns the rate and burst of a share. Together they allow no more than the share in any second, except
-// for a share of 1, which may spend 2 in a second that holds the burst and one more.
+// limitAndBurst returns the rate and burst of a share. Together they allow no more than the share in any second,
+// except for a share of 1, which may spend 2 in a second that holds the burst and one more.
 func limitAndBurst(share int) (rate.Limit, int) {
 	if share <= 0 {
 		return 0, 0
@@ -58,24 +58,24 @@
 
 // Wait takes one unit and waits until it is allowed or ctx is done. It fails at once if the unit would be allowed
 // only after ctx's deadline.
-func (g *Limiter) Wait(ctx context.Context) error {
-	limit, burst := limitAndBurst(g.share.Share())
-	g.mu.Lock()
-	if g.limiter.Limit() != limit || g.limiter.Burst() != burst {
-		g.limiter.SetLimit(limit)
-		g.limiter.SetBurst(burst)
+func (l *Limiter) Wait(ctx context.Context) error {
+	limit, burst := limitAndBurst(l.share.Share())
+	l.mu.Lock()
+	if l.limiter.Limit() != limit || l.limiter.Burst() != burst {
+		l.limiter.SetLimit(limit)
+		l.limiter.SetBurst(burst)
 	}
-	g.mu.Unlock()
-	if g.limiter.Allow() {
-		g.Passed.Add(1)
+	l.mu.Unlock()
+	if l.limiter.Allow() {
+		l.Passed.Add(1)
 		return nil
 	}
-	g.Waited.Add(1)
-	err := g.limiter.Wait(ctx)
+	l.Waited.Add(1)
+	err := l.limiter.Wait(ctx)
 	if err != nil {
-		g.Refused.Add(1)
+		l.Refused.Add(1)
 	} else {
-		g.Passed.Add(1)
+		l.Passed.Add(1)
 	}
 	return err
 }
--- a/internal/network/fleet/accord/budget.go
+++ b/internal/network/fleet/accord/budget.go
@@ -63,15 +63,15 @@
 	m.budgetName = plan.Name
 }
 
-// nextBudgetAsk returns the budget request to send now, if one is due.
-func (m *member) nextBudgetAsk() (wire.BudgetRequest, bool) {
+// nextBudgetRequest returns the budget request to send now, if one is due.
+func (m *member) nextBudgetRequest() (wire.BudgetRequest, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.budgetHolder == nil {
 		return wire.BudgetRequest{}, false
 	}
-	ask, ok := m.budgetHolder.NextRequest(budget.Time(m.accord.clock.now()))
-	return wire.BudgetRequest{Budget: m.budgetName, Request: ask}, ok
+	request, ok := m.budgetHolder.NextRequest(budget.Time(m.accord.clock.now()))
+	return wire.BudgetRequest{Budget: m.budgetName, Request: request}, ok
 }
 
 // BudgetShare returns what this dispatcher may spend now of the policy's budget, in units per second.
--- a/internal/network/fleet/accord/member.go
+++ b/internal/network/fleet/accord/member.go
@@ -265,7 +265,7 @@
 	if send == nil {
 		return true
 	}
-	budgetReq, due := m.nextBudgetAsk()
+	budgetReq, due := m.nextBudgetRequest()
 	return !due || send(wire.EncodeBudgetRequest(budgetReq))
 }
 
