--- a/internal/lab/hollow/size/day.go
+++ b/internal/lab/hollow/size/day.go
@@ -14,49 +14,49 @@
 	history "tinsail/internal/standin/accordhistory"
 )
 
-// Day is what is played. It is bounded by its counts, and by Most in time.
-type Day struct {
-	Fleet    hollow.FleetConfig
-	Teams    int           // names in the policy
-	Changes  int           // of the policy, one after another
-	Restarts int           // of dispatchers, spread over the changes, half of them within one; every third is a kill
-	Starts   int           // reqs a second, spread over the real dispatchers
-	Cut      time.Duration // how long a region is cut off, half way; 0: none
-	Slack    time.Duration // of the judge: how late a backend may see what a dispatcher sent
-	Most     time.Duration
-	Seed     uint64
+// Config is what is played. It is bounded by its counts, and by Most in time.
+type Config struct {
+	Fleet          hollow.FleetConfig
+	BannedNames    int           // names in the policy
+	Changes        int           // of the policy, one after another
+	Restarts       int           // of dispatchers, spread over the changes, half of them within one; every third is a kill
+	ReqsPerSecond  int           // reqs a second, spread over the real dispatchers
+	IsolationTime  time.Duration // how long a region is cut off, half way; 0: none
+	ClockTolerance time.Duration // of the judge: how late a backend may see what a dispatcher sent
+	MaxDuration    time.Duration
+	Seed           uint64
 }
 
 // Report is what came of a day.
 type Report struct {
-	Took                time.Duration
-	Everywhere          []time.Duration // of each change: from its proposal until all that were up served by it
-	Nobody              []time.Duration // of each change: from when the last dispatcher stopped until the first served by it
-	CutChange           time.Duration   // of a change while a region was cut off, until the two others served by it
-	Back                time.Duration   // from the cut's end until all served by the version decided last
-	Withdrawn           int             // changes that were in force nowhere
-	Restarted, Killed   int
-	Asked, Served, Shed int // reqs; Shed: answered, and not with 200
-	Lost                int // reqs whose connection broke
-	Unjudged            int // lines of the accord that a process's log left out
-	Verdicts            []history.Violation
-	Counts              hollow.Traffic
-	ListBytes           int64
-	Real                []hollow.ResourceUsage // of the real processes at the end, the voters first
-	Own                 hollow.ResourceUsage   // of this process: hollow dispatchers, workers, relays, clients and judge
+	Duration                       time.Duration
+	ChangeTimes                    []time.Duration // of each change: from its proposal until all that were up served by it
+	ServiceGaps                    []time.Duration // of each change: from when the last dispatcher stopped until the first served by it
+	IsolatedChangeTime             time.Duration   // of a change while a region was cut off, until the two others served by it
+	ReconnectTime                  time.Duration   // from the cut's end until all served by the version decided last
+	WithdrawnChanges               int             // changes that were in force nowhere
+	Terminated, Killed             int
+	ReqsSent, ReqsOK, ReqsRejected int // reqs; Shed: answered, and not with 200
+	ReqsBroken                     int // reqs whose connection broke
+	DroppedLogLines                int // lines of the accord that a process's log left out
+	Violations                     []history.Violation
+	VoterTraffic                   hollow.Traffic
+	ListBytes                      int64
+	ProcessUsage                   []hollow.ResourceUsage // of the real processes at the end, the voters first
+	OwnUsage                       hollow.ResourceUsage   // of this process: hollow dispatchers, workers, relays, clients and judge
 }
 
-// Memory is that of all processes in bytes.
-func (r *Report) Memory() (sum int64) {
-	for _, c := range r.Real {
+// TotalMemory is that of all processes in bytes.
+func (r *Report) TotalMemory() (sum int64) {
+	for _, c := range r.ProcessUsage {
 		sum += c.Memory
 	}
-	return sum + r.Own.Memory
+	return sum + r.OwnUsage.Memory
 }
 
 // day is one under way.
 type day struct {
-	Day
+	Config
 	f     *hollow.Fleet
 	r     *rand.Rand
 	rep   *Report
@@ -69,32 +69,32 @@
 
 const settle = 30 * time.Second // the most that a change or a restart is waited for
 
-// Play plays a day. An error is a day that could not be played to its end; what was played of it is in the report.
-func Play(d Day) (*Report, error) {
+// Run plays a day. An error is a day that could not be played to its end; what was played of it is in the report.
+func Run(d Config) (*Report, error) {
 	rep := &Report{}
 	f, err := hollow.StartFleet(d.Fleet)
 	if err != nil {
 		return rep, err
 	}
 	defer f.Close()
-	p := &day{Day: d, f: f, r: rand.New(rand.NewPCG(d.Seed, 36)), rep: rep, n: d.Fleet.Real + d.Fleet.Hollow}
+	p := &day{Config: d, f: f, r: rand.New(rand.NewPCG(d.Seed, 36)), rep: rep, n: d.Fleet.Real + d.Fleet.Hollow}
 	if err := f.AwaitServing(p.n, 1, time.Minute); err != nil {
 		return rep, err
 	}
 	begun := time.Now()
-	p.load = startLoad(f, d.Starts)
+	p.load = startLoad(f, d.ReqsPerSecond)
 	err = p.play(begun)
 	p.load.end()
-	rep.Took = time.Since(begun)
+	rep.Duration = time.Since(begun)
 	return rep, errors.Join(err, p.judge())
 }
 
 func (p *day) play(begun time.Time) error {
 	for i := range p.Changes {
-		if time.Since(begun) > p.Most {
-			return fmt.Errorf("%d of %d changes in %v", i, p.Changes, p.Most)
+		if time.Since(begun) > p.MaxDuration {
+			return fmt.Errorf("%d of %d changes in %v", i, p.Changes, p.MaxDuration)
 		}
-		if p.Cut > 0 && i == p.Changes/2 {
+		if p.IsolationTime > 0 && i == p.Changes/2 {
 			if err := p.cut(); err != nil {
 				return err
 			}
@@ -126,7 +126,7 @@
 		}
 		p.nth++
 		q.Bans = nil
-		for t := range p.Teams {
+		for t := range p.BannedNames {
 			q.Bans = append(q.Bans, fmt.Sprintf("team-%03d-of-change-%06d", t, p.nth))
 		}
 		return held + 1, d.Accord.Propose(q.Append(nil))
@@ -150,13 +150,13 @@
 			err = p.f.AwaitServing(p.n, version, settle)
 		}
 		if err == nil {
-			p.rep.Everywhere = append(p.rep.Everywhere, time.Since(begun))
+			p.rep.ChangeTimes = append(p.rep.ChangeTimes, time.Since(begun))
 			return nil
 		}
 		if try == 3 {
 			return fmt.Errorf("change %d: %w", i, err)
 		}
-		p.rep.Withdrawn++
+		p.rep.WithdrawnChanges++
 	}
 }
 
@@ -173,7 +173,7 @@
 		p.rep.Killed++
 	} else {
 		p.f.Terminate(i, 5*time.Second)
-		p.rep.Restarted++
+		p.rep.Terminated++
 	}
 	if err := p.f.Start(i); err != nil {
 		return err
@@ -202,9 +202,9 @@
 		if version, err = p.propose(rest); err == nil {
 			err = p.f.AwaitServing(p.n-members, version, settle)
 		}
-		p.rep.CutChange = time.Since(changed)
+		p.rep.IsolatedChangeTime = time.Since(changed)
 	}
-	time.Sleep(time.Until(begun.Add(p.Cut)))
+	time.Sleep(time.Until(begun.Add(p.IsolationTime)))
 	p.f.SetIsolated(region, false)
 	for i := range p.n {
 		if i%hollow.Regions == region {
@@ -215,7 +215,7 @@
 	if err == nil {
 		err = p.f.AwaitServing(p.n, p.f.LastDecided(), settle)
 	}
-	p.rep.Back = time.Since(back)
+	p.rep.ReconnectTime = time.Since(back)
 	p.rig(history.FaultsEnded, "")
 	return err
 }
@@ -231,25 +231,25 @@
 		}
 		c, e := hollow.ReadResourceUsage(q.PID())
 		err = errors.Join(err, e)
-		p.rep.Real = append(p.rep.Real, c)
+		p.rep.ProcessUsage = append(p.rep.ProcessUsage, c)
 	}
 	own, e := hollow.ReadResourceUsage(-1)
-	p.rep.Own, err = own, errors.Join(err, e)
-	p.rep.Counts = p.f.Traffic()
+	p.rep.OwnUsage, err = own, errors.Join(err, e)
+	p.rep.VoterTraffic = p.f.Traffic()
 	p.rep.ListBytes = p.f.ListMeter.RequestBytes.Load() + p.f.ListMeter.ResponseBytes.Load()
 	for _, e := range p.f.TakeEvents() {
 		side := history.SourceLog
 		if e.FromRig {
 			side = history.SourceRig
 		}
-		p.rep.Unjudged += e.DroppedLines
+		p.rep.DroppedLogLines += e.DroppedLines
 		p.lines = append(p.lines, history.Line{Time: e.Time.UnixNano(), Source: side, Process: e.Process, Event: e.Name, Version: e.Version, Change: e.Change, Proposer: e.Proposer, Reason: e.Reason})
 	}
 	p.lines = append(p.lines, p.load.history(p.rep)...)
 	p.lines = append(p.lines, starts(p.f)...)
-	p.rep.Nobody = nobody(p.lines)
+	p.rep.ServiceGaps = nobody(p.lines)
 	lease := p.Fleet.Lease
-	p.rep.Verdicts = history.Check(p.lines, history.Rules{ClockTolerance: p.Slack, Lease: lease, SettleTimeout: settle, MaxStartsAfterResume: 8})
+	p.rep.Violations = history.Check(p.lines, history.Rules{ClockTolerance: p.ClockTolerance, Lease: lease, SettleTimeout: settle, MaxStartsAfterResume: 8})
 	return err
 }
 
--- a/internal/lab/hollow/size/day_test.go
+++ b/internal/lab/hollow/size/day_test.go
@@ -23,10 +23,10 @@
 
 // full is the letter's size, as far as one machine plays it; small is the same in little.
 var (
-	full = Day{Fleet: hollow.FleetConfig{Real: 30, Hollow: 270, Lease: 1500 * time.Millisecond, RegionLatency: 25 * time.Millisecond, Workers: 580},
-		Teams: 310, Changes: 240, Restarts: 190, Starts: 36, Cut: 20 * time.Second, Slack: 20 * time.Millisecond, Most: 12 * time.Minute, Seed: 1}
-	small = Day{Fleet: hollow.FleetConfig{Real: 5, Hollow: 10, Lease: 1500 * time.Millisecond, RegionLatency: 5 * time.Millisecond, Workers: 12},
-		Teams: 40, Changes: 8, Restarts: 6, Starts: 20, Cut: 4 * time.Second, Slack: 20 * time.Millisecond, Most: 3 * time.Minute, Seed: 1}
+	full = Config{Fleet: hollow.FleetConfig{Real: 30, Hollow: 270, Lease: 1500 * time.Millisecond, RegionLatency: 25 * time.Millisecond, Workers: 580},
+		BannedNames: 310, Changes: 240, Restarts: 190, ReqsPerSecond: 36, IsolationTime: 20 * time.Second, ClockTolerance: 20 * time.Millisecond, MaxDuration: 12 * time.Minute, Seed: 1}
+	small = Config{Fleet: hollow.FleetConfig{Real: 5, Hollow: 10, Lease: 1500 * time.Millisecond, RegionLatency: 5 * time.Millisecond, Workers: 12},
+		BannedNames: 40, Changes: 8, Restarts: 6, ReqsPerSecond: 20, IsolationTime: 4 * time.Second, ClockTolerance: 20 * time.Millisecond, MaxDuration: 3 * time.Minute, Seed: 1}
 )
 
 // TestDay: a change is in force at all or nowhere, whatever is restarted or cut off meanwhile; each req has one answer; all are
@@ -41,39 +41,39 @@
 		d.Changes, d.Restarts = d.Changes/4, d.Restarts/4
 	}
 	d.Fleet.Program = program(t)
-	r, err := Play(d)
-	for _, v := range r.Verdicts[:min(len(r.Verdicts), 20)] {
+	r, err := Run(d)
+	for _, v := range r.Violations[:min(len(r.Violations), 20)] {
 		t.Error(v)
 	}
 	tell(t, r)
 	require.NoError(t, err)
-	assert.Len(t, r.Everywhere, d.Changes)
-	assert.GreaterOrEqual(t, r.Restarted+r.Killed, d.Restarts*(d.Changes-1)/d.Changes)
-	assert.Zero(t, r.Counts[hollow.Undecoded].Bytes)
-	assert.Equal(t, r.Asked, r.Served+r.Shed+r.Lost, "one answer each, or a connection that broke")
-	assert.NotZero(t, r.Served)
-	assert.Less(t, r.Memory(), int64(12<<30))
+	assert.Len(t, r.ChangeTimes, d.Changes)
+	assert.GreaterOrEqual(t, r.Terminated+r.Killed, d.Restarts*(d.Changes-1)/d.Changes)
+	assert.Zero(t, r.VoterTraffic[hollow.Undecoded].Bytes)
+	assert.Equal(t, r.ReqsSent, r.ReqsOK+r.ReqsRejected+r.ReqsBroken, "one answer each, or a connection that broke")
+	assert.NotZero(t, r.ReqsOK)
+	assert.Less(t, r.TotalMemory(), int64(12<<30))
 }
 
 func tell(t *testing.T, r *Report) {
-	t.Logf("took %v: %d changes, %d proposed again; %d restarts and %d kills", r.Took, len(r.Everywhere), r.Withdrawn, r.Restarted, r.Killed)
-	if e := slices.Sorted(slices.Values(r.Everywhere)); len(e) > 0 {
+	t.Logf("took %v: %d changes, %d proposed again; %d restarts and %d kills", r.Duration, len(r.ChangeTimes), r.WithdrawnChanges, r.Terminated, r.Killed)
+	if e := slices.Sorted(slices.Values(r.ChangeTimes)); len(e) > 0 {
 		t.Logf("in force everywhere: median %v, 95 of 100 within %v, most %v", e[len(e)/2], e[len(e)*95/100], e[len(e)-1])
 	}
-	if e := slices.Sorted(slices.Values(r.Nobody)); len(e) > 0 {
+	if e := slices.Sorted(slices.Values(r.ServiceGaps)); len(e) > 0 {
 		t.Logf("nobody took: median %v, 95 of 100 within %v, most %v", e[len(e)/2], e[len(e)*95/100], e[len(e)-1])
 	}
-	t.Logf("a region cut off: a change of the rest %v, all back after %v", r.CutChange, r.Back)
-	t.Logf("reqs: asked %d, 200 %d, other answers %d, broken %d", r.Asked, r.Served, r.Shed, r.Lost)
-	t.Logf("lines left out by logs: %d; verdicts: %d", r.Unjudged, len(r.Verdicts))
-	for k, c := range r.Counts {
+	t.Logf("a region cut off: a change of the rest %v, all back after %v", r.IsolatedChangeTime, r.ReconnectTime)
+	t.Logf("reqs: asked %d, 200 %d, other answers %d, broken %d", r.ReqsSent, r.ReqsOK, r.ReqsRejected, r.ReqsBroken)
+	t.Logf("lines left out by logs: %d; verdicts: %d", r.DroppedLogLines, len(r.Violations))
+	for k, c := range r.VoterTraffic {
 		t.Logf("%-18v %9d messages %12d bytes", hollow.MessageKind(k), c.Messages, c.Bytes)
 	}
 	t.Logf("lists: %d bytes", r.ListBytes)
-	for i, c := range r.Real {
+	for i, c := range r.ProcessUsage {
 		if i < hollow.Regions+1 {
 			t.Logf("process %d: %v of processor time, %d MB, %d threads, %d descriptors", i, c.CPU, c.Memory>>20, c.Threads, c.OpenFiles)
 		}
 	}
-	t.Logf("this process: %v, %d MB; all: %d MB in %d processes", r.Own.CPU, r.Own.Memory>>20, r.Memory()>>20, len(r.Real)+1)
+	t.Logf("this process: %v, %d MB; all: %d MB in %d processes", r.OwnUsage.CPU, r.OwnUsage.Memory>>20, r.TotalMemory()>>20, len(r.ProcessUsage)+1)
 }
--- a/internal/lab/hollow/size/load.go
+++ b/internal/lab/hollow/size/load.go
@@ -104,15 +104,15 @@
 
 // history is that of the clients, counted into a report.
 func (l *load) history(rep *Report) []history.Line {
-	rep.Asked = l.sent
+	rep.ReqsSent = l.sent
 	for status, n := range l.by {
 		switch status {
 		case http.StatusOK:
-			rep.Served += n
+			rep.ReqsOK += n
 		case 0:
-			rep.Lost += n
+			rep.ReqsBroken += n
 		default:
-			rep.Shed += n
+			rep.ReqsRejected += n
 		}
 	}
 	return l.lines
