--- a/internal/lab/hollow/compare_test.go
+++ b/internal/lab/hollow/compare_test.go
@@ -31,7 +31,7 @@
 	os.Exit(code)
 }
 
-func fleet(t *testing.T, p FleetConfig) *Fleet {
+func startFleet(t *testing.T, p FleetConfig) *Fleet {
 	var err error
 	p.Program, err = program()
 	require.NoError(t, err)
@@ -53,9 +53,9 @@
 		require.NoError(t, err)
 	}
 	plan := FleetConfig{Real: n, Lease: 900 * time.Millisecond, Workers: 6}
-	real := fleet(t, plan)
+	real := startFleet(t, plan)
 	plan.Real, plan.Hollow = Regions, n-Regions
-	hollow := fleet(t, plan)
+	hollow := startFleet(t, plan)
 	for _, f := range []*Fleet{real, hollow} {
 		require.NoError(t, f.AwaitServing(n, 1, time.Minute))
 	}
@@ -65,7 +65,7 @@
 		most := int64(n * 40) // asks of leases and shares that the real fleet's voters get meanwhile
 		require.NoError(t, real.Await("asks", 2*time.Minute, func() bool { return real.Traffic().Since(first)[MemberRequests].Messages >= most }))
 		a, b = real.Traffic().Since(first), hollow.Traffic().Since(second)
-		for k := range kinds {
+		for k := range kindCount {
 			t.Logf("%-18v real %6d of %8d bytes, hollow %6d of %8d bytes", k, a[k].Messages, a[k].Bytes, b[k].Messages, b[k].Bytes)
 		}
 		if a[OtherRaftRequests].Messages+b[OtherRaftRequests].Messages == 0 {
--- a/internal/lab/hollow/dispatcher.go
+++ b/internal/lab/hollow/dispatcher.go
@@ -31,12 +31,12 @@
 	Counters    counters.Set
 	ListEntries atomic.Int64 // lines of the list that were told
 
-	budgets *settings.Budgets
-	most    int
-	stop    chan struct{}
+	budgets        *settings.Budgets
+	maxDispatchers int
+	stop           chan struct{}
 }
 
-var reading sync.Mutex
+var parseMu sync.Mutex
 
 // StartDispatcher starts a dispatcher from what a real one reads: its configuration and its settings script. Of the script it
 // takes accord(...), budgets(...) and policy(...); log may be nil. Close ends it.
@@ -45,15 +45,15 @@
 	if err != nil {
 		return nil, err
 	}
-	reading.Lock() // a script's limit of memory is the whole process's
+	parseMu.Lock() // a script's limit of memory is the whole process's
 	set, err := settings.Parse("hollow.star", func(string) ([]byte, error) { return script, nil })
-	reading.Unlock()
+	parseMu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	d := &Dispatcher{budgets: set.Budgets, most: cfg.Settings.Instances, stop: make(chan struct{})}
+	d := &Dispatcher{budgets: set.Budgets, maxDispatchers: cfg.Settings.Instances, stop: make(chan struct{})}
 	if set.Accord != nil {
-		if err := d.join(cfg, set, log); err != nil {
+		if err := d.startAccord(cfg, set, log); err != nil {
 			return nil, err
 		}
 	}
@@ -76,9 +76,9 @@
 	}
 }
 
-// join starts its part in the accord, as cmd/tinsail does. A voter keeps its log, too: it is a real one but for
+// startAccord starts its part in the accord, as cmd/tinsail does. A voter keeps its log, too: it is a real one but for
 // its process, and what a voter costs a machine is measured on processes alone.
-func (d *Dispatcher) join(cfg *config.Config, set *settings.Settings, log io.Writer) error {
+func (d *Dispatcher) startAccord(cfg *config.Config, set *settings.Settings, log io.Writer) error {
 	a := set.Accord
 	voters, err := accord.ParseVoters(a.Voters)
 	if err != nil {
@@ -96,21 +96,21 @@
 		c.InitialPolicy = policy.Policy(*set.Policy).Append(nil)
 	}
 	if d.budgets != nil {
-		c.BudgetPlan = d.plan
+		c.BudgetPlan = d.budgetPlan
 	}
 	d.Accord, err = accord.New(c)
 	return err
 }
 
-// plan is the budget that a policy has.
-func (d *Dispatcher) plan(body []byte) (budget.Plan, bool) {
+// budgetPlan is the budget that a policy has.
+func (d *Dispatcher) budgetPlan(body []byte) (budget.Plan, bool) {
 	p, err := policy.Read(body)
 	if err != nil || p.Connections == 0 {
 		return budget.Plan{}, false
 	}
 	most := p.MaxDispatchers
 	if most == 0 {
-		most = d.most
+		most = d.maxDispatchers
 	}
 	return budget.Plan{Name: "connections", Total: p.Connections, MaxDispatchers: most, ReserveShare: p.Reserve,
 		Lease: time.Duration(d.budgets.LeaseMs) * time.Millisecond, Drift: d.budgets.Drift}, true
--- a/internal/lab/hollow/events.go
+++ b/internal/lab/hollow/events.go
@@ -11,11 +11,11 @@
 
 // eventLog follows what the dispatchers' logs tell of the accord.
 type eventLog struct {
-	mu  sync.Mutex
-	at  map[string]*dispatcherState
-	log []Event // since they were last handed out
+	mu          sync.Mutex
+	dispatchers map[string]*dispatcherState
+	events      []Event // since they were last handed out
 
-	decided uint64
+	lastDecided uint64
 }
 
 // Event is a step of the accord at a dispatcher.
@@ -43,13 +43,13 @@
 	Leads   bool
 }
 
-func newEvents() *eventLog { return &eventLog{at: map[string]*dispatcherState{}} }
+func newEvents() *eventLog { return &eventLog{dispatchers: map[string]*dispatcherState{}} }
 
-// heard takes the log of a dispatcher.
-func (e *eventLog) heard(process string) io.Writer {
+// logWriter takes the log of a dispatcher.
+func (e *eventLog) logWriter(process string) io.Writer {
 	e.mu.Lock()
 	s := &dispatcherState{}
-	e.at[process] = s
+	e.dispatchers[process] = s
 	e.mu.Unlock()
 	return writerFunc(func(p []byte) (int, error) {
 		for text := range bytes.Lines(p) {
@@ -67,17 +67,17 @@
 				if l.Time.IsZero() { // a hollow one's: it is written as it happens
 					l.Time = time.Now()
 				}
-				e.take(s, Event{Time: l.Time, Process: process, Name: step, Version: l.Version, Change: l.Change, Proposer: l.By, Reason: l.Why, DroppedLines: l.LeftOut})
+				e.record(s, Event{Time: l.Time, Process: process, Name: step, Version: l.Version, Change: l.Change, Proposer: l.By, Reason: l.Why, DroppedLines: l.LeftOut})
 			}
 		}
 		return len(p), nil
 	})
 }
 
-func (e *eventLog) take(s *dispatcherState, ev Event) {
+func (e *eventLog) record(s *dispatcherState, ev Event) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.log = append(e.log, ev)
+	e.events = append(e.events, ev)
 	switch ev.Name {
 	case "in force":
 		s.Version = ev.Version
@@ -86,7 +86,7 @@
 	case "fenced":
 		s.Serves = false
 	case "decided":
-		e.decided = max(e.decided, ev.Version)
+		e.lastDecided = max(e.lastDecided, ev.Version)
 	case "leads":
 		s.Leads = true
 	case "leads no more":
@@ -94,25 +94,25 @@
 	}
 }
 
-// rig notes what is done to a process.
-func (e *eventLog) rig(process, what string) {
+// recordRig notes what is done to a process.
+func (e *eventLog) recordRig(process, what string) {
 	e.mu.Lock()
-	e.log = append(e.log, Event{Time: time.Now(), Process: process, Name: what, FromRig: true})
+	e.events = append(e.events, Event{Time: time.Now(), Process: process, Name: what, FromRig: true})
 	e.mu.Unlock()
 }
 
-// gone forgets a dispatcher that has ended.
-func (e *eventLog) gone(process string) {
+// recordEnd forgets a dispatcher that has ended.
+func (e *eventLog) recordEnd(process string) {
 	e.mu.Lock()
-	delete(e.at, process)
-	e.log = append(e.log, Event{Time: time.Now(), Process: process, Name: ProcessEnded, FromRig: true})
+	delete(e.dispatchers, process)
+	e.events = append(e.events, Event{Time: time.Now(), Process: process, Name: ProcessEnded, FromRig: true})
 	e.mu.Unlock()
 }
 
-func (e *eventLog) serving(version uint64) (n int) {
+func (e *eventLog) servingCount(version uint64) (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, s := range e.at {
+	for _, s := range e.dispatchers {
 		if s.Serves && s.Version >= version {
 			n++
 		}
@@ -126,7 +126,7 @@
 	defer f.events.mu.Unlock()
 	at := -1
 	for i := range Regions {
-		if s := f.events.at[DispatcherName(i)]; s != nil && s.Leads {
+		if s := f.events.dispatchers[DispatcherName(i)]; s != nil && s.Leads {
 			if at >= 0 {
 				return -1
 			}
@@ -140,7 +140,7 @@
 func (f *Fleet) IsLeader(voter int) bool {
 	f.events.mu.Lock()
 	defer f.events.mu.Unlock()
-	s := f.events.at[DispatcherName(voter)]
+	s := f.events.dispatchers[DispatcherName(voter)]
 	return s != nil && s.Leads
 }
 
@@ -148,18 +148,18 @@
 func (f *Fleet) LastDecided() uint64 {
 	f.events.mu.Lock()
 	defer f.events.mu.Unlock()
-	return f.events.decided
+	return f.events.lastDecided
 }
 
 // RecordRigEvent notes among the events what is done to a process, or with no name to the fleet.
-func (f *Fleet) RecordRigEvent(process, what string) { f.events.rig(process, what) }
+func (f *Fleet) RecordRigEvent(process, what string) { f.events.recordRig(process, what) }
 
 // TakeEvents hands out what was heard since it was last called.
 func (f *Fleet) TakeEvents() []Event {
 	f.events.mu.Lock()
 	defer f.events.mu.Unlock()
-	log := f.events.log
-	f.events.log = nil
+	log := f.events.events
+	f.events.events = nil
 	return log
 }
 
--- a/internal/lab/hollow/fleet.go
+++ b/internal/lab/hollow/fleet.go
@@ -37,7 +37,7 @@
 	Workers       int           // of the list
 }
 
-func (p FleetConfig) size() int { return p.Real + p.Hollow }
+func (p FleetConfig) dispatcherCount() int { return p.Real + p.Hollow }
 
 // Fleet is real and hollow dispatchers around three voters, with a director and workers. Between each region and
 // each voter, and before the director, stands a relay.
@@ -48,11 +48,11 @@
 	Meters    [Regions][Regions]Meter // by the region that asks and the voter
 	ListMeter ListMeter
 
-	dir    string
-	voters []string // where they listen
-	relays [Regions][Regions]*faultnet.TCP
-	list   *faultnet.TCP
-	events *eventLog
+	dir            string
+	voterAddresses []string // where they listen
+	voterRelays    [Regions][Regions]*faultnet.TCP
+	listRelay      *faultnet.TCP
+	events         *eventLog
 
 	mu     sync.Mutex
 	Real   []*Process    // by number; the first three are the voters
@@ -79,15 +79,15 @@
 // asks come in clumps, which a round confirms together: at 100 there were 18% fewer heartbeats than with real ones.
 const MaxSizeForVoterTraffic = 20
 
-// spread is over what time hollow dispatchers start. Real ones take that long by themselves; hollow ones that all
+// startSpread is over what time hollow dispatchers start. Real ones take that long by themselves; hollow ones that all
 // began in one moment would ask in step from then on, be confirmed together, and cost the voters fewer rounds than
 // real ones do.
-const spread = 2 * time.Second
+const startSpread = 2 * time.Second
 
 // StartFleet starts a fleet. Close ends it, also one whose start failed.
 func StartFleet(p FleetConfig) (*Fleet, error) {
 	f := &Fleet{Config: p, events: newEvents()}
-	err := f.launch()
+	err := f.startAll()
 	if err != nil {
 		f.Close()
 		return nil, err
@@ -95,9 +95,9 @@
 	return f, nil
 }
 
-func (f *Fleet) launch() (err error) {
+func (f *Fleet) startAll() (err error) {
 	p := f.Config
-	if p.Real > 0 && p.Real < Regions || p.size() < Regions {
+	if p.Real > 0 && p.Real < Regions || p.dispatcherCount() < Regions {
 		return fmt.Errorf("%d real and %d hollow dispatchers, want none or %d real ones, the voters, or more", p.Real, p.Hollow, Regions)
 	}
 	if f.dir, err = os.MkdirTemp("", "hollow"); err != nil {
@@ -109,7 +109,7 @@
 	if f.Workers, err = StartWorkers(f.Director, p.Workers); err != nil {
 		return err
 	}
-	if f.list, err = faultnet.ListenTapped(f.Director.Address, f.ListMeter.tap); err != nil {
+	if f.listRelay, err = faultnet.ListenTapped(f.Director.Address, f.ListMeter.tap); err != nil {
 		return err
 	}
 	for v := range Regions {
@@ -117,10 +117,10 @@
 		if err != nil {
 			return err
 		}
-		f.voters = append(f.voters, l.Addr().String())
+		f.voterAddresses = append(f.voterAddresses, l.Addr().String())
 		l.Close()
 		for from := range Regions {
-			if f.relays[from][v], err = faultnet.ListenTapped(f.voters[v], f.Meters[from][v].Tap); err != nil {
+			if f.voterRelays[from][v], err = faultnet.ListenTapped(f.voterAddresses[v], f.Meters[from][v].Tap); err != nil {
 				return err
 			}
 		}
@@ -128,14 +128,14 @@
 	f.SetRegionLatency(p.RegionLatency)
 	f.Real, f.Hollow = make([]*Process, p.Real), make([]*Dispatcher, p.Hollow)
 	first := max(p.Real, Regions)
-	for i := range p.size() {
+	for i := range p.dispatcherCount() {
 		if i == first && !p.WithoutAccord { // a first version that came later would have all ask in step, too
-			if err := f.AwaitServing(first, 1, serveWait); err != nil {
+			if err := f.AwaitServing(first, 1, serveTimeout); err != nil {
 				return err
 			}
 		}
 		if i >= first {
-			time.Sleep(rand.N(2*spread/time.Duration(p.size()-first) + 1))
+			time.Sleep(rand.N(2*startSpread/time.Duration(p.dispatcherCount()-first) + 1))
 		}
 		if err := f.Start(i); err != nil {
 			return err
@@ -147,7 +147,7 @@
 // SetRegionLatency sets the time that a piece travels between two regions, one way.
 func (f *Fleet) SetRegionLatency(lag time.Duration) {
 	for from := range Regions {
-		for v, r := range f.relays[from] {
+		for v, r := range f.voterRelays[from] {
 			if v != from {
 				r.Set(faultnet.Rule{Latency: lag})
 			}
@@ -158,7 +158,7 @@
 // SetIsolated cuts a region off from the two others, or ends that.
 func (f *Fleet) SetIsolated(region int, cut bool) {
 	for from := range Regions {
-		for v, r := range f.relays[from] {
+		for v, r := range f.voterRelays[from] {
 			if v == from || v != region && from != region {
 				continue
 			}
@@ -175,16 +175,16 @@
 
 // Start starts a dispatcher, which must not run: a real or a hollow one by its number.
 func (f *Fleet) Start(i int) error {
-	conf, script := f.config(i), f.script(i)
-	f.events.rig(DispatcherName(i), ProcessStarted)
+	conf, script := f.dispatcherConfig(i), f.settingsScript(i)
+	f.events.recordRig(DispatcherName(i), ProcessStarted)
 	if i < f.Config.Real {
-		p, err := launch(f.Config.Program, f.Config.Env, f.dir, DispatcherName(i), conf, script, f.events.heard(DispatcherName(i)))
+		p, err := startProcess(f.Config.Program, f.Config.Env, f.dir, DispatcherName(i), conf, script, f.events.logWriter(DispatcherName(i)))
 		f.mu.Lock()
 		f.Real[i] = p
 		f.mu.Unlock()
 		return err
 	}
-	d, err := StartDispatcher(conf, script, f.events.heard(DispatcherName(i)))
+	d, err := StartDispatcher(conf, script, f.events.logWriter(DispatcherName(i)))
 	f.mu.Lock()
 	f.Hollow[i-f.Config.Real] = d
 	f.mu.Unlock()
@@ -210,7 +210,7 @@
 	if end != nil {
 		end()
 	}
-	f.events.gone(DispatcherName(i))
+	f.events.recordEnd(DispatcherName(i))
 }
 
 // Terminate has a dispatcher end as its operators would, by SIGTERM, and kills it where it has not ended after so long.
@@ -222,7 +222,7 @@
 		if p != nil {
 			p.Signal(syscall.SIGTERM)
 			select {
-			case <-p.ended:
+			case <-p.exited:
 			case <-time.After(most):
 			}
 		}
@@ -234,7 +234,7 @@
 // confirm, which waits for an answer that the log's library owes from before its end).
 func (f *Fleet) Close() {
 	var all sync.WaitGroup
-	for i := f.Config.size() - 1; i >= 0; i-- {
+	for i := f.Config.dispatcherCount() - 1; i >= 0; i-- {
 		if i == Regions-1 {
 			all.Wait()
 		}
@@ -243,15 +243,15 @@
 		}
 	}
 	all.Wait()
-	for _, from := range f.relays {
+	for _, from := range f.voterRelays {
 		for _, r := range from {
 			if r != nil {
 				r.Close()
 			}
 		}
 	}
-	if f.list != nil {
-		f.list.Close()
+	if f.listRelay != nil {
+		f.listRelay.Close()
 	}
 	if f.Workers != nil {
 		f.Workers.Close()
@@ -264,7 +264,7 @@
 	}
 }
 
-func (f *Fleet) config(i int) []byte {
+func (f *Fleet) dispatcherConfig(i int) []byte {
 	return []byte(fmt.Sprintf(`{"name": %q, "listen": "127.0.0.1:0", "discovery": %q, "seed": "%d",
   "limits": {"cores": 2, "memory_mb": 192, "sockets": 1024},
   "settings": {
@@ -280,26 +280,26 @@
     "Weights": "nominal",
     "Zones": ["here"]
   }
-}`, DispatcherName(i), f.list.Addr(), i+1, f.Config.size()))
+}`, DispatcherName(i), f.listRelay.Addr(), i+1, f.Config.dispatcherCount()))
 }
 
-// connections is the budget of the fleet in new connections a second.
-const connections = 100_000
+// connectionsPerSecond is the budget of the fleet in new connectionsPerSecond a second.
+const connectionsPerSecond = 100_000
 
-func (f *Fleet) script(i int) []byte {
+func (f *Fleet) settingsScript(i int) []byte {
 	if f.Config.WithoutAccord {
 		return nil
 	}
 	var voters []string
-	for v, at := range f.voters {
+	for v, at := range f.voterAddresses {
 		if v != i {
-			at = f.relays[i%Regions][v].Addr()
+			at = f.voterRelays[i%Regions][v].Addr()
 		}
 		voters = append(voters, fmt.Sprintf("%q", DispatcherName(v)+"="+at))
 	}
 	bans, _ := json.Marshal(append([]string{}, f.Config.Bans...)) // a list of texts is one of the script's, too
 	return fmt.Appendf(nil, "policy(bans = %s, connections = %d)\naccord(voters = [%s], lease_ms = %d, data = %q)\nbudgets(connections = %d, keeper = \"leader\")\n",
-		bans, connections, strings.Join(voters, ", "), f.Config.Lease.Milliseconds(), filepath.Join(f.dir, DispatcherName(i)), connections)
+		bans, connectionsPerSecond, strings.Join(voters, ", "), f.Config.Lease.Milliseconds(), filepath.Join(f.dir, DispatcherName(i)), connectionsPerSecond)
 }
 
 // Address is where a real dispatcher serves clients; empty where it is not up.
@@ -322,21 +322,21 @@
 	return c
 }
 
-// errLate is a fleet that has not come where it was waited for.
-var errLate = errors.New("not in time")
+// errTimeout is a fleet that has not come where it was waited for.
+var errTimeout = errors.New("not in time")
 
 // Await looks, each 10 ms and for at most so long, until holds.
 func (f *Fleet) Await(what string, most time.Duration, holds func() bool) error {
 	for end := time.Now().Add(most); !holds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			return fmt.Errorf("%s: %w (%v)", what, errLate, most)
+			return fmt.Errorf("%s: %w (%v)", what, errTimeout, most)
 		}
 	}
 	return nil
 }
 
 // ServingCount is how many dispatchers take reqs by a version, which is not below the one given.
-func (f *Fleet) ServingCount(version uint64) int { return f.events.serving(version) }
+func (f *Fleet) ServingCount(version uint64) int { return f.events.servingCount(version) }
 
 // AwaitServing waits until n dispatchers take reqs by a version or a later one.
 func (f *Fleet) AwaitServing(n int, version uint64, most time.Duration) error {
--- a/internal/lab/hollow/measure/change.go
+++ b/internal/lab/hollow/measure/change.go
@@ -9,24 +9,24 @@
 	"tinsail/internal/lab/hollow"
 )
 
-// changed is what a change of the policy cost.
-type changed struct {
-	everywhere time.Duration // from its proposal until the last dispatcher serves by it
-	idle       time.Duration // mean over the dispatchers: from when each stopped until it served by the new one
-	nobody     time.Duration // from when the last stopped until the first served by the new one; 0 where those overlap
-	links      hollow.Tally  // of all members' links meanwhile
-	between    hollow.Tally
+// changeCost is what a change of the policy cost.
+type changeCost struct {
+	inForceTime   time.Duration // from its proposal until the last dispatcher serves by it
+	meanStopTime  time.Duration // mean over the dispatchers: from when each stopped until it served by the new one
+	serviceGap    time.Duration // from when the last stopped until the first served by the new one; 0 where those overlap
+	memberTraffic hollow.Tally  // of all members' links meanwhile
+	raftTraffic   hollow.Tally
 }
 
-// change has the last dispatcher, which is hollow, propose a policy, and waits until n serve by it.
-func change(f *hollow.Fleet, n, nth, size int) (c changed, err error) {
+// changePolicy has the last dispatcher, which is hollow, propose a policy, and waits until n serve by it.
+func changePolicy(f *hollow.Fleet, n, nth, size int) (c changeCost, err error) {
 	proposer := f.Hollow[len(f.Hollow)-1].Accord
 	version, old := proposer.Current()
 	p, err := policy.Read(old)
 	if err != nil {
 		return c, err
 	}
-	p.Bans = bans(size, nth)
+	p.Bans = policyNames(size, nth)
 	f.TakeEvents()
 	counts, begun := f.Traffic(), time.Now()
 	if err := proposer.Propose(p.Append(nil)); err != nil {
@@ -36,7 +36,7 @@
 		return c, err
 	}
 	after := f.Traffic().Since(counts)
-	c.links, c.between = after.MemberTotal(), after.RaftTotal()
+	c.memberTraffic, c.raftTraffic = after.MemberTotal(), after.RaftTotal()
 	stopped := map[string]time.Time{}
 	var lastStop, firstServe, lastServe time.Time
 	served := 0
@@ -50,7 +50,7 @@
 				firstServe = e.Time
 			}
 			if at, ok := stopped[e.Process]; ok {
-				c.idle += e.Time.Sub(at)
+				c.meanStopTime += e.Time.Sub(at)
 				served++
 			}
 			lastServe = e.Time
@@ -59,12 +59,12 @@
 	if served < n {
 		return c, fmt.Errorf("%d of %d stopped and served again", served, n)
 	}
-	c.everywhere, c.idle, c.nobody = lastServe.Sub(begun), c.idle/time.Duration(served), max(0, firstServe.Sub(lastStop))
+	c.inForceTime, c.meanStopTime, c.serviceGap = lastServe.Sub(begun), c.meanStopTime/time.Duration(served), max(0, firstServe.Sub(lastStop))
 	return c, nil
 }
 
-// changes makes changes at one fleet and adds the rows of each.
-func (r Runner) changes(s *sheet, name string, x float64, p hollow.FleetConfig, size int, before func(*hollow.Fleet) (n int)) error {
+// measureChanges makes measureChanges at one fleet and adds the rows of each.
+func (r Runner) measureChanges(s *table, name string, x float64, p hollow.FleetConfig, size int, before func(*hollow.Fleet) (n int)) error {
 	f, err := hollow.StartFleet(p)
 	if err != nil {
 		return err
@@ -83,25 +83,25 @@
 		if before != nil {
 			live = before(f)
 		}
-		c, err := change(f, live, i+1, size)
+		c, err := changePolicy(f, live, i+1, size)
 		if err != nil {
 			return err
 		}
 		ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-		s.add(name+"-in-force-everywhere", "ms", x, ms(c.everywhere), how(p))
-		s.add(name+"-stopped-each", "ms", x, ms(c.idle), how(p))
-		s.add(name+"-nobody-takes", "ms", x, ms(c.nobody), how(p))
-		s.add(name+"-link-bytes", "bytes a dispatcher", x, float64(c.links.Bytes)/float64(n), how(p))
-		s.add(name+"-link-messages", "messages a dispatcher", x, float64(c.links.Messages)/float64(n), how(p))
-		s.add(name+"-between-bytes", "bytes", x, float64(c.between.Bytes), how(p))
+		s.add(name+"-in-force-everywhere", "ms", x, ms(c.inForceTime), howMeasured(p))
+		s.add(name+"-stopped-each", "ms", x, ms(c.meanStopTime), howMeasured(p))
+		s.add(name+"-nobody-takes", "ms", x, ms(c.serviceGap), howMeasured(p))
+		s.add(name+"-link-bytes", "bytes a dispatcher", x, float64(c.memberTraffic.Bytes)/float64(n), howMeasured(p))
+		s.add(name+"-link-messages", "messages a dispatcher", x, float64(c.memberTraffic.Messages)/float64(n), howMeasured(p))
+		s.add(name+"-between-bytes", "bytes", x, float64(c.raftTraffic.Bytes), howMeasured(p))
 		time.Sleep(p.Lease / 2)
 	}
 	return nil
 }
 
-// hollowPlan is one with the voters and a few more real, and the last hollow.
-func (r Runner) hollowPlan(n int) hollow.FleetConfig {
-	p := r.plan(n)
+// hollowProposerConfig is one with the voters and a few more real, and the last hollow.
+func (r Runner) hollowProposerConfig(n int) hollow.FleetConfig {
+	p := r.fleetConfig(n)
 	p.Real = min(p.Real, n-1)
 	p.Hollow = n - p.Real
 	return p
@@ -109,9 +109,9 @@
 
 // ChangeByFleetSize measures a change of the policy against dispatchers.
 func (r Runner) ChangeByFleetSize(sizes ...int) ([]capacity.Row, error) {
-	s := &sheet{against: "dispatchers", note: fmt.Sprintf("lease %v, %d names", r.Lease, r.BannedNames)}
+	s := &table{against: "dispatchers", note: fmt.Sprintf("lease %v, %d names", r.Lease, r.BannedNames)}
 	for _, n := range sizes {
-		if err := r.changes(s, "change", float64(n), r.hollowPlan(n), r.BannedNames, nil); err != nil {
+		if err := r.measureChanges(s, "change", float64(n), r.hollowProposerConfig(n), r.BannedNames, nil); err != nil {
 			return nil, err
 		}
 	}
@@ -120,10 +120,10 @@
 
 // ChangeByPolicySize measures it against the names in a policy.
 func (r Runner) ChangeByPolicySize(n int, sizes ...int) ([]capacity.Row, error) {
-	s := &sheet{against: "names in the policy", note: fmt.Sprintf("%d dispatchers, lease %v", n, r.Lease)}
+	s := &table{against: "names in the policy", note: fmt.Sprintf("%d dispatchers, lease %v", n, r.Lease)}
 	for _, size := range sizes {
 		r.BannedNames = size
-		if err := r.changes(s, "change-size", float64(size), r.hollowPlan(n), size, nil); err != nil {
+		if err := r.measureChanges(s, "change-size", float64(size), r.hollowProposerConfig(n), size, nil); err != nil {
 			return nil, err
 		}
 	}
@@ -132,10 +132,10 @@
 
 // ChangeByLatency measures it against the time that a piece travels between regions, one way.
 func (r Runner) ChangeByLatency(n int, lags ...time.Duration) ([]capacity.Row, error) {
-	s := &sheet{against: "ms between regions", note: fmt.Sprintf("%d dispatchers, lease %v, %d names", n, r.Lease, r.BannedNames)}
+	s := &table{against: "ms between regions", note: fmt.Sprintf("%d dispatchers, lease %v, %d names", n, r.Lease, r.BannedNames)}
 	for _, l := range lags {
 		r.RegionLatency = l
-		if err := r.changes(s, "change-lag", float64(l.Milliseconds()), r.hollowPlan(n), r.BannedNames, nil); err != nil {
+		if err := r.measureChanges(s, "change-lag", float64(l.Milliseconds()), r.hollowProposerConfig(n), r.BannedNames, nil); err != nil {
 			return nil, err
 		}
 	}
@@ -144,11 +144,11 @@
 
 // ChangeAfterKillByLease measures it against the lease, with a dispatcher killed just before each change: its lease has to be waited out.
 func (r Runner) ChangeAfterKillByLease(n int, leases ...time.Duration) ([]capacity.Row, error) {
-	s := &sheet{against: "s of lease", note: fmt.Sprintf("%d dispatchers, %d names, one killed just before", n, r.BannedNames)}
+	s := &table{against: "s of lease", note: fmt.Sprintf("%d dispatchers, %d names, one killed just before", n, r.BannedNames)}
 	for _, l := range leases {
 		r.Lease = l
 		at := 0
-		err := r.changes(s, "change-down", l.Seconds(), r.hollowPlan(n), r.BannedNames, func(f *hollow.Fleet) int {
+		err := r.measureChanges(s, "change-down", l.Seconds(), r.hollowProposerConfig(n), r.BannedNames, func(f *hollow.Fleet) int {
 			f.Stop(hollow.Regions + at)
 			at++
 			return n - at
--- a/internal/lab/hollow/measure/steady.go
+++ b/internal/lab/hollow/measure/steady.go
@@ -28,42 +28,42 @@
 // TeamCount is what the letter has; a policy that names as many stands for one that has a line for each team.
 const TeamCount = 310
 
-// bans are n names of the length of a team's line in a policy.
-func bans(n, change int) (all []string) {
+// policyNames are n names of the length of a team's line in a policy.
+func policyNames(n, change int) (all []string) {
 	for i := range n {
 		all = append(all, fmt.Sprintf("team-%03d-of-change-%06d", i, change))
 	}
 	return all
 }
 
-func (r Runner) plan(n int) hollow.FleetConfig {
-	p := hollow.FleetConfig{Program: r.Program, Env: r.Env, Real: min(n, r.MaxReal), Lease: r.Lease, RegionLatency: r.RegionLatency, Workers: r.Workers, Bans: bans(r.BannedNames, 0)}
+func (r Runner) fleetConfig(n int) hollow.FleetConfig {
+	p := hollow.FleetConfig{Program: r.Program, Env: r.Env, Real: min(n, r.MaxReal), Lease: r.Lease, RegionLatency: r.RegionLatency, Workers: r.Workers, Bans: policyNames(r.BannedNames, 0)}
 	p.Hollow = n - p.Real
 	return p
 }
 
-// how is how rows of a fleet were got.
-func how(p hollow.FleetConfig) string {
+// howMeasured is howMeasured rows of a fleet were got.
+func howMeasured(p hollow.FleetConfig) string {
 	if p.Hollow > 0 {
 		return capacity.Hollow
 	}
 	return capacity.Real
 }
 
-// sheet takes the rows of a part.
-type sheet struct {
+// table takes the rows of a part.
+type table struct {
 	against string
 	note    string
 	rows    []capacity.Row
 }
 
-func (s *sheet) add(slope, unit string, x, y float64, how string) {
+func (s *table) add(slope, unit string, x, y float64, how string) {
 	s.rows = append(s.rows, capacity.Row{Slope: slope, Unit: unit, Against: s.against, X: x, Y: y, Method: how, Note: s.note})
 	fmt.Fprintf(os.Stderr, "%-34s %8.4g %-24s %10.4g %s\n", slope, x, s.against, y, unit)
 }
 
-// costs are those of the real processes of a fleet.
-func costs(f *hollow.Fleet) ([]hollow.ResourceUsage, error) {
+// processUsage are those of the real processes of a fleet.
+func processUsage(f *hollow.Fleet) ([]hollow.ResourceUsage, error) {
 	out := make([]hollow.ResourceUsage, len(f.Real))
 	for i, p := range f.Real {
 		var err error
@@ -74,10 +74,10 @@
 	return out, nil
 }
 
-const mb = 1 << 20
+const bytesPerMB = 1 << 20
 
-// steady measures a fleet in which nothing changes, at the size x of the sheet; name is what the slopes' names begin with.
-func (r Runner) steady(s *sheet, name string, x float64, p hollow.FleetConfig) error {
+// measureSteady measures a fleet in which nothing changes, at the size x of the sheet; name is what the slopes' names begin with.
+func (r Runner) measureSteady(s *table, name string, x float64, p hollow.FleetConfig) error {
 	f, err := hollow.StartFleet(p)
 	if err != nil {
 		return err
@@ -91,22 +91,22 @@
 	}
 	time.Sleep(r.Settle)
 	for range r.Repeats {
-		if err := r.window(f, s, name, x, p); err != nil {
+		if err := r.measureWindow(f, s, name, x, p); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r Runner) window(f *hollow.Fleet, s *sheet, name string, x float64, p hollow.FleetConfig) error {
-	before, err := costs(f)
+func (r Runner) measureWindow(f *hollow.Fleet, s *table, name string, x float64, p hollow.FleetConfig) error {
+	before, err := processUsage(f)
 	if err != nil {
 		return err
 	}
 	counts, asked, told, leads, begun := f.Traffic(), f.ListMeter.RequestBytes.Load(), f.ListMeter.ResponseBytes.Load(), f.Leader(), time.Now()
 	time.Sleep(r.Window)
 	secs := time.Since(begun).Seconds()
-	after, err := costs(f)
+	after, err := processUsage(f)
 	if err != nil {
 		return err
 	}
@@ -122,48 +122,48 @@
 		if i < hollow.Regions && !p.WithoutAccord {
 			continue
 		}
-		own, mem, files, k = own+cpu(i), mem+float64(after[i].Memory)/mb, files+float64(after[i].OpenFiles), k+1
+		own, mem, files, k = own+cpu(i), mem+float64(after[i].Memory)/bytesPerMB, files+float64(after[i].OpenFiles), k+1
 	}
 	if k > 0 {
-		s.add(name+"-dispatcher-cpu", "% of a core", x, own/k, how(p))
-		s.add(name+"-dispatcher-memory", "MB", x, mem/k, how(p))
-		s.add(name+"-dispatcher-descriptors", "descriptors", x, files/k, how(p))
+		s.add(name+"-dispatcher-cpu", "% of a core", x, own/k, howMeasured(p))
+		s.add(name+"-dispatcher-memory", "MB", x, mem/k, howMeasured(p))
+		s.add(name+"-dispatcher-descriptors", "descriptors", x, files/k, howMeasured(p))
 	}
-	s.add(name+"-dispatcher-list-bytes", "bytes a second", x, float64(f.ListMeter.RequestBytes.Load()-asked+f.ListMeter.ResponseBytes.Load()-told)/n/secs, how(p))
+	s.add(name+"-dispatcher-list-bytes", "bytes a second", x, float64(f.ListMeter.RequestBytes.Load()-asked+f.ListMeter.ResponseBytes.Load()-told)/n/secs, howMeasured(p))
 	if p.WithoutAccord {
 		return nil
 	}
 	other, otherMem := 0.0, 0.0
 	for i := range hollow.Regions {
 		if i != leads && p.Real > 0 {
-			other, otherMem = other+cpu(i)/2, otherMem+float64(after[i].Memory)/mb/2
+			other, otherMem = other+cpu(i)/2, otherMem+float64(after[i].Memory)/bytesPerMB/2
 		}
 	}
 	if p.Real > 0 {
-		s.add(name+"-leader-cpu", "% of a core", x, cpu(leads), how(p))
-		s.add(name+"-leader-memory", "MB", x, float64(after[leads].Memory)/mb, how(p))
-		s.add(name+"-leader-descriptors", "descriptors", x, float64(after[leads].OpenFiles), how(p))
-		s.add(name+"-voter-cpu", "% of a core", x, other, how(p))
-		s.add(name+"-voter-memory", "MB", x, otherMem, how(p))
-	}
-	s.add(name+"-leader-bytes", "bytes a second", x, float64(c.MemberTotal().Bytes)/secs, how(p))
-	s.add(name+"-link-bytes", "bytes a second", x, float64(c.MemberTotal().Bytes)/secs/(n-1), how(p)) // the leader's own has no link
-	s.add(name+"-link-messages", "messages a second", x, float64(c.MemberTotal().Messages)/secs/(n-1), how(p))
+		s.add(name+"-leader-cpu", "% of a core", x, cpu(leads), howMeasured(p))
+		s.add(name+"-leader-memory", "MB", x, float64(after[leads].Memory)/bytesPerMB, howMeasured(p))
+		s.add(name+"-leader-descriptors", "descriptors", x, float64(after[leads].OpenFiles), howMeasured(p))
+		s.add(name+"-voter-cpu", "% of a core", x, other, howMeasured(p))
+		s.add(name+"-voter-memory", "MB", x, otherMem, howMeasured(p))
+	}
+	s.add(name+"-leader-bytes", "bytes a second", x, float64(c.MemberTotal().Bytes)/secs, howMeasured(p))
+	s.add(name+"-link-bytes", "bytes a second", x, float64(c.MemberTotal().Bytes)/secs/(n-1), howMeasured(p)) // the leader's own has no link
+	s.add(name+"-link-messages", "messages a second", x, float64(c.MemberTotal().Messages)/secs/(n-1), howMeasured(p))
 	if p.Hollow > 0 && n > hollow.MaxSizeForVoterTraffic {
 		return nil
 	}
-	s.add(name+"-between-bytes", "bytes a second", x, float64(c.RaftTotal().Bytes)/secs, how(p))
-	s.add(name+"-between-messages", "messages a second", x, 2*float64(c.RaftTotal().Messages)/secs, how(p)) // each is answered
-	s.add(name+"-between-heartbeats", "messages a second", x, float64(c[hollow.Heartbeats].Messages)/secs, how(p))
-	s.add(name+"-between-commit-timeouts", "messages a second", x, float64(c[hollow.CommitTimeouts].Messages)/secs, how(p))
+	s.add(name+"-between-bytes", "bytes a second", x, float64(c.RaftTotal().Bytes)/secs, howMeasured(p))
+	s.add(name+"-between-messages", "messages a second", x, 2*float64(c.RaftTotal().Messages)/secs, howMeasured(p)) // each is answered
+	s.add(name+"-between-heartbeats", "messages a second", x, float64(c[hollow.Heartbeats].Messages)/secs, howMeasured(p))
+	s.add(name+"-between-commit-timeouts", "messages a second", x, float64(c[hollow.CommitTimeouts].Messages)/secs, howMeasured(p))
 	return nil
 }
 
 // SteadyByFleetSize measures dispatchers, leader, voters and what goes between them, against dispatchers.
 func (r Runner) SteadyByFleetSize(sizes ...int) ([]capacity.Row, error) {
-	s := &sheet{against: "dispatchers", note: fmt.Sprintf("lease %v, %d workers", r.Lease, r.Workers)}
+	s := &table{against: "dispatchers", note: fmt.Sprintf("lease %v, %d workers", r.Lease, r.Workers)}
 	for _, n := range sizes {
-		if err := r.steady(s, "accord", float64(n), r.plan(n)); err != nil {
+		if err := r.measureSteady(s, "accord", float64(n), r.fleetConfig(n)); err != nil {
 			return nil, err
 		}
 	}
@@ -172,11 +172,11 @@
 
 // WithoutAccordByFleetSize measures dispatchers without accord and budgets, against dispatchers; all are real.
 func (r Runner) WithoutAccordByFleetSize(sizes ...int) ([]capacity.Row, error) {
-	s := &sheet{against: "dispatchers", note: fmt.Sprintf("%d workers", r.Workers)}
+	s := &table{against: "dispatchers", note: fmt.Sprintf("%d workers", r.Workers)}
 	for _, n := range sizes {
-		p := r.plan(n)
+		p := r.fleetConfig(n)
 		p.WithoutAccord = true
-		if err := r.steady(s, "bare", float64(n), p); err != nil {
+		if err := r.measureSteady(s, "bare", float64(n), p); err != nil {
 			return nil, err
 		}
 	}
@@ -185,10 +185,10 @@
 
 // SteadyByLease measures the same against the lease, in seconds, at one count of dispatchers.
 func (r Runner) SteadyByLease(n int, leases ...time.Duration) ([]capacity.Row, error) {
-	s := &sheet{against: "leases a second", note: fmt.Sprintf("%d dispatchers, %d workers", n, r.Workers)}
+	s := &table{against: "leases a second", note: fmt.Sprintf("%d dispatchers, %d workers", n, r.Workers)}
 	for _, l := range leases {
 		r.Lease = l
-		if err := r.steady(s, "lease", 1/l.Seconds(), r.plan(n)); err != nil {
+		if err := r.measureSteady(s, "lease", 1/l.Seconds(), r.fleetConfig(n)); err != nil {
 			return nil, err
 		}
 	}
@@ -197,10 +197,10 @@
 
 // SteadyByLatency measures the same against the time that a piece travels between regions, one way.
 func (r Runner) SteadyByLatency(n int, lags ...time.Duration) ([]capacity.Row, error) {
-	s := &sheet{against: "ms between regions", note: fmt.Sprintf("%d dispatchers, lease %v", n, r.Lease)}
+	s := &table{against: "ms between regions", note: fmt.Sprintf("%d dispatchers, lease %v", n, r.Lease)}
 	for _, l := range lags {
 		r.RegionLatency = l
-		if err := r.steady(s, "lag", float64(l.Milliseconds()), r.plan(n)); err != nil {
+		if err := r.measureSteady(s, "lag", float64(l.Milliseconds()), r.fleetConfig(n)); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/lab/hollow/meter.go
+++ b/internal/lab/hollow/meter.go
@@ -26,7 +26,7 @@
 	OtherRaftRequests                    // votes, snapshots, hand-overs
 	RaftResponses                        // to all of the log's library's
 	Undecoded                            // what could not be read: there must be none
-	kinds
+	kindCount
 )
 
 func (k MessageKind) String() string {
@@ -37,7 +37,7 @@
 type Tally struct{ Messages, Bytes int64 }
 
 // Traffic are tallies by kind.
-type Traffic [kinds]Tally
+type Traffic [kindCount]Tally
 
 // Since is what came after an earlier reading.
 func (c Traffic) Since(old Traffic) Traffic {
@@ -73,7 +73,7 @@
 
 // Meter counts what passes relays that stand before voters' addresses. It is for concurrent use.
 type Meter struct {
-	messages, bytes [kinds]atomic.Int64
+	messages, bytes [kindCount]atomic.Int64
 }
 
 func (m *Meter) add(k MessageKind, messages, bytes int64) {
@@ -91,35 +91,35 @@
 
 // The first byte of a connection to a voter, as internal/network/fleet/accord has it.
 const (
-	memberMark = 'A'
-	logMark    = 'R'
+	memberConn = 'A'
+	raftConn   = 'R'
 )
 
 // Tap looks at one more connection: faultnet.Tap.
 func (m *Meter) Tap() (out, back func([]byte)) {
 	var mark atomic.Int32
-	var ask, answer frames
+	var ask, answer frameCounter
 	var log *io.PipeWriter
 	out = func(p []byte) {
 		if len(p) > 0 && mark.Load() == 0 {
 			mark.Store(int32(p[0]))
 			p = p[1:]
 			switch mark.Load() {
-			case memberMark:
+			case memberConn:
 				m.add(MemberRequests, 0, 1)
-			case logMark:
+			case raftConn:
 				m.add(OtherRaftRequests, 0, 1)
 				var r *io.PipeReader
 				r, log = io.Pipe()
-				go m.read(r)
+				go m.countRaftRequests(r)
 			}
 			if len(p) == 0 {
 				return
 			}
 		}
 		switch {
-		case mark.Load() == memberMark:
-			m.add(MemberRequests, ask.take(p), int64(len(p)))
+		case mark.Load() == memberConn:
+			m.add(MemberRequests, ask.count(p), int64(len(p)))
 		case log != nil && len(p) == 0:
 			log.Close()
 		case log != nil:
@@ -130,9 +130,9 @@
 	}
 	back = func(p []byte) {
 		switch mark.Load() {
-		case memberMark:
-			m.add(MemberAnswers, answer.take(p), int64(len(p)))
-		case logMark:
+		case memberConn:
+			m.add(MemberAnswers, answer.count(p), int64(len(p)))
+		case raftConn:
 			m.add(RaftResponses, 0, int64(len(p)))
 		default:
 			m.add(Undecoded, 0, int64(len(p)))
@@ -143,27 +143,27 @@
 
 var _ faultnet.Tap = (&Meter{}).Tap
 
-// frames counts the framed messages of a link.
-type frames struct {
-	head []byte
-	left uint32
+// frameCounter counts the framed messages of a link.
+type frameCounter struct {
+	header    []byte
+	remaining uint32
 }
 
-// take takes the next piece and says how many messages ended in it.
-func (f *frames) take(p []byte) (ended int64) {
+// count takes the next piece and says how many messages ended in it.
+func (f *frameCounter) count(p []byte) (ended int64) {
 	for len(p) > 0 {
-		if f.left == 0 {
-			n := min(4-len(f.head), len(p))
-			f.head, p = append(f.head, p[:n]...), p[n:]
-			if len(f.head) < 4 {
+		if f.remaining == 0 {
+			n := min(4-len(f.header), len(p))
+			f.header, p = append(f.header, p[:n]...), p[n:]
+			if len(f.header) < 4 {
 				return ended
 			}
-			f.left, f.head = binary.BigEndian.Uint32(f.head), f.head[:0]
+			f.remaining, f.header = binary.BigEndian.Uint32(f.header), f.header[:0]
 			continue
 		}
-		n := min(f.left, uint32(len(p)))
-		p, f.left = p[n:], f.left-n
-		if f.left == 0 {
+		n := min(f.remaining, uint32(len(p)))
+		p, f.remaining = p[n:], f.remaining-n
+		if f.remaining == 0 {
 			ended++
 		}
 	}
@@ -172,16 +172,16 @@
 
 // The log's library's kinds of request, by the byte before each (hashicorp/raft, net_transport.go).
 const (
-	rpcAppend byte = iota
-	rpcVote
-	rpcSnapshot
-	rpcHandOver
-	rpcPreVote
+	rpcAppendEntries byte = iota
+	rpcRequestVote
+	rpcInstallSnapshot
+	rpcTimeoutNow
+	rpcRequestPreVote
 )
 
-// read reads the requests of a stream of the log's library, to its end.
-func (m *Meter) read(from io.Reader) {
-	in := &counting{r: bufio.NewReader(from)}
+// countRaftRequests reads the requests of a stream of the log's library, to its end.
+func (m *Meter) countRaftRequests(from io.Reader) {
+	in := &countingReader{r: bufio.NewReader(from)}
 	dec := codec.NewDecoder(in, &codec.MsgpackHandle{})
 	for {
 		in.n = 0
@@ -191,7 +191,7 @@
 		}
 		k, rest := OtherRaftRequests, int64(0)
 		switch kind {
-		case rpcAppend:
+		case rpcAppendEntries:
 			var q raft.AppendEntriesRequest
 			switch err = dec.Decode(&q); {
 			case len(q.Entries) > 0:
@@ -201,13 +201,13 @@
 			default:
 				k = CommitTimeouts
 			}
-		case rpcVote:
+		case rpcRequestVote:
 			err = dec.Decode(&raft.RequestVoteRequest{})
-		case rpcPreVote:
+		case rpcRequestPreVote:
 			err = dec.Decode(&raft.RequestPreVoteRequest{})
-		case rpcHandOver:
+		case rpcTimeoutNow:
 			err = dec.Decode(&raft.TimeoutNowRequest{})
-		case rpcSnapshot:
+		case rpcInstallSnapshot:
 			var q raft.InstallSnapshotRequest
 			err = dec.Decode(&q)
 			rest = q.Size
@@ -227,19 +227,19 @@
 	}
 }
 
-// counting counts what is read of it, and reads no byte ahead.
-type counting struct {
+// countingReader counts what is read of it, and reads no byte ahead.
+type countingReader struct {
 	r *bufio.Reader
 	n int64
 }
 
-func (c *counting) Read(p []byte) (int, error) {
+func (c *countingReader) Read(p []byte) (int, error) {
 	n, err := c.r.Read(p)
 	c.n += int64(n)
 	return n, err
 }
 
-func (c *counting) ReadByte() (byte, error) {
+func (c *countingReader) ReadByte() (byte, error) {
 	b, err := c.r.ReadByte()
 	if err == nil {
 		c.n++
--- a/internal/lab/hollow/meter_test.go
+++ b/internal/lab/hollow/meter_test.go
@@ -18,7 +18,7 @@
 func TestMeterOfALink(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 5).Draw(t, "messages")
-		text := []byte{memberMark}
+		text := []byte{memberConn}
 		for i := range n {
 			text = append(text, wire.Frame(wire.EncodeLeaseRequest(accord.LeaseRequest{Peer: "n1", Seq: uint64(i)}))...)
 		}
@@ -45,7 +45,7 @@
 func TestMeterOfTheLog(t *testing.T) {
 	m := &Meter{}
 	out, back := m.Tap()
-	out([]byte{logMark})
+	out([]byte{raftConn})
 	size := map[MessageKind]int64{OtherRaftRequests: 1}
 	send := func(kind byte, q any, k MessageKind, more ...byte) {
 		text := []byte{kind}
@@ -56,13 +56,13 @@
 		out(text[:1])
 		out(text[1:])
 	}
-	send(rpcAppend, raft.AppendEntriesRequest{Term: 3}, Heartbeats)
-	send(rpcAppend, raft.AppendEntriesRequest{Term: 3, PrevLogEntry: 7, LeaderCommitIndex: 7}, CommitTimeouts)
-	send(rpcAppend, raft.AppendEntriesRequest{Term: 3, PrevLogEntry: 7, Entries: []*raft.Log{{Data: []byte("body")}}}, LogEntries)
-	send(rpcVote, raft.RequestVoteRequest{Term: 3}, OtherRaftRequests)
-	send(rpcPreVote, raft.RequestPreVoteRequest{Term: 3}, OtherRaftRequests)
-	send(rpcSnapshot, raft.InstallSnapshotRequest{Size: 3}, OtherRaftRequests, 'a', 'b', 'c')
-	send(rpcHandOver, raft.TimeoutNowRequest{}, OtherRaftRequests)
+	send(rpcAppendEntries, raft.AppendEntriesRequest{Term: 3}, Heartbeats)
+	send(rpcAppendEntries, raft.AppendEntriesRequest{Term: 3, PrevLogEntry: 7, LeaderCommitIndex: 7}, CommitTimeouts)
+	send(rpcAppendEntries, raft.AppendEntriesRequest{Term: 3, PrevLogEntry: 7, Entries: []*raft.Log{{Data: []byte("body")}}}, LogEntries)
+	send(rpcRequestVote, raft.RequestVoteRequest{Term: 3}, OtherRaftRequests)
+	send(rpcRequestPreVote, raft.RequestPreVoteRequest{Term: 3}, OtherRaftRequests)
+	send(rpcInstallSnapshot, raft.InstallSnapshotRequest{Size: 3}, OtherRaftRequests, 'a', 'b', 'c')
+	send(rpcTimeoutNow, raft.TimeoutNowRequest{}, OtherRaftRequests)
 	back([]byte("1234"))
 	out([]byte{9, 9})
 	size[Undecoded] = 2
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -21,22 +21,22 @@
 	Name    string
 	Address string // where it serves clients
 
-	cmd   *exec.Cmd
-	ended chan struct{}
+	cmd    *exec.Cmd
+	exited chan struct{}
 }
 
-// serveWait bounds the time until a process serves, and the time that it has to end.
-const serveWait = 20 * time.Second
+// serveTimeout bounds the time until a process serves, and the time that it has to end.
+const serveTimeout = 20 * time.Second
 
-// launch starts the program on a configuration and a script, which it writes into a folder. The lines of its log are
+// startProcess starts the program on a configuration and a script, which it writes into a folder. The lines of its log are
 // passed to heard. It returns when the process has a listener.
-func launch(program []string, env []string, dir, name string, conf, script []byte, heard io.Writer) (*Process, error) {
+func startProcess(program []string, env []string, dir, name string, conf, script []byte, heard io.Writer) (*Process, error) {
 	at, set := filepath.Join(dir, name+".json"), filepath.Join(dir, name+".star")
 	if err := errors.Join(os.WriteFile(at, conf, 0o600), os.WriteFile(set, script, 0o600)); err != nil {
 		return nil, err
 	}
 	args := append(append([]string(nil), program[1:]...), "serve", "--settings", set, "--log-format", "json")
-	p := &Process{Name: name, cmd: exec.Command(program[0], args...), ended: make(chan struct{})}
+	p := &Process{Name: name, cmd: exec.Command(program[0], args...), exited: make(chan struct{})}
 	p.cmd.Env = append(append(os.Environ(), env...), "ROUTER_CONFIG="+at)
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // nothing is left where the laboratory dies
 	errs, err := p.cmd.StderrPipe()
@@ -48,7 +48,7 @@
 	}
 	serves := make(chan string, 1)
 	go func() {
-		defer close(p.ended)
+		defer close(p.exited)
 		var last []byte
 		for r := bufio.NewScanner(errs); r.Scan(); {
 			last = bytes.Clone(r.Bytes())
@@ -66,7 +66,7 @@
 	}()
 	select {
 	case p.Address = <-serves:
-	case <-time.After(serveWait):
+	case <-time.After(serveTimeout):
 	}
 	if p.Address == "" {
 		p.Kill()
@@ -84,13 +84,13 @@
 // Kill ends it outright.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
-	<-p.ended
+	<-p.exited
 }
 
 // Exited says whether it has ended.
 func (p *Process) Exited() bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true
 	default:
 		return false
@@ -105,8 +105,8 @@
 	OpenFiles int // descriptors that are open
 }
 
-// tick is the kernel's unit of processor time in /proc (USER_HZ, which is 100 on Linux).
-const tick = 10 * time.Millisecond
+// clockTick is the kernel's unit of processor time in /proc (USER_HZ, which is 100 on Linux).
+const clockTick = 10 * time.Millisecond
 
 // ReadResourceUsage reads what a process has cost, of this machine's /proc; -1 is this process.
 func ReadResourceUsage(pid int) (ResourceUsage, error) {
@@ -125,5 +125,5 @@
 	}
 	n := func(i int) int64 { v, _ := strconv.ParseInt(f[i], 10, 64); return v } // 0 is the third field of proc(5)
 	files, err := os.ReadDir(filepath.Join(at, "fd"))
-	return ResourceUsage{CPU: time.Duration(n(11)+n(12)) * tick, Memory: n(21) * int64(os.Getpagesize()), Threads: n(17), OpenFiles: len(files)}, err
+	return ResourceUsage{CPU: time.Duration(n(11)+n(12)) * clockTick, Memory: n(21) * int64(os.Getpagesize()), Threads: n(17), OpenFiles: len(files)}, err
 }
--- a/internal/lab/hollow/size/load.go
+++ b/internal/lab/hollow/size/load.go
@@ -14,72 +14,72 @@
 	history "tinsail/internal/standin/accordhistory"
 )
 
-// load sends reqs to the real dispatchers, each to the next that takes some.
-type load struct {
-	f    *hollow.Fleet
-	stop chan struct{}
-	all  sync.WaitGroup
+// loadGenerator sends reqs to the real dispatchers, each to the next that takes some.
+type loadGenerator struct {
+	fleet   *hollow.Fleet
+	stop    chan struct{}
+	running sync.WaitGroup
 
-	mu    sync.Mutex
-	up    []int // real dispatchers that are asked
-	lines []history.Line
-	sent  int
-	by    map[int]int // answers by status; 0: the connection broke
+	mu              sync.Mutex
+	targets         []int // real dispatchers that are asked
+	lines           []history.Line
+	sent            int
+	answersByStatus map[int]int // answers by status; 0: the connection broke
 }
 
-func startLoad(f *hollow.Fleet, perSecond int) *load {
-	l := &load{f: f, stop: make(chan struct{}), by: map[int]int{}}
+func startLoad(f *hollow.Fleet, perSecond int) *loadGenerator {
+	l := &loadGenerator{fleet: f, stop: make(chan struct{}), answersByStatus: map[int]int{}}
 	for i := range f.Real {
-		l.up = append(l.up, i)
+		l.targets = append(l.targets, i)
 	}
-	if perSecond == 0 || len(l.up) == 0 {
+	if perSecond == 0 || len(l.targets) == 0 {
 		return l
 	}
-	client := &http.Client{Timeout: settle, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Second}}
-	l.all.Go(func() {
+	client := &http.Client{Timeout: settleTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Second}}
+	l.running.Go(func() {
 		for t := time.NewTicker(time.Second / time.Duration(perSecond)); ; {
 			select {
 			case <-l.stop:
 				t.Stop()
 				return
 			case <-t.C:
-				l.all.Go(func() { l.ask(client) })
+				l.running.Go(func() { l.send(client) })
 			}
 		}
 	})
 	return l
 }
 
-// leave has a dispatcher asked no more; join has it asked again.
-func (l *load) leave(i int) {
+// removeTarget has a dispatcher asked no more; join has it asked again.
+func (l *loadGenerator) removeTarget(i int) {
 	l.mu.Lock()
-	l.up = slices.DeleteFunc(l.up, func(j int) bool { return i == j })
+	l.targets = slices.DeleteFunc(l.targets, func(j int) bool { return i == j })
 	l.mu.Unlock()
 }
 
-func (l *load) join(i int) {
-	if i < len(l.f.Real) {
+func (l *loadGenerator) addTarget(i int) {
+	if i < len(l.fleet.Real) {
 		l.mu.Lock()
-		l.up = append(l.up, i)
+		l.targets = append(l.targets, i)
 		l.mu.Unlock()
 	}
 }
 
-func (l *load) end() {
+func (l *loadGenerator) close() {
 	close(l.stop)
-	l.all.Wait()
+	l.running.Wait()
 }
 
-func (l *load) ask(client *http.Client) {
+func (l *loadGenerator) send(client *http.Client) {
 	l.mu.Lock()
-	if len(l.up) == 0 {
+	if len(l.targets) == 0 {
 		l.mu.Unlock()
 		return
 	}
 	l.sent++
 	id := fmt.Sprintf("s-%d", l.sent)
-	to := l.up[l.sent%len(l.up)]
-	address := l.f.Address(to)
+	to := l.targets[l.sent%len(l.targets)]
+	address := l.fleet.Address(to)
 	l.lines = append(l.lines, history.Line{Time: time.Now().UnixNano(), Source: history.SourceClient, Req: id, Dispatcher: hollow.DispatcherName(to), Sent: true})
 	l.mu.Unlock()
 	status := 0
@@ -98,14 +98,14 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.by[status]++
+	l.answersByStatus[status]++
 	l.lines = append(l.lines, history.Line{Time: time.Now().UnixNano(), Source: history.SourceClient, Req: id, Dispatcher: hollow.DispatcherName(to), Status: status})
 }
 
-// history is that of the clients, counted into a report.
-func (l *load) history(rep *Report) []history.Line {
+// clientHistory is that of the clients, counted into a report.
+func (l *loadGenerator) clientHistory(rep *Report) []history.Line {
 	rep.ReqsSent = l.sent
-	for status, n := range l.by {
+	for status, n := range l.answersByStatus {
 		switch status {
 		case http.StatusOK:
 			rep.ReqsOK += n
@@ -118,8 +118,8 @@
 	return l.lines
 }
 
-// starts are the attempts that the workers saw.
-func starts(f *hollow.Fleet) (out []history.Line) {
+// attemptStarts are the attempts that the workers saw.
+func attemptStarts(f *hollow.Fleet) (out []history.Line) {
 	for _, b := range f.Workers.Backends() {
 		for _, s := range b.AttemptStarts() {
 			v, _ := strconv.ParseUint(s.Version, 10, 64) // none: 0, which the checker refuses
--- a/internal/lab/hollow/size/run.go
+++ b/internal/lab/hollow/size/run.go
@@ -54,20 +54,20 @@
 	return sum + r.OwnUsage.Memory
 }
 
-// day is one under way.
-type day struct {
+// runner is one under way.
+type runner struct {
 	Config
-	f     *hollow.Fleet
-	r     *rand.Rand
-	rep   *Report
-	lines []history.Line
-	load  *load
-	n     int
-	nth   int // of policies
-	due   int // restarts that were made
+	fleet       *hollow.Fleet
+	random      *rand.Rand
+	report      *Report
+	lines       []history.Line
+	load        *loadGenerator
+	dispatchers int
+	policies    int // of policies
+	restarts    int // restarts that were made
 }
 
-const settle = 30 * time.Second // the most that a change or a restart is waited for
+const settleTimeout = 30 * time.Second // the most that a change or a restart is waited for
 
 // Run plays a day. An error is a day that could not be played to its end; what was played of it is in the report.
 func Run(d Config) (*Report, error) {
@@ -77,34 +77,34 @@
 		return rep, err
 	}
 	defer f.Close()
-	p := &day{Config: d, f: f, r: rand.New(rand.NewPCG(d.Seed, 36)), rep: rep, n: d.Fleet.Real + d.Fleet.Hollow}
-	if err := f.AwaitServing(p.n, 1, time.Minute); err != nil {
+	p := &runner{Config: d, fleet: f, random: rand.New(rand.NewPCG(d.Seed, 36)), report: rep, dispatchers: d.Fleet.Real + d.Fleet.Hollow}
+	if err := f.AwaitServing(p.dispatchers, 1, time.Minute); err != nil {
 		return rep, err
 	}
 	begun := time.Now()
 	p.load = startLoad(f, d.ReqsPerSecond)
-	err = p.play(begun)
-	p.load.end()
+	err = p.makeChanges(begun)
+	p.load.close()
 	rep.Duration = time.Since(begun)
-	return rep, errors.Join(err, p.judge())
+	return rep, errors.Join(err, p.fillReport())
 }
 
-func (p *day) play(begun time.Time) error {
+func (p *runner) makeChanges(begun time.Time) error {
 	for i := range p.Changes {
 		if time.Since(begun) > p.MaxDuration {
 			return fmt.Errorf("%d of %d changes in %v", i, p.Changes, p.MaxDuration)
 		}
 		if p.IsolationTime > 0 && i == p.Changes/2 {
-			if err := p.cut(); err != nil {
+			if err := p.isolateRegion(); err != nil {
 				return err
 			}
 		}
-		for p.due < p.Restarts*i/p.Changes {
+		for p.restarts < p.Restarts*i/p.Changes {
 			if err := p.restart(); err != nil {
 				return err
 			}
 		}
-		if err := p.change(i); err != nil {
+		if err := p.makeChange(i); err != nil {
 			return err
 		}
 	}
@@ -112,10 +112,10 @@
 }
 
 // propose has a dispatcher that is up propose the next policy. It is a hollow one of a region.
-func (p *day) propose(region int) (version uint64, err error) {
+func (p *runner) propose(region int) (version uint64, err error) {
 	for range 1000 {
-		i := p.r.IntN(p.Fleet.Hollow)
-		d := p.f.Hollow[i]
+		i := p.random.IntN(p.Fleet.Hollow)
+		d := p.fleet.Hollow[i]
 		if d == nil || (p.Fleet.Real+i)%hollow.Regions != region {
 			continue
 		}
@@ -124,138 +124,138 @@
 		if err != nil {
 			continue // it holds none yet
 		}
-		p.nth++
+		p.policies++
 		q.Bans = nil
 		for t := range p.BannedNames {
-			q.Bans = append(q.Bans, fmt.Sprintf("team-%03d-of-change-%06d", t, p.nth))
+			q.Bans = append(q.Bans, fmt.Sprintf("team-%03d-of-change-%06d", t, p.policies))
 		}
 		return held + 1, d.Accord.Propose(q.Append(nil))
 	}
 	return 0, errors.New("nobody could propose")
 }
 
-// change makes a change and waits until it is in force everywhere. Where a dispatcher is restarted within it, a change may
+// makeChange makes a makeChange and waits until it is in force everywhere. Where a dispatcher is restarted within it, a makeChange may
 // be withdrawn: then it has to be in force nowhere, which the judge sees, and is proposed again.
-func (p *day) change(i int) error {
+func (p *runner) makeChange(i int) error {
 	begun := time.Now()
 	for try := 1; ; try++ {
-		version, err := p.propose(p.r.IntN(hollow.Regions))
+		version, err := p.propose(p.random.IntN(hollow.Regions))
 		if err == nil {
-			within := p.Restarts > 0 && i%2 == 1 && p.due < p.Restarts*(i+1)/p.Changes
+			within := p.Restarts > 0 && i%2 == 1 && p.restarts < p.Restarts*(i+1)/p.Changes
 			if within {
 				if err := p.restart(); err != nil {
 					return err
 				}
 			}
-			err = p.f.AwaitServing(p.n, version, settle)
+			err = p.fleet.AwaitServing(p.dispatchers, version, settleTimeout)
 		}
 		if err == nil {
-			p.rep.ChangeTimes = append(p.rep.ChangeTimes, time.Since(begun))
+			p.report.ChangeTimes = append(p.report.ChangeTimes, time.Since(begun))
 			return nil
 		}
 		if try == 3 {
 			return fmt.Errorf("change %d: %w", i, err)
 		}
-		p.rep.WithdrawnChanges++
+		p.report.WithdrawnChanges++
 	}
 }
 
 // restart ends a dispatcher that is no voter, or now and then a voter, and starts it again.
-func (p *day) restart() error {
-	p.due++
-	i := hollow.Regions + p.r.IntN(p.n-hollow.Regions)
-	if p.due%20 == 0 {
-		i = p.r.IntN(hollow.Regions)
+func (p *runner) restart() error {
+	p.restarts++
+	i := hollow.Regions + p.random.IntN(p.dispatchers-hollow.Regions)
+	if p.restarts%20 == 0 {
+		i = p.random.IntN(hollow.Regions)
 	}
-	p.load.leave(i)
-	if p.due%3 == 0 {
-		p.f.Stop(i)
-		p.rep.Killed++
+	p.load.removeTarget(i)
+	if p.restarts%3 == 0 {
+		p.fleet.Stop(i)
+		p.report.Killed++
 	} else {
-		p.f.Terminate(i, 5*time.Second)
-		p.rep.Terminated++
+		p.fleet.Terminate(i, 5*time.Second)
+		p.report.Terminated++
 	}
-	if err := p.f.Start(i); err != nil {
+	if err := p.fleet.Start(i); err != nil {
 		return err
 	}
-	p.load.join(i)
+	p.load.addTarget(i)
 	return nil
 }
 
-// cut cuts a region off from the others, has the rest change the policy, and mends it.
-func (p *day) cut() error {
-	region := p.r.IntN(hollow.Regions)
+// isolateRegion cuts a region off from the others, has the rest change the policy, and mends it.
+func (p *runner) isolateRegion() error {
+	region := p.random.IntN(hollow.Regions)
 	members, rest := 0, (region+1)%hollow.Regions
-	p.rig(history.FaultsStarted, "")
-	for i := range p.n {
+	p.recordRigEvent(history.FaultsStarted, "")
+	for i := range p.dispatchers {
 		if i%hollow.Regions == region {
 			members++
-			p.rig(history.CutOff, hollow.DispatcherName(i))
+			p.recordRigEvent(history.CutOff, hollow.DispatcherName(i))
 		}
 	}
-	p.f.SetIsolated(region, true)
+	p.fleet.SetIsolated(region, true)
 	begun := time.Now()
-	err := p.f.Await("a leader of the rest", settle, func() bool { return p.f.IsLeader(rest) || p.f.IsLeader((rest+1)%hollow.Regions) })
+	err := p.fleet.Await("a leader of the rest", settleTimeout, func() bool { return p.fleet.IsLeader(rest) || p.fleet.IsLeader((rest+1)%hollow.Regions) })
 	if err == nil {
 		changed := time.Now()
 		var version uint64
 		if version, err = p.propose(rest); err == nil {
-			err = p.f.AwaitServing(p.n-members, version, settle)
+			err = p.fleet.AwaitServing(p.dispatchers-members, version, settleTimeout)
 		}
-		p.rep.IsolatedChangeTime = time.Since(changed)
+		p.report.IsolatedChangeTime = time.Since(changed)
 	}
 	time.Sleep(time.Until(begun.Add(p.IsolationTime)))
-	p.f.SetIsolated(region, false)
-	for i := range p.n {
+	p.fleet.SetIsolated(region, false)
+	for i := range p.dispatchers {
 		if i%hollow.Regions == region {
-			p.rig(history.Reconnected, hollow.DispatcherName(i))
+			p.recordRigEvent(history.Reconnected, hollow.DispatcherName(i))
 		}
 	}
 	back := time.Now()
 	if err == nil {
-		err = p.f.AwaitServing(p.n, p.f.LastDecided(), settle)
+		err = p.fleet.AwaitServing(p.dispatchers, p.fleet.LastDecided(), settleTimeout)
 	}
-	p.rep.ReconnectTime = time.Since(back)
-	p.rig(history.FaultsEnded, "")
+	p.report.ReconnectTime = time.Since(back)
+	p.recordRigEvent(history.FaultsEnded, "")
 	return err
 }
 
-func (p *day) rig(what, process string) { p.f.RecordRigEvent(process, what) }
+func (p *runner) recordRigEvent(what, process string) { p.fleet.RecordRigEvent(process, what) }
 
-// judge takes the history and what it cost.
-func (p *day) judge() error {
+// fillReport takes the history and what it cost.
+func (p *runner) fillReport() error {
 	var err error
-	for _, q := range p.f.Real {
+	for _, q := range p.fleet.Real {
 		if q == nil {
 			continue
 		}
 		c, e := hollow.ReadResourceUsage(q.PID())
 		err = errors.Join(err, e)
-		p.rep.ProcessUsage = append(p.rep.ProcessUsage, c)
+		p.report.ProcessUsage = append(p.report.ProcessUsage, c)
 	}
 	own, e := hollow.ReadResourceUsage(-1)
-	p.rep.OwnUsage, err = own, errors.Join(err, e)
-	p.rep.VoterTraffic = p.f.Traffic()
-	p.rep.ListBytes = p.f.ListMeter.RequestBytes.Load() + p.f.ListMeter.ResponseBytes.Load()
-	for _, e := range p.f.TakeEvents() {
+	p.report.OwnUsage, err = own, errors.Join(err, e)
+	p.report.VoterTraffic = p.fleet.Traffic()
+	p.report.ListBytes = p.fleet.ListMeter.RequestBytes.Load() + p.fleet.ListMeter.ResponseBytes.Load()
+	for _, e := range p.fleet.TakeEvents() {
 		side := history.SourceLog
 		if e.FromRig {
 			side = history.SourceRig
 		}
-		p.rep.DroppedLogLines += e.DroppedLines
+		p.report.DroppedLogLines += e.DroppedLines
 		p.lines = append(p.lines, history.Line{Time: e.Time.UnixNano(), Source: side, Process: e.Process, Event: e.Name, Version: e.Version, Change: e.Change, Proposer: e.Proposer, Reason: e.Reason})
 	}
-	p.lines = append(p.lines, p.load.history(p.rep)...)
-	p.lines = append(p.lines, starts(p.f)...)
-	p.rep.ServiceGaps = nobody(p.lines)
+	p.lines = append(p.lines, p.load.clientHistory(p.report)...)
+	p.lines = append(p.lines, attemptStarts(p.fleet)...)
+	p.report.ServiceGaps = serviceGaps(p.lines)
 	lease := p.Fleet.Lease
-	p.rep.Violations = history.Check(p.lines, history.Rules{ClockTolerance: p.ClockTolerance, Lease: lease, SettleTimeout: settle, MaxStartsAfterResume: 8})
+	p.report.Violations = history.Check(p.lines, history.Rules{ClockTolerance: p.ClockTolerance, Lease: lease, SettleTimeout: settleTimeout, MaxStartsAfterResume: 8})
 	return err
 }
 
-// nobody are the times in which, between two versions, no dispatcher took a req; 0 where some still took by the old one
+// serviceGaps are the times in which, between two versions, no dispatcher took a req; 0 where some still took by the old one
 // when others took by the new: those that were cut off, which the judge looks at.
-func nobody(lines []history.Line) (out []time.Duration) {
+func serviceGaps(lines []history.Line) (out []time.Duration) {
 	first, stops := map[uint64]int64{}, map[uint64][]int64{}
 	for _, l := range lines {
 		switch {
--- a/internal/lab/hollow/size/run_test.go
+++ b/internal/lab/hollow/size/run_test.go
@@ -14,38 +14,38 @@
 	"tinsail/internal/lab/hollow"
 )
 
-func program(t *testing.T) []string {
+func buildProgram(t *testing.T) []string {
 	at := filepath.Join(t.TempDir(), "tinsail")
 	out, err := exec.Command("go", "build", "-buildvcs=false", "-o", at, "tinsail/cmd/tinsail").CombinedOutput()
 	require.NoError(t, err, string(out))
 	return []string{at}
 }
 
-// full is the letter's size, as far as one machine plays it; small is the same in little.
+// fullRun is the letter's size, as far as one machine plays it; smallRun is the same in little.
 var (
-	full = Config{Fleet: hollow.FleetConfig{Real: 30, Hollow: 270, Lease: 1500 * time.Millisecond, RegionLatency: 25 * time.Millisecond, Workers: 580},
+	fullRun = Config{Fleet: hollow.FleetConfig{Real: 30, Hollow: 270, Lease: 1500 * time.Millisecond, RegionLatency: 25 * time.Millisecond, Workers: 580},
 		BannedNames: 310, Changes: 240, Restarts: 190, ReqsPerSecond: 36, IsolationTime: 20 * time.Second, ClockTolerance: 20 * time.Millisecond, MaxDuration: 12 * time.Minute, Seed: 1}
-	small = Config{Fleet: hollow.FleetConfig{Real: 5, Hollow: 10, Lease: 1500 * time.Millisecond, RegionLatency: 5 * time.Millisecond, Workers: 12},
+	smallRun = Config{Fleet: hollow.FleetConfig{Real: 5, Hollow: 10, Lease: 1500 * time.Millisecond, RegionLatency: 5 * time.Millisecond, Workers: 12},
 		BannedNames: 40, Changes: 8, Restarts: 6, ReqsPerSecond: 20, IsolationTime: 4 * time.Second, ClockTolerance: 20 * time.Millisecond, MaxDuration: 3 * time.Minute, Seed: 1}
 )
 
 // TestDay: a change is in force at all or nowhere, whatever is restarted or cut off meanwhile; each req has one answer; all are
 // on one version in the end. HOLLOW_DAY=full plays the whole size, quarter the same fleet with a quarter of the changes and restarts.
 func TestDay(t *testing.T) {
-	d := small
+	d := smallRun
 	switch os.Getenv("HOLLOW_DAY") {
 	case "full":
-		d = full
+		d = fullRun
 	case "quarter":
-		d = full
+		d = fullRun
 		d.Changes, d.Restarts = d.Changes/4, d.Restarts/4
 	}
-	d.Fleet.Program = program(t)
+	d.Fleet.Program = buildProgram(t)
 	r, err := Run(d)
 	for _, v := range r.Violations[:min(len(r.Violations), 20)] {
 		t.Error(v)
 	}
-	tell(t, r)
+	logReport(t, r)
 	require.NoError(t, err)
 	assert.Len(t, r.ChangeTimes, d.Changes)
 	assert.GreaterOrEqual(t, r.Terminated+r.Killed, d.Restarts*(d.Changes-1)/d.Changes)
@@ -55,7 +55,7 @@
 	assert.Less(t, r.TotalMemory(), int64(12<<30))
 }
 
-func tell(t *testing.T, r *Report) {
+func logReport(t *testing.T, r *Report) {
 	t.Logf("took %v: %d changes, %d proposed again; %d restarts and %d kills", r.Duration, len(r.ChangeTimes), r.WithdrawnChanges, r.Terminated, r.Killed)
 	if e := slices.Sorted(slices.Values(r.ChangeTimes)); len(e) > 0 {
 		t.Logf("in force everywhere: median %v, 95 of 100 within %v, most %v", e[len(e)/2], e[len(e)*95/100], e[len(e)-1])
--- a/internal/lab/hollow/workers.go
+++ b/internal/lab/hollow/workers.go
@@ -14,11 +14,11 @@
 // Workers are hollow workers in one process: each a listener that answers and a line of the director's list, with
 // its accelerators as its slots.
 type Workers struct {
-	director *platform.Director
-	mu       sync.Mutex
-	all      []*platform.Backend
-	slots    []int
-	news     int // that were told
+	director   *platform.Director
+	mu         sync.Mutex
+	backends   []*platform.Backend
+	slotCounts []int
+	toggles    int // that were told
 }
 
 // StartWorkers starts workers and lists them. Close ends them.
@@ -32,18 +32,18 @@
 			w.Close()
 			return nil, err
 		}
-		w.all, w.slots = append(w.all, b), append(w.slots, slots)
+		w.backends, w.slotCounts = append(w.backends, b), append(w.slotCounts, slots)
 		d.Set(b.Entry("fast", "here", i, "Ready"))
 	}
 	return w, nil
 }
 
 // Backends are the backends that stand for them.
-func (w *Workers) Backends() []*platform.Backend { return w.all }
+func (w *Workers) Backends() []*platform.Backend { return w.backends }
 
 // SlotCount are the accelerators of all.
 func (w *Workers) SlotCount() (n int) {
-	for _, s := range w.slots {
+	for _, s := range w.slotCounts {
 		n += s
 	}
 	return n
@@ -53,21 +53,21 @@
 func (w *Workers) ToggleNextStatus() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.all) == 0 {
+	if len(w.backends) == 0 {
 		return
 	}
-	i := w.news / 2 % len(w.all)
+	i := w.toggles / 2 % len(w.backends)
 	status := "Terminating"
-	if w.news%2 == 1 {
+	if w.toggles%2 == 1 {
 		status = "Ready"
 	}
-	w.news++
-	w.director.Set(w.all[i].Entry("fast", "here", i, status))
+	w.toggles++
+	w.director.Set(w.backends[i].Entry("fast", "here", i, status))
 }
 
 // Close ends them.
 func (w *Workers) Close() {
-	for _, b := range w.all {
+	for _, b := range w.backends {
 		b.Close()
 	}
 }
