--- a/internal/lab/hollow/compare_test.go
+++ b/internal/lab/hollow/compare_test.go
@@ -13,14 +13,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// program is the real one, built once.
+// program builds the dispatcher program once and returns its command line.
 var program = sync.OnceValues(func() ([]string, error) {
 	dir, err := os.MkdirTemp("", "program")
 	if err != nil {
 		return nil, err
 	}
-	at := filepath.Join(dir, "tinsail")
-	return []string{at}, exec.Command("go", "build", "-buildvcs=false", "-o", at, "tinsail/cmd/tinsail").Run()
+	path := filepath.Join(dir, "tinsail")
+	return []string{path}, exec.Command("go", "build", "-buildvcs=false", "-o", path, "tinsail/cmd/tinsail").Run()
 })
 
 func TestMain(m *testing.M) {
@@ -31,20 +31,21 @@
 	os.Exit(code)
 }
 
-func startFleet(t *testing.T, p FleetConfig) *Fleet {
+func startFleet(t *testing.T, config FleetConfig) *Fleet {
 	var err error
-	p.Program, err = program()
+	config.Program, err = program()
 	require.NoError(t, err)
-	f, err := StartFleet(p)
+	f, err := StartFleet(config)
 	require.NoError(t, err)
 	t.Cleanup(f.Close)
 	return f
 }
 
-// TestHollowIsReal: a fleet whose dispatchers are hollow but for the voters costs the voters the messages and bytes of one
-// that is real, within a tenth: those of the members' links, and those between the voters. Both run at a time, so that what else
-// the machine does is the same for both. HOLLOW_SIZE is the fleet's size; beyond TrueBetween what goes between the voters is told
-// alone, and package measure takes no such figure from a hollow fleet.
+// TestHollowIsReal checks that a fleet of hollow dispatchers and real voters causes the same messages and bytes, within
+// a tenth, as a fleet of real dispatchers: on the members' links and between the voters. Both fleets run at the same
+// time, so that other load on the machine affects both. HOLLOW_SIZE sets the size of the fleets. Above
+// MaxSizeForVoterTraffic the traffic between the voters is only logged; package measure doesn't use that figure of such
+// fleets.
 func TestHollowIsReal(t *testing.T) {
 	n := 20
 	if text := os.Getenv("HOLLOW_SIZE"); text != "" {
@@ -52,43 +53,49 @@
 		n, err = strconv.Atoi(text)
 		require.NoError(t, err)
 	}
-	plan := FleetConfig{Real: n, Lease: 900 * time.Millisecond, Workers: 6}
-	real := startFleet(t, plan)
-	plan.Real, plan.Hollow = Regions, n-Regions
-	hollow := startFleet(t, plan)
-	for _, f := range []*Fleet{real, hollow} {
+	config := FleetConfig{Real: n, Lease: 900 * time.Millisecond, Workers: 6}
+	realFleet := startFleet(t, config)
+	config.Real, config.Hollow = Regions, n-Regions
+	hollowFleet := startFleet(t, config)
+	for _, f := range []*Fleet{realFleet, hollowFleet} {
 		require.NoError(t, f.AwaitServing(n, 1, time.Minute))
 	}
-	var a, b Traffic
-	for play := 1; ; play++ { // an election in one of the two fleets alone, of a starved machine, is no difference of theirs
-		first, second := real.Traffic(), hollow.Traffic()
-		most := int64(n * 40) // asks of leases and shares that the real fleet's voters get meanwhile
-		require.NoError(t, real.Await("asks", 2*time.Minute, func() bool { return real.Traffic().Since(first)[MemberRequests].Messages >= most }))
-		a, b = real.Traffic().Since(first), hollow.Traffic().Since(second)
+	var realTraffic, hollowTraffic Traffic
+	// A busy machine can cause an election in one fleet only. That isn't a difference between the fleets, so a window
+	// with an election is measured again.
+	for attempt := 1; ; attempt++ {
+		realBefore, hollowBefore := realFleet.Traffic(), hollowFleet.Traffic()
+		windowRequests := int64(n * 40) // member requests in the real fleet that end the window
+		require.NoError(t, realFleet.Await("member requests", 2*time.Minute, func() bool {
+			return realFleet.Traffic().Since(realBefore)[MemberRequests].Messages >= windowRequests
+		}))
+		realTraffic, hollowTraffic = realFleet.Traffic().Since(realBefore), hollowFleet.Traffic().Since(hollowBefore)
 		for k := range kindCount {
-			t.Logf("%-18v real %6d of %8d bytes, hollow %6d of %8d bytes", k, a[k].Messages, a[k].Bytes, b[k].Messages, b[k].Bytes)
+			t.Logf("%-18v real: %6d messages, %8d bytes; hollow: %6d messages, %8d bytes", k, realTraffic[k].Messages, realTraffic[k].Bytes, hollowTraffic[k].Messages, hollowTraffic[k].Bytes)
 		}
-		if a[OtherRaftRequests].Messages+b[OtherRaftRequests].Messages == 0 {
+		if realTraffic[OtherRaftRequests].Messages+hollowTraffic[OtherRaftRequests].Messages == 0 {
 			break
 		}
-		t.Logf("play %d: an election, played again", play)
-		require.Less(t, play, 3, "no play without an election")
-		for _, f := range []*Fleet{real, hollow} {
+		t.Logf("window %d had an election; measuring again", attempt)
+		require.Less(t, attempt, 3, "every window had an election")
+		for _, f := range []*Fleet{realFleet, hollowFleet} {
 			require.NoError(t, f.AwaitServing(n, 1, time.Minute))
 		}
 	}
-	assert.Zero(t, a[Undecoded].Bytes+b[Undecoded].Bytes)
-	same := func(what string, x, y int64) {
-		assert.InEpsilon(t, float64(x), float64(y), 0.1, what)
+	assert.Zero(t, realTraffic[Undecoded].Bytes+hollowTraffic[Undecoded].Bytes)
+	assertClose := func(measure string, real, hollow int64) {
+		assert.InEpsilon(t, float64(real), float64(hollow), 0.1, measure)
 	}
-	same("messages of asks", a[MemberRequests].Messages, b[MemberRequests].Messages)
-	same("bytes of asks", a[MemberRequests].Bytes, b[MemberRequests].Bytes)
-	same("messages of answers", a[MemberAnswers].Messages, b[MemberAnswers].Messages)
-	same("bytes of answers", a[MemberAnswers].Bytes, b[MemberAnswers].Bytes)
+	assertClose("messages of member requests", realTraffic[MemberRequests].Messages, hollowTraffic[MemberRequests].Messages)
+	assertClose("bytes of member requests", realTraffic[MemberRequests].Bytes, hollowTraffic[MemberRequests].Bytes)
+	assertClose("messages of answers", realTraffic[MemberAnswers].Messages, hollowTraffic[MemberAnswers].Messages)
+	assertClose("bytes of answers", realTraffic[MemberAnswers].Bytes, hollowTraffic[MemberAnswers].Bytes)
+	realTotal, hollowTotal := realTraffic.RaftTotal(), hollowTraffic.RaftTotal()
 	if n > MaxSizeForVoterTraffic {
-		t.Logf("between the voters: messages real %d, hollow %d; bytes real %d, hollow %d: not used from hollow ones", a.RaftTotal().Messages, b.RaftTotal().Messages, a.RaftTotal().Bytes, b.RaftTotal().Bytes)
+		t.Logf("between the voters, not checked at this size: real: %d messages, %d bytes; hollow: %d messages, %d bytes",
+			realTotal.Messages, realTotal.Bytes, hollowTotal.Messages, hollowTotal.Bytes)
 		return
 	}
-	same("messages between the voters", a.RaftTotal().Messages, b.RaftTotal().Messages)
-	same("bytes between the voters", a.RaftTotal().Bytes, b.RaftTotal().Bytes)
+	assertClose("messages between the voters", realTotal.Messages, hollowTotal.Messages)
+	assertClose("bytes between the voters", realTotal.Bytes, hollowTotal.Bytes)
 }
--- a/internal/lab/hollow/dispatcher.go
+++ b/internal/lab/hollow/dispatcher.go
@@ -1,8 +1,9 @@
-// Package hollow is the laboratory's stand-in for a fleet that does not fit a machine: hundreds of dispatchers in one
-// process, each the real control side of one (the accord's member with its lessee and holder of a budget, the
-// watch of the director's list, their codecs, on real sockets) without a data path, and hundreds of workers; beside real
-// processes of the program, behind relays that count what passes. It has no logic of its own for what it
-// stands for. That it costs the voters what real dispatchers cost is a test (TestHollowIsReal).
+// Package hollow runs a fleet that is too large for one machine as separate processes. A hollow dispatcher is a
+// dispatcher without a data path: it runs the real control plane (the accord's member with its lease and its holder of
+// a budget, the watch of the director's list, their codecs, all on real sockets) and serves no reqs. One process holds
+// hundreds of them and hundreds of workers, next to real dispatcher processes; relays count the traffic between them.
+// The package reimplements nothing that it simulates. TestHollowIsReal checks that a hollow dispatcher causes the same
+// load on the voters as a real one.
 package hollow
 
 import (
@@ -25,35 +26,37 @@
 	"tinsail/internal/settings"
 )
 
-// Dispatcher is a hollow one.
+// Dispatcher is a hollow dispatcher: the control plane of a dispatcher without its data path.
 type Dispatcher struct {
-	Accord      *accord.Accord // nil where the settings have none
+	Accord      *accord.Accord // nil if the settings script has no accord(...)
 	Counters    counters.Set
-	ListEntries atomic.Int64 // lines of the list that were told
+	ListEntries atomic.Int64 // entries received in the director's lists and updates
 
 	budgets        *settings.Budgets
 	maxDispatchers int
 	stop           chan struct{}
 }
 
+// parseMu serializes the evaluation of settings scripts, because a script's memory limit counts the whole process.
 var parseMu sync.Mutex
 
-// StartDispatcher starts a dispatcher from what a real one reads: its configuration and its settings script. Of the script it
-// takes accord(...), budgets(...) and policy(...); log may be nil. Close ends it.
-func StartDispatcher(conf, script []byte, log io.Writer) (*Dispatcher, error) {
-	cfg, err := config.Parse(conf, func(string) string { return "" })
+// StartDispatcher starts a hollow dispatcher with the configuration and the settings script of a real one. Of the
+// script it applies accord(...), budgets(...) and policy(...). log receives the accord's log lines and may be nil. The
+// caller must call Close.
+func StartDispatcher(configuration, script []byte, log io.Writer) (*Dispatcher, error) {
+	cfg, err := config.Parse(configuration, func(string) string { return "" })
 	if err != nil {
 		return nil, err
 	}
-	parseMu.Lock() // a script's limit of memory is the whole process's
-	set, err := settings.Parse("hollow.star", func(string) ([]byte, error) { return script, nil })
+	parseMu.Lock()
+	scriptSettings, err := settings.Parse("hollow.star", func(string) ([]byte, error) { return script, nil })
 	parseMu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	d := &Dispatcher{budgets: set.Budgets, maxDispatchers: cfg.Settings.Instances, stop: make(chan struct{})}
-	if set.Accord != nil {
-		if err := d.startAccord(cfg, set, log); err != nil {
+	d := &Dispatcher{budgets: scriptSettings.Budgets, maxDispatchers: cfg.Settings.Instances, stop: make(chan struct{})}
+	if scriptSettings.Accord != nil {
+		if err := d.startAccord(cfg, scriptSettings, log); err != nil {
 			return nil, err
 		}
 	}
@@ -68,7 +71,7 @@
 	return d, nil
 }
 
-// Close ends it.
+// Close stops the watch of the director's list and the accord's member.
 func (d *Dispatcher) Close() {
 	close(d.stop)
 	if d.Accord != nil {
@@ -76,11 +79,12 @@
 	}
 }
 
-// startAccord starts its part in the accord, as cmd/tinsail does. A voter keeps its log, too: it is a real one but for
-// its process, and what a voter costs a machine is measured on processes alone.
-func (d *Dispatcher) startAccord(cfg *config.Config, set *settings.Settings, log io.Writer) error {
-	a := set.Accord
-	voters, err := accord.ParseVoters(a.Voters)
+// startAccord starts the dispatcher's member of the accord, as cmd/tinsail does. If the dispatcher is a voter, it keeps
+// the voter's log too; it then differs from a real voter only in sharing this process, so the resources that a voter
+// uses are measured only on separate processes.
+func (d *Dispatcher) startAccord(cfg *config.Config, scriptSettings *settings.Settings, log io.Writer) error {
+	accordSettings := scriptSettings.Accord
+	voters, err := accord.ParseVoters(accordSettings.Voters)
 	if err != nil {
 		return err
 	}
@@ -88,30 +92,30 @@
 	if log != nil {
 		logger = zerolog.New(log)
 	}
-	check := func(body []byte) error { _, err := policy.Read(body); return err }
-	c := accord.Config{Leases: leases.LeaseConfig{Lease: time.Duration(a.LeaseMS) * time.Millisecond, Drift: a.Drift, ContinueWhenCut: a.ContinueWhenCut()},
-		Name: cfg.Name, Epoch: uint64(time.Now().UnixNano()), Voters: voters, CheckPolicy: check,
-		ApplyPolicy: func(_ uint64, body []byte) error { return check(body) }, Log: logger, Listen: a.Listen, DataDir: a.Data}
-	if set.Policy != nil {
-		c.InitialPolicy = policy.Policy(*set.Policy).Append(nil)
+	checkPolicy := func(body []byte) error { _, err := policy.Read(body); return err }
+	memberConfig := accord.Config{Leases: leases.LeaseConfig{Lease: time.Duration(accordSettings.LeaseMS) * time.Millisecond, Drift: accordSettings.Drift, ContinueWhenCut: accordSettings.ContinueWhenCut()},
+		Name: cfg.Name, Epoch: uint64(time.Now().UnixNano()), Voters: voters, CheckPolicy: checkPolicy,
+		ApplyPolicy: func(_ uint64, body []byte) error { return checkPolicy(body) }, Log: logger, Listen: accordSettings.Listen, DataDir: accordSettings.Data}
+	if scriptSettings.Policy != nil {
+		memberConfig.InitialPolicy = policy.Policy(*scriptSettings.Policy).Append(nil)
 	}
 	if d.budgets != nil {
-		c.BudgetPlan = d.budgetPlan
+		memberConfig.BudgetPlan = d.budgetPlan
 	}
-	d.Accord, err = accord.New(c)
+	d.Accord, err = accord.New(memberConfig)
 	return err
 }
 
-// budgetPlan is the budget that a policy has.
+// budgetPlan returns the plan of the connection budget in an encoded policy, and false if the policy has none.
 func (d *Dispatcher) budgetPlan(body []byte) (budget.Plan, bool) {
 	p, err := policy.Read(body)
 	if err != nil || p.Connections == 0 {
 		return budget.Plan{}, false
 	}
-	most := p.MaxDispatchers
-	if most == 0 {
-		most = d.maxDispatchers
+	maxDispatchers := p.MaxDispatchers
+	if maxDispatchers == 0 {
+		maxDispatchers = d.maxDispatchers
 	}
-	return budget.Plan{Name: "connections", Total: p.Connections, MaxDispatchers: most, ReserveShare: p.Reserve,
+	return budget.Plan{Name: "connections", Total: p.Connections, MaxDispatchers: maxDispatchers, ReserveShare: p.Reserve,
 		Lease: time.Duration(d.budgets.LeaseMs) * time.Millisecond, Drift: d.budgets.Drift}, true
 }
--- a/internal/lab/hollow/events.go
+++ b/internal/lab/hollow/events.go
@@ -9,99 +9,101 @@
 	"time"
 )
 
-// eventLog follows what the dispatchers' logs tell of the accord.
+// eventLog collects the accord events in the dispatchers' logs and tracks the state of each dispatcher.
 type eventLog struct {
 	mu          sync.Mutex
 	dispatchers map[string]*dispatcherState
-	events      []Event // since they were last handed out
+	events      []Event // since the last Fleet.TakeEvents
 
-	lastDecided uint64
+	lastDecided uint64 // the highest decided version
 }
 
-// Event is a step of the accord at a dispatcher.
+// Event is an event of the accord at a dispatcher, or something that the test rig did to it.
 type Event struct {
-	Time             time.Time // as it was heard
+	Time             time.Time // of the log line, or of its receipt if the line has no time
 	Process          string
-	Name             string // the accord's own word, or one of the rig's
+	Name             string // of the accord's log line without "accord: ", or the rig's
 	Version          uint64
 	Change           string
 	Proposer, Reason string
-	FromRig          bool // it was done to the process
-	DroppedLines     int  // lines of this step that the process's log left out before
+	FromRig          bool // recorded by the rig, not logged by the process
+	DroppedLines     int  // lines of this event that the process's log limiter dropped before this one
 }
 
-// What is done to a process.
+// Names of the rig's events that a Fleet records itself.
 const (
 	ProcessStarted = "began"
 	ProcessEnded   = "ended"
 )
 
-// dispatcherState is how a dispatcher stands.
+// dispatcherState is the state of a running dispatcher, according to its log.
 type dispatcherState struct {
-	Version uint64 // in force
+	Version uint64 // in force at it
 	Serves  bool
 	Leads   bool
 }
 
-func newEvents() *eventLog { return &eventLog{dispatchers: map[string]*dispatcherState{}} }
+func newEventLog() *eventLog { return &eventLog{dispatchers: map[string]*dispatcherState{}} }
 
-// logWriter takes the log of a dispatcher.
+// logWriter returns the writer for the log of a dispatcher that starts now. It takes JSON lines, whole ones in each
+// call, and skips all that aren't events of the accord.
 func (e *eventLog) logWriter(process string) io.Writer {
 	e.mu.Lock()
-	s := &dispatcherState{}
-	e.dispatchers[process] = s
+	state := &dispatcherState{}
+	e.dispatchers[process] = state
 	e.mu.Unlock()
-	return writerFunc(func(p []byte) (int, error) {
-		for text := range bytes.Lines(p) {
-			var l struct {
+	return writerFunc(func(data []byte) (int, error) {
+		for text := range bytes.Lines(data) {
+			var line struct {
 				Time                            time.Time
 				Event, Message, Change, By, Why string
 				Version                         uint64
 				LeftOut                         int `json:"left_out"`
 			}
-			if json.Unmarshal(text, &l) != nil {
+			if json.Unmarshal(text, &line) != nil {
 				continue
 			}
-			step, ok := strings.CutPrefix(l.Event+l.Message, "accord: ")
+			name, ok := strings.CutPrefix(line.Event+line.Message, "accord: ")
 			if ok {
-				if l.Time.IsZero() { // a hollow one's: it is written as it happens
-					l.Time = time.Now()
+				if line.Time.IsZero() { // a hollow dispatcher's lines have no time; they arrive as they are logged
+					line.Time = time.Now()
 				}
-				e.record(s, Event{Time: l.Time, Process: process, Name: step, Version: l.Version, Change: l.Change, Proposer: l.By, Reason: l.Why, DroppedLines: l.LeftOut})
+				e.record(state, Event{Time: line.Time, Process: process, Name: name, Version: line.Version, Change: line.Change, Proposer: line.By, Reason: line.Why, DroppedLines: line.LeftOut})
 			}
 		}
-		return len(p), nil
+		return len(data), nil
 	})
 }
 
-func (e *eventLog) record(s *dispatcherState, ev Event) {
+// record adds an event and applies it to the state of its dispatcher.
+func (e *eventLog) record(state *dispatcherState, event Event) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.events = append(e.events, ev)
-	switch ev.Name {
+	e.events = append(e.events, event)
+	switch event.Name {
 	case "in force":
-		s.Version = ev.Version
+		state.Version = event.Version
 	case "serving":
-		s.Serves, s.Version = true, ev.Version
+		state.Serves, state.Version = true, event.Version
 	case "fenced":
-		s.Serves = false
+		state.Serves = false
 	case "decided":
-		e.lastDecided = max(e.lastDecided, ev.Version)
+		e.lastDecided = max(e.lastDecided, event.Version)
 	case "leads":
-		s.Leads = true
+		state.Leads = true
 	case "leads no more":
-		s.Leads = false
+		state.Leads = false
 	}
 }
 
-// recordRig notes what is done to a process.
-func (e *eventLog) recordRig(process, what string) {
+// recordRig adds an event of the rig.
+func (e *eventLog) recordRig(process, name string) {
 	e.mu.Lock()
-	e.events = append(e.events, Event{Time: time.Now(), Process: process, Name: what, FromRig: true})
+	e.events = append(e.events, Event{Time: time.Now(), Process: process, Name: name, FromRig: true})
 	e.mu.Unlock()
 }
 
-// recordEnd forgets a dispatcher that has ended.
+// recordEnd adds the end of a dispatcher and drops its state.
 func (e *eventLog) recordEnd(process string) {
 	e.mu.Lock()
 	delete(e.dispatchers, process)
@@ -109,6 +111,7 @@
 	e.mu.Unlock()
 }
 
+// servingCount returns the number of dispatchers that serve by version or a later one.
 func (e *eventLog) servingCount(version uint64) (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -120,47 +123,47 @@
 	return n
 }
 
-// Leader is the number of the voter that leads; -1 where none or more than one says so.
+// Leader returns the number of the voter that leads according to its log, or -1 if none or more than one does.
 func (f *Fleet) Leader() int {
-	f.events.mu.Lock()
-	defer f.events.mu.Unlock()
-	at := -1
+	f.eventLog.mu.Lock()
+	defer f.eventLog.mu.Unlock()
+	leader := -1
 	for i := range Regions {
-		if s := f.events.dispatchers[DispatcherName(i)]; s != nil && s.Leads {
-			if at >= 0 {
+		if s := f.eventLog.dispatchers[DispatcherName(i)]; s != nil && s.Leads {
+			if leader >= 0 {
 				return -1
 			}
-			at = i
+			leader = i
 		}
 	}
-	return at
+	return leader
 }
 
-// IsLeader says whether a voter says that it leads.
+// IsLeader reports whether a voter leads according to its log.
 func (f *Fleet) IsLeader(voter int) bool {
-	f.events.mu.Lock()
-	defer f.events.mu.Unlock()
-	s := f.events.dispatchers[DispatcherName(voter)]
+	f.eventLog.mu.Lock()
+	defer f.eventLog.mu.Unlock()
+	s := f.eventLog.dispatchers[DispatcherName(voter)]
 	return s != nil && s.Leads
 }
 
-// LastDecided is the highest version that a voter told as decided.
+// LastDecided returns the highest version that a voter has logged as decided.
 func (f *Fleet) LastDecided() uint64 {
-	f.events.mu.Lock()
-	defer f.events.mu.Unlock()
-	return f.events.lastDecided
+	f.eventLog.mu.Lock()
+	defer f.eventLog.mu.Unlock()
+	return f.eventLog.lastDecided
 }
 
-// RecordRigEvent notes among the events what is done to a process, or with no name to the fleet.
-func (f *Fleet) RecordRigEvent(process, what string) { f.events.recordRig(process, what) }
+// RecordRigEvent adds an event of the rig that concerns a process, or the whole fleet if process is empty.
+func (f *Fleet) RecordRigEvent(process, name string) { f.eventLog.recordRig(process, name) }
 
-// TakeEvents hands out what was heard since it was last called.
+// TakeEvents returns the events since its last call.
 func (f *Fleet) TakeEvents() []Event {
-	f.events.mu.Lock()
-	defer f.events.mu.Unlock()
-	log := f.events.events
-	f.events.events = nil
-	return log
+	f.eventLog.mu.Lock()
+	defer f.eventLog.mu.Unlock()
+	events := f.eventLog.events
+	f.eventLog.events = nil
+	return events
 }
 
 type writerFunc func([]byte) (int, error)
--- a/internal/lab/hollow/fleet.go
+++ b/internal/lab/hollow/fleet.go
@@ -18,75 +18,77 @@
 	"tinsail/internal/standin/platform"
 )
 
-// Regions is how many regions a fleet stands in; a voter stands in each, and a dispatcher's is its number
-// modulo Regions.
+// Regions is the number of regions of a fleet. Each region has one voter; dispatcher i is in region i modulo Regions.
 const Regions = 3
 
-// FleetConfig is a fleet to be started.
+// FleetConfig describes a fleet for StartFleet.
 type FleetConfig struct {
-	Program []string // what starts a real dispatcher, before its "serve"
-	Env     []string // of a real dispatcher, beside this process's
+	Program []string // command line of a real dispatcher up to its subcommand "serve"
+	Env     []string // environment of a real dispatcher in addition to this process's
 
-	Real          int // dispatchers that are processes, the voters among them; 0: the voters are in this process, too
-	Hollow        int
-	WithoutAccord bool // no accord and no budgets
+	Real          int  // dispatchers that are separate processes, including the voters; 0: the voters are hollow too
+	Hollow        int  // dispatchers in this process
+	WithoutAccord bool // the dispatchers run without accord and budgets
 
 	Lease         time.Duration
-	RegionLatency time.Duration // one way between two regions
-	Bans          []string      // of the first policy
-	Workers       int           // of the list
+	RegionLatency time.Duration // one-way latency between two regions
+	Bans          []string      // banned names in the initial policy
+	Workers       int           // workers in the director's list
 }
 
 func (p FleetConfig) dispatcherCount() int { return p.Real + p.Hollow }
 
-// Fleet is real and hollow dispatchers around three voters, with a director and workers. Between each region and
-// each voter, and before the director, stands a relay.
+// Fleet is a running fleet of real and hollow dispatchers, three of which are voters, with a director and workers. The
+// traffic between each region and each voter passes its own relay, and so does the traffic with the director.
 type Fleet struct {
 	Config    FleetConfig
 	Director  *platform.Director
 	Workers   *Workers
-	Meters    [Regions][Regions]Meter // by the region that asks and the voter
+	Meters    [Regions][Regions]Meter // by region of the member and voter
 	ListMeter ListMeter
 
 	dir            string
-	voterAddresses []string // where they listen
+	voterAddresses []string // listen addresses, by voter
 	voterRelays    [Regions][Regions]*faultnet.TCP
 	listRelay      *faultnet.TCP
-	events         *eventLog
+	eventLog       *eventLog
 
 	mu     sync.Mutex
-	Real   []*Process    // by number; the first three are the voters
-	Hollow []*Dispatcher // number Plan.Real and on
+	Real   []*Process    // by number, nil if not running; the first three are the voters
+	Hollow []*Dispatcher // dispatcher Config.Real+i at index i, nil if not running
 }
 
-// ListMeter counts the bytes that dispatchers and the director exchange, and the pieces in which they came.
+// ListMeter counts the bytes between the dispatchers and the director, and the chunks in which the relay read them.
 type ListMeter struct{ RequestChunks, ResponseChunks, RequestBytes, ResponseBytes atomic.Int64 }
 
-func (l *ListMeter) tap() (out, back func([]byte)) {
-	one := func(n, size *atomic.Int64) func([]byte) {
+// tap is a faultnet.Tap.
+func (l *ListMeter) tap() (toTarget, toClient func([]byte)) {
+	countTo := func(chunks, size *atomic.Int64) func([]byte) {
 		return func(p []byte) {
 			if len(p) > 0 {
-				n.Add(1)
+				chunks.Add(1)
 				size.Add(int64(len(p)))
 			}
 		}
 	}
-	return one(&l.RequestChunks, &l.RequestBytes), one(&l.ResponseChunks, &l.ResponseBytes)
+	return countTo(&l.RequestChunks, &l.RequestBytes), countTo(&l.ResponseChunks, &l.ResponseBytes)
 }
 
-// MaxSizeForVoterTraffic is the size to which hollow dispatchers cost the voters among themselves what real ones do, within a tenth. What the
-// members' links cost is true at any size. Timers of one process that end within its millisecond fire together, so that hollow dispatchers'
-// asks come in clumps, which a round confirms together: at 100 there were 18% fewer heartbeats than with real ones.
+// MaxSizeForVoterTraffic is the largest fleet in which the traffic between the voters is within a tenth of that of a
+// fleet of real dispatchers. The traffic of the members' links matches at any size. Timers of one process that expire
+// within the same millisecond fire together, so hollow dispatchers send their requests in bursts, and one round of
+// heartbeats confirms the leader for a whole burst: a fleet of 100 had 18% fewer heartbeats than one of real
+// dispatchers.
 const MaxSizeForVoterTraffic = 20
 
-// startSpread is over what time hollow dispatchers start. Real ones take that long by themselves; hollow ones that all
-// began in one moment would ask in step from then on, be confirmed together, and cost the voters fewer rounds than
-// real ones do.
+// startSpread is about the time over which the starts of the hollow dispatchers are spread. Real ones take that long
+// anyway. Hollow ones that all started at once would send their lease requests in step from then on, and the voters
+// would confirm them together in fewer rounds than those of real ones.
 const startSpread = 2 * time.Second
 
-// StartFleet starts a fleet. Close ends it, also one whose start failed.
-func StartFleet(p FleetConfig) (*Fleet, error) {
-	f := &Fleet{Config: p, events: newEvents()}
+// StartFleet starts the director, the workers, the relays and then every dispatcher. The caller must call Close.
+func StartFleet(config FleetConfig) (*Fleet, error) {
+	f := &Fleet{Config: config, eventLog: newEventLog()}
 	err := f.startAll()
 	if err != nil {
 		f.Close()
@@ -95,10 +97,11 @@
 	return f, nil
 }
 
+// startAll starts the parts of the fleet. After an error, Close ends those that were started.
 func (f *Fleet) startAll() (err error) {
-	p := f.Config
-	if p.Real > 0 && p.Real < Regions || p.dispatcherCount() < Regions {
-		return fmt.Errorf("%d real and %d hollow dispatchers, want none or %d real ones, the voters, or more", p.Real, p.Hollow, Regions)
+	config := f.Config
+	if config.Real > 0 && config.Real < Regions || config.dispatcherCount() < Regions {
+		return fmt.Errorf("fleet of %d real and %d hollow dispatchers: want at least %d, and all %d voters real or none", config.Real, config.Hollow, Regions, Regions)
 	}
 	if f.dir, err = os.MkdirTemp("", "hollow"); err != nil {
 		return err
@@ -106,7 +109,7 @@
 	if f.Director, err = platform.StartDirector(); err != nil {
 		return err
 	}
-	if f.Workers, err = StartWorkers(f.Director, p.Workers); err != nil {
+	if f.Workers, err = StartWorkers(f.Director, config.Workers); err != nil {
 		return err
 	}
 	if f.listRelay, err = faultnet.ListenTapped(f.Director.Address, f.ListMeter.tap); err != nil {
@@ -125,17 +128,18 @@
 			}
 		}
 	}
-	f.SetRegionLatency(p.RegionLatency)
-	f.Real, f.Hollow = make([]*Process, p.Real), make([]*Dispatcher, p.Hollow)
-	first := max(p.Real, Regions)
-	for i := range p.dispatcherCount() {
-		if i == first && !p.WithoutAccord { // a first version that came later would have all ask in step, too
+	f.SetRegionLatency(config.RegionLatency)
+	f.Real, f.Hollow = make([]*Process, config.Real), make([]*Dispatcher, config.Hollow)
+	first := max(config.Real, Regions)
+	for i := range config.dispatcherCount() {
+		// If the initial policy came later, it would reach all members at once and put their lease requests in step.
+		if i == first && !config.WithoutAccord {
 			if err := f.AwaitServing(first, 1, serveTimeout); err != nil {
 				return err
 			}
 		}
 		if i >= first {
-			time.Sleep(rand.N(2*startSpread/time.Duration(p.dispatcherCount()-first) + 1))
+			time.Sleep(rand.N(2*startSpread/time.Duration(config.dispatcherCount()-first) + 1))
 		}
 		if err := f.Start(i); err != nil {
 			return err
@@ -144,54 +148,55 @@
 	return nil
 }
 
-// SetRegionLatency sets the time that a piece travels between two regions, one way.
-func (f *Fleet) SetRegionLatency(lag time.Duration) {
+// SetRegionLatency sets the one-way latency between any two regions.
+func (f *Fleet) SetRegionLatency(latency time.Duration) {
 	for from := range Regions {
 		for v, r := range f.voterRelays[from] {
 			if v != from {
-				r.Set(faultnet.Rule{Latency: lag})
+				r.Set(faultnet.Rule{Latency: latency})
 			}
 		}
 	}
 }
 
-// SetIsolated cuts a region off from the two others, or ends that.
-func (f *Fleet) SetIsolated(region int, cut bool) {
+// SetIsolated cuts off a region from the voters of the other regions, and its voter from their dispatchers; isolated =
+// false restores the connections.
+func (f *Fleet) SetIsolated(region int, isolated bool) {
 	for from := range Regions {
 		for v, r := range f.voterRelays[from] {
 			if v == from || v != region && from != region {
 				continue
 			}
-			r.Set(faultnet.Rule{Latency: f.Config.RegionLatency, Blackhole: cut})
-			if !cut {
-				r.Reset() // bytes were swallowed
+			r.Set(faultnet.Rule{Latency: f.Config.RegionLatency, Blackhole: isolated})
+			if !isolated {
+				r.Reset() // the blackhole has discarded bytes of the open connections
 			}
 		}
 	}
 }
 
-// DispatcherName is what a dispatcher is called.
+// DispatcherName returns the name of dispatcher i in its configuration and its log lines.
 func DispatcherName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// Start starts a dispatcher, which must not run: a real or a hollow one by its number.
+// Start starts dispatcher i, which must not be running: a process or a hollow one, by its number.
 func (f *Fleet) Start(i int) error {
-	conf, script := f.dispatcherConfig(i), f.settingsScript(i)
-	f.events.recordRig(DispatcherName(i), ProcessStarted)
+	configuration, script := f.dispatcherConfig(i), f.settingsScript(i)
+	f.eventLog.recordRig(DispatcherName(i), ProcessStarted)
 	if i < f.Config.Real {
-		p, err := startProcess(f.Config.Program, f.Config.Env, f.dir, DispatcherName(i), conf, script, f.events.logWriter(DispatcherName(i)))
+		p, err := startProcess(f.Config.Program, f.Config.Env, f.dir, DispatcherName(i), configuration, script, f.eventLog.logWriter(DispatcherName(i)))
 		f.mu.Lock()
 		f.Real[i] = p
 		f.mu.Unlock()
 		return err
 	}
-	d, err := StartDispatcher(conf, script, f.events.logWriter(DispatcherName(i)))
+	d, err := StartDispatcher(configuration, script, f.eventLog.logWriter(DispatcherName(i)))
 	f.mu.Lock()
 	f.Hollow[i-f.Config.Real] = d
 	f.mu.Unlock()
 	return err
 }
 
-// Stop ends a dispatcher: a real one is killed.
+// Stop ends dispatcher i, if it is running: a process by SIGKILL, a hollow one by Close.
 func (f *Fleet) Stop(i int) {
 	f.mu.Lock()
 	var end func()
@@ -210,11 +215,12 @@
 	if end != nil {
 		end()
 	}
-	f.events.recordEnd(DispatcherName(i))
+	f.eventLog.recordEnd(DispatcherName(i))
 }
 
-// Terminate has a dispatcher end as its operators would, by SIGTERM, and kills it where it has not ended after so long.
-func (f *Fleet) Terminate(i int, most time.Duration) {
+// Terminate ends dispatcher i: a process by SIGTERM, as its operators would, and by SIGKILL if it is still running
+// after timeout; a hollow one by Close.
+func (f *Fleet) Terminate(i int, timeout time.Duration) {
 	if i < f.Config.Real {
 		f.mu.Lock()
 		p := f.Real[i]
@@ -223,26 +229,27 @@
 			p.Signal(syscall.SIGTERM)
 			select {
 			case <-p.exited:
-			case <-time.After(most):
+			case <-time.After(timeout):
 			}
 		}
 	}
 	f.Stop(i)
 }
 
-// Close ends all, the voters last: one of this process that leads and is asked as it is closed may never end (voter.close waits for
-// confirm, which waits for an answer that the log's library owes from before its end).
+// Close ends the dispatchers, the voters last, and then the relays, the workers and the director. The order matters for
+// voters in this process: a leader that receives requests while it closes may never end, because voter.close waits for
+// confirm, and confirm waits for a response that the Raft library has owed since before its shutdown.
 func (f *Fleet) Close() {
-	var all sync.WaitGroup
+	var stopping sync.WaitGroup
 	for i := f.Config.dispatcherCount() - 1; i >= 0; i-- {
 		if i == Regions-1 {
-			all.Wait()
+			stopping.Wait()
 		}
 		if i < f.Config.Real && i < len(f.Real) || i >= f.Config.Real && i-f.Config.Real < len(f.Hollow) {
-			all.Go(func() { f.Stop(i) })
+			stopping.Go(func() { f.Stop(i) })
 		}
 	}
-	all.Wait()
+	stopping.Wait()
 	for _, from := range f.voterRelays {
 		for _, r := range from {
 			if r != nil {
@@ -264,6 +271,7 @@
 	}
 }
 
+// dispatcherConfig returns the configuration file of dispatcher i.
 func (f *Fleet) dispatcherConfig(i int) []byte {
 	return []byte(fmt.Sprintf(`{"name": %q, "listen": "127.0.0.1:0", "discovery": %q, "seed": "%d",
   "limits": {"cores": 2, "memory_mb": 192, "sockets": 1024},
@@ -283,26 +291,28 @@
 }`, DispatcherName(i), f.listRelay.Addr(), i+1, f.Config.dispatcherCount()))
 }
 
-// connectionsPerSecond is the budget of the fleet in new connectionsPerSecond a second.
+// connectionsPerSecond is the budget of the fleet in new connections a second.
 const connectionsPerSecond = 100_000
 
+// settingsScript returns the settings script of dispatcher i. It reaches the other voters through the relays of its
+// region, and itself, if it is a voter, directly.
 func (f *Fleet) settingsScript(i int) []byte {
 	if f.Config.WithoutAccord {
 		return nil
 	}
 	var voters []string
-	for v, at := range f.voterAddresses {
+	for v, address := range f.voterAddresses {
 		if v != i {
-			at = f.voterRelays[i%Regions][v].Addr()
+			address = f.voterRelays[i%Regions][v].Addr()
 		}
-		voters = append(voters, fmt.Sprintf("%q", DispatcherName(v)+"="+at))
+		voters = append(voters, fmt.Sprintf("%q", DispatcherName(v)+"="+address))
 	}
-	bans, _ := json.Marshal(append([]string{}, f.Config.Bans...)) // a list of texts is one of the script's, too
+	bans, _ := json.Marshal(append([]string{}, f.Config.Bans...)) // a JSON list of strings is also one in Starlark
 	return fmt.Appendf(nil, "policy(bans = %s, connections = %d)\naccord(voters = [%s], lease_ms = %d, data = %q)\nbudgets(connections = %d, keeper = \"leader\")\n",
 		bans, connectionsPerSecond, strings.Join(voters, ", "), f.Config.Lease.Milliseconds(), filepath.Join(f.dir, DispatcherName(i)), connectionsPerSecond)
 }
 
-// Address is where a real dispatcher serves clients; empty where it is not up.
+// Address returns the address at which a real dispatcher serves clients, or "" if it is not running.
 func (f *Fleet) Address(i int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -312,33 +322,33 @@
 	return f.Real[i].Address
 }
 
-// Traffic is what all relays before the voters have passed.
-func (f *Fleet) Traffic() (c Traffic) {
+// Traffic returns the traffic of all relays between members and voters since the start.
+func (f *Fleet) Traffic() (sum Traffic) {
 	for from := range Regions {
 		for v := range Regions {
-			c = c.Add(f.Meters[from][v].Traffic())
+			sum = sum.Add(f.Meters[from][v].Traffic())
 		}
 	}
-	return c
+	return sum
 }
 
-// errTimeout is a fleet that has not come where it was waited for.
-var errTimeout = errors.New("not in time")
+// errTimeout is returned by Await if the condition does not hold in time.
+var errTimeout = errors.New("timed out")
 
-// Await looks, each 10 ms and for at most so long, until holds.
-func (f *Fleet) Await(what string, most time.Duration, holds func() bool) error {
-	for end := time.Now().Add(most); !holds(); time.Sleep(10 * time.Millisecond) {
+// Await checks condition every 10 ms until it holds, for at most timeout. description names it in the error.
+func (f *Fleet) Await(description string, timeout time.Duration, condition func() bool) error {
+	for end := time.Now().Add(timeout); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			return fmt.Errorf("%s: %w (%v)", what, errTimeout, most)
+			return fmt.Errorf("wait for %s: %w (%v)", description, errTimeout, timeout)
 		}
 	}
 	return nil
 }
 
-// ServingCount is how many dispatchers take reqs by a version, which is not below the one given.
-func (f *Fleet) ServingCount(version uint64) int { return f.events.servingCount(version) }
+// ServingCount returns the number of dispatchers that serve by the given version of the policy or a later one.
+func (f *Fleet) ServingCount(version uint64) int { return f.eventLog.servingCount(version) }
 
-// AwaitServing waits until n dispatchers take reqs by a version or a later one.
-func (f *Fleet) AwaitServing(n int, version uint64, most time.Duration) error {
-	return f.Await(fmt.Sprintf("%d dispatchers on version %d", n, version), most, func() bool { return f.ServingCount(version) >= n })
+// AwaitServing waits until n dispatchers serve by the given version of the policy or a later one.
+func (f *Fleet) AwaitServing(n int, version uint64, timeout time.Duration) error {
+	return f.Await(fmt.Sprintf("%d dispatchers that serve by version %d", n, version), timeout, func() bool { return f.ServingCount(version) >= n })
 }
--- a/internal/lab/hollow/meter.go
+++ b/internal/lab/hollow/meter.go
@@ -12,34 +12,34 @@
 	"tinsail/internal/faultnet"
 )
 
-// MessageKind is what a message at a voter's address is for.
+// MessageKind classifies the traffic at a voter's address.
 type MessageKind int
 
-// Kinds. Of the log's library's messages only the asking side is a kind of its own: what answers it counts in
-// bytes alone, as RaftResponses.
+// The kinds. The Raft library's requests are classified; its responses are counted as RaftResponses, in bytes alone.
 const (
-	MemberRequests    MessageKind = iota // from members: of leases and of shares
+	MemberRequests    MessageKind = iota // from members to a voter, for leases and for shares of a budget
 	MemberAnswers                        // to members
-	Heartbeats                           // heartbeats, at their pace or to confirm that the leader leads
-	CommitTimeouts                       // appends without an entry, at the commit time-out
-	LogEntries                           // appends with entries
-	OtherRaftRequests                    // votes, snapshots, hand-overs
-	RaftResponses                        // to all of the log's library's
-	Undecoded                            // what could not be read: there must be none
+	Heartbeats                           // Raft heartbeats, periodic or to confirm the leader
+	CommitTimeouts                       // Raft appends without entries, sent at the commit timeout
+	LogEntries                           // Raft appends with entries
+	OtherRaftRequests                    // Raft votes, snapshots and leadership transfers
+	RaftResponses                        // to all Raft requests; bytes only
+	Undecoded                            // what could not be decoded; must be zero
 	kindCount
 )
 
+// String returns the name of the kind in reports.
 func (k MessageKind) String() string {
 	return [...]string{"asks", "answers", "heartbeats", "commit time-outs", "entries", "others", "replies", "unread"}[k]
 }
 
-// Tally is how much came of a kind.
+// Tally is a number of messages and bytes.
 type Tally struct{ Messages, Bytes int64 }
 
-// Traffic are tallies by kind.
+// Traffic is the tallies by kind.
 type Traffic [kindCount]Tally
 
-// Since is what came after an earlier reading.
+// Since returns the traffic since an earlier reading of the same meters.
 func (c Traffic) Since(old Traffic) Traffic {
 	for k := range c {
 		c[k].Messages -= old[k].Messages
@@ -48,7 +48,7 @@
 	return c
 }
 
-// Add is the sum.
+// Add returns the sum of two readings.
 func (c Traffic) Add(d Traffic) Traffic {
 	for k := range c {
 		c[k].Messages += d[k].Messages
@@ -57,7 +57,7 @@
 	return c
 }
 
-// RaftTotal is the part of the log's library: all that goes between the voters for it.
+// RaftTotal returns the traffic of the Raft library between the voters. The messages don't include its responses.
 func (c Traffic) RaftTotal() (t Tally) {
 	for _, k := range []MessageKind{Heartbeats, CommitTimeouts, LogEntries, OtherRaftRequests, RaftResponses, Undecoded} {
 		t.Messages += c[k].Messages
@@ -66,12 +66,12 @@
 	return t
 }
 
-// MemberTotal is the part of the members' links.
+// MemberTotal returns the traffic between members and voters.
 func (c Traffic) MemberTotal() Tally {
 	return Tally{c[MemberRequests].Messages + c[MemberAnswers].Messages, c[MemberRequests].Bytes + c[MemberAnswers].Bytes}
 }
 
-// Meter counts what passes relays that stand before voters' addresses. It is for concurrent use.
+// Meter counts the traffic of relays to a voter's address. It is safe for concurrent use.
 type Meter struct {
 	messages, bytes [kindCount]atomic.Int64
 }
@@ -81,75 +81,75 @@
 	m.bytes[k].Add(bytes)
 }
 
-// Traffic reads the meter.
-func (m *Meter) Traffic() (c Traffic) {
-	for k := range c {
-		c[k] = Tally{m.messages[k].Load(), m.bytes[k].Load()}
+// Traffic returns the totals so far.
+func (m *Meter) Traffic() (totals Traffic) {
+	for k := range totals {
+		totals[k] = Tally{m.messages[k].Load(), m.bytes[k].Load()}
 	}
-	return c
+	return totals
 }
 
-// The first byte of a connection to a voter, as internal/network/fleet/accord has it.
+// The first byte of a connection to a voter, as in internal/network/fleet/accord.
 const (
 	memberConn = 'A'
 	raftConn   = 'R'
 )
 
-// Tap looks at one more connection: faultnet.Tap.
-func (m *Meter) Tap() (out, back func([]byte)) {
-	var mark atomic.Int32
-	var ask, answer frameCounter
-	var log *io.PipeWriter
-	out = func(p []byte) {
-		if len(p) > 0 && mark.Load() == 0 {
-			mark.Store(int32(p[0]))
+// Tap is a faultnet.Tap, which observes one connection.
+func (m *Meter) Tap() (toTarget, toClient func([]byte)) {
+	var connType atomic.Int32
+	var requests, answers frameCounter
+	var raftRequests *io.PipeWriter // nil unless the connection is the Raft library's
+	toTarget = func(p []byte) {
+		if len(p) > 0 && connType.Load() == 0 {
+			connType.Store(int32(p[0]))
 			p = p[1:]
-			switch mark.Load() {
+			switch connType.Load() {
 			case memberConn:
 				m.add(MemberRequests, 0, 1)
 			case raftConn:
 				m.add(OtherRaftRequests, 0, 1)
-				var r *io.PipeReader
-				r, log = io.Pipe()
-				go m.countRaftRequests(r)
+				var reader *io.PipeReader
+				reader, raftRequests = io.Pipe()
+				go m.countRaftRequests(reader)
 			}
 			if len(p) == 0 {
 				return
 			}
 		}
 		switch {
-		case mark.Load() == memberConn:
-			m.add(MemberRequests, ask.count(p), int64(len(p)))
-		case log != nil && len(p) == 0:
-			log.Close()
-		case log != nil:
-			_, _ = log.Write(p) // read until the end, whatever it says
+		case connType.Load() == memberConn:
+			m.add(MemberRequests, requests.count(p), int64(len(p)))
+		case raftRequests != nil && len(p) == 0:
+			raftRequests.Close()
+		case raftRequests != nil:
+			_, _ = raftRequests.Write(p) // countRaftRequests reads to the end even after an error
 		default:
 			m.add(Undecoded, 0, int64(len(p)))
 		}
 	}
-	back = func(p []byte) {
-		switch mark.Load() {
+	toClient = func(p []byte) {
+		switch connType.Load() {
 		case memberConn:
-			m.add(MemberAnswers, answer.count(p), int64(len(p)))
+			m.add(MemberAnswers, answers.count(p), int64(len(p)))
 		case raftConn:
 			m.add(RaftResponses, 0, int64(len(p)))
 		default:
 			m.add(Undecoded, 0, int64(len(p)))
 		}
 	}
-	return out, back
+	return toTarget, toClient
 }
 
 var _ faultnet.Tap = (&Meter{}).Tap
 
-// frameCounter counts the framed messages of a link.
+// frameCounter counts the frames of a byte stream: 4 bytes of length, big-endian, and as many bytes.
 type frameCounter struct {
-	header    []byte
-	remaining uint32
+	header    []byte // of the next frame, as far as received
+	remaining uint32 // bytes until the end of the frame
 }
 
-// count takes the next piece and says how many messages ended in it.
+// count takes the next chunk of the stream and returns how many frames end in it.
 func (f *frameCounter) count(p []byte) (ended int64) {
 	for len(p) > 0 {
 		if f.remaining == 0 {
@@ -170,7 +170,7 @@
 	return ended
 }
 
-// The log's library's kinds of request, by the byte before each (hashicorp/raft, net_transport.go).
+// The Raft library's request types, by the byte before each request (hashicorp/raft, net_transport.go).
 const (
 	rpcAppendEntries byte = iota
 	rpcRequestVote
@@ -179,43 +179,44 @@
 	rpcRequestPreVote
 )
 
-// countRaftRequests reads the requests of a stream of the log's library, to its end.
-func (m *Meter) countRaftRequests(from io.Reader) {
-	in := &countingReader{r: bufio.NewReader(from)}
-	dec := codec.NewDecoder(in, &codec.MsgpackHandle{})
+// countRaftRequests counts the requests of a stream of the Raft library. After one that it can't decode, it counts the
+// rest of the stream as Undecoded.
+func (m *Meter) countRaftRequests(stream io.Reader) {
+	in := &countingReader{r: bufio.NewReader(stream)}
+	decoder := codec.NewDecoder(in, &codec.MsgpackHandle{})
 	for {
 		in.n = 0
-		kind, err := in.ReadByte()
+		requestType, err := in.ReadByte()
 		if err != nil {
 			return
 		}
-		k, rest := OtherRaftRequests, int64(0)
-		switch kind {
+		kind, snapshotSize := OtherRaftRequests, int64(0)
+		switch requestType {
 		case rpcAppendEntries:
-			var q raft.AppendEntriesRequest
-			switch err = dec.Decode(&q); {
-			case len(q.Entries) > 0:
-				k = LogEntries
-			case q.PrevLogEntry == 0 && q.LeaderCommitIndex == 0:
-				k = Heartbeats
+			var request raft.AppendEntriesRequest
+			switch err = decoder.Decode(&request); {
+			case len(request.Entries) > 0:
+				kind = LogEntries
+			case request.PrevLogEntry == 0 && request.LeaderCommitIndex == 0:
+				kind = Heartbeats
 			default:
-				k = CommitTimeouts
+				kind = CommitTimeouts
 			}
 		case rpcRequestVote:
-			err = dec.Decode(&raft.RequestVoteRequest{})
+			err = decoder.Decode(&raft.RequestVoteRequest{})
 		case rpcRequestPreVote:
-			err = dec.Decode(&raft.RequestPreVoteRequest{})
+			err = decoder.Decode(&raft.RequestPreVoteRequest{})
 		case rpcTimeoutNow:
-			err = dec.Decode(&raft.TimeoutNowRequest{})
+			err = decoder.Decode(&raft.TimeoutNowRequest{})
 		case rpcInstallSnapshot:
-			var q raft.InstallSnapshotRequest
-			err = dec.Decode(&q)
-			rest = q.Size
+			var request raft.InstallSnapshotRequest
+			err = decoder.Decode(&request)
+			snapshotSize = request.Size
 		default:
 			err = io.ErrUnexpectedEOF
 		}
 		if err == nil {
-			_, err = io.CopyN(io.Discard, in, rest)
+			_, err = io.CopyN(io.Discard, in, snapshotSize)
 		}
 		if err != nil {
 			m.add(Undecoded, 1, in.n)
@@ -223,11 +224,11 @@
 			m.add(Undecoded, 0, n)
 			return
 		}
-		m.add(k, 1, in.n)
+		m.add(kind, 1, in.n)
 	}
 }
 
-// countingReader counts what is read of it, and reads no byte ahead.
+// countingReader counts the bytes read from it. It is an io.ByteReader, so that the decoder doesn't read ahead.
 type countingReader struct {
 	r *bufio.Reader
 	n int64
--- a/internal/lab/hollow/workers.go
+++ b/internal/lab/hollow/workers.go
@@ -8,20 +8,20 @@
 	"tinsail/internal/standin/platform"
 )
 
-// AcceleratorCount is how many a fleet of workers has: 1,100 at 580, and in that proportion at others.
+// AcceleratorCount returns the accelerators of a fleet of workers: 1,100 at 580 workers, and in proportion otherwise.
 func AcceleratorCount(workers int) int { return workers * 1100 / 580 }
 
-// Workers are hollow workers in one process: each a listener that answers and a line of the director's list, with
-// its accelerators as its slots.
+// Workers are simulated workers in this process. Each is a listener that answers reqs and an entry in the director's
+// list; its slots are its accelerators.
 type Workers struct {
 	director   *platform.Director
 	mu         sync.Mutex
 	backends   []*platform.Backend
 	slotCounts []int
-	toggles    int // that were told
+	toggles    int // calls of ToggleNextStatus
 }
 
-// StartWorkers starts workers and lists them. Close ends them.
+// StartWorkers starts n workers and adds them to the director's list. The caller must call Close.
 func StartWorkers(d *platform.Director, n int) (*Workers, error) {
 	w := &Workers{director: d}
 	total := AcceleratorCount(n)
@@ -38,10 +38,10 @@
 	return w, nil
 }
 
-// Backends are the backends that stand for them.
+// Backends returns the backends that simulate the workers.
 func (w *Workers) Backends() []*platform.Backend { return w.backends }
 
-// SlotCount are the accelerators of all.
+// SlotCount returns the accelerators of all workers.
 func (w *Workers) SlotCount() (n int) {
 	for _, s := range w.slotCounts {
 		n += s
@@ -49,7 +49,8 @@
 	return n
 }
 
-// ToggleNextStatus has the next worker in turn drain, or be ready again: one line of news.
+// ToggleNextStatus sets the next worker's status to Terminating, or back to Ready: one change in the director's list.
+// The workers take turns.
 func (w *Workers) ToggleNextStatus() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -65,7 +66,7 @@
 	w.director.Set(w.backends[i].Entry("fast", "here", i, status))
 }
 
-// Close ends them.
+// Close closes the workers' listeners.
 func (w *Workers) Close() {
 	for _, b := range w.backends {
 		b.Close()
