--- a/internal/lab/hollow/size/load.go
+++ b/internal/lab/hollow/size/load.go
@@ -14,35 +14,36 @@
 	history "tinsail/internal/standin/accordhistory"
 )
 
-// loadGenerator sends reqs to the real dispatchers, each to the next that takes some.
+// loadGenerator sends reqs at a fixed rate to the real dispatchers in turn, leaving out those that are being restarted.
 type loadGenerator struct {
 	fleet   *hollow.Fleet
 	stop    chan struct{}
 	running sync.WaitGroup
 
 	mu              sync.Mutex
-	targets         []int // real dispatchers that are asked
-	lines           []history.Line
+	targets         []int          // numbers of the real dispatchers that get reqs
+	lines           []history.Line // the clients' part of the history
 	sent            int
-	answersByStatus map[int]int // answers by status; 0: the connection broke
+	answersByStatus map[int]int // status 0: no answer
 }
 
-func startLoad(f *hollow.Fleet, perSecond int) *loadGenerator {
-	l := &loadGenerator{fleet: f, stop: make(chan struct{}), answersByStatus: map[int]int{}}
-	for i := range f.Real {
+// startLoad starts a load of reqsPerSecond. The caller must call close.
+func startLoad(fleet *hollow.Fleet, reqsPerSecond int) *loadGenerator {
+	l := &loadGenerator{fleet: fleet, stop: make(chan struct{}), answersByStatus: map[int]int{}}
+	for i := range fleet.Real {
 		l.targets = append(l.targets, i)
 	}
-	if perSecond == 0 || len(l.targets) == 0 {
+	if reqsPerSecond == 0 || len(l.targets) == 0 {
 		return l
 	}
 	client := &http.Client{Timeout: settleTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Second}}
 	l.running.Go(func() {
-		for t := time.NewTicker(time.Second / time.Duration(perSecond)); ; {
+		for ticker := time.NewTicker(time.Second / time.Duration(reqsPerSecond)); ; {
 			select {
 			case <-l.stop:
-				t.Stop()
+				ticker.Stop()
 				return
-			case <-t.C:
+			case <-ticker.C:
 				l.running.Go(func() { l.send(client) })
 			}
 		}
@@ -50,13 +51,14 @@
 	return l
 }
 
-// removeTarget has a dispatcher asked no more; join has it asked again.
+// removeTarget stops sending to dispatcher i. Reqs already sent continue.
 func (l *loadGenerator) removeTarget(i int) {
 	l.mu.Lock()
 	l.targets = slices.DeleteFunc(l.targets, func(j int) bool { return i == j })
 	l.mu.Unlock()
 }
 
+// addTarget sends to dispatcher i again, if it is a real one.
 func (l *loadGenerator) addTarget(i int) {
 	if i < len(l.fleet.Real) {
 		l.mu.Lock()
@@ -65,11 +67,13 @@
 	}
 }
 
+// close stops the load and waits for the reqs sent so far.
 func (l *loadGenerator) close() {
 	close(l.stop)
 	l.running.Wait()
 }
 
+// send sends one req to the next target and records it and its status.
 func (l *loadGenerator) send(client *http.Client) {
 	l.mu.Lock()
 	if len(l.targets) == 0 {
@@ -78,18 +82,18 @@
 	}
 	l.sent++
 	id := fmt.Sprintf("s-%d", l.sent)
-	to := l.targets[l.sent%len(l.targets)]
-	address := l.fleet.Address(to)
-	l.lines = append(l.lines, history.Line{Time: time.Now().UnixNano(), Source: history.SourceClient, Req: id, Dispatcher: hollow.DispatcherName(to), Sent: true})
+	target := l.targets[l.sent%len(l.targets)]
+	address := l.fleet.Address(target)
+	l.lines = append(l.lines, history.Line{Time: time.Now().UnixNano(), Source: history.SourceClient, Req: id, Dispatcher: hollow.DispatcherName(target), Sent: true})
 	l.mu.Unlock()
 	status := 0
-	r, err := http.NewRequest("POST", "http://"+address+"/photo/1", strings.NewReader("b"))
+	request, err := http.NewRequest("POST", "http://"+address+"/photo/1", strings.NewReader("b"))
 	if err == nil {
-		r.Header.Set("X-Correlation-Id", id)
-		r.Header.Set("Idempotency-Key", id)
-		r.GetBody = nil // not to be sent again by itself
+		request.Header.Set("X-Correlation-Id", id)
+		request.Header.Set("Idempotency-Key", id)
+		request.GetBody = nil // keeps the HTTP transport from sending the req again by itself
 		var answer *http.Response
-		if answer, err = client.Do(r); err == nil {
+		if answer, err = client.Do(request); err == nil {
 			if _, err = io.Copy(io.Discard, answer.Body); err == nil {
 				status = answer.StatusCode
 			}
@@ -99,32 +103,33 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answersByStatus[status]++
-	l.lines = append(l.lines, history.Line{Time: time.Now().UnixNano(), Source: history.SourceClient, Req: id, Dispatcher: hollow.DispatcherName(to), Status: status})
+	l.lines = append(l.lines, history.Line{Time: time.Now().UnixNano(), Source: history.SourceClient, Req: id, Dispatcher: hollow.DispatcherName(target), Status: status})
 }
 
-// clientHistory is that of the clients, counted into a report.
-func (l *loadGenerator) clientHistory(rep *Report) []history.Line {
-	rep.ReqsSent = l.sent
+// clientHistory returns the clients' part of the history and enters its counts in the report. It must be called after
+// close.
+func (l *loadGenerator) clientHistory(report *Report) []history.Line {
+	report.ReqsSent = l.sent
 	for status, n := range l.answersByStatus {
 		switch status {
 		case http.StatusOK:
-			rep.ReqsOK += n
+			report.ReqsOK += n
 		case 0:
-			rep.ReqsBroken += n
+			report.ReqsBroken += n
 		default:
-			rep.ReqsRejected += n
+			report.ReqsRejected += n
 		}
 	}
 	return l.lines
 }
 
-// attemptStarts are the attempts that the workers saw.
-func attemptStarts(f *hollow.Fleet) (out []history.Line) {
-	for _, b := range f.Workers.Backends() {
+// attemptStarts returns the workers' part of the history: the attempts that they received.
+func attemptStarts(fleet *hollow.Fleet) (lines []history.Line) {
+	for _, b := range fleet.Workers.Backends() {
 		for _, s := range b.AttemptStarts() {
-			v, _ := strconv.ParseUint(s.Version, 10, 64) // none: 0, which the checker refuses
-			out = append(out, history.Line{Time: s.At.UnixNano(), Source: history.SourceBackend, Backend: b.Name, Dispatcher: s.Dispatcher, Req: s.Req, Version: v, Started: true})
+			version, _ := strconv.ParseUint(s.Version, 10, 64) // 0 if the attempt has none, which the history check reports
+			lines = append(lines, history.Line{Time: s.At.UnixNano(), Source: history.SourceBackend, Backend: b.Name, Dispatcher: s.Dispatcher, Req: s.Req, Version: version, Started: true})
 		}
 	}
-	return out
+	return lines
 }
--- a/internal/lab/hollow/size/run.go
+++ b/internal/lab/hollow/size/run.go
@@ -1,6 +1,7 @@
-// Package size plays the whole size on one machine, as a shortened day: real and hollow dispatchers in three regions around
-// three voters, hollow workers, a light load, changes of the policy, restarts, and a region that is cut off and comes back. What came
-// is judged by accordhistory, which shares nothing with what it judges; messages, bytes and memory are counted by role.
+// Package size runs a fleet of full size on one machine through a shortened day: real and hollow dispatchers in three
+// regions with three voters, simulated workers, a light load, changes of the policy, restarts, and a region that is cut
+// off and reconnected. Package accordhistory, which shares no code with the accord, checks the recorded history.
+// Messages, bytes and memory are reported by role.
 package size
 
 import (
@@ -14,268 +15,274 @@
 	history "tinsail/internal/standin/accordhistory"
 )
 
-// Config is what is played. It is bounded by its counts, and by Most in time.
+// Config describes a run. It ends when its changes are made, or after MaxDuration.
 type Config struct {
 	Fleet          hollow.FleetConfig
-	BannedNames    int           // names in the policy
-	Changes        int           // of the policy, one after another
-	Restarts       int           // of dispatchers, spread over the changes, half of them within one; every third is a kill
-	ReqsPerSecond  int           // reqs a second, spread over the real dispatchers
-	IsolationTime  time.Duration // how long a region is cut off, half way; 0: none
-	ClockTolerance time.Duration // of the judge: how late a backend may see what a dispatcher sent
+	BannedNames    int           // in each policy
+	Changes        int           // of the policy, one after the other
+	Restarts       int           // of dispatchers, about half of them during a change; every third is a kill
+	ReqsPerSecond  int           // spread over the real dispatchers
+	IsolationTime  time.Duration // for which a region is cut off, halfway through the changes; 0: not at all
+	ClockTolerance time.Duration // of the history check, see accordhistory.Rules
 	MaxDuration    time.Duration
 	Seed           uint64
 }
 
-// Report is what came of a day.
+// Report is the result of a run.
 type Report struct {
-	Duration                       time.Duration
-	ChangeTimes                    []time.Duration // of each change: from its proposal until all that were up served by it
-	ServiceGaps                    []time.Duration // of each change: from when the last dispatcher stopped until the first served by it
-	IsolatedChangeTime             time.Duration   // of a change while a region was cut off, until the two others served by it
-	ReconnectTime                  time.Duration   // from the cut's end until all served by the version decided last
-	WithdrawnChanges               int             // changes that were in force nowhere
-	Terminated, Killed             int
-	ReqsSent, ReqsOK, ReqsRejected int // reqs; Shed: answered, and not with 200
-	ReqsBroken                     int // reqs whose connection broke
-	DroppedLogLines                int // lines of the accord that a process's log left out
+	Duration                       time.Duration   // from the start of the load to its end
+	ChangeTimes                    []time.Duration // from the first proposal until all dispatchers served by it
+	ServiceGaps                    []time.Duration // see serviceGaps
+	IsolatedChangeTime             time.Duration   // of the change during the isolation, in the other regions
+	ReconnectTime                  time.Duration   // from the end of the isolation until all are on one version
+	WithdrawnChanges               int             // proposals that failed or timed out and were repeated
+	Terminated, Killed             int             // restarts after Terminate, and after a kill
+	ReqsSent, ReqsOK, ReqsRejected int             // rejected: answered with a status other than 200
+	ReqsBroken                     int             // without an answer: the connection broke or the client timed out
+	DroppedLogLines                int             // by the processes' log limiters; the check doesn't see them
 	Violations                     []history.Violation
 	VoterTraffic                   hollow.Traffic
-	ListBytes                      int64
-	ProcessUsage                   []hollow.ResourceUsage // of the real processes at the end, the voters first
-	OwnUsage                       hollow.ResourceUsage   // of this process: hollow dispatchers, workers, relays, clients and judge
+	ListBytes                      int64                  // between the dispatchers and the director, both ways
+	ProcessUsage                   []hollow.ResourceUsage // of the real dispatchers at the end, the voters first
+	OwnUsage                       hollow.ResourceUsage   // of this process, with hollow dispatchers, workers, relays and clients
 }
 
-// TotalMemory is that of all processes in bytes.
+// TotalMemory returns the resident memory of all processes in bytes.
 func (r *Report) TotalMemory() (sum int64) {
-	for _, c := range r.ProcessUsage {
-		sum += c.Memory
+	for _, usage := range r.ProcessUsage {
+		sum += usage.Memory
 	}
 	return sum + r.OwnUsage.Memory
 }
 
-// runner is one under way.
+// runner is the state of a run.
 type runner struct {
 	Config
 	fleet       *hollow.Fleet
 	random      *rand.Rand
 	report      *Report
-	lines       []history.Line
+	lines       []history.Line // the history, from fillReport on
 	load        *loadGenerator
-	dispatchers int
-	policies    int // of policies
-	restarts    int // restarts that were made
+	dispatchers int // real and hollow ones
+	policies    int // proposed so far
+	restarts    int // begun so far
 }
 
-const settleTimeout = 30 * time.Second // the most that a change or a restart is waited for
+// settleTimeout limits the wait for a change, for the fleet after an isolation, and for the answer to a req.
+const settleTimeout = 30 * time.Second
 
-// Run plays a day. An error is a day that could not be played to its end; what was played of it is in the report.
-func Run(d Config) (*Report, error) {
-	rep := &Report{}
-	f, err := hollow.StartFleet(d.Fleet)
+// Run starts a fleet and takes it through a run. If the run can't be completed, it returns an error and the report of
+// the part that was.
+func Run(config Config) (*Report, error) {
+	report := &Report{}
+	fleet, err := hollow.StartFleet(config.Fleet)
 	if err != nil {
-		return rep, err
+		return report, err
 	}
-	defer f.Close()
-	p := &runner{Config: d, fleet: f, random: rand.New(rand.NewPCG(d.Seed, 36)), report: rep, dispatchers: d.Fleet.Real + d.Fleet.Hollow}
-	if err := f.AwaitServing(p.dispatchers, 1, time.Minute); err != nil {
-		return rep, err
+	defer fleet.Close()
+	r := &runner{Config: config, fleet: fleet, random: rand.New(rand.NewPCG(config.Seed, 36)), report: report, dispatchers: config.Fleet.Real + config.Fleet.Hollow}
+	if err := fleet.AwaitServing(r.dispatchers, 1, time.Minute); err != nil {
+		return report, err
 	}
 	begun := time.Now()
-	p.load = startLoad(f, d.ReqsPerSecond)
-	err = p.makeChanges(begun)
-	p.load.close()
-	rep.Duration = time.Since(begun)
-	return rep, errors.Join(err, p.fillReport())
+	r.load = startLoad(fleet, config.ReqsPerSecond)
+	err = r.makeChanges(begun)
+	r.load.close()
+	report.Duration = time.Since(begun)
+	return report, errors.Join(err, r.fillReport())
 }
 
-func (p *runner) makeChanges(begun time.Time) error {
-	for i := range p.Changes {
-		if time.Since(begun) > p.MaxDuration {
-			return fmt.Errorf("%d of %d changes in %v", i, p.Changes, p.MaxDuration)
+// makeChanges makes the changes of the policy, with the restarts and the isolation between them.
+func (r *runner) makeChanges(begun time.Time) error {
+	for i := range r.Changes {
+		if time.Since(begun) > r.MaxDuration {
+			return fmt.Errorf("only %d of %d changes made within %v", i, r.Changes, r.MaxDuration)
 		}
-		if p.IsolationTime > 0 && i == p.Changes/2 {
-			if err := p.isolateRegion(); err != nil {
+		if r.IsolationTime > 0 && i == r.Changes/2 {
+			if err := r.isolateRegion(); err != nil {
 				return err
 			}
 		}
-		for p.restarts < p.Restarts*i/p.Changes {
-			if err := p.restart(); err != nil {
+		for r.restarts < r.Restarts*i/r.Changes {
+			if err := r.restart(); err != nil {
 				return err
 			}
 		}
-		if err := p.makeChange(i); err != nil {
+		if err := r.makeChange(i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// propose has a dispatcher that is up propose the next policy. It is a hollow one of a region.
-func (p *runner) propose(region int) (version uint64, err error) {
+// propose proposes the next policy through a random hollow dispatcher of the region. It returns the version that the
+// policy gets if it is decided next.
+func (r *runner) propose(region int) (version uint64, err error) {
 	for range 1000 {
-		i := p.random.IntN(p.Fleet.Hollow)
-		d := p.fleet.Hollow[i]
-		if d == nil || (p.Fleet.Real+i)%hollow.Regions != region {
+		i := r.random.IntN(r.Fleet.Hollow)
+		d := r.fleet.Hollow[i]
+		if d == nil || (r.Fleet.Real+i)%hollow.Regions != region {
 			continue
 		}
-		held, body := d.Accord.Current()
+		current, body := d.Accord.Current()
 		q, err := policy.Read(body)
 		if err != nil {
-			continue // it holds none yet
+			continue // it has no policy yet
 		}
-		p.policies++
+		r.policies++
 		q.Bans = nil
-		for t := range p.BannedNames {
-			q.Bans = append(q.Bans, fmt.Sprintf("team-%03d-of-change-%06d", t, p.policies))
+		for t := range r.BannedNames {
+			q.Bans = append(q.Bans, fmt.Sprintf("team-%03d-of-change-%06d", t, r.policies))
 		}
-		return held + 1, d.Accord.Propose(q.Append(nil))
+		return current + 1, d.Accord.Propose(q.Append(nil))
 	}
-	return 0, errors.New("nobody could propose")
+	return 0, fmt.Errorf("no running hollow dispatcher in region %d has a policy", region)
 }
 
-// makeChange makes a makeChange and waits until it is in force everywhere. Where a dispatcher is restarted within it, a makeChange may
-// be withdrawn: then it has to be in force nowhere, which the judge sees, and is proposed again.
-func (p *runner) makeChange(i int) error {
+// makeChange proposes a change and waits until it is in force everywhere. A change may be withdrawn if a dispatcher is
+// restarted during it. It must then be in force nowhere, which the history check verifies, and is proposed again.
+func (r *runner) makeChange(i int) error {
 	begun := time.Now()
-	for try := 1; ; try++ {
-		version, err := p.propose(p.random.IntN(hollow.Regions))
+	for attempt := 1; ; attempt++ {
+		version, err := r.propose(r.random.IntN(hollow.Regions))
 		if err == nil {
-			within := p.Restarts > 0 && i%2 == 1 && p.restarts < p.Restarts*(i+1)/p.Changes
-			if within {
-				if err := p.restart(); err != nil {
+			restartDuringChange := r.Restarts > 0 && i%2 == 1 && r.restarts < r.Restarts*(i+1)/r.Changes
+			if restartDuringChange {
+				if err := r.restart(); err != nil {
 					return err
 				}
 			}
-			err = p.fleet.AwaitServing(p.dispatchers, version, settleTimeout)
+			err = r.fleet.AwaitServing(r.dispatchers, version, settleTimeout)
 		}
 		if err == nil {
-			p.report.ChangeTimes = append(p.report.ChangeTimes, time.Since(begun))
+			r.report.ChangeTimes = append(r.report.ChangeTimes, time.Since(begun))
 			return nil
 		}
-		if try == 3 {
-			return fmt.Errorf("change %d: %w", i, err)
+		if attempt == 3 {
+			return fmt.Errorf("policy change %d, proposed 3 times: %w", i, err)
 		}
-		p.report.WithdrawnChanges++
+		r.report.WithdrawnChanges++
 	}
 }
 
-// restart ends a dispatcher that is no voter, or now and then a voter, and starts it again.
-func (p *runner) restart() error {
-	p.restarts++
-	i := hollow.Regions + p.random.IntN(p.dispatchers-hollow.Regions)
-	if p.restarts%20 == 0 {
-		i = p.random.IntN(hollow.Regions)
+// restart ends a random dispatcher and starts it again. Every 20th time it is a voter, otherwise it isn't.
+func (r *runner) restart() error {
+	r.restarts++
+	i := hollow.Regions + r.random.IntN(r.dispatchers-hollow.Regions)
+	if r.restarts%20 == 0 {
+		i = r.random.IntN(hollow.Regions)
 	}
-	p.load.removeTarget(i)
-	if p.restarts%3 == 0 {
-		p.fleet.Stop(i)
-		p.report.Killed++
+	r.load.removeTarget(i)
+	if r.restarts%3 == 0 {
+		r.fleet.Stop(i)
+		r.report.Killed++
 	} else {
-		p.fleet.Terminate(i, 5*time.Second)
-		p.report.Terminated++
+		r.fleet.Terminate(i, 5*time.Second)
+		r.report.Terminated++
 	}
-	if err := p.fleet.Start(i); err != nil {
+	if err := r.fleet.Start(i); err != nil {
 		return err
 	}
-	p.load.addTarget(i)
+	r.load.addTarget(i)
 	return nil
 }
 
-// isolateRegion cuts a region off from the others, has the rest change the policy, and mends it.
-func (p *runner) isolateRegion() error {
-	region := p.random.IntN(hollow.Regions)
-	members, rest := 0, (region+1)%hollow.Regions
-	p.recordRigEvent(history.FaultsStarted, "")
-	for i := range p.dispatchers {
+// isolateRegion cuts off a random region, changes the policy in the others, and reconnects the region.
+func (r *runner) isolateRegion() error {
+	region := r.random.IntN(hollow.Regions)
+	isolated, other := 0, (region+1)%hollow.Regions
+	r.recordRigEvent(history.FaultsStarted, "")
+	for i := range r.dispatchers {
 		if i%hollow.Regions == region {
-			members++
-			p.recordRigEvent(history.CutOff, hollow.DispatcherName(i))
+			isolated++
+			r.recordRigEvent(history.CutOff, hollow.DispatcherName(i))
 		}
 	}
-	p.fleet.SetIsolated(region, true)
+	r.fleet.SetIsolated(region, true)
 	begun := time.Now()
-	err := p.fleet.Await("a leader of the rest", settleTimeout, func() bool { return p.fleet.IsLeader(rest) || p.fleet.IsLeader((rest+1)%hollow.Regions) })
+	err := r.fleet.Await("a leader outside the isolated region", settleTimeout, func() bool { return r.fleet.IsLeader(other) || r.fleet.IsLeader((other+1)%hollow.Regions) })
 	if err == nil {
-		changed := time.Now()
+		proposed := time.Now()
 		var version uint64
-		if version, err = p.propose(rest); err == nil {
-			err = p.fleet.AwaitServing(p.dispatchers-members, version, settleTimeout)
+		if version, err = r.propose(other); err == nil {
+			err = r.fleet.AwaitServing(r.dispatchers-isolated, version, settleTimeout)
 		}
-		p.report.IsolatedChangeTime = time.Since(changed)
+		r.report.IsolatedChangeTime = time.Since(proposed)
 	}
-	time.Sleep(time.Until(begun.Add(p.IsolationTime)))
-	p.fleet.SetIsolated(region, false)
-	for i := range p.dispatchers {
+	time.Sleep(time.Until(begun.Add(r.IsolationTime)))
+	r.fleet.SetIsolated(region, false)
+	for i := range r.dispatchers {
 		if i%hollow.Regions == region {
-			p.recordRigEvent(history.Reconnected, hollow.DispatcherName(i))
+			r.recordRigEvent(history.Reconnected, hollow.DispatcherName(i))
 		}
 	}
-	back := time.Now()
+	reconnected := time.Now()
 	if err == nil {
-		err = p.fleet.AwaitServing(p.dispatchers, p.fleet.LastDecided(), settleTimeout)
+		err = r.fleet.AwaitServing(r.dispatchers, r.fleet.LastDecided(), settleTimeout)
 	}
-	p.report.ReconnectTime = time.Since(back)
-	p.recordRigEvent(history.FaultsEnded, "")
+	r.report.ReconnectTime = time.Since(reconnected)
+	r.recordRigEvent(history.FaultsEnded, "")
 	return err
 }
 
-func (p *runner) recordRigEvent(what, process string) { p.fleet.RecordRigEvent(process, what) }
+// recordRigEvent records an event of package accordhistory, for a process or, if process is empty, for the fleet.
+func (r *runner) recordRigEvent(event, process string) { r.fleet.RecordRigEvent(process, event) }
 
-// fillReport takes the history and what it cost.
-func (p *runner) fillReport() error {
+// fillReport reads the usage and the traffic, collects the history and checks it.
+func (r *runner) fillReport() error {
 	var err error
-	for _, q := range p.fleet.Real {
-		if q == nil {
+	for _, process := range r.fleet.Real {
+		if process == nil {
 			continue
 		}
-		c, e := hollow.ReadResourceUsage(q.PID())
-		err = errors.Join(err, e)
-		p.report.ProcessUsage = append(p.report.ProcessUsage, c)
+		usage, readErr := hollow.ReadResourceUsage(process.PID())
+		err = errors.Join(err, readErr)
+		r.report.ProcessUsage = append(r.report.ProcessUsage, usage)
 	}
-	own, e := hollow.ReadResourceUsage(-1)
-	p.report.OwnUsage, err = own, errors.Join(err, e)
-	p.report.VoterTraffic = p.fleet.Traffic()
-	p.report.ListBytes = p.fleet.ListMeter.RequestBytes.Load() + p.fleet.ListMeter.ResponseBytes.Load()
-	for _, e := range p.fleet.TakeEvents() {
-		side := history.SourceLog
+	ownUsage, readErr := hollow.ReadResourceUsage(-1)
+	r.report.OwnUsage, err = ownUsage, errors.Join(err, readErr)
+	r.report.VoterTraffic = r.fleet.Traffic()
+	r.report.ListBytes = r.fleet.ListMeter.RequestBytes.Load() + r.fleet.ListMeter.ResponseBytes.Load()
+	for _, e := range r.fleet.TakeEvents() {
+		source := history.SourceLog
 		if e.FromRig {
-			side = history.SourceRig
+			source = history.SourceRig
 		}
-		p.report.DroppedLogLines += e.DroppedLines
-		p.lines = append(p.lines, history.Line{Time: e.Time.UnixNano(), Source: side, Process: e.Process, Event: e.Name, Version: e.Version, Change: e.Change, Proposer: e.Proposer, Reason: e.Reason})
+		r.report.DroppedLogLines += e.DroppedLines
+		r.lines = append(r.lines, history.Line{Time: e.Time.UnixNano(), Source: source, Process: e.Process, Event: e.Name, Version: e.Version, Change: e.Change, Proposer: e.Proposer, Reason: e.Reason})
 	}
-	p.lines = append(p.lines, p.load.clientHistory(p.report)...)
-	p.lines = append(p.lines, attemptStarts(p.fleet)...)
-	p.report.ServiceGaps = serviceGaps(p.lines)
-	lease := p.Fleet.Lease
-	p.report.Violations = history.Check(p.lines, history.Rules{ClockTolerance: p.ClockTolerance, Lease: lease, SettleTimeout: settleTimeout, MaxStartsAfterResume: 8})
+	r.lines = append(r.lines, r.load.clientHistory(r.report)...)
+	r.lines = append(r.lines, attemptStarts(r.fleet)...)
+	r.report.ServiceGaps = serviceGaps(r.lines)
+	lease := r.Fleet.Lease
+	r.report.Violations = history.Check(r.lines, history.Rules{ClockTolerance: r.ClockTolerance, Lease: lease, SettleTimeout: settleTimeout, MaxStartsAfterResume: 8})
 	return err
 }
 
-// serviceGaps are the times in which, between two versions, no dispatcher took a req; 0 where some still took by the old one
-// when others took by the new: those that were cut off, which the judge looks at.
-func serviceGaps(lines []history.Line) (out []time.Duration) {
-	first, stops := map[uint64]int64{}, map[uint64][]int64{}
+// serviceGaps returns, for each change of the version, the time in which no dispatcher accepted reqs: from the last
+// stop ("fenced") by the old version before the first dispatcher served by the new one, until that. It ignores stops
+// after that time: they are of dispatchers that were cut off, which the history check covers.
+func serviceGaps(lines []history.Line) (gaps []time.Duration) {
+	firstServing, stops := map[uint64]int64{}, map[uint64][]int64{}
 	for _, l := range lines {
 		switch {
 		case l.Source != history.SourceLog:
-		case l.Event == "serving" && (first[l.Version] == 0 || l.Time < first[l.Version]):
-			first[l.Version] = l.Time
+		case l.Event == "serving" && (firstServing[l.Version] == 0 || l.Time < firstServing[l.Version]):
+			firstServing[l.Version] = l.Time
 		case l.Event == "fenced":
 			stops[l.Version] = append(stops[l.Version], l.Time)
 		}
 	}
-	for v, at := range first {
-		last := int64(0)
-		for _, t := range stops[v-1] {
-			if t < at {
-				last = max(last, t)
+	for version, servingAt := range firstServing {
+		lastStop := int64(0)
+		for _, stoppedAt := range stops[version-1] {
+			if stoppedAt < servingAt {
+				lastStop = max(lastStop, stoppedAt)
 			}
 		}
-		if last > 0 {
-			out = append(out, time.Duration(at-last))
+		if lastStop > 0 {
+			gaps = append(gaps, time.Duration(servingAt-lastStop))
 		}
 	}
-	return out
+	return gaps
 }
--- a/internal/lab/hollow/size/run_test.go
+++ b/internal/lab/hollow/size/run_test.go
@@ -14,14 +14,16 @@
 	"tinsail/internal/lab/hollow"
 )
 
+// buildProgram builds the dispatcher program and returns its command line.
 func buildProgram(t *testing.T) []string {
-	at := filepath.Join(t.TempDir(), "tinsail")
-	out, err := exec.Command("go", "build", "-buildvcs=false", "-o", at, "tinsail/cmd/tinsail").CombinedOutput()
+	path := filepath.Join(t.TempDir(), "tinsail")
+	out, err := exec.Command("go", "build", "-buildvcs=false", "-o", path, "tinsail/cmd/tinsail").CombinedOutput()
 	require.NoError(t, err, string(out))
-	return []string{at}
+	return []string{path}
 }
 
-// fullRun is the letter's size, as far as one machine plays it; smallRun is the same in little.
+// fullRun has the size that the service is required to support, as far as one machine can run it; smallRun is a small
+// one of the same shape.
 var (
 	fullRun = Config{Fleet: hollow.FleetConfig{Real: 30, Hollow: 270, Lease: 1500 * time.Millisecond, RegionLatency: 25 * time.Millisecond, Workers: 580},
 		BannedNames: 310, Changes: 240, Restarts: 190, ReqsPerSecond: 36, IsolationTime: 20 * time.Second, ClockTolerance: 20 * time.Millisecond, MaxDuration: 12 * time.Minute, Seed: 1}
@@ -29,51 +31,53 @@
 		BannedNames: 40, Changes: 8, Restarts: 6, ReqsPerSecond: 20, IsolationTime: 4 * time.Second, ClockTolerance: 20 * time.Millisecond, MaxDuration: 3 * time.Minute, Seed: 1}
 )
 
-// TestDay: a change is in force at all or nowhere, whatever is restarted or cut off meanwhile; each req has one answer; all are
-// on one version in the end. HOLLOW_DAY=full plays the whole size, quarter the same fleet with a quarter of the changes and restarts.
+// TestDay checks that each change is in force at all dispatchers or at none, whatever is restarted or cut off
+// meanwhile, that each req has one answer, and that all dispatchers are on one version in the end. HOLLOW_DAY=full runs
+// fullRun; HOLLOW_DAY=quarter runs it with a quarter of the changes and restarts.
 func TestDay(t *testing.T) {
-	d := smallRun
+	config := smallRun
 	switch os.Getenv("HOLLOW_DAY") {
 	case "full":
-		d = fullRun
+		config = fullRun
 	case "quarter":
-		d = fullRun
-		d.Changes, d.Restarts = d.Changes/4, d.Restarts/4
+		config = fullRun
+		config.Changes, config.Restarts = config.Changes/4, config.Restarts/4
 	}
-	d.Fleet.Program = buildProgram(t)
-	r, err := Run(d)
-	for _, v := range r.Violations[:min(len(r.Violations), 20)] {
+	config.Fleet.Program = buildProgram(t)
+	report, err := Run(config)
+	for _, v := range report.Violations[:min(len(report.Violations), 20)] {
 		t.Error(v)
 	}
-	logReport(t, r)
+	logReport(t, report)
 	require.NoError(t, err)
-	assert.Len(t, r.ChangeTimes, d.Changes)
-	assert.GreaterOrEqual(t, r.Terminated+r.Killed, d.Restarts*(d.Changes-1)/d.Changes)
-	assert.Zero(t, r.VoterTraffic[hollow.Undecoded].Bytes)
-	assert.Equal(t, r.ReqsSent, r.ReqsOK+r.ReqsRejected+r.ReqsBroken, "one answer each, or a connection that broke")
-	assert.NotZero(t, r.ReqsOK)
-	assert.Less(t, r.TotalMemory(), int64(12<<30))
+	assert.Len(t, report.ChangeTimes, config.Changes)
+	assert.GreaterOrEqual(t, report.Terminated+report.Killed, config.Restarts*(config.Changes-1)/config.Changes)
+	assert.Zero(t, report.VoterTraffic[hollow.Undecoded].Bytes)
+	assert.Equal(t, report.ReqsSent, report.ReqsOK+report.ReqsRejected+report.ReqsBroken, "each req has one answer or a broken connection")
+	assert.NotZero(t, report.ReqsOK)
+	assert.Less(t, report.TotalMemory(), int64(12<<30))
 }
 
-func logReport(t *testing.T, r *Report) {
-	t.Logf("took %v: %d changes, %d proposed again; %d restarts and %d kills", r.Duration, len(r.ChangeTimes), r.WithdrawnChanges, r.Terminated, r.Killed)
-	if e := slices.Sorted(slices.Values(r.ChangeTimes)); len(e) > 0 {
-		t.Logf("in force everywhere: median %v, 95 of 100 within %v, most %v", e[len(e)/2], e[len(e)*95/100], e[len(e)-1])
+// logReport logs the figures of a run.
+func logReport(t *testing.T, report *Report) {
+	t.Logf("duration %v: %d policy changes, %d repeated proposals; %d restarts by SIGTERM, %d by SIGKILL", report.Duration, len(report.ChangeTimes), report.WithdrawnChanges, report.Terminated, report.Killed)
+	if times := slices.Sorted(slices.Values(report.ChangeTimes)); len(times) > 0 {
+		t.Logf("change in force everywhere: median %v, p95 %v, max %v", times[len(times)/2], times[len(times)*95/100], times[len(times)-1])
 	}
-	if e := slices.Sorted(slices.Values(r.ServiceGaps)); len(e) > 0 {
-		t.Logf("nobody took: median %v, 95 of 100 within %v, most %v", e[len(e)/2], e[len(e)*95/100], e[len(e)-1])
+	if times := slices.Sorted(slices.Values(report.ServiceGaps)); len(times) > 0 {
+		t.Logf("no dispatcher accepted reqs: median %v, p95 %v, max %v", times[len(times)/2], times[len(times)*95/100], times[len(times)-1])
 	}
-	t.Logf("a region cut off: a change of the rest %v, all back after %v", r.IsolatedChangeTime, r.ReconnectTime)
-	t.Logf("reqs: asked %d, 200 %d, other answers %d, broken %d", r.ReqsSent, r.ReqsOK, r.ReqsRejected, r.ReqsBroken)
-	t.Logf("lines left out by logs: %d; verdicts: %d", r.DroppedLogLines, len(r.Violations))
-	for k, c := range r.VoterTraffic {
-		t.Logf("%-18v %9d messages %12d bytes", hollow.MessageKind(k), c.Messages, c.Bytes)
+	t.Logf("region cut off: change in the others took %v, reconnection took %v", report.IsolatedChangeTime, report.ReconnectTime)
+	t.Logf("reqs: sent %d, status 200 %d, other status %d, no answer %d", report.ReqsSent, report.ReqsOK, report.ReqsRejected, report.ReqsBroken)
+	t.Logf("log lines dropped: %d; violations: %d", report.DroppedLogLines, len(report.Violations))
+	for kind, tally := range report.VoterTraffic {
+		t.Logf("%-18v %9d messages %12d bytes", hollow.MessageKind(kind), tally.Messages, tally.Bytes)
 	}
-	t.Logf("lists: %d bytes", r.ListBytes)
-	for i, c := range r.ProcessUsage {
+	t.Logf("director's lists: %d bytes", report.ListBytes)
+	for i, usage := range report.ProcessUsage {
 		if i < hollow.Regions+1 {
-			t.Logf("process %d: %v of processor time, %d MB, %d threads, %d descriptors", i, c.CPU, c.Memory>>20, c.Threads, c.OpenFiles)
+			t.Logf("process %d: %v CPU time, %d MiB, %d threads, %d open files", i, usage.CPU, usage.Memory>>20, usage.Threads, usage.OpenFiles)
 		}
 	}
-	t.Logf("this process: %v, %d MB; all: %d MB in %d processes", r.OwnUsage.CPU, r.OwnUsage.Memory>>20, r.TotalMemory()>>20, len(r.ProcessUsage)+1)
+	t.Logf("this process: %v CPU time, %d MiB; in all: %d MiB in %d processes", report.OwnUsage.CPU, report.OwnUsage.Memory>>20, report.TotalMemory()>>20, len(report.ProcessUsage)+1)
 }
