--- a/internal/lab/hollow/measure/measure_test.go
+++ b/internal/lab/hollow/measure/measure_test.go
@@ -14,13 +14,14 @@
 	"tinsail/internal/lab/capacity"
 )
 
+// program builds the dispatcher program once and returns its command line.
 var program = sync.OnceValues(func() ([]string, error) {
 	dir, err := os.MkdirTemp("", "program")
 	if err != nil {
 		return nil, err
 	}
-	at := filepath.Join(dir, "tinsail")
-	return []string{at}, exec.Command("go", "build", "-buildvcs=false", "-o", at, "tinsail/cmd/tinsail").Run()
+	path := filepath.Join(dir, "tinsail")
+	return []string{path}, exec.Command("go", "build", "-buildvcs=false", "-o", path, "tinsail/cmd/tinsail").Run()
 })
 
 func TestMain(m *testing.M) {
@@ -31,13 +32,14 @@
 	os.Exit(code)
 }
 
+// smallRunner returns a Runner for small fleets and short measurements.
 func smallRunner(t *testing.T) Runner {
 	p, err := program()
 	require.NoError(t, err)
 	return Runner{Program: p, MaxReal: 5, Workers: 6, Lease: 1500 * time.Millisecond, Settle: 300 * time.Millisecond, Window: 2 * time.Second, Repeats: 1, BannedNames: 20}
 }
 
-// meanOf is the mean meanOf a slope's rows at a size.
+// meanOf returns the mean of a slope's rows at x. It fails the test if there are none.
 func meanOf(t *testing.T, rows []capacity.Row, slope string, x float64) float64 {
 	sum, n := 0.0, 0.0
 	for _, r := range rows {
@@ -49,9 +51,8 @@
 	return sum / n
 }
 
-// TestSmallControl: what the leader exchanges with members grows with their count, each link's share stays what three asks and three
-// answers a lease cost, and a policy's change reaches each dispatcher with its body twice at the most (as a draft and to one that
-// held another) beside what is said of it.
+// TestSmallControl checks that the leader's traffic with the members grows with their number, and that a link's bytes
+// per message stay the same: those of the three requests and three answers that each lease takes.
 func TestSmallControl(t *testing.T) {
 	r := smallRunner(t)
 	rows, err := r.SteadyByFleetSize(4, 8, 16)
@@ -61,26 +62,30 @@
 	}
 	assert.InEpsilon(t, 15, meanOf(t, rows, "accord-leader-bytes", 16)/meanOf(t, rows, "accord-leader-bytes", 4)*3, 0.3)
 	for _, n := range []float64{4, 8, 16} {
-		per := meanOf(t, rows, "accord-link-bytes", n) / meanOf(t, rows, "accord-link-messages", n)
-		assert.InDelta(t, 115, per, 35, "bytes a message")
+		bytesPerMessage := meanOf(t, rows, "accord-link-bytes", n) / meanOf(t, rows, "accord-link-messages", n)
+		assert.InDelta(t, 115, bytesPerMessage, 35, "bytes per message")
 	}
 }
 
+// TestSmallChange checks that a change sends the policy's body to each dispatcher at most twice (as a draft, and to a
+// dispatcher that has a different one), apart from the messages about the change, and that a change is measured with a
+// dispatcher killed.
 func TestSmallChange(t *testing.T) {
 	r := smallRunner(t)
 	rows, err := r.ChangeByFleetSize(4, 8)
 	require.NoError(t, err)
-	body := float64(len(policyNames(20, 0))*30 + 70)
+	bodySize := float64(len(policyNames(20, 0))*30 + 70)
 	for _, n := range []float64{4, 8} {
-		assert.Less(t, meanOf(t, rows, "change-link-bytes", n), 3*body+6000)
-		assert.Greater(t, meanOf(t, rows, "change-link-bytes", n), body/2)
+		assert.Less(t, meanOf(t, rows, "change-link-bytes", n), 3*bodySize+6000)
+		assert.Greater(t, meanOf(t, rows, "change-link-bytes", n), bodySize/2)
 	}
 	rows, err = r.ChangeAfterKillByLease(6, r.Lease)
 	require.NoError(t, err)
 	assert.NotEmpty(t, rows)
 }
 
-// TestSmallRecovery: whoever is restarted, all serve again, and one list is read by each that began anew.
+// TestSmallRecovery checks that all dispatchers serve again after each kind of restart, and that restarted ones read
+// the director's list.
 func TestSmallRecovery(t *testing.T) {
 	r := smallRunner(t)
 	rows, err := r.RestartsByFleetSize(6)
@@ -91,7 +96,8 @@
 	assert.NotZero(t, meanOf(t, rows, "restart-fleet-link-messages", 5))
 }
 
-// TestSmallRounds: a round confirms all asks that came before it, so that there are never more rounds than asks.
+// TestSmallRounds checks that there are hardly more rounds than member requests: a round confirms all requests that
+// came before it.
 func TestSmallRounds(t *testing.T) {
 	r := smallRunner(t)
 	r.RegionLatency = 10 * time.Millisecond
@@ -102,8 +108,8 @@
 	}
 }
 
-// BenchmarkHollow is 300 dispatchers, all but the voters hollow, in which nothing changes: for a profile of what their processor
-// time goes on, beside the relays' that count.
+// BenchmarkHollow runs a steady fleet of 300 dispatchers, of which only the voters are real, for a CPU profile of the
+// hollow dispatchers and of the relays that count their traffic.
 func BenchmarkHollow(b *testing.B) {
 	p, err := program()
 	require.NoError(b, err)
--- a/internal/lab/hollow/measure/restart.go
+++ b/internal/lab/hollow/measure/restart.go
@@ -9,183 +9,189 @@
 	"tinsail/internal/lab/hollow"
 )
 
-// totals is what a fleet exchanges: with voters, between them, and with the director.
+// totals are a fleet's traffic totals at a time: between members and voters, between the voters, and with the director.
 type totals struct {
 	at                   time.Time
 	members, raft, lists hollow.Tally
 }
 
-func readTotals(f *hollow.Fleet) totals {
-	c := f.Traffic()
-	l := &f.ListMeter
-	return totals{time.Now(), c.MemberTotal(), c.RaftTotal(), hollow.Tally{Messages: l.RequestChunks.Load() + l.ResponseChunks.Load(), Bytes: l.RequestBytes.Load() + l.ResponseBytes.Load()}}
+// readTotals reads the meters of a fleet.
+func readTotals(fleet *hollow.Fleet) totals {
+	traffic := fleet.Traffic()
+	lists := &fleet.ListMeter
+	return totals{time.Now(), traffic.MemberTotal(), traffic.RaftTotal(), hollow.Tally{Messages: lists.RequestChunks.Load() + lists.ResponseChunks.Load(), Bytes: lists.RequestBytes.Load() + lists.ResponseBytes.Load()}}
 }
 
-// excess is what was spent from a to b excess the pace of the time from before to a; not below 0.
-func excess(before, a, b totals, of func(totals) int64) float64 {
-	pace := float64(of(a)-of(before)) / a.at.Sub(before.at).Seconds()
-	return max(0, float64(of(b)-of(a))-pace*b.at.Sub(a.at).Seconds())
+// excess returns how much value grew from begun to after beyond its rate from before to begun; at least 0.
+func excess(before, begun, after totals, value func(totals) int64) float64 {
+	rate := float64(value(begun)-value(before)) / begun.at.Sub(before.at).Seconds()
+	return max(0, float64(value(after)-value(begun))-rate*after.at.Sub(begun.at).Seconds())
 }
 
-// measureRecovery measures what break breaks, until it is whole again. mended says how long that took.
-func (r Runner) measureRecovery(s *table, f *hollow.Fleet, name string, x float64, how string, mend func() error) error {
-	before := readTotals(f)
+// measureRecovery adds rows of the time that restart takes, and of the traffic during it beyond that of a window before
+// it. restart must return when the fleet serves again.
+func (r Runner) measureRecovery(t *table, fleet *hollow.Fleet, name string, x float64, method string, restart func() error) error {
+	before := readTotals(fleet)
 	time.Sleep(r.Window)
-	begun := readTotals(f)
-	if err := mend(); err != nil {
+	begun := readTotals(fleet)
+	if err := restart(); err != nil {
 		return fmt.Errorf("%s at %v: %w", name, x, err)
 	}
-	after := readTotals(f)
-	s.add(name+"-time", "ms", x, float64(after.at.Sub(begun.at).Microseconds())/1000, how)
-	s.add(name+"-link-messages", "messages beyond the usual", x, excess(before, begun, after, func(s totals) int64 { return s.members.Messages }), how)
-	s.add(name+"-link-bytes", "bytes beyond the usual", x, excess(before, begun, after, func(s totals) int64 { return s.members.Bytes }), how)
-	s.add(name+"-between-bytes", "bytes beyond the usual", x, excess(before, begun, after, func(s totals) int64 { return s.raft.Bytes }), how)
-	s.add(name+"-list-bytes", "bytes beyond the usual", x, excess(before, begun, after, func(s totals) int64 { return s.lists.Bytes }), how)
+	after := readTotals(fleet)
+	t.add(name+"-time", "ms", x, float64(after.at.Sub(begun.at).Microseconds())/1000, method)
+	t.add(name+"-link-messages", "messages beyond the usual", x, excess(before, begun, after, func(t totals) int64 { return t.members.Messages }), method)
+	t.add(name+"-link-bytes", "bytes beyond the usual", x, excess(before, begun, after, func(t totals) int64 { return t.members.Bytes }), method)
+	t.add(name+"-between-bytes", "bytes beyond the usual", x, excess(before, begun, after, func(t totals) int64 { return t.raft.Bytes }), method)
+	t.add(name+"-list-bytes", "bytes beyond the usual", x, excess(before, begun, after, func(t totals) int64 { return t.lists.Bytes }), method)
 	return nil
 }
 
-// RestartsByFleetSize measures restarts against dispatchers: of one dispatcher, of all that are no voters within a moment, and of
-// the voter that leads. A restart's time runs from the start of what was killed, or for the leader from its kill, until all serve.
+// RestartsByFleetSize measures restarts against the number of dispatchers: of one dispatcher, of all except the voters
+// at once, and of the leading voter. The time runs from the start of the killed dispatchers, or from the kill of the
+// leader, until all dispatchers serve. MaxReal must be above hollow.Regions.
 func (r Runner) RestartsByFleetSize(sizes ...int) ([]capacity.Row, error) {
-	s := &table{against: "dispatchers", note: fmt.Sprintf("lease %v, %d names, %d workers", r.Lease, r.BannedNames, r.Workers)}
-	for _, n := range sizes {
-		if err := r.measureRestarts(s, n); err != nil {
+	t := &table{against: "dispatchers", note: fmt.Sprintf("lease %v, %d names, %d workers", r.Lease, r.BannedNames, r.Workers)}
+	for _, dispatchers := range sizes {
+		if err := r.measureRestarts(t, dispatchers); err != nil {
 			return nil, err
 		}
 	}
-	return s.rows, nil
+	return t.rows, nil
 }
 
-func (r Runner) measureRestarts(s *table, n int) error {
-	p, x := r.fleetConfig(n), float64(n)
-	f, err := hollow.StartFleet(p)
+// measureRestarts adds the rows of a fleet of the given size.
+func (r Runner) measureRestarts(t *table, dispatchers int) error {
+	config, x := r.fleetConfig(dispatchers), float64(dispatchers)
+	fleet, err := hollow.StartFleet(config)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	whole := func() error { return f.AwaitServing(n, 1, time.Minute) }
-	if err := whole(); err != nil {
+	defer fleet.Close()
+	awaitAll := func() error { return fleet.AwaitServing(dispatchers, 1, time.Minute) }
+	if err := awaitAll(); err != nil {
 		return err
 	}
 	time.Sleep(r.Settle)
 	for range r.Repeats {
-		one := p.Real - 1 // real, and no voter
-		f.Stop(one)
-		if err := r.measureRecovery(s, f, "restart-one-of", x, howMeasured(p), func() error {
-			if err := f.Start(one); err != nil {
+		single := config.Real - 1 // a real dispatcher that isn't a voter
+		fleet.Stop(single)
+		if err := r.measureRecovery(t, fleet, "restart-one-of", x, methodOf(config), func() error {
+			if err := fleet.Start(single); err != nil {
 				return err
 			}
-			return whole()
+			return awaitAll()
 		}); err != nil {
 			return err
 		}
-		for i := hollow.Regions; i < n; i++ {
-			f.Stop(i)
+		for i := hollow.Regions; i < dispatchers; i++ {
+			fleet.Stop(i)
 		}
-		if err := r.measureRecovery(s, f, "restart-dispatchers", x, howMeasured(p), func() error {
-			if err := startAll(f, hollow.Regions, n); err != nil {
+		if err := r.measureRecovery(t, fleet, "restart-dispatchers", x, methodOf(config), func() error {
+			if err := startAll(fleet, hollow.Regions, dispatchers); err != nil {
 				return err
 			}
-			return whole()
+			return awaitAll()
 		}); err != nil {
 			return err
 		}
-		if err := f.Await("a leader", time.Minute, func() bool { return f.Leader() >= 0 }); err != nil {
+		if err := fleet.Await("a leader", time.Minute, func() bool { return fleet.Leader() >= 0 }); err != nil {
 			return err
 		}
-		if err := r.measureLeaderRestart(s, f, x, n); err != nil {
+		if err := r.measureLeaderRestart(t, fleet, x, dispatchers); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// measureLeaderRestart kills the leader and starts it again.
-func (r Runner) measureLeaderRestart(s *table, f *hollow.Fleet, x float64, n int) error {
-	leads := f.Leader()
-	f.TakeEvents()
-	var elected time.Duration
-	err := r.measureRecovery(s, f, "restart-leader", x, howMeasured(f.Config), func() error {
+// measureLeaderRestart kills the leader, starts it again once there is a new one, and adds the rows of that.
+func (r Runner) measureLeaderRestart(t *table, fleet *hollow.Fleet, x float64, dispatchers int) error {
+	leader := fleet.Leader()
+	fleet.TakeEvents()
+	var electionTime time.Duration
+	err := r.measureRecovery(t, fleet, "restart-leader", x, methodOf(fleet.Config), func() error {
 		begun := time.Now()
-		f.Stop(leads)
-		if err := f.Await("a new leader", time.Minute, func() bool { return f.Leader() >= 0 }); err != nil {
+		fleet.Stop(leader)
+		if err := fleet.Await("a new leader", time.Minute, func() bool { return fleet.Leader() >= 0 }); err != nil {
 			return err
 		}
-		elected = time.Since(begun)
-		if err := f.Start(leads); err != nil {
+		electionTime = time.Since(begun)
+		if err := fleet.Start(leader); err != nil {
 			return err
 		}
-		return f.AwaitServing(n, 1, time.Minute)
+		return fleet.AwaitServing(dispatchers, 1, time.Minute)
 	})
 	if err != nil {
 		return err
 	}
-	fenced := map[string]bool{}
-	for _, e := range f.TakeEvents() {
-		if e.Name == "fenced" && e.Process != hollow.DispatcherName(leads) {
+	fenced := map[string]bool{} // names of the other dispatchers that stopped serving
+	for _, e := range fleet.TakeEvents() {
+		if e.Name == "fenced" && e.Process != hollow.DispatcherName(leader) {
 			fenced[e.Process] = true
 		}
 	}
-	s.add("restart-leader-elected", "ms", x, float64(elected.Microseconds())/1000, howMeasured(f.Config))
-	s.add("restart-leader-fenced", "dispatchers that stopped", x, float64(len(fenced)), howMeasured(f.Config))
+	t.add("restart-leader-elected", "ms", x, float64(electionTime.Microseconds())/1000, methodOf(fleet.Config))
+	t.add("restart-leader-fenced", "dispatchers that stopped", x, float64(len(fenced)), methodOf(fleet.Config))
 	return nil
 }
 
-// startAll starts dispatchers at a time, as many as 16 real ones.
-func startAll(f *hollow.Fleet, from, to int) error {
-	var all sync.WaitGroup
+// startAll starts the dispatchers from first up to, but not including, end, at most 16 at a time. It returns an error
+// of one of the starts that failed.
+func startAll(fleet *hollow.Fleet, first, end int) error {
+	var starting sync.WaitGroup
 	var mu sync.Mutex
-	var first error
-	seats := make(chan struct{}, 16)
-	for i := from; i < to; i++ {
-		all.Go(func() {
-			seats <- struct{}{}
-			defer func() { <-seats }()
-			if err := f.Start(i); err != nil {
+	var startErr error
+	slots := make(chan struct{}, 16)
+	for i := first; i < end; i++ {
+		starting.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			if err := fleet.Start(i); err != nil {
 				mu.Lock()
-				first = err
+				startErr = err
 				mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
-	return first
+	starting.Wait()
+	return startErr
 }
 
-// FleetRestartByFleetSize measures the start of a whole fleet at a time, the voters with empty logs, until all serve.
+// FleetRestartByFleetSize measures the restart of a whole fleet at once, until all dispatchers serve, against the
+// number of dispatchers. The voters keep their logs.
 func (r Runner) FleetRestartByFleetSize(sizes ...int) ([]capacity.Row, error) {
-	s := &table{against: "dispatchers", note: fmt.Sprintf("lease %v, %d names, %d workers; voters keep their logs", r.Lease, r.BannedNames, r.Workers)}
-	for _, n := range sizes {
-		p := r.fleetConfig(n)
-		f, err := hollow.StartFleet(p)
+	t := &table{against: "dispatchers", note: fmt.Sprintf("lease %v, %d names, %d workers; voters keep their logs", r.Lease, r.BannedNames, r.Workers)}
+	for _, dispatchers := range sizes {
+		config := r.fleetConfig(dispatchers)
+		fleet, err := hollow.StartFleet(config)
 		if err != nil {
 			return nil, err
 		}
 		for range r.Repeats {
-			if err = f.AwaitServing(n, 1, time.Minute); err != nil {
+			if err = fleet.AwaitServing(dispatchers, 1, time.Minute); err != nil {
 				break
 			}
-			for i := range n {
-				f.Stop(i)
+			for i := range dispatchers {
+				fleet.Stop(i)
 			}
-			begun := readTotals(f)
-			if err = startAll(f, 0, n); err != nil {
+			begun := readTotals(fleet)
+			if err = startAll(fleet, 0, dispatchers); err != nil {
 				break
 			}
-			if err = f.AwaitServing(n, 1, time.Minute); err != nil {
+			if err = fleet.AwaitServing(dispatchers, 1, time.Minute); err != nil {
 				break
 			}
-			after := readTotals(f)
-			x := float64(n)
-			s.add("restart-fleet-time", "ms", x, float64(after.at.Sub(begun.at).Microseconds())/1000, howMeasured(p))
-			s.add("restart-fleet-link-messages", "messages", x, float64(after.members.Messages-begun.members.Messages), howMeasured(p))
-			s.add("restart-fleet-link-bytes", "bytes", x, float64(after.members.Bytes-begun.members.Bytes), howMeasured(p))
-			s.add("restart-fleet-list-bytes", "bytes", x, float64(after.lists.Bytes-begun.lists.Bytes), howMeasured(p))
+			after := readTotals(fleet)
+			x := float64(dispatchers)
+			t.add("restart-fleet-time", "ms", x, float64(after.at.Sub(begun.at).Microseconds())/1000, methodOf(config))
+			t.add("restart-fleet-link-messages", "messages", x, float64(after.members.Messages-begun.members.Messages), methodOf(config))
+			t.add("restart-fleet-link-bytes", "bytes", x, float64(after.members.Bytes-begun.members.Bytes), methodOf(config))
+			t.add("restart-fleet-list-bytes", "bytes", x, float64(after.lists.Bytes-begun.lists.Bytes), methodOf(config))
 		}
-		f.Close()
+		fleet.Close()
 		if err != nil {
-			return nil, fmt.Errorf("restart of all %d: %w", n, err)
+			return nil, fmt.Errorf("restart of a fleet of %d dispatchers: %w", dispatchers, err)
 		}
 	}
-	return s.rows, nil
+	return t.rows, nil
 }
--- a/internal/lab/hollow/measure/rounds.go
+++ b/internal/lab/hollow/measure/rounds.go
@@ -12,67 +12,73 @@
 	"tinsail/internal/lab/hollow"
 )
 
-// roundCounter counts how often the log's library is asked to confirm that its leader leads, over all voters of this process.
+// roundCounter is a metrics sink that counts how often the Raft library verifies its leader, over all voters of this
+// process.
 type roundCounter struct {
 	metrics.BlackholeSink
 	rounds atomic.Int64
 }
 
+// IncrCounter counts raft.verify_leader and ignores the other counters.
 func (r *roundCounter) IncrCounter(key []string, _ float32) {
 	if strings.HasSuffix(strings.Join(key, "."), "raft.verify_leader") {
 		r.rounds.Add(1)
 	}
 }
 
+// IncrCounterWithLabels is IncrCounter without the labels.
 func (r *roundCounter) IncrCounterWithLabels(key []string, v float32, _ []metrics.Label) {
 	r.IncrCounter(key, v)
 }
 
-// LeadershipRoundsByFleetSize counts the rounds to confirm leadership against dispatchers, with the asks that they confirm and the heartbeats
-// that they take. The voters are in this process: counts alone are taken.
+// LeadershipRoundsByFleetSize measures the rounds in which the leader confirms its leadership, the member requests that
+// they confirm and the heartbeats that they take, against the number of dispatchers. All dispatchers are hollow, so
+// that the rounds can be counted in this process; only counts are measured.
 func (r Runner) LeadershipRoundsByFleetSize(sizes ...int) ([]capacity.Row, error) {
-	s := &table{against: "dispatchers", note: fmt.Sprintf("lease %v, %v between regions", r.Lease, r.RegionLatency)}
-	counted := &roundCounter{}
-	c := metrics.DefaultConfig("")
-	c.EnableHostname, c.EnableRuntimeMetrics = false, false
-	if _, err := metrics.NewGlobal(c, counted); err != nil {
+	t := &table{against: "dispatchers", note: fmt.Sprintf("lease %v, %v between regions", r.Lease, r.RegionLatency)}
+	counter := &roundCounter{}
+	metricsConfig := metrics.DefaultConfig("")
+	metricsConfig.EnableHostname, metricsConfig.EnableRuntimeMetrics = false, false
+	if _, err := metrics.NewGlobal(metricsConfig, counter); err != nil {
 		return nil, err
 	}
 	name := "rounds"
 	if r.RegionLatency > 0 {
 		name = fmt.Sprintf("rounds-lag-%d", r.RegionLatency.Milliseconds())
 	}
-	for _, n := range sizes {
-		p := r.fleetConfig(n)
-		p.Real, p.Hollow = 0, n
-		f, err := hollow.StartFleet(p)
+	for _, dispatchers := range sizes {
+		config := r.fleetConfig(dispatchers)
+		config.Real, config.Hollow = 0, dispatchers
+		fleet, err := hollow.StartFleet(config)
 		if err != nil {
 			return nil, err
 		}
-		if err = f.AwaitServing(n, 1, time.Minute); err == nil {
+		if err = fleet.AwaitServing(dispatchers, 1, time.Minute); err == nil {
 			time.Sleep(r.Settle)
 			for range r.Repeats {
-				r.measureRounds(f, s, name, float64(n), counted)
+				r.measureRounds(fleet, t, name, float64(dispatchers), counter)
 			}
 		}
-		f.Close()
+		fleet.Close()
 		if err != nil {
 			return nil, err
 		}
 	}
-	return s.rows, nil
+	return t.rows, nil
 }
 
-func (r Runner) measureRounds(f *hollow.Fleet, s *table, name string, x float64, counted *roundCounter) {
-	counts, n, begun := f.Traffic(), counted.rounds.Load(), time.Now()
+// measureRounds adds the rows of one window of a fleet of x dispatchers.
+func (r Runner) measureRounds(fleet *hollow.Fleet, t *table, name string, x float64, counter *roundCounter) {
+	trafficBefore, roundsBefore, begun := fleet.Traffic(), counter.rounds.Load(), time.Now()
 	time.Sleep(r.Window)
 	secs := time.Since(begun).Seconds()
-	c, k := f.Traffic().Since(counts), float64(counted.rounds.Load()-n)
-	own := float64(c[hollow.MemberRequests].Messages) / (x - 1) // the leader's own member asks it without a relay
-	asks := float64(c[hollow.MemberRequests].Messages) + own
-	s.add(name+"-a-second", "rounds a second", x, k/secs, capacity.Hollow)
-	s.add(name+"-asks", "asks a second", x, asks/secs, capacity.Hollow)
-	s.add(name+"-asks-each", "asks a round", x, asks/k, capacity.Hollow)
-	s.add(name+"-heartbeats", "messages a second", x, float64(c[hollow.Heartbeats].Messages)/secs, capacity.Hollow)
-	s.add(name+"-bytes", "bytes a second", x, float64(c.RaftTotal().Bytes)/secs, capacity.Hollow)
+	traffic, rounds := fleet.Traffic().Since(trafficBefore), float64(counter.rounds.Load()-roundsBefore)
+	// The leader's own member sends its requests without a relay; it is counted as the mean of the others.
+	leaderRequests := float64(traffic[hollow.MemberRequests].Messages) / (x - 1)
+	requests := float64(traffic[hollow.MemberRequests].Messages) + leaderRequests
+	t.add(name+"-a-second", "rounds a second", x, rounds/secs, capacity.Hollow)
+	t.add(name+"-asks", "asks a second", x, requests/secs, capacity.Hollow)
+	t.add(name+"-asks-each", "asks a round", x, requests/rounds, capacity.Hollow)
+	t.add(name+"-heartbeats", "messages a second", x, float64(traffic[hollow.Heartbeats].Messages)/secs, capacity.Hollow)
+	t.add(name+"-bytes", "bytes a second", x, float64(traffic.RaftTotal().Bytes)/secs, capacity.Hollow)
 }
