--- a/internal/lab/hollow/meter.go
+++ b/internal/lab/hollow/meter.go
@@ -40,35 +40,35 @@
 type Traffic [kindCount]Tally
 
 // Since returns the traffic since an earlier reading of the same meters.
-func (c Traffic) Since(old Traffic) Traffic {
-	for k := range c {
-		c[k].Messages -= old[k].Messages
-		c[k].Bytes -= old[k].Bytes
+func (t Traffic) Since(earlier Traffic) Traffic {
+	for k := range t {
+		t[k].Messages -= earlier[k].Messages
+		t[k].Bytes -= earlier[k].Bytes
 	}
-	return c
+	return t
 }
 
 // Add returns the sum of two readings.
-func (c Traffic) Add(d Traffic) Traffic {
-	for k := range c {
-		c[k].Messages += d[k].Messages
-		c[k].Bytes += d[k].Bytes
+func (t Traffic) Add(other Traffic) Traffic {
+	for k := range t {
+		t[k].Messages += other[k].Messages
+		t[k].Bytes += other[k].Bytes
 	}
-	return c
+	return t
 }
 
 // RaftTotal returns the traffic of the Raft library between the voters. The messages don't include its responses.
-func (c Traffic) RaftTotal() (t Tally) {
+func (t Traffic) RaftTotal() (sum Tally) {
 	for _, k := range []MessageKind{Heartbeats, CommitTimeouts, LogEntries, OtherRaftRequests, RaftResponses, Undecoded} {
-		t.Messages += c[k].Messages
-		t.Bytes += c[k].Bytes
+		sum.Messages += t[k].Messages
+		sum.Bytes += t[k].Bytes
 	}
-	return t
+	return sum
 }
 
 // MemberTotal returns the traffic between members and voters.
-func (c Traffic) MemberTotal() Tally {
-	return Tally{c[MemberRequests].Messages + c[MemberAnswers].Messages, c[MemberRequests].Bytes + c[MemberAnswers].Bytes}
+func (t Traffic) MemberTotal() Tally {
+	return Tally{t[MemberRequests].Messages + t[MemberAnswers].Messages, t[MemberRequests].Bytes + t[MemberAnswers].Bytes}
 }
 
 // Meter counts the traffic of relays to a voter's address. It is safe for concurrent use.
--- a/internal/lab/hollow/size/run.go
+++ b/internal/lab/hollow/size/run.go
@@ -32,7 +32,7 @@
 type Report struct {
 	Duration                       time.Duration   // from the start of the load to its end
 	ChangeTimes                    []time.Duration // from the first proposal until all dispatchers served by it
-	ServiceGaps                    []time.Duration // see serviceGaps
+	ServiceGaps                    []time.Duration // of each change: how long no dispatcher accepted reqs
 	IsolatedChangeTime             time.Duration   // of the change during the isolation, in the other regions
 	ReconnectTime                  time.Duration   // from the end of the isolation until all are on one version
 	WithdrawnChanges               int             // proposals that failed or timed out and were repeated
