--- a/internal/lab/capacity/measure/idle.go
+++ b/internal/lab/capacity/measure/idle.go
@@ -8,191 +8,195 @@
 	"tinsail/internal/standin/platform"
 )
 
-// IdleConfig says how dispatchers without load are measured: all of a part at once, side by side, over one window, so that a part takes
-// one window whatever its sizes; each has a discovery service of its own.
+// IdleConfig configures the measurement of dispatchers without load. All dispatchers of a part run side by side and are measured
+// over one window, so a part takes one window for any number of sizes. Each dispatcher has its own discovery service.
 type IdleConfig struct {
-	Repeats int
-	Settle  time.Duration // what a start leaves to do is over by then
-	Window  time.Duration // of processor time, bytes and messages
+	Repeats int           // dispatchers per size
+	Settle  time.Duration // time for the work after a start to finish
+	Window  time.Duration // over which processor time, bytes and calls are counted
 }
 
-// weight is how many slots a worker of the letter's size has: 9,100 reqs over 580 of them.
-const weight = 16
+// slotsPerBackend is the number of slots of a backend at full size: 9,100 reqs over 580 backends.
+const slotsPerBackend = 16
 
-// entries are n ready backends, at an address where nobody listens: without load nobody calls.
-func entries(n int) (list []platform.Entry) {
+// readyBackends returns list entries of n ready backends. Nothing listens at their addresses; without load none is called.
+func readyBackends(n int) (list []platform.Entry) {
 	for i := range n {
 		list = append(list, platform.Entry{Name: fmt.Sprintf("worker-%04d.region-1.example", i), Address: fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250+1), Zone: "here", Type: "fast",
-			Group: i % 100, Status: "Ready", Weight: weight, SinceMS: 1})
+			Group: i % 100, Status: "Ready", Weight: slotsPerBackend, SinceMS: 1})
 	}
 	return list
 }
 
-// director is a discovery service whose bytes are counted.
-type director struct {
+// countingDirector is a simulated director that counts the bytes of its connections.
+type countingDirector struct {
 	*platform.Director
-	*traffic
+	*countingListener
 }
 
-func startDirector(n int) (*director, error) {
-	t, err := listenCounted()
+// startDirector starts a director with a list of n ready backends.
+func startDirector(n int) (*countingDirector, error) {
+	listener, err := newCountingListener()
 	if err != nil {
 		return nil, err
 	}
-	d := &director{platform.NewDirector(t), t}
-	for _, e := range entries(n) {
-		d.Set(e)
+	d := &countingDirector{platform.NewDirector(listener), listener}
+	for _, entry := range readyBackends(n) {
+		d.Set(entry)
 	}
 	return d, nil
 }
 
-// Close ends it.
-func (d *director) Close() { d.Director.Close() }
+// Close stops the director.
+func (d *countingDirector) Close() { d.Director.Close() }
 
-// spent is what a process and its discovery have used up to a moment.
-type spent struct {
-	at        time.Time
-	cpu       time.Duration
-	in, out   float64 // bytes of discovery's streams, from the dispatcher and to it
-	calls     float64
-	rss, anon float64
+// usage holds the cumulative counts of a dispatcher and its director, and its memory, at one moment.
+type usage struct {
+	at                                     time.Time
+	cpu                                    time.Duration
+	bytesFromDispatcher, bytesToDispatcher float64 // of the connections to the director
+	calls                                  float64 // to the director
+	rssMB, anonMB                          float64
 }
 
-type idle struct {
-	x       float64
-	process *dispatcher
-	from    *director
-	first   spent
+// idleDispatcher is a dispatcher without load at the size x of the measured quantity.
+type idleDispatcher struct {
+	x        float64
+	process  *dispatcher
+	director *countingDirector
+	start    usage // at the start of the window
 }
 
-func (i *idle) look() (s spent, err error) {
-	s.at = time.Now()
-	if s.cpu, err = i.process.cpu(); err != nil {
-		return s, err
+// usage reads the current usage.
+func (i *idleDispatcher) usage() (u usage, err error) {
+	u.at = time.Now()
+	if u.cpu, err = i.process.cpu(); err != nil {
+		return u, err
 	}
-	s.in, s.out = float64(i.from.in.Load()), float64(i.from.out.Load())
-	s.calls = float64(len(i.from.MainListener().Calls()))
-	s.rss, s.anon, err = i.process.memory()
-	return s, err
+	u.bytesFromDispatcher, u.bytesToDispatcher = float64(i.director.bytesFromDispatcher.Load()), float64(i.director.bytesToDispatcher.Load())
+	u.calls = float64(len(i.director.MainListener().Calls()))
+	u.rssMB, u.anonMB, err = i.process.memory()
+	return u, err
 }
 
-// size is one point of an idle slope.
-type size struct {
-	x       float64
-	workers int
-	changes float64 // of the list, a second
-	tenants int
-	pushed  bool
+// idlePoint describes the dispatchers of one size of a slope.
+type idlePoint struct {
+	x                float64
+	backends         int
+	changesPerSecond float64 // of the list
+	tenants          int
+	pushed           bool
 }
 
-// idleSlopes measures all sizes, as often as repeats say, in one window. name is before each slope's name.
-func idleSlopes(p Program, o IdleConfig, name, against, note string, sizes []size) (rows []capacity.Row, err error) {
-	var all []*idle
+// idleSlopes measures all points, with c.Repeats dispatchers each, in one window. Slope names start with name.
+func idleSlopes(p Program, c IdleConfig, name, against, note string, points []idlePoint) (rows []capacity.Row, err error) {
+	var all []*idleDispatcher
 	stop := make(chan struct{})
 	defer func() {
 		close(stop)
 		for _, i := range all {
 			i.process.kill()
-			i.from.Close()
+			i.director.Close()
 		}
 	}()
-	for _, s := range sizes {
-		for range o.Repeats {
-			from, err := startDirector(s.workers)
+	for _, point := range points {
+		for range c.Repeats {
+			director, err := startDirector(point.backends)
 			if err != nil {
 				return nil, err
 			}
-			process, err := p.start(setup{discovery: from.Address, sockets: 1024, memoryMB: 192, dispatchers: 300, tenants: s.tenants, pushed: s.pushed})
+			process, err := p.start(dispatcherConfig{discovery: director.Address, sockets: 1024, memoryMB: 192, dispatchers: 300, tenants: point.tenants, pushed: point.pushed})
 			if err != nil {
-				from.Close()
+				director.Close()
 				return nil, err
 			}
-			all = append(all, &idle{x: s.x, process: process, from: from})
+			all = append(all, &idleDispatcher{x: point.x, process: process, director: director})
 			if _, err := process.untilReady(); err != nil {
 				return nil, err
 			}
-			if s.changes > 0 {
-				go change(from, s.workers, s.changes, stop)
+			if point.changesPerSecond > 0 {
+				go changeList(director, point.backends, point.changesPerSecond, stop)
 			}
 		}
 	}
-	time.Sleep(o.Settle)
+	time.Sleep(c.Settle)
 	for _, i := range all {
-		if i.first, err = i.look(); err != nil {
+		if i.start, err = i.usage(); err != nil {
 			return nil, err
 		}
 	}
-	time.Sleep(o.Window)
+	time.Sleep(c.Window)
 	for _, i := range all {
-		last, err := i.look()
+		end, err := i.usage()
 		if err != nil {
 			return nil, err
 		}
-		took := last.at.Sub(i.first.at).Seconds()
-		row := func(what, unit string, y float64) {
-			rows = append(rows, capacity.Row{Slope: name + "-" + what, Unit: unit, Against: against, X: i.x, Y: y, Method: capacity.Real, Note: note})
+		seconds := end.at.Sub(i.start.at).Seconds()
+		row := func(measure, unit string, y float64) {
+			rows = append(rows, capacity.Row{Slope: name + "-" + measure, Unit: unit, Against: against, X: i.x, Y: y, Method: capacity.Real, Note: note})
 		}
-		row("cpu", "% of a core", 100*(last.cpu-i.first.cpu).Seconds()/took)
-		row("rss", "MB", last.rss)
-		row("anon", "MB", last.anon)
-		row("bytes-in", "bytes a second", (last.out-i.first.out)/took)
-		row("bytes-out", "bytes a second", (last.in-i.first.in)/took)
-		row("calls", "calls a second", (last.calls-i.first.calls)/took)
+		row("cpu", "% of a core", 100*(end.cpu-i.start.cpu).Seconds()/seconds)
+		row("rss", "MB", end.rssMB)
+		row("anon", "MB", end.anonMB)
+		row("bytes-in", "bytes a second", (end.bytesToDispatcher-i.start.bytesToDispatcher)/seconds)
+		row("bytes-out", "bytes a second", (end.bytesFromDispatcher-i.start.bytesFromDispatcher)/seconds)
+		row("calls", "calls a second", (end.calls-i.start.calls)/seconds)
 	}
 	return rows, nil
 }
 
-// change has backends drain and come back by turns, so many changes a second, until it is stopped.
-func change(d *director, n int, rate float64, stop <-chan struct{}) {
-	tick := time.NewTicker(time.Duration(float64(time.Second) / rate))
-	defer tick.Stop()
-	list := entries(n)
+// changeList changes the director's list changesPerSecond times a second until stop is closed: one backend after another drains and
+// becomes ready again.
+func changeList(d *countingDirector, n int, changesPerSecond float64, stop <-chan struct{}) {
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / changesPerSecond))
+	defer ticker.Stop()
+	list := readyBackends(n)
 	for k := 0; ; k++ {
 		select {
 		case <-stop:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		e := list[k/2%n]
+		entry := list[k/2%n]
 		if k%2 == 0 {
-			e.Status = "Terminating"
+			entry.Status = "Terminating"
 		}
-		d.Set(e)
+		d.Set(entry)
 	}
 }
 
-// ListSizes is a dispatcher's control without load against the number of backends in its list.
-func ListSizes(p Program, o IdleConfig, workers ...int) ([]capacity.Row, error) {
-	var sizes []size
-	for _, n := range workers {
-		sizes = append(sizes, size{x: float64(n), workers: n})
+// ListSizes measures idle dispatchers against the number of backends in the list. Discovery answers on request.
+func ListSizes(p Program, c IdleConfig, backends ...int) ([]capacity.Row, error) {
+	var points []idlePoint
+	for _, n := range backends {
+		points = append(points, idlePoint{x: float64(n), backends: n})
 	}
-	return idleSlopes(p, o, "list", "backends", "idle; discovery answers on request", sizes)
+	return idleSlopes(p, c, "list", "backends", "idle; discovery answers on request", points)
 }
 
-// ListSizesPushed is List where discovery is an agent beside the dispatcher, which is asked more often.
-func ListSizesPushed(p Program, o IdleConfig, workers ...int) ([]capacity.Row, error) {
-	var sizes []size
-	for _, n := range workers {
-		sizes = append(sizes, size{x: float64(n), workers: n, pushed: true})
+// ListSizesPushed is ListSizes with discovery by an agent on the same host, which the dispatcher asks more often.
+func ListSizesPushed(p Program, c IdleConfig, backends ...int) ([]capacity.Row, error) {
+	var points []idlePoint
+	for _, n := range backends {
+		points = append(points, idlePoint{x: float64(n), backends: n, pushed: true})
 	}
-	return idleSlopes(p, o, "agent", "backends", "idle; discovery is an agent beside it", sizes)
+	return idleSlopes(p, c, "agent", "backends", "idle; discovery is an agent beside it", points)
 }
 
-// ListChangeRates is a dispatcher's control against changes of its list a second.
-func ListChangeRates(p Program, o IdleConfig, workers int, rates ...float64) ([]capacity.Row, error) {
-	var sizes []size
-	for _, r := range rates {
-		sizes = append(sizes, size{x: r, workers: workers, changes: r})
+// ListChangeRates measures idle dispatchers against the number of list changes a second.
+func ListChangeRates(p Program, c IdleConfig, backends int, rates ...float64) ([]capacity.Row, error) {
+	var points []idlePoint
+	for _, rate := range rates {
+		points = append(points, idlePoint{x: rate, backends: backends, changesPerSecond: rate})
 	}
-	return idleSlopes(p, o, "changes", "changes a second", fmt.Sprintf("%d backends; one drains or comes back", workers), sizes)
+	return idleSlopes(p, c, "changes", "changes a second", fmt.Sprintf("%d backends; one drains or comes back", backends), points)
 }
 
-// TenantCounts is a dispatcher's control against the tenants in its configuration.
-func TenantCounts(p Program, o IdleConfig, workers int, tenants ...int) ([]capacity.Row, error) {
-	var sizes []size
+// TenantCounts measures idle dispatchers against the number of tenants in the configuration.
+func TenantCounts(p Program, c IdleConfig, backends int, tenants ...int) ([]capacity.Row, error) {
+	var points []idlePoint
 	for _, n := range tenants {
-		sizes = append(sizes, size{x: float64(n), workers: workers, tenants: n})
+		points = append(points, idlePoint{x: float64(n), backends: backends, tenants: n})
 	}
-	return idleSlopes(p, o, "tenants", "tenants", fmt.Sprintf("%d backends; idle", workers), sizes)
+	return idleSlopes(p, c, "tenants", "tenants", fmt.Sprintf("%d backends; idle", backends), points)
 }
--- a/internal/lab/capacity/measure/inflight.go
+++ b/internal/lab/capacity/measure/inflight.go
@@ -120,7 +120,7 @@
 		return h, err
 	}
 	defer from.Close()
-	slots := max(weight, 2*n/f.Backends+1)
+	slots := max(slotsPerBackend, 2*n/f.Backends+1)
 	var backends []*platform.Backend
 	defer func() {
 		for _, b := range backends {
@@ -147,7 +147,7 @@
 		}
 	}()
 	for i := range f.Dispatchers {
-		d, err := p.start(setup{discovery: from.Address, self: i, sockets: f.Sockets, memoryMB: f.MemoryMB, dispatchers: f.Dispatchers, script: script})
+		d, err := p.start(dispatcherConfig{discovery: from.Address, selfIndex: i, sockets: f.Sockets, memoryMB: f.MemoryMB, dispatchers: f.Dispatchers, settingsScript: script})
 		if err != nil {
 			return h, err
 		}
@@ -185,7 +185,7 @@
 		}
 		return k
 	}
-	for end := time.Now().Add(patience); held()+int(c.answered.Load()) < n; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(processTimeout); held()+int(c.answered.Load()) < n; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			came := 0
 			for _, b := range backends {
@@ -218,13 +218,13 @@
 		return h, err
 	}
 	if count {
-		h.Goroutines = first.quit()
+		h.Goroutines = first.quitAndCountGoroutines()
 		return h, nil
 	}
 	for _, b := range backends {
 		b.Set(platform.Faults{})
 	}
-	for end := time.Now().Add(patience); int(c.answered.Load()) < n; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(processTimeout); int(c.answered.Load()) < n; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			return h, fmt.Errorf("%d of %d reqs are answered", c.answered.Load(), n)
 		}
@@ -252,7 +252,7 @@
 					transports = append(transports, t)
 				}
 			}
-			c.stream(transports[i/len(all)/streams*len(all)+k], to.http2, id)
+			c.stream(transports[i/len(all)/streams*len(all)+k], to.http2Address, id)
 			continue
 		}
 		turn <- struct{}{}
--- a/internal/lab/capacity/measure/module.go
+++ b/internal/lab/capacity/measure/module.go
@@ -52,7 +52,7 @@
 
 func (m ModuleConfig) list() (list []balance.Worker) {
 	// Slots for what would be in flight at all dispatchers, and a margin: who has none left refuses, which is another decision.
-	size := math.Ceil(2*dispatchers*float64(m.InFlight)/float64(m.Workers)) + weight
+	size := math.Ceil(2*dispatchers*float64(m.InFlight)/float64(m.Workers)) + slotsPerBackend
 	for i := range m.Workers {
 		list = append(list, balance.Worker{ID: balance.WorkerID(i + 1), Kind: i % 2, Cell: i % 100, State: balance.Ready, Weight: size})
 	}
--- a/internal/lab/capacity/measure/recovery.go
+++ b/internal/lab/capacity/measure/recovery.go
@@ -20,10 +20,10 @@
 		return nil, 0, 0, 0, err
 	}
 	defer from.Close()
-	s := setup{discovery: from.Address, sockets: 1024, memoryMB: 192, dispatchers: 300}
+	s := dispatcherConfig{discovery: from.Address, sockets: 1024, memoryMB: 192, dispatchers: 300}
 	if known {
-		s.known = []platform.Entry{}
-		s.known = append(s.known, entries(workers)...)
+		s.knownBackends = []platform.Entry{}
+		s.knownBackends = append(s.knownBackends, readyBackends(workers)...)
 	}
 	ms = make([]float64, n)
 	errs := make([]error, n)
@@ -32,7 +32,7 @@
 	for i := range n {
 		wait.Go(func() {
 			s := s
-			s.self = i
+			s.selfIndex = i
 			if all[i], errs[i] = p.start(s); errs[i] == nil {
 				ms[i], errs[i] = all[i].untilReady()
 			}
@@ -40,7 +40,7 @@
 	}
 	wait.Wait()
 	time.Sleep(settled)
-	calls, in, out = float64(len(from.MainListener().Calls())), float64(from.out.Load()), float64(from.in.Load())
+	calls, in, out = float64(len(from.MainListener().Calls())), float64(from.bytesToDispatcher.Load()), float64(from.bytesFromDispatcher.Load())
 	for i := range all {
 		if all[i] != nil {
 			all[i].kill()
