--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -107,8 +107,9 @@
 	assert.ErrorContains(t, err, "KB")
 }
 
-// TestFitAgainstManualCalculation compares a fit with figures calculated by hand for x = 1, 2, 3, 4 and y = 2, 4, 5, 8: gradient
-// 9.5/5, intercept 4.75 - 1.9·2.5, residual sum of squares 0.7, residual variance 0.35, t with 2 degrees of freedom 4.3027.
+// TestFitAgainstManualCalculation compares a fit with figures calculated by hand for x = 1, 2, 3, 4 and y = 2, 4, 5, 8:
+// gradient 9.5/5, intercept 4.75 - 1.9·2.5, residual sum of squares 0.7, residual variance 0.35, t with 2 degrees of
+// freedom 4.3027.
 func TestFitAgainstManualCalculation(t *testing.T) {
 	y := map[float64]float64{1: 2, 2: 4, 3: 5, 4: 8}
 	l, err := Fit(rowsOf(func(x float64) float64 { return y[x] }, 1, 2, 3, 4))
@@ -123,9 +124,9 @@
 	assert.InDelta(t, 4.3027*math.Sqrt(0.35*1.25), halfWidth, 1e-3)
 }
 
-// TestIntervalCoverage checks on 2,000 noisy lines that the interval of the gradient contains the true gradient in 95% of them,
-// that curvature is reported for at most 5% of straight lines, and that curvature that doubles the gradient over the range is
-// always reported.
+// TestIntervalCoverage checks on 2,000 noisy lines that the interval of the gradient contains the true gradient in 95%
+// of them, that curvature is reported for at most 5% of straight lines, and that curvature that doubles the gradient
+// over the range is always reported.
 func TestIntervalCoverage(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	covered, falsePositives, missed := 0, 0, 0
--- a/internal/lab/capacity/fit.go
+++ b/internal/lab/capacity/fit.go
@@ -15,8 +15,8 @@
 	// MinSizes is the minimum number of different sizes for a fit: with fewer, curvature would not show.
 	MinSizes   = 4
 	confidence = 0.95
-	// minCurveDeviation is how far a fitted curve has to deviate from the line to count as curvature, as a fraction of the
-	// span of the measured values. Without it, any tiny deviation of counts that hardly vary would be significant.
+	// minCurveDeviation is how far a fitted curve has to deviate from the line to count as curvature, as a fraction of
+	// the span of the measured values. Without it, any tiny deviation of counts that hardly vary would be significant.
 	minCurveDeviation = 0.05
 	// minRelativeDeviation is the same threshold as a fraction of the largest absolute value: if all values are nearly
 	// equal, the span is tiny as well.
@@ -98,9 +98,10 @@
 	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: degreesOfFreedom}.Quantile(1 - (1-confidence)/2)
 }
 
-// fitCurve tests whether a quadratic term fits the residuals of the line. It uses the component of x² that is orthogonal to a
-// line in x, so that only one coefficient is left to fit. Curved is set if the coefficient is significant at 95% and the curve
-// deviates from the line by more than minCurveDeviation of the span and minRelativeDeviation of the largest value.
+// fitCurve tests whether a quadratic term fits the residuals of the line. It uses the component of x² that is
+// orthogonal to a line in x, so that only one coefficient is left to fit. Curved is set if the coefficient is
+// significant at 95% and the curve deviates from the line by more than minCurveDeviation of the span and
+// minRelativeDeviation of the largest value.
 func (l *Line) fitCurve(xs, ys []float64, residualSquares float64) {
 	squares := make([]float64, len(xs))
 	for i, x := range xs {
@@ -128,15 +129,15 @@
 	l.Curved = math.Abs(coefficient) > halfWidth && l.CurveDeviation > minCurveDeviation && deviation > minRelativeDeviation*largest
 }
 
-// Predict returns the value of the line at x and the half width of the 95% prediction interval for one more measurement there.
-// Outside the measured sizes it extrapolates. For a curved line it is wrong: see Interpolate.
+// Predict returns the value of the line at x and the half width of the 95% prediction interval for one more measurement
+// there. Outside the measured sizes it extrapolates. For a curved line it is wrong: see Interpolate.
 func (l *Line) Predict(x float64) (y, halfWidth float64) {
 	d := x - l.meanX
 	return l.Intercept + l.Gradient*x, l.tFactor * l.stdErr * math.Sqrt(1+1/l.n+d*d/l.sxx)
 }
 
-// Interpolate returns the value at x of the straight line through the means of the two sizes next to x. Outside the measured
-// sizes it extrapolates from the nearest two.
+// Interpolate returns the value at x of the straight line through the means of the two sizes next to x. Outside the
+// measured sizes it extrapolates from the nearest two.
 func (l *Line) Interpolate(x float64) float64 {
 	k := 1
 	for k < len(l.Sizes)-1 && l.Sizes[k].X < x {
--- a/internal/lab/capacity/measure/idle.go
+++ b/internal/lab/capacity/measure/idle.go
@@ -8,8 +8,9 @@
 	"tinsail/internal/standin/platform"
 )
 
-// IdleConfig configures the measurement of dispatchers without load. All dispatchers of a part run side by side and are measured
-// over one window, so a part takes one window for any number of sizes. Each dispatcher has its own discovery service.
+// IdleConfig configures the measurement of dispatchers without load. All dispatchers of a part run side by side and are
+// measured over one window, so a part takes one window for any number of sizes. Each dispatcher has its own discovery
+// service.
 type IdleConfig struct {
 	Repeats int           // dispatchers per size
 	Settle  time.Duration // time for the work after a start to finish
@@ -19,7 +20,8 @@
 // slotsPerBackend is the number of slots of a backend at full size: 9,100 reqs over 580 backends.
 const slotsPerBackend = 16
 
-// readyBackends returns list entries of n ready backends. Nothing listens at their addresses; without load none is called.
+// readyBackends returns list entries of n ready backends. Nothing listens at their addresses; without load none is
+// called.
 func readyBackends(n int) (list []platform.Entry) {
 	for i := range n {
 		list = append(list, platform.Entry{Name: fmt.Sprintf("worker-%04d.region-1.example", i), Address: fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250+1), Zone: "here", Type: "fast",
@@ -145,8 +147,8 @@
 	return rows, nil
 }
 
-// changeList changes the director's list changesPerSecond times a second until stop is closed: one backend after another drains and
-// becomes ready again.
+// changeList changes the director's list changesPerSecond times a second until stop is closed: one backend after
+// another drains and becomes ready again.
 func changeList(d *countingDirector, n int, changesPerSecond float64, stop <-chan struct{}) {
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / changesPerSecond))
 	defer ticker.Stop()
--- a/internal/lab/capacity/measure/inflight.go
+++ b/internal/lab/capacity/measure/inflight.go
@@ -19,57 +19,61 @@
 	"tinsail/internal/standin/platform"
 )
 
-// InFlightConfig says how reqs in flight are brought about: clients of a front send a req each, backends begin it and hold it.
+// InFlightConfig configures a measurement with reqs in flight: simulated clients send one req each, and simulated
+// backends start them and hold them unanswered.
 type InFlightConfig struct {
-	HTTP2       bool // 100 reqs a connection, else one
-	BodyBytes   int  // bytes
-	Sockets     int  // of a dispatcher's limits
-	MemoryMB    int
+	HTTP2       bool // reqsPerConnection reqs per connection instead of one
+	BodyBytes   int  // size of a req's body
+	Sockets     int  // descriptor limit of a dispatcher
+	MemoryMB    int  // memory limit of a dispatcher
 	Dispatchers int
-	Backends    int // backends
+	Backends    int
 
-	QuietWindow time.Duration // for which processor time is taken while nothing moves; 0: not at all, and no other times either
+	QuietWindow time.Duration // time over which processor time is measured while all reqs wait; if 0, no times are recorded
 }
 
-// streams is how many reqs a client of HTTP/2 has on a connection.
-const streams = 100
+// reqsPerConnection is the number of concurrent reqs on a client's HTTP/2 connection.
+const reqsPerConnection = 100
 
-// HoldResult is what came of it at one dispatcher.
+// HoldResult is the result of Hold. Figures are those of the first dispatcher unless stated otherwise.
 type HoldResult struct {
 	InFlight, Refused                        int            // of all dispatchers
-	Unanswered                               int            // of all dispatchers: turned away without a whole answer
-	ErrorCounts                              map[string]int // of those without an answer, by error
-	Served                                   int            // of all dispatchers, after the backends let go; 0 where goroutines were counted instead
-	RSS, Anon                                float64
+	Unanswered                               int            // of all dispatchers: without a complete answer
+	ErrorCounts                              map[string]int // of the unanswered reqs, by error text
+	Served                                   int            // of all dispatchers, after the backends released the reqs; 0 if goroutines were counted instead
+	RSS, Anon                                float64        // MB of 2^20 bytes, resident and anonymous
 	OpenDescriptors                          float64
-	AcceptCPUMillis                          float64 // ms, from the first connection until all were held or answered
-	QuietCPUPercent                          float64 // % of a core, while nothing moves
-	Goroutines                               float64 // 0 where reqs were served to their ends
+	AcceptCPUMillis                          float64 // from the first connection until all reqs were held or answered
+	QuietCPUPercent                          float64 // of a core, while all reqs wait
+	Goroutines                               float64 // 0 if the reqs were served instead
 	AnonBefore, RSSBefore, DescriptorsBefore float64 // before the first req
 }
 
+// clients sends reqs and counts their outcomes.
 type clients struct {
-	ctx      context.Context
-	body     []byte
-	answered atomic.Int64
-	served   atomic.Int64
-	failed   atomic.Int64
-	all      sync.WaitGroup
-	mu       sync.Mutex
-	close    []func()
-	why      map[string]int // reqs without an answer, by error
+	ctx         context.Context
+	body        []byte
+	answered    atomic.Int64
+	served      atomic.Int64
+	failed      atomic.Int64
+	pending     sync.WaitGroup
+	mu          sync.Mutex
+	closers     []func()
+	errorCounts map[string]int // reqs without an answer, by error text
 }
 
-func (c *clients) keep(f func()) {
+// closeLater registers a function that Hold calls at its end.
+func (c *clients) closeLater(f func()) {
 	c.mu.Lock()
-	c.close = append(c.close, f)
+	c.closers = append(c.closers, f)
 	c.mu.Unlock()
 }
 
-func (c *clients) took(r *http.Response, err error) {
+// finish reads the rest of an answer and counts the outcome of its req.
+func (c *clients) finish(r *http.Response, err error) {
 	if err != nil {
 		c.mu.Lock()
-		c.why[err.Error()]++
+		c.errorCounts[err.Error()]++
 		c.mu.Unlock()
 		c.failed.Add(1)
 		c.answered.Add(1)
@@ -83,276 +87,278 @@
 	c.answered.Add(1)
 }
 
-// plain sends one req over a connection of its own; the answer is read in the background.
-func (c *clients) plain(address, id string) {
+// sendHTTP1 sends one req over a connection of its own; the answer is read in the background.
+func (c *clients) sendHTTP1(address, id string) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
-		c.took(nil, err)
+		c.finish(nil, err)
 		return
 	}
-	c.keep(func() { conn.Close() })
+	c.closeLater(func() { conn.Close() })
 	if _, err := fmt.Fprintf(conn, "POST /photo/1 HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: %s\r\nIdempotency-Key: %s\r\nContent-Length: %d\r\n\r\n%s", id, id, len(c.body), c.body); err != nil {
-		c.took(nil, err)
+		c.finish(nil, err)
 		return
 	}
-	c.all.Go(func() { c.took(http.ReadResponse(bufio.NewReaderSize(conn, 512), nil)) })
+	c.pending.Go(func() { c.finish(http.ReadResponse(bufio.NewReaderSize(conn, 512), nil)) })
 }
 
-func (c *clients) stream(t *http.Transport, address, id string) {
-	c.all.Go(func() {
+// sendHTTP2 sends one req over a transport and reads the answer, in the background.
+func (c *clients) sendHTTP2(t *http.Transport, address, id string) {
+	c.pending.Go(func() {
 		r, err := http.NewRequestWithContext(c.ctx, "POST", "http://"+address+"/photo/1", bytes.NewReader(c.body))
 		if err != nil {
-			c.took(nil, err)
+			c.finish(nil, err)
 			return
 		}
-		r.GetBody = nil // not to be sent again by itself
+		r.GetBody = nil // prevents automatic retries
 		r.Header.Set("X-Correlation-Id", id)
 		r.Header.Set("Idempotency-Key", id)
-		c.took(t.RoundTrip(r))
+		c.finish(t.RoundTrip(r))
 	})
 }
 
-// Hold brings n reqs in flight over the dispatchers and returns what the first of them holds then. count has that process
-// write its goroutines and end; else the backends let go and all answers are waited for.
-func (f InFlightConfig) Hold(p Program, n int, count bool) (h HoldResult, err error) {
-	from, err := startDirector(0)
+// Hold brings n reqs in flight over all dispatchers and measures the first dispatcher. If countGoroutines is set, that
+// process is ended with a dump of its goroutines. Otherwise the backends release the reqs and Hold waits for all
+// answers.
+func (config InFlightConfig) Hold(p Program, n int, countGoroutines bool) (result HoldResult, err error) {
+	director, err := startDirector(0)
 	if err != nil {
-		return h, err
+		return result, err
 	}
-	defer from.Close()
-	slots := max(slotsPerBackend, 2*n/f.Backends+1)
+	defer director.Close()
+	slots := max(slotsPerBackend, 2*n/config.Backends+1)
 	var backends []*platform.Backend
 	defer func() {
 		for _, b := range backends {
 			b.Close()
 		}
 	}()
-	for i := range f.Backends {
+	for i := range config.Backends {
 		b, err := platform.StartBackend(fmt.Sprintf("worker-%04d", i), slots, func(string) time.Duration { return 0 })
 		if err != nil {
-			return h, err
+			return result, err
 		}
 		b.Set(platform.Faults{HoldJobs: true})
 		backends = append(backends, b)
-		from.Set(b.Entry("fast", "here", i%100, "Ready"))
+		director.Set(b.Entry("fast", "here", i%100, "Ready"))
 	}
 	script := ""
-	if f.HTTP2 {
+	if config.HTTP2 {
 		script = `http2(listen = "127.0.0.1:0")`
 	}
-	var all []*dispatcher
+	var dispatchers []*dispatcher
 	defer func() {
-		for _, d := range all {
+		for _, d := range dispatchers {
 			d.kill()
 		}
 	}()
-	for i := range f.Dispatchers {
-		d, err := p.start(dispatcherConfig{discovery: from.Address, selfIndex: i, sockets: f.Sockets, memoryMB: f.MemoryMB, dispatchers: f.Dispatchers, settingsScript: script})
+	for i := range config.Dispatchers {
+		d, err := p.start(dispatcherConfig{discovery: director.Address, selfIndex: i, sockets: config.Sockets, memoryMB: config.MemoryMB, dispatchers: config.Dispatchers, settingsScript: script})
 		if err != nil {
-			return h, err
+			return result, err
 		}
-		all = append(all, d)
+		dispatchers = append(dispatchers, d)
 		if _, err := d.untilReady(); err != nil {
-			return h, err
+			return result, err
 		}
 	}
 	time.Sleep(200 * time.Millisecond)
-	first := all[0]
-	if h.RSSBefore, h.AnonBefore, err = first.memory(); err != nil {
-		return h, err
+	first := dispatchers[0]
+	if result.RSSBefore, result.AnonBefore, err = first.memory(); err != nil {
+		return result, err
 	}
-	if h.DescriptorsBefore, err = first.descriptors(); err != nil {
-		return h, err
+	if result.DescriptorsBefore, err = first.descriptors(); err != nil {
+		return result, err
 	}
 	before, err := first.cpu()
 	if err != nil {
-		return h, err
+		return result, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &clients{ctx: ctx, why: map[string]int{}, body: []byte(strings.Repeat("b", f.BodyBytes))}
+	c := &clients{ctx: ctx, errorCounts: map[string]int{}, body: []byte(strings.Repeat("b", config.BodyBytes))}
 	defer func() {
 		cancel()
-		for _, end := range c.close {
-			end()
+		for _, closer := range c.closers {
+			closer()
 		}
-		c.all.Wait()
+		c.pending.Wait()
 	}()
-	f.offer(c, all, n)
-	held := func() (k int) {
+	config.sendAll(c, dispatchers, n)
+	held := func() (total int) {
 		for _, b := range backends {
-			x := b.Counts()
-			k += x.Started - x.Done - x.Cancelled
+			counts := b.Counts()
+			total += counts.Started - counts.Done - counts.Cancelled
 		}
-		return k
+		return total
 	}
 	for end := time.Now().Add(processTimeout); held()+int(c.answered.Load()) < n; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			came := 0
+			received := 0
 			for _, b := range backends {
-				came += b.Counts().Jobs
+				received += b.Counts().Jobs
 			}
-			return h, fmt.Errorf("%d of %d reqs are held, %d have come to a backend and %d are answered", held(), n, came, c.answered.Load())
+			return result, fmt.Errorf("timed out with %d of %d reqs held, %d received by a backend and %d answered", held(), n, received, c.answered.Load())
 		}
 	}
 	after, err := first.cpu()
 	if err != nil {
-		return h, err
+		return result, err
 	}
-	h.AcceptCPUMillis = float64((after - before).Microseconds()) / 1000
-	if f.QuietWindow > 0 {
-		time.Sleep(f.QuietWindow)
+	result.AcceptCPUMillis = float64((after - before).Microseconds()) / 1000
+	if config.QuietWindow > 0 {
+		time.Sleep(config.QuietWindow)
 		last, err := first.cpu()
 		if err != nil {
-			return h, err
+			return result, err
 		}
-		h.QuietCPUPercent = 100 * float64(last-after) / float64(f.QuietWindow)
+		result.QuietCPUPercent = 100 * float64(last-after) / float64(config.QuietWindow)
 	}
 	c.mu.Lock()
-	h.Unanswered, h.ErrorCounts = int(c.failed.Load()), maps.Clone(c.why)
+	result.Unanswered, result.ErrorCounts = int(c.failed.Load()), maps.Clone(c.errorCounts)
 	c.mu.Unlock()
-	h.InFlight, h.Refused = held(), int(c.answered.Load())-h.Unanswered
-	if h.RSS, h.Anon, err = first.memory(); err != nil {
-		return h, err
+	result.InFlight, result.Refused = held(), int(c.answered.Load())-result.Unanswered
+	if result.RSS, result.Anon, err = first.memory(); err != nil {
+		return result, err
 	}
-	if h.OpenDescriptors, err = first.descriptors(); err != nil {
-		return h, err
+	if result.OpenDescriptors, err = first.descriptors(); err != nil {
+		return result, err
 	}
-	if count {
-		h.Goroutines = first.quitAndCountGoroutines()
-		return h, nil
+	if countGoroutines {
+		result.Goroutines = first.quitAndCountGoroutines()
+		return result, nil
 	}
 	for _, b := range backends {
 		b.Set(platform.Faults{})
 	}
 	for end := time.Now().Add(processTimeout); int(c.answered.Load()) < n; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			return h, fmt.Errorf("%d of %d reqs are answered", c.answered.Load(), n)
+			return result, fmt.Errorf("timed out with %d of %d reqs answered", c.answered.Load(), n)
 		}
 	}
-	if h.Served = int(c.served.Load()); h.Served != h.InFlight {
-		return h, fmt.Errorf("of %d reqs in flight %d were served", h.InFlight, h.Served)
+	if result.Served = int(c.served.Load()); result.Served != result.InFlight {
+		return result, fmt.Errorf("of %d reqs in flight %d were served, want all", result.InFlight, result.Served)
 	}
-	return h, nil
+	return result, nil
 }
 
-// offer sends n reqs, over all dispatchers by turns.
-func (f InFlightConfig) offer(c *clients, all []*dispatcher, n int) {
+// sendAll sends n reqs to the dispatchers in turn.
+func (config InFlightConfig) sendAll(c *clients, dispatchers []*dispatcher, n int) {
 	var transports []*http.Transport
-	turn := make(chan struct{}, 64) // connections being made at once
-	var sent sync.WaitGroup
+	dialSlots := make(chan struct{}, 64) // limits concurrent connection attempts
+	var sends sync.WaitGroup
 	for i := range n {
-		to, id := all[i%len(all)], fmt.Sprint("f-", i)
-		if f.HTTP2 {
-			k := i % len(all)
-			if at := i / len(all) / streams * len(all); at+k >= len(transports) {
-				for range all {
+		target, id := dispatchers[i%len(dispatchers)], fmt.Sprint("f-", i)
+		if config.HTTP2 {
+			k := i % len(dispatchers)
+			if at := i / len(dispatchers) / reqsPerConnection * len(dispatchers); at+k >= len(transports) {
+				for range dispatchers {
 					t := &http.Transport{Protocols: new(http.Protocols)}
 					t.Protocols.SetUnencryptedHTTP2(true)
-					c.keep(t.CloseIdleConnections)
+					c.closeLater(t.CloseIdleConnections)
 					transports = append(transports, t)
 				}
 			}
-			c.stream(transports[i/len(all)/streams*len(all)+k], to.http2Address, id)
+			c.sendHTTP2(transports[i/len(dispatchers)/reqsPerConnection*len(dispatchers)+k], target.http2Address, id)
 			continue
 		}
-		turn <- struct{}{}
-		sent.Go(func() { c.plain(to.address, id); <-turn })
+		dialSlots <- struct{}{}
+		sends.Go(func() { c.sendHTTP1(target.address, id); <-dialSlots })
 	}
-	sent.Wait()
+	sends.Wait()
 }
 
-// InFlightCounts is what a dispatcher holds against the reqs in flight at it. In the last of the repeats its goroutines are counted, in
-// the others every req is served to its end.
-func InFlightCounts(p Program, f InFlightConfig, name string, repeats int, reqs ...int) (rows []capacity.Row, err error) {
+// InFlightCounts measures the memory, descriptors, processor time and goroutines of a dispatcher against the number of
+// reqs in flight. The last repeat counts goroutines; in the others every req is served.
+func InFlightCounts(p Program, config InFlightConfig, name string, repeats int, reqs ...int) (rows []capacity.Row, err error) {
 	for _, n := range reqs {
 		for k := range repeats {
-			count := k == repeats-1
-			h, err := f.Hold(p, n, count)
+			countGoroutines := k == repeats-1
+			result, err := config.Hold(p, n, countGoroutines)
 			if err != nil {
 				return nil, fmt.Errorf("%s, %d reqs: %w", name, n, err)
 			}
-			if h.InFlight != n {
-				return nil, fmt.Errorf("%s: %d of %d reqs are in flight, %d refused, %d without an answer: %v", name, h.InFlight, n, h.Refused, h.Unanswered, h.ErrorCounts)
+			if result.InFlight != n {
+				return nil, fmt.Errorf("%s: only %d of %d reqs are in flight, %d refused, %d without an answer: %v", name, result.InFlight, n, result.Refused, result.Unanswered, result.ErrorCounts)
 			}
-			note := fmt.Sprintf("HTTP/1.1, a body of %d bytes", f.BodyBytes)
-			if f.HTTP2 {
-				note = fmt.Sprintf("HTTP/2, %d reqs a connection, a body of %d bytes", streams, f.BodyBytes)
+			note := fmt.Sprintf("HTTP/1.1, a body of %d bytes", config.BodyBytes)
+			if config.HTTP2 {
+				note = fmt.Sprintf("HTTP/2, %d reqs a connection, a body of %d bytes", reqsPerConnection, config.BodyBytes)
 			}
-			row := func(what, unit string, y float64) {
-				rows = append(rows, capacity.Row{Slope: name + "-" + what, Unit: unit, Against: "reqs in flight", X: float64(n), Y: y, Method: capacity.Real, Note: note})
+			row := func(measure, unit string, y float64) {
+				rows = append(rows, capacity.Row{Slope: name + "-" + measure, Unit: unit, Against: "reqs in flight", X: float64(n), Y: y, Method: capacity.Real, Note: note})
 			}
-			row("rss", "MB", h.RSS)
-			row("anon", "MB", h.Anon)
-			row("descriptors", "descriptors", h.OpenDescriptors)
-			if f.QuietWindow > 0 {
-				row("cpu", "ms to take them", h.AcceptCPUMillis)
-				row("still", "% of a core while they wait", h.QuietCPUPercent)
+			row("rss", "MB", result.RSS)
+			row("anon", "MB", result.Anon)
+			row("descriptors", "descriptors", result.OpenDescriptors)
+			if config.QuietWindow > 0 {
+				row("cpu", "ms to take them", result.AcceptCPUMillis)
+				row("still", "% of a core while they wait", result.QuietCPUPercent)
 			}
-			if count {
-				row("goroutines", "goroutines", h.Goroutines)
+			if countGoroutines {
+				row("goroutines", "goroutines", result.Goroutines)
 			}
 		}
 	}
 	return rows, nil
 }
 
-// MaxInFlight is how many reqs a dispatcher has in flight at most, against its limit of descriptors, where more are offered. Whoever is
-// beyond that has to be told to come back.
-func MaxInFlight(p Program, f InFlightConfig, name string, sockets ...int) (rows []capacity.Row, err error) {
+// MaxInFlight measures how many reqs a dispatcher takes in flight at most, against its descriptor limit, when more are
+// offered. The dispatcher has to refuse the others with a request to retry later.
+func MaxInFlight(p Program, config InFlightConfig, name string, sockets ...int) (rows []capacity.Row, err error) {
 	for _, s := range sockets {
-		f.Sockets = s
+		config.Sockets = s
 		n := s*9/20 + 100
-		if f.HTTP2 {
+		if config.HTTP2 {
 			n = s*11/20 + 100
 		}
-		h, err := f.Hold(p, n, false)
+		result, err := config.Hold(p, n, false)
 		if err != nil {
 			return nil, fmt.Errorf("%s, %d sockets: %w", name, s, err)
 		}
-		if h.InFlight+h.Refused+h.Unanswered != n {
+		if result.InFlight+result.Refused+result.Unanswered != n {
 			return nil, errors.New("a req was neither held nor turned away")
 		}
-		rows = append(rows, capacity.Row{Slope: name, Unit: "reqs in flight at most", Against: "descriptors allowed", X: float64(s), Y: float64(h.InFlight), Method: capacity.Real,
-			Note: fmt.Sprintf("%d offered, %d refused, %d turned away without an answer, %.0f descriptors held", n, h.Refused, h.Unanswered, h.OpenDescriptors)})
+		rows = append(rows, capacity.Row{Slope: name, Unit: "reqs in flight at most", Against: "descriptors allowed", X: float64(s), Y: float64(result.InFlight), Method: capacity.Real,
+			Note: fmt.Sprintf("%d offered, %d refused, %d turned away without an answer, %.0f descriptors held", n, result.Refused, result.Unanswered, result.OpenDescriptors)})
 	}
 	return rows, nil
 }
 
-// DispatcherCounts is how many of the reqs offered are in flight where few dispatchers take them, each with its limit of descriptors, and what the
-// first of them then holds.
-func DispatcherCounts(p Program, f InFlightConfig, name string, reqs int, dispatchers ...int) (rows []capacity.Row, err error) {
+// DispatcherCounts measures how many of the offered reqs are in flight against the number of dispatchers, each with the
+// descriptor limit of config, and the memory of the first dispatcher.
+func DispatcherCounts(p Program, config InFlightConfig, name string, reqs int, dispatchers ...int) (rows []capacity.Row, err error) {
 	for _, n := range dispatchers {
-		f.Dispatchers = n
-		h, err := f.Hold(p, reqs, false)
+		config.Dispatchers = n
+		result, err := config.Hold(p, reqs, false)
 		if err != nil {
 			return nil, fmt.Errorf("%s, %d dispatchers: %w", name, n, err)
 		}
-		row := func(what, unit string, y float64) {
-			rows = append(rows, capacity.Row{Slope: name + "-" + what, Unit: unit, Against: "dispatchers", X: float64(n), Y: y, Method: capacity.Real,
-				Note: fmt.Sprintf("%d offered, %d refused, %d turned away without an answer, %d descriptors and %d MB allowed each", reqs, h.Refused, h.Unanswered, f.Sockets, f.MemoryMB)})
+		row := func(measure, unit string, y float64) {
+			rows = append(rows, capacity.Row{Slope: name + "-" + measure, Unit: unit, Against: "dispatchers", X: float64(n), Y: y, Method: capacity.Real,
+				Note: fmt.Sprintf("%d offered, %d refused, %d turned away without an answer, %d descriptors and %d MB allowed each", reqs, result.Refused, result.Unanswered, config.Sockets, config.MemoryMB)})
 		}
-		row("in-flight", "reqs in flight", float64(h.InFlight))
-		row("rss", "MB of the first", h.RSS)
+		row("in-flight", "reqs in flight", float64(result.InFlight))
+		row("rss", "MB of the first", result.RSS)
 	}
 	return rows, nil
 }
 
-// MemoryLimits is what so many reqs in flight cost a dispatcher against the memory that it is allowed: its collector works towards three
-// quarters of that, and nothing else keeps to it.
-func MemoryLimits(p Program, f InFlightConfig, name string, reqs int, mb ...int) (rows []capacity.Row, err error) {
+// MemoryLimits measures the memory and processor time of a dispatcher with a fixed number of reqs in flight against its
+// memory limit. Only the garbage collector respects the limit: its target is three quarters of it.
+func MemoryLimits(p Program, config InFlightConfig, name string, reqs int, mb ...int) (rows []capacity.Row, err error) {
 	for _, n := range mb {
-		f.MemoryMB = n
-		h, err := f.Hold(p, reqs, false)
+		config.MemoryMB = n
+		result, err := config.Hold(p, reqs, false)
 		if err != nil {
 			return nil, fmt.Errorf("%s, %d MB: %w", name, n, err)
 		}
-		row := func(what, unit string, y float64) {
-			rows = append(rows, capacity.Row{Slope: name + "-" + what, Unit: unit, Against: "MB allowed", X: float64(n), Y: y, Method: capacity.Real,
-				Note: fmt.Sprintf("%d offered, %d in flight", reqs, h.InFlight)})
+		row := func(measure, unit string, y float64) {
+			rows = append(rows, capacity.Row{Slope: name + "-" + measure, Unit: unit, Against: "MB allowed", X: float64(n), Y: y, Method: capacity.Real,
+				Note: fmt.Sprintf("%d offered, %d in flight", reqs, result.InFlight)})
 		}
-		row("rss", "MB", h.RSS)
-		row("cpu", "ms to take them", h.AcceptCPUMillis)
-		row("still", "% of a core while they wait", h.QuietCPUPercent)
+		row("rss", "MB", result.RSS)
+		row("cpu", "ms to take them", result.AcceptCPUMillis)
+		row("still", "% of a core while they wait", result.QuietCPUPercent)
 	}
 	return rows, nil
 }
--- a/internal/lab/capacity/measure/measure_test.go
+++ b/internal/lab/capacity/measure/measure_test.go
@@ -22,8 +22,8 @@
 	return maxY
 }
 
-// TestModuleMemory checks that the module allocates almost nothing per req on its ordinary path, for any number of backends, reqs in
-// flight and teams, and that its retained memory grows no faster than these numbers.
+// TestModuleMemory checks that the module allocates almost nothing per req on its ordinary path, for any number of
+// backends, reqs in flight and teams, and that its retained memory grows no faster than these numbers.
 func TestModuleMemory(t *testing.T) {
 	m := ModuleConfig{Workers: 580, InFlight: 100, Teams: 310, Rounds: 2000, Repeats: 2}
 	rows, err := ModuleSlopes(m, []int{100, 1000}, []int{300, 3000}, []int{31, 310})
@@ -46,8 +46,8 @@
 	assert.LessOrEqual(t, maxValue(t, rows, "placement-held", 1100)/1100, 4.0, "retained KB per device")
 }
 
-// TestStartErrors checks that a program that cannot be started, or that ends before it serves, is an error, so that no rows are
-// recorded for it.
+// TestStartErrors checks that a program that cannot be started, or that ends before it serves, is an error, so that no
+// rows are recorded for it.
 func TestStartErrors(t *testing.T) {
 	_, err := Program{Args: []string{"/nonexistent"}}.start(dispatcherConfig{discovery: "127.0.0.1:1", sockets: 64, memoryMB: 64, dispatchers: 1})
 	assert.Error(t, err)
--- a/internal/lab/capacity/measure/placement.go
+++ b/internal/lab/capacity/measure/placement.go
@@ -10,96 +10,101 @@
 	"tinsail/internal/lab/capacity"
 )
 
-// photos is the mix of docs/design/slices.md with demands of a whole device: parts of a device of 1,000 parts and 16 GiB.
-var photos = []slices.TypicalDemand{
-	typical(143, 2048, slices.SharedWithAny, 40), typical(250, 4096, slices.SharedWithAny, 25), typical(500, 6144, slices.SharedWithAny, 20), typical(1000, 16384, slices.Exclusive, 15),
+// photoDemands is the mix "photos" of docs/design/slices.md with demands for a whole device. A device has 1,000 parts
+// and 16 GiB.
+var photoDemands = []slices.TypicalDemand{
+	typicalDemand(143, 2048, slices.SharedWithAny, 40), typicalDemand(250, 4096, slices.SharedWithAny, 25), typicalDemand(500, 6144, slices.SharedWithAny, 20), typicalDemand(1000, 16384, slices.Exclusive, 15),
 }
 
-func typical(parts, memory int, iso slices.Isolation, w float64) slices.TypicalDemand {
-	return slices.TypicalDemand{Demand: slices.Demand{Size: slices.Amount{Parts: parts, Memory: memory}, Isolation: iso, Lifetime: time.Hour}, Weight: w}
+// typicalDemand returns a demand for parts and memory of a device, with its weight in the mix.
+func typicalDemand(parts, memory int, isolation slices.Isolation, weight float64) slices.TypicalDemand {
+	return slices.TypicalDemand{Demand: slices.Demand{Size: slices.Amount{Parts: parts, Memory: memory}, Isolation: isolation, Lifetime: time.Hour}, Weight: weight}
 }
 
-func draw(r *rand.Rand, mix []slices.TypicalDemand, id string) slices.Demand {
-	all := 0.0
-	for _, m := range mix {
-		all += m.Weight
+// drawDemand draws a demand of a mix at random, by weight.
+func drawDemand(r *rand.Rand, mix []slices.TypicalDemand, id string) slices.Demand {
+	totalWeight := 0.0
+	for _, typical := range mix {
+		totalWeight += typical.Weight
 	}
-	x := r.Float64() * all
-	for _, m := range mix {
-		if x -= m.Weight; x < 0 {
-			d := m.Demand
-			d.ID, d.Tenant = id, fmt.Sprint("t", r.IntN(20))
-			return d
+	x := r.Float64() * totalWeight
+	for _, typical := range mix {
+		if x -= typical.Weight; x < 0 {
+			demand := typical.Demand
+			demand.ID, demand.Tenant = id, fmt.Sprint("t", r.IntN(20))
+			return demand
 		}
 	}
-	return draw(r, mix, id)
+	return drawDemand(r, mix, id)
 }
 
-// Placements is the time of one placement with its bookkeeping at devices that are full but for what just ended, and what the
-// table holds.
-func Placements(repeats, rounds int, timed bool, devices ...int) (rows []capacity.Row, err error) {
+// Placements measures the time of one placement with its bookkeeping on devices that are full except for the slice that
+// just ended, and the memory that the device table retains. Times are returned only if includeTimes is set.
+func Placements(repeats, rounds int, includeTimes bool, devices ...int) (rows []capacity.Row, err error) {
 	for _, n := range devices {
 		for k := range repeats {
-			us, held, err := placements(n, rounds, uint64(k))
+			us, heldBytes, err := measurePlacements(n, rounds, uint64(k))
 			if err != nil {
 				return nil, err
 			}
-			row := func(what, unit string, y float64) {
-				rows = append(rows, capacity.Row{Slope: "placement-" + what, Unit: unit, Against: "devices", X: float64(n), Y: y, Method: capacity.InProcess, Note: "the mix photos, full devices"})
+			row := func(measure, unit string, y float64) {
+				rows = append(rows, capacity.Row{Slope: "placement-" + measure, Unit: unit, Against: "devices", X: float64(n), Y: y, Method: capacity.InProcess, Note: "the mix photos, full devices"})
 			}
-			if timed {
+			if includeTimes {
 				row("us", "us a placement", us)
 			}
-			row("held", "KB held", held/1024)
+			row("held", "KB held", heldBytes/1024)
 		}
 	}
 	return rows, nil
 }
 
-func placements(n, rounds int, seed uint64) (us, held float64, err error) {
+// measurePlacements fills n devices, then releases a random slice and submits a demand in each round. It returns the
+// time of a submission in µs and the bytes that the full table retains.
+func measurePlacements(n, rounds int, seed uint64) (us, heldBytes float64, err error) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	t := slices.New(slices.Limits{MaxTenants: 8, MaxSlices: 16, MaxPassedOver: 100, MaxLifetime: time.Hour, RetainEnded: 1, MaxKnownIDs: 1 << 30}, slices.Pattern, photos)
+	table := slices.New(slices.Limits{MaxTenants: 8, MaxSlices: 16, MaxPassedOver: 100, MaxLifetime: time.Hour, RetainEnded: 1, MaxKnownIDs: 1 << 30}, slices.Pattern, photoDemands)
 	for i := range n {
-		t.AcquireDevice(0, slices.Device{Name: fmt.Sprint("d", i), Size: slices.Amount{Parts: 1000, Memory: 16384}}, 1, nil)
+		table.AcquireDevice(0, slices.Device{Name: fmt.Sprint("d", i), Size: slices.Amount{Parts: 1000, Memory: 16384}}, 1, nil)
 	}
 	for i := range n {
-		t.HandleState(0, fmt.Sprint("d", i), slices.FencingToken{Term: 1, Sequence: 1}, nil)
+		table.HandleState(0, fmt.Sprint("d", i), slices.FencingToken{Term: 1, Sequence: 1}, nil)
 	}
 	r := rand.New(rand.NewPCG(seed, 1))
-	var sits []slices.Action
+	var placed []slices.Action
 	i := 0
-	ask := func() time.Duration {
+	submit := func() time.Duration {
 		i++
-		d := draw(r, photos, fmt.Sprint(i))
-		begun := time.Now()
-		a := t.Submit(time.Duration(i), d)
-		took := time.Since(begun)
-		if a[0].Kind == slices.Start {
-			sits = append(sits, a[0])
+		demand := drawDemand(r, photoDemands, fmt.Sprint(i))
+		start := time.Now()
+		actions := table.Submit(time.Duration(i), demand)
+		elapsed := time.Since(start)
+		if actions[0].Kind == slices.Start {
+			placed = append(placed, actions[0])
 		}
-		return took
+		return elapsed
 	}
 	for range 3 * n {
-		ask()
+		submit()
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	held = float64(after.HeapAlloc) - float64(before.HeapAlloc)
-	var all time.Duration
+	heldBytes = float64(after.HeapAlloc) - float64(before.HeapAlloc)
+	var total time.Duration
 	for range rounds {
-		if len(sits) == 0 {
-			return 0, 0, fmt.Errorf("nothing sits on %d devices", n)
+		if len(placed) == 0 {
+			return 0, 0, fmt.Errorf("no slice is placed on %d devices", n)
 		}
-		k := r.IntN(len(sits))
-		s := sits[k]
-		sits[k] = sits[len(sits)-1]
-		sits = sits[:len(sits)-1]
-		t.Release(time.Duration(i), s.ID)
-		t.HandleStopped(time.Duration(i), s.Device, s.ID, s.PlacementID)
-		all += ask()
+		k := r.IntN(len(placed))
+		ended := placed[k]
+		placed[k] = placed[len(placed)-1]
+		placed = placed[:len(placed)-1]
+		table.Release(time.Duration(i), ended.ID)
+		table.HandleStopped(time.Duration(i), ended.Device, ended.ID, ended.PlacementID)
+		total += submit()
 	}
-	runtime.KeepAlive(t)
-	return float64(all.Nanoseconds()) / 1000 / float64(rounds), held, nil
+	runtime.KeepAlive(table)
+	return float64(total.Nanoseconds()) / 1000 / float64(rounds), heldBytes, nil
 }
--- a/internal/lab/capacity/measure/process.go
+++ b/internal/lab/capacity/measure/process.go
@@ -1,6 +1,6 @@
-// Package measure measures the slopes of docs/CAPACITY.md that do not need the accord: dispatcher processes between simulated
-// clients, backends and directors, and the decision packages called directly. Each measurement returns rows. Tests run the same
-// code at small sizes; make measure-capacity runs it at full size.
+// Package measure measures the slopes of docs/CAPACITY.md that do not need the accord: dispatcher processes between
+// simulated clients, backends and directors, and the decision packages called directly. Each measurement returns rows.
+// Tests run the same code at small sizes; make measure-capacity runs it at full size.
 package measure
 
 import (
@@ -25,8 +25,8 @@
 	"tinsail/internal/standin/platform"
 )
 
-// Program is the command that starts a dispatcher process. Args holds the program and its arguments before "serve"; Env is added
-// to the environment.
+// Program is the command that starts a dispatcher process. Args holds the program and its arguments before "serve"; Env
+// is added to the environment.
 type Program struct {
 	Args, Env []string
 }
@@ -49,8 +49,8 @@
 
 type jsonObject = map[string]any
 
-// platformConfig returns the contents of the platform's configuration file. A req may take two minutes. It is sent to one backend
-// only, because a duplicate would use descriptors that the number of reqs does not account for.
+// platformConfig returns the contents of the platform's configuration file. A req may take two minutes. It is sent to
+// one backend only, because a duplicate would use descriptors that the number of reqs does not account for.
 func (c dispatcherConfig) platformConfig() ([]byte, error) {
 	mode := "on_request"
 	if c.pushed {
@@ -130,8 +130,8 @@
 	return d, nil
 }
 
-// readLog reads the log until it ends. It sends an empty string to served once the process serves, or the last line if the log
-// ends before that.
+// readLog reads the log until it ends. It sends an empty string to served once the process serves, or the last line if
+// the log ends before that.
 func (d *dispatcher) readLog(stderr io.Reader, served chan<- string) {
 	defer close(d.logEnded)
 	lastLine := ""
@@ -165,7 +165,8 @@
 	}
 }
 
-// untilReady waits until the process logs that it is ready and returns the time that this took in ms by the process's own clock.
+// untilReady waits until the process logs that it is ready and returns the time that this took in ms by the process's
+// own clock.
 func (d *dispatcher) untilReady() (float64, error) {
 	select {
 	case ms := <-d.readyAfterMs:
--- a/internal/lab/capacity/page/main.go
+++ b/internal/lab/capacity/page/main.go
@@ -1,5 +1,5 @@
-// Command page regenerates the tables of docs/CAPACITY.md from the rows in docs/capacity. Both paths are relative to the
-// working directory.
+// Command page regenerates the tables of docs/CAPACITY.md from the rows in docs/capacity. Both paths are relative to
+// the working directory.
 package main
 
 import (
--- a/internal/lab/capacity/rows.go
+++ b/internal/lab/capacity/rows.go
@@ -1,7 +1,7 @@
-// Package capacity stores and evaluates capacity measurements. A slope is a series of measurements of one quantity against
-// a size, such as memory against the number of backends. The package keeps the raw rows in CSV files, fits a line with
-// confidence intervals through them and generates the tables of docs/CAPACITY.md. It takes no measurements itself, and the
-// dispatcher never imports it.
+// Package capacity stores and evaluates capacity measurements. A slope is a series of measurements of one quantity
+// against a size, such as memory against the number of backends. The package keeps the raw rows in CSV files, fits a
+// line with confidence intervals through them and generates the tables of docs/CAPACITY.md. It takes no measurements
+// itself, and the dispatcher never imports it.
 package capacity
 
 import (
--- a/internal/lab/capacity/run/main.go
+++ b/internal/lab/capacity/run/main.go
@@ -1,5 +1,5 @@
-// Command run measures the slopes of docs/CAPACITY.md, one part or all. The rows of a part are written to docs/capacity/PART.csv,
-// relative to the working directory, and replace the rows of the same slopes there.
+// Command run measures the slopes of docs/CAPACITY.md, one part or all. The rows of a part are written to
+// docs/capacity/PART.csv, relative to the working directory, and replace the rows of the same slopes there.
 package main
 
 import (
--- a/internal/lab/capacity/tables.go
+++ b/internal/lab/capacity/tables.go
@@ -10,15 +10,15 @@
 	"strings"
 )
 
-// tableMarkers matches a table between its markers. The first marker names the slope and optionally sizes at which the line is
-// evaluated and a limit in the slope's unit: <!-- slope NAME at=580,1160 limit=15000 -->
+// tableMarkers matches a table between its markers. The first marker names the slope and optionally sizes at which the
+// line is evaluated and a limit in the slope's unit: <!-- slope NAME at=580,1160 limit=15000 -->
 var tableMarkers = regexp.MustCompile(`(?s)(<!-- slope ([^\n]*?) -->\n).*?(<!-- end -->)`)
 
 // summaryMarkers matches the summary table, which has a line for each slope of the page whose marker names sizes.
 var summaryMarkers = regexp.MustCompile(`(?s)(<!-- summary -->\n).*?(<!-- end -->)`)
 
-// RenderPage returns a page's text with the table of each slope, and the summary, regenerated between its markers. A marker
-// without rows is an error.
+// RenderPage returns a page's text with the table of each slope, and the summary, regenerated between its markers. A
+// marker without rows is an error.
 func RenderPage(text string, bySlope map[string][]Row) (string, error) {
 	var failed error
 	var summary strings.Builder
@@ -104,8 +104,8 @@
 		limit, strings.Join(factorsLeft, "; "), shape)
 }
 
-// Table renders a slope in Markdown: the fitted line, the measurements at each size, and the estimates at further sizes with the
-// factor left to the limit (NaN: no limit).
+// Table renders a slope in Markdown: the fitted line, the measurements at each size, and the estimates at further sizes
+// with the factor left to the limit (NaN: no limit).
 func (l *Line) Table(at []float64, limit float64) string {
 	var b strings.Builder
 	shape := "no bend"
@@ -138,8 +138,8 @@
 
 func percent(v float64) string { return fmt.Sprintf("%.0f%%", 100*v) }
 
-// FormatFigure formats a number for display with at least three significant digits, integers without decimals, and thousands
-// separated by commas.
+// FormatFigure formats a number for display with at least three significant digits, integers without decimals, and
+// thousands separated by commas.
 func FormatFigure(v float64) string {
 	if v == 0 {
 		return "0"
--- a/internal/lab/capacity/virtual/main.go
+++ b/internal/lab/capacity/virtual/main.go
@@ -1,5 +1,5 @@
-// Command virtual simulates scenarios in virtual time, with and without quota lending, and records the share of its quota that
-// each team received and how late urgent reqs began: rows for docs/capacity/virtual.csv, and two plots.
+// Command virtual simulates scenarios in virtual time, with and without quota lending, and records the share of its
+// quota that each team received and how late urgent reqs began: rows for docs/capacity/virtual.csv, and two plots.
 //
 //	go run ./internal/lab/capacity/virtual -seeds 20 -rows docs/capacity/virtual.csv -plots docs/capacity lab/scenarios/quotas-greedy.star
 package main
@@ -36,7 +36,8 @@
 	}
 }
 
-// simulate runs one scenario with each seed and variant. A broken rule is returned as an error, after all rows are written.
+// simulate runs one scenario with each seed and variant. A broken rule is returned as an error, after all rows are
+// written.
 func simulate(path string, first, seeds, procs int, rows, plots, only string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
