--- a/cmd/tinsail-lab/live.go
+++ b/cmd/tinsail-lab/live.go
@@ -34,7 +34,7 @@
 			}
 			sc.Seed = seed
 			if replay != "" { // for both the sockets and the model
-				if sc.Times, err = readFirstReqTimes(replay); err != nil {
+				if sc.ArrivalTimes, err = readFirstReqTimes(replay); err != nil {
 					return err
 				}
 			}
@@ -62,7 +62,7 @@
 				r.FirstReqs, r.InTime, r.Served, r.Refused, r.Failed, r.Clients.Latency.ValueAtQuantile(50)/1000, r.Clients.Latency.ValueAtQuantile(99)/1000,
 				r.Clients.SendDelay.ValueAtQuantile(99), r.Clients.SendDelay.Max())
 			fmt.Fprintf(c.OutOrStdout(), "  model:   %d first, %d in time, %d served, %d refused, %d failed; p50 %d ms, p99 %d ms\n",
-				model.First, model.InTime, model.Served, model.Refused, model.Failed, model.Latency.ValueAtQuantile(50)/1000, model.Latency.ValueAtQuantile(99)/1000)
+				model.Reqs, model.InTime, model.Served, model.Refused, model.Failed, model.Latency.ValueAtQuantile(50)/1000, model.Latency.ValueAtQuantile(99)/1000)
 			for _, u := range r.Unserved {
 				fmt.Fprintln(c.OutOrStdout(), "  not served:", u)
 			}
--- a/cmd/tinsail-lab/run.go
+++ b/cmd/tinsail-lab/run.go
@@ -101,7 +101,7 @@
 				variant.Alter(&sc)
 			}
 			if replay != "" {
-				if sc.Times, err = readFirstReqTimes(replay); err != nil {
+				if sc.ArrivalTimes, err = readFirstReqTimes(replay); err != nil {
 					return err
 				}
 			}
@@ -110,8 +110,8 @@
 				return inputError{err}
 			}
 			report.Run(c.OutOrStdout(), &r)
-			if r.Breaches > 0 {
-				return fmt.Errorf("%d breaches of the rules", r.Breaches)
+			if r.ViolationCount > 0 {
+				return fmt.Errorf("%d breaches of the rules", r.ViolationCount)
 			}
 			return nil
 		},
--- a/internal/lab/capacity/virtual/main.go
+++ b/internal/lab/capacity/virtual/main.go
@@ -78,8 +78,8 @@
 					totals[variant].Add(&result)
 					fmt.Printf("%s %s seed %d: %s\n", name, variant, seed, report.TeamsLine(&result))
 				}
-				if err == nil && (result.Breaches > 0 || variant == "lent" && result.Quotas.ViolationCount > 0) {
-					err = fmt.Errorf("%s, seed %d: %d rule violations, %d reqs begun beyond a quota: %v %v", name, seed, result.Breaches, result.Quotas.ViolationCount, result.Broken, result.Quotas.Violations)
+				if err == nil && (result.ViolationCount > 0 || variant == "lent" && result.Quotas.ViolationCount > 0) {
+					err = fmt.Errorf("%s, seed %d: %d rule violations, %d reqs begun beyond a quota: %v %v", name, seed, result.ViolationCount, result.Quotas.ViolationCount, result.Violations, result.Quotas.Violations)
 				}
 				if firstErr == nil {
 					firstErr = err
@@ -111,7 +111,7 @@
 		row("use", "of all quotas", tenants.Utilization()),
 		row("urgent-late", "of urgent reqs, begun later than 2.3 s", report.LateShare(&result.Tenants)),
 		row("urgent-p999", "s", float64(tenants.UrgentStartDelay.ValueAtQuantile(99.9))/1e6),
-		row("broken", "rules", float64(result.Breaches+quotas.ViolationCount)),
+		row("broken", "rules", float64(result.ViolationCount+quotas.ViolationCount)),
 	}
 	if quotas.UrgentGrantDelay != nil {
 		rows = append(rows, row("room-p999", "s", float64(quotas.UrgentGrantDelay.ValueAtQuantile(99.9))/1e6),
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -190,17 +190,17 @@
 		name string
 		res  *sim.Result
 	}{{r.A, &p.A}, {r.B, &p.B}} {
-		if x.res.Breaches > 0 {
-			r.InvalidRuns = append(r.InvalidRuns, InvalidRun{p.Seed, x.name, x.res.Broken[0].String(), x.res.Breaches})
+		if x.res.ViolationCount > 0 {
+			r.InvalidRuns = append(r.InvalidRuns, InvalidRun{p.Seed, x.name, x.res.Violations[0].String(), x.res.ViolationCount})
 		}
 	}
 	var serviceA, serviceB, serviceDiff, servedA, servedB, servedDiff []float64
 	for i := range r.Pairs {
-		if p := &r.Pairs[i]; p.A.Breaches == 0 && p.B.Breaches == 0 {
+		if p := &r.Pairs[i]; p.A.ViolationCount == 0 && p.B.ViolationCount == 0 {
 			serviceA, serviceB = append(serviceA, p.A.Service()), append(serviceB, p.B.Service())
 			serviceDiff = append(serviceDiff, p.B.Service()-p.A.Service())
-			servedA, servedB = append(servedA, p.A.ServedPart()), append(servedB, p.B.ServedPart())
-			servedDiff = append(servedDiff, p.B.ServedPart()-p.A.ServedPart())
+			servedA, servedB = append(servedA, p.A.ServedShare()), append(servedB, p.B.ServedShare())
+			servedDiff = append(servedDiff, p.B.ServedShare()-p.A.ServedShare())
 		}
 	}
 	r.ValidPairs = len(serviceDiff)
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -20,7 +20,7 @@
 	for i, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 		sc.Backends = append(sc.Backends, sim.Backend{Name: name, Pod: i / 4, Kind: fleet.Kind{Name: "std", Cores: 4, Speed: 1, Slots: 4, QueueLimit: 40, ThrashThreshold: 10, ThrashSlowdown: 0.5, RepeatWindow: 7500}})
 	}
-	sc.Events = []sim.Event{{At: 3000, Backend: "a", Do: "trouble", Trouble: fleet.Faults{SlowFactor: 5}}}
+	sc.Events = []sim.Event{{At: 3000, Backend: "a", Action: "trouble", Faults: fleet.Faults{SlowFactor: 5}}}
 	return sc
 }
 
--- a/internal/lab/experiment/sweep.go
+++ b/internal/lab/experiment/sweep.go
@@ -66,8 +66,8 @@
 				if errs[i] != nil {
 					return out, fmt.Errorf("%s %v, seed %d: %w", param, x, o.Seed+uint64(i), errs[i])
 				}
-				if r := &results[i]; r.Breaches > 0 {
-					p.InvalidRuns = append(p.InvalidRuns, InvalidRun{o.Seed + uint64(i), v.Name, r.Broken[0].String(), r.Breaches})
+				if r := &results[i]; r.ViolationCount > 0 {
+					p.InvalidRuns = append(p.InvalidRuns, InvalidRun{o.Seed + uint64(i), v.Name, r.Violations[0].String(), r.ViolationCount})
 				} else {
 					services = append(services, r.Service())
 				}
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -193,9 +193,9 @@
 func (tb *testbed) runEvents(ctx context.Context) error {
 	events := append([]sim.Event{}, tb.scenario.Events...)
 	for i := range events { // changes of the list that the dispatchers hear of late are made late
-		switch events[i].Do {
+		switch events[i].Action {
 		case "list", "unlist":
-			events[i].At += events[i].Heard
+			events[i].At += events[i].NotifyDelay
 		}
 	}
 	sort.SliceStable(events, func(i, j int) bool { return events[i].At < events[j].At })
@@ -213,18 +213,18 @@
 		}
 		simulated, b := tb.backends[e.Backend], backends[e.Backend]
 		var err error
-		switch e.Do {
+		switch e.Action {
 		case "kill":
 			simulated.kill()
 		case "start":
 			err = simulated.start()
 		case "trouble":
-			simulated.update(func(now float64) []fleet.Event { return simulated.model.SetFaults(now, e.Trouble) })
+			simulated.update(func(now float64) []fleet.Event { return simulated.model.SetFaults(now, e.Faults) })
 		case "drain":
 			simulated.update(func(now float64) []fleet.Event { return simulated.model.Drain(now, true) })
 			delayed.Go(func() {
 				select {
-				case <-time.After(time.Duration(e.Heard * float64(time.Millisecond))):
+				case <-time.After(time.Duration(e.NotifyDelay * float64(time.Millisecond))):
 					tb.listBackend(b, "Terminating")
 				case <-ctx.Done():
 				}
@@ -239,7 +239,7 @@
 			err = tb.callDoors(e.Backend, "online")
 		}
 		if err != nil {
-			return fmt.Errorf("%s of %s: %w", e.Do, e.Backend, err)
+			return fmt.Errorf("%s of %s: %w", e.Action, e.Backend, err)
 		}
 	}
 	return nil
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -24,9 +24,9 @@
 	for i, name := range []string{"a", "b", "c", "d"} {
 		sc.Backends = append(sc.Backends, sim.Backend{Name: name, Pod: i / 2, Cold: name == "d", Kind: fleet.Kind{Name: "std", Cores: 4, Speed: 1, Slots: 4, QueueLimit: 20, ColdCapacity: 0.5, WarmUpTime: 500}})
 	}
-	sc.Events = []sim.Event{{At: 100, Backend: "a", Do: "ban"}, {At: 200, Backend: "b", Do: "trouble", Trouble: fleet.Faults{FailureRate: 0.5}},
-		{At: 400, Backend: "b", Do: "trouble"}, {At: 500, Backend: "c", Do: "drain", Heard: 50}, {At: 700, Backend: "c", Do: "kill"},
-		{At: 750, Backend: "c", Do: "start"}, {At: 800, Backend: "c", Do: "list", Heard: 20}, {At: 900, Backend: "a", Do: "lift"}, {At: 1000, Backend: "b", Do: "unlist"}}
+	sc.Events = []sim.Event{{At: 100, Backend: "a", Action: "ban"}, {At: 200, Backend: "b", Action: "trouble", Faults: fleet.Faults{FailureRate: 0.5}},
+		{At: 400, Backend: "b", Action: "trouble"}, {At: 500, Backend: "c", Action: "drain", NotifyDelay: 50}, {At: 700, Backend: "c", Action: "kill"},
+		{At: 750, Backend: "c", Action: "start"}, {At: 800, Backend: "c", Action: "list", NotifyDelay: 20}, {At: 900, Backend: "a", Action: "lift"}, {At: 1000, Backend: "b", Action: "unlist"}}
 	r, err := Play(context.Background(), sc, Options{Program: program})
 	require.NoError(t, err)
 	arrivals := 0
@@ -53,10 +53,10 @@
 		sc.Backends = append(sc.Backends, sim.Backend{Name: name, Kind: fleet.Kind{Name: "std", Cores: 4, Speed: 1, Slots: 4, QueueLimit: 20}})
 	}
 	for i := range 40 {
-		sc.Times = append(sc.Times, float64(i*20))
+		sc.ArrivalTimes = append(sc.ArrivalTimes, float64(i*20))
 	}
 	for range 20 { // a burst
-		sc.Times = append(sc.Times, 900)
+		sc.ArrivalTimes = append(sc.ArrivalTimes, 900)
 	}
 	r, err := Play(context.Background(), sc, Options{Program: program})
 	require.NoError(t, err)
--- a/internal/lab/report/accord.go
+++ b/internal/lab/report/accord.go
@@ -17,7 +17,7 @@
 }
 
 func servedBySecond(r *experiment.Report, a bool) plotter.XYs {
-	return shareBySecond(r, a, func(s sim.Second) int { return s.Kept })
+	return shareBySecond(r, a, func(s sim.SecondCounts) int { return s.EventuallyServed })
 }
 
 // writeAccord writes the accord's results, if the scenario has an accord: means over all seeds, and the maximum number of
@@ -32,7 +32,7 @@
 		var sum sim.AccordResult
 		first, n := 0, float64(len(r.Pairs))
 		forEachRun(r, a, func(x *sim.Result) {
-			first += x.First
+			first += x.Reqs
 			sum.Refused += x.Accord.Refused
 			sum.RefusedWhileCut += x.Accord.RefusedWhileCut
 			sum.OutdatedAccepted += x.Accord.OutdatedAccepted
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -28,36 +28,36 @@
 // Run writes the result of one run as text.
 func Run(out io.Writer, r *sim.Result) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "service\t%.4f (whole %.4f, worst 10 s %.4f)\n", r.Service(), r.InTimePart(), r.Worst)
-	fmt.Fprintf(w, "first reqs\t%d: served %d (%d in time), refused %d, failed %d\n", r.First, r.Served, r.InTime, r.Refused, r.Failed)
+	fmt.Fprintf(w, "service\t%.4f (whole %.4f, worst 10 s %.4f)\n", r.Service(), r.InTimeShare(), r.WorstWindow)
+	fmt.Fprintf(w, "first reqs\t%d: served %d (%d in time), refused %d, failed %d\n", r.Reqs, r.Served, r.InTime, r.Refused, r.Failed)
 	for i := range r.Classes {
 		c := &r.Classes[i]
-		fmt.Fprintf(w, "class %s\t%.4f; %d of %d in time", c.Name, c.Part(), c.InTime, c.First)
-		for _, outcome := range slices.Sorted(maps.Keys(c.Wrong)) {
-			fmt.Fprintf(w, ", %s %d", outcome, c.Wrong[outcome])
+		fmt.Fprintf(w, "class %s\t%.4f; %d of %d in time", c.Name, c.InTimeShare(), c.InTime, c.Reqs)
+		for _, outcome := range slices.Sorted(maps.Keys(c.NotInTime)) {
+			fmt.Fprintf(w, ", %s %d", outcome, c.NotInTime[outcome])
 		}
-		if c.Early > 0 {
-			fmt.Fprintf(w, "; %d given up too early", c.Early)
+		if c.GivenUpEarly > 0 {
+			fmt.Fprintf(w, "; %d given up too early", c.GivenUpEarly)
 		}
 		fmt.Fprintln(w)
 	}
-	if r.Twice > 0 {
-		fmt.Fprintf(w, "ran twice\t%d that must not\n", r.Twice)
+	if r.RanTwice > 0 {
+		fmt.Fprintf(w, "ran twice\t%d that must not\n", r.RanTwice)
 	}
 	fmt.Fprintf(w, "answers, attempts\t%d, %d\n", r.Answers, r.Attempts)
 	fmt.Fprintf(w, "latency ms\tp50 %.0f, p99 %.0f, p99.9 %.0f\n", percentileMS(r.Latency, 50), percentileMS(r.Latency, 99), percentileMS(r.Latency, 99.9))
-	lowest, highest := jobRange(r.Load)
+	lowest, highest := jobRange(r.JobsByBackend)
 	fmt.Fprintf(w, "jobs at a backend\t%d to %d\n", lowest, highest)
 	if a := &r.Accord; a.MaxVersions > 0 {
 		fmt.Fprintf(w, "accord\tversion %d, at most %d in use at one moment; fenced %d (%d where cut off), taken by one that was over %d, none took for %.0f ms\n",
 			a.Version, a.MaxVersions, a.Refused, a.RefusedWhileCut, a.OutdatedAccepted, a.Outage)
 	}
-	fmt.Fprintf(w, "log\t%016x, %d events, %d steps\n", r.Hash, r.Events, r.Steps)
-	if r.Breaches == 0 {
+	fmt.Fprintf(w, "log\t%016x, %d events, %d steps\n", r.LogHash, r.LogEvents, r.Steps)
+	if r.ViolationCount == 0 {
 		fmt.Fprintf(w, "rules\tkept\n")
 	} else {
-		fmt.Fprintf(w, "rules\tBROKEN %d times:\n", r.Breaches)
-		for _, b := range r.Broken[:min(len(r.Broken), 5)] {
+		fmt.Fprintf(w, "rules\tBROKEN %d times:\n", r.ViolationCount)
+		for _, b := range r.Violations[:min(len(r.Violations), 5)] {
 			fmt.Fprintf(w, "\t%s\n", b)
 		}
 	}
@@ -191,18 +191,18 @@
 }
 
 func inTimeBySecond(r *experiment.Report, a bool) plotter.XYs {
-	return shareBySecond(r, a, func(s sim.Second) int { return s.InTime })
+	return shareBySecond(r, a, func(s sim.SecondCounts) int { return s.InTime })
 }
 
 // shareBySecond returns, for each second, the share of its requests that count selects, over all seeds.
-func shareBySecond(r *experiment.Report, a bool, count func(sim.Second) int) (out plotter.XYs) {
+func shareBySecond(r *experiment.Report, a bool, count func(sim.SecondCounts) int) (out plotter.XYs) {
 	var counted, total []float64
 	forEachRun(r, a, func(x *sim.Result) {
 		for i, s := range x.Seconds {
 			for len(counted) <= i {
 				counted, total = append(counted, 0), append(total, 0)
 			}
-			counted[i], total[i] = counted[i]+float64(count(s)), total[i]+float64(s.Asked)
+			counted[i], total[i] = counted[i]+float64(count(s)), total[i]+float64(s.Arrived)
 		}
 	})
 	for i := range counted {
@@ -226,7 +226,7 @@
 	var sum []float64
 	forEachRun(r, a, func(x *sim.Result) {
 		var jobs []int
-		for _, n := range x.Load {
+		for _, n := range x.JobsByBackend {
 			jobs = append(jobs, n)
 		}
 		slices.Sort(jobs)
@@ -247,7 +247,7 @@
 func answerShares(r *experiment.Report, a bool) plotter.Values {
 	v, first := make(plotter.Values, 4), 0.0
 	forEachRun(r, a, func(x *sim.Result) {
-		first += float64(x.First)
+		first += float64(x.Reqs)
 		v[0] += float64(x.InTime)
 		v[1] += float64(x.Served - x.InTime)
 		v[2] += float64(x.Refused)
--- a/internal/lab/report/teams.go
+++ b/internal/lab/report/teams.go
@@ -51,7 +51,7 @@
 func (s *TeamTotals) Add(r *sim.Result) {
 	t := &r.Tenants
 	s.WorstShares, s.Utilizations, s.MaxOverQuota = append(s.WorstShares, t.WorstShare()), append(s.Utilizations, t.Utilization()), max(s.MaxOverQuota, t.MaxOverQuota())
-	s.Violations += r.Breaches + r.Quotas.ViolationCount
+	s.Violations += r.ViolationCount + r.Quotas.ViolationCount
 	s.MaxByteRate = max(s.MaxByteRate, r.Quotas.MaxByteRate)
 	if s.Urgent == nil {
 		s.ShareSums, s.Urgent = make([]float64, len(t.ByTenant)), hdrhistogram.New(1, 100_000_000_000, 3)
@@ -80,7 +80,7 @@
 func TeamsLine(r *sim.Result) string {
 	t, q := &r.Tenants, &r.Quotas
 	out := fmt.Sprintf("running %.0f of %.0f slots, use %.4f, worst off %.4f, over %.3f; urgent %d, p50 %.3f s, p99.9 %.3f s, late %.5f; rules broken %d",
-		t.Running, t.Slots, t.Utilization(), t.WorstShare(), t.MaxOverQuota(), t.UrgentStartDelay.TotalCount()+int64(t.UrgentNeverStarted), percentileSeconds(t.UrgentStartDelay, 50), percentileSeconds(t.UrgentStartDelay, 99.9), LateShare(t), r.Breaches)
+		t.Running, t.Slots, t.Utilization(), t.WorstShare(), t.MaxOverQuota(), t.UrgentStartDelay.TotalCount()+int64(t.UrgentNeverStarted), percentileSeconds(t.UrgentStartDelay, 50), percentileSeconds(t.UrgentStartDelay, 99.9), LateShare(t), r.ViolationCount)
 	if q.UrgentGrantDelay != nil {
 		out += fmt.Sprintf("; room p99.9 %.3f s, %.1f messages/s and %.0f bytes/s a dispatcher (most %.0f), %d beyond quotas, %v", percentileSeconds(q.UrgentGrantDelay, 99.9), q.MeanMessageRate, q.MeanByteRate, q.MaxByteRate, q.ViolationCount, q.Events)
 	}
--- a/internal/lab/script/script.go
+++ b/internal/lab/script/script.go
@@ -286,7 +286,7 @@
 	var names []starlark.Value
 	for range count {
 		name := fmt.Sprint(prefix, len(names)+1)
-		r.sc.Backends = append(r.sc.Backends, sim.Backend{Name: name, Kind: k, Pod: len(r.sc.Backends) / pod, Cold: cold, Vary: vary})
+		r.sc.Backends = append(r.sc.Backends, sim.Backend{Name: name, Kind: k, Pod: len(r.sc.Backends) / pod, Cold: cold, SpeedSpread: vary})
 		names = append(names, starlark.String(name))
 	}
 	return starlark.NewList(names), nil
@@ -294,7 +294,7 @@
 
 func (r *reader) burst(a *args) (starlark.Value, error) {
 	from := a.seconds("start", 0)
-	r.sc.Bursts = append(r.sc.Bursts, sim.Burst{From: from, To: from + a.seconds("length", 5000), Times: a.number("times", 2, 0.01, 1000)})
+	r.sc.Bursts = append(r.sc.Bursts, sim.Burst{From: from, To: from + a.seconds("length", 5000), RateFactor: a.number("times", 2, 0.01, 1000)})
 	return nil, nil
 }
 
@@ -315,22 +315,22 @@
 		return nil, nil
 	}
 	at, names, do := 1000*a.bounded("time", v, 0, 86_400), a.names("backends"), a.text("do")
-	e := sim.Event{At: at, Do: do}
+	e := sim.Event{At: at, Action: do}
 	switch do {
 	case "slow":
-		e.Do, e.Trouble.SlowFactor = "trouble", a.number("times", 5, 1, 1e4)
+		e.Action, e.Faults.SlowFactor = "trouble", a.number("times", 5, 1, 1e4)
 	case "errors":
-		e.Do, e.Trouble.FailureRate = "trouble", a.number("part", 0.5, 0, 1)
+		e.Action, e.Faults.FailureRate = "trouble", a.number("part", 0.5, 0, 1)
 	case "neighbour":
-		e.Do, e.Trouble.NeighbourShare = "trouble", a.number("part", 0.5, 0, 0.99)
+		e.Action, e.Faults.NeighbourShare = "trouble", a.number("part", 0.5, 0, 0.99)
 	case "freeze":
-		e.Do, e.Trouble.Frozen = "trouble", true
+		e.Action, e.Faults.Frozen = "trouble", true
 	case "pauses":
-		e.Do, e.Trouble.PauseEvery, e.Trouble.Pause = "trouble", a.seconds("every", 3000), a.number("ms", 150, 0.001, 1e6)
+		e.Action, e.Faults.PauseEvery, e.Faults.Pause = "trouble", a.seconds("every", 3000), a.number("ms", 150, 0.001, 1e6)
 	case "well":
-		e.Do = "trouble"
+		e.Action = "trouble"
 	case "drain", "list", "unlist":
-		e.Heard = a.seconds("heard", 0)
+		e.NotifyDelay = a.seconds("heard", 0)
 	case "kill", "start", "ban", "lift":
 	default:
 		a.fail("do is %q, want slow, errors, neighbour, pauses, freeze, well or one of %s", do, strings.Join(sim.EventActions, ", "))
@@ -351,10 +351,10 @@
 	}
 	for i, name := range names {
 		at := start + float64(i/batch)*every
-		r.add(a, sim.Event{At: at, Backend: name, Do: "drain", Heard: heard})
-		r.add(a, sim.Event{At: at + drain, Backend: name, Do: "kill"})
-		r.add(a, sim.Event{At: at + drain + 500, Backend: name, Do: "start"})
-		r.add(a, sim.Event{At: at + drain + 500, Backend: name, Do: "list", Heard: heard})
+		r.add(a, sim.Event{At: at, Backend: name, Action: "drain", NotifyDelay: heard})
+		r.add(a, sim.Event{At: at + drain, Backend: name, Action: "kill"})
+		r.add(a, sim.Event{At: at + drain + 500, Backend: name, Action: "start"})
+		r.add(a, sim.Event{At: at + drain + 500, Backend: name, Action: "list", NotifyDelay: heard})
 	}
 	return nil, nil
 }
--- a/internal/lab/script/script_test.go
+++ b/internal/lab/script/script_test.go
@@ -41,11 +41,11 @@
 	assert.Equal(t, []int{0, 0, 1}, []int{sc.Backends[0].Pod, sc.Backends[1].Pod, sc.Backends[2].Pod})
 	assert.Equal(t, 2.0, sc.Backends[0].Kind.Slots)
 	assert.True(t, sc.Backends[3].Cold)
-	assert.Equal(t, []sim.Burst{{From: 5000, To: 7000, Times: 2.5}}, sc.Bursts)
+	assert.Equal(t, []sim.Burst{{From: 5000, To: 7000, RateFactor: 2.5}}, sc.Bursts)
 	require.Len(t, sc.Events, 4+1+12)
-	assert.Equal(t, "trouble", sc.Events[0].Do)
-	assert.Equal(t, 9.0, sc.Events[3].Trouble.SlowFactor)
-	assert.Equal(t, 500.0, sc.Events[4].Heard)
+	assert.Equal(t, "trouble", sc.Events[0].Action)
+	assert.Equal(t, 9.0, sc.Events[3].Faults.SlowFactor)
+	assert.Equal(t, 500.0, sc.Events[4].NotifyDelay)
 	assert.Equal(t, sim.Site{Unweighted: true, Progress: 1000, Guess: 0.5, Mix: balance.Mix{WorstClass: 0.3}}, sc.Site)
 	assert.Equal(t, []sim.Class{{Name: "x", Share: 2, Work: 50, Spread: 0.4, Aim: 120, Stretch: 2, Deadline: 5000, Worth: 1, Wide: 0.2, Window: 7500,
 		Effect: balance.Unsafe}}, sc.Classes)
@@ -131,7 +131,7 @@
 	for sc.Seed = 1; sc.Seed <= 4; sc.Seed++ {
 		r, err := sim.Run(sc, defaults.Settings())
 		require.NoError(t, err)
-		assert.Empty(t, r.Broken)
+		assert.Empty(t, r.Violations)
 		assert.Empty(t, r.Quotas.Violations)
 		assert.Equal(t, 1.0, r.Tenants.MaxOverQuota())
 		assert.Greater(t, r.Tenants.WorstShare(), 0.93) // with jobs of 12 s the time in which a unit moves between regions weighs 20 times as much
@@ -203,11 +203,11 @@
 			for sc.Seed = 1; sc.Seed <= 3; sc.Seed++ {
 				r, err := sim.Run(sc, defaults.Settings())
 				require.NoError(t, err)
-				assert.Empty(t, r.Broken, "seed %d", sc.Seed)
-				assert.Equal(t, []int{0, r.First}, []int{r.Twice, r.Served + r.Refused + r.Failed})
+				assert.Empty(t, r.Violations, "seed %d", sc.Seed)
+				assert.Equal(t, []int{0, r.Reqs}, []int{r.RanTwice, r.Served + r.Refused + r.Failed})
 				wrong := 0
 				for _, c := range r.Classes {
-					wrong += c.Wrong[wantOutcome]
+					wrong += c.NotInTime[wantOutcome]
 				}
 				assert.Equal(t, wantOutcome != "", wrong > 20, "seed %d: %d", sc.Seed, wrong)
 			}
--- a/internal/lab/sim/accord_test.go
+++ b/internal/lab/sim/accord_test.go
@@ -99,7 +99,7 @@
 	sc.Accord.ProbeInterval = 60_000
 	rarelyProbed := runChecked(t, sc)
 	assert.Greater(t, rarelyProbed.Accord.RefusedWhileCut, 3*oftenProbed.Accord.RefusedWhileCut)
-	assert.Equal(t, oftenProbed.First, oftenProbed.Served)
+	assert.Equal(t, oftenProbed.Reqs, oftenProbed.Served)
 }
 
 func TestAccordScenarioErrors(t *testing.T) {
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -26,8 +26,8 @@
 	classes := sc.classes()
 	return func(yield func(Arrival) bool) {
 		chance, more := fleet.RandomStream(sc.Seed, "arrivals"), fleet.RandomStream(sc.Seed, "classes")
-		if sc.Times != nil { // a recording's
-			for _, at := range sc.Times {
+		if sc.ArrivalTimes != nil { // a recording's
+			for _, at := range sc.ArrivalTimes {
 				if at >= sc.Length || !yield(sc.draw(at, chance.NormFloat64(), classes, more)) {
 					return
 				}
@@ -38,7 +38,7 @@
 			times := 1.0
 			for _, b := range sc.Bursts {
 				if at >= b.From && at < b.To {
-					times *= b.Times
+					times *= b.RateFactor
 				}
 			}
 			at += chance.ExpFloat64() * 1000 / (sc.Rate * times)
@@ -57,8 +57,8 @@
 		return
 	}
 	w.schedule(a.At, func() {
-		w.result.First++
-		c := &client{world: w, n: w.result.First, key: fmt.Sprint("k", w.result.First), Arrival: a, arrivedAt: w.now}
+		w.result.Reqs++
+		c := &client{world: w, n: w.result.Reqs, key: fmt.Sprint("k", w.result.Reqs), Arrival: a, arrivedAt: w.now}
 		if w.tenants != nil {
 			c.tenant = w.tenants.drawTenant()
 		}
@@ -85,10 +85,10 @@
 	standing       bool // part of its tenant's standing demand
 }
 
-func (w *world) second(at float64) *Second {
+func (w *world) second(at float64) *SecondCounts {
 	i := int(at / 1000)
 	for len(w.result.Seconds) <= i {
-		w.result.Seconds = append(w.result.Seconds, Second{})
+		w.result.Seconds = append(w.result.Seconds, SecondCounts{})
 	}
 	return &w.result.Seconds[i]
 }
@@ -108,10 +108,10 @@
 	c.tries++
 	c.trips = c.trips[:0]
 	if c.tries == 1 {
-		w.second(w.now).Asked++
+		w.second(w.now).Arrived++
 		r := &w.result.Classes[c.Class]
-		r.First++
-		r.Asked += c.worth()
+		r.Reqs++
+		r.TotalWorth += c.worth()
 	}
 	fronts := c.reachable(w.routedDispatchers())
 	if len(fronts) == 0 {
@@ -176,7 +176,7 @@
 	}
 	if a.Kind == core.Result {
 		w.result.Served++
-		w.second(c.arrivedAt).Kept++
+		w.second(c.arrivedAt).EventuallyServed++
 		good := w.now-c.arrivedAt <= c.class().Aim+c.class().Stretch*c.Work
 		if good {
 			w.result.InTime++
@@ -249,13 +249,13 @@
 	w.service.AddWeighted(c.arrivedAt, c.worth()*c.class().Worth, good)
 	if good {
 		r.InTime++
-		r.Good += c.worth()
+		r.InTimeWorth += c.worth()
 		return
 	}
-	r.Wrong[how]++
+	r.NotInTime[how]++
 	// Nobody decided on what was late, lost or reached no dispatcher.
 	decided := strings.HasPrefix(how, "refused") || strings.HasPrefix(how, "failed")
 	if aim := c.arrivedAt + c.class().Aim + c.class().Stretch*c.Work; decided && c.never() && w.now+c.Work <= aim {
-		r.Early++
+		r.GivenUpEarly++
 	}
 }
--- a/internal/lab/sim/quotas_test.go
+++ b/internal/lab/sim/quotas_test.go
@@ -116,7 +116,7 @@
 	sc := quotaScenario(3, 10)
 	sc.Quotas.Loss = 0.05
 	a, b := runChecked(t, sc), runChecked(t, sc)
-	assert.Equal(t, a.Hash, b.Hash)
+	assert.Equal(t, a.LogHash, b.LogHash)
 	assert.Equal(t, a.Quotas, b.Quotas)
 }
 
--- a/internal/lab/sim/side.go
+++ b/internal/lab/sim/side.go
@@ -219,7 +219,7 @@
 		e.Capacity = part * t.n.cfg.Kind.Cores * t.n.cfg.Kind.Speed
 	}
 	w.note(e)
-	w.result.Load[t.n.name]++
+	w.result.JobsByBackend[t.n.name]++
 	t.n.out[t.id], w.owners[t.id] = t, t
 	job := fleet.Job{ID: t.id, Work: work, Slots: c.Slots}
 	if key := t.a.Job.IdempotencyKey; key != "" {
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -24,21 +24,21 @@
 	Length      float64 // arrivals end then
 	Rate        float64 // reqs a second, over all dispatchers
 	Bursts      []Burst
-	// Times, where given, are the first reqs' arrivals in ms, in order, from a recording: they stand for Rate and
+	// ArrivalTimes, where given, are the first reqs' arrivals in ms, in order, from a recording: they stand for Rate and
 	// Bursts, and works are still drawn from Work and Spread.
-	Times    []float64
-	Work     float64 // mean of a job on the yardstick
-	Spread   float64 // of the logarithm of a job's work
-	Aim      float64 // served in time is within this and Stretch times the job's own running time
-	Stretch  float64 // 0 means 2
-	Deadline float64
-	Retries  int     // of a client, after a refusal or a failure
-	Backoff  float64 // before a retry, where no longer pause was advised
-	Latency  float64 // one way, between any two; half of it varies
-	Connect  float64 // further time that a new connection takes
-	Report   fleet.ReportConfig
-	Backends []Backend
-	Events   []Event
+	ArrivalTimes []float64
+	Work         float64 // mean of a job on the yardstick
+	Spread       float64 // of the logarithm of a job's work
+	Aim          float64 // served in time is within this and Stretch times the job's own running time
+	Stretch      float64 // 0 means 2
+	Deadline     float64
+	Retries      int     // of a client, after a refusal or a failure
+	Backoff      float64 // before a retry, where no longer pause was advised
+	Latency      float64 // one way, between any two; half of it varies
+	Connect      float64 // further time that a new connection takes
+	Report       fleet.ReportConfig
+	Backends     []Backend
+	Events       []Event
 	// Classes, where given, stand for Work, Spread, Aim, Stretch and Deadline.
 	Classes       []Class
 	Site          Site
@@ -58,7 +58,7 @@
 }
 
 // Burst multiplies the rate for a while.
-type Burst struct{ From, To, Times float64 }
+type Burst struct{ From, To, RateFactor float64 }
 
 // Backend is one machine of a scenario.
 type Backend struct {
@@ -66,8 +66,8 @@
 	Kind fleet.Kind
 	Pod  int
 	Cold bool // starts at the beginning, and is not warm
-	// Vary is the spread of the logarithm of its speed: machines of a kind differ, by the seed.
-	Vary float64
+	// SpeedSpread is the spread of the logarithm of its speed: machines of a kind differ, by the seed.
+	SpeedSpread float64
 }
 
 // EventActions are what can happen to a backend; see Event.
@@ -77,84 +77,84 @@
 type Event struct {
 	At      float64
 	Backend string
-	// Do is one of Dos. drain, list and unlist are what the director says of it: that it drains, is ready, is gone. ban and lift
+	// Action is one of Dos. drain, list and unlist are what the director says of it: that it drains, is ready, is gone. ban and lift
 	// are operators' calls at all dispatchers.
-	Do      string
-	Trouble fleet.Faults
-	Heard   float64 // for how long the dispatchers do not hear of it: drain, list and unlist
+	Action      string
+	Faults      fleet.Faults
+	NotifyDelay float64 // for how long the dispatchers do not hear of it: drain, list and unlist
 }
 
-// Second is what became of the first reqs that came in a second, and of all answers in it. Kept are those first reqs that
+// SecondCounts is what became of the first reqs that came in a second, and of all answers in it. Kept are those first reqs that
 // were served in the end, in time or not.
-type Second struct{ Asked, InTime, Served, Refused, Failed, Kept int }
+type SecondCounts struct{ Arrived, InTime, Served, Refused, Failed, EventuallyServed int }
 
 // ClassResult is what became of a class's first reqs.
 type ClassResult struct {
-	Name          string
-	First, InTime int
-	Asked, Good   float64 // worth, in reqs or in work as the site counts it, of all and of those in time
-	// Wrong counts those that were not in time by how their last try ended: late, unreachable (no dispatcher took it),
+	Name                    string
+	Reqs, InTime            int
+	TotalWorth, InTimeWorth float64 // worth, in reqs or in work as the site counts it, of all and of those in time
+	// NotInTime counts those that were not in time by how their last try ended: late, unreachable (no dispatcher took it),
 	// or refused, failed and lost (its dispatcher was killed), each held (not sent), turned away (proven not to
 	// have run), waiting (at a backend, not begun) or begun.
-	Wrong map[string]int
-	// Early of these were refused or failed by a dispatcher though no attempt of theirs may have run, and would have been in
+	NotInTime map[string]int
+	// GivenUpEarly of these were refused or failed by a dispatcher though no attempt of theirs may have run, and would have been in
 	// time on a core of speed 1 if they had begun then.
-	Early int
+	GivenUpEarly int
 }
 
-// Part is the part of the class's worth that was served in time.
-func (c *ClassResult) Part() float64 {
-	if c.Asked == 0 {
+// InTimeShare is the part of the class's worth that was served in time.
+func (c *ClassResult) InTimeShare() float64 {
+	if c.TotalWorth == 0 {
 		return 1
 	}
-	return c.Good / c.Asked
+	return c.InTimeWorth / c.TotalWorth
 }
 
 // Result is what came of it.
 type Result struct {
-	Classes  []ClassResult
-	Twice    int         // first reqs of classes that must not, whose job began twice
-	Mix      balance.Mix // how the figures of service are put together; zero for 85% and 15%
-	Whole    float64     // part of the worth in time
-	First    int         // reqs, a client's retries not counted
-	InTime   int         // of First, served within the aim, retries credited
-	Served   int
-	Refused  int // given up by their clients after a refusal
-	Failed   int
-	Open     int // at the end of a run with tenants, which ends with its arrivals
-	Answers  int // final answers, retries' too
-	Attempts int
-	Fallen   int     // backends that fell over
-	Worst    float64 // part in time in the worst 10 s
-	Steps    int     // events of the run
-	Events   int     // of the log
-	Hash     uint64  // of the log
-	Broken   []judge.Violation
-	Breaches int // all, where only the first are kept
-	Seconds  []Second
-	Load     map[string]int // jobs begun, by backend
-	Accord   AccordResult
-	Tenants  TenantsResult
-	Quotas   QuotasResult
-	Latency  *hdrhistogram.Histogram // of served first reqs, from the first try to the answer, us
+	Classes            []ClassResult
+	RanTwice           int         // first reqs of classes that must not, whose job began twice
+	Mix                balance.Mix // how the figures of service are put together; zero for 85% and 15%
+	WholeRun           float64     // part of the worth in time
+	Reqs               int         // reqs, a client's retries not counted
+	InTime             int         // of First, served within the aim, retries credited
+	Served             int
+	Refused            int // given up by their clients after a refusal
+	Failed             int
+	Unanswered         int // at the end of a run with tenants, which ends with its arrivals
+	Answers            int // final answers, retries' too
+	Attempts           int
+	OverloadedBackends int     // backends that fell over
+	WorstWindow        float64 // part in time in the worst 10 s
+	Steps              int     // events of the run
+	LogEvents          int     // of the log
+	LogHash            uint64  // of the log
+	Violations         []judge.Violation
+	ViolationCount     int // all, where only the first are kept
+	Seconds            []SecondCounts
+	JobsByBackend      map[string]int // jobs begun, by backend
+	Accord             AccordResult
+	Tenants            TenantsResult
+	Quotas             QuotasResult
+	Latency            *hdrhistogram.Histogram // of served first reqs, from the first try to the answer, us
 }
 
-// InTimePart is the part of all first reqs that were served in time.
-func (r *Result) InTimePart() float64 { return float64(r.InTime) / float64(max(r.First, 1)) }
+// InTimeShare is the part of all first reqs that were served in time.
+func (r *Result) InTimeShare() float64 { return float64(r.InTime) / float64(max(r.Reqs, 1)) }
 
-// ServedPart is the part of all first reqs that were served, in time or not.
-func (r *Result) ServedPart() float64 { return float64(r.Served) / float64(max(r.First, 1)) }
+// ServedShare is the part of all first reqs that were served, in time or not.
+func (r *Result) ServedShare() float64 { return float64(r.Served) / float64(max(r.Reqs, 1)) }
 
 // Service is the operators' figure: 85% of the whole run, 15% of the worst 10 s, where the site says nothing else.
 func (r *Result) Service() float64 {
 	if r.Mix == (balance.Mix{}) {
-		return 0.85*r.InTimePart() + 0.15*r.Worst
+		return 0.85*r.InTimeShare() + 0.15*r.WorstWindow
 	}
 	worst := 1.0
 	for i := range r.Classes {
-		worst = min(worst, r.Classes[i].Part())
+		worst = min(worst, r.Classes[i].InTimeShare())
 	}
-	return r.Mix.Whole*r.Whole + r.Mix.WorstWindow*r.Worst + r.Mix.WorstClass*worst
+	return r.Mix.Whole*r.WholeRun + r.Mix.WorstWindow*r.WorstWindow + r.Mix.WorstClass*worst
 }
 
 // Policy makes a dispatcher's decisions; New is the real module's.
@@ -229,13 +229,13 @@
 		switch {
 		case !names[e.Backend]:
 			return fmt.Errorf("an event at %v names backend %q, which is none", e.At, e.Backend)
-		case !dos[e.Do]:
-			return fmt.Errorf("an event at %v does %q, want one of %q", e.At, e.Do, EventActions)
+		case !dos[e.Action]:
+			return fmt.Errorf("an event at %v does %q, want one of %q", e.At, e.Action, EventActions)
 		}
 	}
 	most := 1.0
 	for _, b := range sc.Bursts {
-		most = max(most, b.Times)
+		most = max(most, b.RateFactor)
 	}
 	for _, f := range []struct {
 		bad  bool
@@ -244,9 +244,9 @@
 		{len(sc.Backends) == 0 || len(sc.Backends) > mostBackends, fmt.Sprintf("%d backends, want 1 to %d", len(sc.Backends), mostBackends)},
 		{sc.Dispatchers < 0 || sc.Dispatchers > mostDispatchers, fmt.Sprintf("%d dispatchers, want 1 to %d", sc.Dispatchers, mostDispatchers)},
 		{!(sc.Length > 0) || math.IsInf(sc.Length, 0), fmt.Sprintf("a length of %v ms", sc.Length)},
-		{len(sc.Times) > mostReqs, fmt.Sprintf("%d recorded arrivals, want at most %d", len(sc.Times), mostReqs)},
-		{!slices.IsSorted(sc.Times), "recorded arrivals out of the order of their times"},
-		{sc.Times == nil && (!(sc.Rate > 0) || sc.Rate*most*sc.Length/1000 > mostReqs), fmt.Sprintf("%v reqs a second for %v ms, want more than none and at most %d in all", sc.Rate, sc.Length, mostReqs)},
+		{len(sc.ArrivalTimes) > mostReqs, fmt.Sprintf("%d recorded arrivals, want at most %d", len(sc.ArrivalTimes), mostReqs)},
+		{!slices.IsSorted(sc.ArrivalTimes), "recorded arrivals out of the order of their times"},
+		{sc.ArrivalTimes == nil && (!(sc.Rate > 0) || sc.Rate*most*sc.Length/1000 > mostReqs), fmt.Sprintf("%v reqs a second for %v ms, want more than none and at most %d in all", sc.Rate, sc.Length, mostReqs)},
 		{!(sc.Work > 0) || !(sc.Deadline > 0), "work and deadline must be more than 0"},
 	} {
 		if f.bad {
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -25,8 +25,8 @@
 // whole holds a run to the rules that no scenario may break.
 func whole(t *testing.T, r Result) {
 	t.Helper()
-	assert.Empty(t, r.Broken)
-	assert.Equal(t, r.First, r.Served+r.Refused+r.Failed+r.Open)
+	assert.Empty(t, r.Violations)
+	assert.Equal(t, r.Reqs, r.Served+r.Refused+r.Failed+r.Unanswered)
 }
 
 func runChecked(t *testing.T, sc Scenario) Result {
@@ -40,18 +40,18 @@
 // TestSameSeed: a run is the same to the byte, and another seed's is another.
 func TestSameSeed(t *testing.T) {
 	sc := eightBackendScenario(1)
-	sc.Events = []Event{{At: 5000, Backend: "a", Do: "trouble", Trouble: fleet.Faults{SlowFactor: 5, FailureRate: 0.2}}, {At: 9000, Backend: "b", Do: "kill"}}
+	sc.Events = []Event{{At: 5000, Backend: "a", Action: "trouble", Faults: fleet.Faults{SlowFactor: 5, FailureRate: 0.2}}, {At: 9000, Backend: "b", Action: "kill"}}
 	a, b := runChecked(t, sc), runChecked(t, sc)
 	assert.Equal(t, a, b)
 	sc.Seed = 2
-	assert.NotEqual(t, a.Hash, runChecked(t, sc).Hash)
+	assert.NotEqual(t, a.LogHash, runChecked(t, sc).LogHash)
 }
 
 // TestCalm: a fleet at two thirds of what it can do serves nearly all in time.
 func TestCalm(t *testing.T) {
 	r := runChecked(t, eightBackendScenario(3))
-	assert.Greater(t, r.First, 1800)
-	assert.Greater(t, r.InTimePart(), 0.95)
+	assert.Greater(t, r.Reqs, 1800)
+	assert.Greater(t, r.InTimeShare(), 0.95)
 }
 
 // TestTroubles: under each the rules hold, and what is served in time stays above a floor.
@@ -61,23 +61,23 @@
 		floor  float64
 	}{
 		"slow": {func(s *Scenario) {
-			s.Events = []Event{{At: 3000, Backend: "a", Do: "trouble", Trouble: fleet.Faults{SlowFactor: 9}}}
+			s.Events = []Event{{At: 3000, Backend: "a", Action: "trouble", Faults: fleet.Faults{SlowFactor: 9}}}
 		}, 0.85},
 		"fast errors": {func(s *Scenario) {
-			s.Events = []Event{{At: 3000, Backend: "a", Do: "trouble", Trouble: fleet.Faults{FailureRate: 0.9}}}
+			s.Events = []Event{{At: 3000, Backend: "a", Action: "trouble", Faults: fleet.Faults{FailureRate: 0.9}}}
 		}, 0.85},
 		"frozen, and awake again": {func(s *Scenario) {
-			s.Events = []Event{{At: 3000, Backend: "a", Do: "trouble", Trouble: fleet.Faults{Frozen: true}}, {At: 8000, Backend: "a", Do: "trouble"}}
+			s.Events = []Event{{At: 3000, Backend: "a", Action: "trouble", Faults: fleet.Faults{Frozen: true}}, {At: 8000, Backend: "a", Action: "trouble"}}
 		}, 0.8},
 		"burst": {func(s *Scenario) { s.Bursts = []Burst{{5000, 9000, 2.5}} }, 0.5},
 		"killed, heard of 2 s later": {func(s *Scenario) {
-			s.Events = []Event{{At: 3000, Backend: "a", Do: "kill"}, {At: 3000, Backend: "a", Do: "unlist", Heard: 2000}}
+			s.Events = []Event{{At: 3000, Backend: "a", Action: "kill"}, {At: 3000, Backend: "a", Action: "unlist", NotifyDelay: 2000}}
 		}, 0.85},
 		"rolling deploy": {func(s *Scenario) {
 			for i, name := range []string{"a", "b", "c", "d"} {
 				at := 2000 + 3500*float64(i)
-				s.Events = append(s.Events, Event{At: at, Backend: name, Do: "drain", Heard: 300}, Event{At: at + 2000, Backend: name, Do: "kill"},
-					Event{At: at + 2500, Backend: name, Do: "start"}, Event{At: at + 2600, Backend: name, Do: "list", Heard: 500})
+				s.Events = append(s.Events, Event{At: at, Backend: name, Action: "drain", NotifyDelay: 300}, Event{At: at + 2000, Backend: name, Action: "kill"},
+					Event{At: at + 2500, Backend: name, Action: "start"}, Event{At: at + 2600, Backend: name, Action: "list", NotifyDelay: 500})
 			}
 		}, 0.8},
 	} {
@@ -86,7 +86,7 @@
 				sc := eightBackendScenario(seed)
 				c.change(&sc)
 				r := runChecked(t, sc)
-				assert.Greater(t, r.InTimePart(), c.floor, "seed %d: %+v", seed, r)
+				assert.Greater(t, r.InTimeShare(), c.floor, "seed %d: %+v", seed, r)
 			}
 		})
 	}
@@ -108,7 +108,7 @@
 func BenchmarkPlay(b *testing.B) {
 	for b.Loop() {
 		r, err := Run(eightBackendScenario(1), defaults.Settings())
-		if err != nil || r.Breaches > 0 {
+		if err != nil || r.ViolationCount > 0 {
 			b.Fatal(err, r)
 		}
 	}
@@ -123,16 +123,16 @@
 		sc.Dispatchers = 4
 		sc.Report = fleet.ReportConfig{Period: 900, Delay: 300, Noise: 0.05}
 		sc.Events = []Event{
-			{At: 4000, Backend: "a", Do: "ban"}, {At: 4500, Backend: "a", Do: "unlist", Heard: 200}, {At: 5000, Backend: "a", Do: "list"},
-			{At: 6000, Backend: "a", Do: "kill"}, {At: 7000, Backend: "a", Do: "start"}, {At: 8000, Backend: "a", Do: "list"}, {At: 9000, Backend: "a", Do: "lift"},
-			{At: 19_000, Backend: "b", Do: "ban"},
+			{At: 4000, Backend: "a", Action: "ban"}, {At: 4500, Backend: "a", Action: "unlist", NotifyDelay: 200}, {At: 5000, Backend: "a", Action: "list"},
+			{At: 6000, Backend: "a", Action: "kill"}, {At: 7000, Backend: "a", Action: "start"}, {At: 8000, Backend: "a", Action: "list"}, {At: 9000, Backend: "a", Action: "lift"},
+			{At: 19_000, Backend: "b", Action: "ban"},
 		}
 		r := runChecked(t, sc)
-		assert.Greater(t, r.InTimePart(), 0.95, "seed %d", seed)
-		assert.Greater(t, r.Load["a"], 50, "used before its ban and after it")
+		assert.Greater(t, r.InTimeShare(), 0.95, "seed %d", seed)
+		assert.Greater(t, r.JobsByBackend["a"], 50, "used before its ban and after it")
 		assert.Equal(t, r, runChecked(t, sc))
 		sc.Dispatchers = 1
-		assert.NotEqual(t, r.Hash, runChecked(t, sc).Hash)
+		assert.NotEqual(t, r.LogHash, runChecked(t, sc).LogHash)
 	}
 }
 
@@ -154,8 +154,8 @@
 		return &first{d, a, idOf("a")}, err
 	})
 	require.NoError(t, err)
-	require.NotEmpty(t, r.Broken)
-	assert.Equal(t, "cold", r.Broken[0].Rule)
+	require.NotEmpty(t, r.Violations)
+	assert.Equal(t, "cold", r.Violations[0].Rule)
 }
 
 // BenchmarkSizes tells how a run's cost grows with backends and dispatchers; the work a backend has stays the same.
@@ -171,8 +171,8 @@
 			steps := 0
 			for b.Loop() {
 				r, err := Run(sc, defaults.Settings())
-				if err != nil || r.Breaches > 0 {
-					b.Fatal(err, r.Broken)
+				if err != nil || r.ViolationCount > 0 {
+					b.Fatal(err, r.Violations)
 				}
 				steps += r.Steps
 			}
@@ -186,15 +186,15 @@
 func TestReplay(t *testing.T) {
 	sc := eightBackendScenario(4)
 	for i := range 1500 { // 100 a second, and a burst of 300 in the second from 5 s
-		sc.Times = append(sc.Times, float64(i)*10)
+		sc.ArrivalTimes = append(sc.ArrivalTimes, float64(i)*10)
 		if i >= 500 && i < 600 {
-			sc.Times = append(sc.Times, float64(i)*10+3, float64(i)*10+6)
+			sc.ArrivalTimes = append(sc.ArrivalTimes, float64(i)*10+3, float64(i)*10+6)
 		}
 	}
-	sc.Times = append(sc.Times, 25_000) // past the length
+	sc.ArrivalTimes = append(sc.ArrivalTimes, 25_000) // past the length
 	r := runChecked(t, sc)
-	assert.Equal(t, 1700, r.First)
-	sc.Times[3], sc.Times[4] = sc.Times[4], sc.Times[3]
+	assert.Equal(t, 1700, r.Reqs)
+	sc.ArrivalTimes[3], sc.ArrivalTimes[4] = sc.ArrivalTimes[4], sc.ArrivalTimes[3]
 	_, err := Run(sc, defaults.Settings())
 	assert.ErrorContains(t, err, "out of the order")
 }
--- a/internal/lab/sim/site_test.go
+++ b/internal/lab/sim/site_test.go
@@ -14,7 +14,7 @@
 // bench has two backends of two slots and one class of jobs of 200 ms, that come at these times.
 func bench(c Class, times ...float64) Scenario {
 	c.Name, c.Share, c.Work, c.Aim, c.Stretch, c.Deadline, c.Worth = "c", 1, 200, 120, 2, 5000, 1
-	sc := Scenario{Seed: 1, Length: 10_000, Times: times, Work: 200, Deadline: 5000, Latency: 0.1, Connect: 0.1, Classes: []Class{c}}
+	sc := Scenario{Seed: 1, Length: 10_000, ArrivalTimes: times, Work: 200, Deadline: 5000, Latency: 0.1, Connect: 0.1, Classes: []Class{c}}
 	for _, name := range []string{"a", "b"} {
 		sc.Backends = append(sc.Backends, Backend{Name: name, Kind: fleet.Kind{Name: "k", Cores: 2, Slots: 2, Speed: 1, QueueLimit: 4}})
 	}
@@ -53,7 +53,7 @@
 			return &twice{first{d, a, 0}}, err
 		})
 		require.NoError(t, err)
-		assert.Equal(t, []int{want, want}, []int{r.Twice, r.Breaches}, effect)
+		assert.Equal(t, []int{want, want}, []int{r.RanTwice, r.ViolationCount}, effect)
 	}
 }
 
@@ -70,11 +70,11 @@
 			sc.Retries = 0
 		}
 		sc.Restarts = []Restart{{At: 50, Down: 800, Notice: 2500}}
-		sc.Events = []Event{{At: 100, Backend: "a", Do: "unlist", Heard: 100}}
+		sc.Events = []Event{{At: 100, Backend: "a", Action: "unlist", NotifyDelay: 100}}
 		r := runChecked(t, sc)
-		assert.Equal(t, c.wrong, r.Classes[0].Wrong)
+		assert.Equal(t, c.wrong, r.Classes[0].NotInTime)
 		assert.Equal(t, 3, r.InTime)
-		assert.LessOrEqual(t, r.Load["a"], 1, "only what came before the change")
+		assert.LessOrEqual(t, r.JobsByBackend["a"], 1, "only what came before the change")
 		assert.Equal(t, r, runChecked(t, sc))
 	}
 }
@@ -123,7 +123,7 @@
 func TestLastList(t *testing.T) {
 	sc := bench(unsafe(), 0, 2000)
 	sc.Restarts = []Restart{{At: 50, Down: 800, Notice: 100}}
-	sc.Events = []Event{{At: 100, Backend: "a", Do: "unlist"}}
+	sc.Events = []Event{{At: 100, Backend: "a", Action: "unlist"}}
 	e := &ear{}
 	e.play(t, sc)
 	assert.Equal(t, []balance.ListKind{balance.ListFull, balance.ListCached, balance.ListFull}, e.kinds)
@@ -136,7 +136,7 @@
 	sc.Classes[0].Work = 2500
 	sc.Site = Site{Progress: 1000, Guess: 0.5, Unweighted: true, ByWork: true, Mix: balance.Mix{Whole: 0.5, WorstClass: 0.5}}
 	sc.Stale = []Stale{{From: 900, To: 1100, By: 500}}
-	sc.Events = []Event{{At: 1000, Backend: "b", Do: "drain", Heard: 100}, {At: 1200, Backend: "b", Do: "list", Heard: 100}}
+	sc.Events = []Event{{At: 1000, Backend: "b", Action: "drain", NotifyDelay: 100}, {At: 1200, Backend: "b", Action: "list", NotifyDelay: 100}}
 	e := &ear{}
 	r := e.play(t, sc)
 	assert.Equal(t, 1.0, e.weight, "no sizes are told")
@@ -145,7 +145,7 @@
 	assert.InDelta(t, 2*e.shares[0], e.shares[1], 0.01)
 	assert.Equal(t, []float64{0, 1600, 1600}, e.lists)
 	assert.NotZero(t, e.work[0])
-	assert.NotEqual(t, r.Classes[0].Asked, e.work[0], "a guess is rough")
+	assert.NotEqual(t, r.Classes[0].TotalWorth, e.work[0], "a guess is rough")
 	assert.Equal(t, []any{balance.WeightNone, true, 1000.0, sc.Site.Mix}, []any{e.set.Weight, e.set.WorthByWork, e.set.ProgressEvery, e.set.Mix})
 	assert.Equal(t, 1.0, r.Service())
 }
--- a/internal/lab/sim/tenants.go
+++ b/internal/lab/sim/tenants.go
@@ -165,10 +165,10 @@
 	w := j.world
 	class := classIndex(w.classes, w.scenario.Tenants[tenant].Class)
 	c := &w.classes[class]
-	w.result.First++
+	w.result.Reqs++
 	z := j.random.NormFloat64()
 	arrival := Arrival{At: w.now, Slots: 1, Class: class, Work: workShare * c.Work * math.Exp(c.Spread*z-c.Spread*c.Spread/2)}
-	cl := &client{world: w, n: w.result.First, key: fmt.Sprint("k", w.result.First), Arrival: arrival, arrivedAt: w.now, tenant: tenant, region: w.drawRegion(), standing: true}
+	cl := &client{world: w, n: w.result.Reqs, key: fmt.Sprint("k", w.result.Reqs), Arrival: arrival, arrivedAt: w.now, tenant: tenant, region: w.drawRegion(), standing: true}
 	cl.ask()
 }
 
--- a/internal/lab/sim/tenants_test.go
+++ b/internal/lab/sim/tenants_test.go
@@ -38,7 +38,7 @@
 		assert.Greater(t, r.Tenants.WorstShare(), 0.85, "seed %d", seed)
 		assert.InDelta(t, 0.95, r.Tenants.Utilization(), 0.07)
 		assert.LessOrEqual(t, r.Tenants.MaxOverQuota(), 1.0, "no tenant demands more than its quota")
-		assert.Equal(t, r.First, r.Served+r.Refused+r.Failed+r.Open)
+		assert.Equal(t, r.Reqs, r.Served+r.Refused+r.Failed+r.Unanswered)
 		assert.Positive(t, r.Tenants.UrgentStartDelay.TotalCount())
 		assert.InDelta(t, 80, r.Tenants.Slots, 0)
 	}
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -108,10 +108,10 @@
 	w.result.Mix = w.scenario.Site.Mix
 	mean, share := 0.0, 0.0
 	for _, c := range w.classes {
-		w.result.Classes = append(w.result.Classes, ClassResult{Name: c.Name, Wrong: map[string]int{}})
+		w.result.Classes = append(w.result.Classes, ClassResult{Name: c.Name, NotInTime: map[string]int{}})
 		mean, share = mean+c.Share*c.Work, share+c.Share
 	}
-	w.result.Load = map[string]int{}
+	w.result.JobsByBackend = map[string]int{}
 	w.result.Latency = hdrhistogram.New(1, 60_000_000, 3)
 	r := settings.Rules
 	w.judge.Rules = judge.Rules{AnswerSlack: r.AnswerSlack + 50, SendGrace: r.DrainGrace, SingleAttempt: !settings.MayDuplicate,
@@ -182,7 +182,7 @@
 			return nil
 		}
 		if w.tenants != nil && w.now > w.scenario.Length { // what waits or runs on is owed an answer later
-			w.ends, w.result.Open = w.now, w.unanswered
+			w.ends, w.result.Unanswered = w.now, w.unanswered
 			return nil
 		}
 		if still++; w.now != last {
@@ -220,7 +220,7 @@
 // note judges an event and adds it to the log whose hash identifies the run.
 func (w *world) note(e judge.Event) {
 	e.At = w.now
-	w.result.Events++
+	w.result.LogEvents++
 	var b [20]byte
 	b[0], b[1], b[2], b[3] = byte(e.Kind), byte(e.Node), byte(e.Attempt), byte(e.AnswerKind)
 	binary.LittleEndian.PutUint64(b[4:], math.Float64bits(w.now))
@@ -239,8 +239,8 @@
 		pod = fleet.NewDedupGroup()
 		w.pods[b.Pod] = pod
 	}
-	if b.Vary > 0 {
-		b.Kind.Speed *= math.Exp(b.Vary*fleet.RandomStream(w.scenario.Seed, "speed "+b.Name).NormFloat64() - b.Vary*b.Vary/2)
+	if b.SpeedSpread > 0 {
+		b.Kind.Speed *= math.Exp(b.SpeedSpread*fleet.RandomStream(w.scenario.Seed, "speed "+b.Name).NormFloat64() - b.SpeedSpread*b.SpeedSpread/2)
 	}
 	started := math.Inf(-1)
 	if b.Cold {
@@ -285,7 +285,7 @@
 func (w *world) happen(e Event) {
 	n := w.backends[e.Backend]
 	say := func(s balance.State) {
-		heard := w.now + e.Heard
+		heard := w.now + e.NotifyDelay
 		for _, x := range w.scenario.Stale {
 			if w.now >= x.From && w.now < x.To {
 				heard += x.By
@@ -304,7 +304,7 @@
 			}
 		})
 	}
-	switch e.Do {
+	switch e.Action {
 	case "kill":
 		n.fell = true // by hand, which is no fall
 		w.told(n, n.model.Kill(w.now))
@@ -315,7 +315,7 @@
 		n.model.Start(w.now)
 		n.cfg.Cold, n.fell = true, false
 	case "trouble":
-		w.told(n, n.model.SetFaults(w.now, e.Trouble))
+		w.told(n, n.model.SetFaults(w.now, e.Faults))
 	case "drain":
 		w.told(n, n.model.Drain(w.now, true))
 		say(balance.Draining)
@@ -325,14 +325,14 @@
 		say(balance.Gone)
 	case "ban", "lift":
 		what := judge.BanSet
-		if e.Do == "lift" {
+		if e.Action == "lift" {
 			what = judge.BanLifted
 		}
 		for _, s := range w.dispatchers {
 			if s.dead {
 				continue
 			}
-			s.ban(n, e.Do == "ban")
+			s.ban(n, e.Action == "ban")
 		}
 		w.note(judge.Event{Kind: what, Backend: n.name})
 	}
@@ -377,7 +377,7 @@
 	}
 	if n.model.Down() && !n.fell {
 		n.fell = true
-		w.result.Fallen++
+		w.result.OverloadedBackends++
 		w.note(judge.Event{Kind: judge.BackendOverloaded, Backend: n.name})
 	}
 	if next := n.model.NextEvent(); next < n.wake {
@@ -403,21 +403,21 @@
 		w.tenants.handleStart(job, c)
 	}
 	if c.starts == 2 && c.class().Effect == balance.Unsafe {
-		w.result.Twice++
+		w.result.RanTwice++
 	}
 }
 
 // finish adds up.
 func (w *world) finish() {
-	w.result.Whole = w.service.Overall()
+	w.result.WholeRun = w.service.Overall()
 	w.judge.Finish(w.ends)
-	w.result.Broken, w.result.Breaches = w.judge.Violations(), w.judge.Count("")
-	w.result.Worst = w.service.WorstWindow()
+	w.result.Violations, w.result.ViolationCount = w.judge.Violations(), w.judge.Count("")
+	w.result.WorstWindow = w.service.WorstWindow()
 	if w.tenants != nil {
 		w.tenants.finish()
 	}
 	if w.quotas != nil {
 		w.quotas.finish()
 	}
-	w.result.Hash = w.log.Sum64()
+	w.result.LogHash = w.log.Sum64()
 }
