--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -69,7 +69,7 @@
 // Play plays a scenario in real time. It starts a process of the binary for each dispatcher and ends these processes, and
 // no others, with SIGTERM.
 func Play(ctx context.Context, sc sim.Scenario, o Options) (res Result, err error) {
-	if len(sc.Classes)+len(sc.Restarts)+len(sc.Heavy)+len(sc.Stale) > 0 || sc.Site != (sim.Site{}) {
+	if len(sc.Classes)+len(sc.Restarts)+len(sc.HeavyPeriods)+len(sc.ListDelays) > 0 || sc.Site != (sim.Site{}) {
 		return res, errors.New("scenarios with classes, restarts, heavy or stale periods or a site can be played in virtual time only")
 	}
 	tb := &testbed{scenario: sc, backends: map[string]*backend{}, workByKey: map[string]float64{}}
--- a/internal/lab/script/script_test.go
+++ b/internal/lab/script/script_test.go
@@ -46,11 +46,11 @@
 	assert.Equal(t, "trouble", sc.Events[0].Action)
 	assert.Equal(t, 9.0, sc.Events[3].Faults.SlowFactor)
 	assert.Equal(t, 500.0, sc.Events[4].NotifyDelay)
-	assert.Equal(t, sim.Site{Unweighted: true, Progress: 1000, Guess: 0.5, Mix: balance.Mix{WorstClass: 0.3}}, sc.Site)
-	assert.Equal(t, []sim.Class{{Name: "x", Share: 2, Work: 50, Spread: 0.4, Aim: 120, Stretch: 2, Deadline: 5000, Worth: 1, Wide: 0.2, Window: 7500,
+	assert.Equal(t, sim.Site{Unweighted: true, ProgressEvery: 1000, EstimateSpread: 0.5, Mix: balance.Mix{WorstClass: 0.3}}, sc.Site)
+	assert.Equal(t, []sim.Class{{Name: "x", Share: 2, Work: 50, Spread: 0.4, Aim: 120, Stretch: 2, Deadline: 5000, Worth: 1, TwoSlotShare: 0.2, RepeatWindow: 7500,
 		Effect: balance.Unsafe}}, sc.Classes)
-	assert.Equal(t, []any{[]sim.Heavy{{From: 1000, To: 3000, Class: "x", Part: 0.1, Times: 9}}, []sim.Stale{{From: 3000, To: 7000, By: 6000}},
-		[]sim.Restart{{At: 9000, Node: 2, Down: 500, Notice: 1000}}}, []any{sc.Heavy, sc.Stale, sc.Restarts})
+	assert.Equal(t, []any{[]sim.HeavyPeriod{{From: 1000, To: 3000, Class: "x", Share: 0.1, WorkFactor: 9}}, []sim.ListDelay{{From: 3000, To: 7000, Delay: 6000}},
+		[]sim.Restart{{At: 9000, Dispatcher: 2, Downtime: 500, FrontDelay: 1000}}}, []any{sc.HeavyPeriods, sc.ListDelays, sc.Restarts})
 	assert.Equal(t, 7000.0, sc.Events[len(sc.Events)-4].At, "the second batch")
 	assert.Equal(t, sim.Accord{Lease: 900, Drift: 0.001, ContinueWhenCut: true, Latency: 1, Loss: 0.1, FlushTime: 5, CheckTime: 2, ProbeInterval: 500}, sc.Accord)
 	assert.Equal(t, []any{[]sim.Cut{{At: 2000, Length: 3000, Dispatchers: []int{1, 2}}}, []sim.PolicyChange{{At: 4000, Dispatcher: 1}}}, []any{sc.Cuts, sc.PolicyChanges})
@@ -102,7 +102,7 @@
 	assert.Equal(t, []sim.Partition{{At: 1000, Length: 2000, Region: 1, Other: -1}, {At: 3000, Length: 4000, Region: 1, Other: 2}}, sc.Partitions)
 	assert.Equal(t, []sim.LenderCrash{{At: 5000, Down: 2000, Region: 2}, {At: 6000, Down: 1000, Region: -1, NextRegion: 1}}, sc.LenderCrashes)
 	assert.Equal(t, []sim.QuotaChange{{At: 7000, Tenant: "t2", Quota: 9}}, sc.QuotaChanges)
-	assert.True(t, sc.Restarts[0].Orderly)
+	assert.True(t, sc.Restarts[0].Graceful)
 	for text, want := range map[string]string{
 		"quotas(between_ms = [3])":              "x.star:7:7: quotas: between_ms holds one delay, want one for each of 3 pairs",
 		"quotas(between_ms = \"a\")":            `quotas: between_ms is "a", want a number`,
--- a/internal/lab/script/site.go
+++ b/internal/lab/script/site.go
@@ -29,9 +29,9 @@
 func (r *reader) class(a *args) (starlark.Value, error) {
 	s := &r.sc
 	s.Classes = append(s.Classes, sim.Class{Name: a.text("name"), Share: share(a), Work: a.number("work_ms", s.Work, 0.001, 1e6),
-		Spread: a.number("spread", s.Spread, 0, 3), Noise: a.number("noise", 0, 0, 3), Aim: a.number("aim_ms", s.Aim, 0.001, 1e6),
+		Spread: a.number("spread", s.Spread, 0, 3), AttemptSpread: a.number("noise", 0, 0, 3), Aim: a.number("aim_ms", s.Aim, 0.001, 1e6),
 		Stretch: a.number("stretch", s.Stretch, 0.001, 100), Deadline: a.number("deadline_ms", s.Deadline, 1, 1e6), Worth: a.number("worth", 1, 0, 1e6),
-		Wide: a.number("wide", 0, 0, 1), Urgent: a.number("urgent", 0, 0, 1) == 1, Window: a.seconds("repeat_window", 7500),
+		TwoSlotShare: a.number("wide", 0, 0, 1), Urgent: a.number("urgent", 0, 0, 1) == 1, RepeatWindow: a.seconds("repeat_window", 7500),
 		Effect: oneOf(a, "effect", "keyed", map[string]balance.Effect{"safe": balance.Safe, "keyed": balance.Deduped, "unsafe": balance.Unsafe})})
 	return nil, nil
 }
@@ -49,36 +49,36 @@
 func (r *reader) site(a *args) (starlark.Value, error) {
 	r.once(a)
 	r.sc.Site = sim.Site{
-		Unweighted: oneOf(a, "weights", "size", map[string]bool{"size": false, "none": true}), Progress: a.seconds("progress", 0),
-		Over:   a.number("over_share_worth", 0, 0, 1),
-		ByWork: oneOf(a, "worth_by", "req", map[string]bool{"req": false, "work": true}), Guess: a.number("guess", 0, 0, 3),
+		Unweighted: oneOf(a, "weights", "size", map[string]bool{"size": false, "none": true}), ProgressEvery: a.seconds("progress", 0),
+		OverShareWorth: a.number("over_share_worth", 0, 0, 1),
+		WorthByWork:    oneOf(a, "worth_by", "req", map[string]bool{"req": false, "work": true}), EstimateSpread: a.number("guess", 0, 0, 3),
 		Mix:           balance.Mix{Whole: a.number("whole", 0, 0, 1), WorstWindow: a.number("worst_window", 0, 0, 1), WorstClass: a.number("worst_class", 0, 0, 1)},
 		StartCapacity: a.number("start_capacity", 0, 0, 1), WarmAfter: a.seconds("warm_after", 0),
-		FallMultiple: a.number("fall_multiple", 0, 0, 1e4), Connect: a.number("connect_ms", 0, 0, 1e5)}
+		FallMultiple: a.number("fall_multiple", 0, 0, 1e4), ConnectTimeout: a.number("connect_ms", 0, 0, 1e5)}
 	return nil, nil
 }
 
 // heavy multiplies the work of part of a class's requests for some time.
 func (r *reader) heavy(a *args) (starlark.Value, error) {
 	from := a.seconds("start", 0)
-	h := sim.Heavy{From: from, To: from + a.seconds("length", 10_000), Part: a.number("part", 0.02, 0, 1), Times: a.number("times", 10, 1, 1e4)}
+	h := sim.HeavyPeriod{From: from, To: from + a.seconds("length", 10_000), Share: a.number("part", 0.02, 0, 1), WorkFactor: a.number("times", 10, 1, 1e4)}
 	if v, ok := a.named("name"); ok {
 		h.Class, _ = starlark.AsString(v)
 	}
-	r.sc.Heavy = append(r.sc.Heavy, h)
+	r.sc.HeavyPeriods = append(r.sc.HeavyPeriods, h)
 	return nil, nil
 }
 
 // stale delays the dispatchers' knowledge of changes of the list of backends for some time.
 func (r *reader) stale(a *args) (starlark.Value, error) {
 	from := a.seconds("start", 0)
-	r.sc.Stale = append(r.sc.Stale, sim.Stale{From: from, To: from + a.seconds("length", 10_000), By: a.seconds("by", 5000)})
+	r.sc.ListDelays = append(r.sc.ListDelays, sim.ListDelay{From: from, To: from + a.seconds("length", 10_000), Delay: a.seconds("by", 5000)})
 	return nil, nil
 }
 
 // restart kills a dispatcher, numbered from 0, and starts it again with the last list of backends that it had.
 func (r *reader) restart(a *args) (starlark.Value, error) {
-	r.sc.Restarts = append(r.sc.Restarts, sim.Restart{At: a.seconds("start", 0), Node: int(a.number("dispatcher", 0, 0, 999)),
-		Down: a.seconds("down", 800), Notice: a.seconds("notice", 2500), Orderly: a.number("orderly", 0, 0, 1) == 1})
+	r.sc.Restarts = append(r.sc.Restarts, sim.Restart{At: a.seconds("start", 0), Dispatcher: int(a.number("dispatcher", 0, 0, 999)),
+		Downtime: a.seconds("down", 800), FrontDelay: a.seconds("notice", 2500), Graceful: a.number("orderly", 0, 0, 1) == 1})
 	return nil, nil
 }
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -14,10 +14,10 @@
 
 // Arrival is a first req: when it comes, and what it is.
 type Arrival struct {
-	At, Work float64
-	Class    int
-	Slots    float64
-	Guess    float64 // of the work, as its client tells; 0 for none
+	At, Work     float64
+	Class        int
+	Slots        float64
+	WorkEstimate float64 // of the work, as its client tells; 0 for none
 }
 
 // Arrivals are a scenario's first reqs, in the order of their times; they wait for no answer, so that the same
@@ -136,7 +136,7 @@
 	w.note(judge.Event{Kind: judge.ReqReceived, Node: c.dispatcher.index, Req: c.id, Key: c.key, Deadline: deadline, Work: c.Work, Effect: effects[c.class().Effect]})
 	w.tries[c.id] = c
 	job := &core.Job{Method: "POST", Target: "/photo", ID: c.id}
-	q := balance.Request{Class: c.Class, Tenant: c.tenant, Slots: c.Slots, Work: c.Guess, Retry: c.tries > 1}
+	q := balance.Request{Class: c.Class, Tenant: c.tenant, Slots: c.Slots, Work: c.WorkEstimate, Retry: c.tries > 1}
 	if c.class().Effect == balance.Deduped {
 		job.IdempotencyKey = c.key
 	}
@@ -150,7 +150,7 @@
 
 // worth is what the req counts, relative to others of its class.
 func (c *client) worth() float64 {
-	if c.world.scenario.Site.ByWork {
+	if c.world.scenario.Site.WorthByWork {
 		return c.Work
 	}
 	return 1
--- a/internal/lab/sim/quotas_test.go
+++ b/internal/lab/sim/quotas_test.go
@@ -52,7 +52,7 @@
 		},
 		"dispatchers restart": func(sc *Scenario) {
 			for i := range 9 {
-				sc.Restarts = append(sc.Restarts, Restart{At: 9000 + 300*float64(i), Node: i, Down: 300, Orderly: i%2 == 0})
+				sc.Restarts = append(sc.Restarts, Restart{At: 9000 + 300*float64(i), Dispatcher: i, Downtime: 300, Graceful: i%2 == 0})
 			}
 		},
 		"quotas change while a region is isolated": func(sc *Scenario) {
@@ -63,7 +63,7 @@
 			sc.Quotas.Drift, sc.Quotas.Loss = 0.05, 0.05
 			sc.Partitions = []Partition{{At: 8000, Length: 12_000, Region: 0, Other: -1}}
 			sc.LenderCrashes = []LenderCrash{{At: 14_000, Down: 300, Region: 0}, {At: 22_000, Down: 300, Region: -1, NextRegion: 0}}
-			sc.Restarts = []Restart{{At: 11_000, Node: 1, Down: 200}, {At: 12_000, Node: 8, Down: 200}}
+			sc.Restarts = []Restart{{At: 11_000, Dispatcher: 1, Downtime: 200}, {At: 12_000, Dispatcher: 8, Downtime: 200}}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lab/sim/restart.go
+++ b/internal/lab/sim/restart.go
@@ -12,12 +12,12 @@
 
 // Restart kills a dispatcher and starts it again from nothing but its last list. Times are ms.
 type Restart struct {
-	At     float64
-	Node   int
-	Down   float64 // until the new process serves
-	Notice float64 // until the front sends it nobody any more
-	// Orderly: what it runs is lost as well, but its last word to its region's lender is that it holds nothing.
-	Orderly bool
+	At         float64
+	Dispatcher int
+	Downtime   float64 // until the new process serves
+	FrontDelay float64 // until the front sends it nobody any more
+	// Graceful: what it runs is lost as well, but its last word to its region's lender is that it holds nothing.
+	Graceful bool
 }
 
 // routedDispatchers are the dispatchers that the front sends clients to, dead ones that it has not noticed among them. Where it
@@ -39,7 +39,7 @@
 }
 
 func (w *world) restart(r Restart) {
-	old := w.dispatchers[r.Node]
+	old := w.dispatchers[r.Dispatcher]
 	if old.dead {
 		return
 	}
@@ -53,7 +53,7 @@
 			}
 		}
 	}
-	if r.Orderly { // what is on its way to a backend is taken back: a process that ends in order ends when nothing of it is out
+	if r.Graceful { // what is on its way to a backend is taken back: a process that ends in order ends when nothing of it is out
 		for _, c := range old.clients() {
 			for _, t := range c.trips {
 				t.over = true
@@ -61,21 +61,21 @@
 		}
 	}
 	if old.quotas != nil {
-		old.quotas.stop(r.Orderly)
+		old.quotas.stop(r.Graceful)
 	}
 	for _, c := range old.clients() {
 		c.lost()
 	}
-	w.schedule(w.now+r.Notice, func() { old.routed = false })
-	w.schedule(w.now+r.Down, func() {
+	w.schedule(w.now+r.FrontDelay, func() { old.routed = false })
+	w.schedule(w.now+r.Downtime, func() {
 		w.restarts++
 		settings := w.settings
-		settings.Seed, settings.Self = w.scenario.Seed*1_000_003+uint64(r.Node)+uint64(w.restarts)*7919, r.Node
-		s, err := newSide(w, r.Node, settings, w.policy)
+		settings.Seed, settings.Self = w.scenario.Seed*1_000_003+uint64(r.Dispatcher)+uint64(w.restarts)*7919, r.Dispatcher
+		s, err := newSide(w, r.Dispatcher, settings, w.policy)
 		if err != nil { // the same settings have made one before
 			panic(err)
 		}
-		w.dispatchers[r.Node], old.routed = s, false
+		w.dispatchers[r.Dispatcher], old.routed = s, false
 		last := make([]maintenance.Backend, 0, len(w.names))
 		for _, n := range w.names {
 			if b, known := old.last[n]; known {
--- a/internal/lab/sim/side.go
+++ b/internal/lab/sim/side.go
@@ -181,7 +181,7 @@
 // progress tells the share that is done, every so often while the job runs.
 func (t *attempt) progress() {
 	w := t.dispatcher.world
-	w.schedule(w.now+w.scenario.Site.Progress, func() {
+	w.schedule(w.now+w.scenario.Site.ProgressEvery, func() {
 		w.told(t.n, t.n.model.Advance(w.now))
 		if t.over || t.n.out[t.id] != t {
 			return
@@ -210,7 +210,7 @@
 	}
 	c := w.tries[t.a.Job.ID]
 	work := c.Work
-	if z := c.class().Noise; z > 0 {
+	if z := c.class().AttemptSpread; z > 0 {
 		work *= math.Exp(z*w.attempts.NormFloat64() - z*z/2)
 	}
 	e := judge.Event{Kind: judge.AttemptSent, Node: s.index, Req: t.a.Job.ID, Key: t.a.Job.IdempotencyKey, Attempt: t.a.Number(), Backend: t.n.name,
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -42,8 +42,8 @@
 	// Classes, where given, stand for Work, Spread, Aim, Stretch and Deadline.
 	Classes       []Class
 	Site          Site
-	Heavy         []Heavy
-	Stale         []Stale
+	HeavyPeriods  []HeavyPeriod
+	ListDelays    []ListDelay
 	Restarts      []Restart
 	Accord        Accord
 	Cuts          []Cut
--- a/internal/lab/sim/site.go
+++ b/internal/lab/sim/site.go
@@ -11,44 +11,44 @@
 
 // Class is one class of reqs. A scenario that names none has one, made of its own figures.
 type Class struct {
-	Name     string
-	Share    float64 // of first reqs, relative to the other classes'
-	Work     float64 // mean of a job on the yardstick, ms
-	Spread   float64 // of the logarithm of a job's work
-	Noise    float64 // of that of an attempt's, about its job's
-	Aim      float64 // served in time is within this and Stretch times the job's own work
-	Stretch  float64
-	Deadline float64 // all tries together
-	Worth    float64
-	Wide     float64 // part of the jobs that take two slots
-	Effect   balance.Effect
-	Window   float64 // in which a pod drops repeats, of a keyed class
-	Urgent   bool
+	Name          string
+	Share         float64 // of first reqs, relative to the other classes'
+	Work          float64 // mean of a job on the yardstick, ms
+	Spread        float64 // of the logarithm of a job's work
+	AttemptSpread float64 // of that of an attempt's, about its job's
+	Aim           float64 // served in time is within this and Stretch times the job's own work
+	Stretch       float64
+	Deadline      float64 // all tries together
+	Worth         float64
+	TwoSlotShare  float64 // part of the jobs that take two slots
+	Effect        balance.Effect
+	RepeatWindow  float64 // in which a pod drops repeats, of a keyed class
+	Urgent        bool
 }
 
 // Site is what a site's settings say beside its classes. Zero values leave what the variant's settings have.
 type Site struct {
-	Unweighted    bool    // a backend's slots are not told
-	Progress      float64 // a running job's share is told this often, ms
-	ByWork        bool    // a req's worth grows with its work
-	Guess         float64 // reqs carry a guess of their work: the spread of its logarithm
-	Mix           balance.Mix
-	StartCapacity float64
-	WarmAfter     float64
-	FallMultiple  float64
-	Connect       float64 // a connection's time, ms
-	Over          float64 // worth of a req beyond its tenant's share
+	Unweighted     bool    // a backend's slots are not told
+	ProgressEvery  float64 // a running job's share is told this often, ms
+	WorthByWork    bool    // a req's worth grows with its work
+	EstimateSpread float64 // reqs carry a guess of their work: the spread of its logarithm
+	Mix            balance.Mix
+	StartCapacity  float64
+	WarmAfter      float64
+	FallMultiple   float64
+	ConnectTimeout float64 // a connection's time, ms
+	OverShareWorth float64 // worth of a req beyond its tenant's share
 }
 
-// Heavy has part of a class's reqs cost so many times as much, for a while.
-type Heavy struct {
-	From, To    float64
-	Class       string // empty for all
-	Part, Times float64
+// HeavyPeriod has part of a class's reqs cost so many times as much, for a while.
+type HeavyPeriod struct {
+	From, To          float64
+	Class             string // empty for all
+	Share, WorkFactor float64
 }
 
-// Stale has the dispatchers hear of changes later by this, for a while.
-type Stale struct{ From, To, By float64 }
+// ListDelay has the dispatchers hear of changes later by this, for a while.
+type ListDelay struct{ From, To, Delay float64 }
 
 var effects = [...]judge.Effect{balance.Safe: judge.Repeatable, balance.Deduped: judge.Deduped, balance.Unsafe: judge.NonIdempotent}
 
@@ -83,16 +83,16 @@
 	}
 	c := &classes[a.Class]
 	a.Work = c.Work * math.Exp(c.Spread*z-c.Spread*c.Spread/2)
-	if c.Wide > 0 && chance.Float64() < c.Wide {
+	if c.TwoSlotShare > 0 && chance.Float64() < c.TwoSlotShare {
 		a.Slots = 2
 	}
-	for _, h := range sc.Heavy {
-		if at >= h.From && at < h.To && (h.Class == "" || h.Class == c.Name) && chance.Float64() < h.Part {
-			a.Work *= h.Times
+	for _, h := range sc.HeavyPeriods {
+		if at >= h.From && at < h.To && (h.Class == "" || h.Class == c.Name) && chance.Float64() < h.Share {
+			a.Work *= h.WorkFactor
 		}
 	}
-	if g := sc.Site.Guess; g > 0 {
-		a.Guess = a.Work * math.Exp(g*chance.NormFloat64()-g*g/2)
+	if g := sc.Site.EstimateSpread; g > 0 {
+		a.WorkEstimate = a.Work * math.Exp(g*chance.NormFloat64()-g*g/2)
 	}
 	return a
 }
@@ -108,25 +108,25 @@
 		s.Classes = nil
 		for _, c := range sc.Classes {
 			s.Classes = append(s.Classes, balance.Class{Worth: c.Worth, Aim: c.Aim, Stretch: c.Stretch, Deadline: c.Deadline,
-				Effect: c.Effect, Scope: balance.ScopeCell, RepeatWindow: c.Window, Kind: -1})
+				Effect: c.Effect, Scope: balance.ScopeCell, RepeatWindow: c.RepeatWindow, Kind: -1})
 		}
 	}
 	if sc.Site.Unweighted {
 		s.Weight = balance.WeightNone
 	}
-	s.WorthByWork = s.WorthByWork || sc.Site.ByWork
+	s.WorthByWork = s.WorthByWork || sc.Site.WorthByWork
 	if sc.Site.Mix != (balance.Mix{}) {
 		s.Mix = sc.Site.Mix
 	}
-	put(&s.ProgressEvery, sc.Site.Progress)
+	put(&s.ProgressEvery, sc.Site.ProgressEvery)
 	put(&s.Rules.StartCapacity, sc.Site.StartCapacity)
 	put(&s.Rules.WarmAfter, sc.Site.WarmAfter)
 	put(&s.Rules.FallMultiple, sc.Site.FallMultiple)
-	put(&s.ConnectTimeout, sc.Site.Connect)
+	put(&s.ConnectTimeout, sc.Site.ConnectTimeout)
 	if sc.Report.Period > 0 {
 		s.ReportInAnswer, s.Metrics = true, []balance.Metric{balance.MetricFreeSlots}
 	}
-	put(&s.OverShareWorth, sc.Site.Over)
+	put(&s.OverShareWorth, sc.Site.OverShareWorth)
 	if len(sc.Tenants) > 0 && sc.Quotas.Lease == 0 { // else no tenant has more than its quota, and none is metered
 		s.Tenants = sc.moduleTenants()
 	}
@@ -146,14 +146,14 @@
 		}
 		names[c.Name] = true
 	}
-	for _, h := range sc.Heavy {
+	for _, h := range sc.HeavyPeriods {
 		if !names[h.Class] {
 			return fmt.Errorf("heavy reqs of class %q, which is none", h.Class)
 		}
 	}
 	for _, r := range sc.Restarts {
-		if r.Node < 0 || r.Node >= max(sc.Dispatchers, 1) {
-			return fmt.Errorf("dispatcher %d restarts, which is none", r.Node)
+		if r.Dispatcher < 0 || r.Dispatcher >= max(sc.Dispatchers, 1) {
+			return fmt.Errorf("dispatcher %d restarts, which is none", r.Dispatcher)
 		}
 	}
 	return sc.checkTenants()
--- a/internal/lab/sim/site_test.go
+++ b/internal/lab/sim/site_test.go
@@ -27,7 +27,7 @@
 func TestWide(t *testing.T) {
 	for wide, most := range map[float64]float64{0: 201, 1: 401} {
 		c := unsafe()
-		c.Wide = wide
+		c.TwoSlotShare = wide
 		sc := bench(c, 0, 1)
 		sc.Backends = sc.Backends[:1]
 		r := runChecked(t, sc)
@@ -69,7 +69,7 @@
 		if c.effect == balance.Unsafe {
 			sc.Retries = 0
 		}
-		sc.Restarts = []Restart{{At: 50, Down: 800, Notice: 2500}}
+		sc.Restarts = []Restart{{At: 50, Downtime: 800, FrontDelay: 2500}}
 		sc.Events = []Event{{At: 100, Backend: "a", Action: "unlist", NotifyDelay: 100}}
 		r := runChecked(t, sc)
 		assert.Equal(t, c.wrong, r.Classes[0].NotInTime)
@@ -122,7 +122,7 @@
 // TestLastList: a dispatcher that was killed has the list that it was told last, then what was told meanwhile.
 func TestLastList(t *testing.T) {
 	sc := bench(unsafe(), 0, 2000)
-	sc.Restarts = []Restart{{At: 50, Down: 800, Notice: 100}}
+	sc.Restarts = []Restart{{At: 50, Downtime: 800, FrontDelay: 100}}
 	sc.Events = []Event{{At: 100, Backend: "a", Action: "unlist"}}
 	e := &ear{}
 	e.play(t, sc)
@@ -134,8 +134,8 @@
 func TestTold(t *testing.T) {
 	sc := bench(unsafe(), 0)
 	sc.Classes[0].Work = 2500
-	sc.Site = Site{Progress: 1000, Guess: 0.5, Unweighted: true, ByWork: true, Mix: balance.Mix{Whole: 0.5, WorstClass: 0.5}}
-	sc.Stale = []Stale{{From: 900, To: 1100, By: 500}}
+	sc.Site = Site{ProgressEvery: 1000, EstimateSpread: 0.5, Unweighted: true, WorthByWork: true, Mix: balance.Mix{Whole: 0.5, WorstClass: 0.5}}
+	sc.ListDelays = []ListDelay{{From: 900, To: 1100, Delay: 500}}
 	sc.Events = []Event{{At: 1000, Backend: "b", Action: "drain", NotifyDelay: 100}, {At: 1200, Backend: "b", Action: "list", NotifyDelay: 100}}
 	e := &ear{}
 	r := e.play(t, sc)
@@ -156,8 +156,8 @@
 // TestHeavy: part of a class's reqs cost more for a while, and the rest of the arrivals stays as it is.
 func TestHeavy(t *testing.T) {
 	sc := eightBackendScenario(5)
-	sc.Classes = []Class{{Name: "x", Share: 3, Work: 100, Deadline: 5000}, {Name: "y", Share: 1, Work: 100, Deadline: 5000, Wide: 0.5}}
-	sc.Heavy = []Heavy{{From: 5000, To: 10_000, Class: "y", Part: 0.5, Times: 10}}
+	sc.Classes = []Class{{Name: "x", Share: 3, Work: 100, Deadline: 5000}, {Name: "y", Share: 1, Work: 100, Deadline: 5000, TwoSlotShare: 0.5}}
+	sc.HeavyPeriods = []HeavyPeriod{{From: 5000, To: 10_000, Class: "y", Share: 0.5, WorkFactor: 10}}
 	heavy, ys, wide, n := 0, 0, 0, 0
 	for a := range sc.Arrivals() {
 		n++
@@ -176,14 +176,14 @@
 	assert.InDelta(t, 0.5, float64(wide)/float64(ys), 0.1)
 	assert.InDelta(t, 0.5*0.25*500, float64(heavy), 20)
 	for _, bad := range []func(*Scenario){
-		func(s *Scenario) { s.Heavy[0].Class = "z" },
+		func(s *Scenario) { s.HeavyPeriods[0].Class = "z" },
 		func(s *Scenario) { s.Classes[1].Name = "x" },
 		func(s *Scenario) { s.Classes[1].Deadline = 0 },
-		func(s *Scenario) { s.Restarts = []Restart{{Node: 1}} },
+		func(s *Scenario) { s.Restarts = []Restart{{Dispatcher: 1}} },
 	} {
 		sc := eightBackendScenario(5)
 		sc.Classes = []Class{{Name: "x", Share: 3, Work: 100, Deadline: 5000}, {Name: "y", Share: 1, Work: 100, Deadline: 5000}}
-		sc.Heavy = []Heavy{{Class: "y"}}
+		sc.HeavyPeriods = []HeavyPeriod{{Class: "y"}}
 		bad(&sc)
 		_, err := Run(sc, defaults.Settings())
 		assert.Error(t, err)
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -286,12 +286,12 @@
 	n := w.backends[e.Backend]
 	say := func(s balance.State) {
 		heard := w.now + e.NotifyDelay
-		for _, x := range w.scenario.Stale {
+		for _, x := range w.scenario.ListDelays {
 			if w.now >= x.From && w.now < x.To {
-				heard += x.By
+				heard += x.Delay
 			}
 		}
-		if len(w.scenario.Stale) > 0 { // what is heard late holds up what comes behind it
+		if len(w.scenario.ListDelays) > 0 { // what is heard late holds up what comes behind it
 			w.heard = max(w.heard, heard)
 			heard = w.heard
 		}
@@ -362,7 +362,7 @@
 		switch e.Kind {
 		case fleet.Started:
 			w.schedule(w.now+w.delay(), func() { t.dispatcher.markDirty(); t.a.Started() })
-			if w.scenario.Site.Progress > 0 {
+			if w.scenario.Site.ProgressEvery > 0 {
 				t.progress()
 			}
 		case fleet.Done:
