--- a/internal/lab/sim/accord_test.go
+++ b/internal/lab/sim/accord_test.go
@@ -84,7 +84,7 @@
 			})
 		}
 	})
-	w.next = func() (Arrival, bool) { return Arrival{}, false }
+	w.nextArrival = func() (Arrival, bool) { return Arrival{}, false }
 	w.unanswered++ // so that the run does not end
 	require.NoError(t, w.run())
 	assert.Equal(t, []int{4, 4}, []int{w.result.Accord.Refused, w.result.Accord.RefusedWhileCut})
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -12,23 +12,23 @@
 	"tinsail/internal/lab/judge"
 )
 
-// Arrival is a first req: when it comes, and what it is.
+// Arrival is a req as it first arrives, before any retry: the time and its properties.
 type Arrival struct {
 	At, Work     float64
 	Class        int
 	Slots        float64
-	WorkEstimate float64 // of the work, as its client tells; 0 for none
+	WorkEstimate float64 // the client's estimate of the work; 0 for none
 }
 
-// Arrivals are a scenario's first reqs, in the order of their times; they wait for no answer, so that the same
-// seed has the same ones in virtual time and on sockets.
+// Arrivals yields the scenario's reqs, without retries, in time order. They do not depend on answers, so that the same
+// seed yields the same reqs in virtual time and on sockets.
 func (sc *Scenario) Arrivals() iter.Seq[Arrival] {
 	classes := sc.classes()
 	return func(yield func(Arrival) bool) {
 		chance, more := fleet.RandomStream(sc.Seed, "arrivals"), fleet.RandomStream(sc.Seed, "classes")
-		if sc.ArrivalTimes != nil { // a recording's
+		if sc.ArrivalTimes != nil { // taken from a recording
 			for _, at := range sc.ArrivalTimes {
-				if at >= sc.Length || !yield(sc.draw(at, chance.NormFloat64(), classes, more)) {
+				if at >= sc.Length || !yield(sc.drawArrival(at, chance.NormFloat64(), classes, more)) {
 					return
 				}
 			}
@@ -43,49 +43,49 @@
 			}
 			at += chance.ExpFloat64() * 1000 / (sc.Rate * times)
 			z := chance.NormFloat64()
-			if at >= sc.Length || !yield(sc.draw(at, z, classes, more)) {
+			if at >= sc.Length || !yield(sc.drawArrival(at, z, classes, more)) {
 				return
 			}
 		}
 	}
 }
 
-// arrive has the next first req come.
-func (w *world) arrive() {
-	a, ok := w.next()
+// scheduleArrival schedules the arrival of the next req.
+func (w *world) scheduleArrival() {
+	a, ok := w.nextArrival()
 	if !ok {
 		return
 	}
 	w.schedule(a.At, func() {
 		w.result.Reqs++
-		c := &client{world: w, n: w.result.Reqs, key: fmt.Sprint("k", w.result.Reqs), Arrival: a, arrivedAt: w.now}
+		c := &client{world: w, number: w.result.Reqs, key: fmt.Sprint("k", w.result.Reqs), Arrival: a, arrivedAt: w.now}
 		if w.tenants != nil {
 			c.tenant = w.tenants.drawTenant()
 		}
 		c.region = w.drawRegion()
-		c.ask()
-		w.arrive()
+		c.startTry()
+		w.scheduleArrival()
 	})
 }
 
-// client is one first req with its retries.
+// client is one req with its retries.
 type client struct {
 	Arrival
 	world      *world
-	n          int
+	number     int
 	key        string
 	arrivedAt  float64
-	tries      int
+	tryCount   int
 	dispatcher *dispatcher
-	id         string     // of the try
-	trips      []*attempt // of the try
-	starts     int        // how often a job of its began, in all tries
+	tryID      string     // of the current try
+	attempts   []*attempt // of the current try
+	starts     int        // how often a backend started its job, over all tries
 
 	tenant, region int
 	standing       bool // part of its tenant's standing demand
 }
 
-func (w *world) second(at float64) *SecondCounts {
+func (w *world) secondCounts(at float64) *SecondCounts {
 	i := int(at / 1000)
 	for len(w.result.Seconds) <= i {
 		w.result.Seconds = append(w.result.Seconds, SecondCounts{})
@@ -95,20 +95,21 @@
 
 func (c *client) class() *Class { return &c.world.classes[c.Class] }
 
-// until is when its patience ends: that of a class is for all tries, that of a scenario without classes for each.
-func (c *client) until() float64 {
+// deadline returns when the client stops waiting. The deadline of a class is for all tries together, that of a scenario
+// without classes for each try.
+func (c *client) deadline() float64 {
 	if len(c.world.scenario.Classes) == 0 {
 		return c.world.now + c.class().Deadline
 	}
 	return c.arrivedAt + c.class().Deadline
 }
 
-func (c *client) ask() {
+func (c *client) startTry() {
 	w := c.world
-	c.tries++
-	c.trips = c.trips[:0]
-	if c.tries == 1 {
-		w.second(w.now).Arrived++
+	c.tryCount++
+	c.attempts = c.attempts[:0]
+	if c.tryCount == 1 {
+		w.secondCounts(w.now).Arrived++
 		r := &w.result.Classes[c.Class]
 		r.Reqs++
 		r.TotalWorth += c.worth()
@@ -120,7 +121,7 @@
 	}
 	c.dispatcher = fronts[0]
 	if n := len(fronts); n > 1 {
-		c.dispatcher = fronts[w.front.IntN(n)]
+		c.dispatcher = fronts[w.frontRand.IntN(n)]
 	}
 	if c.dispatcher.dead {
 		c.unreachable()
@@ -130,25 +131,25 @@
 		w.result.Accord.ReceivedWhileCut++
 	}
 	w.unanswered++
-	c.dispatcher.asked[c] = struct{}{}
-	c.id = fmt.Sprint(c.key, "-", c.tries)
-	deadline := c.until()
-	w.note(judge.Event{Kind: judge.ReqReceived, Node: c.dispatcher.index, Req: c.id, Key: c.key, Deadline: deadline, Work: c.Work, Effect: effects[c.class().Effect]})
-	w.tries[c.id] = c
-	job := &core.Job{Method: "POST", Target: "/photo", ID: c.id}
-	q := balance.Request{Class: c.Class, Tenant: c.tenant, Slots: c.Slots, Work: c.WorkEstimate, Retry: c.tries > 1}
+	c.dispatcher.waiting[c] = struct{}{}
+	c.tryID = fmt.Sprint(c.key, "-", c.tryCount)
+	deadline := c.deadline()
+	w.record(judge.Event{Kind: judge.ReqReceived, Node: c.dispatcher.index, Req: c.tryID, Key: c.key, Deadline: deadline, Work: c.Work, Effect: judgeEffects[c.class().Effect]})
+	w.clientsByTry[c.tryID] = c
+	job := &core.Job{Method: "POST", Target: "/photo", ID: c.tryID}
+	q := balance.Request{Class: c.Class, Tenant: c.tenant, Slots: c.Slots, Work: c.WorkEstimate, Retry: c.tryCount > 1}
 	if c.class().Effect == balance.Deduped {
 		job.IdempotencyKey = c.key
 	}
-	if len(w.scenario.Classes) == 0 { // where classes are told, reqs concern nothing that could be told again
-		q.Key = hashOf(c.key)
+	if len(w.scenario.Classes) == 0 { // a scenario with classes has no keys: its reqs concern nothing that recurs
+		q.Key = hashText(c.key)
 	}
 	left := time.Duration((deadline - w.now) * float64(time.Millisecond))
-	c.dispatcher.core.Submit(q, job, w.time(), left, c)
+	c.dispatcher.core.Submit(q, job, w.wallClock(), left, c)
 	c.dispatcher.markDirty()
 }
 
-// worth is what the req counts, relative to others of its class.
+// worth returns what the req counts, relative to others of its class.
 func (c *client) worth() float64 {
 	if c.world.scenario.Site.WorthByWork {
 		return c.Work
@@ -156,16 +157,16 @@
 	return 1
 }
 
-var verdicts = [...]judge.AnswerKind{core.Result: judge.Served, core.Refusal: judge.Refused, core.Failure: judge.Failed}
+var answerKinds = [...]judge.AnswerKind{core.Result: judge.Served, core.Refusal: judge.Refused, core.Failure: judge.Failed}
 
-// Answer takes the final answer. That there is no second is the judge's to see.
+// Answer handles the final answer. The checker finds any second answer to the same try.
 func (c *client) Answer(a core.Answer) {
 	w := c.world
-	delete(c.dispatcher.asked, c)
+	delete(c.dispatcher.waiting, c)
 	w.unanswered--
 	w.result.Answers++
-	w.note(judge.Event{Kind: judge.ReqAnswered, Node: c.dispatcher.index, Req: c.id, AnswerKind: verdicts[a.Kind]})
-	s := w.second(w.now)
+	w.record(judge.Event{Kind: judge.ReqAnswered, Node: c.dispatcher.index, Req: c.tryID, AnswerKind: answerKinds[a.Kind]})
+	s := w.secondCounts(w.now)
 	switch a.Kind {
 	case core.Result:
 		s.Served++
@@ -176,33 +177,33 @@
 	}
 	if a.Kind == core.Result {
 		w.result.Served++
-		w.second(c.arrivedAt).EventuallyServed++
+		w.secondCounts(c.arrivedAt).EventuallyServed++
 		good := w.now-c.arrivedAt <= c.class().Aim+c.class().Stretch*c.Work
 		if good {
 			w.result.InTime++
-			w.second(c.arrivedAt).InTime++
+			w.secondCounts(c.arrivedAt).InTime++
 		}
-		c.over(good, "late")
-		_ = w.result.Latency.RecordValue(int64((w.now-c.arrivedAt)*1000) + 1) // in its bounds: it is over by the last deadline
+		c.finish(good, "late")
+		_ = w.result.Latency.RecordValue(int64((w.now-c.arrivedAt)*1000) + 1) // within the histogram's range: the answer comes by the last deadline
 		return
 	}
-	// Clients of classes come back after a failure only where a repeat harms nobody.
+	// In a scenario with classes, clients retry after a failure only if a repeat does no harm.
 	again := a.Kind == core.Refusal || len(w.scenario.Classes) == 0 || c.class().Effect == balance.Safe
-	c.ended([...]string{core.Refusal: "refused ", core.Failure: "failed "}[a.Kind]+c.where(), a.Kind, again, float64(a.RetryAfter)/float64(time.Millisecond))
+	c.endTry([...]string{core.Refusal: "refused ", core.Failure: "failed "}[a.Kind]+c.stage(), a.Kind, again, float64(a.RetryAfter)/float64(time.Millisecond))
 }
 
-// ended ends a try that was not served: another follows, or the first req is over.
-func (c *client) ended(how string, v core.AnswerKind, again bool, least float64) {
+// endTry ends a try that was not served: a retry follows, or the req is finished.
+func (c *client) endTry(how string, v core.AnswerKind, again bool, least float64) {
 	w := c.world
-	if again && c.tries <= w.scenario.Retries {
-		pause := max(w.scenario.Backoff*(0.5+w.clients.Float64()), least)
+	if again && c.tryCount <= w.scenario.Retries {
+		pause := max(w.scenario.Backoff*(0.5+w.retryRand.Float64()), least)
 		if len(w.scenario.Classes) == 0 || w.now+pause < c.arrivedAt+c.class().Deadline {
-			w.unanswered++ // it is not over
-			w.schedule(w.now+pause, func() { w.unanswered--; c.ask() })
+			w.unanswered++ // the req stays open until its retry
+			w.schedule(w.now+pause, func() { w.unanswered--; c.startTry() })
 			return
 		}
 	}
-	c.over(false, how)
+	c.finish(false, how)
 	if v == core.Refusal {
 		w.result.Refused++
 	} else {
@@ -210,35 +211,35 @@
 	}
 }
 
-// where says how far a try had come: what a dispatcher could know (no attempt, or all proven not to have run), and
-// what it could not (whether a job had begun).
-func (c *client) where() string {
+// stage returns how far the try had come: what a dispatcher could know (no attempt, or all proven not to have run), and
+// what it could not (whether a job had started).
+func (c *client) stage() string {
 	switch {
-	case len(c.trips) == 0:
+	case len(c.attempts) == 0:
 		return "held"
-	case c.never():
+	case c.neverRan():
 		return "turned away"
 	}
-	for _, t := range c.trips {
-		if t.began {
+	for _, t := range c.attempts {
+		if t.started {
 			return "begun"
 		}
 	}
 	return "waiting"
 }
 
-// never says that no attempt of the try may have run, as far as anybody was told.
-func (c *client) never() bool {
-	for _, t := range c.trips {
-		if !t.never {
+// neverRan reports whether no attempt of the try can have run, as far as the dispatcher was told.
+func (c *client) neverRan() bool {
+	for _, t := range c.attempts {
+		if !t.neverRan {
 			return false
 		}
 	}
 	return true
 }
 
-// over ends a first req.
-func (c *client) over(good bool, how string) {
+// finish records the outcome of the req.
+func (c *client) finish(good bool, how string) {
 	w, r := c.world, &c.world.result.Classes[c.Class]
 	if w.tenants != nil {
 		if c.class().Urgent && c.starts == 0 && w.tenants.inWindow(c.arrivedAt) {
@@ -246,16 +247,16 @@
 		}
 		defer w.tenants.scheduleNext(c)
 	}
-	w.service.AddWeighted(c.arrivedAt, c.worth()*c.class().Worth, good)
+	w.serviceLevel.AddWeighted(c.arrivedAt, c.worth()*c.class().Worth, good)
 	if good {
 		r.InTime++
 		r.InTimeWorth += c.worth()
 		return
 	}
 	r.NotInTime[how]++
-	// Nobody decided on what was late, lost or reached no dispatcher.
+	// No dispatcher decided to give up reqs that were late, lost or unreachable.
 	decided := strings.HasPrefix(how, "refused") || strings.HasPrefix(how, "failed")
-	if aim := c.arrivedAt + c.class().Aim + c.class().Stretch*c.Work; decided && c.never() && w.now+c.Work <= aim {
+	if aim := c.arrivedAt + c.class().Aim + c.class().Stretch*c.Work; decided && c.neverRan() && w.now+c.Work <= aim {
 		r.GivenUpEarly++
 	}
 }
--- a/internal/lab/sim/dispatcher_quotas.go
+++ b/internal/lab/sim/dispatcher_quotas.go
@@ -62,7 +62,7 @@
 	timeLeft := float64(until.Sub(origin))/1e6 - w.now
 	if d.limiter.Acquire(d.now(w), id, account, req.urgent, d.now(w)+quota.Time(timeLeft*1e6*d.rate)) {
 		d.handleStart(id, req)
-		ready(w.time(), 0, true)
+		ready(w.wallClock(), 0, true)
 	} else {
 		d.waiting[id] = func(from time.Time, retryAfter time.Duration, ok bool) {
 			if ok {
@@ -170,7 +170,7 @@
 func (d *dispatcherQuotas) reply(id uint64, retryAfter time.Duration, ok bool) {
 	if ready := d.waiting[id]; ready != nil {
 		delete(d.waiting, id)
-		ready(d.simulation.world.time(), retryAfter, ok)
+		ready(d.simulation.world.wallClock(), retryAfter, ok)
 		d.side.markDirty()
 	}
 }
--- a/internal/lab/sim/restart.go
+++ b/internal/lab/sim/restart.go
@@ -10,20 +10,20 @@
 	"tinsail/internal/maintenance"
 )
 
-// Restart kills a dispatcher and starts it again from nothing but its last list. Times are ms.
+// Restart kills a dispatcher and starts a new process that keeps only the last list. Times are in ms.
 type Restart struct {
 	At         float64
 	Dispatcher int
 	Downtime   float64 // until the new process serves
-	FrontDelay float64 // until the front sends it nobody any more
-	// Graceful: what it runs is lost as well, but its last word to its region's lender is that it holds nothing.
+	FrontDelay float64 // until the front load balancer stops sending it clients
+	// Graceful: its reqs are lost as well, but its last message tells its region's lender that it holds nothing.
 	Graceful bool
 }
 
-// routedDispatchers are the dispatchers that the front sends clients to, dead ones that it has not noticed among them. Where it
-// has heard of none that it is ready it sends to all, as a front that knows no better.
+// routedDispatchers returns the dispatchers that the front load balancer sends clients to, among them killed ones that
+// it has not noticed. If it knows of no ready dispatcher it sends to all, having nothing better to go by.
 func (w *world) routedDispatchers() []*dispatcher {
-	out := w.fronted[:0]
+	out := w.routedBuffer[:0]
 	for _, s := range w.dispatchers {
 		if s.routed && !s.notReady {
 			out = append(out, s)
@@ -34,7 +34,7 @@
 			out = append(out, s)
 		}
 	}
-	w.fronted = out
+	w.routedBuffer = out
 	return out
 }
 
@@ -43,19 +43,19 @@
 	if old.dead {
 		return
 	}
-	w.note(judge.Event{Kind: judge.DispatcherKilled, Node: old.index})
+	w.record(judge.Event{Kind: judge.DispatcherKilled, Node: old.index})
 	old.dead = true
-	for _, n := range w.names { // in one order, so that a run stays the same
-		for _, id := range slices.Sorted(maps.Keys(w.backends[n].out)) {
-			if t := w.backends[n].out[id]; t.dispatcher == old {
+	for _, n := range w.backendNames { // in a fixed order, so that the run is reproducible
+		for _, id := range slices.Sorted(maps.Keys(w.backends[n].attempts)) {
+			if t := w.backends[n].attempts[id]; t.dispatcher == old {
 				t.over = true
-				t.call()
+				t.cancel()
 			}
 		}
 	}
-	if r.Graceful { // what is on its way to a backend is taken back: a process that ends in order ends when nothing of it is out
-		for _, c := range old.clients() {
-			for _, t := range c.trips {
+	if r.Graceful { // attempts on their way to a backend are withdrawn: a graceful shutdown ends with nothing in flight
+		for _, c := range old.waitingClients() {
+			for _, t := range c.attempts {
 				t.over = true
 			}
 		}
@@ -63,7 +63,7 @@
 	if old.quotas != nil {
 		old.quotas.stop(r.Graceful)
 	}
-	for _, c := range old.clients() {
+	for _, c := range old.waitingClients() {
 		c.lost()
 	}
 	w.schedule(w.now+r.FrontDelay, func() { old.routed = false })
@@ -72,47 +72,47 @@
 		settings := w.settings
 		settings.Seed, settings.Self = w.scenario.Seed*1_000_003+uint64(r.Dispatcher)+uint64(w.restarts)*7919, r.Dispatcher
 		s, err := newSide(w, r.Dispatcher, settings, w.policy)
-		if err != nil { // the same settings have made one before
+		if err != nil { // the same settings have created a dispatcher before
 			panic(err)
 		}
 		w.dispatchers[r.Dispatcher], old.routed = s, false
-		last := make([]maintenance.Backend, 0, len(w.names))
-		for _, n := range w.names {
-			if b, known := old.last[n]; known {
+		last := make([]maintenance.Backend, 0, len(w.backendNames))
+		for _, n := range w.backendNames {
+			if b, known := old.lastList[n]; known {
 				last = append(last, b)
 			}
 		}
-		s.listed(balance.ListCached, last)
-		// Where lists are pushed, the agent tells at once what it has.
+		s.applyList(balance.ListCached, last)
+		// Where lists are pushed, the agent sends its current list at once.
 		w.schedule(w.now+w.delay(), func() {
 			if !s.dead {
-				s.whole(w.list())
+				s.sendFullList(w.backendList())
 			}
 		})
 	})
 }
 
-// clients are those that wait for this dispatcher, in the order in which they came.
-func (s *dispatcher) clients() []*client {
+// waitingClients returns the clients that wait for this dispatcher, in the order in which they arrived.
+func (s *dispatcher) waitingClients() []*client {
 	var out []*client
-	for c := range s.asked {
+	for c := range s.waiting {
 		out = append(out, c)
 	}
-	slices.SortFunc(out, func(a, b *client) int { return a.n - b.n })
+	slices.SortFunc(out, func(a, b *client) int { return a.number - b.number })
 	return out
 }
 
 // lost ends a try whose dispatcher was killed.
 func (c *client) lost() {
 	w := c.world
-	delete(c.dispatcher.asked, c)
+	delete(c.dispatcher.waiting, c)
 	w.unanswered--
-	w.second(w.now).Failed++
-	c.ended("lost "+c.where(), core.Failure, c.class().Effect == balance.Safe, 0)
+	w.secondCounts(w.now).Failed++
+	c.endTry("lost "+c.stage(), core.Failure, c.class().Effect == balance.Safe, 0)
 }
 
 // unreachable ends a try that no dispatcher took.
 func (c *client) unreachable() {
-	c.world.second(c.world.now).Failed++
-	c.ended("unreachable", core.Failure, true, 0)
+	c.world.secondCounts(c.world.now).Failed++
+	c.endTry("unreachable", core.Failure, true, 0)
 }
--- a/internal/lab/sim/side.go
+++ b/internal/lab/sim/side.go
@@ -11,28 +11,29 @@
 	"tinsail/internal/maintenance"
 )
 
-// dispatcher is one dispatcher: the real core and module, the real bans over its list, and its connections.
+// dispatcher is one simulated dispatcher: the real core and module, the real bans applied to its list, and its
+// connections.
 type dispatcher struct {
 	world       *world
 	index       int
 	core        *core.Core
 	bans        maintenance.Bans
-	conns       map[*backend]int // idle connections
-	timer       float64          // that an event is set for; +Inf if none
+	idleConns   map[*backend]int // idle connections
+	nextTimer   float64          // time of the earliest scheduled timer event; +Inf if none
 	dirty       bool
-	asked       map[*client]struct{}           // that wait for its answer
-	last        map[string]maintenance.Backend // the list as it was last told
-	dead        bool                           // killed; another may serve in its place
-	routed      bool                           // the front sends it clients
-	notReady    bool                           // the front has heard that it takes none
+	waiting     map[*client]struct{}           // clients that wait for its answer
+	lastList    map[string]maintenance.Backend // the list as last received
+	dead        bool                           // killed; a new process may have taken its place
+	routed      bool                           // the front load balancer sends it clients
+	notReady    bool                           // the front load balancer knows that it accepts no reqs
 	participant *participant                   // nil without an accord
 	quotas      *dispatcherQuotas              // nil without quotas
 }
 
 func newSide(w *world, at int, settings balance.Settings, p Policy) (s *dispatcher, err error) {
-	s = &dispatcher{world: w, index: at, conns: map[*backend]int{}, timer: math.Inf(1),
-		asked: map[*client]struct{}{}, last: map[string]maintenance.Backend{}, routed: true}
-	s.core, err = core.NewWith(w.time, p, settings, s, s, &counters.Set{})
+	s = &dispatcher{world: w, index: at, idleConns: map[*backend]int{}, nextTimer: math.Inf(1),
+		waiting: map[*client]struct{}{}, lastList: map[string]maintenance.Backend{}, routed: true}
+	s.core, err = core.NewWith(w.wallClock, p, settings, s, s, &counters.Set{})
 	if err == nil && w.leader != nil {
 		if s.participant, err = newParticipant(s); err == nil {
 			s.core.Versions = s.participant
@@ -46,7 +47,7 @@
 	return s, err
 }
 
-// markDirty notes that something has come to it.
+// markDirty records that the dispatcher has received something and must be stepped.
 func (s *dispatcher) markDirty() {
 	if !s.dirty {
 		s.dirty = true
@@ -54,7 +55,7 @@
 	}
 }
 
-// step has the core take what has come and what is due, and sets an event for its next timer.
+// step has the core process what has arrived and what is due, and schedules an event for its next timer.
 func (s *dispatcher) step() {
 	if s.dead {
 		return
@@ -65,20 +66,20 @@
 		return
 	}
 	next := float64(t.Sub(origin)) / 1e6
-	if next >= s.timer {
+	if next >= s.nextTimer {
 		return
 	}
-	s.timer = next
+	s.nextTimer = next
 	s.world.schedule(next, func() {
-		if s.timer == next {
-			s.timer = math.Inf(1)
+		if s.nextTimer == next {
+			s.nextTimer = math.Inf(1)
 		}
 		s.markDirty()
 	})
 }
 
-// whole tells it the whole list.
-func (s *dispatcher) whole(list []*backend) {
+// sendFullList tells it the sendFullList list.
+func (s *dispatcher) sendFullList(list []*backend) {
 	in := make([]maintenance.Backend, 0, len(list))
 	for _, n := range list {
 		if n.state == balance.Gone {
@@ -86,39 +87,39 @@
 		}
 		in = append(in, maintenance.Backend(n.entry()))
 		if n.state != balance.Ready {
-			s.world.note(judge.Event{Kind: judge.StateReceived, Node: s.index, Backend: n.name})
+			s.world.record(judge.Event{Kind: judge.StateReceived, Node: s.index, Backend: n.name})
 		}
-		s.last[n.name] = in[len(in)-1]
+		s.lastList[n.name] = in[len(in)-1]
 	}
-	s.listed(balance.ListFull, s.bans.ApplyList(balance.ListFull, in))
+	s.applyList(balance.ListFull, s.bans.ApplyList(balance.ListFull, in))
 }
 
-// tell tells it what the director says of one backend.
-func (s *dispatcher) tell(n *backend) {
-	s.world.note(judge.Event{Kind: judge.StateReceived, Node: s.index, Backend: n.name, Ready: n.state == balance.Ready})
-	if s.last[n.name] = maintenance.Backend(n.entry()); n.state == balance.Gone {
-		delete(s.last, n.name)
+// sendBackendState delivers the director's state of one backend.
+func (s *dispatcher) sendBackendState(n *backend) {
+	s.world.record(judge.Event{Kind: judge.StateReceived, Node: s.index, Backend: n.name, Ready: n.state == balance.Ready})
+	if s.lastList[n.name] = maintenance.Backend(n.entry()); n.state == balance.Gone {
+		delete(s.lastList, n.name)
 	}
-	s.listed(balance.ListDelta, s.bans.ApplyList(balance.ListDelta, []maintenance.Backend{maintenance.Backend(n.entry())}))
+	s.applyList(balance.ListDelta, s.bans.ApplyList(balance.ListDelta, []maintenance.Backend{maintenance.Backend(n.entry())}))
 }
 
-// ban is an operator's call.
+// ban carries out an operator's call that bans a backend or lifts its ban.
 func (s *dispatcher) ban(n *backend, on bool) {
-	now, call := float64(s.world.time().UnixNano())/1e6, s.bans.Online
+	now, call := float64(s.world.wallClock().UnixNano())/1e6, s.bans.Online
 	if on {
 		call = s.bans.Offline
 	}
 	change, _ := call(now, n.name)
 	held := map[balance.WorkerID]struct{}{}
 	for _, name := range s.bans.OperatorBanned() {
-		held[idOf(name)] = struct{}{}
+		held[workerID(name)] = struct{}{}
 	}
 	s.core.SetBanned(held)
-	delete(s.conns, n)
-	s.listed(balance.ListDelta, change)
+	delete(s.idleConns, n)
+	s.applyList(balance.ListDelta, change)
 }
 
-func (s *dispatcher) listed(kind balance.ListKind, list []maintenance.Backend) {
+func (s *dispatcher) applyList(kind balance.ListKind, list []maintenance.Backend) {
 	out := make([]core.Entry, len(list))
 	for i := range list {
 		out[i] = core.Entry(list[i])
@@ -127,143 +128,144 @@
 	s.markDirty()
 }
 
-// attempt is an attempt under way.
+// attempt is an attempt in flight.
 type attempt struct {
 	dispatcher *dispatcher
-	n          *backend
-	id         uint64
-	a          *core.Attempt
+	backend    *backend
+	jobID      uint64
+	core       *core.Attempt
 	over       bool
-	// never is what its dispatcher was told, began what happened.
-	never, began bool
+	// neverRan is what its dispatcher was told, started what happened.
+	neverRan, started bool
 }
 
-// Send carries an attempt out on the model.
+// Send sends an attempt to the modelled backend and returns the function that cancels it.
 func (s *dispatcher) Send(a *core.Attempt) func() {
 	w := s.world
-	w.jobs++
-	t := &attempt{dispatcher: s, n: w.byID[a.Backend.ID], id: w.jobs, a: a}
-	c := w.tries[a.Job.ID]
-	c.trips = append(c.trips, t)
+	w.lastJobID++
+	t := &attempt{dispatcher: s, backend: w.backendsByID[a.Backend.ID], jobID: w.lastJobID, core: a}
+	c := w.clientsByTry[a.Job.ID]
+	c.attempts = append(c.attempts, t)
 	w.result.Attempts++
 	wait := w.delay()
-	connect := s.conns[t.n] == 0
+	connect := s.idleConns[t.backend] == 0
 	if !connect {
-		s.conns[t.n]--
+		s.idleConns[t.backend]--
 	} else {
 		wait += w.scenario.Connect
 	}
-	w.schedule(w.now+wait, func() { t.begin(connect) })
+	w.schedule(w.now+wait, func() { t.send(connect) })
 	return func() {
 		if t.over {
 			return
 		}
 		t.over = true
-		w.note(judge.Event{Kind: judge.AttemptEnded, Node: s.index, Req: a.Job.ID, Attempt: a.Number()})
-		t.call()
+		w.record(judge.Event{Kind: judge.AttemptEnded, Node: s.index, Req: a.Job.ID, Attempt: a.Number()})
+		t.cancel()
 	}
 }
 
-// call calls the job off at its backend, by closing its connection.
-func (t *attempt) call() {
+// cancel cancels the job at its backend by closing the connection.
+func (t *attempt) cancel() {
 	w := t.dispatcher.world
 	w.schedule(w.now+w.delay(), func() {
-		if t.n.out[t.id] != nil {
-			delete(t.n.out, t.id)
-			if w.tenants != nil && t.n.cfg.Kind.OnCancel == fleet.DropAll {
-				w.tenants.handleEnd(t.id)
+		if t.backend.attempts[t.jobID] != nil {
+			delete(t.backend.attempts, t.jobID)
+			if w.tenants != nil && t.backend.config.Kind.OnCancel == fleet.DropAll {
+				w.tenants.handleEnd(t.jobID)
 			}
-			w.told(t.n, t.n.model.Cancel(w.now, t.id))
+			w.handleModelEvents(t.backend, t.backend.model.Cancel(w.now, t.jobID))
 		}
 	})
 }
 
-// progress tells the share that is done, every so often while the job runs.
-func (t *attempt) progress() {
+// reportProgress reports the share of the job that is done, at intervals while it runs.
+func (t *attempt) reportProgress() {
 	w := t.dispatcher.world
 	w.schedule(w.now+w.scenario.Site.ProgressEvery, func() {
-		w.told(t.n, t.n.model.Advance(w.now))
-		if t.over || t.n.out[t.id] != t {
+		w.handleModelEvents(t.backend, t.backend.model.Advance(w.now))
+		if t.over || t.backend.attempts[t.jobID] != t {
 			return
 		}
-		if share := t.n.model.Progress(t.id); t.n.model.NextSendTime(w.now) == w.now {
-			w.schedule(w.now+w.delay(), func() { t.dispatcher.markDirty(); t.a.Progress(share) })
+		if share := t.backend.model.Progress(t.jobID); t.backend.model.NextSendTime(w.now) == w.now {
+			w.schedule(w.now+w.delay(), func() { t.dispatcher.markDirty(); t.core.Progress(share) })
 		}
-		t.progress()
+		t.reportProgress()
 	})
 }
 
-// begin is the moment of the first byte, and of the last: jobs are short.
-func (t *attempt) begin(connect bool) {
+// send delivers the req to the backend. Its first and last byte are sent at the same moment, since jobs are short.
+func (t *attempt) send(connect bool) {
 	w, s := t.dispatcher.world, t.dispatcher
 	if t.over {
 		return
 	}
-	if !t.a.MayBegin() {
-		t.over, t.never = true, true
+	if !t.core.MayBegin() {
+		t.over, t.neverRan = true, true
 		s.markDirty()
-		t.a.Ended(core.Unsent, "", nil)
+		t.core.Ended(core.Unsent, "", nil)
 		return
 	}
-	if w.leader != nil && t.a.Version() < w.leader.state.Version {
+	if w.leader != nil && t.core.Version() < w.leader.state.Version {
 		w.result.Accord.OutdatedStarts++
 	}
-	c := w.tries[t.a.Job.ID]
+	c := w.clientsByTry[t.core.Job.ID]
 	work := c.Work
 	if z := c.class().AttemptSpread; z > 0 {
-		work *= math.Exp(z*w.attempts.NormFloat64() - z*z/2)
+		work *= math.Exp(z*w.attemptRand.NormFloat64() - z*z/2)
 	}
-	e := judge.Event{Kind: judge.AttemptSent, Node: s.index, Req: t.a.Job.ID, Key: t.a.Job.IdempotencyKey, Attempt: t.a.Number(), Backend: t.n.name,
-		Group: t.n.cfg.Pod, Work: c.Work}
-	if part := t.n.model.Capacity(w.now); part < 1 {
-		e.Capacity = part * t.n.cfg.Kind.Cores * t.n.cfg.Kind.Speed
+	e := judge.Event{Kind: judge.AttemptSent, Node: s.index, Req: t.core.Job.ID, Key: t.core.Job.IdempotencyKey, Attempt: t.core.Number(), Backend: t.backend.name,
+		Group: t.backend.config.Pod, Work: c.Work}
+	if part := t.backend.model.Capacity(w.now); part < 1 {
+		e.Capacity = part * t.backend.config.Kind.Cores * t.backend.config.Kind.Speed
 	}
-	w.note(e)
-	w.result.JobsByBackend[t.n.name]++
-	t.n.out[t.id], w.owners[t.id] = t, t
-	job := fleet.Job{ID: t.id, Work: work, Slots: c.Slots}
-	if key := t.a.Job.IdempotencyKey; key != "" {
-		job.Key = hashOf(key)
+	w.record(e)
+	w.result.JobsByBackend[t.backend.name]++
+	t.backend.attempts[t.jobID], w.unstartedAttempts[t.jobID] = t, t
+	job := fleet.Job{ID: t.jobID, Work: work, Slots: c.Slots}
+	if key := t.core.Job.IdempotencyKey; key != "" {
+		job.Key = hashText(key)
 	}
-	verdict, list := t.n.model.Offer(w.now, job, connect)
-	w.told(t.n, list)
+	verdict, list := t.backend.model.Offer(w.now, job, connect)
+	w.handleModelEvents(t.backend, list)
 	switch verdict {
 	case fleet.Full:
-		t.reply(core.Returned)
+		t.end(core.Returned)
 	case fleet.Refused:
-		t.reply(core.Unreached)
+		t.end(core.Unreached)
 	}
 }
 
-// reply ends an attempt a network's way later; its connection may carry another.
-func (t *attempt) reply(e core.Ending) {
+// end ends the attempt at the dispatcher after the network delay. Its connection can be reused, unless it broke or was
+// never made.
+func (t *attempt) end(e core.Ending) {
 	w, s := t.dispatcher.world, t.dispatcher
-	delete(t.n.out, t.id)
-	w.schedule(t.n.model.NextSendTime(w.now)+w.delay(), func() {
+	delete(t.backend.attempts, t.jobID)
+	w.schedule(t.backend.model.NextSendTime(w.now)+w.delay(), func() {
 		if e != core.Broken && e != core.Unreached {
-			s.conns[t.n]++
+			s.idleConns[t.backend]++
 		}
 		if t.over { // the dispatcher has stopped waiting
 			return
 		}
-		t.over, t.never = true, e == core.Returned || e == core.Unreached
-		w.note(judge.Event{Kind: judge.AttemptEnded, Node: s.index, Req: t.a.Job.ID, Attempt: t.a.Number(), NeverRan: t.never})
+		t.over, t.neverRan = true, e == core.Returned || e == core.Unreached
+		w.record(judge.Event{Kind: judge.AttemptEnded, Node: s.index, Req: t.core.Job.ID, Attempt: t.core.Number(), NeverRan: t.neverRan})
 		s.markDirty()
-		t.a.Ended(e, "", w.report(t.n))
+		t.core.Ended(e, "", w.loadReport(t.backend))
 	})
 }
 
-// Probe answers nothing: scenarios have no probes.
+// Probe reports a failure after the network delay: scenarios have no probes.
 func (s *dispatcher) Probe(_ *core.Backend, done func(core.Ending, []float32)) {
 	s.world.schedule(s.world.now+s.world.delay(), func() { s.markDirty(); done(core.Failed, nil) })
 }
 
 // CloseIdle closes the idle connections to a backend.
 func (s *dispatcher) CloseIdle(b *core.Backend) {
-	if n := s.world.byID[b.ID]; n != nil {
-		delete(s.conns, n)
+	if n := s.world.backendsByID[b.ID]; n != nil {
+		delete(s.idleConns, n)
 	}
 }
 
-// Subscribe does nothing: lists come by themselves.
+// Subscribe does nothing: the director's lists are delivered without it.
 func (s *dispatcher) Subscribe() {}
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -22,8 +22,8 @@
 	return sc
 }
 
-// whole holds a run to the rules that no scenario may break.
-func whole(t *testing.T, r Result) {
+// assertRules asserts the rules that no scenario may break.
+func assertRules(t *testing.T, r Result) {
 	t.Helper()
 	assert.Empty(t, r.Violations)
 	assert.Equal(t, r.Reqs, r.Served+r.Refused+r.Failed+r.Unanswered)
@@ -33,11 +33,11 @@
 	t.Helper()
 	r, err := Run(sc, defaults.Settings())
 	require.NoError(t, err)
-	whole(t, r)
+	assertRules(t, r)
 	return r
 }
 
-// TestSameSeed: a run is the same to the byte, and another seed's is another.
+// Two runs with the same seed give the same result and log hash; another seed gives another log.
 func TestSameSeed(t *testing.T) {
 	sc := eightBackendScenario(1)
 	sc.Events = []Event{{At: 5000, Backend: "a", Action: "trouble", Faults: fleet.Faults{SlowFactor: 5, FailureRate: 0.2}}, {At: 9000, Backend: "b", Action: "kill"}}
@@ -47,14 +47,14 @@
 	assert.NotEqual(t, a.LogHash, runChecked(t, sc).LogHash)
 }
 
-// TestCalm: a fleet at two thirds of what it can do serves nearly all in time.
+// A fleet loaded to two thirds of its capacity serves nearly all reqs in time.
 func TestCalm(t *testing.T) {
 	r := runChecked(t, eightBackendScenario(3))
 	assert.Greater(t, r.Reqs, 1800)
 	assert.Greater(t, r.InTimeShare(), 0.95)
 }
 
-// TestTroubles: under each the rules hold, and what is served in time stays above a floor.
+// Under each fault the rules hold and the share of reqs served in time stays above a floor.
 func TestTroubles(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Scenario)
@@ -92,7 +92,7 @@
 	}
 }
 
-// TestBadScenario: what a scenario names wrongly is told.
+// A scenario that names an unknown backend, or lists one twice, is rejected.
 func TestBadScenario(t *testing.T) {
 	sc := eightBackendScenario(1)
 	sc.Events = []Event{{Backend: "z"}}
@@ -101,10 +101,10 @@
 	sc = eightBackendScenario(1)
 	sc.Backends = append(sc.Backends, sc.Backends[0])
 	_, err = Run(sc, defaults.Settings())
-	assert.ErrorContains(t, err, `backend "a" stands there twice`)
+	assert.ErrorContains(t, err, `backend "a" is listed twice`)
 }
 
-// BenchmarkPlay tells how much faster than time a day is played.
+// BenchmarkRun measures how much faster than real time a run is.
 func BenchmarkPlay(b *testing.B) {
 	for b.Loop() {
 		r, err := Run(eightBackendScenario(1), defaults.Settings())
@@ -115,8 +115,8 @@
 	b.ReportMetric(20*float64(b.N)/b.Elapsed().Seconds(), "s/s")
 }
 
-// TestManyDispatchers: several share the clients, each with a list and bans of its own; the rules hold over all together,
-// and what a ban and its end mean is seen at the backend.
+// Several dispatchers share the clients, each with its own list and bans: the rules hold over all of them, and the
+// backend is used before its ban and after the ban is lifted.
 func TestManyDispatchers(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		sc := eightBackendScenario(seed)
@@ -136,29 +136,31 @@
 	}
 }
 
-// first sends every req to one backend, whatever becomes of it.
-type first struct {
+// singleBackendPolicy sends every req to one backend, whatever the outcome.
+type singleBackendPolicy struct {
 	balance.Events
 	act balance.Actions
 	to  balance.WorkerID
 }
 
-func (f *first) Arrive(_ balance.Millis, q balance.Request) { f.act.Dispatch(q.ID, f.to, 0) }
+func (f *singleBackendPolicy) Arrive(_ balance.Millis, q balance.Request) {
+	f.act.Dispatch(q.ID, f.to, 0)
+}
 
-// TestRulesAreSeen: the judge finds what a policy breaks that the core does not prevent: it is not blind.
+// The checker finds a violation that a policy causes and the core does not prevent.
 func TestRulesAreSeen(t *testing.T) {
 	sc := eightBackendScenario(1)
 	sc.Backends[0].Cold = true
 	r, err := RunWithPolicy(sc, defaults.Settings(), func(s balance.Settings, a balance.Actions) (balance.Events, error) {
 		d, err := balance.New(s, a)
-		return &first{d, a, idOf("a")}, err
+		return &singleBackendPolicy{d, a, workerID("a")}, err
 	})
 	require.NoError(t, err)
 	require.NotEmpty(t, r.Violations)
 	assert.Equal(t, "cold", r.Violations[0].Rule)
 }
 
-// BenchmarkSizes tells how a run's cost grows with backends and dispatchers; the work a backend has stays the same.
+// BenchmarkSizes measures how the cost of a run grows with backends and dispatchers, at the same load per backend.
 func BenchmarkSizes(b *testing.B) {
 	for _, size := range []struct{ dispatchers, backends int }{{1, 10}, {1, 100}, {1, 1000}, {20, 100}, {200, 100}} {
 		b.Run(fmt.Sprint(size.dispatchers, "x", size.backends), func(b *testing.B) {
@@ -181,20 +183,20 @@
 	}
 }
 
-// TestReplay: recorded times stand for the scenario's own arrivals, all of them within its length and none beyond,
-// and a burst in the recording is played as it came.
+// Recorded times replace the scenario's own arrivals: all within its length are used and none beyond it, and a burst in
+// the recording is reproduced.
 func TestReplay(t *testing.T) {
 	sc := eightBackendScenario(4)
-	for i := range 1500 { // 100 a second, and a burst of 300 in the second from 5 s
+	for i := range 1500 { // 100 per second, and a burst of 300 in the second that starts at 5 s
 		sc.ArrivalTimes = append(sc.ArrivalTimes, float64(i)*10)
 		if i >= 500 && i < 600 {
 			sc.ArrivalTimes = append(sc.ArrivalTimes, float64(i)*10+3, float64(i)*10+6)
 		}
 	}
-	sc.ArrivalTimes = append(sc.ArrivalTimes, 25_000) // past the length
+	sc.ArrivalTimes = append(sc.ArrivalTimes, 25_000) // beyond the length
 	r := runChecked(t, sc)
 	assert.Equal(t, 1700, r.Reqs)
 	sc.ArrivalTimes[3], sc.ArrivalTimes[4] = sc.ArrivalTimes[4], sc.ArrivalTimes[3]
 	_, err := Run(sc, defaults.Settings())
-	assert.ErrorContains(t, err, "out of the order")
+	assert.ErrorContains(t, err, "not in time order")
 }
--- a/internal/lab/sim/site.go
+++ b/internal/lab/sim/site.go
@@ -9,50 +9,51 @@
 	"tinsail/internal/lab/judge"
 )
 
-// Class is one class of reqs. A scenario that names none has one, made of its own figures.
+// Class is one class of reqs. A scenario without classes has one, made from the scenario's own Work, Spread, Aim, Stretch
+// and Deadline.
 type Class struct {
 	Name          string
-	Share         float64 // of first reqs, relative to the other classes'
-	Work          float64 // mean of a job on the yardstick, ms
-	Spread        float64 // of the logarithm of a job's work
-	AttemptSpread float64 // of that of an attempt's, about its job's
-	Aim           float64 // served in time is within this and Stretch times the job's own work
+	Share         float64 // of reqs without retries, relative to the other classes' shares
+	Work          float64 // mean of a job on one core of the reference machine, ms
+	Spread        float64 // standard deviation of the logarithm of a job's work
+	AttemptSpread float64 // standard deviation of the logarithm of an attempt's work, relative to its job's
+	Aim           float64 // a req is in time if it is served within Aim + Stretch times its job's own work
 	Stretch       float64
-	Deadline      float64 // all tries together
+	Deadline      float64 // over all tries together
 	Worth         float64
-	TwoSlotShare  float64 // part of the jobs that take two slots
+	TwoSlotShare  float64 // of jobs that take two slots
 	Effect        balance.Effect
-	RepeatWindow  float64 // in which a pod drops repeats, of a keyed class
+	RepeatWindow  float64 // how long a pod recognizes and drops repeats of a class with idempotency keys, ms
 	Urgent        bool
 }
 
-// Site is what a site's settings say beside its classes. Zero values leave what the variant's settings have.
+// Site holds a site's settings beside its classes. Zero values keep the variant's settings.
 type Site struct {
-	Unweighted     bool    // a backend's slots are not told
-	ProgressEvery  float64 // a running job's share is told this often, ms
-	WorthByWork    bool    // a req's worth grows with its work
-	EstimateSpread float64 // reqs carry a guess of their work: the spread of its logarithm
+	Unweighted     bool    // the director lists backends without weights for their slots
+	ProgressEvery  float64 // interval of the progress reports of a running job, ms
+	WorthByWork    bool    // a req's worth is proportional to its work
+	EstimateSpread float64 // if above 0, reqs carry an estimate of their work: standard deviation of the logarithm of its error
 	Mix            balance.Mix
 	StartCapacity  float64
 	WarmAfter      float64
 	FallMultiple   float64
-	ConnectTimeout float64 // a connection's time, ms
+	ConnectTimeout float64 // for opening a connection, ms
 	OverShareWorth float64 // worth of a req beyond its tenant's share
 }
 
-// HeavyPeriod has part of a class's reqs cost so many times as much, for a while.
+// HeavyPeriod multiplies the work of a share of a class's reqs between two times.
 type HeavyPeriod struct {
 	From, To          float64
-	Class             string // empty for all
+	Class             string // empty for all classes
 	Share, WorkFactor float64
 }
 
-// ListDelay has the dispatchers hear of changes later by this, for a while.
+// ListDelay delays the director's changes on their way to the dispatchers between two times.
 type ListDelay struct{ From, To, Delay float64 }
 
-var effects = [...]judge.Effect{balance.Safe: judge.Repeatable, balance.Deduped: judge.Deduped, balance.Unsafe: judge.NonIdempotent}
+var judgeEffects = [...]judge.Effect{balance.Safe: judge.Repeatable, balance.Deduped: judge.Deduped, balance.Unsafe: judge.NonIdempotent}
 
-// classes are those of the scenario, one at least.
+// classes returns the scenario's classes, at least one.
 func (sc *Scenario) classes() []Class {
 	if len(sc.Classes) > 0 {
 		return sc.Classes
@@ -60,8 +61,8 @@
 	return []Class{{Name: "all", Share: 1, Work: sc.Work, Spread: sc.Spread, Aim: sc.Aim, Stretch: sc.Stretch, Deadline: sc.Deadline, Worth: 1, Effect: balance.Deduped}}
 }
 
-// pick draws a class by its share.
-func pick(classes []Class, chance *rand.Rand) int {
+// drawClass draws the index of a class by the classes' shares.
+func drawClass(classes []Class, chance *rand.Rand) int {
 	sum := 0.0
 	for i := range classes {
 		sum += classes[i].Share
@@ -75,11 +76,11 @@
 	return len(classes) - 1
 }
 
-// draw adds to an arrival what is drawn of it beside its time; z is the chance of its work.
-func (sc *Scenario) draw(at, z float64, classes []Class, chance *rand.Rand) Arrival {
+// drawArrival draws the properties of the req that arrives at a time; z is the standard normal variate for its work.
+func (sc *Scenario) drawArrival(at, z float64, classes []Class, chance *rand.Rand) Arrival {
 	a := Arrival{At: at, Slots: 1}
 	if len(classes) > 1 {
-		a.Class = pick(classes, chance)
+		a.Class = drawClass(classes, chance)
 	}
 	c := &classes[a.Class]
 	a.Work = c.Work * math.Exp(c.Spread*z-c.Spread*c.Spread/2)
@@ -97,7 +98,7 @@
 	return a
 }
 
-// settings are a variant's, with what the scenario says of its site.
+// settings returns a variant's settings with the scenario's classes, site and tenants applied.
 func (sc *Scenario) settings(s balance.Settings) balance.Settings {
 	put := func(to *float64, v float64) {
 		if v > 0 {
@@ -127,20 +128,20 @@
 		s.ReportInAnswer, s.Metrics = true, []balance.Metric{balance.MetricFreeSlots}
 	}
 	put(&s.OverShareWorth, sc.Site.OverShareWorth)
-	if len(sc.Tenants) > 0 && sc.Quotas.Lease == 0 { // else no tenant has more than its quota, and none is metered
+	if len(sc.Tenants) > 0 && sc.Quotas.Lease == 0 { // with quotas no tenant exceeds its quota, so that none is metered
 		s.Tenants = sc.moduleTenants()
 	}
 	s.Instances = max(sc.Dispatchers, 1)
 	return s
 }
 
-// checkSite says what is wrong with the classes, restarts and times of a scenario.
+// checkSite validates the scenario's classes, heavy periods, restarts and tenants.
 func (sc *Scenario) checkSite() error {
 	names := map[string]bool{"": true}
 	for _, c := range sc.classes() {
 		switch {
 		case names[c.Name]:
-			return fmt.Errorf("class %q stands there twice, or has no name", c.Name)
+			return fmt.Errorf("class %q is listed twice or has no name", c.Name)
 		case !(c.Work > 0) || !(c.Deadline > 0) || !(c.Share > 0) && len(sc.Tenants) == 0:
 			return fmt.Errorf("class %q: work, deadline and share must be more than 0", c.Name)
 		}
@@ -148,12 +149,12 @@
 	}
 	for _, h := range sc.HeavyPeriods {
 		if !names[h.Class] {
-			return fmt.Errorf("heavy reqs of class %q, which is none", h.Class)
+			return fmt.Errorf("heavy period for class %q, which does not exist", h.Class)
 		}
 	}
 	for _, r := range sc.Restarts {
 		if r.Dispatcher < 0 || r.Dispatcher >= max(sc.Dispatchers, 1) {
-			return fmt.Errorf("dispatcher %d restarts, which is none", r.Dispatcher)
+			return fmt.Errorf("restart of dispatcher %d, which does not exist", r.Dispatcher)
 		}
 	}
 	return sc.checkTenants()
--- a/internal/lab/sim/tenants.go
+++ b/internal/lab/sim/tenants.go
@@ -110,7 +110,7 @@
 		switch {
 		case t.Name == "" || names[t.Name]:
 			return fmt.Errorf("tenant name %q is empty or not unique", t.Name)
-		case t.Quota < 1 || t.Demand < 0 || t.Demand > mostBackends:
+		case t.Quota < 1 || t.Demand < 0 || t.Demand > maxBackends:
 			return fmt.Errorf("tenant %q: invalid quota %d or demand %d", t.Name, t.Quota, t.Demand)
 		case classIndex(classes, t.Class) < 0:
 			return fmt.Errorf("tenant %q: class %q does not exist", t.Name, t.Class)
@@ -168,14 +168,14 @@
 	w.result.Reqs++
 	z := j.random.NormFloat64()
 	arrival := Arrival{At: w.now, Slots: 1, Class: class, Work: workShare * c.Work * math.Exp(c.Spread*z-c.Spread*c.Spread/2)}
-	cl := &client{world: w, n: w.result.Reqs, key: fmt.Sprint("k", w.result.Reqs), Arrival: arrival, arrivedAt: w.now, tenant: tenant, region: w.drawRegion(), standing: true}
-	cl.ask()
+	cl := &client{world: w, number: w.result.Reqs, key: fmt.Sprint("k", w.result.Reqs), Arrival: arrival, arrivedAt: w.now, tenant: tenant, region: w.drawRegion(), standing: true}
+	cl.startTry()
 }
 
 // drawRegion returns a random region for a client; 0 if there are no regions.
 func (w *world) drawRegion() int {
 	if n := len(w.scenario.Regions); n > 0 {
-		return w.where.IntN(n)
+		return w.regionRand.IntN(n)
 	}
 	return 0
 }
@@ -339,7 +339,7 @@
 	n := len(w.dispatchers)
 	allowed := func(s *dispatcher) bool {
 		if count > 0 {
-			first := int(hashOf(w.scenario.Tenants[c.tenant].Name) % uint64(n))
+			first := int(hashText(w.scenario.Tenants[c.tenant].Name) % uint64(n))
 			for i := range count { // spread evenly over all dispatchers, and so over the regions
 				if (first+i*n/count)%n == s.index {
 					return true
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -18,21 +18,22 @@
 	"tinsail/internal/lab/judge"
 )
 
+// event is an action scheduled at a virtual time in ms. seq orders events of the same time as they were scheduled.
 type event struct {
-	at  float64
-	seq uint64
-	do  func()
+	at     float64
+	seq    uint64
+	action func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	old[len(old)-1] = event{}
@@ -40,66 +41,66 @@
 	return x
 }
 
-// backend is a backend with what is out at it.
+// backend is a modelled backend with its outstanding attempts.
 type backend struct {
-	name   string
-	id     balance.WorkerID
-	kind   int
-	cfg    Backend
-	model  *fleet.Backend
-	out    map[uint64]*attempt
-	wake   float64 // that an event for it is set for
-	fell   bool
-	weight float64       // as the director has it
-	state  balance.State // as the director has it
+	name         string
+	id           balance.WorkerID
+	kind         int
+	config       Backend
+	model        *fleet.Backend
+	attempts     map[uint64]*attempt
+	nextWake     float64 // time of the earliest event scheduled for its model; +Inf for none
+	downRecorded bool
+	weight       float64       // as the director lists it
+	state        balance.State // as the director lists it
 
 	reporter *fleet.Reporter
 }
 
 type world struct {
-	scenario    Scenario
-	now         float64
-	queue       events
-	seq         uint64
-	dispatchers []*dispatcher
-	dirty       []*dispatcher
-	backends    map[string]*backend
-	byID        map[balance.WorkerID]*backend
-	pods        map[int]*fleet.DedupGroup
-	net         *rand.Rand
-	clients     *rand.Rand // of arrivals and retries
-	front       *rand.Rand // of which dispatcher a try comes to
-	noise       *rand.Rand // of load reports
-	log         hash.Hash64
-	judge       judge.Checker
-	service     judge.ServiceLevel
-	result      Result
-	tries       map[string]*client // by the id of the try
-	next        func() (Arrival, bool)
-	jobs        uint64
-	unanswered  int
+	scenario     Scenario
+	now          float64
+	queue        eventQueue
+	lastSeq      uint64
+	dispatchers  []*dispatcher
+	dirty        []*dispatcher
+	backends     map[string]*backend
+	backendsByID map[balance.WorkerID]*backend
+	dedupGroups  map[int]*fleet.DedupGroup
+	networkRand  *rand.Rand
+	retryRand    *rand.Rand // of pauses before retries
+	frontRand    *rand.Rand // of the dispatcher that a try reaches
+	reportRand   *rand.Rand // of load reports
+	logHash      hash.Hash64
+	checker      judge.Checker
+	serviceLevel judge.ServiceLevel
+	result       Result
+	clientsByTry map[string]*client // by try ID
+	nextArrival  func() (Arrival, bool)
+	lastJobID    uint64
+	unanswered   int
 
-	settings balance.Settings
-	policy   Policy
-	classes  []Class
-	names    []string // of the backends, in the scenario's order
-	fronted  []*dispatcher
-	owners   map[uint64]*attempt // of jobs that have not begun
-	ends     float64             // what is owed later is not judged
-	attempts *rand.Rand          // of what attempts of a job differ by
-	heard    float64             // when the last change is heard: a stale list keeps their order
-	restarts int
-	leader   *leader          // nil without an accord
-	tenants  *tenantJobs      // nil without tenants
-	quotas   *quotaSimulation // nil without quotas
-	where    *rand.Rand       // of which region a client is in
+	settings          balance.Settings
+	policy            Policy
+	classes           []Class
+	backendNames      []string // of the backends, in the scenario's order
+	routedBuffer      []*dispatcher
+	unstartedAttempts map[uint64]*attempt // by job ID, of jobs that no backend has started
+	judgedUntil       float64             // answers due later are not judged
+	attemptRand       *rand.Rand          // of how the work of a job's attempts differs
+	lastNotified      float64             // when the latest change of the list is delivered: delayed changes stay in order
+	restarts          int
+	leader            *leader          // nil without an accord
+	tenants           *tenantJobs      // nil without tenants
+	quotas            *quotaSimulation // nil without quotas
+	regionRand        *rand.Rand       // of the region that a client is in
 }
 
 func newWorld(sc Scenario, settings balance.Settings, p Policy) (*world, error) {
-	w := &world{ends: math.Inf(1), scenario: sc, tries: map[string]*client{}, backends: map[string]*backend{}, byID: map[balance.WorkerID]*backend{}, pods: map[int]*fleet.DedupGroup{},
-		net: fleet.RandomStream(sc.Seed, "network"), clients: fleet.RandomStream(sc.Seed, "clients"), front: fleet.RandomStream(sc.Seed, "front"),
-		noise: fleet.RandomStream(sc.Seed, "reports"), log: fnv.New64a(),
-		policy: p, owners: map[uint64]*attempt{}, attempts: fleet.RandomStream(sc.Seed, "attempts"), where: fleet.RandomStream(sc.Seed, "regions")}
+	w := &world{judgedUntil: math.Inf(1), scenario: sc, clientsByTry: map[string]*client{}, backends: map[string]*backend{}, backendsByID: map[balance.WorkerID]*backend{}, dedupGroups: map[int]*fleet.DedupGroup{},
+		networkRand: fleet.RandomStream(sc.Seed, "network"), retryRand: fleet.RandomStream(sc.Seed, "clients"), frontRand: fleet.RandomStream(sc.Seed, "front"),
+		reportRand: fleet.RandomStream(sc.Seed, "reports"), logHash: fnv.New64a(),
+		policy: p, unstartedAttempts: map[uint64]*attempt{}, attemptRand: fleet.RandomStream(sc.Seed, "attempts"), regionRand: fleet.RandomStream(sc.Seed, "regions")}
 	if w.scenario.Stretch == 0 {
 		w.scenario.Stretch = 2
 	}
@@ -114,10 +115,10 @@
 	w.result.JobsByBackend = map[string]int{}
 	w.result.Latency = hdrhistogram.New(1, 60_000_000, 3)
 	r := settings.Rules
-	w.judge.Rules = judge.Rules{AnswerSlack: r.AnswerSlack + 50, SendGrace: r.DrainGrace, SingleAttempt: !settings.MayDuplicate,
+	w.checker.Rules = judge.Rules{AnswerSlack: r.AnswerSlack + 50, SendGrace: r.DrainGrace, SingleAttempt: !settings.MayDuplicate,
 		FallMultiple: r.FallMultiple, FallWindow: r.FallWindow, FallSlack: 3 * mean / share}
 	for i := range settings.Classes {
-		w.judge.Rules.RepeatWindow = max(w.judge.Rules.RepeatWindow, settings.Classes[i].RepeatWindow)
+		w.checker.Rules.RepeatWindow = max(w.checker.Rules.RepeatWindow, settings.Classes[i].RepeatWindow)
 	}
 	kinds := map[string]int{}
 	for _, b := range sc.Backends {
@@ -131,7 +132,7 @@
 		w.tenants = newTenantJobs(w)
 	}
 	for _, b := range sc.Backends {
-		w.add(b, kinds[b.Kind.Name])
+		w.addBackend(b, kinds[b.Kind.Name])
 	}
 	if sc.Accord.Lease > 0 {
 		var err error
@@ -156,19 +157,19 @@
 	return w, nil
 }
 
-func (w *world) time() time.Time {
+func (w *world) wallClock() time.Time {
 	return origin.Add(time.Duration(math.Round(w.now * float64(time.Millisecond))))
 }
 
 func (w *world) schedule(t float64, do func()) {
-	w.seq++
-	heap.Push(&w.queue, event{max(t, w.now), w.seq, do})
+	w.lastSeq++
+	heap.Push(&w.queue, event{max(t, w.now), w.lastSeq, do})
 }
 
-// run takes events in the order of their times until clients have stopped and all is answered. A
-// dispatcher's timers are events too; only those that something has come to are looked at.
+// run processes events in time order until arrivals have ended and every req is answered. Dispatchers' timers are events
+// too; after an event only the dispatchers that have received something are stepped.
 func (w *world) run() error {
-	w.settle()
+	w.stepDispatchers()
 	still, last, longest := 0, -1.0, 0.0
 	for i := range w.classes {
 		longest = max(longest, w.classes[i].Deadline)
@@ -176,39 +177,39 @@
 	for end := w.scenario.Length + longest + 10_000; w.now <= end && len(w.queue) > 0; w.result.Steps++ {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
-		e.do()
-		w.settle()
-		if w.unanswered == 0 && w.now > w.scenario.Length && w.quiet() {
+		e.action()
+		w.stepDispatchers()
+		if w.unanswered == 0 && w.now > w.scenario.Length && w.noAttempts() {
 			return nil
 		}
-		if w.tenants != nil && w.now > w.scenario.Length { // what waits or runs on is owed an answer later
-			w.ends, w.result.Unanswered = w.now, w.unanswered
+		if w.tenants != nil && w.now > w.scenario.Length { // reqs that still wait or run are due an answer later
+			w.judgedUntil, w.result.Unanswered = w.now, w.unanswered
 			return nil
 		}
 		if still++; w.now != last {
 			still, last = 0, w.now
-		} else if still > stillMost { // a fault of the model's or the core's, not the scenario's
-			return fmt.Errorf("time stands still at %v ms", w.now)
+		} else if still > maxEventsPerInstant { // a fault in the model or the core, not in the scenario
+			return fmt.Errorf("virtual time does not advance beyond %v ms", w.now)
 		}
 	}
 	return nil
 }
 
-// quiet says whether nothing is out at any backend: only timers are left, that nobody waits for.
-func (w *world) quiet() bool {
+// noAttempts reports whether no backend has an outstanding attempt: only timers are left, which nothing waits for.
+func (w *world) noAttempts() bool {
 	for _, n := range w.backends {
-		if len(n.out) > 0 {
+		if len(n.attempts) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// stillMost is how many things may happen at one time.
-const stillMost = 1_000_000
+// maxEventsPerInstant is how many events may happen at one virtual time before the run counts as stuck.
+const maxEventsPerInstant = 1_000_000
 
-// settle has the dispatchers take what has come to them, and sets their next timers.
-func (w *world) settle() {
+// stepDispatchers steps the dispatchers that have received something, and schedules their next timers.
+func (w *world) stepDispatchers() {
 	for len(w.dirty) > 0 {
 		s := w.dirty[len(w.dirty)-1]
 		w.dirty = w.dirty[:len(w.dirty)-1]
@@ -217,27 +218,27 @@
 	}
 }
 
-// note judges an event and adds it to the log whose hash identifies the run.
-func (w *world) note(e judge.Event) {
+// record adds an event to the log, whose hash identifies the run, and passes it to the checker.
+func (w *world) record(e judge.Event) {
 	e.At = w.now
 	w.result.LogEvents++
 	var b [20]byte
 	b[0], b[1], b[2], b[3] = byte(e.Kind), byte(e.Node), byte(e.Attempt), byte(e.AnswerKind)
 	binary.LittleEndian.PutUint64(b[4:], math.Float64bits(w.now))
 	binary.LittleEndian.PutUint64(b[12:], math.Float64bits(e.Work))
-	_, _ = w.log.Write(b[:])
-	_, _ = w.log.Write([]byte(e.Req))
-	_, _ = w.log.Write([]byte(e.Backend))
-	w.judge.Handle(e)
+	_, _ = w.logHash.Write(b[:])
+	_, _ = w.logHash.Write([]byte(e.Req))
+	_, _ = w.logHash.Write([]byte(e.Backend))
+	w.checker.Handle(e)
 }
 
-func (w *world) delay() float64 { return w.scenario.Latency * (0.5 + w.net.Float64()) }
+func (w *world) delay() float64 { return w.scenario.Latency * (0.5 + w.networkRand.Float64()) }
 
-func (w *world) add(b Backend, kind int) {
-	pod := w.pods[b.Pod]
+func (w *world) addBackend(b Backend, kind int) {
+	pod := w.dedupGroups[b.Pod]
 	if pod == nil {
 		pod = fleet.NewDedupGroup()
-		w.pods[b.Pod] = pod
+		w.dedupGroups[b.Pod] = pod
 	}
 	if b.SpeedSpread > 0 {
 		b.Kind.Speed *= math.Exp(b.SpeedSpread*fleet.RandomStream(w.scenario.Seed, "speed "+b.Name).NormFloat64() - b.SpeedSpread*b.SpeedSpread/2)
@@ -246,43 +247,43 @@
 	if b.Cold {
 		started = w.now
 	}
-	n := &backend{name: b.Name, id: idOf(b.Name), kind: kind, cfg: b, out: map[uint64]*attempt{}, wake: math.Inf(1), state: balance.Ready, weight: b.Kind.Slots,
+	n := &backend{name: b.Name, id: workerID(b.Name), kind: kind, config: b, attempts: map[uint64]*attempt{}, nextWake: math.Inf(1), state: balance.Ready, weight: b.Kind.Slots,
 		model:    fleet.New(b.Kind, pod, started, w.now, fleet.RandomStream(w.scenario.Seed, "backend "+b.Name)),
 		reporter: fleet.NewReporter(w.scenario.Report, b.Kind.Slots)}
 	if w.scenario.Site.Unweighted {
 		n.weight = 1
 	}
-	w.backends[b.Name], w.byID[n.id] = n, n
-	w.names = append(w.names, b.Name)
+	w.backends[b.Name], w.backendsByID[n.id] = n, n
+	w.backendNames = append(w.backendNames, b.Name)
 }
 
-// list is all backends, in the scenario's order.
-func (w *world) list() []*backend {
-	list := make([]*backend, len(w.names))
-	for i, name := range w.names {
+// backendList returns all backends in the scenario's order.
+func (w *world) backendList() []*backend {
+	list := make([]*backend, len(w.backendNames))
+	for i, name := range w.backendNames {
 		list[i] = w.backends[name]
 	}
 	return list
 }
 
-func idOf(name string) balance.WorkerID { return balance.WorkerID(hashOf(name)) }
+func workerID(name string) balance.WorkerID { return balance.WorkerID(hashText(name)) }
 
-func hashOf(text string) uint64 {
+func hashText(text string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(text))
 	return h.Sum64()
 }
 
-// entry is a backend's line in the director's list.
+// entry returns the backend's entry in the director's list.
 func (n *backend) entry() core.Entry {
-	e := core.Entry{Name: n.name, Address: n.name, Worker: balance.Worker{ID: n.id, Kind: n.kind, Cell: n.cfg.Pod, State: n.state, Weight: n.weight}}
-	if n.cfg.Cold {
+	e := core.Entry{Name: n.name, Address: n.name, Worker: balance.Worker{ID: n.id, Kind: n.kind, Cell: n.config.Pod, State: n.state, Weight: n.weight}}
+	if n.config.Cold {
 		e.Started = float64(origin.UnixMilli()) + n.model.StartedAt()
 	}
 	return e
 }
 
-func (w *world) happen(e Event) {
+func (w *world) applyEvent(e Event) {
 	n := w.backends[e.Backend]
 	say := func(s balance.State) {
 		heard := w.now + e.NotifyDelay
@@ -291,33 +292,33 @@
 				heard += x.Delay
 			}
 		}
-		if len(w.scenario.ListDelays) > 0 { // what is heard late holds up what comes behind it
-			w.heard = max(w.heard, heard)
-			heard = w.heard
+		if len(w.scenario.ListDelays) > 0 { // a delayed change holds back those that follow it
+			w.lastNotified = max(w.lastNotified, heard)
+			heard = w.lastNotified
 		}
 		w.schedule(heard, func() {
 			n.state = s
 			for _, d := range w.dispatchers {
 				if !d.dead {
-					d.tell(n)
+					d.sendBackendState(n)
 				}
 			}
 		})
 	}
 	switch e.Action {
 	case "kill":
-		n.fell = true // by hand, which is no fall
-		w.told(n, n.model.Kill(w.now))
+		n.downRecorded = true // killed by the scenario, which does not count as overload
+		w.handleModelEvents(n, n.model.Kill(w.now))
 		for _, s := range w.dispatchers {
-			delete(s.conns, n)
+			delete(s.idleConns, n)
 		}
 	case "start":
 		n.model.Start(w.now)
-		n.cfg.Cold, n.fell = true, false
+		n.config.Cold, n.downRecorded = true, false
 	case "trouble":
-		w.told(n, n.model.SetFaults(w.now, e.Faults))
+		w.handleModelEvents(n, n.model.SetFaults(w.now, e.Faults))
 	case "drain":
-		w.told(n, n.model.Drain(w.now, true))
+		w.handleModelEvents(n, n.model.Drain(w.now, true))
 		say(balance.Draining)
 	case "list":
 		say(balance.Ready)
@@ -334,70 +335,70 @@
 			}
 			s.ban(n, e.Action == "ban")
 		}
-		w.note(judge.Event{Kind: what, Backend: n.name})
+		w.record(judge.Event{Kind: what, Backend: n.name})
 	}
 }
 
-// report is the free slots as the next answer tells them.
-func (w *world) report(n *backend) []float32 {
-	if v, ok := n.reporter.Report(w.now, n.model.FreeSlots(), w.noise); ok {
+// loadReport returns the free slots that the next answer reports, or nil if it reports none.
+func (w *world) loadReport(n *backend) []float32 {
+	if v, ok := n.reporter.Report(w.now, n.model.FreeSlots(), w.reportRand); ok {
 		return []float32{float32(v)}
 	}
 	return nil
 }
 
-// told passes on what happened at a backend, and sees to it that the next is not missed.
-func (w *world) told(n *backend, list []fleet.Event) {
+// handleModelEvents processes what happened at a backend's model, and schedules the model's next event.
+func (w *world) handleModelEvents(n *backend, list []fleet.Event) {
 	for _, e := range list {
 		if e.Kind == fleet.Started {
-			w.began(e.Job)
+			w.handleJobStart(e.Job)
 		}
 		if w.tenants != nil && e.Kind != fleet.Started {
 			w.tenants.handleEnd(e.Job)
 		}
-		t := n.out[e.Job]
+		t := n.attempts[e.Job]
 		if t == nil {
 			continue
 		}
 		switch e.Kind {
 		case fleet.Started:
-			w.schedule(w.now+w.delay(), func() { t.dispatcher.markDirty(); t.a.Started() })
+			w.schedule(w.now+w.delay(), func() { t.dispatcher.markDirty(); t.core.Started() })
 			if w.scenario.Site.ProgressEvery > 0 {
-				t.progress()
+				t.reportProgress()
 			}
 		case fleet.Done:
-			t.reply(core.Served)
+			t.end(core.Served)
 		case fleet.Failed:
-			t.reply(core.Failed)
+			t.end(core.Failed)
 		case fleet.Returned:
-			t.reply(core.Returned)
+			t.end(core.Returned)
 		case fleet.Lost:
-			t.reply(core.Broken)
+			t.end(core.Broken)
 		}
 	}
-	if n.model.Down() && !n.fell {
-		n.fell = true
+	if n.model.Down() && !n.downRecorded {
+		n.downRecorded = true
 		w.result.OverloadedBackends++
-		w.note(judge.Event{Kind: judge.BackendOverloaded, Backend: n.name})
+		w.record(judge.Event{Kind: judge.BackendOverloaded, Backend: n.name})
 	}
-	if next := n.model.NextEvent(); next < n.wake {
-		n.wake = next
+	if next := n.model.NextEvent(); next < n.nextWake {
+		n.nextWake = next
 		w.schedule(next, func() {
-			if n.wake != next { // an earlier one has taken its place
+			if n.nextWake != next { // an earlier event has replaced this one
 				return
 			}
-			n.wake = math.Inf(1)
-			w.told(n, n.model.Advance(w.now))
+			n.nextWake = math.Inf(1)
+			w.handleModelEvents(n, n.model.Advance(w.now))
 		})
 	}
 }
 
-// began counts a job that begins, whether anybody waits for it or not.
-func (w *world) began(job uint64) {
-	t := w.owners[job]
-	delete(w.owners, job)
-	t.began = true
-	c := w.tries[t.a.Job.ID]
+// handleJobStart counts a job that a backend starts, whether or not a dispatcher still waits for it.
+func (w *world) handleJobStart(job uint64) {
+	t := w.unstartedAttempts[job]
+	delete(w.unstartedAttempts, job)
+	t.started = true
+	c := w.clientsByTry[t.core.Job.ID]
 	c.starts++
 	if w.tenants != nil {
 		w.tenants.handleStart(job, c)
@@ -407,17 +408,17 @@
 	}
 }
 
-// finish adds up.
+// finish computes the totals of the result once the run has ended.
 func (w *world) finish() {
-	w.result.WholeRun = w.service.Overall()
-	w.judge.Finish(w.ends)
-	w.result.Violations, w.result.ViolationCount = w.judge.Violations(), w.judge.Count("")
-	w.result.WorstWindow = w.service.WorstWindow()
+	w.result.WholeRun = w.serviceLevel.Overall()
+	w.checker.Finish(w.judgedUntil)
+	w.result.Violations, w.result.ViolationCount = w.checker.Violations(), w.checker.Count("")
+	w.result.WorstWindow = w.serviceLevel.WorstWindow()
 	if w.tenants != nil {
 		w.tenants.finish()
 	}
 	if w.quotas != nil {
 		w.quotas.finish()
 	}
-	w.result.LogHash = w.log.Sum64()
+	w.result.LogHash = w.logHash.Sum64()
 }
