--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -46,7 +46,7 @@
 	}
 	fmt.Fprintf(w, "answers, attempts\t%d, %d\n", r.Answers, r.Attempts)
 	fmt.Fprintf(w, "latency ms\tp50 %.0f, p99 %.0f, p99.9 %.0f\n", percentileMS(r.Latency, 50), percentileMS(r.Latency, 99), percentileMS(r.Latency, 99.9))
-	lowest, highest := jobRange(r.JobsByBackend)
+	lowest, highest := jobRange(r.AttemptsByBackend)
 	fmt.Fprintf(w, "jobs at a backend\t%d to %d\n", lowest, highest)
 	if a := &r.Accord; a.MaxVersions > 0 {
 		fmt.Fprintf(w, "accord\tversion %d, at most %d in use at one moment; fenced %d (%d where cut off), taken by one that was over %d, none took for %.0f ms\n",
@@ -226,7 +226,7 @@
 	var sum []float64
 	forEachRun(r, a, func(x *sim.Result) {
 		var jobs []int
-		for _, n := range x.JobsByBackend {
+		for _, n := range x.AttemptsByBackend {
 			jobs = append(jobs, n)
 		}
 		slices.Sort(jobs)
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -25,25 +25,25 @@
 func (sc *Scenario) Arrivals() iter.Seq[Arrival] {
 	classes := sc.classes()
 	return func(yield func(Arrival) bool) {
-		chance, more := fleet.RandomStream(sc.Seed, "arrivals"), fleet.RandomStream(sc.Seed, "classes")
+		arrivalRand, classRand := fleet.RandomStream(sc.Seed, "arrivals"), fleet.RandomStream(sc.Seed, "classes")
 		if sc.ArrivalTimes != nil { // taken from a recording
 			for _, at := range sc.ArrivalTimes {
-				if at >= sc.Length || !yield(sc.drawArrival(at, chance.NormFloat64(), classes, more)) {
+				if at >= sc.Length || !yield(sc.drawArrival(at, arrivalRand.NormFloat64(), classes, classRand)) {
 					return
 				}
 			}
 			return
 		}
 		for at := 0.0; ; {
-			times := 1.0
+			factor := 1.0
 			for _, b := range sc.Bursts {
 				if at >= b.From && at < b.To {
-					times *= b.RateFactor
+					factor *= b.RateFactor
 				}
 			}
-			at += chance.ExpFloat64() * 1000 / (sc.Rate * times)
-			z := chance.NormFloat64()
-			if at >= sc.Length || !yield(sc.drawArrival(at, z, classes, more)) {
+			at += arrivalRand.ExpFloat64() * 1000 / (sc.Rate * factor)
+			z := arrivalRand.NormFloat64()
+			if at >= sc.Length || !yield(sc.drawArrival(at, z, classes, classRand)) {
 				return
 			}
 		}
@@ -110,18 +110,18 @@
 	c.attempts = c.attempts[:0]
 	if c.tryCount == 1 {
 		w.secondCounts(w.now).Arrived++
-		r := &w.result.Classes[c.Class]
-		r.Reqs++
-		r.TotalWorth += c.worth()
+		class := &w.result.Classes[c.Class]
+		class.Reqs++
+		class.TotalWorth += c.worth()
 	}
-	fronts := c.reachable(w.routedDispatchers())
-	if len(fronts) == 0 {
+	targets := c.reachable(w.routedDispatchers())
+	if len(targets) == 0 {
 		c.unreachable()
 		return
 	}
-	c.dispatcher = fronts[0]
-	if n := len(fronts); n > 1 {
-		c.dispatcher = fronts[w.frontRand.IntN(n)]
+	c.dispatcher = targets[0]
+	if n := len(targets); n > 1 {
+		c.dispatcher = targets[w.frontRand.IntN(n)]
 	}
 	if c.dispatcher.dead {
 		c.unreachable()
@@ -137,15 +137,15 @@
 	w.record(judge.Event{Kind: judge.ReqReceived, Node: c.dispatcher.index, Req: c.tryID, Key: c.key, Deadline: deadline, Work: c.Work, Effect: judgeEffects[c.class().Effect]})
 	w.clientsByTry[c.tryID] = c
 	job := &core.Job{Method: "POST", Target: "/photo", ID: c.tryID}
-	q := balance.Request{Class: c.Class, Tenant: c.tenant, Slots: c.Slots, Work: c.WorkEstimate, Retry: c.tryCount > 1}
+	request := balance.Request{Class: c.Class, Tenant: c.tenant, Slots: c.Slots, Work: c.WorkEstimate, Retry: c.tryCount > 1}
 	if c.class().Effect == balance.Deduped {
 		job.IdempotencyKey = c.key
 	}
 	if len(w.scenario.Classes) == 0 { // a scenario with classes has no keys: its reqs concern nothing that recurs
-		q.Key = hashText(c.key)
+		request.Key = hashText(c.key)
 	}
-	left := time.Duration((deadline - w.now) * float64(time.Millisecond))
-	c.dispatcher.core.Submit(q, job, w.wallClock(), left, c)
+	timeLeft := time.Duration((deadline - w.now) * float64(time.Millisecond))
+	c.dispatcher.core.Submit(request, job, w.wallClock(), timeLeft, c)
 	c.dispatcher.markDirty()
 }
 
@@ -166,45 +166,45 @@
 	w.unanswered--
 	w.result.Answers++
 	w.record(judge.Event{Kind: judge.ReqAnswered, Node: c.dispatcher.index, Req: c.tryID, AnswerKind: answerKinds[a.Kind]})
-	s := w.secondCounts(w.now)
+	second := w.secondCounts(w.now)
 	switch a.Kind {
 	case core.Result:
-		s.Served++
+		second.Served++
 	case core.Refusal:
-		s.Refused++
+		second.Refused++
 	default:
-		s.Failed++
+		second.Failed++
 	}
 	if a.Kind == core.Result {
 		w.result.Served++
 		w.secondCounts(c.arrivedAt).EventuallyServed++
-		good := w.now-c.arrivedAt <= c.class().Aim+c.class().Stretch*c.Work
-		if good {
+		inTime := w.now-c.arrivedAt <= c.class().Aim+c.class().Stretch*c.Work
+		if inTime {
 			w.result.InTime++
 			w.secondCounts(c.arrivedAt).InTime++
 		}
-		c.finish(good, "late")
+		c.finish(inTime, "late")
 		_ = w.result.Latency.RecordValue(int64((w.now-c.arrivedAt)*1000) + 1) // within the histogram's range: the answer comes by the last deadline
 		return
 	}
 	// In a scenario with classes, clients retry after a failure only if a repeat does no harm.
-	again := a.Kind == core.Refusal || len(w.scenario.Classes) == 0 || c.class().Effect == balance.Safe
-	c.endTry([...]string{core.Refusal: "refused ", core.Failure: "failed "}[a.Kind]+c.stage(), a.Kind, again, float64(a.RetryAfter)/float64(time.Millisecond))
+	mayRetry := a.Kind == core.Refusal || len(w.scenario.Classes) == 0 || c.class().Effect == balance.Safe
+	c.endTry([...]string{core.Refusal: "refused ", core.Failure: "failed "}[a.Kind]+c.stage(), a.Kind, mayRetry, float64(a.RetryAfter)/float64(time.Millisecond))
 }
 
 // endTry ends a try that was not served: a retry follows, or the req is finished.
-func (c *client) endTry(how string, v core.AnswerKind, again bool, least float64) {
+func (c *client) endTry(outcome string, kind core.AnswerKind, mayRetry bool, minPause float64) {
 	w := c.world
-	if again && c.tryCount <= w.scenario.Retries {
-		pause := max(w.scenario.Backoff*(0.5+w.retryRand.Float64()), least)
+	if mayRetry && c.tryCount <= w.scenario.Retries {
+		pause := max(w.scenario.Backoff*(0.5+w.retryRand.Float64()), minPause)
 		if len(w.scenario.Classes) == 0 || w.now+pause < c.arrivedAt+c.class().Deadline {
 			w.unanswered++ // the req stays open until its retry
 			w.schedule(w.now+pause, func() { w.unanswered--; c.startTry() })
 			return
 		}
 	}
-	c.finish(false, how)
-	if v == core.Refusal {
+	c.finish(false, outcome)
+	if kind == core.Refusal {
 		w.result.Refused++
 	} else {
 		w.result.Failed++
@@ -220,8 +220,8 @@
 	case c.neverRan():
 		return "turned away"
 	}
-	for _, t := range c.attempts {
-		if t.started {
+	for _, a := range c.attempts {
+		if a.started {
 			return "begun"
 		}
 	}
@@ -230,8 +230,8 @@
 
 // neverRan reports whether no attempt of the try can have run, as far as the dispatcher was told.
 func (c *client) neverRan() bool {
-	for _, t := range c.attempts {
-		if !t.neverRan {
+	for _, a := range c.attempts {
+		if !a.neverRan {
 			return false
 		}
 	}
@@ -239,24 +239,24 @@
 }
 
 // finish records the outcome of the req.
-func (c *client) finish(good bool, how string) {
-	w, r := c.world, &c.world.result.Classes[c.Class]
+func (c *client) finish(inTime bool, outcome string) {
+	w, class := c.world, &c.world.result.Classes[c.Class]
 	if w.tenants != nil {
 		if c.class().Urgent && c.starts == 0 && w.tenants.inWindow(c.arrivedAt) {
 			w.result.Tenants.UrgentNeverStarted++
 		}
 		defer w.tenants.scheduleNext(c)
 	}
-	w.serviceLevel.AddWeighted(c.arrivedAt, c.worth()*c.class().Worth, good)
-	if good {
-		r.InTime++
-		r.InTimeWorth += c.worth()
+	w.serviceLevel.AddWeighted(c.arrivedAt, c.worth()*c.class().Worth, inTime)
+	if inTime {
+		class.InTime++
+		class.InTimeWorth += c.worth()
 		return
 	}
-	r.NotInTime[how]++
+	class.NotInTime[outcome]++
 	// No dispatcher decided to give up reqs that were late, lost or unreachable.
-	decided := strings.HasPrefix(how, "refused") || strings.HasPrefix(how, "failed")
-	if aim := c.arrivedAt + c.class().Aim + c.class().Stretch*c.Work; decided && c.neverRan() && w.now+c.Work <= aim {
-		r.GivenUpEarly++
+	decided := strings.HasPrefix(outcome, "refused") || strings.HasPrefix(outcome, "failed")
+	if due := c.arrivedAt + c.class().Aim + c.class().Stretch*c.Work; decided && c.neverRan() && w.now+c.Work <= due {
+		class.GivenUpEarly++
 	}
 }
--- a/internal/lab/sim/restart.go
+++ b/internal/lab/sim/restart.go
@@ -24,14 +24,14 @@
 // it has not noticed. If it knows of no ready dispatcher it sends to all, having nothing better to go by.
 func (w *world) routedDispatchers() []*dispatcher {
 	out := w.routedBuffer[:0]
-	for _, s := range w.dispatchers {
-		if s.routed && !s.notReady {
-			out = append(out, s)
+	for _, d := range w.dispatchers {
+		if d.routed && !d.notReady {
+			out = append(out, d)
 		}
 	}
 	for i := 0; len(out) == 0 && i < len(w.dispatchers); i++ {
-		if s := w.dispatchers[i]; s.routed {
-			out = append(out, s)
+		if d := w.dispatchers[i]; d.routed {
+			out = append(out, d)
 		}
 	}
 	w.routedBuffer = out
@@ -45,18 +45,18 @@
 	}
 	w.record(judge.Event{Kind: judge.DispatcherKilled, Node: old.index})
 	old.dead = true
-	for _, n := range w.backendNames { // in a fixed order, so that the run is reproducible
-		for _, id := range slices.Sorted(maps.Keys(w.backends[n].attempts)) {
-			if t := w.backends[n].attempts[id]; t.dispatcher == old {
-				t.over = true
-				t.cancel()
+	for _, name := range w.backendNames { // in a fixed order, so that the run is reproducible
+		for _, id := range slices.Sorted(maps.Keys(w.backends[name].attempts)) {
+			if a := w.backends[name].attempts[id]; a.dispatcher == old {
+				a.ended = true
+				a.cancel()
 			}
 		}
 	}
 	if r.Graceful { // attempts on their way to a backend are withdrawn: a graceful shutdown ends with nothing in flight
 		for _, c := range old.waitingClients() {
-			for _, t := range c.attempts {
-				t.over = true
+			for _, a := range c.attempts {
+				a.ended = true
 			}
 		}
 	}
@@ -71,31 +71,31 @@
 		w.restarts++
 		settings := w.settings
 		settings.Seed, settings.Self = w.scenario.Seed*1_000_003+uint64(r.Dispatcher)+uint64(w.restarts)*7919, r.Dispatcher
-		s, err := newSide(w, r.Dispatcher, settings, w.policy)
+		d, err := newDispatcher(w, r.Dispatcher, settings, w.policy)
 		if err != nil { // the same settings have created a dispatcher before
 			panic(err)
 		}
-		w.dispatchers[r.Dispatcher], old.routed = s, false
-		last := make([]maintenance.Backend, 0, len(w.backendNames))
-		for _, n := range w.backendNames {
-			if b, known := old.lastList[n]; known {
-				last = append(last, b)
+		w.dispatchers[r.Dispatcher], old.routed = d, false
+		lastList := make([]maintenance.Backend, 0, len(w.backendNames))
+		for _, name := range w.backendNames {
+			if b, known := old.lastList[name]; known {
+				lastList = append(lastList, b)
 			}
 		}
-		s.applyList(balance.ListCached, last)
+		d.applyList(balance.ListCached, lastList)
 		// Where lists are pushed, the agent sends its current list at once.
 		w.schedule(w.now+w.delay(), func() {
-			if !s.dead {
-				s.sendFullList(w.backendList())
+			if !d.dead {
+				d.sendFullList(w.backendList())
 			}
 		})
 	})
 }
 
 // waitingClients returns the clients that wait for this dispatcher, in the order in which they arrived.
-func (s *dispatcher) waitingClients() []*client {
+func (d *dispatcher) waitingClients() []*client {
 	var out []*client
-	for c := range s.waiting {
+	for c := range d.waiting {
 		out = append(out, c)
 	}
 	slices.SortFunc(out, func(a, b *client) int { return a.number - b.number })
--- a/internal/lab/sim/side.go
+++ b/internal/lab/sim/side.go
@@ -18,7 +18,7 @@
 	index       int
 	core        *core.Core
 	bans        maintenance.Bans
-	idleConns   map[*backend]int // idle connections
+	idleConns   map[*backend]int // number of idle connections
 	nextTimer   float64          // time of the earliest scheduled timer event; +Inf if none
 	dirty       bool
 	waiting     map[*client]struct{}           // clients that wait for its answer
@@ -30,102 +30,102 @@
 	quotas      *dispatcherQuotas              // nil without quotas
 }
 
-func newSide(w *world, at int, settings balance.Settings, p Policy) (s *dispatcher, err error) {
-	s = &dispatcher{world: w, index: at, idleConns: map[*backend]int{}, nextTimer: math.Inf(1),
+func newDispatcher(w *world, index int, settings balance.Settings, policy Policy) (d *dispatcher, err error) {
+	d = &dispatcher{world: w, index: index, idleConns: map[*backend]int{}, nextTimer: math.Inf(1),
 		waiting: map[*client]struct{}{}, lastList: map[string]maintenance.Backend{}, routed: true}
-	s.core, err = core.NewWith(w.wallClock, p, settings, s, s, &counters.Set{})
+	d.core, err = core.NewWith(w.wallClock, policy, settings, d, d, &counters.Set{})
 	if err == nil && w.leader != nil {
-		if s.participant, err = newParticipant(s); err == nil {
-			s.core.Versions = s.participant
+		if d.participant, err = newParticipant(d); err == nil {
+			d.core.Versions = d.participant
 		}
 	}
 	if err == nil && w.quotas != nil {
-		if s.quotas, err = newDispatcherQuotas(s); err == nil {
-			s.core.Quotas = s.quotas
+		if d.quotas, err = newDispatcherQuotas(d); err == nil {
+			d.core.Quotas = d.quotas
 		}
 	}
-	return s, err
+	return d, err
 }
 
 // markDirty records that the dispatcher has received something and must be stepped.
-func (s *dispatcher) markDirty() {
-	if !s.dirty {
-		s.dirty = true
-		s.world.dirty = append(s.world.dirty, s)
+func (d *dispatcher) markDirty() {
+	if !d.dirty {
+		d.dirty = true
+		d.world.dirty = append(d.world.dirty, d)
 	}
 }
 
 // step has the core process what has arrived and what is due, and schedules an event for its next timer.
-func (s *dispatcher) step() {
-	if s.dead {
+func (d *dispatcher) step() {
+	if d.dead {
 		return
 	}
-	s.core.Step()
-	t := s.core.NextTimer()
-	if t.IsZero() {
+	d.core.Step()
+	timer := d.core.NextTimer()
+	if timer.IsZero() {
 		return
 	}
-	next := float64(t.Sub(origin)) / 1e6
-	if next >= s.nextTimer {
+	next := float64(timer.Sub(origin)) / 1e6
+	if next >= d.nextTimer {
 		return
 	}
-	s.nextTimer = next
-	s.world.schedule(next, func() {
-		if s.nextTimer == next {
-			s.nextTimer = math.Inf(1)
+	d.nextTimer = next
+	d.world.schedule(next, func() {
+		if d.nextTimer == next {
+			d.nextTimer = math.Inf(1)
 		}
-		s.markDirty()
+		d.markDirty()
 	})
 }
 
-// sendFullList tells it the sendFullList list.
-func (s *dispatcher) sendFullList(list []*backend) {
+// sendFullList delivers the director's full list.
+func (d *dispatcher) sendFullList(list []*backend) {
 	in := make([]maintenance.Backend, 0, len(list))
-	for _, n := range list {
-		if n.state == balance.Gone {
+	for _, b := range list {
+		if b.state == balance.Gone {
 			continue
 		}
-		in = append(in, maintenance.Backend(n.entry()))
-		if n.state != balance.Ready {
-			s.world.record(judge.Event{Kind: judge.StateReceived, Node: s.index, Backend: n.name})
+		in = append(in, maintenance.Backend(b.entry()))
+		if b.state != balance.Ready {
+			d.world.record(judge.Event{Kind: judge.StateReceived, Node: d.index, Backend: b.name})
 		}
-		s.lastList[n.name] = in[len(in)-1]
+		d.lastList[b.name] = in[len(in)-1]
 	}
-	s.applyList(balance.ListFull, s.bans.ApplyList(balance.ListFull, in))
+	d.applyList(balance.ListFull, d.bans.ApplyList(balance.ListFull, in))
 }
 
 // sendBackendState delivers the director's state of one backend.
-func (s *dispatcher) sendBackendState(n *backend) {
-	s.world.record(judge.Event{Kind: judge.StateReceived, Node: s.index, Backend: n.name, Ready: n.state == balance.Ready})
-	if s.lastList[n.name] = maintenance.Backend(n.entry()); n.state == balance.Gone {
-		delete(s.lastList, n.name)
+func (d *dispatcher) sendBackendState(b *backend) {
+	d.world.record(judge.Event{Kind: judge.StateReceived, Node: d.index, Backend: b.name, Ready: b.state == balance.Ready})
+	if d.lastList[b.name] = maintenance.Backend(b.entry()); b.state == balance.Gone {
+		delete(d.lastList, b.name)
 	}
-	s.applyList(balance.ListDelta, s.bans.ApplyList(balance.ListDelta, []maintenance.Backend{maintenance.Backend(n.entry())}))
+	d.applyList(balance.ListDelta, d.bans.ApplyList(balance.ListDelta, []maintenance.Backend{maintenance.Backend(b.entry())}))
 }
 
 // ban carries out an operator's call that bans a backend or lifts its ban.
-func (s *dispatcher) ban(n *backend, on bool) {
-	now, call := float64(s.world.wallClock().UnixNano())/1e6, s.bans.Online
+func (d *dispatcher) ban(b *backend, on bool) {
+	now, call := float64(d.world.wallClock().UnixNano())/1e6, d.bans.Online
 	if on {
-		call = s.bans.Offline
+		call = d.bans.Offline
 	}
-	change, _ := call(now, n.name)
-	held := map[balance.WorkerID]struct{}{}
-	for _, name := range s.bans.OperatorBanned() {
-		held[workerID(name)] = struct{}{}
+	change, _ := call(now, b.name)
+	banned := map[balance.WorkerID]struct{}{}
+	for _, name := range d.bans.OperatorBanned() {
+		banned[workerID(name)] = struct{}{}
 	}
-	s.core.SetBanned(held)
-	delete(s.idleConns, n)
-	s.applyList(balance.ListDelta, change)
+	d.core.SetBanned(banned)
+	delete(d.idleConns, b)
+	d.applyList(balance.ListDelta, change)
 }
 
-func (s *dispatcher) applyList(kind balance.ListKind, list []maintenance.Backend) {
+func (d *dispatcher) applyList(kind balance.ListKind, list []maintenance.Backend) {
 	out := make([]core.Entry, len(list))
 	for i := range list {
 		out[i] = core.Entry(list[i])
 	}
-	s.core.HandleList(kind, out)
-	s.markDirty()
+	d.core.HandleList(kind, out)
+	d.markDirty()
 }
 
 // attempt is an attempt in flight.
@@ -134,138 +134,138 @@
 	backend    *backend
 	jobID      uint64
 	core       *core.Attempt
-	over       bool
-	// neverRan is what its dispatcher was told, started what happened.
+	ended      bool
+	// neverRan is what the dispatcher was told, started is what happened at the backend.
 	neverRan, started bool
 }
 
 // Send sends an attempt to the modelled backend and returns the function that cancels it.
-func (s *dispatcher) Send(a *core.Attempt) func() {
-	w := s.world
+func (d *dispatcher) Send(sending *core.Attempt) func() {
+	w := d.world
 	w.lastJobID++
-	t := &attempt{dispatcher: s, backend: w.backendsByID[a.Backend.ID], jobID: w.lastJobID, core: a}
-	c := w.clientsByTry[a.Job.ID]
-	c.attempts = append(c.attempts, t)
+	a := &attempt{dispatcher: d, backend: w.backendsByID[sending.Backend.ID], jobID: w.lastJobID, core: sending}
+	c := w.clientsByTry[sending.Job.ID]
+	c.attempts = append(c.attempts, a)
 	w.result.Attempts++
 	wait := w.delay()
-	connect := s.idleConns[t.backend] == 0
+	connect := d.idleConns[a.backend] == 0
 	if !connect {
-		s.idleConns[t.backend]--
+		d.idleConns[a.backend]--
 	} else {
 		wait += w.scenario.Connect
 	}
-	w.schedule(w.now+wait, func() { t.send(connect) })
+	w.schedule(w.now+wait, func() { a.send(connect) })
 	return func() {
-		if t.over {
+		if a.ended {
 			return
 		}
-		t.over = true
-		w.record(judge.Event{Kind: judge.AttemptEnded, Node: s.index, Req: a.Job.ID, Attempt: a.Number()})
-		t.cancel()
+		a.ended = true
+		w.record(judge.Event{Kind: judge.AttemptEnded, Node: d.index, Req: sending.Job.ID, Attempt: sending.Number()})
+		a.cancel()
 	}
 }
 
 // cancel cancels the job at its backend by closing the connection.
-func (t *attempt) cancel() {
-	w := t.dispatcher.world
+func (a *attempt) cancel() {
+	w := a.dispatcher.world
 	w.schedule(w.now+w.delay(), func() {
-		if t.backend.attempts[t.jobID] != nil {
-			delete(t.backend.attempts, t.jobID)
-			if w.tenants != nil && t.backend.config.Kind.OnCancel == fleet.DropAll {
-				w.tenants.handleEnd(t.jobID)
+		if a.backend.attempts[a.jobID] != nil {
+			delete(a.backend.attempts, a.jobID)
+			if w.tenants != nil && a.backend.config.Kind.OnCancel == fleet.DropAll {
+				w.tenants.handleEnd(a.jobID)
 			}
-			w.handleModelEvents(t.backend, t.backend.model.Cancel(w.now, t.jobID))
+			w.handleModelEvents(a.backend, a.backend.model.Cancel(w.now, a.jobID))
 		}
 	})
 }
 
 // reportProgress reports the share of the job that is done, at intervals while it runs.
-func (t *attempt) reportProgress() {
-	w := t.dispatcher.world
+func (a *attempt) reportProgress() {
+	w := a.dispatcher.world
 	w.schedule(w.now+w.scenario.Site.ProgressEvery, func() {
-		w.handleModelEvents(t.backend, t.backend.model.Advance(w.now))
-		if t.over || t.backend.attempts[t.jobID] != t {
+		w.handleModelEvents(a.backend, a.backend.model.Advance(w.now))
+		if a.ended || a.backend.attempts[a.jobID] != a {
 			return
 		}
-		if share := t.backend.model.Progress(t.jobID); t.backend.model.NextSendTime(w.now) == w.now {
-			w.schedule(w.now+w.delay(), func() { t.dispatcher.markDirty(); t.core.Progress(share) })
+		if share := a.backend.model.Progress(a.jobID); a.backend.model.NextSendTime(w.now) == w.now {
+			w.schedule(w.now+w.delay(), func() { a.dispatcher.markDirty(); a.core.Progress(share) })
 		}
-		t.reportProgress()
+		a.reportProgress()
 	})
 }
 
 // send delivers the req to the backend. Its first and last byte are sent at the same moment, since jobs are short.
-func (t *attempt) send(connect bool) {
-	w, s := t.dispatcher.world, t.dispatcher
-	if t.over {
+func (a *attempt) send(connect bool) {
+	w, d := a.dispatcher.world, a.dispatcher
+	if a.ended {
 		return
 	}
-	if !t.core.MayBegin() {
-		t.over, t.neverRan = true, true
-		s.markDirty()
-		t.core.Ended(core.Unsent, "", nil)
+	if !a.core.MayBegin() {
+		a.ended, a.neverRan = true, true
+		d.markDirty()
+		a.core.Ended(core.Unsent, "", nil)
 		return
 	}
-	if w.leader != nil && t.core.Version() < w.leader.state.Version {
+	if w.leader != nil && a.core.Version() < w.leader.state.Version {
 		w.result.Accord.OutdatedStarts++
 	}
-	c := w.clientsByTry[t.core.Job.ID]
+	c := w.clientsByTry[a.core.Job.ID]
 	work := c.Work
-	if z := c.class().AttemptSpread; z > 0 {
-		work *= math.Exp(z*w.attemptRand.NormFloat64() - z*z/2)
+	if spread := c.class().AttemptSpread; spread > 0 {
+		work *= math.Exp(spread*w.attemptRand.NormFloat64() - spread*spread/2)
 	}
-	e := judge.Event{Kind: judge.AttemptSent, Node: s.index, Req: t.core.Job.ID, Key: t.core.Job.IdempotencyKey, Attempt: t.core.Number(), Backend: t.backend.name,
-		Group: t.backend.config.Pod, Work: c.Work}
-	if part := t.backend.model.Capacity(w.now); part < 1 {
-		e.Capacity = part * t.backend.config.Kind.Cores * t.backend.config.Kind.Speed
+	sent := judge.Event{Kind: judge.AttemptSent, Node: d.index, Req: a.core.Job.ID, Key: a.core.Job.IdempotencyKey, Attempt: a.core.Number(), Backend: a.backend.name,
+		Group: a.backend.config.Pod, Work: c.Work}
+	if capacity := a.backend.model.Capacity(w.now); capacity < 1 {
+		sent.Capacity = capacity * a.backend.config.Kind.Cores * a.backend.config.Kind.Speed
 	}
-	w.record(e)
-	w.result.JobsByBackend[t.backend.name]++
-	t.backend.attempts[t.jobID], w.unstartedAttempts[t.jobID] = t, t
-	job := fleet.Job{ID: t.jobID, Work: work, Slots: c.Slots}
-	if key := t.core.Job.IdempotencyKey; key != "" {
+	w.record(sent)
+	w.result.AttemptsByBackend[a.backend.name]++
+	a.backend.attempts[a.jobID], w.unstartedAttempts[a.jobID] = a, a
+	job := fleet.Job{ID: a.jobID, Work: work, Slots: c.Slots}
+	if key := a.core.Job.IdempotencyKey; key != "" {
 		job.Key = hashText(key)
 	}
-	verdict, list := t.backend.model.Offer(w.now, job, connect)
-	w.handleModelEvents(t.backend, list)
-	switch verdict {
+	response, events := a.backend.model.Offer(w.now, job, connect)
+	w.handleModelEvents(a.backend, events)
+	switch response {
 	case fleet.Full:
-		t.end(core.Returned)
+		a.end(core.Returned)
 	case fleet.Refused:
-		t.end(core.Unreached)
+		a.end(core.Unreached)
 	}
 }
 
 // end ends the attempt at the dispatcher after the network delay. Its connection can be reused, unless it broke or was
 // never made.
-func (t *attempt) end(e core.Ending) {
-	w, s := t.dispatcher.world, t.dispatcher
-	delete(t.backend.attempts, t.jobID)
-	w.schedule(t.backend.model.NextSendTime(w.now)+w.delay(), func() {
-		if e != core.Broken && e != core.Unreached {
-			s.idleConns[t.backend]++
+func (a *attempt) end(ending core.Ending) {
+	w, d := a.dispatcher.world, a.dispatcher
+	delete(a.backend.attempts, a.jobID)
+	w.schedule(a.backend.model.NextSendTime(w.now)+w.delay(), func() {
+		if ending != core.Broken && ending != core.Unreached {
+			d.idleConns[a.backend]++
 		}
-		if t.over { // the dispatcher has stopped waiting
+		if a.ended { // the dispatcher has stopped waiting
 			return
 		}
-		t.over, t.neverRan = true, e == core.Returned || e == core.Unreached
-		w.record(judge.Event{Kind: judge.AttemptEnded, Node: s.index, Req: t.core.Job.ID, Attempt: t.core.Number(), NeverRan: t.neverRan})
-		s.markDirty()
-		t.core.Ended(e, "", w.loadReport(t.backend))
+		a.ended, a.neverRan = true, ending == core.Returned || ending == core.Unreached
+		w.record(judge.Event{Kind: judge.AttemptEnded, Node: d.index, Req: a.core.Job.ID, Attempt: a.core.Number(), NeverRan: a.neverRan})
+		d.markDirty()
+		a.core.Ended(ending, "", w.loadReport(a.backend))
 	})
 }
 
 // Probe reports a failure after the network delay: scenarios have no probes.
-func (s *dispatcher) Probe(_ *core.Backend, done func(core.Ending, []float32)) {
-	s.world.schedule(s.world.now+s.world.delay(), func() { s.markDirty(); done(core.Failed, nil) })
+func (d *dispatcher) Probe(_ *core.Backend, done func(core.Ending, []float32)) {
+	d.world.schedule(d.world.now+d.world.delay(), func() { d.markDirty(); done(core.Failed, nil) })
 }
 
 // CloseIdle closes the idle connections to a backend.
-func (s *dispatcher) CloseIdle(b *core.Backend) {
-	if n := s.world.backendsByID[b.ID]; n != nil {
-		delete(s.idleConns, n)
+func (d *dispatcher) CloseIdle(b *core.Backend) {
+	if modelled := d.world.backendsByID[b.ID]; modelled != nil {
+		delete(d.idleConns, modelled)
 	}
 }
 
 // Subscribe does nothing: the director's lists are delivered without it.
-func (s *dispatcher) Subscribe() {}
+func (d *dispatcher) Subscribe() {}
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -128,12 +128,12 @@
 	OverloadedBackends int     // backends that went down from overload
 	WorstWindow        float64 // share of the worth served in time in the worst 10 s
 	Steps              int     // events processed by the run
-	LogEvents          int     // of the log
-	LogHash            uint64  // of the log
+	LogEvents          int     // events written to the log
+	LogHash            uint64  // identifies the run
 	Violations         []judge.Violation
-	ViolationCount     int // of all, while Violations keeps only the first
+	ViolationCount     int // of all violations; Violations keeps only the first ones
 	Seconds            []SecondCounts
-	JobsByBackend      map[string]int // attempts sent, by backend
+	AttemptsByBackend  map[string]int // attempts sent, by backend
 	Accord             AccordResult
 	Tenants            TenantsResult
 	Quotas             QuotasResult
@@ -172,16 +172,16 @@
 
 // RunWithPolicy runs a scenario to its end with a policy. The error reports a faulty scenario, or a run whose virtual
 // time stops advancing.
-func RunWithPolicy(sc Scenario, settings balance.Settings, p Policy) (Result, error) {
+func RunWithPolicy(sc Scenario, settings balance.Settings, policy Policy) (Result, error) {
 	if err := sc.check(); err != nil {
 		return Result{}, err
 	}
-	w, err := newWorld(sc, settings, p)
+	w, err := newWorld(sc, settings, policy)
 	if err != nil {
 		return Result{}, err
 	}
-	for _, s := range w.dispatchers {
-		s.sendFullList(w.backendList())
+	for _, d := range w.dispatchers {
+		d.sendFullList(w.backendList())
 	}
 	for _, r := range sc.Restarts {
 		w.schedule(r.At, func() { w.restart(r) })
@@ -224,36 +224,36 @@
 		}
 		names[b.Name] = true
 	}
-	dos := map[string]bool{}
-	for _, d := range EventActions {
-		dos[d] = true
+	actions := map[string]bool{}
+	for _, action := range EventActions {
+		actions[action] = true
 	}
 	for _, e := range sc.Events {
 		switch {
 		case !names[e.Backend]:
 			return fmt.Errorf("event at %v ms names backend %q, which does not exist", e.At, e.Backend)
-		case !dos[e.Action]:
+		case !actions[e.Action]:
 			return fmt.Errorf("event at %v ms has action %q, want one of %q", e.At, e.Action, EventActions)
 		}
 	}
-	most := 1.0
+	maxFactor := 1.0
 	for _, b := range sc.Bursts {
-		most = max(most, b.RateFactor)
+		maxFactor = max(maxFactor, b.RateFactor)
 	}
-	for _, f := range []struct {
-		bad  bool
-		says string
+	for _, rule := range []struct {
+		invalid bool
+		message string
 	}{
 		{len(sc.Backends) == 0 || len(sc.Backends) > maxBackends, fmt.Sprintf("%d backends, want 1 to %d", len(sc.Backends), maxBackends)},
 		{sc.Dispatchers < 0 || sc.Dispatchers > maxDispatchers, fmt.Sprintf("%d dispatchers, want 1 to %d", sc.Dispatchers, maxDispatchers)},
 		{!(sc.Length > 0) || math.IsInf(sc.Length, 0), fmt.Sprintf("length is %v ms, want a finite length above 0", sc.Length)},
 		{len(sc.ArrivalTimes) > maxReqs, fmt.Sprintf("%d recorded arrivals, want at most %d", len(sc.ArrivalTimes), maxReqs)},
 		{!slices.IsSorted(sc.ArrivalTimes), "recorded arrivals are not in time order"},
-		{sc.ArrivalTimes == nil && (!(sc.Rate > 0) || sc.Rate*most*sc.Length/1000 > maxReqs), fmt.Sprintf("%v reqs per second for %v ms, want more than 0 and at most %d reqs in total", sc.Rate, sc.Length, maxReqs)},
+		{sc.ArrivalTimes == nil && (!(sc.Rate > 0) || sc.Rate*maxFactor*sc.Length/1000 > maxReqs), fmt.Sprintf("%v reqs per second for %v ms, want more than 0 and at most %d reqs in total", sc.Rate, sc.Length, maxReqs)},
 		{!(sc.Work > 0) || !(sc.Deadline > 0), "work and deadline must be more than 0"},
 	} {
-		if f.bad {
-			return fmt.Errorf("scenario: %s", f.says)
+		if rule.invalid {
+			return fmt.Errorf("scenario: %s", rule.message)
 		}
 	}
 	if err := sc.checkAccord(); err != nil {
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -38,7 +38,7 @@
 }
 
 // Two runs with the same seed give the same result and log hash; another seed gives another log.
-func TestSameSeed(t *testing.T) {
+func TestSameSeedGivesSameLog(t *testing.T) {
 	sc := eightBackendScenario(1)
 	sc.Events = []Event{{At: 5000, Backend: "a", Action: "trouble", Faults: fleet.Faults{SlowFactor: 5, FailureRate: 0.2}}, {At: 9000, Backend: "b", Action: "kill"}}
 	a, b := runChecked(t, sc), runChecked(t, sc)
@@ -48,14 +48,14 @@
 }
 
 // A fleet loaded to two thirds of its capacity serves nearly all reqs in time.
-func TestCalm(t *testing.T) {
+func TestTwoThirdsLoadIsServedInTime(t *testing.T) {
 	r := runChecked(t, eightBackendScenario(3))
 	assert.Greater(t, r.Reqs, 1800)
 	assert.Greater(t, r.InTimeShare(), 0.95)
 }
 
 // Under each fault the rules hold and the share of reqs served in time stays above a floor.
-func TestTroubles(t *testing.T) {
+func TestFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Scenario)
 		floor  float64
@@ -66,11 +66,11 @@
 		"fast errors": {func(s *Scenario) {
 			s.Events = []Event{{At: 3000, Backend: "a", Action: "trouble", Faults: fleet.Faults{FailureRate: 0.9}}}
 		}, 0.85},
-		"frozen, and awake again": {func(s *Scenario) {
+		"frozen, then resumed": {func(s *Scenario) {
 			s.Events = []Event{{At: 3000, Backend: "a", Action: "trouble", Faults: fleet.Faults{Frozen: true}}, {At: 8000, Backend: "a", Action: "trouble"}}
 		}, 0.8},
 		"burst": {func(s *Scenario) { s.Bursts = []Burst{{5000, 9000, 2.5}} }, 0.5},
-		"killed, heard of 2 s later": {func(s *Scenario) {
+		"killed, unlisted 2 s later": {func(s *Scenario) {
 			s.Events = []Event{{At: 3000, Backend: "a", Action: "kill"}, {At: 3000, Backend: "a", Action: "unlist", NotifyDelay: 2000}}
 		}, 0.85},
 		"rolling deploy": {func(s *Scenario) {
@@ -93,7 +93,7 @@
 }
 
 // A scenario that names an unknown backend, or lists one twice, is rejected.
-func TestBadScenario(t *testing.T) {
+func TestInvalidScenario(t *testing.T) {
 	sc := eightBackendScenario(1)
 	sc.Events = []Event{{Backend: "z"}}
 	_, err := Run(sc, defaults.Settings())
@@ -105,7 +105,7 @@
 }
 
 // BenchmarkRun measures how much faster than real time a run is.
-func BenchmarkPlay(b *testing.B) {
+func BenchmarkRun(b *testing.B) {
 	for b.Loop() {
 		r, err := Run(eightBackendScenario(1), defaults.Settings())
 		if err != nil || r.ViolationCount > 0 {
@@ -129,7 +129,7 @@
 		}
 		r := runChecked(t, sc)
 		assert.Greater(t, r.InTimeShare(), 0.95, "seed %d", seed)
-		assert.Greater(t, r.JobsByBackend["a"], 50, "used before its ban and after it")
+		assert.Greater(t, r.AttemptsByBackend["a"], 50, "attempts before the ban and after it is lifted")
 		assert.Equal(t, r, runChecked(t, sc))
 		sc.Dispatchers = 1
 		assert.NotEqual(t, r.LogHash, runChecked(t, sc).LogHash)
@@ -139,16 +139,16 @@
 // singleBackendPolicy sends every req to one backend, whatever the outcome.
 type singleBackendPolicy struct {
 	balance.Events
-	act balance.Actions
-	to  balance.WorkerID
+	actions balance.Actions
+	target  balance.WorkerID
 }
 
 func (f *singleBackendPolicy) Arrive(_ balance.Millis, q balance.Request) {
-	f.act.Dispatch(q.ID, f.to, 0)
+	f.actions.Dispatch(q.ID, f.target, 0)
 }
 
 // The checker finds a violation that a policy causes and the core does not prevent.
-func TestRulesAreSeen(t *testing.T) {
+func TestViolationsAreDetected(t *testing.T) {
 	sc := eightBackendScenario(1)
 	sc.Backends[0].Cold = true
 	r, err := RunWithPolicy(sc, defaults.Settings(), func(s balance.Settings, a balance.Actions) (balance.Events, error) {
@@ -160,8 +160,8 @@
 	assert.Equal(t, "cold", r.Violations[0].Rule)
 }
 
-// BenchmarkSizes measures how the cost of a run grows with backends and dispatchers, at the same load per backend.
-func BenchmarkSizes(b *testing.B) {
+// BenchmarkFleetSizes measures how the cost of a run grows with backends and dispatchers, at the same load per backend.
+func BenchmarkFleetSizes(b *testing.B) {
 	for _, size := range []struct{ dispatchers, backends int }{{1, 10}, {1, 100}, {1, 1000}, {20, 100}, {200, 100}} {
 		b.Run(fmt.Sprint(size.dispatchers, "x", size.backends), func(b *testing.B) {
 			sc := eightBackendScenario(1)
@@ -185,7 +185,7 @@
 
 // Recorded times replace the scenario's own arrivals: all within its length are used and none beyond it, and a burst in
 // the recording is reproduced.
-func TestReplay(t *testing.T) {
+func TestRecordedArrivals(t *testing.T) {
 	sc := eightBackendScenario(4)
 	for i := range 1500 { // 100 per second, and a burst of 300 in the second that starts at 5 s
 		sc.ArrivalTimes = append(sc.ArrivalTimes, float64(i)*10)
--- a/internal/lab/sim/site.go
+++ b/internal/lab/sim/site.go
@@ -62,14 +62,14 @@
 }
 
 // drawClass draws the index of a class by the classes' shares.
-func drawClass(classes []Class, chance *rand.Rand) int {
+func drawClass(classes []Class, random *rand.Rand) int {
 	sum := 0.0
 	for i := range classes {
 		sum += classes[i].Share
 	}
-	at := chance.Float64() * sum
+	point := random.Float64() * sum
 	for i := range classes {
-		if at -= classes[i].Share; at < 0 {
+		if point -= classes[i].Share; point < 0 {
 			return i
 		}
 	}
@@ -77,32 +77,32 @@
 }
 
 // drawArrival draws the properties of the req that arrives at a time; z is the standard normal variate for its work.
-func (sc *Scenario) drawArrival(at, z float64, classes []Class, chance *rand.Rand) Arrival {
+func (sc *Scenario) drawArrival(at, z float64, classes []Class, random *rand.Rand) Arrival {
 	a := Arrival{At: at, Slots: 1}
 	if len(classes) > 1 {
-		a.Class = drawClass(classes, chance)
+		a.Class = drawClass(classes, random)
 	}
 	c := &classes[a.Class]
 	a.Work = c.Work * math.Exp(c.Spread*z-c.Spread*c.Spread/2)
-	if c.TwoSlotShare > 0 && chance.Float64() < c.TwoSlotShare {
+	if c.TwoSlotShare > 0 && random.Float64() < c.TwoSlotShare {
 		a.Slots = 2
 	}
 	for _, h := range sc.HeavyPeriods {
-		if at >= h.From && at < h.To && (h.Class == "" || h.Class == c.Name) && chance.Float64() < h.Share {
+		if at >= h.From && at < h.To && (h.Class == "" || h.Class == c.Name) && random.Float64() < h.Share {
 			a.Work *= h.WorkFactor
 		}
 	}
 	if g := sc.Site.EstimateSpread; g > 0 {
-		a.WorkEstimate = a.Work * math.Exp(g*chance.NormFloat64()-g*g/2)
+		a.WorkEstimate = a.Work * math.Exp(g*random.NormFloat64()-g*g/2)
 	}
 	return a
 }
 
 // settings returns a variant's settings with the scenario's classes, site and tenants applied.
 func (sc *Scenario) settings(s balance.Settings) balance.Settings {
-	put := func(to *float64, v float64) {
-		if v > 0 {
-			*to = v
+	setIfPositive := func(target *float64, value float64) {
+		if value > 0 {
+			*target = value
 		}
 	}
 	if len(sc.Classes) > 0 {
@@ -119,15 +119,15 @@
 	if sc.Site.Mix != (balance.Mix{}) {
 		s.Mix = sc.Site.Mix
 	}
-	put(&s.ProgressEvery, sc.Site.ProgressEvery)
-	put(&s.Rules.StartCapacity, sc.Site.StartCapacity)
-	put(&s.Rules.WarmAfter, sc.Site.WarmAfter)
-	put(&s.Rules.FallMultiple, sc.Site.FallMultiple)
-	put(&s.ConnectTimeout, sc.Site.ConnectTimeout)
+	setIfPositive(&s.ProgressEvery, sc.Site.ProgressEvery)
+	setIfPositive(&s.Rules.StartCapacity, sc.Site.StartCapacity)
+	setIfPositive(&s.Rules.WarmAfter, sc.Site.WarmAfter)
+	setIfPositive(&s.Rules.FallMultiple, sc.Site.FallMultiple)
+	setIfPositive(&s.ConnectTimeout, sc.Site.ConnectTimeout)
 	if sc.Report.Period > 0 {
 		s.ReportInAnswer, s.Metrics = true, []balance.Metric{balance.MetricFreeSlots}
 	}
-	put(&s.OverShareWorth, sc.Site.OverShareWorth)
+	setIfPositive(&s.OverShareWorth, sc.Site.OverShareWorth)
 	if len(sc.Tenants) > 0 && sc.Quotas.Lease == 0 { // with quotas no tenant exceeds its quota, so that none is metered
 		s.Tenants = sc.moduleTenants()
 	}
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -57,20 +57,21 @@
 	reporter *fleet.Reporter
 }
 
+// world is the state of one run.
 type world struct {
 	scenario     Scenario
 	now          float64
 	queue        eventQueue
 	lastSeq      uint64
 	dispatchers  []*dispatcher
-	dirty        []*dispatcher
+	dirty        []*dispatcher // have received something since they were last stepped
 	backends     map[string]*backend
 	backendsByID map[balance.WorkerID]*backend
-	dedupGroups  map[int]*fleet.DedupGroup
-	networkRand  *rand.Rand
-	retryRand    *rand.Rand // of pauses before retries
-	frontRand    *rand.Rand // of the dispatcher that a try reaches
-	reportRand   *rand.Rand // of load reports
+	dedupGroups  map[int]*fleet.DedupGroup // by pod
+	networkRand  *rand.Rand                // of network delays
+	retryRand    *rand.Rand                // of pauses before retries
+	frontRand    *rand.Rand                // of the dispatcher that a try reaches
+	reportRand   *rand.Rand                // of load reports
 	logHash      hash.Hash64
 	checker      judge.Checker
 	serviceLevel judge.ServiceLevel
@@ -78,12 +79,12 @@
 	clientsByTry map[string]*client // by try ID
 	nextArrival  func() (Arrival, bool)
 	lastJobID    uint64
-	unanswered   int
+	unanswered   int // tries sent to a dispatcher and retries to come
 
 	settings          balance.Settings
 	policy            Policy
 	classes           []Class
-	backendNames      []string // of the backends, in the scenario's order
+	backendNames      []string // in the scenario's order
 	routedBuffer      []*dispatcher
 	unstartedAttempts map[uint64]*attempt // by job ID, of jobs that no backend has started
 	judgedUntil       float64             // answers due later are not judged
@@ -96,27 +97,27 @@
 	regionRand        *rand.Rand       // of the region that a client is in
 }
 
-func newWorld(sc Scenario, settings balance.Settings, p Policy) (*world, error) {
+func newWorld(sc Scenario, settings balance.Settings, policy Policy) (*world, error) {
 	w := &world{judgedUntil: math.Inf(1), scenario: sc, clientsByTry: map[string]*client{}, backends: map[string]*backend{}, backendsByID: map[balance.WorkerID]*backend{}, dedupGroups: map[int]*fleet.DedupGroup{},
 		networkRand: fleet.RandomStream(sc.Seed, "network"), retryRand: fleet.RandomStream(sc.Seed, "clients"), frontRand: fleet.RandomStream(sc.Seed, "front"),
 		reportRand: fleet.RandomStream(sc.Seed, "reports"), logHash: fnv.New64a(),
-		policy: p, unstartedAttempts: map[uint64]*attempt{}, attemptRand: fleet.RandomStream(sc.Seed, "attempts"), regionRand: fleet.RandomStream(sc.Seed, "regions")}
+		policy: policy, unstartedAttempts: map[uint64]*attempt{}, attemptRand: fleet.RandomStream(sc.Seed, "attempts"), regionRand: fleet.RandomStream(sc.Seed, "regions")}
 	if w.scenario.Stretch == 0 {
 		w.scenario.Stretch = 2
 	}
 	w.classes = w.scenario.classes()
 	settings = w.scenario.settings(settings)
 	w.result.Mix = w.scenario.Site.Mix
-	mean, share := 0.0, 0.0
+	workSum, shareSum := 0.0, 0.0
 	for _, c := range w.classes {
 		w.result.Classes = append(w.result.Classes, ClassResult{Name: c.Name, NotInTime: map[string]int{}})
-		mean, share = mean+c.Share*c.Work, share+c.Share
+		workSum, shareSum = workSum+c.Share*c.Work, shareSum+c.Share
 	}
-	w.result.JobsByBackend = map[string]int{}
+	w.result.AttemptsByBackend = map[string]int{}
 	w.result.Latency = hdrhistogram.New(1, 60_000_000, 3)
-	r := settings.Rules
-	w.checker.Rules = judge.Rules{AnswerSlack: r.AnswerSlack + 50, SendGrace: r.DrainGrace, SingleAttempt: !settings.MayDuplicate,
-		FallMultiple: r.FallMultiple, FallWindow: r.FallWindow, FallSlack: 3 * mean / share}
+	rules := settings.Rules
+	w.checker.Rules = judge.Rules{AnswerSlack: rules.AnswerSlack + 50, SendGrace: rules.DrainGrace, SingleAttempt: !settings.MayDuplicate,
+		FallMultiple: rules.FallMultiple, FallWindow: rules.FallWindow, FallSlack: 3 * workSum / shareSum}
 	for i := range settings.Classes {
 		w.checker.Rules.RepeatWindow = max(w.checker.Rules.RepeatWindow, settings.Classes[i].RepeatWindow)
 	}
@@ -148,11 +149,11 @@
 	}
 	for i := range settings.Instances {
 		settings.Seed, settings.Self = sc.Seed*1_000_003+uint64(i), i
-		s, err := newSide(w, i, settings, p)
+		d, err := newDispatcher(w, i, settings, policy)
 		if err != nil {
 			return nil, err
 		}
-		w.dispatchers = append(w.dispatchers, s)
+		w.dispatchers = append(w.dispatchers, d)
 	}
 	return w, nil
 }
@@ -161,20 +162,21 @@
 	return origin.Add(time.Duration(math.Round(w.now * float64(time.Millisecond))))
 }
 
-func (w *world) schedule(t float64, do func()) {
+// schedule runs an action at a virtual time, or now if that has passed.
+func (w *world) schedule(at float64, action func()) {
 	w.lastSeq++
-	heap.Push(&w.queue, event{max(t, w.now), w.lastSeq, do})
+	heap.Push(&w.queue, event{max(at, w.now), w.lastSeq, action})
 }
 
 // run processes events in time order until arrivals have ended and every req is answered. Dispatchers' timers are events
 // too; after an event only the dispatchers that have received something are stepped.
 func (w *world) run() error {
 	w.stepDispatchers()
-	still, last, longest := 0, -1.0, 0.0
+	repeats, lastTime, longestDeadline := 0, -1.0, 0.0
 	for i := range w.classes {
-		longest = max(longest, w.classes[i].Deadline)
+		longestDeadline = max(longestDeadline, w.classes[i].Deadline)
 	}
-	for end := w.scenario.Length + longest + 10_000; w.now <= end && len(w.queue) > 0; w.result.Steps++ {
+	for end := w.scenario.Length + longestDeadline + 10_000; w.now <= end && len(w.queue) > 0; w.result.Steps++ {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
 		e.action()
@@ -186,9 +188,9 @@
 			w.judgedUntil, w.result.Unanswered = w.now, w.unanswered
 			return nil
 		}
-		if still++; w.now != last {
-			still, last = 0, w.now
-		} else if still > maxEventsPerInstant { // a fault in the model or the core, not in the scenario
+		if repeats++; w.now != lastTime {
+			repeats, lastTime = 0, w.now
+		} else if repeats > maxEventsPerInstant { // a fault in the model or the core, not in the scenario
 			return fmt.Errorf("virtual time does not advance beyond %v ms", w.now)
 		}
 	}
@@ -197,8 +199,8 @@
 
 // noAttempts reports whether no backend has an outstanding attempt: only timers are left, which nothing waits for.
 func (w *world) noAttempts() bool {
-	for _, n := range w.backends {
-		if len(n.attempts) > 0 {
+	for _, b := range w.backends {
+		if len(b.attempts) > 0 {
 			return false
 		}
 	}
@@ -211,10 +213,10 @@
 // stepDispatchers steps the dispatchers that have received something, and schedules their next timers.
 func (w *world) stepDispatchers() {
 	for len(w.dirty) > 0 {
-		s := w.dirty[len(w.dirty)-1]
+		d := w.dirty[len(w.dirty)-1]
 		w.dirty = w.dirty[:len(w.dirty)-1]
-		s.dirty = false
-		s.step()
+		d.dirty = false
+		d.step()
 	}
 }
 
@@ -235,10 +237,10 @@
 func (w *world) delay() float64 { return w.scenario.Latency * (0.5 + w.networkRand.Float64()) }
 
 func (w *world) addBackend(b Backend, kind int) {
-	pod := w.dedupGroups[b.Pod]
-	if pod == nil {
-		pod = fleet.NewDedupGroup()
-		w.dedupGroups[b.Pod] = pod
+	group := w.dedupGroups[b.Pod]
+	if group == nil {
+		group = fleet.NewDedupGroup()
+		w.dedupGroups[b.Pod] = group
 	}
 	if b.SpeedSpread > 0 {
 		b.Kind.Speed *= math.Exp(b.SpeedSpread*fleet.RandomStream(w.scenario.Seed, "speed "+b.Name).NormFloat64() - b.SpeedSpread*b.SpeedSpread/2)
@@ -247,13 +249,13 @@
 	if b.Cold {
 		started = w.now
 	}
-	n := &backend{name: b.Name, id: workerID(b.Name), kind: kind, config: b, attempts: map[uint64]*attempt{}, nextWake: math.Inf(1), state: balance.Ready, weight: b.Kind.Slots,
-		model:    fleet.New(b.Kind, pod, started, w.now, fleet.RandomStream(w.scenario.Seed, "backend "+b.Name)),
+	added := &backend{name: b.Name, id: workerID(b.Name), kind: kind, config: b, attempts: map[uint64]*attempt{}, nextWake: math.Inf(1), state: balance.Ready, weight: b.Kind.Slots,
+		model:    fleet.New(b.Kind, group, started, w.now, fleet.RandomStream(w.scenario.Seed, "backend "+b.Name)),
 		reporter: fleet.NewReporter(w.scenario.Report, b.Kind.Slots)}
 	if w.scenario.Site.Unweighted {
-		n.weight = 1
+		added.weight = 1
 	}
-	w.backends[b.Name], w.backendsByID[n.id] = n, n
+	w.backends[b.Name], w.backendsByID[added.id] = added, added
 	w.backendNames = append(w.backendNames, b.Name)
 }
 
@@ -275,130 +277,130 @@
 }
 
 // entry returns the backend's entry in the director's list.
-func (n *backend) entry() core.Entry {
-	e := core.Entry{Name: n.name, Address: n.name, Worker: balance.Worker{ID: n.id, Kind: n.kind, Cell: n.config.Pod, State: n.state, Weight: n.weight}}
-	if n.config.Cold {
-		e.Started = float64(origin.UnixMilli()) + n.model.StartedAt()
+func (b *backend) entry() core.Entry {
+	e := core.Entry{Name: b.name, Address: b.name, Worker: balance.Worker{ID: b.id, Kind: b.kind, Cell: b.config.Pod, State: b.state, Weight: b.weight}}
+	if b.config.Cold {
+		e.Started = float64(origin.UnixMilli()) + b.model.StartedAt()
 	}
 	return e
 }
 
 func (w *world) applyEvent(e Event) {
-	n := w.backends[e.Backend]
-	say := func(s balance.State) {
-		heard := w.now + e.NotifyDelay
-		for _, x := range w.scenario.ListDelays {
-			if w.now >= x.From && w.now < x.To {
-				heard += x.Delay
+	b := w.backends[e.Backend]
+	announce := func(state balance.State) {
+		deliverAt := w.now + e.NotifyDelay
+		for _, delay := range w.scenario.ListDelays {
+			if w.now >= delay.From && w.now < delay.To {
+				deliverAt += delay.Delay
 			}
 		}
 		if len(w.scenario.ListDelays) > 0 { // a delayed change holds back those that follow it
-			w.lastNotified = max(w.lastNotified, heard)
-			heard = w.lastNotified
+			w.lastNotified = max(w.lastNotified, deliverAt)
+			deliverAt = w.lastNotified
 		}
-		w.schedule(heard, func() {
-			n.state = s
+		w.schedule(deliverAt, func() {
+			b.state = state
 			for _, d := range w.dispatchers {
 				if !d.dead {
-					d.sendBackendState(n)
+					d.sendBackendState(b)
 				}
 			}
 		})
 	}
 	switch e.Action {
 	case "kill":
-		n.downRecorded = true // killed by the scenario, which does not count as overload
-		w.handleModelEvents(n, n.model.Kill(w.now))
-		for _, s := range w.dispatchers {
-			delete(s.idleConns, n)
+		b.downRecorded = true // killed by the scenario, which does not count as overload
+		w.handleModelEvents(b, b.model.Kill(w.now))
+		for _, d := range w.dispatchers {
+			delete(d.idleConns, b)
 		}
 	case "start":
-		n.model.Start(w.now)
-		n.config.Cold, n.downRecorded = true, false
+		b.model.Start(w.now)
+		b.config.Cold, b.downRecorded = true, false
 	case "trouble":
-		w.handleModelEvents(n, n.model.SetFaults(w.now, e.Faults))
+		w.handleModelEvents(b, b.model.SetFaults(w.now, e.Faults))
 	case "drain":
-		w.handleModelEvents(n, n.model.Drain(w.now, true))
-		say(balance.Draining)
+		w.handleModelEvents(b, b.model.Drain(w.now, true))
+		announce(balance.Draining)
 	case "list":
-		say(balance.Ready)
+		announce(balance.Ready)
 	case "unlist":
-		say(balance.Gone)
+		announce(balance.Gone)
 	case "ban", "lift":
-		what := judge.BanSet
+		kind := judge.BanSet
 		if e.Action == "lift" {
-			what = judge.BanLifted
+			kind = judge.BanLifted
 		}
-		for _, s := range w.dispatchers {
-			if s.dead {
+		for _, d := range w.dispatchers {
+			if d.dead {
 				continue
 			}
-			s.ban(n, e.Action == "ban")
+			d.ban(b, e.Action == "ban")
 		}
-		w.record(judge.Event{Kind: what, Backend: n.name})
+		w.record(judge.Event{Kind: kind, Backend: b.name})
 	}
 }
 
 // loadReport returns the free slots that the next answer reports, or nil if it reports none.
-func (w *world) loadReport(n *backend) []float32 {
-	if v, ok := n.reporter.Report(w.now, n.model.FreeSlots(), w.reportRand); ok {
-		return []float32{float32(v)}
+func (w *world) loadReport(b *backend) []float32 {
+	if freeSlots, ok := b.reporter.Report(w.now, b.model.FreeSlots(), w.reportRand); ok {
+		return []float32{float32(freeSlots)}
 	}
 	return nil
 }
 
 // handleModelEvents processes what happened at a backend's model, and schedules the model's next event.
-func (w *world) handleModelEvents(n *backend, list []fleet.Event) {
-	for _, e := range list {
+func (w *world) handleModelEvents(b *backend, events []fleet.Event) {
+	for _, e := range events {
 		if e.Kind == fleet.Started {
 			w.handleJobStart(e.Job)
 		}
 		if w.tenants != nil && e.Kind != fleet.Started {
 			w.tenants.handleEnd(e.Job)
 		}
-		t := n.attempts[e.Job]
-		if t == nil {
+		a := b.attempts[e.Job]
+		if a == nil {
 			continue
 		}
 		switch e.Kind {
 		case fleet.Started:
-			w.schedule(w.now+w.delay(), func() { t.dispatcher.markDirty(); t.core.Started() })
+			w.schedule(w.now+w.delay(), func() { a.dispatcher.markDirty(); a.core.Started() })
 			if w.scenario.Site.ProgressEvery > 0 {
-				t.reportProgress()
+				a.reportProgress()
 			}
 		case fleet.Done:
-			t.end(core.Served)
+			a.end(core.Served)
 		case fleet.Failed:
-			t.end(core.Failed)
+			a.end(core.Failed)
 		case fleet.Returned:
-			t.end(core.Returned)
+			a.end(core.Returned)
 		case fleet.Lost:
-			t.end(core.Broken)
+			a.end(core.Broken)
 		}
 	}
-	if n.model.Down() && !n.downRecorded {
-		n.downRecorded = true
+	if b.model.Down() && !b.downRecorded {
+		b.downRecorded = true
 		w.result.OverloadedBackends++
-		w.record(judge.Event{Kind: judge.BackendOverloaded, Backend: n.name})
+		w.record(judge.Event{Kind: judge.BackendOverloaded, Backend: b.name})
 	}
-	if next := n.model.NextEvent(); next < n.nextWake {
-		n.nextWake = next
+	if next := b.model.NextEvent(); next < b.nextWake {
+		b.nextWake = next
 		w.schedule(next, func() {
-			if n.nextWake != next { // an earlier event has replaced this one
+			if b.nextWake != next { // an earlier event has replaced this one
 				return
 			}
-			n.nextWake = math.Inf(1)
-			w.handleModelEvents(n, n.model.Advance(w.now))
+			b.nextWake = math.Inf(1)
+			w.handleModelEvents(b, b.model.Advance(w.now))
 		})
 	}
 }
 
 // handleJobStart counts a job that a backend starts, whether or not a dispatcher still waits for it.
 func (w *world) handleJobStart(job uint64) {
-	t := w.unstartedAttempts[job]
+	a := w.unstartedAttempts[job]
 	delete(w.unstartedAttempts, job)
-	t.started = true
-	c := w.clientsByTry[t.core.Job.ID]
+	a.started = true
+	c := w.clientsByTry[a.core.Job.ID]
 	c.starts++
 	if w.tenants != nil {
 		w.tenants.handleStart(job, c)
