--- a/internal/lab/script/script.go
+++ b/internal/lab/script/script.go
@@ -306,7 +306,7 @@
 	r.sc.Events = append(r.sc.Events, e)
 }
 
-// event handles at(seconds, backends, action, ...). The action is one of sim.Dos, or one of slow, errors, neighbour,
+// event handles at(seconds, backends, action, ...). The action is one of sim.EventActions, or one of slow, errors, neighbour,
 // pauses, freeze and well, which set the backends' faults; well clears them.
 func (r *reader) event(a *args) (starlark.Value, error) {
 	v, ok := a.value("time")
