--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -25,9 +25,9 @@
 	stopped  atomic.Bool
 	stop     func()
 
-	startReported  atomic.Bool   // Started was called
-	progress       atomic.Uint64 // newest progress, as the bits of a float64
-	progressPosted atomic.Bool   // an event that will report progress is posted
+	jobStartReported atomic.Bool   // Started was called
+	progress         atomic.Uint64 // newest progress, as the bits of a float64
+	progressPosted   atomic.Bool   // an event that will report progress is posted
 }
 
 // MayBegin reports, just before the first byte is written, whether the attempt may still begin. Making the connection can
@@ -76,10 +76,10 @@
 // Number returns the index of the attempt among those of its request, from 0.
 func (a *Attempt) Number() int { return a.number }
 
-// Started reports that the job has begun to run. Only the first call counts, so that a backend which repeats it cannot
+// JobStarted reports that the job has begun to run. Only the first call counts, so that a backend which repeats it cannot
 // flood the core.
-func (a *Attempt) Started() {
-	if !a.startReported.Swap(true) {
+func (a *Attempt) JobStarted() {
+	if !a.jobStartReported.Swap(true) {
 		a.core.post(func() { a.core.progressed(a, true, 0) })
 	}
 }
--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -152,12 +152,12 @@
 func TestRepeatedProgressIsBounded(t *testing.T) {
 	w := newClockFixture(t, balance.Class{Effect: balance.Safe})
 	for i := range 1000 {
-		w.sent[0].Started()
+		w.sent[0].JobStarted()
 		w.sent[0].Progress(float64(i) / 1000)
 	}
 	assert.Len(t, w.core.inbox, 2)
 	w.core.step()
-	w.sent[0].Started()
+	w.sent[0].JobStarted()
 	assert.Empty(t, w.core.inbox)
 	w.sent[0].Progress(1)
 	assert.Len(t, w.core.inbox, 1)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -64,7 +64,7 @@
 		"a result, then late events of the attempt": {func(b *fixture, _ Handle) {
 			b.sent[0].Ended(Served, "r", nil)
 			b.sent[0].Ended(Broken, "", nil)
-			b.sent[0].Started()
+			b.sent[0].JobStarted()
 		}, []AnswerKind{Result}, true},
 		"the deadline, then a late result": {func(b *fixture, _ Handle) {
 			b.after(2 * time.Second)
@@ -220,7 +220,7 @@
 			b.core.mayCancel = c.allowed
 			handle := b.submit()
 			require.Len(t, b.sent, 1, c.name)
-			b.sent[0].Started()
+			b.sent[0].JobStarted()
 			b.core.step()
 			if c.answered {
 				b.sent[0].Ended(Served, "r", nil)
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -364,7 +364,7 @@
 		}
 		switch e.Kind {
 		case fleet.Started:
-			w.schedule(w.now+w.delay(), func() { a.dispatcher.markDirty(); a.core.Started() })
+			w.schedule(w.now+w.delay(), func() { a.dispatcher.markDirty(); a.core.JobStarted() })
 			if w.scenario.Site.ProgressEvery > 0 {
 				a.reportProgress()
 			}
--- a/internal/network/await_test.go
+++ b/internal/network/await_test.go
@@ -47,7 +47,7 @@
 }
 
 func serveAttempt(a *core.Attempt, result string) {
-	a.Started()
+	a.JobStarted()
 	a.Ended(core.Served, result, nil)
 }
 
--- a/internal/network/backend_conn.go
+++ b/internal/network/backend_conn.go
@@ -433,7 +433,7 @@
 			r.outcome.report = update.Report
 		}
 	case update.Started:
-		x.onStarted()
+		x.onJobStarted()
 	default:
 		x.onProgress(update.Progress)
 	}
--- a/internal/network/backend_conn_rig_test.go
+++ b/internal/network/backend_conn_rig_test.go
@@ -184,7 +184,7 @@
 	job := &core.Job{Method: "POST", Target: "/ingest", ID: id, Body: body}
 	y := &testExchange{ends: make(chan exchangeEnd, 4)}
 	y.exchange = &exchange{backend: r.backend, body: body, deadline: time.Now().Add(time.Hour), id: id, mayBegin: func() bool { return true },
-		onStarted: func() {}, onProgress: func(float64) {}}
+		onJobStarted: func() {}, onProgress: func(float64) {}}
 	y.makeHead = func(left time.Duration) []byte { return platform.AppendJob(nil, job, "s", left, nil) }
 	y.onEnded = func(e core.Ending, result string, _ []float32) { y.ends <- exchangeEnd{e, result} }
 	return y
--- a/internal/network/backends.go
+++ b/internal/network/backends.go
@@ -46,21 +46,21 @@
 
 // exchange is one request to a backend and its reply. Its callbacks are called from the connection's goroutines.
 type exchange struct {
-	backend     *core.Backend
-	ctx         context.Context
-	cancel      context.CancelFunc
-	stopAbort   func() bool // stops the abort that follows a cancel of ctx
-	makeHead    func(left time.Duration) []byte
-	body        []byte
-	deadline    time.Time
-	probe       bool // the reply's body is a load report, not lines
-	id          string
-	mayBegin    func() bool
-	stillWanted func() bool                                  // false once the request was answered, its client has gone or the attempt was stopped
-	onBegan     func(at time.Time, advertised time.Duration) // the first byte was written; nil for a probe
-	onStarted   func()
-	onProgress  func(float64)
-	onEnded     func(core.Ending, string, []float32)
+	backend      *core.Backend
+	ctx          context.Context
+	cancel       context.CancelFunc
+	stopAbort    func() bool // stops the abort that follows a cancel of ctx
+	makeHead     func(left time.Duration) []byte
+	body         []byte
+	deadline     time.Time
+	probe        bool // the reply's body is a load report, not lines
+	id           string
+	mayBegin     func() bool
+	stillWanted  func() bool                                  // false once the request was answered, its client has gone or the attempt was stopped
+	onBegan      func(at time.Time, advertised time.Duration) // the first byte was written; nil for a probe
+	onJobStarted func()
+	onProgress   func(float64)
+	onEnded      func(core.Ending, string, []float32)
 }
 
 // outcome is how an exchange ended.
@@ -75,7 +75,7 @@
 // Send starts an attempt and returns the function that stops it.
 func (p *Pool) Send(a *core.Attempt) func() {
 	x := &exchange{backend: a.Backend, body: a.Job.Body, deadline: a.Deadline, id: a.Job.ID, mayBegin: a.MayBegin, stillWanted: a.Wanted, onBegan: a.Began,
-		onStarted: a.Started, onProgress: a.Progress, onEnded: a.Ended}
+		onJobStarted: a.JobStarted, onProgress: a.Progress, onEnded: a.Ended}
 	x.makeHead = func(left time.Duration) []byte {
 		var stamp *platform.PolicyStamp
 		if p.DispatcherName != "" {
--- a/internal/network/http2_client_test.go
+++ b/internal/network/http2_client_test.go
@@ -55,7 +55,7 @@
 }
 
 func (h *holdingBackends) Send(a *core.Attempt) func() {
-	a.Started()
+	a.JobStarted()
 	h.attempts <- a
 	return func() {}
 }
--- a/internal/network/http2_real_test.go
+++ b/internal/network/http2_real_test.go
@@ -32,7 +32,7 @@
 type instantBackends struct{ result string }
 
 func (b instantBackends) Send(a *core.Attempt) func() {
-	a.Started()
+	a.JobStarted()
 	a.Ended(core.Served, b.result, nil)
 	return func() {}
 }
