--- a/cmd/tinsail/platform_rules_backends_test.go
+++ b/cmd/tinsail/platform_rules_backends_test.go
@@ -146,18 +146,18 @@
 }
 
 // countAttempts counts the attempts for an id: how many started, and how many arrived whole.
-func countAttempts(id string, raws ...*platform.RawBackend) (begun, whole int) {
+func countAttempts(id string, raws ...*platform.RawBackend) (started, whole int) {
 	for _, r := range raws {
 		for _, q := range r.Reqs() {
 			if q.ID == id {
-				begun++
+				started++
 				if q.Complete {
 					whole++
 				}
 			}
 		}
 	}
-	return begun, whole
+	return started, whole
 }
 
 // TestUnsafeReqSentOnce: an unsafe request arrives whole at one backend only, whether the connection was reset
@@ -212,7 +212,7 @@
 					if c.want != 0 {
 						assert.Equal(t, c.want, status)
 						assert.Equal(t, "small "+id, body)
-					} else if begun, _ := countAttempts(id, raws...); begun > 0 {
+					} else if started, _ := countAttempts(id, raws...); started > 0 {
 						assert.NotContains(t, []int{200, 429, 503}, status)
 					}
 				})
@@ -220,8 +220,8 @@
 			all.Wait()
 			p.terminate(t)
 			for i := range 5 {
-				begun, _ := countAttempts(fmt.Sprint("unsafe-", i), raws...)
-				assert.LessOrEqual(t, begun, 1, "unsafe-%d", i)
+				started, _ := countAttempts(fmt.Sprint("unsafe-", i), raws...)
+				assert.LessOrEqual(t, started, 1, "unsafe-%d", i)
 			}
 		})
 	}
@@ -252,8 +252,8 @@
 		if assert.Equal(t, 200, status) {
 			assert.Equal(t, "small "+id, body)
 		}
-		begun, _ := countAttempts(id, raws...)
-		assert.Equal(t, 1, begun)
+		started, _ := countAttempts(id, raws...)
+		assert.Equal(t, 1, started)
 		k.Close()
 	}
 	p.terminate(t)
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -10,37 +10,37 @@
 
 // Attempt is one sending of a request to a backend.
 type Attempt struct {
-	Job      *Job
-	Backend  *Backend
-	Deadline time.Time // when the dispatcher stops waiting
-	core     *Core
-	req      *req
-	previous *Attempt // attempt of the same request sent just before; nil for the first
-	number   int
-	sentAt   float64
-	done     bool
-	ending   Ending       // valid once done is set
-	neverRan atomic.Bool  // proven never to have run
-	begunAt  atomic.Int64 // stamp of when MayBegin last allowed it; 0 if it never did
-	stopped  atomic.Bool
-	stop     func()
+	Job       *Job
+	Backend   *Backend
+	Deadline  time.Time // when the dispatcher stops waiting
+	core      *Core
+	req       *req
+	previous  *Attempt // attempt of the same request sent just before; nil for the first
+	number    int
+	sentAt    float64
+	done      bool
+	ending    Ending       // valid once done is set
+	neverRan  atomic.Bool  // proven never to have run
+	startedAt atomic.Int64 // stamp of when MayBegin last allowed it; 0 if it never did
+	stopped   atomic.Bool
+	stop      func()
 
 	jobStartReported atomic.Bool   // Started was called
 	progress         atomic.Uint64 // newest progress, as the bits of a float64
 	progressPosted   atomic.Bool   // an event that will report progress is posted
 }
 
-// MayBegin reports, just before the first byte is written, whether the attempt may still begin. Making the connection can
+// MayStart reports, just before the first byte is written, whether the attempt may still begin. Making the connection can
 // take long, and meanwhile the request may have been answered, its client may have left, the backend may have started
 // draining or been banned, or sending may have become unsafe because another attempt could take effect too. It may be called
 // from any goroutine and doesn't block. It may be called again if no byte was written after all.
-func (a *Attempt) MayBegin() bool {
+func (a *Attempt) MayStart() bool {
 	now := a.core.clock.read()
 	if a.req.closed.Load() || a.stopped.Load() || !a.Backend.ready.Load() || a.Backend.Banned() || !now.Before(a.Deadline) || !a.repeatAllowed(now) ||
-		a.core.Versions != nil && !a.core.mayStart(a.req) {
+		a.core.Versions != nil && !a.core.versionAllowsStart(a.req) {
 		return false
 	}
-	a.begunAt.Store(a.core.clock.toStamp(now))
+	a.startedAt.Store(a.core.clock.toStamp(now))
 	return true
 }
 
@@ -62,8 +62,8 @@
 		if r.effect == balance.Unsafe {
 			return false
 		}
-		begun := o.begunAt.Load()
-		if begun != 0 && a.core.clock.toStamp(now)-begun >= int64(balance.EffectiveRepeatWindow(r.repeatWindow)*float64(time.Millisecond)) {
+		started := o.startedAt.Load()
+		if started != 0 && a.core.clock.toStamp(now)-started >= int64(balance.EffectiveRepeatWindow(r.repeatWindow)*float64(time.Millisecond)) {
 			return false
 		}
 	}
--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -46,7 +46,7 @@
 
 // Once its client is gone or it is answered, no further attempt of a request begins: from that instant on, not only after the
 // core has handled the event. An attempt that has begun runs on.
-func TestNoBeginAfterClientGone(t *testing.T) {
+func TestNoStartAfterClientGone(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(*clockFixture)
 		want bool
@@ -59,10 +59,10 @@
 		"the other attempt failed":      {func(w *clockFixture) { w.sent[0].Ended(Broken, "", nil); w.core.step() }, true},
 	} {
 		w := newClockFixture(t, balance.Class{Effect: balance.Safe})
-		require.True(t, w.sent[0].MayBegin())
+		require.True(t, w.sent[0].MayStart())
 		w.dispatch()
 		c.do(w)
-		assert.Equal(t, c.want, w.sent[1].MayBegin(), name)
+		assert.Equal(t, c.want, w.sent[1].MayStart(), name)
 		sent := len(w.sent)
 		w.dispatch()
 		assert.Equal(t, c.want, len(w.sent) > sent, "%s: a further attempt", name)
@@ -78,11 +78,11 @@
 
 // MayBegin enforces the rule on duplicated effects just before the first byte. It depends on the class's effect, on when the
 // other attempts actually began, and on whether they are proven never to have run.
-func TestMayBeginDuplicateRule(t *testing.T) {
+func TestMayStartDuplicateRule(t *testing.T) {
 	const window = 1000
 	pass := func(w *clockFixture, ms int) { w.now = w.now.Add(time.Duration(ms) * time.Millisecond) }
 	end := func(e Ending) func(*clockFixture) {
-		return func(w *clockFixture) { w.sent[0].MayBegin(); w.sent[0].Ended(e, "", nil); w.core.step() }
+		return func(w *clockFixture) { w.sent[0].MayStart(); w.sent[0].Ended(e, "", nil); w.core.step() }
 	}
 	for name, c := range map[string]struct {
 		effect balance.Effect
@@ -93,20 +93,20 @@
 		"safe":                             {balance.Safe, end(Broken), 5000, true},
 		"within the window":                {balance.Deduped, end(Broken), 849, true},
 		"after the window":                 {balance.Deduped, end(Broken), 850, false},
-		"after it, the first outstanding":  {balance.Deduped, func(w *clockFixture) { w.sent[0].MayBegin() }, 850, false},
+		"after it, the first outstanding":  {balance.Deduped, func(w *clockFixture) { w.sent[0].MayStart() }, 850, false},
 		"after it, the first overdue":      {balance.Deduped, end(Overdue), 850, false},
 		"after it, the first never ran":    {balance.Deduped, end(Unreached), 5000, true},
 		"after it, the first was returned": {balance.Deduped, end(Returned), 5000, true},
 		"counted from when it began": {balance.Deduped, func(w *clockFixture) {
 			pass(w, 800)
-			w.sent[0].MayBegin()
+			w.sent[0].MayStart()
 		}, 849, true},
 		"not yet begun":                 {balance.Deduped, func(*clockFixture) {}, 5000, true},
-		"unsafe, the first outstanding": {balance.Unsafe, func(w *clockFixture) { w.sent[0].MayBegin() }, 1, false},
+		"unsafe, the first outstanding": {balance.Unsafe, func(w *clockFixture) { w.sent[0].MayStart() }, 1, false},
 		"unsafe, not yet begun":         {balance.Unsafe, func(*clockFixture) {}, 1, false},
 		"unsafe, overdue while connecting": {balance.Unsafe, func(w *clockFixture) {
 			w.core.stopAttempt(w.sent[0], Overdue)
-			assert.False(t, w.sent[0].MayBegin())
+			assert.False(t, w.sent[0].MayStart())
 		}, 1, false},
 		"unsafe, withdrawn": {balance.Unsafe, end(Withdrawn), 1, false},
 		"unsafe, broken":    {balance.Unsafe, end(Broken), 1, false},
@@ -122,30 +122,30 @@
 		w.dispatch()
 		require.Len(t, w.sent, 2, name)
 		pass(w, c.delay)
-		assert.Equal(t, c.want, w.sent[1].MayBegin(), name)
+		assert.Equal(t, c.want, w.sent[1].MayStart(), name)
 	}
 }
 
 // The attempt sent first can be the one that begins last. The repeat window counts from the attempt that began first.
-func TestWindowCountsFromFirstBegun(t *testing.T) {
+func TestWindowCountsFromFirstStarted(t *testing.T) {
 	for late, want := range map[time.Duration]bool{849: true, 850: false} {
 		w := newClockFixture(t, balance.Class{Effect: balance.Deduped, RepeatWindow: 1000})
 		w.dispatch()
-		require.True(t, w.sent[1].MayBegin())
+		require.True(t, w.sent[1].MayStart())
 		w.now = w.now.Add(late * time.Millisecond)
-		assert.Equal(t, want, w.sent[0].MayBegin(), late)
+		assert.Equal(t, want, w.sent[0].MayStart(), late)
 	}
 }
 
 // MayBegin can allow an attempt that then writes no byte and asks again. The repeat window counts from the second time.
-func TestWindowCountsFromLastMayBegin(t *testing.T) {
+func TestWindowCountsFromLastMayStart(t *testing.T) {
 	w := newClockFixture(t, balance.Class{Effect: balance.Deduped, RepeatWindow: 1000})
 	w.dispatch()
-	require.True(t, w.sent[0].MayBegin())
+	require.True(t, w.sent[0].MayStart())
 	w.now = w.now.Add(800 * time.Millisecond)
-	require.True(t, w.sent[0].MayBegin())
+	require.True(t, w.sent[0].MayStart())
 	w.now = w.now.Add(800 * time.Millisecond)
-	assert.True(t, w.sent[1].MayBegin())
+	assert.True(t, w.sent[1].MayStart())
 }
 
 // A backend that reports start and progress without end must not fill the inbox: at most one event of each is pending.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -110,7 +110,7 @@
 	answered       bool           // the final answer was given
 	clientGoneAt   atomic.Int64   // stamp of when its client was found to be gone; 0 while it is there
 	policyVersion  uint64         // fleet policy version under which it was admitted; 0 without Versions
-	begunReported  atomic.Bool    // Versions was notified that it has started at a backend or never will
+	startReported  atomic.Bool    // Versions was notified that it has started at a backend or never will
 	attempts       []*Attempt
 	latest         atomic.Pointer[Attempt] // last element of attempts, read by MayBegin on other goroutines
 	outstanding    int
@@ -324,7 +324,7 @@
 	r.closed.Store(true)
 	c.openCount.Add(-1)
 	if c.Versions != nil {
-		c.reportBegun(r)
+		c.reportStart(r)
 	}
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -129,7 +129,7 @@
 }
 
 // MayBegin is asked just before the first byte is written.
-func TestMayBegin(t *testing.T) {
+func TestMayStart(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(*fixture)
 		want bool
@@ -153,7 +153,7 @@
 			for _, e := range events { // timers don't run, so the attempt is still outstanding
 				e()
 			}
-			assert.Equal(t, c.want, b.sent[0].MayBegin(), name)
+			assert.Equal(t, c.want, b.sent[0].MayStart(), name)
 		})
 	}
 }
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -18,9 +18,9 @@
 	}
 }
 
-// Began reports that the attempt's first byte was written at a time. timeLeft is how long its client still waits, as stated
+// Started reports that the attempt's first byte was written at a time. timeLeft is how long its client still waits, as stated
 // to the backend. It may be called from any goroutine.
-func (a *Attempt) Began(at time.Time, timeLeft time.Duration) {
+func (a *Attempt) Started(at time.Time, timeLeft time.Duration) {
 	c, r := a.core, a.req
 	if c == nil || c.Guard == nil {
 		return
@@ -49,7 +49,7 @@
 // earlierAttempts describes an attempt and all before it; nil, without allocation, if there is none.
 func (c *Core) earlierAttempts(a *Attempt) (out []guard.PriorAttempt) {
 	for ; a != nil; a = a.previous {
-		out = append(out, guard.PriorAttempt{StartedAt: c.clock.fromStamp(a.begunAt.Load()), NeverRan: a.neverRan.Load()})
+		out = append(out, guard.PriorAttempt{StartedAt: c.clock.fromStamp(a.startedAt.Load()), NeverRan: a.neverRan.Load()})
 	}
 	return out
 }
@@ -83,7 +83,7 @@
 		return guard.DeadlinePassed
 	case last == nil:
 		return guard.NoAttempt
-	case !last.neverRan.Load() && last.begunAt.Load() != 0 && r.effect != balance.Safe:
+	case !last.neverRan.Load() && last.startedAt.Load() != 0 && r.effect != balance.Safe:
 		return guard.MayHaveRun
 	case last.number > 0:
 		return guard.AttemptsExhausted
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -15,9 +15,9 @@
 func TestGuardDetectsViolations(t *testing.T) {
 	const grace = 500 * time.Millisecond
 	pass := func(w *clockFixture, d time.Duration) { w.now = w.now.Add(d) }
-	begin := func(w *clockFixture, i int) {
-		w.sent[i].begunAt.Store(w.core.clock.toStamp(w.now))
-		w.sent[i].Began(w.now, time.Second)
+	start := func(w *clockFixture, i int) {
+		w.sent[i].startedAt.Store(w.core.clock.toStamp(w.now))
+		w.sent[i].Started(w.now, time.Second)
 	}
 	drain := func(w *clockFixture) {
 		w.core.HandleList(balance.ListDelta, []Entry{{Worker: balance.Worker{ID: 1, State: balance.Draining, Weight: 4}}})
@@ -28,56 +28,56 @@
 		do     func(*clockFixture)
 		want   []guard.Rule
 	}{
-		"no violation":           {balance.Unsafe, func(w *clockFixture) { begin(w, 0) }, nil},
-		"draining, within grace": {balance.Safe, func(w *clockFixture) { drain(w); pass(w, grace); begin(w, 0) }, nil},
-		"draining, after grace":  {balance.Safe, func(w *clockFixture) { drain(w); pass(w, grace+1); begin(w, 0) }, []guard.Rule{guard.StartedAfterDrain}},
+		"no violation":           {balance.Unsafe, func(w *clockFixture) { start(w, 0) }, nil},
+		"draining, within grace": {balance.Safe, func(w *clockFixture) { drain(w); pass(w, grace); start(w, 0) }, nil},
+		"draining, after grace":  {balance.Safe, func(w *clockFixture) { drain(w); pass(w, grace+1); start(w, 0) }, []guard.Rule{guard.StartedAfterDrain}},
 		"draining, listed as draining again": {balance.Safe, func(w *clockFixture) {
 			drain(w)
 			pass(w, grace)
 			drain(w)
 			pass(w, 1)
-			begin(w, 0)
+			start(w, 0)
 		}, []guard.Rule{guard.StartedAfterDrain}},
 		"banned": {balance.Safe, func(w *clockFixture) {
 			w.core.SetBanned(map[balance.WorkerID]struct{}{1: {}})
 			pass(w, grace)
 			w.core.SetBanned(map[balance.WorkerID]struct{}{1: {}, 2: {}}) // another backend is added; the first keeps the time of its ban
 			pass(w, 1)
-			begin(w, 0)
+			start(w, 0)
 		}, []guard.Rule{guard.StartedAfterDrain}},
 		"client gone": {balance.Safe, func(w *clockFixture) {
 			w.handle.Abandon(false, nil)
 			pass(w, guard.ClientGoneGrace+1)
-			begin(w, 0)
+			start(w, 0)
 		}, []guard.Rule{guard.StartedAfterClientGone}},
 		"after the end": {balance.Safe, func(w *clockFixture) {
 			w.core.Guard.MarkShutdown(w.now)
 			pass(w, 1)
-			begin(w, 0)
+			start(w, 0)
 		}, []guard.Rule{guard.StartedAfterShutdown}},
 		"backend told too much time": {balance.Safe, func(w *clockFixture) {
-			w.sent[0].Began(w.now, time.Minute+guard.TimeLeftSlack+1)
+			w.sent[0].Started(w.now, time.Minute+guard.TimeLeftSlack+1)
 		}, []guard.Rule{guard.TimeLeftTooLong}},
 		"begun twice": {balance.Unsafe, func(w *clockFixture) {
-			begin(w, 0)
+			start(w, 0)
 			w.dispatch()
-			begin(w, 1)
+			start(w, 1)
 		}, []guard.Rule{guard.RepeatUnsafe}},
 		"begun again after it was returned": {balance.Unsafe, func(w *clockFixture) {
-			begin(w, 0)
+			start(w, 0)
 			w.sent[0].Ended(Returned, "", nil)
 			w.core.step()
 			w.dispatch()
-			begin(w, 1)
+			start(w, 1)
 		}, nil},
 		"outside the window": {balance.Deduped, func(w *clockFixture) {
-			begin(w, 0)
+			start(w, 0)
 			w.dispatch()
 			pass(w, time.Second+1)
-			begin(w, 1)
+			start(w, 1)
 		}, []guard.Rule{guard.RepeatOutsideWindow}},
 		"refused though it may have run": {balance.Unsafe, func(w *clockFixture) {
-			begin(w, 0)
+			start(w, 0)
 			actions{w.core}.Refuse(1, 0)
 		}, []guard.Rule{guard.RefuseMayHaveRun}},
 		"answered late": {balance.Unsafe, func(w *clockFixture) {
@@ -127,7 +127,7 @@
 			w.core.step()
 			actions{w.core}.Fail(1)
 		}, "refuse_tries_spent"},
-		"may have run": {func(w *clockFixture) { w.sent[0].MayBegin(); actions{w.core}.Fail(1) }, "refuse_may_have_run"},
+		"may have run": {func(w *clockFixture) { w.sent[0].MayStart(); actions{w.core}.Fail(1) }, "refuse_may_have_run"},
 		"second copy":  {func(w *clockFixture) { w.dispatch() }, "again_second_copy"},
 		"returned":     {func(w *clockFixture) { w.sent[0].Ended(Returned, "", nil); w.core.step(); w.dispatch() }, "again_returned"},
 		"unreached":    {func(w *clockFixture) { w.sent[0].Ended(Unreached, "", nil); w.core.step(); w.dispatch() }, "again_unreached"},
--- a/internal/core/quotas_test.go
+++ b/internal/core/quotas_test.go
@@ -114,7 +114,7 @@
 	h.quotas.calls[0].ready(h.now, 0, true)
 	h.core.Step()
 	require.Len(t, h.sent, 1)
-	assert.True(t, h.sent[0].MayBegin())
+	assert.True(t, h.sent[0].MayStart())
 	assert.Zero(t, h.quotas.calls[0].released)
 	h.quotas.calls[0].ready(h.now, 0, true)
 	h.core.Step()
@@ -289,7 +289,7 @@
 		}
 		for _, a := range h.sent {
 			assert.False(t, a.Deadline.After(grantedAt.Add(maxHold)), name)
-			assert.False(t, a.MayBegin(), name)
+			assert.False(t, a.MayStart(), name)
 		}
 		h.pass(time.Minute)
 		h.assertReleased(t, name)
@@ -311,7 +311,7 @@
 	h.now = h.now.Add(10 * time.Second)
 	h.core.Step()
 	for _, a := range h.sent {
-		assert.False(t, a.MayBegin())
+		assert.False(t, a.MayStart())
 	}
 	h.pass(10 * time.Millisecond)
 	assert.Len(t, h.answers, 1)
@@ -323,9 +323,9 @@
 	h.quotas.calls[0].ready(h.now, 0, true)
 	h.core.Step()
 	require.Len(t, h.sent, 1)
-	require.True(t, h.sent[0].MayBegin())
+	require.True(t, h.sent[0].MayStart())
 	h.now = h.now.Add(10 * time.Second)
-	assert.False(t, h.sent[0].MayBegin())
+	assert.False(t, h.sent[0].MayStart())
 }
 
 // A request queued for quota counts as waiting for its policy version, and is refused once the version is no longer in force.
@@ -340,7 +340,7 @@
 	h.core.Step()
 	require.Len(t, h.sent, 1)
 	assert.EqualValues(t, 7, h.sent[0].Version())
-	assert.True(t, h.sent[0].MayBegin())
+	assert.True(t, h.sent[0].MayStart())
 	assert.Equal(t, 1, p.waiting, "one began, one is queued")
 
 	h.pass(time.Second)
@@ -412,11 +412,11 @@
 			granted   bool
 		}
 		var all []*submitted
-		begins, ended := map[*Attempt]bool{}, map[*Attempt]bool{}
-		begin := func() {
+		started, ended := map[*Attempt]bool{}, map[*Attempt]bool{}
+		start := func() {
 			for _, a := range h.sent {
-				if !ended[a] && a.MayBegin() {
-					begins[a] = true
+				if !ended[a] && a.MayStart() {
+					started[a] = true
 				}
 			}
 		}
@@ -429,7 +429,7 @@
 					t.Fatalf("request %d holds its quota for %v", i, h.now.Sub(o.grantedAt))
 				}
 			}
-			begin()
+			start()
 		}
 		pick := func() *submitted { return all[rapid.IntRange(0, len(all)-1).Draw(t, "req")] }
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -490,7 +490,7 @@
 				t.Fatalf("over was called %[2]d times for request %[1]d", i, o.overCalls)
 			}
 		}
-		for a := range begins {
+		for a := range started {
 			i := slices.IndexFunc(all, func(o *submitted) bool { return o.handle.req == a.req })
 			if !all[i].granted {
 				t.Fatalf("an attempt of request %d began without quota", i)
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -28,7 +28,7 @@
 	if !c.ids.claim(job.ID, c.clock.read()) {
 		c.count.ReqsRepeated.Add(1)
 		if c.Versions != nil {
-			c.reportBegun(r)
+			c.reportStart(r)
 		}
 		return Handle{}, false
 	}
--- a/internal/core/versions.go
+++ b/internal/core/versions.go
@@ -8,8 +8,8 @@
 	// Admit admits a request under the version in force. If ok, the request counts as waiting until Begun is called;
 	// otherwise retryAfter is the delay suggested to its client.
 	Admit() (version uint64, retryAfter time.Duration, ok bool)
-	// Begun is called once for each admitted request, when it has begun at a backend or never will.
-	Begun(version uint64)
+	// Started is called once for each admitted request, when it has begun at a backend or never will.
+	Started(version uint64)
 	// MayStart reports whether an attempt of a request admitted under a version may start now.
 	MayStart(version uint64) bool
 	// Serves reports whether requests are admitted now.
@@ -35,18 +35,18 @@
 	return false
 }
 
-// mayStart is the last check before an attempt begins, as far as the fleet's policy is concerned.
-func (c *Core) mayStart(r *req) bool {
+// versionAllowsStart is the last check before an attempt begins, as far as the fleet's policy is concerned.
+func (c *Core) versionAllowsStart(r *req) bool {
 	if !c.Versions.MayStart(r.policyVersion) {
 		return false
 	}
-	c.reportBegun(r)
+	c.reportStart(r)
 	return true
 }
 
-func (c *Core) reportBegun(r *req) {
-	if !r.begunReported.Swap(true) {
-		c.Versions.Begun(r.policyVersion)
+func (c *Core) reportStart(r *req) {
+	if !r.startReported.Swap(true) {
+		c.Versions.Started(r.policyVersion)
 	}
 }
 
--- a/internal/core/versions_test.go
+++ b/internal/core/versions_test.go
@@ -25,7 +25,7 @@
 	}
 	return p.version, time.Second, p.serving
 }
-func (p *fakeVersions) Begun(uint64)           { p.waiting-- }
+func (p *fakeVersions) Started(uint64)         { p.waiting-- }
 func (p *fakeVersions) MayStart(v uint64) bool { return v == p.startVersion }
 func (p *fakeVersions) Serves() bool           { return p.serving }
 
@@ -50,13 +50,13 @@
 		require.Len(t, b.sent, 1)
 		assert.EqualValues(t, 7, b.sent[0].Version())
 		assert.Equal(t, 1, p.waiting)
-		assert.True(t, b.sent[0].MayBegin())
+		assert.True(t, b.sent[0].MayStart())
 		assert.Zero(t, p.waiting, "it has begun")
 
 		submit("b")
 		require.Len(t, b.sent, 2)
 		p.serving, p.startVersion = false, 0 // the version is no longer in force
-		assert.False(t, b.sent[1].MayBegin())
+		assert.False(t, b.sent[1].MayStart())
 		b.sent[1].Ended(Unsent, "", nil)
 		b.core.step()
 		require.Len(t, b.answers, 2)
@@ -69,7 +69,7 @@
 		p.serving, p.startVersion = true, 7
 		submit("c")
 		require.Len(t, b.sent, 3)
-		assert.True(t, b.sent[2].MayBegin())
+		assert.True(t, b.sent[2].MayStart())
 		p.serving, p.startVersion = false, 0
 		b.sent[2].Ended(Returned, "", nil)
 		for range 3 { // the module dispatches again, at once or after a delay; that attempt ends as Unsent
--- a/internal/lab/sim/accord_test.go
+++ b/internal/lab/sim/accord_test.go
@@ -78,7 +78,7 @@
 			w.schedule(at, func() {
 				_, _, accepted := p.Admit()
 				if accepted {
-					p.Begun(1)
+					p.Started(1)
 				}
 				assert.Equal(t, want, [2]bool{accepted, p.MayStart(1)}, "at %v ms", at)
 			})
--- a/internal/lab/sim/dispatcher.go
+++ b/internal/lab/sim/dispatcher.go
@@ -200,7 +200,7 @@
 	if a.ended {
 		return
 	}
-	if !a.core.MayBegin() {
+	if !a.core.MayStart() {
 		a.ended, a.neverRan = true, true
 		d.markDirty()
 		a.core.Ended(core.Unsent, "", nil)
--- a/internal/lab/sim/participant.go
+++ b/internal/lab/sim/participant.go
@@ -58,9 +58,9 @@
 	return version, 0, true
 }
 
-// Begun implements core.Versions: it reports that a req has started, or never will. After the last one a participant
+// Started implements core.Versions: it reports that a req has started, or never will. After the last one a participant
 // that has stopped accepting reqs for a change need not wait for the end of the drain.
-func (p *participant) Begun(version uint64) {
+func (p *participant) Started(version uint64) {
 	p.waiting[version]--
 	if admission := p.accord.Admission(); admission.Version == version && p.waiting[version] == 0 && admission.AcceptUntil == 0 {
 		p.side.world.schedule(p.side.world.now, p.step)
--- a/internal/network/backend_conn.go
+++ b/internal/network/backend_conn.go
@@ -114,7 +114,7 @@
 // the last byte was written. fresh says that the connection was established for this exchange.
 func (c *backendConn) send(x *exchange, fresh bool) {
 	c.mu.Lock()
-	if c.state != stateClosed && !x.mayBegin() {
+	if c.state != stateClosed && !x.mayStart() {
 		c.mu.Unlock()
 		c.putIdle()
 		x.end(outcome{ending: core.Unsent})
@@ -144,11 +144,11 @@
 		parts = append(parts, x.body)
 	}
 	n, err := parts.WriteTo(c.conn)
-	if n > 0 && x.onBegan != nil {
+	if n > 0 && x.onStarted != nil {
 		if len(x.body) <= smallBody { // a longer one may have waited for the backend to read it
 			wrote = time.Now()
 		}
-		x.onBegan(wrote, left)
+		x.onStarted(wrote, left)
 	}
 
 	c.mu.Lock()
--- a/internal/network/backend_conn_race_test.go
+++ b/internal/network/backend_conn_race_test.go
@@ -56,7 +56,7 @@
 			r := newPoolRig(t)
 			c := r.serveOne("a")
 			y := r.newExchange("b", nil)
-			y.mayBegin = sync.OnceValue(func() bool { write(c); c.awaitDelivery(); return true })
+			y.mayStart = sync.OnceValue(func() bool { write(c); c.awaitDelivery(); return true })
 			r.pool.startExchange(y.exchange)
 			r.expectOnNewConn(c, y)
 		})
@@ -74,7 +74,7 @@
 			r := newPoolRig(t)
 			c := r.serveOne("a")
 			y := r.newExchange("b", nil)
-			y.mayBegin = sync.OnceValue(func() bool { end(c); awaitRemoteClose(t, r.dialled[0]); return true })
+			y.mayStart = sync.OnceValue(func() bool { end(c); awaitRemoteClose(t, r.dialled[0]); return true })
 			r.pool.startExchange(y.exchange)
 			r.expectOnNewConn(c, y)
 		})
@@ -236,7 +236,7 @@
 		near, far := net.Pipe()
 		p := &Pool{Names: &platform.Names{}, Count: &counters.Set{}, ConnectTimeout: time.Second, IdleTimeout: 7 * time.Second, MaxConnections: 1}
 		p.Dial = func(context.Context, string) (net.Conn, error) { return near, nil }
-		x := &exchange{backend: &core.Backend{}, deadline: time.Now().Add(time.Hour), mayBegin: func() bool { return false }, onEnded: func(core.Ending, string, []float32) {}}
+		x := &exchange{backend: &core.Backend{}, deadline: time.Now().Add(time.Hour), mayStart: func() bool { return false }, onEnded: func(core.Ending, string, []float32) {}}
 		began := time.Now()
 		p.startExchange(x)
 		time.Sleep(5 * time.Second)
@@ -321,7 +321,7 @@
 		}}, err
 	}
 	a := r.newExchange("a", nil)
-	a.mayBegin = func() bool { return false }
+	a.mayStart = func() bool { return false }
 	r.pool.startExchange(a.exchange)
 	assert.Equal(t, core.Unsent, a.wait(t).ending)
 	r.pool.mu.Lock()
@@ -342,7 +342,7 @@
 		}
 		first = false
 		return &hookedConn{Conn: conn, beforeDeadline: func(at time.Time) {
-			if !at.IsZero() && y.begun.CompareAndSwap(false, true) {
+			if !at.IsZero() && y.started.CompareAndSwap(false, true) {
 				r.pool.startExchange(y.exchange)
 				r.expectOnNewConn(nil, y)
 			}
@@ -375,7 +375,7 @@
 		time.Sleep(50 * time.Microsecond)
 	}
 	y := r.newExchange("b", nil)
-	y.mayBegin = func() bool {
+	y.mayStart = func() bool {
 		r.dialled[0].SetReadDeadline(time.Unix(1, 0))
 		<-woken // its reader has woken, and is about to retire the connection
 		return true
--- a/internal/network/backend_conn_rig_test.go
+++ b/internal/network/backend_conn_rig_test.go
@@ -143,8 +143,8 @@
 // testExchange is a test's exchange and its end.
 type testExchange struct {
 	*exchange
-	ends  chan exchangeEnd
-	begun atomic.Bool
+	ends    chan exchangeEnd
+	started atomic.Bool
 }
 
 func (y *testExchange) wait(t *testing.T) exchangeEnd {
@@ -183,7 +183,7 @@
 func (r *poolRig) newExchange(id string, body []byte) *testExchange {
 	job := &core.Job{Method: "POST", Target: "/ingest", ID: id, Body: body}
 	y := &testExchange{ends: make(chan exchangeEnd, 4)}
-	y.exchange = &exchange{backend: r.backend, body: body, deadline: time.Now().Add(time.Hour), id: id, mayBegin: func() bool { return true },
+	y.exchange = &exchange{backend: r.backend, body: body, deadline: time.Now().Add(time.Hour), id: id, mayStart: func() bool { return true },
 		onJobStarted: func() {}, onProgress: func(float64) {}}
 	y.makeHead = func(left time.Duration) []byte { return platform.AppendJob(nil, job, "s", left, nil) }
 	y.onEnded = func(e core.Ending, result string, _ []float32) { y.ends <- exchangeEnd{e, result} }
--- a/internal/network/backends.go
+++ b/internal/network/backends.go
@@ -55,9 +55,9 @@
 	deadline     time.Time
 	probe        bool // the reply's body is a load report, not lines
 	id           string
-	mayBegin     func() bool
+	mayStart     func() bool
 	stillWanted  func() bool                                  // false once the request was answered, its client has gone or the attempt was stopped
-	onBegan      func(at time.Time, advertised time.Duration) // the first byte was written; nil for a probe
+	onStarted    func(at time.Time, advertised time.Duration) // the first byte was written; nil for a probe
 	onJobStarted func()
 	onProgress   func(float64)
 	onEnded      func(core.Ending, string, []float32)
@@ -74,7 +74,7 @@
 
 // Send starts an attempt and returns the function that stops it.
 func (p *Pool) Send(a *core.Attempt) func() {
-	x := &exchange{backend: a.Backend, body: a.Job.Body, deadline: a.Deadline, id: a.Job.ID, mayBegin: a.MayBegin, stillWanted: a.Wanted, onBegan: a.Began,
+	x := &exchange{backend: a.Backend, body: a.Job.Body, deadline: a.Deadline, id: a.Job.ID, mayStart: a.MayStart, stillWanted: a.Wanted, onStarted: a.Started,
 		onJobStarted: a.JobStarted, onProgress: a.Progress, onEnded: a.Ended}
 	x.makeHead = func(left time.Duration) []byte {
 		var stamp *platform.PolicyStamp
@@ -91,7 +91,7 @@
 
 // Probe asks a backend for its load report and calls done once.
 func (p *Pool) Probe(b *core.Backend, done func(core.Ending, []float32)) {
-	x := &exchange{backend: b, deadline: time.Now().Add(probeTimeout), probe: true, mayBegin: func() bool { return !b.Banned() },
+	x := &exchange{backend: b, deadline: time.Now().Add(probeTimeout), probe: true, mayStart: func() bool { return !b.Banned() },
 		stillWanted: func() bool { return !b.Banned() }}
 	x.makeHead = func(time.Duration) []byte { return platform.AppendGet(nil, "/stats", b.Address) }
 	var once sync.Once
--- a/internal/network/connect_race_test.go
+++ b/internal/network/connect_race_test.go
@@ -122,7 +122,7 @@
 	const window = 1000 // ms
 	for _, c := range []struct {
 		late   time.Duration
-		begins bool
+		starts bool
 	}{{849 * time.Millisecond, true}, {850 * time.Millisecond, false}, {1500 * time.Millisecond, false}} {
 		d := newCoreRig(t, balance.Class{Effect: balance.Deduped, RepeatWindow: window}, newRawBackend(t))
 		d.submitReq("a")
@@ -136,7 +136,7 @@
 		d.clockOffset.Store(int64(c.late))
 		close(release)
 		second := d.nextConn()
-		if c.begins {
+		if c.starts {
 			got, err := second.req()
 			require.NoError(t, err)
 			assert.Equal(t, "a", got)
--- a/internal/network/fleet/accord/accord_test.go
+++ b/internal/network/fleet/accord/accord_test.go
@@ -318,9 +318,9 @@
 	assert.True(t, a.MayStart(7))
 	assert.False(t, a.MayStart(6))
 	assert.EqualValues(t, 1, accepting.waiting.Load())
-	a.Begun(6) // a request of an earlier version
+	a.Started(6) // a request of an earlier version
 	assert.EqualValues(t, 1, accepting.waiting.Load())
-	a.Begun(7)
+	a.Started(7)
 	assert.Zero(t, accepting.waiting.Load())
 	assert.Zero(t, a.Counters.UnleasedReqs.Load())
 
@@ -352,7 +352,7 @@
 			if v, _, ok := a.Admit(); !ok || !a.MayStart(v) {
 				b.Error("not admitted")
 			}
-			a.Begun(1)
+			a.Started(1)
 		}
 	})
 }
--- a/internal/network/fleet/accord/admission.go
+++ b/internal/network/fleet/accord/admission.go
@@ -33,8 +33,8 @@
 	return 0, a.cfg.Leases.Drain(), false
 }
 
-// Begun is called once for each admitted request, when it has begun at a backend or never will.
-func (a *Accord) Begun(version uint64) {
+// Started is called once for each admitted request, when it has begun at a backend or never will.
+func (a *Accord) Started(version uint64) {
 	if current := a.member.admission.Load(); current.Version == version {
 		a.member.endWaiting(current)
 	}
--- a/internal/network/network_test.go
+++ b/internal/network/network_test.go
@@ -254,7 +254,7 @@
 			p.Dial = func(context.Context, string) (net.Conn, error) { return &breakingConn{near, room}, nil }
 			var got []core.Ending
 			x := &exchange{backend: &core.Backend{}, body: job.Body, deadline: time.Now().Add(time.Minute), id: job.ID,
-				mayBegin: func() bool { return true }, onEnded: func(e core.Ending, _ string, _ []float32) { got = append(got, e) }}
+				mayStart: func() bool { return true }, onEnded: func(e core.Ending, _ string, _ []float32) { got = append(got, e) }}
 			x.makeHead = func(left time.Duration) []byte { return platform.AppendJob(nil, job, "s1", left, nil) }
 			p.startExchange(x)
 			synctest.Wait()
--- a/internal/network/versions_bench_test.go
+++ b/internal/network/versions_bench_test.go
@@ -20,7 +20,7 @@
 }
 
 func (x stampingBackends) Send(a *core.Attempt) func() {
-	if !a.MayBegin() {
+	if !a.MayStart() {
 		a.Ended(core.Unsent, "", nil)
 		return func() {}
 	}
