--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -21,16 +21,16 @@
 	done      bool
 	ending    Ending       // valid once done is set
 	neverRan  atomic.Bool  // proven never to have run
-	startedAt atomic.Int64 // stamp of when MayBegin last allowed it; 0 if it never did
+	startedAt atomic.Int64 // stamp of when MayStart last allowed it; 0 if it never did
 	stopped   atomic.Bool
 	stop      func()
 
-	jobStartReported atomic.Bool   // Started was called
+	jobStartReported atomic.Bool   // JobStarted was called
 	progress         atomic.Uint64 // newest progress, as the bits of a float64
 	progressPosted   atomic.Bool   // an event that will report progress is posted
 }
 
-// MayStart reports, just before the first byte is written, whether the attempt may still begin. Making the connection can
+// MayStart reports, just before the first byte is written, whether the attempt may still start. Making the connection can
 // take long, and meanwhile the request may have been answered, its client may have left, the backend may have started
 // draining or been banned, or sending may have become unsafe because another attempt could take effect too. It may be called
 // from any goroutine and doesn't block. It may be called again if no byte was written after all.
@@ -49,7 +49,7 @@
 func (a *Attempt) Wanted() bool { return !a.req.closed.Load() && !a.stopped.Load() }
 
 // repeatAllowed checks the rule on duplicated effects again, as far as it depends on the time and on the other attempts. The
-// module checked it when it decided on this attempt, but the attempt may begin much later.
+// module checked it when it decided on this attempt, but the attempt may start much later.
 func (a *Attempt) repeatAllowed(now time.Time) bool {
 	r := a.req
 	if r.effect == balance.Safe || !a.core.duplicateRule {
@@ -76,7 +76,7 @@
 // Number returns the index of the attempt among those of its request, from 0.
 func (a *Attempt) Number() int { return a.number }
 
-// JobStarted reports that the job has begun to run. Only the first call counts, so that a backend which repeats it cannot
+// JobStarted reports that the job has started to run. Only the first call counts, so that a backend which repeats it cannot
 // flood the core.
 func (a *Attempt) JobStarted() {
 	if !a.jobStartReported.Swap(true) {
--- a/internal/core/attempt_test.go
+++ b/internal/core/attempt_test.go
@@ -44,8 +44,8 @@
 
 func (w *clockFixture) dispatch() { actions{w.core}.Dispatch(1, 1, 0) }
 
-// Once its client is gone or it is answered, no further attempt of a request begins: from that instant on, not only after the
-// core has handled the event. An attempt that has begun runs on.
+// Once its client is gone or it is answered, no further attempt of a request starts: from that instant on, not only after
+// the core has handled the event. An attempt that has started runs on.
 func TestNoStartAfterClientGone(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(*clockFixture)
@@ -76,8 +76,8 @@
 	}
 }
 
-// MayBegin enforces the rule on duplicated effects just before the first byte. It depends on the class's effect, on when the
-// other attempts actually began, and on whether they are proven never to have run.
+// MayStart enforces the rule on duplicated effects just before the first byte. It depends on the class's effect, on when the
+// other attempts actually started, and on whether they are proven never to have run.
 func TestMayStartDuplicateRule(t *testing.T) {
 	const window = 1000
 	pass := func(w *clockFixture, ms int) { w.now = w.now.Add(time.Duration(ms) * time.Millisecond) }
@@ -87,7 +87,7 @@
 	for name, c := range map[string]struct {
 		effect balance.Effect
 		first  func(*clockFixture)
-		delay  int // ms until the second attempt is about to begin
+		delay  int // ms until the second attempt is about to start
 		want   bool
 	}{
 		"safe":                             {balance.Safe, end(Broken), 5000, true},
@@ -97,13 +97,13 @@
 		"after it, the first overdue":      {balance.Deduped, end(Overdue), 850, false},
 		"after it, the first never ran":    {balance.Deduped, end(Unreached), 5000, true},
 		"after it, the first was returned": {balance.Deduped, end(Returned), 5000, true},
-		"counted from when it began": {balance.Deduped, func(w *clockFixture) {
+		"counted from when it started": {balance.Deduped, func(w *clockFixture) {
 			pass(w, 800)
 			w.sent[0].MayStart()
 		}, 849, true},
-		"not yet begun":                 {balance.Deduped, func(*clockFixture) {}, 5000, true},
+		"not yet started":               {balance.Deduped, func(*clockFixture) {}, 5000, true},
 		"unsafe, the first outstanding": {balance.Unsafe, func(w *clockFixture) { w.sent[0].MayStart() }, 1, false},
-		"unsafe, not yet begun":         {balance.Unsafe, func(*clockFixture) {}, 1, false},
+		"unsafe, not yet started":       {balance.Unsafe, func(*clockFixture) {}, 1, false},
 		"unsafe, overdue while connecting": {balance.Unsafe, func(w *clockFixture) {
 			w.core.stopAttempt(w.sent[0], Overdue)
 			assert.False(t, w.sent[0].MayStart())
@@ -126,7 +126,7 @@
 	}
 }
 
-// The attempt sent first can be the one that begins last. The repeat window counts from the attempt that began first.
+// The attempt sent first can be the one that starts last. The repeat window counts from the attempt that started first.
 func TestWindowCountsFromFirstStarted(t *testing.T) {
 	for late, want := range map[time.Duration]bool{849: true, 850: false} {
 		w := newClockFixture(t, balance.Class{Effect: balance.Deduped, RepeatWindow: 1000})
@@ -137,7 +137,7 @@
 	}
 }
 
-// MayBegin can allow an attempt that then writes no byte and asks again. The repeat window counts from the second time.
+// MayStart can allow an attempt that then writes no byte and asks again. The repeat window counts from the second time.
 func TestWindowCountsFromLastMayStart(t *testing.T) {
 	w := newClockFixture(t, balance.Class{Effect: balance.Deduped, RepeatWindow: 1000})
 	w.dispatch()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -105,14 +105,14 @@
 	effect         balance.Effect
 	repeatWindow   balance.Millis // for how long backends drop repeats, where effect is Deduped
 	open           bool           // a final answer is still due
-	closed         atomic.Bool    // the request is answered or no longer wanted: no attempt may begin
+	closed         atomic.Bool    // the request is answered or no longer wanted: no attempt may start
 	dedupScope     balance.Scope  // which backends drop repeats together, where effect is Deduped
 	answered       bool           // the final answer was given
 	clientGoneAt   atomic.Int64   // stamp of when its client was found to be gone; 0 while it is there
 	policyVersion  uint64         // fleet policy version under which it was admitted; 0 without Versions
 	startReported  atomic.Bool    // Versions was notified that it has started at a backend or never will
 	attempts       []*Attempt
-	latest         atomic.Pointer[Attempt] // last element of attempts, read by MayBegin on other goroutines
+	latest         atomic.Pointer[Attempt] // last element of attempts, read by MayStart on other goroutines
 	outstanding    int
 	attemptStopped bool   // the core stopped an attempt, which may still be reading the job
 	onDone         func() // set by Abandon
@@ -143,9 +143,9 @@
 	queuedReqs    []*req // requests queued for quota, with Versions set; some have left the queue already
 	timers        timers
 	answerSlack   float64
-	drainGrace    time.Duration // for how long after a backend stops being ready an attempt may still begin at it
+	drainGrace    time.Duration // for how long after a backend stops being ready an attempt may still start at it
 	classes       []balance.Class
-	duplicateRule bool // MayBegin enforces the rule on duplicated effects as well
+	duplicateRule bool // MayStart enforces the rule on duplicated effects as well
 	// mayCancel says that the settings allow cancelling an attempt.
 	mayCancel  bool
 	readyCount atomic.Int32                               // number of backends that may be sent to
@@ -178,7 +178,7 @@
 }
 
 // NewWith makes a core with another decision policy than package balance's. The simulator uses it to compare policies and to
-// check what they would send, so MayBegin doesn't stop such a policy from duplicating an effect. A serving program must use
+// check what they would send, so MayStart doesn't stop such a policy from duplicating an effect. A serving program must use
 // New.
 func NewWith(read func() time.Time, policy func(balance.Settings, balance.Actions) (balance.Events, error),
 	s balance.Settings, b Backends, d Director, count *counters.Set) (*Core, error) {
@@ -194,7 +194,7 @@
 // ReadyBackends returns how many backends may be sent to.
 func (c *Core) ReadyBackends() int { return int(c.readyCount.Load()) }
 
-// SetBanned names the backends at which no attempt may begin from now on, whatever their listed state. It takes effect before
+// SetBanned names the backends at which no attempt may start from now on, whatever their listed state. It takes effect before
 // it returns, ahead of events that the core has not handled yet. The core keeps no reference to the map.
 func (c *Core) SetBanned(ids map[balance.WorkerID]struct{}) {
 	since := make(map[balance.WorkerID]int64, len(ids))
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -128,7 +128,7 @@
 	})
 }
 
-// MayBegin is asked just before the first byte is written.
+// MayStart is asked just before the first byte is written.
 func TestMayStart(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(*fixture)
--- a/internal/core/invariants.go
+++ b/internal/core/invariants.go
@@ -8,8 +8,8 @@
 	"tinsail/internal/guard"
 )
 
-// This file reports facts to package guard, which checks invariants. It makes no decisions: MayBegin decides which attempts
-// may begin, and the module decides the answers.
+// This file reports facts to package guard, which checks invariants. It makes no decisions: MayStart decides which attempts
+// may start, and the module decides the answers.
 
 // trace adds an event of a request to the trace.
 func (c *Core) trace(at time.Time, r *req, step guard.Step, reason fmt.Stringer) {
@@ -18,8 +18,8 @@
 	}
 }
 
-// Started reports that the attempt's first byte was written at a time. timeLeft is how long its client still waits, as stated
-// to the backend. It may be called from any goroutine.
+// Started reports that the attempt's first byte was written at a time. timeLeft is how long its client still waits, as
+// stated to the backend. It may be called from any goroutine.
 func (a *Attempt) Started(at time.Time, timeLeft time.Duration) {
 	c, r := a.core, a.req
 	if c == nil || c.Guard == nil {
--- a/internal/core/invariants_test.go
+++ b/internal/core/invariants_test.go
@@ -10,7 +10,7 @@
 	"tinsail/internal/guard"
 )
 
-// The run-time checks must detect a driver that begins attempts without asking MayBegin, and a policy that refuses requests
+// The run-time checks must detect a driver that starts attempts without asking MayStart, and a policy that refuses requests
 // which may have run. Each violation counts under its own rule only, and correct behaviour counts under none.
 func TestGuardDetectsViolations(t *testing.T) {
 	const grace = 500 * time.Millisecond
@@ -58,12 +58,12 @@
 		"backend told too much time": {balance.Safe, func(w *clockFixture) {
 			w.sent[0].Started(w.now, time.Minute+guard.TimeLeftSlack+1)
 		}, []guard.Rule{guard.TimeLeftTooLong}},
-		"begun twice": {balance.Unsafe, func(w *clockFixture) {
+		"started twice": {balance.Unsafe, func(w *clockFixture) {
 			start(w, 0)
 			w.dispatch()
 			start(w, 1)
 		}, []guard.Rule{guard.RepeatUnsafe}},
-		"begun again after it was returned": {balance.Unsafe, func(w *clockFixture) {
+		"started again after it was returned": {balance.Unsafe, func(w *clockFixture) {
 			start(w, 0)
 			w.sent[0].Ended(Returned, "", nil)
 			w.core.step()
--- a/internal/core/quotas.go
+++ b/internal/core/quotas.go
@@ -32,7 +32,7 @@
 	versionCheckInterval = 100 * time.Millisecond
 )
 
-// awaitQuota queues a request for quota. Until it is granted the module doesn't know of the request and no attempt begins.
+// awaitQuota queues a request for quota. Until it is granted the module doesn't know of the request and no attempt starts.
 func (c *Core) awaitQuota(r *req, q balance.Request) {
 	if r.closed.Load() { // its client is gone, and Abandon has posted the event
 		return
@@ -74,7 +74,7 @@
 	}
 }
 
-// refuse refuses a request that got no quota. It has begun nowhere, so another dispatcher may run it.
+// refuse refuses a request that got no quota. It has started nowhere, so another dispatcher may run it.
 func (c *Core) refuse(r *req, retryAfter time.Duration) {
 	r.queued = false
 	c.answer(r, Answer{Kind: Refusal, RetryAfter: retryAfter})
--- a/internal/core/quotas_test.go
+++ b/internal/core/quotas_test.go
@@ -166,7 +166,7 @@
 	}
 }
 
-// A client that leaves gives up its place in the queue and no attempt begins, in any order of the events.
+// A client that leaves gives up its place in the queue and no attempt starts, in any order of the events.
 func TestClientGoneWhileQueued(t *testing.T) {
 	for name, do := range map[string]func(*quotaFixture, func(*quotaFixture) Handle) Handle{
 		"gone": func(h *quotaFixture, submit func(*quotaFixture) Handle) Handle {
@@ -245,7 +245,7 @@
 }
 
 // Quota is released at the latest MaxHold after the grant by the core's clock, whatever deadline a client sets, whatever
-// backends do, and even if the policy forgets the request. After that no attempt may begin.
+// backends do, and even if the policy forgets the request. After that no attempt may start.
 func TestMaxHold(t *testing.T) {
 	const maxHold = 3 * time.Second
 	for name, c := range map[string]struct {
@@ -302,7 +302,7 @@
 }
 
 // A process can be stopped between the grant and the core's handling of it. If it resumes after the maximum hold time, it
-// must begin nothing.
+// must start nothing.
 func TestStoppedBeyondMaxHold(t *testing.T) {
 	h := newQuotaFixture(t, nil)
 	h.quotas.maxHold = 3 * time.Second
@@ -341,7 +341,7 @@
 	require.Len(t, h.sent, 1)
 	assert.EqualValues(t, 7, h.sent[0].Version())
 	assert.True(t, h.sent[0].MayStart())
-	assert.Equal(t, 1, p.waiting, "one began, one is queued")
+	assert.Equal(t, 1, p.waiting, "one started, one is queued")
 
 	h.pass(time.Second)
 	assert.Empty(t, h.answers)
@@ -392,7 +392,7 @@
 }
 
 // In any order of grants, refusals of quota, answers, clients leaving, time passing and versions ending: each accepted
-// request gets one answer unless its client left, releases its quota once, holds it no longer than MaxHold, and begins only
+// request gets one answer unless its client left, releases its quota once, holds it no longer than MaxHold, and starts only
 // with quota.
 func TestOneAnswerOneRelease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -493,7 +493,7 @@
 		for a := range started {
 			i := slices.IndexFunc(all, func(o *submitted) bool { return o.handle.req == a.req })
 			if !all[i].granted {
-				t.Fatalf("an attempt of request %d began without quota", i)
+				t.Fatalf("an attempt of request %d started without quota", i)
 			}
 		}
 	})
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -64,7 +64,7 @@
 	c.module.Arrive(c.clock.now(), q)
 }
 
-// Abandon says that the client of a request is gone and can no longer get an answer. No further attempt begins once it
+// Abandon says that the client of a request is gone and can no longer get an answer. No further attempt starts once it
 // returns. With stop, outstanding attempts are cancelled where the settings allow it; otherwise they run on. over, if not
 // nil, is called once no attempt is outstanding, on the core's goroutine; it must not block.
 func (h Handle) Abandon(stop bool, over func()) {
--- a/internal/core/versions.go
+++ b/internal/core/versions.go
@@ -5,10 +5,10 @@
 // Versions decides under which version of the fleet's policy requests are admitted, where dispatchers agree on one
 // (docs/design/accord.md). Its methods are called from many goroutines and must not block.
 type Versions interface {
-	// Admit admits a request under the version in force. If ok, the request counts as waiting until Begun is called;
+	// Admit admits a request under the version in force. If ok, the request counts as waiting until Started is called;
 	// otherwise retryAfter is the delay suggested to its client.
 	Admit() (version uint64, retryAfter time.Duration, ok bool)
-	// Started is called once for each admitted request, when it has begun at a backend or never will.
+	// Started is called once for each admitted request, when it has started at a backend or never will.
 	Started(version uint64)
 	// MayStart reports whether an attempt of a request admitted under a version may start now.
 	MayStart(version uint64) bool
@@ -20,7 +20,7 @@
 func (c *Core) Serves() bool { return c.Versions == nil || c.Versions.Serves() }
 
 // admit records the version under which a request is admitted. If no version is known to be in force, it refuses the request
-// at once: no attempt has begun, so another dispatcher may run it.
+// at once: no attempt has started, so another dispatcher may run it.
 func (c *Core) admit(r *req) bool {
 	version, retryAfter, ok := c.Versions.Admit()
 	if ok {
@@ -35,7 +35,7 @@
 	return false
 }
 
-// versionAllowsStart is the last check before an attempt begins, as far as the fleet's policy is concerned.
+// versionAllowsStart is the last check before an attempt starts, as far as the fleet's policy is concerned.
 func (c *Core) versionAllowsStart(r *req) bool {
 	if !c.Versions.MayStart(r.policyVersion) {
 		return false
--- a/internal/core/versions_test.go
+++ b/internal/core/versions_test.go
@@ -31,7 +31,7 @@
 
 // A core whose fleet admits nothing refuses requests with a suggested delay and keeps no state for them. Otherwise each request
 // gets the version in force, and its attempts start only under that version. When the version ends, a request of which
-// nothing has begun is refused, and one that has begun fails.
+// nothing has started is refused, and one that has started fails.
 func TestReqsKeepTheirVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t, balance.Ready)
@@ -51,7 +51,7 @@
 		assert.EqualValues(t, 7, b.sent[0].Version())
 		assert.Equal(t, 1, p.waiting)
 		assert.True(t, b.sent[0].MayStart())
-		assert.Zero(t, p.waiting, "it has begun")
+		assert.Zero(t, p.waiting, "it has started")
 
 		submit("b")
 		require.Len(t, b.sent, 2)
@@ -60,7 +60,7 @@
 		b.sent[1].Ended(Unsent, "", nil)
 		b.core.step()
 		require.Len(t, b.answers, 2)
-		assert.Equal(t, Refusal, b.answers[1].Kind, "no attempt of it had begun")
+		assert.Equal(t, Refusal, b.answers[1].Kind, "no attempt of it had started")
 		b.sent[0].Ended(Broken, "", nil)
 		b.core.step()
 		require.Len(t, b.answers, 3)
--- a/internal/guard/rule_test.go
+++ b/internal/guard/rule_test.go
@@ -38,7 +38,7 @@
 		"repeat in the window":      {func(b *AttemptStart) { b.At, b.SentTimeLeft, b.Prior = at(1050), 0, []PriorAttempt{ran} }, nil},
 		"repeat after it":           {func(b *AttemptStart) { b.At, b.SentTimeLeft, b.Prior = at(1051), 0, []PriorAttempt{ran} }, []Rule{RepeatOutsideWindow}},
 		"the first never ran":       {func(b *AttemptStart) { b.At, b.SentTimeLeft, b.Prior = at(1051), 0, []PriorAttempt{{at(50), true}} }, nil},
-		"the first never began":     {func(b *AttemptStart) { b.Effect, b.Prior = balance.Unsafe, []PriorAttempt{{}} }, nil},
+		"the first never started":   {func(b *AttemptStart) { b.Effect, b.Prior = balance.Unsafe, []PriorAttempt{{}} }, nil},
 		"unsafe repeat":             {func(b *AttemptStart) { b.Effect, b.Prior = balance.Unsafe, []PriorAttempt{ran} }, []Rule{RepeatUnsafe}},
 		"unsafe, proven":            {func(b *AttemptStart) { b.Effect, b.Prior = balance.Unsafe, []PriorAttempt{{at(50), true}} }, nil},
 		"safe repeat":               {func(b *AttemptStart) { b.Effect, b.Window, b.Prior = balance.Safe, 0, []PriorAttempt{ran} }, nil},
@@ -57,15 +57,15 @@
 		change func(*FinalAnswer)
 		want   []Rule
 	}{
-		"in order":              {func(*FinalAnswer) {}, nil},
-		"late":                  {func(f *FinalAnswer) { f.At = at(1501) }, []Rule{AnswerLate}},
-		"again":                 {func(f *FinalAnswer) { f.Duplicate = true }, []Rule{AnswerTwice}},
-		"failed though it ran":  {func(f *FinalAnswer) { f.Attempts = ran }, nil},
-		"refused though it ran": {func(f *FinalAnswer) { f.Refused, f.Attempts = true, ran }, []Rule{RefuseMayHaveRun}},
-		"refused, never ran":    {func(f *FinalAnswer) { f.Refused, f.Attempts = true, []PriorAttempt{{at(0), true}} }, nil},
-		"refused, never began":  {func(f *FinalAnswer) { f.Refused, f.Attempts = true, []PriorAttempt{{}} }, nil},
-		"refused, safe":         {func(f *FinalAnswer) { f.Refused, f.Effect, f.Attempts = true, balance.Safe, ran }, nil},
-		"refused, all drop it":  {func(f *FinalAnswer) { f.Refused, f.Effect, f.Attempts = true, balance.Deduped, ran }, nil},
+		"in order":               {func(*FinalAnswer) {}, nil},
+		"late":                   {func(f *FinalAnswer) { f.At = at(1501) }, []Rule{AnswerLate}},
+		"again":                  {func(f *FinalAnswer) { f.Duplicate = true }, []Rule{AnswerTwice}},
+		"failed though it ran":   {func(f *FinalAnswer) { f.Attempts = ran }, nil},
+		"refused though it ran":  {func(f *FinalAnswer) { f.Refused, f.Attempts = true, ran }, []Rule{RefuseMayHaveRun}},
+		"refused, never ran":     {func(f *FinalAnswer) { f.Refused, f.Attempts = true, []PriorAttempt{{at(0), true}} }, nil},
+		"refused, never started": {func(f *FinalAnswer) { f.Refused, f.Attempts = true, []PriorAttempt{{}} }, nil},
+		"refused, safe":          {func(f *FinalAnswer) { f.Refused, f.Effect, f.Attempts = true, balance.Safe, ran }, nil},
+		"refused, all drop it":   {func(f *FinalAnswer) { f.Refused, f.Effect, f.Attempts = true, balance.Deduped, ran }, nil},
 		"refused, a group drops": {func(f *FinalAnswer) {
 			f.Refused, f.Effect, f.Scope, f.Attempts = true, balance.Deduped, balance.ScopeCell, ran
 		}, []Rule{RefuseMayHaveRun}},
--- a/internal/network/backend_conn_race_test.go
+++ b/internal/network/backend_conn_race_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestUnsolicitedBytesAfterReply: the end of a reply and unsolicited bytes come in one segment. The next request begins
+// TestUnsolicitedBytesAfterReply: the end of a reply and unsolicited bytes come in one segment. The next request starts
 // before the reading goroutine has parsed beyond the end.
 func TestUnsolicitedBytesAfterReply(t *testing.T) {
 	for name, surplus := range map[string]string{"half a head": unprocessed503[:40], "a whole reply": unprocessed503, "a line": doneLine("b")} {
--- a/internal/network/fleet/accord/accord_test.go
+++ b/internal/network/fleet/accord/accord_test.go
@@ -340,7 +340,7 @@
 	assert.False(t, a.MayStart(7))
 }
 
-// BenchmarkTake measures what the accord costs each request: Admit, MayStart and Begun.
+// BenchmarkTake measures what the accord costs each request: Admit, MayStart and Started.
 func BenchmarkTake(b *testing.B) {
 	participant, err := accord.NewParticipant(accord.LeaseConfig{Lease: time.Second}, "n0", 1)
 	require.NoError(b, err)
--- a/internal/network/fleet/accord/admission.go
+++ b/internal/network/fleet/accord/admission.go
@@ -11,7 +11,7 @@
 // read it without a lock.
 type admission struct {
 	accord.Admission
-	waiting *atomic.Int64 // requests accepted under this version that have not begun at any backend
+	waiting *atomic.Int64 // requests accepted under this version that have not started at any backend
 }
 
 // Admit admits a request under the version in force, for core.Versions. The request is counted as
@@ -33,7 +33,7 @@
 	return 0, a.cfg.Leases.Drain(), false
 }
 
-// Started is called once for each admitted request, when it has begun at a backend or never will.
+// Started is called once for each admitted request, when it has started at a backend or never will.
 func (a *Accord) Started(version uint64) {
 	if current := a.member.admission.Load(); current.Version == version {
 		a.member.endWaiting(current)
--- a/internal/network/http2_crossing_test.go
+++ b/internal/network/http2_crossing_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// TestHTTP2ClientCancelsWhileDialing: no attempt begins for a client that cancelled its request while the connection to the
+// TestHTTP2ClientCancelsWhileDialing: no attempt starts for a client that cancelled its request while the connection to the
 // backend was being made.
 func TestHTTP2ClientCancelsWhileDialing(t *testing.T) {
 	for name, cancel := range cancellations {
