--- a/cmd/tinsail/accord_rig_test.go
+++ b/cmd/tinsail/accord_rig_test.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"os"
 	"os/exec"
@@ -92,10 +91,9 @@
 // voter, which runs until the test ends.
 func startVoterRelays(t *testing.T, n int) (voters []string, relays [][]*faultnet.TCP) {
 	for range 3 {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		address, err := faultnet.FreeAddress()
 		require.NoError(t, err)
-		defer l.Close() // only at the end, so that the relays get other ports
-		voters = append(voters, l.Addr().String())
+		voters = append(voters, address)
 	}
 	relays = make([][]*faultnet.TCP, n)
 	for i := range relays {
--- a/cmd/tinsail/accord_test.go
+++ b/cmd/tinsail/accord_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -19,6 +18,7 @@
 	"github.com/stretchr/testify/require"
 
 	"tinsail/internal/config"
+	"tinsail/internal/faultnet"
 	"tinsail/internal/settings"
 	"tinsail/internal/standin/platform"
 )
@@ -49,10 +49,9 @@
 		t.Cleanup(b.Close)
 		director.Set(b.Entry("fast", "here", i, "Ready"))
 		f.backends = append(f.backends, b)
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		address, err := faultnet.FreeAddress()
 		require.NoError(t, err)
-		f.voters += fmt.Sprintf("%q, ", fmt.Sprintf("n%d=%s", i, l.Addr()))
-		l.Close()
+		f.voters += fmt.Sprintf("%q, ", fmt.Sprintf("n%d=%s", i, address))
 	}
 	for i := range n {
 		f.members = append(f.members, nil)
--- a/cmd/tinsail/upgrade_test.go
+++ b/cmd/tinsail/upgrade_test.go
@@ -22,6 +22,7 @@
 
 	"tinsail/internal/config"
 	"tinsail/internal/door"
+	"tinsail/internal/faultnet"
 	"tinsail/internal/handover"
 	"tinsail/internal/network/handoff"
 	"tinsail/internal/standin/platform"
@@ -341,10 +342,8 @@
 // TestOldProcessDies: the old process is killed after the new one accepts, or before any new process connects,
 // which leaves a stale socket file. The new process serves in both cases, and bans and service state survive.
 func TestOldProcessDies(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // a fixed port for both: one process is gone before the other starts
+	address, err := faultnet.FreeAddress() // for both: one process is gone before the other starts
 	require.NoError(t, err)
-	address := l.Addr().String()
-	l.Close()
 	h := newDeployment(t, address)
 	old := h.start()
 	old.awaitReady()
--- a/internal/lab/hollow/fleet.go
+++ b/internal/lab/hollow/fleet.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -116,12 +115,11 @@
 		return err
 	}
 	for v := range Regions {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		address, err := faultnet.FreeAddress()
 		if err != nil {
 			return err
 		}
-		f.voterAddresses = append(f.voterAddresses, l.Addr().String())
-		l.Close()
+		f.voterAddresses = append(f.voterAddresses, address)
 		for from := range Regions {
 			if f.voterRelays[from][v], err = faultnet.ListenTapped(f.voterAddresses[v], f.Meters[from][v].Tap); err != nil {
 				return err
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -49,16 +49,16 @@
 		return nil, err
 	}
 	addresses := make(chan string, 1)
+	var lastLine []byte // may be read once the process has exited
 	go func() {
 		defer close(p.exited)
-		var line []byte
 		for r := bufio.NewScanner(stderr); r.Scan(); {
-			line = bytes.Clone(r.Bytes())
+			lastLine = bytes.Clone(r.Bytes())
 			var e struct{ Event, Listen string }
-			if json.Unmarshal(line, &e) == nil && e.Event == "serving" {
+			if json.Unmarshal(lastLine, &e) == nil && e.Event == "serving" {
 				addresses <- e.Listen
 			}
-			_, _ = logWriter.Write(append(line, '\n'))
+			_, _ = logWriter.Write(append(lastLine, '\n'))
 		}
 		_ = p.cmd.Wait()
 		select {
@@ -72,7 +72,7 @@
 	}
 	if p.Address == "" {
 		p.Kill()
-		return nil, fmt.Errorf("dispatcher %s exited or did not start to serve within %v", name, serveTimeout)
+		return nil, fmt.Errorf("dispatcher %s exited or did not start to serve within %v; last log line: %s", name, serveTimeout, lastLine)
 	}
 	return p, nil
 }
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -288,7 +288,7 @@
 		if err := os.MkdirAll(n.folder, 0o700); err != nil {
 			return nil, err
 		}
-		if n.address, err = freeAddress(); err != nil { // fixed, since all processes of the node listen at it, also during a hand-over
+		if n.address, err = faultnet.FreeAddress(); err != nil { // fixed, since all processes of the node listen at it, also during a hand-over
 			return nil, err
 		}
 		if _, err := n.start(0); err != nil {
@@ -299,16 +299,6 @@
 	return f, nil
 }
 
-// freeAddress returns an address at which nothing listens now.
-func freeAddress() (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return "", err
-	}
-	defer l.Close()
-	return l.Addr().String(), nil
-}
-
 // close kills the processes that still run, and closes the backends and the director.
 func (f *fleet) close() {
 	for _, n := range f.nodes {
--- a/internal/network/fleet/accord/accord_test.go
+++ b/internal/network/fleet/accord/accord_test.go
@@ -66,10 +66,9 @@
 	f := &fleet{t: t, leases: accord.LeaseConfig{Lease: 600 * time.Millisecond, Drift: 0.001}, stop: make(chan struct{})}
 	f.refuser.Store(-1)
 	for i := range 3 {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		address, err := faultnet.FreeAddress()
 		require.NoError(t, err)
-		f.voters = append(f.voters, Peer{fmt.Sprintf("n%d", i), l.Addr().String()})
-		l.Close()
+		f.voters = append(f.voters, Peer{fmt.Sprintf("n%d", i), address})
 		f.dataDirs = append(f.dataDirs, t.TempDir())
 	}
 	f.relays = make([][]*faultnet.TCP, n)
--- a/internal/network/fleet/quota/fixture_test.go
+++ b/internal/network/fleet/quota/fixture_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"fmt"
-	"net"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -82,12 +81,10 @@
 	f := &fixture{t: t, leases: quota.LeaseConfig{Lease: 400 * time.Millisecond, MaxRunTime: 300 * time.Millisecond, Drift: 0.001},
 		regionLease: regionLease, initialPolicy: initialPolicy,
 		relays: make([][]*faultnet.TCP, n), members: make([]*member, n), stop: make(chan struct{}), teams: map[string]*teamLoad{}}
-	var reserved []net.Listener
 	for range regions {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		address, err := faultnet.FreeAddress()
 		require.NoError(t, err)
-		reserved = append(reserved, l) // keeps the port, so that no relay gets it
-		f.voterAddresses = append(f.voterAddresses, l.Addr().String())
+		f.voterAddresses = append(f.voterAddresses, address)
 		f.dataDirs = append(f.dataDirs, t.TempDir())
 	}
 	for i := range n {
@@ -98,9 +95,6 @@
 			f.relays[i] = append(f.relays[i], relay)
 		}
 	}
-	for _, l := range reserved {
-		l.Close()
-	}
 	t.Cleanup(f.closeAll)
 	for i := range n {
 		f.start(i)
